--- /dev/null
+++ b/internal/snapshot/golden_test.go
@@ -0,0 +1,28 @@
+package snapshot
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// TestGoldenSnapshot checks that a snapshot written by an earlier version is read in full and that this version writes the same bytes.
+func TestGoldenSnapshot(t *testing.T) {
+	stored, err := os.ReadFile(filepath.Join("testdata", "golden.snapshot"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoded, err := Decode(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	same(t, "decoded", fleet(3, 2), decoded)
+	written, err := Encode(decoded, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, stored) {
+		t.Errorf("written again as %x, stored as %x", written, stored)
+	}
+}
