--- a/balancer.go
+++ b/balancer.go
@@ -21,7 +21,7 @@
 	"plankrouter/internal/members"
 	"plankrouter/internal/provider"
 	"plankrouter/internal/sockets"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // MaxBody bounds the bodies of requests and answers, in bytes.
@@ -104,7 +104,7 @@
 }
 
 // whole: a probe's answer without the load says nothing.
-func whole(r logic.Report) bool { return r.HasRIF }
+func whole(r policy.Report) bool { return r.HasRIF }
 
 // Update tells of members that have come, changed or gone; those that it does not name stay as they are. With a Directory
 // what that says of the same ids goes on counting. An error is an *OptionError, and then nothing has changed.
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -8,7 +8,7 @@
 
 	"plankrouter/internal/ending"
 	"plankrouter/internal/invocation"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Caller carries the attempts of one pool. All methods are called by the pool's goroutine alone and must not block.
@@ -62,7 +62,7 @@
 // Result is how an attempt ended.
 type Result struct {
 	Ending ending.Ending
-	Report logic.Report       // the provider's load, where the answer told it
+	Report policy.Report      // the provider's load, where the answer told it
 	Code   int                // the protocol's own word for the answer, where it was Served
 	Fields []invocation.Field // the answer's, where it was Served
 	Body   []byte
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 	"plankrouter/internal/members"
 	"plankrouter/internal/stopping"
 	"plankrouter/internal/transient"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Defaults for what the platform may leave out.
@@ -54,7 +54,7 @@
 	ReadyWithin    time.Duration      `json:"-"`
 	Watch          freshness.Settings `json:"-"`
 	Seed           uint64             `json:"-"`
-	Logic          logic.Config       `json:"-"`
+	Logic          policy.Config      `json:"-"`
 	ConnIdle       time.Duration      `json:"-"` // a provider closes a connection left idle this long
 	ConnectTimeout time.Duration      `json:"-"`
 	DrainGrace     time.Duration      `json:"-"`
@@ -256,7 +256,7 @@
 	if c.Logic, err = s.Logic(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	if _, err := logic.New(c.Logic, c.Seed); err != nil {
+	if _, err := policy.New(c.Logic, c.Seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"plankrouter/internal/loadreport"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -56,9 +56,9 @@
 // Pure is what Repeat says of a class that is safe to repeat.
 const Pure = "pure"
 
-var repeats = map[string]logic.Repeat{Pure: logic.Safe, "token": logic.Keyed, "side_effect": logic.Unsafe}
+var repeats = map[string]policy.Repeat{Pure: policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe}
 
-var scopes = map[string]logic.Scope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
+var scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
 // ParseSettings reads the settings; Logic says whether the module can work with them.
 func ParseSettings(raw []byte) (*Settings, error) {
@@ -80,8 +80,8 @@
 }
 
 // Logic converts the settings to those of the decision module.
-func (s *Settings) Logic() (logic.Config, error) {
-	cfg := logic.Config{
+func (s *Settings) Logic() (policy.Config, error) {
+	cfg := policy.Config{
 		OverShareWorth: s.OverShareWorth, Balancers: s.Balancers, Zone: s.Locality,
 		Probes: s.Limits.Probes, Cancel: s.Limits.MayCancel, MaxAttempts: s.Limits.MaxAttempts,
 		Round:     s.RoundMs,
@@ -99,25 +99,25 @@
 		return cfg, fmt.Errorf("Discovery: unknown word %q", s.Discovery)
 	}
 	for i, c := range s.Classes {
-		k := logic.Class{Aim: c.AimMs, Deadline: c.HardLimitMs, Worth: c.Credit, LateWorth: c.LateWorth,
+		k := policy.Class{Aim: c.AimMs, Deadline: c.HardLimitMs, Worth: c.Credit, LateWorth: c.LateWorth,
 			Window: c.MemorySpanMs, Attempts: c.Attempts, Dropped: c.Dropped}
 		var known bool
 		if k.Repeat, known = repeats[c.Repeat]; !known {
 			return cfg, fmt.Errorf("RequestClasses[%d].Repeat: unknown word %q", i, c.Repeat)
 		}
-		if k.Scope, known = scopes[c.KeyScope]; !known && k.Repeat == logic.Keyed {
+		if k.Scope, known = scopes[c.KeyScope]; !known && k.Repeat == policy.Keyed {
 			return cfg, fmt.Errorf("RequestClasses[%d].KeyScope: unknown word %q", i, c.KeyScope)
 		}
 		cfg.Classes = append(cfg.Classes, k)
 	}
 	for _, t := range s.Realms {
-		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Quota: t.QuotaPerS})
+		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Quota: t.QuotaPerS})
 	}
 	return cfg, nil
 }
 
 // Whole says whether a report has what the module can't do without, where the deployment's reports hold it: a provider
 // that has just started may have no service time to tell, but it knows what it holds.
-func (s *Settings) Whole(r logic.Report) bool {
+func (s *Settings) Whole(r policy.Report) bool {
 	return r.HasRIF || !slices.Contains(loadreport.Fields(s.Report.Names), loadreport.RIF)
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -10,44 +10,44 @@
 	"plankrouter/internal/freshness"
 	"plankrouter/internal/invocation"
 	"plankrouter/internal/members"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // do carries out one of the module's actions.
-func (s *Pool) do(a *logic.Action) {
+func (s *Pool) do(a *policy.Action) {
 	switch a.Kind {
-	case logic.Send:
+	case policy.Send:
 		s.invoke(a)
-	case logic.Cancel:
+	case policy.Cancel:
 		if h := s.held[a.Request]; h != nil && h.call != 0 && a.Attempt == h.attempts-1 {
 			s.stop(h.call, ending.CalledOff)
 		}
-	case logic.Refuse:
+	case policy.Refuse:
 		s.unserved(a)
 		s.answer(a.Request, invocation.Answer{Kind: invocation.Refused, RetryAfter: duration(a.After)})
-	case logic.Fail:
+	case policy.Fail:
 		s.unserved(a)
 		s.answer(a.Request, invocation.Answer{Kind: invocation.Failed})
-	case logic.Probe:
+	case policy.Probe:
 		if k := s.providers[a.Server]; k != nil {
 			s.counts.Probes++
 			s.start(k, nil, &attempt{probe: true, server: a.Server}, probeTimeout)
 		}
-	case logic.SetTimer:
+	case policy.SetTimer:
 		heap.Push(&s.timers, &timer{at: s.now.Add(duration(a.After)), handle: a.Timer})
-	case logic.Subscribe: // the directory is watched all the time
-	case logic.Log:
+	case policy.Subscribe: // the directory is watched all the time
+	case policy.Log:
 		s.set.Logf("decision=%q", a.Text)
 	}
 }
 
 // invoke makes the attempt that the module asks for.
-func (s *Pool) invoke(a *logic.Action) {
+func (s *Pool) invoke(a *policy.Action) {
 	h, k := s.held[a.Request], s.providers[a.Server]
 	if !s.maySend(h, k) {
 		// Not asked for by a sound module; answering it keeps the books of a faulty one straight.
 		s.set.Logf("state=send_refused request=%d server=%d", a.Request, a.Server)
-		s.step(logic.Event{Kind: logic.AttemptDone, Request: a.Request, Server: a.Server, Status: logic.NotSent,
+		s.step(policy.Event{Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
 			Final: h == nil || h.answered})
 		return
 	}
@@ -106,14 +106,14 @@
 }
 
 // health reads a phase. One that is unknown gets no new work: it is not the one that asks for it.
-func health(phase string) logic.Health {
+func health(phase string) policy.Health {
 	switch phase {
 	case members.Serving:
-		return logic.Ready
+		return policy.Ready
 	case members.Deleted:
-		return logic.Gone
+		return policy.Gone
 	}
-	return logic.Draining
+	return policy.Draining
 }
 
 // list takes the directory's word as of now.
@@ -125,9 +125,9 @@
 	s.revision = l.Revision
 	now := time.Now()
 	s.readWall(now)
-	named := map[logic.ServerID]bool{}
+	named := map[policy.ServerID]bool{}
 	left := map[caller.Endpoint]bool{} // where another process is by now
-	lines := make([]logic.ServerInfo, 0, len(l.Members))
+	lines := make([]policy.ServerInfo, 0, len(l.Members))
 	for _, m := range l.Members {
 		id, zone := s.serverID(m.ID), -1
 		if z, have := s.zones[m.Locality]; have {
@@ -136,7 +136,7 @@
 		named[id] = true
 		k := s.providers[id]
 		if k == nil {
-			k = &known{name: m.ID, health: logic.Ready, at: s.set.Caller.Endpoint(m.ID, m.Address), toldAt: told}
+			k = &known{name: m.ID, health: policy.Ready, at: s.set.Caller.Endpoint(m.ID, m.Address), toldAt: told}
 			s.providers[id] = k
 		}
 		if m.Address != "" && m.Address != k.at.Address() || m.UpSince != k.line.UpSince {
@@ -147,19 +147,19 @@
 		}
 		k.line, k.origin = m, s.originOf(k, m, now)
 		health, since := s.effective(m, told, now)
-		lines = append(lines, logic.ServerInfo{ID: id, Zone: zone, Cell: m.Cell, Health: health, StartedAt: k.origin.startedAt,
-			Returned: health == logic.Ready && k.health == logic.Draining && k.origin.startedAt > k.origin.listed})
+		lines = append(lines, policy.ServerInfo{ID: id, Zone: zone, Cell: m.Cell, Health: health, StartedAt: k.origin.startedAt,
+			Returned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listed})
 		s.setHealth(id, k, health, since)
 	}
 	for id, k := range s.providers {
 		if l.Complete && !named[id] {
-			s.setHealth(id, k, logic.Gone, told)
+			s.setHealth(id, k, policy.Gone, told)
 		}
 	}
 	ready := false
 	for id, k := range s.providers {
-		ready = ready || k.health == logic.Ready
-		if k.health == logic.Gone && k.calls == 0 {
+		ready = ready || k.health == policy.Ready
+		if k.health == policy.Gone && k.calls == 0 {
 			s.forget(s.member(k, now))
 			delete(s.providers, id)
 			s.set.Caller.Forget(k.name)
@@ -168,7 +168,7 @@
 		}
 	}
 	s.ready.Store(ready)
-	s.step(logic.Event{Kind: logic.List, Full: l.Complete, Servers: lines})
+	s.step(policy.Event{Kind: policy.List, Full: l.Complete, Servers: lines})
 	s.lookedAt = time.Time{}
 	for number, a := range s.calls { // once the module knows it: what is withdrawn may go out again
 		if left[a.at] {
@@ -178,18 +178,18 @@
 }
 
 // setHealth notes a provider's state and, when it leaves, the end of the grace for calls that still connect.
-func (s *Pool) setHealth(id logic.ServerID, k *known, h logic.Health, told time.Time) {
+func (s *Pool) setHealth(id policy.ServerID, k *known, h policy.Health, told time.Time) {
 	was := k.health
 	if k.health = h; h != was {
 		k.toldAt = told
 		defer s.traceServer(k, was)
 	}
 	switch {
-	case h == logic.Ready:
-		if k.notAfter = (time.Time{}); was != logic.Ready {
+	case h == policy.Ready:
+		if k.notAfter = (time.Time{}); was != policy.Ready {
 			k.at = s.set.Caller.Endpoint(k.name, k.at.Address())
 		}
-	case was == logic.Ready:
+	case was == policy.Ready:
 		k.at.Close()
 		_, write := freshness.Leave(s.set.DrainGrace)
 		k.notAfter = told.Add(write)
--- a/internal/core/bans.go
+++ b/internal/core/bans.go
@@ -5,7 +5,7 @@
 
 	"plankrouter/internal/bans"
 	"plankrouter/internal/members"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -31,7 +31,7 @@
 }
 
 // listed: a provider that has gone stays in the table while a call to it is out.
-func (s *Pool) listed(k *known) bool { return k != nil && k.health != logic.Gone }
+func (s *Pool) listed(k *known) bool { return k != nil && k.health != policy.Gone }
 
 func (e banning) apply(s *Pool) {
 	defer close(e.done)
@@ -55,10 +55,10 @@
 
 // effective is what a line of the list amounts to under the operators' word: the provider's health, and since when. One that is
 // out counts as draining.
-func (s *Pool) effective(m members.Member, told, now time.Time) (h logic.Health, since time.Time) {
+func (s *Pool) effective(m members.Member, told, now time.Time) (h policy.Health, since time.Time) {
 	h = health(m.Phase)
-	if at, out := s.bans.Out[m.ID]; out && h == logic.Ready {
-		h = logic.Draining
+	if at, out := s.bans.Out[m.ID]; out && h == policy.Ready {
+		h = policy.Draining
 		if since := s.since(at, now); since.Before(told) {
 			told = since
 		}
@@ -75,7 +75,7 @@
 	s.lookedAt = now
 	s.readWall(now)
 	for _, a := range s.uploads {
-		s.step(logic.Event{Kind: logic.Flowing, Server: a.server})
+		s.step(policy.Event{Kind: policy.Flowing, Server: a.server})
 	}
 	listed, out := 0, 0
 	for id, k := range s.providers {
--- a/internal/core/change.go
+++ b/internal/core/change.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"plankrouter/internal/renumber"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Change is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
 type Change struct {
-	Logic            logic.Config
+	Logic            policy.Config
 	Classes, Tenants renumber.Plan
 	Deployment       string
 	DrainGrace       time.Duration
--- a/internal/core/clockstep_test.go
+++ b/internal/core/clockstep_test.go
@@ -14,7 +14,7 @@
 	"plankrouter/internal/invocation"
 	"plankrouter/internal/members"
 	"plankrouter/internal/snapshot"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // serving is a caller whose servers answer each attempt after a while. It counts attempts by address.
@@ -48,8 +48,8 @@
 
 // options are those of a pool of slow start.
 func options(wall *wallClock, counts map[string]int) Options {
-	return Options{Logic: logic.Config{MaxAttempts: 1, Cancel: true, Balancers: 1, ColdShare: 0.3, WarmWithin: 8000,
-		TipMultiple: 4, Classes: []logic.Class{{Aim: 500, Deadline: 1000, Worth: 1}}}, Caller: serving{started: counts},
+	return Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Balancers: 1, ColdShare: 0.3, WarmWithin: 8000,
+		TipMultiple: 4, Classes: []policy.Class{{Aim: 500, Deadline: 1000, Worth: 1}}}, Caller: serving{started: counts},
 		Wall: wall.now, DrainGrace: 750 * time.Millisecond}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/stopping"
 	"plankrouter/internal/wallclock"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -41,7 +41,7 @@
 type Options struct {
 	Name       string // in snapshots
 	Deployment string // in snapshots: stands for the settings that give positions their meaning
-	Logic      logic.Config
+	Logic      policy.Config
 	Seed       uint64
 	Zones      []string            // the names of Logic's zones, by position; a member of any other is in none
 	DrainGrace time.Duration       // after which nothing new may reach a provider that drains or is gone
@@ -50,7 +50,7 @@
 	Caller     caller.Caller
 
 	// Whole reports whether a probe's report has what the module can't do without; nil = any will do.
-	Whole func(logic.Report) bool
+	Whole func(policy.Report) bool
 	// Logf logs a line of key=value pairs; nil = nothing is logged.
 	Logf func(format string, args ...any)
 	// Trace logs a line for every attempt and probe, as it begins and as it ends; nil = none.
@@ -71,7 +71,7 @@
 // Pool is the host of one Balancer. Its exported methods are safe for concurrent use.
 type Pool struct {
 	set        Options
-	bal        *logic.Balancer
+	bal        *policy.Balancer
 	clock      clock
 	dates      wallclock.Line // of servers' starts and operators' orders, on the module's clock
 	ages       map[string]age // of servers' processes, by the process before this one; while restore needs them
@@ -81,20 +81,20 @@
 	listEvents chan event    // what discovery has told, which goes before what else waits: the grace of a drain does not wait for it
 	stopped    chan struct{} // closed when Run has ended
 
-	held      map[logic.RequestID]*held
-	byInv     map[*invocation.Invocation]logic.RequestID
+	held      map[policy.RequestID]*held
+	byInv     map[*invocation.Invocation]policy.RequestID
 	open      map[string]bool     // the consumers' ids of what has no final answer yet
 	elsewhere map[string]bool     // likewise, in the process before this one
 	calls     map[uint64]*attempt // and probes under way
 	uploads   map[uint64]*attempt // those whose request is still being sent
 	lastCall  uint64
-	providers map[logic.ServerID]*known
-	serverIDs map[string]logic.ServerID // of providers, by their ids
-	numbers   map[logic.ServerID]bool   // those given out
+	providers map[policy.ServerID]*known
+	serverIDs map[string]policy.ServerID // of providers, by their ids
+	numbers   map[policy.ServerID]bool   // those given out
 	timers    timers
-	next      logic.RequestID
-	actions   []logic.Action
-	pending   []logic.Event // for the module, in order
+	next      policy.RequestID
+	actions   []policy.Action
+	pending   []policy.Event // for the module, in order
 	stepping  bool
 	now       time.Time       // of the event that the module has last seen; what it asks for counts from here
 	revision  uint64          // of the list
@@ -115,8 +115,8 @@
 	Taken, Conflicts, Gone  int
 	Sent, Probes, Lists     int
 	Served, Refused, Failed int
-	Unserved                map[logic.Reason]int // refused or failed, by reason
-	Calls, Asked            ending.Counts        // endings of invoker calls and of probes
+	Unserved                map[policy.Reason]int // refused or failed, by reason
+	Calls, Asked            ending.Counts         // endings of invoker calls and of probes
 }
 
 // known is a provider that the directory has named.
@@ -126,7 +126,7 @@
 	origin   origin         // of the process that it names
 	toldAt   time.Time      // since when it has told the present phase
 	at       caller.Endpoint
-	health   logic.Health
+	health   policy.Health
 	notAfter time.Time // of a first byte, once it drains or is gone
 	calls    int       // and probes under way
 	newsAt   time.Time // of its last load report
@@ -139,9 +139,9 @@
 	call    caller.Call
 	began   time.Time
 	probe   bool
-	request logic.RequestID
+	request policy.RequestID
 	number  int
-	server  logic.ServerID
+	server  policy.ServerID
 	at      caller.Endpoint // the process that it went to
 	end     *timer          // of its time
 	expires time.Time       // no byte of it later than this; zero = any time
@@ -190,7 +190,7 @@
 
 // New returns a Pool that does nothing until Run is called; what is sent to it waits.
 func New(o Options) (*Pool, error) {
-	bal, err := logic.New(vouching(o.Logic, o.DrainGrace), o.Seed)
+	bal, err := policy.New(vouching(o.Logic, o.DrainGrace), o.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -207,16 +207,16 @@
 		o.Saw = func(string, freshness.Sign) {}
 	}
 	s := &Pool{set: o, bans: o.Bans, bal: bal, clock: newClock(o.Wall), zones: map[string]int{}, stopped: make(chan struct{}),
-		events: make(chan event, eventsAhead), listEvents: make(chan event, 1), held: map[logic.RequestID]*held{},
-		byInv: map[*invocation.Invocation]logic.RequestID{}, open: map[string]bool{},
+		events: make(chan event, eventsAhead), listEvents: make(chan event, 1), held: map[policy.RequestID]*held{},
+		byInv: map[*invocation.Invocation]policy.RequestID{}, open: map[string]bool{},
 		calls: map[uint64]*attempt{}, uploads: map[uint64]*attempt{},
-		providers: map[logic.ServerID]*known{}, serverIDs: map[string]logic.ServerID{},
-		numbers: map[logic.ServerID]bool{}}
+		providers: map[policy.ServerID]*known{}, serverIDs: map[string]policy.ServerID{},
+		numbers: map[policy.ServerID]bool{}}
 	s.classes, s.tenants = upTo(len(o.Logic.Classes)), upTo(len(o.Logic.Tenants))
 	for i, name := range o.Zones {
 		s.zones[name] = i
 	}
-	s.step(logic.Event{Kind: logic.Started})
+	s.step(policy.Event{Kind: policy.Started})
 	if o.Before == nil {
 		cached := o.Known
 		cached.Complete = true
@@ -331,12 +331,12 @@
 func (e trusting) apply(s *Pool) {
 	s.trust = freshness.Trust(e)
 	pick, _ := freshness.Leave(s.set.DrainGrace)
-	s.step(logic.Event{Kind: logic.Sure, Left: millis(time.Until(e.Sure) + pick),
+	s.step(policy.Event{Kind: policy.Sure, Left: millis(time.Until(e.Sure) + pick),
 		Took: millis(time.Until(e.Known))})
 }
 
 // vouching adds to the module's settings for how long a probe stands for a list that is not sure.
-func vouching(cfg logic.Config, grace time.Duration) logic.Config {
+func vouching(cfg policy.Config, grace time.Duration) policy.Config {
 	pick, _ := freshness.Leave(grace)
 	cfg.Vouched = millis(pick)
 	return cfg
@@ -392,7 +392,7 @@
 
 // step gives the module an event and carries out what it decides. Carrying out an action may end a call at
 // once; that event waits until all that the module decided before is done.
-func (s *Pool) step(e logic.Event) {
+func (s *Pool) step(e policy.Event) {
 	s.pending = append(s.pending, e)
 	if s.stepping {
 		return
@@ -402,7 +402,7 @@
 		next := s.pending[0]
 		s.pending = s.pending[1:]
 		s.now = time.Now()
-		if h := s.held[next.Request]; next.Kind == logic.Arrival && h != nil { // as of the time from which the module counts it
+		if h := s.held[next.Request]; next.Kind == policy.Arrival && h != nil { // as of the time from which the module counts it
 			next.Left = millis(s.left(h.inv, s.now))
 		}
 		s.actions = s.bal.Handle(s.clock.at(s.now), &next, s.actions[:0])
@@ -419,7 +419,7 @@
 		t := heap.Pop(&s.timers).(*timer)
 		switch {
 		case t.call == 0:
-			s.step(logic.Event{Kind: logic.TimerDue, Timer: t.handle})
+			s.step(policy.Event{Kind: policy.TimerDue, Timer: t.handle})
 		case t.expires:
 			s.withdraw(t.call, ending.Expired)
 		default:
@@ -447,12 +447,12 @@
 }
 
 // serverID is the provider's number: the same in every life of its process and of this one.
-func (s *Pool) serverID(id string) logic.ServerID {
+func (s *Pool) serverID(id string) policy.ServerID {
 	n, have := s.serverIDs[id]
 	if !have {
 		h := fnv.New32a()
 		h.Write([]byte(id))
-		for n = logic.ServerID(h.Sum32()); s.numbers[n]; n++ {
+		for n = policy.ServerID(h.Sum32()); s.numbers[n]; n++ {
 		}
 		s.serverIDs[id], s.numbers[n] = n, true
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -18,7 +18,7 @@
 	"plankrouter/internal/invocation"
 	"plankrouter/internal/loadreport"
 	"plankrouter/internal/members"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // refusing is a caller to whom no provider opens a connection.
@@ -47,7 +47,7 @@
 // host returns a Pool that knows no provider yet, run by the test itself.
 func host(t *testing.T) *Pool {
 	t.Helper()
-	s, err := New(Options{Logic: logic.Config{MaxAttempts: 1, Cancel: true, Classes: []logic.Class{{Aim: 100, Deadline: 1000}}},
+	s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{Aim: 100, Deadline: 1000}}},
 		Caller: refusing{}})
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	end()
 	for i, h := range []*held{{}, {call: 1}, {mayRun: true}, nil} {
 		inv := &invocation.Invocation{ID: fmt.Sprint(i)}
-		if id := logic.RequestID(i + 1); h != nil {
+		if id := policy.RequestID(i + 1); h != nil {
 			s.held[id], s.byInv[inv] = h, id
 		}
 		if i == 0 {
@@ -137,17 +137,17 @@
 func TestUnreadableReportsAreLeftOut(t *testing.T) {
 	settings := config.Settings{}
 	settings.Report.Names = []string{"active", "avg_ms"}
-	s := &Pool{set: Options{Whole: settings.Whole}, calls: map[uint64]*attempt{}, providers: map[logic.ServerID]*known{}}
+	s := &Pool{set: Options{Whole: settings.Whole}, calls: map[uint64]*attempt{}, providers: map[policy.ServerID]*known{}}
 	s.stepping = true // the module's events are looked at, not handled
 	for _, report := range []string{`{"active":3}`, `{"active":null,"avg_ms":20}`, `{"avg_ms":3}`, `{"act`, ``} {
 		s.calls[1] = &attempt{probe: true, end: &timer{index: -1}}
 		s.ended(1, caller.Result{Ending: ending.Served, Report: loadreport.Parse([]byte(report))})
 	}
-	var got []logic.Status
+	var got []policy.Status
 	for _, e := range s.pending {
 		got = append(got, e.Status)
 	}
-	want := []logic.Status{logic.OK, logic.NotSent, logic.NotSent, logic.NotSent, logic.NotSent}
+	want := []policy.Status{policy.OK, policy.NotSent, policy.NotSent, policy.NotSent, policy.NotSent}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -207,8 +207,8 @@
 // Once the list is not sure a provider gets no request before a probe has been answered by the process that the list names.
 func TestUnsureListGetsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, err := New(Options{Logic: logic.Config{MaxAttempts: 1, Cancel: true, Probes: true,
-			Classes: []logic.Class{{Aim: 100, Deadline: 1000}}}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
+		s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Probes: true,
+			Classes: []policy.Class{{Aim: 100, Deadline: 1000}}}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
 			Known: members.List{Members: []members.Member{{ID: "a", Address: "a:1", Phase: members.Serving},
 				{ID: "b", Address: "b:1", Phase: members.Serving}}}})
 		if err != nil {
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/invocation"
 	"plankrouter/internal/members"
 	"plankrouter/internal/stopping"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // slow is a caller whose connections have not come up yet, and what was asked of it.
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: logic.Config{MaxAttempts: 3, Classes: []logic.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c,
+				s, err := New(Options{Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c,
 					DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
@@ -156,7 +156,7 @@
 		t.Run(how.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: logic.Config{MaxAttempts: 3, Classes: []logic.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c})
+				s, err := New(Options{Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/core/dates.go
+++ b/internal/core/dates.go
@@ -4,21 +4,21 @@
 	"time"
 
 	"plankrouter/internal/members"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // origin is when a server's process counts as started: the dates that say so, and where they lie on the module's clock. Both stay
 // as they were first told, whatever becomes of the wall clock after that.
 type origin struct {
 	upSince, back float64 // by the list, and by operators, who have put it back and may have restarted it
-	listed        logic.Ms
-	startedAt     logic.Ms
+	listed        policy.Ms
+	startedAt     policy.Ms
 }
 
 // age is how long ago a server's process has started, of which the list says that date.
 type age struct {
 	upSince float64
-	ms      logic.Ms
+	ms      policy.Ms
 }
 
 // readWall notes whether the wall clock has been stepped: what is dated from now on goes by it.
@@ -29,7 +29,7 @@
 }
 
 // place returns where on the module's clock a date lies.
-func (s *Pool) place(date float64, now time.Time) logic.Ms {
+func (s *Pool) place(date float64, now time.Time) policy.Ms {
 	return s.dates.Place(date, s.clock.at(now))
 }
 
--- a/internal/core/expiry_test.go
+++ b/internal/core/expiry_test.go
@@ -11,7 +11,7 @@
 	"plankrouter/internal/ending"
 	"plankrouter/internal/invocation"
 	"plankrouter/internal/members"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Providers drop a repeat of a keyed request for 3 s after its first attempt that may have run was sent. Each further attempt is
@@ -21,31 +21,31 @@
 	const never, second = time.Duration(-1), time.Second
 	gone := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
-		repeat  logic.Repeat
+		repeat  policy.Repeat
 		ends    []ending.Ending // of its attempts, a second after each was sent; the last one's connection does not come up
 		written bool            // or does
 		expires []time.Duration // of each attempt, from the first one on
 		did     []string        // to the last attempt within 3 s of the first
 		answers []invocation.Kind
 	}{
-		"what may run twice": {repeat: logic.Safe, ends: []ending.Ending{ending.ResetByPeer}, expires: []time.Duration{never, never}},
-		"the first may have run": {repeat: logic.Keyed, ends: []ending.Ending{ending.ResetByPeer},
+		"what may run twice": {repeat: policy.Safe, ends: []ending.Ending{ending.ResetByPeer}, expires: []time.Duration{never, never}},
+		"the first may have run": {repeat: policy.Keyed, ends: []ending.Ending{ending.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []invocation.Kind{invocation.Refused}},
-		"the first has timed out": {repeat: logic.Keyed, ends: []ending.Ending{ending.TimedOut},
+		"the first has timed out": {repeat: policy.Keyed, ends: []ending.Ending{ending.TimedOut},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []invocation.Kind{invocation.Refused}},
-		"the second is written": {repeat: logic.Keyed, ends: []ending.Ending{ending.ResetByPeer}, written: true,
+		"the second is written": {repeat: policy.Keyed, ends: []ending.Ending{ending.ResetByPeer}, written: true,
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond}},
-		"the first never ran": {repeat: logic.Keyed, ends: []ending.Ending{ending.Declined}, expires: []time.Duration{never, never}},
-		"the second may have run": {repeat: logic.Keyed, ends: []ending.Ending{ending.Declined, ending.ResetByPeer},
+		"the first never ran": {repeat: policy.Keyed, ends: []ending.Ending{ending.Declined}, expires: []time.Duration{never, never}},
+		"the second may have run": {repeat: policy.Keyed, ends: []ending.Ending{ending.Declined, ending.ResetByPeer},
 			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond}},
-		"the first two may have run": {repeat: logic.Keyed, ends: []ending.Ending{ending.ServerError, ending.ResetByPeer},
+		"the first two may have run": {repeat: policy.Keyed, ends: []ending.Ending{ending.ServerError, ending.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
 			did:     gone, answers: []invocation.Kind{invocation.Refused}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: logic.Config{MaxAttempts: 4, Round: 5, Classes: []logic.Class{{Aim: 2e4, Deadline: 6e4,
+				s, err := New(Options{Logic: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{Aim: 2e4, Deadline: 6e4,
 					Repeat: tc.repeat, Window: 3000}}}, Caller: c, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -2,7 +2,7 @@
 
 import (
 	"plankrouter/internal/guard"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // maySend is the guard of every attempt: it holds back what a sound module does not ask for.
@@ -13,10 +13,10 @@
 	case h.call != 0:
 		s.heldBack(guard.OneAttempt, h, "send")
 		return false
-	case h.mayRun && s.class(h).Repeat == logic.Unsafe:
+	case h.mayRun && s.class(h).Repeat == policy.Unsafe:
 		s.heldBack(guard.Effect, h, "send")
 		return false
-	case k.health != logic.Ready:
+	case k.health != policy.Ready:
 		s.heldBack(guard.DrainGrace, h, "send")
 		return false
 	}
@@ -29,15 +29,15 @@
 		return true
 	}
 	c := s.class(h)
-	return c.Repeat == logic.Safe || c.Repeat == logic.Keyed && c.Scope == logic.ScopeAll
+	return c.Repeat == policy.Safe || c.Repeat == policy.Keyed && c.Scope == policy.ScopeAll
 }
 
 // class is that of the invocation, as the module knows it.
-func (s *Pool) class(h *held) logic.Class {
+func (s *Pool) class(h *held) policy.Class {
 	if n := h.inv.Class; n >= 0 && n < len(s.set.Logic.Classes) {
 		return s.set.Logic.Classes[n]
 	}
-	return logic.Class{Repeat: logic.Unsafe}
+	return policy.Class{Repeat: policy.Unsafe}
 }
 
 // heldBack counts what a guard has held back, and logs it: the module should not have asked for it.
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -8,14 +8,14 @@
 	"plankrouter/internal/guard"
 	"plankrouter/internal/invocation"
 	"plankrouter/internal/members"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // What an unsound module asks for against a rule is held back at the one place that sends, or that refuses, and counted there.
 func TestGuards(t *testing.T) {
 	for name, row := range map[string]struct {
-		repeat  logic.Repeat
-		scope   logic.Scope
+		repeat  policy.Repeat
+		scope   policy.Scope
 		mayRun  bool
 		out     bool
 		leaves  bool // the server does
@@ -23,18 +23,18 @@
 		refuse  bool
 		counted guard.Rule
 	}{
-		"nothing has run":                {repeat: logic.Unsafe, send: true, refuse: true},
-		"an order may have run":          {repeat: logic.Unsafe, mayRun: true, counted: guard.Effect},
-		"what is safe may have run":      {repeat: logic.Safe, mayRun: true, send: true, refuse: true},
-		"a token of all may have run":    {repeat: logic.Keyed, mayRun: true, send: true, refuse: true},
-		"a token of a zone may have run": {repeat: logic.Keyed, scope: logic.ScopeZone, mayRun: true, send: true},
-		"an attempt is out":              {repeat: logic.Safe, out: true, refuse: true, counted: guard.OneAttempt},
-		"an order's attempt is out":      {repeat: logic.Unsafe, out: true, counted: guard.OneAttempt},
-		"the server drains":              {repeat: logic.Safe, leaves: true, refuse: true, counted: guard.DrainGrace},
+		"nothing has run":                {repeat: policy.Unsafe, send: true, refuse: true},
+		"an order may have run":          {repeat: policy.Unsafe, mayRun: true, counted: guard.Effect},
+		"what is safe may have run":      {repeat: policy.Safe, mayRun: true, send: true, refuse: true},
+		"a token of all may have run":    {repeat: policy.Keyed, mayRun: true, send: true, refuse: true},
+		"a token of a zone may have run": {repeat: policy.Keyed, scope: policy.ScopeZone, mayRun: true, send: true},
+		"an attempt is out":              {repeat: policy.Safe, out: true, refuse: true, counted: guard.OneAttempt},
+		"an order's attempt is out":      {repeat: policy.Unsafe, out: true, counted: guard.OneAttempt},
+		"the server drains":              {repeat: policy.Safe, leaves: true, refuse: true, counted: guard.DrainGrace},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			book := new(guard.Book)
-			s, err := New(Options{Logic: logic.Config{MaxAttempts: 1, Classes: []logic.Class{{Aim: 100, Deadline: 1000,
+			s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{Aim: 100, Deadline: 1000,
 				Repeat: row.repeat, Scope: row.scope}}}, Caller: refusing{}, Rules: book})
 			if err != nil {
 				t.Fatal(err)
@@ -42,7 +42,7 @@
 			s.list(members.List{Members: []members.Member{{ID: "a", Address: "a:1", Phase: members.Serving}}})
 			k := s.providers[s.serverIDs["a"]]
 			if row.leaves {
-				k.health = logic.Draining
+				k.health = policy.Draining
 			}
 			var got []invocation.Kind
 			h := &held{mayRun: row.mayRun, inv: &invocation.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -8,7 +8,7 @@
 
 	"plankrouter/internal/members"
 	"plankrouter/internal/snapshot"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Snapshot returns what the sidecar has learned, or nil if it has stopped. Who listens to which directory is filled in by
@@ -25,7 +25,7 @@
 	st := s.bal.State()
 	out := &snapshot.Snapshot{TakenAt: s.set.Wall(), Program: s.set.Name, Deployment: s.set.Deployment,
 		Revision: s.revision}
-	names := map[logic.ServerID]string{}
+	names := map[policy.ServerID]string{}
 	for id, k := range s.providers {
 		names[id] = k.name
 		out.Members = append(out.Members, s.member(k, now))
@@ -77,7 +77,7 @@
 
 // dateOf is the date that the list gives the start of the process of which the module has learned; one that operators have put back
 // may be another by now, and has none of the list's.
-func (s *Pool) dateOf(in logic.ServerState) float64 {
+func (s *Pool) dateOf(in policy.ServerState) float64 {
 	if k := s.providers[in.ID]; k != nil && k.origin.listed == in.StartedAt {
 		return k.origin.upSince
 	}
@@ -88,7 +88,7 @@
 func (s *Pool) member(k *known, now time.Time) snapshot.Member {
 	m := k.line
 	phase := m.Phase
-	if k.health == logic.Gone { // also where a whole list left it out
+	if k.health == policy.Gone { // also where a whole list left it out
 		phase = members.Deleted
 	}
 	out := snapshot.Member{ID: m.ID, Address: k.at.Address(), Locality: m.Locality, Cell: m.Cell, Phase: phase,
@@ -100,14 +100,14 @@
 }
 
 // once turns the module's word for a time that never was into the snapshot's, 0; never turns it back.
-func once(at logic.Ms) float64 {
+func once(at policy.Ms) float64 {
 	if math.IsInf(at, -1) {
 		return 0
 	}
 	return at
 }
 
-func never(at float64) logic.Ms {
+func never(at float64) policy.Ms {
 	if at == 0 {
 		return math.Inf(-1)
 	}
@@ -140,13 +140,13 @@
 		}
 	}
 	l := &before.Learned
-	st := logic.State{XX: l.Fit.XX, XY: l.Fit.XY, FitAt: l.Fit.At, FleetLatency: l.FleetLatency, FracOwn: l.FracOwn,
-		FracAll: l.FracAll, Arrivals: logic.Level{V: l.Arrivals.V, At: l.Arrivals.At}, Sends: logic.Level{V: l.Sends.V, At: l.Sends.At}}
+	st := policy.State{XX: l.Fit.XX, XY: l.Fit.XY, FitAt: l.Fit.At, FleetLatency: l.FleetLatency, FracOwn: l.FracOwn,
+		FracAll: l.FracAll, Arrivals: policy.Level{V: l.Arrivals.V, At: l.Arrivals.At}, Sends: policy.Level{V: l.Sends.V, At: l.Sends.At}}
 	for _, c := range l.Fit.Classes {
-		st.Classes = append(st.Classes, logic.Mean{N: c.N, Sum: c.Sum})
+		st.Classes = append(st.Classes, policy.Mean{N: c.N, Sum: c.Sum})
 	}
 	for _, t := range l.Tenants {
-		st.Tenants = append(st.Tenants, logic.Level{V: t.Tokens, At: never(t.At)})
+		st.Tenants = append(st.Tenants, policy.Level{V: t.Tokens, At: never(t.At)})
 	}
 	for _, in := range l.Servers {
 		id, have := s.serverIDs[in.Name]
@@ -157,13 +157,13 @@
 		if o := s.providers[id].origin; o.upSince == startedAt {
 			startedAt = o.listed
 		}
-		one := logic.ServerState{ID: id, StartedAt: startedAt, Latency: in.Latency, Reported: in.Reported,
+		one := policy.ServerState{ID: id, StartedAt: startedAt, Latency: in.Latency, Reported: in.Reported,
 			ReportAt: never(in.ReportAt), Network: in.Network, Failing: in.Failing,
-			Cold:     logic.Level{V: in.Cold.V, At: in.Cold.At},
-			Outcomes: make([]logic.Tally, 1+len(s.set.Logic.Tenants))}
+			Cold:     policy.Level{V: in.Cold.V, At: in.Cold.At},
+			Outcomes: make([]policy.Tally, 1+len(s.set.Logic.Tenants))}
 		for _, t := range in.By {
 			if int(t.Who) < len(one.Outcomes) {
-				one.Outcomes[t.Who] = logic.Tally{Oks: t.Oks, Misses: t.Misses, At: t.At}
+				one.Outcomes[t.Who] = policy.Tally{Oks: t.Oks, Misses: t.Misses, At: t.At}
 			}
 		}
 		st.Servers = append(st.Servers, one)
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -9,7 +9,7 @@
 
 	"plankrouter/internal/members"
 	"plankrouter/internal/snapshot"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // A drain that was told before a restart, and what was learned of a provider, are known to the next process; its own
@@ -72,8 +72,8 @@
 				got["deleted"] = m.ID
 			}
 		}
-		want := map[string]any{"deleted": "d", "a": []any{logic.Draining, time.Duration(0)}, "b": []any{logic.Ready, -time.Second},
-			"c": []any{logic.Ready, 2 * time.Second}, "latency of b": 80.0}
+		want := map[string]any{"deleted": "d", "a": []any{policy.Draining, time.Duration(0)}, "b": []any{policy.Ready, -time.Second},
+			"c": []any{policy.Ready, 2 * time.Second}, "latency of b": 80.0}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -11,7 +11,7 @@
 	"plankrouter/internal/freshness"
 	"plankrouter/internal/guard"
 	"plankrouter/internal/invocation"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // held is an invocation that has no final answer yet, or whose invoker call is still out.
@@ -40,7 +40,7 @@
 		s.refuseAtEnd(s.next)
 		return
 	}
-	s.step(logic.Event{Kind: logic.Arrival, Request: s.next, Class: inv.Class, Tenant: inv.Tenant, Again: inv.Again})
+	s.step(policy.Event{Kind: policy.Arrival, Request: s.next, Class: inv.Class, Tenant: inv.Tenant, Again: inv.Again})
 }
 
 // pastLast reports whether this process may be killed so soon that it sends nothing new.
@@ -50,11 +50,11 @@
 
 // Ending is why a request is refused that comes in when this process may be killed soon. The module is not asked: it knows nothing of
 // processes.
-const Ending logic.Reason = "ending"
+const Ending policy.Reason = "ending"
 
 // refuseAtEnd refuses a request of which nothing was sent.
-func (s *Pool) refuseAtEnd(id logic.RequestID) {
-	s.unserved(&logic.Action{Request: id, Why: Ending})
+func (s *Pool) refuseAtEnd(id policy.RequestID) {
+	s.unserved(&policy.Action{Request: id, Why: Ending})
 	s.answer(id, invocation.Answer{Kind: invocation.Refused})
 }
 
@@ -81,7 +81,7 @@
 	if a == nil {
 		return
 	}
-	s.step(logic.Event{Kind: logic.Flowing, Server: a.server})
+	s.step(policy.Event{Kind: policy.Flowing, Server: a.server})
 	delete(s.uploads, e.number)
 	h := s.held[a.request]
 	if h == nil || h.answered {
@@ -103,21 +103,21 @@
 	}
 	h := s.held[id]
 	s.leave(id, h)
-	s.step(logic.Event{Kind: logic.ClientGone, Request: id})
+	s.step(policy.Event{Kind: policy.ClientGone, Request: id})
 	if e.mayRun != nil {
 		e.mayRun <- h.mayRun || h.call != 0
 	}
 }
 
 // leave ends an invocation whose consumer is gone.
-func (s *Pool) leave(id logic.RequestID, h *held) {
+func (s *Pool) leave(id policy.RequestID, h *held) {
 	s.counts.Gone++
 	s.traceRequest(h.inv, "left", "attempts=%d under_way=%t", h.attempts, h.call != 0)
 	s.close(id, h)
 }
 
 // answer gives the one final answer, if it is still owed.
-func (s *Pool) answer(id logic.RequestID, a invocation.Answer) {
+func (s *Pool) answer(id policy.RequestID, a invocation.Answer) {
 	h := s.held[id]
 	if h == nil || h.answered {
 		return
@@ -143,7 +143,7 @@
 
 // close ends an invocation. An attempt that may have run goes on, unless the module calls it off; one that was not sent yet is
 // not sent any more, since nobody waits for it.
-func (s *Pool) close(id logic.RequestID, h *held) {
+func (s *Pool) close(id policy.RequestID, h *held) {
 	h.answered = true
 	delete(s.byInv, h.inv)
 	delete(s.open, h.inv.ID)
@@ -194,7 +194,7 @@
 		if r.Since.After(a.began) {
 			dialed = millis(r.Since.Sub(a.began))
 		}
-		s.step(logic.Event{Kind: logic.ProbeDone, Server: a.server, Status: r.Ending.Status(), Took: took, Dialed: dialed,
+		s.step(policy.Event{Kind: policy.ProbeDone, Server: a.server, Status: r.Ending.Status(), Took: took, Dialed: dialed,
 			Seen: seen, Report: r.Report})
 		return
 	}
@@ -214,7 +214,7 @@
 	if h.answered {
 		delete(s.held, a.request)
 	}
-	s.step(logic.Event{Kind: logic.AttemptDone, Request: a.request, Attempt: a.number,
+	s.step(policy.Event{Kind: policy.AttemptDone, Request: a.request, Attempt: a.number,
 		Server: a.server, Status: r.Ending.Status(), Took: took, Final: h.answered, Report: r.Report,
 		Spent: h.inv.Rest != nil && h.inv.Rest.Spent()})
 }
--- a/internal/core/time.go
+++ b/internal/core/time.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // clock gives the module its time: Unix milliseconds at the start plus what has passed since by the
@@ -11,19 +11,19 @@
 // move deadlines.
 type clock struct {
 	start time.Time
-	zero  logic.Ms // the wall clock at start
+	zero  policy.Ms // the wall clock at start
 }
 
 func newClock(wall func() time.Time) clock { return clock{time.Now(), unixMs(wall())} }
 
-func (c clock) at(t time.Time) logic.Ms { return c.zero + millis(t.Sub(c.start)) }
+func (c clock) at(t time.Time) policy.Ms { return c.zero + millis(t.Sub(c.start)) }
 
 // unixMs words a time as a date of the wall clock.
-func unixMs(t time.Time) logic.Ms { return float64(t.UnixMicro()) / 1e3 }
+func unixMs(t time.Time) policy.Ms { return float64(t.UnixMicro()) / 1e3 }
 
 // duration and millis turn the module's milliseconds into a Duration and back.
-func duration(ms logic.Ms) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-func millis(d time.Duration) logic.Ms    { return float64(d) / float64(time.Millisecond) }
+func duration(ms policy.Ms) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func millis(d time.Duration) policy.Ms    { return float64(d) / float64(time.Millisecond) }
 
 // timer is one that the module has set, or the end of a call's time.
 type timer struct {
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -6,7 +6,7 @@
 
 	"plankrouter/internal/ending"
 	"plankrouter/internal/invocation"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // traceStart logs what an attempt is decided on: how old the provider's last report is and how long its process runs, in
@@ -27,7 +27,7 @@
 }
 
 // traceEnd logs how it ended, and takes note of a report.
-func (s *Pool) traceEnd(a *attempt, k *known, how ending.Ending, took logic.Ms) {
+func (s *Pool) traceEnd(a *attempt, k *known, how ending.Ending, took policy.Ms) {
 	if s.set.Trace == nil || k == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // traceServer logs a change of what a server is to this pool.
-func (s *Pool) traceServer(k *known, was logic.Health) {
+func (s *Pool) traceServer(k *known, was policy.Health) {
 	if s.set.Trace == nil {
 		return
 	}
@@ -72,13 +72,13 @@
 }
 
 // unserved counts why a request is refused or failed.
-func (s *Pool) unserved(a *logic.Action) {
+func (s *Pool) unserved(a *policy.Action) {
 	h := s.held[a.Request]
 	if h == nil || h.answered {
 		return
 	}
 	if s.counts.Unserved == nil {
-		s.counts.Unserved = map[logic.Reason]int{}
+		s.counts.Unserved = map[policy.Reason]int{}
 	}
 	s.counts.Unserved[a.Why]++
 	s.traceRequest(h.inv, "unserved", "why=%s", a.Why)
--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -7,7 +7,7 @@
 	"net"
 	"os"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Ending is one such way.
@@ -56,39 +56,39 @@
 
 var table = [count]struct {
 	name   string
-	status logic.Status
+	status policy.Status
 }{
-	Open:           {"open", logic.NotSent},
-	IdleRetired:    {"idle_retired", logic.NotSent},
-	PeerClosed:     {"peer_closed", logic.NotSent},
-	Unasked:        {"unasked", logic.NotSent},
-	LastAnswer:     {"last_answer", logic.NotSent},
-	Stopped:        {"stopped", logic.NotSent},
-	ConsumerGone:   {"consumer_gone", logic.Cancelled},
-	BadInput:       {"bad_input", logic.NotSent},
-	Broken:         {"broken", logic.Reset},
-	WriteFailed:    {"write_failed", logic.Cancelled},
-	HandedOver:     {"handed_over", logic.NotSent},
-	Served:         {"served", logic.OK},
-	ServerError:    {"server_error", logic.Failed},
-	Declined:       {"declined", logic.Full},
-	Unreadable:     {"unreadable", logic.NotSent},
-	NoSocket:       {"no_socket", logic.NotSent},
-	LocalFault:     {"local_fault", logic.NotSent},
-	Refused:        {"refused", logic.NoConnection},
-	ConnectTimeout: {"connect_timeout", logic.NoConnection},
-	Drained:        {"drained", logic.NoConnection},
-	Expired:        {"expired", logic.NotSent},
-	Unwritten:      {"unwritten", logic.NoConnection},
-	Withdrawn:      {"withdrawn", logic.NotSent},
-	ResetByPeer:    {"reset", logic.Reset},
-	Malformed:      {"malformed", logic.Reset},
-	TimedOut:       {"timed_out", logic.TimedOut},
-	CalledOff:      {"called_off", logic.Cancelled},
+	Open:           {"open", policy.NotSent},
+	IdleRetired:    {"idle_retired", policy.NotSent},
+	PeerClosed:     {"peer_closed", policy.NotSent},
+	Unasked:        {"unasked", policy.NotSent},
+	LastAnswer:     {"last_answer", policy.NotSent},
+	Stopped:        {"stopped", policy.NotSent},
+	ConsumerGone:   {"consumer_gone", policy.Cancelled},
+	BadInput:       {"bad_input", policy.NotSent},
+	Broken:         {"broken", policy.Reset},
+	WriteFailed:    {"write_failed", policy.Cancelled},
+	HandedOver:     {"handed_over", policy.NotSent},
+	Served:         {"served", policy.OK},
+	ServerError:    {"server_error", policy.Failed},
+	Declined:       {"declined", policy.Full},
+	Unreadable:     {"unreadable", policy.NotSent},
+	NoSocket:       {"no_socket", policy.NotSent},
+	LocalFault:     {"local_fault", policy.NotSent},
+	Refused:        {"refused", policy.NoConnection},
+	ConnectTimeout: {"connect_timeout", policy.NoConnection},
+	Drained:        {"drained", policy.NoConnection},
+	Expired:        {"expired", policy.NotSent},
+	Unwritten:      {"unwritten", policy.NoConnection},
+	Withdrawn:      {"withdrawn", policy.NotSent},
+	ResetByPeer:    {"reset", policy.Reset},
+	Malformed:      {"malformed", policy.Reset},
+	TimedOut:       {"timed_out", policy.TimedOut},
+	CalledOff:      {"called_off", policy.Cancelled},
 }
 
 // Status is the decision module's word for the ending of an invoker call or a probe.
-func (e Ending) Status() logic.Status { return table[e].status }
+func (e Ending) Status() policy.Status { return table[e].status }
 
 func (e Ending) String() string { return table[e].name }
 
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // What proves that an invoker call never ran decides whether an order may be sent again: no ending may slip over to
@@ -16,7 +16,7 @@
 		if e.Status().NeverRan() != never[e] {
 			t.Errorf("%s: status %d", e, e.Status())
 		}
-		if e == Served != (e.Status() == logic.OK) {
+		if e == Served != (e.Status() == policy.OK) {
 			t.Errorf("%s: status %d", e, e.Status())
 		}
 	}
--- a/internal/lab/capacity/module.go
+++ b/internal/lab/capacity/module.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // ModulePoint is what the decision module alone costs, with one size of the list.
@@ -28,32 +28,32 @@
 // module plays a module with so many servers for so long, in virtual time, with requests at an even pace and probes and
 // attempts that are answered after their time.
 func module(of Point, seconds float64) (used time.Duration, probes, requests int, err error) {
-	b, err := logic.New(logic.Config{Classes: []logic.Class{{Aim: 750, Deadline: 2500, Worth: 1}}, Balancers: of.Instances,
+	b, err := policy.New(policy.Config{Classes: []policy.Class{{Aim: 750, Deadline: 2500, Worth: 1}}, Balancers: of.Instances,
 		Probes: true, Cancel: true, MaxAttempts: 3, Round: moduleRound, ColdShare: 0.3, WarmWithin: 8000, TipMultiple: 4,
 		TipWindow: 3000, CrossPrice: 0.01, WastePrice: 0.1, ProbePrice: of.Price, Vouched: 550}, 7)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	list := make([]logic.ServerInfo, of.Servers)
+	list := make([]policy.ServerInfo, of.Servers)
 	for i := range list {
-		list[i] = logic.ServerInfo{ID: logic.ServerID(i + 1), Health: logic.Ready, Cell: i / 2}
+		list[i] = policy.ServerInfo{ID: policy.ServerID(i + 1), Health: policy.Ready, Cell: i / 2}
 	}
 	var due agenda
 	const origin = 1e6
 	end := origin + seconds*1000
-	due.at(origin, logic.Event{Kind: logic.Started})
-	due.at(origin, logic.Event{Kind: logic.List, Full: true, Servers: list})
+	due.at(origin, policy.Event{Kind: policy.Started})
+	due.at(origin, policy.Event{Kind: policy.List, Full: true, Servers: list})
 	for n := 1; of.Rate > 0; n++ {
 		at := origin + float64(n)*1000/of.Rate
 		if at > end {
 			break
 		}
 		requests++
-		due.at(at, logic.Event{Kind: logic.Arrival, Request: logic.RequestID(n), Left: moduleLeft})
+		due.at(at, policy.Event{Kind: policy.Arrival, Request: policy.RequestID(n), Left: moduleLeft})
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var acts []logic.Action
+	var acts []policy.Action
 	began, err := threadCPU()
 	if err != nil {
 		return 0, 0, 0, err
@@ -61,16 +61,16 @@
 	for d, ok := due.next(end); ok; d, ok = due.next(end) {
 		acts = b.Handle(d.when, &d.event, acts[:0])
 		for _, a := range acts {
-			switch report := (logic.Report{HasRIF: true, HasLatency: true, Latency: float64(meanTile) / 1e6}); a.Kind {
-			case logic.SetTimer:
-				due.at(d.when+max(a.After, moduleRound), logic.Event{Kind: logic.TimerDue, Timer: a.Timer})
-			case logic.Probe:
+			switch report := (policy.Report{HasRIF: true, HasLatency: true, Latency: float64(meanTile) / 1e6}); a.Kind {
+			case policy.SetTimer:
+				due.at(d.when+max(a.After, moduleRound), policy.Event{Kind: policy.TimerDue, Timer: a.Timer})
+			case policy.Probe:
 				probes++
-				due.at(d.when+modulePath, logic.Event{Kind: logic.ProbeDone, Server: a.Server, Took: modulePath, Seen: d.when,
+				due.at(d.when+modulePath, policy.Event{Kind: policy.ProbeDone, Server: a.Server, Took: modulePath, Seen: d.when,
 					Report: report})
-			case logic.Send:
+			case policy.Send:
 				took := float64(meanTile) / 1e6
-				due.at(d.when+took, logic.Event{Kind: logic.AttemptDone, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
+				due.at(d.when+took, policy.Event{Kind: policy.AttemptDone, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
 					Took: took, Final: true})
 			}
 		}
@@ -108,7 +108,7 @@
 type entry struct {
 	when  float64
 	order int
-	event logic.Event
+	event policy.Event
 }
 
 // agenda is what is to happen, the soonest first and what is due at once in the order in which it was noted.
@@ -117,7 +117,7 @@
 	noted   int
 }
 
-func (a *agenda) at(when float64, e logic.Event) {
+func (a *agenda) at(when float64, e policy.Event) {
 	a.noted++
 	heap.Push(a, entry{when, a.noted, e})
 }
--- a/internal/lab/emulator/agenda.go
+++ b/internal/lab/emulator/agenda.go
@@ -1,10 +1,10 @@
 package emulator
 
-import "plankrouter/logic"
+import "plankrouter/policy"
 
 // event is something that is due.
 type event struct {
-	at  logic.Ms
+	at  policy.Ms
 	seq uint64 // of two for the same moment the one entered first is due first
 	do  func()
 }
@@ -14,14 +14,14 @@
 // agenda is virtual time: what is due, in order. It is a heap of its own, since container/heap would box every event,
 // and four wide, since a world holds some 100,000 of them and most are timers that matter no more when they are due.
 type agenda struct {
-	now  logic.Ms
+	now  policy.Ms
 	seq  uint64
 	done uint64 // events so far
 	heap []event
 }
 
 // at enters do for time t, or for now if that has passed.
-func (a *agenda) at(t logic.Ms, do func()) {
+func (a *agenda) at(t policy.Ms, do func()) {
 	a.seq++
 	e := event{max(t, a.now), a.seq, do}
 	a.heap = append(a.heap, e)
@@ -36,7 +36,7 @@
 	h[i] = e
 }
 
-func (a *agenda) after(d logic.Ms, do func()) { a.at(a.now+d, do) }
+func (a *agenda) after(d policy.Ms, do func()) { a.at(a.now+d, do) }
 
 // next takes the event that is due first and makes its time the present.
 func (a *agenda) next() func() {
--- a/internal/lab/emulator/config.go
+++ b/internal/lab/emulator/config.go
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Config is a whole day: the world, its load, what goes wrong and who decides. In plans its keys are those of the tags.
@@ -300,21 +300,21 @@
 }
 
 // logic is what a sidecar in that zone is told.
-func (c *Config) logic(zone int) logic.Config {
-	l := logic.Config{OverShareWorth: c.Rules.OverWorth, Balancers: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
+func (c *Config) logic(zone int) policy.Config {
+	l := policy.Config{OverShareWorth: c.Rules.OverWorth, Balancers: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
 		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, ColdShare: c.Rules.ColdShare,
 		WarmWithin: c.Rules.WarmWithin, TipMultiple: c.Rules.TipMultiple, TipWindow: c.Rules.TipWindow,
 		CrossPrice: c.Rules.CrossPrice, WastePrice: c.Rules.WastePrice, ProbePrice: c.Rules.ProbePrice}
 	for _, k := range c.Classes {
-		repeat := logic.Safe
+		repeat := policy.Safe
 		if k.Unsafe {
-			repeat = logic.Unsafe
+			repeat = policy.Unsafe
 		}
-		l.Classes = append(l.Classes, logic.Class{Aim: k.AimMs, Deadline: k.DeadlineMs, Worth: k.Worth,
+		l.Classes = append(l.Classes, policy.Class{Aim: k.AimMs, Deadline: k.DeadlineMs, Worth: k.Worth,
 			LateWorth: k.LateWorth, Repeat: repeat})
 	}
 	for t := range c.Tenants {
-		l.Tenants = append(l.Tenants, logic.Tenant{Quota: c.quota(t)})
+		l.Tenants = append(l.Tenants, policy.Tenant{Quota: c.quota(t)})
 	}
 	return l
 }
--- a/internal/lab/emulator/directory.go
+++ b/internal/lab/emulator/directory.go
@@ -1,21 +1,21 @@
 package emulator
 
-import "plankrouter/logic"
+import "plankrouter/policy"
 
 // directory tells the sidecars which processes run, drain or are gone. It knows nothing of silence.
 type directory struct {
 	w     *world
-	lines []logic.ServerInfo // of all that are not gone, in order of their first mention
+	lines []policy.ServerInfo // of all that are not gone, in order of their first mention
 	down  bool
-	asOf  []logic.ServerInfo // lines when it went down
+	asOf  []policy.ServerInfo // lines when it went down
 }
 
-func (m *machine) info(h logic.Health) logic.ServerInfo {
-	return logic.ServerInfo{ID: m.id, Zone: m.zone, Health: h, StartedAt: m.startedAt}
+func (m *machine) info(h policy.Health) policy.ServerInfo {
+	return policy.ServerInfo{ID: m.id, Zone: m.zone, Health: h, StartedAt: m.startedAt}
 }
 
 // change takes news of a server's process and passes it on.
-func (d *directory) change(m *machine, h logic.Health) {
+func (d *directory) change(m *machine, h policy.Health) {
 	line := m.info(h)
 	kept := d.lines[:0:0] // what has been told may still be on its way
 	known := false
@@ -23,18 +23,18 @@
 		if l.ID == line.ID {
 			l, known = line, true
 		}
-		if l.Health != logic.Gone {
+		if l.Health != policy.Gone {
 			kept = append(kept, l)
 		}
 	}
-	if !known && h != logic.Gone {
+	if !known && h != policy.Gone {
 		kept = append(kept, line)
 	}
 	d.lines = kept
 	if d.down {
 		return
 	}
-	news := []logic.ServerInfo{line}
+	news := []policy.ServerInfo{line}
 	set, rng := &d.w.cfg.Directory, d.w.rngDirectory
 	for _, sc := range d.w.sidecars {
 		if rng.Float64() < set.Lossy {
@@ -46,7 +46,7 @@
 }
 
 // tell brings news, or the whole list as it is by then if there is none, in the order in which it was sent.
-func (d *directory) tell(sc *sidecar, news []logic.ServerInfo, late logic.Ms) {
+func (d *directory) tell(sc *sidecar, news []policy.ServerInfo, late policy.Ms) {
 	sc.toldUntil = max(sc.toldUntil, d.w.now+late)
 	life := sc.life
 	d.w.at(sc.toldUntil, func() {
@@ -64,7 +64,7 @@
 func (d *directory) stop() { d.down, d.asOf = true, d.lines }
 
 // known is the list that a process begins with: it asks nobody who is down.
-func (d *directory) known() []logic.ServerInfo {
+func (d *directory) known() []policy.ServerInfo {
 	if d.down {
 		return d.asOf
 	}
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -4,6 +4,6 @@
 //
 // Run plays one world and returns a Report; Compare plays the same days with two settings. A world is one goroutine and
 // everything in it follows from its Config: the same Config gives the same bytes, whatever GOMAXPROCS is. Times are
-// logic.Ms, or seconds where a name or key says so; work is in ms of a core of speed 1. docs/design/emulator.md
+// policy.Ms, or seconds where a name or key says so; work is in ms of a core of speed 1. docs/design/emulator.md
 // describes the model and how far it is to be trusted, docs/operate/emulator.md the command.
 package emulator
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // play runs a day that must not fail.
@@ -199,11 +199,11 @@
 // mutant is a host's module with one fault.
 type mutant struct {
 	Policy
-	event  func(*logic.Event)
-	action func(now logic.Ms, e *logic.Event, acts []logic.Action) []logic.Action
+	event  func(*policy.Event)
+	action func(now policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action
 }
 
-func (m mutant) Handle(now logic.Ms, e *logic.Event, out []logic.Action) []logic.Action {
+func (m mutant) Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action {
 	if m.event != nil {
 		m.event(e)
 	}
@@ -225,23 +225,23 @@
 		what    string
 	}{
 		{"forgets a request", OneAnswer, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
-			return mutant{Policy: p, action: func(_ logic.Ms, _ *logic.Event, acts []logic.Action) []logic.Action {
-				return slices.DeleteFunc(acts, func(a logic.Action) bool { return a.Request == victim })
+			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
+				return slices.DeleteFunc(acts, func(a policy.Action) bool { return a.Request == victim })
 			}}
 		}, victim, "no answer"},
 		{"answers twice", OneAnswer, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
-			return mutant{Policy: p, action: func(_ logic.Ms, e *logic.Event, acts []logic.Action) []logic.Action {
-				if e.Kind == logic.Arrival && e.Request == victim { // the attempt is out
-					acts = append(acts, logic.Action{Kind: logic.Fail, Request: victim},
-						logic.Action{Kind: logic.Fail, Request: victim})
+			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
+				if e.Kind == policy.Arrival && e.Request == victim { // the attempt is out
+					acts = append(acts, policy.Action{Kind: policy.Fail, Request: victim},
+						policy.Action{Kind: policy.Fail, Request: victim})
 				}
 				return acts
 			}}
 		}, victim, "second time"},
 		{"sends two copies", OneAttempt, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
-			return mutant{Policy: p, action: func(_ logic.Ms, _ *logic.Event, acts []logic.Action) []logic.Action {
+			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				for _, a := range acts {
-					if a.Kind == logic.Send && a.Request == victim {
+					if a.Kind == policy.Send && a.Request == victim {
 						acts = append(acts, a)
 					}
 				}
@@ -249,39 +249,39 @@
 			}}
 		}, victim, "an attempt is out"},
 		{"repeats orders", NoRerun, Trouble{Name: "failures", For: 5, Part: 0.5, Size: 1}, func(p Policy) mutant {
-			orders := map[logic.RequestID]bool{}
-			return mutant{Policy: p, action: func(_ logic.Ms, e *logic.Event, acts []logic.Action) []logic.Action {
-				if e.Kind == logic.Arrival && e.Class == 2 {
+			orders := map[policy.RequestID]bool{}
+			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
+				if e.Kind == policy.Arrival && e.Class == 2 {
 					orders[e.Request] = true
 				}
 				switch {
-				case e.Kind != logic.AttemptDone || e.Final || !orders[e.Request]:
+				case e.Kind != policy.AttemptDone || e.Final || !orders[e.Request]:
 					return acts
-				case e.Attempt == 0 && e.Status == logic.Failed:
-					return []logic.Action{{Kind: logic.Send, Request: e.Request, Server: e.Server, After: 200}}
+				case e.Attempt == 0 && e.Status == policy.Failed:
+					return []policy.Action{{Kind: policy.Send, Request: e.Request, Server: e.Server, After: 200}}
 				}
-				return []logic.Action{{Kind: logic.Fail, Request: e.Request}}
+				return []policy.Action{{Kind: policy.Fail, Request: e.Request}}
 			}}
 		}, 0, "order"},
 		{"forgets drains", Drained, Trouble{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
 			func(p Policy) mutant {
-				return mutant{Policy: p, event: func(e *logic.Event) {
+				return mutant{Policy: p, event: func(e *policy.Event) {
 					e.Full = false
 					e.Servers = slices.DeleteFunc(slices.Clone(e.Servers),
-						func(s logic.ServerInfo) bool { return s.Health != logic.Ready })
+						func(s policy.ServerInfo) bool { return s.Health != policy.Ready })
 				}}
 			}, 0, "after the grace"},
 		{"runs to the newest server", ColdServer, Trouble{Name: "silence", For: 2, Part: 0.1}, func(p Policy) mutant {
-			var newest logic.ServerInfo
-			return mutant{p, func(e *logic.Event) {
+			var newest policy.ServerInfo
+			return mutant{p, func(e *policy.Event) {
 				for _, s := range e.Servers {
 					if s.StartedAt > newest.StartedAt || s.ID == newest.ID {
 						newest = s
 					}
 				}
-			}, func(_ logic.Ms, _ *logic.Event, acts []logic.Action) []logic.Action {
+			}, func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				for i := range acts {
-					if acts[i].Kind == logic.Send && newest.Health == logic.Ready {
+					if acts[i].Kind == policy.Send && newest.Health == policy.Ready {
 						acts[i].Server = newest.ID
 					}
 				}
@@ -495,31 +495,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until := func(t logic.Ms) {
+	until := func(t policy.Ms) {
 		for w.heap[0].at <= t {
 			w.next()()
 		}
 	}
 	until(1500)
 	m := w.machines[1]
-	w.dir.change(m, logic.Draining)
+	w.dir.change(m, policy.Draining)
 	until(1550)
 	w.dir.stop() // with that still on its way
 	until(3000)
-	w.dir.change(m, logic.Gone)
+	w.dir.change(m, policy.Gone)
 	until(4000)
-	if h := w.sidecars[0].known[m.id].health; h != logic.Ready {
+	if h := w.sidecars[0].known[m.id].health; h != policy.Ready {
 		t.Errorf("a directory that is down has told %v", h)
 	}
 	w.sidecars[1].kill()
 	w.sidecars[1].start()
-	if k := w.sidecars[1].known[m.id]; k == nil || k.health != logic.Draining {
+	if k := w.sidecars[1].known[m.id]; k == nil || k.health != policy.Draining {
 		t.Errorf("a sidecar that starts meanwhile knows %+v", k)
 	}
 	w.dir.restart()
 	until(4200)
 	for _, sc := range w.sidecars {
-		if h := sc.known[m.id].health; h != logic.Gone {
+		if h := sc.known[m.id].health; h != policy.Gone {
 			t.Errorf("after its restart sidecar %d has %v", sc.number, h)
 		}
 	}
--- a/internal/lab/emulator/judge.go
+++ b/internal/lab/emulator/judge.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -39,10 +39,10 @@
 
 // step is a line of a request's story.
 type step struct {
-	at     logic.Ms
+	at     policy.Ms
 	what   string
-	server logic.ServerID
-	status logic.Status
+	server policy.ServerID
+	status policy.Status
 }
 
 var statusNames = [...]string{"ok", "failed", "full", "timed out", "no connection", "reset", "cancelled", "not sent"}
@@ -110,7 +110,7 @@
 // bucket is a tenant's share: a second's quota may come at once.
 type bucket struct {
 	v  float64
-	at logic.Ms
+	at policy.Ms
 }
 
 func newJudge(w *world) *judge {
@@ -124,7 +124,7 @@
 	return j
 }
 
-func (j *judge) breach(rule Rule, sc *sidecar, r *request, server logic.ServerID, steps []string, format string,
+func (j *judge) breach(rule Rule, sc *sidecar, r *request, server policy.ServerID, steps []string, format string,
 	args ...any) {
 	if j.broken[rule]++; j.broken[rule] > breachesKept {
 		return
@@ -223,7 +223,7 @@
 }
 
 // sent is the policy's Send, before it is carried out.
-func (j *judge) sent(sc *sidecar, a *logic.Action, r *request) {
+func (j *judge) sent(sc *sidecar, a *policy.Action, r *request) {
 	if r == nil {
 		j.breach(OneAnswer, sc, nil, a.Server, nil, "request %d is sent, but it has ended", a.Request)
 		return
@@ -249,28 +249,28 @@
 
 // drained looks at a send, both when it is decided and when its first byte goes out.
 func (j *judge) drained(sc *sidecar, r *request, k *listed, what string) {
-	if late := j.w.now - k.toldAt - j.w.cfg.Rules.Grace; k.health != logic.Ready && late > slackMs {
+	if late := j.w.now - k.toldAt - j.w.cfg.Rules.Grace; k.health != policy.Ready && late > slackMs {
 		told := step{at: k.toldAt, what: "told to leave", server: k.at.id}
 		j.breach(Drained, sc, r, k.at.id, append([]string{told.String()}, j.steps(r)...),
 			"%s %.0f ms after the grace", what, late)
 	}
 }
 
-func (j *judge) ended(a *attempt, s logic.Status) {
+func (j *judge) ended(a *attempt, s policy.Status) {
 	j.log(a.req, step{what: "ended", server: a.at.id, status: s})
-	if s == logic.TimedOut {
+	if s == policy.TimedOut {
 		j.tally.TimedOut++
 	}
 }
 
 // answer is the policy's Refuse or Fail, before it is carried out.
-func (j *judge) answer(sc *sidecar, id logic.RequestID, r *request, kind logic.ActionKind) {
+func (j *judge) answer(sc *sidecar, id policy.RequestID, r *request, kind policy.ActionKind) {
 	if r == nil {
 		j.breach(OneAnswer, sc, nil, 0, nil, "request %d is answered again, though it has ended", id)
 		return
 	}
 	what := "failed"
-	if kind == logic.Refuse {
+	if kind == policy.Refuse {
 		what = "refused"
 	}
 	j.log(r, step{what: what})
@@ -278,10 +278,10 @@
 	case r.answered:
 		j.breach(OneAnswer, sc, r, 0, j.steps(r), "answered a second time")
 		return
-	case kind == logic.Refuse && (r.mayRun || r.out > 0) && j.w.cfg.Classes[r.ask.class].Unsafe:
+	case kind == policy.Refuse && (r.mayRun || r.out > 0) && j.w.cfg.Classes[r.ask.class].Unsafe:
 		j.breach(NoRerun, sc, r, 0, j.steps(r), "refused, though an attempt may have run: its client will ask again")
 	}
-	if kind == logic.Refuse {
+	if kind == policy.Refuse {
 		j.tally.Refused++
 	} else {
 		j.tally.Failed++
--- a/internal/lab/emulator/network.go
+++ b/internal/lab/emulator/network.go
@@ -1,13 +1,13 @@
 package emulator
 
-import "plankrouter/logic"
+import "plankrouter/policy"
 
 // conn is a connection of a sidecar to a server's process.
 type conn struct {
 	at     *machine
 	place  int // among at.conns
 	att    *attempt
-	idleAt logic.Ms
+	idleAt policy.Ms
 	broken bool // its end, or its process, is gone
 }
 
@@ -30,7 +30,7 @@
 }
 
 // delay is that of one message.
-func (w *world) delay(from, to int) logic.Ms {
+func (w *world) delay(from, to int) policy.Ms {
 	return w.far[from][to] + w.rngNetwork.ExpFloat64()*w.cfg.Network.Jitter
 }
 
@@ -42,11 +42,11 @@
 	number  int
 	at      *machine
 	conn    *conn
-	began   logic.Ms
-	up      logic.Ms // when its connection came up, if it was new
-	work    float64  // that the server puts into it
-	queued  *job     // of it, while that waits for a slot
-	written bool     // its last byte is on its way: it may run from here on
+	began   policy.Ms
+	up      policy.Ms // when its connection came up, if it was new
+	work    float64   // that the server puts into it
+	queued  *job      // of it, while that waits for a slot
+	written bool      // its last byte is on its way: it may run from here on
 	ended   bool
 }
 
@@ -57,9 +57,9 @@
 		switch {
 		case a.ended:
 		case !w.reaches(m, sc):
-			w.at(a.began+w.cfg.Network.ConnectTimeout, func() { sc.finish(a, logic.NoConnection, logic.Report{}) })
+			w.at(a.began+w.cfg.Network.ConnectTimeout, func() { sc.finish(a, policy.NoConnection, policy.Report{}) })
 		case m.phase == dead || len(m.conns) >= w.cfg.Server.Connections:
-			w.after(w.delay(m.zone, sc.zone), func() { sc.finish(a, logic.NoConnection, logic.Report{}) })
+			w.after(w.delay(m.zone, sc.zone), func() { sc.finish(a, policy.NoConnection, policy.Report{}) })
 		default:
 			a.conn = &conn{at: m, place: len(m.conns), att: a}
 			m.conns = append(m.conns, a.conn)
--- a/internal/lab/emulator/overload_test.go
+++ b/internal/lab/emulator/overload_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 func TestWaitsHoldASlotAndNoCore(t *testing.T) {
@@ -61,10 +61,10 @@
 // hears sees a sidecar's events.
 type hears struct {
 	Policy
-	event func(e *logic.Event)
+	event func(e *policy.Event)
 }
 
-func (h hears) Handle(now logic.Ms, e *logic.Event, out []logic.Action) []logic.Action {
+func (h hears) Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action {
 	h.event(e)
 	return h.Policy.Handle(now, e, out)
 }
@@ -75,9 +75,9 @@
 		cfg.Server.NoReport, cfg.Seconds = none, 3
 		answered, told := 0, 0
 		play(t, cfg, func(_ int, p Policy) Policy {
-			return hears{p, func(e *logic.Event) {
-				if e.Kind == logic.ProbeDone && e.Status == logic.OK {
-					if answered++; e.Report != (logic.Report{}) {
+			return hears{p, func(e *policy.Event) {
+				if e.Kind == policy.ProbeDone && e.Status == policy.OK {
+					if answered++; e.Report != (policy.Report{}) {
 						told++
 					}
 				}
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 	"slices"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const jamMargin = 3 // requests that may be on their way to a server unseen
 
-// Policy decides for one sidecar. logic.Balancer is one; the textbook ones are there to compare with.
+// Policy decides for one sidecar. policy.Balancer is one; the textbook ones are there to compare with.
 type Policy interface {
-	Handle(now logic.Ms, e *logic.Event, out []logic.Action) []logic.Action
+	Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action
 }
 
 // Policies lists what a day's sidecars can decide by: the module; a server at random; each in turn; the one that holds
@@ -23,25 +23,25 @@
 func newPolicy(w *world, sc *sidecar, seed uint64) (Policy, error) {
 	cfg := w.cfg.logic(sc.zone)
 	if w.cfg.Policy == "module" {
-		return logic.New(cfg, seed)
+		return policy.New(cfg, seed)
 	}
-	t := &textbook{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), out: map[logic.ServerID]int{},
-		open: map[logic.RequestID]*choice{}}
+	t := &textbook{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), out: map[policy.ServerID]int{},
+		open: map[policy.RequestID]*choice{}}
 	switch w.cfg.Policy {
 	case "random":
-		t.rank = func(logic.ServerID) float64 { return 0 }
+		t.rank = func(policy.ServerID) float64 { return 0 }
 	case "round-robin":
-		turn := map[logic.ServerID]int{}
-		t.rank = func(id logic.ServerID) float64 { return float64(turn[id]) }
-		t.chosen = func(id logic.ServerID) {
+		turn := map[policy.ServerID]int{}
+		t.rank = func(id policy.ServerID) float64 { return float64(turn[id]) }
+		t.chosen = func(id policy.ServerID) {
 			turn[id] = t.turns
 			t.turns++
 		}
 		t.turns = 1
 	case "least":
-		t.rank = func(id logic.ServerID) float64 { return float64(t.out[id]) }
+		t.rank = func(id policy.ServerID) float64 { return float64(t.out[id]) }
 	case "oracle":
-		t.rank = func(id logic.ServerID) float64 { return w.truth(sc, id) }
+		t.rank = func(id policy.ServerID) float64 { return w.truth(sc, id) }
 		t.knows = true
 	default:
 		return nil, fmt.Errorf("there is no policy %q", w.cfg.Policy)
@@ -50,7 +50,7 @@
 }
 
 // truth is how long a request of mean work would take at a server, in ms, as things really are.
-func (w *world) truth(sc *sidecar, id logic.ServerID) float64 {
+func (w *world) truth(sc *sidecar, id policy.ServerID) float64 {
 	const out = 1e9
 	m := w.byID[id]
 	if m.phase != serving || m.paused || !w.reaches(m, sc) || m.failing > 0 {
@@ -70,36 +70,36 @@
 // that knows, it turns nothing away while there is a server. It keeps the rules on answers, repeats and drains; on cold
 // servers it has none.
 type textbook struct {
-	cfg    logic.Config
+	cfg    policy.Config
 	rng    *rand.Rand
-	rank   func(logic.ServerID) float64
-	chosen func(logic.ServerID) // may be nil
+	rank   func(policy.ServerID) float64
+	chosen func(policy.ServerID) // may be nil
 	turns  int
 	knows  bool // rank is the time to an answer, so that what would come after the aim is turned away
-	ready  []logic.ServerID
-	out    map[logic.ServerID]int
-	open   map[logic.RequestID]*choice
+	ready  []policy.ServerID
+	out    map[policy.ServerID]int
+	open   map[policy.RequestID]*choice
 }
 
 // choice is an open request.
 type choice struct {
 	class, attempts int
 	out, mayRun     bool
-	last            logic.ServerID
-	aimAt, endAt    logic.Ms
+	last            policy.ServerID
+	aimAt, endAt    policy.Ms
 }
 
-func (t *textbook) Handle(now logic.Ms, e *logic.Event, acts []logic.Action) []logic.Action {
+func (t *textbook) Handle(now policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
 	switch e.Kind {
-	case logic.List:
+	case policy.List:
 		t.list(e)
-	case logic.Arrival:
+	case policy.Arrival:
 		end := max(0, e.Left-2*t.cfg.Round-1)
 		c := &choice{class: e.Class, aimAt: now + t.cfg.Classes[e.Class].Aim, endAt: now + end}
 		t.open[e.Request] = c
-		acts = append(acts, logic.Action{Kind: logic.SetTimer, Timer: uint64(e.Request), After: end})
+		acts = append(acts, policy.Action{Kind: policy.SetTimer, Timer: uint64(e.Request), After: end})
 		return t.send(now, e.Request, c, acts)
-	case logic.AttemptDone:
+	case policy.AttemptDone:
 		t.out[e.Server]--
 		c := t.open[e.Request]
 		if c == nil {
@@ -112,35 +112,35 @@
 		}
 		c.mayRun = c.mayRun || !e.Status.NeverRan()
 		return t.send(now, e.Request, c, acts)
-	case logic.ClientGone:
+	case policy.ClientGone:
 		return t.drop(e.Request, acts)
-	case logic.TimerDue:
-		if c := t.open[logic.RequestID(e.Timer)]; c != nil {
-			return t.finish(logic.RequestID(e.Timer), c, acts)
+	case policy.TimerDue:
+		if c := t.open[policy.RequestID(e.Timer)]; c != nil {
+			return t.finish(policy.RequestID(e.Timer), c, acts)
 		}
 	}
 	return acts
 }
 
-func (t *textbook) list(e *logic.Event) {
+func (t *textbook) list(e *policy.Event) {
 	if e.Full {
 		t.ready = t.ready[:0]
 	}
 	for _, s := range e.Servers {
-		t.ready = slices.DeleteFunc(t.ready, func(id logic.ServerID) bool { return id == s.ID })
-		if s.Health == logic.Ready {
+		t.ready = slices.DeleteFunc(t.ready, func(id policy.ServerID) bool { return id == s.ID })
+		if s.Health == policy.Ready {
 			t.ready = append(t.ready, s.ID)
 		}
 	}
 }
 
 // send makes the next attempt, if one is allowed.
-func (t *textbook) send(now logic.Ms, id logic.RequestID, c *choice, acts []logic.Action) []logic.Action {
-	unsafe := t.cfg.Classes[c.class].Repeat == logic.Unsafe
+func (t *textbook) send(now policy.Ms, id policy.RequestID, c *choice, acts []policy.Action) []policy.Action {
+	unsafe := t.cfg.Classes[c.class].Repeat == policy.Unsafe
 	if c.attempts >= t.cfg.MaxAttempts || c.mayRun && unsafe || len(t.ready) == 0 || c.endAt-now < 1 {
 		return t.finish(id, c, acts)
 	}
-	var best logic.ServerID
+	var best policy.ServerID
 	lowest, seen := 0.0, 0
 	for _, s := range t.ready {
 		if s == c.last && c.attempts > 0 && len(t.ready) > 1 {
@@ -165,21 +165,21 @@
 	c.out, c.last = true, best
 	c.attempts++
 	t.out[best]++
-	return append(acts, logic.Action{Kind: logic.Send, Request: id, Server: best, After: c.endAt - now})
+	return append(acts, policy.Action{Kind: policy.Send, Request: id, Server: best, After: c.endAt - now})
 }
 
 // finish gives the final answer.
-func (t *textbook) finish(id logic.RequestID, c *choice, acts []logic.Action) []logic.Action {
-	act := logic.Action{Kind: logic.Fail, Request: id}
-	if t.cfg.Classes[c.class].Repeat == logic.Safe || !c.mayRun && !c.out {
-		act.Kind = logic.Refuse
+func (t *textbook) finish(id policy.RequestID, c *choice, acts []policy.Action) []policy.Action {
+	act := policy.Action{Kind: policy.Fail, Request: id}
+	if t.cfg.Classes[c.class].Repeat == policy.Safe || !c.mayRun && !c.out {
+		act.Kind = policy.Refuse
 	}
 	return t.drop(id, append(acts, act))
 }
 
-func (t *textbook) drop(id logic.RequestID, acts []logic.Action) []logic.Action {
+func (t *textbook) drop(id policy.RequestID, acts []policy.Action) []policy.Action {
 	if c := t.open[id]; c != nil && c.out {
-		acts = append(acts, logic.Action{Kind: logic.Cancel, Request: id, Attempt: c.attempts - 1})
+		acts = append(acts, policy.Action{Kind: policy.Cancel, Request: id, Attempt: c.attempts - 1})
 	}
 	delete(t.open, id)
 	return acts
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -28,9 +28,9 @@
 type job struct {
 	att   *attempt
 	work  float64
-	wait  logic.Ms // that follows in its slot, without a core
-	came  logic.Ms
-	began logic.Ms
+	wait  policy.Ms // that follows in its slot, without a core
+	came  policy.Ms
+	began policy.Ms
 	ends  float64 // in the server's own progress; see machine.v
 	gone  bool    // its attempt has ended while it waited for a slot
 }
@@ -39,17 +39,17 @@
 // one core; the others wait in order of arrival.
 type machine struct {
 	w            *world
-	id           logic.ServerID
+	id           policy.ServerID
 	zone         int
 	cores, speed float64
-	startedAt    logic.Ms // 0 = long ago
+	startedAt    policy.Ms // 0 = long ago
 	coldShare    float64
-	warmIn       logic.Ms
+	warmIn       policy.Ms
 	phase        phase
 	life         int // of its process
 
 	v, rate float64 // work that each request in a slot has got since ever, and gets in a ms
-	vAt     logic.Ms
+	vAt     policy.Ms
 	running []*job // a heap by ends
 	waiting []*job // from head on
 	head    int
@@ -63,19 +63,19 @@
 	mute     bool    // probes are turned away
 	paused   bool
 	jammed   bool
-	crowded  logic.Ms // since when too many wait; -1 = they don't
-	idle     logic.Ms // since when it is mostly idle; -1 = it is not
-	jamAt    logic.Ms
+	crowded  policy.Ms // since when too many wait; -1 = they don't
+	idle     policy.Ms // since when it is mostly idle; -1 = it is not
+	jamAt    policy.Ms
 	overhead float64 // cores that probes and handshakes take
 
 	conns      []*conn
 	probeRoom  float64 // probes that are still allowed
-	probeAt    logic.Ms
-	reportAt   logic.Ms
+	probeAt    policy.Ms
+	reportAt   policy.Ms
 	reportRIF  float64
-	latency    logic.Ms // recent service time, without waiting
-	pressure   []push   // while it is cold, for TipWindow
-	pushed     float64  // their sum
+	latency    policy.Ms // recent service time, without waiting
+	pressure   []push    // while it is cold, for TipWindow
+	pushed     float64   // their sum
 	probes     int
 	maxConns   int
 	sumConns   float64
@@ -90,7 +90,7 @@
 
 // push is work that has reached a cold server.
 type push struct {
-	at   logic.Ms
+	at   policy.Ms
 	work float64
 	from *sidecar
 	told bool // the sidecar had been told of the start
@@ -154,7 +154,7 @@
 func (m *machine) watchJam() {
 	set := &m.w.cfg.Server
 	held, cores := float64(m.held()), m.cores
-	note := func(since *logic.Ms, is bool) {
+	note := func(since *policy.Ms, is bool) {
 		if !is {
 			*since = -1
 		} else if *since < 0 {
@@ -192,11 +192,11 @@
 	}
 	switch {
 	case m.failing > 0 && m.w.rngServers.Float64() < m.failing:
-		m.w.after(failsAfter, func() { m.reply(a, logic.Failed, logic.Report{}) })
+		m.w.after(failsAfter, func() { m.reply(a, policy.Failed, policy.Report{}) })
 		return
 	case m.phase == draining || m.held() >= set.Slots+set.Room:
 		m.w.judge.turnedAway++
-		m.reply(a, logic.Full, logic.Report{})
+		m.reply(a, policy.Full, policy.Report{})
 		return
 	}
 	m.settle()
@@ -301,7 +301,7 @@
 		m.begin(next)
 	}
 	m.resume()
-	m.reply(j.att, logic.OK, logic.Report{})
+	m.reply(j.att, policy.OK, policy.Report{})
 }
 
 // probe answers beside the queue. What it reports is as old as the latest refresh, and noisy.
@@ -314,7 +314,7 @@
 	m.probeRoom = min(set.ProbesMost, m.probeRoom+(now-m.probeAt)*set.ProbesMost/1000)
 	m.probeAt = now
 	if m.mute || m.phase == draining || m.probeRoom < 1 {
-		m.reply(a, logic.Failed, logic.Report{})
+		m.reply(a, policy.Failed, policy.Report{})
 		return
 	}
 	m.probeRoom--
@@ -326,15 +326,15 @@
 		if set.ProbesQueue { // it takes its turn among those in the slots
 			wait = set.ProbeWork * max(m.cores, float64(len(m.running)+1)) / m.power()
 		}
-		m.w.after(wait, func() { m.reply(a, logic.OK, logic.Report{}) })
+		m.w.after(wait, func() { m.reply(a, policy.OK, policy.Report{}) })
 		return
 	}
-	m.reply(a, logic.OK, logic.Report{HasRIF: true, RIF: math.Round(m.reportRIF * noise()),
+	m.reply(a, policy.OK, policy.Report{HasRIF: true, RIF: math.Round(m.reportRIF * noise()),
 		HasLatency: true, Latency: m.latency * noise()})
 }
 
 // reply sends the answer, which is lost with the process or the way.
-func (m *machine) reply(a *attempt, status logic.Status, report logic.Report) {
+func (m *machine) reply(a *attempt, status policy.Status, report policy.Report) {
 	if a.conn.broken || !m.w.reaches(m, a.sc) {
 		return
 	}
@@ -358,7 +358,7 @@
 	if m.pushed > rules.TipMultiple*m.capacity()*rules.TipWindow {
 		m.w.judge.fallen(m)
 		m.die()
-		m.w.dir.change(m, logic.Gone)
+		m.w.dir.change(m, policy.Gone)
 	}
 }
 
@@ -393,7 +393,7 @@
 	rules, rng := &m.w.cfg.Rules, m.w.rngStarts
 	m.coldShare = min(1, rules.ColdShare*(1+rng.Float64()/2))
 	m.warmIn = rules.WarmWithin * (0.5 + rng.Float64()/2)
-	m.w.dir.change(m, logic.Ready)
+	m.w.dir.change(m, policy.Ready)
 }
 
 // sweep closes what has been idle for long, and counts.
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -24,30 +24,30 @@
 	up        bool
 	policy    Policy
 	seeds     uint64
-	known     map[logic.ServerID]*listed
-	held      map[logic.RequestID]*request
-	next      logic.RequestID
-	toldUntil logic.Ms
-	pending   []logic.Event
-	actions   []logic.Action
+	known     map[policy.ServerID]*listed
+	held      map[policy.RequestID]*request
+	next      policy.RequestID
+	toldUntil policy.Ms
+	pending   []policy.Event
+	actions   []policy.Action
 	stepping  bool
 }
 
 // listed is what a sidecar has been told of a server, and its connections to it.
 type listed struct {
 	at        *machine
-	health    logic.Health
-	startedAt logic.Ms
-	toldAt    logic.Ms // since when it is known as it is
+	health    policy.Health
+	startedAt policy.Ms
+	toldAt    policy.Ms // since when it is known as it is
 	idle      []*conn
 }
 
 // request is one try of a client at a sidecar.
 type request struct {
-	id       logic.RequestID
+	id       policy.RequestID
 	ask      *ask
 	number   int // of the tries of ask
-	left     logic.Ms
+	left     policy.Ms
 	attempts int
 	out      int // attempts
 	current  *attempt
@@ -61,10 +61,10 @@
 func (sc *sidecar) start() {
 	sc.up = true
 	sc.seeds++
-	sc.known, sc.held = map[logic.ServerID]*listed{}, map[logic.RequestID]*request{}
+	sc.known, sc.held = map[policy.ServerID]*listed{}, map[policy.RequestID]*request{}
 	seed := mix(mix(sc.w.cfg.Seed, sc.w.cfg.PolicySeed), uint64(sc.number)<<20|sc.seeds)
 	sc.policy = sc.w.host(sc, seed)
-	sc.step(logic.Event{Kind: logic.Started})
+	sc.step(policy.Event{Kind: policy.Started})
 	sc.told(sc.w.dir.known(), true)
 }
 
@@ -105,9 +105,9 @@
 }
 
 // told takes the list, or changes to it.
-func (sc *sidecar) told(lines []logic.ServerInfo, whole bool) {
+func (sc *sidecar) told(lines []policy.ServerInfo, whole bool) {
 	now := sc.w.now
-	named := map[logic.ServerID]bool{}
+	named := map[policy.ServerID]bool{}
 	for _, l := range lines {
 		named[l.ID] = true
 		k := sc.known[l.ID]
@@ -121,22 +121,22 @@
 	if whole {
 		for _, m := range sc.w.machines {
 			if k := sc.known[m.id]; k != nil && !named[m.id] {
-				sc.setHealth(k, logic.Gone)
+				sc.setHealth(k, policy.Gone)
 			}
 		}
 	}
-	sc.step(logic.Event{Kind: logic.List, Full: whole, Servers: lines})
+	sc.step(policy.Event{Kind: policy.List, Full: whole, Servers: lines})
 }
 
-func (sc *sidecar) setHealth(k *listed, h logic.Health) {
+func (sc *sidecar) setHealth(k *listed, h policy.Health) {
 	if h == k.health {
 		return
 	}
-	if k.health == logic.Ready || h == logic.Ready { // a drain's grace runs from its first news on
+	if k.health == policy.Ready || h == policy.Ready { // a drain's grace runs from its first news on
 		k.toldAt = sc.w.now
 	}
 	k.health = h
-	if h != logic.Ready {
+	if h != policy.Ready {
 		for _, c := range k.idle {
 			c.close()
 		}
@@ -145,12 +145,12 @@
 }
 
 // take is a client's request.
-func (sc *sidecar) take(a *ask, number int, left logic.Ms) *request {
+func (sc *sidecar) take(a *ask, number int, left policy.Ms) *request {
 	sc.next++
 	r := &request{id: sc.next, ask: a, number: number, left: left}
 	sc.held[r.id] = r
 	sc.w.judge.arrived(r)
-	sc.step(logic.Event{Kind: logic.Arrival, Request: r.id, Class: a.class, Tenant: a.tenant, Left: left})
+	sc.step(policy.Event{Kind: policy.Arrival, Request: r.id, Class: a.class, Tenant: a.tenant, Left: left})
 	return r
 }
 
@@ -160,11 +160,11 @@
 	if r.out == 0 {
 		delete(sc.held, r.id)
 	}
-	sc.step(logic.Event{Kind: logic.ClientGone, Request: r.id})
+	sc.step(policy.Event{Kind: policy.ClientGone, Request: r.id})
 }
 
 // step gives the policy an event and does what it says. What ends at once by that waits for the rest.
-func (sc *sidecar) step(e logic.Event) {
+func (sc *sidecar) step(e policy.Event) {
 	sc.pending = append(sc.pending, e)
 	if sc.stepping {
 		return
@@ -188,37 +188,37 @@
 	sc.stepping = false
 }
 
-func (sc *sidecar) do(a *logic.Action) {
+func (sc *sidecar) do(a *policy.Action) {
 	switch a.Kind {
-	case logic.Send:
+	case policy.Send:
 		sc.send(a)
-	case logic.Cancel:
+	case policy.Cancel:
 		if r := sc.held[a.Request]; r != nil && r.current != nil && a.Attempt == r.current.number {
-			sc.finish(r.current, logic.Cancelled, logic.Report{})
+			sc.finish(r.current, policy.Cancelled, policy.Report{})
 		}
-	case logic.Refuse, logic.Fail:
+	case policy.Refuse, policy.Fail:
 		sc.answer(a.Request, a.Kind)
-	case logic.Probe:
+	case policy.Probe:
 		if k := sc.known[a.Server]; k != nil {
 			sc.w.judge.probed()
 			sc.begin(&attempt{sc: sc, at: k.at}, probeTimeout)
 		}
-	case logic.SetTimer:
+	case policy.SetTimer:
 		life, handle := sc.life, a.Timer
 		sc.w.after(a.After, func() {
 			if sc.life == life {
-				sc.step(logic.Event{Kind: logic.TimerDue, Timer: handle})
+				sc.step(policy.Event{Kind: policy.TimerDue, Timer: handle})
 			}
 		})
-	case logic.Subscribe, logic.Log: // the list is pushed; the judge sees for itself
+	case policy.Subscribe, policy.Log: // the list is pushed; the judge sees for itself
 	}
 }
 
-func (sc *sidecar) send(a *logic.Action) {
+func (sc *sidecar) send(a *policy.Action) {
 	r, k := sc.held[a.Request], sc.known[a.Server]
 	sc.w.judge.sent(sc, a, r)
 	if r == nil || k == nil {
-		sc.step(logic.Event{Kind: logic.AttemptDone, Request: a.Request, Server: a.Server, Status: logic.NotSent,
+		sc.step(policy.Event{Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
 			Final: true})
 		return
 	}
@@ -230,16 +230,16 @@
 }
 
 // begin makes an attempt or a probe, on an idle connection if there is one, and gives it up after wait.
-func (sc *sidecar) begin(a *attempt, wait logic.Ms) {
+func (sc *sidecar) begin(a *attempt, wait policy.Ms) {
 	w := sc.w
 	a.life, a.began = sc.life, w.now
 	w.after(wait, func() {
 		switch {
 		case a.ended:
 		case a.written:
-			sc.finish(a, logic.TimedOut, logic.Report{})
+			sc.finish(a, policy.TimedOut, policy.Report{})
 		default:
-			sc.finish(a, logic.NoConnection, logic.Report{})
+			sc.finish(a, policy.NoConnection, policy.Report{})
 		}
 	})
 	k := sc.known[a.at.id]
@@ -262,7 +262,7 @@
 	case a.ended || a.life != sc.life:
 		a.conn.close()
 	case a.conn.broken:
-		sc.finish(a, logic.NoConnection, logic.Report{})
+		sc.finish(a, policy.NoConnection, policy.Report{})
 	default:
 		a.up = sc.w.now
 		sc.write(a)
@@ -272,8 +272,8 @@
 // write sends a's bytes, unless its server has been draining for too long.
 func (sc *sidecar) write(a *attempt) {
 	k := sc.known[a.at.id]
-	if a.req != nil && k.health != logic.Ready && sc.w.now > k.toldAt+sc.w.cfg.Rules.Grace-graceMargin {
-		sc.finish(a, logic.NoConnection, logic.Report{})
+	if a.req != nil && k.health != policy.Ready && sc.w.now > k.toldAt+sc.w.cfg.Rules.Grace-graceMargin {
+		sc.finish(a, policy.NoConnection, policy.Report{})
 		return
 	}
 	a.written = true
@@ -286,14 +286,14 @@
 // broke is a reset.
 func (sc *sidecar) broke(a *attempt) {
 	if a.written {
-		sc.finish(a, logic.Reset, logic.Report{})
+		sc.finish(a, policy.Reset, policy.Report{})
 	} else {
-		sc.finish(a, logic.NoConnection, logic.Report{})
+		sc.finish(a, policy.NoConnection, policy.Report{})
 	}
 }
 
 // finish ends an attempt or a probe, once, and keeps its connection where it can carry another.
-func (sc *sidecar) finish(a *attempt, status logic.Status, report logic.Report) {
+func (sc *sidecar) finish(a *attempt, status policy.Status, report policy.Report) {
 	if a.ended {
 		return
 	}
@@ -308,19 +308,19 @@
 		c.att, c.idleAt = nil, sc.w.now
 		k := sc.known[a.at.id]
 		switch {
-		case status != logic.OK && status != logic.Failed && status != logic.Full || k.health != logic.Ready:
+		case status != policy.OK && status != policy.Failed && status != policy.Full || k.health != policy.Ready:
 			c.close()
 		case !c.broken:
 			k.idle = append(k.idle, c)
 		}
 	}
-	if sc.w.cfg.Server.DropsCancelled && a.written && (status == logic.Cancelled || status == logic.TimedOut) {
+	if sc.w.cfg.Server.DropsCancelled && a.written && (status == policy.Cancelled || status == policy.TimedOut) {
 		m, life := a.at, a.at.life
 		sc.w.after(sc.w.delay(sc.zone, m.zone), func() { m.drop(a, life) })
 	}
 	took := sc.w.now - a.began
 	if a.req == nil {
-		sc.step(logic.Event{Kind: logic.ProbeDone, Server: a.at.id, Status: status, Took: took,
+		sc.step(policy.Event{Kind: policy.ProbeDone, Server: a.at.id, Status: status, Took: took,
 			Dialed: max(0, a.up-a.began), Report: report})
 		return
 	}
@@ -329,22 +329,22 @@
 	if r.current == a {
 		r.current = nil
 	}
-	r.mayRun = r.mayRun || !status.NeverRan() && status != logic.OK
+	r.mayRun = r.mayRun || !status.NeverRan() && status != policy.OK
 	sc.w.judge.ended(a, status)
-	if status == logic.OK && !r.answered {
+	if status == policy.OK && !r.answered {
 		r.answered = true
 		r.work = a.work
-		sc.w.answered(r, logic.Send)
+		sc.w.answered(r, policy.Send)
 	}
 	if r.answered && r.out == 0 {
 		delete(sc.held, r.id)
 	}
-	sc.step(logic.Event{Kind: logic.AttemptDone, Request: r.id, Attempt: a.number, Server: a.at.id, Status: status,
+	sc.step(policy.Event{Kind: policy.AttemptDone, Request: r.id, Attempt: a.number, Server: a.at.id, Status: status,
 		Took: took, Final: r.answered, Report: report})
 }
 
 // answer gives the policy's own final answer.
-func (sc *sidecar) answer(id logic.RequestID, kind logic.ActionKind) {
+func (sc *sidecar) answer(id policy.RequestID, kind policy.ActionKind) {
 	r := sc.held[id]
 	sc.w.judge.answer(sc, id, r, kind)
 	if r == nil || r.answered {
--- a/internal/lab/emulator/trouble.go
+++ b/internal/lab/emulator/trouble.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Trouble is something that goes wrong. What is 0 in a plan is drawn from the day's seed; Troubles says what Part, Size
@@ -272,11 +272,11 @@
 				return
 			}
 			old.phase = draining
-			w.dir.change(old, logic.Draining)
+			w.dir.change(old, policy.Draining)
 			w.after(t.Every*1000, func() {
 				old.die()
-				w.dir.change(old, logic.Gone)
-				m := &machine{w: w, id: logic.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
+				w.dir.change(old, policy.Gone)
+				m := &machine{w: w, id: policy.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
 					speed: old.speed, slow: old.slow, host: old.host, probeRoom: w.cfg.Server.ProbesMost}
 				m.host.now = m
 				change(m)
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -22,16 +22,16 @@
 	agenda
 	cfg      Config
 	machines []*machine // all there ever were, in order of their start
-	byID     map[logic.ServerID]*machine
+	byID     map[policy.ServerID]*machine
 	sidecars []*sidecar
 	dir      *directory
 	judge    *judge
 	host     func(sc *sidecar, seed uint64) Policy
 
-	far    [][]logic.Ms // one way, between zones
-	cut    []bool       // zones that nothing enters or leaves
-	resets float64      // part of what is sent that ends in a reset
-	surge  float64      // times the usual arrivals
+	far    [][]policy.Ms // one way, between zones
+	cut    []bool        // zones that nothing enters or leaves
+	resets float64       // part of what is sent that ends in a reset
+	surge  float64       // times the usual arrivals
 	costly []costly
 
 	// Apart from each other, so that what a policy does leaves the load and the troubles as they are.
@@ -87,7 +87,7 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{cfg: cfg, byID: map[logic.ServerID]*machine{}, surge: 1, cut: make([]bool, cfg.Zones), clock: o.Clock}
+	w := &world{cfg: cfg, byID: map[policy.ServerID]*machine{}, surge: 1, cut: make([]bool, cfg.Zones), clock: o.Clock}
 	for i, r := range []**rand.Rand{&w.rngLoad, &w.rngServers, &w.rngStarts, &w.rngNetwork,
 		&w.rngDirectory, &w.rngClients} {
 		*r = cfg.stream(i)
@@ -104,7 +104,7 @@
 		}
 		return p
 	}
-	if _, err := logic.New(cfg.logic(0), 0); err != nil {
+	if _, err := policy.New(cfg.logic(0), 0); err != nil {
 		return nil, err
 	}
 	w.layOut()
@@ -122,9 +122,9 @@
 // layOut draws the network, the servers and the sidecars, and sets going what goes on all day.
 func (w *world) layOut() {
 	cfg := &w.cfg
-	w.far = make([][]logic.Ms, cfg.Zones)
+	w.far = make([][]policy.Ms, cfg.Zones)
 	for i := range w.far {
-		w.far[i] = make([]logic.Ms, cfg.Zones)
+		w.far[i] = make([]policy.Ms, cfg.Zones)
 		w.far[i][i] = cfg.Network.Near
 		for j := range i {
 			d := between(w.rngNetwork, cfg.Network.Far)
@@ -185,17 +185,17 @@
 
 // machine adds a server whose process has been running for long.
 func (w *world) machine(zone int, cores, speed float64) *machine {
-	m := &machine{w: w, id: logic.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
+	m := &machine{w: w, id: policy.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
 		host: new(host), crowded: -1, idle: -1, probeRoom: w.cfg.Server.ProbesMost}
 	m.host.now = m
 	w.machines = append(w.machines, m)
 	w.byID[m.id] = m
-	w.dir.lines = append(w.dir.lines, m.info(logic.Ready))
+	w.dir.lines = append(w.dir.lines, m.info(policy.Ready))
 	return m
 }
 
 // every does do again and again, for the first time after one period.
-func (w *world) every(period logic.Ms, do func()) {
+func (w *world) every(period policy.Ms, do func()) {
 	w.after(period, func() {
 		do()
 		w.every(period, do)
@@ -242,12 +242,12 @@
 
 // ask is a first try with all that repeats it.
 type ask struct {
-	at, endAt     logic.Ms
+	at, endAt     policy.Ms
 	class, tenant int
 	sidecar       int
 	patience      float64
 	work          float64
-	wait          logic.Ms
+	wait          policy.Ms
 	inShare       bool
 	tries         int
 	settled       bool
@@ -331,14 +331,14 @@
 }
 
 // answered is a final answer at the client: kind is Send for the server's own, Refuse or Fail for the sidecar's.
-func (w *world) answered(r *request, kind logic.ActionKind) {
+func (w *world) answered(r *request, kind policy.ActionKind) {
 	a := r.ask
 	switch {
 	case a.settled:
-	case kind == logic.Send:
+	case kind == policy.Send:
 		a.settled = true
 		w.judge.served(r)
-	case kind == logic.Refuse:
+	case kind == policy.Refuse:
 		w.again(a, true)
 	default:
 		w.again(a, !w.cfg.Classes[a.class].Unsafe)
--- a/internal/lab/hollow/tiles.go
+++ b/internal/lab/hollow/tiles.go
@@ -7,7 +7,7 @@
 
 	"plankrouter/internal/caller"
 	"plankrouter/internal/ending"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // The times that a stand-in tile server takes, from an attempt's start to its end.
@@ -120,7 +120,7 @@
 			return
 		}
 		if result.Ending == ending.Served {
-			result.Report = logic.Report{HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
+			result.Report = policy.Report{HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
 				Latency: float64(callTakes) / float64(time.Millisecond)}
 		}
 		task.Ended(result)
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -4,7 +4,7 @@
 import (
 	jsoniter "github.com/json-iterator/go"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // Field says what one value of a load report means.
@@ -30,7 +30,7 @@
 }
 
 // Put stores a value.
-func (f Field) Put(r *logic.Report, v float64) {
+func (f Field) Put(r *policy.Report, v float64) {
 	switch f {
 	case RIF:
 		r.HasRIF, r.RIF = true, v
@@ -42,7 +42,7 @@
 }
 
 // Parse reads a report in JSON, an object of numbers by name. What can't be read is no report, and null is no figure.
-func Parse(raw []byte) (r logic.Report) {
+func Parse(raw []byte) (r policy.Report) {
 	var values map[string]*float64
 	if jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &values) != nil {
 		return r
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -15,7 +15,7 @@
 	"plankrouter/internal/guard"
 	"plankrouter/internal/reuse"
 	"plankrouter/internal/sockets"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -44,10 +44,10 @@
 }
 
 // Stakes are what the requests of the module's classes put at risk.
-func Stakes(classes []logic.Class) (out []reuse.Stakes) {
+func Stakes(classes []policy.Class) (out []reuse.Stakes) {
 	for _, c := range classes {
 		aim := time.Duration(c.Aim * float64(time.Millisecond))
-		out = append(out, reuse.Stakes{Once: c.Repeat == logic.Unsafe, Aim: aim, Worth: c.Worth})
+		out = append(out, reuse.Stakes{Once: c.Repeat == policy.Unsafe, Aim: aim, Worth: c.Worth})
 	}
 	return out
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire is the bench's binary dialect: frames and the words they use. It translates to
-// and from the types of package logic and decides nothing.
+// and from the types of package policy and decides nothing.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 
 	"plankrouter/internal/config"
 	"plankrouter/internal/loadreport"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const (
@@ -54,21 +54,21 @@
 	acRefresh
 )
 
-var outcomes = map[uint16]logic.Status{
-	0: logic.OK, 13: logic.Failed, 8: logic.Full, 4: logic.TimedOut, 14: logic.NoConnection,
-	10: logic.Reset, 1: logic.Cancelled, 9: logic.NotSent,
+var outcomes = map[uint16]policy.Status{
+	0: policy.OK, 13: policy.Failed, 8: policy.Full, 4: policy.TimedOut, 14: policy.NoConnection,
+	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
 }
 
 type instance struct {
-	bal    *logic.Balancer
+	bal    *policy.Balancer
 	fields []loadreport.Field
 }
 
 // Host runs the instances that one stream of batches speaks of.
 type Host struct {
 	live    map[uint16]*instance
-	pages   [16][]logic.ServerInfo
-	actions []logic.Action
+	pages   [16][]policy.ServerInfo
+	actions []policy.Action
 	reply   []byte
 	tail    []byte
 }
@@ -152,12 +152,12 @@
 		if err != nil {
 			return 0, fmt.Errorf("settings: %w", err)
 		}
-		bal, err := logic.New(cfg, binary.LittleEndian.Uint64(rec[4:]))
+		bal, err := policy.New(cfg, binary.LittleEndian.Uint64(rec[4:]))
 		if err != nil {
 			return 0, fmt.Errorf("settings: %w", err)
 		}
 		h.live[who] = &instance{bal, fields}
-		return h.handle(now, who, h.live[who], &logic.Event{Kind: logic.Started})
+		return h.handle(now, who, h.live[who], &policy.Event{Kind: policy.Started})
 	}
 	if code < evConfigure || code > evPage {
 		return 0, fmt.Errorf("unknown event code %d", code)
@@ -166,7 +166,7 @@
 	if in == nil {
 		return 0, fmt.Errorf("event code %d for instance %d, which is not running", code, who)
 	}
-	var e logic.Event
+	var e policy.Event
 	var err error
 	switch code {
 	case evPowerOff:
@@ -181,19 +181,19 @@
 			if slot >= uint32(len(h.pages)) {
 				return 0, fmt.Errorf("list number %d is out of bounds", slot)
 			}
-			e = logic.Event{Kind: logic.List, Full: form != 0, Servers: h.pages[slot]}
+			e = policy.Event{Kind: policy.List, Full: form != 0, Servers: h.pages[slot]}
 		case 3:
-			e = logic.Event{Kind: logic.ListFailed}
+			e = policy.Event{Kind: policy.ListFailed}
 		default:
 			return 0, fmt.Errorf("unknown list form %d", form)
 		}
 	case evInbound:
-		e = logic.Event{Kind: logic.Arrival, Request: logic.RequestID(u32(rec, 4)), Left: f64(rec, 8),
+		e = policy.Event{Kind: policy.Arrival, Request: policy.RequestID(u32(rec, 4)), Left: f64(rec, 8),
 			Class: int(rec[24]), Tenant: int(u32(rec, 25)),
 			Again: rec[29]&2 != 0}
 	case evEnded:
-		e = logic.Event{Kind: logic.AttemptDone, Request: logic.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
-			Server: logic.ServerID(u32(rec, 9)), Took: f64(rec, 13), Final: rec[21] != 0}
+		e = policy.Event{Kind: policy.AttemptDone, Request: policy.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
+			Server: policy.ServerID(u32(rec, 9)), Took: f64(rec, 13), Final: rec[21] != 0}
 		if e.Status, err = status(rec, 22); err != nil {
 			return 0, err
 		}
@@ -201,11 +201,11 @@
 			return 0, err
 		}
 	case evDropped:
-		e = logic.Event{Kind: logic.ClientGone, Request: logic.RequestID(u32(rec, 4))}
+		e = policy.Event{Kind: policy.ClientGone, Request: policy.RequestID(u32(rec, 4))}
 	case evDue:
-		e = logic.Event{Kind: logic.TimerDue, Timer: binary.LittleEndian.Uint64(rec[4:])}
+		e = policy.Event{Kind: policy.TimerDue, Timer: binary.LittleEndian.Uint64(rec[4:])}
 	case evCheckResult:
-		e = logic.Event{Kind: logic.ProbeDone, Server: logic.ServerID(u32(rec, 4)), Took: f64(rec, 10)}
+		e = policy.Event{Kind: policy.ProbeDone, Server: policy.ServerID(u32(rec, 4)), Took: f64(rec, 10)}
 		if e.Status, err = status(rec, 8); err != nil {
 			return 0, err
 		}
@@ -216,7 +216,7 @@
 	return h.handle(now, who, in, &e)
 }
 
-func (h *Host) handle(now float64, who uint16, in *instance, e *logic.Event) (int, error) {
+func (h *Host) handle(now float64, who uint16, in *instance, e *policy.Event) (int, error) {
 	h.actions = in.bal.Handle(now, e, h.actions[:0])
 	for i := range h.actions {
 		h.action(who, &h.actions[i])
@@ -224,38 +224,38 @@
 	return len(h.actions), nil
 }
 
-func (h *Host) action(who uint16, a *logic.Action) {
+func (h *Host) action(who uint16, a *policy.Action) {
 	var b [actionSize]byte
 	le := binary.LittleEndian
 	code := func(c uint16) { le.PutUint16(b[0:], c); le.PutUint16(b[2:], who) }
 	switch a.Kind {
-	case logic.Send:
+	case policy.Send:
 		code(acDispatch)
 		le.PutUint32(b[4:], uint32(a.Request))
 		le.PutUint32(b[8:], uint32(a.Server))
 		le.PutUint64(b[12:], math.Float64bits(a.After))
-	case logic.Cancel:
+	case policy.Cancel:
 		code(acDropAttempt)
 		le.PutUint32(b[4:], uint32(a.Request))
 		b[8] = byte(a.Attempt)
-	case logic.Refuse:
+	case policy.Refuse:
 		code(acRefuse)
 		le.PutUint32(b[4:], uint32(a.Request))
 		le.PutUint64(b[8:], math.Float64bits(a.After))
-	case logic.Fail:
+	case policy.Fail:
 		code(acEndFailed)
 		le.PutUint32(b[4:], uint32(a.Request))
-	case logic.Probe:
+	case policy.Probe:
 		code(acCheck)
 		le.PutUint32(b[4:], uint32(a.Server))
-	case logic.SetTimer:
+	case policy.SetTimer:
 		code(acArm)
 		le.PutUint64(b[4:], a.Timer)
 		le.PutUint64(b[12:], math.Float64bits(a.After))
-	case logic.Subscribe:
+	case policy.Subscribe:
 		code(acObserve)
 		b[4] = 1
-	case logic.Log:
+	case policy.Log:
 		code(acTrace)
 		le.PutUint32(b[4:], uint32(len(h.tail)))
 		le.PutUint32(b[8:], uint32(len(a.Text)))
@@ -278,15 +278,15 @@
 	}
 	lines := h.pages[slot][:0]
 	for ; len(raw) >= lineSize; raw = raw[lineSize:] {
-		s := logic.ServerInfo{ID: logic.ServerID(u32(raw, 0)), Zone: int(u16(raw, 4)), Cell: int(u16(raw, 8)),
+		s := policy.ServerInfo{ID: policy.ServerID(u32(raw, 0)), Zone: int(u16(raw, 4)), Cell: int(u16(raw, 8)),
 			StartedAt: f64(raw, 15)}
 		switch raw[10] {
 		case 0:
-			s.Health = logic.Gone
+			s.Health = policy.Gone
 		case 1:
-			s.Health = logic.Ready
+			s.Health = policy.Ready
 		case 2:
-			s.Health = logic.Draining
+			s.Health = policy.Draining
 		default:
 			return fmt.Errorf("list %d: unknown health %d", slot, raw[10])
 		}
@@ -296,8 +296,8 @@
 	return nil
 }
 
-func (in *instance) report(b []byte) (logic.Report, error) {
-	var r logic.Report
+func (in *instance) report(b []byte) (policy.Report, error) {
+	var r policy.Report
 	n := int(b[0])
 	if n > 4 {
 		return r, fmt.Errorf("load report of %d values", n)
@@ -308,7 +308,7 @@
 	return r, nil
 }
 
-func status(rec []byte, at int) (logic.Status, error) {
+func status(rec []byte, at int) (policy.Status, error) {
 	s, ok := outcomes[u16(rec, at)]
 	if !ok {
 		return 0, fmt.Errorf("unknown outcome %d", u16(rec, at))
@@ -330,10 +330,10 @@
 func f64(b []byte, at int) float64 { return math.Float64frombits(binary.LittleEndian.Uint64(b[at:])) }
 
 // ParseConfig reads the settings of an instance and the order of the values in its load reports.
-func ParseConfig(raw []byte) (logic.Config, []loadreport.Field, error) {
+func ParseConfig(raw []byte) (policy.Config, []loadreport.Field, error) {
 	s, err := config.ParseSettings(raw)
 	if err != nil {
-		return logic.Config{}, nil, err
+		return policy.Config{}, nil, err
 	}
 	cfg, err := s.Logic()
 	return cfg, loadreport.Fields(s.Report.Names), err
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 const facts = `{"Balancers":2,"Discovery":"on_request","RoundMs":5,"Unknown":[1],
@@ -102,7 +102,7 @@
 		raw = binary.LittleEndian.AppendUint32(raw, math.Float32bits(v))
 	}
 	got, err := (&instance{fields: fields}).report(append(raw, 0, 0, 0, 0))
-	if want := (logic.Report{HasRIF: true, HasLatency: true, HasErrors: true, RIF: 6, Latency: 40, Errors: 1}); err != nil || got != want {
+	if want := (policy.Report{HasRIF: true, HasLatency: true, HasErrors: true, RIF: 6, Latency: 40, Errors: 1}); err != nil || got != want {
 		t.Errorf("%+v %v", got, err)
 	}
 }
--- a/options.go
+++ b/options.go
@@ -13,7 +13,7 @@
 
 	"plankrouter/internal/members"
 	"plankrouter/internal/sockets"
-	"plankrouter/logic"
+	"plankrouter/policy"
 )
 
 // round is, in ms, how soon the core takes up what has happened, at the latest on a machine that is not overloaded. A call is
@@ -253,21 +253,21 @@
 }
 
 // logic words the options for the decision module.
-func (o *Options) logic() logic.Config {
-	ms := func(d time.Duration) logic.Ms { return float64(d) / float64(time.Millisecond) }
-	cfg := logic.Config{OverShareWorth: o.OverShare, Balancers: o.Instances, Probes: o.Probes, Cancel: true,
+func (o *Options) logic() policy.Config {
+	ms := func(d time.Duration) policy.Ms { return float64(d) / float64(time.Millisecond) }
+	cfg := policy.Config{OverShareWorth: o.OverShare, Balancers: o.Instances, Probes: o.Probes, Cancel: true,
 		MaxAttempts: o.Attempts, MaxRetryAfter: ms(o.AdviceMost), Round: round, CrossPrice: o.ZonePrice,
 		WastePrice: o.WastePrice, ColdShare: o.Cold.Share, WarmWithin: ms(o.Cold.Within), TipMultiple: o.Cold.Multiple,
 		TipWindow: ms(o.Cold.Window)}
 	for _, c := range o.Classes {
-		k := logic.Class{Aim: ms(c.Aim), Deadline: ms(c.Deadline), Worth: c.Worth}
+		k := policy.Class{Aim: ms(c.Aim), Deadline: ms(c.Deadline), Worth: c.Worth}
 		if c.Repeat == Once {
-			k.Repeat = logic.Unsafe
+			k.Repeat = policy.Unsafe
 		}
 		cfg.Classes = append(cfg.Classes, k)
 	}
 	for _, t := range o.Tenants {
-		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Quota: t.PerSecond})
+		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Quota: t.PerSecond})
 	}
 	return cfg
 }
--- a/logic/admission_test.go
+++ b/policy/admission_test.go
@@ -1,11 +1,11 @@
-package logic
+package policy
 
 import (
 	"slices"
 	"testing"
 
 	"plankrouter/internal/limit"
-	"plankrouter/internal/probepool"
+	"plankrouter/policy/internal/probepool"
 )
 
 // An answer after the aim earns nothing, but given up at the aim the client asks again: the work was in vain, and more
--- a/logic/api.go
+++ b/policy/api.go
@@ -1,14 +1,14 @@
-// Package logic decides for one load-balancing sidecar: where each request goes, when it is tried
+// Package policy decides for one load-balancing sidecar: where each request goes, when it is tried
 // again, and when it is turned away. It does no input or output and reads no clock.
 //
 // This file is the whole interface; the other files of the package hold every decision.
-package logic
+package policy
 
 import (
 	"errors"
 	"fmt"
 
-	"plankrouter/internal/evidence"
+	"plankrouter/policy/internal/outlier"
 )
 
 // Ms is a time or a duration in milliseconds; times count from any fixed origin.
@@ -257,7 +257,7 @@
 }
 
 // Tally is fading evidence for and against a server.
-type Tally = evidence.Tally
+type Tally = outlier.Tally
 
 // Mean is the sum of N fading samples.
 type Mean struct{ N, Sum float64 }
--- a/logic/evidence.go
+++ b/policy/evidence.go
@@ -1,8 +1,8 @@
-package logic
+package policy
 
 import (
-	"plankrouter/internal/evidence"
 	"plankrouter/internal/limit"
+	"plankrouter/policy/internal/outlier"
 	"slices"
 )
 
@@ -44,7 +44,7 @@
 	if b.silent(s) {
 		return 1
 	}
-	return max(s.by[0].Missed(b.now), s.failing*evidence.Faded(b.now-s.reportAt))
+	return max(s.by[0].Missed(b.now), s.failing*outlier.Faded(b.now-s.reportAt))
 }
 
 // excess is how much likelier than the median a server fails: trouble that most share excludes none.
--- a/internal/evidence/evidence.go
+++ b/policy/internal/outlier/evidence.go
@@ -1,6 +1,6 @@
-// Package evidence weighs what spoke for and against a server, each outcome the less the older it is. It reads no clock: times
+// Package outlier weighs what spoke for and against a server, each outcome the less the older it is. It reads no clock: times
 // are in milliseconds from any fixed origin.
-package evidence
+package outlier
 
 import "math"
 
--- a/logic/logic.go
+++ b/policy/logic.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // The balancer and its events; api.go is the interface, and a file each holds the server table, evidence,
 // latency, probes, the pick, admission, slow start and requests. It is asynchronous Prequal: probes sent
@@ -13,8 +13,8 @@
 	"slices"
 
 	"plankrouter/internal/limit"
-	"plankrouter/internal/overload"
-	"plankrouter/internal/probepool"
+	"plankrouter/policy/internal/overload"
+	"plankrouter/policy/internal/probepool"
 )
 
 const tickEvery = 50.0 // ms between looks at what moves without traffic
--- a/logic/logic_test.go
+++ b/policy/logic_test.go
@@ -1,10 +1,10 @@
-package logic
+package policy
 
 import (
 	"testing"
 
-	"plankrouter/internal/evidence"
 	"plankrouter/internal/limit"
+	"plankrouter/policy/internal/outlier"
 )
 
 // testConfig has one class of each kind and ten servers' worth of room.
@@ -391,7 +391,7 @@
 	for _, c := range []struct {
 		errors, age float64
 		trusted     bool
-	}{{0, 0, true}, {1, 0, true}, {60, 0, false}, {60, 3 * evidence.HalfLife, true}} {
+	}{{0, 0, true}, {1, 0, true}, {60, 0, false}, {60, 3 * outlier.HalfLife, true}} {
 		g := newRig(t, testConfig(), 6)
 		g.do(Event{Kind: ProbeDone, Server: 4, Took: 1, Report: Report{HasRIF: true, HasLatency: true,
 			HasErrors: true, Latency: 40, Errors: c.errors}})
--- a/logic/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -1,9 +1,9 @@
-package logic
+package policy
 
 import (
 	"testing"
 
-	"plankrouter/internal/probepool"
+	"plankrouter/policy/internal/probepool"
 )
 
 // newFleetWithoutProbes is newFleetOfOthers where no probes are allowed: answers alone tell of servers.
--- a/logic/probes.go
+++ b/policy/probes.go
@@ -1,8 +1,8 @@
-package logic
+package policy
 
 import (
 	"plankrouter/internal/limit"
-	"plankrouter/internal/probepool"
+	"plankrouter/policy/internal/probepool"
 	"slices"
 )
 
--- a/logic/rules_test.go
+++ b/policy/rules_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"plankrouter/internal/probepool"
+	"plankrouter/policy/internal/probepool"
 )
 
 // held is what the walk knows of one request: enough to judge rules 1 and 2.
--- a/logic/slowstart.go
+++ b/policy/slowstart.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import "plankrouter/internal/limit"
 
