--- a/balancer.go
+++ b/balancer.go
@@ -12,15 +12,15 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/core"
-	"plankrouter/internal/directory"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/discovery"
+	"plankrouter/internal/dispatch"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/outcome"
 	"plankrouter/internal/provider"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 	"plankrouter/policy"
 )
 
@@ -34,9 +34,9 @@
 // Balancer is one pool of servers. Its methods are safe for concurrent use.
 type Balancer struct {
 	set     Options
-	core    *core.Pool
+	core    *dispatch.Pool
 	caller  *provider.Caller
-	watch   *directory.Watch // nil = there is none
+	watch   *discovery.Watch // nil = there is none
 	classes map[string]int
 	tenants map[string]int
 	log     *logger
@@ -75,17 +75,17 @@
 		stop()
 		return nil, err
 	}
-	saw := func(string, freshness.Sign) {}
+	saw := func(string, staleness.Sign) {}
 	if o.Directory != "" {
-		if b.watch, err = directory.New(directory.Options{Address: o.Directory, Watch: freshness.Default(), Seed: o.Seed,
-			Known: members.List{Members: known.Members}, Budget: o.Sockets.budget,
-			Told: func(l members.List, at time.Time) { b.core.Told(l, at) }, Logf: b.log.printf}); err != nil {
+		if b.watch, err = discovery.New(discovery.Options{Address: o.Directory, Watch: staleness.Default(), Seed: o.Seed,
+			Known: endpoints.List{Members: known.Members}, Budget: o.Sockets.budget,
+			Told: func(l endpoints.List, at time.Time) { b.core.Told(l, at) }, Logf: b.log.printf}); err != nil {
 			stop()
 			return nil, err
 		}
 		saw = b.watch.Saw
 	}
-	if b.core, err = core.New(core.Options{Name: o.Name, Logic: cfg, Seed: o.Seed, Zones: []string{o.Zone},
+	if b.core, err = dispatch.New(dispatch.Options{Name: o.Name, Logic: cfg, Seed: o.Seed, Zones: []string{o.Zone},
 		DrainGrace: o.DrainGrace, Known: known, Caller: b.caller, Whole: whole, Logf: b.log.printf, Saw: saw}); err != nil {
 		stop()
 		return nil, fmt.Errorf("plankrouter: %w", err)
@@ -171,22 +171,22 @@
 	if until, ends := ctx.Deadline(); ends {
 		inv.Patience = min(inv.Patience, until.Sub(inv.SentAt)+afterContext)
 	}
-	answers := make(chan invocation.Answer, 1)
-	inv.Answer = func(a invocation.Answer) { answers <- a }
+	answers := make(chan request.Answer, 1)
+	inv.Answer = func(a request.Answer) { answers <- a }
 	inv.Gone = func() bool { return ctx.Err() != nil }
 	if !b.core.Take(inv) {
 		return nil, ErrClosed
 	}
 	select {
 	case a := <-answers:
-		return outcome(a)
+		return responseOf(a)
 	case <-ctx.Done():
 	case <-b.core.Stopped():
 	}
 	mayRun := b.core.Cancel(inv)
 	select {
 	case a := <-answers: // it had come by then
-		return outcome(a)
+		return responseOf(a)
 	default:
 	}
 	if err := ctx.Err(); err != nil {
@@ -197,7 +197,7 @@
 }
 
 // word turns the request into the core's words.
-func (b *Balancer) word(r *Request) (*invocation.Invocation, error) {
+func (b *Balancer) word(r *Request) (*request.Invocation, error) {
 	class, known := b.classes[r.Class]
 	tenant, named := b.tenants[r.Tenant]
 	method, target, id := cmp.Or(r.Method, http.MethodGet), cmp.Or(r.Target, "/"), r.ID
@@ -233,22 +233,22 @@
 	if !http1.ValidField(http1.HeaderID, id) {
 		return nil, &RequestError{"ID", fmt.Sprintf("%q can't be sent", id)}
 	}
-	return &invocation.Invocation{ID: id, Class: class, Tenant: tenant, Patience: b.set.Classes[class].Deadline, Host: host,
+	return &request.Invocation{ID: id, Class: class, Tenant: tenant, Patience: b.set.Classes[class].Deadline, Host: host,
 		Verb: method, Target: target, Fields: all.EndToEnd(http1.Reworded), Body: r.Body}, nil
 }
 
-// outcome turns the core's answer into that of Do.
-func outcome(a invocation.Answer) (*Response, error) {
+// responseOf turns the core's answer into that of Do.
+func responseOf(a request.Answer) (*Response, error) {
 	switch a.Kind {
-	case invocation.Served:
+	case request.Served:
 		r := &Response{Status: a.Code, Header: make(http.Header, len(a.Fields)), Body: a.Body}
 		for _, f := range a.Fields {
 			r.Header.Add(f.Name, f.Value)
 		}
 		return r, nil
-	case invocation.Refused:
+	case request.Refused:
 		return nil, &RefusedError{RetryAfter: a.RetryAfter, MayHaveRun: a.MayHaveRun}
-	case invocation.Conflict:
+	case request.Conflict:
 		return nil, ErrDuplicate
 	}
 	return nil, &FailedError{MayHaveRun: a.MayHaveRun}
@@ -294,9 +294,9 @@
 // Stats returns the present figures, also after Close.
 func (b *Balancer) Stats() Stats {
 	c := b.core.Counts()
-	words := func(counts ending.Counts) map[string]int {
+	words := func(counts outcome.Counts) map[string]int {
 		m := map[string]int{}
-		counts.Each(func(e ending.Ending, n int) { m[e.String()] = n })
+		counts.Each(func(e outcome.Ending, n int) { m[e.String()] = n })
 		return m
 	}
 	return Stats{Taken: c.Taken, Served: c.Served, Refused: c.Refused, Failed: c.Failed, Cancelled: int(b.cancelled.Load()),
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -21,22 +21,22 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/bans"
 	"plankrouter/internal/config"
 	"plankrouter/internal/consumer"
-	"plankrouter/internal/core"
-	"plankrouter/internal/directory"
-	"plankrouter/internal/ending"
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/discovery"
+	"plankrouter/internal/dispatch"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/faults"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/guard"
 	"plankrouter/internal/handover"
-	"plankrouter/internal/members"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/outcome"
 	"plankrouter/internal/provider"
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/transient"
 )
 
@@ -130,11 +130,11 @@
 	share        share           // of the descriptors, while no other process shares them
 	told         context.Context // ends with the word to stop
 	caller       *provider.Caller
-	core         *core.Pool
-	watch        *directory.Watch
+	core         *dispatch.Pool
+	watch        *discovery.Watch
 	book         figures.Book
-	rules        guard.Book
-	bans         *bans.Store
+	rules        invariant.Book
+	bans         *cordon.Store
 	front        *consumer.Server
 	writer       *snapshot.Writer  // nil = snapshots are not kept
 	line         handover.Handover // of processes that take over from one another
@@ -186,18 +186,18 @@
 		known = before.List.Config()
 	}
 	var err error
-	if p.watch, err = directory.New(directory.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
+	if p.watch, err = discovery.New(discovery.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
 		Known: known, Anew: before != nil, // the directory may count anew by now
-		Most: directory.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: sockets.NewBudget(shares.watch, dial),
-		Told:  func(l members.List, at time.Time) { p.core.Told(l, at) },
-		Trust: func(t freshness.Trust) { p.core.Trust(t) }, Logf: log.Printf, Trace: trace}); err != nil {
+		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: sockets.NewBudget(shares.watch, dial),
+		Told:  func(l endpoints.List, at time.Time) { p.core.Told(l, at) },
+		Trust: func(t staleness.Trust) { p.core.Trust(t) }, Logf: log.Printf, Trace: trace}); err != nil {
 		return err
 	}
 	if p.caller, err = provider.New(ctx, p.budget, provider.Settings{Figures: figuresOf(cfg), Trace: trace,
 		Written: p.book.Dispatched, Bounds: bounds, Rules: &p.rules}); err != nil {
 		return err
 	}
-	if p.core, err = core.New(core.Options{Name: cfg.Name, Deployment: deployment,
+	if p.core, err = dispatch.New(dispatch.Options{Name: cfg.Name, Deployment: deployment,
 		Logic: cfg.Logic, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known,
 		Before: before, Caller: p.caller, Whole: cfg.Settings.Whole, Logf: log.Printf, Trace: trace, Saw: p.watch.Saw,
 		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faults.Wall}); err != nil {
@@ -259,10 +259,10 @@
 	}
 	for _, e := range []struct {
 		of     string
-		counts ending.Counts
+		counts outcome.Counts
 	}{{"calls", c.Calls}, {"probes", c.Asked}, {"idle_connections", p.caller.Idle()}, {"consumers", f.Endings()}} {
 		var b strings.Builder
-		e.counts.Each(func(how ending.Ending, n int) { fmt.Fprintf(&b, " %s=%d", how, n) })
+		e.counts.Each(func(how outcome.Ending, n int) { fmt.Fprintf(&b, " %s=%d", how, n) })
 		log.Printf("name=%s counters=ended of=%s%s", p.cfg.Name, e.of, b.String())
 	}
 }
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -143,7 +143,7 @@
 				}
 			}
 		}
-		if len(sources) == 0 || at == 0 && !slices.Contains(dirs, "internal/core") {
+		if len(sources) == 0 || at == 0 && !slices.Contains(dirs, "internal/dispatch") {
 			t.Errorf("no sources, or not all, in %s", dirs[at])
 		}
 	}
--- a/cmd/plankrouter/operators.go
+++ b/cmd/plankrouter/operators.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"plankrouter/internal/admin"
-	"plankrouter/internal/bans"
 	"plankrouter/internal/config"
+	"plankrouter/internal/cordon"
 	"plankrouter/internal/faults"
 	"plankrouter/internal/figures"
 )
@@ -50,27 +50,27 @@
 
 // bansFor returns where operators' bans are kept: in the folder that the platform gives the sidecar's processes, where there
 // is one.
-func bansFor(cfg *config.Config, getenv func(string) string) *bans.Store {
+func bansFor(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
-		return &bans.Store{Path: filepath.Join(folder, "plankrouter-bans.json"),
-			Before: func(step bans.Step, _ string) error { return faults.Inject(bansFaults[step]) }}
+		return &cordon.Store{Path: filepath.Join(folder, "plankrouter-bans.json"),
+			Before: func(step cordon.Step, _ string) error { return faults.Inject(bansFaults[step]) }}
 	}
-	return &bans.Store{}
+	return &cordon.Store{}
 }
 
 // bansFaults are the faults that befall the steps of the bans' file in a soak.
-var bansFaults = map[bans.Step]faults.Op{bans.StepOpen: faults.ReadFile, bans.StepRead: faults.ReadFile,
-	bans.StepLock: faults.WriteFile, bans.StepWrite: faults.WriteFile, bans.StepSync: faults.SyncFile,
-	bans.StepRename: faults.WriteFile}
+var bansFaults = map[cordon.Step]faults.Op{cordon.StepOpen: faults.ReadFile, cordon.StepRead: faults.ReadFile,
+	cordon.StepLock: faults.WriteFile, cordon.StepWrite: faults.WriteFile, cordon.StepSync: faults.SyncFile,
+	cordon.StepRename: faults.WriteFile}
 
 // firstBans are the operators' orders at the start. A process that serves without them sends to servers that they have taken out.
-func (p *program) firstBans(ctx context.Context) bans.Set {
+func (p *program) firstBans(ctx context.Context) cordon.Set {
 	for began := time.Now(); ; {
 		set, _, err := p.bans.Read()
 		if err == nil {
 			return set
 		}
-		if errors.Is(err, bans.ErrContent) || time.Since(began) >= bansWithin {
+		if errors.Is(err, cordon.ErrContent) || time.Since(began) >= bansWithin {
 			log.Printf("name=%s state=bans_not_used err=%q", p.cfg.Name, err)
 			return set
 		}
@@ -104,18 +104,18 @@
 
 // Disable takes a provider out, for all processes of this sidecar.
 func (p *program) Disable(id string) error {
-	return p.order("disable", id, (*bans.Set).Disable)
+	return p.order("disable", id, (*cordon.Set).Disable)
 }
 
 // Enable puts it back.
 func (p *program) Enable(id string) error {
-	return p.order("enable", id, (*bans.Set).Enable)
+	return p.order("enable", id, (*cordon.Set).Enable)
 }
 
 // order changes the bans, and returns once the change is in force here.
-func (p *program) order(what, id string, how func(*bans.Set, string, float64, bool) error) error {
+func (p *program) order(what, id string, how func(*cordon.Set, string, float64, bool) error) error {
 	listed, now := p.core.Listed(id), config.Millis(time.Duration(faults.Wall().UnixNano()))
-	set, err := p.bans.Change(func(s *bans.Set) error { return how(s, id, now, listed) })
+	set, err := p.bans.Change(func(s *cordon.Set) error { return how(s, id, now, listed) })
 	if err != nil {
 		log.Printf("name=%s operators=%s target=%q state=refused err=%q", p.cfg.Name, what, id, err)
 		return err
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/freshness"
 	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/staleness"
 )
 
 // turn is a restarted process's next call.
 type turn struct {
 	at   time.Duration
 	who  int
-	call freshness.Call
+	call staleness.Call
 }
 
 type turns []turn
@@ -33,16 +33,16 @@
 // firstLists plays so many processes that restart within a second with no list at all, at a directory that makes perSecond whole
 // lists and lets calls wait in turn for queued before it turns them away, and returns when each has its list, sorted.
 func firstLists(t *testing.T, processes, perSecond int, queued time.Duration, seed uint64) (heard []time.Duration) {
-	set := freshness.Default()
+	set := staleness.Default()
 	set.Callers = processes
-	keepers := make([]*freshness.Keeper, processes)
+	keepers := make([]*staleness.Keeper, processes)
 	all := &turns{}
 	next := func(who int, now time.Duration) {
 		c := keepers[who].Next(time.Unix(1e9, 0).Add(now))
 		heap.Push(all, turn{now + c.After, who, c})
 	}
 	for i := range keepers {
-		k, err := freshness.New(set, seed<<32+uint64(i), true)
+		k, err := staleness.New(set, seed<<32+uint64(i), true)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/core"
+	"plankrouter/internal/dispatch"
 	"plankrouter/internal/provider"
 	"plankrouter/internal/snapshot"
 )
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.core.Change(core.Change{Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
+	if err := p.core.Change(dispatch.Change{Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
 		Deployment: deployment, DrainGrace: next.DrainGrace}); err != nil {
 		return nil, err
 	}
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -80,7 +80,7 @@
 						t.Errorf("%.2f are served", served)
 					}
 					for i, p := range fleet.Providers[:3] {
-						if i == 1 && killed && way&1 > 0 { // where calls wait in turn: see freshness.Keeper.Trust
+						if i == 1 && killed && way&1 > 0 { // where calls wait in turn: see staleness.Keeper.Trust
 							continue
 						}
 						for _, one := range p.Requests() {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,7 +18,7 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/bans"
+	"plankrouter/internal/cordon"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/http1"
 )
@@ -37,8 +37,8 @@
 type Operations interface {
 	Ready() bool // a request would be served
 	Figures() figures.Figures
-	Disable(id string) error // nothing more to that provider; bans.ErrUnknown
-	Enable(id string) error  // and put back; bans.ErrUnknown
+	Disable(id string) error // nothing more to that provider; cordon.ErrUnknown
+	Enable(id string) error  // and put back; cordon.ErrUnknown
 }
 
 // Server is the front.
@@ -217,7 +217,7 @@
 		return said(400, "target: give the id of one tile server, as ?target=ID")
 	}
 	switch err := act(ids[0]); {
-	case errors.Is(err, bans.ErrUnknown):
+	case errors.Is(err, cordon.ErrUnknown):
 		return said(404, "target: "+err.Error())
 	case err != nil:
 		return said(500, err.Error())
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/faults"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/members"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/stopping"
 	"plankrouter/internal/transient"
 	"plankrouter/policy"
@@ -45,14 +45,14 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Known    members.List `json:"known"`
-	Settings Settings     `json:"settings"`
-	Own      Own          `json:"plankrouter"`
+	Known    endpoints.List `json:"known"`
+	Settings Settings       `json:"settings"`
+	Own      Own            `json:"plankrouter"`
 
 	StopPlan       stopping.Plan      `json:"-"`
 	SnapshotEvery  time.Duration      `json:"-"`
 	ReadyWithin    time.Duration      `json:"-"`
-	Watch          freshness.Settings `json:"-"`
+	Watch          staleness.Settings `json:"-"`
 	Seed           uint64             `json:"-"`
 	Logic          policy.Config      `json:"-"`
 	ConnIdle       time.Duration      `json:"-"` // a provider closes a connection left idle this long
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/stopping"
 )
 
@@ -53,7 +53,7 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if c.StopPlan != stopping.For(2500*time.Millisecond, 0) || c.Watch.Wait != freshness.Agent(c.DrainGrace).Wait || c.Watch.Grace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
+	if c.StopPlan != stopping.For(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.Agent(c.DrainGrace).Wait || c.Watch.Grace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
 		t.Errorf("an installation that says nothing: %+v, %+v", c.StopPlan, c.Watch)
 	}
 	c, err = load(t, strings.Replace(good, own("")[0], own(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/stopping"
 )
 
@@ -32,7 +32,7 @@
 	} `json:"stop"`
 }
 
-// WatchMs says, in milliseconds, what the directory may be asked; see freshness.Settings. The defaults are those for a
+// WatchMs says, in milliseconds, what the directory may be asked; see staleness.Settings. The defaults are those for a
 // directory on the own machine, which costs nothing to ask.
 type WatchMs struct {
 	Wait          float64 `json:"wait_ms"`
@@ -80,9 +80,9 @@
 		return fmt.Errorf("plankrouter.stop.%w", err)
 	}
 	var err error
-	usual := freshness.Default()
+	usual := staleness.Default()
 	if usual.Callers = c.Settings.Balancers; c.Settings.Discovery == pushed { // to an agent on the own machine
-		usual = freshness.Agent(c.DrainGrace)
+		usual = staleness.Agent(c.DrainGrace)
 	}
 	usual.Told, usual.Grace = c.AskEvery, c.DrainGrace
 	c.Watch, err = o.Watch.settings(usual)
@@ -90,7 +90,7 @@
 }
 
 // settings fills in defaults, which stay on the right side of what is given, and checks.
-func (w *WatchMs) settings(usual freshness.Settings) (s freshness.Settings, err error) {
+func (w *WatchMs) settings(usual staleness.Settings) (s staleness.Settings, err error) {
 	s.Callers, s.Told, s.Grace, s.AtOnce = usual.Callers, usual.Told, usual.Grace, usual.AtOnce
 	if err := read("plankrouter.watch.", 1, mostMs,
 		figure{"wait_ms", w.Wait, &s.Wait, usual.Wait},
--- a/internal/consumer/answered_test.go
+++ b/internal/consumer/answered_test.go
@@ -9,20 +9,20 @@
 	"plankrouter/internal/config"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/guard"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
 
 // over is a core that has stopped.
 type over struct{ holding }
 
-func (*over) Take(*invocation.Invocation) bool { return false }
+func (*over) Take(*request.Invocation) bool { return false }
 
 // A connection that ends without the answer to a request that was read from it is counted, unless its consumer has gone.
 func TestMissingAnswersAreCounted(t *testing.T) {
 	for name, row := range map[string]struct {
-		core  invocation.Core
+		core  request.Core
 		reads bool // the answer, before the front ends
 		leave bool
 		want  int64
@@ -36,7 +36,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-			book := new(guard.Book)
+			book := new(invariant.Book)
 			h := &house{Server: New(cfg, row.core, sockets.NewBudget(16, nil), new(figures.Book), flow.New(1<<20, 16)),
 				l: newPipes(), done: make(chan error, 1)}
 			h.Rules = book
@@ -58,7 +58,7 @@
 			if err := <-h.done; err != nil {
 				t.Error(err)
 			}
-			if got := book.Counts()[guard.Answer].Broken; got != row.want {
+			if got := book.Counts()[invariant.Answer].Broken; got != row.want {
 				t.Errorf("%s: %d counted, want %d", name, got, row.want)
 			}
 		})
--- a/internal/consumer/arrival_test.go
+++ b/internal/consumer/arrival_test.go
@@ -6,16 +6,16 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/request"
 )
 
 // taking is a core that shows what it takes.
 type taking struct {
 	holding
-	took chan *invocation.Invocation
+	took chan *request.Invocation
 }
 
-func (c *taking) Take(inv *invocation.Invocation) bool {
+func (c *taking) Take(inv *request.Invocation) bool {
 	c.took <- inv
 	return true
 }
@@ -26,7 +26,7 @@
 		unread  = 300 * time.Millisecond // for which the request lies in the kernel
 		blurred = 30 * time.Millisecond  // by the kernel's ticks
 	)
-	core := &taking{took: make(chan *invocation.Invocation, 1)}
+	core := &taking{took: make(chan *request.Invocation, 1)}
 	s, l, done := behindGate(t, core, 16)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/consumer/backlog_test.go
+++ b/internal/consumer/backlog_test.go
@@ -17,14 +17,14 @@
 	"plankrouter/internal/config"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
 
 // quick is a core that answers at once.
 type quick struct{ holding }
 
-func (c *quick) Take(inv *invocation.Invocation) bool {
+func (c *quick) Take(inv *request.Invocation) bool {
 	c.holding.Take(inv)
 	go c.answer()
 	return true
@@ -44,7 +44,7 @@
 }
 
 // behindGate returns a front with so many places that is about to accept, as soon as the gate opens, and where its end is told.
-func behindGate(t *testing.T, core invocation.Core, places int) (*Server, *gated, <-chan error) {
+func behindGate(t *testing.T, core request.Core, places int) (*Server, *gated, <-chan error) {
 	t.Helper()
 	plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/consumer/conn.go
+++ b/internal/consumer/conn.go
@@ -15,12 +15,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/ending"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/guard"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
 
@@ -44,13 +44,13 @@
 	crowded bool                   // there was no place for it
 	reading bool                   // a message has begun and is not there yet; likewise
 	answers chan answer            // at most one is under way; nil = no writer yet
-	written chan ending.Ending     // how writing it ended; Open = the connection goes on
+	written chan outcome.Ending    // how writing it ended; Open = the connection goes on
 	done    chan struct{}
 	writer  errgroup.Group
 
 	mu   sync.Mutex
-	gone bool            // nobody writes answers any more
-	long invocation.Flow // the rest of the present answer; nil = there is none
+	gone bool         // nobody writes answers any more
+	long request.Flow // the rest of the present answer; nil = there is none
 }
 
 func (c *conn) run() {
@@ -70,27 +70,27 @@
 }
 
 // checkAnswered looks, as the connection is about to be closed, whether an answer is still owed to a consumer that is there.
-func (c *conn) checkAnswered(e ending.Ending) {
+func (c *conn) checkAnswered(e outcome.Ending) {
 	id := c.owed.Load()
-	if id == nil || e == ending.ConsumerGone || e == ending.WriteFailed || c.socket.Left() {
+	if id == nil || e == outcome.ConsumerGone || e == outcome.WriteFailed || c.socket.Left() {
 		return
 	}
-	c.server.Rules.Broken(guard.Answer, "request=%q consumer=%s ending=%s", *id, c.socket.RemoteAddr(), e)
+	c.server.Rules.Broken(invariant.Answer, "request=%q consumer=%s ending=%s", *id, c.socket.RemoteAddr(), e)
 }
 
-func (c *conn) read() ending.Ending {
+func (c *conn) read() outcome.Ending {
 	for {
 		switch err := c.next(); {
 		case err == errHandedOver:
-			return ending.HandedOver
+			return outcome.HandedOver
 		case err != nil:
-			return ending.OfIdle(err)
+			return outcome.OfIdle(err)
 		}
 		c.setBusy(true)
 		inv, turned, e := c.message()
 		c.setReading(false)
 		switch {
-		case e != ending.Open:
+		case e != outcome.Open:
 			return e
 		case turned != nil:
 			e = c.writeOne(turned)
@@ -98,11 +98,11 @@
 			c.letGo()
 			e = c.writeOne(c.turn(http.StatusServiceUnavailable, true))
 		default:
-			if e = c.invoke(inv); e == ending.ConsumerGone || e == ending.Stopped {
+			if e = c.invoke(inv); e == outcome.ConsumerGone || e == outcome.Stopped {
 				return e
 			}
 		}
-		if e != ending.Open {
+		if e != outcome.Open {
 			c.linger()
 			return e
 		}
@@ -110,29 +110,29 @@
 }
 
 // invoke has the core answer the invocation, and returns how writing that has ended; or how the connection has.
-func (c *conn) invoke(inv *invocation.Invocation) ending.Ending {
+func (c *conn) invoke(inv *request.Invocation) outcome.Ending {
 	c.serve()
 	c.request = c.server.book.Taken(c.class)
 	defer c.letGo()
 	if (c.br.Buffered() > 0 || !c.socket.Quiet()) && c.socket.Left() { // while its request waited to be read
-		return ending.ConsumerGone
+		return outcome.ConsumerGone
 	}
 	if !c.server.core.Take(inv) {
-		return ending.Stopped
+		return outcome.Stopped
 	}
 	if c.upload != nil {
-		if e := c.uploaded(inv); e != ending.Open {
+		if e := c.uploaded(inv); e != outcome.Open {
 			return e
 		}
 		if c.upload == nil { // it was answered before its body was there
-			return ending.Open
+			return outcome.Open
 		}
 	}
 	return c.await(inv)
 }
 
 // await returns how writing the answer has ended; or, if the consumer leaves before, how the connection has.
-func (c *conn) await(inv *invocation.Invocation) ending.Ending {
+func (c *conn) await(inv *request.Invocation) outcome.Ending {
 	_, err := c.br.Peek(1) // the next message, or the consumer's end
 	select {
 	case e := <-c.written:
@@ -147,17 +147,17 @@
 		case e := <-c.written:
 			return e
 		case <-c.server.hung:
-			return ending.Stopped
+			return outcome.Stopped
 		case <-look:
 		}
 	}
 	select {
 	case <-c.server.hung: // which has closed the connection
-		return ending.Stopped
+		return outcome.Stopped
 	default:
 	}
 	c.server.core.Abandon(inv)
-	return ending.ConsumerGone
+	return outcome.ConsumerGone
 }
 
 // next waits for the first byte of a message. Its deadline passes when the connection is to end while idle, or when it
@@ -228,7 +228,7 @@
 func (c *conn) wind(after time.Duration) { c.socket.SetReadDeadline(time.Now().Add(after)) }
 
 // message reads one message: an invocation, or what turns it away. Another ending than Open says that there is neither.
-func (c *conn) message() (*invocation.Invocation, *http1.Response, ending.Ending) {
+func (c *conn) message() (*request.Invocation, *http1.Response, outcome.Ending) {
 	began := time.Now()
 	until := began.Add(headWithin)
 	if !c.known {
@@ -254,22 +254,22 @@
 		_, err = c.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if err == nil && !c.keep(req) {
-		return nil, c.turn(503, true), ending.Open
+		return nil, c.turn(503, true), outcome.Open
 	}
 	if err == nil {
 		err = c.readBody(req)
 	}
 	switch {
 	case errors.Is(err, http1.ErrTooLarge):
-		return nil, c.turn(413, true), ending.Open
+		return nil, c.turn(413, true), outcome.Open
 	case errors.Is(err, http1.ErrMalformed):
-		return nil, c.turn(400, true), ending.Open
+		return nil, c.turn(400, true), outcome.Open
 	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isClosing(): // it was never sent to a server
-		return nil, c.turn(503, true), ending.Open
+		return nil, c.turn(503, true), outcome.Open
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, c.turn(408, true), ending.Open
+		return nil, c.turn(408, true), outcome.Open
 	case err != nil || !c.socket.Busy() || c.endReading() != nil:
-		return nil, nil, ending.BadInput
+		return nil, nil, outcome.BadInput
 	}
 	c.brought = true
 	if req.Method == "GET" && req.Target == http1.PathUp {
@@ -277,14 +277,14 @@
 		if c.server.core.Ready() {
 			status = 200
 		}
-		return nil, &http1.Response{Status: status, Close: req.Close}, ending.Open
+		return nil, &http1.Response{Status: status, Close: req.Close}, outcome.Open
 	}
 	words := c.server.dialect.Load()
 	now := time.Now()
 	since, _ := c.socket.SinceArrival()
 	inv, status := words.invocation(req, now.Add(-since))
 	if status != 0 {
-		return nil, c.turn(status, req.Close || status == 400), ending.Open
+		return nil, c.turn(status, req.Close || status == 400), outcome.Open
 	}
 	c.owed.Store(&inv.ID)
 	c.known, c.class, inv.Gone = true, words.names[inv.Class], c.socket.Left
@@ -293,13 +293,13 @@
 		inv.Rest = c.upload
 	}
 	c.paced = nil
-	inv.Answer = func(a invocation.Answer) { // never blocks: there is room for the one answer that is owed
+	inv.Answer = func(a request.Answer) { // never blocks: there is room for the one answer that is owed
 		r := response(a)
-		r.Bodiless = a.Kind == invocation.Served && req.Method == "HEAD"
+		r.Bodiless = a.Kind == request.Served && req.Method == "HEAD"
 		r.Close = req.Close || a.Rest != nil && a.Rest.Length() < 0 && req.Old
 		c.deliver(r, a.Rest, req.Old)
 	}
-	return inv, nil, ending.Open
+	return inv, nil, outcome.Open
 }
 
 // outcomes are what the statuses of the core's answers count as. One of a request that was never taken is no outcome.
@@ -316,15 +316,15 @@
 	if c.answers != nil {
 		return
 	}
-	c.answers, c.written = make(chan answer, 1), make(chan ending.Ending, 1)
+	c.answers, c.written = make(chan answer, 1), make(chan outcome.Ending, 1)
 	c.writer.Go(func() error {
 		for {
 			select {
 			case a := <-c.answers:
 				e := c.writeAnswer(a)
 				switch e {
-				case ending.WriteFailed:
-				case ending.Broken:
+				case outcome.WriteFailed:
+				case outcome.Broken:
 					c.request.End(figures.Error)
 				default:
 					c.request.End(outcomes[a.Status])
@@ -337,24 +337,24 @@
 	})
 }
 
-func (c *conn) writeOne(r *http1.Response) ending.Ending {
+func (c *conn) writeOne(r *http1.Response) outcome.Ending {
 	return c.writeAnswer(answer{Response: r})
 }
 
 // writeAnswer writes an answer, with the rest of a long one as it comes.
-func (c *conn) writeAnswer(a answer) ending.Ending {
+func (c *conn) writeAnswer(a answer) outcome.Ending {
 	r := a.Response
 	r.Close = r.Close || c.server.isClosing() || c.socket.Leaving()
 	e := c.write(http1.AppendResponse(nil, r, a.old))
 	c.owed.Store(nil) // what could not be written went to nobody
 	if a.flow != nil {
-		if e == ending.Open {
+		if e == outcome.Open {
 			e = c.pass(a)
 		}
-		a.flow.Close(e == ending.Open)
+		a.flow.Close(e == outcome.Open)
 	}
-	if e != ending.Open {
-		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && e == ending.Broken && a.old {
+	if e != outcome.Open {
+		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && e == outcome.Broken && a.old {
 			abrupt.SetLinger(0) // an end in order would look like the body's
 		}
 		c.socket.Close()
@@ -364,14 +364,14 @@
 		c.socket.CloseWrite()
 		c.wind(c.lingering())
 		if r.Status == 400 || r.Status == 408 || r.Status == 413 {
-			return ending.BadInput
+			return outcome.BadInput
 		}
-		return ending.LastAnswer
+		return outcome.LastAnswer
 	}
 	if c.upload == nil || c.upload.answered() { // else its body is still to be read
 		c.rest()
 	}
-	return ending.Open
+	return outcome.Open
 }
 
 // lingering is for how long the connection waits for its client's close.
--- a/internal/consumer/consumer.go
+++ b/internal/consumer/consumer.go
@@ -11,11 +11,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/ending"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/guard"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
 
@@ -51,14 +51,14 @@
 
 // Server is the front.
 type Server struct {
-	core    invocation.Core
+	core    request.Core
 	budget  *sockets.Budget
 	book    *figures.Book
 	bounds  *flow.Bounds
 	dialect atomic.Pointer[dialect]
 
 	// Rules counts the requests whose connection was ended without their answer; nil = nobody does. Set it before Serve.
-	Rules *guard.Book
+	Rules *invariant.Book
 	// Trace logs a line for each connection as it ends; nil = none does. Set it before Serve.
 	Trace func(format string, args ...any)
 
@@ -78,13 +78,13 @@
 	closing bool
 	closeAt time.Time // since then the listener is about to be closed, once nothing lies in its backlog
 	halfAt  time.Time // then half a request is read no further
-	endings ending.Counts
+	endings outcome.Counts
 
 	crowdedUntil time.Time // those that find no place are refused at once; of the goroutine that accepts
 }
 
 // New returns a front for core that counts in book what becomes of the requests it takes.
-func New(cfg *config.Config, core invocation.Core, budget *sockets.Budget, book *figures.Book, bounds *flow.Bounds) *Server {
+func New(cfg *config.Config, core request.Core, budget *sockets.Budget, book *figures.Book, bounds *flow.Bounds) *Server {
 	s := &Server{core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
 		hung: make(chan struct{})}
 	s.Reconfigure(&cfg.Settings)
@@ -104,7 +104,7 @@
 )
 
 // Endings returns how the connections have ended so far.
-func (s *Server) Endings() ending.Counts {
+func (s *Server) Endings() outcome.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endings
@@ -124,13 +124,13 @@
 	return s.serving && !s.closing && s.pass == nil
 }
 
-func (s *Server) ended(c *conn, e ending.Ending) {
+func (s *Server) ended(c *conn, e outcome.Ending) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	s.leftEmpty()
-	if s.closing && e == ending.IdleRetired {
-		e = ending.Stopped
+	if s.closing && e == outcome.IdleRetired {
+		e = outcome.Stopped
 	}
 	s.endings[e]++
 	if s.Trace != nil {
--- a/internal/consumer/dialect.go
+++ b/internal/consumer/dialect.go
@@ -9,7 +9,7 @@
 
 	"plankrouter/internal/config"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/request"
 )
 
 // dialect translates between the platform's HTTP and invocations.
@@ -40,7 +40,7 @@
 }
 
 // invocation words the request for the core, or returns the status that turns it away.
-func (d *dialect) invocation(r *http1.Request, sentAt time.Time) (*invocation.Invocation, int) {
+func (d *dialect) invocation(r *http1.Request, sentAt time.Time) (*request.Invocation, int) {
 	target := r.Target
 	if u, err := url.Parse(target); err == nil && u.Scheme == "http" && u.Host != "" { // the absolute form
 		target = u.RequestURI()
@@ -72,21 +72,21 @@
 	if !known {
 		tenant = -1
 	}
-	return &invocation.Invocation{ID: id, Class: class, Tenant: tenant,
+	return &request.Invocation{ID: id, Class: class, Tenant: tenant,
 		Again: r.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Patience: patience,
 		Verb: r.Method, Target: target, Fields: r.Header.EndToEnd(http1.Reworded), Body: r.Body}, 0
 }
 
 // response words the core's answer.
-func response(a invocation.Answer) *http1.Response {
+func response(a request.Answer) *http1.Response {
 	switch a.Kind {
-	case invocation.Served:
+	case request.Served:
 		r := &http1.Response{Status: 200, Header: a.Fields, Body: a.Body}
 		if a.Rest != nil {
 			r.Rest = a.Rest
 		}
 		return r
-	case invocation.Refused:
+	case request.Refused:
 		r := &http1.Response{Status: 503}
 		if a.RetryAfter > 0 {
 			r.Header = http1.Header{{Name: http1.HeaderRetryAfter,
@@ -94,7 +94,7 @@
 		}
 		return r
 	}
-	if a.Kind == invocation.Conflict {
+	if a.Kind == request.Conflict {
 		return &http1.Response{Status: 409}
 	}
 	return &http1.Response{Status: 502}
--- a/internal/consumer/handover_test.go
+++ b/internal/consumer/handover_test.go
@@ -15,30 +15,30 @@
 	"plankrouter/internal/config"
 	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
 
 // holding is a core that answers when it is told to.
 type holding struct {
 	mu   sync.Mutex
-	held []*invocation.Invocation
+	held []*request.Invocation
 }
 
-func (c *holding) Take(inv *invocation.Invocation) bool {
+func (c *holding) Take(inv *request.Invocation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.held = append(c.held, inv)
 	return true
 }
-func (c *holding) Abandon(*invocation.Invocation) {}
-func (c *holding) Ready() bool                    { return true }
+func (c *holding) Abandon(*request.Invocation) {}
+func (c *holding) Ready() bool                 { return true }
 
 func (c *holding) answer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, inv := range c.held {
-		inv.Answer(invocation.Answer{Kind: invocation.Served, Body: []byte("ok")})
+		inv.Answer(request.Answer{Kind: request.Served, Body: []byte("ok")})
 	}
 	c.held = nil
 }
--- a/internal/consumer/long.go
+++ b/internal/consumer/long.go
@@ -8,21 +8,21 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/ending"
 	"plankrouter/internal/flow"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 )
 
 // answer is what the writer is to write.
 type answer struct {
 	*http1.Response
-	flow invocation.Flow // its rest; nil = there is none
-	old  bool            // the consumer can't read chunks
+	flow request.Flow // its rest; nil = there is none
+	old  bool         // the consumer can't read chunks
 }
 
 // deliver hands the core's answer to the writer, unless the consumer is gone.
-func (c *conn) deliver(r *http1.Response, rest invocation.Flow, old bool) {
+func (c *conn) deliver(r *http1.Response, rest request.Flow, old bool) {
 	c.mu.Lock()
 	gone := c.gone
 	c.long = rest
@@ -45,17 +45,17 @@
 }
 
 // write writes a piece of an answer.
-func (c *conn) write(p []byte) ending.Ending {
+func (c *conn) write(p []byte) outcome.Ending {
 	c.socket.SetWriteDeadline(time.Now().Add(writeWithin))
 	if _, err := c.socket.Write(p); err != nil {
-		return ending.WriteFailed
+		return outcome.WriteFailed
 	}
-	return ending.Open
+	return outcome.Open
 }
 
 // pass writes what follows the beginning of a long answer, as it comes. One that breaks off is not ended as its framing says, so
 // that the consumer can tell.
-func (c *conn) pass(a answer) ending.Ending {
+func (c *conn) pass(a answer) outcome.Ending {
 	buf, free := c.server.bounds.Buffer()
 	defer free()
 	chunked := a.flow.Length() < 0 && !a.old
@@ -66,7 +66,7 @@
 			if chunked {
 				piece = http1.AppendChunk(nil, piece)
 			}
-			if e := c.write(piece); e != ending.Open {
+			if e := c.write(piece); e != outcome.Open {
 				return e
 			}
 		}
@@ -74,9 +74,9 @@
 		case err == io.EOF && chunked:
 			return c.write([]byte(http1.LastChunk))
 		case err == io.EOF:
-			return ending.Open
+			return outcome.Open
 		case err != nil:
-			return ending.Broken
+			return outcome.Broken
 		}
 	}
 }
@@ -159,7 +159,7 @@
 func (u *upload) Length() int64 { return u.body.Length() }
 func (u *upload) Spent() bool   { return u.spent.Load() }
 
-// Read makes it an invocation.Source.
+// Read makes it an request.Source.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -221,7 +221,7 @@
 
 // uploaded waits until the rest of the body has been read. Another ending than Open says that the connection is at its end. If the
 // answer came first, what is left of the body is read and dropped, and c.upload is nil then.
-func (c *conn) uploaded(inv *invocation.Invocation) ending.Ending {
+func (c *conn) uploaded(inv *request.Invocation) outcome.Ending {
 	u, look := c.upload, time.Tick(leftEvery) // where no attempt reads, nobody sees the consumer's end
 	for waiting := true; waiting; {
 		select {
@@ -229,34 +229,34 @@
 			if c.socket.Left() {
 				c.server.core.Abandon(inv)
 				u.seize()
-				return ending.ConsumerGone
+				return outcome.ConsumerGone
 			}
 			continue
 		case <-u.done:
 			switch {
 			case u.err == io.EOF && !u.late:
-				return ending.Open
+				return outcome.Open
 			case u.err == io.EOF:
-				if e := <-c.written; e != ending.Open {
+				if e := <-c.written; e != outcome.Open {
 					return e
 				}
 				c.upload = nil
 				c.rest()
-				return ending.Open
+				return outcome.Open
 			}
 			c.server.core.Abandon(inv)
 			if errors.Is(u.err, os.ErrDeadlineExceeded) || errors.Is(u.err, http1.ErrMalformed) {
-				return ending.BadInput
+				return outcome.BadInput
 			}
-			return ending.ConsumerGone
+			return outcome.ConsumerGone
 		case e := <-c.written:
 			u.seize() // before anything else: who still reads must not do so beyond the connection's end
-			if e != ending.Open {
+			if e != outcome.Open {
 				return e
 			}
 		case <-c.server.hung:
 			u.seize()
-			return ending.Stopped
+			return outcome.Stopped
 		}
 		waiting = false
 	}
@@ -265,10 +265,10 @@
 		c.socket.Extend(u.pace.Until(time.Now()))
 		_, err := io.Copy(io.Discard, u.body)
 		if c.paced = nil; err != nil || !c.socket.Busy() || c.socket.SetReadDeadline(time.Time{}) != nil {
-			return ending.BadInput
+			return outcome.BadInput
 		}
 	}
 	c.upload = nil
 	c.rest()
-	return ending.Open
+	return outcome.Open
 }
--- a/internal/bans/bans.go
+++ b/internal/cordon/cordon.go
@@ -1,6 +1,6 @@
-// Package bans holds operators' word on which providers get nothing, and keeps it in a file that all processes of a sidecar
+// Package cordon holds operators' word on which providers get nothing, and keeps it in a file that all processes of a sidecar
 // share. A Set reads no clock and touches no file.
-package bans
+package cordon
 
 import (
 	"errors"
--- a/internal/bans/bans_test.go
+++ b/internal/cordon/cordon_test.go
@@ -1,4 +1,4 @@
-package bans
+package cordon
 
 import (
 	"context"
--- a/internal/directory/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/members"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 )
 
 // slowReader is a connection of a process that is held up each time before it sees what has come.
@@ -37,7 +37,7 @@
 	defer d.Close()
 	told := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	w, err := New(Options{Address: d.Address(), Watch: freshness.Default(), Seed: 1,
+	w, err := New(Options{Address: d.Address(), Watch: staleness.Default(), Seed: 1,
 		Budget: sockets.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := sockets.TCP(ctx, address)
 			if err != nil {
@@ -45,7 +45,7 @@
 			}
 			return slowReader{c.(*net.TCPConn), heldUp}, nil
 		}),
-		Told: func(_ members.List, at time.Time) {
+		Told: func(_ endpoints.List, at time.Time) {
 			select {
 			case told <- at:
 			default:
--- a/internal/directory/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/directory/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"bufio"
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/members"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 )
 
 // script is a directory whose every byte the test writes.
@@ -121,7 +121,7 @@
 			play(t, 0, func(r *rig) {
 				d := scripted(t, r.network)
 				set := r.watch.set
-				set.Address, set.Watch = d.Addr().String(), freshness.Agent(grace)
+				set.Address, set.Watch = d.Addr().String(), staleness.Agent(grace)
 				r.watch, _ = New(set)
 				defer r.run()()
 				first := d.turn()
@@ -152,7 +152,7 @@
 func TestNoEndAndNoBeginning(t *testing.T) {
 	play(t, 0, func(r *rig) {
 		d, set := scripted(t, r.network), r.watch.set
-		set.Address, set.Watch = d.Addr().String(), freshness.Agent(750*time.Millisecond)
+		set.Address, set.Watch = d.Addr().String(), staleness.Agent(750*time.Millisecond)
 		dials := make(chan time.Time, 100)
 		set.Budget = sockets.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
 			if dials <- time.Now(); len(dials) == 1 {
@@ -184,8 +184,8 @@
 		d, set := scripted(t, r.network), r.watch.set
 		set.Address = d.Addr().String()
 		var sure time.Time
-		set.Trust = func(t freshness.Trust) { sure = t.Sure }
-		set.Told = func(l members.List, at time.Time) {
+		set.Trust = func(t staleness.Trust) { sure = t.Sure }
+		set.Told = func(l endpoints.List, at time.Time) {
 			if r.told(l, at); l.Revision == 8 {
 				r.watch.Move("e:1")
 			}
@@ -203,7 +203,7 @@
 		}
 		c.say(news[90:])
 		r.wait(time.Millisecond)
-		if left := sure.Sub(asked); left > 4*time.Second || left < 3900*time.Millisecond || r.phases["a"] != members.Draining {
+		if left := sure.Sub(asked); left > 4*time.Second || left < 3900*time.Millisecond || r.phases["a"] != endpoints.Draining {
 			t.Errorf("sure until %s after the call that brought %v", left, r.phases)
 		}
 	})
@@ -224,7 +224,7 @@
 
 func cross(t *testing.T) *crossed {
 	x := &crossed{script: scripted(t, nil), told: make(chan string), goOn: make(chan struct{}, 100)}
-	set := freshness.Settings{Wait: time.Minute, LeastWait: time.Minute, Patience: time.Minute, LeastPatience: time.Minute,
+	set := staleness.Settings{Wait: time.Minute, LeastWait: time.Minute, Patience: time.Minute, LeastPatience: time.Minute,
 		Retry: time.Millisecond, RetryMost: time.Millisecond, Ask: time.Millisecond, AskMost: time.Millisecond}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := sockets.TCP(ctx, address)
@@ -239,17 +239,17 @@
 	phases := map[string]string{}
 	var err error
 	x.Watch, err = New(Options{Address: x.Addr().String(), Watch: set, Seed: 1, Budget: sockets.NewBudget(8, dial),
-		Trust: func(freshness.Trust) {
+		Trust: func(staleness.Trust) {
 			if x.trust != nil {
 				x.trust()
 			}
 		},
-		Told: func(l members.List, at time.Time) {
+		Told: func(l endpoints.List, at time.Time) {
 			if l.Complete {
 				clear(phases)
 			}
 			for _, m := range l.Members {
-				if phases[m.ID] = m.Phase; m.Phase == members.Deleted {
+				if phases[m.ID] = m.Phase; m.Phase == endpoints.Deleted {
 					delete(phases, m.ID)
 				}
 			}
@@ -382,7 +382,7 @@
 			conn := x.start()
 			if c.whole {
 				asked = ""
-				x.Saw("a", freshness.Refused)
+				x.Saw("a", staleness.Refused)
 			}
 			x.goOn <- struct{}{}
 			x.want("asked", conn.asked(), asked)
@@ -551,7 +551,7 @@
 						if end {
 							x.end()
 						} else {
-							x.Saw("a", freshness.Refused)
+							x.Saw("a", staleness.Refused)
 						}
 						done <- true
 					})
@@ -629,7 +629,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := cross(t)
 			set := x.set
-			set.Anew, set.Known = c.anew, members.List{Revision: 50, Members: []members.Member{{ID: "a", Phase: members.Serving}}}
+			set.Anew, set.Known = c.anew, endpoints.List{Revision: 50, Members: []endpoints.Member{{ID: "a", Phase: endpoints.Serving}}}
 			x.Watch, _ = New(set)
 			x.run()
 			conn := x.turn()
--- a/internal/directory/directory.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package directory follows the directory's list of providers by its watch.
-package directory
+// Package discovery follows the directory's list of providers by its watch.
+package discovery
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/members"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/stopping"
 )
 
@@ -30,14 +30,14 @@
 	errUnasked = errors.New("the connection has ended, or brought what no call had asked for")
 )
 
-// Watch is the standing call to the directory. What to ask and how long to wait for it is decided by freshness.Keeper.
+// Watch is the standing call to the directory. What to ask and how long to wait for it is decided by staleness.Keeper.
 type Watch struct {
 	set Options
 
 	Answers, Failures, Doubts atomic.Int64 // Doubts: whole lists asked for because providers spoke against the list
 
 	mu      sync.Mutex
-	keeper  *freshness.Keeper
+	keeper  *staleness.Keeper
 	address string             // where the next call goes
 	leave   context.CancelFunc // ends the present one; nil = none
 	source  string             // of the list that was told last
@@ -52,21 +52,21 @@
 // Options are what a watch is told.
 type Options struct {
 	Address string // host:port of the directory
-	Watch   freshness.Settings
+	Watch   staleness.Settings
 	Seed    uint64
-	Known   members.List // what it begins with; if it is empty, the first call asks for the whole list,
-	Anew    bool         // and if the revision of Known is not one that the directory has told
-	Most    int64        // bytes of an answer, at most; 0 = ListMost of no memory told
+	Known   endpoints.List // what it begins with; if it is empty, the first call asks for the whole list,
+	Anew    bool           // and if the revision of Known is not one that the directory has told
+	Most    int64          // bytes of an answer, at most; 0 = ListMost of no memory told
 	Budget  *sockets.Budget
-	Told    func(l members.List, at time.Time) // takes each answer that tells anything, in order, and when its first byte came
-	Trust   func(freshness.Trust)              // as a call or a pause before it begins; nil = nobody asks
-	Logf    func(format string, args ...any)   // nil = nothing is logged
-	Trace   func(format string, args ...any)   // logs a line for every call; nil = none
+	Told    func(l endpoints.List, at time.Time) // takes each answer that tells anything, in order, and when its first byte came
+	Trust   func(staleness.Trust)                // as a call or a pause before it begins; nil = nobody asks
+	Logf    func(format string, args ...any)     // nil = nothing is logged
+	Trace   func(format string, args ...any)     // logs a line for every call; nil = none
 }
 
 // New returns a watch that Run begins.
 func New(o Options) (*Watch, error) {
-	keeper, err := freshness.New(o.Watch, o.Seed, o.Anew || len(o.Known.Members) == 0)
+	keeper, err := staleness.New(o.Watch, o.Seed, o.Anew || len(o.Known.Members) == 0)
 	if err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
@@ -75,7 +75,7 @@
 		o.Logf = func(string, ...any) {}
 	}
 	if o.Trust == nil {
-		o.Trust = func(freshness.Trust) {}
+		o.Trust = func(staleness.Trust) {}
 	}
 	w := &Watch{set: o, keeper: keeper, revision: o.Known.Revision, address: o.Address, at: o.Address,
 		source: o.Address, first: make(chan struct{})}
@@ -121,7 +121,7 @@
 
 // Saw takes a sign of a provider from whoever calls it. Where several speak against the list at once the present call is
 // given up for one that asks for the whole list. It is safe for concurrent use and does not block.
-func (w *Watch) Saw(provider string, sign freshness.Sign) {
+func (w *Watch) Saw(provider string, sign staleness.Sign) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.keeper.Saw(time.Now(), provider, sign) {
@@ -134,7 +134,7 @@
 }
 
 // begin returns the next call, a context that ends when it is to be left, and what the list is worth.
-func (w *Watch) begin(ctx context.Context) (context.Context, freshness.Call, freshness.Trust) {
+func (w *Watch) begin(ctx context.Context) (context.Context, staleness.Call, staleness.Trust) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ctx, w.leave = context.WithCancel(ctx)
@@ -166,7 +166,7 @@
 }
 
 // once makes a call. One that is left has not failed, but its connection may still bring the answer: it is done with.
-func (w *Watch) once(ctx context.Context, c freshness.Call) {
+func (w *Watch) once(ctx context.Context, c staleness.Call) {
 	began := time.Now()
 	list, heard, err := w.call(ctx, c)
 	if w.set.Trace != nil {
@@ -211,14 +211,14 @@
 }
 
 // note lets the keeper know what the list says.
-func (w *Watch) note(l members.List) {
+func (w *Watch) note(l endpoints.List) {
 	ready := map[string]float64{}
 	for _, m := range l.Members {
-		if m.Phase == members.Serving {
+		if m.Phase == endpoints.Serving {
 			ready[m.ID] = m.UpSince
 		}
 		if !l.Complete {
-			w.keeper.Listed(m.ID, m.Phase == members.Serving, m.UpSince)
+			w.keeper.Listed(m.ID, m.Phase == endpoints.Serving, m.UpSince)
 		}
 	}
 	if l.Complete {
@@ -234,7 +234,7 @@
 }
 
 // target words the call.
-func (w *Watch) target(c freshness.Call) string {
+func (w *Watch) target(c staleness.Call) string {
 	if c.Whole {
 		return http1.PathList
 	}
@@ -259,7 +259,7 @@
 }
 
 // call makes the call and takes what it brings; heard is the first byte of that.
-func (w *Watch) call(ctx context.Context, c freshness.Call) (list members.List, heard time.Time, err error) {
+func (w *Watch) call(ctx context.Context, c staleness.Call) (list endpoints.List, heard time.Time, err error) {
 	kept := w.conn != nil
 	raw, heard, err := w.exchange(ctx, c)
 	if err != nil {
@@ -284,7 +284,7 @@
 }
 
 // exchange makes the call and reads the whole of its answer.
-func (w *Watch) exchange(ctx context.Context, c freshness.Call) (raw []byte, heard time.Time, err error) {
+func (w *Watch) exchange(ctx context.Context, c staleness.Call) (raw []byte, heard time.Time, err error) {
 	if w.conn != nil && (w.br.Buffered() > 0 || !w.conn.Quiet()) { // it would pass for the answer to this call
 		return nil, heard, errUnasked
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/freshness"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/members"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 )
 
 // rig is a watch of a directory that knows a and b, in simulated time.
@@ -42,7 +42,7 @@
 		r.at = r.directory("d:1")
 		defer r.at.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
-		w, err := New(Options{Address: "d:1", Watch: freshness.Default(), Seed: 1, Known: members.List{Revision: revision},
+		w, err := New(Options{Address: "d:1", Watch: staleness.Default(), Seed: 1, Known: endpoints.List{Revision: revision},
 			Budget: sockets.NewBudget(8, dial), Told: r.told, Logf: func(format string, args ...any) {
 				r.lines = append(r.lines, fmt.Sprintf(format, args...))
 			}})
@@ -54,7 +54,7 @@
 	})
 }
 
-func (r *rig) told(l members.List, _ time.Time) {
+func (r *rig) told(l endpoints.List, _ time.Time) {
 	if l.Complete {
 		clear(r.phases)
 	}
@@ -178,13 +178,13 @@
 func TestPausesAreToldOf(t *testing.T) {
 	play(t, 0, func(r *rig) {
 		set := r.watch.set
-		set.Watch = freshness.Agent(750 * time.Millisecond)
+		set.Watch = staleness.Agent(750 * time.Millisecond)
 		var err error
 		if r.watch, err = New(set); err != nil {
 			t.Fatal(err)
 		}
 		var left []time.Duration // for which the list is sure, as each call or pause begins
-		r.watch.set.Trust = func(t freshness.Trust) { left = append(left, time.Until(t.Sure)) }
+		r.watch.set.Trust = func(t staleness.Trust) { left = append(left, time.Until(t.Sure)) }
 		end := r.run()
 		r.wait(1500 * time.Millisecond)
 		before := len(left)
@@ -215,7 +215,7 @@
 			play(t, 0, func(r *rig) {
 				d, set := scripted(t, r.network), r.watch.set
 				set.Address, set.Watch.Callers = d.Addr().String(), 32
-				set.Known = members.List{Revision: 7, Members: []members.Member{{ID: "a", Phase: members.Serving}}}
+				set.Known = endpoints.List{Revision: 7, Members: []endpoints.Member{{ID: "a", Phase: endpoints.Serving}}}
 				r.watch, _ = New(set)
 				defer r.run()()
 				var at *turn
--- a/internal/directory/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/members"
 )
 
 const (
@@ -42,20 +42,20 @@
 
 // parse reads what the directory answered, and the faults of the lines that it left out or settled. An answer that is cut off or
 // malformed tells nothing; of one that is not, a line that can't be read does not hide the others.
-func parse(raw []byte) (l members.List, faults []error, err error) {
+func parse(raw []byte) (l endpoints.List, faults []error, err error) {
 	if err = codec.Unmarshal(raw, &l); err == nil {
 		faults = l.Clean()
 	} else {
 		var loose struct {
-			members.List
+			endpoints.List
 			Members []jsoniter.RawMessage `json:"members"`
 		}
 		if err = codec.Unmarshal(raw, &loose); err != nil {
 			return l, nil, err
 		}
-		l = members.List{Revision: loose.Revision, Complete: loose.Complete, Members: []members.Member{}}
+		l = endpoints.List{Revision: loose.Revision, Complete: loose.Complete, Members: []endpoints.Member{}}
 		for i, line := range loose.Members {
-			var m members.Member
+			var m endpoints.Member
 			err := codec.Unmarshal(line, &m)
 			if err == nil {
 				err = m.Check()
--- a/internal/core/actions.go
+++ b/internal/dispatch/actions.go
@@ -1,15 +1,15 @@
-package core
+package dispatch
 
 import (
 	"cmp"
 	"container/heap"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
@@ -20,14 +20,14 @@
 		s.invoke(a)
 	case policy.Cancel:
 		if h := s.held[a.Request]; h != nil && h.call != 0 && a.Attempt == h.attempts-1 {
-			s.stop(h.call, ending.CalledOff)
+			s.stop(h.call, outcome.CalledOff)
 		}
 	case policy.Refuse:
 		s.unserved(a)
-		s.answer(a.Request, invocation.Answer{Kind: invocation.Refused, RetryAfter: duration(a.After)})
+		s.answer(a.Request, request.Answer{Kind: request.Refused, RetryAfter: duration(a.After)})
 	case policy.Fail:
 		s.unserved(a)
-		s.answer(a.Request, invocation.Answer{Kind: invocation.Failed})
+		s.answer(a.Request, request.Answer{Kind: request.Failed})
 	case policy.Probe:
 		if k := s.providers[a.Server]; k != nil {
 			s.counts.Probes++
@@ -62,7 +62,7 @@
 }
 
 // start begins an attempt, for an invocation or a probe, gives it up after wait, and returns its number.
-func (s *Pool) start(k *known, inv *invocation.Invocation, a *attempt, wait time.Duration) uint64 {
+func (s *Pool) start(k *known, inv *request.Invocation, a *attempt, wait time.Duration) uint64 {
 	s.lastCall++
 	number := s.lastCall
 	// The module often gives an attempt until its request's own deadline, for which it has set a timer too. The
@@ -90,9 +90,9 @@
 	if inv != nil && inv.Rest == nil {
 		until = s.now.Add(wait)
 	}
-	a.call = k.at.Start(caller.Task{Invocation: inv, Wait: wait, Until: until, NotAfter: notAfter, Expires: a.expires,
+	a.call = k.at.Start(upstream.Task{Invocation: inv, Wait: wait, Until: until, NotAfter: notAfter, Expires: a.expires,
 		Flowed: func() { s.send(flowed{number}) },
-		Ended: func(r caller.Result) {
+		Ended: func(r upstream.Result) {
 			if !s.send(callEnded{number, r}) {
 				closeFlow(r.Rest)
 			}
@@ -108,25 +108,25 @@
 // health reads a phase. One that is unknown gets no new work: it is not the one that asks for it.
 func health(phase string) policy.Health {
 	switch phase {
-	case members.Serving:
+	case endpoints.Serving:
 		return policy.Ready
-	case members.Deleted:
+	case endpoints.Deleted:
 		return policy.Gone
 	}
 	return policy.Draining
 }
 
 // list takes the directory's word as of now.
-func (s *Pool) list(l members.List) { s.listAt(l, time.Now()) }
+func (s *Pool) list(l endpoints.List) { s.listAt(l, time.Now()) }
 
 // listAt takes the directory's word, which came when it was told, with the operators' laid over it: the table first, then the
 // module.
-func (s *Pool) listAt(l members.List, told time.Time) {
+func (s *Pool) listAt(l endpoints.List, told time.Time) {
 	s.revision = l.Revision
 	now := time.Now()
 	s.readWall(now)
 	named := map[policy.ServerID]bool{}
-	left := map[caller.Endpoint]bool{} // where another process is by now
+	left := map[upstream.Endpoint]bool{} // where another process is by now
 	lines := make([]policy.ServerInfo, 0, len(l.Members))
 	for _, m := range l.Members {
 		id, zone := s.serverID(m.ID), -1
@@ -143,7 +143,7 @@
 			k.at.Close() // another process: nobody answers for it at the old place or on the old connections
 			left[k.at] = true
 			k.at = s.set.Caller.Endpoint(m.ID, cmp.Or(m.Address, k.at.Address()))
-			k.proof = freshness.Proof{}
+			k.proof = staleness.Proof{}
 		}
 		k.line, k.origin = m, s.originOf(k, m, now)
 		health, since := s.effective(m, told, now)
@@ -172,7 +172,7 @@
 	s.lookedAt = time.Time{}
 	for number, a := range s.calls { // once the module knows it: what is withdrawn may go out again
 		if left[a.at] {
-			s.withdraw(number, ending.Drained)
+			s.withdraw(number, outcome.Drained)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 		}
 	case was == policy.Ready:
 		k.at.Close()
-		_, write := freshness.Leave(s.set.DrainGrace)
+		_, write := staleness.Leave(s.set.DrainGrace)
 		k.notAfter = told.Add(write)
 		for _, a := range s.calls {
 			if a.server == id {
--- a/internal/core/ask.go
+++ b/internal/dispatch/ask.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // ask puts a question to the pool's goroutine, as the event that word makes of where the answer goes, and waits for it; false =
 // the pool has stopped.
--- a/internal/core/bans.go
+++ b/internal/dispatch/bans.go
@@ -1,10 +1,10 @@
-package core
+package dispatch
 
 import (
 	"time"
 
-	"plankrouter/internal/bans"
-	"plankrouter/internal/members"
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
 )
 
@@ -15,7 +15,7 @@
 
 // Ban lays operators' word over the list from now on, in place of the earlier one, and returns once it is in force, or once
 // the pool has stopped.
-func (s *Pool) Ban(set bans.Set) {
+func (s *Pool) Ban(set cordon.Set) {
 	ask(s, func(done chan<- struct{}) event { return banning{set, done} })
 }
 
@@ -37,7 +37,7 @@
 	defer close(e.done)
 	changed := s.bans.Changed(e.set)
 	s.bans = e.set
-	l := members.List{Revision: s.revision}
+	l := endpoints.List{Revision: s.revision}
 	for _, provider := range changed {
 		k := s.providers[s.serverIDs[provider]]
 		if !s.listed(k) || k.name != provider {
@@ -55,7 +55,7 @@
 
 // effective is what a line of the list amounts to under the operators' word: the provider's health, and since when. One that is
 // out counts as draining.
-func (s *Pool) effective(m members.Member, told, now time.Time) (h policy.Health, since time.Time) {
+func (s *Pool) effective(m endpoints.Member, told, now time.Time) (h policy.Health, since time.Time) {
 	h = health(m.Phase)
 	if at, out := s.bans.Out[m.ID]; out && h == policy.Ready {
 		h = policy.Draining
--- a/internal/core/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/bans"
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/snapshot"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
@@ -23,7 +23,7 @@
 	started map[string]int
 }
 
-func (c serving) Endpoint(_, address string) caller.Endpoint {
+func (c serving) Endpoint(_, address string) upstream.Endpoint {
 	return &servingEnd{refusingEnd(address), c.started}
 }
 
@@ -32,9 +32,9 @@
 	started map[string]int
 }
 
-func (e *servingEnd) Start(t caller.Task) caller.Call {
+func (e *servingEnd) Start(t upstream.Task) upstream.Call {
 	e.started[e.Address()]++
-	time.AfterFunc(5*time.Millisecond, func() { t.Ended(caller.Result{Ending: ending.Served, Code: 200}) })
+	time.AfterFunc(5*time.Millisecond, func() { t.Ended(upstream.Result{Ending: outcome.Served, Code: 200}) })
 	return refusedCall{}
 }
 
@@ -56,8 +56,8 @@
 // play sends requests to a pool that runs, for two seconds.
 func play(s *Pool) {
 	for i := range 200 {
-		s.Take(&invocation.Invocation{ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second,
-			Answer: func(invocation.Answer) {}})
+		s.Take(&request.Invocation{ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second,
+			Answer: func(request.Answer) {}})
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -74,8 +74,8 @@
 		ctx, end := context.WithCancel(t.Context())
 		running := make(chan error, 1)
 		go func() { running <- s.Run(ctx) }()
-		s.Told(members.List{Revision: 1, Complete: true, Members: []members.Member{{ID: "old", Address: "old:1",
-			Phase: members.Serving}}}, time.Now())
+		s.Told(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{ID: "old", Address: "old:1",
+			Phase: endpoints.Serving}}}, time.Now())
 		time.Sleep(time.Second)
 		do(wall, s)
 		play(s)
@@ -90,7 +90,7 @@
 
 // lists tells that a server has started so long ago by the wall clock as it is.
 func lists(s *Pool, upSince float64) {
-	s.Told(members.List{Revision: 2, Members: []members.Member{{ID: "new", Address: "new:1", Phase: members.Serving,
+	s.Told(endpoints.List{Revision: 2, Members: []endpoints.Member{{ID: "new", Address: "new:1", Phase: endpoints.Serving,
 		UpSince: upSince}}}, time.Now())
 }
 
@@ -122,8 +122,8 @@
 			"put back by operators after the step": func(w *wallClock, s *Pool) {
 				w.step(step)
 				lists(s, 0)
-				s.Ban(bans.Set{Out: map[string]float64{"new": w.ms()}})
-				s.Ban(bans.Set{Back: map[string]float64{"new": w.ms()}})
+				s.Ban(cordon.Set{Out: map[string]float64{"new": w.ms()}})
+				s.Ban(cordon.Set{Back: map[string]float64{"new": w.ms()}})
 			},
 		} {
 			if got := slowStart(t, do); got > usual+1 || got < usual-1 {
@@ -160,11 +160,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			first.list(members.List{Revision: 1, Complete: true, Members: []members.Member{{ID: "old", Address: "old:1",
-				Phase: members.Serving}, {ID: "new", Address: "new:1", Phase: members.Serving, UpSince: wall.ms()}}})
+			first.list(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{ID: "old", Address: "old:1",
+				Phase: endpoints.Serving}, {ID: "new", Address: "new:1", Phase: endpoints.Serving, UpSince: wall.ms()}}})
 			time.Sleep(time.Second)
 			wall.step(step)
-			first.list(members.List{Revision: 2})
+			first.list(endpoints.List{Revision: 2})
 			raw, err := snapshot.Encode(first.snapshot(time.Now()), 0)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/core/crossings_test.go
+++ b/internal/dispatch/crossings_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/stopping"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
@@ -29,15 +29,15 @@
 
 type slowCall struct {
 	*slowEnd
-	caller.Task
+	upstream.Task
 	over bool
 }
 
-func (s *slow) Endpoint(name, address string) caller.Endpoint { return &slowEnd{s, name, address} }
+func (s *slow) Endpoint(name, address string) upstream.Endpoint { return &slowEnd{s, name, address} }
 
 func (e *slowEnd) Address() string { return e.address }
 func (e *slowEnd) Close()          {}
-func (e *slowEnd) Start(t caller.Task) caller.Call {
+func (e *slowEnd) Start(t upstream.Task) upstream.Call {
 	c := &slowCall{e, t, false}
 	e.of.calls = append(e.of.calls, c)
 	e.of.did = append(e.of.did, "start "+e.address)
@@ -45,16 +45,16 @@
 }
 
 func (c *slowCall) NotAfter(time.Time) {}
-func (c *slowCall) Stop(why ending.Ending) (ending.Ending, bool) {
+func (c *slowCall) Stop(why outcome.Ending) (outcome.Ending, bool) {
 	return c.end("stop", why)
 }
-func (c *slowCall) Withdraw(why ending.Ending) (ending.Ending, bool) {
+func (c *slowCall) Withdraw(why outcome.Ending) (outcome.Ending, bool) {
 	return c.end("withdraw", why)
 }
 
-func (c *slowCall) end(how string, why ending.Ending) (ending.Ending, bool) {
+func (c *slowCall) end(how string, why outcome.Ending) (outcome.Ending, bool) {
 	if c.over {
-		return ending.Open, false
+		return outcome.Open, false
 	}
 	c.over = true
 	c.of.did = append(c.of.did, fmt.Sprint(how, " ", c.address, " ", why.Unsent()))
@@ -64,41 +64,41 @@
 // Attempts whose connections are still coming up when something else comes: nothing of them is wanted any more, whether or not
 // the settings let running ones be called off.
 func TestWhatIsNotWantedAnyMoreIsWithdrawn(t *testing.T) {
-	serving := func(id, address string, since float64) members.Member {
-		return members.Member{ID: id, Address: address, Phase: members.Serving, UpSince: since}
+	serving := func(id, address string, since float64) endpoints.Member {
+		return endpoints.Member{ID: id, Address: address, Phase: endpoints.Serving, UpSince: since}
 	}
 	for name, tc := range map[string]struct {
-		members []members.Member
-		play    func(s *Pool, inv *invocation.Invocation, c *slow)
+		members []endpoints.Member
+		play    func(s *Pool, inv *request.Invocation, c *slow)
 		did     []string
-		answers []invocation.Answer
+		answers []request.Answer
 		gone    int
 	}{
-		"the consumer leaves": {[]members.Member{serving("s", "p:1", 0)}, func(s *Pool, inv *invocation.Invocation, c *slow) {
+		"the consumer leaves": {[]endpoints.Member{serving("s", "p:1", 0)}, func(s *Pool, inv *request.Invocation, c *slow) {
 			abandoned{inv: inv}.apply(s)
 		}, []string{"start p:1", "withdraw p:1 withdrawn"}, nil, 1},
-		"a word to stop that leaves less time than the attempt has": {[]members.Member{serving("s", "p:1", 0)},
-			func(s *Pool, inv *invocation.Invocation, c *slow) {
+		"a word to stop that leaves less time than the attempt has": {[]endpoints.Member{serving("s", "p:1", 0)},
+			func(s *Pool, inv *request.Invocation, c *slow) {
 				stopNow{plan: stopping.For(time.Minute, time.Second), at: time.Now()}.apply(s)
 				time.Sleep(time.Second)
 				s.due()
-			}, []string{"start p:1", "withdraw p:1 withdrawn"}, []invocation.Answer{{Kind: invocation.Failed}}, 0},
-		"another process under the same id": {[]members.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
-			func(s *Pool, inv *invocation.Invocation, c *slow) {
+			}, []string{"start p:1", "withdraw p:1 withdrawn"}, []request.Answer{{Kind: request.Failed}}, 0},
+		"another process under the same id": {[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
+			func(s *Pool, inv *request.Invocation, c *slow) {
 				s.retryFreely()
-				s.list(members.List{Members: []members.Member{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
+				s.list(endpoints.List{Members: []endpoints.Member{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
 			}, []string{"start p:1", "withdraw p:1 drained", "start elsewhere"}, nil, 0},
-		"another start of the same process": {[]members.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
-			func(s *Pool, inv *invocation.Invocation, c *slow) {
+		"another start of the same process": {[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
+			func(s *Pool, inv *request.Invocation, c *slow) {
 				s.retryFreely()
-				s.list(members.List{Members: []members.Member{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
+				s.list(endpoints.List{Members: []endpoints.Member{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
 			}, []string{"start p:1", "withdraw p:1 drained", "start elsewhere"}, nil, 0},
-		"an attempt fails, and the word of the consumer's end waits": {[]members.Member{serving("s", "p:1", 0), serving("t", "p:1", 0)},
-			func(s *Pool, inv *invocation.Invocation, c *slow) {
+		"an attempt fails, and the word of the consumer's end waits": {[]endpoints.Member{serving("s", "p:1", 0), serving("t", "p:1", 0)},
+			func(s *Pool, inv *request.Invocation, c *slow) {
 				s.retryFreely()
 				s.Abandon(inv)
 				c.calls[0].over = true
-				s.ended(1, caller.Result{Ending: ending.Declined})
+				s.ended(1, upstream.Result{Ending: outcome.Declined})
 				(<-s.events).apply(s)
 			}, []string{"start p:1"}, nil, 1},
 	} {
@@ -110,11 +110,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.list(members.List{Members: tc.members})
+				s.list(endpoints.List{Members: tc.members})
 				before := s.sizes()
-				var got []invocation.Answer
-				inv := &invocation.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute,
-					Answer: func(a invocation.Answer) { got = append(got, a) }}
+				var got []request.Answer
+				inv := &request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute,
+					Answer: func(a request.Answer) { got = append(got, a) }}
 				arrived{inv}.apply(s)
 				tc.play(s, inv, c)
 				for i, did := range c.did[1:] {
@@ -122,7 +122,7 @@
 						c.did[i+1] = "start elsewhere"
 					}
 				}
-				if !slices.Equal(c.did, tc.did) || !slices.EqualFunc(got, tc.answers, func(a, b invocation.Answer) bool {
+				if !slices.Equal(c.did, tc.did) || !slices.EqualFunc(got, tc.answers, func(a, b request.Answer) bool {
 					return a.Kind == b.Kind && a.MayHaveRun == b.MayHaveRun
 				}) || s.counts.Gone != tc.gone {
 					t.Errorf("%q, %+v, %d gone", c.did, got, s.counts.Gone)
@@ -142,7 +142,7 @@
 // retryFreely has so many invocations come and go that a further attempt is allowed.
 func (s *Pool) retryFreely() {
 	for i := range 20 {
-		inv := &invocation.Invocation{ID: fmt.Sprint("x", i), SentAt: time.Now(), Patience: time.Minute, Answer: func(invocation.Answer) {}}
+		inv := &request.Invocation{ID: fmt.Sprint("x", i), SentAt: time.Now(), Patience: time.Minute, Answer: func(request.Answer) {}}
 		arrived{inv}.apply(s)
 		abandoned{inv: inv}.apply(s)
 	}
@@ -152,7 +152,7 @@
 
 // Whoever cancels learns whether an attempt may have run, also where an attempt has found before that its consumer had left.
 func TestCancelAfterItWasFoundToHaveLeft(t *testing.T) {
-	for how, want := range map[ending.Ending]bool{ending.Withdrawn: false, ending.Declined: false, ending.ResetByPeer: true} {
+	for how, want := range map[outcome.Ending]bool{outcome.Withdrawn: false, outcome.Declined: false, outcome.ResetByPeer: true} {
 		t.Run(how.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
@@ -160,13 +160,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.list(members.List{Members: []members.Member{{ID: "s", Address: "p:1", Phase: members.Serving}}})
-				inv := &invocation.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute, Gone: func() bool { return true },
-					Answer: func(a invocation.Answer) { t.Errorf("answered: %+v", a) }}
+				s.list(endpoints.List{Members: []endpoints.Member{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
+				inv := &request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute, Gone: func() bool { return true },
+					Answer: func(a request.Answer) { t.Errorf("answered: %+v", a) }}
 				arrived{inv}.apply(s)
 				inv.Look()
 				c.calls[0].over = true
-				s.ended(1, caller.Result{Ending: how})
+				s.ended(1, upstream.Result{Ending: how})
 				told := make(chan bool, 1)
 				abandoned{inv, told}.apply(s)
 				if got := <-told; got != want || s.counts.Gone != 1 || len(c.calls) != 1 {
--- a/internal/core/dates.go
+++ b/internal/dispatch/dates.go
@@ -1,9 +1,9 @@
-package core
+package dispatch
 
 import (
 	"time"
 
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
 )
 
@@ -34,7 +34,7 @@
 }
 
 // originOf is the origin of the process that a line of the list names, given what is known of its server.
-func (s *Pool) originOf(k *known, m members.Member, now time.Time) origin {
+func (s *Pool) originOf(k *known, m endpoints.Member, now time.Time) origin {
 	back := s.bans.Back[m.ID]
 	if k.origin.upSince == m.UpSince && k.origin.back == back {
 		return k.origin
--- a/internal/core/core.go
+++ b/internal/dispatch/dispatch.go
@@ -1,8 +1,8 @@
-// Package core is the host of one pool: a list of providers, the decision module that picks among them, and one goroutine
+// Package dispatch is the host of one pool: a list of providers, the decision module that picks among them, and one goroutine
 // that owns both, with the table of invocations and all timers. All others send it events, and it never waits for a socket.
-// Attempts are made by a caller.Caller, of whatever protocol; invocations come from any front. Many pools may live in a
+// Attempts are made by a upstream.Caller, of whatever protocol; invocations come from any front. Many pools may live in a
 // process: they share only what they are handed.
-package core
+package dispatch
 
 import (
 	"container/heap"
@@ -13,15 +13,15 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/bans"
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/guard"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/snapshot"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/stopping"
+	"plankrouter/internal/upstream"
 	"plankrouter/internal/wallclock"
 	"plankrouter/policy"
 )
@@ -45,9 +45,9 @@
 	Seed       uint64
 	Zones      []string            // the names of Logic's zones, by position; a member of any other is in none
 	DrainGrace time.Duration       // after which nothing new may reach a provider that drains or is gone
-	Known      members.List        // the providers, as far as they are known
+	Known      endpoints.List      // the providers, as far as they are known
 	Before     *snapshot.Beginning // takes the place of Known; nil = there is none
-	Caller     caller.Caller
+	Caller     upstream.Caller
 
 	// Whole reports whether a probe's report has what the module can't do without; nil = any will do.
 	Whole func(policy.Report) bool
@@ -56,14 +56,14 @@
 	// Trace logs a line for every attempt and probe, as it begins and as it ends; nil = none.
 	Trace func(format string, args ...any)
 	// Saw is told what is seen of providers that bears on the list. It must not block; nil = nobody is.
-	Saw func(provider string, sign freshness.Sign)
+	Saw func(provider string, sign staleness.Sign)
 	// Targets is told now and then how many providers are listed, and how many of those are left out. It must not block;
 	// nil = nobody is.
 	Targets func(listed, leftOut int)
 	// Bans are the operators' word at the start.
-	Bans bans.Set
+	Bans cordon.Set
 	// Rules counts what the guards of the rules held back; nil = nobody does.
-	Rules *guard.Book
+	Rules *invariant.Book
 	// Wall reads the wall clock, which may be stepped; nil = time.Now.
 	Wall func() time.Time
 }
@@ -82,7 +82,7 @@
 	stopped    chan struct{} // closed when Run has ended
 
 	held      map[policy.RequestID]*held
-	byInv     map[*invocation.Invocation]policy.RequestID
+	byInv     map[*request.Invocation]policy.RequestID
 	open      map[string]bool     // the consumers' ids of what has no final answer yet
 	elsewhere map[string]bool     // likewise, in the process before this one
 	calls     map[uint64]*attempt // and probes under way
@@ -98,8 +98,8 @@
 	stepping  bool
 	now       time.Time       // of the event that the module has last seen; what it asks for counts from here
 	revision  uint64          // of the list
-	trust     freshness.Trust // in the list; none = it is never in doubt
-	bans      bans.Set        // lies over the list
+	trust     staleness.Trust // in the list; none = it is never in doubt
+	bans      cordon.Set      // lies over the list
 	lookedAt  time.Time       // see look
 	classes   []int           // of the module, in the order of the settings
 	tenants   []int
@@ -116,56 +116,56 @@
 	Sent, Probes, Lists     int
 	Served, Refused, Failed int
 	Unserved                map[policy.Reason]int // refused or failed, by reason
-	Calls, Asked            ending.Counts         // endings of invoker calls and of probes
+	Calls, Asked            outcome.Counts        // endings of invoker calls and of probes
 }
 
 // known is a provider that the directory has named.
 type known struct {
 	name     string
-	line     members.Member // as the directory last told it
-	origin   origin         // of the process that it names
-	toldAt   time.Time      // since when it has told the present phase
-	at       caller.Endpoint
+	line     endpoints.Member // as the directory last told it
+	origin   origin           // of the process that it names
+	toldAt   time.Time        // since when it has told the present phase
+	at       upstream.Endpoint
 	health   policy.Health
 	notAfter time.Time // of a first byte, once it drains or is gone
 	calls    int       // and probes under way
 	newsAt   time.Time // of its last load report
 	outSince time.Time // the module has left it out; zero = it does not
-	proof    freshness.Proof
+	proof    staleness.Proof
 }
 
 // attempt is an invoker call or a probe under way, and what it is for.
 type attempt struct {
-	call    caller.Call
+	call    upstream.Call
 	began   time.Time
 	probe   bool
 	request policy.RequestID
 	number  int
 	server  policy.ServerID
-	at      caller.Endpoint // the process that it went to
-	end     *timer          // of its time
-	expires time.Time       // no byte of it later than this; zero = any time
+	at      upstream.Endpoint // the process that it went to
+	end     *timer            // of its time
+	expires time.Time         // no byte of it later than this; zero = any time
 }
 
 // event is something that another goroutine has seen.
 type event interface{ apply(*Pool) }
 
 type (
-	arrived   struct{ inv *invocation.Invocation }
+	arrived   struct{ inv *request.Invocation }
 	abandoned struct {
-		inv    *invocation.Invocation
+		inv    *request.Invocation
 		mayRun chan<- bool // nil = nobody asks
 	}
 	callEnded struct {
 		number uint64
-		caller.Result
+		upstream.Result
 	}
 	flowed struct{ number uint64 }
 	told   struct {
-		members.List
+		endpoints.List
 		at time.Time
 	}
-	trusting freshness.Trust
+	trusting staleness.Trust
 	taking   struct{ to chan<- *snapshot.Snapshot }
 	stopNow  struct {
 		plan stopping.Plan
@@ -179,7 +179,7 @@
 	asking  struct{ to chan<- []string }
 	foreign struct{ ids []string }
 	banning struct {
-		set  bans.Set
+		set  cordon.Set
 		done chan<- struct{}
 	}
 	finding struct {
@@ -204,11 +204,11 @@
 		o.Wall = time.Now
 	}
 	if o.Saw == nil {
-		o.Saw = func(string, freshness.Sign) {}
+		o.Saw = func(string, staleness.Sign) {}
 	}
 	s := &Pool{set: o, bans: o.Bans, bal: bal, clock: newClock(o.Wall), zones: map[string]int{}, stopped: make(chan struct{}),
 		events: make(chan event, eventsAhead), listEvents: make(chan event, 1), held: map[policy.RequestID]*held{},
-		byInv: map[*invocation.Invocation]policy.RequestID{}, open: map[string]bool{},
+		byInv: map[*request.Invocation]policy.RequestID{}, open: map[string]bool{},
 		calls: map[uint64]*attempt{}, uploads: map[uint64]*attempt{},
 		providers: map[policy.ServerID]*known{}, serverIDs: map[string]policy.ServerID{},
 		numbers: map[policy.ServerID]bool{}}
@@ -293,17 +293,17 @@
 	}
 }
 
-// Take hands over an invocation; with Abandon and Ready it makes the Pool an invocation.Core.
-func (s *Pool) Take(inv *invocation.Invocation) bool { return s.send(arrived{inv}) }
+// Take hands over an invocation; with Abandon and Ready it makes the Pool an request.Core.
+func (s *Pool) Take(inv *request.Invocation) bool { return s.send(arrived{inv}) }
 
 // Abandon says that the consumer is gone. Its word may have to wait behind others; meanwhile nothing more is sent all the same.
-func (s *Pool) Abandon(inv *invocation.Invocation) {
+func (s *Pool) Abandon(inv *request.Invocation) {
 	inv.Leave()
 	s.send(abandoned{inv: inv})
 }
 
 // Cancel is Abandon for one who has to know whether an attempt may have run. What has been answered meanwhile may have.
-func (s *Pool) Cancel(inv *invocation.Invocation) (mayRun bool) {
+func (s *Pool) Cancel(inv *request.Invocation) (mayRun bool) {
 	told := make(chan bool, 1)
 	if s.send(abandoned{inv, told}) {
 		select {
@@ -323,21 +323,21 @@
 func (s *Pool) Ready() bool { return s.ready.Load() }
 
 // Told takes news from the directory, which were there at that moment.
-func (s *Pool) Told(l members.List, at time.Time) { s.sendOn(s.listEvents, told{l, at}) }
+func (s *Pool) Told(l endpoints.List, at time.Time) { s.sendOn(s.listEvents, told{l, at}) }
 
 // Trust takes what the list is worth from now on.
-func (s *Pool) Trust(t freshness.Trust) { s.sendOn(s.listEvents, trusting(t)) }
+func (s *Pool) Trust(t staleness.Trust) { s.sendOn(s.listEvents, trusting(t)) }
 
 func (e trusting) apply(s *Pool) {
-	s.trust = freshness.Trust(e)
-	pick, _ := freshness.Leave(s.set.DrainGrace)
+	s.trust = staleness.Trust(e)
+	pick, _ := staleness.Leave(s.set.DrainGrace)
 	s.step(policy.Event{Kind: policy.Sure, Left: millis(time.Until(e.Sure) + pick),
 		Took: millis(time.Until(e.Known))})
 }
 
 // vouching adds to the module's settings for how long a probe stands for a list that is not sure.
 func vouching(cfg policy.Config, grace time.Duration) policy.Config {
-	pick, _ := freshness.Leave(grace)
+	pick, _ := staleness.Leave(grace)
 	cfg.Vouched = millis(pick)
 	return cfg
 }
@@ -421,27 +421,27 @@
 		case t.call == 0:
 			s.step(policy.Event{Kind: policy.TimerDue, Timer: t.handle})
 		case t.expires:
-			s.withdraw(t.call, ending.Expired)
+			s.withdraw(t.call, outcome.Expired)
 		default:
-			s.stop(t.call, ending.TimedOut)
+			s.stop(t.call, outcome.TimedOut)
 		}
 	}
 }
 
 // stop gives up a call that has not ended yet.
-func (s *Pool) stop(number uint64, why ending.Ending) {
+func (s *Pool) stop(number uint64, why outcome.Ending) {
 	if a := s.calls[number]; a != nil {
 		if how, stopped := a.call.Stop(why); stopped {
-			s.ended(number, caller.Result{Ending: how})
+			s.ended(number, upstream.Result{Ending: how})
 		}
 	}
 }
 
 // withdraw gives up a call of which the last byte is not written.
-func (s *Pool) withdraw(number uint64, why ending.Ending) {
+func (s *Pool) withdraw(number uint64, why outcome.Ending) {
 	if a := s.calls[number]; a != nil {
 		if how, withdrawn := a.call.Withdraw(why); withdrawn {
-			s.ended(number, caller.Result{Ending: how})
+			s.ended(number, upstream.Result{Ending: how})
 		}
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"context"
@@ -11,20 +11,20 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"plankrouter/internal/caller"
 	"plankrouter/internal/config"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/loadreport"
-	"plankrouter/internal/members"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
 // refusing is a caller to whom no provider opens a connection.
 type refusing struct{}
 
-func (refusing) Endpoint(_, address string) caller.Endpoint     { return refusingEnd(address) }
+func (refusing) Endpoint(_, address string) upstream.Endpoint   { return refusingEnd(address) }
 func (refusing) Forget(string)                                  {}
 func (refusing) State(time.Time) ([]byte, error)                { return nil, nil }
 func (refusing) Restore(time.Time, []byte, time.Duration) error { return nil }
@@ -33,16 +33,16 @@
 
 func (e refusingEnd) Address() string { return string(e) }
 func (refusingEnd) Close()            {}
-func (refusingEnd) Start(t caller.Task) caller.Call {
-	go t.Ended(caller.Result{Ending: ending.Refused})
+func (refusingEnd) Start(t upstream.Task) upstream.Call {
+	go t.Ended(upstream.Result{Ending: outcome.Refused})
 	return refusedCall{}
 }
 
 type refusedCall struct{}
 
-func (refusedCall) Stop(ending.Ending) (ending.Ending, bool)     { return 0, false }
-func (refusedCall) Withdraw(ending.Ending) (ending.Ending, bool) { return 0, false }
-func (refusedCall) NotAfter(time.Time)                           {}
+func (refusedCall) Stop(outcome.Ending) (outcome.Ending, bool)     { return 0, false }
+func (refusedCall) Withdraw(outcome.Ending) (outcome.Ending, bool) { return 0, false }
+func (refusedCall) NotAfter(time.Time)                             {}
 
 // host returns a Pool that knows no provider yet, run by the test itself.
 func host(t *testing.T) *Pool {
@@ -69,10 +69,10 @@
 		before := s.sizes()
 		for i := range 20000 {
 			name, was := fmt.Sprintf("s-%d", i), fmt.Sprintf("s-%d", i-1)
-			s.list(members.List{Members: []members.Member{{ID: name, Address: "p:1", Phase: members.Serving},
-				{ID: was, Phase: members.Deleted}}})
-			arrived{&invocation.Invocation{ID: name, SentAt: time.Now(), Patience: time.Second,
-				Answer: func(invocation.Answer) {}}}.apply(s)
+			s.list(endpoints.List{Members: []endpoints.Member{{ID: name, Address: "p:1", Phase: endpoints.Serving},
+				{ID: was, Phase: endpoints.Deleted}}})
+			arrived{&request.Invocation{ID: name, SentAt: time.Now(), Patience: time.Second,
+				Answer: func(request.Answer) {}}}.apply(s)
 			synctest.Wait()
 			for len(s.calls) > 0 {
 				(<-s.events).apply(s)
@@ -80,7 +80,7 @@
 			time.Sleep(10 * time.Millisecond)
 			s.due()
 		}
-		s.list(members.List{Complete: true})
+		s.list(endpoints.List{Complete: true})
 		time.Sleep(time.Second) // until the last deadline
 		s.due()
 		if diff := cmp.Diff(before, s.sizes()); diff != "" || s.counts.Sent != 20000 || len(s.gone) > goneMost {
@@ -93,21 +93,21 @@
 func TestAnOpenIDIsTakenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := host(t)
-		var got []invocation.Kind
+		var got []request.Kind
 		for range 3 {
-			s.list(members.List{Members: []members.Member{{ID: "s", Address: "p:1", Phase: members.Serving}}})
+			s.list(endpoints.List{Members: []endpoints.Member{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
 			for range 2 {
-				arrived{&invocation.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Second,
-					Answer: func(a invocation.Answer) { got = append(got, a.Kind) }}}.apply(s)
+				arrived{&request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Second,
+					Answer: func(a request.Answer) { got = append(got, a.Kind) }}}.apply(s)
 			}
 			synctest.Wait()
 			for len(s.calls) > 0 {
 				(<-s.events).apply(s)
 			}
 		}
-		want := []invocation.Kind{invocation.Conflict, invocation.Refused, invocation.Conflict, invocation.Refused,
-			invocation.Conflict, invocation.Refused}
-		if diff := cmp.Diff(want, got); diff != "" || s.counts.Conflicts != 3 || s.counts.Calls[ending.Refused] != 3 {
+		want := []request.Kind{request.Conflict, request.Refused, request.Conflict, request.Refused,
+			request.Conflict, request.Refused}
+		if diff := cmp.Diff(want, got); diff != "" || s.counts.Conflicts != 3 || s.counts.Calls[outcome.Refused] != 3 {
 			t.Errorf("%+v\n%s", s.counts, diff)
 		}
 	})
@@ -119,7 +119,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	end()
 	for i, h := range []*held{{}, {call: 1}, {mayRun: true}, nil} {
-		inv := &invocation.Invocation{ID: fmt.Sprint(i)}
+		inv := &request.Invocation{ID: fmt.Sprint(i)}
 		if id := policy.RequestID(i + 1); h != nil {
 			s.held[id], s.byInv[inv] = h, id
 		}
@@ -141,7 +141,7 @@
 	s.stepping = true // the module's events are looked at, not handled
 	for _, report := range []string{`{"active":3}`, `{"active":null,"avg_ms":20}`, `{"avg_ms":3}`, `{"act`, ``} {
 		s.calls[1] = &attempt{probe: true, end: &timer{index: -1}}
-		s.ended(1, caller.Result{Ending: ending.Served, Report: loadreport.Parse([]byte(report))})
+		s.ended(1, upstream.Result{Ending: outcome.Served, Report: loadreport.Parse([]byte(report))})
 	}
 	var got []policy.Status
 	for _, e := range s.pending {
@@ -156,11 +156,11 @@
 // What an ending says of the list: a refused connection and a probe that is turned away speak against it, an answer for it, and
 // a request that is turned away says nothing, since a queue may have been full.
 func TestSigns(t *testing.T) {
-	const none = freshness.Sign(255)
-	for e, want := range map[ending.Ending][2]freshness.Sign{
-		ending.Served: {freshness.Alive, freshness.Alive}, ending.Refused: {freshness.Refused, freshness.Refused},
-		ending.Declined: {none, freshness.Draining}, ending.ServerError: {none, freshness.Draining},
-		ending.TimedOut: {none, none}, ending.ConnectTimeout: {none, none}, ending.LocalFault: {none, none},
+	const none = staleness.Sign(255)
+	for e, want := range map[outcome.Ending][2]staleness.Sign{
+		outcome.Served: {staleness.Alive, staleness.Alive}, outcome.Refused: {staleness.Refused, staleness.Refused},
+		outcome.Declined: {none, staleness.Draining}, outcome.ServerError: {none, staleness.Draining},
+		outcome.TimedOut: {none, none}, outcome.ConnectTimeout: {none, none}, outcome.LocalFault: {none, none},
 	} {
 		for i, probe := range []bool{false, true} {
 			got, is := signOf(e, probe)
@@ -181,12 +181,12 @@
 		var got []string
 		s.set.Trace = func(format string, args ...any) { got = append(got, fmt.Sprintf(format, args...)) }
 		up := float64(time.Now().UnixMilli())
-		s.list(members.List{Members: []members.Member{{ID: "a", Address: "p:1", Phase: members.Serving, UpSince: up}}})
+		s.list(endpoints.List{Members: []endpoints.Member{{ID: "a", Address: "p:1", Phase: endpoints.Serving, UpSince: up}}})
 		probe := s.start(s.providers[s.serverID("a")], nil, &attempt{probe: true, server: s.serverID("a")}, time.Second)
-		s.ended(probe, caller.Result{Ending: ending.Served})
+		s.ended(probe, upstream.Result{Ending: outcome.Served})
 		time.Sleep(1500 * time.Millisecond)
-		arrived{&invocation.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
-			Answer: func(invocation.Answer) {}}}.apply(s)
+		arrived{&request.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
+			Answer: func(request.Answer) {}}}.apply(s)
 		synctest.Wait()
 		for len(s.calls) > 0 {
 			(<-s.events).apply(s)
@@ -209,17 +209,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Probes: true,
 			Classes: []policy.Class{{Aim: 100, Deadline: 1000}}}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
-			Known: members.List{Members: []members.Member{{ID: "a", Address: "a:1", Phase: members.Serving},
-				{ID: "b", Address: "b:1", Phase: members.Serving}}}})
+			Known: endpoints.List{Members: []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Serving},
+				{ID: "b", Address: "b:1", Phase: endpoints.Serving}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go s.Run(ctx)
-		s.Trust(freshness.Trust{Sure: time.Now().Add(time.Second)})
+		s.Trust(staleness.Trust{Sure: time.Now().Add(time.Second)})
 		for i, want := range []int{1, 1} {
-			inv := &invocation.Invocation{ID: fmt.Sprint(i), Patience: time.Second, SentAt: time.Now(),
-				Answer: func(invocation.Answer) {}}
+			inv := &request.Invocation{ID: fmt.Sprint(i), Patience: time.Second, SentAt: time.Now(),
+				Answer: func(request.Answer) {}}
 			s.Take(inv)
 			time.Sleep(2 * time.Second)
 			if c := s.Counts(); c.Sent != want || c.Probes == 0 {
@@ -235,10 +235,12 @@
 func TestWordsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := host(t)
-		line := func(id, phase string) members.Member { return members.Member{ID: id, Address: id + ":1", Phase: phase} }
-		s.list(members.List{Complete: true, Members: []members.Member{line("a", members.Serving), line("b", members.Serving)}})
+		line := func(id, phase string) endpoints.Member {
+			return endpoints.Member{ID: id, Address: id + ":1", Phase: phase}
+		}
+		s.list(endpoints.List{Complete: true, Members: []endpoints.Member{line("a", endpoints.Serving), line("b", endpoints.Serving)}})
 		for i := range eventsAhead / 2 {
-			s.Take(&invocation.Invocation{ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second, Answer: func(invocation.Answer) {}})
+			s.Take(&request.Invocation{ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second, Answer: func(request.Answer) {}})
 		}
 		var sent []string
 		s.set.Trace = func(format string, args ...any) {
@@ -246,7 +248,7 @@
 				sent = append(sent, args[1].(string))
 			}
 		}
-		s.Told(members.List{Members: []members.Member{line("a", members.Draining)}}, time.Now())
+		s.Told(endpoints.List{Members: []endpoints.Member{line("a", endpoints.Draining)}}, time.Now())
 		ctx, cancel := context.WithCancel(t.Context())
 		go s.Run(ctx)
 		synctest.Wait()
@@ -261,10 +263,10 @@
 // A release may replace all of a large fleet at once: the next process is told of each that is gone.
 func TestAllThatAreGoneAreKeptInMind(t *testing.T) {
 	s := host(t)
-	for _, phase := range []string{members.Serving, members.Deleted} {
-		l := members.List{}
+	for _, phase := range []string{endpoints.Serving, endpoints.Deleted} {
+		l := endpoints.List{}
 		for i := range 2000 {
-			l.Members = append(l.Members, members.Member{ID: fmt.Sprint(i), Address: "p:1", Phase: phase})
+			l.Members = append(l.Members, endpoints.Member{ID: fmt.Sprint(i), Address: "p:1", Phase: phase})
 		}
 		s.list(l)
 	}
--- a/internal/core/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
@@ -22,25 +22,25 @@
 	gone := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
 		repeat  policy.Repeat
-		ends    []ending.Ending // of its attempts, a second after each was sent; the last one's connection does not come up
-		written bool            // or does
-		expires []time.Duration // of each attempt, from the first one on
-		did     []string        // to the last attempt within 3 s of the first
-		answers []invocation.Kind
+		ends    []outcome.Ending // of its attempts, a second after each was sent; the last one's connection does not come up
+		written bool             // or does
+		expires []time.Duration  // of each attempt, from the first one on
+		did     []string         // to the last attempt within 3 s of the first
+		answers []request.Kind
 	}{
-		"what may run twice": {repeat: policy.Safe, ends: []ending.Ending{ending.ResetByPeer}, expires: []time.Duration{never, never}},
-		"the first may have run": {repeat: policy.Keyed, ends: []ending.Ending{ending.ResetByPeer},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []invocation.Kind{invocation.Refused}},
-		"the first has timed out": {repeat: policy.Keyed, ends: []ending.Ending{ending.TimedOut},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []invocation.Kind{invocation.Refused}},
-		"the second is written": {repeat: policy.Keyed, ends: []ending.Ending{ending.ResetByPeer}, written: true,
+		"what may run twice": {repeat: policy.Safe, ends: []outcome.Ending{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
+		"the first may have run": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused}},
+		"the first has timed out": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.TimedOut},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused}},
+		"the second is written": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer}, written: true,
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond}},
-		"the first never ran": {repeat: policy.Keyed, ends: []ending.Ending{ending.Declined}, expires: []time.Duration{never, never}},
-		"the second may have run": {repeat: policy.Keyed, ends: []ending.Ending{ending.Declined, ending.ResetByPeer},
+		"the first never ran": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined}, expires: []time.Duration{never, never}},
+		"the second may have run": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined, outcome.ResetByPeer},
 			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond}},
-		"the first two may have run": {repeat: policy.Keyed, ends: []ending.Ending{ending.ServerError, ending.ResetByPeer},
+		"the first two may have run": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
-			did:     gone, answers: []invocation.Kind{invocation.Refused}},
+			did:     gone, answers: []request.Kind{request.Refused}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,14 +50,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				list := members.List{}
+				list := endpoints.List{}
 				for i := range 4 {
-					list.Members = append(list.Members, members.Member{ID: fmt.Sprint(i), Address: "p:1", Phase: members.Serving})
+					list.Members = append(list.Members, endpoints.Member{ID: fmt.Sprint(i), Address: "p:1", Phase: endpoints.Serving})
 				}
 				s.list(list)
-				var got []invocation.Kind
-				inv := &invocation.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute,
-					Answer: func(a invocation.Answer) { got = append(got, a.Kind) }}
+				var got []request.Kind
+				inv := &request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute,
+					Answer: func(a request.Answer) { got = append(got, a.Kind) }}
 				first := time.Now()
 				arrived{inv}.apply(s)
 				s.retryFreely()
@@ -65,7 +65,7 @@
 					time.Sleep(second)
 					s.due()
 					c.calls[i].over = true
-					s.ended(s.held[s.byInv[inv]].call, caller.Result{Ending: end})
+					s.ended(s.held[s.byInv[inv]].call, upstream.Result{Ending: end})
 				}
 				if tc.written {
 					c.calls[len(c.calls)-1].over = true
--- a/internal/core/guard.go
+++ b/internal/dispatch/guard.go
@@ -1,7 +1,7 @@
-package core
+package dispatch
 
 import (
-	"plankrouter/internal/guard"
+	"plankrouter/internal/invariant"
 	"plankrouter/policy"
 )
 
@@ -11,13 +11,13 @@
 	case h == nil || h.answered || k == nil:
 		return false
 	case h.call != 0:
-		s.heldBack(guard.OneAttempt, h, "send")
+		s.heldBack(invariant.OneAttempt, h, "send")
 		return false
 	case h.mayRun && s.class(h).Repeat == policy.Unsafe:
-		s.heldBack(guard.Effect, h, "send")
+		s.heldBack(invariant.Effect, h, "send")
 		return false
 	case k.health != policy.Ready:
-		s.heldBack(guard.DrainGrace, h, "send")
+		s.heldBack(invariant.DrainGrace, h, "send")
 		return false
 	}
 	return true
@@ -41,7 +41,7 @@
 }
 
 // heldBack counts what a guard has held back, and logs it: the module should not have asked for it.
-func (s *Pool) heldBack(r guard.Rule, h *held, what string) {
+func (s *Pool) heldBack(r invariant.Rule, h *held, what string) {
 	s.set.Rules.Held(r)
 	s.set.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", r, h.inv.ID, what, h.attempts,
 		h.mayRun, h.call != 0)
--- a/internal/core/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -1,13 +1,13 @@
-package core
+package dispatch
 
 import (
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/guard"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/request"
 	"plankrouter/policy"
 )
 
@@ -21,32 +21,32 @@
 		leaves  bool // the server does
 		send    bool
 		refuse  bool
-		counted guard.Rule
+		counted invariant.Rule
 	}{
 		"nothing has run":                {repeat: policy.Unsafe, send: true, refuse: true},
-		"an order may have run":          {repeat: policy.Unsafe, mayRun: true, counted: guard.Effect},
+		"an order may have run":          {repeat: policy.Unsafe, mayRun: true, counted: invariant.Effect},
 		"what is safe may have run":      {repeat: policy.Safe, mayRun: true, send: true, refuse: true},
 		"a token of all may have run":    {repeat: policy.Keyed, mayRun: true, send: true, refuse: true},
 		"a token of a zone may have run": {repeat: policy.Keyed, scope: policy.ScopeZone, mayRun: true, send: true},
-		"an attempt is out":              {repeat: policy.Safe, out: true, refuse: true, counted: guard.OneAttempt},
-		"an order's attempt is out":      {repeat: policy.Unsafe, out: true, counted: guard.OneAttempt},
-		"the server drains":              {repeat: policy.Safe, leaves: true, refuse: true, counted: guard.DrainGrace},
+		"an attempt is out":              {repeat: policy.Safe, out: true, refuse: true, counted: invariant.OneAttempt},
+		"an order's attempt is out":      {repeat: policy.Unsafe, out: true, counted: invariant.OneAttempt},
+		"the server drains":              {repeat: policy.Safe, leaves: true, refuse: true, counted: invariant.DrainGrace},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			book := new(guard.Book)
+			book := new(invariant.Book)
 			s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{Aim: 100, Deadline: 1000,
 				Repeat: row.repeat, Scope: row.scope}}}, Caller: refusing{}, Rules: book})
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.list(members.List{Members: []members.Member{{ID: "a", Address: "a:1", Phase: members.Serving}}})
+			s.list(endpoints.List{Members: []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Serving}}})
 			k := s.providers[s.serverIDs["a"]]
 			if row.leaves {
 				k.health = policy.Draining
 			}
-			var got []invocation.Kind
-			h := &held{mayRun: row.mayRun, inv: &invocation.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
-				Answer: func(a invocation.Answer) { got = append(got, a.Kind) }}}
+			var got []request.Kind
+			h := &held{mayRun: row.mayRun, inv: &request.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
+				Answer: func(a request.Answer) { got = append(got, a.Kind) }}}
 			if row.out {
 				h.call = 1
 			}
@@ -57,10 +57,10 @@
 				t.Errorf("%s: %s held back %d times", name, c.Rule, c.Held)
 			}
 			s.held[1] = h
-			s.answer(1, invocation.Answer{Kind: invocation.Refused})
-			want := invocation.Refused
+			s.answer(1, request.Answer{Kind: request.Refused})
+			want := request.Refused
 			if !row.refuse {
-				want = invocation.Failed
+				want = request.Failed
 			}
 			if len(got) != 1 || got[0] != want {
 				t.Errorf("%s: answers %v, want %v", name, got, want)
--- a/internal/core/learned.go
+++ b/internal/dispatch/learned.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/snapshot"
 	"plankrouter/policy"
 )
@@ -89,7 +89,7 @@
 	m := k.line
 	phase := m.Phase
 	if k.health == policy.Gone { // also where a whole list left it out
-		phase = members.Deleted
+		phase = endpoints.Deleted
 	}
 	out := snapshot.Member{ID: m.ID, Address: k.at.Address(), Locality: m.Locality, Cell: m.Cell, Phase: phase,
 		UpSince: m.UpSince, ToldAt: math.Floor(s.wallAt(k.toldAt, now))}
@@ -119,7 +119,7 @@
 	listed := before.List
 	listed.Members = nil
 	for _, m := range before.List.Members {
-		if m.Phase == members.Deleted {
+		if m.Phase == endpoints.Deleted {
 			s.forget(m)
 		} else {
 			listed.Members = append(listed.Members, m)
--- a/internal/core/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/snapshot"
 	"plankrouter/policy"
 )
@@ -17,14 +17,14 @@
 func TestRestartRemembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := host(t)
-		lines := []members.Member{{ID: "a", Address: "a:1", Phase: members.Serving}, {ID: "b", Address: "b:1", Phase: members.Serving},
-			{ID: "c", Address: "c:1", Phase: members.Serving, UpSince: 5}}
-		s.list(members.List{Revision: 7, Complete: true, Members: lines})
+		lines := []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Serving}, {ID: "b", Address: "b:1", Phase: endpoints.Serving},
+			{ID: "c", Address: "c:1", Phase: endpoints.Serving, UpSince: 5}}
+		s.list(endpoints.List{Revision: 7, Complete: true, Members: lines})
 		time.Sleep(time.Second)
 		told := time.Now()
-		s.list(members.List{Revision: 8, Members: []members.Member{{ID: "a", Address: "a:1", Phase: members.Draining}}})
-		s.list(members.List{Revision: 8, Members: []members.Member{{ID: "d", Address: "d:1", Phase: members.Serving}}})
-		s.list(members.List{Revision: 8, Members: []members.Member{{ID: "d", Phase: members.Deleted}}})
+		s.list(endpoints.List{Revision: 8, Members: []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Draining}}})
+		s.list(endpoints.List{Revision: 8, Members: []endpoints.Member{{ID: "d", Address: "d:1", Phase: endpoints.Serving}}})
+		s.list(endpoints.List{Revision: 8, Members: []endpoints.Member{{ID: "d", Phase: endpoints.Deleted}}})
 		for _, name := range []string{"b", "c"} {
 			id := s.serverIDs[name]
 			st := s.bal.State()
@@ -50,7 +50,7 @@
 		rules := snapshot.DefaultRules()
 		rules.Deployment, rules.Classes = "", 1
 		lines[2].UpSince = 6
-		known := snapshot.FromConfig(members.List{Revision: 9, Members: lines}, "", time.Now())
+		known := snapshot.FromConfig(endpoints.List{Revision: 9, Members: lines}, "", time.Now())
 		begin, _ := snapshot.Begin(snap, known, time.Now(), rules)
 		set := s.set
 		set.Before = &begin
@@ -68,7 +68,7 @@
 			}
 		}
 		for _, m := range next.snapshot(time.Now()).Members {
-			if m.Phase == members.Deleted {
+			if m.Phase == endpoints.Deleted {
 				got["deleted"] = m.ID
 			}
 		}
--- a/internal/core/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 // The life of a request in the pool: taken, attempted, answered once, or left.
 
@@ -6,17 +6,17 @@
 	"container/heap"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/guard"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
 // held is an invocation that has no final answer yet, or whose invoker call is still out.
 type held struct {
-	inv      *invocation.Invocation
+	inv      *request.Invocation
 	attempts int
 	call     uint64 // under way; 0 = none
 	mayRun   bool   // an attempt that has ended may have run
@@ -27,7 +27,7 @@
 	inv := e.inv
 	if s.open[inv.ID] || s.elsewhere[inv.ID] { // providers could not tell the two apart, and one might get the other's answer
 		s.counts.Conflicts++
-		inv.Answer(invocation.Answer{Kind: invocation.Conflict})
+		inv.Answer(request.Answer{Kind: request.Conflict})
 		return
 	}
 	s.open[inv.ID] = true
@@ -55,11 +55,11 @@
 // refuseAtEnd refuses a request of which nothing was sent.
 func (s *Pool) refuseAtEnd(id policy.RequestID) {
 	s.unserved(&policy.Action{Request: id, Why: Ending})
-	s.answer(id, invocation.Answer{Kind: invocation.Refused})
+	s.answer(id, request.Answer{Kind: request.Refused})
 }
 
 // left is how long the invocation's consumer still waits at now. What it still sends it does not wait for yet: see flowed.
-func (s *Pool) left(inv *invocation.Invocation, now time.Time) time.Duration {
+func (s *Pool) left(inv *request.Invocation, now time.Time) time.Duration {
 	if inv.Rest != nil && s.stopAt.IsZero() {
 		return flowMost
 	} else if inv.Rest != nil {
@@ -69,7 +69,7 @@
 }
 
 // patience is how long it waits in all, as long as this process lives.
-func (s *Pool) patience(inv *invocation.Invocation) time.Duration {
+func (s *Pool) patience(inv *request.Invocation) time.Duration {
 	if s.stopAt.IsZero() {
 		return inv.Patience
 	}
@@ -117,21 +117,21 @@
 }
 
 // answer gives the one final answer, if it is still owed.
-func (s *Pool) answer(id policy.RequestID, a invocation.Answer) {
+func (s *Pool) answer(id policy.RequestID, a request.Answer) {
 	h := s.held[id]
 	if h == nil || h.answered {
 		return
 	}
-	if a.Kind == invocation.Refused && !s.mayRefuse(h) {
-		s.heldBack(guard.Effect, h, "refuse")
-		a = invocation.Answer{Kind: invocation.Failed}
+	if a.Kind == request.Refused && !s.mayRefuse(h) {
+		s.heldBack(invariant.Effect, h, "refuse")
+		a = request.Answer{Kind: request.Failed}
 	}
 	switch a.Kind {
-	case invocation.Served:
+	case request.Served:
 		s.counts.Served++
-	case invocation.Refused:
+	case request.Refused:
 		s.counts.Refused++
-	case invocation.Failed:
+	case request.Failed:
 		s.counts.Failed++
 	}
 	s.traceRequest(h.inv, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", a.Kind, h.attempts, h.mayRun,
@@ -147,7 +147,7 @@
 	h.answered = true
 	delete(s.byInv, h.inv)
 	delete(s.open, h.inv.ID)
-	s.withdraw(h.call, ending.CalledOff)
+	s.withdraw(h.call, outcome.CalledOff)
 	h.inv.MayHaveRun = h.mayRun || h.call != 0
 	if h.call == 0 {
 		delete(s.held, id)
@@ -157,7 +157,7 @@
 func (e callEnded) apply(s *Pool) { s.ended(e.number, e.Result) }
 
 // ended turns the end of an invoker call or a probe into the module's event. Every Send comes by here once.
-func (s *Pool) ended(number uint64, r caller.Result) {
+func (s *Pool) ended(number uint64, r upstream.Result) {
 	a := s.calls[number]
 	if a == nil { // reported twice, or after a Stop that ended it
 		s.set.Logf("state=unknown_call number=%d ending=%s", number, r.Ending)
@@ -177,13 +177,13 @@
 	s.traceEnd(a, k, r.Ending, took)
 	if sign, is := signOf(r.Ending, a.probe); is && k != nil {
 		s.set.Saw(k.name, sign)
-		if sign == freshness.Alive && k.at == a.at {
+		if sign == staleness.Alive && k.at == a.at {
 			k.proof.Answered(a.began, r.Since, s.trust.Known, a.probe)
 		}
 	}
 	if a.probe {
-		if k != nil && k.at != a.at || r.Ending == ending.Served && s.set.Whole != nil && !s.set.Whole(r.Report) {
-			r.Ending = ending.Unreadable // or one of a process that is gone
+		if k != nil && k.at != a.at || r.Ending == outcome.Served && s.set.Whole != nil && !s.set.Whole(r.Report) {
+			r.Ending = outcome.Unreadable // or one of a process that is gone
 		}
 		s.counts.Asked[r.Ending]++
 		seen := 0.0
@@ -205,8 +205,8 @@
 	if !h.answered && h.inv.Left() { // the word of it is still on its way
 		s.leave(a.request, h)
 	}
-	if r.Ending == ending.Served && !h.answered {
-		s.answer(a.request, invocation.Answer{Kind: invocation.Served, Code: r.Code, Fields: r.Fields,
+	if r.Ending == outcome.Served && !h.answered {
+		s.answer(a.request, request.Answer{Kind: request.Served, Code: r.Code, Fields: r.Fields,
 			Body: r.Body, Rest: r.Rest})
 	} else {
 		closeFlow(r.Rest)
@@ -220,7 +220,7 @@
 }
 
 // closeFlow ends an answer that nobody waits for.
-func closeFlow(f invocation.Flow) {
+func closeFlow(f request.Flow) {
 	if f != nil {
 		f.Close(false)
 	}
@@ -228,14 +228,14 @@
 
 // signOf reads an ending for what it says of the provider's place in the list. A request that is turned away may have
 // met a full queue; a probe is turned away by one that drains.
-func signOf(e ending.Ending, probe bool) (sign freshness.Sign, is bool) {
+func signOf(e outcome.Ending, probe bool) (sign staleness.Sign, is bool) {
 	switch {
-	case e == ending.Served:
-		return freshness.Alive, true
-	case e == ending.Refused:
-		return freshness.Refused, true
-	case probe && (e == ending.ServerError || e == ending.Declined):
-		return freshness.Draining, true
+	case e == outcome.Served:
+		return staleness.Alive, true
+	case e == outcome.Refused:
+		return staleness.Refused, true
+	case probe && (e == outcome.ServerError || e == outcome.Declined):
+		return staleness.Draining, true
 	}
 	return sign, false
 }
--- a/internal/core/time.go
+++ b/internal/dispatch/time.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"time"
--- a/internal/core/trace.go
+++ b/internal/dispatch/trace.go
@@ -1,11 +1,11 @@
-package core
+package dispatch
 
 import (
 	"net/url"
 	"time"
 
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/policy"
 )
 
@@ -27,11 +27,11 @@
 }
 
 // traceEnd logs how it ended, and takes note of a report.
-func (s *Pool) traceEnd(a *attempt, k *known, how ending.Ending, took policy.Ms) {
+func (s *Pool) traceEnd(a *attempt, k *known, how outcome.Ending, took policy.Ms) {
 	if s.set.Trace == nil || k == nil {
 		return
 	}
-	if a.probe && how == ending.Served {
+	if a.probe && how == outcome.Served {
 		k.newsAt = time.Now()
 	}
 	s.set.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", a.what(), k.name, how, took, s.requestOf(a))
@@ -53,7 +53,7 @@
 }
 
 // traceRequest logs a change of a request's state.
-func (s *Pool) traceRequest(inv *invocation.Invocation, state, format string, args ...any) {
+func (s *Pool) traceRequest(inv *request.Invocation, state, format string, args ...any) {
 	if s.set.Trace != nil {
 		s.set.Trace("trace=request id=%s state=%s "+format, append([]any{url.QueryEscape(inv.ID), state}, args...)...)
 	}
--- a/internal/members/members.go
+++ b/internal/endpoints/endpoints.go
@@ -1,6 +1,6 @@
-// Package members has the words in which every source of membership speaks of providers: the platform's directory, a
+// Package endpoints has the words in which every source of membership speaks of providers: the platform's directory, a
 // static list, an application. What follows from them (drains, cold starts, empty lists) is enforced once, in the core.
-package members
+package endpoints
 
 import (
 	"errors"
--- a/internal/guard/guard.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package guard is the book of the rules that a sidecar keeps at run time. Each rule has one guard, next to the act that it
+// Package invariant is the book of the rules that a sidecar keeps at run time. Each rule has one guard, next to the act that it
 // forbids, which asks just before and holds the act back; and a check just after, which sees what got past all the same, as
 // where the process was held up between the two. Both count here: what is held back is usual, what got past is a fault.
-package guard
+package invariant
 
 import (
 	"sync/atomic"
--- a/internal/guard/guard_test.go
+++ b/internal/invariant/invariant_test.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"fmt"
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/freshness"
 	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/limit"
+	"plankrouter/internal/staleness"
 )
 
 // TestPage holds what docs/CAPACITY.md counts against what the code does: the page's figures are products of these.
@@ -39,8 +39,8 @@
 	for _, servers := range []int{13, 600, 2000, 6000} {
 		near(fmt.Sprintf("servers chosen among, of %d", servers), float64(limit.Reach(servers, fleetSize)), 0)
 	}
-	near("ms that a watch is held, agent", ms(freshness.Agent(drainGrace).Wait), 0)
-	near("ms that a watch is held, on request", ms(freshness.Default().Wait), 0)
+	near("ms that a watch is held, agent", ms(staleness.Agent(drainGrace).Wait), 0)
+	near("ms that a watch is held, on request", ms(staleness.Default().Wait), 0)
 
 	w := start(t, Point{Servers: 10, Instances: fleetSize, Price: cheap})
 	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // addresses differ in length
--- a/internal/lab/hollow/discovery.go
+++ b/internal/lab/hollow/discovery.go
@@ -32,9 +32,9 @@
 
 func (t Traffic) plus(o Traffic) Traffic { return t.minus(Traffic{}.minus(o)) }
 
-// discovery is a stand-in: one service for all, or, with several listeners, an agent for each sidecar that the list is pushed
+// discoveryServer is a stand-in: one service for all, or, with several listeners, an agent for each sidecar that the list is pushed
 // to. It speaks the platform's protocol and shares no code with the program.
-type discovery struct {
+type discoveryServer struct {
 	rate float64 // calls a second that get a turn: those for the whole list, and the first of a connection; 0 = all at once
 
 	mu       sync.Mutex
@@ -58,8 +58,8 @@
 }
 
 // newDiscovery listens at so many addresses of 127.0.0.0/8 with a first revision.
-func newDiscovery(listeners int, rate float64, members []peers.Member) (*discovery, error) {
-	d := &discovery{rate: rate, at: map[string]int{}, changed: make(chan struct{})}
+func newDiscovery(listeners int, rate float64, members []peers.Member) (*discoveryServer, error) {
+	d := &discoveryServer{rate: rate, at: map[string]int{}, changed: make(chan struct{})}
 	d.change(members)
 	d.server.Handler = d
 	d.server.ConnContext = withFirst
@@ -76,15 +76,15 @@
 	return d, nil
 }
 
-func (d *discovery) close() { d.server.Close() }
+func (d *discoveryServer) close() { d.server.Close() }
 
-func (d *discovery) traffic() Traffic {
+func (d *discoveryServer) traffic() Traffic {
 	return Traffic{d.calls.Load(), d.wholes.Load(), d.turnedAway.Load(), d.count.Accepted.Load(), d.count.In.Load(),
 		d.count.Out.Load()}
 }
 
 // change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
-func (d *discovery) change(members []peers.Member) uint64 {
+func (d *discoveryServer) change(members []peers.Member) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -104,7 +104,7 @@
 }
 
 // news words what a call gets, and says whether there is any; changed tells when there is.
-func (d *discovery) news(whole bool, after uint64) (raw []byte, is bool, changed <-chan struct{}) {
+func (d *discoveryServer) news(whole bool, after uint64) (raw []byte, is bool, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if whole && d.whole != nil {
@@ -124,7 +124,7 @@
 }
 
 // turn is how long a call waits for its turn; false = it is turned away.
-func (d *discovery) turn(now time.Time) (time.Duration, bool) {
+func (d *discoveryServer) turn(now time.Time) (time.Duration, bool) {
 	if d.rate <= 0 {
 		return 0, true
 	}
@@ -142,7 +142,7 @@
 }
 
 // ServeHTTP answers a call.
-func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
 	q := r.URL.Query()
 	whole := !q.Has("index")
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -71,7 +71,7 @@
 
 // TestTurns: who comes beyond a full queue is turned away, and the queue moves at the rate.
 func TestTurns(t *testing.T) {
-	d, now := discovery{rate: 10}, time.Now()
+	d, now := discoveryServer{rate: 10}, time.Now()
 	for i := range 21 { // one at once, and twenty more in the two seconds of the queue
 		if wait, ok := d.turn(now); !ok || wait != time.Duration(i)*100*time.Millisecond {
 			t.Fatalf("turn %d: waits %s, %t", i, wait, ok)
--- a/internal/lab/hollow/part.go
+++ b/internal/lab/hollow/part.go
@@ -95,7 +95,7 @@
 // worker is what a part's process has.
 type worker struct {
 	dir       string
-	discovery *discovery
+	discovery *discoveryServer
 	tiles     *tiles
 	sidecars  []*sidecar
 	busy      *host.Neighbours
--- a/internal/lab/hollow/sidecar.go
+++ b/internal/lab/hollow/sidecar.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/core"
-	"plankrouter/internal/directory"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/invocation"
-	"plankrouter/internal/members"
+	"plankrouter/internal/discovery"
+	"plankrouter/internal/dispatch"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/request"
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 )
 
 // sidecar is a hollow one. Its parts are put together as the program does it.
@@ -30,8 +30,8 @@
 
 	cfg     *config.Config
 	numbers config.Numbering
-	core    *core.Pool
-	watch   *directory.Watch
+	core    *dispatch.Pool
+	watch   *discovery.Watch
 	stop    context.CancelFunc
 	ended   sync.WaitGroup
 	began   time.Time
@@ -68,7 +68,7 @@
 		return err
 	}
 	if !known {
-		s.cfg.Known = members.List{}
+		s.cfg.Known = endpoints.List{}
 	}
 	s.numbers = config.Numbering{}
 	if _, err = s.numbers.Apply(time.Now(), s.cfg); err != nil {
@@ -78,19 +78,19 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	budget := sockets.NewBudget(cfg.Limits.Sockets, sockets.TCP)
-	var pool *core.Pool
-	if s.watch, err = directory.New(directory.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Known: cfg.Known,
-		Most: directory.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
-		Told: func(l members.List, at time.Time) {
+	var pool *dispatch.Pool
+	if s.watch, err = discovery.New(discovery.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Known: cfg.Known,
+		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
+		Told: func(l endpoints.List, at time.Time) {
 			pool.Told(l, at)
 			pool.Counts() // answered once the list is in force
 			s.hear(l.Revision)
 		},
-		Trust: func(t freshness.Trust) { pool.Trust(t) }}); err != nil {
+		Trust: func(t staleness.Trust) { pool.Trust(t) }}); err != nil {
 		stop()
 		return err
 	}
-	if pool, err = core.New(core.Options{Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Logic: cfg.Logic,
+	if pool, err = dispatch.New(dispatch.Options{Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Logic: cfg.Logic,
 		Seed: s.seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known, Caller: s.tiles,
 		Whole: cfg.Settings.Whole, Saw: s.watch.Saw}); err != nil {
 		stop()
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.core.Change(core.Change{Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
+	if err := s.core.Change(dispatch.Change{Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
 		Deployment: deployment, DrainGrace: next.DrainGrace}); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 const callLook = 200 * time.Millisecond // between two looks at the rate while there are no calls
 
 // call draws calls at the rate that was ordered.
-func (s *sidecar) call(ctx context.Context, pool *core.Pool, cfg *config.Config) {
+func (s *sidecar) call(ctx context.Context, pool *dispatch.Pool, cfg *config.Config) {
 	rng := rand.New(rand.NewPCG(s.seed, 0x63616c6c))
 	patience := config.Duration(cfg.Settings.Classes[0].HardLimitMs)
 	timer := time.NewTimer(0)
@@ -208,17 +208,17 @@
 		case <-timer.C:
 		}
 		if rate > 0 {
-			pool.Take(&invocation.Invocation{ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Patience: patience,
+			pool.Take(&request.Invocation{ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Patience: patience,
 				Verb: "GET", Target: "/tile/1", Answer: s.answered})
 		}
 	}
 }
 
-func (s *sidecar) answered(a invocation.Answer) {
+func (s *sidecar) answered(a request.Answer) {
 	switch a.Kind {
-	case invocation.Served:
+	case request.Served:
 		s.served.Add(1)
-	case invocation.Refused:
+	case request.Refused:
 		s.refused.Add(1)
 	default:
 		s.failed.Add(1)
--- a/internal/lab/hollow/tiles.go
+++ b/internal/lab/hollow/tiles.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
@@ -65,8 +65,8 @@
 	return calls, probes, refused
 }
 
-// Endpoint, Forget, State and Restore make tiles a caller.Caller. Package callertest does not apply: there are no connections.
-func (t *tiles) Endpoint(_, address string) caller.Endpoint {
+// Endpoint, Forget, State and Restore make tiles a upstream.Caller. Package callertest does not apply: there are no connections.
+func (t *tiles) Endpoint(_, address string) upstream.Endpoint {
 	return &endpoint{address: address, tile: t.at(address)}
 }
 
@@ -90,22 +90,22 @@
 func (e *endpoint) Close()          { e.since = time.Time{} }
 
 // Start answers the attempt later, as a real one's end: from a goroutine of its own.
-func (e *endpoint) Start(task caller.Task) caller.Call {
+func (e *endpoint) Start(task upstream.Task) upstream.Call {
 	now := time.Now()
 	if e.since.IsZero() {
 		e.since = now
 	}
 	c := &attempt{tile: e.tile}
-	result, takes := caller.Result{Ending: ending.Served, Since: e.since}, probeTakes
+	result, takes := upstream.Result{Ending: outcome.Served, Since: e.since}, probeTakes
 	inv := task.Invocation
 	switch {
 	case inv != nil && inv.Left():
-		result, takes = caller.Result{Ending: ending.Withdrawn}, 0
+		result, takes = upstream.Result{Ending: outcome.Withdrawn}, 0
 	case !task.NotAfter.IsZero() && now.After(task.NotAfter):
-		result, takes = caller.Result{Ending: ending.Drained}, 0
+		result, takes = upstream.Result{Ending: outcome.Drained}, 0
 	case e.tile.down.Load():
 		e.tile.refused.Add(1)
-		result, takes = caller.Result{Ending: ending.Refused}, refuseTakes
+		result, takes = upstream.Result{Ending: outcome.Refused}, refuseTakes
 	case inv != nil:
 		takes = callTakes
 		e.tile.calls.Add(1)
@@ -119,7 +119,7 @@
 		if !c.end() {
 			return
 		}
-		if result.Ending == ending.Served {
+		if result.Ending == outcome.Served {
 			result.Report = policy.Report{HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
 				Latency: float64(callTakes) / float64(time.Millisecond)}
 		}
@@ -145,8 +145,8 @@
 	return true
 }
 
-func (a *attempt) Stop(why ending.Ending) (ending.Ending, bool)     { return why, a.end() }
-func (a *attempt) Withdraw(why ending.Ending) (ending.Ending, bool) { return why, false }
-func (a *attempt) NotAfter(time.Time)                               {}
+func (a *attempt) Stop(why outcome.Ending) (outcome.Ending, bool)     { return why, a.end() }
+func (a *attempt) Withdraw(why outcome.Ending) (outcome.Ending, bool) { return why, false }
+func (a *attempt) NotAfter(time.Time)                                 {}
 
-var _ caller.Caller = (*tiles)(nil)
+var _ upstream.Caller = (*tiles)(nil)
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -13,7 +13,7 @@
 // The kinds: of sidecars, of their system calls and clocks, of servers, of discovery and of the proxy.
 const (
 	Terminate      Kind = "terminate"       // SIGTERM, SIGKILL at its time, and a start
-	AimedEnd       Kind = "aimed_end"       // likewise, with hold-ups, failing calls and other signals on the edges: see ending.go
+	AimedEnd       Kind = "aimed_end"       // likewise, with hold-ups, failing calls and other signals on the edges: see outcome.go
 	Crash          Kind = "crash"           // SIGKILL and a start
 	Reload         Kind = "reload"          // SIGHUP, with another discovery or other targets
 	ReloadBurst    Kind = "reload_burst"    // several in a row
--- a/internal/lab/soak/troubles.go
+++ b/internal/lab/soak/troubles.go
@@ -1,6 +1,6 @@
 package soak
 
-// How each kind of trouble is played; the ends of processes that are aimed at stand in ending.go.
+// How each kind of trouble is played; the ends of processes that are aimed at stand in outcome.go.
 
 import (
 	"context"
--- a/internal/ending/ending.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package ending names every way in which a connection, or what was under way on it, can end.
-package ending
+// Package outcome names every way in which a connection, or what was under way on it, can end.
+package outcome
 
 import (
 	"errors"
--- a/internal/ending/ending_test.go
+++ b/internal/outcome/outcome_test.go
@@ -1,4 +1,4 @@
-package ending
+package outcome
 
 import (
 	"testing"
--- a/internal/provider/bench_test.go
+++ b/internal/provider/bench_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // BenchmarkAttempt measures an attempt on a kept loopback connection, with its message in one piece or in two, whose consumer is
@@ -58,12 +58,12 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				at, ended, body := v.Endpoint("p", l.Addr().String()).(*endpoint), make(chan caller.Result), []byte(strings.Repeat("x", size))
+				at, ended, body := v.Endpoint("p", l.Addr().String()).(*endpoint), make(chan upstream.Result), []byte(strings.Repeat("x", size))
 				b.ReportAllocs()
 				for b.Loop() {
-					inv := &invocation.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: body, Gone: gone}
-					v.start(at.word(caller.Task{Invocation: inv, Wait: time.Minute, Ended: func(r caller.Result) { ended <- r }}), fixed(0))
-					if r := <-ended; r.Ending != ending.Served {
+					inv := &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: body, Gone: gone}
+					v.start(at.word(upstream.Task{Invocation: inv, Wait: time.Minute, Ended: func(r upstream.Result) { ended <- r }}), fixed(0))
+					if r := <-ended; r.Ending != outcome.Served {
 						b.Fatal(r.Ending)
 					}
 				}
--- a/internal/provider/call.go
+++ b/internal/provider/call.go
@@ -11,15 +11,15 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/freshness"
-	"plankrouter/internal/guard"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/invariant"
 	"plankrouter/internal/loadreport"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/staleness"
 	"plankrouter/internal/transient"
+	"plankrouter/internal/upstream"
 )
 
 // stage is how far a call has come.
@@ -33,20 +33,20 @@
 	ended
 )
 
-// call is one invoker call or one probe, the caller.Call of this protocol. It ends exactly once: by the goroutine that
+// call is one invoker call or one probe, the upstream.Call of this protocol. It ends exactly once: by the goroutine that
 // carries it, or by Stop; the first of them wins.
 type call struct {
 	at       *endpoint
 	message  []byte
 	probe    bool
-	inv      *invocation.Invocation // nil = none: a probe
-	bodiless bool                   // its answer has no body, whatever it says
-	done     func(caller.Result)
-	upload   invocation.Source // what follows message; nil = nothing
-	flowed   func()            // told when its last byte is written
-	hold     time.Duration     // of the last byte, on the present connection
-	fresh    time.Duration     // likewise, on a new one
-	ctx      context.Context   // ends with the call
+	inv      *request.Invocation // nil = none: a probe
+	bodiless bool                // its answer has no body, whatever it says
+	done     func(upstream.Result)
+	upload   request.Source  // what follows message; nil = nothing
+	flowed   func()          // told when its last byte is written
+	hold     time.Duration   // of the last byte, on the present connection
+	fresh    time.Duration   // likewise, on a new one
+	ctx      context.Context // ends with the call
 	cancel   context.CancelFunc
 
 	// How its connections did, for the book. The goroutine that carries it writes them.
@@ -60,13 +60,13 @@
 	mu       sync.Mutex
 	stage    stage
 	conn     *conn
-	notAfter guard.Limit // on the first byte
-	expires  guard.Limit // on the first byte and the last
+	notAfter invariant.Limit // on the first byte
+	expires  invariant.Limit // on the first byte and the last
 }
 
 // result is how a carried call ended.
 type result struct {
-	caller.Result
+	upstream.Result
 	flow  *download     // the rest of its answer; nil = there is none
 	early bool          // with Unwritten: the connection broke before the call's last byte was written
 	took  time.Duration // with early, from the first byte until it broke; with ResetByPeer, from the last
@@ -76,9 +76,9 @@
 const rewordAfter = 10 * time.Millisecond
 
 // word words the task for the endpoint.
-func (e *endpoint) word(t caller.Task) *call {
+func (e *endpoint) word(t upstream.Task) *call {
 	c := &call{at: e, done: t.Ended, inv: t.Invocation, notAfter: firstByte(t.NotAfter),
-		expires: guard.LimitAt(t.Expires, guard.SocketSlack)}
+		expires: invariant.LimitAt(t.Expires, invariant.SocketSlack)}
 	inv := t.Invocation
 	if inv == nil {
 		c.probe, c.message = true, http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
@@ -101,7 +101,7 @@
 func (c *call) compose(wait time.Duration) {
 	inv := c.inv
 	c.told = max(wait, time.Millisecond)
-	fields := append([]invocation.Field{{Name: http1.HeaderID, Value: inv.ID},
+	fields := append([]request.Field{{Name: http1.HeaderID, Value: inv.ID},
 		{Name: http1.HeaderDeadline, Value: strconv.FormatFloat(c.told.Seconds(), 'f', 3, 64)}}, inv.Fields...)
 	length := int64(len(inv.Body))
 	if c.upload != nil {
@@ -136,11 +136,11 @@
 		if err != nil {
 			how := dialEnding(err)
 			v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", c.at.name, how, time.Since(began).Seconds()*1e3)
-			v.end(c, result{Result: caller.Result{Ending: how}})
+			v.end(c, result{Result: upstream.Result{Ending: how}})
 			return
 		}
 		name := c.at.name
-		v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", name, ending.Open, time.Since(began).Seconds()*1e3)
+		v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", name, outcome.Open, time.Since(began).Seconds()*1e3)
 		conn := newConn(socket, c.at)
 		conn.since = time.Now()
 		conn.dialed = conn.since.Sub(began)
@@ -162,13 +162,13 @@
 func (v *Caller) serve(conn *conn, c *call) *call {
 	if !conn.socket.Quiet() { // a provider that speaks first is no HTTP server
 		conn.close()
-		v.end(c, result{Result: caller.Result{Ending: ending.Unwritten}})
+		v.end(c, result{Result: upstream.Result{Ending: outcome.Unwritten}})
 		return nil
 	}
 	for {
 		var untold *result
 		switch e := c.begin(conn); e {
-		case ending.Open:
+		case outcome.Open:
 			r, again := conn.carry(c)
 			r.Since = conn.since
 			if !again && conn.foundDead(c, &r) && c.rewind(dead{conn.use, c.hold, r.took, r.early}) {
@@ -193,14 +193,14 @@
 				return nil
 			}
 		default: // nobody waits for it, or it is too late: another call may use the connection
-			v.end(c, result{Result: caller.Result{Ending: e}})
+			v.end(c, result{Result: upstream.Result{Ending: e}})
 		}
 		v.keep(conn)
 		if untold != nil {
 			c.done(untold.Result)
 		}
 		next, how := conn.idle()
-		if how != ending.Open {
+		if how != outcome.Open {
 			conn.close()
 			v.drop(conn, how)
 			return next
@@ -209,30 +209,30 @@
 	}
 }
 
-func dialEnding(err error) ending.Ending {
+func dialEnding(err error) outcome.Ending {
 	is := func(target error) bool { return errors.Is(err, target) }
 	switch {
 	case is(sockets.ErrNone):
-		return ending.NoSocket
+		return outcome.NoSocket
 	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the provider
-		return ending.LocalFault
+		return outcome.LocalFault
 	case is(os.ErrDeadlineExceeded), is(context.DeadlineExceeded):
-		return ending.ConnectTimeout
+		return outcome.ConnectTimeout
 	}
-	return ending.Refused
+	return outcome.Refused
 }
 
 // firstByte is the limit on a first byte that a drain's grace leaves.
-func firstByte(notAfter time.Time) guard.Limit {
-	return guard.LimitAt(notAfter, freshness.ByteLead+guard.SocketSlack)
+func firstByte(notAfter time.Time) invariant.Limit {
+	return invariant.LimitAt(notAfter, staleness.ByteLead+invariant.SocketSlack)
 }
 
 // begin moves the call to its first byte, unless it has ended or its provider no longer wants it.
-func (c *call) begin(conn *conn) ending.Ending {
+func (c *call) begin(conn *conn) outcome.Ending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if e := c.barred(now, true); e != ending.Open {
+	if e := c.barred(now, true); e != outcome.Open {
 		return e
 	}
 	c.reword(now)
@@ -243,7 +243,7 @@
 	if c.stage = writing; c.inParts() {
 		c.stage = holding
 	}
-	return ending.Open
+	return outcome.Open
 }
 
 // over reports whether nothing of the call may be written any more: it looks whether its consumer is there at this moment. It is
@@ -252,24 +252,24 @@
 
 // barred is the guard of all that is written of a call: it says why neither the first nor the last byte may be; Open = it may. It
 // is called with mu held.
-func (c *call) barred(now time.Time, first bool) ending.Ending {
+func (c *call) barred(now time.Time, first bool) outcome.Ending {
 	rules := c.at.of.set.Rules
 	switch {
 	case c.stage == ended:
-		return ending.Withdrawn
+		return outcome.Withdrawn
 	case c.over():
-		rules.Held(guard.ClientGone)
-		return ending.Withdrawn
+		rules.Held(invariant.ClientGone)
+		return outcome.Withdrawn
 	case c.expires.Over(now):
-		rules.Held(guard.RepeatWindow)
-		return ending.Expired
+		rules.Held(invariant.RepeatWindow)
+		return outcome.Expired
 	case first && c.notAfter.Over(now): // the list said so while the connection came up
-		rules.Held(guard.DrainGrace)
-		return ending.Drained
+		rules.Held(invariant.DrainGrace)
+		return outcome.Drained
 	case !c.endsAt.IsZero() && !now.Before(c.endsAt): // it is about to be stopped
-		return ending.Withdrawn
+		return outcome.Withdrawn
 	}
-	return ending.Open
+	return outcome.Open
 }
 
 // check looks, once the first byte or the last one is written, whether that was in time: what was held up since its guard has
@@ -279,23 +279,23 @@
 		return
 	}
 	rules, now := c.at.of.set.Rules, time.Now()
-	if late := c.inv.GoneFor(now); late > guard.ClientGoneGrace {
-		rules.Broken(guard.ClientGone, "request=%q provider=%s late_ms=%.1f", c.inv.ID, c.at.name, late.Seconds()*1e3)
+	if late := c.inv.GoneFor(now); late > invariant.ClientGoneGrace {
+		rules.Broken(invariant.ClientGone, "request=%q provider=%s late_ms=%.1f", c.inv.ID, c.at.name, late.Seconds()*1e3)
 	}
 	c.mu.Lock()
 	notAfter, expires := c.notAfter, c.expires
 	c.mu.Unlock()
 	if expires.BrokenAt(now) {
-		rules.Broken(guard.RepeatWindow, "request=%q provider=%s", c.inv.ID, c.at.name)
+		rules.Broken(invariant.RepeatWindow, "request=%q provider=%s", c.inv.ID, c.at.name)
 	}
 	if first && notAfter.BrokenAt(now) {
-		rules.Broken(guard.DrainGrace, "request=%q provider=%s", c.inv.ID, c.at.name)
+		rules.Broken(invariant.DrainGrace, "request=%q provider=%s", c.inv.ID, c.at.name)
 	}
 	if c.upload != nil { // its client does not wait yet
 		return
 	}
-	if left := c.inv.Patience - now.Sub(c.inv.SentAt); c.told > left+guard.DeadlineSlack {
-		rules.Broken(guard.Deadline, "request=%q provider=%s told_ms=%d left_ms=%d", c.inv.ID, c.at.name,
+	if left := c.inv.Patience - now.Sub(c.inv.SentAt); c.told > left+invariant.DeadlineSlack {
+		rules.Broken(invariant.Deadline, "request=%q provider=%s told_ms=%d left_ms=%d", c.inv.ID, c.at.name,
 			c.told.Milliseconds(), left.Milliseconds())
 	}
 }
@@ -304,11 +304,11 @@
 func (c *call) inParts() bool { return len(c.message) > lump || c.hold > 0 || c.upload != nil }
 
 // release moves the call to its last byte, or says why that may not be written.
-func (c *call) release() ending.Ending {
+func (c *call) release() outcome.Ending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.barred(time.Now(), false)
-	if e == ending.Open {
+	if e == outcome.Open {
 		c.stage = writing
 	}
 	return e
@@ -351,17 +351,17 @@
 
 // Stop gives the call up. Its connection is closed when Stop returns, so that no later attempt can be out
 // beside this one. False means that it had ended already and its Result is on the way.
-func (c *call) Stop(why ending.Ending) (ending.Ending, bool) { return c.giveUp(why, waiting) }
+func (c *call) Stop(why outcome.Ending) (outcome.Ending, bool) { return c.giveUp(why, waiting) }
 
 // Withdraw is Stop for a call whose last byte is not written.
-func (c *call) Withdraw(why ending.Ending) (ending.Ending, bool) { return c.giveUp(why, holding) }
+func (c *call) Withdraw(why outcome.Ending) (outcome.Ending, bool) { return c.giveUp(why, holding) }
 
 // giveUp ends the call unless it has come further than to that stage.
-func (c *call) giveUp(why ending.Ending, most stage) (ending.Ending, bool) {
+func (c *call) giveUp(why outcome.Ending, most stage) (outcome.Ending, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stage > most {
-		return ending.Open, false
+		return outcome.Open, false
 	}
 	if c.stage <= holding {
 		why = why.Unsent()
@@ -396,22 +396,22 @@
 }
 
 // resultOf reads an answer for what it says to the decision module.
-func (c *call) resultOf(r *http1.Response) caller.Result {
-	out := caller.Result{Ending: ending.ServerError, Body: r.Body}
+func (c *call) resultOf(r *http1.Response) upstream.Result {
+	out := upstream.Result{Ending: outcome.ServerError, Body: r.Body}
 	switch {
 	case r.Status == 200, !c.probe && c.at.of.set.Answers != nil && c.at.of.set.Answers(r.Status):
-		out.Ending, out.Code = ending.Served, r.Status
+		out.Ending, out.Code = outcome.Served, r.Status
 		out.Fields = r.Header.EndToEnd(ownHeader)
 		if length := r.Header.Get("Content-Length"); c.bodiless && length != "" { // it says what a body would have had
 			out.Fields = append(out.Fields, http1.Field{Name: "Content-Length", Value: length})
 		}
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get(http1.HeaderDeclined) == "1":
-		out.Ending = ending.Declined
+		out.Ending = outcome.Declined
 	}
 	if load := r.Header.Get(http1.HeaderLoad); load != "" {
 		out.Report = loadreport.Parse([]byte(load))
 	}
-	if c.probe && out.Ending == ending.Served { // without it the module would judge by its own durations alone
+	if c.probe && out.Ending == outcome.Served { // without it the module would judge by its own durations alone
 		out.Report = loadreport.Parse(r.Body)
 	}
 	return out
--- a/internal/provider/call_test.go
+++ b/internal/provider/call_test.go
@@ -6,16 +6,16 @@
 	"syscall"
 	"testing"
 
-	"plankrouter/internal/ending"
+	"plankrouter/internal/outcome"
 	"plankrouter/internal/sockets"
 )
 
 // What this machine could not even try says nothing of the provider.
 func TestLocalFaultsAreNobodysElse(t *testing.T) {
-	for err, want := range map[error]ending.Ending{
-		syscall.EMFILE: ending.LocalFault, syscall.ENETUNREACH: ending.LocalFault, syscall.EADDRNOTAVAIL: ending.LocalFault,
-		syscall.ECONNREFUSED: ending.Refused, syscall.EHOSTUNREACH: ending.Refused, syscall.ECONNRESET: ending.Refused,
-		os.ErrDeadlineExceeded: ending.ConnectTimeout, sockets.ErrNone: ending.NoSocket,
+	for err, want := range map[error]outcome.Ending{
+		syscall.EMFILE: outcome.LocalFault, syscall.ENETUNREACH: outcome.LocalFault, syscall.EADDRNOTAVAIL: outcome.LocalFault,
+		syscall.ECONNREFUSED: outcome.Refused, syscall.EHOSTUNREACH: outcome.Refused, syscall.ECONNRESET: outcome.Refused,
+		os.ErrDeadlineExceeded: outcome.ConnectTimeout, sockets.ErrNone: outcome.NoSocket,
 	} {
 		if got := dialEnding(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
--- a/internal/provider/caller_test.go
+++ b/internal/provider/caller_test.go
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/caller/callertest"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/reuse"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
+	"plankrouter/internal/upstream/upstreamtest"
 )
 
 func TestCaller(t *testing.T) {
-	callertest.Test(t, callertest.Harness{
-		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (caller.Caller, func()) {
+	upstreamtest.Test(t, upstreamtest.Harness{
+		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Caller, func()) {
 			v, err := New(ctx, sockets.NewBudget(8, dial), Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour,
 				Stakes: []reuse.Stakes{{Once: true, Worth: 1}}}})
 			if err != nil {
--- a/internal/provider/conn.go
+++ b/internal/provider/conn.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // lump is what a kernel takes at once. Only a larger message takes so long to write that an answer could come before
@@ -85,7 +85,7 @@
 }
 
 // idle waits for the next call. How says why the connection can't carry it, or has ended without one; Open = it can.
-func (c *conn) idle() (next *call, how ending.Ending) {
+func (c *conn) idle() (next *call, how outcome.Ending) {
 	began := time.Now()
 	_, err := c.br.Peek(1)
 	c.use.idle = time.Since(began)
@@ -97,10 +97,10 @@
 	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.until) {
 		err = c.socket.SetReadDeadline(time.Time{})
 		if err == nil && c.socket.Quiet() {
-			return next, ending.Open
+			return next, outcome.Open
 		}
 	}
-	return next, ending.OfIdle(err)
+	return next, outcome.OfIdle(err)
 }
 
 // carry makes the call, on a connection that is quiet, and reports how it ended, with the answer if there was one, and
@@ -108,16 +108,16 @@
 func (c *conn) carry(call *call) (r result, again bool) {
 	sent := time.Now()
 	early := func() (result, bool) { // a part of a request can't have run
-		return result{Result: caller.Result{Ending: ending.Unwritten}, early: true, took: time.Since(sent)}, false
+		return result{Result: upstream.Result{Ending: outcome.Unwritten}, early: true, took: time.Since(sent)}, false
 	}
-	unsent := func(e ending.Ending) (result, bool) { // nobody waits for it, or it is too late, and its last byte is not written
-		return result{Result: caller.Result{Ending: e}}, false
+	unsent := func(e outcome.Ending) (result, bool) { // nobody waits for it, or it is too late, and its last byte is not written
+		return result{Result: upstream.Result{Ending: e}}, false
 	}
 	rest := call.message
 	if call.upload != nil {
 		var consumer error
 		if rest, consumer = c.pump(call); rest == nil && consumer != nil { // who sends it has ended: so has the attempt, unsent
-			return unsent(ending.Withdrawn)
+			return unsent(outcome.Withdrawn)
 		}
 		if rest == nil {
 			return early()
@@ -133,7 +133,7 @@
 		rest = rest[len(rest)-1:]
 	}
 	if call.inParts() {
-		if e := call.release(); e != ending.Open {
+		if e := call.release(); e != outcome.Open {
 			return unsent(e)
 		}
 	}
@@ -151,15 +151,15 @@
 	resp, err := c.answer(call)
 	switch {
 	case errors.Is(err, http1.ErrMalformed), errors.Is(err, os.ErrDeadlineExceeded):
-		return result{Result: caller.Result{Ending: ending.Malformed}}, false
+		return result{Result: upstream.Result{Ending: outcome.Malformed}}, false
 	case err != nil: // the kernel has taken the last byte, and nobody knows
-		return result{Result: caller.Result{Ending: ending.ResetByPeer}, took: time.Since(sent)}, false
+		return result{Result: upstream.Result{Ending: outcome.ResetByPeer}, took: time.Since(sent)}, false
 	}
 	out := result{Result: call.resultOf(resp)}
 	if resp.Rest == nil {
 		return out, !resp.Close && c.br.Buffered() == 0
 	}
-	if out.Ending != ending.Served { // nobody reads the rest
+	if out.Ending != outcome.Served { // nobody reads the rest
 		return out, false
 	}
 	out.flow = &download{Stream: resp.Rest, conn: c, done: make(chan struct{})}
@@ -229,7 +229,7 @@
 
 // download is the rest of a long answer. Who has it reads it straight from the connection, whose goroutine waits meanwhile.
 type download struct {
-	invocation.Stream
+	request.Stream
 	conn  *conn
 	once  sync.Once
 	whole bool
@@ -250,7 +250,7 @@
 	return d.Stream.Read(p)
 }
 
-// Close makes it an invocation.Flow.
+// Close makes it an request.Flow.
 func (d *download) Close(whole bool) {
 	d.once.Do(func() {
 		if d.whole = whole; !whole {
@@ -286,7 +286,7 @@
 // foundDead reports whether the call has learned nothing but that the kept connection was dead. What is not a probe must
 // not have been sent whole: whether to send that again is not decided here.
 func (c *conn) foundDead(call *call, r *result) bool {
-	return c.use.carried > 0 && (r.early || call.probe && r.Ending == ending.ResetByPeer)
+	return c.use.carried > 0 && (r.early || call.probe && r.Ending == outcome.ResetByPeer)
 }
 
 // begun starts the time of an answer, or ends it.
--- a/internal/provider/conn_test.go
+++ b/internal/provider/conn_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // What the provider sent before a call's last byte was written belongs to nobody: the call fails as one that never ran,
@@ -40,16 +40,16 @@
 		t.Fatal(err)
 	}
 	conn.until = time.Now().Add(time.Hour)
-	if !conn.offer(at.word(caller.Task{})) {
+	if !conn.offer(at.word(upstream.Task{})) {
 		t.Fatal("an idle connection takes no call")
 	}
 	call, how := conn.idle()
-	if call == nil || how != ending.Unasked {
+	if call == nil || how != outcome.Unasked {
 		t.Errorf("taken from idle: call %v, %s", call, how)
 	}
-	c := at.word(caller.Task{Invocation: &invocation.Invocation{ID: "a", Verb: "POST", Body: make([]byte, lump)}, Wait: time.Second})
+	c := at.word(upstream.Task{Invocation: &request.Invocation{ID: "a", Verb: "POST", Body: make([]byte, lump)}, Wait: time.Second})
 	go io.Copy(io.Discard, in)
-	if r, again := conn.carry(c); r.Ending != ending.Unwritten || again || r.Body != nil {
+	if r, again := conn.carry(c); r.Ending != outcome.Unwritten || again || r.Body != nil {
 		t.Errorf("carried: %s, %q, again %t", r.Ending, r.Body, again)
 	}
 }
@@ -69,9 +69,9 @@
 	}
 	defer v.Wait()
 	defer cancel()
-	at, ends := v.Endpoint("p1", "p1:1").(*endpoint), make(chan ending.Ending, 2)
-	next := at.word(caller.Task{Ended: func(r caller.Result) { ends <- r.Ending }})
-	first := at.word(caller.Task{Ended: func(r caller.Result) { ends <- r.Ending; v.start(next, fixed(0)) }})
+	at, ends := v.Endpoint("p1", "p1:1").(*endpoint), make(chan outcome.Ending, 2)
+	next := at.word(upstream.Task{Ended: func(r upstream.Result) { ends <- r.Ending }})
+	first := at.word(upstream.Task{Ended: func(r upstream.Result) { ends <- r.Ending; v.start(next, fixed(0)) }})
 	v.start(first, fixed(0))
 	for kept, i := <-opened, 0; i < 2; i++ {
 		kept.SetDeadline(time.Now().Add(5 * time.Second)) // on a connection of its own the next never comes here
@@ -79,7 +79,7 @@
 			t.Fatalf("call %d: %v", i, err)
 		}
 		io.WriteString(kept, answer)
-		if how := <-ends; how != ending.Served {
+		if how := <-ends; how != outcome.Served {
 			t.Errorf("call %d: %s", i, how)
 		}
 	}
--- a/internal/provider/dead_test.go
+++ b/internal/provider/dead_test.go
@@ -9,10 +9,10 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // fixed is a bet that takes any kept connection and holds the last byte back there for so long.
@@ -34,7 +34,7 @@
 func TestDeadConnections(t *testing.T) {
 	const hold = 5 * time.Millisecond
 	type seen struct {
-		Ending ending.Ending
+		Ending outcome.Ending
 		Dead   bool
 		Whole  int // messages that the provider got with their last byte, the first one included
 	}
@@ -50,23 +50,23 @@
 		late     bool          // a new connection takes a second to come up
 		want     seen
 	}{
-		"alive":                     {hold: hold, want: seen{Ending: ending.Served, Whole: 2}},
-		"dead before the last":      {hold: hold, early: true, want: seen{Ending: ending.Served, Dead: true, Whole: 2}},
-		"dead after it":             {hold: 0, early: true, want: seen{Ending: ending.ResetByPeer, Whole: 2}},
-		"a probe, dead after it":    {probe: true, early: true, want: seen{Ending: ending.Served, Dead: true, Whole: 3}},
-		"stopped while held back":   {hold: hold, stop: hold / 2, want: seen{Ending: ending.Unwritten, Whole: 1}},
-		"left while held back":      {hold: hold, stop: hold / 2, leave: true, want: seen{Ending: ending.Withdrawn, Whole: 1}},
-		"withdrawn while held back": {hold: hold, stop: hold / 2, withdraw: true, want: seen{Ending: ending.Withdrawn, Whole: 1}},
-		"gone while held back":      {hold: hold, stop: hold / 2, gone: true, want: seen{Ending: ending.Withdrawn, Whole: 1}},
+		"alive":                     {hold: hold, want: seen{Ending: outcome.Served, Whole: 2}},
+		"dead before the last":      {hold: hold, early: true, want: seen{Ending: outcome.Served, Dead: true, Whole: 2}},
+		"dead after it":             {hold: 0, early: true, want: seen{Ending: outcome.ResetByPeer, Whole: 2}},
+		"a probe, dead after it":    {probe: true, early: true, want: seen{Ending: outcome.Served, Dead: true, Whole: 3}},
+		"stopped while held back":   {hold: hold, stop: hold / 2, want: seen{Ending: outcome.Unwritten, Whole: 1}},
+		"left while held back":      {hold: hold, stop: hold / 2, leave: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
+		"withdrawn while held back": {hold: hold, stop: hold / 2, withdraw: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
+		"gone while held back":      {hold: hold, stop: hold / 2, gone: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
 		"dead, gone on the new": {hold: hold, early: true, stop: time.Second / 2, gone: true, late: true,
-			want: seen{Ending: ending.Withdrawn, Dead: true, Whole: 1}},
-		"expired while held back": {hold: hold, expires: hold / 2, want: seen{Ending: ending.Expired, Whole: 1}},
-		"expired after that":      {hold: hold, expires: 2 * hold, want: seen{Ending: ending.Served, Whole: 2}},
+			want: seen{Ending: outcome.Withdrawn, Dead: true, Whole: 1}},
+		"expired while held back": {hold: hold, expires: hold / 2, want: seen{Ending: outcome.Expired, Whole: 1}},
+		"expired after that":      {hold: hold, expires: 2 * hold, want: seen{Ending: outcome.Served, Whole: 2}},
 		"dead, expired on the new": {hold: hold, early: true, expires: time.Second / 2, late: true,
-			want: seen{Ending: ending.Expired, Dead: true, Whole: 1}},
-		"stopped after that":       {hold: hold, stop: 2 * hold, want: seen{Ending: ending.TimedOut, Whole: 2}},
-		"stopped, not held back":   {stop: hold / 2, want: seen{Ending: ending.TimedOut, Whole: 2}},
-		"dead, stopped on the new": {hold: hold, early: true, stop: 2 * hold, want: seen{Ending: ending.TimedOut, Dead: true, Whole: 2}},
+			want: seen{Ending: outcome.Expired, Dead: true, Whole: 1}},
+		"stopped after that":       {hold: hold, stop: 2 * hold, want: seen{Ending: outcome.TimedOut, Whole: 2}},
+		"stopped, not held back":   {stop: hold / 2, want: seen{Ending: outcome.TimedOut, Whole: 2}},
+		"dead, stopped on the new": {hold: hold, early: true, stop: 2 * hold, want: seen{Ending: outcome.TimedOut, Dead: true, Whole: 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -86,7 +86,7 @@
 					t.Fatal(err)
 				}
 				at := v.Endpoint("p1", "p1:1").(*endpoint)
-				results := make(chan caller.Result, 1)
+				results := make(chan upstream.Result, 1)
 				got := seen{}
 				read := func(nc net.Conn, n int) bool {
 					nc.SetReadDeadline(time.Now().Add(4 * hold))
@@ -99,9 +99,9 @@
 					}
 				}
 				start := func() *call {
-					task := caller.Task{Ended: func(r caller.Result) { results <- r }}
+					task := upstream.Task{Ended: func(r upstream.Result) { results <- r }}
 					if !c.probe {
-						task.Invocation = &invocation.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x"),
+						task.Invocation = &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x"),
 							Gone: gone.Load}
 						task.Wait = time.Second
 					}
@@ -126,7 +126,7 @@
 				if c.stop > 0 {
 					go func() {
 						time.Sleep(c.stop)
-						give, why := second.Stop, ending.TimedOut
+						give, why := second.Stop, outcome.TimedOut
 						switch {
 						case c.gone:
 							gone.Store(true)
@@ -135,10 +135,10 @@
 							second.inv.Leave()
 							return
 						case c.withdraw:
-							give, why = second.Withdraw, ending.CalledOff
+							give, why = second.Withdraw, outcome.CalledOff
 						}
 						if how, stopped := give(why); stopped {
-							results <- caller.Result{Ending: how}
+							results <- upstream.Result{Ending: how}
 						}
 					}()
 				}
--- a/internal/provider/deadline_test.go
+++ b/internal/provider/deadline_test.go
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/caller"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // deadlineSlack is what the deadline told to a server may exceed what the client still waits.
@@ -48,11 +48,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				results := make(chan caller.Result, 2)
+				results := make(chan upstream.Result, 2)
 				at := v.Endpoint("p1", "p1:1").(*endpoint)
 				begin := func(hold time.Duration) time.Time {
-					v.start(at.word(caller.Task{Wait: patience, Ended: func(r caller.Result) { results <- r },
-						Invocation: &invocation.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")}}), fixed(hold))
+					v.start(at.word(upstream.Task{Wait: patience, Ended: func(r upstream.Result) { results <- r },
+						Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")}}), fixed(hold))
 					return time.Now()
 				}
 				if row.dead {
--- a/internal/provider/lastbyte_test.go
+++ b/internal/provider/lastbyte_test.go
@@ -10,11 +10,11 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // body is what a consumer still sends.
@@ -39,14 +39,14 @@
 		flows   bool          // the consumer still sends it
 		expires time.Duration // after its start; 0 = never
 		gone    time.Duration // after that its consumer is gone, and nobody is told; 0 = never
-		want    ending.Ending
+		want    outcome.Ending
 	}{
-		"here, in time":    {want: ending.Served, expires: 2 * time.Second},
-		"here, expired":    {want: ending.Expired, expires: time.Second / 2},
-		"flowing, in time": {want: ending.Served, flows: true, expires: 2 * time.Second},
-		"flowing, expired": {want: ending.Expired, flows: true, expires: time.Second / 2},
-		"here, gone":       {want: ending.Withdrawn, gone: time.Second / 2},
-		"flowing, gone":    {want: ending.Withdrawn, flows: true, gone: time.Second / 2},
+		"here, in time":    {want: outcome.Served, expires: 2 * time.Second},
+		"here, expired":    {want: outcome.Expired, expires: time.Second / 2},
+		"flowing, in time": {want: outcome.Served, flows: true, expires: 2 * time.Second},
+		"flowing, expired": {want: outcome.Expired, flows: true, expires: time.Second / 2},
+		"here, gone":       {want: outcome.Withdrawn, gone: time.Second / 2},
+		"flowing, gone":    {want: outcome.Withdrawn, flows: true, gone: time.Second / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				inv := &invocation.Invocation{ID: "a", Verb: "POST", Target: "/order/1"}
+				inv := &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1"}
 				if content := strings.Repeat("x", size); c.flows {
 					inv.Rest = body{strings.NewReader(content)}
 				} else {
@@ -68,9 +68,9 @@
 				if began := time.Now(); c.gone > 0 {
 					inv.Gone = func() bool { return time.Since(began) > c.gone }
 				}
-				results := make(chan caller.Result, 1)
-				task := caller.Task{Invocation: inv, Wait: time.Minute, Flowed: func() {},
-					Ended: func(r caller.Result) { results <- r }}
+				results := make(chan upstream.Result, 1)
+				task := upstream.Task{Invocation: inv, Wait: time.Minute, Flowed: func() {},
+					Ended: func(r upstream.Result) { results <- r }}
 				if c.expires > 0 {
 					task.Expires = time.Now().Add(c.expires)
 				}
@@ -88,7 +88,7 @@
 				if whole {
 					theirs.Write([]byte(answer))
 				}
-				if r := <-results; r.Ending != c.want || whole != (c.want == ending.Served) {
+				if r := <-results; r.Ending != c.want || whole != (c.want == outcome.Served) {
 					t.Errorf("%s, whole=%t, want %s", r.Ending, whole, c.want)
 				}
 				cancel()
--- a/internal/provider/late_test.go
+++ b/internal/provider/late_test.go
@@ -7,9 +7,9 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 )
 
 // A kept connection is offered a call when its time is over and its goroutine, woken late, has not seen to that: its provider may
@@ -28,10 +28,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at, results := v.Endpoint("p1", "p1:1").(*endpoint), make(chan caller.Result, 2)
+		at, results := v.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
 		for n := range 2 {
-			one := at.word(caller.Task{Wait: time.Second, Ended: func(r caller.Result) { results <- r },
-				Invocation: &invocation.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")}})
+			one := at.word(upstream.Task{Wait: time.Second, Ended: func(r upstream.Result) { results <- r },
+				Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")}})
 			v.start(one, fixed(0))
 			synctest.Wait()
 			if len(peers) != n+1 {
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -9,12 +9,12 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/guard"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/outcome"
 	"plankrouter/internal/reuse"
 	"plankrouter/internal/sockets"
+	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
 
@@ -40,7 +40,7 @@
 	Written func()                           // told of each attempt at an invocation whose last byte is written; nil = nobody is
 	Bounds  *flow.Bounds                     // of bodies that flow; nil = none does: those beyond 64 KiB are malformed
 	Answers func(status int) bool            // which statuses are a served request's; nil = 200 alone
-	Rules   *guard.Book                      // of what was held back and what got past; nil = nobody counts
+	Rules   *invariant.Book                  // of what was held back and what got past; nil = nobody counts
 }
 
 // Stakes are what the requests of the module's classes put at risk.
@@ -52,7 +52,7 @@
 	return out
 }
 
-// Caller is the caller.Caller of HTTP/1.1. Beside what that says, its endpoints may belong to any goroutine.
+// Caller is the upstream.Caller of HTTP/1.1. Beside what that says, its endpoints may belong to any goroutine.
 type Caller struct {
 	ctx    context.Context
 	budget *sockets.Budget
@@ -60,9 +60,9 @@
 	now    atomic.Pointer[Figures]
 	wg     sync.WaitGroup
 
-	mu   sync.Mutex    // of all that follows, and of what endpoints keep
-	book *reuse.Book   // of how connections break
-	idle ending.Counts // how kept connections have ended
+	mu   sync.Mutex     // of all that follows, and of what endpoints keep
+	book *reuse.Book    // of how connections break
+	idle outcome.Counts // how kept connections have ended
 }
 
 // New returns a Caller whose connections end with ctx.
@@ -87,13 +87,13 @@
 func (v *Caller) Wait() { v.wg.Wait() }
 
 // Idle counts how kept connections have ended so far.
-func (v *Caller) Idle() ending.Counts {
+func (v *Caller) Idle() outcome.Counts {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.idle
 }
 
-// Forget drops a provider that is gone for good, as a caller.Caller does.
+// Forget drops a provider that is gone for good, as a upstream.Caller does.
 func (v *Caller) Forget(provider string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -115,7 +115,7 @@
 }
 
 // Endpoint returns a provider's process at address.
-func (v *Caller) Endpoint(provider, address string) caller.Endpoint {
+func (v *Caller) Endpoint(provider, address string) upstream.Endpoint {
 	return &endpoint{of: v, name: provider, address: address}
 }
 
@@ -131,7 +131,7 @@
 func (e *endpoint) Address() string { return e.address }
 
 // Start sends the task on a kept connection or on a new one, as the book decides.
-func (e *endpoint) Start(t caller.Task) caller.Call {
+func (e *endpoint) Start(t upstream.Task) upstream.Call {
 	stakes := probeStakes
 	if t.Invocation != nil {
 		stakes = e.of.now.Load().Stakes[t.Invocation.Class]
@@ -195,7 +195,7 @@
 }
 
 // drop forgets a connection that has ended while it was kept.
-func (v *Caller) drop(c *conn, how ending.Ending) {
+func (v *Caller) drop(c *conn, how outcome.Ending) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.idle[how]++
@@ -260,11 +260,11 @@
 		v.book.Dialed(name, c.dialed)
 	}
 	switch r.Ending {
-	case ending.Served, ending.ServerError, ending.Declined, ending.Malformed:
+	case outcome.Served, outcome.ServerError, outcome.Declined, outcome.Malformed:
 		v.book.Learn(now, c.use.of(name), reuse.Answered, c.hold, 0)
-	case ending.ResetByPeer:
+	case outcome.ResetByPeer:
 		v.book.Learn(now, c.use.of(name), reuse.Broken, c.hold, r.took)
-	case ending.Unwritten:
+	case outcome.Unwritten:
 		if r.early {
 			v.book.Learn(now, c.use.of(name), reuse.Early, c.hold, r.took)
 		}
--- a/internal/invocation/invocation.go
+++ b/internal/request/request.go
@@ -1,6 +1,6 @@
-// Package invocation holds what a front hands to the core and gets back from it. Nothing in it belongs to
+// Package request holds what a front hands to the core and gets back from it. Nothing in it belongs to
 // one protocol: a second front, or a library inside an application, speaks to the core in the same words.
-package invocation
+package request
 
 import (
 	"io"
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -6,7 +6,7 @@
 	"strings"
 	"unicode/utf8"
 
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 )
 
 // Bounds of a snapshot's parts.
@@ -58,7 +58,7 @@
 	if err := texts("Address Locality Phase", m.Address, m.Locality, m.Phase); err != nil {
 		return err
 	}
-	if _, _, err := net.SplitHostPort(m.Address); err != nil && m.Phase == members.Serving {
+	if _, _, err := net.SplitHostPort(m.Address); err != nil && m.Phase == endpoints.Serving {
 		return &FieldError{"Address", fmt.Sprintf("%q is not host:port", m.Address)}
 	}
 	return figures("UpSince ToldAt Age", m.UpSince, m.ToldAt, m.Age)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 )
 
 // Snapshot is all that outlives a process. It holds no present load: what a provider had in flight is old news long
@@ -42,9 +42,9 @@
 // leaving is 0 for a provider that takes new work, 1 for one that drains and 2 for one that is gone.
 func (m Member) leaving() int {
 	switch m.Phase {
-	case members.Serving:
+	case endpoints.Serving:
 		return 0
-	case members.Deleted:
+	case endpoints.Deleted:
 		return 2
 	}
 	return 1
@@ -147,7 +147,7 @@
 func (s *Snapshot) List() List { return List{s.Directory, s.Revision, s.Members} }
 
 // FromConfig is the list that the configuration knows of, whose phases count as told at that moment.
-func FromConfig(l members.List, directory string, told time.Time) List {
+func FromConfig(l endpoints.List, directory string, told time.Time) List {
 	out := List{Directory: directory, Revision: l.Revision}
 	for _, m := range l.Members {
 		out.Members = append(out.Members, Member{ID: m.ID, Address: m.Address, Locality: m.Locality, Cell: m.Cell, Phase: m.Phase,
@@ -157,10 +157,10 @@
 }
 
 // Config is the list in the form in which the rest of the program takes it, whole.
-func (l List) Config() members.List {
-	out := members.List{Revision: l.Revision, Complete: true, Members: make([]members.Member, 0, len(l.Members))}
+func (l List) Config() endpoints.List {
+	out := endpoints.List{Revision: l.Revision, Complete: true, Members: make([]endpoints.Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		out.Members = append(out.Members, members.Member{ID: m.ID, Address: m.Address, Locality: m.Locality,
+		out.Members = append(out.Members, endpoints.Member{ID: m.ID, Address: m.Address, Locality: m.Locality,
 			Cell: m.Cell, Phase: m.Phase, UpSince: m.UpSince})
 	}
 	return out
--- a/internal/snapshot/still_test.go
+++ b/internal/snapshot/still_test.go
@@ -7,16 +7,16 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 )
 
 // four is a snapshot of a small fleet: a provider that serves, one that warms up, one that drains and one that is gone.
 // The module's clock lags 10 s behind the wall clock.
 func four() *Snapshot {
 	at, s := unixMs(taken), fleet(3, 1)
-	s.Members = append(s.Members, Member{ID: "gone", Phase: members.Deleted, ToldAt: at - 3600e3})
+	s.Members = append(s.Members, Member{ID: "gone", Phase: endpoints.Deleted, ToldAt: at - 3600e3})
 	s.Members[0].ID, s.Members[1].ID, s.Members[2].ID = "serves", "warms", "drains"
-	s.Members[1].UpSince, s.Members[2].Phase, s.Members[2].ToldAt = at-500, members.Draining, at-1000
+	s.Members[1].UpSince, s.Members[2].Phase, s.Members[2].ToldAt = at-500, endpoints.Draining, at-1000
 	l := &s.Learned
 	l.Now -= 10e3
 	for i := range l.Servers {
@@ -110,7 +110,7 @@
 
 // list reads "a7 1+52": of directory a in revision 7, provider 1 serving (~ draining, x gone), started at 5, told at 2.
 func list(text string) (l List) {
-	phases := map[byte]string{'+': members.Serving, '~': members.Draining, 'x': members.Deleted}
+	phases := map[byte]string{'+': endpoints.Serving, '~': endpoints.Draining, 'x': endpoints.Deleted}
 	for i, w := range strings.Fields(text) {
 		if i == 0 {
 			l.Directory, l.Revision = w[:1], uint64(w[1]-'0')
@@ -146,15 +146,15 @@
 }
 
 func TestBegin(t *testing.T) {
-	known := FromConfig(members.List{Revision: 50, Members: []members.Member{
-		{ID: "serves", Address: "127.0.0.1:1", Phase: members.Serving, UpSince: unixMs(taken) + 1},
-		{ID: "drains", Address: "127.0.0.1:2", Phase: members.Serving}}}, "127.0.0.1:8500", taken)
+	known := FromConfig(endpoints.List{Revision: 50, Members: []endpoints.Member{
+		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, UpSince: unixMs(taken) + 1},
+		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving}}}, "127.0.0.1:8500", taken)
 	none, _ := Begin(nil, known, taken, rules())
 	same(t, "without a snapshot", known, none.List)
 	got, _ := Begin(four(), known, taken.Add(time.Second), rules())
 	same(t, "learned", "d:++2", has(&Snapshot{Learned: Learned{Servers: got.Learned.Servers}}))
 	l := got.List.Config()
-	same(t, "list", []string{members.Serving, members.Draining, members.Deleted, "0"}, []string{l.Members[0].Phase,
+	same(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{l.Members[0].Phase,
 		l.Members[1].Phase, l.Members[2].Phase, fmt.Sprint(l.Revision)})
 }
 
--- a/internal/freshness/freshness.go
+++ b/internal/staleness/staleness.go
@@ -1,11 +1,11 @@
-// Package freshness decides how the list of providers is kept fresh: how long a call to the directory may wait for news,
+// Package staleness decides how the list of providers is kept fresh: how long a call to the directory may wait for news,
 // when a call that stays unanswered is given up, when the next one follows, and when what is seen of the providers speaks
 // so clearly against the list that the whole of it is asked for at once. It does no input or output and reads no clock.
 //
 // A watch can die without a word: its answers are lost on a connection that stays open. Silence alone does not tell that
 // from a directory with nothing to say, so a call asks to be answered after a bounded wait even then, and the time beyond
 // that wait in which the answer usually comes is learned. What is silent for much longer is dead.
-package freshness
+package staleness
 
 import (
 	"cmp"
--- a/internal/freshness/freshness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -1,4 +1,4 @@
-package freshness
+package staleness
 
 import (
 	"cmp"
--- a/internal/caller/caller.go
+++ b/internal/upstream/upstream.go
@@ -1,13 +1,13 @@
-// Package caller is the seam between the core of a pool and the protocol in which its providers are spoken to. The core
+// Package upstream is the seam between the core of a pool and the protocol in which its providers are spoken to. The core
 // asks a Caller to start an attempt and to stop one; the caller reports how it ended, once. Package callertest is the suite
 // that every Caller has to pass.
-package caller
+package upstream
 
 import (
 	"time"
 
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
 	"plankrouter/policy"
 )
 
@@ -37,7 +37,7 @@
 type Task struct {
 	// Invocation is whom the attempt is for. Once its consumer has left, neither the first nor the last byte of the attempt may be
 	// written; Invocation.Look says so at the moment. nil = a probe: the provider is asked for its load.
-	Invocation *invocation.Invocation
+	Invocation *request.Invocation
 	Wait       time.Duration // after which the attempt is going to be stopped, for the provider to know
 	Until      time.Time     // when it is going to be stopped: no last byte later than this; zero = after Wait from when it is sent
 	NotAfter   time.Time     // no first byte later than this; zero = any time
@@ -51,21 +51,21 @@
 	// Stop gives the attempt up, for the reason why, and returns how that has ended it, and true; when it returns, nothing
 	// further of this attempt can reach the provider. False means that it has ended already: Ended has been called or is
 	// about to be.
-	Stop(why ending.Ending) (ending.Ending, bool)
+	Stop(why outcome.Ending) (outcome.Ending, bool)
 	// Withdraw is Stop for an attempt whose last byte is not written. False means that it may have run, or has ended already.
 	// What was never sent is no running attempt: to withdraw it is no cancel, and allowed where cancels are not.
-	Withdraw(why ending.Ending) (ending.Ending, bool)
+	Withdraw(why outcome.Ending) (outcome.Ending, bool)
 	// NotAfter forbids a first byte later than t, beside what was forbidden before.
 	NotAfter(t time.Time)
 }
 
 // Result is how an attempt ended.
 type Result struct {
-	Ending ending.Ending
-	Report policy.Report      // the provider's load, where the answer told it
-	Code   int                // the protocol's own word for the answer, where it was Served
-	Fields []invocation.Field // the answer's, where it was Served
+	Ending outcome.Ending
+	Report policy.Report   // the provider's load, where the answer told it
+	Code   int             // the protocol's own word for the answer, where it was Served
+	Fields []request.Field // the answer's, where it was Served
 	Body   []byte
-	Rest   invocation.Flow // what follows Body; nil = that is all. Whoever gets it closes it
-	Since  time.Time       // when the connection came up on which an answer came; zero = none did, or there are no connections
+	Rest   request.Flow // what follows Body; nil = that is all. Whoever gets it closes it
+	Since  time.Time    // when the connection came up on which an answer came; zero = none did, or there are no connections
 }
--- a/internal/caller/callertest/callertest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,6 +1,6 @@
-// Package callertest is the suite that every caller.Caller has to pass, whatever its protocol. It plays providers that answer,
+// Package upstreamtest is the suite that every upstream.Caller has to pass, whatever its protocol. It plays providers that answer,
 // refuse, hang, break off and drain, in simulated time, and looks at what reaches them and at what is reported.
-package callertest
+package upstreamtest
 
 import (
 	"context"
@@ -14,15 +14,15 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"plankrouter/internal/caller"
-	"plankrouter/internal/ending"
-	"plankrouter/internal/invocation"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 )
 
 // Harness is what the suite has to know of a protocol.
 type Harness struct {
 	// New returns a Caller whose connections are opened by dial and end with ctx. wait returns when its last goroutine has.
-	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (c caller.Caller, wait func())
+	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (c upstream.Caller, wait func())
 	// Read reads one whole request and returns the invocation's id, or "" for a probe.
 	Read func(net.Conn) (id string, err error)
 	// What a provider answers to a request: that it is served with the body "ok", has failed, is turned away unseen, or
@@ -41,19 +41,19 @@
 type stage struct {
 	t       *testing.T
 	h       Harness
-	at      caller.Endpoint
+	at      upstream.Endpoint
 	dialed  string // what becomes of connections: "" = they come up, else "refused", or "late": after 100 ms
 	peers   []net.Conn
 	reports chan report
 	got     seen
 	ended   map[int]bool
-	last    *invocation.Invocation // that was begun
-	gone    atomic.Bool            // its consumer is gone, and nobody has been told
+	last    *request.Invocation // that was begun
+	gone    atomic.Bool         // its consumer is gone, and nobody has been told
 }
 
 type report struct {
 	number int
-	caller.Result
+	upstream.Result
 }
 
 func (s *stage) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -74,15 +74,15 @@
 }
 
 // start begins an attempt by its number; 0 is a probe.
-func (s *stage) start(number int, notAfter time.Time) caller.Call {
+func (s *stage) start(number int, notAfter time.Time) upstream.Call {
 	return s.begin(number, notAfter, time.Time{})
 }
 
 // begin is start for an attempt that expires.
-func (s *stage) begin(number int, notAfter, expires time.Time) caller.Call {
-	task := caller.Task{Wait: time.Second, NotAfter: notAfter, Expires: expires, Ended: func(r caller.Result) { s.reports <- report{number, r} }}
+func (s *stage) begin(number int, notAfter, expires time.Time) upstream.Call {
+	task := upstream.Task{Wait: time.Second, NotAfter: notAfter, Expires: expires, Ended: func(r upstream.Result) { s.reports <- report{number, r} }}
 	if number > 0 {
-		s.last = &invocation.Invocation{ID: fmt.Sprint("id", number), Verb: "POST", Target: "/order/1", Body: []byte("x"),
+		s.last = &request.Invocation{ID: fmt.Sprint("id", number), Verb: "POST", Target: "/order/1", Body: []byte("x"),
 			Gone: s.gone.Load}
 		task.Invocation = s.last
 	}
@@ -124,13 +124,13 @@
 	}
 }
 
-func (s *stage) note(number int, e ending.Ending, r caller.Result) {
+func (s *stage) note(number int, e outcome.Ending, r upstream.Result) {
 	if s.ended[number] {
 		s.t.Errorf("attempt %d has ended twice, as %s", number, e)
 	}
 	s.ended[number] = true
 	word := fmt.Sprintf("%d %s", number, e)
-	if e == ending.Served && number > 0 {
+	if e == outcome.Served && number > 0 {
 		word += " " + string(r.Body)
 	}
 	if r.Report.HasRIF {
@@ -140,9 +140,9 @@
 }
 
 // stop gives an attempt up.
-func (s *stage) stop(number int, c caller.Call, why ending.Ending) {
+func (s *stage) stop(number int, c upstream.Call, why outcome.Ending) {
 	if how, stopped := c.Stop(why); stopped {
-		s.note(number, how, caller.Result{})
+		s.note(number, how, upstream.Result{})
 	}
 	if _, again := c.Stop(why); again {
 		s.t.Errorf("attempt %d was stopped twice", number)
@@ -150,11 +150,11 @@
 }
 
 // withdraw gives an attempt up, if it has not been sent.
-func (s *stage) withdraw(number int, c caller.Call) {
-	if how, withdrawn := c.Withdraw(ending.CalledOff); withdrawn {
-		s.note(number, how, caller.Result{})
+func (s *stage) withdraw(number int, c upstream.Call) {
+	if how, withdrawn := c.Withdraw(outcome.CalledOff); withdrawn {
+		s.note(number, how, upstream.Result{})
 	}
-	if _, again := c.Withdraw(ending.CalledOff); again {
+	if _, again := c.Withdraw(outcome.CalledOff); again {
 		s.t.Errorf("attempt %d was withdrawn twice", number)
 	}
 }
@@ -196,7 +196,7 @@
 		s.dialed = "late"
 		c := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.stop(1, c, ending.CalledOff)
+		s.stop(1, c, outcome.CalledOff)
 		time.Sleep(time.Second)
 		s.settle()
 	}, seen{[]string{"1 withdrawn"}, nil}},
@@ -241,7 +241,7 @@
 		s.dialed = "late"
 		c := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.stop(1, c, ending.TimedOut)
+		s.stop(1, c, outcome.TimedOut)
 		time.Sleep(time.Second)
 		s.settle()
 	}, seen{[]string{"1 unwritten"}, nil}},
@@ -281,7 +281,7 @@
 		c := s.start(1, time.Time{})
 		s.read(0)
 		time.Sleep(time.Second)
-		s.stop(1, c, ending.TimedOut)
+		s.stop(1, c, outcome.TimedOut)
 		s.settle()
 		s.write(0, s.h.Served) // nobody listens any more
 		s.start(2, time.Time{})
@@ -292,14 +292,14 @@
 	"called off": {func(s *stage) {
 		c := s.start(1, time.Time{})
 		s.read(0)
-		s.stop(1, c, ending.CalledOff)
+		s.stop(1, c, outcome.CalledOff)
 		s.settle()
 	}, seen{[]string{"1 called_off"}, []string{"id1 "}}},
 	"stopped after its end": {func(s *stage) {
 		c := s.start(1, time.Time{})
 		s.read(0)
 		s.write(0, s.h.Served)
-		s.stop(1, c, ending.TimedOut)
+		s.stop(1, c, outcome.TimedOut)
 		s.settle()
 		s.start(2, time.Time{}) // and the connection is still good
 		s.read(0)
--- a/options.go
+++ b/options.go
@@ -11,7 +11,7 @@
 	"net"
 	"time"
 
-	"plankrouter/internal/members"
+	"plankrouter/internal/endpoints"
 	"plankrouter/internal/sockets"
 	"plankrouter/policy"
 )
@@ -221,21 +221,21 @@
 }
 
 // list words members for the core.
-func list(in []Member, complete bool) (members.List, error) {
-	out := members.List{Complete: complete}
+func list(in []Member, complete bool) (endpoints.List, error) {
+	out := endpoints.List{Complete: complete}
 	seen := map[string]bool{}
 	for i, m := range in {
-		one := members.Member{ID: cmp.Or(m.ID, m.Address), Address: m.Address, Locality: m.Zone}
+		one := endpoints.Member{ID: cmp.Or(m.ID, m.Address), Address: m.Address, Locality: m.Zone}
 		if !m.StartedAt.IsZero() {
 			one.UpSince = float64(m.StartedAt.UnixMicro()) / 1e3
 		}
 		switch m.Phase {
 		case Serving:
-			one.Phase = members.Serving
+			one.Phase = endpoints.Serving
 		case Draining:
-			one.Phase = members.Draining
+			one.Phase = endpoints.Draining
 		case Gone:
-			one.Phase = members.Deleted
+			one.Phase = endpoints.Deleted
 		default:
 			return out, bad(fmt.Sprintf("[%d].Phase", i), "%d is none of Serving, Draining and Gone", m.Phase)
 		}
