--- a/cmd/plankrouter/daily_test.go
+++ b/cmd/plankrouter/daily_test.go
@@ -22,8 +22,8 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/figures"
 	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/metrics"
 )
 
 // service is the program with an address for operators, in a bubble of its own.
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *service) figures() (f figures.Figures) {
+func (s *service) figures() (f metrics.Figures) {
 	s.Helper()
 	status, text := s.call("GET", "/metrics")
 	if err := json.Unmarshal([]byte(text), &f); err != nil || status != 200 {
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -27,11 +27,11 @@
 	"plankrouter/internal/discovery"
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/endpoints"
-	"plankrouter/internal/faults"
-	"plankrouter/internal/figures"
+	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/flow"
-	"plankrouter/internal/handover"
+	"plankrouter/internal/hotrestart"
 	"plankrouter/internal/invariant"
+	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/provider"
 	"plankrouter/internal/snapshot"
@@ -57,7 +57,7 @@
 }
 
 func run(signals signalQueues) error {
-	from, err := handover.Inherited(os.Getenv)
+	from, err := hotrestart.Inherited(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		return err
 	}
 	if folder := meeting(os.Getenv); from == nil && folder != "" {
-		if from, err = handover.Find(folder); err != nil {
+		if from, err = hotrestart.Find(folder); err != nil {
 			log.Printf("name=%s handover=alone err=%q", cfg.Name, err)
 		}
 	}
@@ -90,14 +90,14 @@
 
 // listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
 // new one.
-func listen(cfg *config.Config, from *handover.Successor) (net.Listener, error) {
+func listen(cfg *config.Config, from *hotrestart.Successor) (net.Listener, error) {
 	if from != nil && !from.Met() {
 		return from.Listener(), from.Check(cfg.Listen)
 	}
-	if l, err := handover.Held(os.Getenv, cfg.Listen); err != nil || l != nil {
+	if l, err := hotrestart.Held(os.Getenv, cfg.Listen); err != nil || l != nil {
 		return l, err
 	}
-	if l, err := handover.Listener(os.Getenv); err != nil || l != nil {
+	if l, err := hotrestart.Listener(os.Getenv); err != nil || l != nil {
 		return l, err
 	}
 	var plain net.Listener
@@ -113,7 +113,7 @@
 
 // listenTCP is net.Listen, which a soak may fail.
 func listenTCP(address string) (net.Listener, error) {
-	if err := faults.Inject(faults.Listen); err != nil {
+	if err := faultinjection.Inject(faultinjection.Listen); err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", err)}
 	}
 	return net.Listen("tcp", address)
@@ -132,13 +132,13 @@
 	caller       *provider.Caller
 	core         *dispatch.Pool
 	watch        *discovery.Watch
-	book         figures.Book
+	book         metrics.Book
 	rules        invariant.Book
 	bans         *cordon.Store
 	front        *consumer.Server
-	writer       *snapshot.Writer  // nil = snapshots are not kept
-	line         handover.Handover // of processes that take over from one another
-	moved        atomic.Bool       // a reload has named another directory than the environment
+	writer       *snapshot.Writer    // nil = snapshots are not kept
+	line         hotrestart.Handover // of processes that take over from one another
+	moved        atomic.Bool         // a reload has named another directory than the environment
 	stop         context.CancelFunc
 	signals      signalQueues
 	reloads      chan reloaded             // for whoever ends this process
@@ -151,7 +151,7 @@
 // serve runs the sidecar, for operators too if there is a listener for them, until a signal ends it and all that it has taken
 // is answered, or until a successor has it all. So many descriptors are held already, the listeners among them.
 func serve(cfg *config.Config, getenv func(string) string, l, operators net.Listener, dial sockets.Dialer, held int,
-	signals signalQueues, from *handover.Successor) error {
+	signals signalQueues, from *hotrestart.Successor) error {
 	outer, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(outer)
@@ -163,7 +163,7 @@
 		log.Printf("name=%s limits.sockets=%d held=%d err=%q", cfg.Name, cfg.Limits.Sockets, held,
 			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", least))
 	}
-	p := program{cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: handover.Handover{From: from},
+	p := program{cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Handover{From: from},
 		budget: sockets.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv)}
 	p.rules.Logf = log.Printf
 	p.inForce.Store(cfg)
@@ -178,7 +178,7 @@
 	if _, err := p.numbers.Apply(time.Now(), cfg); err != nil {
 		return err
 	}
-	before := p.before(from, faults.Wall())
+	before := p.before(from, faultinjection.Wall())
 	bounds := flow.New(cfg.Limits.MemoryMB<<20, cfg.Limits.Sockets)
 	out := p.firstBans(ctx)
 	known := cfg.Known
@@ -200,7 +200,7 @@
 	if p.core, err = dispatch.New(dispatch.Options{Name: cfg.Name, Deployment: deployment,
 		Logic: cfg.Logic, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known,
 		Before: before, Caller: p.caller, Whole: cfg.Settings.Whole, Logf: log.Printf, Trace: trace, Saw: p.watch.Saw,
-		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faults.Wall}); err != nil {
+		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faultinjection.Wall}); err != nil {
 		return err
 	}
 	p.front = consumer.New(cfg, p.core, p.budget, &p.book, bounds)
@@ -236,7 +236,7 @@
 	c, f, w, now := p.core.Counts(), p.front, p.watch, p.book.Read()
 	log.Printf("name=%s counters=core taken=%d conflicts=%d consumer_gone=%d sent=%d probes=%d lists=%d served=%d "+
 		"refused=%d failed=%d", p.cfg.Name, c.Taken, c.Conflicts, c.Gone, now.Dispatches, c.Probes, c.Lists,
-		figures.Sum(now.Success), figures.Sum(now.Overload), figures.Sum(now.Error))
+		metrics.Sum(now.Success), metrics.Sum(now.Overload), metrics.Sum(now.Error))
 	for _, why := range slices.Sorted(maps.Keys(c.Unserved)) {
 		log.Printf("name=%s counters=unserved why=%s requests=%d", p.cfg.Name, why, c.Unserved[why])
 	}
--- a/cmd/plankrouter/operators.go
+++ b/cmd/plankrouter/operators.go
@@ -12,8 +12,8 @@
 	"plankrouter/internal/admin"
 	"plankrouter/internal/config"
 	"plankrouter/internal/cordon"
-	"plankrouter/internal/faults"
-	"plankrouter/internal/figures"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/metrics"
 )
 
 const (
@@ -53,15 +53,15 @@
 func bansFor(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
 		return &cordon.Store{Path: filepath.Join(folder, "plankrouter-bans.json"),
-			Before: func(step cordon.Step, _ string) error { return faults.Inject(bansFaults[step]) }}
+			Before: func(step cordon.Step, _ string) error { return faultinjection.Inject(bansFaults[step]) }}
 	}
 	return &cordon.Store{}
 }
 
 // bansFaults are the faults that befall the steps of the bans' file in a soak.
-var bansFaults = map[cordon.Step]faults.Op{cordon.StepOpen: faults.ReadFile, cordon.StepRead: faults.ReadFile,
-	cordon.StepLock: faults.WriteFile, cordon.StepWrite: faults.WriteFile, cordon.StepSync: faults.SyncFile,
-	cordon.StepRename: faults.WriteFile}
+var bansFaults = map[cordon.Step]faultinjection.Op{cordon.StepOpen: faultinjection.ReadFile, cordon.StepRead: faultinjection.ReadFile,
+	cordon.StepLock: faultinjection.WriteFile, cordon.StepWrite: faultinjection.WriteFile, cordon.StepSync: faultinjection.SyncFile,
+	cordon.StepRename: faultinjection.WriteFile}
 
 // firstBans are the operators' orders at the start. A process that serves without them sends to servers that they have taken out.
 func (p *program) firstBans(ctx context.Context) cordon.Set {
@@ -100,7 +100,7 @@
 func (p *program) Ready() bool { return p.core.Ready() && p.front.Taking() }
 
 // Figures are those of this process.
-func (p *program) Figures() figures.Figures { return p.book.Read() }
+func (p *program) Figures() metrics.Figures { return p.book.Read() }
 
 // Disable takes a provider out, for all processes of this sidecar.
 func (p *program) Disable(id string) error {
@@ -114,7 +114,7 @@
 
 // order changes the bans, and returns once the change is in force here.
 func (p *program) order(what, id string, how func(*cordon.Set, string, float64, bool) error) error {
-	listed, now := p.core.Listed(id), config.Millis(time.Duration(faults.Wall().UnixNano()))
+	listed, now := p.core.Listed(id), config.Millis(time.Duration(faultinjection.Wall().UnixNano()))
 	set, err := p.bans.Change(func(s *cordon.Set) error { return how(s, id, now, listed) })
 	if err != nil {
 		log.Printf("name=%s operators=%s target=%q state=refused err=%q", p.cfg.Name, what, id, err)
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -5,7 +5,7 @@
 	"log"
 	"time"
 
-	"plankrouter/internal/stopping"
+	"plankrouter/internal/shutdown"
 )
 
 const (
@@ -15,7 +15,7 @@
 
 // reloaded is a configuration that has been put in force, by a signal that was sent no earlier than that.
 type reloaded struct {
-	plan     stopping.Plan
+	plan     shutdown.Plan
 	earliest time.Time
 }
 
@@ -24,12 +24,12 @@
 	at, kill time.Time
 }
 
-// shutdown is the end of this process, from the word to stop on. It is the one owner of all that follows from that word's moment.
-type shutdown struct {
+// shutdownRun is the end of this process, from the word to stop on. It is the one owner of all that follows from that word's moment.
+type shutdownRun struct {
 	program  *program
 	word     received
-	granted  stopping.Plan // by the settings that whoever gave the word goes by
-	inForce  stopping.Plan // for as many clients as there have been since
+	granted  shutdown.Plan // by the settings that whoever gave the word goes by
+	inForce  shutdown.Plan // for as many clients as there have been since
 	most     int           // clients' connections that have been open at once
 	passedOn bool          // the word is a predecessor's, and has not come from anybody else yet
 	hastened bool          // told twice
@@ -39,7 +39,7 @@
 // stopping acts on signals to stop until ctx ends. They wait for no other.
 func (p *program) stopping(ctx context.Context, leaving context.CancelFunc, stop <-chan received) {
 	defer leaving()
-	var end *shutdown
+	var end *shutdownRun
 	var look <-chan time.Time
 	for {
 		select {
@@ -69,10 +69,10 @@
 }
 
 // beginShutdown notes the word to stop, and by when the process may be killed for it.
-func (p *program) beginShutdown(word received) *shutdown {
-	end := &shutdown{program: p, word: word, passedOn: !word.kill.IsZero(), granted: p.inForce.Load().StopPlan}
+func (p *program) beginShutdown(word received) *shutdownRun {
+	end := &shutdownRun{program: p, word: word, passedOn: !word.kill.IsZero(), granted: p.inForce.Load().StopPlan}
 	if !word.kill.IsZero() {
-		end.granted = end.granted.Sooner(stopping.For(0, max(word.kill.Sub(word.earliest), 1)))
+		end.granted = end.granted.Sooner(shutdown.For(0, max(word.kill.Sub(word.earliest), 1)))
 	}
 	log.Printf("name=%s state=stopping signal=%q sent_ms_ago=%d last_request_after=%s answers_after=%s kill_after=%s", p.cfg.Name, word.Signal,
 		time.Since(word.earliest).Milliseconds(), end.granted.Last, end.granted.Answer, end.granted.Kill)
@@ -81,7 +81,7 @@
 }
 
 // again is a further word to stop: it hastens the end, unless one of the two is the other, passed on by a predecessor.
-func (s *shutdown) again(word received) {
+func (s *shutdownRun) again(word received) {
 	passedOn := !word.kill.IsZero()
 	if passedOn != s.passedOn {
 		s.passedOn = false
@@ -91,7 +91,7 @@
 }
 
 // adopt goes by the plan from now on.
-func (s *shutdown) adopt(plan stopping.Plan) {
+func (s *shutdownRun) adopt(plan shutdown.Plan) {
 	s.inForce = plan
 	s.program.stopOrder.Store(&stopOrder{at: s.word.earliest, kill: s.word.earliest.Add(plan.Kill)})
 	s.program.core.Stopping(plan, s.word.earliest)
@@ -99,7 +99,7 @@
 
 // reconsider goes by a configuration whose signal may have been sent before the word to stop, if the kill comes sooner by it: whoever
 // sent both goes by that.
-func (s *shutdown) reconsider(r reloaded) {
+func (s *shutdownRun) reconsider(r reloaded) {
 	if r.earliest.After(s.word.read) || r.plan.Kill >= s.granted.Kill {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // follow leaves more time where more clients have come, and closes the front once its time has come.
-func (s *shutdown) follow(now time.Time) {
+func (s *shutdownRun) follow(now time.Time) {
 	if s.drained {
 		return
 	}
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/stopping"
+	"plankrouter/internal/shutdown"
 )
 
 // signalQueues are the signals that have come and are not obeyed yet. Each kind waits at a place of its own, so that none keeps out
@@ -44,12 +44,12 @@
 	signal.Notify(w.report, syscall.SIGUSR1)
 	signal.Notify(w.handOver, syscall.SIGUSR2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	go w.date(reload, stop, stopping.NewHeartbeat(time.Now()))
+	go w.date(reload, stop, shutdown.NewHeartbeat(time.Now()))
 }
 
 // date notes of each signal to stop or to reload since when it can have been sent.
-func (w signalQueues) date(reload, stop <-chan os.Signal, heartbeat *stopping.Heartbeat) {
-	beat := time.NewTicker(stopping.BeatEvery)
+func (w signalQueues) date(reload, stop <-chan os.Signal, heartbeat *shutdown.Heartbeat) {
+	beat := time.NewTicker(shutdown.BeatEvery)
 	defer beat.Stop()
 	for {
 		select {
--- a/cmd/plankrouter/succession.go
+++ b/cmd/plankrouter/succession.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/faults"
-	"plankrouter/internal/handover"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/hotrestart"
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/transient"
 )
@@ -31,11 +31,11 @@
 
 // before returns what this process can go by from an earlier one: the predecessor's state, or the snapshot that was
 // kept if it has handed over none. Nil says that there is nothing but the configuration.
-func (p *program) before(from *handover.Successor, now time.Time) *snapshot.Beginning {
+func (p *program) before(from *hotrestart.Successor, now time.Time) *snapshot.Beginning {
 	cfg := p.cfg
 	if cfg.Own.Snapshot.Path != "" {
 		p.writer = &snapshot.Writer{Store: &snapshot.Store{Path: cfg.Own.Snapshot.Path,
-			Before: func(step snapshot.Step, _ string) error { return faults.Inject(snapshotFaults[step]) }}, Take: p.take, Every: cfg.SnapshotEvery,
+			Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) }}, Take: p.take, Every: cfg.SnapshotEvery,
 			Seed: cfg.Seed}
 	}
 	var snap *snapshot.Snapshot
@@ -67,9 +67,9 @@
 }
 
 // snapshotFaults are the faults that befall the steps of writing a snapshot in a soak.
-var snapshotFaults = map[snapshot.Step]faults.Op{snapshot.StepLock: faults.WriteFile, snapshot.StepList: faults.ReadFile,
-	snapshot.StepSweep: faults.WriteFile, snapshot.StepCreate: faults.WriteFile, snapshot.StepFill: faults.WriteFile,
-	snapshot.StepSync: faults.SyncFile, snapshot.StepRename: faults.WriteFile, snapshot.StepSyncDir: faults.SyncFile}
+var snapshotFaults = map[snapshot.Step]faultinjection.Op{snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
+	snapshot.StepSweep: faultinjection.WriteFile, snapshot.StepCreate: faultinjection.WriteFile, snapshot.StepFill: faultinjection.WriteFile,
+	snapshot.StepSync: faultinjection.SyncFile, snapshot.StepRename: faultinjection.WriteFile, snapshot.StepSyncDir: faultinjection.SyncFile}
 
 // keepSnapshots writes snapshots from now on, if they are to be kept, until lastSnapshot is called, which writes one more. A
 // disk that fails is logged and ends nothing.
@@ -115,7 +115,7 @@
 
 // inherit makes this process a predecessor's successor: once the directory has answered, or has had its time, it says that
 // it is ready, and when it may serve it takes the connections that come.
-func (p *program) inherit(ctx context.Context, group *errgroup.Group, from *handover.Successor) error {
+func (p *program) inherit(ctx context.Context, group *errgroup.Group, from *hotrestart.Successor) error {
 	if from == nil {
 		notify("READY=1")
 		p.succeed(ctx, group)
@@ -139,10 +139,10 @@
 	if from.Met() {
 		p.budget.Limit(p.share.places - p.share.places/shareIdle)
 	}
-	from.Stopped = func(word handover.Stop) {
+	from.Stopped = func(word hotrestart.Stop) {
 		put(p.signals.stop, received{Signal: syscall.SIGTERM, earliest: word.At, read: time.Now(), kill: word.Kill})
 	}
-	from.Reloaded = func(word handover.Reload) {
+	from.Reloaded = func(word hotrestart.Reload) {
 		p.signals.addReload(received{Signal: syscall.SIGHUP, earliest: word.At, read: time.Now()})
 	}
 	done := p.front.Expect()
@@ -151,7 +151,7 @@
 		err := from.Conns(ctx, func(c *net.TCPConn, note []byte) { p.front.Adopt(c, note) })
 		switch {
 		case ctx.Err() != nil: // this process is at its end, whatever the other does
-		case err == nil || errors.Is(err, handover.ErrGone):
+		case err == nil || errors.Is(err, hotrestart.ErrGone):
 			log.Printf("name=%s handover=complete adopted=%d err=%v", p.cfg.Name, p.front.Adopted.Load(), err)
 			p.succeed(ctx, group)
 		case from.Met(): // the other is as it is, and the platform ends it
@@ -170,13 +170,13 @@
 
 // handOver starts a successor and gives it everything, or goes on as if nothing had been.
 func (p *program) handOver(ctx context.Context) {
-	p.handOverBy(ctx, func(l *net.TCPListener, o handover.Options) (*handover.Predecessor, error) {
+	p.handOverBy(ctx, func(l *net.TCPListener, o hotrestart.Options) (*hotrestart.Predecessor, error) {
 		return p.line.Start(ctx, l, o)
 	})
 }
 
 // handOverBy gives everything to the successor that begin makes ready.
-func (p *program) handOverBy(ctx context.Context, begin func(*net.TCPListener, handover.Options) (*handover.Predecessor, error)) {
+func (p *program) handOverBy(ctx context.Context, begin func(*net.TCPListener, hotrestart.Options) (*hotrestart.Predecessor, error)) {
 	l, ok := p.listener.(*net.TCPListener)
 	snap := p.take()
 	if !ok || snap == nil {
@@ -189,7 +189,7 @@
 	}
 	log.Printf("name=%s handover=begun state_bytes=%d", p.cfg.Name, len(state))
 	begun := time.Now()
-	to, err := begin(l, handover.Options{ReadyWithin: p.cfg.ReadyWithin, Name: p.cfg.Name, Address: p.cfg.Listen,
+	to, err := begin(l, hotrestart.Options{ReadyWithin: p.cfg.ReadyWithin, Name: p.cfg.Name, Address: p.cfg.Listen,
 		State: state, Env: p.environment(), Open: p.core.Open})
 	if err != nil {
 		log.Printf("name=%s handover=failed err=%q", p.cfg.Name, err)
@@ -223,7 +223,7 @@
 // listener is the successor's alone from then on: as long as this process kept a copy, what came after the successor has closed its own
 // would be accepted by the kernel, and by nobody else. What passStopOn returns is called once the handover is done, and sees to it that a
 // word that has come by then has got through.
-func (p *program) passStopOn(to *handover.Predecessor, l net.Listener) (done func()) {
+func (p *program) passStopOn(to *hotrestart.Predecessor, l net.Listener) (done func()) {
 	if meeting(p.getenv) != "" { // the platform tells each process by itself
 		return func() {}
 	}
@@ -234,7 +234,7 @@
 		if word == nil { // the process ends without having been told to
 			return
 		}
-		err := to.Stop(handover.Stop{At: word.at, Kill: word.kill})
+		err := to.Stop(hotrestart.Stop{At: word.at, Kill: word.kill})
 		log.Printf("name=%s handover=told_to_stop successor=%d err=%v", p.cfg.Name, to.Pid(), err)
 		if err != nil { // it reads no more of this process: it counts from when it gets the signal
 			syscall.Kill(to.Pid(), syscall.SIGTERM)
@@ -251,12 +251,12 @@
 
 // passReloadOn has the successor read its configuration, if this process was told to since the handover began: the successor may have read
 // it before.
-func (p *program) passReloadOn(to *handover.Predecessor, begun time.Time) {
+func (p *program) passReloadOn(to *hotrestart.Predecessor, begun time.Time) {
 	last := p.signals.lastReload.Load()
 	if meeting(p.getenv) != "" || last == nil || last.read.Before(begun) { // the platform tells each process by itself
 		return
 	}
-	log.Printf("name=%s handover=told_to_reload successor=%d err=%v", p.cfg.Name, to.Pid(), to.Reload(handover.Reload{At: last.earliest}))
+	log.Printf("name=%s handover=told_to_reload successor=%d err=%v", p.cfg.Name, to.Pid(), to.Reload(hotrestart.Reload{At: last.earliest}))
 }
 
 // environment is the successor's: this process's, but for a directory that a reload has replaced.
@@ -270,7 +270,7 @@
 
 // notify tells the service manager, where there is one.
 func notify(state string) {
-	if err := handover.Notify(state); err != nil {
+	if err := hotrestart.Notify(state); err != nil {
 		log.Printf("notify=%q err=%q", state, err)
 	}
 }
@@ -280,7 +280,7 @@
 
 // meeting is the folder in which two processes of this sidecar meet, where the platform starts the second one; "" = it does not.
 func meeting(getenv func(string) string) string {
-	if getenv(handover.ListenVariable) == "" {
+	if getenv(hotrestart.ListenVariable) == "" {
 		return ""
 	}
 	return getenv("TMPDIR")
@@ -296,7 +296,7 @@
 	}
 	var l *net.UnixListener
 	err := transient.Retry(meetWithin, func() (err error) {
-		l, err = handover.Listen(folder)
+		l, err = hotrestart.Listen(folder)
 		return err
 	})
 	if err != nil {
@@ -306,7 +306,7 @@
 	group.Go(func() error {
 		defer context.AfterFunc(ctx, func() { l.Close() })()
 		acceptMeetings(ctx, l.AcceptUnix, func(c *net.UnixConn) {
-			p.handOverBy(ctx, func(own *net.TCPListener, o handover.Options) (*handover.Predecessor, error) {
+			p.handOverBy(ctx, func(own *net.TCPListener, o hotrestart.Options) (*hotrestart.Predecessor, error) {
 				live, cancel := context.WithCancel(ctx)
 				defer cancel()
 				defer context.AfterFunc(p.told, cancel)() // a word to stop calls off what is not ready
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"plankrouter/internal/cordon"
-	"plankrouter/internal/figures"
 	"plankrouter/internal/http1"
+	"plankrouter/internal/metrics"
 )
 
 const (
@@ -36,7 +36,7 @@
 // Operations are what operators may ask for. None may wait for a peer.
 type Operations interface {
 	Ready() bool // a request would be served
-	Figures() figures.Figures
+	Figures() metrics.Figures
 	Disable(id string) error // nothing more to that provider; cordon.ErrUnknown
 	Enable(id string) error  // and put back; cordon.ErrUnknown
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"plankrouter/internal/endpoints"
-	"plankrouter/internal/faults"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/shutdown"
 	"plankrouter/internal/staleness"
-	"plankrouter/internal/stopping"
 	"plankrouter/internal/transient"
 	"plankrouter/policy"
 )
@@ -49,7 +49,7 @@
 	Settings Settings       `json:"settings"`
 	Own      Own            `json:"plankrouter"`
 
-	StopPlan       stopping.Plan      `json:"-"`
+	StopPlan       shutdown.Plan      `json:"-"`
 	SnapshotEvery  time.Duration      `json:"-"`
 	ReadyWithin    time.Duration      `json:"-"`
 	Watch          staleness.Settings `json:"-"`
@@ -95,7 +95,7 @@
 
 // readFile reads the configuration; a test puts another in its place.
 var readFile = func(path string) ([]byte, error) {
-	if err := faults.Inject(faults.ReadConfig); err != nil {
+	if err := faultinjection.Inject(faultinjection.ReadConfig); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
 	}
 	return os.ReadFile(path)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"plankrouter/internal/shutdown"
 	"plankrouter/internal/staleness"
-	"plankrouter/internal/stopping"
 )
 
 const good = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -53,7 +53,7 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if c.StopPlan != stopping.For(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.Agent(c.DrainGrace).Wait || c.Watch.Grace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
+	if c.StopPlan != shutdown.For(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.Agent(c.DrainGrace).Wait || c.Watch.Grace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
 		t.Errorf("an installation that says nothing: %+v, %+v", c.StopPlan, c.Watch)
 	}
 	c, err = load(t, strings.Replace(good, own("")[0], own(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"plankrouter/internal/renumber"
+	"plankrouter/internal/stableid"
 )
 
 // numberHold is how long a number keeps its meaning for those who came under it, after the class or tenant is dropped: longer
@@ -13,12 +13,12 @@
 // Numbering gives classes and tenants the numbers by which the program's parts know them. A class's rules belong to its number:
 // a request keeps those it was taken under, whatever a reload says.
 type Numbering struct {
-	classes renumber.Table[Class]
-	tenants renumber.Table[struct{}]
+	classes stableid.Table[Class]
+	tenants stableid.Table[struct{}]
 }
 
 // Numbered is what a numbering came to.
-type Numbered struct{ Classes, Tenants renumber.Plan }
+type Numbered struct{ Classes, Tenants stableid.Plan }
 
 // Apply puts the classes and tenants of c, which has been checked, in the order of their numbers, those that were dropped
 // among them.
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
+	"plankrouter/internal/shutdown"
 	"plankrouter/internal/staleness"
-	"plankrouter/internal/stopping"
 )
 
 // Defaults of Own: those of the platform, on which none of its keys is given.
@@ -75,7 +75,7 @@
 	); err != nil {
 		return err
 	}
-	c.StopPlan = stopping.For(longest, kill)
+	c.StopPlan = shutdown.For(longest, kill)
 	if err := c.StopPlan.Check(); err != nil {
 		return fmt.Errorf("plankrouter.stop.%w", err)
 	}
--- a/internal/consumer/accept.go
+++ b/internal/consumer/accept.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"plankrouter/internal/faults"
+	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/sockets"
 )
 
@@ -160,7 +160,7 @@
 
 // accept is l.Accept, which a soak may fail.
 func accept(l net.Listener) (net.Conn, error) {
-	if err := faults.Inject(faults.Accept); err != nil {
+	if err := faultinjection.Inject(faultinjection.Accept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
 	return l.Accept()
--- a/internal/consumer/backlog_test.go
+++ b/internal/consumer/backlog_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
+	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
@@ -53,7 +53,7 @@
 	l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	s := New(cfg, core, sockets.NewBudget(places, nil), new(figures.Book), flow.New(1<<20, places))
+	s := New(cfg, core, sockets.NewBudget(places, nil), new(metrics.Book), flow.New(1<<20, places))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(t.Context(), l) }()
 	<-l.at
@@ -71,7 +71,7 @@
 		l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), sockets.NewBudget(16, nil), new(figures.Book), flow.New(1<<20, 16))
+		s := New(cfg, new(quick), sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
 		<-l.at
@@ -144,7 +144,7 @@
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			l := &until{pipes: newPipes()}
 			budget := sockets.NewBudget(4, nil) // two of them are for consumers
-			h := &house{Server: New(cfg, new(quick), budget, new(figures.Book), flow.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
+			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Book), flow.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
 			for range held {
 				budget.Force(sockets.Inward)
 			}
@@ -210,7 +210,7 @@
 		l := &faulty{&gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}, errno, 2}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), sockets.NewBudget(16, nil), new(figures.Book), flow.New(1<<20, 16))
+		s := New(cfg, new(quick), sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
 		<-l.at
--- a/internal/consumer/conn.go
+++ b/internal/consumer/conn.go
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
+	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
@@ -34,7 +34,7 @@
 	brought bool                   // a whole message has come
 	known   bool                   // an invocation has come: it is no stranger
 	class   string                 // of the present invocation,
-	request *figures.Request       // its count,
+	request *metrics.Request       // its count,
 	kept    int                    // and the bytes that it holds of the bounds
 	owed    atomic.Pointer[string] // the id of the request whose answer is not written yet; nil = there is none
 	upload  *upload                // the rest of its body; nil = it is there
@@ -63,7 +63,7 @@
 	c.leave()
 	c.writer.Wait()
 	if c.request != nil {
-		c.request.End(figures.Left) // unless it was answered, which may have been at the last moment
+		c.request.End(metrics.Left) // unless it was answered, which may have been at the last moment
 	}
 	http1.Free(c.br)
 	c.server.ended(c, e)
@@ -303,7 +303,7 @@
 }
 
 // outcomes are what the statuses of the core's answers count as. One of a request that was never taken is no outcome.
-var outcomes = map[int]figures.Outcome{200: figures.Success, 503: figures.Overload, 502: figures.Error, 409: figures.Left}
+var outcomes = map[int]metrics.Outcome{200: metrics.Success, 503: metrics.Overload, 502: metrics.Error, 409: metrics.Left}
 
 // turn words an answer that turns a message away before it is taken.
 func (c *conn) turn(status int, last bool) *http1.Response {
@@ -325,7 +325,7 @@
 				switch e {
 				case outcome.WriteFailed:
 				case outcome.Broken:
-					c.request.End(figures.Error)
+					c.request.End(metrics.Error)
 				default:
 					c.request.End(outcomes[a.Status])
 				}
--- a/internal/consumer/consumer.go
+++ b/internal/consumer/consumer.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
 	"plankrouter/internal/invariant"
+	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
@@ -53,7 +53,7 @@
 type Server struct {
 	core    request.Core
 	budget  *sockets.Budget
-	book    *figures.Book
+	book    *metrics.Book
 	bounds  *flow.Bounds
 	dialect atomic.Pointer[dialect]
 
@@ -84,7 +84,7 @@
 }
 
 // New returns a front for core that counts in book what becomes of the requests it takes.
-func New(cfg *config.Config, core request.Core, budget *sockets.Budget, book *figures.Book, bounds *flow.Bounds) *Server {
+func New(cfg *config.Config, core request.Core, budget *sockets.Budget, book *metrics.Book, bounds *flow.Bounds) *Server {
 	s := &Server{core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
 		hung: make(chan struct{})}
 	s.Reconfigure(&cfg.Settings)
--- a/internal/consumer/handover_test.go
+++ b/internal/consumer/handover_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/figures"
 	"plankrouter/internal/flow"
+	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
 	"plankrouter/internal/sockets"
 )
@@ -103,7 +103,7 @@
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 	h := &house{core: new(holding), l: newPipes(), done: make(chan error, 1)}
-	h.Server = New(cfg, h.core, sockets.NewBudget(16, nil), new(figures.Book), flow.New(1<<20, 16))
+	h.Server = New(cfg, h.core, sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16))
 	go func() { h.done <- h.Serve(ctx, h.l) }()
 	return h
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -15,9 +15,9 @@
 
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
+	"plankrouter/internal/shutdown"
 	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
-	"plankrouter/internal/stopping"
 )
 
 const (
@@ -104,7 +104,7 @@
 	now := time.Now()
 	since, known := s.SinceArrival()
 	if !known {
-		since = stopping.HoldUp
+		since = shutdown.HoldUp
 	}
 	return now.Add(-since)
 }
--- a/internal/dispatch/change.go
+++ b/internal/dispatch/change.go
@@ -4,14 +4,14 @@
 	"errors"
 	"time"
 
-	"plankrouter/internal/renumber"
+	"plankrouter/internal/stableid"
 	"plankrouter/policy"
 )
 
 // Change is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
 type Change struct {
 	Logic            policy.Config
-	Classes, Tenants renumber.Plan
+	Classes, Tenants stableid.Plan
 	Deployment       string
 	DrainGrace       time.Duration
 }
--- a/internal/dispatch/crossings_test.go
+++ b/internal/dispatch/crossings_test.go
@@ -10,7 +10,7 @@
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/stopping"
+	"plankrouter/internal/shutdown"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
@@ -79,7 +79,7 @@
 		}, []string{"start p:1", "withdraw p:1 withdrawn"}, nil, 1},
 		"a word to stop that leaves less time than the attempt has": {[]endpoints.Member{serving("s", "p:1", 0)},
 			func(s *Pool, inv *request.Invocation, c *slow) {
-				stopNow{plan: stopping.For(time.Minute, time.Second), at: time.Now()}.apply(s)
+				stopNow{plan: shutdown.For(time.Minute, time.Second), at: time.Now()}.apply(s)
 				time.Sleep(time.Second)
 				s.due()
 			}, []string{"start p:1", "withdraw p:1 withdrawn"}, []request.Answer{{Kind: request.Failed}}, 0},
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -18,9 +18,9 @@
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
+	"plankrouter/internal/shutdown"
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/staleness"
-	"plankrouter/internal/stopping"
 	"plankrouter/internal/upstream"
 	"plankrouter/internal/wallclock"
 	"plankrouter/policy"
@@ -105,7 +105,7 @@
 	tenants   []int
 	gone      []snapshot.Member // deleted lately: an older list must not bring them back to the next process
 	stopAt    time.Time         // when it was told to stop; zero = it was not
-	stopPlan  stopping.Plan
+	stopPlan  shutdown.Plan
 
 	counts Counts
 }
@@ -168,7 +168,7 @@
 	trusting staleness.Trust
 	taking   struct{ to chan<- *snapshot.Snapshot }
 	stopNow  struct {
-		plan stopping.Plan
+		plan shutdown.Plan
 		at   time.Time
 	}
 	changing struct {
@@ -343,7 +343,7 @@
 }
 
 // Stopping says that the process was told to stop, at that moment: what comes in from then on is answered in time for that.
-func (s *Pool) Stopping(plan stopping.Plan, at time.Time) { s.send(stopNow{plan, at}) }
+func (s *Pool) Stopping(plan shutdown.Plan, at time.Time) { s.send(stopNow{plan, at}) }
 
 func (e stopNow) apply(s *Pool) {
 	s.stopAt, s.stopPlan = e.at, e.plan
--- a/internal/faults/control.go
+++ b/internal/faultinjection/control.go
@@ -1,4 +1,4 @@
-package faults
+package faultinjection
 
 import (
 	"fmt"
--- a/internal/faults/faults.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,9 +1,9 @@
-// Package faults lets a soak fail the system calls of a real process and step its wall clock. Only a program that is built with
+// Package faultinjection lets a soak fail the system calls of a real process and step its wall clock. Only a program that is built with
 // the tag faultinjection does so: elsewhere Inject never fails, Wall is time.Now, and both cost nothing.
 //
 // The two processes share a file of Size bytes, which the environment variable File names: the offset of the wall clock, then a
 // word for each operation. Whoever writes it uses Control.
-package faults
+package faultinjection
 
 // File names, in the environment of a program with the tag, the file that says what is to fail.
 const File = "PLANKROUTER_FAULTS"
--- a/internal/faults/off.go
+++ b/internal/faultinjection/off.go
@@ -1,6 +1,6 @@
 //go:build !faultinjection
 
-package faults
+package faultinjection
 
 import (
 	"context"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,26 +1,26 @@
-// Package handover replaces a running daemon by a new process, perhaps of a new binary, without a request lost. The
+// Package hotrestart replaces a running daemon by a new process, perhaps of a new binary, without a request lost. The
 // running process, the predecessor, starts its successor, which inherits a control socket. Over that come the listener,
 // a state blob and, once the successor is ready, the live connections one by one. Until then the predecessor serves on
-// as if nothing were, and it does so again if the successor ends before everything is its own. docs/design/handover.md
+// as if nothing were, and it does so again if the successor ends before everything is its own. docs/design/hotrestart.md
 // says who may use a connection at which step. Linux only.
 //
 // The predecessor:
 //
-//	p, err := h.Start(ctx, listener, handover.Options{State: snapshot, ...}) // returns when the successor is ready
+//	p, err := h.Start(ctx, listener, hotrestart.Options{State: snapshot, ...}) // returns when the successor is ready
 //	listener.SetDeadline(past)                                               // stop accepting, but keep the listener
 //	err = p.Pass(conn, note); conn.Close()                                   // each, once it is idle
 //	err = p.Done()                                                           // then exit; on Lost: accept again
 //
 // The successor:
 //
-//	s, err := handover.Inherited(os.Getenv)           // nil, nil where there is no predecessor
+//	s, err := hotrestart.Inherited(os.Getenv)           // nil, nil where there is no predecessor
 //	err = s.Check(address)                            // and read s.State()
 //	err = s.Ready()                                   // then serve s.Listener()
 //	err = s.Conns(ctx, func(c *net.TCPConn, note []byte) { ... })
 //
 // Errors of a handover never concern connections other than the one in hand: a connection is either this side's or the
 // other's, and each method says which.
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/successor.go
+++ b/internal/hotrestart/successor.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/lab/soak/ending.go
+++ b/internal/lab/soak/ending.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/faults"
+	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/stopping"
+	"plankrouter/internal/shutdown"
 )
 
 const (
@@ -25,7 +25,7 @@
 	denseBefore   = 300 * time.Millisecond // of the word to end
 	lateRests     = 4
 	lateWithin    = 700 * time.Millisecond // of the kill, that the rest of a request comes
-	holdFor       = stopping.HoldUp
+	holdFor       = shutdown.HoldUp
 	holdMost      = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
 	holdApart     = 20 * time.Millisecond
 	endBeforeKill = 100 * time.Millisecond // that a last hold-up ends, at the earliest,
@@ -72,7 +72,7 @@
 		longest /= shorterPart
 		e.series = append(e.series, signalAt{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(seriesWithin))})
 	}
-	plan := stopping.For(longest, 0)
+	plan := shutdown.For(longest, 0)
 	e.kill = killAfter(longest)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2} {
 		if rng.IntN(5) < 2 {
@@ -169,14 +169,14 @@
 	}
 	if e.failAccepts > 0 {
 		at(e.failFrom, func() {
-			w.fail(s, faults.Accept, syscall.ENFILE, func() { time.Sleep(e.failAccepts) })
+			w.fail(s, faultinjection.Accept, syscall.ENFILE, func() { time.Sleep(e.failAccepts) })
 		})
 	}
 	if e.interrupted {
-		at(stopping.For(w.variant.longest, 0).Last-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
+		at(shutdown.For(w.variant.longest, 0).Last-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
 	}
 	if e.hanging {
-		at(stopping.For(w.variant.longest, 0).Last-hangFrom, func() { w.hang(word.Add(e.kill)) })
+		at(shutdown.For(w.variant.longest, 0).Last-hangFrom, func() { w.hang(word.Add(e.kill)) })
 	}
 	time.Sleep(time.Until(word))
 	sent := time.Now()
@@ -271,8 +271,8 @@
 		leaving = 10 * time.Millisecond // after the stop
 	)
 	began := time.Now()
-	s.control.Hold(faults.SlowConnect, slow)
-	defer s.control.Heal(faults.SlowConnect)
+	s.control.Hold(faultinjection.SlowConnect, slow)
+	defer s.control.Heal(faultinjection.SlowConnect)
 	var all sync.WaitGroup
 	all.Go(func() { w.clients[n].leaveAt(clients, began.Add(before+leaving)) })
 	peers.Pause(ctx, before)
--- a/internal/lab/soak/sidecar.go
+++ b/internal/lab/soak/sidecar.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/faults"
+	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/lab/peers"
 )
 
@@ -48,7 +48,7 @@
 	identity
 	name, address, admin string
 	folder               string
-	control              *faults.Control
+	control              *faultinjection.Control
 	log                  *os.File
 	writing              sync.Mutex // of the configuration
 	edits                int        // of it, so far
@@ -88,7 +88,7 @@
 		l.Close()
 	}
 	var err error
-	if s.control, err = faults.NewControl(s.path("faults")); err != nil {
+	if s.control, err = faultinjection.NewControl(s.path("faults")); err != nil {
 		return nil, err
 	}
 	if s.log, err = os.Create(s.path("log")); err != nil {
@@ -122,7 +122,7 @@
 func (s *sidecar) start(ctx context.Context) error {
 	cmd := exec.Command(s.program)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.path("config.json"), "TMPDIR="+s.path("tmp"), "GW_TRACE=1",
-		faults.File+"="+s.path("faults"))
+		faultinjection.File+"="+s.path("faults"))
 	cmd.Stdout, cmd.Stderr = s.log, s.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // its successors are killed with it
 	s.born()
@@ -249,7 +249,7 @@
 	p.Kill()
 	<-p.exited
 	peers.Pause(ctx, pause)
-	s.control.Fail(faults.Listen, syscall.ENOBUFS, listenFailures)
+	s.control.Fail(faultinjection.Listen, syscall.ENOBUFS, listenFailures)
 	s.start(ctx)
 	s.mu.Lock()
 	s.killed[len(s.killed)-1].to = time.Now()
--- a/internal/lab/soak/troubles.go
+++ b/internal/lab/soak/troubles.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/faults"
+	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/lab/peers"
 )
 
@@ -38,18 +38,18 @@
 	case OperatorsOrder:
 		w.order(ctx, t, n, s, v)
 	case AcceptFails:
-		w.fail(s, faults.Accept, pick(t.Draw, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.EPROTO), pause)
+		w.fail(s, faultinjection.Accept, pick(t.Draw, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.EPROTO), pause)
 	case ConnectFails:
-		w.fail(s, faults.Connect, pick(t.Draw, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.ENFILE), pause)
+		w.fail(s, faultinjection.Connect, pick(t.Draw, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.ENFILE), pause)
 	case Interrupted:
 		w.interrupt(ctx, s, t.For)
 	case DiskFails:
 		errno := pick(t.Draw, syscall.EIO, syscall.ENOSPC)
-		s.control.Fail(faults.SyncFile, errno, -1)
-		s.control.Fail(faults.ReadFile, syscall.EIO, -1)
-		w.fail(s, faults.WriteFile, errno, pause)
-		s.control.Heal(faults.SyncFile)
-		s.control.Heal(faults.ReadFile)
+		s.control.Fail(faultinjection.SyncFile, errno, -1)
+		s.control.Fail(faultinjection.ReadFile, syscall.EIO, -1)
+		w.fail(s, faultinjection.WriteFile, errno, pause)
+		s.control.Heal(faultinjection.SyncFile)
+		s.control.Heal(faultinjection.ReadFile)
 	case ClockStep:
 		step := pick(t.Draw, -time.Hour, -5*time.Second, 5*time.Second, time.Hour)
 		total := w.offset.Add(int64(step))
@@ -78,8 +78,8 @@
 // that repeats go out on new ones.
 func (w *world) slowConnects(t Trouble, s *sidecar, pause func()) {
 	late := (1 + t.Draw) / 2 * float64(min(w.variant.connect-slowConnectRest, slowConnectMost))
-	s.control.Hold(faults.SlowConnect, time.Duration(late))
-	defer s.control.Heal(faults.SlowConnect)
+	s.control.Hold(faultinjection.SlowConnect, time.Duration(late))
+	defer s.control.Heal(faultinjection.SlowConnect)
 	if t.Target%2 == 0 {
 		for _, v := range w.servers {
 			v.ResetKept()
@@ -89,7 +89,7 @@
 }
 
 // fail lets a sidecar's operation fail until pause returns.
-func (w *world) fail(s *sidecar, o faults.Op, errno syscall.Errno, pause func()) {
+func (w *world) fail(s *sidecar, o faultinjection.Op, errno syscall.Errno, pause func()) {
 	s.control.Fail(o, errno, -1)
 	pause()
 	s.control.Heal(o)
@@ -98,14 +98,14 @@
 // interrupt has signals interrupt a sidecar's looks at its sockets, a few in a row now and then.
 func (w *world) interrupt(ctx context.Context, s *sidecar, long time.Duration) {
 	for began := time.Now(); time.Since(began) < long; {
-		s.control.Fail(faults.Poll, syscall.EINTR, interruptions)
-		s.control.Fail(faults.Peek, syscall.EINTR, interruptions)
+		s.control.Fail(faultinjection.Poll, syscall.EINTR, interruptions)
+		s.control.Fail(faultinjection.Peek, syscall.EINTR, interruptions)
 		if peers.Pause(ctx, interruptEvery) != nil {
 			break
 		}
 	}
-	s.control.Heal(faults.Poll)
-	s.control.Heal(faults.Peek)
+	s.control.Heal(faultinjection.Poll)
+	s.control.Heal(faultinjection.Peek)
 }
 
 // process plays what ends, replaces or reloads a sidecar's process.
@@ -120,10 +120,10 @@
 	case HandOver:
 		s.handOver(ctx)
 	case ConfigFails:
-		s.control.Fail(faults.ReadConfig, pick(t.Draw, syscall.ENFILE, syscall.EIO), -1)
+		s.control.Fail(faultinjection.ReadConfig, pick(t.Draw, syscall.ENFILE, syscall.EIO), -1)
 		w.reload(s, t)
 		peers.Pause(ctx, t.For)
-		s.control.Heal(faults.ReadConfig)
+		s.control.Heal(faultinjection.ReadConfig)
 	case Reload:
 		w.reload(s, t)
 	case ReloadBurst:
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures counts what a sidecar does, once, where it happens, for whoever wants to read it. It does no input or
+// Package metrics counts what a sidecar does, once, where it happens, for whoever wants to read it. It does no input or
 // output and reads no clock.
-package figures
+package metrics
 
 import (
 	"maps"
--- a/internal/stopping/stopping.go
+++ b/internal/shutdown/shutdown.go
@@ -1,4 +1,4 @@
-// Package stopping decides what a sidecar that has been told to stop does when. It reads no clock: all times count from the
+// Package shutdown decides what a sidecar that has been told to stop does when. It reads no clock: all times count from the
 // moment at which that word was sent, of which Heartbeat knows the earliest that it can have been.
 //
 // The platform's word is SIGTERM, and this is the arithmetic of what follows, with L the longest deadline of a class, or
@@ -14,7 +14,7 @@
 //
 // The successor starts only after the kill, however early this process ends. So every moment from Last to the kill is one in which
 // nobody serves: no lead is longer than its sum.
-package stopping
+package shutdown
 
 import (
 	"fmt"
--- a/internal/stopping/stopping_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -1,4 +1,4 @@
-package stopping
+package shutdown
 
 import (
 	"testing"
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"plankrouter/internal/faults"
+	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/transient"
 )
 
@@ -57,14 +57,14 @@
 
 // TCP dials plainly. It sends no keep-alive: a silent machine is noticed by what it does not answer.
 func TCP(ctx context.Context, address string) (net.Conn, error) {
-	if err := faults.Inject(faults.Connect); err != nil {
+	if err := faultinjection.Inject(faultinjection.Connect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 	}
 	c, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if err := faults.Wait(ctx, faults.SlowConnect); err != nil {
+	if err := faultinjection.Wait(ctx, faultinjection.SlowConnect); err != nil {
 		c.Close()
 		return nil, err
 	}
@@ -257,14 +257,14 @@
 // The system calls that look at a socket; a test puts others in their place.
 var (
 	peek = func(fd int, b []byte) (n int, err error) {
-		if err := faults.Inject(faults.Peek); err != nil {
+		if err := faultinjection.Inject(faultinjection.Peek); err != nil {
 			return -1, err
 		}
 		n, _, err = syscall.Recvfrom(fd, b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return n, err
 	}
 	poll = func(fds []unix.PollFd, timeout int) (n int, err error) {
-		if err := faults.Inject(faults.Poll); err != nil {
+		if err := faultinjection.Inject(faultinjection.Poll); err != nil {
 			return -1, err
 		}
 		return unix.Poll(fds, timeout)
--- a/internal/renumber/renumber.go
+++ b/internal/stableid/stableid.go
@@ -1,5 +1,5 @@
-// Package renumber gives named things numbers that outlive a change of what is named. It reads no clock.
-package renumber
+// Package stableid gives named things numbers that outlive a change of what is named. It reads no clock.
+package stableid
 
 import "time"
 
--- a/internal/renumber/renumber_test.go
+++ b/internal/stableid/stableid_test.go
@@ -1,4 +1,4 @@
-package renumber
+package stableid
 
 import (
 	"math/rand/v2"
--- a/internal/staleness/grace_test.go
+++ b/internal/staleness/grace_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/stopping"
+	"plankrouter/internal/shutdown"
 )
 
 // A first byte that its guard lets pass at the last moment goes out within the grace of a drain, although the process is held up between the
@@ -13,7 +13,7 @@
 func TestGraceBearsAHoldUp(t *testing.T) {
 	for grace := 300 * time.Millisecond; grace <= 5*time.Second; grace += 50 * time.Millisecond {
 		pick, write := Leave(grace)
-		if write+stopping.HoldUp > grace || pick > write || pick < 0 {
+		if write+shutdown.HoldUp > grace || pick > write || pick < 0 {
 			t.Errorf("grace %s: picked until %s, written until %s", grace, pick, write)
 		}
 	}
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"plankrouter/internal/backoff"
-	"plankrouter/internal/stopping"
+	"plankrouter/internal/shutdown"
 )
 
 const (
@@ -284,7 +284,7 @@
 
 // ByteLead is the time in which a first byte that is about to be written goes out: the process may be held up there, and it has a part of
 // a core. A connection usually comes up within it, too.
-const ByteLead = stopping.HoldUp + 50*time.Millisecond
+const ByteLead = shutdown.HoldUp + 50*time.Millisecond
 
 // A grace that is hardly longer than ByteLead leaves one part in shortPart for first bytes, and one no longer than leastLead none.
 const (
