--- a/balancer.go
+++ b/balancer.go
@@ -12,14 +12,14 @@
 	"sync/atomic"
 	"time"
 
+	"plankrouter/internal/backend"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/discovery"
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
-	"plankrouter/internal/provider"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 	"plankrouter/policy"
 )
@@ -35,7 +35,7 @@
 type Balancer struct {
 	set     Options
 	core    *dispatch.Pool
-	caller  *provider.Caller
+	caller  *backend.Caller
 	watch   *discovery.Watch // nil = there is none
 	classes map[string]int
 	tenants map[string]int
@@ -70,8 +70,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
 	b.log = newLogger(ctx, o.Logger, o.Name)
-	if b.caller, err = provider.New(ctx, o.Sockets.budget, provider.Settings{Figures: provider.Figures{Connect: o.Connect,
-		ConnIdle: o.ConnIdle, Stakes: provider.Stakes(cfg.Classes)}, Answers: func(status int) bool { return status < 500 }}); err != nil {
+	if b.caller, err = backend.New(ctx, o.Sockets.budget, backend.Settings{Figures: backend.Figures{Connect: o.Connect,
+		ConnIdle: o.ConnIdle, Stakes: backend.Stakes(cfg.Classes)}, Answers: func(status int) bool { return status < 500 }}); err != nil {
 		stop()
 		return nil, err
 	}
@@ -306,7 +306,7 @@
 
 // guarded calls an application's dial function so that one that panics, or does not heed its context, ends or holds up
 // nobody else.
-func guarded(dial sockets.Dialer) sockets.Dialer {
+func guarded(dial connlimit.Dialer) connlimit.Dialer {
 	type result struct {
 		c   net.Conn
 		err error
--- a/cmd/plankrouter/crossings_test.go
+++ b/cmd/plankrouter/crossings_test.go
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/sockets"
 )
 
 const patience = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
@@ -328,7 +328,7 @@
 					case backlog:
 						nc := wait(r, "the connection", r.accepts)
 						goes(c)
-						for s := sockets.NewBudget(1, nil).Adopt(nc, sockets.Inward); !s.Left(); {
+						for s := connlimit.NewBudget(1, nil).Adopt(nc, connlimit.Inward); !s.Left(); {
 							time.Sleep(time.Millisecond)
 						}
 						r.pass <- nc
@@ -407,7 +407,7 @@
 				r.decline(tc.before+1, stop)
 			}
 			c := r.consumer(tc.message)
-			s := sockets.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), sockets.Inward)
+			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
 			held := wait(r, "the connection to a provider", r.dials)
 			c.CloseWrite()
 			for !s.Left() {
--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -4,7 +4,7 @@
 	"golang.org/x/sys/unix"
 
 	"plankrouter/internal/admin"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/connlimit"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // share is how the descriptors are shared out that this process may hold.
 type share struct {
-	places    int // for consumers and providers, and as many more as sockets.Closing says while they make room for one another
+	places    int // for consumers and providers, and as many more as connlimit.Closing says while they make room for one another
 	watch     int // for the directory, whatever the others hold
 	operators int // for operators' connections, likewise
 }
@@ -34,13 +34,13 @@
 	if operators {
 		s.operators = max(leastOperators, min(admin.MostConns, left/operatorsPart))
 	}
-	s.places = max(leastPlaces, sockets.Within(left-s.operators))
+	s.places = max(leastPlaces, connlimit.Within(left-s.operators))
 	return s
 }
 
 // sum is the most that may be open at a time.
 func (s share) sum(held int) int {
-	return held + passing + s.watch + s.operators + s.places + sockets.Closing(s.places)
+	return held + passing + s.watch + s.operators + s.places + connlimit.Closing(s.places)
 }
 
 // held is how many descriptors this process holds by now, of those that count: its own and what it was started with. Each number
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -21,22 +21,22 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"plankrouter/internal/backend"
 	"plankrouter/internal/config"
-	"plankrouter/internal/consumer"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/discovery"
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/flow"
+	"plankrouter/internal/frontend"
 	"plankrouter/internal/hotrestart"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
-	"plankrouter/internal/provider"
 	"plankrouter/internal/snapshot"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/streaming"
 	"plankrouter/internal/transient"
 )
 
@@ -85,7 +85,7 @@
 	} else if err != nil {
 		return err
 	}
-	return serve(cfg, os.Getenv, l, operators, sockets.TCP, held(cfg.Limits.Sockets), signals, from)
+	return serve(cfg, os.Getenv, l, operators, connlimit.TCP, held(cfg.Limits.Sockets), signals, from)
 }
 
 // listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
@@ -126,16 +126,16 @@
 	numbers      config.Numbering
 	getenv       func(string) string
 	listener     net.Listener
-	budget       *sockets.Budget
+	budget       *connlimit.Budget
 	share        share           // of the descriptors, while no other process shares them
 	told         context.Context // ends with the word to stop
-	caller       *provider.Caller
+	caller       *backend.Caller
 	core         *dispatch.Pool
 	watch        *discovery.Watch
 	book         metrics.Book
 	rules        invariant.Book
 	bans         *cordon.Store
-	front        *consumer.Server
+	front        *frontend.Server
 	writer       *snapshot.Writer    // nil = snapshots are not kept
 	line         hotrestart.Handover // of processes that take over from one another
 	moved        atomic.Bool         // a reload has named another directory than the environment
@@ -150,7 +150,7 @@
 
 // serve runs the sidecar, for operators too if there is a listener for them, until a signal ends it and all that it has taken
 // is answered, or until a successor has it all. So many descriptors are held already, the listeners among them.
-func serve(cfg *config.Config, getenv func(string) string, l, operators net.Listener, dial sockets.Dialer, held int,
+func serve(cfg *config.Config, getenv func(string) string, l, operators net.Listener, dial connlimit.Dialer, held int,
 	signals signalQueues, from *hotrestart.Successor) error {
 	outer, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -164,7 +164,7 @@
 			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", least))
 	}
 	p := program{cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Handover{From: from},
-		budget: sockets.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv)}
+		budget: connlimit.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv)}
 	p.rules.Logf = log.Printf
 	p.inForce.Store(cfg)
 	var leaving context.CancelFunc
@@ -179,7 +179,7 @@
 		return err
 	}
 	before := p.before(from, faultinjection.Wall())
-	bounds := flow.New(cfg.Limits.MemoryMB<<20, cfg.Limits.Sockets)
+	bounds := streaming.New(cfg.Limits.MemoryMB<<20, cfg.Limits.Sockets)
 	out := p.firstBans(ctx)
 	known := cfg.Known
 	if before != nil {
@@ -188,12 +188,12 @@
 	var err error
 	if p.watch, err = discovery.New(discovery.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
 		Known: known, Anew: before != nil, // the directory may count anew by now
-		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: sockets.NewBudget(shares.watch, dial),
+		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: connlimit.NewBudget(shares.watch, dial),
 		Told:  func(l endpoints.List, at time.Time) { p.core.Told(l, at) },
 		Trust: func(t staleness.Trust) { p.core.Trust(t) }, Logf: log.Printf, Trace: trace}); err != nil {
 		return err
 	}
-	if p.caller, err = provider.New(ctx, p.budget, provider.Settings{Figures: figuresOf(cfg), Trace: trace,
+	if p.caller, err = backend.New(ctx, p.budget, backend.Settings{Figures: figuresOf(cfg), Trace: trace,
 		Written: p.book.Dispatched, Bounds: bounds, Rules: &p.rules}); err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faultinjection.Wall}); err != nil {
 		return err
 	}
-	p.front = consumer.New(cfg, p.core, p.budget, &p.book, bounds)
+	p.front = frontend.New(cfg, p.core, p.budget, &p.book, bounds)
 	p.front.Rules, p.front.Trace = &p.rules, trace
 	group.Go(func() error {
 		defer p.caller.Wait() // once nothing starts a call any more
--- a/cmd/plankrouter/program_test.go
+++ b/cmd/plankrouter/program_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/connlimit"
 )
 
 // usuallyHeld is what a process of its own holds as it begins to serve; a test's has those of the test, too. They are the standard
@@ -33,12 +33,12 @@
 
 // launch runs the program in the test's own process, with these variables alone as its environment. What it returns sends it
 // signals, and tells how it has ended.
-func launch(t *testing.T, env map[string]string, front, desk net.Listener, dial sockets.Dialer) (signalQueues, chan error) {
+func launch(t *testing.T, env map[string]string, front, desk net.Listener, dial connlimit.Dialer) (signalQueues, chan error) {
 	t.Helper()
 	return launchBy(t, func(key string) string { return env[key] }, front, desk, dial)
 }
 
-func launchBy(t *testing.T, getenv func(string) string, front, desk net.Listener, dial sockets.Dialer) (signalQueues, chan error) {
+func launchBy(t *testing.T, getenv func(string) string, front, desk net.Listener, dial connlimit.Dialer) (signalQueues, chan error) {
 	t.Helper()
 	cfg, err := config.Load(getenv)
 	if err != nil {
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -5,9 +5,9 @@
 	"log"
 	"time"
 
+	"plankrouter/internal/backend"
 	"plankrouter/internal/config"
 	"plankrouter/internal/dispatch"
-	"plankrouter/internal/provider"
 	"plankrouter/internal/snapshot"
 )
 
@@ -55,6 +55,6 @@
 }
 
 // figuresOf are the caller's.
-func figuresOf(cfg *config.Config) provider.Figures {
-	return provider.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: provider.Stakes(cfg.Logic.Classes)}
+func figuresOf(cfg *config.Config) backend.Figures {
+	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Logic.Classes)}
 }
--- a/conformance/provider_test.go
+++ b/conformance/provider_test.go
@@ -37,7 +37,7 @@
 
 // deed is what a provider does with a request.
 type deed struct {
-	word string // see provider.act
+	word string // see backend.act
 	slow bool   // it reads the head, and the body only once it is let go
 	hold bool   // it has the whole request, and goes on once it is let go
 	kept bool   // this befalls only a request on a connection that has carried others; any other is answered
--- a/internal/provider/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/upstream"
 )
 
@@ -49,12 +49,12 @@
 		b.Fatal(err)
 	}
 	defer theirs.Close()
-	consumer := sockets.NewBudget(1, nil).Adopt(theirs, sockets.Inward)
+	consumer := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
 	for _, size := range []int{1, 2 * lump} {
 		for _, gone := range []func() bool{nil, consumer.Left} {
 			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/lump/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
-				v, err := New(ctx, sockets.NewBudget(8, sockets.TCP), Settings{Figures: Figures{Connect: time.Minute, ConnIdle: time.Hour}})
+				v, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{Figures: Figures{Connect: time.Minute, ConnIdle: time.Hour}})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/provider/call.go
+++ b/internal/backend/call.go
@@ -1,5 +1,5 @@
-// Package provider makes invoker calls and probes to the providers and keeps each provider's connections.
-package provider
+// Package backend makes invoker calls and probes to the providers and keeps each provider's connections.
+package backend
 
 import (
 	"cmp"
@@ -11,12 +11,12 @@
 	"syscall"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/loadreport"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/transient"
 	"plankrouter/internal/upstream"
@@ -212,7 +212,7 @@
 func dialEnding(err error) outcome.Ending {
 	is := func(target error) bool { return errors.Is(err, target) }
 	switch {
-	case is(sockets.ErrNone):
+	case is(connlimit.ErrNone):
 		return outcome.NoSocket
 	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the provider
 		return outcome.LocalFault
--- a/internal/provider/call_test.go
+++ b/internal/backend/call_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"net"
@@ -6,8 +6,8 @@
 	"syscall"
 	"testing"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
-	"plankrouter/internal/sockets"
 )
 
 // What this machine could not even try says nothing of the provider.
@@ -15,7 +15,7 @@
 	for err, want := range map[error]outcome.Ending{
 		syscall.EMFILE: outcome.LocalFault, syscall.ENETUNREACH: outcome.LocalFault, syscall.EADDRNOTAVAIL: outcome.LocalFault,
 		syscall.ECONNREFUSED: outcome.Refused, syscall.EHOSTUNREACH: outcome.Refused, syscall.ECONNRESET: outcome.Refused,
-		os.ErrDeadlineExceeded: outcome.ConnectTimeout, sockets.ErrNone: outcome.NoSocket,
+		os.ErrDeadlineExceeded: outcome.ConnectTimeout, connlimit.ErrNone: outcome.NoSocket,
 	} {
 		if got := dialEnding(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
--- a/internal/provider/conn.go
+++ b/internal/backend/conn.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"bufio"
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/upstream"
 )
 
@@ -36,7 +36,7 @@
 	at     *endpoint // that it was opened to
 	put    time.Time // when it was last put there,
 	until  time.Time // and until when it may be used from there
-	socket *sockets.Socket
+	socket *connlimit.Socket
 	br     *bufio.Reader
 	dialed time.Duration // until it was up,
 	since  time.Time     // which it was then
@@ -49,7 +49,7 @@
 	answering bool // an answer is being judged; of the goroutine that reads
 }
 
-func newConn(s *sockets.Socket, at *endpoint) *conn {
+func newConn(s *connlimit.Socket, at *endpoint) *conn {
 	c := &conn{at: at, socket: s}
 	c.br = http1.NewReader(c)
 	return c
--- a/internal/provider/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/upstream"
 )
 
@@ -31,10 +31,10 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	budget := sockets.NewBudget(1, nil)
-	budget.Reserve(sockets.Outward)
+	budget := connlimit.NewBudget(1, nil)
+	budget.Reserve(connlimit.Outward)
 	at := &endpoint{of: new(Caller), address: "p1:1"}
-	conn := newConn(budget.Adopt(out, sockets.Outward), at)
+	conn := newConn(budget.Adopt(out, connlimit.Outward), at)
 	defer conn.close()
 	if _, err := in.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nmap")); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 func TestNextCallFindsTheConnection(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	opened := make(chan net.Conn, 2)
-	budget := sockets.NewBudget(8, func(context.Context, string) (net.Conn, error) {
+	budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
 		mine, theirs := net.Pipe()
 		opened <- theirs
 		return mine, nil
--- a/internal/provider/dead_test.go
+++ b/internal/backend/dead_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/upstream"
 )
 
@@ -74,7 +74,7 @@
 				defer cancel()
 				opened, opens := make(chan net.Conn, 4), atomic.Int32{}
 				var gone atomic.Bool
-				budget := sockets.NewBudget(8, func(context.Context, string) (net.Conn, error) {
+				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
 					mine, theirs := net.Pipe()
 					if opened <- theirs; opens.Add(1) > 1 && c.late {
 						time.Sleep(time.Second)
--- a/internal/provider/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/upstream"
 )
 
@@ -38,7 +38,7 @@
 				defer cancel()
 				peers := make(chan net.Conn, 4)
 				late := time.Duration(0)
-				budget := sockets.NewBudget(8, func(context.Context, string) (net.Conn, error) {
+				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
 					time.Sleep(late)
 					mine, theirs := net.Pipe()
 					peers <- theirs
--- a/internal/provider/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 	"plankrouter/internal/upstream"
 )
 
@@ -53,9 +53,9 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				mine, theirs := net.Pipe()
-				budget := sockets.NewBudget(8, func(context.Context, string) (net.Conn, error) { return mine, nil })
+				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) { return mine, nil })
 				v, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour},
-					Bounds: flow.New(1<<20, 8)})
+					Bounds: streaming.New(1<<20, 8)})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/provider/late_test.go
+++ b/internal/backend/late_test.go
@@ -1,4 +1,4 @@
-package provider
+package backend
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/upstream"
 )
 
@@ -19,7 +19,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var peers []net.Conn
-		budget := sockets.NewBudget(8, func(context.Context, string) (net.Conn, error) {
+		budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
 			mine, theirs := net.Pipe()
 			peers = append(peers, theirs)
 			return mine, nil
--- a/internal/provider/provider.go
+++ b/internal/backend/provider.go
@@ -1,6 +1,6 @@
-// Package provider is the HTTP caller: it makes invoker calls and probes to the providers and keeps each provider's
+// Package backend is the HTTP caller: it makes invoker calls and probes to the providers and keeps each provider's
 // connections.
-package provider
+package backend
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
+	"plankrouter/internal/keepalive"
 	"plankrouter/internal/outcome"
-	"plankrouter/internal/reuse"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 )
@@ -24,13 +24,13 @@
 )
 
 // probeStakes are those of a probe: it may run again, and it is not worth much.
-var probeStakes = reuse.Stakes{Worth: 0.05}
+var probeStakes = keepalive.Stakes{Worth: 0.05}
 
 // Figures are those of the deployment that may change while a Caller works.
 type Figures struct {
-	Connect  time.Duration  // within which a connection has to come up
-	ConnIdle time.Duration  // after which a provider closes an idle one
-	Stakes   []reuse.Stakes // by class of invocations
+	Connect  time.Duration      // within which a connection has to come up
+	ConnIdle time.Duration      // after which a provider closes an idle one
+	Stakes   []keepalive.Stakes // by class of invocations
 }
 
 // Settings are what a Caller is told.
@@ -38,16 +38,16 @@
 	Figures
 	Trace   func(format string, args ...any) // logs a line for every connection, as it comes up or not and as it ends; nil = none
 	Written func()                           // told of each attempt at an invocation whose last byte is written; nil = nobody is
-	Bounds  *flow.Bounds                     // of bodies that flow; nil = none does: those beyond 64 KiB are malformed
+	Bounds  *streaming.Bounds                // of bodies that flow; nil = none does: those beyond 64 KiB are malformed
 	Answers func(status int) bool            // which statuses are a served request's; nil = 200 alone
 	Rules   *invariant.Book                  // of what was held back and what got past; nil = nobody counts
 }
 
 // Stakes are what the requests of the module's classes put at risk.
-func Stakes(classes []policy.Class) (out []reuse.Stakes) {
+func Stakes(classes []policy.Class) (out []keepalive.Stakes) {
 	for _, c := range classes {
 		aim := time.Duration(c.Aim * float64(time.Millisecond))
-		out = append(out, reuse.Stakes{Once: c.Repeat == policy.Unsafe, Aim: aim, Worth: c.Worth})
+		out = append(out, keepalive.Stakes{Once: c.Repeat == policy.Unsafe, Aim: aim, Worth: c.Worth})
 	}
 	return out
 }
@@ -55,23 +55,23 @@
 // Caller is the upstream.Caller of HTTP/1.1. Beside what that says, its endpoints may belong to any goroutine.
 type Caller struct {
 	ctx    context.Context
-	budget *sockets.Budget
+	budget *connlimit.Budget
 	set    Settings
 	now    atomic.Pointer[Figures]
 	wg     sync.WaitGroup
 
-	mu   sync.Mutex     // of all that follows, and of what endpoints keep
-	book *reuse.Book    // of how connections break
-	idle outcome.Counts // how kept connections have ended
+	mu   sync.Mutex      // of all that follows, and of what endpoints keep
+	book *keepalive.Book // of how connections break
+	idle outcome.Counts  // how kept connections have ended
 }
 
 // New returns a Caller whose connections end with ctx.
-func New(ctx context.Context, budget *sockets.Budget, set Settings) (*Caller, error) {
+func New(ctx context.Context, budget *connlimit.Budget, set Settings) (*Caller, error) {
 	// A retry draws on a budget of one in ten requests, so that where connections break often there is none left for it; a
 	// handshake is a small part of a request's work.
-	prices := reuse.Default()
+	prices := keepalive.Default()
 	prices.Handshake, prices.Retry = 0.01, 0.3
-	book, err := reuse.New(prices)
+	book, err := keepalive.New(prices)
 	if err != nil {
 		return nil, err
 	}
@@ -222,8 +222,8 @@
 
 func (u use) kept() bool { return u.carried > 0 || u.idle > 0 }
 
-func (u use) of(provider string) reuse.Use {
-	return reuse.Use{Provider: provider, Idle: u.idle, Carried: u.carried}
+func (u use) of(provider string) keepalive.Use {
+	return keepalive.Use{Provider: provider, Idle: u.idle, Carried: u.carried}
 }
 
 // dead is how a kept connection was found dead.
@@ -235,10 +235,10 @@
 
 // chooser is the bet of the book.
 type chooser struct {
-	book     *reuse.Book
+	book     *keepalive.Book
 	now      time.Time
 	provider string
-	stakes   reuse.Stakes
+	stakes   keepalive.Stakes
 }
 
 func (c chooser) take(u use) bool          { return c.book.Take(c.now, u.of(c.provider), c.stakes) }
@@ -250,9 +250,9 @@
 	defer v.mu.Unlock()
 	now, name := time.Now(), c.at.name
 	if d := c.dead; d != nil {
-		fate := reuse.Broken
+		fate := keepalive.Broken
 		if d.early {
-			fate = reuse.Early
+			fate = keepalive.Early
 		}
 		v.book.Learn(now, d.of(name), fate, d.held, d.took)
 	}
@@ -261,12 +261,12 @@
 	}
 	switch r.Ending {
 	case outcome.Served, outcome.ServerError, outcome.Declined, outcome.Malformed:
-		v.book.Learn(now, c.use.of(name), reuse.Answered, c.hold, 0)
+		v.book.Learn(now, c.use.of(name), keepalive.Answered, c.hold, 0)
 	case outcome.ResetByPeer:
-		v.book.Learn(now, c.use.of(name), reuse.Broken, c.hold, r.took)
+		v.book.Learn(now, c.use.of(name), keepalive.Broken, c.hold, r.took)
 	case outcome.Unwritten:
 		if r.early {
-			v.book.Learn(now, c.use.of(name), reuse.Early, c.hold, r.took)
+			v.book.Learn(now, c.use.of(name), keepalive.Early, c.hold, r.took)
 		}
 	}
 }
--- a/internal/sockets/limit_test.go
+++ b/internal/connlimit/limit_test.go
@@ -1,4 +1,4 @@
-package sockets
+package connlimit
 
 import (
 	"context"
--- a/internal/sockets/sockets.go
+++ b/internal/connlimit/sockets.go
@@ -1,6 +1,6 @@
-// Package sockets keeps the connections of all kinds together under one limit. Idle ones make room for new
+// Package connlimit keeps the connections of all kinds together under one limit. Idle ones make room for new
 // ones, the least recently used first.
-package sockets
+package connlimit
 
 import (
 	"container/list"
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 )
 
@@ -38,8 +38,8 @@
 	told := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	w, err := New(Options{Address: d.Address(), Watch: staleness.Default(), Seed: 1,
-		Budget: sockets.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
-			c, err := sockets.TCP(ctx, address)
+		Budget: connlimit.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
+			c, err := connlimit.TCP(ctx, address)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 )
 
@@ -154,7 +154,7 @@
 		d, set := scripted(t, r.network), r.watch.set
 		set.Address, set.Watch = d.Addr().String(), staleness.Agent(750*time.Millisecond)
 		dials := make(chan time.Time, 100)
-		set.Budget = sockets.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
+		set.Budget = connlimit.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
 			if dials <- time.Now(); len(dials) == 1 {
 				return r.network.Dial(ctx, address)
 			}
@@ -227,7 +227,7 @@
 	set := staleness.Settings{Wait: time.Minute, LeastWait: time.Minute, Patience: time.Minute, LeastPatience: time.Minute,
 		Retry: time.Millisecond, RetryMost: time.Millisecond, Ask: time.Millisecond, AskMost: time.Millisecond}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
-		c, err := sockets.TCP(ctx, address)
+		c, err := connlimit.TCP(ctx, address)
 		if err != nil {
 			return nil, err
 		}
@@ -238,7 +238,7 @@
 	}
 	phases := map[string]string{}
 	var err error
-	x.Watch, err = New(Options{Address: x.Addr().String(), Watch: set, Seed: 1, Budget: sockets.NewBudget(8, dial),
+	x.Watch, err = New(Options{Address: x.Addr().String(), Watch: set, Seed: 1, Budget: connlimit.NewBudget(8, dial),
 		Trust: func(staleness.Trust) {
 			if x.trust != nil {
 				x.trust()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/shutdown"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 )
 
@@ -57,7 +57,7 @@
 	Known   endpoints.List // what it begins with; if it is empty, the first call asks for the whole list,
 	Anew    bool           // and if the revision of Known is not one that the directory has told
 	Most    int64          // bytes of an answer, at most; 0 = ListMost of no memory told
-	Budget  *sockets.Budget
+	Budget  *connlimit.Budget
 	Told    func(l endpoints.List, at time.Time) // takes each answer that tells anything, in order, and when its first byte came
 	Trust   func(staleness.Trust)                // as a call or a pause before it begins; nil = nobody asks
 	Logf    func(format string, args ...any)     // nil = nothing is logged
@@ -100,7 +100,7 @@
 }
 
 // arrival is when what has just been read from the directory came, at the earliest: this process may have been held up before it read that.
-func arrival(s *sockets.Socket) time.Time {
+func arrival(s *connlimit.Socket) time.Time {
 	now := time.Now()
 	since, known := s.SinceArrival()
 	if !known {
@@ -244,7 +244,7 @@
 
 // line is the connection to the directory. A read lasts until due; within an answer no longer than a pause may.
 type line struct {
-	*sockets.Socket
+	*connlimit.Socket
 	due   time.Time
 	pause time.Duration // 0 = no answer has begun
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/lab/peers"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 )
 
@@ -43,7 +43,7 @@
 		defer r.at.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
 		w, err := New(Options{Address: "d:1", Watch: staleness.Default(), Seed: 1, Known: endpoints.List{Revision: revision},
-			Budget: sockets.NewBudget(8, dial), Told: r.told, Logf: func(format string, args ...any) {
+			Budget: connlimit.NewBudget(8, dial), Told: r.told, Logf: func(format string, args ...any) {
 				r.lines = append(r.lines, fmt.Sprintf(format, args...))
 			}})
 		if err != nil {
--- a/internal/consumer/accept.go
+++ b/internal/frontend/accept.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 // Accepting connections, up to the last that lie in the listener's backlog as the front is closed.
 
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/sockets"
 )
 
 // Serve accepts connections until Drain or the end of ctx, and returns when the last one has ended.
@@ -25,7 +25,7 @@
 	failures := 0      // of accept, in a row
 	room := time.Now() // when there was a place last
 	for !s.isLast() {
-		if !s.budget.Reserve(sockets.Inward) { // the kernel's backlog holds the client until there is room, or it has waited for long
+		if !s.budget.Reserve(connlimit.Inward) { // the kernel's backlog holds the client until there is room, or it has waited for long
 			if (time.Since(room) > crowdedAfter || s.isCrowded()) && s.turnAway(l) {
 				continue
 			}
@@ -47,7 +47,7 @@
 			s.admitNew(nc)
 			continue
 		}
-		s.budget.Release(sockets.Inward)
+		s.budget.Release(connlimit.Inward)
 		if resumed := s.pause(); resumed != nil {
 			select {
 			case <-resumed:
@@ -97,11 +97,11 @@
 // acceptRest accepts until nothing is left, and reports whether that was so; false = it is to be tried again.
 func (s *Server) acceptRest(l net.Listener) (empty bool) {
 	for !s.pastLast(acceptAgain) {
-		closed, err := sockets.CloseEmpty(l)
+		closed, err := connlimit.CloseEmpty(l)
 		if closed {
 			return true
 		}
-		if !s.budget.Reserve(sockets.Inward) {
+		if !s.budget.Reserve(connlimit.Inward) {
 			if (s.pastLast(crowdedAfter) || s.isCrowded()) && s.turnAway(l) {
 				continue
 			}
@@ -112,7 +112,7 @@
 		}
 		nc, failed := accept(l)
 		if failed != nil {
-			s.budget.Release(sockets.Inward)
+			s.budget.Release(connlimit.Inward)
 			return errors.Is(failed, net.ErrClosed) || errors.Is(err, errors.ErrUnsupported) && errors.Is(failed, os.ErrDeadlineExceeded)
 		}
 		s.admitNew(nc)
@@ -126,7 +126,7 @@
 // turnAway accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
 // something to do it with.
 func (s *Server) turnAway(l net.Listener) bool {
-	waiting, err := sockets.Waiting(l)
+	waiting, err := connlimit.Waiting(l)
 	if err != nil || !waiting || !s.budget.ReserveBrief() {
 		return false
 	}
@@ -168,7 +168,7 @@
 
 // admit serves a connection, with the note of the process that had it before. It is called with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
-	c := &conn{server: s, socket: s.budget.Adopt(nc, sockets.Inward), began: time.Now(), brought: note != "",
+	c := &conn{server: s, socket: s.budget.Adopt(nc, connlimit.Inward), began: time.Now(), brought: note != "",
 		known: note == noteKnown}
 	if c.known {
 		c.socket.Idle(spareAfter)
--- a/internal/consumer/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"testing/synctest"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 )
 
 // over is a core that has stopped.
@@ -37,7 +37,7 @@
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			book := new(invariant.Book)
-			h := &house{Server: New(cfg, row.core, sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16)),
+			h := &house{Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16)),
 				l: newPipes(), done: make(chan error, 1)}
 			h.Rules = book
 			go func() { h.done <- h.Serve(ctx, h.l) }()
--- a/internal/consumer/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 )
 
 // quick is a core that answers at once.
@@ -53,7 +53,7 @@
 	l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	s := New(cfg, core, sockets.NewBudget(places, nil), new(metrics.Book), flow.New(1<<20, places))
+	s := New(cfg, core, connlimit.NewBudget(places, nil), new(metrics.Book), streaming.New(1<<20, places))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(t.Context(), l) }()
 	<-l.at
@@ -71,7 +71,7 @@
 		l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16))
+		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
 		<-l.at
@@ -143,10 +143,10 @@
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			l := &until{pipes: newPipes()}
-			budget := sockets.NewBudget(4, nil) // two of them are for consumers
-			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Book), flow.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
+			budget := connlimit.NewBudget(4, nil) // two of them are for consumers
+			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Book), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
 			for range held {
-				budget.Force(sockets.Inward)
+				budget.Force(connlimit.Inward)
 			}
 			go func() { h.done <- h.Serve(ctx, l) }()
 			for range 2 - held {
@@ -157,7 +157,7 @@
 				}
 			}
 			if held > 0 {
-				budget.Force(sockets.Inward) // which nothing makes room for
+				budget.Force(connlimit.Inward) // which nothing makes room for
 			}
 			mine, theirs := net.Pipe()
 			l.conns <- mine
@@ -210,7 +210,7 @@
 		l := &faulty{&gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}, errno, 2}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16))
+		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
 		<-l.at
--- a/internal/consumer/closing.go
+++ b/internal/frontend/closing.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 // The end of the front: what is idle is closed, what is under way is answered.
 
--- a/internal/consumer/conn.go
+++ b/internal/frontend/conn.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 // One consumer's connection: its reader, its writer, and how it ends.
 
@@ -15,20 +15,20 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 )
 
 // conn is one consumer's connection. Its reader looks for the next message or the consumer's end all the time and answers
 // what it turns away; once there is an invocation, its writer writes each answer when the core gives it.
 type conn struct {
 	server  *Server
-	socket  *sockets.Socket
+	socket  *connlimit.Socket
 	br      *bufio.Reader
 	began   time.Time
 	brought bool                   // a whole message has come
@@ -38,7 +38,7 @@
 	kept    int                    // and the bytes that it holds of the bounds
 	owed    atomic.Pointer[string] // the id of the request whose answer is not written yet; nil = there is none
 	upload  *upload                // the rest of its body; nil = it is there
-	paced   *flow.Pace             // of the body that is being read; nil = none is
+	paced   *streaming.Pace        // of the body that is being read; nil = none is
 	idleAt  time.Time              // since when no message is under way; guarded by server.mu
 	last    bool                   // accepted as the front was being closed; likewise
 	crowded bool                   // there was no place for it
--- a/internal/consumer/consumer.go
+++ b/internal/frontend/consumer.go
@@ -1,6 +1,6 @@
-// Package consumer is the HTTP front: it listens for the consumers and turns what they send into
+// Package frontend is the HTTP front: it listens for the consumers and turns what they send into
 // invocations for the core, and the core's answers into HTTP.
-package consumer
+package frontend
 
 import (
 	"net"
@@ -11,12 +11,12 @@
 	"golang.org/x/sync/errgroup"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 )
 
 const (
@@ -52,9 +52,9 @@
 // Server is the front.
 type Server struct {
 	core    request.Core
-	budget  *sockets.Budget
+	budget  *connlimit.Budget
 	book    *metrics.Book
-	bounds  *flow.Bounds
+	bounds  *streaming.Bounds
 	dialect atomic.Pointer[dialect]
 
 	// Rules counts the requests whose connection was ended without their answer; nil = nobody does. Set it before Serve.
@@ -84,7 +84,7 @@
 }
 
 // New returns a front for core that counts in book what becomes of the requests it takes.
-func New(cfg *config.Config, core request.Core, budget *sockets.Budget, book *metrics.Book, bounds *flow.Bounds) *Server {
+func New(cfg *config.Config, core request.Core, budget *connlimit.Budget, book *metrics.Book, bounds *streaming.Bounds) *Server {
 	s := &Server{core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
 		hung: make(chan struct{})}
 	s.Reconfigure(&cfg.Settings)
--- a/internal/consumer/dialect.go
+++ b/internal/frontend/dialect.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 import (
 	"math"
--- a/internal/consumer/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/flow"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/streaming"
 )
 
 // holding is a core that answers when it is told to.
@@ -103,7 +103,7 @@
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 	h := &house{core: new(holding), l: newPipes(), done: make(chan error, 1)}
-	h.Server = New(cfg, h.core, sockets.NewBudget(16, nil), new(metrics.Book), flow.New(1<<20, 16))
+	h.Server = New(cfg, h.core, connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16))
 	go func() { h.done <- h.Serve(ctx, h.l) }()
 	return h
 }
@@ -297,7 +297,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			h := newHouse(t, ctx)
 			for range 9 { // more than half of the places
-				h.budget.Reserve(sockets.Outward)
+				h.budget.Reserve(connlimit.Outward)
 			}
 			c := h.connect()
 			c.ask("a")
--- a/internal/consumer/long.go
+++ b/internal/frontend/long.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/flow"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
+	"plankrouter/internal/streaming"
 )
 
 // answer is what the writer is to write.
@@ -128,7 +128,7 @@
 func (c *conn) readBody(req *http1.Request) error {
 	if req.Length() < 0 || req.Length() > int64(c.br.Buffered()) {
 		now := time.Now()
-		c.paced = &flow.Pace{Began: now}
+		c.paced = &streaming.Pace{Began: now}
 		c.extend(c.paced.Until(now))
 	}
 	return req.ReadFirst(c.br)
@@ -141,7 +141,7 @@
 type upload struct {
 	conn  *conn
 	body  *http1.Body
-	pace  *flow.Pace
+	pace  *streaming.Pace
 	leave func() // told as soon as it is known that the body will never be whole
 
 	spent  atomic.Bool
--- a/internal/consumer/succession.go
+++ b/internal/frontend/succession.go
@@ -1,4 +1,4 @@
-package consumer
+package frontend
 
 // Connections that go from one process to the next.
 
@@ -6,7 +6,7 @@
 	"net"
 	"sync"
 
-	"plankrouter/internal/sockets"
+	"plankrouter/internal/connlimit"
 )
 
 // Stay keeps the connections that are open, however long they are idle, until Drain.
@@ -28,7 +28,7 @@
 func (s *Server) Adopt(nc net.Conn, note []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Force(sockets.Inward)
+	s.budget.Force(connlimit.Inward)
 	s.Adopted.Add(1)
 	s.admit(nc, string(note))
 }
--- a/internal/reuse/golden_test.go
+++ b/internal/keepalive/golden_test.go
@@ -1,4 +1,4 @@
-package reuse
+package keepalive
 
 import (
 	"bytes"
--- a/internal/reuse/reuse.go
+++ b/internal/keepalive/reuse.go
@@ -1,4 +1,4 @@
-// Package reuse decides on which connection a call goes, a kept one or a new one, and whether its last byte is held
+// Package keepalive decides on which connection a call goes, a kept one or a new one, and whether its last byte is held
 // back for a moment. It learns from how calls end. It does no input or output, reads no clock and draws no random
 // numbers.
 //
@@ -35,7 +35,7 @@
 // are not forgotten one by one and a thousand a second do not shut out what is new. Without breaks all estimates are
 // exactly 0, and the Book does as a plain pool does: any kept connection, no pause. What has been given up is tried
 // again as its evidence fades, first by what loses least: a request that may run again, or a probe.
-package reuse
+package keepalive
 
 import (
 	"cmp"
--- a/internal/lab/hollow/sidecar.go
+++ b/internal/lab/hollow/sidecar.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"plankrouter/internal/config"
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/discovery"
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/request"
 	"plankrouter/internal/snapshot"
-	"plankrouter/internal/sockets"
 	"plankrouter/internal/staleness"
 )
 
@@ -77,7 +77,7 @@
 	cfg := s.cfg
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	budget := sockets.NewBudget(cfg.Limits.Sockets, sockets.TCP)
+	budget := connlimit.NewBudget(cfg.Limits.Sockets, connlimit.TCP)
 	var pool *dispatch.Pool
 	if s.watch, err = discovery.New(discovery.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Known: cfg.Known,
 		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
--- a/internal/flow/flow.go
+++ b/internal/streaming/flow.go
@@ -1,6 +1,6 @@
-// Package flow bounds the memory of bodies: of those that are kept whole by a budget of bytes, of those that flow by the
+// Package streaming bounds the memory of bodies: of those that are kept whole by a budget of bytes, of those that flow by the
 // size of each stream's one buffer.
-package flow
+package streaming
 
 import "sync"
 
--- a/internal/flow/pace.go
+++ b/internal/streaming/pace.go
@@ -1,4 +1,4 @@
-package flow
+package streaming
 
 import "time"
 
--- a/options.go
+++ b/options.go
@@ -11,8 +11,8 @@
 	"net"
 	"time"
 
+	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
-	"plankrouter/internal/sockets"
 	"plankrouter/policy"
 )
 
@@ -65,14 +65,14 @@
 }
 
 // Sockets is a limit on connections that several balancers may share.
-type Sockets struct{ budget *sockets.Budget }
+type Sockets struct{ budget *connlimit.Budget }
 
 // NewSockets returns a limit of most connections, at least 1, opened by dial; nil = plain TCP.
 func NewSockets(most int, dial func(ctx context.Context, address string) (net.Conn, error)) *Sockets {
 	if dial == nil {
-		return &Sockets{sockets.NewBudget(max(1, most), sockets.TCP)}
+		return &Sockets{connlimit.NewBudget(max(1, most), connlimit.TCP)}
 	}
-	return &Sockets{sockets.NewBudget(max(1, most), guarded(dial))}
+	return &Sockets{connlimit.NewBudget(max(1, most), guarded(dial))}
 }
 
 // ColdStart says what a server that has just started can bear. It must be known: nothing tells it while it lasts.
