--- a/Makefile
+++ b/Makefile
@@ -40,10 +40,10 @@
 	go test -run '^$$' -bench . -benchtime 50000x . ./cmd/plankrouter
 
 recover: build
-	bin/planklab recover --program bin/plankrouter
-	bin/planklab handover --program bin/plankrouter --restarts 200
+	bin/testbench recover --program bin/plankrouter
+	bin/testbench handover --program bin/plankrouter --restarts 200
 
 # Real sidecars whose system calls fail, among troubles that overlap: see docs/operate/soak.md. SOAK takes its options.
 soak: build
 	CGO_ENABLED=1 go build -tags faultinjection -ldflags=-linkmode=external -o bin/plankrouter-faults ./cmd/plankrouter
-	bin/planklab soak $(SOAK)
+	bin/testbench soak $(SOAK)
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -13,17 +13,17 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const ms = time.Millisecond
 
 // fleet is some servers in a bubble, and a balancer over them.
-func fleet(t *testing.T, n int, edit func(*plankrouter.Options)) (*peers.Fleet, *plankrouter.Balancer) {
+func fleet(t *testing.T, n int, edit func(*plankrouter.Options)) (*fakes.Fleet, *plankrouter.Balancer) {
 	t.Helper()
-	net := peers.NewMemory()
-	f, err := peers.NewFleet(net, n, peers.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-		Default: peers.Service{Mean: 20 * ms, Fixed: true}})
+	net := fakes.NewMemory()
+	f, err := fakes.NewFleet(net, n, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
+		Default: fakes.Service{Mean: 20 * ms, Fixed: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 		f, b := fleet(t, 1, func(o *plankrouter.Options) { o.Probes = false })
 		defer f.Close()
 		defer b.Close(t.Context())
-		f.Providers[0].Change(func(b *peers.Behaviour) { b.Slow = 10 })
+		f.Providers[0].Change(func(b *fakes.Behaviour) { b.Slow = 10 })
 		for _, after := range []time.Duration{0, 50 * ms} {
 			ctx, cancel := context.WithCancel(t.Context())
 			if after == 0 {
--- a/bench_test.go
+++ b/bench_test.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/cost"
+	"plankrouter/internal/testbench/cpubench"
 )
 
 func TestMain(m *testing.M) {
-	cost.Serve()
+	cpubench.Serve()
 	os.Exit(m.Run())
 }
 
@@ -28,7 +28,7 @@
 // BenchmarkCall measures a call to one of 64 servers on loopback, in time, allocations and this process's CPU: through the
 // library, with probes and without, and through a plain http.Transport with a random pick.
 func BenchmarkCall(b *testing.B) {
-	children, err := cost.Start(fmt.Sprintf("%s %d", cost.RoleServers, servers), servers)
+	children, err := cpubench.Start(fmt.Sprintf("%s %d", cpubench.RoleServers, servers), servers)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 			})
 		}
 		b.Run(fmt.Sprintf("transport/callers=%d", callers), func(b *testing.B) {
-			t := cost.Transport()
+			t := cpubench.Transport()
 			defer t.CloseIdleConnections()
 			measure(b, callers, func() error {
 				req, err := http.NewRequest("GET", "http://"+children.Addresses[rand.IntN(servers)]+"/tile/roma?z=3", nil)
@@ -79,7 +79,7 @@
 	left.Store(int64(b.N))
 	var all sync.WaitGroup
 	b.ResetTimer()
-	began := cost.Own()
+	began := cpubench.Own()
 	for range callers {
 		all.Go(func() {
 			for left.Add(-1) >= 0 {
@@ -90,7 +90,7 @@
 		})
 	}
 	all.Wait()
-	b.ReportMetric(float64(cost.Own()-began)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpubench.Own()-began)/float64(b.N), "cpu-ns/op")
 	if n := failed.Load(); n > 0 {
 		b.ReportMetric(float64(n)/float64(b.N), "failed/op")
 	}
@@ -115,9 +115,9 @@
 		}
 		b.ReportMetric(float64(heapInUse()-heap)/instances/1024, "KB/instance")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/instances, "goroutines/instance")
-		cpu := cost.Own()
+		cpu := cpubench.Own()
 		time.Sleep(watched)
-		b.ReportMetric(float64((cost.Own()-cpu).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
+		b.ReportMetric(float64((cpubench.Own()-cpu).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
 		for _, one := range all {
 			if err := one.Close(context.Background()); err != nil {
 				b.Fatal(err)
--- a/cmd/plankrouter/bench_test.go
+++ b/cmd/plankrouter/bench_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/cost"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/cpubench"
 )
 
 func TestMain(m *testing.M) {
@@ -25,14 +25,14 @@
 		main()
 		return
 	}
-	cost.Serve()
+	cpubench.Serve()
 	os.Exit(m.Run())
 }
 
 // BenchmarkHop measures requests for each CPU second of a process between 32 connections and eight servers, on one core and on
 // loopback: the daemon, net/http/httputil.ReverseProxy with a random pick, and a relay of bytes that parses nothing.
 func BenchmarkHop(b *testing.B) {
-	servers, err := cost.Start(cost.RoleServers+" 8", 8)
+	servers, err := cpubench.Start(cpubench.RoleServers+" 8", 8)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -43,9 +43,9 @@
 		defer program.Stop()
 		hop(b, program, address)
 	})
-	for _, role := range []string{cost.RoleProxy, cost.RoleRelay} {
+	for _, role := range []string{cpubench.RoleProxy, cpubench.RoleRelay} {
 		b.Run(role, func(b *testing.B) {
-			p, err := cost.Start(role+" "+all, 1, "GOMAXPROCS=1")
+			p, err := cpubench.Start(role+" "+all, 1, "GOMAXPROCS=1")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -56,7 +56,7 @@
 }
 
 // daemon starts the program in front of the servers.
-func daemon(b *testing.B, servers []string) (*cost.Process, string) {
+func daemon(b *testing.B, servers []string) (*cpubench.Process, string) {
 	dir := b.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v: %s", err, out)
@@ -67,12 +67,12 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	known := peers.List{Revision: 1}
+	known := fakes.List{Revision: 1}
 	for i, s := range servers {
-		known.Members = append(known.Members, peers.Member{ID: fmt.Sprint("s-", i), Address: s, Locality: peers.Here,
-			Phase: peers.Serving})
+		known.Members = append(known.Members, fakes.Member{ID: fmt.Sprint("s-", i), Address: s, Locality: fakes.Here,
+			Phase: fakes.Serving})
 	}
-	raw, err := peers.Config(peers.Sidecar{Name: "n1", Listen: address, Directory: "127.0.0.1:1", Seed: 1, Known: known,
+	raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: address, Directory: "127.0.0.1:1", Seed: 1, Known: known,
 		Sockets: 1024, MemoryMB: 192})
 	if err != nil || !json.Valid(raw) {
 		b.Fatal(err)
@@ -83,18 +83,18 @@
 	}
 	cmd := exec.Command(filepath.Join(dir, "plankrouter"))
 	cmd.Stderr = io.Discard // its log
-	p, err := cost.Run(cmd, 0, "GW_CONFIG="+file)
+	p, err := cpubench.Run(cmd, 0, "GW_CONFIG="+file)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := peers.Ready(b.Context(), peers.Loopback(), address); err != nil {
+	if err := fakes.Ready(b.Context(), fakes.Loopback(), address); err != nil {
 		b.Fatal(err)
 	}
 	return p, address
 }
 
 // hop makes b.N requests over 32 connections, and reports what they cost the process between.
-func hop(b *testing.B, p *cost.Process, address string) {
+func hop(b *testing.B, p *cpubench.Process, address string) {
 	const conns = 32
 	var left, failed atomic.Int64
 	left.Store(int64(b.N))
--- a/cmd/plankrouter/crossings_test.go
+++ b/cmd/plankrouter/crossings_test.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"plankrouter/internal/connlimit"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const patience = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
@@ -94,14 +94,14 @@
 	r := &rig{T: t, dials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
 		closed: make(chan struct{}, 64), asked: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json")}
 	r.answer = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
-	known := peers.List{Revision: 1}
+	known := fakes.List{Revision: 1}
 	for i := range providers {
 		l := listenHere(t)
 		go r.provide(l)
-		known.Members = append(known.Members, peers.Member{ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: peers.Here,
-			Phase: peers.Serving})
+		known.Members = append(known.Members, fakes.Member{ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
+			Phase: fakes.Serving})
 	}
-	directory, err := peers.NewDirectory(peers.Loopback(), "", known.Members...)
+	directory, err := fakes.NewDirectory(fakes.Loopback(), "", known.Members...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,9 +109,9 @@
 	front := listenHere(t)
 	r.front = front.Addr().String()
 	name := strings.ReplaceAll(t.Name(), " ", "_")
-	raw, err := peers.Config(peers.Sidecar{Name: name, Listen: r.front, Directory: directory.Address(), Known: known, Seed: 1,
+	raw, err := fakes.Config(fakes.Sidecar{Name: name, Listen: r.front, Directory: directory.Address(), Known: known, Seed: 1,
 		NoProbes: true, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
-		Classes: []peers.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
+		Classes: []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
 			{Name: "order", Aim: time.Minute, Deadline: time.Minute, Worth: 5}},
 		Edit: func(d map[string]any) { edit(d["settings"].(map[string]any)) }})
 	if err != nil || os.WriteFile(r.file, raw, 0o600) != nil {
--- a/cmd/plankrouter/daily_test.go
+++ b/cmd/plankrouter/daily_test.go
@@ -22,28 +22,28 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/metrics"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // service is the program with an address for operators, in a bubble of its own.
 type service struct {
 	*testing.T
-	net         *peers.Memory
+	net         *fakes.Memory
 	front, desk string
 	file        string
-	set         peers.Sidecar
+	set         fakes.Sidecar
 	signals     signalQueues
 	ended       chan error
 }
 
 // start runs the program against the directory of fleet, or one of its own with these members.
-func start(t *testing.T, n *peers.Memory, directory *peers.Directory, edit func(*peers.Sidecar)) *service {
+func start(t *testing.T, n *fakes.Memory, directory *fakes.Directory, edit func(*fakes.Sidecar)) *service {
 	return startIn(t, n, directory, "", edit)
 }
 
 // startIn is start with the TMPDIR of an earlier process, "" for one of its own.
-func startIn(t *testing.T, n *peers.Memory, directory *peers.Directory, folder string, edit func(*peers.Sidecar)) *service {
+func startIn(t *testing.T, n *fakes.Memory, directory *fakes.Directory, folder string, edit func(*fakes.Sidecar)) *service {
 	log.SetOutput(io.Discard)
 	front, err := n.Listen("")
 	if err != nil {
@@ -55,9 +55,9 @@
 	}
 	s := &service{T: t, net: n, front: front.Addr().String(), desk: desk.Addr().String(),
 		file: filepath.Join(t.TempDir(), "config.json")}
-	s.set = peers.Sidecar{Name: "n1", Listen: s.front, Seed: 1, Directory: directory.Address(), ConnIdle: time.Minute,
+	s.set = fakes.Sidecar{Name: "n1", Listen: s.front, Seed: 1, Directory: directory.Address(), ConnIdle: time.Minute,
 		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
-		Known: peers.List{Revision: 1, Members: directory.Members()}}
+		Known: fakes.List{Revision: 1, Members: directory.Members()}}
 	if edit != nil {
 		edit(&s.set)
 	}
@@ -65,7 +65,7 @@
 	s.signals, s.ended = launch(t, map[string]string{"GW_CONFIG": s.file, "GW_ADMIN_ADDR": s.desk,
 		"TMPDIR": cmp.Or(folder, filepath.Dir(s.file))}, front, desk, n.Dial)
 	if folder == "" {
-		if err := peers.Ready(t.Context(), n, s.front); err != nil {
+		if err := fakes.Ready(t.Context(), n, s.front); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 func (s *service) write() {
-	raw, err := peers.Config(s.set)
+	raw, err := fakes.Config(s.set)
 	if err != nil || os.WriteFile(s.file, raw, 0o600) != nil {
 		s.Fatal(err)
 	}
@@ -140,11 +140,11 @@
 	return f
 }
 
-func daily(t *testing.T, providers int, play func(t *testing.T, n *peers.Memory, fleet *peers.Fleet)) {
+func daily(t *testing.T, providers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		n := peers.NewMemory()
-		fleet, err := peers.NewFleet(n, providers, peers.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-			Default: peers.Service{Mean: 20 * time.Millisecond}})
+		n := fakes.NewMemory()
+		fleet, err := fakes.NewFleet(n, providers, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
+			Default: fakes.Service{Mean: 20 * time.Millisecond}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -155,7 +155,7 @@
 
 // Each wrong call gets its status, in whatever pieces it comes, and callers that say nothing keep nobody waiting.
 func TestOperatorsCalls(t *testing.T) {
-	daily(t, 2, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
+	daily(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		id := fleet.Providers[0].ID()
 		for _, tc := range []struct {
@@ -197,22 +197,22 @@
 
 // What the program tells is what its peers have counted, through a reload and abandoned requests.
 func TestFiguresAreTrue(t *testing.T) {
-	daily(t, 6, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
+	daily(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
-		record := peers.Tile()
+		record := fakes.Tile()
 		record.Name = "record"
-		load := func(flows ...peers.Flow) []peers.Try {
-			return peers.NewConsumers(peers.Load{Network: n, Address: s.front, Seed: 1, For: 6 * sec, Flows: flows}).Run(t.Context())
+		load := func(flows ...fakes.Flow) []fakes.Try {
+			return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 6 * sec, Flows: flows}).Run(t.Context())
 		}
 		if f := s.figures(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
 			t.Errorf("before anything: %+v", f)
 		}
-		fleet.Providers[0].Change(func(b *peers.Behaviour) { b.Decline = true })
-		tries := load(peers.Flow{Class: peers.Tile(), Rate: 100}, peers.Flow{Class: peers.Order(), Rate: 20})
-		s.set.Classes = []peers.Class{record, peers.Order()}
+		fleet.Providers[0].Change(func(b *fakes.Behaviour) { b.Decline = true })
+		tries := load(fakes.Flow{Class: fakes.Tile(), Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})
+		s.set.Classes = []fakes.Class{record, fakes.Order()}
 		s.write()
 		s.reload()
-		tries = append(tries, load(peers.Flow{Class: record, Rate: 100}, peers.Flow{Class: peers.Order(), Rate: 20})...)
+		tries = append(tries, load(fakes.Flow{Class: record, Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})...)
 		if err := os.WriteFile(s.file, []byte("{"), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -227,7 +227,7 @@
 			c.Close()
 		}
 		time.Sleep(sec)
-		f, want := s.figures(), map[peers.Result]map[string]int{}
+		f, want := s.figures(), map[fakes.Result]map[string]int{}
 		for _, try := range tries {
 			if want[try.Result] == nil {
 				want[try.Result] = map[string]int{}
@@ -239,10 +239,10 @@
 			seen += len(p.Requests())
 		}
 		for name, got := range f.Success {
-			if w := want[peers.Served][name]; got < w || got > w+10 {
+			if w := want[fakes.Served][name]; got < w || got > w+10 {
 				t.Errorf("%s: success %d, its consumers saw %d", name, got, w)
 			}
-			if w := want[peers.Refused][name]; f.Overload[name] != w {
+			if w := want[fakes.Refused][name]; f.Overload[name] != w {
 				t.Errorf("%s: overload %d, its consumers saw %d", name, f.Overload[name], w)
 			}
 		}
@@ -262,7 +262,7 @@
 // A provider that operators take out gets nothing after the grace, whatever the list says; put back it is used at once,
 // within what a cold one may get.
 func TestOutByHand(t *testing.T) {
-	daily(t, 6, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
+	daily(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		p, began := fleet.Providers[0], time.Now()
 		after := func(d time.Duration) { time.Sleep(time.Until(began.Add(d))) }
@@ -276,7 +276,7 @@
 			if f := s.figures(); f.TargetsDisabled != 1 || f.Targets != 6 {
 				t.Errorf("while one is out: %+v", f)
 			}
-			for i, phase := range []string{peers.Draining, peers.Serving, "DELETED", peers.Serving} {
+			for i, phase := range []string{fakes.Draining, fakes.Serving, "DELETED", fakes.Serving} {
 				after(time.Duration(5+i) * sec)
 				m := member
 				m.Phase = phase
@@ -295,8 +295,8 @@
 			after(12 * sec)
 			s.order("PUT", "/tile-servers/enable?target="+p.ID(), 200)
 		}()
-		peers.NewConsumers(peers.Load{Network: n, Address: s.front, Seed: 1, For: 20 * sec,
-			Flows: []peers.Flow{{Class: peers.Tile(), Rate: 100}, {Class: peers.Order(), Rate: 20}}}).Run(t.Context())
+		fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 20 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 100}, {Class: fakes.Order(), Rate: 20}}}).Run(t.Context())
 		before, back, soon := 0, time.Duration(0), 0
 		for _, r := range p.Requests() {
 			switch at := r.FirstByte.Sub(began); {
@@ -359,9 +359,9 @@
 }
 
 // hands starts n of them and a directory that lists them.
-func hands(t *testing.T, m *peers.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*hand, *peers.Directory) {
+func hands(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*hand, *fakes.Directory) {
 	var all []*hand
-	var listed []peers.Member
+	var listed []fakes.Member
 	for i := range n {
 		l, err := m.Listen("")
 		if err != nil {
@@ -372,9 +372,9 @@
 		go server.Serve(l)
 		t.Cleanup(func() { server.Close() })
 		all = append(all, h)
-		listed = append(listed, peers.Member{ID: fmt.Sprint("h", i), Address: l.Addr().String(), Locality: peers.Here, Phase: peers.Serving})
+		listed = append(listed, fakes.Member{ID: fmt.Sprint("h", i), Address: l.Addr().String(), Locality: fakes.Here, Phase: fakes.Serving})
 	}
-	d, err := peers.NewDirectory(m, "", listed...)
+	d, err := fakes.NewDirectory(m, "", listed...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -386,7 +386,7 @@
 // class is dropped or attempts get fewer.
 func TestOpenRequestsKeepTheirRules(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := peers.NewMemory()
+		m := fakes.NewMemory()
 		release := make(chan bool)
 		all, directory := hands(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			first := strings.HasSuffix(r.URL.Path, "/first")
@@ -411,16 +411,16 @@
 			return out
 		}
 		tile, order := ask("GET", "tile", "t1"), ask("POST", "order", "o1")
-		nowUnsafe, nowPure := peers.Tile(), peers.Order()
+		nowUnsafe, nowPure := fakes.Tile(), fakes.Order()
 		nowUnsafe.Safe, nowPure.Safe = false, true
-		extra := peers.Tile()
+		extra := fakes.Tile()
 		extra.Name = "extra"
-		s.set.Classes = []peers.Class{nowPure, nowUnsafe, extra}
+		s.set.Classes = []fakes.Class{nowPure, nowUnsafe, extra}
 		s.set.MaxAttempts = 1
 		s.write()
 		s.reload()
 		tileNew, orderNew, added := ask("POST", "tile", "t2"), ask("GET", "order", "o2"), ask("GET", "extra", "e1")
-		s.set.Classes = []peers.Class{extra}
+		s.set.Classes = []fakes.Class{extra}
 		s.write()
 		s.reload()
 		if status := <-ask("GET", "tile", "t3"); status != 404 {
@@ -470,7 +470,7 @@
 // Long bodies arrive whole in each of HTTP's forms, whatever the pace of their peers.
 func TestLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := peers.NewMemory()
+		m := fakes.NewMemory()
 		_, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			if err != nil {
@@ -561,7 +561,7 @@
 // after that it has failed. Nothing of it is sent twice.
 func TestLongRequestLosesItsProvider(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := peers.NewMemory()
+		m := fakes.NewMemory()
 		all, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/early") {
 				io.ReadFull(r.Body, make([]byte, 100<<10))
@@ -602,7 +602,7 @@
 // What never ends is ended: a body that pauses, one that is announced as endless, and an answer of that kind.
 func TestEndlessBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := peers.NewMemory()
+		m := fakes.NewMemory()
 		_, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "3221225472")
 			for context.Cause(r.Context()) == nil {
@@ -611,7 +611,7 @@
 				}
 			}
 		})
-		s := start(t, m, directory, func(p *peers.Sidecar) { p.MaxAttempts = 1 })
+		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MaxAttempts = 1 })
 		for what, tc := range map[string]struct {
 			raw  string
 			want int
@@ -633,9 +633,9 @@
 // What is kept of a body is given back, whatever becomes of its request.
 func TestKeptBodiesAreGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := peers.NewMemory()
+		m := fakes.NewMemory()
 		_, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
-		s := start(t, m, directory, func(p *peers.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
+		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
 		ask := func(path, rest string) (int, string) {
 			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+
 				"\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"+rest))
@@ -688,7 +688,7 @@
 // Peers that leave in the middle of long bodies, in either direction, disturb no other: nobody reads a connection that is over.
 func TestLeavingLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := peers.NewMemory()
+		m := fakes.NewMemory()
 		_, directory := hands(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == "POST" {
 				io.CopyN(io.Discard, r.Body, 80<<10)
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"plankrouter/internal/admin"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // flooded is the program as a process of its own, which starts with descriptors that are not its own doing.
@@ -94,18 +94,18 @@
 
 func startFlooded(t *testing.T, limit, inherited int) *flooded {
 	f := &flooded{T: t, limit: limit}
-	known := peers.List{Revision: 1}
+	known := fakes.List{Revision: 1}
 	for i := range 8 { // servers that take requests and never answer
-		known.Members = append(known.Members, peers.Member{ID: fmt.Sprint("s-", i), Address: listenHere(t).Addr().String(),
-			Locality: peers.Here, Phase: peers.Serving})
+		known.Members = append(known.Members, fakes.Member{ID: fmt.Sprint("s-", i), Address: listenHere(t).Addr().String(),
+			Locality: fakes.Here, Phase: fakes.Serving})
 	}
 	front, desk := listenHere(t), listenHere(t)
 	f.front, f.desk = front.Addr().String(), desk.Addr().String()
 	desk.Close() // a port that is free now
 	dir := t.TempDir()
-	raw, err := peers.Config(peers.Sidecar{Name: "n1", Listen: f.front, Directory: listenHere(t).Addr().String(), Seed: 1,
+	raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: f.front, Directory: listenHere(t).Addr().String(), Seed: 1,
 		Known: known, Sockets: limit, MemoryMB: 64, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
-		NoProbes: true, Classes: []peers.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}},
+		NoProbes: true, Classes: []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}},
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = f.desk
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": filepath.Join(dir, "snapshot"), "every_ms": 1000}}
@@ -140,7 +140,7 @@
 		f.cmd.Process.Kill()
 		f.cmd.Wait()
 	})
-	if err := peers.Ready(t.Context(), peers.Loopback(), f.front); err != nil {
+	if err := fakes.Ready(t.Context(), fakes.Loopback(), f.front); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -175,14 +175,14 @@
 		t.Run(fmt.Sprintf("the directory hangs: %t, idle clients: %t", hangs, flood), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const limit, left = 95, 8
-				n, release := peers.NewMemory(), make(chan struct{})
+				n, release := fakes.NewMemory(), make(chan struct{})
 				_, directory := hands(t, n, 4, func(w http.ResponseWriter, _ *http.Request) {
 					<-release
 					io.WriteString(w, "ok")
 				})
-				s := start(t, n, directory, func(c *peers.Sidecar) {
+				s := start(t, n, directory, func(c *fakes.Sidecar) {
 					c.Sockets, c.NoProbes = limit, true
-					c.Classes = []peers.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}}
+					c.Classes = []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}}
 					c.Edit = func(d map[string]any) {
 						d["settings"].(map[string]any)["Limits"].(map[string]any)["MayCancel"] = false
 					}
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -128,7 +128,7 @@
 	for _, file := range files {
 		look(file, read(file), "/,:=\"'{}[]().#\t\n ")
 	}
-	for dirs, at := []string{"cmd/plankrouter", "cmd/benchlink"}, 0; at < len(dirs); at++ { // and all that they import
+	for dirs, at := []string{"cmd/plankrouter", "cmd/simadapter"}, 0; at < len(dirs); at++ { // and all that they import
 		sources, _ := filepath.Glob("../../" + dirs[at] + "/*.go")
 		for _, file := range slices.DeleteFunc(sources, func(f string) bool { return strings.HasSuffix(f, "_test.go") }) {
 			var s scanner.Scanner
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // turn is a restarted process's next call.
@@ -95,12 +95,12 @@
 
 // A process that is told a list at its start waits for no directory, whatever that does: it is ready at once.
 func TestReadyWithoutTheDirectory(t *testing.T) {
-	daily(t, 2, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
+	daily(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		if err := fleet.Directory.Vanish(true); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		s := start(t, n, fleet.Directory, func(c *peers.Sidecar) { c.Balancers = 6000 }) // returns once it is ready
+		s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) { c.Balancers = 6000 }) // returns once it is ready
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("ready after %s", took)
 		}
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -15,13 +15,13 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // trouble is one that the program has to find back from: what happens to its world, and what must hold.
 type trouble struct {
-	known  func(peers.List) peers.List // the list that it starts with; nil = the true one
-	steps  func(*world) peers.Timeline
+	known  func(fakes.List) fakes.List // the list that it starts with; nil = the true one
+	steps  func(*world) fakes.Timeline
 	event  time.Duration                // from which recovery counts
 	within time.Duration                // for service to be back at 95%; 0 = it must never have left it
 	worst  float64                      // share of any second that must be served all the same
@@ -31,11 +31,11 @@
 
 // world is the program with the peers around it, in a bubble.
 type world struct {
-	*peers.Fleet
+	*fakes.Fleet
 	start time.Time
 	local atomic.Bool // nothing can leave the program's machine
-	net   *peers.Memory
-	tries []peers.Try
+	net   *fakes.Memory
+	tries []fakes.Try
 }
 
 func (w *world) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -45,7 +45,7 @@
 	return w.net.Dial(ctx, address)
 }
 
-func (w *world) all(from, to int, how func(*peers.Provider)) func() {
+func (w *world) all(from, to int, how func(*fakes.Provider)) func() {
 	return func() {
 		for _, p := range w.Providers[from:to] {
 			how(p)
@@ -54,7 +54,7 @@
 }
 
 // probes of a provider, and calls to the directory, from a moment on.
-func (w *world) probes(p *peers.Provider, from, to time.Duration) (n int) {
+func (w *world) probes(p *fakes.Provider, from, to time.Duration) (n int) {
 	for _, one := range p.Probes() {
 		if at := one.At.Sub(w.start); at >= from && at < to {
 			n++
@@ -85,9 +85,9 @@
 
 var troubles = map[string]trouble{
 	"release while the directory's answers are lost": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: w.Directory.LosePresent}, {At: 5 * sec, Do: func() {
-				w.Release(context.Background(), peers.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: w.Directory.LosePresent}, {At: 5 * sec, Do: func() {
+				w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 			}}}
 		},
 		event: 5 * sec, within: 4 * sec, worst: 0.5,
@@ -101,19 +101,19 @@
 		},
 	},
 	"a release leaves nobody warm": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: func() {
-				w.Release(context.Background(), peers.Release{Batch: 4, Grace: sec, Between: 2 * sec, Move: true})
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: func() {
+				w.Release(context.Background(), fakes.Release{Batch: 4, Grace: sec, Between: 2 * sec, Move: true})
 			}}}
 		},
 		event: 5 * sec, within: 6 * sec, worst: 0.8, // each was at 0.41 for five seconds while nobody had anything to do
 	},
 	"directory down for 30 s, then it tells all": {
 		lasts: 42 * sec,
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 3 * sec, Do: func() { w.Directory.Down(true) }},
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 3 * sec, Do: func() { w.Directory.Down(true) }},
 				{At: 4 * sec, Do: func() {
-					w.Release(context.Background(), peers.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+					w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 				}},
 				{At: 33 * sec, Do: func() { w.Directory.Down(false) }}}
 		},
@@ -127,10 +127,10 @@
 		},
 	},
 	"directory mute, and the answer comes when the call was given up": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 3 * sec, Do: func() { w.Directory.AnswerLate(true) }},
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 3 * sec, Do: func() { w.Directory.AnswerLate(true) }},
 				{At: 4 * sec, Do: func() {
-					w.Release(context.Background(), peers.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+					w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 				}},
 				{At: 8 * sec, Do: func() { w.Directory.AnswerLate(false) }}}
 		},
@@ -142,8 +142,8 @@
 		},
 	},
 	"half of the list is wrong and the directory stands by it": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: w.all(0, 4, (*peers.Provider).Kill)}}
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 4, (*fakes.Provider).Kill)}}
 		},
 		event: 5 * sec, within: 2 * sec, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -152,8 +152,8 @@
 		},
 	},
 	"nothing leaves the own machine": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: func() { w.local.Store(true); w.all(0, 8, (*peers.Provider).ResetKept)() }},
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: func() { w.local.Store(true); w.all(0, 8, (*fakes.Provider).ResetKept)() }},
 				{At: 8 * sec, Do: func() { w.local.Store(false) }}}
 		},
 		event: 8 * sec, within: 2 * sec,
@@ -164,9 +164,9 @@
 		},
 	},
 	"one turns probes away and serves requests": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: w.all(0, 1, func(p *peers.Provider) {
-				p.Change(func(b *peers.Behaviour) { b.Probes = peers.ProbesUnavailable })
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 1, func(p *fakes.Provider) {
+				p.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable })
 			})}}
 		},
 		event: 5 * sec, worst: 0.9,
@@ -175,9 +175,9 @@
 		},
 	},
 	"one answers probes and declines requests": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: w.all(0, 1, func(p *peers.Provider) {
-				p.Change(func(b *peers.Behaviour) { b.Decline = true })
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 1, func(p *fakes.Provider) {
+				p.Change(func(b *fakes.Behaviour) { b.Decline = true })
 			})}}
 		},
 		event: 5 * sec, within: 2 * sec, worst: 0.8,
@@ -192,9 +192,9 @@
 		},
 	},
 	"two machines vanish and come back": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: w.all(0, 2, func(p *peers.Provider) { p.Vanish(true) })},
-				{At: 12 * sec, Do: w.all(0, 2, func(p *peers.Provider) { p.Vanish(false) })}}
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(true) })},
+				{At: 12 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(false) })}}
 		},
 		event: 5 * sec, within: 3 * sec, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -205,7 +205,7 @@
 		},
 	},
 	"a start with a list in which nothing is true": {
-		known: func(l peers.List) peers.List {
+		known: func(l fakes.List) fakes.List {
 			for i := range l.Members {
 				l.Members[i].ID, l.Members[i].Address = fmt.Sprint("old-", i), fmt.Sprintf("127.9.9.%d:9", i+1)
 			}
@@ -214,10 +214,10 @@
 		event: 0, within: 2 * sec,
 	},
 	"a drain is told": {
-		steps: func(w *world) peers.Timeline {
-			return peers.Timeline{{At: 5 * sec, Do: func() {
+		steps: func(w *world) fakes.Timeline {
+			return fakes.Timeline{{At: 5 * sec, Do: func() {
 				m := w.Providers[0].Member()
-				m.Phase = peers.Draining
+				m.Phase = fakes.Draining
 				w.Directory.Change(m)
 			}}}
 		},
@@ -244,10 +244,10 @@
 
 // play runs the program through the trouble. Whatever it is, no request is lost, answered wrongly or run twice.
 func (tr trouble) play(t *testing.T) {
-	w := &world{net: peers.NewMemory()}
+	w := &world{net: fakes.NewMemory()}
 	var err error
-	if w.Fleet, err = peers.NewFleet(w.net, 8, peers.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-		Default: peers.Service{Mean: 20 * time.Millisecond}}); err != nil {
+	if w.Fleet, err = fakes.NewFleet(w.net, 8, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
+		Default: fakes.Service{Mean: 20 * time.Millisecond}}); err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
@@ -255,18 +255,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := peers.List{Revision: 1, Members: w.Members()}
+	known := fakes.List{Revision: 1, Members: w.Members()}
 	if tr.known != nil {
 		known = tr.known(known)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	raw, err := peers.Config(peers.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1,
+	raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1,
 		Directory: w.Directory.Address(), Known: known})
 	if err != nil || os.WriteFile(file, raw, 0o600) != nil {
 		t.Fatal(err)
 	}
 	signals, ended := launch(t, map[string]string{"GW_CONFIG": file}, front, nil, w.dial)
-	if err := peers.Ready(t.Context(), w.net, front.Addr().String()); err != nil {
+	if err := fakes.Ready(t.Context(), w.net, front.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	w.start = time.Now()
@@ -275,26 +275,26 @@
 		go tr.steps(w).Run(ctx, w.start)
 	}
 	lasts := max(tr.lasts, 20*sec)
-	w.tries = peers.NewConsumers(peers.Load{Network: w.net, Address: front.Addr().String(), Seed: 1, For: lasts,
-		Retry: peers.Retry{Wait: 50 * time.Millisecond, Most: 2},
-		Flows: []peers.Flow{{Class: peers.Tile(), Rate: 120}, {Class: peers.Order(), Rate: 24}}}).Run(t.Context())
+	w.tries = fakes.NewConsumers(fakes.Load{Network: w.net, Address: front.Addr().String(), Seed: 1, For: lasts,
+		Retry: fakes.Retry{Wait: 50 * time.Millisecond, Most: 2},
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 120}, {Class: fakes.Order(), Rate: 24}}}).Run(t.Context())
 	signals.raise(syscall.SIGTERM)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	cancel()
 	for _, try := range w.tries {
-		if try.Result == peers.Lost || try.Result == peers.Wrong {
+		if try.Result == fakes.Lost || try.Result == fakes.Wrong {
 			t.Errorf("%s %s is %s: %v", try.Class.Name, try.ID, try.Result, try.Err)
 		}
 	}
-	if twice := peers.RunTwice("order", w.Providers...); len(twice) > 0 {
+	if twice := fakes.RunTwice("order", w.Providers...); len(twice) > 0 {
 		t.Errorf("orders run twice: %v", twice)
 	}
-	if took, ok := peers.Recovered(w.tries, w.start.Add(tr.event), 1, 500*time.Millisecond); !ok || took > tr.within {
+	if took, ok := fakes.Recovered(w.tries, w.start.Add(tr.event), 1, 500*time.Millisecond); !ok || took > tr.within {
 		t.Errorf("recovered: %t, after %s, want %s", ok, took, tr.within)
 	}
-	for _, win := range peers.Tally(w.tries, w.start, sec) {
+	for _, win := range fakes.Tally(w.tries, w.start, sec) {
 		if win.From.Sub(w.start) < lasts-sec && win.Share() < tr.worst {
 			t.Errorf("%s: %s", win.From.Sub(w.start), win)
 		}
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -25,7 +25,7 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -123,8 +123,8 @@
 	row      shutdownCase
 	address  string
 	file     string
-	sidecar  peers.Sidecar
-	servers  []*peers.Provider
+	sidecar  fakes.Sidecar
+	servers  []*fakes.Provider
 	cmd      *exec.Cmd
 	log      *os.File
 	killedAt time.Time // when SIGKILL was about to be sent; guarded by mu
@@ -159,18 +159,18 @@
 }
 
 func (w *endingWorld) start() {
-	network, t := peers.Loopback(), w.t
-	var members []peers.Member
+	network, t := fakes.Loopback(), w.t
+	var members []fakes.Member
 	for i := range 4 {
-		p, err := peers.NewProvider(network, peers.ProviderOptions{ID: fmt.Sprint("s", i), Cores: 500, Queue: 10,
-			Default: peers.Service{Mean: w.row.service, Fixed: true, Body: 100}})
+		p, err := fakes.NewProvider(network, fakes.ProviderOptions{ID: fmt.Sprint("s", i), Cores: 500, Queue: 10,
+			Default: fakes.Service{Mean: w.row.service, Fixed: true, Body: 100}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Close)
 		w.servers, members = append(w.servers, p), append(members, p.Member())
 	}
-	directory, err := peers.NewDirectory(network, "", members...)
+	directory, err := fakes.NewDirectory(network, "", members...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,8 +183,8 @@
 	l.Close()
 	folder := t.TempDir()
 	w.file = filepath.Join(folder, "config.json")
-	w.sidecar = peers.Sidecar{Name: "n1", Listen: w.address, Seed: 1, Directory: directory.Address(), Sockets: 4096, MemoryMB: 256,
-		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: peers.List{Revision: 1, Members: members}}
+	w.sidecar = fakes.Sidecar{Name: "n1", Listen: w.address, Seed: 1, Directory: directory.Address(), Sockets: 4096, MemoryMB: 256,
+		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Members: members}}
 	w.configure(w.row.deadline)
 	if w.log, err = os.Create(filepath.Join(folder, "log")); err != nil {
 		t.Fatal(err)
@@ -196,17 +196,17 @@
 	if err := w.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := peers.Ready(t.Context(), network, w.address); err != nil {
+	if err := fakes.Ready(t.Context(), network, w.address); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // configure writes the configuration with this deadline of its one class.
 func (w *endingWorld) configure(longest time.Duration) {
-	tile := peers.Tile()
+	tile := fakes.Tile()
 	tile.Deadline, tile.Aim = longest, longest
-	w.sidecar.Classes = []peers.Class{tile}
-	raw, err := peers.Config(w.sidecar)
+	w.sidecar.Classes = []fakes.Class{tile}
+	raw, err := fakes.Config(w.sidecar)
 	if err == nil {
 		err = errors.Join(os.WriteFile(w.file+".next", raw, 0o600), os.Rename(w.file+".next", w.file))
 	}
@@ -276,7 +276,7 @@
 	syscall.Kill(to, syscall.SIGTERM)
 	if w.row.late > 0 {
 		for _, p := range w.servers {
-			p.Change(func(b *peers.Behaviour) { b.Slow = float64(w.row.late) / float64(w.row.service) })
+			p.Change(func(b *fakes.Behaviour) { b.Slow = float64(w.row.late) / float64(w.row.service) })
 		}
 	}
 	for _, s := range w.row.after {
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -19,7 +19,7 @@
 	"testing/synctest"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // However many others wait, each kind of signal finds a place.
@@ -56,7 +56,7 @@
 	for _, key := range []string{"TMPDIR", "GW_CONFIG"} { // read at the start, and by a reload
 		t.Run(key, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := peers.NewMemory()
+				m := fakes.NewMemory()
 				_, directory := hands(t, m, 1, nil)
 				front, err := m.Listen("")
 				if err != nil {
@@ -67,7 +67,7 @@
 					t.Fatal(err)
 				}
 				s := service{T: t, file: filepath.Join(t.TempDir(), "config.json"),
-					set: peers.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: directory.Address()}}
+					set: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: directory.Address()}}
 				s.write()
 				var loaded atomic.Bool
 				hold := make(chan bool)
@@ -129,14 +129,14 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := peers.NewMemory()
+				m := fakes.NewMemory()
 				_, directory := hands(t, m, 2, func(_ http.ResponseWriter, r *http.Request) {
 					io.Copy(io.Discard, r.Body)
 					<-r.Context().Done()
 				})
-				long := peers.Order()
+				long := fakes.Order()
 				long.Deadline = 8 * sec
-				s := start(t, m, directory, func(c *peers.Sidecar) { c.Classes = []peers.Class{long} })
+				s := start(t, m, directory, func(c *fakes.Sidecar) { c.Classes = []fakes.Class{long} })
 				at := time.Now().Add(3 * sec)
 				got := make(chan time.Duration, 1)
 				time.AfterFunc(time.Until(at.Add(tc.after)), func() {
@@ -189,7 +189,7 @@
 	if run == nil {
 		t.Fatal("the deploy file has no run")
 	}
-	directory, err := peers.NewDirectory(peers.Loopback(), "")
+	directory, err := fakes.NewDirectory(fakes.Loopback(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 	}
 	defer desk.Close()
 	s := service{T: t, file: filepath.Join(t.TempDir(), "config.json"),
-		set: peers.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: directory.Address()}}
+		set: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: directory.Address()}}
 	s.write()
 	line := "LISTEN_FDS=1 LISTEN_PID=$$; export LISTEN_FDS LISTEN_PID; " +
 		strings.NewReplacer("exec ", "echo at the start >&2; exec ", "bin/plankrouter", `"$0"`).Replace(string(run[1]))
@@ -258,9 +258,9 @@
 	pid := cmd.Process.Pid
 	for _, name := range []string{"first", "second"} {
 		for i := range 2 { // one that waits covers those that come after it
-			set := peers.Tile()
+			set := fakes.Tile()
 			set.Name = fmt.Sprint(name, i)
-			s.set.Classes = []peers.Class{set}
+			s.set.Classes = []fakes.Class{set}
 			s.write()
 			syscall.Kill(pid, syscall.SIGHUP)
 			says("classes=[" + set.Name + "]")
--- a/cmd/plankrouter/trace.go
+++ b/cmd/plankrouter/trace.go
@@ -12,7 +12,7 @@
 const cpuEvery = time.Second
 
 // tracing returns what logs a line for whatever is done to providers and the directory, where GW_TRACE is 1, and has the
-// CPU time logged with it; else nil. planklab fleet counts such lines over a fleet.
+// CPU time logged with it; else nil. testbench fleet counts such lines over a fleet.
 func tracing(ctx context.Context, group *errgroup.Group, getenv func(string) string) func(string, ...any) {
 	if getenv("GW_TRACE") != "1" {
 		return nil
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -5,31 +5,31 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // One of 300 instances starts with a list that names a provider which the directory no longer does, and which is there all
 // the same, as a machine is that has come back before the directory says so. Its word counts from the start, though unheard.
 func TestFirstListIsAskedForWithinTheGrace(t *testing.T) {
-	daily(t, 6, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
-		known := peers.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
+	daily(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+		known := fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
 		gone := fleet.Providers[0].Member()
-		gone.Phase = peers.Deleted
+		gone.Phase = fakes.Deleted
 		fleet.Directory.Change(gone)
-		s := start(t, n, fleet.Directory, func(c *peers.Sidecar) {
+		s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) {
 			c.Known, c.Balancers = known, 300
 			c.Edit = func(d map[string]any) { d["settings"].(map[string]any)["Prices"] = map[string]any{"Probe": 0.08} }
 		})
 		began := time.Now()
-		tries := peers.NewConsumers(peers.Load{Network: n, Address: s.front, Seed: 1, For: 5 * sec,
-			Flows: []peers.Flow{{Class: peers.Tile(), Rate: 30}, {Class: peers.Order(), Rate: 10}}}).Run(t.Context())
+		tries := fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 5 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 30}, {Class: fakes.Order(), Rate: 10}}}).Run(t.Context())
 		for _, one := range fleet.Providers[0].Requests() {
 			if late := one.FirstByte.Sub(began); late > 750*time.Millisecond {
 				t.Errorf("%s was sent to it after %s", one.ID, late)
 			}
 		}
 		for _, try := range tries {
-			if try.Result != peers.Served {
+			if try.Result != fakes.Served {
 				t.Errorf("%s at %s: %s", try.ID, try.At.Sub(began), try.Result)
 			}
 		}
@@ -46,26 +46,26 @@
 		for way := range 8 {
 			discovery, noProbes, killed := []string{"pushed", "on_request"}[way&1], way&2 > 0, way&4 > 0
 			t.Run(fmt.Sprintf("%s %s noProbes=%t killed=%t", grace, discovery, noProbes, killed), func(t *testing.T) {
-				daily(t, 9, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
-					edit := func(c *peers.Sidecar) {
+				daily(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+					edit := func(c *fakes.Sidecar) {
 						c.Balancers, c.DrainGrace, c.NoProbes = 300, grace, noProbes
-						c.Known = peers.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
+						c.Known = fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
 						c.Edit = func(d map[string]any) {
 							set := d["settings"].(map[string]any)
 							set["Discovery"], set["Prices"] = discovery, map[string]any{"Probe": 0.08}
 						}
 					}
 					began, s := time.Now(), start(t, n, fleet.Directory, edit)
-					load := func(from, to time.Duration) []peers.Try {
-						return peers.NewConsumers(peers.Load{Network: n, Address: s.front, Seed: 1, For: to - from,
-							Flows: []peers.Flow{{Class: peers.Tile(), Rate: 40}, {Class: peers.Order(), Rate: 20}}}).Run(t.Context())
+					load := func(from, to time.Duration) []fakes.Try {
+						return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: to - from,
+							Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 20}}}).Run(t.Context())
 					}
 					go func() {
 						time.Sleep(silent)
 						fleet.Directory.Mute(true)
 						time.Sleep(leave - silent)
 						gone := fleet.Providers[:3]
-						gone[0].Behave(peers.Behaviour{Drain: true})
+						gone[0].Behave(fakes.Behaviour{Drain: true})
 						gone[1].Restart(gone[1].ID())
 						gone[2].Restart("another")
 					}()
@@ -75,7 +75,7 @@
 						from = time.Since(began)
 						s, look, width = start(t, n, fleet.Directory, edit), from+sec, 4*sec
 					}
-					served := peers.Tally(append(tries, load(from, over)...), began.Add(look), width)[0].Share()
+					served := fakes.Tally(append(tries, load(from, over)...), began.Add(look), width)[0].Share()
 					if proof := !killed || way&1 > 0; proof && !noProbes && grace > 500*time.Millisecond && served < 0.5 {
 						t.Errorf("%.2f are served", served)
 					}
@@ -107,14 +107,14 @@
 		silent, leaves time.Duration // after the start
 	}{{"heard", 3 * sec, 3200 * time.Millisecond}, {"never heard", 0, 1 * sec}} {
 		t.Run(c.name, func(t *testing.T) {
-			daily(t, 9, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
+			daily(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 				if c.silent == 0 {
 					fleet.Directory.Mute(true)
 				}
 				began, gone := time.Now(), fleet.Providers[:3]
-				s := start(t, n, fleet.Directory, func(c *peers.Sidecar) {
+				s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) {
 					c.Balancers, c.DrainGrace = 32, grace
-					c.Known = peers.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
+					c.Known = fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
 					c.Edit = func(d map[string]any) {
 						set := d["settings"].(map[string]any)
 						set["Discovery"], set["Prices"] = "on_request", map[string]any{"Probe": 0.008}
@@ -135,9 +135,9 @@
 					}
 				}()
 				from, until := began.Add(c.leaves+6*sec+grace+50*time.Millisecond), began.Add(c.leaves+noticed+6*sec)
-				tries := peers.NewConsumers(peers.Load{Network: n, Address: s.front, Seed: 1, For: until.Sub(began),
-					Flows: []peers.Flow{{Class: peers.Tile(), Rate: 60}, {Class: peers.Order(), Rate: 20}}}).Run(t.Context())
-				if served := peers.Tally(tries, from, until.Sub(from))[0].Share(); served < 0.9 {
+				tries := fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: until.Sub(began),
+					Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 60}, {Class: fakes.Order(), Rate: 20}}}).Run(t.Context())
+				if served := fakes.Tally(tries, from, until.Sub(from))[0].Share(); served < 0.9 {
 					t.Errorf("%.2f are served meanwhile", served)
 				}
 				for i, p := range gone {
@@ -157,22 +157,22 @@
 // 2,000 servers and 1,024 sidecars, told in the configuration and by the directory, whose answers are indented and in chunks:
 // the program starts, serves, and when half of the servers leave at once, the last in the list among them, nothing new goes there.
 func TestLargeFleetIsObeyed(t *testing.T) {
-	daily(t, 2, func(t *testing.T, n *peers.Memory, fleet *peers.Fleet) {
-		var all, leaving []peers.Member
+	daily(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+		var all, leaving []fakes.Member
 		for i := range 2000 { // many at one address: who is asked there does not matter
 			m := fleet.Providers[i%2].Member()
 			m.ID = fmt.Sprintf("s-%024x", i)
 			all = append(all, m)
 			if i%2 == 1 {
-				m.Phase = peers.Draining
+				m.Phase = fakes.Draining
 				leaving = append(leaving, m)
 			}
 		}
 		fleet.Directory.Set(all...)
 		fleet.Directory.Word(true, true)
 		fleet.Directory.WholeForWatch(true)
-		s := start(t, n, fleet.Directory, func(c *peers.Sidecar) {
-			c.Known, c.Balancers = peers.List{Revision: fleet.Directory.Revision(), Members: all}, 1024
+		s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) {
+			c.Known, c.Balancers = fakes.List{Revision: fleet.Directory.Revision(), Members: all}, 1024
 		})
 		began := time.Now()
 		told := began.Add(2 * sec)
@@ -180,9 +180,9 @@
 			time.Sleep(2 * sec)
 			fleet.Directory.Change(leaving...)
 		}()
-		tries := peers.NewConsumers(peers.Load{Network: n, Address: s.front, Seed: 1, For: 5 * sec,
-			Flows: []peers.Flow{{Class: peers.Tile(), Rate: 40}, {Class: peers.Order(), Rate: 10}}}).Run(t.Context())
-		served, before := peers.Tally(tries, began, 5*sec)[0].Share(), 0
+		tries := fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 5 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 10}}}).Run(t.Context())
+		served, before := fakes.Tally(tries, began, 5*sec)[0].Share(), 0
 		for _, one := range fleet.Providers[1].Requests() {
 			if late := one.FirstByte.Sub(told); late > 750*time.Millisecond {
 				t.Errorf("%s was sent to one that leaves %s after its word", one.ID, late)
--- a/cmd/planklab/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"plankrouter/internal/lab/capacity"
+	"plankrouter/internal/testbench/capacity"
 )
 
 // capacityCommand measures what a sidecar costs as its world grows.
--- a/cmd/planklab/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/emulator"
+	"plankrouter/internal/testbench/emulator"
 )
 
 // emulateCommand plays a day in virtual time, or compares days.
@@ -39,8 +39,8 @@
 // Help shows examples and lists the troubles.
 func (*emulateCommand) Help() string {
 	var b strings.Builder
-	b.WriteString("planklab emulate --sidecars 100 --servers 40 --trouble silence,neighbour --seed 7\n\n" +
-		"planklab emulate --trouble deploy --days 20 --against-with least\n\nTroubles:\n\n")
+	b.WriteString("testbench emulate --sidecars 100 --servers 40 --trouble silence,neighbour --seed 7\n\n" +
+		"testbench emulate --trouble deploy --days 20 --against-with least\n\nTroubles:\n\n")
 	for _, k := range emulator.Troubles() {
 		fmt.Fprintf(&b, "%s: %s.\n\n", k.Name, k.About)
 	}
--- a/cmd/planklab/fleet.go
+++ b/cmd/testbench/fleet.go
@@ -4,7 +4,7 @@
 	"io"
 	"time"
 
-	"plankrouter/internal/lab/fleet"
+	"plankrouter/internal/testbench/fleet"
 )
 
 // fleetCommand counts over the logs of a fleet.
@@ -16,7 +16,7 @@
 }
 
 // Help shows an example.
-func (*fleetCommand) Help() string { return "planklab fleet logs --rows 5s" }
+func (*fleetCommand) Help() string { return "testbench fleet logs --rows 5s" }
 
 // Run counts.
 func (c *fleetCommand) Run(out io.Writer) error {
--- a/cmd/planklab/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"plankrouter/internal/config"
-	"plankrouter/internal/lab/hollow"
+	"plankrouter/internal/testbench/simulated"
 )
 
 // fleetScenesCommand plays fleets of hollow sidecars.
@@ -33,7 +33,7 @@
 
 // Help says how to read it.
 func (*fleetScenesCommand) Help() string {
-	return "planklab fleet-scenes --sidecars 250,500 --json figures.json. See docs/design/capacity-fleet.md."
+	return "testbench fleet-scenes --sidecars 250,500 --json figures.json. See docs/design/capacity-fleet.md."
 }
 
 // Validate checks the arguments.
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, name := range c.Scene {
-		if !slices.Contains(hollow.Scenes(), name) {
+		if !slices.Contains(simulated.Scenes(), name) {
 			return fmt.Errorf("--scene: there is no %q", name)
 		}
 	}
@@ -67,8 +67,8 @@
 
 // fleetFigures is what goes into the file.
 type fleetFigures struct {
-	SideBySide []hollow.Comparison `json:"side_by_side,omitempty"`
-	Rows       []hollow.Row        `json:"rows"`
+	SideBySide []simulated.Comparison `json:"side_by_side,omitempty"`
+	Rows       []simulated.Row        `json:"rows"`
 }
 
 // Run measures and plays.
@@ -77,25 +77,25 @@
 	if err != nil {
 		return err
 	}
-	set := hollow.Setup{PerPart: c.PerPart, Servers: c.Servers, ProbePrice: c.ProbePrice, TurnRate: c.TurnRate,
-		MemoryMost: c.MemoryMost, StartMost: time.Minute, Spawn: hollow.Program(self, "fleet-part")}
+	set := simulated.Setup{PerPart: c.PerPart, Servers: c.Servers, ProbePrice: c.ProbePrice, TurnRate: c.TurnRate,
+		MemoryMost: c.MemoryMost, StartMost: time.Minute, Spawn: simulated.Program(self, "fleet-part")}
 	if c.Watch != "" {
 		if set.Watch, err = readWatch(c.Watch); err != nil {
 			return err
 		}
 	}
-	plan := hollow.Usual()
+	plan := simulated.Usual()
 	plan.Window, plan.CallsAll, plan.Restart, plan.Only = c.Window, c.CallsAll, c.Restart, c.Scene
 	var f fleetFigures
 	if c.Program != "" {
 		for _, rate := range []float64{0, plan.CallsOne} {
-			both, err := hollow.Compare(ctx, c.Program, set, rate, c.Window)
+			both, err := simulated.Compare(ctx, c.Program, set, rate, c.Window)
 			if err != nil {
 				return fmt.Errorf("side by side, %g calls a second: %w", rate, err)
 			}
 			f.SideBySide = append(f.SideBySide, both...)
 		}
-		if err := hollow.WriteComparison(out, f.SideBySide); err != nil {
+		if err := simulated.WriteComparison(out, f.SideBySide); err != nil {
 			return err
 		}
 	}
@@ -105,18 +105,18 @@
 				continue
 			}
 			set.Kind, set.Sidecars = kind, n
-			rows, failed := hollow.Play(ctx, set, plan)
+			rows, failed := simulated.Play(ctx, set, plan)
 			f.Rows = append(f.Rows, rows...)
 			if err := c.save(f); err != nil { // what has been played is kept, whatever comes after
 				return err
 			}
 			if failed != nil {
-				hollow.WriteTable(out, f.Rows)
+				simulated.WriteTable(out, f.Rows)
 				return fmt.Errorf("%s, %d sidecars: %w", kind, n, failed)
 			}
 		}
 	}
-	if err := hollow.WriteTable(out, f.Rows); err != nil {
+	if err := simulated.WriteTable(out, f.Rows); err != nil {
 		return err
 	}
 	return c.save(f)
@@ -149,5 +149,5 @@
 
 // Run obeys.
 func (*fleetPartCommand) Run(ctx context.Context, out io.Writer) error {
-	return hollow.Serve(ctx, os.Stdin, out)
+	return simulated.Serve(ctx, os.Stdin, out)
 }
--- a/cmd/planklab/handover.go
+++ b/cmd/testbench/handover.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"plankrouter/internal/lab/recovery"
+	"plankrouter/internal/testbench/recovery"
 )
 
 // handoverCommand runs a line of processes.
--- a/cmd/planklab/load.go
+++ b/cmd/testbench/load.go
@@ -13,8 +13,8 @@
 	"runtime/debug"
 	"time"
 
-	"plankrouter/internal/lab/cost"
-	"plankrouter/internal/lab/load"
+	"plankrouter/internal/testbench/loadgen"
+	"plankrouter/internal/testbench/cpubench"
 )
 
 // errLate says that a report is about the generator.
@@ -39,16 +39,16 @@
 	Serve   bool          `help:"Instead: be a server that answers all at once, until standard input ends."`
 	Work    bool          `hidden:""`
 
-	plan *load.Plan
+	plan *loadgen.Plan
 }
 
 // Help shows how to begin.
 func (*loadCommand) Help() string {
 	return `Requests go out when they are due, whatever has become of those before, and latency counts from then.
 
-    planklab load --to 127.0.0.1:3000 --rate 200 --for 30s
+    testbench load --to 127.0.0.1:3000 --rate 200 --for 30s
 
-    planklab load evening.json --to 127.0.0.1:3000 --workers 2 --plot evening.svg
+    testbench load evening.json --to 127.0.0.1:3000 --workers 2 --plot evening.svg
 
 The exit code is 1 if the generator itself was late, beyond the plan's bounds, or the run was interrupted. ` +
 		`docs/operate/load.md describes plans, traces and the report.`
@@ -77,12 +77,12 @@
 		return fmt.Errorf("--to: %w; want HOST:PORT, as in 127.0.0.1:3000", err)
 	}
 	if c.Trace != "" {
-		if _, err := load.TraceForm(c.Trace); err != nil {
+		if _, err := loadgen.TraceForm(c.Trace); err != nil {
 			return fmt.Errorf("--trace: %w", err)
 		}
 	}
 	if c.Plot != "" {
-		if _, err := load.PlotForm(filepath.Ext(c.Plot)); err != nil {
+		if _, err := loadgen.PlotForm(filepath.Ext(c.Plot)); err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
@@ -115,9 +115,9 @@
 // makePlan reads the plan, or makes one of the arguments.
 func (c *loadCommand) makePlan() (err error) {
 	if c.Plan == "" {
-		c.plan = &load.Plan{Classes: []load.Class{{Name: "tile", AimMs: 750, DeadlineMs: 2500}},
-			Streams: []load.Stream{{Spacing: c.Spacing, Shape: load.Shape{Kind: "constant", Rate: c.Rate}}}}
-	} else if c.plan, err = load.Read(c.Plan); err != nil {
+		c.plan = &loadgen.Plan{Classes: []loadgen.Class{{Name: "tile", AimMs: 750, DeadlineMs: 2500}},
+			Streams: []loadgen.Stream{{Spacing: c.Spacing, Shape: loadgen.Shape{Kind: "constant", Rate: c.Rate}}}}
+	} else if c.plan, err = loadgen.Read(c.Plan); err != nil {
 		return err
 	}
 	if c.For > 0 {
@@ -139,10 +139,10 @@
 	switch {
 	case c.Serve:
 		context.AfterFunc(ctx, func() { os.Exit(0) })
-		os.Setenv(cost.RoleVariable, cost.RoleServers+" 1")
-		cost.Serve() // ends the process
+		os.Setenv(cpubench.RoleVariable, cpubench.RoleServers+" 1")
+		cpubench.Serve() // ends the process
 	case c.Work:
-		return load.Work(ctx, os.Stdin, out)
+		return loadgen.Work(ctx, os.Stdin, out)
 	}
 	files, err := c.files()
 	if err != nil {
@@ -150,8 +150,8 @@
 	}
 	defer files.close()
 	if files.trace != nil {
-		form, _ := load.TraceForm(c.Trace)
-		if err := load.WriteTrace(files.trace, form, c.plan.Requests()); err != nil {
+		form, _ := loadgen.TraceForm(c.Trace)
+		if err := loadgen.WriteTrace(files.trace, form, c.plan.Requests()); err != nil {
 			return fmt.Errorf("%s: %w", c.Trace, err)
 		}
 	}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	report := load.NewReport(c.plan, result, c.To, c.Workers)
+	report := loadgen.NewReport(c.plan, result, c.To, c.Workers)
 	if err := errors.Join(report.Write(out), files.write(report, filepath.Ext(c.Plot))); err != nil {
 		return err
 	}
@@ -176,9 +176,9 @@
 }
 
 // send runs the plan in this process, or in several.
-func (c *loadCommand) send(ctx context.Context) (*load.Result, error) {
+func (c *loadCommand) send(ctx context.Context) (*loadgen.Result, error) {
 	if c.Workers == 1 {
-		return load.Run(ctx, c.plan, load.Options{Address: c.To})
+		return loadgen.Run(ctx, c.plan, loadgen.Options{Address: c.To})
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -190,7 +190,7 @@
 		cmd.Stderr = os.Stderr
 		commands = append(commands, cmd)
 	}
-	return load.Spread(ctx, c.plan, c.To, commands)
+	return loadgen.Spread(ctx, c.plan, c.To, commands)
 }
 
 // loadFiles are what is written besides the report; nil = not asked for.
@@ -221,7 +221,7 @@
 	}
 }
 
-func (f *loadFiles) write(r *load.Report, plot string) error {
+func (f *loadFiles) write(r *loadgen.Report, plot string) error {
 	var problems []error
 	if f.json != nil {
 		e := json.NewEncoder(f.json)
@@ -232,7 +232,7 @@
 		problems = append(problems, r.WriteCSV(f.csv))
 	}
 	if f.plot != nil {
-		form, err := load.PlotForm(plot)
+		form, err := loadgen.PlotForm(plot)
 		if err == nil {
 			err = r.Plot(f.plot, form)
 		}
--- a/cmd/planklab/main.go
+++ b/cmd/testbench/main.go
@@ -1,4 +1,4 @@
-// Command planklab is the lab: it starts the sidecar's program between scripted peers and measures.
+// Command testbench starts the sidecar's program between scripted peers and measures.
 // docs/operate/measuring.md says what its figures mean.
 package main
 
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"plankrouter/internal/lab/recovery"
+	"plankrouter/internal/testbench/recovery"
 )
 
 // The exit codes.
@@ -46,11 +46,11 @@
 	defer stop()
 	var c commands
 	helped := false
-	parser, err := kong.New(&c, kong.Name("planklab"), kong.Description("Measures the sidecar's program and plays fleets of it."),
+	parser, err := kong.New(&c, kong.Name("testbench"), kong.Description("Measures the sidecar's program and plays fleets of it."),
 		kong.Writers(out, problems), kong.Exit(func(int) { helped = true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		fmt.Fprintln(problems, "planklab:", err)
+		fmt.Fprintln(problems, "testbench:", err)
 		return exitBroken
 	}
 	chosen, err := parser.Parse(args)
@@ -58,17 +58,17 @@
 	case helped:
 		return 0
 	case err != nil:
-		fmt.Fprintf(problems, "planklab: %v; see planklab --help\n", err)
+		fmt.Fprintf(problems, "testbench: %v; see testbench --help\n", err)
 		return exitUsage
 	}
 	if err := recovery.AdoptOrphans(); err != nil {
-		fmt.Fprintln(problems, "planklab:", err)
+		fmt.Fprintln(problems, "testbench:", err)
 		return exitBroken
 	}
 	chosen.BindTo(ctx, (*context.Context)(nil))
 	chosen.BindTo(out, (*io.Writer)(nil))
 	if err := chosen.Run(); err != nil {
-		fmt.Fprintln(problems, "planklab:", err)
+		fmt.Fprintln(problems, "testbench:", err)
 		return exitBroken
 	}
 	return 0
--- a/cmd/planklab/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -64,7 +64,7 @@
 		var out bytes.Buffer
 		args := strings.Fields(strings.NewReplacer("HERE", here, "DIR", dir).Replace(test.args))
 		if code := run(args, &out, &out); code != test.code || !strings.Contains(out.String(), test.say) {
-			t.Errorf("planklab %s: exit code %d, want %d; it says %s", test.args, code, test.code, out.String())
+			t.Errorf("testbench %s: exit code %d, want %d; it says %s", test.args, code, test.code, out.String())
 		}
 	}
 	if left, err := os.ReadFile(filepath.Join(dir, "recorded.csv")); err != nil || string(left) != recorded {
--- a/cmd/planklab/overload.go
+++ b/cmd/testbench/overload.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"time"
 
-	"plankrouter/internal/lab/emulator"
+	"plankrouter/internal/testbench/emulator"
 )
 
 // overloadCommand plays the scale test of overload in virtual time.
@@ -31,8 +31,8 @@
 
 // Help shows examples.
 func (*overloadCommand) Help() string {
-	return "planklab overload --sidecars 4,40,300 --loads 0.9 --reports none --by-second\n\n" +
-		"planklab overload --servers 0 --sidecars 6,40,300 --loads 0.57 --events swell --reports none\n"
+	return "testbench overload --sidecars 4,40,300 --loads 0.9 --reports none --by-second\n\n" +
+		"testbench overload --servers 0 --sidecars 6,40,300 --loads 0.57 --events swell --reports none\n"
 }
 
 // runs lists what is to be played, the dearest first: they last longest.
--- a/cmd/planklab/recover.go
+++ b/cmd/testbench/recover.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"plankrouter/internal/lab/recovery"
+	"plankrouter/internal/testbench/recovery"
 )
 
 // lab is what all experiments are told.
@@ -31,7 +31,7 @@
 	if l.Keep != "" {
 		return l.Keep, func() {}, os.MkdirAll(l.Keep, 0o755)
 	}
-	dir, err := os.MkdirTemp("", "planklab-")
+	dir, err := os.MkdirTemp("", "testbench-")
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
--- a/cmd/planklab/soak.go
+++ b/cmd/testbench/soak.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"time"
 
-	"plankrouter/internal/lab/soak"
+	"plankrouter/internal/testbench/soak"
 )
 
 // soakCommand hunts rare faults.
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // servers starts providers that end with the test.
 func servers(t *testing.T, names ...string) (all []*provider) {
 	t.Helper()
-	network := peers.Loopback()
+	network := fakes.Loopback()
 	for _, name := range names {
 		p := newProvider(network, name, new(queue))
 		if err := p.up(false); err != nil {
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/goleak"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 var update = flag.Bool("update", false, "record what the sides do as what they should do")
@@ -59,7 +59,7 @@
 				}
 			})
 		}
-		network := peers.Loopback()
+		network := fakes.Loopback()
 		for _, f := range scripts {
 			plays, err := f.plays()
 			must(t, err)
@@ -85,7 +85,7 @@
 }
 
 // play plays the scenario on both sides: together, or one after the other if it is alone.
-func (r *row) play(t *testing.T, network peers.Network) {
+func (r *row) play(t *testing.T, network fakes.Network) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	r.got, r.verdict = map[string][]string{}, "same"
@@ -136,7 +136,7 @@
 }
 
 // playOn plays the scenario on one side.
-func playOn(t *testing.T, side string, s *scenario, network peers.Network) ([]string, error) {
+func playOn(t *testing.T, side string, s *scenario, network fakes.Network) ([]string, error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if side == "library" {
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // program builds the daemon once, into a folder that TestMain removes.
@@ -59,14 +59,14 @@
 )
 
 func (d *daemon) config() ([]byte, error) {
-	var classes []peers.Class
+	var classes []fakes.Class
 	for _, c := range d.set.classes {
-		classes = append(classes, peers.Class{Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.Aim,
+		classes = append(classes, fakes.Class{Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.Aim,
 			Deadline: c.Deadline, Worth: c.Worth})
 	}
 	s, ms := d.set, func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	return peers.Config(peers.Sidecar{Name: "n1", Listen: "127.0.0.1:0", Directory: s.directory.Address(), Seed: 1,
-		Known: peers.List{Revision: 1, Members: s.members}, Classes: classes, Sockets: s.sockets, NoProbes: !s.probes,
+	return fakes.Config(fakes.Sidecar{Name: "n1", Listen: "127.0.0.1:0", Directory: s.directory.Address(), Seed: 1,
+		Known: fakes.List{Revision: 1, Members: s.members}, Classes: classes, Sockets: s.sockets, NoProbes: !s.probes,
 		MaxAttempts: s.attempts, ConnIdle: s.connIdle, Connect: s.connect, DrainGrace: s.grace,
 		Edit: func(document map[string]any) {
 			set := document["settings"].(map[string]any)
@@ -141,7 +141,7 @@
 	return len(all), err
 }
 
-func (d *daemon) Update(changed []peers.Member, all bool) error {
+func (d *daemon) Update(changed []fakes.Member, all bool) error {
 	return change(d.ctx, d.set.directory, changed, all)
 }
 
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // driver plays one side. All but Do are called by one goroutine.
@@ -17,7 +17,7 @@
 	// Do sends a request and returns its outcome. The end of ctx is that of the caller's interest.
 	Do(ctx context.Context, r *request) outcome
 	// Update tells of members that have changed, or of all. What is sent from its return on is decided by that.
-	Update(changed []peers.Member, all bool) error
+	Update(changed []fakes.Member, all bool) error
 	// Taken returns how many requests have been taken so far.
 	Taken() (int, error)
 	// Left returns how many connections there are beyond those of an idle start.
@@ -35,8 +35,8 @@
 type settings struct {
 	classes   []plankrouter.Class
 	tenants   []plankrouter.Tenant
-	members   []peers.Member
-	directory *peers.Directory // the same members; the daemon asks it, and the library if fed is "directory"
+	members   []fakes.Member
+	directory *fakes.Directory // the same members; the daemon asks it, and the library if fed is "directory"
 	fed       string
 	probes    bool
 	attempts  int
@@ -114,7 +114,7 @@
 
 // told waits until the daemon, or a library that watches it, has taken the directory's present revision: it has asked
 // for what is newer. What asks is the only one that does.
-func told(ctx context.Context, d *peers.Directory) error {
+func told(ctx context.Context, d *fakes.Directory) error {
 	now := d.Revision()
 	return await(ctx, func() bool {
 		calls := d.Calls()
@@ -123,7 +123,7 @@
 }
 
 // change tells the directory, and waits until that is known.
-func change(ctx context.Context, d *peers.Directory, changed []peers.Member, all bool) error {
+func change(ctx context.Context, d *fakes.Directory, changed []fakes.Member, all bool) error {
 	if all {
 		d.Set(changed...)
 	} else {
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // library is a Balancer in this process.
@@ -35,9 +35,9 @@
 	return err
 }
 
-func libraryMembers(in []peers.Member) (out []plankrouter.Member) {
-	phases := map[string]plankrouter.Phase{peers.Serving: plankrouter.Serving, peers.Draining: plankrouter.Draining,
-		peers.Deleted: plankrouter.Gone}
+func libraryMembers(in []fakes.Member) (out []plankrouter.Member) {
+	phases := map[string]plankrouter.Phase{fakes.Serving: plankrouter.Serving, fakes.Draining: plankrouter.Draining,
+		fakes.Deleted: plankrouter.Gone}
 	for _, m := range in {
 		one := plankrouter.Member{ID: m.ID, Address: m.Address, Phase: phases[m.Phase]}
 		if m.UpSince > 0 {
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (l *library) Update(changed []peers.Member, all bool) error {
+func (l *library) Update(changed []fakes.Member, all bool) error {
 	if l.set.fed == "directory" {
 		return change(l.ctx, l.set.directory, changed, all)
 	}
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // call is a request under way.
@@ -38,22 +38,22 @@
 	ctx       context.Context
 	scenario  *scenario
 	side      driver
-	network   peers.Network
+	network   fakes.Network
 	set       settings
 	providers map[string]*provider
 	order     []string // of the providers, as in the file
 	any       *queue
-	members   map[string]peers.Member // as they were last told, by id
+	members   map[string]fakes.Member // as they were last told, by id
 	calls     []*call
 	running   sync.WaitGroup
 	closed    bool
 	told      []string // what the steps found out, for the outcome
 }
 
-func newPlayer(ctx context.Context, s *scenario, side driver, n peers.Network, dir string) *player {
+func newPlayer(ctx context.Context, s *scenario, side driver, n fakes.Network, dir string) *player {
 	ms := time.Millisecond
 	return &player{ctx: ctx, scenario: s, side: side, network: n, providers: map[string]*provider{}, any: new(queue),
-		members: map[string]peers.Member{}, set: settings{dir: dir, attempts: 3, sockets: 512, connect: time.Minute,
+		members: map[string]fakes.Member{}, set: settings{dir: dir, attempts: 3, sockets: 512, connect: time.Minute,
 			connIdle: time.Minute, grace: 750 * ms, advice: 1200 * ms}}
 }
 
@@ -85,7 +85,7 @@
 				Deadline: 2 * time.Minute, Worth: 1, Repeat: plankrouter.Repeat(i)})
 		}
 	}
-	if p.set.directory, err = peers.NewDirectory(p.network, "", p.set.members...); err != nil {
+	if p.set.directory, err = fakes.NewDirectory(p.network, "", p.set.members...); err != nil {
 		return nil, err
 	}
 	if err := p.side.Start(&p.set); err != nil {
@@ -127,7 +127,7 @@
 			return err
 		}
 		if slices.Contains(plain, "draining") {
-			m.Phase = peers.Draining
+			m.Phase = fakes.Draining
 		}
 		if !slices.Contains(plain, "unlisted") {
 			p.members[name] = m
@@ -194,12 +194,12 @@
 }
 
 // member words a provider for the list: it serves, and has for long or for the time that since says.
-func (p *player) member(id, at string, o options) (m peers.Member, err error) {
+func (p *player) member(id, at string, o options) (m fakes.Member, err error) {
 	one := p.providers[at]
 	if one == nil {
 		return m, fmt.Errorf("there is no provider %q", at)
 	}
-	m = peers.Member{ID: id, Address: one.address, Locality: peers.Here, Phase: peers.Serving}
+	m = fakes.Member{ID: id, Address: one.address, Locality: fakes.Here, Phase: fakes.Serving}
 	var age time.Duration
 	if o.get("since") != "" {
 		err = duration(o, "since", &age)
@@ -404,19 +404,19 @@
 			return err
 		}
 	case "draining":
-		m.Phase = peers.Draining
+		m.Phase = fakes.Draining
 	case "gone":
-		m.Phase = peers.Deleted
+		m.Phase = fakes.Deleted
 	default:
 		return errors.New("there is no such phase")
 	}
 	p.members[id] = m
-	return p.side.Update([]peers.Member{m}, false)
+	return p.side.Update([]fakes.Member{m}, false)
 }
 
 // list tells the whole list: these ids, as they were last told, and no others.
 func (p *player) list(ids []string) error {
-	var all []peers.Member
+	var all []fakes.Member
 	for _, id := range ids {
 		m, known := p.members[id]
 		if !known {
--- a/conformance/provider_test.go
+++ b/conformance/provider_test.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // patience bounds every wait for something that has to come. Nothing is asserted of how long it takes.
@@ -106,13 +106,13 @@
 // provider is a server that does with each request what the script says.
 type provider struct {
 	name     string
-	network  peers.Network
+	network  fakes.Network
 	own, any *queue // any is shared by all providers of the scenario
 	running  sync.WaitGroup
 
 	mu       sync.Mutex
 	address  string
-	listener peers.Listener // nil = nobody listens
+	listener fakes.Listener // nil = nobody listens
 	links    map[*link]bool
 	sights   []*sight
 	probing  string // what becomes of probes: "answer", "hold", "fail" or "reset"
@@ -132,13 +132,13 @@
 	c.once.Do(func() {
 		close(c.over)
 		if reset {
-			peers.Abort(c.Conn)
+			fakes.Abort(c.Conn)
 		}
 		c.Close()
 	})
 }
 
-func newProvider(n peers.Network, name string, any *queue) *provider {
+func newProvider(n fakes.Network, name string, any *queue) *provider {
 	return &provider{name: name, network: n, own: new(queue), any: any, links: map[*link]bool{}, probing: "answer"}
 }
 
@@ -200,7 +200,7 @@
 	return p.listener.Freeze(on)
 }
 
-func (p *provider) accept(l peers.Listener) {
+func (p *provider) accept(l fakes.Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -8,8 +8,8 @@
 
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // slowReader is a connection of a process that is held up each time before it sees what has come.
@@ -30,7 +30,7 @@
 		heldUp  = 200 * time.Millisecond
 		blurred = 30 * time.Millisecond // by the kernel's ticks
 	)
-	d, err := peers.NewDirectory(peers.Loopback(), "", peers.Member{ID: "a", Address: "127.0.0.1:1", Phase: peers.Serving})
+	d, err := fakes.NewDirectory(fakes.Loopback(), "", fakes.Member{ID: "a", Address: "127.0.0.1:1", Phase: fakes.Serving})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -13,8 +13,8 @@
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // script is a directory whose every byte the test writes.
@@ -26,7 +26,7 @@
 const hung = 10 * time.Second // of real time: a step that takes so long has failed
 
 // scripted listens in a network of simulated time, or, without one, on a real socket.
-func scripted(t *testing.T, n peers.Network) *script {
+func scripted(t *testing.T, n fakes.Network) *script {
 	var l net.Listener
 	var err error
 	if n != nil {
@@ -337,7 +337,7 @@
 		"the start of one":  func(c *turn) { c.say("HTTP/1.1 ") },
 		"bytes":             func(c *turn) { c.say("\r\n") },
 		"its end":           func(c *turn) { c.Close() },
-		"a reset":           func(c *turn) { peers.Abort(c.Conn) },
+		"a reset":           func(c *turn) { fakes.Abort(c.Conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := cross(t)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,23 +12,23 @@
 
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // rig is a watch of a directory that knows a and b, in simulated time.
 type rig struct {
 	t       *testing.T
-	network *peers.Memory
-	at      *peers.Directory
+	network *fakes.Memory
+	at      *fakes.Directory
 	watch   *Watch
 	phases  map[string]string // as told
 	lines   []string
 }
 
-func (r *rig) directory(address string) *peers.Directory {
-	d, err := peers.NewDirectory(r.network, address, peers.Member{ID: "a", Address: "a:1", Phase: peers.Serving},
-		peers.Member{ID: "b", Address: "b:1", Phase: peers.Serving})
+func (r *rig) directory(address string) *fakes.Directory {
+	d, err := fakes.NewDirectory(r.network, address, fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Serving},
+		fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // play runs f in a bubble, with a watch that has not begun. It knows the list, as of a revision.
 func play(t *testing.T, revision uint64, f func(*rig)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{t: t, network: peers.NewMemory(), phases: map[string]string{}}
+		r := &rig{t: t, network: fakes.NewMemory(), phases: map[string]string{}}
 		r.at = r.directory("d:1")
 		defer r.at.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
@@ -87,47 +87,47 @@
 func TestNewsAfterTrouble(t *testing.T) {
 	const within = 2*time.Second + 3*time.Second
 	for name, c := range map[string]struct {
-		on  func(*peers.Directory) error
-		off func(*peers.Directory) error // nil = it is over at once
+		on  func(*fakes.Directory) error
+		off func(*fakes.Directory) error // nil = it is over at once
 		say string                       // in the log, if anything
 	}{
-		"lost answers": {func(d *peers.Directory) error { d.LoseAnswers(true); return nil },
-			func(d *peers.Directory) error { d.LoseAnswers(false); return nil }, "timeout"},
-		"mute": {func(d *peers.Directory) error { d.Mute(true); return nil },
-			func(d *peers.Directory) error { d.Mute(false); return nil }, "timeout"},
-		"late beyond patience": {func(d *peers.Directory) error { d.Delay(4 * time.Second); return nil },
-			func(d *peers.Directory) error { d.Delay(0); return nil }, "timeout"},
-		"a part for the whole": {func(d *peers.Directory) error { // after a failure the whole list is asked for
+		"lost answers": {func(d *fakes.Directory) error { d.LoseAnswers(true); return nil },
+			func(d *fakes.Directory) error { d.LoseAnswers(false); return nil }, "timeout"},
+		"mute": {func(d *fakes.Directory) error { d.Mute(true); return nil },
+			func(d *fakes.Directory) error { d.Mute(false); return nil }, "timeout"},
+		"late beyond patience": {func(d *fakes.Directory) error { d.Delay(4 * time.Second); return nil },
+			func(d *fakes.Directory) error { d.Delay(0); return nil }, "timeout"},
+		"a part for the whole": {func(d *fakes.Directory) error { // after a failure the whole list is asked for
 			d.PartForWhole(true)
 			d.Down(true)
 			return d.Down(false)
-		}, func(d *peers.Directory) error { d.PartForWhole(false); return nil }, "got a part"},
-		"spoilt": {func(d *peers.Directory) error {
+		}, func(d *fakes.Directory) error { d.PartForWhole(false); return nil }, "got a part"},
+		"spoilt": {func(d *fakes.Directory) error {
 			d.Spoil([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
 			return nil
 		},
-			func(d *peers.Directory) error { d.Spoil(nil); return nil }, "state=failed"},
-		"cut off": {func(d *peers.Directory) error { return d.Vanish(true) },
-			func(d *peers.Directory) error { return d.Vanish(false) }, "timeout"},
-		"whole":     {func(d *peers.Directory) error { d.WholeForWatch(true); return nil }, nil, ""},
-		"anew at 1": {func(d *peers.Directory) error { return d.RestartAt(1) }, nil, "state=failed"},
-		"anew at 9": {func(d *peers.Directory) error { return d.RestartAt(9) }, nil, "state=failed"},
+			func(d *fakes.Directory) error { d.Spoil(nil); return nil }, "state=failed"},
+		"cut off": {func(d *fakes.Directory) error { return d.Vanish(true) },
+			func(d *fakes.Directory) error { return d.Vanish(false) }, "timeout"},
+		"whole":     {func(d *fakes.Directory) error { d.WholeForWatch(true); return nil }, nil, ""},
+		"anew at 1": {func(d *fakes.Directory) error { return d.RestartAt(1) }, nil, "state=failed"},
+		"anew at 9": {func(d *fakes.Directory) error { return d.RestartAt(9) }, nil, "state=failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 0, func(r *rig) {
 				defer r.run()()
 				<-r.watch.First()
 				for range 3 { // so that it counts from a revision above 1
-					r.at.Change(peers.Member{ID: "b", Address: "b:1", Phase: peers.Serving})
+					r.at.Change(fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
 				}
 				if err := c.on(r.at); err != nil {
 					t.Fatal(err)
 				}
-				r.at.Change(peers.Member{ID: "a", Address: "a:1", Phase: peers.Draining})
+				r.at.Change(fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Draining})
 				if c.off != nil {
 					r.wait(10 * time.Second)
-					if got := r.phases["a"]; got != peers.Serving {
+					if got := r.phases["a"]; got != fakes.Serving {
 						t.Errorf("in the trouble a is %q", got)
 					}
 					if err := c.off(r.at); err != nil {
@@ -135,7 +135,7 @@
 					}
 				}
 				r.wait(within)
-				if r.phases["a"] != peers.Draining || r.phases["b"] != peers.Serving {
+				if r.phases["a"] != fakes.Draining || r.phases["b"] != fakes.Serving {
 					t.Errorf("afterwards: %v", r.phases)
 				}
 				if said := strings.Join(r.lines, "\n"); c.say == "" && said != "" || !strings.Contains(said, c.say) {
@@ -163,7 +163,7 @@
 				}
 				r.wait(500 * time.Millisecond)
 				calls := other.Calls()
-				if len(calls) == 0 || !calls[0].Whole || slices.ContainsFunc(calls[1:], func(c peers.DirectoryCall) bool { return c.Whole }) {
+				if len(calls) == 0 || !calls[0].Whole || slices.ContainsFunc(calls[1:], func(c fakes.DirectoryCall) bool { return c.Whole }) {
 					t.Errorf("the new directory is asked %+v", calls)
 				}
 				if r.watch.Source() != "e:1" || len(r.phases) != 2 {
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
-func many(n int) (all []peers.Member) {
+func many(n int) (all []fakes.Member) {
 	for i := range n {
-		all = append(all, peers.Member{ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
-			Locality: strings.Repeat("z", 1+i%30), Phase: peers.Serving, UpSince: 1_790_000_000_000 + int64(i)})
+		all = append(all, fakes.Member{ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
+			Locality: strings.Repeat("z", 1+i%30), Phase: fakes.Serving, UpSince: 1_790_000_000_000 + int64(i)})
 	}
 	return all
 }
@@ -32,11 +32,11 @@
 					defer r.run()()
 					r.wait(100 * time.Millisecond)
 					for i := range all {
-						all[i].Phase = peers.Draining
+						all[i].Phase = fakes.Draining
 					}
 					r.at.Change(all...)
 					r.wait(100 * time.Millisecond)
-					if len(r.phases) != n || r.phases[all[n-1].ID] != peers.Draining || r.watch.Failures.Load() > 0 {
+					if len(r.phases) != n || r.phases[all[n-1].ID] != fakes.Draining || r.watch.Failures.Load() > 0 {
 						t.Errorf("%d told, the last as %q: %.200q", len(r.phases), r.phases[all[n-1].ID], r.lines)
 					}
 				})
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire is the bench's binary dialect: frames and the words they use. It translates to
+// Package simwire is the bench's binary dialect: frames and the words they use. It translates to
 // and from the types of package policy and decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/lab/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/limit"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // TestPage holds what docs/CAPACITY.md counts against what the code does: the page's figures are products of these.
@@ -60,7 +60,7 @@
 
 	w = start(t, Point{Servers: 100, Instances: fleetSize, Price: cheap, OnRequest: true, Unknown: true})
 	near("whole lists of a start that knows none", w.firstWhole(t), 0)
-	raw, err := json.MarshalIndent(peers.List{Revision: 1, Complete: true, Members: w.tiles.members()}, "", "    ")
+	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Members: w.tiles.members()}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 func start(t *testing.T, point Point) *world {
 	t.Helper()
 	dir := t.TempDir()
-	w := &world{told: point, network: peers.Loopback()}
+	w := &world{told: point, network: fakes.Loopback()}
 	var err error
 	if w.tiles, err = newTiles(w.network, point.Servers); err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), readyWithin)
 	defer cancel()
 	for !is() {
-		if peers.Pause(ctx, time.Millisecond) != nil {
+		if fakes.Pause(ctx, time.Millisecond) != nil {
 			t.Fatal("it has not come to it")
 		}
 	}
@@ -171,7 +171,7 @@
 		one := w.tiles.members()[n%len(w.tiles.listeners)]
 		one.UpSince = time.Now().UnixMilli()
 		revision := w.directory.Change(one)
-		known := func(c peers.DirectoryCall) bool { return c.Index >= revision }
+		known := func(c fakes.DirectoryCall) bool { return c.Index >= revision }
 		w.await(t, func() bool { return slices.ContainsFunc(w.directory.Calls(), known) })
 		told, whole := 0, false
 		for _, c := range w.directory.Calls()[from:] {
--- a/internal/lab/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -21,8 +21,8 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/host"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 const stallMost = 100 * time.Millisecond // by which a timer may come late: beyond it a point is measured again
@@ -120,7 +120,7 @@
 // world is what surrounds the sidecar of one point.
 type world struct {
 	told      Point // as before anything is measured
-	network   peers.Network
+	network   fakes.Network
 	tiles     *tiles
 	directory *directory
 	sidecar   *sidecar
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	w := &world{told: *point, network: peers.Loopback()}
+	w := &world{told: *point, network: fakes.Loopback()}
 	if w.tiles, err = newTiles(w.network, point.Servers); err != nil {
 		return err
 	}
@@ -220,25 +220,25 @@
 		return err
 	}
 	long := p.Settle + p.Window
-	load := peers.NewConsumers(peers.Load{Network: w.network, Address: w.sidecar.address, Seed: 1,
-		Flows: []peers.Flow{{Class: peers.Tile(), Rate: point.Rate}}, For: long + 2*time.Second})
+	load := fakes.NewConsumers(fakes.Load{Network: w.network, Address: w.sidecar.address, Seed: 1,
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: point.Rate}}, For: long + 2*time.Second})
 	loaded, endLoad := context.WithCancel(ctx)
 	defer endLoad()
-	var tries []peers.Try
+	var tries []fakes.Try
 	var calling sync.WaitGroup
 	calling.Go(func() { tries = load.Run(loaded) })
 	w.every(ctx, &running, point.Changes, func(n int) error { w.change(n); return nil })
 	w.every(ctx, &running, point.Reloads, w.reload)
 
-	if err := peers.Pause(ctx, p.Settle); err != nil {
+	if err := fakes.Pause(ctx, p.Settle); err != nil {
 		return err
 	}
 	from, err := w.readAll(ctx)
 	if err != nil {
 		return err
 	}
-	busy := host.Watch()
-	err = peers.Pause(ctx, p.Window)
+	busy := process.Watch()
+	err = fakes.Pause(ctx, p.Window)
 	late, _ := busy.Look()
 	busy.Close()
 	if m.StallMs = ms(late); err != nil {
@@ -301,14 +301,14 @@
 }
 
 // judge counts the requests due in the window, and what was added to each that was served.
-func (m *Measured) judge(tries []peers.Try, atTile *sync.Map, from, to time.Time) {
+func (m *Measured) judge(tries []fakes.Try, atTile *sync.Map, from, to time.Time) {
 	var added []float64
 	for _, t := range tries {
 		if t.At.Before(from) || !t.At.Before(to) {
 			continue
 		}
 		m.Requests++
-		if t.Result != peers.Served {
+		if t.Result != fakes.Served {
 			continue
 		}
 		m.Served++
@@ -324,11 +324,11 @@
 
 // configure writes the sidecar's configuration, whose n-th version differs from the one before.
 func (w *world) configure(n int) error {
-	known := peers.List{}
+	known := fakes.List{}
 	if !w.told.Unknown {
-		known = peers.List{Revision: 1, Members: w.tiles.members()}
+		known = fakes.List{Revision: 1, Members: w.tiles.members()}
 	}
-	aim := peers.Tile().Aim + time.Duration(n%2)*time.Millisecond
+	aim := fakes.Tile().Aim + time.Duration(n%2)*time.Millisecond
 	return w.sidecar.configure(w.told, w.directory.Address(), known, aim)
 }
 
@@ -358,7 +358,7 @@
 		next := time.Now()
 		for n := 1; ; n++ {
 			next = next.Add(time.Duration(float64(time.Second) / rate))
-			if peers.Pause(ctx, time.Until(next)) != nil || do(n) != nil {
+			if fakes.Pause(ctx, time.Until(next)) != nil || do(n) != nil {
 				return
 			}
 		}
--- a/internal/lab/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -12,15 +12,15 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/lab/host"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 const readyWithin = 30 * time.Second
 
 // sidecar is one process of the program, and what it is told.
 type sidecar struct {
-	process        *host.Program // nil = it has not begun
+	process        *process.Program // nil = it has not begun
 	address, admin string
 	file           string
 	log            logCounter
@@ -38,11 +38,11 @@
 }
 
 // configure writes the configuration file: whole or not at all, since the sidecar may read it at any time.
-func (s *sidecar) configure(of Point, directory string, known peers.List, aim time.Duration) error {
-	tile := peers.Tile()
+func (s *sidecar) configure(of Point, directory string, known fakes.List, aim time.Duration) error {
+	tile := fakes.Tile()
 	tile.Aim = aim
-	raw, err := peers.Config(peers.Sidecar{Name: "lab", Listen: s.address, Seed: 1, Directory: directory, Known: known,
-		Classes: []peers.Class{tile, peers.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
+	raw, err := fakes.Config(fakes.Sidecar{Name: "lab", Listen: s.address, Seed: 1, Directory: directory, Known: known,
+		Classes: []fakes.Class{tile, fakes.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
 		ConnIdle: time.Minute, Connect: 150 * time.Millisecond, DrainGrace: drainGrace,
 		Edit: func(document map[string]any) {
 			document["admin_addr"] = s.admin
@@ -63,7 +63,7 @@
 }
 
 // free returns an address that is free on a host of this process's own.
-func free(n peers.Network) (string, error) {
+func free(n fakes.Network) (string, error) {
 	l, err := n.Listen("")
 	if err != nil {
 		return "", err
@@ -73,7 +73,7 @@
 }
 
 // prepare chooses the sidecar's addresses; nothing runs yet.
-func prepare(n peers.Network, dir string) (s *sidecar, err error) {
+func prepare(n fakes.Network, dir string) (s *sidecar, err error) {
 	s = &sidecar{file: filepath.Join(dir, "config.json")}
 	if s.address, err = free(n); err != nil {
 		return nil, err
@@ -85,17 +85,17 @@
 }
 
 // start starts the program, on one core of the machine if that is given, and returns when it is ready.
-func (s *sidecar) start(ctx context.Context, n peers.Network, program string, core int, log io.Writer) error {
+func (s *sidecar) start(ctx context.Context, n fakes.Network, program string, core int, log io.Writer) error {
 	s.log.to = log
 	cmd := exec.Command(program)
 	cmd.Env, cmd.Stdout, cmd.Stderr = []string{"GW_CONFIG=" + s.file}, &s.log, &s.log
 	var err error
-	if s.process, err = host.Start(cmd, core); err != nil {
+	if s.process, err = process.Start(cmd, core); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	return peers.Ready(ctx, n, s.address)
+	return fakes.Ready(ctx, n, s.address)
 }
 
 // stop ends it, if it has begun.
@@ -107,14 +107,14 @@
 }
 
 // cpu is the processor time that it has used so far.
-func (s *sidecar) cpu() (time.Duration, error) { return host.CPU(s.process.Pid()) }
+func (s *sidecar) cpu() (time.Duration, error) { return process.CPU(s.process.Pid()) }
 
 // resident is the memory that it holds, in bytes.
-func (s *sidecar) resident() (int64, error) { return host.Resident(s.process.Pid()) }
+func (s *sidecar) resident() (int64, error) { return process.Resident(s.process.Pid()) }
 
 // scrape reads the figures for operators, and returns how many bytes went both ways for it.
-func (s *sidecar) scrape(ctx context.Context, n peers.Network) (bytes int64, body []byte, err error) {
-	var count peers.Counter
+func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
+	var count fakes.Counter
 	counted := count.Of(n)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return counted.Dial(ctx, address) }}}
--- a/internal/lab/capacity/standins.go
+++ b/internal/testbench/capacity/standins.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -49,7 +49,7 @@
 	running             sync.WaitGroup
 }
 
-func newTiles(n peers.Network, servers int) (*tiles, error) {
+func newTiles(n fakes.Network, servers int) (*tiles, error) {
 	t := &tiles{conns: map[net.Conn]struct{}{}}
 	for range servers {
 		l, err := n.Listen("")
@@ -64,10 +64,10 @@
 }
 
 // members are the lines of the list.
-func (t *tiles) members() (all []peers.Member) {
+func (t *tiles) members() (all []fakes.Member) {
 	for i, l := range t.listeners {
-		all = append(all, peers.Member{ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: peers.Here,
-			Phase: peers.Serving})
+		all = append(all, fakes.Member{ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
+			Phase: fakes.Serving})
 	}
 	return all
 }
@@ -168,14 +168,14 @@
 
 // directory is the scripted one, counted.
 type directory struct {
-	*peers.Directory
-	count peers.Counter
+	*fakes.Directory
+	count fakes.Counter
 }
 
-func newDirectory(n peers.Network, members []peers.Member) (*directory, error) {
+func newDirectory(n fakes.Network, members []fakes.Member) (*directory, error) {
 	d := &directory{}
 	var err error
-	d.Directory, err = peers.NewDirectory(d.count.Of(n), "", members...)
+	d.Directory, err = fakes.NewDirectory(d.count.Of(n), "", members...)
 	if err == nil {
 		d.Word(true, false)
 	}
--- a/internal/lab/cost/cost.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -1,6 +1,6 @@
-// Package cost has what the benchmarks of cost share: servers in a process of their own, so that their work is not taken for
+// Package cpubench has what the benchmarks of cost share: servers in a process of their own, so that their work is not taken for
 // that of what is measured, and the CPU time of a process.
-package cost
+package cpubench
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/host"
+	"plankrouter/internal/testbench/process"
 )
 
 // RoleVariable makes a process that calls Serve a server or a proxy.
@@ -190,7 +190,7 @@
 }
 
 // CPU is the time that the child has used so far.
-func (p *Process) CPU() (time.Duration, error) { return host.CPU(p.cmd.Process.Pid) }
+func (p *Process) CPU() (time.Duration, error) { return process.CPU(p.cmd.Process.Pid) }
 
 // Own is the CPU time that this process has used so far.
 func Own() time.Duration {
--- a/internal/lab/emulator/overload_scale_test.go
+++ b/internal/testbench/emulator/overload_scale_test.go
@@ -7,7 +7,7 @@
 )
 
 // Where probes wait among the requests and the servers bear the traffic, what a fleet serves after an event hangs on the number
-// of its sidecars by no more than 0.05, and is back within 5 s. It is the scale test in small; planklab overload has it at full
+// of its sidecars by no more than 0.05, and is back within 5 s. It is the scale test in small; testbench overload has it at full
 // size, and docs/design/overload.md says where that is not so.
 func TestOverloadIsFlatInSidecars(t *testing.T) {
 	const near = 0.05
--- a/internal/lab/peers/doc.go
+++ b/internal/testbench/fakes/doc.go
@@ -1,4 +1,4 @@
-// Package peers is a kit of scripted peers around a sidecar: a directory, providers and consumers that behave well and,
+// Package fakes is a kit of scripted peers around a sidecar: a directory, providers and consumers that behave well and,
 // on a time line, misbehave. The same script runs on loopback, against the program as a process, and in a bubble of
 // testing/synctest, where the sidecar is given the Memory network's listener and its Dial.
 //
@@ -9,9 +9,9 @@
 // answers are lost, and the test asks for how long service stays below normal.
 //
 //	synctest.Test(t, func(t *testing.T) {
-//		net := peers.NewMemory()
-//		fleet, err := peers.NewFleet(net, 8, peers.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-//			Default: peers.Service{Mean: 20 * time.Millisecond}})
+//		net := fakes.NewMemory()
+//		fleet, err := fakes.NewFleet(net, 8, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
+//			Default: fakes.Service{Mean: 20 * time.Millisecond}})
 //		if err != nil {
 //			t.Fatal(err)
 //		}
@@ -21,8 +21,8 @@
 //			t.Fatal(err)
 //		}
 //		file := filepath.Join(t.TempDir(), "config.json")
-//		raw, err := peers.Config(peers.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1,
-//			Directory: fleet.Directory.Address(), Known: peers.List{Revision: 1, Members: fleet.Members()}})
+//		raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1,
+//			Directory: fleet.Directory.Address(), Known: fakes.List{Revision: 1, Members: fleet.Members()}})
 //		if err != nil || os.WriteFile(file, raw, 0o600) != nil {
 //			t.Fatal(err)
 //		}
@@ -33,26 +33,26 @@
 //		}
 //		signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 //		go func() { ended <- serve(cfg, getenv, front, net.Dial, signals) }()
-//		if err := peers.Ready(t.Context(), net, front.Addr().String()); err != nil {
+//		if err := fakes.Ready(t.Context(), net, front.Addr().String()); err != nil {
 //			t.Fatal(err)
 //		}
 //
 //		start := time.Now()
-//		go peers.Timeline{
+//		go fakes.Timeline{
 //			{At: 5 * time.Second, Name: "answers are lost", Do: func() { fleet.Directory.LoseAnswers(true) }},
 //			{At: 6 * time.Second, Name: "release", Do: func() {
-//				fleet.Release(t.Context(), peers.Release{Batch: 4, Most: 4, Grace: time.Second, Move: true})
+//				fleet.Release(t.Context(), fakes.Release{Batch: 4, Most: 4, Grace: time.Second, Move: true})
 //			}},
 //		}.Run(t.Context(), start)
-//		tries := peers.NewConsumers(peers.Load{Network: net, Address: front.Addr().String(), Seed: 1,
+//		tries := fakes.NewConsumers(fakes.Load{Network: net, Address: front.Addr().String(), Seed: 1,
 //			For:   30 * time.Second,
-//			Flows: []peers.Flow{{Class: peers.Tile(), Rate: 200}, {Class: peers.Order(), Rate: 40}},
+//			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 200}, {Class: fakes.Order(), Rate: 40}},
 //		}).Run(t.Context())
 //
-//		calm := peers.Tally(tries, start, 5*time.Second)[0]
-//		took, ok := peers.Recovered(tries, start.Add(6*time.Second), calm.Share(), 500*time.Millisecond)
+//		calm := fakes.Tally(tries, start, 5*time.Second)[0]
+//		took, ok := fakes.Recovered(tries, start.Add(6*time.Second), calm.Share(), 500*time.Millisecond)
 //		t.Logf("calm: %s; recovered: %t, after %s", calm, ok, took)
-//		if twice := peers.RunTwice("order", fleet.Providers...); len(twice) > 0 {
+//		if twice := fakes.RunTwice("order", fleet.Providers...); len(twice) > 0 {
 //			t.Errorf("orders run twice: %v", twice)
 //		}
 //		signals <- syscall.SIGTERM
@@ -68,4 +68,4 @@
 // that request alone, and the Memory network's delays differ by connection, since the order of what happens at the very
 // same instant would be left to chance. What remains of that is two connections opened to one address at one instant,
 // and whatever the sidecar itself leaves to chance.
-package peers
+package fakes
--- a/internal/lab/peers/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -1,4 +1,4 @@
-package peers
+package fakes
 
 import (
 	"fmt"
--- a/internal/lab/load/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Dialer opens connections.
@@ -21,7 +21,7 @@
 
 // client sends a plan's requests. It is safe for concurrent use.
 type client struct {
-	conns    peers.Client
+	conns    fakes.Client
 	plan     *Plan
 	recorder *recorder
 	bodies   []byte // what bodies are cut from
@@ -62,7 +62,7 @@
 
 // try is how one try went.
 type try struct {
-	peers.Exchange
+	fakes.Exchange
 	late   time.Duration // on its way to a connection
 	advice time.Duration // from Retry-After
 }
@@ -76,7 +76,7 @@
 	}
 	t.late = time.Since(at)
 	t.Exchange = c.conns.Send(func() []byte { return c.message(q, number, until) }, until)
-	if t.Result == peers.Refused {
+	if t.Result == fakes.Refused {
 		s, err := strconv.ParseFloat(t.Answer.Header.Get("Retry-After"), 64)
 		if err == nil && s > 0 && s < 1e6 {
 			t.advice = time.Duration(s * float64(time.Second))
--- a/internal/lab/load/doc.go
+++ b/internal/testbench/loadgen/doc.go
@@ -1,4 +1,4 @@
-// Package load generates load whose arrivals do not wait for answers.
+// Package loadgen generates load whose arrivals do not wait for answers.
 //
 // A tool that sends its next request when the last one was answered slows down with the server that it measures, and
 // what it reports leaves out just the requests that would have had to wait (coordinated omission). Here each request
@@ -12,4 +12,4 @@
 // makes of one what people and plots want to see.
 //
 // Memory grows with the length of a run in seconds and with the requests that are out, not with all that were sent.
-package load
+package loadgen
--- a/internal/lab/load/load_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 
 	"github.com/wcharczuk/go-chart/v2"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const workVariable = "PLANKROUTER_LOAD_TEST_WORK"
@@ -69,7 +69,7 @@
 	t.Helper()
 	var result *Result
 	synctest.Test(t, func(t *testing.T) {
-		n := peers.NewMemory()
+		n := fakes.NewMemory()
 		n.SetDelay(0, 0)
 		l, err := n.Listen("")
 		ok(t, err)
@@ -561,9 +561,9 @@
 
 // Real processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
-	n := peers.Loopback()
-	provider, err := peers.NewProvider(n, peers.ProviderOptions{Cores: 100,
-		Default: peers.Service{Mean: time.Millisecond, Fixed: true}})
+	n := fakes.Loopback()
+	provider, err := fakes.NewProvider(n, fakes.ProviderOptions{Cores: 100,
+		Default: fakes.Service{Mean: time.Millisecond, Fixed: true}})
 	ok(t, err)
 	defer provider.Close()
 	self, err := os.Executable()
@@ -600,13 +600,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
 		defer cancel()
-		r, err := Run(ctx, tiles(t, constant(10), Even, 100), Options{Dialer: peers.NewMemory(), Address: "10.0.0.1:1",
+		r, err := Run(ctx, tiles(t, constant(10), Even, 100), Options{Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
 			Pause: time.Sleep})
 		if err != nil || !r.Partial || r.Classes[0].Ends[Unreachable] != 15 {
 			t.Errorf("%+v, %v", r, err)
 		}
 		p := tiles(t, constant(0), Poisson, 100)
-		r, err = Run(t.Context(), p, Options{Dialer: peers.NewMemory(), Address: "10.0.0.1:1"})
+		r, err = Run(t.Context(), p, Options{Dialer: fakes.NewMemory(), Address: "10.0.0.1:1"})
 		var out bytes.Buffer
 		report := NewReport(p, r, "", 1)
 		if err != nil || r.Partial || r.Ran != 0 || !report.Valid || report.Write(&out) != nil {
@@ -660,9 +660,9 @@
 // A request that crosses the close of a kept connection goes out once more, at once.
 func TestCrossing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := peers.NewMemory()
+		n := fakes.NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
-		provider, err := peers.NewProvider(n, peers.ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
+		provider, err := fakes.NewProvider(n, fakes.ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
 		ok(t, err)
 		defer provider.Close()
 		p := tiles(t, constant(5), Poisson, 60)
--- a/internal/lab/load/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // End is how a try ended, as its client has seen it, and a request by its last try.
@@ -19,12 +19,12 @@
 
 // The ends. Each try has exactly one.
 const (
-	Served      = End(peers.Served)      // 200
-	Refused     = End(peers.Refused)     // 429 or 503
-	Failed      = End(peers.Failed)      // any other answer, or one that broke off
-	Lost        = End(peers.Lost)        // the connection ended without an answer
-	TimedOut    = End(peers.TimedOut)    // nothing came while the client waited, or it got no connection in that time
-	Unreachable = End(peers.Unreachable) // no connection came up
+	Served      = End(fakes.Served)      // 200
+	Refused     = End(fakes.Refused)     // 429 or 503
+	Failed      = End(fakes.Failed)      // any other answer, or one that broke off
+	Lost        = End(fakes.Lost)        // the connection ended without an answer
+	TimedOut    = End(fakes.TimedOut)    // nothing came while the client waited, or it got no connection in that time
+	Unreachable = End(fakes.Unreachable) // no connection came up
 	ends        = Unreachable + 1
 )
 
--- a/internal/lab/load/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Options are what a run needs besides its plan.
@@ -35,7 +35,7 @@
 // makes the result a partial one. An error says that the plan could not be played to its end.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
 	set(&o.Parts, 1)
-	set(&o.Dialer, Dialer(peers.Loopback()))
+	set(&o.Dialer, Dialer(fakes.Loopback()))
 	if o.Pause == nil {
 		a, err := newAlarm()
 		if err != nil {
@@ -48,7 +48,7 @@
 		o.Start = now
 	}
 	rec := &recorder{start: o.Start, result: newResult(len(p.Classes))}
-	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: peers.Client{Dial: o.Dialer.Dial,
+	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: fakes.Client{Dial: o.Dialer.Dial,
 		Address: o.Address, MaxConns: (p.Connections + o.Parts - 1) / o.Parts, Read: answer}}
 	for i := range c.bodies {
 		c.bodies[i] = 'a' + byte(i%26)
--- a/internal/lab/load/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
--- a/internal/lab/host/host.go
+++ b/internal/testbench/process/process.go
@@ -1,6 +1,6 @@
-// Package host is what the lab knows of processes and of the machine that they run on: what one has used, how busy all
+// Package process is what the lab knows of processes and of the machine that they run on: what one has used, how busy all
 // processors are, and how late timers come. What a figure is worth depends on the last two. Linux only.
-package host
+package process
 
 import (
 	"fmt"
--- a/internal/lab/host/host_test.go
+++ b/internal/testbench/process/process_test.go
@@ -1,4 +1,4 @@
-package host
+package process
 
 import (
 	"errors"
--- a/internal/lab/recovery/figures.go
+++ b/internal/testbench/recovery/figures.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -37,20 +37,20 @@
 }
 
 // isLost reports whether the sidecar had the request, or might have, and its client was left without an answer.
-func isLost(t *peers.Try) bool {
-	return t.Result == peers.Lost || t.Result == peers.Wrong || t.Result == peers.TimedOut && !t.SentAt.IsZero()
+func isLost(t *fakes.Try) bool {
+	return t.Result == fakes.Lost || t.Result == fakes.Wrong || t.Result == fakes.TimedOut && !t.SentAt.IsZero()
 }
 
 // count adds what became of a try.
-func (f *Figures) count(t *peers.Try) {
+func (f *Figures) count(t *fakes.Try) {
 	switch {
-	case t.Result == peers.Failed:
+	case t.Result == fakes.Failed:
 		f.Failed++
-	case t.Result == peers.Refused:
+	case t.Result == fakes.Refused:
 		f.Refused++
-	case t.Result == peers.Unreachable:
+	case t.Result == fakes.Unreachable:
 		f.Unreachable++
-	case isLost(t) && t.Result == peers.TimedOut:
+	case isLost(t) && t.Result == fakes.TimedOut:
 		f.Unanswered++
 	case isLost(t):
 		f.Lost++
@@ -58,9 +58,9 @@
 }
 
 // share is the part of the requests due in a span that was served within the aim.
-func share(tries []peers.Try, from, to time.Time) float64 {
-	early := slices.DeleteFunc(slices.Clone(tries), func(t peers.Try) bool { return !t.AskedAt.Before(to) })
-	for _, all := range peers.Tally(early, from, 0) {
+func share(tries []fakes.Try, from, to time.Time) float64 {
+	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.AskedAt.Before(to) })
+	for _, all := range fakes.Tally(early, from, 0) {
 		return all.Share()
 	}
 	return 1
@@ -80,17 +80,17 @@
 }
 
 // troubleAfter looks for the first window after the event that is below 95% of normal: what follows a word to stop,
-// say, is well for a while. From there on it is peers.Recovered that says when service is back. A trouble that begins
+// say, is well for a while. From there on it is fakes.Recovered that says when service is back. A trouble that begins
 // in the last second is only counted: how it ends can't be seen.
-func troubleAfter(tries []peers.Try, event time.Time, normal float64, width time.Duration) trouble {
+func troubleAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) trouble {
 	out := trouble{ok: true, worst: 1}
-	windows := peers.Tally(tries, event, width)
+	windows := fakes.Tally(tries, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
-	seen := len(windows) - int(peers.WellFor/width)
+	seen := len(windows) - int(fakes.WellFor/width)
 	first := -1
 	for i, w := range windows {
 		out.worst = min(out.worst, w.Share())
-		if w.Share() < peers.WellAt*normal {
+		if w.Share() < fakes.WellAt*normal {
 			out.below += width
 			if first < 0 && i < seen {
 				first = i
@@ -99,7 +99,7 @@
 	}
 	if first >= 0 {
 		begin := time.Duration(first) * width
-		out.back, out.ok = peers.Recovered(tries, event.Add(begin), normal, width)
+		out.back, out.ok = fakes.Recovered(tries, event.Add(begin), normal, width)
 		out.back += begin
 	}
 	return out
@@ -111,7 +111,7 @@
 		if c.Safe {
 			continue
 		}
-		for _, id := range peers.RunTwice(c.Name, r.fleet.Providers...) {
+		for _, id := range fakes.RunTwice(c.Name, r.fleet.Providers...) {
 			for _, p := range r.fleet.Providers {
 				n += p.Runs(id)
 			}
@@ -123,7 +123,7 @@
 
 // toldAt returns when each drain was told, given the revisions that told them: with the first answer that holds it,
 // whoever asked.
-func toldAt(drains map[string]uint64, calls []peers.DirectoryCall) map[string]time.Time {
+func toldAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
 	told := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
@@ -137,7 +137,7 @@
 }
 
 // lateSends counts the requests whose first byte came to a provider after the grace of its drain.
-func lateSends(told map[string]time.Time, requests []peers.Request) (n int) {
+func lateSends(told map[string]time.Time, requests []fakes.Request) (n int) {
 	for _, q := range requests {
 		if at, drained := told[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeIn)) {
 			n++
--- a/internal/lab/recovery/figures_test.go
+++ b/internal/testbench/recovery/figures_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 var epoch = time.Unix(1_800_000_000, 0)
@@ -15,14 +15,14 @@
 func after(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 // windowsOf returns 20 tries in each window of 250 ms, of which so many are served in time.
-func windowsOf(served ...int) (tries []peers.Try) {
+func windowsOf(served ...int) (tries []fakes.Try) {
 	for w, n := range served {
 		for i := range 20 {
 			due := epoch.Add(time.Duration(w*20+i) * 12500 * time.Microsecond)
-			t := peers.Try{ID: fmt.Sprint(w, i), First: fmt.Sprint(w, i), Class: peers.Tile(), AskedAt: due, At: due,
-				EndedAt: due.Add(time.Millisecond), Result: peers.Served}
+			t := fakes.Try{ID: fmt.Sprint(w, i), First: fmt.Sprint(w, i), Class: fakes.Tile(), AskedAt: due, At: due,
+				EndedAt: due.Add(time.Millisecond), Result: fakes.Served}
 			if i >= n {
-				t.Result = peers.Refused
+				t.Result = fakes.Refused
 			}
 			tries = append(tries, t)
 		}
@@ -63,13 +63,13 @@
 
 func TestCounts(t *testing.T) {
 	var got Figures
-	for r, n := range map[peers.Result]int{peers.Served: 1, peers.Refused: 2, peers.Failed: 3, peers.Lost: 4,
-		peers.TimedOut: 5, peers.Unreachable: 6, peers.Wrong: 7} {
+	for r, n := range map[fakes.Result]int{fakes.Served: 1, fakes.Refused: 2, fakes.Failed: 3, fakes.Lost: 4,
+		fakes.TimedOut: 5, fakes.Unreachable: 6, fakes.Wrong: 7} {
 		for range n {
-			got.count(&peers.Try{Result: r, SentAt: epoch})
+			got.count(&fakes.Try{Result: r, SentAt: epoch})
 		}
 	}
-	got.count(&peers.Try{Result: peers.TimedOut}) // it was never sent
+	got.count(&fakes.Try{Result: fakes.TimedOut}) // it was never sent
 	if want := (Figures{Lost: 11, Unanswered: 5, Failed: 3, Refused: 2, Unreachable: 6}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -77,13 +77,13 @@
 
 // A drain counts from the first answer that told it, and only for the process that it is about.
 func TestLateSends(t *testing.T) {
-	told := toldAt(map[string]uint64{"a": 3, "b": 4}, []peers.DirectoryCall{
+	told := toldAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DirectoryCall{
 		{Answered: true, AnsweredAt: after(0), Revision: 2},
 		{Answered: false, AnsweredAt: after(10), Revision: 3},
 		{Answered: true, AnsweredAt: after(200), Revision: 3},
 		{Answered: true, AnsweredAt: after(100), Revision: 3},
 	})
-	sent := []peers.Request{{Server: "a", FirstByte: after(900)}, {Server: "a", FirstByte: after(901)},
+	sent := []fakes.Request{{Server: "a", FirstByte: after(900)}, {Server: "a", FirstByte: after(901)},
 		{Server: "b", FirstByte: after(5000)}, {Server: "c", FirstByte: after(5000)}}
 	if n := lateSends(told, sent); n != 1 {
 		t.Errorf("%d late sends, want that at 901 ms alone; told: %v", n, told)
@@ -91,7 +91,7 @@
 }
 
 func TestLongestGap(t *testing.T) {
-	tries := []peers.Try{{Status: 200, EndedAt: after(50)}, {Status: 503, EndedAt: after(10)}, {EndedAt: after(70)},
+	tries := []fakes.Try{{Status: 200, EndedAt: after(50)}, {Status: 503, EndedAt: after(10)}, {EndedAt: after(70)},
 		{Status: 200, EndedAt: after(95)}}
 	if got := longestGap(tries); got != 45*time.Millisecond {
 		t.Errorf("%s, want 45ms", got)
@@ -105,14 +105,14 @@
 		due, ended int
 		want       bool
 	}{{0, 99, false}, {0, 101, true}, {150, 400, true}, {201, 400, false}} {
-		if got := k.meets(&peers.Try{At: after(test.due), EndedAt: after(test.ended)}); got != test.want {
+		if got := k.meets(&fakes.Try{At: after(test.due), EndedAt: after(test.ended)}); got != test.want {
 			t.Errorf("due at %d ms, ended at %d ms: %t, want %t", test.due, test.ended, got, test.want)
 		}
 	}
 }
 
 func TestLostRequestsAreNamed(t *testing.T) {
-	tries := []peers.Try{{ID: "a", Result: peers.Served}, {ID: "b", Result: peers.Lost}, {ID: "c", Result: peers.Wrong}}
+	tries := []fakes.Try{{ID: "a", Result: fakes.Served}, {ID: "b", Result: fakes.Lost}, {ID: "c", Result: fakes.Wrong}}
 	got := noneLost(tries)
 	if len(got) != 3 || got[0] != "2 requests lost or not answered" || noneLost(tries[:1]) != nil {
 		t.Errorf("%q", got)
--- a/internal/lab/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -69,10 +69,10 @@
 }
 
 // patient are the usual classes with clients that wait for long.
-func patient() []peers.Class {
-	tile, order := peers.Tile(), peers.Order()
+func patient() []fakes.Class {
+	tile, order := fakes.Tile(), fakes.Order()
 	tile.Deadline, order.Deadline = patience, patience
-	return []peers.Class{tile, order}
+	return []fakes.Class{tile, order}
 }
 
 // Handovers runs the plan: SIGUSR2, until the successor serves alone, and again. An error says that it could not be run
@@ -99,7 +99,7 @@
 	if time.Since(r.start) > long {
 		return out, fmt.Errorf("a handover takes more than %s: the load has ended before the last", perHandover)
 	}
-	if err := peers.Pause(ctx, time.Second); err != nil {
+	if err := fakes.Pause(ctx, time.Second); err != nil {
 		return out, err
 	}
 	r.end()
@@ -112,7 +112,7 @@
 func (p HandoverPlan) run(ctx context.Context, r *rig) (took []phases, kills []kill, err error) {
 	draw := rand.New(rand.NewPCG(p.Seed, 0))
 	for n := 1; n <= p.Restarts; n++ {
-		if err := peers.Pause(ctx, p.Pause); err != nil {
+		if err := fakes.Pause(ctx, p.Pause); err != nil {
 			return nil, nil, err
 		}
 		if p.Kill != Nobody && n%max(1, p.Nth) == 0 {
@@ -172,12 +172,12 @@
 		o.Worst = max(o.Worst, t.whole.Seconds())
 	}
 	var all Figures
-	var strays []peers.Try
+	var strays []fakes.Try
 	for i := range r.tries {
 		t := &r.tries[i]
 		all.count(t)
 		switch {
-		case t.Result == peers.Served:
+		case t.Result == fakes.Served:
 			o.Served++
 		case !isLost(t):
 		case slices.ContainsFunc(kills, func(k kill) bool { return k.meets(t) }):
@@ -206,17 +206,17 @@
 // meets reports whether the request was under way when the process was killed, or until another served alone: a
 // connection that came up meanwhile may have been the killed one's, or in the queue of a listener that then had no
 // process.
-func (k kill) meets(t *peers.Try) bool { return t.EndedAt.After(k.at) && !t.At.After(k.until) }
+func (k kill) meets(t *fakes.Try) bool { return t.EndedAt.After(k.at) && !t.At.After(k.until) }
 
 // servedAfter reports whether a request that was due soon after a moment was served.
-func servedAfter(tries []peers.Try, at time.Time) bool {
-	return slices.ContainsFunc(tries, func(t peers.Try) bool {
-		return t.Result == peers.Served && t.At.After(at) && t.EndedAt.Before(at.Add(goesOn))
+func servedAfter(tries []fakes.Try, at time.Time) bool {
+	return slices.ContainsFunc(tries, func(t fakes.Try) bool {
+		return t.Result == fakes.Served && t.At.After(at) && t.EndedAt.Before(at.Add(goesOn))
 	})
 }
 
 // longestGap is the longest time between two answers, whoever got them.
-func longestGap(tries []peers.Try) (gap time.Duration) {
+func longestGap(tries []fakes.Try) (gap time.Duration) {
 	var answers []time.Time
 	for i := range tries {
 		if tries[i].Status != 0 {
--- a/internal/lab/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Victim is which of the two processes of a handover is killed.
@@ -63,7 +63,7 @@
 			return k, err
 		}
 	}
-	if err := peers.Pause(ctx, after); err != nil {
+	if err := fakes.Pause(ctx, after); err != nil {
 		return k, err
 	}
 	k.at = time.Now()
@@ -91,7 +91,7 @@
 		if text, ok := l.log.look(from, "handover=passing"); ok { // all may be over by now
 			return l.successor(text)
 		}
-		if err := peers.Pause(ctx, time.Millisecond); err != nil {
+		if err := fakes.Pause(ctx, time.Millisecond); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const endWithin = 20 * time.Second // for a process that has been told to end
@@ -22,7 +22,7 @@
 	program string
 	env     []string
 	address string
-	network peers.Network
+	network fakes.Network
 	log     *logbook
 	main    *process
 	served  []*process // all that have been main
@@ -41,7 +41,7 @@
 	l.take(p)
 	ctx, cancel := context.WithTimeout(ctx, awaitMost)
 	defer cancel()
-	if err := peers.Ready(ctx, l.network, l.address); err != nil {
+	if err := fakes.Ready(ctx, l.network, l.address); err != nil {
 		return fmt.Errorf("process %d (%s): %w", p.Pid, p.fate(), err)
 	}
 	return nil
--- a/internal/lab/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // The fleet's nature. A provider alone could serve some 170 requests a second.
@@ -37,7 +37,7 @@
 	Rate      float64
 	Seed      uint64        // of the load, the providers and the sidecar
 	Dir       string        // an existing folder for the configuration, the snapshot and the log
-	Classes   []peers.Class // one that is safe and one that is not; nil = peers.Tile and peers.Order
+	Classes   []fakes.Class // one that is safe and one that is not; nil = fakes.Tile and fakes.Order
 }
 
 // Check says why nothing can be measured with the setup.
@@ -51,9 +51,9 @@
 	return nil
 }
 
-func (s Setup) classes() []peers.Class {
+func (s Setup) classes() []fakes.Class {
 	if s.Classes == nil {
-		return []peers.Class{peers.Tile(), peers.Order()}
+		return []fakes.Class{fakes.Tile(), fakes.Order()}
 	}
 	return s.Classes
 }
@@ -61,15 +61,15 @@
 // rig is the sidecar's line of processes, its peers and the load on it.
 type rig struct {
 	setup Setup
-	fleet *peers.Fleet
+	fleet *fakes.Fleet
 	line  *line
 	file  *os.File // the log
 
-	load    *peers.Consumers
+	load    *fakes.Consumers
 	running sync.WaitGroup // the load
 	cancel  context.CancelFunc
 	start   time.Time
-	tries   []peers.Try   // once the load has ended, as the next
+	tries   []fakes.Try   // once the load has ended, as the next
 	stall   time.Duration // the longest time by which a timer has come late
 
 	drains map[string]uint64 // by a process's id, the directory's revision that told its drain
@@ -84,17 +84,17 @@
 	if s.Program, err = filepath.Abs(s.Program); err != nil { // a successor looks it up anew
 		return nil, err
 	}
-	network := peers.Loopback()
+	network := fakes.Loopback()
 	r = &rig{setup: s, drains: map[string]uint64{}}
 	defer func() {
 		if err != nil {
 			r.close()
 		}
 	}()
-	nature := peers.ProviderOptions{Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: coldBy,
-		WarmIn: warmIn, IdleMost: connIdle, Default: peers.Service{Mean: tileMean, Body: answerSize},
-		Service: map[string]peers.Service{"order": {Mean: orderMean, Body: answerSize}}}
-	if r.fleet, err = peers.NewFleet(network, s.Providers, nature); err != nil {
+	nature := fakes.ProviderOptions{Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: coldBy,
+		WarmIn: warmIn, IdleMost: connIdle, Default: fakes.Service{Mean: tileMean, Body: answerSize},
+		Service: map[string]fakes.Service{"order": {Mean: orderMean, Body: answerSize}}}
+	if r.fleet, err = fakes.NewFleet(network, s.Providers, nature); err != nil {
 		return r, err
 	}
 	front, err := network.Listen("") // an address on a host of this process's own: nobody takes it while it is free
@@ -104,9 +104,9 @@
 	address := front.Addr().String()
 	front.Close()
 	config := filepath.Join(s.Dir, "config.json")
-	raw, err := peers.Config(peers.Sidecar{Name: "lab", Listen: address, Seed: s.Seed,
+	raw, err := fakes.Config(fakes.Sidecar{Name: "lab", Listen: address, Seed: s.Seed,
 		Directory: r.fleet.Directory.Address(),
-		Known:     peers.List{Revision: r.fleet.Directory.Revision(), Members: r.fleet.Members()},
+		Known:     fakes.List{Revision: r.fleet.Directory.Revision(), Members: r.fleet.Members()},
 		Classes:   s.classes(), Sockets: socketsMax, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
 		WarmIn: warmIn, Edit: edit})
 	if err != nil {
@@ -130,15 +130,15 @@
 // begin starts the load. It lasts until end or for so long.
 func (r *rig) begin(ctx context.Context, long time.Duration) {
 	ctx, r.cancel = context.WithCancel(ctx)
-	flows := []peers.Flow{}
+	flows := []fakes.Flow{}
 	for _, c := range r.setup.classes() {
 		part := orderPart
 		if c.Safe {
 			part = 1 - orderPart
 		}
-		flows = append(flows, peers.Flow{Class: c, Rate: part * r.setup.Rate})
+		flows = append(flows, fakes.Flow{Class: c, Rate: part * r.setup.Rate})
 	}
-	r.load = peers.NewConsumers(peers.Load{Network: r.line.network, Address: r.line.address, Seed: r.setup.Seed,
+	r.load = fakes.NewConsumers(fakes.Load{Network: r.line.network, Address: r.line.address, Seed: r.setup.Seed,
 		Flows: flows, For: long})
 	r.start = time.Now()
 	r.running.Go(func() {
@@ -151,7 +151,7 @@
 // stall returns, at the end of ctx, the longest time by which a timer has come late: so long this process, and any
 // other of the machine, may have been held up.
 func stall(ctx context.Context) (longest time.Duration) {
-	for before := time.Now(); peers.Pause(ctx, stallTick) == nil; before = time.Now() {
+	for before := time.Now(); fakes.Pause(ctx, stallTick) == nil; before = time.Now() {
 		longest = max(longest, time.Since(before)-stallTick)
 	}
 	return longest
@@ -170,11 +170,11 @@
 }
 
 // some are the first providers of the fleet, a quarter of it.
-func (r *rig) some() []*peers.Provider { return r.fleet.Providers[:max(1, r.setup.Providers/4)] }
+func (r *rig) some() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Providers/4)] }
 
 // release replaces the first so many providers, a quarter of the fleet at a time, by others at new addresses.
 func (r *rig) release(ctx context.Context, most int) error {
-	plan := peers.Release{Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
+	plan := fakes.Release{Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
 		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true}
 	told := r.fleet.Directory.Revision()
 	for batch := range slices.Chunk(r.fleet.Providers[:most], plan.Batch) {
--- a/internal/lab/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -46,7 +46,7 @@
 		s.prepare(r)
 	}
 	r.begin(ctx, calm+s.after)
-	if err := peers.Pause(ctx, calm); err != nil {
+	if err := fakes.Pause(ctx, calm); err != nil {
 		return out, err
 	}
 	event := time.Now()
@@ -83,7 +83,7 @@
 }
 
 // noneLost says that a rule is broken if a request is lost, and which: its id and times are those of the sidecar's log.
-func noneLost(tries []peers.Try) (broken []string) {
+func noneLost(tries []fakes.Try) (broken []string) {
 	for i := range tries {
 		if t := &tries[i]; isLost(t) {
 			broken = append(broken, fmt.Sprintf("request %s: %s, due %s, sent %s, ended %s on connection %d: %v",
--- a/internal/lab/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -79,10 +79,10 @@
 			return err
 		}
 	}
-	if err := peers.Pause(ctx, silentFor); err != nil {
+	if err := fakes.Pause(ctx, silentFor); err != nil {
 		return err
 	}
-	var back []peers.Member
+	var back []fakes.Member
 	for _, p := range r.some() {
 		p.Kill()
 		if err := p.Start(""); err != nil {
@@ -102,7 +102,7 @@
 	if err := r.line.main.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("signal process %d: %w", r.line.main.Pid, err)
 	}
-	if err := peers.Pause(ctx, min(longest, deadlineMost)+killAfter); err != nil {
+	if err := fakes.Pause(ctx, min(longest, deadlineMost)+killAfter); err != nil {
 		return err
 	}
 	return crash(ctx, r) // however early the first one has ended, the next one starts only now
@@ -137,13 +137,13 @@
 		return err
 	}
 	back := time.Now().Add(downFor)
-	if err := peers.Pause(ctx, time.Second); err != nil {
+	if err := fakes.Pause(ctx, time.Second); err != nil {
 		return err
 	}
 	if err := r.release(ctx, len(r.some())); err != nil {
 		return err
 	}
-	if err := peers.Pause(ctx, time.Until(back)); err != nil {
+	if err := fakes.Pause(ctx, time.Until(back)); err != nil {
 		return err
 	}
 	return r.fleet.Directory.Down(false)
@@ -152,7 +152,7 @@
 // someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only who has asked knows.
 func someFail(r *rig) {
 	for _, p := range r.some() {
-		p.Behave(peers.Behaviour{FailShare: 0.9, Slow: 0.3})
+		p.Behave(fakes.Behaviour{FailShare: 0.9, Slow: 0.3})
 	}
 }
 
--- a/internal/lab/hollow/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -47,23 +47,23 @@
 
 	server                    http.Server
 	calls, wholes, turnedAway atomic.Int64
-	count                     peers.Counter
+	count                     fakes.Counter
 	addresses                 []string
 }
 
 // line is the last that is known of a server.
 type line struct {
-	peers.Member
+	fakes.Member
 	revision uint64
 }
 
 // newDiscovery listens at so many addresses of 127.0.0.0/8 with a first revision.
-func newDiscovery(listeners int, rate float64, members []peers.Member) (*discoveryServer, error) {
+func newDiscovery(listeners int, rate float64, members []fakes.Member) (*discoveryServer, error) {
 	d := &discoveryServer{rate: rate, at: map[string]int{}, changed: make(chan struct{})}
 	d.change(members)
 	d.server.Handler = d
 	d.server.ConnContext = withFirst
-	network := d.count.Of(peers.Loopback())
+	network := d.count.Of(fakes.Loopback())
 	for range listeners {
 		l, err := network.Listen("")
 		if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
-func (d *discoveryServer) change(members []peers.Member) uint64 {
+func (d *discoveryServer) change(members []fakes.Member) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -110,9 +110,9 @@
 	if whole && d.whole != nil {
 		return d.whole, true, nil
 	}
-	l := peers.List{Revision: d.revision, Complete: whole, Members: []peers.Member{}}
+	l := fakes.List{Revision: d.revision, Complete: whole, Members: []fakes.Member{}}
 	for _, e := range d.lines {
-		if whole && e.Phase != peers.Deleted || !whole && e.revision > after {
+		if whole && e.Phase != fakes.Deleted || !whole && e.revision > after {
 			l.Members = append(l.Members, e.Member)
 		}
 	}
--- a/internal/lab/hollow/doc.go
+++ b/internal/testbench/simulated/doc.go
@@ -1,4 +1,4 @@
-// Package hollow plays a fleet of hollow sidecars, some hundreds to a process, to see what thousands of them cost and how soon
+// Package simulated plays a fleet of hollow sidecars, some hundreds to a process, to see what thousands of them cost and how soon
 // a change is in force at the last one.
 //
 // A hollow sidecar has the real configuration, core, decision module, freshness and watch of the directory, on a real loopback
@@ -8,4 +8,4 @@
 // Compare measures one of each side by side, which says what that leaves out.
 //
 // The fleet is a few processes, Parts, each either discovery or sidecars, that one process orders about over pipes.
-package hollow
+package simulated
--- a/internal/lab/hollow/part.go
+++ b/internal/testbench/simulated/part.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/lab/host"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 const (
@@ -32,7 +32,7 @@
 	// listen: a discovery with so many addresses; 0 Rate = no bound.
 	Listeners int
 	Rate      float64
-	Members   []peers.Member // change, too
+	Members   []fakes.Member // change, too
 
 	// build: hollow sidecars, told by the template. One of their own, or one for all, is each one's discovery.
 	First     int
@@ -98,16 +98,16 @@
 	discovery *discoveryServer
 	tiles     *tiles
 	sidecars  []*sidecar
-	busy      *host.Neighbours
+	busy      *process.Neighbours
 }
 
 // Serve is the life of a part: it obeys the orders that it reads until they end.
 func Serve(_ context.Context, in io.Reader, out io.Writer) error {
-	dir, err := os.MkdirTemp("", "planklab-hollow-")
+	dir, err := os.MkdirTemp("", "testbench-hollow-")
 	if err != nil {
 		return err
 	}
-	h := &worker{dir: dir, tiles: newTiles(), busy: host.Watch()}
+	h := &worker{dir: dir, tiles: newTiles(), busy: process.Watch()}
 	defer h.close()
 	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
 	for {
@@ -257,7 +257,7 @@
 }
 
 func (h *worker) counts() (c Counts, err error) {
-	if c.CPU, err = host.CPU(os.Getpid()); err != nil {
+	if c.CPU, err = process.CPU(os.Getpid()); err != nil {
 		return c, err
 	}
 	if c.MemoryMB, err = resident(os.Getpid()); err != nil {
@@ -287,6 +287,6 @@
 
 // resident is the memory of a process in MB.
 func resident(pid int) (float64, error) {
-	bytes, err := host.Resident(pid)
+	bytes, err := process.Resident(pid)
 	return float64(bytes) / (1 << 20), err
 }
--- a/internal/lab/hollow/real.go
+++ b/internal/testbench/simulated/real.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"time"
 
-	"plankrouter/internal/lab/host"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 // Comparison is one real sidecar or one hollow one, alone in a process, in the same world.
@@ -26,7 +26,7 @@
 	ListIn    float64 `json:"list_bytes_in_s"`
 	ListOut   float64 `json:"list_bytes_out_s"`
 	Whole     int64   `json:"list_whole"`
-	StallMs   float64 `json:"stall_ms"`           // see host.Neighbours
+	StallMs   float64 `json:"stall_ms"`           // see process.Neighbours
 	Machine   float64 `json:"machine_cores_busy"` // likewise
 }
 
@@ -55,8 +55,8 @@
 }
 
 // one is a world with an agent and nobody else.
-func one(ctx context.Context, set Setup, members []peers.Member) (w *world, agent string, template []byte, err error) {
-	w = &world{set: set, members: members, aim: peers.Tile().Aim, known: peers.List{Revision: 1, Members: members}}
+func one(ctx context.Context, set Setup, members []fakes.Member) (w *world, agent string, template []byte, err error) {
+	w = &world{set: set, members: members, aim: fakes.Tile().Aim, known: fakes.List{Revision: 1, Members: members}}
 	addresses, err := w.listen(ctx, 1)
 	if err != nil {
 		return w, "", nil, err
@@ -88,7 +88,7 @@
 		}
 	}
 	time.Sleep(warmUp)
-	busy := host.Watch()
+	busy := process.Watch()
 	defer busy.Close()
 	u, long, err := w.during(func() error { time.Sleep(window); return nil })
 	if err != nil {
@@ -101,7 +101,7 @@
 	return c, nil
 }
 
-func (c *Comparison) list(u used, long time.Duration, busy *host.Neighbours) {
+func (c *Comparison) list(u used, long time.Duration, busy *process.Neighbours) {
 	late, cores := busy.Look()
 	c.StallMs, c.Machine = ms(late), cores
 	t, s := u.Discovery.Discovery, long.Seconds()
@@ -109,9 +109,9 @@
 }
 
 func measureReal(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
-	network := peers.Loopback()
-	fleet, err := peers.NewFleet(network, set.Servers, peers.ProviderOptions{ID: "t", Seed: 1, Cores: 64, Queue: 64,
-		IdleMost: time.Minute, Default: peers.Service{Mean: callTakes, Body: 64}})
+	network := fakes.Loopback()
+	fleet, err := fakes.NewFleet(network, set.Servers, fakes.ProviderOptions{ID: "t", Seed: 1, Cores: 64, Queue: 64,
+		IdleMost: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64}})
 	if err != nil {
 		return c, err
 	}
@@ -135,7 +135,7 @@
 	}
 	address := front.Addr().String()
 	front.Close()
-	dir, err := os.MkdirTemp("", "planklab-real-")
+	dir, err := os.MkdirTemp("", "testbench-real-")
 	if err != nil {
 		return c, err
 	}
@@ -148,18 +148,18 @@
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.file, "GW_LISTEN="+address)
 	var log bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &log, &log
-	process, err := host.Start(cmd, -1)
+	running, err := process.Start(cmd, -1)
 	if err != nil {
 		return c, err
 	}
 	defer func() {
-		if ended := process.Stop(); err == nil && ended != nil {
+		if ended := running.Stop(); err == nil && ended != nil {
 			err = fmt.Errorf("the program: %w: %s", ended, log.String())
 		}
 	}()
 	ready, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	if err := peers.Ready(ready, network, address); err != nil {
+	if err := fakes.Ready(ready, network, address); err != nil {
 		return c, err
 	}
 	calling, stop := context.WithCancel(ctx)
@@ -167,24 +167,24 @@
 	go func() {
 		defer close(done)
 		if rate > 0 {
-			peers.NewConsumers(peers.Load{Network: network, Address: address, Seed: 1,
-				Flows: []peers.Flow{{Class: peers.Tile(), Rate: rate}}, For: warmUp + window + time.Second}).Run(calling)
+			fakes.NewConsumers(fakes.Load{Network: network, Address: address, Seed: 1,
+				Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: rate}}, For: warmUp + window + time.Second}).Run(calling)
 		}
 	}()
 	defer func() { stop(); <-done }()
 	time.Sleep(warmUp)
 	calls, probes := reached(fleet)
-	before, err := host.CPU(process.Pid())
+	before, err := process.CPU(running.Pid())
 	if err != nil {
 		return c, err
 	}
-	busy := host.Watch()
+	busy := process.Watch()
 	defer busy.Close()
 	u, long, err := w.during(func() error { time.Sleep(window); return nil })
 	if err != nil {
 		return c, err
 	}
-	after, err := host.CPU(process.Pid())
+	after, err := process.CPU(running.Pid())
 	if err != nil {
 		return c, err
 	}
@@ -192,12 +192,12 @@
 	c = Comparison{Which: "real", Servers: set.Servers, AskedS: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
 		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds()}
 	c.list(u, long, busy)
-	c.MemoryMB, err = resident(process.Pid())
+	c.MemoryMB, err = resident(running.Pid())
 	return c, err
 }
 
 // reached counts the requests and probes that the servers got.
-func reached(f *peers.Fleet) (calls, probes int) {
+func reached(f *fakes.Fleet) (calls, probes int) {
 	for _, p := range f.Providers {
 		calls, probes = calls+len(p.Requests()), probes+len(p.Probes())
 	}
--- a/internal/lab/hollow/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/lab/host"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 // Plan says how long the scenes are.
@@ -61,12 +61,12 @@
 	*world
 	plan Plan
 	rows []Row
-	busy *host.Neighbours
+	busy *process.Neighbours
 }
 
 // Play plays all scenes with one fleet.
 func Play(ctx context.Context, set Setup, plan Plan) (rows []Row, err error) {
-	began, busy := time.Now(), host.Watch()
+	began, busy := time.Now(), process.Watch()
 	defer busy.Close()
 	w, times, err := build(ctx, set)
 	defer func() {
@@ -178,8 +178,8 @@
 	u, _, err := p.during(func() error {
 		for i := range p.plan.Changes {
 			m := p.members[i%len(p.members)]
-			m.Phase = map[string]string{peers.Serving: peers.Draining, peers.Draining: peers.Serving}[m.Phase]
-			one, err := p.change([]peers.Member{m}, p.plan.Within)
+			m.Phase = map[string]string{fakes.Serving: fakes.Draining, fakes.Draining: fakes.Serving}[m.Phase]
+			one, err := p.change([]fakes.Member{m}, p.plan.Within)
 			if err != nil {
 				return err
 			}
@@ -210,7 +210,7 @@
 			if i == p.plan.Burst-1 {
 				within = p.plan.Within
 			}
-			if times, err = p.change([]peers.Member{m}, within); err != nil {
+			if times, err = p.change([]fakes.Member{m}, within); err != nil {
 				return err
 			}
 			time.Sleep(p.plan.Gap)
@@ -263,12 +263,12 @@
 		return err
 	}
 	time.Sleep(p.plan.Settle)
-	var lost []peers.Member
+	var lost []fakes.Member
 	var gone []string
 	for _, m := range p.members {
 		if m.Locality == zone(zones-1) {
 			gone = append(gone, m.Address)
-			m.Phase = peers.Deleted
+			m.Phase = fakes.Deleted
 			lost = append(lost, m)
 		}
 	}
@@ -289,8 +289,8 @@
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
 	back := slices.Clone(lost)
 	for i := range back {
-		back[i].Phase, back[i].UpSince = peers.Serving, time.Now().UnixMilli()
-		back[i].Address = serverAddress(1, slices.IndexFunc(p.members, func(m peers.Member) bool { return m.ID == back[i].ID }))
+		back[i].Phase, back[i].UpSince = fakes.Serving, time.Now().UnixMilli()
+		back[i].Address = serverAddress(1, slices.IndexFunc(p.members, func(m fakes.Member) bool { return m.ID == back[i].ID }))
 	}
 	before, err := p.sent()
 	if err != nil {
--- a/internal/lab/hollow/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"bytes"
--- a/internal/lab/hollow/world.go
+++ b/internal/testbench/simulated/world.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // The kinds of discovery, in the settings' words.
@@ -105,20 +105,20 @@
 // world is the fleet under way.
 type world struct {
 	set       Setup
-	members   []peers.Member // as discovery has them
+	members   []fakes.Member // as discovery has them
 	aim       time.Duration
 	discovery []*Part // one, or one for each of hollow
 	hollow    []*Part
 	counts    []int // of sidecars, by part
-	known     peers.List
+	known     fakes.List
 	late      time.Duration // by which a timer came late in a part, at most, since the last row
 }
 
 // servers makes the list, a zone after another.
-func servers(n int) (members []peers.Member) {
+func servers(n int) (members []fakes.Member) {
 	for i := range n {
-		members = append(members, peers.Member{ID: "t-" + strconv.Itoa(i), Address: serverAddress(0, i), Locality: zone(i % zones),
-			Phase: peers.Serving})
+		members = append(members, fakes.Member{ID: "t-" + strconv.Itoa(i), Address: serverAddress(0, i), Locality: zone(i % zones),
+			Phase: fakes.Serving})
 	}
 	return members
 }
@@ -132,10 +132,10 @@
 
 // template words the configuration of all.
 func (w *world) template() ([]byte, error) {
-	tile := peers.Tile()
+	tile := fakes.Tile()
 	tile.Aim = w.aim
-	return peers.Config(peers.Sidecar{Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
-		Classes: []peers.Class{tile}, Sockets: places, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
+	return fakes.Config(fakes.Sidecar{Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
+		Classes: []fakes.Class{tile}, Sockets: places, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
 		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmIn, Edit: w.edit})
 }
 
@@ -160,8 +160,8 @@
 	if set.PerPart == 0 {
 		set.PerPart = 250
 	}
-	w = &world{set: set, members: servers(set.Servers), aim: peers.Tile().Aim}
-	w.known = peers.List{Revision: 1, Members: w.members}
+	w = &world{set: set, members: servers(set.Servers), aim: fakes.Tile().Aim}
+	w.known = fakes.List{Revision: 1, Members: w.members}
 	template, err := w.template()
 	if err != nil {
 		return w, nil, err
@@ -284,9 +284,9 @@
 }
 
 // change puts lines in force at discovery and returns after how many ms each sidecar went by it; 0 = not within the time.
-func (w *world) change(lines []peers.Member, within time.Duration) ([]float64, error) {
+func (w *world) change(lines []fakes.Member, within time.Duration) ([]float64, error) {
 	for _, m := range lines {
-		i := slices.IndexFunc(w.members, func(o peers.Member) bool { return o.ID == m.ID })
+		i := slices.IndexFunc(w.members, func(o fakes.Member) bool { return o.ID == m.ID })
 		w.members[i] = m
 	}
 	began := unixMs(time.Now())
--- a/internal/lab/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // class is one of the requests that clients send.
@@ -99,7 +99,7 @@
 	for ctx.Err() == nil {
 		r, pause := c.draw()
 		c.wg.Go(func() { c.send(r) })
-		if peers.Pause(ctx, pause) != nil {
+		if fakes.Pause(ctx, pause) != nil {
 			break
 		}
 	}
@@ -380,7 +380,7 @@
 		all = append(all, visit{nc, half})
 	}
 	began := time.Now()
-	peers.Pause(ctx, long)
+	fakes.Pause(ctx, long)
 	for _, v := range all {
 		if v.half {
 			v.SetReadDeadline(began.Add(badClientWithin + time.Second))
--- a/internal/lab/soak/ending.go
+++ b/internal/testbench/soak/ending.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/lab/peers"
 	"plankrouter/internal/shutdown"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -198,13 +198,13 @@
 	var hung []*stand
 	for _, v := range w.servers[:len(w.servers)/2] {
 		if v.busy.CompareAndSwap(false, true) {
-			v.Change(func(b *peers.Behaviour) { b.Hang = true })
+			v.Change(func(b *fakes.Behaviour) { b.Hang = true })
 			hung = append(hung, v)
 		}
 	}
 	time.Sleep(time.Until(until))
 	for _, v := range hung {
-		v.Behave(peers.Behaviour{})
+		v.Behave(fakes.Behaviour{})
 		v.busy.Store(false)
 	}
 }
@@ -275,7 +275,7 @@
 	defer s.control.Heal(faultinjection.SlowConnect)
 	var all sync.WaitGroup
 	all.Go(func() { w.clients[n].leaveAt(clients, began.Add(before+leaving)) })
-	peers.Pause(ctx, before)
+	fakes.Pause(ctx, before)
 	w.holdUp(s, s.present())
 	all.Wait()
 }
--- a/internal/lab/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // What the rules allow, measured at clients and servers.
@@ -60,7 +60,7 @@
 
 // attempt is a request as a server has seen it.
 type attempt struct {
-	peers.Request
+	fakes.Request
 	sidecar int
 }
 
@@ -188,7 +188,7 @@
 }
 
 // mayRun reports whether an attempt may have run, as far as its sidecar can tell.
-func (a *attempt) mayRun() bool { return a.Outcome != peers.Declined && a.Outcome != peers.Nameless }
+func (a *attempt) mayRun() bool { return a.Outcome != fakes.Declined && a.Outcome != fakes.Nameless }
 
 // judgeEffect looks at what may not run twice.
 func (r *record) judgeEffect(q *request, tries []attempt, add adder) {
--- a/internal/lab/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -19,14 +19,14 @@
 func sound() *record {
 	return &record{start: epoch, slack: ms(10), window: ms(900),
 		requests: []*request{{id: "n0-1", class: classesFor(1500 * time.Millisecond)[2], begunAt: after(100), sentAt: after(101), answeredAt: after(130), status: 200}},
-		attempts: []attempt{{peers.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: peers.Answered}, 0}},
+		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Answered}, 0}},
 		starts:   map[string][]time.Time{}, births: map[int][]time.Time{0: {epoch}}, heard: map[heardOf][]time.Time{},
 		killed: func(int, time.Time, time.Time) bool { return false }, faults: map[string][]string{}}
 }
 
 // again adds an attempt that was sent at that moment.
-func (r *record) again(server string, at int, outcome peers.Outcome) {
-	r.attempts = append(r.attempts, attempt{peers.Request{ID: "n0-1", Server: server, Sent: after(at), Deadline: "0.1", Outcome: outcome}, 0})
+func (r *record) again(server string, at int, outcome fakes.Outcome) {
+	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: server, Sent: after(at), Deadline: "0.1", Outcome: outcome}, 0})
 }
 
 // The judge sees each rule broken, and nothing where it is kept.
@@ -65,18 +65,18 @@
 			r.stalls = []span{{after(-1000), after(-900)}}
 		}, Deadline},
 		"another's":       {func(r *record) { r.requests[0].err = "an answer of another request" }, Foreign},
-		"sent twice":      {func(r *record) { r.again("s2", 120, peers.Answered) }, Twice},
-		"declined before": {func(r *record) { r.attempts[0].Outcome = peers.Declined; r.again("s2", 120, peers.Answered) }, ""},
-		"refused after":   {func(r *record) { r.requests[0].status = 503; r.attempts[0].Outcome = peers.Reset }, Promise},
+		"sent twice":      {func(r *record) { r.again("s2", 120, fakes.Answered) }, Twice},
+		"declined before": {func(r *record) { r.attempts[0].Outcome = fakes.Declined; r.again("s2", 120, fakes.Answered) }, ""},
+		"refused after":   {func(r *record) { r.requests[0].status = 503; r.attempts[0].Outcome = fakes.Reset }, Promise},
 		"refused, unsent": {func(r *record) { r.requests[0].status = 503; r.attempts = nil }, ""},
-		"failed after":    {func(r *record) { r.requests[0].status = 502; r.attempts[0].Outcome = peers.Reset }, ""},
+		"failed after":    {func(r *record) { r.requests[0].status = 502; r.attempts[0].Outcome = fakes.Reset }, ""},
 		"within a window": {func(r *record) {
 			r.requests[0].class = classesFor(1500 * time.Millisecond)[1]
-			r.again("s2", 900, peers.Answered)
+			r.again("s2", 900, fakes.Answered)
 		}, ""},
 		"past a window": {func(r *record) {
 			r.requests[0].class = classesFor(1500 * time.Millisecond)[1]
-			r.again("s2", 1100, peers.Answered)
+			r.again("s2", 1100, fakes.Answered)
 		}, Window},
 		"for one gone":   {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(205) }, Gone},
 		"just gone":      {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(195) }, ""},
@@ -109,27 +109,27 @@
 		"cold, a lot": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			for i := range allowance(0) + 5 {
-				r.attempts = append(r.attempts, attempt{peers.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
+				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, SlowStart},
 		"cold, a lot, and nobody told": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			r.outages = []outage{{Silent, after(-100), after(2500)}}
 			for i := range allowance(0) + 5 {
-				r.attempts = append(r.attempts, attempt{peers.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
+				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, ""},
 		"cold, a lot, told": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			r.outages = []outage{{Down, after(-100), after(20)}}
 			for i := range allowance(0) + 5 {
-				r.attempts = append(r.attempts, attempt{peers.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
+				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, SlowStart},
 		"cold, its part": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			for i := range allowance(0) {
-				r.attempts = append(r.attempts, attempt{peers.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
+				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, ""},
 	} {
--- a/internal/lab/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -28,7 +28,7 @@
 	wg    sync.WaitGroup
 }
 
-func newProxy(network peers.Network, to func() string) (*proxy, error) {
+func newProxy(network fakes.Network, to func() string) (*proxy, error) {
 	l, err := network.Listen("")
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 func (p *proxy) serve(c net.Conn) {
 	s, err := net.DialTimeout("tcp", p.to(), time.Second)
 	if err != nil {
-		peers.Abort(c)
+		fakes.Abort(c)
 		return
 	}
 	p.hold(c, s)
@@ -94,7 +94,7 @@
 		switch {
 		case n > 0 && p.cut.Load():
 			c.Write(piece[:min(n, cutBytes)])
-			peers.Abort(c)
+			fakes.Abort(c)
 			return
 		case n > 0 && p.dribble.Load():
 			for len(piece) > 0 {
@@ -112,7 +112,7 @@
 		}
 		if err != nil {
 			if err != io.EOF { // a reset is no end
-				peers.Abort(c)
+				fakes.Abort(c)
 			}
 			return
 		}
@@ -140,7 +140,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		peers.Abort(c)
+		fakes.Abort(c)
 	}
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -47,7 +47,7 @@
 	stalled := make(chan struct{})
 	go func() {
 		defer close(stalled)
-		for before := time.Now(); peers.Pause(loading, stallTick) == nil; before = time.Now() {
+		for before := time.Now(); fakes.Pause(loading, stallTick) == nil; before = time.Now() {
 			late := time.Since(before) - stallTick
 			if stall = max(stall, late); late > stallLeast {
 				stalls = append(stalls, span{time.Now().Add(-late), time.Now()})
@@ -58,7 +58,7 @@
 		w.troubles.Go(func() { c.run(loading) })
 	}
 	for _, t := range Draw(o.Seed, o.For, o.Sidecars, o.Servers, o.Only) {
-		if peers.Pause(ctx, time.Until(w.record.start.Add(t.At))) != nil {
+		if fakes.Pause(ctx, time.Until(w.record.start.Add(t.At))) != nil {
 			break
 		}
 		out.Troubles[t.Kind]++
--- a/internal/lab/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"plankrouter/internal/lab/recovery"
+	"plankrouter/internal/testbench/recovery"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/lab/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -36,7 +36,7 @@
 type identity struct {
 	number       int
 	program, dir string // dir: of all sidecars
-	known        peers.List
+	known        fakes.List
 	variant
 }
 
@@ -73,7 +73,7 @@
 	told   bool // to end, or killed
 }
 
-func newSidecar(is identity, seed uint64, network peers.Network, edit func(map[string]any), discovery string) (*sidecar, error) {
+func newSidecar(is identity, seed uint64, network fakes.Network, edit func(map[string]any), discovery string) (*sidecar, error) {
 	s := &sidecar{identity: is, name: fmt.Sprintf("n%d", is.number)}
 	s.folder = filepath.Join(is.dir, s.name)
 	if err := os.MkdirAll(s.path("tmp"), 0o755); err != nil {
@@ -101,7 +101,7 @@
 
 // configure writes the configuration in one step, as whoever replaces a file that others read.
 func (s *sidecar) configure(discovery string, seed uint64, edit func(map[string]any)) error {
-	raw, err := peers.Config(peers.Sidecar{Name: s.name, Listen: s.address, Seed: seed, Directory: discovery, Known: s.known,
+	raw, err := fakes.Config(fakes.Sidecar{Name: s.name, Listen: s.address, Seed: seed, Directory: discovery, Known: s.known,
 		Sockets: s.sockets, ConnIdle: connIdle, Connect: s.connect, DrainGrace: drainGrace, WarmIn: warmIn,
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = s.admin
@@ -157,7 +157,7 @@
 		if s.up(ctx) {
 			return nil
 		}
-		if peers.Pause(ctx, 20*time.Millisecond) != nil {
+		if fakes.Pause(ctx, 20*time.Millisecond) != nil {
 			return ctx.Err()
 		}
 	}
@@ -232,7 +232,7 @@
 		p.Kill()
 		<-p.exited
 	}
-	peers.Pause(ctx, killAfter(s.longest)-time.Since(from))
+	fakes.Pause(ctx, killAfter(s.longest)-time.Since(from))
 	s.start(ctx)
 }
 
@@ -248,7 +248,7 @@
 	s.mu.Unlock()
 	p.Kill()
 	<-p.exited
-	peers.Pause(ctx, pause)
+	fakes.Pause(ctx, pause)
 	s.control.Fail(faultinjection.Listen, syscall.ENOBUFS, listenFailures)
 	s.start(ctx)
 	s.mu.Lock()
--- a/internal/lab/soak/troubles.go
+++ b/internal/testbench/soak/troubles.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // begin plays a trouble, in its own time.
 func (w *world) begin(ctx context.Context, t Trouble) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
-	pause := func() { peers.Pause(ctx, t.For) }
+	pause := func() { fakes.Pause(ctx, t.For) }
 	switch t.Kind {
 	case Terminate, Crash, HandOver, AimedEnd:
 		if !s.claim() {
@@ -100,7 +100,7 @@
 	for began := time.Now(); time.Since(began) < long; {
 		s.control.Fail(faultinjection.Poll, syscall.EINTR, interruptions)
 		s.control.Fail(faultinjection.Peek, syscall.EINTR, interruptions)
-		if peers.Pause(ctx, interruptEvery) != nil {
+		if fakes.Pause(ctx, interruptEvery) != nil {
 			break
 		}
 	}
@@ -122,14 +122,14 @@
 	case ConfigFails:
 		s.control.Fail(faultinjection.ReadConfig, pick(t.Draw, syscall.ENFILE, syscall.EIO), -1)
 		w.reload(s, t)
-		peers.Pause(ctx, t.For)
+		fakes.Pause(ctx, t.For)
 		s.control.Heal(faultinjection.ReadConfig)
 	case Reload:
 		w.reload(s, t)
 	case ReloadBurst:
 		for i := range 4 {
 			w.reload(s, t)
-			peers.Pause(ctx, time.Duration(i)*30*time.Millisecond)
+			fakes.Pause(ctx, time.Duration(i)*30*time.Millisecond)
 		}
 	}
 }
@@ -167,14 +167,14 @@
 		number = len(r.orders)
 		r.orders = append(r.orders, order{sidecar: n, server: server, from: time.Now()})
 	})
-	peers.Pause(ctx, t.For)
+	fakes.Pause(ctx, t.For)
 	now := time.Now()
 	for range 40 { // the sidecar may be starting, or its disk may fail
 		if s.order("enable", server) == 200 {
 			w.note(func(r *record) { r.orders[number].to = now })
 			return
 		}
-		peers.Pause(ctx, 100*time.Millisecond)
+		fakes.Pause(ctx, 100*time.Millisecond)
 		now = time.Now()
 	}
 }
@@ -229,10 +229,10 @@
 		return
 	}
 	defer v.busy.Store(false)
-	behave := func(how func(*peers.Behaviour)) {
+	behave := func(how func(*fakes.Behaviour)) {
 		v.Change(how)
 		pause()
-		v.Behave(peers.Behaviour{})
+		v.Behave(fakes.Behaviour{})
 	}
 	switch t.Kind {
 	case Restart:
@@ -249,13 +249,13 @@
 			v.proxy.reset()
 		}
 	case Stall:
-		behave(func(b *peers.Behaviour) { b.Stall = true })
+		behave(func(b *fakes.Behaviour) { b.Stall = true })
 	case Decline:
-		behave(func(b *peers.Behaviour) { b.Decline = true })
+		behave(func(b *fakes.Behaviour) { b.Decline = true })
 	case ProbesFail:
-		behave(func(b *peers.Behaviour) { b.Probes = peers.ProbesCutOff })
+		behave(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesCutOff })
 	case Slow:
-		behave(func(b *peers.Behaviour) { b.Slow = slowTimes })
+		behave(func(b *fakes.Behaviour) { b.Slow = slowTimes })
 	}
 }
 
@@ -276,19 +276,19 @@
 		return
 	}
 	w.note(func(r *record) { r.starts[id] = append(r.starts[id], time.Now()) })
-	w.list(w.member(v, peers.Serving, w.wall().UnixMilli()))
+	w.list(w.member(v, fakes.Serving, w.wall().UnixMilli()))
 }
 
 // replace has a server drain, ends it, and starts another under a new id in its place.
 func (w *world) replace(v *stand, pause func()) {
-	v.Change(func(b *peers.Behaviour) { b.Probes = peers.ProbesUnavailable }) // as one that drains does, which serves what it gets
-	defer v.Behave(peers.Behaviour{})
-	leave := w.member(v, peers.Draining, 0)
+	v.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // as one that drains does, which serves what it gets
+	defer v.Behave(fakes.Behaviour{})
+	leave := w.member(v, fakes.Draining, 0)
 	w.note(func(r *record) { r.leavings = append(r.leavings, leaving{leave.ID, time.Now()}) })
 	w.list(leave)
 	pause()
 	v.Kill()
-	leave.Phase = peers.Deleted
+	leave.Phase = fakes.Deleted
 	w.list(leave)
 	v.lives++
 	place, _, _ := strings.Cut(leave.ID, "-")
--- a/internal/lab/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // The nature of servers and the settings of sidecars. A server in slow start bears so little that one which is taken for warm gets
@@ -89,7 +89,7 @@
 
 // stand is a server's place, where one process after another lives.
 type stand struct {
-	*peers.Provider
+	*fakes.Provider
 	proxy *proxy // nil = none
 	lives int
 	busy  atomic.Bool
@@ -107,9 +107,9 @@
 	options     Options
 	variant     variant
 	classes     []class
-	network     peers.Network
+	network     fakes.Network
 	servers     []*stand
-	directories []*peers.Directory
+	directories []*fakes.Directory
 	sidecars    []*sidecar
 	clients     []*clients
 	offset      atomic.Int64 // of the wall clock
@@ -124,7 +124,7 @@
 func (w *world) wall() time.Time { return time.Now().Add(time.Duration(w.offset.Load())) }
 
 func build(ctx context.Context, o Options) (w *world, err error) {
-	w = &world{options: o, network: peers.Loopback(), variant: o.variant()}
+	w = &world{options: o, network: fakes.Loopback(), variant: o.variant()}
 	w.classes = classesFor(w.variant.longest)
 	w.record = record{onRequest: w.variant.onRequest, window: w.variant.window, starts: map[string][]time.Time{}, births: map[int][]time.Time{}, faults: map[string][]string{}}
 	defer func() {
@@ -132,10 +132,10 @@
 			w.close()
 		}
 	}()
-	var members []peers.Member
+	var members []fakes.Member
 	for i := range o.Servers {
-		p, err := peers.NewProvider(w.network, peers.ProviderOptions{ID: fmt.Sprintf("s%d-0", i), Seed: o.Seed + uint64(i), Cores: cores,
-			Queue: queue, Default: peers.Service{Mean: meanWork, Body: 200}, IdleMost: connIdle, Connect: time.Millisecond})
+		p, err := fakes.NewProvider(w.network, fakes.ProviderOptions{ID: fmt.Sprintf("s%d-0", i), Seed: o.Seed + uint64(i), Cores: cores,
+			Queue: queue, Default: fakes.Service{Mean: meanWork, Body: 200}, IdleMost: connIdle, Connect: time.Millisecond})
 		if err != nil {
 			return w, err
 		}
@@ -146,10 +146,10 @@
 				return w, err
 			}
 		}
-		members = append(members, w.member(s, peers.Serving, 0))
+		members = append(members, w.member(s, fakes.Serving, 0))
 	}
 	for range 2 {
-		d, err := peers.NewDirectory(w.network, "", members...)
+		d, err := fakes.NewDirectory(w.network, "", members...)
 		if err != nil {
 			return w, err
 		}
@@ -157,7 +157,7 @@
 	}
 	for i := range o.Sidecars {
 		s, err := newSidecar(identity{number: i, program: o.Program, dir: o.Dir, variant: w.variant,
-			known: peers.List{Revision: 1, Members: members}}, o.Seed+uint64(i), w.network, w.edit(0), w.directories[0].Address())
+			known: fakes.List{Revision: 1, Members: members}}, o.Seed+uint64(i), w.network, w.edit(0), w.directories[0].Address())
 		if err != nil {
 			return w, err
 		}
@@ -172,8 +172,8 @@
 }
 
 // member is the server's line in a list.
-func (w *world) member(s *stand, phase string, upSince int64) peers.Member {
-	return peers.Member{ID: s.ID(), Address: s.address(), Locality: peers.Here, Phase: phase, UpSince: upSince}
+func (w *world) member(s *stand, phase string, upSince int64) fakes.Member {
+	return fakes.Member{ID: s.ID(), Address: s.address(), Locality: fakes.Here, Phase: phase, UpSince: upSince}
 }
 
 // edit changes what a sidecar's configuration says; times tells one configuration from another.
@@ -206,7 +206,7 @@
 }
 
 // list tells both directories, one of which each sidecar watches.
-func (w *world) list(members ...peers.Member) {
+func (w *world) list(members ...fakes.Member) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
 	for _, d := range w.directories {
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -28,7 +28,7 @@
 	"time"
 
 	"plankrouter"
-	"plankrouter/internal/lab/peers"
+	"plankrouter/internal/testbench/fakes"
 	"plankrouter/middleware"
 )
 
@@ -90,7 +90,7 @@
 
 func (r *row) play(t *testing.T, a Adapter) {
 	defer time.Sleep(time.Second) // in which an http.Server ends a connection that it has not read to its end
-	net := peers.NewMemory()
+	net := fakes.NewMemory()
 	var mu sync.Mutex
 	sent := map[string]string{}
 	server, address := listen(t, net, nil, http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
@@ -205,7 +205,7 @@
 }
 
 // listen starts an http.Server.
-func listen(t *testing.T, n *peers.Memory, logs io.Writer, h http.Handler) (*http.Server, string) {
+func listen(t *testing.T, n *fakes.Memory, logs io.Writer, h http.Handler) (*http.Server, string) {
 	t.Helper()
 	l, err := n.Listen("")
 	if err != nil {
@@ -220,7 +220,7 @@
 }
 
 // ask sends the request as it stands, on a connection of its own.
-func (r *row) ask(t *testing.T, n *peers.Memory, at string) (status int, head http.Header, body string) {
+func (r *row) ask(t *testing.T, n *fakes.Memory, at string) (status int, head http.Header, body string) {
 	c, err := n.Dial(context.Background(), at)
 	if err != nil {
 		t.Error(err)
