--- a/balancer.go
+++ b/balancer.go
@@ -8,10 +8,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/backend"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/discovery"
@@ -22,6 +18,9 @@
 	"plankrouter/internal/request"
 	"plankrouter/internal/staleness"
 	"plankrouter/policy"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 // MaxBody bounds the bodies of requests and answers, in bytes.
@@ -70,23 +69,29 @@
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
 	b.log = newLogger(ctx, o.Logger, o.Name)
-	if b.caller, err = backend.New(ctx, o.Sockets.budget, backend.Settings{Figures: backend.Figures{Connect: o.Connect,
-		ConnIdle: o.ConnIdle, Stakes: backend.Stakes(cfg.Classes)}, Answers: func(status int) bool { return status < 500 }}); err != nil {
+	if b.caller, err = backend.New(ctx, o.Sockets.budget, backend.Settings{Figures: backend.Figures{
+		Connect:  o.Connect,
+		ConnIdle: o.ConnIdle, Stakes: backend.Stakes(cfg.Classes),
+	}, Answers: func(status int) bool { return status < 500 }}); err != nil {
 		stop()
 		return nil, err
 	}
 	saw := func(string, staleness.Sign) {}
 	if o.Directory != "" {
-		if b.watch, err = discovery.New(discovery.Options{Address: o.Directory, Watch: staleness.Default(), Seed: o.Seed,
+		if b.watch, err = discovery.New(discovery.Options{
+			Address: o.Directory, Watch: staleness.Default(), Seed: o.Seed,
 			Known: endpoints.List{Members: known.Members}, Budget: o.Sockets.budget,
-			Told: func(l endpoints.List, at time.Time) { b.core.Told(l, at) }, Logf: b.log.printf}); err != nil {
+			Told: func(l endpoints.List, at time.Time) { b.core.Told(l, at) }, Logf: b.log.printf,
+		}); err != nil {
 			stop()
 			return nil, err
 		}
 		saw = b.watch.Saw
 	}
-	if b.core, err = dispatch.New(dispatch.Options{Name: o.Name, Logic: cfg, Seed: o.Seed, Zones: []string{o.Zone},
-		DrainGrace: o.DrainGrace, Known: known, Caller: b.caller, Whole: whole, Logf: b.log.printf, Saw: saw}); err != nil {
+	if b.core, err = dispatch.New(dispatch.Options{
+		Name: o.Name, Logic: cfg, Seed: o.Seed, Zones: []string{o.Zone},
+		DrainGrace: o.DrainGrace, Known: known, Caller: b.caller, Whole: whole, Logf: b.log.printf, Saw: saw,
+	}); err != nil {
 		stop()
 		return nil, fmt.Errorf("plankrouter: %w", err)
 	}
@@ -233,8 +238,10 @@
 	if !http1.ValidField(http1.HeaderID, id) {
 		return nil, &RequestError{"ID", fmt.Sprintf("%q can't be sent", id)}
 	}
-	return &request.Invocation{ID: id, Class: class, Tenant: tenant, Patience: b.set.Classes[class].Deadline, Host: host,
-		Verb: method, Target: target, Fields: all.EndToEnd(http1.Reworded), Body: r.Body}, nil
+	return &request.Invocation{
+		ID: id, Class: class, Tenant: tenant, Patience: b.set.Classes[class].Deadline, Host: host,
+		Verb: method, Target: target, Fields: all.EndToEnd(http1.Reworded), Body: r.Body,
+	}, nil
 }
 
 // responseOf turns the core's answer into that of Do.
@@ -299,9 +306,11 @@
 		counts.Each(func(e outcome.Ending, n int) { m[e.String()] = n })
 		return m
 	}
-	return Stats{Taken: c.Taken, Served: c.Served, Refused: c.Refused, Failed: c.Failed, Cancelled: int(b.cancelled.Load()),
+	return Stats{
+		Taken: c.Taken, Served: c.Served, Refused: c.Refused, Failed: c.Failed, Cancelled: int(b.cancelled.Load()),
 		Duplicates: c.Conflicts, Attempts: c.Sent, Probes: c.Probes, Lists: c.Lists, AttemptEndings: words(c.Calls),
-		ProbeEndings: words(c.Asked), Connections: b.set.Sockets.budget.Used(), LogLost: int(b.log.lost.Load())}
+		ProbeEndings: words(c.Asked), Connections: b.set.Sockets.budget.Used(), LogLost: int(b.log.lost.Load()),
+	}
 }
 
 // guarded calls an application's dial function so that one that panics, or does not heed its context, ends or holds up
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -6,14 +6,13 @@
 	"fmt"
 	"net"
 	"net/http"
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 )
 
 const ms = time.Millisecond
@@ -22,14 +21,20 @@
 func fleet(t *testing.T, n int, edit func(*plankrouter.Options)) (*fakes.Fleet, *plankrouter.Balancer) {
 	t.Helper()
 	net := fakes.NewMemory()
-	f, err := fakes.NewFleet(net, n, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-		Default: fakes.Service{Mean: 20 * ms, Fixed: true}})
+	f, err := fakes.NewFleet(net, n, fakes.ProviderOptions{
+		Cores: 4, Queue: 16, Seed: 1,
+		Default: fakes.Service{Mean: 20 * ms, Fixed: true},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := plankrouter.Options{Seed: 1, Sockets: plankrouter.NewSockets(64, net.Dial), Probes: true,
-		Classes: []plankrouter.Class{{Name: "tile", Aim: 750 * ms, Deadline: 2500 * ms},
-			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Worth: 5, Repeat: plankrouter.Once}}}
+	o := plankrouter.Options{
+		Seed: 1, Sockets: plankrouter.NewSockets(64, net.Dial), Probes: true,
+		Classes: []plankrouter.Class{
+			{Name: "tile", Aim: 750 * ms, Deadline: 2500 * ms},
+			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Worth: 5, Repeat: plankrouter.Once},
+		},
+	}
 	for _, p := range f.Providers {
 		o.Members = append(o.Members, plankrouter.Member{ID: p.ID(), Address: p.Address()})
 	}
@@ -75,7 +80,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var got atomic.Int32
-		b, err := plankrouter.New(plankrouter.Options{Members: []plankrouter.Member{{Address: "s:1"}},
+		b, err := plankrouter.New(plankrouter.Options{
+			Members: []plankrouter.Member{{Address: "s:1"}},
 			Sockets: plankrouter.NewSockets(8, func(context.Context, string) (net.Conn, error) {
 				mine, theirs := net.Pipe()
 				go func() {
@@ -84,7 +90,8 @@
 				}()
 				cancel()
 				return mine, nil
-			})})
+			}),
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/bench_test.go
+++ b/bench_test.go
@@ -7,14 +7,13 @@
 	"math/rand/v2"
 	"net/http"
 	"os"
+	"plankrouter"
+	"plankrouter/internal/testbench/cpubench"
 	"runtime"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/testbench/cpubench"
 )
 
 func TestMain(m *testing.M) {
--- a/cmd/plankrouter/bench_test.go
+++ b/cmd/plankrouter/bench_test.go
@@ -10,14 +10,13 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/testbench/cpubench"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/cpubench"
 )
 
 func TestMain(m *testing.M) {
@@ -69,11 +68,15 @@
 	l.Close()
 	known := fakes.List{Revision: 1}
 	for i, s := range servers {
-		known.Members = append(known.Members, fakes.Member{ID: fmt.Sprint("s-", i), Address: s, Locality: fakes.Here,
-			Phase: fakes.Serving})
+		known.Members = append(known.Members, fakes.Member{
+			ID: fmt.Sprint("s-", i), Address: s, Locality: fakes.Here,
+			Phase: fakes.Serving,
+		})
 	}
-	raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: address, Directory: "127.0.0.1:1", Seed: 1, Known: known,
-		Sockets: 1024, MemoryMB: 192})
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: "n1", Listen: address, Directory: "127.0.0.1:1", Seed: 1, Known: known,
+		Sockets: 1024, MemoryMB: 192,
+	})
 	if err != nil || !json.Valid(raw) {
 		b.Fatal(err)
 	}
--- a/cmd/plankrouter/crossings_test.go
+++ b/cmd/plankrouter/crossings_test.go
@@ -11,6 +11,8 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strings"
@@ -18,9 +20,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/testbench/fakes"
 )
 
 const patience = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
@@ -91,15 +90,19 @@
 }
 
 func newRig(t *testing.T, providers int, holding bool, edit func(settings map[string]any)) *rig {
-	r := &rig{T: t, dials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
-		closed: make(chan struct{}, 64), asked: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json")}
+	r := &rig{
+		T: t, dials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
+		closed: make(chan struct{}, 64), asked: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json"),
+	}
 	r.answer = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
 	known := fakes.List{Revision: 1}
 	for i := range providers {
 		l := listenHere(t)
 		go r.provide(l)
-		known.Members = append(known.Members, fakes.Member{ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
-			Phase: fakes.Serving})
+		known.Members = append(known.Members, fakes.Member{
+			ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
+			Phase: fakes.Serving,
+		})
 	}
 	directory, err := fakes.NewDirectory(fakes.Loopback(), "", known.Members...)
 	if err != nil {
@@ -109,11 +112,15 @@
 	front := listenHere(t)
 	r.front = front.Addr().String()
 	name := strings.ReplaceAll(t.Name(), " ", "_")
-	raw, err := fakes.Config(fakes.Sidecar{Name: name, Listen: r.front, Directory: directory.Address(), Known: known, Seed: 1,
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: name, Listen: r.front, Directory: directory.Address(), Known: known, Seed: 1,
 		NoProbes: true, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
-		Classes: []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
-			{Name: "order", Aim: time.Minute, Deadline: time.Minute, Worth: 5}},
-		Edit: func(d map[string]any) { edit(d["settings"].(map[string]any)) }})
+		Classes: []fakes.Class{
+			{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
+			{Name: "order", Aim: time.Minute, Deadline: time.Minute, Worth: 5},
+		},
+		Edit: func(d map[string]any) { edit(d["settings"].(map[string]any)) },
+	})
 	if err != nil || os.WriteFile(r.file, raw, 0o600) != nil {
 		t.Fatal(err)
 	}
@@ -164,8 +171,10 @@
 	if !slices.Equal(r.seen, want) {
 		r.Errorf("providers got %v, want %v", r.seen, want)
 	}
-	for _, word := range []string{fmt.Sprintf(" taken=%d ", gone+served), fmt.Sprintf(" consumer_gone=%d ", gone),
-		fmt.Sprintf(" served=%d refused=0 failed=0", served), " sockets=0"} {
+	for _, word := range []string{
+		fmt.Sprintf(" taken=%d ", gone+served), fmt.Sprintf(" consumer_gone=%d ", gone),
+		fmt.Sprintf(" served=%d refused=0 failed=0", served), " sockets=0",
+	} {
 		if !strings.Contains(counts, word) {
 			r.Errorf("%q is not in\n%s", word, counts)
 		}
@@ -278,8 +287,10 @@
 // A consumer leaves while its request waits, wherever that is, whether or not attempts may be called off and however it goes:
 // nothing of the request reaches a provider from then on, and what is counted comes out even.
 func TestWhatNobodyWaitsForIsNotSent(t *testing.T) {
-	leave := map[string]func(*net.TCPConn){"FIN": func(c *net.TCPConn) { c.CloseWrite() },
-		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}
+	leave := map[string]func(*net.TCPConn){
+		"FIN":   func(c *net.TCPConn) { c.CloseWrite() },
+		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	}
 	cases := []struct {
 		name    string
 		message string
--- a/cmd/plankrouter/daily_test.go
+++ b/cmd/plankrouter/daily_test.go
@@ -14,16 +14,15 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/config"
+	"plankrouter/internal/metrics"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter/internal/config"
-	"plankrouter/internal/metrics"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // service is the program with an address for operators, in a bubble of its own.
@@ -53,17 +52,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &service{T: t, net: n, front: front.Addr().String(), desk: desk.Addr().String(),
-		file: filepath.Join(t.TempDir(), "config.json")}
-	s.set = fakes.Sidecar{Name: "n1", Listen: s.front, Seed: 1, Directory: directory.Address(), ConnIdle: time.Minute,
+	s := &service{
+		T: t, net: n, front: front.Addr().String(), desk: desk.Addr().String(),
+		file: filepath.Join(t.TempDir(), "config.json"),
+	}
+	s.set = fakes.Sidecar{
+		Name: "n1", Listen: s.front, Seed: 1, Directory: directory.Address(), ConnIdle: time.Minute,
 		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
-		Known: fakes.List{Revision: 1, Members: directory.Members()}}
+		Known: fakes.List{Revision: 1, Members: directory.Members()},
+	}
 	if edit != nil {
 		edit(&s.set)
 	}
 	s.write()
-	s.signals, s.ended = launch(t, map[string]string{"GW_CONFIG": s.file, "GW_ADMIN_ADDR": s.desk,
-		"TMPDIR": cmp.Or(folder, filepath.Dir(s.file))}, front, desk, n.Dial)
+	s.signals, s.ended = launch(t, map[string]string{
+		"GW_CONFIG": s.file, "GW_ADMIN_ADDR": s.desk,
+		"TMPDIR": cmp.Or(folder, filepath.Dir(s.file)),
+	}, front, desk, n.Dial)
 	if folder == "" {
 		if err := fakes.Ready(t.Context(), n, s.front); err != nil {
 			t.Fatal(err)
@@ -143,8 +148,10 @@
 func daily(t *testing.T, providers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
-		fleet, err := fakes.NewFleet(n, providers, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-			Default: fakes.Service{Mean: 20 * time.Millisecond}})
+		fleet, err := fakes.NewFleet(n, providers, fakes.ProviderOptions{
+			Cores: 4, Queue: 16, Seed: 1,
+			Default: fakes.Service{Mean: 20 * time.Millisecond},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,12 +169,21 @@
 			method, target string
 			want           int
 		}{
-			{"GET", "/ready", 200}, {"GET", "http://x/ready", 200}, {"POST", "/ready", 405}, {"PUT", "/metrics", 405},
-			{"GET", "/tile-servers/disable?target=" + id, 405}, {"GET", "/", 404}, {"PUT", "/tile-servers", 404},
-			{"PUT", "/tile-servers/disable", 400}, {"PUT", "/tile-servers/disable?target=", 400},
-			{"PUT", "/tile-servers/disable?target=a&target=b", 400}, {"PUT", "/tile-servers/disable?target=%zz", 400},
-			{"PUT", "/tile-servers/disable?target=nobody", 404}, {"PUT", "/tile-servers/enable?target=nobody", 404},
-			{"PUT", "/tile-servers/enable?target=" + id, 200}, {"GET x", "/ready", 400},
+			{"GET", "/ready", 200},
+			{"GET", "http://x/ready", 200},
+			{"POST", "/ready", 405},
+			{"PUT", "/metrics", 405},
+			{"GET", "/tile-servers/disable?target=" + id, 405},
+			{"GET", "/", 404},
+			{"PUT", "/tile-servers", 404},
+			{"PUT", "/tile-servers/disable", 400},
+			{"PUT", "/tile-servers/disable?target=", 400},
+			{"PUT", "/tile-servers/disable?target=a&target=b", 400},
+			{"PUT", "/tile-servers/disable?target=%zz", 400},
+			{"PUT", "/tile-servers/disable?target=nobody", 404},
+			{"PUT", "/tile-servers/enable?target=nobody", 404},
+			{"PUT", "/tile-servers/enable?target=" + id, 200},
+			{"GET x", "/ready", 400},
 		} {
 			s.order(tc.method, tc.target, tc.want)
 		}
@@ -295,8 +311,10 @@
 			after(12 * sec)
 			s.order("PUT", "/tile-servers/enable?target="+p.ID(), 200)
 		}()
-		fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 20 * sec,
-			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 100}, {Class: fakes.Order(), Rate: 20}}}).Run(t.Context())
+		fakes.NewConsumers(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, For: 20 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 100}, {Class: fakes.Order(), Rate: 20}},
+		}).Run(t.Context())
 		before, back, soon := 0, time.Duration(0), 0
 		for _, r := range p.Requests() {
 			switch at := r.FirstByte.Sub(began); {
--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -1,10 +1,10 @@
 package main
 
 import (
-	"golang.org/x/sys/unix"
-
 	"plankrouter/internal/admin"
 	"plankrouter/internal/connlimit"
+
+	"golang.org/x/sys/unix"
 )
 
 const (
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -10,13 +10,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/admin"
+	"plankrouter/internal/testbench/fakes"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter/internal/admin"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // flooded is the program as a process of its own, which starts with descriptors that are not its own doing.
@@ -96,20 +95,24 @@
 	f := &flooded{T: t, limit: limit}
 	known := fakes.List{Revision: 1}
 	for i := range 8 { // servers that take requests and never answer
-		known.Members = append(known.Members, fakes.Member{ID: fmt.Sprint("s-", i), Address: listenHere(t).Addr().String(),
-			Locality: fakes.Here, Phase: fakes.Serving})
+		known.Members = append(known.Members, fakes.Member{
+			ID: fmt.Sprint("s-", i), Address: listenHere(t).Addr().String(),
+			Locality: fakes.Here, Phase: fakes.Serving,
+		})
 	}
 	front, desk := listenHere(t), listenHere(t)
 	f.front, f.desk = front.Addr().String(), desk.Addr().String()
 	desk.Close() // a port that is free now
 	dir := t.TempDir()
-	raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: f.front, Directory: listenHere(t).Addr().String(), Seed: 1,
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: "n1", Listen: f.front, Directory: listenHere(t).Addr().String(), Seed: 1,
 		Known: known, Sockets: limit, MemoryMB: 64, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
 		NoProbes: true, Classes: []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}},
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = f.desk
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": filepath.Join(dir, "snapshot"), "every_ms": 1000}}
-		}})
+		},
+	})
 	file := filepath.Join(dir, "config.json")
 	if err != nil || !json.Valid(raw) || os.WriteFile(file, raw, 0o600) != nil {
 		t.Fatal(err)
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -10,17 +10,6 @@
 	"maps"
 	"net"
 	"os"
-	"runtime"
-	"runtime/debug"
-	"slices"
-	"strings"
-	"sync"
-	"sync/atomic"
-	"syscall"
-	"time"
-
-	"golang.org/x/sync/errgroup"
-
 	"plankrouter/internal/backend"
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
@@ -38,6 +27,16 @@
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/streaming"
 	"plankrouter/internal/transient"
+	"runtime"
+	"runtime/debug"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 const (
@@ -151,7 +150,8 @@
 // serve runs the sidecar, for operators too if there is a listener for them, until a signal ends it and all that it has taken
 // is answered, or until a successor has it all. So many descriptors are held already, the listeners among them.
 func serve(cfg *config.Config, getenv func(string) string, l, operators net.Listener, dial connlimit.Dialer, held int,
-	signals signalQueues, from *hotrestart.Successor) error {
+	signals signalQueues, from *hotrestart.Successor,
+) error {
 	outer, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(outer)
@@ -163,8 +163,10 @@
 		log.Printf("name=%s limits.sockets=%d held=%d err=%q", cfg.Name, cfg.Limits.Sockets, held,
 			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", least))
 	}
-	p := program{cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Handover{From: from},
-		budget: connlimit.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv)}
+	p := program{
+		cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Handover{From: from},
+		budget: connlimit.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv),
+	}
 	p.rules.Logf = log.Printf
 	p.inForce.Store(cfg)
 	var leaving context.CancelFunc
@@ -186,21 +188,27 @@
 		known = before.List.Config()
 	}
 	var err error
-	if p.watch, err = discovery.New(discovery.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
+	if p.watch, err = discovery.New(discovery.Options{
+		Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
 		Known: known, Anew: before != nil, // the directory may count anew by now
 		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: connlimit.NewBudget(shares.watch, dial),
 		Told:  func(l endpoints.List, at time.Time) { p.core.Told(l, at) },
-		Trust: func(t staleness.Trust) { p.core.Trust(t) }, Logf: log.Printf, Trace: trace}); err != nil {
+		Trust: func(t staleness.Trust) { p.core.Trust(t) }, Logf: log.Printf, Trace: trace,
+	}); err != nil {
 		return err
 	}
-	if p.caller, err = backend.New(ctx, p.budget, backend.Settings{Figures: figuresOf(cfg), Trace: trace,
-		Written: p.book.Dispatched, Bounds: bounds, Rules: &p.rules}); err != nil {
+	if p.caller, err = backend.New(ctx, p.budget, backend.Settings{
+		Figures: figuresOf(cfg), Trace: trace,
+		Written: p.book.Dispatched, Bounds: bounds, Rules: &p.rules,
+	}); err != nil {
 		return err
 	}
-	if p.core, err = dispatch.New(dispatch.Options{Name: cfg.Name, Deployment: deployment,
+	if p.core, err = dispatch.New(dispatch.Options{
+		Name: cfg.Name, Deployment: deployment,
 		Logic: cfg.Logic, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known,
 		Before: before, Caller: p.caller, Whole: cfg.Settings.Whole, Logf: log.Printf, Trace: trace, Saw: p.watch.Saw,
-		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faultinjection.Wall}); err != nil {
+		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faultinjection.Wall,
+	}); err != nil {
 		return err
 	}
 	p.front = frontend.New(cfg, p.core, p.budget, &p.book, bounds)
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -21,8 +21,10 @@
 // zone stands in quotes, since a letter alone is much else; it and a provider keep their length, which bodies tell. The ids
 // run the other way.
 var renamings = map[string]map[string]string{
-	"fresh": {"tile": "Full_text", "order": "q", "search": "loan-2", "acme": "St-Gall", "globex": "zu", `"a"`: `"x"`, `"b"`: `"y"`,
-		"p1": "w9", "p2": "w8", "p3": "w7", "p9": "w1"},
+	"fresh": {
+		"tile": "Full_text", "order": "q", "search": "loan-2", "acme": "St-Gall", "globex": "zu", `"a"`: `"x"`, `"b"`: `"y"`,
+		"p1": "w9", "p2": "w8", "p3": "w7", "p9": "w1",
+	},
 	"exchanged": {"tile": "order", "order": "tile", "acme": "globex", "globex": "acme", `"a"`: `"b"`, `"b"`: `"a"`},
 }
 
--- a/cmd/plankrouter/operators.go
+++ b/cmd/plankrouter/operators.go
@@ -7,13 +7,12 @@
 	"log"
 	"net"
 	"path/filepath"
-	"time"
-
 	"plankrouter/internal/admin"
 	"plankrouter/internal/config"
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/metrics"
+	"time"
 )
 
 const (
@@ -52,16 +51,20 @@
 // is one.
 func bansFor(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
-		return &cordon.Store{Path: filepath.Join(folder, "plankrouter-bans.json"),
-			Before: func(step cordon.Step, _ string) error { return faultinjection.Inject(bansFaults[step]) }}
+		return &cordon.Store{
+			Path:   filepath.Join(folder, "plankrouter-bans.json"),
+			Before: func(step cordon.Step, _ string) error { return faultinjection.Inject(bansFaults[step]) },
+		}
 	}
 	return &cordon.Store{}
 }
 
 // bansFaults are the faults that befall the steps of the bans' file in a soak.
-var bansFaults = map[cordon.Step]faultinjection.Op{cordon.StepOpen: faultinjection.ReadFile, cordon.StepRead: faultinjection.ReadFile,
+var bansFaults = map[cordon.Step]faultinjection.Op{
+	cordon.StepOpen: faultinjection.ReadFile, cordon.StepRead: faultinjection.ReadFile,
 	cordon.StepLock: faultinjection.WriteFile, cordon.StepWrite: faultinjection.WriteFile, cordon.StepSync: faultinjection.SyncFile,
-	cordon.StepRename: faultinjection.WriteFile}
+	cordon.StepRename: faultinjection.WriteFile,
+}
 
 // firstBans are the operators' orders at the start. A process that serves without them sends to servers that they have taken out.
 func (p *program) firstBans(ctx context.Context) cordon.Set {
--- a/cmd/plankrouter/play_test.go
+++ b/cmd/plankrouter/play_test.go
@@ -198,10 +198,14 @@
 func play(t *testing.T, text string, worded func([]byte) []byte) string {
 	parts := strings.Split(text, "\n--- ")
 	out := []string{parts[0]}
-	g := &stage{ends: map[string]*end{}, opens: map[string]int{}, dials: map[string]string{},
-		conns: make(chan net.Conn), shut: make(chan struct{})}
-	set := map[string]string{"sockets": "64", "probes": "false", "quota": "1000", "providers": "p1", "connect": "150",
-		"discovery": "dir:1"}
+	g := &stage{
+		ends: map[string]*end{}, opens: map[string]int{}, dials: map[string]string{},
+		conns: make(chan net.Conn), shut: make(chan struct{}),
+	}
+	set := map[string]string{
+		"sockets": "64", "probes": "false", "quota": "1000", "providers": "p1", "connect": "150",
+		"discovery": "dir:1",
+	}
 	var signals signalQueues
 	var result chan error
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -3,12 +3,11 @@
 import (
 	"container/heap"
 	"fmt"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"testing"
 	"time"
-
-	"plankrouter/internal/staleness"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // turn is a restarted process's next call.
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -8,14 +8,13 @@
 	"net"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // trouble is one that the program has to find back from: what happens to its world, and what must hold.
@@ -111,11 +110,13 @@
 	"directory down for 30 s, then it tells all": {
 		lasts: 42 * sec,
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 3 * sec, Do: func() { w.Directory.Down(true) }},
+			return fakes.Timeline{
+				{At: 3 * sec, Do: func() { w.Directory.Down(true) }},
 				{At: 4 * sec, Do: func() {
 					w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 				}},
-				{At: 33 * sec, Do: func() { w.Directory.Down(false) }}}
+				{At: 33 * sec, Do: func() { w.Directory.Down(false) }},
+			}
 		},
 		event: 4 * sec, within: 4 * sec, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -128,11 +129,13 @@
 	},
 	"directory mute, and the answer comes when the call was given up": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 3 * sec, Do: func() { w.Directory.AnswerLate(true) }},
+			return fakes.Timeline{
+				{At: 3 * sec, Do: func() { w.Directory.AnswerLate(true) }},
 				{At: 4 * sec, Do: func() {
 					w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 				}},
-				{At: 8 * sec, Do: func() { w.Directory.AnswerLate(false) }}}
+				{At: 8 * sec, Do: func() { w.Directory.AnswerLate(false) }},
+			}
 		},
 		event: 4 * sec, within: 4 * sec, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -153,8 +156,10 @@
 	},
 	"nothing leaves the own machine": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: func() { w.local.Store(true); w.all(0, 8, (*fakes.Provider).ResetKept)() }},
-				{At: 8 * sec, Do: func() { w.local.Store(false) }}}
+			return fakes.Timeline{
+				{At: 5 * sec, Do: func() { w.local.Store(true); w.all(0, 8, (*fakes.Provider).ResetKept)() }},
+				{At: 8 * sec, Do: func() { w.local.Store(false) }},
+			}
 		},
 		event: 8 * sec, within: 2 * sec,
 		check: func(t *testing.T, w *world) {
@@ -193,8 +198,10 @@
 	},
 	"two machines vanish and come back": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(true) })},
-				{At: 12 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(false) })}}
+			return fakes.Timeline{
+				{At: 5 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(true) })},
+				{At: 12 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(false) })},
+			}
 		},
 		event: 5 * sec, within: 3 * sec, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -246,8 +253,10 @@
 func (tr trouble) play(t *testing.T) {
 	w := &world{net: fakes.NewMemory()}
 	var err error
-	if w.Fleet, err = fakes.NewFleet(w.net, 8, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
-		Default: fakes.Service{Mean: 20 * time.Millisecond}}); err != nil {
+	if w.Fleet, err = fakes.NewFleet(w.net, 8, fakes.ProviderOptions{
+		Cores: 4, Queue: 16, Seed: 1,
+		Default: fakes.Service{Mean: 20 * time.Millisecond},
+	}); err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
@@ -260,8 +269,10 @@
 		known = tr.known(known)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1,
-		Directory: w.Directory.Address(), Known: known})
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: "n1", Listen: front.Addr().String(), Seed: 1,
+		Directory: w.Directory.Address(), Known: known,
+	})
 	if err != nil || os.WriteFile(file, raw, 0o600) != nil {
 		t.Fatal(err)
 	}
@@ -275,9 +286,11 @@
 		go tr.steps(w).Run(ctx, w.start)
 	}
 	lasts := max(tr.lasts, 20*sec)
-	w.tries = fakes.NewConsumers(fakes.Load{Network: w.net, Address: front.Addr().String(), Seed: 1, For: lasts,
+	w.tries = fakes.NewConsumers(fakes.Load{
+		Network: w.net, Address: front.Addr().String(), Seed: 1, For: lasts,
 		Retry: fakes.Retry{Wait: 50 * time.Millisecond, Most: 2},
-		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 120}, {Class: fakes.Order(), Rate: 24}}}).Run(t.Context())
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 120}, {Class: fakes.Order(), Rate: 24}},
+	}).Run(t.Context())
 	signals.raise(syscall.SIGTERM)
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -3,12 +3,11 @@
 import (
 	"context"
 	"log"
-	"time"
-
 	"plankrouter/internal/backend"
 	"plankrouter/internal/config"
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/snapshot"
+	"time"
 )
 
 // reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent no earlier than that.
@@ -42,8 +41,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.core.Change(dispatch.Change{Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
-		Deployment: deployment, DrainGrace: next.DrainGrace}); err != nil {
+	if err := p.core.Change(dispatch.Change{
+		Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
+		Deployment: deployment, DrainGrace: next.DrainGrace,
+	}); err != nil {
 		return nil, err
 	}
 	p.caller.Reconfigure(figuresOf(next))
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -3,9 +3,8 @@
 import (
 	"context"
 	"log"
-	"time"
-
 	"plankrouter/internal/shutdown"
+	"time"
 )
 
 const (
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -19,13 +19,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -89,16 +88,23 @@
 		"halves, held up until the kill":   {halves: true, pauses: []pause{beforeKill(160 * time.Millisecond)}},
 		"halves, held up":                  {halves: true, pauses: []pause{beforeKill(300 * time.Millisecond)}},
 		"a shorter deadline is in the way": {deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow, before: []early{{syscall.SIGHUP, time.Millisecond}}},
-		"a shorter deadline, seen late": {deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow,
-			before: []early{{syscall.SIGHUP, time.Millisecond}}, pauses: []pause{afterWord(-5 * time.Millisecond)}},
+		"a shorter deadline, seen late": {
+			deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow,
+			before: []early{{syscall.SIGHUP, time.Millisecond}}, pauses: []pause{afterWord(-5 * time.Millisecond)},
+		},
 		"a reload comes behind it": {after: []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2}, pauses: []pause{afterWord(-5 * time.Millisecond)}},
 		"a handover has begun":     {before: []early{{syscall.SIGUSR2, 5 * time.Millisecond}}},
-		"a reload within a handover": {deadline: 1200 * time.Millisecond, service: 150 * time.Millisecond, shorter: shutdownRow, group: true, late: 900 * time.Millisecond,
-			before: []early{{syscall.SIGUSR2, 300 * time.Millisecond}, {syscall.SIGHUP, 280 * time.Millisecond}}},
+		"a reload within a handover": {
+			deadline: 1200 * time.Millisecond, service: 150 * time.Millisecond, shorter: shutdownRow, group: true, late: 900 * time.Millisecond,
+			before: []early{{syscall.SIGUSR2, 300 * time.Millisecond}, {syscall.SIGHUP, 280 * time.Millisecond}},
+		},
 		"a handover is passing to a crowd": {clients: 300, halves: true, before: []early{{syscall.SIGUSR2, 120 * time.Millisecond}}},
 		"a handover is passing":            {before: []early{{syscall.SIGUSR2, 120 * time.Millisecond}}},
-		"a handover, a reload, a report": {before: []early{{syscall.SIGUSR2, 120 * time.Millisecond},
-			{syscall.SIGHUP, 80 * time.Millisecond}, {syscall.SIGUSR1, 40 * time.Millisecond}}},
+		"a handover, a reload, a report": {before: []early{
+			{syscall.SIGUSR2, 120 * time.Millisecond},
+			{syscall.SIGHUP, 80 * time.Millisecond},
+			{syscall.SIGUSR1, 40 * time.Millisecond},
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -162,8 +168,10 @@
 	network, t := fakes.Loopback(), w.t
 	var members []fakes.Member
 	for i := range 4 {
-		p, err := fakes.NewProvider(network, fakes.ProviderOptions{ID: fmt.Sprint("s", i), Cores: 500, Queue: 10,
-			Default: fakes.Service{Mean: w.row.service, Fixed: true, Body: 100}})
+		p, err := fakes.NewProvider(network, fakes.ProviderOptions{
+			ID: fmt.Sprint("s", i), Cores: 500, Queue: 10,
+			Default: fakes.Service{Mean: w.row.service, Fixed: true, Body: 100},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,8 +191,10 @@
 	l.Close()
 	folder := t.TempDir()
 	w.file = filepath.Join(folder, "config.json")
-	w.sidecar = fakes.Sidecar{Name: "n1", Listen: w.address, Seed: 1, Directory: directory.Address(), Sockets: 4096, MemoryMB: 256,
-		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Members: members}}
+	w.sidecar = fakes.Sidecar{
+		Name: "n1", Listen: w.address, Seed: 1, Directory: directory.Address(), Sockets: 4096, MemoryMB: 256,
+		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Members: members},
+	}
 	w.configure(w.row.deadline)
 	if w.log, err = os.Create(filepath.Join(folder, "log")); err != nil {
 		t.Fatal(err)
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -5,13 +5,12 @@
 	"log"
 	"os"
 	"os/signal"
+	"plankrouter/internal/shutdown"
 	"sync/atomic"
 	"syscall"
 	"time"
 
 	"golang.org/x/sync/errgroup"
-
-	"plankrouter/internal/shutdown"
 )
 
 // signalQueues are the signals that have come and are not obeyed yet. Each kind waits at a place of its own, so that none keeps out
@@ -33,8 +32,10 @@
 }
 
 func newSignalQueues() signalQueues {
-	return signalQueues{stop: make(chan received, 2), reload: make(chan received, 1), report: make(chan os.Signal, 1),
-		handOver: make(chan os.Signal, 1), lastReload: new(atomic.Pointer[received])}
+	return signalQueues{
+		stop: make(chan received, 2), reload: make(chan received, 1), report: make(chan os.Signal, 1),
+		handOver: make(chan os.Signal, 1), lastReload: new(atomic.Pointer[received]),
+	}
 }
 
 // listen takes this process's signals from now on.
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -10,6 +10,7 @@
 	"os/exec"
 	"os/signal"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"strconv"
 	"strings"
@@ -18,8 +19,6 @@
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // However many others wait, each kind of signal finds a place.
@@ -66,8 +65,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s := service{T: t, file: filepath.Join(t.TempDir(), "config.json"),
-					set: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: directory.Address()}}
+				s := service{
+					T: t, file: filepath.Join(t.TempDir(), "config.json"),
+					set: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: directory.Address()},
+				}
 				s.write()
 				var loaded atomic.Bool
 				hold := make(chan bool)
@@ -209,8 +210,10 @@
 		t.Fatal(err)
 	}
 	defer desk.Close()
-	s := service{T: t, file: filepath.Join(t.TempDir(), "config.json"),
-		set: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: directory.Address()}}
+	s := service{
+		T: t, file: filepath.Join(t.TempDir(), "config.json"),
+		set: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: directory.Address()},
+	}
 	s.write()
 	line := "LISTEN_FDS=1 LISTEN_PID=$$; export LISTEN_FDS LISTEN_PID; " +
 		strings.NewReplacer("exec ", "echo at the start >&2; exec ", "bin/plankrouter", `"$0"`).Replace(string(run[1]))
--- a/cmd/plankrouter/succession.go
+++ b/cmd/plankrouter/succession.go
@@ -7,17 +7,16 @@
 	"log"
 	"net"
 	"os"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/hotrestart"
+	"plankrouter/internal/snapshot"
+	"plankrouter/internal/transient"
 	"slices"
 	"strings"
 	"syscall"
 	"time"
 
 	"golang.org/x/sync/errgroup"
-
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/hotrestart"
-	"plankrouter/internal/snapshot"
-	"plankrouter/internal/transient"
 )
 
 // meetAgain is the pause after an accept that has failed.
@@ -34,9 +33,13 @@
 func (p *program) before(from *hotrestart.Successor, now time.Time) *snapshot.Beginning {
 	cfg := p.cfg
 	if cfg.Own.Snapshot.Path != "" {
-		p.writer = &snapshot.Writer{Store: &snapshot.Store{Path: cfg.Own.Snapshot.Path,
-			Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) }}, Take: p.take, Every: cfg.SnapshotEvery,
-			Seed: cfg.Seed}
+		p.writer = &snapshot.Writer{
+			Store: &snapshot.Store{
+				Path:   cfg.Own.Snapshot.Path,
+				Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
+			}, Take: p.take, Every: cfg.SnapshotEvery,
+			Seed: cfg.Seed,
+		}
 	}
 	var snap *snapshot.Snapshot
 	var err error
@@ -67,9 +70,11 @@
 }
 
 // snapshotFaults are the faults that befall the steps of writing a snapshot in a soak.
-var snapshotFaults = map[snapshot.Step]faultinjection.Op{snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
+var snapshotFaults = map[snapshot.Step]faultinjection.Op{
+	snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
 	snapshot.StepSweep: faultinjection.WriteFile, snapshot.StepCreate: faultinjection.WriteFile, snapshot.StepFill: faultinjection.WriteFile,
-	snapshot.StepSync: faultinjection.SyncFile, snapshot.StepRename: faultinjection.WriteFile, snapshot.StepSyncDir: faultinjection.SyncFile}
+	snapshot.StepSync: faultinjection.SyncFile, snapshot.StepRename: faultinjection.WriteFile, snapshot.StepSyncDir: faultinjection.SyncFile,
+}
 
 // keepSnapshots writes snapshots from now on, if they are to be kept, until lastSnapshot is called, which writes one more. A
 // disk that fails is logged and ends nothing.
@@ -189,8 +194,10 @@
 	}
 	log.Printf("name=%s handover=begun state_bytes=%d", p.cfg.Name, len(state))
 	begun := time.Now()
-	to, err := begin(l, hotrestart.Options{ReadyWithin: p.cfg.ReadyWithin, Name: p.cfg.Name, Address: p.cfg.Listen,
-		State: state, Env: p.environment(), Open: p.core.Open})
+	to, err := begin(l, hotrestart.Options{
+		ReadyWithin: p.cfg.ReadyWithin, Name: p.cfg.Name, Address: p.cfg.Listen,
+		State: state, Env: p.environment(), Open: p.core.Open,
+	})
 	if err != nil {
 		log.Printf("name=%s handover=failed err=%q", p.cfg.Name, err)
 		return
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"plankrouter/internal/testbench/fakes"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // One of 300 instances starts with a list that names a provider which the directory no longer does, and which is there all
@@ -21,8 +20,10 @@
 			c.Edit = func(d map[string]any) { d["settings"].(map[string]any)["Prices"] = map[string]any{"Probe": 0.08} }
 		})
 		began := time.Now()
-		tries := fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 5 * sec,
-			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 30}, {Class: fakes.Order(), Rate: 10}}}).Run(t.Context())
+		tries := fakes.NewConsumers(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, For: 5 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 30}, {Class: fakes.Order(), Rate: 10}},
+		}).Run(t.Context())
 		for _, one := range fleet.Providers[0].Requests() {
 			if late := one.FirstByte.Sub(began); late > 750*time.Millisecond {
 				t.Errorf("%s was sent to it after %s", one.ID, late)
@@ -57,8 +58,10 @@
 					}
 					began, s := time.Now(), start(t, n, fleet.Directory, edit)
 					load := func(from, to time.Duration) []fakes.Try {
-						return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: to - from,
-							Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 20}}}).Run(t.Context())
+						return fakes.NewConsumers(fakes.Load{
+							Network: n, Address: s.front, Seed: 1, For: to - from,
+							Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 20}},
+						}).Run(t.Context())
 					}
 					go func() {
 						time.Sleep(silent)
@@ -135,8 +138,10 @@
 					}
 				}()
 				from, until := began.Add(c.leaves+6*sec+grace+50*time.Millisecond), began.Add(c.leaves+noticed+6*sec)
-				tries := fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: until.Sub(began),
-					Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 60}, {Class: fakes.Order(), Rate: 20}}}).Run(t.Context())
+				tries := fakes.NewConsumers(fakes.Load{
+					Network: n, Address: s.front, Seed: 1, For: until.Sub(began),
+					Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 60}, {Class: fakes.Order(), Rate: 20}},
+				}).Run(t.Context())
 				if served := fakes.Tally(tries, from, until.Sub(from))[0].Share(); served < 0.9 {
 					t.Errorf("%.2f are served meanwhile", served)
 				}
@@ -180,8 +185,10 @@
 			time.Sleep(2 * sec)
 			fleet.Directory.Change(leaving...)
 		}()
-		tries := fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 5 * sec,
-			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 10}}}).Run(t.Context())
+		tries := fakes.NewConsumers(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, For: 5 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 10}},
+		}).Run(t.Context())
 		served, before := fakes.Tally(tries, began, 5*sec)[0].Share(), 0
 		for _, one := range fleet.Providers[1].Requests() {
 			if late := one.FirstByte.Sub(told); late > 750*time.Millisecond {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -6,7 +6,6 @@
 	"bufio"
 	"fmt"
 	"os"
-
 	"plankrouter/internal/simwire"
 )
 
--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -5,9 +5,8 @@
 	"fmt"
 	"io"
 	"os"
-	"time"
-
 	"plankrouter/internal/testbench/capacity"
+	"time"
 )
 
 // capacityCommand measures what a sidecar costs as its world grows.
@@ -50,8 +49,10 @@
 	if c.Quick {
 		plan = capacity.Quick()
 	}
-	report, err := capacity.Run(ctx, capacity.Setup{Program: c.Program, Dir: dir, Core: c.Core, Only: c.Only,
-		Said: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }}, plan)
+	report, err := capacity.Run(ctx, capacity.Setup{
+		Program: c.Program, Dir: dir, Core: c.Core, Only: c.Only,
+		Said: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
+	}, plan)
 	if report == nil {
 		return err
 	}
--- a/cmd/testbench/fleet.go
+++ b/cmd/testbench/fleet.go
@@ -2,9 +2,8 @@
 
 import (
 	"io"
-	"time"
-
 	"plankrouter/internal/testbench/fleet"
+	"time"
 )
 
 // fleetCommand counts over the logs of a fleet.
--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -6,11 +6,10 @@
 	"fmt"
 	"io"
 	"os"
-	"slices"
-	"time"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/testbench/simulated"
+	"slices"
+	"time"
 )
 
 // fleetScenesCommand plays fleets of hollow sidecars.
@@ -77,8 +76,10 @@
 	if err != nil {
 		return err
 	}
-	set := simulated.Setup{PerPart: c.PerPart, Servers: c.Servers, ProbePrice: c.ProbePrice, TurnRate: c.TurnRate,
-		MemoryMost: c.MemoryMost, StartMost: time.Minute, Spawn: simulated.Program(self, "fleet-part")}
+	set := simulated.Setup{
+		PerPart: c.PerPart, Servers: c.Servers, ProbePrice: c.ProbePrice, TurnRate: c.TurnRate,
+		MemoryMost: c.MemoryMost, StartMost: time.Minute, Spawn: simulated.Program(self, "fleet-part"),
+	}
 	if c.Watch != "" {
 		if set.Watch, err = readWatch(c.Watch); err != nil {
 			return err
--- a/cmd/testbench/handover.go
+++ b/cmd/testbench/handover.go
@@ -3,9 +3,8 @@
 import (
 	"context"
 	"io"
-	"time"
-
 	"plankrouter/internal/testbench/recovery"
+	"time"
 )
 
 // handoverCommand runs a line of processes.
@@ -21,8 +20,10 @@
 }
 
 func (c *handoverCommand) plan() recovery.HandoverPlan {
-	return recovery.HandoverPlan{Setup: c.setup(c.Program, c.Seed), Restarts: c.Restarts, Pause: c.Pause,
-		Kill: recovery.Victim(c.Kill), At: recovery.Moment(c.At), Nth: c.Nth}
+	return recovery.HandoverPlan{
+		Setup: c.setup(c.Program, c.Seed), Restarts: c.Restarts, Pause: c.Pause,
+		Kill: recovery.Victim(c.Kill), At: recovery.Moment(c.At), Nth: c.Nth,
+	}
 }
 
 // Validate checks the arguments.
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -10,11 +10,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/testbench/cpubench"
+	"plankrouter/internal/testbench/loadgen"
 	"runtime/debug"
 	"time"
-
-	"plankrouter/internal/testbench/loadgen"
-	"plankrouter/internal/testbench/cpubench"
 )
 
 // errLate says that a report is about the generator.
@@ -115,8 +114,10 @@
 // makePlan reads the plan, or makes one of the arguments.
 func (c *loadCommand) makePlan() (err error) {
 	if c.Plan == "" {
-		c.plan = &loadgen.Plan{Classes: []loadgen.Class{{Name: "tile", AimMs: 750, DeadlineMs: 2500}},
-			Streams: []loadgen.Stream{{Spacing: c.Spacing, Shape: loadgen.Shape{Kind: "constant", Rate: c.Rate}}}}
+		c.plan = &loadgen.Plan{
+			Classes: []loadgen.Class{{Name: "tile", AimMs: 750, DeadlineMs: 2500}},
+			Streams: []loadgen.Stream{{Spacing: c.Spacing, Shape: loadgen.Shape{Kind: "constant", Rate: c.Rate}}},
+		}
 	} else if c.plan, err = loadgen.Read(c.Plan); err != nil {
 		return err
 	}
--- a/cmd/testbench/overload.go
+++ b/cmd/testbench/overload.go
@@ -4,10 +4,9 @@
 	"context"
 	"fmt"
 	"io"
+	"plankrouter/internal/testbench/emulator"
 	"runtime"
 	"time"
-
-	"plankrouter/internal/testbench/emulator"
 )
 
 // overloadCommand plays the scale test of overload in virtual time.
@@ -42,9 +41,11 @@
 			for _, load := range c.Loads {
 				for _, seed := range c.Seeds {
 					for _, n := range c.Sidecars {
-						o := emulator.Overload{Sidecars: n, Servers: c.Servers, Load: load, Reports: reports,
+						o := emulator.Overload{
+							Sidecars: n, Servers: c.Servers, Load: load, Reports: reports,
 							Event: event, Seed: seed, Policy: c.Policy, Worthy: c.Worthy,
-							ZoneSkew: c.ZoneSkew, Drawn: c.Drawn, Free: c.Free}
+							ZoneSkew: c.ZoneSkew, Drawn: c.Drawn, Free: c.Free,
+						}
 						if o.Servers == 0 {
 							o.Servers = n
 						}
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -8,10 +8,9 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/testbench/recovery"
 	"slices"
 	"strings"
-
-	"plankrouter/internal/testbench/recovery"
 )
 
 // lab is what all experiments are told.
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -7,9 +7,8 @@
 	"io"
 	"os"
 	"path/filepath"
-	"time"
-
 	"plankrouter/internal/testbench/soak"
+	"time"
 )
 
 // soakCommand hunts rare faults.
@@ -37,8 +36,10 @@
 		if err != nil {
 			return err
 		}
-		report, err := soak.Run(ctx, soak.Options{Program: program, Dir: dir, Seed: seed, Sidecars: c.Sidecars, Servers: c.Servers, Rate: c.Rate,
-			For: c.For, Only: c.Only})
+		report, err := soak.Run(ctx, soak.Options{
+			Program: program, Dir: dir, Seed: seed, Sidecars: c.Sidecars, Servers: c.Servers, Rate: c.Rate,
+			For: c.For, Only: c.Only,
+		})
 		if err != nil {
 			return errors.Join(err, os.RemoveAll(dir))
 		}
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 	"runtime"
 	"slices"
 	"strings"
@@ -13,9 +15,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // servers starts providers that end with the test.
@@ -38,7 +37,8 @@
 func usual(all ...*provider) plankrouter.Options {
 	o := plankrouter.Options{Name: "n1", Seed: 1, Connect: 10 * time.Second, Classes: []plankrouter.Class{
 		{Name: "tile", Aim: 20 * time.Second, Deadline: 40 * time.Second},
-		{Name: "order", Aim: 20 * time.Second, Deadline: 40 * time.Second, Repeat: plankrouter.Once}}}
+		{Name: "order", Aim: 20 * time.Second, Deadline: 40 * time.Second, Repeat: plankrouter.Once},
+	}}
 	for _, p := range all {
 		o.Members = append(o.Members, plankrouter.Member{ID: p.name, Address: p.address})
 	}
@@ -123,8 +123,10 @@
 // Two balancers of one name, with members and requests of the same ids, settings and fleets of their own, started and
 // closed in every order: each counts and answers what is its own.
 func TestTwoBalancers(t *testing.T) {
-	for _, order := range []string{"+a +b -a -b", "+a +b -b -a", "+a -a +b -b", "+b +a -a -b", "+b +a -b -a",
-		"+b -b +a -a"} {
+	for _, order := range []string{
+		"+a +b -a -b", "+a +b -b -a", "+a -a +b -b", "+b +a -a -b", "+b +a -b -a",
+		"+b -b +a -a",
+	} {
 		t.Run(order, func(t *testing.T) {
 			all := servers(t, "s-1", "s-1")
 			sides := map[string]*half{"a": {p: all[0]}, "b": {p: all[1]}}
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"strings"
 	"sync"
@@ -14,8 +15,6 @@
 
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/goleak"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 var update = flag.Bool("update", false, "record what the sides do as what they should do")
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -10,6 +10,8 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strconv"
@@ -17,9 +19,6 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // program builds the daemon once, into a folder that TestMain removes.
@@ -61,25 +60,31 @@
 func (d *daemon) config() ([]byte, error) {
 	var classes []fakes.Class
 	for _, c := range d.set.classes {
-		classes = append(classes, fakes.Class{Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.Aim,
-			Deadline: c.Deadline, Worth: c.Worth})
+		classes = append(classes, fakes.Class{
+			Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.Aim,
+			Deadline: c.Deadline, Worth: c.Worth,
+		})
 	}
 	s, ms := d.set, func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	return fakes.Config(fakes.Sidecar{Name: "n1", Listen: "127.0.0.1:0", Directory: s.directory.Address(), Seed: 1,
+	return fakes.Config(fakes.Sidecar{
+		Name: "n1", Listen: "127.0.0.1:0", Directory: s.directory.Address(), Seed: 1,
 		Known: fakes.List{Revision: 1, Members: s.members}, Classes: classes, Sockets: s.sockets, NoProbes: !s.probes,
 		MaxAttempts: s.attempts, ConnIdle: s.connIdle, Connect: s.connect, DrainGrace: s.grace,
 		Edit: func(document map[string]any) {
 			set := document["settings"].(map[string]any)
 			set["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.advice)
 			set["OverShareWorth"] = s.over
-			set["Safety"] = map[string]any{"StartCapacity": s.cold.Share, "WarmWithinMs": ms(s.cold.Within),
-				"TipMultiple": s.cold.Multiple, "FallMs": ms(s.cold.Window), "DrainGraceMs": ms(s.grace)}
+			set["Safety"] = map[string]any{
+				"StartCapacity": s.cold.Share, "WarmWithinMs": ms(s.cold.Within),
+				"TipMultiple": s.cold.Multiple, "FallMs": ms(s.cold.Window), "DrainGraceMs": ms(s.grace),
+			}
 			realms := []any{}
 			for _, t := range s.tenants {
 				realms = append(realms, map[string]any{"Name": t.Name, "QuotaPerS": t.PerSecond})
 			}
 			set["Realms"] = realms
-		}})
+		},
+	})
 }
 
 func (d *daemon) Start(s *settings) error {
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"fmt"
-	"slices"
-	"time"
-
 	"plankrouter"
 	"plankrouter/internal/testbench/fakes"
+	"slices"
+	"time"
 )
 
 // driver plays one side. All but Do are called by one goroutine.
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -5,11 +5,10 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"slices"
-	"time"
-
 	"plankrouter"
 	"plankrouter/internal/testbench/fakes"
+	"slices"
+	"time"
 )
 
 // library is a Balancer in this process.
@@ -23,9 +22,11 @@
 func (l *library) Start(s *settings) (err error) {
 	l.set, l.ends = s, make(chan error, 1)
 	members := libraryMembers(s.members)
-	o := plankrouter.Options{Name: "n1", Classes: s.classes, Tenants: s.tenants, Members: members, Probes: s.probes,
+	o := plankrouter.Options{
+		Name: "n1", Classes: s.classes, Tenants: s.tenants, Members: members, Probes: s.probes,
 		Attempts: s.attempts, Sockets: plankrouter.NewSockets(s.sockets, nil), Connect: s.connect, ConnIdle: s.connIdle,
-		DrainGrace: s.grace, Cold: s.cold, AdviceMost: s.advice, OverShare: s.over, Seed: 1}
+		DrainGrace: s.grace, Cold: s.cold, AdviceMost: s.advice, OverShare: s.over, Seed: 1,
+	}
 	if s.fed == "directory" {
 		o.Directory = s.directory.Address()
 	}
@@ -36,8 +37,10 @@
 }
 
 func libraryMembers(in []fakes.Member) (out []plankrouter.Member) {
-	phases := map[string]plankrouter.Phase{fakes.Serving: plankrouter.Serving, fakes.Draining: plankrouter.Draining,
-		fakes.Deleted: plankrouter.Gone}
+	phases := map[string]plankrouter.Phase{
+		fakes.Serving: plankrouter.Serving, fakes.Draining: plankrouter.Draining,
+		fakes.Deleted: plankrouter.Gone,
+	}
 	for _, m := range in {
 		one := plankrouter.Member{ID: m.ID, Address: m.Address, Phase: phases[m.Phase]}
 		if m.UpSince > 0 {
@@ -78,8 +81,10 @@
 	for _, f := range r.fields {
 		header.Add(f[0], f[1])
 	}
-	req := plankrouter.Request{Class: r.class, Tenant: r.tenant, ID: r.id, Method: r.method, Target: r.target,
-		Header: header, Body: r.body}
+	req := plankrouter.Request{
+		Class: r.class, Tenant: r.tenant, ID: r.id, Method: r.method, Target: r.target,
+		Header: header, Body: r.body,
+	}
 	if r.nameless {
 		req.ID = ""
 	}
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -5,14 +5,13 @@
 	"context"
 	"errors"
 	"fmt"
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // call is a request under way.
@@ -52,9 +51,13 @@
 
 func newPlayer(ctx context.Context, s *scenario, side driver, n fakes.Network, dir string) *player {
 	ms := time.Millisecond
-	return &player{ctx: ctx, scenario: s, side: side, network: n, providers: map[string]*provider{}, any: new(queue),
-		members: map[string]fakes.Member{}, set: settings{dir: dir, attempts: 3, sockets: 512, connect: time.Minute,
-			connIdle: time.Minute, grace: 750 * ms, advice: 1200 * ms}}
+	return &player{
+		ctx: ctx, scenario: s, side: side, network: n, providers: map[string]*provider{}, any: new(queue),
+		members: map[string]fakes.Member{}, set: settings{
+			dir: dir, attempts: 3, sockets: 512, connect: time.Minute,
+			connIdle: time.Minute, grace: 750 * ms, advice: 1200 * ms,
+		},
+	}
 }
 
 // play plays all steps, ends the side and returns the outcome in the words of the file.
@@ -81,8 +84,10 @@
 	}
 	if p.set.classes == nil {
 		for i, name := range []string{"tile", "order"} {
-			p.set.classes = append(p.set.classes, plankrouter.Class{Name: name, Aim: time.Minute,
-				Deadline: 2 * time.Minute, Worth: 1, Repeat: plankrouter.Repeat(i)})
+			p.set.classes = append(p.set.classes, plankrouter.Class{
+				Name: name, Aim: time.Minute,
+				Deadline: 2 * time.Minute, Worth: 1, Repeat: plankrouter.Repeat(i),
+			})
 		}
 	}
 	if p.set.directory, err = fakes.NewDirectory(p.network, "", p.set.members...); err != nil {
@@ -166,8 +171,10 @@
 
 func (p *player) settings(o options) error {
 	s := &p.set
-	errs := []error{duration(o, "connect", &s.connect), duration(o, "idle", &s.connIdle),
-		duration(o, "grace", &s.grace), duration(o, "advice", &s.advice)}
+	errs := []error{
+		duration(o, "connect", &s.connect), duration(o, "idle", &s.connIdle),
+		duration(o, "grace", &s.grace), duration(o, "advice", &s.advice),
+	}
 	for _, one := range o {
 		var err error
 		switch one.key {
@@ -209,9 +216,11 @@
 }
 
 // least is how many words a line has at least, by its first one, or by that of what a provider does.
-var least = map[string]int{"any": 2, "tell": 3, "send": 3, "ask": 3, "ask-kept": 3, "cancel-half": 3, "cancel": 2,
+var least = map[string]int{
+	"any": 2, "tell": 3, "send": 3, "ask": 3, "ask-kept": 3, "cancel-half": 3, "cancel": 2,
 	"await": 2, "elsewhere": 2, "taken": 2, "at-most": 4, "probes": 2, "sees": 2, "begins": 2, "loses": 2, "fresh": 2,
-	"dialled": 2}
+	"dialled": 2,
+}
 
 // step takes one line.
 func (p *player) step(words []string) error {
--- a/conformance/provider_test.go
+++ b/conformance/provider_test.go
@@ -10,14 +10,13 @@
 	"net"
 	"net/http"
 	"os"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // patience bounds every wait for something that has to come. Nothing is asserted of how long it takes.
@@ -269,8 +268,10 @@
 		d, _ = p.any.next(c.carried)
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	s := &sight{id: req.Header.Get("Req-Id"), class: class, posted: req.Method == "POST", carried: c.carried,
-		did: "part", let: make(chan struct{})}
+	s := &sight{
+		id: req.Header.Get("Req-Id"), class: class, posted: req.Method == "POST", carried: c.carried,
+		did: "part", let: make(chan struct{}),
+	}
 	p.mu.Lock()
 	p.sights = append(p.sights, s)
 	p.mu.Unlock()
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -37,8 +37,10 @@
 }
 
 // setups are the first words of lines that say what there is before the first step.
-var setups = map[string]bool{"provider": true, "class": true, "tenant": true, "set": true, "alone": true,
-	"merged": true}
+var setups = map[string]bool{
+	"provider": true, "class": true, "tenant": true, "set": true, "alone": true,
+	"merged": true,
+}
 
 // readScripts reads all files of testdata/.
 func readScripts() (all []*script, err error) {
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -8,14 +8,13 @@
 	"io"
 	"net/http"
 	"net/url"
+	"plankrouter"
 	"reflect"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"plankrouter"
 )
 
 // body is a request's that takes note of its end.
@@ -54,21 +53,35 @@
 		{name: "reset", tr: plankrouter.Transport{Balancer: b, Class: "order"}, want: "failed"},
 		{name: "served", tr: plankrouter.Transport{Balancer: b, Class: "order"}},
 		{name: "unknown class", tr: plankrouter.Transport{Balancer: b, Class: "fax"}, want: "fax"},
-		{name: "too large", tr: plankrouter.Transport{Balancer: b}, reader: bytes.NewReader(pattern(65537)),
-			want: "larger"},
-		{name: "too large of unknown length", tr: plankrouter.Transport{Balancer: b},
-			reader: io.MultiReader(bytes.NewReader(pattern(65537))), want: "larger"},
+		{
+			name: "too large", tr: plankrouter.Transport{Balancer: b}, reader: bytes.NewReader(pattern(65537)),
+			want: "larger",
+		},
+		{
+			name: "too large of unknown length", tr: plankrouter.Transport{Balancer: b},
+			reader: io.MultiReader(bytes.NewReader(pattern(65537))), want: "larger",
+		},
 		{name: "unreadable", tr: plankrouter.Transport{Balancer: b}, reader: failing{}, want: "can't be read"},
-		{name: "no URL", tr: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL = nil },
-			want: "URL"},
-		{name: "https", tr: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL.Scheme = "https" },
-			want: "https"},
-		{name: "a field that can't be sent", tr: plankrouter.Transport{Balancer: b},
-			edit: func(r *http.Request) { r.Header.Set("X-A", "1\r\nX-B: 2") }, want: "X-A"},
-		{name: "a method that can't be sent", tr: plankrouter.Transport{Balancer: b},
-			edit: func(r *http.Request) { r.Method = "GET /x HTTP/1.1\r\n" }, want: "Method"},
-		{name: "given up", tr: plankrouter.Transport{Balancer: b},
-			edit: func(r *http.Request) { *r = *r.WithContext(ended()) }, want: "canceled"},
+		{
+			name: "no URL", tr: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL = nil },
+			want: "URL",
+		},
+		{
+			name: "https", tr: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL.Scheme = "https" },
+			want: "https",
+		},
+		{
+			name: "a field that can't be sent", tr: plankrouter.Transport{Balancer: b},
+			edit: func(r *http.Request) { r.Header.Set("X-A", "1\r\nX-B: 2") }, want: "X-A",
+		},
+		{
+			name: "a method that can't be sent", tr: plankrouter.Transport{Balancer: b},
+			edit: func(r *http.Request) { r.Method = "GET /x HTTP/1.1\r\n" }, want: "Method",
+		},
+		{
+			name: "given up", tr: plankrouter.Transport{Balancer: b},
+			edit: func(r *http.Request) { *r = *r.WithContext(ended()) }, want: "canceled",
+		},
 		{name: "closed", tr: plankrouter.Transport{Balancer: closed}, want: "closed"},
 		{name: "refused", tr: plankrouter.Transport{Balancer: empty}, want: "refused"},
 	} {
@@ -182,8 +195,12 @@
 		seen   int // by the server
 		fails  bool
 	}{
-		{"order", 307, 1, true}, {"order", 308, 1, true}, {"order", 303, 2, false}, {"order", 302, 2, false},
-		{"tile", 307, 2, false}, {"tile", 308, 2, false},
+		{"order", 307, 1, true},
+		{"order", 308, 1, true},
+		{"order", 303, 2, false},
+		{"order", 302, 2, false},
+		{"tile", 307, 2, false},
+		{"tile", 308, 2, false},
 	} {
 		t.Run(fmt.Sprint(c.class, c.status), func(t *testing.T) {
 			p := servers(t, "s-1")[0]
--- a/example_test.go
+++ b/example_test.go
@@ -7,10 +7,9 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"plankrouter"
 	"strings"
 	"time"
-
-	"plankrouter"
 )
 
 // server starts a server of the fleet for an example, which says what it was asked.
@@ -70,8 +69,10 @@
 	}))
 	defer failing.Close()
 	b, err := plankrouter.New(plankrouter.Options{
-		Classes: []plankrouter.Class{{Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second,
-			Repeat: plankrouter.Once}},
+		Classes: []plankrouter.Class{{
+			Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second,
+			Repeat: plankrouter.Once,
+		}},
 		Members: []plankrouter.Member{{Address: failing.Listener.Addr().String()}},
 	})
 	if err != nil {
@@ -186,8 +187,10 @@
 	for _, name := range []string{"tiles", "orders"} {
 		address, stop := server(name)
 		defer stop()
-		b, err := plankrouter.New(plankrouter.Options{Name: name, Sockets: both,
-			Members: []plankrouter.Member{{Address: address}}})
+		b, err := plankrouter.New(plankrouter.Options{
+			Name: name, Sockets: both,
+			Members: []plankrouter.Member{{Address: address}},
+		})
 		if err != nil {
 			fmt.Println(err)
 			return
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -11,16 +11,15 @@
 	"net"
 	"net/url"
 	"os"
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/http1"
+	"plankrouter/internal/metrics"
 	"strings"
 	"sync"
 	"time"
 
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sync/errgroup"
-
-	"plankrouter/internal/cordon"
-	"plankrouter/internal/http1"
-	"plankrouter/internal/metrics"
 )
 
 const (
@@ -165,8 +164,10 @@
 
 // said words an answer.
 func said(status int, text string) http1.Response {
-	return http1.Response{Status: status, Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}},
-		Body: []byte(text + "\n")}
+	return http1.Response{
+		Status: status, Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}},
+		Body: []byte(text + "\n"),
+	}
 }
 
 // answer carries out a call.
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -7,14 +7,13 @@
 	"io"
 	"net"
 	"net/http"
-	"strings"
-	"testing"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
+	"strings"
+	"testing"
+	"time"
 )
 
 // BenchmarkAttempt measures an attempt on a kept loopback connection, with its message in one piece or in two, whose consumer is
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -6,11 +6,6 @@
 	"context"
 	"errors"
 	"os"
-	"strconv"
-	"sync"
-	"syscall"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
@@ -20,6 +15,10 @@
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/transient"
 	"plankrouter/internal/upstream"
+	"strconv"
+	"sync"
+	"syscall"
+	"time"
 )
 
 // stage is how far a call has come.
@@ -77,8 +76,10 @@
 
 // word words the task for the endpoint.
 func (e *endpoint) word(t upstream.Task) *call {
-	c := &call{at: e, done: t.Ended, inv: t.Invocation, notAfter: firstByte(t.NotAfter),
-		expires: invariant.LimitAt(t.Expires, invariant.SocketSlack)}
+	c := &call{
+		at: e, done: t.Ended, inv: t.Invocation, notAfter: firstByte(t.NotAfter),
+		expires: invariant.LimitAt(t.Expires, invariant.SocketSlack),
+	}
 	inv := t.Invocation
 	if inv == nil {
 		c.probe, c.message = true, http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
@@ -101,8 +102,10 @@
 func (c *call) compose(wait time.Duration) {
 	inv := c.inv
 	c.told = max(wait, time.Millisecond)
-	fields := append([]request.Field{{Name: http1.HeaderID, Value: inv.ID},
-		{Name: http1.HeaderDeadline, Value: strconv.FormatFloat(c.told.Seconds(), 'f', 3, 64)}}, inv.Fields...)
+	fields := append([]request.Field{
+		{Name: http1.HeaderID, Value: inv.ID},
+		{Name: http1.HeaderDeadline, Value: strconv.FormatFloat(c.told.Seconds(), 'f', 3, 64)},
+	}, inv.Fields...)
 	length := int64(len(inv.Body))
 	if c.upload != nil {
 		if length += c.upload.Length(); c.upload.Length() < 0 {
--- a/internal/backend/call_test.go
+++ b/internal/backend/call_test.go
@@ -3,11 +3,10 @@
 import (
 	"net"
 	"os"
-	"syscall"
-	"testing"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
+	"syscall"
+	"testing"
 )
 
 // What this machine could not even try says nothing of the provider.
--- a/internal/backend/caller_test.go
+++ b/internal/backend/caller_test.go
@@ -6,21 +6,22 @@
 	"io"
 	"net"
 	"net/http"
-	"testing"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/keepalive"
 	"plankrouter/internal/upstream"
 	"plankrouter/internal/upstream/upstreamtest"
+	"testing"
+	"time"
 )
 
 func TestCaller(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Harness{
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Caller, func()) {
-			v, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour,
-				Stakes: []keepalive.Stakes{{Once: true, Worth: 1}}}})
+			v, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{
+				Connect: time.Second, ConnIdle: time.Hour,
+				Stakes: []keepalive.Stakes{{Once: true, Worth: 1}},
+			}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -7,14 +7,13 @@
 	"io"
 	"net"
 	"os"
-	"sync"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
+	"sync"
+	"time"
 )
 
 // lump is what a kernel takes at once. Only a larger message takes so long to write that an answer could come before
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -5,13 +5,12 @@
 	"io"
 	"net"
 	"path/filepath"
-	"testing"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
+	"testing"
+	"time"
 )
 
 // What the provider sent before a call's last byte was written belongs to nobody: the call fails as one that never ran,
--- a/internal/backend/dead_test.go
+++ b/internal/backend/dead_test.go
@@ -4,15 +4,14 @@
 	"context"
 	"io"
 	"net"
-	"sync/atomic"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // fixed is a bet that takes any kept connection and holds the last byte back there for so long.
@@ -58,12 +57,16 @@
 		"left while held back":      {hold: hold, stop: hold / 2, leave: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
 		"withdrawn while held back": {hold: hold, stop: hold / 2, withdraw: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
 		"gone while held back":      {hold: hold, stop: hold / 2, gone: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
-		"dead, gone on the new": {hold: hold, early: true, stop: time.Second / 2, gone: true, late: true,
-			want: seen{Ending: outcome.Withdrawn, Dead: true, Whole: 1}},
+		"dead, gone on the new": {
+			hold: hold, early: true, stop: time.Second / 2, gone: true, late: true,
+			want: seen{Ending: outcome.Withdrawn, Dead: true, Whole: 1},
+		},
 		"expired while held back": {hold: hold, expires: hold / 2, want: seen{Ending: outcome.Expired, Whole: 1}},
 		"expired after that":      {hold: hold, expires: 2 * hold, want: seen{Ending: outcome.Served, Whole: 2}},
-		"dead, expired on the new": {hold: hold, early: true, expires: time.Second / 2, late: true,
-			want: seen{Ending: outcome.Expired, Dead: true, Whole: 1}},
+		"dead, expired on the new": {
+			hold: hold, early: true, expires: time.Second / 2, late: true,
+			want: seen{Ending: outcome.Expired, Dead: true, Whole: 1},
+		},
 		"stopped after that":       {hold: hold, stop: 2 * hold, want: seen{Ending: outcome.TimedOut, Whole: 2}},
 		"stopped, not held back":   {stop: hold / 2, want: seen{Ending: outcome.TimedOut, Whole: 2}},
 		"dead, stopped on the new": {hold: hold, early: true, stop: 2 * hold, want: seen{Ending: outcome.TimedOut, Dead: true, Whole: 2}},
@@ -101,8 +104,10 @@
 				start := func() *call {
 					task := upstream.Task{Ended: func(r upstream.Result) { results <- r }}
 					if !c.probe {
-						task.Invocation = &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x"),
-							Gone: gone.Load}
+						task.Invocation = &request.Invocation{
+							ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x"),
+							Gone: gone.Load,
+						}
 						task.Wait = time.Second
 					}
 					if c.expires > 0 {
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -5,15 +5,14 @@
 	"context"
 	"net"
 	"net/http"
-	"strconv"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
+	"strconv"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // deadlineSlack is what the deadline told to a server may exceed what the client still waits.
@@ -51,8 +50,10 @@
 				results := make(chan upstream.Result, 2)
 				at := v.Endpoint("p1", "p1:1").(*endpoint)
 				begin := func(hold time.Duration) time.Time {
-					v.start(at.word(upstream.Task{Wait: patience, Ended: func(r upstream.Result) { results <- r },
-						Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")}}), fixed(hold))
+					v.start(at.word(upstream.Task{
+						Wait: patience, Ended: func(r upstream.Result) { results <- r },
+						Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")},
+					}), fixed(hold))
 					return time.Now()
 				}
 				if row.dead {
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -4,17 +4,16 @@
 	"context"
 	"io"
 	"net"
-	"strings"
-	"sync"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
 	"plankrouter/internal/upstream"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // body is what a consumer still sends.
@@ -54,8 +53,10 @@
 				defer cancel()
 				mine, theirs := net.Pipe()
 				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) { return mine, nil })
-				v, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour},
-					Bounds: streaming.New(1<<20, 8)})
+				v, err := New(ctx, budget, Settings{
+					Figures: Figures{Connect: time.Second, ConnIdle: time.Hour},
+					Bounds:  streaming.New(1<<20, 8),
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -69,8 +70,10 @@
 					inv.Gone = func() bool { return time.Since(began) > c.gone }
 				}
 				results := make(chan upstream.Result, 1)
-				task := upstream.Task{Invocation: inv, Wait: time.Minute, Flowed: func() {},
-					Ended: func(r upstream.Result) { results <- r }}
+				task := upstream.Task{
+					Invocation: inv, Wait: time.Minute, Flowed: func() {},
+					Ended: func(r upstream.Result) { results <- r },
+				}
 				if c.expires > 0 {
 					task.Expires = time.Now().Add(c.expires)
 				}
--- a/internal/backend/late_test.go
+++ b/internal/backend/late_test.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"net"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // A kept connection is offered a call when its time is over and its goroutine, woken late, has not seen to that: its provider may
@@ -30,8 +29,10 @@
 		}
 		at, results := v.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
 		for n := range 2 {
-			one := at.word(upstream.Task{Wait: time.Second, Ended: func(r upstream.Result) { results <- r },
-				Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")}})
+			one := at.word(upstream.Task{
+				Wait: time.Second, Ended: func(r upstream.Result) { results <- r },
+				Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")},
+			})
 			v.start(one, fixed(0))
 			synctest.Wait()
 			if len(peers) != n+1 {
--- a/internal/backend/provider.go
+++ b/internal/backend/provider.go
@@ -4,11 +4,6 @@
 
 import (
 	"context"
-	"slices"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/keepalive"
@@ -16,6 +11,10 @@
 	"plankrouter/internal/streaming"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 const (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,17 +9,16 @@
 	"maps"
 	"net"
 	"os"
-	"slices"
-	"strconv"
-	"strings"
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/transient"
 	"plankrouter/policy"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
 )
 
 // Defaults for what the platform may leave out.
@@ -84,8 +83,10 @@
 	if err := json.Unmarshal(raw, &c.shape); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	for key, field := range map[string]*string{"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen, "GW_DISCOVERY": &c.Discovery,
-		"GW_ADMIN_ADDR": &c.AdminAddr} {
+	for key, field := range map[string]*string{
+		"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen, "GW_DISCOVERY": &c.Discovery,
+		"GW_ADMIN_ADDR": &c.AdminAddr,
+	} {
 		if v := getenv(key); v != "" {
 			*field = v
 		}
@@ -132,12 +133,18 @@
 		{"limits", c.Limits == next.Limits, func() { next.Limits = c.Limits }},
 		{"plankrouter", c.Own == next.Own, func() { next.Own = c.Own }},
 		{"settings.Dcs", slices.Equal(c.Settings.Dcs, next.Settings.Dcs), func() { next.Settings.Dcs = c.Settings.Dcs }},
-		{"settings.Locality", c.Settings.Locality == next.Settings.Locality,
-			func() { next.Settings.Locality = c.Settings.Locality }},
-		{"settings.Discovery", c.Settings.Discovery == next.Settings.Discovery,
-			func() { next.Settings.Discovery = c.Settings.Discovery }},
-		{"settings.Report", slices.Equal(c.Settings.Report.Names, next.Settings.Report.Names),
-			func() { next.Settings.Report = c.Settings.Report }},
+		{
+			"settings.Locality", c.Settings.Locality == next.Settings.Locality,
+			func() { next.Settings.Locality = c.Settings.Locality },
+		},
+		{
+			"settings.Discovery", c.Settings.Discovery == next.Settings.Discovery,
+			func() { next.Settings.Discovery = c.Settings.Discovery },
+		},
+		{
+			"settings.Report", slices.Equal(c.Settings.Report.Names, next.Settings.Report.Names),
+			func() { next.Settings.Report = c.Settings.Report },
+		},
 	} {
 		if !k.same {
 			fixed = append(fixed, k.key)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -3,14 +3,13 @@
 import (
 	"os"
 	"path/filepath"
+	"plankrouter/internal/shutdown"
+	"plankrouter/internal/staleness"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"plankrouter/internal/shutdown"
-	"plankrouter/internal/staleness"
 )
 
 const good = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -46,10 +45,14 @@
 		revision                uint64
 		advice                  float64
 	}
-	got := told{c.Name, c.Listen, c.Discovery, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, c.ConnIdle, c.ConnectTimeout,
-		c.DrainGrace, c.Known.Revision, c.Logic.MaxRetryAfter}
-	want := told{"n1", "127.0.0.2:1", "127.0.0.1:8500", 0x8c1f30d27a5be964, 100, 512, time.Minute, 150 * time.Millisecond,
-		700 * time.Millisecond, 41, 1200}
+	got := told{
+		c.Name, c.Listen, c.Discovery, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, c.ConnIdle, c.ConnectTimeout,
+		c.DrainGrace, c.Known.Revision, c.Logic.MaxRetryAfter,
+	}
+	want := told{
+		"n1", "127.0.0.2:1", "127.0.0.1:8500", 0x8c1f30d27a5be964, 100, 512, time.Minute, 150 * time.Millisecond,
+		700 * time.Millisecond, 41, 1200,
+	}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
@@ -146,9 +149,11 @@
 			t.Fatalf("cut at byte %d of %d, it was taken", at, len(whole))
 		}
 	}
-	for key := range map[string]bool{"discovery": true, "seed": true, "limits": true, "memory_mb": true, "settings": true,
+	for key := range map[string]bool{
+		"discovery": true, "seed": true, "limits": true, "memory_mb": true, "settings": true,
 		"RequestClasses": true, "Name": true, "AimMs": true, "HardLimitMs": true, "Repeat": true, "MaxAttempts": true,
-		"DrainGraceMs": true, "known": true} {
+		"DrainGraceMs": true, "known": true,
+	} {
 		if text := strings.ReplaceAll(good, `"`+key+`"`, `"was`+key+`"`); text == good {
 			t.Errorf("%s is not in the file of this test", key)
 		} else if write(text); true {
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -1,9 +1,8 @@
 package config
 
 import (
-	"time"
-
 	"plankrouter/internal/stableid"
+	"time"
 )
 
 // numberHold is how long a number keeps its meaning for those who came under it, after the class or tenant is dropped: longer
@@ -31,8 +30,10 @@
 	for _, r := range s.Realms {
 		names, quotas[r.Name] = append(names, r.Name), r.QuotaPerS
 	}
-	out := Numbered{n.classes.Apply(now, numberHold, s.ClassNames(), s.Classes),
-		n.tenants.Apply(now, numberHold, names, make([]struct{}, len(names)))}
+	out := Numbered{
+		n.classes.Apply(now, numberHold, s.ClassNames(), s.Classes),
+		n.tenants.Apply(now, numberHold, names, make([]struct{}, len(names))),
+	}
 	s.Classes, s.Realms = nil, nil
 	for k := range n.classes.Len() {
 		_, class, live := n.classes.Rules(k)
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -3,10 +3,9 @@
 import (
 	"cmp"
 	"fmt"
-	"time"
-
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/staleness"
+	"time"
 )
 
 // Defaults of Own: those of the platform, on which none of its keys is given.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"plankrouter/internal/loadreport"
+	"plankrouter/policy"
 	"slices"
 
 	jsoniter "github.com/json-iterator/go"
-
-	"plankrouter/internal/loadreport"
-	"plankrouter/policy"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -99,8 +98,10 @@
 		return cfg, fmt.Errorf("Discovery: unknown word %q", s.Discovery)
 	}
 	for i, c := range s.Classes {
-		k := policy.Class{Aim: c.AimMs, Deadline: c.HardLimitMs, Worth: c.Credit, LateWorth: c.LateWorth,
-			Window: c.MemorySpanMs, Attempts: c.Attempts, Dropped: c.Dropped}
+		k := policy.Class{
+			Aim: c.AimMs, Deadline: c.HardLimitMs, Worth: c.Credit, LateWorth: c.LateWorth,
+			Window: c.MemorySpanMs, Attempts: c.Attempts, Dropped: c.Dropped,
+		}
 		var known bool
 		if k.Repeat, known = repeats[c.Repeat]; !known {
 			return cfg, fmt.Errorf("RequestClasses[%d].Repeat: unknown word %q", i, c.Repeat)
--- a/internal/connlimit/sockets.go
+++ b/internal/connlimit/sockets.go
@@ -8,14 +8,13 @@
 	"errors"
 	"net"
 	"os"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/transient"
 	"sync"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/transient"
 )
 
 const (
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"net"
-	"testing"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
+	"testing"
+	"time"
 )
 
 // slowReader is a connection of a process that is held up each time before it sees what has come.
@@ -37,7 +36,8 @@
 	defer d.Close()
 	told := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	w, err := New(Options{Address: d.Address(), Watch: staleness.Default(), Seed: 1,
+	w, err := New(Options{
+		Address: d.Address(), Watch: staleness.Default(), Seed: 1,
 		Budget: connlimit.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := connlimit.TCP(ctx, address)
 			if err != nil {
@@ -50,7 +50,8 @@
 			case told <- at:
 			default:
 			}
-		}})
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -5,16 +5,15 @@
 	"context"
 	"fmt"
 	"net"
-	"strings"
-	"sync"
-	"testing"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
+	"strings"
+	"sync"
+	"testing"
+	"time"
 )
 
 // script is a directory whose every byte the test writes.
@@ -224,8 +223,10 @@
 
 func cross(t *testing.T) *crossed {
 	x := &crossed{script: scripted(t, nil), told: make(chan string), goOn: make(chan struct{}, 100)}
-	set := staleness.Settings{Wait: time.Minute, LeastWait: time.Minute, Patience: time.Minute, LeastPatience: time.Minute,
-		Retry: time.Millisecond, RetryMost: time.Millisecond, Ask: time.Millisecond, AskMost: time.Millisecond}
+	set := staleness.Settings{
+		Wait: time.Minute, LeastWait: time.Minute, Patience: time.Minute, LeastPatience: time.Minute,
+		Retry: time.Millisecond, RetryMost: time.Millisecond, Ask: time.Millisecond, AskMost: time.Millisecond,
+	}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := connlimit.TCP(ctx, address)
 		if err != nil {
@@ -238,7 +239,8 @@
 	}
 	phases := map[string]string{}
 	var err error
-	x.Watch, err = New(Options{Address: x.Addr().String(), Watch: set, Seed: 1, Budget: connlimit.NewBudget(8, dial),
+	x.Watch, err = New(Options{
+		Address: x.Addr().String(), Watch: set, Seed: 1, Budget: connlimit.NewBudget(8, dial),
 		Trust: func(staleness.Trust) {
 			if x.trust != nil {
 				x.trust()
@@ -255,7 +257,8 @@
 			}
 			x.told <- fmt.Sprint(l.Revision, phases)
 			<-x.goOn
-		}})
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -8,16 +8,15 @@
 	"errors"
 	"fmt"
 	"os"
-	"strconv"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/staleness"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 const (
@@ -77,8 +76,10 @@
 	if o.Trust == nil {
 		o.Trust = func(staleness.Trust) {}
 	}
-	w := &Watch{set: o, keeper: keeper, revision: o.Known.Revision, address: o.Address, at: o.Address,
-		source: o.Address, first: make(chan struct{})}
+	w := &Watch{
+		set: o, keeper: keeper, revision: o.Known.Revision, address: o.Address, at: o.Address,
+		source: o.Address, first: make(chan struct{}),
+	}
 	known := o.Known
 	known.Complete = true
 	w.note(known)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -4,16 +4,15 @@
 	"context"
 	"fmt"
 	"net"
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/endpoints"
-	"plankrouter/internal/staleness"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // rig is a watch of a directory that knows a and b, in simulated time.
@@ -42,10 +41,12 @@
 		r.at = r.directory("d:1")
 		defer r.at.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
-		w, err := New(Options{Address: "d:1", Watch: staleness.Default(), Seed: 1, Known: endpoints.List{Revision: revision},
+		w, err := New(Options{
+			Address: "d:1", Watch: staleness.Default(), Seed: 1, Known: endpoints.List{Revision: revision},
 			Budget: connlimit.NewBudget(8, dial), Told: r.told, Logf: func(format string, args ...any) {
 				r.lines = append(r.lines, fmt.Sprintf(format, args...))
-			}})
+			},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,24 +92,34 @@
 		off func(*fakes.Directory) error // nil = it is over at once
 		say string                       // in the log, if anything
 	}{
-		"lost answers": {func(d *fakes.Directory) error { d.LoseAnswers(true); return nil },
-			func(d *fakes.Directory) error { d.LoseAnswers(false); return nil }, "timeout"},
-		"mute": {func(d *fakes.Directory) error { d.Mute(true); return nil },
-			func(d *fakes.Directory) error { d.Mute(false); return nil }, "timeout"},
-		"late beyond patience": {func(d *fakes.Directory) error { d.Delay(4 * time.Second); return nil },
-			func(d *fakes.Directory) error { d.Delay(0); return nil }, "timeout"},
+		"lost answers": {
+			func(d *fakes.Directory) error { d.LoseAnswers(true); return nil },
+			func(d *fakes.Directory) error { d.LoseAnswers(false); return nil }, "timeout",
+		},
+		"mute": {
+			func(d *fakes.Directory) error { d.Mute(true); return nil },
+			func(d *fakes.Directory) error { d.Mute(false); return nil }, "timeout",
+		},
+		"late beyond patience": {
+			func(d *fakes.Directory) error { d.Delay(4 * time.Second); return nil },
+			func(d *fakes.Directory) error { d.Delay(0); return nil }, "timeout",
+		},
 		"a part for the whole": {func(d *fakes.Directory) error { // after a failure the whole list is asked for
 			d.PartForWhole(true)
 			d.Down(true)
 			return d.Down(false)
 		}, func(d *fakes.Directory) error { d.PartForWhole(false); return nil }, "got a part"},
-		"spoilt": {func(d *fakes.Directory) error {
-			d.Spoil([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
-			return nil
+		"spoilt": {
+			func(d *fakes.Directory) error {
+				d.Spoil([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
+				return nil
+			},
+			func(d *fakes.Directory) error { d.Spoil(nil); return nil }, "state=failed",
+		},
+		"cut off": {
+			func(d *fakes.Directory) error { return d.Vanish(true) },
+			func(d *fakes.Directory) error { return d.Vanish(false) }, "timeout",
 		},
-			func(d *fakes.Directory) error { d.Spoil(nil); return nil }, "state=failed"},
-		"cut off": {func(d *fakes.Directory) error { return d.Vanish(true) },
-			func(d *fakes.Directory) error { return d.Vanish(false) }, "timeout"},
 		"whole":     {func(d *fakes.Directory) error { d.WholeForWatch(true); return nil }, nil, ""},
 		"anew at 1": {func(d *fakes.Directory) error { return d.RestartAt(1) }, nil, "state=failed"},
 		"anew at 9": {func(d *fakes.Directory) error { return d.RestartAt(9) }, nil, "state=failed"},
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -4,11 +4,10 @@
 	"errors"
 	"fmt"
 	"io"
-
-	jsoniter "github.com/json-iterator/go"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
+
+	jsoniter "github.com/json-iterator/go"
 )
 
 const (
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -2,17 +2,18 @@
 
 import (
 	"fmt"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 func many(n int) (all []fakes.Member) {
 	for i := range n {
-		all = append(all, fakes.Member{ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
-			Locality: strings.Repeat("z", 1+i%30), Phase: fakes.Serving, UpSince: 1_790_000_000_000 + int64(i)})
+		all = append(all, fakes.Member{
+			ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
+			Locality: strings.Repeat("z", 1+i%30), Phase: fakes.Serving, UpSince: 1_790_000_000_000 + int64(i),
+		})
 	}
 	return all
 }
@@ -81,12 +82,18 @@
 		{`{"revision":"x","complete":true,"members":[{"id":"a","host_port":"a:1","phase":"SERVING"}]}`, "", "", "Revision"},
 		{`{"revision":4,"members":[{"id":"a","host_port":"a:1","phase":"SERVING"},{"id":7},{"id":"b","host_port":"b","phase":"SERVING"},
 			{"id":"c","phase":"DRAINING"}]}`, "4 false a=SERVING c=DRAINING", "members[1]: ID members[2]: host_port", ""},
-		{`{"revision":4,"members":[{"id":"a","phase":"DRAINING"},{"id":"a","host_port":"a:1","phase":"SERVING"}]}`,
-			"4 false a=DRAINING", `"a" is DRAINING and SERVING`, ""},
-		{`{"revision":4,"members":[{"id":"a","host_port":"a:1","phase":"SERVING"},{"id":"a","phase":"DRAINING"}]}`,
-			"4 false a=DRAINING", `"a" is SERVING and DRAINING`, ""},
-		{`{"revision":4,"members":[{"id":"a","phase":"DELETED"},{"id":"a","host_port":"a:1","phase":"SERVING","up_since_ms":9}]}`,
-			"4 false a=SERVING", "", ""},
+		{
+			`{"revision":4,"members":[{"id":"a","phase":"DRAINING"},{"id":"a","host_port":"a:1","phase":"SERVING"}]}`,
+			"4 false a=DRAINING", `"a" is DRAINING and SERVING`, "",
+		},
+		{
+			`{"revision":4,"members":[{"id":"a","host_port":"a:1","phase":"SERVING"},{"id":"a","phase":"DRAINING"}]}`,
+			"4 false a=DRAINING", `"a" is SERVING and DRAINING`, "",
+		},
+		{
+			`{"revision":4,"members":[{"id":"a","phase":"DELETED"},{"id":"a","host_port":"a:1","phase":"SERVING","up_since_ms":9}]}`,
+			"4 false a=SERVING", "", "",
+		},
 		{`{"revision":4,"members":[{"id":"a","phase":"DELETED"},{"id":"a","phase":"DELETED"}]}`, "4 false a=DELETED", "", ""},
 	} {
 		l, faults, err := parse([]byte(c.raw))
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -3,14 +3,13 @@
 import (
 	"cmp"
 	"container/heap"
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"time"
 )
 
 // do carries out one of the module's actions.
@@ -47,8 +46,10 @@
 	if !s.maySend(h, k) {
 		// Not asked for by a sound module; answering it keeps the books of a faulty one straight.
 		s.set.Logf("state=send_refused request=%d server=%d", a.Request, a.Server)
-		s.step(policy.Event{Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
-			Final: h == nil || h.answered})
+		s.step(policy.Event{
+			Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
+			Final: h == nil || h.answered,
+		})
 		return
 	}
 	s.counts.Sent++
@@ -90,13 +91,15 @@
 	if inv != nil && inv.Rest == nil {
 		until = s.now.Add(wait)
 	}
-	a.call = k.at.Start(upstream.Task{Invocation: inv, Wait: wait, Until: until, NotAfter: notAfter, Expires: a.expires,
+	a.call = k.at.Start(upstream.Task{
+		Invocation: inv, Wait: wait, Until: until, NotAfter: notAfter, Expires: a.expires,
 		Flowed: func() { s.send(flowed{number}) },
 		Ended: func(r upstream.Result) {
 			if !s.send(callEnded{number, r}) {
 				closeFlow(r.Rest)
 			}
-		}})
+		},
+	})
 	return number
 }
 
@@ -147,8 +150,10 @@
 		}
 		k.line, k.origin = m, s.originOf(k, m, now)
 		health, since := s.effective(m, told, now)
-		lines = append(lines, policy.ServerInfo{ID: id, Zone: zone, Cell: m.Cell, Health: health, StartedAt: k.origin.startedAt,
-			Returned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listed})
+		lines = append(lines, policy.ServerInfo{
+			ID: id, Zone: zone, Cell: m.Cell, Health: health, StartedAt: k.origin.startedAt,
+			Returned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listed,
+		})
 		s.setHealth(id, k, health, since)
 	}
 	for id, k := range s.providers {
--- a/internal/dispatch/bans.go
+++ b/internal/dispatch/bans.go
@@ -1,11 +1,10 @@
 package dispatch
 
 import (
-	"time"
-
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
+	"time"
 )
 
 const (
--- a/internal/dispatch/change.go
+++ b/internal/dispatch/change.go
@@ -2,10 +2,9 @@
 
 import (
 	"errors"
-	"time"
-
 	"plankrouter/internal/stableid"
 	"plankrouter/policy"
+	"time"
 )
 
 // Change is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -3,11 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"sync/atomic"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
@@ -15,6 +10,10 @@
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // serving is a caller whose servers answer each attempt after a while. It counts attempts by address.
@@ -48,16 +47,22 @@
 
 // options are those of a pool of slow start.
 func options(wall *wallClock, counts map[string]int) Options {
-	return Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Balancers: 1, ColdShare: 0.3, WarmWithin: 8000,
-		TipMultiple: 4, Classes: []policy.Class{{Aim: 500, Deadline: 1000, Worth: 1}}}, Caller: serving{started: counts},
-		Wall: wall.now, DrainGrace: 750 * time.Millisecond}
+	return Options{
+		Logic: policy.Config{
+			MaxAttempts: 1, Cancel: true, Balancers: 1, ColdShare: 0.3, WarmWithin: 8000,
+			TipMultiple: 4, Classes: []policy.Class{{Aim: 500, Deadline: 1000, Worth: 1}},
+		}, Caller: serving{started: counts},
+		Wall: wall.now, DrainGrace: 750 * time.Millisecond,
+	}
 }
 
 // play sends requests to a pool that runs, for two seconds.
 func play(s *Pool) {
 	for i := range 200 {
-		s.Take(&request.Invocation{ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second,
-			Answer: func(request.Answer) {}})
+		s.Take(&request.Invocation{
+			ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second,
+			Answer: func(request.Answer) {},
+		})
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -74,8 +79,10 @@
 		ctx, end := context.WithCancel(t.Context())
 		running := make(chan error, 1)
 		go func() { running <- s.Run(ctx) }()
-		s.Told(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{ID: "old", Address: "old:1",
-			Phase: endpoints.Serving}}}, time.Now())
+		s.Told(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{
+			ID: "old", Address: "old:1",
+			Phase: endpoints.Serving,
+		}}}, time.Now())
 		time.Sleep(time.Second)
 		do(wall, s)
 		play(s)
@@ -90,8 +97,10 @@
 
 // lists tells that a server has started so long ago by the wall clock as it is.
 func lists(s *Pool, upSince float64) {
-	s.Told(endpoints.List{Revision: 2, Members: []endpoints.Member{{ID: "new", Address: "new:1", Phase: endpoints.Serving,
-		UpSince: upSince}}}, time.Now())
+	s.Told(endpoints.List{Revision: 2, Members: []endpoints.Member{{
+		ID: "new", Address: "new:1", Phase: endpoints.Serving,
+		UpSince: upSince,
+	}}}, time.Now())
 }
 
 // A server in slow start gets no more, and for no longer gets less, because the wall clock was stepped: its start is a date, its
@@ -160,8 +169,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			first.list(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{ID: "old", Address: "old:1",
-				Phase: endpoints.Serving}, {ID: "new", Address: "new:1", Phase: endpoints.Serving, UpSince: wall.ms()}}})
+			first.list(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{
+				ID: "old", Address: "old:1",
+				Phase: endpoints.Serving,
+			}, {ID: "new", Address: "new:1", Phase: endpoints.Serving, UpSince: wall.ms()}}})
 			time.Sleep(time.Second)
 			wall.step(step)
 			first.list(endpoints.List{Revision: 2})
--- a/internal/dispatch/crossings_test.go
+++ b/internal/dispatch/crossings_test.go
@@ -2,17 +2,16 @@
 
 import (
 	"fmt"
-	"slices"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // slow is a caller whose connections have not come up yet, and what was asked of it.
@@ -48,6 +47,7 @@
 func (c *slowCall) Stop(why outcome.Ending) (outcome.Ending, bool) {
 	return c.end("stop", why)
 }
+
 func (c *slowCall) Withdraw(why outcome.Ending) (outcome.Ending, bool) {
 	return c.end("withdraw", why)
 }
@@ -77,44 +77,65 @@
 		"the consumer leaves": {[]endpoints.Member{serving("s", "p:1", 0)}, func(s *Pool, inv *request.Invocation, c *slow) {
 			abandoned{inv: inv}.apply(s)
 		}, []string{"start p:1", "withdraw p:1 withdrawn"}, nil, 1},
-		"a word to stop that leaves less time than the attempt has": {[]endpoints.Member{serving("s", "p:1", 0)},
+		"a word to stop that leaves less time than the attempt has": {
+			[]endpoints.Member{serving("s", "p:1", 0)},
 			func(s *Pool, inv *request.Invocation, c *slow) {
 				stopNow{plan: shutdown.For(time.Minute, time.Second), at: time.Now()}.apply(s)
 				time.Sleep(time.Second)
 				s.due()
-			}, []string{"start p:1", "withdraw p:1 withdrawn"}, []request.Answer{{Kind: request.Failed}}, 0},
-		"another process under the same id": {[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
+			},
+			[]string{"start p:1", "withdraw p:1 withdrawn"},
+			[]request.Answer{{Kind: request.Failed}},
+			0,
+		},
+		"another process under the same id": {
+			[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
 			func(s *Pool, inv *request.Invocation, c *slow) {
 				s.retryFreely()
 				s.list(endpoints.List{Members: []endpoints.Member{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
-			}, []string{"start p:1", "withdraw p:1 drained", "start elsewhere"}, nil, 0},
-		"another start of the same process": {[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
+			},
+			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
+			nil, 0,
+		},
+		"another start of the same process": {
+			[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
 			func(s *Pool, inv *request.Invocation, c *slow) {
 				s.retryFreely()
 				s.list(endpoints.List{Members: []endpoints.Member{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
-			}, []string{"start p:1", "withdraw p:1 drained", "start elsewhere"}, nil, 0},
-		"an attempt fails, and the word of the consumer's end waits": {[]endpoints.Member{serving("s", "p:1", 0), serving("t", "p:1", 0)},
+			},
+			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
+			nil, 0,
+		},
+		"an attempt fails, and the word of the consumer's end waits": {
+			[]endpoints.Member{serving("s", "p:1", 0), serving("t", "p:1", 0)},
 			func(s *Pool, inv *request.Invocation, c *slow) {
 				s.retryFreely()
 				s.Abandon(inv)
 				c.calls[0].over = true
 				s.ended(1, upstream.Result{Ending: outcome.Declined})
 				(<-s.events).apply(s)
-			}, []string{"start p:1"}, nil, 1},
+			},
+			[]string{"start p:1"},
+			nil, 1,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c,
-					DrainGrace: time.Minute})
+				s, err := New(Options{
+					Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c,
+					DrainGrace: time.Minute,
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
 				s.list(endpoints.List{Members: tc.members})
 				before := s.sizes()
 				var got []request.Answer
-				inv := &request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute,
-					Answer: func(a request.Answer) { got = append(got, a) }}
+				inv := &request.Invocation{
+					ID: "a", SentAt: time.Now(), Patience: time.Minute,
+					Answer: func(a request.Answer) { got = append(got, a) },
+				}
 				arrived{inv}.apply(s)
 				tc.play(s, inv, c)
 				for i, did := range c.did[1:] {
@@ -161,8 +182,10 @@
 					t.Fatal(err)
 				}
 				s.list(endpoints.List{Members: []endpoints.Member{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
-				inv := &request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute, Gone: func() bool { return true },
-					Answer: func(a request.Answer) { t.Errorf("answered: %+v", a) }}
+				inv := &request.Invocation{
+					ID: "a", SentAt: time.Now(), Patience: time.Minute, Gone: func() bool { return true },
+					Answer: func(a request.Answer) { t.Errorf("answered: %+v", a) },
+				}
 				arrived{inv}.apply(s)
 				inv.Look()
 				c.calls[0].over = true
--- a/internal/dispatch/dates.go
+++ b/internal/dispatch/dates.go
@@ -1,10 +1,9 @@
 package dispatch
 
 import (
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
+	"time"
 )
 
 // origin is when a server's process counts as started: the dates that say so, and where they lie on the module's clock. Both stay
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -9,10 +9,6 @@
 	"context"
 	"hash/fnv"
 	"maps"
-	"slices"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/invariant"
@@ -24,6 +20,9 @@
 	"plankrouter/internal/upstream"
 	"plankrouter/internal/wallclock"
 	"plankrouter/policy"
+	"slices"
+	"sync/atomic"
+	"time"
 )
 
 const (
@@ -206,12 +205,14 @@
 	if o.Saw == nil {
 		o.Saw = func(string, staleness.Sign) {}
 	}
-	s := &Pool{set: o, bans: o.Bans, bal: bal, clock: newClock(o.Wall), zones: map[string]int{}, stopped: make(chan struct{}),
+	s := &Pool{
+		set: o, bans: o.Bans, bal: bal, clock: newClock(o.Wall), zones: map[string]int{}, stopped: make(chan struct{}),
 		events: make(chan event, eventsAhead), listEvents: make(chan event, 1), held: map[policy.RequestID]*held{},
 		byInv: map[*request.Invocation]policy.RequestID{}, open: map[string]bool{},
 		calls: map[uint64]*attempt{}, uploads: map[uint64]*attempt{},
 		providers: map[policy.ServerID]*known{}, serverIDs: map[string]policy.ServerID{},
-		numbers: map[policy.ServerID]bool{}}
+		numbers: map[policy.ServerID]bool{},
+	}
 	s.classes, s.tenants = upTo(len(o.Logic.Classes)), upTo(len(o.Logic.Tenants))
 	for i, name := range o.Zones {
 		s.zones[name] = i
@@ -331,8 +332,10 @@
 func (e trusting) apply(s *Pool) {
 	s.trust = staleness.Trust(e)
 	pick, _ := staleness.Leave(s.set.DrainGrace)
-	s.step(policy.Event{Kind: policy.Sure, Left: millis(time.Until(e.Sure) + pick),
-		Took: millis(time.Until(e.Known))})
+	s.step(policy.Event{
+		Kind: policy.Sure, Left: millis(time.Until(e.Sure) + pick),
+		Took: millis(time.Until(e.Known)),
+	})
 }
 
 // vouching adds to the module's settings for how long a probe stands for a list that is not sure.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -3,14 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"slices"
-	"strings"
-	"testing"
-	"testing/synctest"
-	"time"
-
-	"github.com/google/go-cmp/cmp"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/loadreport"
@@ -19,6 +11,13 @@
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
 )
 
 // refusing is a caller to whom no provider opens a connection.
@@ -47,8 +46,10 @@
 // host returns a Pool that knows no provider yet, run by the test itself.
 func host(t *testing.T) *Pool {
 	t.Helper()
-	s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{Aim: 100, Deadline: 1000}}},
-		Caller: refusing{}})
+	s, err := New(Options{
+		Logic:  policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{Aim: 100, Deadline: 1000}}},
+		Caller: refusing{},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,10 +70,14 @@
 		before := s.sizes()
 		for i := range 20000 {
 			name, was := fmt.Sprintf("s-%d", i), fmt.Sprintf("s-%d", i-1)
-			s.list(endpoints.List{Members: []endpoints.Member{{ID: name, Address: "p:1", Phase: endpoints.Serving},
-				{ID: was, Phase: endpoints.Deleted}}})
-			arrived{&request.Invocation{ID: name, SentAt: time.Now(), Patience: time.Second,
-				Answer: func(request.Answer) {}}}.apply(s)
+			s.list(endpoints.List{Members: []endpoints.Member{
+				{ID: name, Address: "p:1", Phase: endpoints.Serving},
+				{ID: was, Phase: endpoints.Deleted},
+			}})
+			arrived{&request.Invocation{
+				ID: name, SentAt: time.Now(), Patience: time.Second,
+				Answer: func(request.Answer) {},
+			}}.apply(s)
 			synctest.Wait()
 			for len(s.calls) > 0 {
 				(<-s.events).apply(s)
@@ -97,16 +102,20 @@
 		for range 3 {
 			s.list(endpoints.List{Members: []endpoints.Member{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
 			for range 2 {
-				arrived{&request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Second,
-					Answer: func(a request.Answer) { got = append(got, a.Kind) }}}.apply(s)
+				arrived{&request.Invocation{
+					ID: "a", SentAt: time.Now(), Patience: time.Second,
+					Answer: func(a request.Answer) { got = append(got, a.Kind) },
+				}}.apply(s)
 			}
 			synctest.Wait()
 			for len(s.calls) > 0 {
 				(<-s.events).apply(s)
 			}
 		}
-		want := []request.Kind{request.Conflict, request.Refused, request.Conflict, request.Refused,
-			request.Conflict, request.Refused}
+		want := []request.Kind{
+			request.Conflict, request.Refused, request.Conflict, request.Refused,
+			request.Conflict, request.Refused,
+		}
 		if diff := cmp.Diff(want, got); diff != "" || s.counts.Conflicts != 3 || s.counts.Calls[outcome.Refused] != 3 {
 			t.Errorf("%+v\n%s", s.counts, diff)
 		}
@@ -185,19 +194,23 @@
 		probe := s.start(s.providers[s.serverID("a")], nil, &attempt{probe: true, server: s.serverID("a")}, time.Second)
 		s.ended(probe, upstream.Result{Ending: outcome.Served})
 		time.Sleep(1500 * time.Millisecond)
-		arrived{&request.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
-			Answer: func(request.Answer) {}}}.apply(s)
+		arrived{&request.Invocation{
+			ID: "r", SentAt: time.Now(), Patience: time.Second,
+			Answer: func(request.Answer) {},
+		}}.apply(s)
 		synctest.Wait()
 		for len(s.calls) > 0 {
 			(<-s.events).apply(s)
 		}
-		want := []string{"trace=start of=probe provider=a try=0 news_ms=-1 age_ms=0 request=-",
+		want := []string{
+			"trace=start of=probe provider=a try=0 news_ms=-1 age_ms=0 request=-",
 			"trace=end of=probe provider=a ending=served took_ms=0.0 request=-",
 			"trace=request id=r state=taken class=0 tenant=0 left_ms=1000",
 			"trace=start of=call provider=a try=0 news_ms=1500 age_ms=1500 request=r",
 			"trace=end of=call provider=a ending=refused took_ms=0.0 request=r",
 			"trace=request id=r state=unserved why=no_retry",
-			"trace=request id=r state=answered kind=refused attempts=1 may_have_run=false took_ms=0.0"}
+			"trace=request id=r state=answered kind=refused attempts=1 may_have_run=false took_ms=0.0",
+		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
@@ -207,10 +220,16 @@
 // Once the list is not sure a provider gets no request before a probe has been answered by the process that the list names.
 func TestUnsureListGetsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Cancel: true, Probes: true,
-			Classes: []policy.Class{{Aim: 100, Deadline: 1000}}}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
-			Known: endpoints.List{Members: []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Serving},
-				{ID: "b", Address: "b:1", Phase: endpoints.Serving}}}})
+		s, err := New(Options{
+			Logic: policy.Config{
+				MaxAttempts: 1, Cancel: true, Probes: true,
+				Classes: []policy.Class{{Aim: 100, Deadline: 1000}},
+			}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
+			Known: endpoints.List{Members: []endpoints.Member{
+				{ID: "a", Address: "a:1", Phase: endpoints.Serving},
+				{ID: "b", Address: "b:1", Phase: endpoints.Serving},
+			}},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,8 +237,10 @@
 		go s.Run(ctx)
 		s.Trust(staleness.Trust{Sure: time.Now().Add(time.Second)})
 		for i, want := range []int{1, 1} {
-			inv := &request.Invocation{ID: fmt.Sprint(i), Patience: time.Second, SentAt: time.Now(),
-				Answer: func(request.Answer) {}}
+			inv := &request.Invocation{
+				ID: fmt.Sprint(i), Patience: time.Second, SentAt: time.Now(),
+				Answer: func(request.Answer) {},
+			}
 			s.Take(inv)
 			time.Sleep(2 * time.Second)
 			if c := s.Counts(); c.Sent != want || c.Probes == 0 {
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"fmt"
-	"slices"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // Providers drop a repeat of a keyed request for 3 s after its first attempt that may have run was sent. Each further attempt is
@@ -29,24 +28,36 @@
 		answers []request.Kind
 	}{
 		"what may run twice": {repeat: policy.Safe, ends: []outcome.Ending{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
-		"the first may have run": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused}},
-		"the first has timed out": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.TimedOut},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused}},
-		"the second is written": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer}, written: true,
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}},
+		"the first may have run": {
+			repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused},
+		},
+		"the first has timed out": {
+			repeat: policy.Keyed, ends: []outcome.Ending{outcome.TimedOut},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused},
+		},
+		"the second is written": {
+			repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer}, written: true,
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond},
+		},
 		"the first never ran": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined}, expires: []time.Duration{never, never}},
-		"the second may have run": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined, outcome.ResetByPeer},
-			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond}},
-		"the first two may have run": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.ServerError, outcome.ResetByPeer},
+		"the second may have run": {
+			repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined, outcome.ResetByPeer},
+			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond},
+		},
+		"the first two may have run": {
+			repeat: policy.Keyed, ends: []outcome.Ending{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
-			did:     gone, answers: []request.Kind{request.Refused}},
+			did:     gone, answers: []request.Kind{request.Refused},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{Aim: 2e4, Deadline: 6e4,
-					Repeat: tc.repeat, Window: 3000}}}, Caller: c, DrainGrace: time.Minute})
+				s, err := New(Options{Logic: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
+					Aim: 2e4, Deadline: 6e4,
+					Repeat: tc.repeat, Window: 3000,
+				}}}, Caller: c, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -56,8 +67,10 @@
 				}
 				s.list(list)
 				var got []request.Kind
-				inv := &request.Invocation{ID: "a", SentAt: time.Now(), Patience: time.Minute,
-					Answer: func(a request.Answer) { got = append(got, a.Kind) }}
+				inv := &request.Invocation{
+					ID: "a", SentAt: time.Now(), Patience: time.Minute,
+					Answer: func(a request.Answer) { got = append(got, a.Kind) },
+				}
 				first := time.Now()
 				arrived{inv}.apply(s)
 				s.retryFreely()
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -1,14 +1,13 @@
 package dispatch
 
 import (
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // What an unsound module asks for against a rule is held back at the one place that sends, or that refuses, and counted there.
@@ -34,8 +33,10 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			book := new(invariant.Book)
-			s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{Aim: 100, Deadline: 1000,
-				Repeat: row.repeat, Scope: row.scope}}}, Caller: refusing{}, Rules: book})
+			s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
+				Aim: 100, Deadline: 1000,
+				Repeat: row.repeat, Scope: row.scope,
+			}}}, Caller: refusing{}, Rules: book})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -45,8 +46,10 @@
 				k.health = policy.Draining
 			}
 			var got []request.Kind
-			h := &held{mayRun: row.mayRun, inv: &request.Invocation{ID: "r", SentAt: time.Now(), Patience: time.Second,
-				Answer: func(a request.Answer) { got = append(got, a.Kind) }}}
+			h := &held{mayRun: row.mayRun, inv: &request.Invocation{
+				ID: "r", SentAt: time.Now(), Patience: time.Second,
+				Answer: func(a request.Answer) { got = append(got, a.Kind) },
+			}}
 			if row.out {
 				h.call = 1
 			}
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -3,12 +3,11 @@
 import (
 	"cmp"
 	"math"
-	"slices"
-	"time"
-
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/snapshot"
 	"plankrouter/policy"
+	"slices"
+	"time"
 )
 
 // Snapshot returns what the sidecar has learned, or nil if it has stopped. Who listens to which directory is filled in by
@@ -23,8 +22,10 @@
 // snapshot gives the module's state the names by which the next process knows its providers.
 func (s *Pool) snapshot(now time.Time) *snapshot.Snapshot {
 	st := s.bal.State()
-	out := &snapshot.Snapshot{TakenAt: s.set.Wall(), Program: s.set.Name, Deployment: s.set.Deployment,
-		Revision: s.revision}
+	out := &snapshot.Snapshot{
+		TakenAt: s.set.Wall(), Program: s.set.Name, Deployment: s.set.Deployment,
+		Revision: s.revision,
+	}
 	names := map[policy.ServerID]string{}
 	for id, k := range s.providers {
 		names[id] = k.name
@@ -41,9 +42,11 @@
 		s.set.Logf("snapshot=connections state=left_out err=%q", err)
 	}
 	l := &out.Learned
-	*l = snapshot.Learned{Now: s.clock.at(now), FleetLatency: st.FleetLatency, FracOwn: st.FracOwn, FracAll: st.FracAll,
+	*l = snapshot.Learned{
+		Now: s.clock.at(now), FleetLatency: st.FleetLatency, FracOwn: st.FracOwn, FracAll: st.FracAll,
 		Fit:      snapshot.Fit{XX: st.XX, XY: st.XY, At: st.FitAt},
-		Arrivals: snapshot.Rate{V: st.Arrivals.V, At: st.Arrivals.At}, Sends: snapshot.Rate{V: st.Sends.V, At: st.Sends.At}}
+		Arrivals: snapshot.Rate{V: st.Arrivals.V, At: st.Arrivals.At}, Sends: snapshot.Rate{V: st.Sends.V, At: st.Sends.At},
+	}
 	for _, n := range s.classes { // the next process numbers them in the order of the settings
 		l.Fit.Classes = append(l.Fit.Classes, snapshot.ClassFit{N: st.Classes[n].N, Sum: st.Classes[n].Sum})
 	}
@@ -51,9 +54,11 @@
 		l.Tenants = append(l.Tenants, snapshot.Bucket{Tokens: st.Tenants[n].V, At: once(st.Tenants[n].At)})
 	}
 	for _, in := range st.Servers {
-		one := snapshot.LearnedServer{Name: names[in.ID], StartedAt: s.dateOf(in), Latency: in.Latency, Reported: in.Reported,
+		one := snapshot.LearnedServer{
+			Name: names[in.ID], StartedAt: s.dateOf(in), Latency: in.Latency, Reported: in.Reported,
 			ReportAt: once(in.ReportAt), Network: in.Network, Failing: in.Failing,
-			Cold: snapshot.Rate{V: max(0, in.Cold.V), At: in.Cold.At}}
+			Cold: snapshot.Rate{V: max(0, in.Cold.V), At: in.Cold.At},
+		}
 		for who := range 1 + len(s.tenants) { // of all, then by tenant
 			t := in.Outcomes[0]
 			if who > 0 {
@@ -91,8 +96,10 @@
 	if k.health == policy.Gone { // also where a whole list left it out
 		phase = endpoints.Deleted
 	}
-	out := snapshot.Member{ID: m.ID, Address: k.at.Address(), Locality: m.Locality, Cell: m.Cell, Phase: phase,
-		UpSince: m.UpSince, ToldAt: math.Floor(s.wallAt(k.toldAt, now))}
+	out := snapshot.Member{
+		ID: m.ID, Address: k.at.Address(), Locality: m.Locality, Cell: m.Cell, Phase: phase,
+		UpSince: m.UpSince, ToldAt: math.Floor(s.wallAt(k.toldAt, now)),
+	}
 	if k.origin.listed > 0 {
 		out.Age = max(1, s.clock.at(now)-k.origin.listed) // an age of 0 is none
 	}
@@ -140,8 +147,10 @@
 		}
 	}
 	l := &before.Learned
-	st := policy.State{XX: l.Fit.XX, XY: l.Fit.XY, FitAt: l.Fit.At, FleetLatency: l.FleetLatency, FracOwn: l.FracOwn,
-		FracAll: l.FracAll, Arrivals: policy.Level{V: l.Arrivals.V, At: l.Arrivals.At}, Sends: policy.Level{V: l.Sends.V, At: l.Sends.At}}
+	st := policy.State{
+		XX: l.Fit.XX, XY: l.Fit.XY, FitAt: l.Fit.At, FleetLatency: l.FleetLatency, FracOwn: l.FracOwn,
+		FracAll: l.FracAll, Arrivals: policy.Level{V: l.Arrivals.V, At: l.Arrivals.At}, Sends: policy.Level{V: l.Sends.V, At: l.Sends.At},
+	}
 	for _, c := range l.Fit.Classes {
 		st.Classes = append(st.Classes, policy.Mean{N: c.N, Sum: c.Sum})
 	}
@@ -157,10 +166,12 @@
 		if o := s.providers[id].origin; o.upSince == startedAt {
 			startedAt = o.listed
 		}
-		one := policy.ServerState{ID: id, StartedAt: startedAt, Latency: in.Latency, Reported: in.Reported,
+		one := policy.ServerState{
+			ID: id, StartedAt: startedAt, Latency: in.Latency, Reported: in.Reported,
 			ReportAt: never(in.ReportAt), Network: in.Network, Failing: in.Failing,
 			Cold:     policy.Level{V: in.Cold.V, At: in.Cold.At},
-			Outcomes: make([]policy.Tally, 1+len(s.set.Logic.Tenants))}
+			Outcomes: make([]policy.Tally, 1+len(s.set.Logic.Tenants)),
+		}
 		for _, t := range in.By {
 			if int(t.Who) < len(one.Outcomes) {
 				one.Outcomes[t.Who] = policy.Tally{Oks: t.Oks, Misses: t.Misses, At: t.At}
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -1,15 +1,14 @@
 package dispatch
 
 import (
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/snapshot"
+	"plankrouter/policy"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"plankrouter/internal/endpoints"
-	"plankrouter/internal/snapshot"
-	"plankrouter/policy"
 )
 
 // A drain that was told before a restart, and what was learned of a provider, are known to the next process; its own
@@ -17,8 +16,11 @@
 func TestRestartRemembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := host(t)
-		lines := []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Serving}, {ID: "b", Address: "b:1", Phase: endpoints.Serving},
-			{ID: "c", Address: "c:1", Phase: endpoints.Serving, UpSince: 5}}
+		lines := []endpoints.Member{
+			{ID: "a", Address: "a:1", Phase: endpoints.Serving},
+			{ID: "b", Address: "b:1", Phase: endpoints.Serving},
+			{ID: "c", Address: "c:1", Phase: endpoints.Serving, UpSince: 5},
+		}
 		s.list(endpoints.List{Revision: 7, Complete: true, Members: lines})
 		time.Sleep(time.Second)
 		told := time.Now()
@@ -72,8 +74,10 @@
 				got["deleted"] = m.ID
 			}
 		}
-		want := map[string]any{"deleted": "d", "a": []any{policy.Draining, time.Duration(0)}, "b": []any{policy.Ready, -time.Second},
-			"c": []any{policy.Ready, 2 * time.Second}, "latency of b": 80.0}
+		want := map[string]any{
+			"deleted": "d", "a": []any{policy.Draining, time.Duration(0)}, "b": []any{policy.Ready, -time.Second},
+			"c": []any{policy.Ready, 2 * time.Second}, "latency of b": 80.0,
+		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -4,14 +4,13 @@
 
 import (
 	"container/heap"
-	"time"
-
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"time"
 )
 
 // held is an invocation that has no final answer yet, or whose invoker call is still out.
@@ -194,8 +193,10 @@
 		if r.Since.After(a.began) {
 			dialed = millis(r.Since.Sub(a.began))
 		}
-		s.step(policy.Event{Kind: policy.ProbeDone, Server: a.server, Status: r.Ending.Status(), Took: took, Dialed: dialed,
-			Seen: seen, Report: r.Report})
+		s.step(policy.Event{
+			Kind: policy.ProbeDone, Server: a.server, Status: r.Ending.Status(), Took: took, Dialed: dialed,
+			Seen: seen, Report: r.Report,
+		})
 		return
 	}
 	s.counts.Calls[r.Ending]++
@@ -206,17 +207,21 @@
 		s.leave(a.request, h)
 	}
 	if r.Ending == outcome.Served && !h.answered {
-		s.answer(a.request, request.Answer{Kind: request.Served, Code: r.Code, Fields: r.Fields,
-			Body: r.Body, Rest: r.Rest})
+		s.answer(a.request, request.Answer{
+			Kind: request.Served, Code: r.Code, Fields: r.Fields,
+			Body: r.Body, Rest: r.Rest,
+		})
 	} else {
 		closeFlow(r.Rest)
 	}
 	if h.answered {
 		delete(s.held, a.request)
 	}
-	s.step(policy.Event{Kind: policy.AttemptDone, Request: a.request, Attempt: a.number,
+	s.step(policy.Event{
+		Kind: policy.AttemptDone, Request: a.request, Attempt: a.number,
 		Server: a.server, Status: r.Ending.Status(), Took: took, Final: h.answered, Report: r.Report,
-		Spent: h.inv.Rest != nil && h.inv.Rest.Spent()})
+		Spent: h.inv.Rest != nil && h.inv.Rest.Spent(),
+	})
 }
 
 // closeFlow ends an answer that nobody waits for.
--- a/internal/dispatch/time.go
+++ b/internal/dispatch/time.go
@@ -1,9 +1,8 @@
 package dispatch
 
 import (
-	"time"
-
 	"plankrouter/policy"
+	"time"
 )
 
 // clock gives the module its time: Unix milliseconds at the start plus what has passed since by the
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -2,11 +2,10 @@
 
 import (
 	"net/url"
-	"time"
-
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
+	"time"
 )
 
 // traceStart logs what an attempt is decided on: how old the provider's last report is and how long its process runs, in
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -26,8 +26,10 @@
 	ops
 )
 
-var names = [ops]string{"accept", "listen", "connect", "poll", "peek", "read_config", "read_file", "write_file",
-	"sync_file", "slow_connect"}
+var names = [ops]string{
+	"accept", "listen", "connect", "poll", "peek", "read_config", "read_file", "write_file",
+	"sync_file", "slow_connect",
+}
 
 func (o Op) String() string { return names[o] }
 
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -8,10 +8,9 @@
 	"log"
 	"net"
 	"os"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/faultinjection"
+	"time"
 )
 
 // Serve accepts connections until Drain or the end of ctx, and returns when the last one has ended.
@@ -168,8 +167,10 @@
 
 // admit serves a connection, with the note of the process that had it before. It is called with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
-	c := &conn{server: s, socket: s.budget.Adopt(nc, connlimit.Inward), began: time.Now(), brought: note != "",
-		known: note == noteKnown}
+	c := &conn{
+		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), began: time.Now(), brought: note != "",
+		known: note == noteKnown,
+	}
 	if c.known {
 		c.socket.Idle(spareAfter)
 	} else {
--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -3,15 +3,14 @@
 import (
 	"context"
 	"io"
-	"testing"
-	"testing/synctest"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
+	"testing"
+	"testing/synctest"
 )
 
 // over is a core that has stopped.
@@ -37,8 +36,10 @@
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			book := new(invariant.Book)
-			h := &house{Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16)),
-				l: newPipes(), done: make(chan error, 1)}
+			h := &house{
+				Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16)),
+				l:      newPipes(), done: make(chan error, 1),
+			}
 			h.Rules = book
 			go func() { h.done <- h.Serve(ctx, h.l) }()
 			c := h.connect()
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"net"
+	"plankrouter/internal/request"
 	"testing"
 	"time"
-
-	"plankrouter/internal/request"
 )
 
 // taking is a core that shows what it takes.
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -8,17 +8,16 @@
 	"net"
 	"net/http"
 	"os"
-	"sync"
-	"syscall"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // quick is a core that answers at once.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -9,12 +9,6 @@
 	"log"
 	"net/http"
 	"os"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
@@ -22,6 +16,11 @@
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 // conn is one consumer's connection. Its reader looks for the next message or the consumer's end all the time and answers
--- a/internal/frontend/consumer.go
+++ b/internal/frontend/consumer.go
@@ -4,12 +4,6 @@
 
 import (
 	"net"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
@@ -17,6 +11,11 @@
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 const (
@@ -85,8 +84,10 @@
 
 // New returns a front for core that counts in book what becomes of the requests it takes.
 func New(cfg *config.Config, core request.Core, budget *connlimit.Budget, book *metrics.Book, bounds *streaming.Bounds) *Server {
-	s := &Server{core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
-		hung: make(chan struct{})}
+	s := &Server{
+		core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
+		hung: make(chan struct{}),
+	}
 	s.Reconfigure(&cfg.Settings)
 	return s
 }
--- a/internal/frontend/dialect.go
+++ b/internal/frontend/dialect.go
@@ -3,13 +3,12 @@
 import (
 	"math"
 	"net/url"
-	"strconv"
-	"strings"
-	"time"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/request"
+	"strconv"
+	"strings"
+	"time"
 )
 
 // dialect translates between the platform's HTTP and invocations.
@@ -72,9 +71,11 @@
 	if !known {
 		tenant = -1
 	}
-	return &request.Invocation{ID: id, Class: class, Tenant: tenant,
+	return &request.Invocation{
+		ID: id, Class: class, Tenant: tenant,
 		Again: r.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Patience: patience,
-		Verb: r.Method, Target: target, Fields: r.Header.EndToEnd(http1.Reworded), Body: r.Body}, 0
+		Verb: r.Method, Target: target, Fields: r.Header.EndToEnd(http1.Reworded), Body: r.Body,
+	}, 0
 }
 
 // response words the core's answer.
@@ -89,8 +90,10 @@
 	case request.Refused:
 		r := &http1.Response{Status: 503}
 		if a.RetryAfter > 0 {
-			r.Header = http1.Header{{Name: http1.HeaderRetryAfter,
-				Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}}
+			r.Header = http1.Header{{
+				Name:  http1.HeaderRetryAfter,
+				Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64),
+			}}
 		}
 		return r
 	}
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -6,17 +6,16 @@
 	"errors"
 	"net"
 	"net/http"
-	"sync"
-	"sync/atomic"
-	"testing"
-	"testing/synctest"
-	"time"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
 )
 
 // holding is a core that answers when it is told to.
--- a/internal/frontend/long.go
+++ b/internal/frontend/long.go
@@ -4,14 +4,13 @@
 	"errors"
 	"io"
 	"os"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 // answer is what the writer is to write.
--- a/internal/frontend/succession.go
+++ b/internal/frontend/succession.go
@@ -4,9 +4,8 @@
 
 import (
 	"net"
-	"sync"
-
 	"plankrouter/internal/connlimit"
+	"sync"
 )
 
 // Stay keeps the connections that are open, however long they are idle, until Drain.
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -281,8 +281,11 @@
 
 func FuzzDecode(f *testing.F) {
 	hello := message{kind: kindHello, body: must(cbor.Marshal(Hello{Version, "n1", "127.0.0.1:3000", 5}))}
-	for _, b := range [][]byte{{}, []byte("h1234567"), []byte("?12345678"), hello.encode(),
-		message{kind: kindConn, number: 1 << 63, body: make([]byte, MaxNote+1)}.encode()} {
+	for _, b := range [][]byte{
+		{},
+		[]byte("h1234567"), []byte("?12345678"), hello.encode(),
+		message{kind: kindConn, number: 1 << 63, body: make([]byte, MaxNote+1)}.encode(),
+	} {
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/hotrestart/meet.go
+++ b/internal/hotrestart/meet.go
@@ -122,8 +122,10 @@
 		c.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	p := &Predecessor{control: &control{UnixConn: c}, pid: pid, within: metWithin, lost: make(chan struct{}),
-		waiting: map[uint64]chan error{}}
+	p := &Predecessor{
+		control: &control{UnixConn: c}, pid: pid, within: metWithin, lost: make(chan struct{}),
+		waiting: map[uint64]chan error{},
+	}
 	p.patience = time.AfterFunc(p.within, p.kill)
 	p.patience.Stop()
 	return h.begin(ctx, p, l, o)
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -113,8 +113,10 @@
 		mine.Close()
 		return nil, err
 	}
-	p := &Predecessor{control: mine, cmd: cmd, pid: cmd.Process.Pid, within: cmp.Or(o.AckWithin, ackWithin), exited: make(chan struct{}),
-		lost: make(chan struct{}), waiting: map[uint64]chan error{}}
+	p := &Predecessor{
+		control: mine, cmd: cmd, pid: cmd.Process.Pid, within: cmp.Or(o.AckWithin, ackWithin), exited: make(chan struct{}),
+		lost: make(chan struct{}), waiting: map[uint64]chan error{},
+	}
 	p.patience = time.AfterFunc(p.within, p.kill)
 	p.patience.Stop()
 	go func() {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -9,11 +9,10 @@
 	"fmt"
 	"io"
 	"os"
+	"plankrouter/internal/field"
 	"strconv"
 	"strings"
 	"sync"
-
-	"plankrouter/internal/field"
 )
 
 // The bounds. A line must also fit the reader's buffer, so readers come from NewReader.
@@ -621,6 +620,8 @@
 	return b
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found",
+var reasons = map[int]string{
+	200: "OK", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-	502: "Bad Gateway", 503: "Service Unavailable"}
+	502: "Bad Gateway", 503: "Service Unavailable",
+}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -47,7 +47,8 @@
 
 func TestRecordedMessages(t *testing.T) {
 	for file, read := range map[string]func(*bufio.Reader) (string, error){
-		"testdata/requests.txt": request, "testdata/responses.txt": response} {
+		"testdata/requests.txt": request, "testdata/responses.txt": response,
+	} {
 		verdicts, texts := messages(t, file)
 		for i, text := range texts {
 			got, err := read(NewReader(strings.NewReader(text)))
--- a/internal/keepalive/reuse.go
+++ b/internal/keepalive/reuse.go
@@ -86,8 +86,10 @@
 
 // Default returns the settings for requests of some 100 ms at providers that can hold a few hundred connections.
 func Default() Settings {
-	return Settings{Handshake: 0.02, Retry: 0.1, Hurry: 0.3, HalfLife: 10 * time.Second, LongHalfLife: 10 * time.Minute,
-		Calls: 1000, MostPause: 8 * time.Millisecond, Providers: 2048}
+	return Settings{
+		Handshake: 0.02, Retry: 0.1, Hurry: 0.3, HalfLife: 10 * time.Second, LongHalfLife: 10 * time.Minute,
+		Calls: 1000, MostPause: 8 * time.Millisecond, Providers: 2048,
+	}
 }
 
 // Check names the setting that makes no sense.
@@ -120,8 +122,14 @@
 var pauses = [...]struct {
 	length time.Duration
 	shows  float64
-}{{500 * time.Microsecond, 0.15}, {time.Millisecond, 0.12}, {2 * time.Millisecond, 0.17}, {4 * time.Millisecond, 0.15},
-	{8 * time.Millisecond, 0.06}, {16 * time.Millisecond, 0.01}}
+}{
+	{500 * time.Microsecond, 0.15},
+	{time.Millisecond, 0.12},
+	{2 * time.Millisecond, 0.17},
+	{4 * time.Millisecond, 0.15},
+	{8 * time.Millisecond, 0.06},
+	{16 * time.Millisecond, 0.01},
+}
 
 // The kinds of breaks: those that happen on new connections as well, and those that only kept ones add.
 const (
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -46,8 +46,10 @@
 
 var (
 	encoder = must(cbor.EncOptions{}.EncMode())
-	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxNestedLevels: 8}.DecMode())
+	decoder = must(cbor.DecOptions{
+		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden, MaxNestedLevels: 8,
+	}.DecMode())
 )
 
 func must[T any](v T, err error) T {
@@ -158,8 +160,10 @@
 }
 
 func (e *evidence) state(scale float32) evidenceState {
-	return evidenceState{Fresh: e.fresh.state(scale), Idle: stateOf(&e.idle, scale),
-		Carried: stateOf(&e.carried, scale), Dial: e.dial.state(scale)}
+	return evidenceState{
+		Fresh: e.fresh.state(scale), Idle: stateOf(&e.idle, scale),
+		Carried: stateOf(&e.carried, scale), Dial: e.dial.state(scale),
+	}
 }
 
 func stateOf(of *[steps]tally, scale float32) (out [][3]uint32) {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -13,9 +13,15 @@
 		instances, servers int
 		most               float64 // probes a second at one server
 	}{
-		{0.08, 1, 60, 0.15}, {0.08, 4, 60, 0.57}, {0.08, 80, 60, 11.2}, {0.08, 2000, 60, 280},
-		{0.08, 300, 200, 12.6}, {0.08, 5000, 200, 210},
-		{0.0046, 1, 60, 0.6}, {0.0046, 80, 60, 45}, {0, 80, 60, 45}, // cheap ones: as the design would
+		{0.08, 1, 60, 0.15},
+		{0.08, 4, 60, 0.57},
+		{0.08, 80, 60, 11.2},
+		{0.08, 2000, 60, 280},
+		{0.08, 300, 200, 12.6},
+		{0.08, 5000, 200, 210},
+		{0.0046, 1, 60, 0.6},
+		{0.0046, 80, 60, 45},
+		{0, 80, 60, 45}, // cheap ones: as the design would
 	} {
 		each := ProbesARequest(c.price, c.servers, rate)
 		if sum := float64(c.instances) * each * rate * 1000 / float64(c.servers); sum > c.most || sum < 0.9*c.most {
@@ -63,8 +69,17 @@
 		saved       float64
 		dear, blind bool
 		want        int
-	}{{0, false, false, 4}, {-9, false, true, 4}, {0.9, true, false, 0}, {3.5, true, false, 3}, {10, true, false, 4},
-		{-9, true, false, 0}, {-9, true, true, 2}, {3.5, true, true, 3}, {10, true, true, 4}} {
+	}{
+		{0, false, false, 4},
+		{-9, false, true, 4},
+		{0.9, true, false, 0},
+		{3.5, true, false, 3},
+		{10, true, false, 4},
+		{-9, true, false, 0},
+		{-9, true, true, 2},
+		{3.5, true, true, 3},
+		{10, true, true, 4},
+	} {
 		if got := Awaited(c.saved, c.dear, c.blind); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
@@ -79,8 +94,14 @@
 		instances                   int
 		want                        float64
 	}{
-		{0, 0, 0, 400, 300, 1.0 / 300}, {0, 0, 40, 400, 300, 0.1}, {0, 0, 800, 400, 300, 1}, {0, 0, 5, 0, 4, 1},
-		{0, 980, 400, 400, 10, 2.0 / 1000}, {98, 980, 0, 400, 10, 0.1}, {10, 0, 400, 400, 20, 11.0 / 20}, {0, 0, 0, 400, 0, 1},
+		{0, 0, 0, 400, 300, 1.0 / 300},
+		{0, 0, 40, 400, 300, 0.1},
+		{0, 0, 800, 400, 300, 1},
+		{0, 0, 5, 0, 4, 1},
+		{0, 980, 400, 400, 10, 2.0 / 1000},
+		{98, 980, 0, 400, 10, 0.1},
+		{10, 0, 400, 400, 20, 11.0 / 20},
+		{0, 0, 0, 400, 0, 1},
 	} {
 		if got := Part(c.own, c.all, c.perSecond, c.quotas, c.instances); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%+v: %g", c, got)
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -2,9 +2,9 @@
 package loadreport
 
 import (
-	jsoniter "github.com/json-iterator/go"
-
 	"plankrouter/policy"
+
+	jsoniter "github.com/json-iterator/go"
 )
 
 // Field says what one value of a load report means.
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -1,11 +1,10 @@
 package loadreport
 
 import (
+	"plankrouter/policy"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-
-	"plankrouter/policy"
 )
 
 func TestReportIsReadByName(t *testing.T) {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"os"
-
 	"plankrouter/policy"
 )
 
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -1,16 +1,17 @@
 package outcome
 
 import (
-	"testing"
-
 	"plankrouter/policy"
+	"testing"
 )
 
 // What proves that an invoker call never ran decides whether an order may be sent again: no ending may slip over to
 // the other side.
 func TestWhatNeverRan(t *testing.T) {
-	never := map[Ending]bool{Declined: true, NoSocket: true, LocalFault: true, Refused: true, ConnectTimeout: true, Drained: true, Expired: true,
-		Unwritten: true, Withdrawn: true, Unreadable: true} // the last is of probes alone
+	never := map[Ending]bool{
+		Declined: true, NoSocket: true, LocalFault: true, Refused: true, ConnectTimeout: true, Drained: true, Expired: true,
+		Unwritten: true, Withdrawn: true, Unreadable: true,
+	} // the last is of probes alone
 	names := map[string]bool{}
 	for e := Served; e < count; e++ {
 		if e.Status().NeverRan() != never[e] {
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -4,10 +4,9 @@
 
 import (
 	"io"
+	"plankrouter/internal/field"
 	"sync/atomic"
 	"time"
-
-	"plankrouter/internal/field"
 )
 
 // Field is one named attribute that travels with an invocation or its answer.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"math"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/loadreport"
 	"plankrouter/policy"
@@ -188,12 +187,16 @@
 			return 0, fmt.Errorf("unknown list form %d", form)
 		}
 	case evInbound:
-		e = policy.Event{Kind: policy.Arrival, Request: policy.RequestID(u32(rec, 4)), Left: f64(rec, 8),
+		e = policy.Event{
+			Kind: policy.Arrival, Request: policy.RequestID(u32(rec, 4)), Left: f64(rec, 8),
 			Class: int(rec[24]), Tenant: int(u32(rec, 25)),
-			Again: rec[29]&2 != 0}
+			Again: rec[29]&2 != 0,
+		}
 	case evEnded:
-		e = policy.Event{Kind: policy.AttemptDone, Request: policy.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
-			Server: policy.ServerID(u32(rec, 9)), Took: f64(rec, 13), Final: rec[21] != 0}
+		e = policy.Event{
+			Kind: policy.AttemptDone, Request: policy.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
+			Server: policy.ServerID(u32(rec, 9)), Took: f64(rec, 13), Final: rec[21] != 0,
+		}
 		if e.Status, err = status(rec, 22); err != nil {
 			return 0, err
 		}
@@ -278,8 +281,10 @@
 	}
 	lines := h.pages[slot][:0]
 	for ; len(raw) >= lineSize; raw = raw[lineSize:] {
-		s := policy.ServerInfo{ID: policy.ServerID(u32(raw, 0)), Zone: int(u16(raw, 4)), Cell: int(u16(raw, 8)),
-			StartedAt: f64(raw, 15)}
+		s := policy.ServerInfo{
+			ID: policy.ServerID(u32(raw, 0)), Zone: int(u16(raw, 4)), Cell: int(u16(raw, 8)),
+			StartedAt: f64(raw, 15),
+		}
 		switch raw[10] {
 		case 0:
 			s.Health = policy.Gone
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -19,15 +19,19 @@
 			encode func() ([]byte, error)
 			decode func([]byte) error
 		}{
-			{"cbor", func() ([]byte, error) { return Encode(s, 0) },
-				func(b []byte) error { _, err := Decode(b); return err }},
+			{
+				"cbor", func() ([]byte, error) { return Encode(s, 0) },
+				func(b []byte) error { _, err := Decode(b); return err },
+			},
 			{"gob", func() ([]byte, error) {
 				var b bytes.Buffer
 				err := gob.NewEncoder(&b).Encode(s)
 				return b.Bytes(), err
 			}, func(b []byte) error { return gob.NewDecoder(bytes.NewReader(b)).Decode(new(Snapshot)) }},
-			{"json", func() ([]byte, error) { return json.Marshal(s) },
-				func(b []byte) error { return json.Unmarshal(b, new(Snapshot)) }},
+			{
+				"json", func() ([]byte, error) { return json.Marshal(s) },
+				func(b []byte) error { return json.Unmarshal(b, new(Snapshot)) },
+			},
 		} {
 			raw, err := l.encode()
 			run := func(what string, f func() error) {
--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -63,12 +63,16 @@
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	encoder    = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16, NaNConvert: cbor.NaNConvertReject,
+	encoder    = must(cbor.EncOptions{
+		ShortestFloat: cbor.ShortestFloat16, NaNConvert: cbor.NaNConvertReject,
 		InfConvert: cbor.InfConvertReject, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.UserBufferEncMode())
-	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.UserBufferEncMode())
+	decoder = must(cbor.DecOptions{
+		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, MaxNestedLevels: mostNested, MaxArrayElements: mostElements,
-		MaxMapPairs: mostPairs}.DecMode())
+		MaxMapPairs: mostPairs,
+	}.DecMode())
 )
 
 func must[T any](v T, err error) T {
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -21,19 +21,27 @@
 func fleet(providers, tenants int) *Snapshot {
 	rng, now := rand.New(rand.NewPCG(1, 2)), unixMs(taken)
 	at := func() float64 { return now - 5000*rng.Float64() }
-	s := &Snapshot{TakenAt: taken, Program: "n1", Deployment: "d", Directory: "127.0.0.1:8500", Revision: 41,
-		Learned: Learned{Now: now, FleetLatency: 31.5, MedianMiss: 0.01, FracOwn: 3.25, FracAll: 90,
+	s := &Snapshot{
+		TakenAt: taken, Program: "n1", Deployment: "d", Directory: "127.0.0.1:8500", Revision: 41,
+		Learned: Learned{
+			Now: now, FleetLatency: 31.5, MedianMiss: 0.01, FracOwn: 3.25, FracAll: 90,
 			Arrivals: Rate{V: 17.5, At: at()}, Sends: Rate{V: 17, At: at()},
-			Fit: Fit{71.25, 11.5, at(), []ClassFit{{N: 3, Sum: 2.5}, {N: 1, Sum: 1.5}}}},
-		Reuse: make([]byte, 640)}
+			Fit: Fit{71.25, 11.5, at(), []ClassFit{{N: 3, Sum: 2.5}, {N: 1, Sum: 1.5}}},
+		},
+		Reuse: make([]byte, 640),
+	}
 	for range tenants {
 		s.Learned.Tenants = append(s.Learned.Tenants, Bucket{Tokens: 5 * rng.Float64(), At: at()})
 	}
 	for i := range providers {
-		m := Member{fmt.Sprintf("s-%08x", rng.Uint32()), fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250), "a", i % 4,
-			"SERVING", now - float64(rng.IntN(1e9)), now - 1000, 1000 * rng.Float64()}
-		p := LearnedServer{Name: m.ID, StartedAt: m.UpSince, Latency: 100 * rng.Float64(), Reported: true,
-			ReportAt: at(), Network: rng.Float64(), Failing: rng.Float64() / 50, Cold: Rate{V: rng.Float64(), At: at()}}
+		m := Member{
+			fmt.Sprintf("s-%08x", rng.Uint32()), fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250), "a", i % 4,
+			"SERVING", now - float64(rng.IntN(1e9)), now - 1000, 1000 * rng.Float64(),
+		}
+		p := LearnedServer{
+			Name: m.ID, StartedAt: m.UpSince, Latency: 100 * rng.Float64(), Reported: true,
+			ReportAt: at(), Network: rng.Float64(), Failing: rng.Float64() / 50, Cold: Rate{V: rng.Float64(), At: at()},
+		}
 		for who := range tenants + 1 {
 			p.By = append(p.By, Tally{Who: uint32(who), Oks: 20 * rng.Float64(), Misses: rng.Float64(), At: at()})
 		}
@@ -67,8 +75,10 @@
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
-	want := map[int]error{0: ErrNotSnapshot, 8 * atMajor: ErrVersion, 8 * atTaken: ErrChecksum,
-		8*len(b) - 1: ErrChecksum}
+	want := map[int]error{
+		0: ErrNotSnapshot, 8 * atMajor: ErrVersion, 8 * atTaken: ErrChecksum,
+		8*len(b) - 1: ErrChecksum,
+	}
 	for i := range 8 * len(b) {
 		b[i/8] ^= 1 << (i % 8)
 		_, err := Decode(b)
@@ -116,9 +126,11 @@
 }
 
 func TestFieldOfAnotherKindIsNamed(t *testing.T) {
-	for payload, want := range map[string]string{"\x01": "payload", "\xa1\x04\x61x": "Revision",
+	for payload, want := range map[string]string{
+		"\x01": "payload", "\xa1\x04\x61x": "Revision",
 		"\xa1\x06\x01": "Learned", "\xa1\x06\xa1\x02\x81\xa1\x08\x81\x84\x61x000": "Learned.Servers.By",
-		"\xa1\x06\xa1\x01\x61x": "Learned"} {
+		"\xa1\x06\xa1\x01\x61x": "Learned",
+	} {
 		_, err := Decode(sealed(Major, Minor, taken, payload))
 		if e := new(FieldError); !errors.As(err, &e) || e.Field != want {
 			t.Errorf("%q: %v, want %s", payload, err, want)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -5,12 +5,11 @@
 import (
 	"encoding/hex"
 	"hash/fnv"
+	"plankrouter/internal/config"
+	"plankrouter/internal/endpoints"
 	"slices"
 	"strconv"
 	"time"
-
-	"plankrouter/internal/config"
-	"plankrouter/internal/endpoints"
 )
 
 // Snapshot is all that outlives a process. It holds no present load: what a provider had in flight is old news long
@@ -150,8 +149,10 @@
 func FromConfig(l endpoints.List, directory string, told time.Time) List {
 	out := List{Directory: directory, Revision: l.Revision}
 	for _, m := range l.Members {
-		out.Members = append(out.Members, Member{ID: m.ID, Address: m.Address, Locality: m.Locality, Cell: m.Cell, Phase: m.Phase,
-			UpSince: m.UpSince, ToldAt: unixMs(told)})
+		out.Members = append(out.Members, Member{
+			ID: m.ID, Address: m.Address, Locality: m.Locality, Cell: m.Cell, Phase: m.Phase,
+			UpSince: m.UpSince, ToldAt: unixMs(told),
+		})
 	}
 	return out
 }
@@ -160,8 +161,10 @@
 func (l List) Config() endpoints.List {
 	out := endpoints.List{Revision: l.Revision, Complete: true, Members: make([]endpoints.Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		out.Members = append(out.Members, endpoints.Member{ID: m.ID, Address: m.Address, Locality: m.Locality,
-			Cell: m.Cell, Phase: m.Phase, UpSince: m.UpSince})
+		out.Members = append(out.Members, endpoints.Member{
+			ID: m.ID, Address: m.Address, Locality: m.Locality,
+			Cell: m.Cell, Phase: m.Phase, UpSince: m.UpSince,
+		})
 	}
 	return out
 }
--- a/internal/snapshot/still.go
+++ b/internal/snapshot/still.go
@@ -4,11 +4,10 @@
 	"cmp"
 	"fmt"
 	"math"
+	"plankrouter/internal/config"
 	"slices"
 	"strings"
 	"time"
-
-	"plankrouter/internal/config"
 )
 
 // Rules say what a start accepts of a snapshot, and up to what age.
@@ -29,8 +28,10 @@
 
 // DefaultRules returns the age limits; who starts and with what positions is left to fill in.
 func DefaultRules() Rules {
-	return Rules{Tolerance: 2 * time.Second, List: 24 * time.Hour, Drains: 7 * 24 * time.Hour, Service: 5 * time.Minute,
-		Fit: 2 * time.Minute, Limits: 10 * time.Second, Reuse: 5 * time.Minute, HalfLife: 4 * time.Second, Least: 0.05}
+	return Rules{
+		Tolerance: 2 * time.Second, List: 24 * time.Hour, Drains: 7 * 24 * time.Hour, Service: 5 * time.Minute,
+		Fit: 2 * time.Minute, Limits: 10 * time.Second, Reuse: 5 * time.Minute, HalfLife: 4 * time.Second, Least: 0.05,
+	}
 }
 
 // Reason says why something was left out.
--- a/internal/snapshot/still_test.go
+++ b/internal/snapshot/still_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"plankrouter/internal/config"
+	"plankrouter/internal/endpoints"
 	"strings"
 	"testing"
 	"time"
-
-	"plankrouter/internal/config"
-	"plankrouter/internal/endpoints"
 )
 
 // four is a snapshot of a small fleet: a provider that serves, one that warms up, one that drains and one that is gone.
@@ -41,8 +40,10 @@
 		out += m.ID + " "
 	}
 	l := &s.Learned
-	for i, have := range []bool{s.Revision > 0, l.FleetLatency > 0, l.Fit.XX > 0, len(l.Tenants) > 0,
-		l.Arrivals.V > 0 && l.Sends.V > 0, len(s.Reuse) > 0} {
+	for i, have := range []bool{
+		s.Revision > 0, l.FleetLatency > 0, l.Fit.XX > 0, len(l.Tenants) > 0,
+		l.Arrivals.V > 0 && l.Sends.V > 0, len(s.Reuse) > 0,
+	} {
 		if have {
 			out += strings.Fields("list fleet fit tenants rates reuse")[i] + " "
 		}
@@ -71,17 +72,27 @@
 		{"a day", 25 * time.Hour, nil, "drains gone", `dropped_member=2 why="too old"`},
 		{"a week", 8 * 24 * time.Hour, nil, "", `dropped_drain=2 why="too old"`},
 		{"the future", -time.Minute, nil, "drains gone", `dropped_learned=1 why="from the future"`},
-		{"another program", 0, func(s *Snapshot, r *Rules) { r.Program = "" }, "drains gone",
-			`dropped_member=2 why="another program"`},
+		{
+			"another program", 0, func(s *Snapshot, r *Rules) { r.Program = "" }, "drains gone",
+			`dropped_member=2 why="another program"`,
+		},
 		{"another deployment", 0, func(s *Snapshot, r *Rules) { r.Deployment = "" }, "drains gone", ""},
-		{"another fleet", 0, func(s *Snapshot, r *Rules) { r.Deployment, r.Directory = "", "" }, "",
-			`dropped_drain=2 why="another deployment"`},
-		{"another directory", 0, func(s *Snapshot, r *Rules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
-			`dropped_provider=3 why="another directory"`},
-		{"fewer positions", 0, func(s *Snapshot, r *Rules) { r.Tenants, r.Classes = 0, 1 },
-			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_evidence=3 why="no such position"`},
-		{"started anew", 0, func(s *Snapshot, r *Rules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
-			all + learned + " w:++2", `dropped_provider=1 why="another process" dropped_provider=1 why="not listed"`},
+		{
+			"another fleet", 0, func(s *Snapshot, r *Rules) { r.Deployment, r.Directory = "", "" }, "",
+			`dropped_drain=2 why="another deployment"`,
+		},
+		{
+			"another directory", 0, func(s *Snapshot, r *Rules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
+			`dropped_provider=3 why="another directory"`,
+		},
+		{
+			"fewer positions", 0, func(s *Snapshot, r *Rules) { r.Tenants, r.Classes = 0, 1 },
+			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_evidence=3 why="no such position"`,
+		},
+		{
+			"started anew", 0, func(s *Snapshot, r *Rules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
+			all + learned + " w:++2", `dropped_provider=1 why="another process" dropped_provider=1 why="not listed"`,
+		},
 	} {
 		s, r := four(), rules()
 		if c.set != nil {
@@ -116,8 +127,10 @@
 			l.Directory, l.Revision = w[:1], uint64(w[1]-'0')
 			continue
 		}
-		l.Members = append(l.Members, Member{ID: w[:1], Phase: phases[w[1]], UpSince: float64(w[2] - '0'),
-			ToldAt: float64(w[3] - '0')})
+		l.Members = append(l.Members, Member{
+			ID: w[:1], Phase: phases[w[1]], UpSince: float64(w[2] - '0'),
+			ToldAt: float64(w[3] - '0'),
+		})
 	}
 	return l
 }
@@ -148,14 +161,17 @@
 func TestBegin(t *testing.T) {
 	known := FromConfig(endpoints.List{Revision: 50, Members: []endpoints.Member{
 		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, UpSince: unixMs(taken) + 1},
-		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving}}}, "127.0.0.1:8500", taken)
+		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving},
+	}}, "127.0.0.1:8500", taken)
 	none, _ := Begin(nil, known, taken, rules())
 	same(t, "without a snapshot", known, none.List)
 	got, _ := Begin(four(), known, taken.Add(time.Second), rules())
 	same(t, "learned", "d:++2", has(&Snapshot{Learned: Learned{Servers: got.Learned.Servers}}))
 	l := got.List.Config()
-	same(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{l.Members[0].Phase,
-		l.Members[1].Phase, l.Members[2].Phase, fmt.Sprint(l.Revision)})
+	same(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{
+		l.Members[0].Phase,
+		l.Members[1].Phase, l.Members[2].Phase, fmt.Sprint(l.Revision),
+	})
 }
 
 func TestFingerprint(t *testing.T) {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -60,13 +60,19 @@
 	for _, c := range []struct {
 		err          error
 		crash, power bool
-	}{{errors.New("killed"), true, false}, {errors.New("no power"), true, true}, {syscall.ENOSPC, false, false},
-		{syscall.EROFS, false, false}} {
+	}{
+		{errors.New("killed"), true, false},
+		{errors.New("no power"), true, true},
+		{syscall.ENOSPC, false, false},
+		{syscall.EROFS, false, false},
+	} {
 		for k := range 9 {
 			what := fmt.Sprintf("%v at step %d", c.err, k)
 			s := &Store{Path: filepath.Join(t.TempDir(), "state")}
-			for _, err := range []error{s.Write(before), os.WriteFile(s.Path+".tmp-123", nil, 0o600),
-				os.WriteFile(s.Path+".tmp-mine", nil, 0o600)} {
+			for _, err := range []error{
+				s.Write(before), os.WriteFile(s.Path+".tmp-123", nil, 0o600),
+				os.WriteFile(s.Path+".tmp-mine", nil, 0o600),
+			} {
 				same(t, what, nil, err)
 			}
 			d := &disaster{left: k, err: c.err, crash: c.crash, unsynced: map[string]bool{}}
@@ -122,14 +128,16 @@
 		var takes atomic.Int64
 		var disk atomic.Value // func() error: what becomes of a write
 		disk.Store(func() error { return nil })
-		w := &Writer{Every: 10 * time.Second, Seed: 7, Store: &Store{Path: filepath.Join(dir, "state")},
+		w := &Writer{
+			Every: 10 * time.Second, Seed: 7, Store: &Store{Path: filepath.Join(dir, "state")},
 			Take: func() *Snapshot {
 				if takes.Add(1) == 2 {
 					return nil
 				}
 				return fleet(2, 1)
 			},
-			Logf: func(format string, args ...any) { logged = append(logged, fmt.Sprintf(format, args...)) }}
+			Logf: func(format string, args ...any) { logged = append(logged, fmt.Sprintf(format, args...)) },
+		}
 		w.Store.Before = func(s Step, _ string) error {
 			if s != StepLock {
 				return nil
--- a/internal/staleness/grace_test.go
+++ b/internal/staleness/grace_test.go
@@ -1,10 +1,9 @@
 package staleness
 
 import (
+	"plankrouter/internal/shutdown"
 	"testing"
 	"time"
-
-	"plankrouter/internal/shutdown"
 )
 
 // A first byte that its guard lets pass at the last moment goes out within the grace of a drain, although the process is held up between the
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -12,10 +12,9 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
-	"time"
-
 	"plankrouter/internal/backoff"
 	"plankrouter/internal/shutdown"
+	"time"
 )
 
 const (
@@ -71,8 +70,10 @@
 // without a pause.
 func Agent(grace time.Duration) Settings {
 	grace = max(grace, leastGrace)
-	s := Settings{Wait: grace * 2 / 5, LeastWait: grace / 5, Patience: grace / 2, LeastPatience: grace / 5, Retry: grace / 10,
-		RetryMost: grace / 5, AtOnce: true, Callers: 1}
+	s := Settings{
+		Wait: grace * 2 / 5, LeastWait: grace / 5, Patience: grace / 2, LeastPatience: grace / 5, Retry: grace / 10,
+		RetryMost: grace / 5, AtOnce: true, Callers: 1,
+	}
 	usual := Default()
 	s.Wait, s.LeastWait = min(s.Wait, usual.Wait), min(s.LeastWait, usual.LeastWait)
 	s.Patience, s.LeastPatience = min(s.Patience, usual.Patience), min(s.LeastPatience, usual.LeastPatience)
@@ -83,9 +84,11 @@
 
 // Default returns the settings of a single sidecar for a directory that it asks.
 func Default() Settings {
-	return Settings{Wait: time.Second, LeastWait: 250 * time.Millisecond, Patience: time.Second,
+	return Settings{
+		Wait: time.Second, LeastWait: 250 * time.Millisecond, Patience: time.Second,
 		LeastPatience: 250 * time.Millisecond, Retry: 50 * time.Millisecond, RetryMost: 2 * time.Second, Ask: time.Second,
-		AskMost: 30 * time.Second, Callers: 1}
+		AskMost: 30 * time.Second, Callers: 1,
+	}
 }
 
 // among returns the settings sized for the number of callers.
@@ -182,8 +185,10 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Keeper{set: set.among(), rng: rand.New(rand.NewPCG(seed, 0x6c697374)), whole: whole, listed: map[string]float64{},
-		doubted: map[string]*against{}}, nil
+	return &Keeper{
+		set: set.among(), rng: rand.New(rand.NewPCG(seed, 0x6c697374)), whole: whole, listed: map[string]float64{},
+		doubted: map[string]*against{},
+	}, nil
 }
 
 // Next is the call to make at now.
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -111,18 +111,37 @@
 		"two at once":                    {15, []step{{0, 0, Refused, false}, {500 * ms, 1, Draining, true}}},
 		"two, but not at once":           {15, []step{{0, 0, Refused, false}, {4 * time.Second, 1, Refused, false}}},
 		"one has answered meanwhile":     {15, []step{{0, 0, Refused, false}, {1, 0, Alive, false}, {2, 1, Refused, false}}},
-		"a tenth of a large fleet": {40, []step{{0, 0, Refused, false}, {1, 1, Refused, false}, {2, 2, Refused, false},
-			{3, 3, Refused, true}}},
+		"a tenth of a large fleet": {40, []step{
+			{0, 0, Refused, false},
+			{1, 1, Refused, false},
+			{2, 2, Refused, false},
+			{3, 3, Refused, true},
+		}},
 		"the only one":            {1, []step{{0, 0, Refused, true}}},
 		"not on the list":         {2, []step{{0, 7, Refused, false}, {1, 8, Refused, false}}},
 		"not before the answer":   {15, []step{{0, 0, Refused, false}, {1, 1, Refused, true}, {5 * time.Second, 2, Refused, false}, {5 * time.Second, 3, Refused, false}}},
 		"the list stands by them": {15, append([]step{{0, 0, Refused, false}, {1, 1, Refused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
-		"others after that": {15, []step{{0, 0, Refused, false}, {1, 1, Refused, true}, {2, 0, listed, false},
-			{5 * time.Second, 2, Refused, false}, {5 * time.Second, 3, Refused, true}}},
-		"others too soon after that": {15, []step{{0, 0, Refused, false}, {1, 1, Refused, true}, {2, 0, listed, false},
-			{900 * ms, 2, Refused, false}, {900 * ms, 3, Refused, false}}},
-		"a new directory": {15, []step{{0, 0, Refused, false}, {1, 1, Refused, true}, {2, 0, moved, false},
-			{5 * time.Second, 2, Refused, false}, {5 * time.Second, 3, Refused, true}}},
+		"others after that": {15, []step{
+			{0, 0, Refused, false},
+			{1, 1, Refused, true},
+			{2, 0, listed, false},
+			{5 * time.Second, 2, Refused, false},
+			{5 * time.Second, 3, Refused, true},
+		}},
+		"others too soon after that": {15, []step{
+			{0, 0, Refused, false},
+			{1, 1, Refused, true},
+			{2, 0, listed, false},
+			{900 * ms, 2, Refused, false},
+			{900 * ms, 3, Refused, false},
+		}},
+		"a new directory": {15, []step{
+			{0, 0, Refused, false},
+			{1, 1, Refused, true},
+			{2, 0, moved, false},
+			{5 * time.Second, 2, Refused, false},
+			{5 * time.Second, 3, Refused, true},
+		}},
 	} {
 		k, start := keeper(t, c.providers), time.Unix(1e9, 0)
 		for i, s := range c.steps {
@@ -446,12 +465,17 @@
 	}{
 		{"never heard", nil, 750 * ms},
 		{"never heard, and turned away", []func(*Keeper, Call){
-			func(k *Keeper, _ Call) { k.TurnedAway() }, func(k *Keeper, _ Call) { k.Failed() }}, 750 * ms},
+			func(k *Keeper, _ Call) { k.TurnedAway() }, func(k *Keeper, _ Call) { k.Failed() },
+		}, 750 * ms},
 		{"heard", []func(*Keeper, Call){func(k *Keeper, c Call) { k.Answered(c, ms) }}, -2 * time.Second},
-		{"heard, then turned away", []func(*Keeper, Call){func(k *Keeper, c Call) { k.Answered(c, ms) },
-			func(k *Keeper, _ Call) { k.TurnedAway() }, func(k *Keeper, _ Call) { k.TurnedAway() }}, -2 * time.Second},
-		{"heard again", []func(*Keeper, Call){func(k *Keeper, c Call) { k.Answered(c, ms) },
-			func(k *Keeper, _ Call) { k.Failed() }, func(k *Keeper, c Call) { k.Answered(c, ms) }}, 0},
+		{"heard, then turned away", []func(*Keeper, Call){
+			func(k *Keeper, c Call) { k.Answered(c, ms) },
+			func(k *Keeper, _ Call) { k.TurnedAway() }, func(k *Keeper, _ Call) { k.TurnedAway() },
+		}, -2 * time.Second},
+		{"heard again", []func(*Keeper, Call){
+			func(k *Keeper, c Call) { k.Answered(c, ms) },
+			func(k *Keeper, _ Call) { k.Failed() }, func(k *Keeper, c Call) { k.Answered(c, ms) },
+		}, 0},
 	} {
 		set := usual
 		set.Grace = 750 * ms
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -3,12 +3,11 @@
 import (
 	"container/heap"
 	"fmt"
+	"plankrouter/policy"
 	"runtime"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"plankrouter/policy"
 )
 
 // ModulePoint is what the decision module alone costs, with one size of the list.
@@ -28,9 +27,11 @@
 // module plays a module with so many servers for so long, in virtual time, with requests at an even pace and probes and
 // attempts that are answered after their time.
 func module(of Point, seconds float64) (used time.Duration, probes, requests int, err error) {
-	b, err := policy.New(policy.Config{Classes: []policy.Class{{Aim: 750, Deadline: 2500, Worth: 1}}, Balancers: of.Instances,
+	b, err := policy.New(policy.Config{
+		Classes: []policy.Class{{Aim: 750, Deadline: 2500, Worth: 1}}, Balancers: of.Instances,
 		Probes: true, Cancel: true, MaxAttempts: 3, Round: moduleRound, ColdShare: 0.3, WarmWithin: 8000, TipMultiple: 4,
-		TipWindow: 3000, CrossPrice: 0.01, WastePrice: 0.1, ProbePrice: of.Price, Vouched: 550}, 7)
+		TipWindow: 3000, CrossPrice: 0.01, WastePrice: 0.1, ProbePrice: of.Price, Vouched: 550,
+	}, 7)
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -66,12 +67,16 @@
 				due.at(d.when+max(a.After, moduleRound), policy.Event{Kind: policy.TimerDue, Timer: a.Timer})
 			case policy.Probe:
 				probes++
-				due.at(d.when+modulePath, policy.Event{Kind: policy.ProbeDone, Server: a.Server, Took: modulePath, Seen: d.when,
-					Report: report})
+				due.at(d.when+modulePath, policy.Event{
+					Kind: policy.ProbeDone, Server: a.Server, Took: modulePath, Seen: d.when,
+					Report: report,
+				})
 			case policy.Send:
 				took := float64(meanTile) / 1e6
-				due.at(d.when+took, policy.Event{Kind: policy.AttemptDone, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
-					Took: took, Final: true})
+				due.at(d.when+took, policy.Event{
+					Kind: policy.AttemptDone, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
+					Took: took, Final: true,
+				})
 			}
 		}
 	}
@@ -92,8 +97,10 @@
 		return ModulePoint{}, fmt.Errorf("the module with %d servers: %w", of.Servers, err)
 	}
 	n := float64(max(1, requests))
-	return ModulePoint{of.Servers, float64(idle.Microseconds()) / 1000 / seconds, float64((busy - idle).Microseconds()) / n,
-		float64(probes) / n}, nil
+	return ModulePoint{
+		of.Servers, float64(idle.Microseconds()) / 1000 / seconds, float64((busy - idle).Microseconds()) / n,
+		float64(probes) / n,
+	}, nil
 }
 
 // threadCPU is the processor time of the calling thread.
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -7,16 +7,15 @@
 	"fmt"
 	"math"
 	"os"
+	"plankrouter/internal/limit"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-
-	"plankrouter/internal/limit"
-	"plankrouter/internal/staleness"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // TestPage holds what docs/CAPACITY.md counts against what the code does: the page's figures are products of these.
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -12,6 +12,8 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 	"runtime"
 	"slices"
 	"strconv"
@@ -20,9 +22,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/process"
 )
 
 const stallMost = 100 * time.Millisecond // by which a timer may come late: beyond it a point is measured again
@@ -220,8 +219,10 @@
 		return err
 	}
 	long := p.Settle + p.Window
-	load := fakes.NewConsumers(fakes.Load{Network: w.network, Address: w.sidecar.address, Seed: 1,
-		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: point.Rate}}, For: long + 2*time.Second})
+	load := fakes.NewConsumers(fakes.Load{
+		Network: w.network, Address: w.sidecar.address, Seed: 1,
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: point.Rate}}, For: long + 2*time.Second,
+	})
 	loaded, endLoad := context.WithCancel(ctx)
 	defer endLoad()
 	var tries []fakes.Try
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -9,11 +9,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/testbench/fakes"
 	"plankrouter/internal/testbench/process"
+	"sync/atomic"
+	"time"
 )
 
 const readyWithin = 30 * time.Second
@@ -41,7 +40,8 @@
 func (s *sidecar) configure(of Point, directory string, known fakes.List, aim time.Duration) error {
 	tile := fakes.Tile()
 	tile.Aim = aim
-	raw, err := fakes.Config(fakes.Sidecar{Name: "lab", Listen: s.address, Seed: 1, Directory: directory, Known: known,
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: "lab", Listen: s.address, Seed: 1, Directory: directory, Known: known,
 		Classes: []fakes.Class{tile, fakes.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
 		ConnIdle: time.Minute, Connect: 150 * time.Millisecond, DrainGrace: drainGrace,
 		Edit: func(document map[string]any) {
@@ -51,7 +51,8 @@
 			if of.OnRequest {
 				settings["Discovery"] = "on_request"
 			}
-		}})
+		},
+	})
 	if err != nil {
 		return err
 	}
@@ -116,8 +117,10 @@
 func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
 	var count fakes.Counter
 	counted := count.Of(n)
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return counted.Dial(ctx, address) }}}
+	client := http.Client{Transport: &http.Transport{
+		DisableKeepAlives: true,
+		DialContext:       func(ctx context.Context, _, address string) (net.Conn, error) { return counted.Dial(ctx, address) },
+	}}
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+s.admin+"/metrics", nil)
 	if err != nil {
 		return 0, nil, err
--- a/internal/testbench/capacity/standins.go
+++ b/internal/testbench/capacity/standins.go
@@ -4,12 +4,11 @@
 	"bufio"
 	"fmt"
 	"net"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -66,8 +65,10 @@
 // members are the lines of the list.
 func (t *tiles) members() (all []fakes.Member) {
 	for i, l := range t.listeners {
-		all = append(all, fakes.Member{ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
-			Phase: fakes.Serving})
+		all = append(all, fakes.Member{
+			ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
+			Phase: fakes.Serving,
+		})
 	}
 	return all
 }
--- a/internal/testbench/capacity/sweep.go
+++ b/internal/testbench/capacity/sweep.go
@@ -134,41 +134,59 @@
 		p.Sweeps = append(p.Sweeps, s)
 	}
 	servers := func(p *Point) float64 { return float64(p.Servers) }
-	over(Sweep{Name: "servers, idle", Unit: "server", X: servers, Figure: []Figure{cpu, rss, probes, lists, listBytes, open, scrape,
-		startCPU, startBytes}}, len(sizes), func(p *Point, i int) { p.Servers = sizes[i] })
-	over(Sweep{Name: "servers, 40 calls/s, price 0.0046", Unit: "server", X: servers, Figure: []Figure{cpu, rss, probes, probeBytes,
-		open, scrape}}, len(sizes), func(p *Point, i int) { p.Servers, p.Rate = sizes[i], usualCalls })
-	over(Sweep{Name: "servers, 40 calls/s, price 0.08", Unit: "server", X: servers, Figure: []Figure{cpu, rss, probes, probeBytes,
-		open}}, len(sizes), func(p *Point, i int) { p.Servers, p.Rate, p.Price = sizes[i], usualCalls, dear })
+	over(Sweep{Name: "servers, idle", Unit: "server", X: servers, Figure: []Figure{
+		cpu, rss, probes, lists, listBytes, open, scrape,
+		startCPU, startBytes,
+	}}, len(sizes), func(p *Point, i int) { p.Servers = sizes[i] })
+	over(Sweep{Name: "servers, 40 calls/s, price 0.0046", Unit: "server", X: servers, Figure: []Figure{
+		cpu, rss, probes, probeBytes,
+		open, scrape,
+	}}, len(sizes), func(p *Point, i int) { p.Servers, p.Rate = sizes[i], usualCalls })
+	over(Sweep{Name: "servers, 40 calls/s, price 0.08", Unit: "server", X: servers, Figure: []Figure{
+		cpu, rss, probes, probeBytes,
+		open,
+	}}, len(sizes), func(p *Point, i int) { p.Servers, p.Rate, p.Price = sizes[i], usualCalls, dear })
 	rates := []float64{0, 10, 40, 160}
 	for _, price := range []float64{cheap, dear} {
 		name := "calls, price 0.0046"
 		if price == dear {
 			name = "calls, price 0.08"
 		}
-		over(Sweep{Name: name, Unit: "call/s", X: func(p *Point) float64 { return p.Rate }, Figure: []Figure{cpu, rss, probes,
-			probeBytes, attempts, connects, logBytes}}, len(rates), func(p *Point, i int) { p.Rate, p.Price = rates[i], price })
+		over(Sweep{Name: name, Unit: "call/s", X: func(p *Point) float64 { return p.Rate }, Figure: []Figure{
+			cpu, rss, probes,
+			probeBytes, attempts, connects, logBytes,
+		}}, len(rates), func(p *Point, i int) { p.Rate, p.Price = rates[i], price })
 	}
 	prices := []float64{cheap, 0.02, dear, 0.32}
-	over(Sweep{Name: "probes, by price 0.0046 to 0.32, 160 calls/s", Unit: "probe/s", X: func(p *Point) float64 { return p.Measured.Probes },
-		Figure: []Figure{cpu, probeBytes}}, len(prices), func(p *Point, i int) { p.Rate, p.Price = rates[len(rates)-1], prices[i] }) // many, so that they show
+	over(Sweep{
+		Name: "probes, by price 0.0046 to 0.32, 160 calls/s", Unit: "probe/s", X: func(p *Point) float64 { return p.Measured.Probes },
+		Figure: []Figure{cpu, probeBytes},
+	}, len(prices), func(p *Point, i int) { p.Rate, p.Price = rates[len(rates)-1], prices[i] }) // many, so that they show
 	clients := []float64{0, 100, 400, 1600}
-	over(Sweep{Name: "client connections", Unit: "connection", X: func(p *Point) float64 { return float64(p.Measured.ClientsOpen) },
-		Figure: []Figure{cpu, rss}}, len(clients), func(p *Point, i int) { p.Clients = int(part * clients[i]) })
+	over(Sweep{
+		Name: "client connections", Unit: "connection", X: func(p *Point) float64 { return float64(p.Measured.ClientsOpen) },
+		Figure: []Figure{cpu, rss},
+	}, len(clients), func(p *Point, i int) { p.Clients = int(part * clients[i]) })
 	changes := []float64{0, 1, 4, 16}
 	for _, size := range []int{usual, sizes[len(sizes)-1]} {
 		name := "changes of the list, usual size"
 		if size != usual {
 			name = "changes of the list, largest"
 		}
-		over(Sweep{Name: name, Unit: "change/s", X: func(p *Point) float64 { return p.Measured.Changed }, Figure: []Figure{cpu, rss,
-			lists, listBytes, probes, logBytes}}, len(changes), func(p *Point, i int) { p.Servers, p.Changes = size, changes[i] })
+		over(Sweep{Name: name, Unit: "change/s", X: func(p *Point) float64 { return p.Measured.Changed }, Figure: []Figure{
+			cpu, rss,
+			lists, listBytes, probes, logBytes,
+		}}, len(changes), func(p *Point, i int) { p.Servers, p.Changes = size, changes[i] })
 	}
 	reloads := []float64{0, 1, 4, 16}
-	over(Sweep{Name: "changes of configuration", Unit: "reload/s", X: func(p *Point) float64 { return p.Measured.Reloaded },
-		Figure: []Figure{cpu, rss, logBytes}}, len(reloads), func(p *Point, i int) { p.Reloads = reloads[i] })
-	over(Sweep{Name: "servers, idle, on request, started without a list", Unit: "server", X: servers, Figure: []Figure{cpu, rss, lists,
-		listBytes, startCPU, startBytes}}, len(sizes), func(p *Point, i int) { p.Servers, p.OnRequest, p.Unknown = sizes[i], true, true })
+	over(Sweep{
+		Name: "changes of configuration", Unit: "reload/s", X: func(p *Point) float64 { return p.Measured.Reloaded },
+		Figure: []Figure{cpu, rss, logBytes},
+	}, len(reloads), func(p *Point, i int) { p.Reloads = reloads[i] })
+	over(Sweep{Name: "servers, idle, on request, started without a list", Unit: "server", X: servers, Figure: []Figure{
+		cpu, rss, lists,
+		listBytes, startCPU, startBytes,
+	}}, len(sizes), func(p *Point, i int) { p.Servers, p.OnRequest, p.Unknown = sizes[i], true, true })
 	for _, n := range alone {
 		p.Module = append(p.Module, Point{Servers: n, Instances: fleetSize, Rate: usualCalls, Price: cheap})
 	}
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -13,12 +13,11 @@
 	"net/url"
 	"os"
 	"os/exec"
+	"plankrouter/internal/testbench/process"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/testbench/process"
 )
 
 // RoleVariable makes a process that calls Serve a server or a proxy.
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -7,9 +7,8 @@
 	"fmt"
 	"io"
 	"math"
-	"slices"
-
 	"plankrouter/policy"
+	"slices"
 )
 
 // Config is a whole day: the world, its load, what goes wrong and who decides. In plans its keys are those of the tags.
@@ -139,21 +138,28 @@
 	c := Config{
 		Sidecars: sidecars, Servers: servers, Zones: 5, Rate: 20 * float64(servers), Seconds: 30, Skew: 0.5, Seed: 1,
 		Policy: "module",
-		Kinds: []Kind{{Share: 0.47, Cores: 4, Speed: [2]float64{0.85, 1.1}},
-			{Share: 0.53, Cores: 4, Speed: [2]float64{0.64, 0.86}}},
+		Kinds: []Kind{
+			{Share: 0.47, Cores: 4, Speed: [2]float64{0.85, 1.1}},
+			{Share: 0.53, Cores: 4, Speed: [2]float64{0.64, 0.86}},
+		},
 		Classes: []Class{
 			{Name: "tile", Share: 0.54, WorkMs: 130, AimMs: 750, DeadlineMs: 2500, Worth: 1},
 			{Name: "record", Share: 0.33, WorkMs: 70, AimMs: 500, DeadlineMs: 1500, Worth: 1},
-			{Name: "order", Share: 0.13, WorkMs: 40, AimMs: 300, DeadlineMs: 1000, Worth: 5, Unsafe: true}},
-		Server: Server{Slots: 16, Room: 32, CrowdFrom: 4, CrowdLoss: 0.04, CrowdMost: 0.4,
+			{Name: "order", Share: 0.13, WorkMs: 40, AimMs: 300, DeadlineMs: 1000, Worth: 5, Unsafe: true},
+		},
+		Server: Server{
+			Slots: 16, Room: 32, CrowdFrom: 4, CrowdLoss: 0.04, CrowdMost: 0.4,
 			JamWaiting: 3, JamAfter: 2000, JamSlow: 2.9, JamIdle: 0.5, JamClears: 3000, JamMost: 24000,
 			Connections: 400, TableLoss: 0.2, Handshake: 1, Idle: 30000, ProbeWork: 0.16, ProbesMost: 2000,
-			ReportEvery: 3, ReportNoise: 0.05},
+			ReportEvery: 3, ReportNoise: 0.05,
+		},
 		Network:   Network{Near: 0.2, Far: [2]float64{1.4, 2.6}, Jitter: 0.1, ConnectTimeout: 150},
 		Directory: Directory{Late: [2]float64{500, 3000}, Lossy: 0.02, Repair: 6000},
 		Clients:   Clients{Retries: 3, Wait: 50, Patience: [2]float64{0.33, 0.55}, Impatient: 0.01},
-		Rules: Rules{Grace: 750, AnswerSlack: 20, ColdShare: 0.3, WarmWithin: 8100, TipMultiple: 4, TipWindow: 3000,
-			MaxAttempts: 3, OverWorth: 0.2, CrossPrice: 0.01, WastePrice: 0.1, Round: 5},
+		Rules: Rules{
+			Grace: 750, AnswerSlack: 20, ColdShare: 0.3, WarmWithin: 8100, TipMultiple: 4, TipWindow: 3000,
+			MaxAttempts: 3, OverWorth: 0.2, CrossPrice: 0.01, WastePrice: 0.1, Round: 5,
+		},
 	}
 	for i, share := range []float64{0.3, 0.25, 0.2, 0.15, 0.1} {
 		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Share: share})
@@ -218,35 +224,56 @@
 	}
 	inf := math.MaxFloat64
 	bounds := []bound{
-		{"sidecars", float64(c.Sidecars), 1, 1e5}, {"servers", float64(c.Servers), 1, 1e4},
-		{"zones", float64(c.Zones), 1, 100}, {"rate", c.Rate, 0, 1e7}, {"seconds", c.Seconds, 1, 86400},
-		{"skew", c.Skew, 0, 4}, {"zone_skew", c.ZoneSkew, 0, 1},
+		{"sidecars", float64(c.Sidecars), 1, 1e5},
+		{"servers", float64(c.Servers), 1, 1e4},
+		{"zones", float64(c.Zones), 1, 100},
+		{"rate", c.Rate, 0, 1e7},
+		{"seconds", c.Seconds, 1, 86400},
+		{"skew", c.Skew, 0, 4},
+		{"zone_skew", c.ZoneSkew, 0, 1},
 		{"server.slots", float64(c.Server.Slots), 1, 1e9},
-		{"server.crowd_from", c.Server.CrowdFrom, 0, inf}, {"server.jam_waiting", c.Server.JamWaiting, 0, inf},
-		{"server.jam_after_ms", c.Server.JamAfter, 0, inf}, {"server.jam_idle", c.Server.JamIdle, 0, inf},
-		{"server.jam_clears_ms", c.Server.JamClears, 0, inf}, {"server.jam_most_ms", c.Server.JamMost, 0, inf},
-		{"server.probes_most", c.Server.ProbesMost, 0, inf}, {"rules.grace_ms", c.Rules.Grace, 0, inf},
-		{"rules.cross_price", c.Rules.CrossPrice, 0, inf}, {"rules.waste_price", c.Rules.WastePrice, 0, inf},
+		{"server.crowd_from", c.Server.CrowdFrom, 0, inf},
+		{"server.jam_waiting", c.Server.JamWaiting, 0, inf},
+		{"server.jam_after_ms", c.Server.JamAfter, 0, inf},
+		{"server.jam_idle", c.Server.JamIdle, 0, inf},
+		{"server.jam_clears_ms", c.Server.JamClears, 0, inf},
+		{"server.jam_most_ms", c.Server.JamMost, 0, inf},
+		{"server.probes_most", c.Server.ProbesMost, 0, inf},
+		{"rules.grace_ms", c.Rules.Grace, 0, inf},
+		{"rules.cross_price", c.Rules.CrossPrice, 0, inf},
+		{"rules.waste_price", c.Rules.WastePrice, 0, inf},
 		{"rules.probe_price", c.Rules.ProbePrice, 0, inf},
-		{"server.room", float64(c.Server.Room), 0, 1e9}, {"server.crowd_most", c.Server.CrowdMost, 0, 0.99},
-		{"server.crowd_loss", c.Server.CrowdLoss, 0, 1}, {"server.jam_slow", c.Server.JamSlow, 1, 1e3},
+		{"server.room", float64(c.Server.Room), 0, 1e9},
+		{"server.crowd_most", c.Server.CrowdMost, 0, 0.99},
+		{"server.crowd_loss", c.Server.CrowdLoss, 0, 1},
+		{"server.jam_slow", c.Server.JamSlow, 1, 1e3},
 		{"server.connections", float64(c.Server.Connections), 1, 1e9},
 		{"server.table_loss", c.Server.TableLoss, 0, 0.99},
-		{"server.handshake_ms", c.Server.Handshake, 0, 1e3}, {"server.idle_ms", c.Server.Idle, 1, inf},
-		{"server.probe_ms", c.Server.ProbeWork, 0, 1e3}, {"server.report_ms", c.Server.ReportEvery, 0.1, 1e6},
-		{"server.report_noise", c.Server.ReportNoise, 0, 1}, {"network.near_ms", c.Network.Near, 0, 1e4},
-		{"network.far_ms", c.Network.Far[0], 0, c.Network.Far[1]}, {"network.jitter_ms", c.Network.Jitter, 0, 1e4},
+		{"server.handshake_ms", c.Server.Handshake, 0, 1e3},
+		{"server.idle_ms", c.Server.Idle, 1, inf},
+		{"server.probe_ms", c.Server.ProbeWork, 0, 1e3},
+		{"server.report_ms", c.Server.ReportEvery, 0.1, 1e6},
+		{"server.report_noise", c.Server.ReportNoise, 0, 1},
+		{"network.near_ms", c.Network.Near, 0, 1e4},
+		{"network.far_ms", c.Network.Far[0], 0, c.Network.Far[1]},
+		{"network.jitter_ms", c.Network.Jitter, 0, 1e4},
 		{"network.connect_timeout_ms", c.Network.ConnectTimeout, 1, 1e5},
 		{"directory.late_ms", c.Directory.Late[0], 0, c.Directory.Late[1]},
 		{"directory.lossy", c.Directory.Lossy, 0, 1},
-		{"directory.repair_ms", c.Directory.Repair, 1, inf}, {"clients.retries", float64(c.Clients.Retries), 0, 100},
+		{"directory.repair_ms", c.Directory.Repair, 1, inf},
+		{"clients.retries", float64(c.Clients.Retries), 0, 100},
 		{"clients.wait_ms", c.Clients.Wait, 0, inf},
 		{"clients.patience", c.Clients.Patience[0], 0.01, c.Clients.Patience[1]},
-		{"clients.patience", c.Clients.Patience[1], 0.01, 1}, {"clients.impatient", c.Clients.Impatient, 0, 1},
-		{"rules.cold_share", c.Rules.ColdShare, 0.01, 1}, {"rules.warm_within_ms", c.Rules.WarmWithin, 0, inf},
-		{"rules.tip_multiple", c.Rules.TipMultiple, 1, inf}, {"rules.tip_window_ms", c.Rules.TipWindow, 1, inf},
-		{"rules.max_attempts", float64(c.Rules.MaxAttempts), 1, 100}, {"rules.round_ms", c.Rules.Round, 0, 1e3},
-		{"rules.over_share_worth", c.Rules.OverWorth, 0, 1}, {"rules.answer_slack_ms", c.Rules.AnswerSlack, 0, inf},
+		{"clients.patience", c.Clients.Patience[1], 0.01, 1},
+		{"clients.impatient", c.Clients.Impatient, 0, 1},
+		{"rules.cold_share", c.Rules.ColdShare, 0.01, 1},
+		{"rules.warm_within_ms", c.Rules.WarmWithin, 0, inf},
+		{"rules.tip_multiple", c.Rules.TipMultiple, 1, inf},
+		{"rules.tip_window_ms", c.Rules.TipWindow, 1, inf},
+		{"rules.max_attempts", float64(c.Rules.MaxAttempts), 1, 100},
+		{"rules.round_ms", c.Rules.Round, 0, 1e3},
+		{"rules.over_share_worth", c.Rules.OverWorth, 0, 1},
+		{"rules.answer_slack_ms", c.Rules.AnswerSlack, 0, inf},
 	}
 	var kinds, classes, tenants float64 // sums of shares
 	for i, k := range c.Kinds {
@@ -301,17 +328,21 @@
 
 // logic is what a sidecar in that zone is told.
 func (c *Config) logic(zone int) policy.Config {
-	l := policy.Config{OverShareWorth: c.Rules.OverWorth, Balancers: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
+	l := policy.Config{
+		OverShareWorth: c.Rules.OverWorth, Balancers: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
 		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, ColdShare: c.Rules.ColdShare,
 		WarmWithin: c.Rules.WarmWithin, TipMultiple: c.Rules.TipMultiple, TipWindow: c.Rules.TipWindow,
-		CrossPrice: c.Rules.CrossPrice, WastePrice: c.Rules.WastePrice, ProbePrice: c.Rules.ProbePrice}
+		CrossPrice: c.Rules.CrossPrice, WastePrice: c.Rules.WastePrice, ProbePrice: c.Rules.ProbePrice,
+	}
 	for _, k := range c.Classes {
 		repeat := policy.Safe
 		if k.Unsafe {
 			repeat = policy.Unsafe
 		}
-		l.Classes = append(l.Classes, policy.Class{Aim: k.AimMs, Deadline: k.DeadlineMs, Worth: k.Worth,
-			LateWorth: k.LateWorth, Repeat: repeat})
+		l.Classes = append(l.Classes, policy.Class{
+			Aim: k.AimMs, Deadline: k.DeadlineMs, Worth: k.Worth,
+			LateWorth: k.LateWorth, Repeat: repeat,
+		})
 	}
 	for t := range c.Tenants {
 		l.Tenants = append(l.Tenants, policy.Tenant{Quota: c.quota(t)})
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -6,12 +6,11 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"plankrouter/policy"
 	"runtime"
 	"slices"
 	"strings"
 	"testing"
-
-	"plankrouter/policy"
 )
 
 // play runs a day that must not fail.
@@ -28,8 +27,10 @@
 func text(t *testing.T, r *Report) string {
 	t.Helper()
 	var b bytes.Buffer
-	for _, write := range []func() error{func() error { return r.Write(&b) }, func() error { return r.WriteJSON(&b) },
-		func() error { return r.WriteRows(&b) }} {
+	for _, write := range []func() error{
+		func() error { return r.Write(&b) }, func() error { return r.WriteJSON(&b) },
+		func() error { return r.WriteRows(&b) },
+	} {
 		if err := write(); err != nil {
 			t.Fatal(err)
 		}
@@ -263,14 +264,17 @@
 				return []policy.Action{{Kind: policy.Fail, Request: e.Request}}
 			}}
 		}, 0, "order"},
-		{"forgets drains", Drained, Trouble{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
+		{
+			"forgets drains", Drained,
+			Trouble{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
 			func(p Policy) mutant {
 				return mutant{Policy: p, event: func(e *policy.Event) {
 					e.Full = false
 					e.Servers = slices.DeleteFunc(slices.Clone(e.Servers),
 						func(s policy.ServerInfo) bool { return s.Health != policy.Ready })
 				}}
-			}, 0, "after the grace"},
+			}, 0, "after the grace",
+		},
 		{"runs to the newest server", ColdServer, Trouble{Name: "silence", For: 2, Part: 0.1}, func(p Policy) mutant {
 			var newest policy.ServerInfo
 			return mutant{p, func(e *policy.Event) {
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-
 	"plankrouter/policy"
 )
 
@@ -114,10 +113,12 @@
 }
 
 func newJudge(w *world) *judge {
-	j := &judge{w: w, broken: map[Rule]int{}, classes: make([]part, len(w.cfg.Classes)),
+	j := &judge{
+		w: w, broken: map[Rule]int{}, classes: make([]part, len(w.cfg.Classes)),
 		tenants: make([]part, len(w.cfg.Tenants)), quota: make([]bucket, len(w.cfg.Tenants)),
 		seconds: make([]part, int(math.Ceil(w.cfg.Seconds))),
-		inTime:  make([]part, int(math.Ceil(w.cfg.Seconds)))}
+		inTime:  make([]part, int(math.Ceil(w.cfg.Seconds))),
+	}
 	for t := range j.quota {
 		j.quota[t] = bucket{max(5, w.cfg.quota(t)), lead}
 	}
@@ -125,12 +126,15 @@
 }
 
 func (j *judge) breach(rule Rule, sc *sidecar, r *request, server policy.ServerID, steps []string, format string,
-	args ...any) {
+	args ...any,
+) {
 	if j.broken[rule]++; j.broken[rule] > breachesKept {
 		return
 	}
-	b := Breach{Rule: rule, At: (j.w.now - lead) / 1000, Sidecar: -1, Server: uint32(server), Steps: steps,
-		What: fmt.Sprintf(format, args...)}
+	b := Breach{
+		Rule: rule, At: (j.w.now - lead) / 1000, Sidecar: -1, Server: uint32(server), Steps: steps,
+		What: fmt.Sprintf(format, args...),
+	}
 	if sc != nil {
 		b.Sidecar = sc.number
 	}
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -68,8 +68,10 @@
 func (o Overload) Config() (Config, error) {
 	c := Default(o.Sidecars, o.Servers)
 	c.Seconds, c.Seed, c.Policy, c.ZoneSkew = overloadLength, o.Seed, o.Policy, o.ZoneSkew
-	c.Kinds = []Kind{{Share: 0.44, Cores: 2, Speed: [2]float64{1.5, 2.1}},
-		{Share: 0.56, Cores: 2, Speed: [2]float64{0.77, 1}}}
+	c.Kinds = []Kind{
+		{Share: 0.44, Cores: 2, Speed: [2]float64{1.5, 2.1}},
+		{Share: 0.56, Cores: 2, Speed: [2]float64{0.77, 1}},
+	}
 	work, wait, spread, noise := 139.0, 139.0, 0.5, 0.45
 	chokesAt, chokeSlow, slots, backoff, retries := 5.5, 2.9, 19, 100.0, 3 // chokesAt: in flight for each core
 	if o.Drawn {
@@ -82,8 +84,10 @@
 	}
 	bear := c.capacity() / work * 1000 // requests a second
 	c.Rate = o.Load * overloadBears * bear
-	c.Classes = []Class{{Name: "hold", Share: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, AimMs: 1000,
-		DeadlineMs: 5000, Worth: 1, Unsafe: true}}
+	c.Classes = []Class{{
+		Name: "hold", Share: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, AimMs: 1000,
+		DeadlineMs: 5000, Worth: 1, Unsafe: true,
+	}}
 	if o.Worthy > 0 {
 		worthy := c.Classes[0]
 		worthy.Name, worthy.Share, worthy.Worth = "order", o.Worthy, 5
@@ -153,9 +157,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &OverloadResult{Overload: o, Worth: report.Service,
+	r := &OverloadResult{
+		Overload: o, Worth: report.Service,
 		Best: report.Classes[len(report.Classes)-1].Service, Attempts: report.Attempts, Probes: report.Probes,
-		Shakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report}
+		Shakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
+	}
 	asked := math.Max(1, float64(report.Requests))
 	r.Share = float64(report.InAim) / asked
 	ends := o.ends()
@@ -211,7 +217,8 @@
 // PlayOverloads plays runs, workers of them side by side, in the order given. done, if there is one, is told of each
 // that has ended, one at a time.
 func PlayOverloads(ctx context.Context, runs []Overload, workers int, done func(*OverloadResult)) ([]*OverloadResult,
-	error) {
+	error,
+) {
 	if len(runs) == 0 {
 		return nil, errors.New("overload: no runs")
 	}
--- a/internal/testbench/emulator/overload_scale_test.go
+++ b/internal/testbench/emulator/overload_scale_test.go
@@ -17,8 +17,10 @@
 	}{{"burst", 0.5}, {"zone", 0.9}} {
 		var runs []Overload
 		for _, n := range []int{4, 40, 150} {
-			runs = append(runs, Overload{Sidecars: n, Servers: 25, Load: c.load, Reports: "queued", Event: c.event, Seed: 1,
-				Policy: "module"})
+			runs = append(runs, Overload{
+				Sidecars: n, Servers: 25, Load: c.load, Reports: "queued", Event: c.event, Seed: 1,
+				Policy: "module",
+			})
 		}
 		results, err := PlayOverloads(context.Background(), runs, runtime.GOMAXPROCS(0), nil)
 		if err != nil {
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -4,10 +4,9 @@
 	"bytes"
 	"context"
 	"math"
+	"plankrouter/policy"
 	"strings"
 	"testing"
-
-	"plankrouter/policy"
 )
 
 func TestWaitsHoldASlotAndNoCore(t *testing.T) {
@@ -107,8 +106,10 @@
 func TestOverloadsShareOneTraffic(t *testing.T) {
 	var runs []Overload
 	for _, n := range []int{4, 40} {
-		runs = append(runs, Overload{Sidecars: n, Servers: 10, Load: 0.5, Reports: "full", Event: "burst", Seed: 3,
-			Policy: "least"})
+		runs = append(runs, Overload{
+			Sidecars: n, Servers: 10, Load: 0.5, Reports: "full", Event: "burst", Seed: 3,
+			Policy: "least",
+		})
 	}
 	told := 0
 	results, err := PlayOverloads(context.Background(), runs, 2, func(*OverloadResult) { told++ })
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -3,9 +3,8 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
-
 	"plankrouter/policy"
+	"slices"
 )
 
 const jamMargin = 3 // requests that may be on their way to a server unseen
@@ -25,8 +24,10 @@
 	if w.cfg.Policy == "module" {
 		return policy.New(cfg, seed)
 	}
-	t := &textbook{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), out: map[policy.ServerID]int{},
-		open: map[policy.RequestID]*choice{}}
+	t := &textbook{
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), out: map[policy.ServerID]int{},
+		open: map[policy.RequestID]*choice{},
+	}
 	switch w.cfg.Policy {
 	case "random":
 		t.rank = func(policy.ServerID) float64 { return 0 }
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -125,11 +125,13 @@
 
 func (w *world) report() *Report {
 	j, c := w.judge, &w.cfg
-	r := &Report{Policy: c.Policy, Seed: c.Seed, Sidecars: c.Sidecars, Servers: c.Servers, Rate: c.Rate,
+	r := &Report{
+		Policy: c.Policy, Seed: c.Seed, Sidecars: c.Sidecars, Servers: c.Servers, Rate: c.Rate,
 		Seconds: c.Seconds, Requests: j.askedN, InAim: j.inAim, Late: j.late, Service: j.all.share(), WorstClass: 1,
 		WorstTenant: 1, TurnedAway: j.turnedAway, Jams: j.jams, Falls: j.falls, ClientsLeft: j.left, Lost: j.lost,
 		Events: w.done, Broken: j.broken, Breaches: j.breaches, Timeline: j.timeline, Rows: j.rows,
-		InPolicy: w.inPolicy}
+		InPolicy: w.inPolicy,
+	}
 	for _, t := range c.Troubles {
 		r.Troubles = append(r.Troubles, t.String())
 	}
@@ -234,12 +236,16 @@
 // WriteRows writes the seconds of the day as CSV.
 func (r *Report) WriteRows(out io.Writer) error {
 	c := csv.NewWriter(out)
-	c.Write([]string{"second", "asked", "in_aim", "late", "refused", "failed", "sent", "probes", "held", "held_most",
-		"connections", "jammed", "silent", "service", "in_time", "tries", "timed_out"})
+	c.Write([]string{
+		"second", "asked", "in_aim", "late", "refused", "failed", "sent", "probes", "held", "held_most",
+		"connections", "jammed", "silent", "service", "in_time", "tries", "timed_out",
+	})
 	for _, w := range r.Rows {
 		var cells []string
-		for _, n := range []int{w.Second, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Sent, w.Probes, w.Held,
-			w.Most, w.Conns, w.Jammed, w.Silent} {
+		for _, n := range []int{
+			w.Second, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Sent, w.Probes, w.Held,
+			w.Most, w.Conns, w.Jammed, w.Silent,
+		} {
 			cells = append(cells, strconv.Itoa(n))
 		}
 		c.Write(append(cells, strconv.FormatFloat(w.Service, 'f', 4, 64), strconv.FormatFloat(w.InTime, 'f', 4, 64),
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-
 	"plankrouter/policy"
 )
 
@@ -329,8 +328,10 @@
 		m.w.after(wait, func() { m.reply(a, policy.OK, policy.Report{}) })
 		return
 	}
-	m.reply(a, policy.OK, policy.Report{HasRIF: true, RIF: math.Round(m.reportRIF * noise()),
-		HasLatency: true, Latency: m.latency * noise()})
+	m.reply(a, policy.OK, policy.Report{
+		HasRIF: true, RIF: math.Round(m.reportRIF * noise()),
+		HasLatency: true, Latency: m.latency * noise(),
+	})
 }
 
 // reply sends the answer, which is lost with the process or the way.
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -3,10 +3,9 @@
 import (
 	"maps"
 	"math"
+	"plankrouter/policy"
 	"slices"
 	"time"
-
-	"plankrouter/policy"
 )
 
 const (
@@ -218,8 +217,10 @@
 	r, k := sc.held[a.Request], sc.known[a.Server]
 	sc.w.judge.sent(sc, a, r)
 	if r == nil || k == nil {
-		sc.step(policy.Event{Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
-			Final: true})
+		sc.step(policy.Event{
+			Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
+			Final: true,
+		})
 		return
 	}
 	att := &attempt{sc: sc, at: k.at, req: r, number: r.attempts}
@@ -320,8 +321,10 @@
 	}
 	took := sc.w.now - a.began
 	if a.req == nil {
-		sc.step(policy.Event{Kind: policy.ProbeDone, Server: a.at.id, Status: status, Took: took,
-			Dialed: max(0, a.up-a.began), Report: report})
+		sc.step(policy.Event{
+			Kind: policy.ProbeDone, Server: a.at.id, Status: status, Took: took,
+			Dialed: max(0, a.up-a.began), Report: report,
+		})
 		return
 	}
 	r := a.req
@@ -339,8 +342,10 @@
 	if r.answered && r.out == 0 {
 		delete(sc.held, r.id)
 	}
-	sc.step(policy.Event{Kind: policy.AttemptDone, Request: r.id, Attempt: a.number, Server: a.at.id, Status: status,
-		Took: took, Final: r.answered, Report: report})
+	sc.step(policy.Event{
+		Kind: policy.AttemptDone, Request: r.id, Attempt: a.number, Server: a.at.id, Status: status,
+		Took: took, Final: r.answered, Report: report,
+	})
 }
 
 // answer gives the policy's own final answer.
