--- a/internal/testbench/emulator/trouble.go
+++ b/internal/testbench/emulator/trouble.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"plankrouter/policy"
 	"slices"
 	"strings"
-
-	"plankrouter/policy"
 )
 
 // Trouble is something that goes wrong. What is 0 in a plan is drawn from the day's seed; Troubles says what Part, Size
@@ -63,32 +62,110 @@
 var troubles = func() map[string]TroubleKind {
 	byName := map[string]TroubleKind{}
 	for _, k := range []TroubleKind{
-		{"silence", "a part of the servers says nothing at all, and is back with cold processes",
-			[2]float64{8, 20}, [2]float64{0.05, 0.2}, [2]float64{}, [2]float64{}, silence},
-		{"failures", "a part of the servers quickly fails a part (size) of what it gets",
-			[2]float64{5, 15}, [2]float64{0.05, 0.2}, [2]float64{0.4, 1}, [2]float64{}, failures},
-		{"neighbour", "another program takes a part (size) of the machine of a part of the servers, on and off (every)",
-			[2]float64{10, 20}, [2]float64{0.1, 0.5}, [2]float64{0.3, 0.7}, [2]float64{1, 5}, neighbour},
-		{"costly", "a part of one class's requests needs many times (size) the work",
-			[2]float64{8, 15}, [2]float64{0.01, 0.03}, [2]float64{5, 30}, [2]float64{}, dear},
-		{"deploy", "a part of the servers is replaced, a batch (size, of all) at a time, each after a drain (every)",
-			[2]float64{12, 20}, [2]float64{0.4, 1}, [2]float64{0.05, 0.2}, [2]float64{1.5, 4}, deploy},
-		{"release-slow", "a deploy whose successors need a multiple (size) of the work; batches are a tenth of all",
-			[2]float64{12, 20}, [2]float64{0.2, 0.6}, [2]float64{1.5, 3}, [2]float64{1.5, 4}, releaseSlow},
-		{"release-mute", "a deploy whose successors refuse probes; batches are a tenth of all",
-			[2]float64{12, 20}, [2]float64{0.2, 0.6}, [2]float64{}, [2]float64{1.5, 4}, releaseMute},
-		{"cutoff", "nothing gets into a zone or out of it",
-			[2]float64{4, 12}, [2]float64{}, [2]float64{}, [2]float64{}, cutoff},
-		{"restart", "a part of the sidecars is killed at once; each is back within a time (for)",
-			[2]float64{0.5, 2}, [2]float64{0.5, 0.5}, [2]float64{}, [2]float64{}, restart},
-		{"pause", "a part of the servers does nothing for a while; connections still come up",
-			[2]float64{0.5, 3}, [2]float64{0.1, 0.4}, [2]float64{}, [2]float64{}, pause},
-		{"resets", "a part of what is sent ends in a reset",
-			[2]float64{5, 15}, [2]float64{0.01, 0.1}, [2]float64{}, [2]float64{}, resets},
-		{"directory", "the directory is down, and tells all when it is back",
-			[2]float64{8, 15}, [2]float64{}, [2]float64{}, [2]float64{}, directoryDown},
-		{"surge", "a multiple (size) of the usual arrivals",
-			[2]float64{3, 10}, [2]float64{}, [2]float64{1.5, 3}, [2]float64{}, surge},
+		{
+			"silence", "a part of the servers says nothing at all, and is back with cold processes",
+			[2]float64{8, 20},
+			[2]float64{0.05, 0.2},
+			[2]float64{},
+			[2]float64{},
+			silence,
+		},
+		{
+			"failures", "a part of the servers quickly fails a part (size) of what it gets",
+			[2]float64{5, 15},
+			[2]float64{0.05, 0.2},
+			[2]float64{0.4, 1},
+			[2]float64{},
+			failures,
+		},
+		{
+			"neighbour", "another program takes a part (size) of the machine of a part of the servers, on and off (every)",
+			[2]float64{10, 20},
+			[2]float64{0.1, 0.5},
+			[2]float64{0.3, 0.7},
+			[2]float64{1, 5},
+			neighbour,
+		},
+		{
+			"costly", "a part of one class's requests needs many times (size) the work",
+			[2]float64{8, 15},
+			[2]float64{0.01, 0.03},
+			[2]float64{5, 30},
+			[2]float64{},
+			dear,
+		},
+		{
+			"deploy", "a part of the servers is replaced, a batch (size, of all) at a time, each after a drain (every)",
+			[2]float64{12, 20},
+			[2]float64{0.4, 1},
+			[2]float64{0.05, 0.2},
+			[2]float64{1.5, 4},
+			deploy,
+		},
+		{
+			"release-slow", "a deploy whose successors need a multiple (size) of the work; batches are a tenth of all",
+			[2]float64{12, 20},
+			[2]float64{0.2, 0.6},
+			[2]float64{1.5, 3},
+			[2]float64{1.5, 4},
+			releaseSlow,
+		},
+		{
+			"release-mute", "a deploy whose successors refuse probes; batches are a tenth of all",
+			[2]float64{12, 20},
+			[2]float64{0.2, 0.6},
+			[2]float64{},
+			[2]float64{1.5, 4},
+			releaseMute,
+		},
+		{
+			"cutoff", "nothing gets into a zone or out of it",
+			[2]float64{4, 12},
+			[2]float64{},
+			[2]float64{},
+			[2]float64{},
+			cutoff,
+		},
+		{
+			"restart", "a part of the sidecars is killed at once; each is back within a time (for)",
+			[2]float64{0.5, 2},
+			[2]float64{0.5, 0.5},
+			[2]float64{},
+			[2]float64{},
+			restart,
+		},
+		{
+			"pause", "a part of the servers does nothing for a while; connections still come up",
+			[2]float64{0.5, 3},
+			[2]float64{0.1, 0.4},
+			[2]float64{},
+			[2]float64{},
+			pause,
+		},
+		{
+			"resets", "a part of what is sent ends in a reset",
+			[2]float64{5, 15},
+			[2]float64{0.01, 0.1},
+			[2]float64{},
+			[2]float64{},
+			resets,
+		},
+		{
+			"directory", "the directory is down, and tells all when it is back",
+			[2]float64{8, 15},
+			[2]float64{},
+			[2]float64{},
+			[2]float64{},
+			directoryDown,
+		},
+		{
+			"surge", "a multiple (size) of the usual arrivals",
+			[2]float64{3, 10},
+			[2]float64{},
+			[2]float64{1.5, 3},
+			[2]float64{},
+			surge,
+		},
 	} {
 		byName[k.Name] = k
 	}
@@ -276,8 +353,10 @@
 			w.after(t.Every*1000, func() {
 				old.die()
 				w.dir.change(old, policy.Gone)
-				m := &machine{w: w, id: policy.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
-					speed: old.speed, slow: old.slow, host: old.host, probeRoom: w.cfg.Server.ProbesMost}
+				m := &machine{
+					w: w, id: policy.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
+					speed: old.speed, slow: old.slow, host: old.host, probeRoom: w.cfg.Server.ProbesMost,
+				}
 				m.host.now = m
 				change(m)
 				w.machines = append(w.machines, m)
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -5,10 +5,9 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"plankrouter/policy"
 	"slices"
 	"time"
-
-	"plankrouter/policy"
 )
 
 const (
@@ -88,8 +87,10 @@
 		return nil, err
 	}
 	w := &world{cfg: cfg, byID: map[policy.ServerID]*machine{}, surge: 1, cut: make([]bool, cfg.Zones), clock: o.Clock}
-	for i, r := range []**rand.Rand{&w.rngLoad, &w.rngServers, &w.rngStarts, &w.rngNetwork,
-		&w.rngDirectory, &w.rngClients} {
+	for i, r := range []**rand.Rand{
+		&w.rngLoad, &w.rngServers, &w.rngStarts, &w.rngNetwork,
+		&w.rngDirectory, &w.rngClients,
+	} {
 		*r = cfg.stream(i)
 	}
 	w.judge = newJudge(w)
@@ -185,8 +186,10 @@
 
 // machine adds a server whose process has been running for long.
 func (w *world) machine(zone int, cores, speed float64) *machine {
-	m := &machine{w: w, id: policy.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
-		host: new(host), crowded: -1, idle: -1, probeRoom: w.cfg.Server.ProbesMost}
+	m := &machine{
+		w: w, id: policy.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
+		host: new(host), crowded: -1, idle: -1, probeRoom: w.cfg.Server.ProbesMost,
+	}
 	m.host.now = m
 	w.machines = append(w.machines, m)
 	w.byID[m.id] = m
@@ -272,8 +275,10 @@
 		if w.now >= lead+cfg.Seconds*1000 || cfg.Rate == 0 {
 			return
 		}
-		a := &ask{at: w.now, tenant: -1,
-			class: pick(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Share })}
+		a := &ask{
+			at: w.now, tenant: -1,
+			class: pick(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Share }),
+		}
 		a.sidecar, _ = slices.BinarySearch(heavy, rng.Float64()*sum)
 		if len(cfg.Tenants) > 0 {
 			a.tenant = pick(rng, len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Share })
--- a/internal/testbench/fakes/client_test.go
+++ b/internal/testbench/fakes/client_test.go
@@ -27,10 +27,14 @@
 			{"connections are kept, the last used goes first", func() {}, 1, "1 served false"},
 			{"what crosses a close goes out again on a new one", p.ResetKept, 1, "3 served true"},
 			{"idle ones that end are forgotten", func() { ok(t, p.Restart("s-2")) }, 1, "4 served false"},
-			{"the place of one that ends is passed on", func() { time.AfterFunc(25*time.Millisecond, p.Kill) }, 3,
-				"4 unreachable true, 5 lost false, 0 unreachable false"},
-			{"on a new one nothing is crossed", func() { ok(t, p.Start("")); p.Behave(Behaviour{ResetAll: true}) }, 1,
-				"6 lost false"},
+			{
+				"the place of one that ends is passed on", func() { time.AfterFunc(25*time.Millisecond, p.Kill) }, 3,
+				"4 unreachable true, 5 lost false, 0 unreachable false",
+			},
+			{
+				"on a new one nothing is crossed", func() { ok(t, p.Start("")); p.Behave(Behaviour{ResetAll: true}) }, 1,
+				"6 lost false",
+			},
 		} {
 			step.do()
 			time.Sleep(time.Millisecond)
--- a/internal/testbench/fakes/config.go
+++ b/internal/testbench/fakes/config.go
@@ -38,8 +38,10 @@
 		if c.Safe {
 			repeat = "pure"
 		}
-		classes = append(classes, map[string]any{"Name": c.Name, "AimMs": ms(c.Aim), "HardLimitMs": ms(c.Deadline),
-			"Credit": c.Worth, "Repeat": repeat})
+		classes = append(classes, map[string]any{
+			"Name": c.Name, "AimMs": ms(c.Aim), "HardLimitMs": ms(c.Deadline),
+			"Credit": c.Worth, "Repeat": repeat,
+		})
 	}
 	realms := []any{}
 	for _, o := range s.Owners {
@@ -54,13 +56,17 @@
 		"settings": map[string]any{
 			"Balancers": cmp.Or(s.Balancers, 1), "Discovery": "pushed", "RoundMs": 5,
 			"Dcs": []string{Here}, "Locality": 0,
-			"Limits": map[string]any{"ConnIdleMs": ms(s.ConnIdle), "ConnectTimeoutMs": ms(s.Connect),
+			"Limits": map[string]any{
+				"ConnIdleMs": ms(s.ConnIdle), "ConnectTimeoutMs": ms(s.Connect),
 				"MaxAttempts": cmp.Or(s.MaxAttempts, 3), "MayCancel": true, "Probes": !s.NoProbes,
-				"MaxRetryAfterMs": 1200},
+				"MaxRetryAfterMs": 1200,
+			},
 			"Report": map[string]any{"Names": []string{"active", "avg_ms"}},
 			"Realms": realms, "OverShareWorth": 0.2,
-			"Safety": map[string]any{"StartCapacity": 0.3, "WarmWithinMs": cmp.Or(ms(s.WarmIn), 8000), "TipMultiple": 4,
-				"FallMs": 3000, "DrainGraceMs": ms(s.DrainGrace)},
+			"Safety": map[string]any{
+				"StartCapacity": 0.3, "WarmWithinMs": cmp.Or(ms(s.WarmIn), 8000), "TipMultiple": 4,
+				"FallMs": 3000, "DrainGraceMs": ms(s.DrainGrace),
+			},
 			"RequestClasses": classes,
 		},
 	}
--- a/internal/testbench/fakes/consumers.go
+++ b/internal/testbench/fakes/consumers.go
@@ -113,8 +113,10 @@
 
 // NewConsumers returns clients that Run sets going.
 func NewConsumers(l Load) *Consumers {
-	return &Consumers{load: l,
-		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: whole}}
+	return &Consumers{
+		load:   l,
+		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: whole},
+	}
 }
 
 // arrival is a request drawn ahead.
@@ -187,8 +189,10 @@
 			return
 		}
 		time.Sleep(time.Until(at))
-		t = Try{ID: repeatID(t.First, t.Again+1), First: t.First, Class: t.Class, Owner: t.Owner, Again: t.Again + 1,
-			AskedAt: t.AskedAt, At: at}
+		t = Try{
+			ID: repeatID(t.First, t.Again+1), First: t.First, Class: t.Class, Owner: t.Owner, Again: t.Again + 1,
+			AskedAt: t.AskedAt, At: at,
+		}
 	}
 }
 
--- a/internal/testbench/fakes/consumers_test.go
+++ b/internal/testbench/fakes/consumers_test.go
@@ -11,14 +11,13 @@
 	"net/url"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/config"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter/internal/config"
 )
 
 // Consumers that talk straight to a provider get from it what a sidecar might give them.
@@ -52,8 +51,10 @@
 				defer p.Close()
 				p.Behave(test.how)
 				start := time.Now()
-				load := Load{Network: n, Address: p.Address(), Seed: 1, For: 200 * time.Millisecond, Retry: test.retry,
-					Flows: []Flow{{Class: test.class, Owner: "acme", Rate: 200}}}
+				load := Load{
+					Network: n, Address: p.Address(), Seed: 1, For: 200 * time.Millisecond, Retry: test.retry,
+					Flows: []Flow{{Class: test.class, Owner: "acme", Rate: 200}},
+				}
 				tries := NewConsumers(load).Run(t.Context())
 				if got := Tally(tries, start, 0); len(got) != 1 || got[0].String() != "asked 41, in aim "+test.want {
 					t.Errorf("%v, want %s", got, test.want)
@@ -71,8 +72,10 @@
 		p, err := NewProvider(n, ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
 		ok(t, err)
 		defer p.Close()
-		tries := NewConsumers(Load{Network: n, Address: p.Address(), Seed: 1, For: time.Minute,
-			Flows: []Flow{{Class: Order(), Rate: 5}}}).Run(t.Context())
+		tries := NewConsumers(Load{
+			Network: n, Address: p.Address(), Seed: 1, For: time.Minute,
+			Flows: []Flow{{Class: Order(), Rate: 5}},
+		}).Run(t.Context())
 		resent := 0
 		for _, try := range tries {
 			if try.Result != Served || p.Runs(try.ID) != 1 {
@@ -124,8 +127,10 @@
 		ok(t, err)
 		defer p.Close()
 		start := time.Now()
-		tries := NewConsumers(Load{Network: n, Address: p.Address(), Seed: 1, For: 20 * time.Second, MaxConns: 2,
-			Flows: []Flow{{Class: Tile(), Rate: 2}, {Class: Order(), Rate: 2}}}).Run(t.Context())
+		tries := NewConsumers(Load{
+			Network: n, Address: p.Address(), Seed: 1, For: 20 * time.Second, MaxConns: 2,
+			Flows: []Flow{{Class: Tile(), Rate: 2}, {Class: Order(), Rate: 2}},
+		}).Run(t.Context())
 		late := slices.ContainsFunc(tries, func(t Try) bool { return t.Result == Served && t.Took() > 3*time.Second/2 })
 		unsent := slices.ContainsFunc(tries, func(t Try) bool { return t.Result == TimedOut && t.SentAt.IsZero() })
 		if !late || !unsent {
@@ -184,8 +189,10 @@
 				{time.Second, "gone", f.Providers[0].Kill},
 				{2 * time.Second, "back", func() { ok(t, f.Providers[0].Start("")) }},
 			}.Run(t.Context(), start)
-			tries := NewConsumers(Load{Network: n, Address: l.Addr().String(), Seed: 1, For: 11 * time.Second,
-				Flows: []Flow{{Class: Tile(), Rate: 100}, {Class: Order(), Rate: 50}}}).Run(t.Context())
+			tries := NewConsumers(Load{
+				Network: n, Address: l.Addr().String(), Seed: 1, For: 11 * time.Second,
+				Flows: []Flow{{Class: Tile(), Rate: 100}, {Class: Order(), Rate: 50}},
+			}).Run(t.Context())
 			days[i] = Tally(tries, start, time.Second)
 			took, well := Recovered(tries, start.Add(time.Second), 1, 200*time.Millisecond)
 			if !well || took != time.Second {
@@ -242,10 +249,12 @@
 }
 
 func TestConfigIsOneThatTheProgramTakes(t *testing.T) {
-	raw, err := Config(Sidecar{Name: "n1", Listen: "127.0.0.1:1", Directory: "127.0.0.1:2", Seed: 77,
+	raw, err := Config(Sidecar{
+		Name: "n1", Listen: "127.0.0.1:1", Directory: "127.0.0.1:2", Seed: 77,
 		Known:  List{Revision: 3, Members: []Member{{ID: "a", Address: "127.0.0.1:3", Phase: Serving}}},
 		Owners: []string{"acme"}, DrainGrace: time.Second,
-		Edit: func(d map[string]any) { d["limits"].(map[string]any)["sockets"] = 99 }})
+		Edit: func(d map[string]any) { d["limits"].(map[string]any)["sockets"] = 99 },
+	})
 	ok(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
 	ok(t, os.WriteFile(path, raw, 0o600))
--- a/internal/testbench/fakes/directory_test.go
+++ b/internal/testbench/fakes/directory_test.go
@@ -106,13 +106,17 @@
 	}{
 		"whole":   {func(d *Directory) {}, whole, "1=aSbS"},
 		"no news": {func(d *Directory) {}, short, "1+"},
-		"changes": {func(d *Directory) { then(d, func() { d.Change(gone) }) },
-			watch + " " + whole, "2+aD 2=bS"},
+		"changes": {
+			func(d *Directory) { then(d, func() { d.Change(gone) }) },
+			watch + " " + whole, "2+aD 2=bS",
+		},
 		"set":            {func(d *Directory) { then(d, func() { d.Set(b) }) }, watch, "2+aD"},
 		"news of before": {func(d *Directory) { d.Change(Member{ID: "c", Phase: Draining}) }, watch, "2+cD"},
 		"lost":           {func(d *Directory) { d.LoseAnswers(true) }, whole + " new " + whole, "silence silence"},
-		"lost in the wait": {func(d *Directory) { then(d, func() { d.LoseAnswers(true); d.Set(b) }) },
-			watch, "silence"},
+		"lost in the wait": {
+			func(d *Directory) { then(d, func() { d.LoseAnswers(true); d.Set(b) }) },
+			watch, "silence",
+		},
 		"lost for a while": {func(d *Directory) {
 			d.LoseAnswers(true)
 			then(d, func() { d.LoseAnswers(false); d.Set(b) })
@@ -138,8 +142,10 @@
 		"whole for a watch": {func(d *Directory) { d.WholeForWatch(true); d.Change(gone) }, watch, "2=bS"},
 		"part for whole":    {func(d *Directory) { d.PartForWhole(true) }, whole, "1+aS"},
 		"spoilt":            {func(d *Directory) { d.Spoil(answer(200, "", []byte("{"))) }, whole, "{"},
-		"lower revision": {func(d *Directory) { d.Change(gone); d.Change(a); d.RestartAt(1) },
-			"new " + pathList + "?index=3&wait=50", "1=aSbS"},
+		"lower revision": {
+			func(d *Directory) { d.Change(gone); d.Change(a); d.RestartAt(1) },
+			"new " + pathList + "?index=3&wait=50", "1=aSbS",
+		},
 		"forgotten changes": {func(d *Directory) { d.Change(gone); d.RestartAt(5) }, "new " + watch, "5=bS"},
 		"moved":             {func(d *Directory) { d.Move() }, whole + " new " + whole, "reset 1=aSbS"},
 	} {
@@ -181,8 +187,10 @@
 		for i := range calls {
 			calls[i].At, calls[i].AnsweredAt = time.Time{}, time.Time{}
 		}
-		want := []DirectoryCall{{Conn: 1, Whole: true, Answered: true, Revision: 1, Members: 1},
-			{Conn: 1, Index: 1, Wait: waitMost}}
+		want := []DirectoryCall{
+			{Conn: 1, Whole: true, Answered: true, Revision: 1, Members: 1},
+			{Conn: 1, Index: 1, Wait: waitMost},
+		}
 		if !slices.Equal(calls, want) {
 			t.Errorf("%+v, want %+v", calls, want)
 		}
--- a/internal/testbench/fakes/memory.go
+++ b/internal/testbench/fakes/memory.go
@@ -29,8 +29,10 @@
 
 // NewMemory returns an empty network with a delay of 0.1 to 0.2 ms.
 func NewMemory() *Memory {
-	return &Memory{listeners: map[string]*memListener{}, dials: map[string]int{},
-		delay: 100 * time.Microsecond, spread: 100 * time.Microsecond}
+	return &Memory{
+		listeners: map[string]*memListener{}, dials: map[string]int{},
+		delay: 100 * time.Microsecond, spread: 100 * time.Microsecond,
+	}
 }
 
 // SetDelay sets how long bytes, ends and resets take one way on connections opened from now on: a part that is the same
--- a/internal/testbench/fakes/provider.go
+++ b/internal/testbench/fakes/provider.go
@@ -100,8 +100,10 @@
 	Spoilt                   // bytes that are no answer
 )
 
-var outcomes = [...]string{"pending", "answered", "errored", "declined", "nameless", "reset", "left", "unsent",
-	"killed", "broken off", "stalled", "spoilt"}
+var outcomes = [...]string{
+	"pending", "answered", "errored", "declined", "nameless", "reset", "left", "unsent",
+	"killed", "broken off", "stalled", "spoilt",
+}
 
 func (o Outcome) String() string { return outcomes[o] }
 
@@ -274,9 +276,11 @@
 	p.state.Lock()
 	now := p.present
 	nth := len(p.requests)
-	p.requests = append(p.requests, Request{ID: id, Class: class, Method: m.Method, Path: m.URL.RequestURI(),
+	p.requests = append(p.requests, Request{
+		ID: id, Class: class, Method: m.Method, Path: m.URL.RequestURI(),
 		Body: string(m.body), Server: now.id, FirstByte: m.first, LastByte: m.last, Sent: m.sent, Deadline: m.Header.Get(headerDeadline), Conn: c.number, Carried: c.carried,
-		Idle: m.idle})
+		Idle: m.idle,
+	})
 	p.state.Unlock()
 	switch {
 	case reset:
--- a/internal/testbench/fakes/provider_test.go
+++ b/internal/testbench/fakes/provider_test.go
@@ -22,23 +22,29 @@
 		ran   string // what its books say of each request; ! for one that has run, + for one that has ended its run
 	}{
 		"served": {behave(Behaviour{}), "x x", "200 x|200 x", "answered!+ answered!+"},
-		"probes": {behave(Behaviour{}), "load x load alive",
-			`200 {"active":0}|200 x|200 {"active":0,"avg_ms":5}|200 {"active":0,"avg_ms":5}`, "answered!+"},
+		"probes": {
+			behave(Behaviour{}), "load x load alive",
+			`200 {"active":0}|200 x|200 {"active":0,"avg_ms":5}|200 {"active":0,"avg_ms":5}`, "answered!+",
+		},
 		"without an id":  {behave(Behaviour{}), "-", "404", "nameless"},
 		"draining":       {behave(Behaviour{Drain: true}), "x load", "503 declined|503", "declined"},
 		"declining":      {behave(Behaviour{Decline: true}), "x alive", `503 declined|200 {"active":0}`, "declined"},
 		"probes refused": {behave(Behaviour{Probes: ProbesUnavailable}), "x load", "200 x|503", "answered!+"},
 		"probes cut off": {behave(Behaviour{Probes: ProbesCutOff}), "x load", "200 x|nothing reset", "answered!+"},
-		"all reset": {behave(Behaviour{ResetAll: true}), "x new y",
-			"nothing reset|nothing reset", "reset reset"},
+		"all reset": {
+			behave(Behaviour{ResetAll: true}), "x new y",
+			"nothing reset|nothing reset", "reset reset",
+		},
 		"kept ones reset":     {(*Provider).ResetKept, "x new y", "nothing reset|200 y", "reset answered!+"},
 		"idle ones forgotten": {forgetIdle(time.Millisecond), "pause x", "nothing reset", "reset"},
 		"busy ones not":       {forgetIdle(time.Hour), "x z", "200 x|200 z", "answered!+ answered!+"},
 		"forgotten by count":  {behave(Behaviour{ForgetAfter: 2}), "x z", "200 x|nothing reset", "answered!+ reset"},
 		"broken off":          {behave(Behaviour{BreakOff: &BreakOff{After: 60}}), "x", "200 end", "broken off!+"},
 		"never begun":         {behave(Behaviour{BreakOff: &BreakOff{}}), "x", "nothing end", "broken off!+"},
-		"reset after a run": {behave(Behaviour{BreakOff: &BreakOff{Reset: true}}), "x",
-			"nothing reset", "broken off!+"},
+		"reset after a run": {
+			behave(Behaviour{BreakOff: &BreakOff{Reset: true}}), "x",
+			"nothing reset", "broken off!+",
+		},
 		"stalled":  {behave(Behaviour{Stall: true}), "x", "200 silence", "stalled!+"},
 		"failed":   {behave(Behaviour{FailShare: 1}), "x", "500", "errored!+"},
 		"spoilt":   {behave(Behaviour{Spoilt: found}), "x", "302", "spoilt!+"},
@@ -48,8 +54,10 @@
 			p.Vanish(true)
 			time.AfterFunc(20*time.Millisecond, func() { p.Vanish(false) })
 		}, "x new y", "200 x|200 y", "answered!+ answered!+"},
-		"vanished, then another": {func(p *Provider) { p.Vanish(true); p.Restart("s-2") }, "x new y",
-			"nothing reset|200 y", "answered!+"},
+		"vanished, then another": {
+			func(p *Provider) { p.Vanish(true); p.Restart("s-2") }, "x new y",
+			"nothing reset|200 y", "answered!+",
+		},
 		"killed": {(*Provider).Kill, "x", "nothing reset", ""},
 		"killed in a run": {func(p *Provider) {
 			p.Behave(Behaviour{Slow: 1e6})
@@ -60,8 +68,10 @@
 				p.Kill()
 			}()
 		}, "x", "nothing reset", "killed!"},
-		"restarted": {func(p *Provider) { p.Behave(Behaviour{Drain: true}); p.Restart("s-2") }, "x new load y",
-			`nothing reset|200 {"active":0}|200 y`, "answered!+"},
+		"restarted": {
+			func(p *Provider) { p.Behave(Behaviour{Drain: true}); p.Restart("s-2") }, "x new load y",
+			`nothing reset|200 {"active":0}|200 y`, "answered!+",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
@@ -128,8 +138,10 @@
 func TestServiceModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
-		p, err := NewProvider(n, ProviderOptions{Cores: 1, Queue: 1, Connect: 10 * time.Millisecond, ColdBy: 3,
-			WarmIn: time.Second, IdleMost: time.Second, Default: Service{20 * time.Millisecond, true, 0}})
+		p, err := NewProvider(n, ProviderOptions{
+			Cores: 1, Queue: 1, Connect: 10 * time.Millisecond, ColdBy: 3,
+			WarmIn: time.Second, IdleMost: time.Second, Default: Service{20 * time.Millisecond, true, 0},
+		})
 		ok(t, err)
 		defer p.Close()
 		took := func(c *caller) time.Duration {
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -135,8 +135,10 @@
 		if err != nil {
 			return
 		}
-		c := &peerConn{Conn: nc, server: s, reqs: make(chan *message), gone: make(chan struct{}),
-			over: make(chan struct{}), freeAt: time.Now()}
+		c := &peerConn{
+			Conn: nc, server: s, reqs: make(chan *message), gone: make(chan struct{}),
+			over: make(chan struct{}), freeAt: time.Now(),
+		}
 		s.mu.Lock()
 		s.accepted++
 		c.number = s.accepted
--- a/internal/testbench/fleet/fleet_test.go
+++ b/internal/testbench/fleet/fleet_test.go
@@ -38,18 +38,25 @@
 2026/12/01 15:00:00.015000 trace=list whole=false wait_ms=1000 took_ms=3000.0 lines=0 ok=false full=true
 2026/12/01 15:00:00.170000 trace=list whole=true wait_ms=0 took_ms=2.0 lines=0 ok=false full=false
 2026/12/01 15:00:00.171000 trace=end of=call provider=a ending=served took_ms=30
-`})
+`,
+	})
 	c, err := Read(dir, 100*time.Millisecond, 8*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Count{Sidecars: 2, Every: 100 * time.Millisecond,
-		Rows: []Row{{Calls: 2, Stale: 1, Probes: 1, ProbesFailed: 1, Dials: 2, DialsFailed: 1, Open: 1, Lists: 1, ListsFull: 1},
-			{Calls: 1, Retries: 1, Stale: 1, Cold: 1, Lists: 1, ListsWrong: 1}},
-		Total: Row{Calls: 3, Retries: 1, Stale: 2, Cold: 1, Probes: 1, ProbesFailed: 1, Dials: 2, DialsFailed: 1, Open: 1, Lists: 2,
-			ListsFull: 1, ListsWrong: 1},
+	want := &Count{
+		Sidecars: 2, Every: 100 * time.Millisecond,
+		Rows: []Row{
+			{Calls: 2, Stale: 1, Probes: 1, ProbesFailed: 1, Dials: 2, DialsFailed: 1, Open: 1, Lists: 1, ListsFull: 1},
+			{Calls: 1, Retries: 1, Stale: 1, Cold: 1, Lists: 1, ListsWrong: 1},
+		},
+		Total: Row{
+			Calls: 3, Retries: 1, Stale: 2, Cold: 1, Probes: 1, ProbesFailed: 1, Dials: 2, DialsFailed: 1, Open: 1, Lists: 2,
+			ListsFull: 1, ListsWrong: 1,
+		},
 		Most: map[string]Peak{"calls": {2, "a", 0}, "probes": {1, "a", 0}, "connects": {1, "b", 0}},
-		News: []float64{40, 1500}, Waits: []float64{2, 2000}, CPU: []float64{9}}
+		News: []float64{40, 1500}, Waits: []float64{2, 2000}, CPU: []float64{9},
+	}
 	if d := cmp.Diff(want, c); d != "" {
 		t.Error(d)
 	}
@@ -57,8 +64,10 @@
 	if err := c.Write(&out, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	for _, said := range []string{"    all       3       1       2       1", "most calls at one server within 100ms: 2, a at 0.0 s",
-		"list calls beyond their wait, ms: median 2,"} {
+	for _, said := range []string{
+		"    all       3       1       2       1", "most calls at one server within 100ms: 2, a at 0.0 s",
+		"list calls beyond their wait, ms: median 2,",
+	} {
 		if !strings.Contains(out.String(), said) {
 			t.Errorf("%q is missing in\n%s", said, out.String())
 		}
--- a/internal/testbench/loadgen/arrivals.go
+++ b/internal/testbench/loadgen/arrivals.go
@@ -95,8 +95,10 @@
 
 func newArrivals(p *Plan, stream int, keys []picker) *arrivals {
 	s := &p.Streams[stream]
-	a := &arrivals{plan: p, draw: rand.New(rand.NewPCG(p.Seed, uint64(stream))), curve: s.Shape.curve(), keys: keys,
-		even: s.Spacing == Even, classes: weighted(s.Mix), tenants: weighted(s.Tenants)}
+	a := &arrivals{
+		plan: p, draw: rand.New(rand.NewPCG(p.Seed, uint64(stream))), curve: s.Shape.curve(), keys: keys,
+		even: s.Spacing == Even, classes: weighted(s.Mix), tenants: weighted(s.Tenants),
+	}
 	if len(s.Mix) == 0 {
 		a.classes = weighted(map[string]float64{p.Classes[0].Name: 1})
 	}
@@ -122,8 +124,10 @@
 	name := a.classes.pick(a.draw)
 	i := a.plan.classIndex(name)
 	c := &a.plan.Classes[i]
-	a.q = Request{At: time.Duration(math.Round(t * 1e9)), Class: name, Tenant: a.tenants.pick(a.draw), Method: c.Method,
-		Size: c.BodyBytes, Key: a.keys[i].pick(a.draw), class: i}
+	a.q = Request{
+		At: time.Duration(math.Round(t * 1e9)), Class: name, Tenant: a.tenants.pick(a.draw), Method: c.Method,
+		Size: c.BodyBytes, Key: a.keys[i].pick(a.draw), class: i,
+	}
 	a.q.Path = c.pathOf(a.q.Key)
 	return true
 }
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -14,6 +14,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strings"
 	"sync"
@@ -22,8 +23,6 @@
 	"time"
 
 	"github.com/wcharczuk/go-chart/v2"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const workVariable = "PLANKROUTER_LOAD_TEST_WORK"
@@ -58,8 +57,10 @@
 // tiles is a checked plan of one class and one stream.
 func tiles(t *testing.T, shape Shape, spacing string, forS float64) *Plan {
 	t.Helper()
-	p := &Plan{Seed: 1, ForS: forS, Streams: []Stream{{Shape: shape, Spacing: spacing}},
-		Classes: []Class{{Name: "tile", AimMs: 500, DeadlineMs: 5000}}}
+	p := &Plan{
+		Seed: 1, ForS: forS, Streams: []Stream{{Shape: shape, Spacing: spacing}},
+		Classes: []Class{{Name: "tile", AimMs: 500, DeadlineMs: 5000}},
+	}
 	ok(t, p.Check())
 	return p
 }
@@ -126,8 +127,10 @@
 	}
 	s := shaped(shapes[3])
 	spike := s.curve()
-	if got := []float64{spike.rate(20), spike.rate(20.5), spike.rate(21), spike.rate(26), spike.rate(31),
-		spike.rate(99)}; !slices.Equal(got, []float64{30, 165, 300, 300, 165, 30}) {
+	if got := []float64{
+		spike.rate(20), spike.rate(20.5), spike.rate(21), spike.rate(26), spike.rate(31),
+		spike.rate(99),
+	}; !slices.Equal(got, []float64{30, 165, 300, 300, 165, 30}) {
 		t.Errorf("the spike has the rates %v", got)
 	}
 }
@@ -177,13 +180,21 @@
 // mixed is a plan with all that a request can have.
 func mixed(t *testing.T) *Plan {
 	t.Helper()
-	p := &Plan{Seed: 5, ForS: 50, Tenants: []string{"acme", "beta", "gamma"},
-		Classes: []Class{{Name: "tile", AimMs: 100, DeadlineMs: 500, Keys: Keys{1000, 1.2}},
+	p := &Plan{
+		Seed: 5, ForS: 50, Tenants: []string{"acme", "beta", "gamma"},
+		Classes: []Class{
+			{Name: "tile", AimMs: 100, DeadlineMs: 500, Keys: Keys{1000, 1.2}},
 			{Name: "order", Method: "POST", BodyBytes: 300, AimMs: 100, DeadlineMs: 500},
-			{Name: "look", Path: "/look?of={key}", AimMs: 100, DeadlineMs: 500, Keys: Keys{Count: 4}}},
-		Streams: []Stream{{Shape: constant(300), Mix: map[string]float64{"tile": 8, "order": 1, "look": 1},
-			Tenants: map[string]float64{"acme": 3, "beta": 1}},
-			{Shape: constant(100), Spacing: Even, Mix: map[string]float64{"look": 1}}}}
+			{Name: "look", Path: "/look?of={key}", AimMs: 100, DeadlineMs: 500, Keys: Keys{Count: 4}},
+		},
+		Streams: []Stream{
+			{
+				Shape: constant(300), Mix: map[string]float64{"tile": 8, "order": 1, "look": 1},
+				Tenants: map[string]float64{"acme": 3, "beta": 1},
+			},
+			{Shape: constant(100), Spacing: Even, Mix: map[string]float64{"look": 1}},
+		},
+	}
 	ok(t, p.Check())
 	return p
 }
@@ -201,9 +212,11 @@
 			counts[key]++
 		}
 	}
-	for key, want := range map[string]float64{"tile": 12000, "order": 1500, "look": 6500, "acme": 11250, "beta": 3750,
+	for key, want := range map[string]float64{
+		"tile": 12000, "order": 1500, "look": 6500, "acme": 11250, "beta": 3750,
 		"": 5000, "look 1": 1625, "look 4": 1625, "POST /order/1": 1500, "GET /look?of=2": 1625,
-		"tile 2": counts["tile 1"] / math.Pow(2, 1.2), "tile 10": counts["tile 1"] / math.Pow(10, 1.2)} {
+		"tile 2": counts["tile 1"] / math.Pow(2, 1.2), "tile 10": counts["tile 1"] / math.Pow(10, 1.2),
+	} {
 		if math.Abs(counts[key]-want) > 4*math.Sqrt(want) {
 			t.Errorf("%q: %v, want some %v", key, counts[key], want)
 		}
@@ -391,7 +404,8 @@
 	s.File = filepath.Join(t.TempDir(), name)
 	ok(t, os.WriteFile(s.File, []byte(text), 0o600))
 	p := &Plan{Tenants: []string{"acme"}, Trace: &s, Classes: []Class{
-		{Name: "tile", AimMs: 100, DeadlineMs: 500}, {Name: "order", Method: "POST", AimMs: 100, DeadlineMs: 500}}}
+		{Name: "tile", AimMs: 100, DeadlineMs: 500}, {Name: "order", Method: "POST", AimMs: 100, DeadlineMs: 500},
+	}}
 	return p, p.Check()
 }
 
@@ -424,8 +438,10 @@
 	for _, test := range []struct{ name, text, message string }{
 		{"a.txt", "", "a.txt: a trace is .csv or .jsonl; rename it"},
 		{"a.csv", "time,class\n", `a.csv:1: "time,class\n"; want ` + traceHead},
-		{"a.csv", head + "0,tile,,GET,/a,0,\n2,tile,,GET,/a,0,\n1.5,tile,,GET,/a,0,\n",
-			"a.csv:4: 1.5 s comes after 2 s; sort the trace by time"},
+		{
+			"a.csv", head + "0,tile,,GET,/a,0,\n2,tile,,GET,/a,0,\n1.5,tile,,GET,/a,0,\n",
+			"a.csv:4: 1.5 s comes after 2 s; sort the trace by time",
+		},
 		{"a.csv", head + "0,tile,,GET,/a,0\n", "a.csv:2: 6 fields; want 7: " + traceHead},
 		{"a.csv", head + "0,tile,,GET,/a,0,", "a.csv:2: the line has no end, so that the trace seems to be cut"},
 		{"a.csv", head + "0,\"tile,,GET,/a,0,\n", "a.csv:2: no CSV"},
@@ -516,8 +532,10 @@
 		{`"at_s": 5`, `"of": [{"kind": "sum"}]`, ": streams[0].shape.of: does not belong to a step; leave it out"},
 		{`[{"kind": "constant", "rate": 5}]`, `[]`, ": streams[1].shape.of: a sum needs one shape or more"},
 		{`"sum", "of": [`, `"sequence", "of": [{"kind": "constant"}, `, ".of[0].for_s: 0; a sequence must know"},
-		{`[{"kind": "constant", "rate": 5}]`,
-			strings.Repeat(`[{"kind": "sum", "of": `, 9) + "[]" + strings.Repeat(`}]`, 9), "shapes are nested deeper"},
+		{
+			`[{"kind": "constant", "rate": 5}]`,
+			strings.Repeat(`[{"kind": "sum", "of": `, 9) + "[]" + strings.Repeat(`}]`, 9), "shapes are nested deeper",
+		},
 	} {
 		err := read(strings.Replace(goodPlan, test.old, test.new, 1))
 		if err == nil || !strings.Contains(err.Error(), file) || !strings.Contains(err.Error(), test.message) {
@@ -562,8 +580,10 @@
 // Real processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
 	n := fakes.Loopback()
-	provider, err := fakes.NewProvider(n, fakes.ProviderOptions{Cores: 100,
-		Default: fakes.Service{Mean: time.Millisecond, Fixed: true}})
+	provider, err := fakes.NewProvider(n, fakes.ProviderOptions{
+		Cores:   100,
+		Default: fakes.Service{Mean: time.Millisecond, Fixed: true},
+	})
 	ok(t, err)
 	defer provider.Close()
 	self, err := os.Executable()
@@ -600,8 +620,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
 		defer cancel()
-		r, err := Run(ctx, tiles(t, constant(10), Even, 100), Options{Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
-			Pause: time.Sleep})
+		r, err := Run(ctx, tiles(t, constant(10), Even, 100), Options{
+			Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
+			Pause: time.Sleep,
+		})
 		if err != nil || !r.Partial || r.Classes[0].Ends[Unreachable] != 15 {
 			t.Errorf("%+v, %v", r, err)
 		}
@@ -624,8 +646,10 @@
 	rec := recorder{start: time.Now(), result: r}
 	for i := range 20 {
 		due := rec.start.Add(time.Duration(i) * 100 * time.Millisecond)
-		d := done{due: due, sent: due.Add(10 * time.Millisecond), end: due.Add(600 * time.Millisecond), tries: 1,
-			late: 2 * time.Millisecond, aim: 500 * time.Millisecond}
+		d := done{
+			due: due, sent: due.Add(10 * time.Millisecond), end: due.Add(600 * time.Millisecond), tries: 1,
+			late: 2 * time.Millisecond, aim: 500 * time.Millisecond,
+		}
 		if i >= 17 {
 			d.last = Refused
 		}
@@ -636,8 +660,10 @@
 	var text, rows bytes.Buffer
 	ok(t, report.Write(&text))
 	ok(t, report.WriteCSV(&rows))
-	for _, want := range []string{"2.0 s of load on here, seed 1; processes: 2", "PARTIAL", "INVALID: requests were",
-		"due  600.063  never  never", "send  590.335  never"} {
+	for _, want := range []string{
+		"2.0 s of load on here, seed 1; processes: 2", "PARTIAL", "INVALID: requests were",
+		"due  600.063  never  never", "send  590.335  never",
+	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%s\nhas no %s", text.String(), want)
 		}
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -245,8 +245,11 @@
 		value float64
 		least float64
 	}{
-		{"aim_ms", c.AimMs, 1}, {"deadline_ms", c.DeadlineMs, 1}, {"patience_ms", c.PatienceMs, 0},
-		{"retry.wait_ms", c.Retry.WaitMs, 0}, {"retry.advice_ms", c.Retry.AdviceMs, 0},
+		{"aim_ms", c.AimMs, 1},
+		{"deadline_ms", c.DeadlineMs, 1},
+		{"patience_ms", c.PatienceMs, 0},
+		{"retry.wait_ms", c.Retry.WaitMs, 0},
+		{"retry.advice_ms", c.Retry.AdviceMs, 0},
 	} {
 		if most := mostDeadline.Seconds() * 1000; !(n.value >= n.least && n.value <= most) {
 			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, n.key, n.value, n.least, most)
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -48,14 +48,14 @@
 	add := func(a, b float64) float64 { return a + b }
 	whole := func(n uint64) *float64 { f := float64(n); return &f }
 	return []perSecond{
-			line("p50 from due", "6baed6", larger, func(s *SecondRow) *float64 { return s.Due[0] }),
-			line("p99 from due", "08519c", larger, func(s *SecondRow) *float64 { return s.Due[2] }),
-			line("p99 from send", "e6550d", larger, func(s *SecondRow) *float64 { return s.Sent[2] }),
-			line("generator late", "999999", larger, func(s *SecondRow) *float64 { return &s.LateMs }),
-		}, []perSecond{
-			line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return whole(s.Asked) }),
-			line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return whole(s.InAim) }),
-		}
+		line("p50 from due", "6baed6", larger, func(s *SecondRow) *float64 { return s.Due[0] }),
+		line("p99 from due", "08519c", larger, func(s *SecondRow) *float64 { return s.Due[2] }),
+		line("p99 from send", "e6550d", larger, func(s *SecondRow) *float64 { return s.Sent[2] }),
+		line("generator late", "999999", larger, func(s *SecondRow) *float64 { return &s.LateMs }),
+	}, []perSecond{
+		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return whole(s.Asked) }),
+		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return whole(s.InAim) }),
+	}
 }
 
 // Plot draws the seconds of the run: latency of the worst class against the axis on the right, which is logarithmic,
@@ -65,11 +65,15 @@
 	if len(r.Seconds) == 0 {
 		return errors.New("nothing was due, so that there is nothing to draw; ask for something")
 	}
-	c := chart.Chart{Width: plotWidth, Height: plotHeight,
+	c := chart.Chart{
+		Width: plotWidth, Height: plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: 60, Left: 10, Right: 10, Bottom: 10}},
-		XAxis: chart.XAxis{Name: "second in which requests were due",
-			Ticks: secondTicks(r.Seconds[len(r.Seconds)-1].Second)},
-		YAxisSecondary: chart.YAxis{ValueFormatter: chart.IntValueFormatter}}
+		XAxis: chart.XAxis{
+			Name:  "second in which requests were due",
+			Ticks: secondTicks(r.Seconds[len(r.Seconds)-1].Second),
+		},
+		YAxisSecondary: chart.YAxis{ValueFormatter: chart.IntValueFormatter},
+	}
 	latencies, rates := plotLines()
 	longest, most := leastMs, 1.0
 	for i := range latencies {
@@ -109,8 +113,10 @@
 }
 
 func (l *perSecond) series(axis chart.YAxisType) chart.Series {
-	return chart.ContinuousSeries{Name: l.name, XValues: l.xs, YValues: l.ys, YAxis: axis,
-		Style: chart.Style{StrokeColor: l.color, StrokeWidth: 2}}
+	return chart.ContinuousSeries{
+		Name: l.name, XValues: l.xs, YValues: l.ys, YAxis: axis,
+		Style: chart.Style{StrokeColor: l.color, StrokeWidth: 2},
+	}
 }
 
 // draw fills in a value for each second in which something was due, of all classes, and returns the values.
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -48,9 +48,11 @@
 }
 
 func newRow(class string, t *Tally, lasted float64) Row {
-	row := Row{Class: class, Asked: t.Asked, Tries: t.Tries, Resent: t.Resent, InAim: t.InAim,
+	row := Row{
+		Class: class, Asked: t.Asked, Tries: t.Tries, Resent: t.Resent, InAim: t.InAim,
 		Ends: map[string]uint64{}, TryEnds: map[string]uint64{},
-		Due: newLatency(t.Due, t.Asked), Sent: newLatency(t.Sent, t.Asked)}
+		Due: newLatency(t.Due, t.Asked), Sent: newLatency(t.Sent, t.Asked),
+	}
 	if lasted > 0 {
 		row.Goodput = float64(t.InAim) / lasted
 	}
@@ -95,9 +97,11 @@
 // NewReport makes the report of a run of a plan against an address, in a number of processes.
 func NewReport(p *Plan, r *Result, address string, processes int) *Report {
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
-	out := &Report{Address: address, Seed: p.Seed, Processes: processes, LastedS: p.ForS, RanS: r.Ran.Seconds(),
+	out := &Report{
+		Address: address, Seed: p.Seed, Processes: processes, LastedS: p.ForS, RanS: r.Ran.Seconds(),
 		Partial: r.Partial, LateMs: newLatency(r.Late, r.Late.Count()), StallMs: ms(r.Stall), Held: r.Held,
-		HeldMs: ms(r.HeldLonger), Opened: r.Opened}
+		HeldMs: ms(r.HeldLonger), Opened: r.Opened,
+	}
 	if n := float64(len(r.Seconds)); r.Partial {
 		out.LastedS = min(n, out.RanS)
 	} else if p.ForS == 0 || p.Trace != nil && n < p.ForS {
@@ -114,8 +118,10 @@
 		for j := range s.Classes {
 			if t := &s.Classes[j]; t.Asked > 0 {
 				row := newRow(p.Classes[j].Name, t, 1)
-				out.Seconds = append(out.Seconds, SecondRow{i, row.Class, row.Asked, row.Tries, row.InAim, row.Ends,
-					row.Due, row.Sent, float64(s.LateUs) / 1000})
+				out.Seconds = append(out.Seconds, SecondRow{
+					i, row.Class, row.Asked, row.Tries, row.InAim, row.Ends,
+					row.Due, row.Sent, float64(s.LateUs) / 1000,
+				})
 			}
 		}
 	}
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -4,12 +4,11 @@
 	"context"
 	"fmt"
 	"os"
+	"plankrouter/internal/testbench/fakes"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // Options are what a run needs besides its plan.
@@ -48,8 +47,10 @@
 		o.Start = now
 	}
 	rec := &recorder{start: o.Start, result: newResult(len(p.Classes))}
-	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: fakes.Client{Dial: o.Dialer.Dial,
-		Address: o.Address, MaxConns: (p.Connections + o.Parts - 1) / o.Parts, Read: answer}}
+	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: fakes.Client{
+		Dial:    o.Dialer.Dial,
+		Address: o.Address, MaxConns: (p.Connections + o.Parts - 1) / o.Parts, Read: answer,
+	}}
 	for i := range c.bodies {
 		c.bodies[i] = 'a' + byte(i%26)
 	}
--- a/internal/testbench/loadgen/shape.go
+++ b/internal/testbench/loadgen/shape.go
@@ -53,8 +53,10 @@
 )
 
 func (s *Shape) numbers() map[string]float64 {
-	return map[string]float64{"rate": s.Rate, "to": s.To, "times": s.Times, "swing": s.Swing, "at_s": s.AtS,
-		"over_s": s.OverS, "hold_s": s.HoldS, "back_s": s.BackS, "period_s": s.PeriodS, "for_s": s.ForS}
+	return map[string]float64{
+		"rate": s.Rate, "to": s.To, "times": s.Times, "swing": s.Swing, "at_s": s.AtS,
+		"over_s": s.OverS, "hold_s": s.HoldS, "back_s": s.BackS, "period_s": s.PeriodS, "for_s": s.ForS,
+	}
 }
 
 // check returns what is wrong with the shape under key; inner tells that it is one of a sequence that must end.
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -216,8 +216,10 @@
 	if rec.Path == "" {
 		rec.Path = p.Classes[i].pathOf(rec.Key)
 	}
-	q := Request{At: at, Class: rec.Class, Tenant: rec.Tenant, Method: rec.Method, Path: rec.Path, Size: rec.Size,
-		Key: rec.Key, class: i}
+	q := Request{
+		At: at, Class: rec.Class, Tenant: rec.Tenant, Method: rec.Method, Path: rec.Path, Size: rec.Size,
+		Key: rec.Key, class: i,
+	}
 	return q, checkMessage("request", q.Method, q.Path, q.Size)
 }
 
--- a/internal/testbench/recovery/figures.go
+++ b/internal/testbench/recovery/figures.go
@@ -1,10 +1,9 @@
 package recovery
 
 import (
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/recovery/figures_test.go
+++ b/internal/testbench/recovery/figures_test.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"fmt"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 var epoch = time.Unix(1_800_000_000, 0)
@@ -19,8 +18,10 @@
 	for w, n := range served {
 		for i := range 20 {
 			due := epoch.Add(time.Duration(w*20+i) * 12500 * time.Microsecond)
-			t := fakes.Try{ID: fmt.Sprint(w, i), First: fmt.Sprint(w, i), Class: fakes.Tile(), AskedAt: due, At: due,
-				EndedAt: due.Add(time.Millisecond), Result: fakes.Served}
+			t := fakes.Try{
+				ID: fmt.Sprint(w, i), First: fmt.Sprint(w, i), Class: fakes.Tile(), AskedAt: due, At: due,
+				EndedAt: due.Add(time.Millisecond), Result: fakes.Served,
+			}
 			if i >= n {
 				t.Result = fakes.Refused
 			}
@@ -63,8 +64,10 @@
 
 func TestCounts(t *testing.T) {
 	var got Figures
-	for r, n := range map[fakes.Result]int{fakes.Served: 1, fakes.Refused: 2, fakes.Failed: 3, fakes.Lost: 4,
-		fakes.TimedOut: 5, fakes.Unreachable: 6, fakes.Wrong: 7} {
+	for r, n := range map[fakes.Result]int{
+		fakes.Served: 1, fakes.Refused: 2, fakes.Failed: 3, fakes.Lost: 4,
+		fakes.TimedOut: 5, fakes.Unreachable: 6, fakes.Wrong: 7,
+	} {
 		for range n {
 			got.count(&fakes.Try{Result: r, SentAt: epoch})
 		}
@@ -83,16 +86,24 @@
 		{Answered: true, AnsweredAt: after(200), Revision: 3},
 		{Answered: true, AnsweredAt: after(100), Revision: 3},
 	})
-	sent := []fakes.Request{{Server: "a", FirstByte: after(900)}, {Server: "a", FirstByte: after(901)},
-		{Server: "b", FirstByte: after(5000)}, {Server: "c", FirstByte: after(5000)}}
+	sent := []fakes.Request{
+		{Server: "a", FirstByte: after(900)},
+		{Server: "a", FirstByte: after(901)},
+		{Server: "b", FirstByte: after(5000)},
+		{Server: "c", FirstByte: after(5000)},
+	}
 	if n := lateSends(told, sent); n != 1 {
 		t.Errorf("%d late sends, want that at 901 ms alone; told: %v", n, told)
 	}
 }
 
 func TestLongestGap(t *testing.T) {
-	tries := []fakes.Try{{Status: 200, EndedAt: after(50)}, {Status: 503, EndedAt: after(10)}, {EndedAt: after(70)},
-		{Status: 200, EndedAt: after(95)}}
+	tries := []fakes.Try{
+		{Status: 200, EndedAt: after(50)},
+		{Status: 503, EndedAt: after(10)},
+		{EndedAt: after(70)},
+		{Status: 200, EndedAt: after(95)},
+	}
 	if got := longestGap(tries); got != 45*time.Millisecond {
 		t.Errorf("%s, want 45ms", got)
 	}
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -4,10 +4,9 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -6,12 +6,11 @@
 	"fmt"
 	"os"
 	"os/exec"
+	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const endWithin = 20 * time.Second // for a process that has been told to end
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -5,11 +5,10 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"sync"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // The fleet's nature. A provider alone could serve some 170 requests a second.
@@ -91,9 +90,11 @@
 			r.close()
 		}
 	}()
-	nature := fakes.ProviderOptions{Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: coldBy,
+	nature := fakes.ProviderOptions{
+		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: coldBy,
 		WarmIn: warmIn, IdleMost: connIdle, Default: fakes.Service{Mean: tileMean, Body: answerSize},
-		Service: map[string]fakes.Service{"order": {Mean: orderMean, Body: answerSize}}}
+		Service: map[string]fakes.Service{"order": {Mean: orderMean, Body: answerSize}},
+	}
 	if r.fleet, err = fakes.NewFleet(network, s.Providers, nature); err != nil {
 		return r, err
 	}
@@ -104,11 +105,13 @@
 	address := front.Addr().String()
 	front.Close()
 	config := filepath.Join(s.Dir, "config.json")
-	raw, err := fakes.Config(fakes.Sidecar{Name: "lab", Listen: address, Seed: s.Seed,
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: "lab", Listen: address, Seed: s.Seed,
 		Directory: r.fleet.Directory.Address(),
 		Known:     fakes.List{Revision: r.fleet.Directory.Revision(), Members: r.fleet.Members()},
 		Classes:   s.classes(), Sockets: socketsMax, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
-		WarmIn: warmIn, Edit: edit})
+		WarmIn: warmIn, Edit: edit,
+	})
 	if err != nil {
 		return r, err
 	}
@@ -122,8 +125,10 @@
 	if err != nil {
 		return r, err
 	}
-	r.line = &line{program: s.Program, env: []string{"GW_CONFIG=" + config}, address: address, network: network,
-		log: log}
+	r.line = &line{
+		program: s.Program, env: []string{"GW_CONFIG=" + config}, address: address, network: network,
+		log: log,
+	}
 	return r, r.line.start(ctx)
 }
 
@@ -138,8 +143,10 @@
 		}
 		flows = append(flows, fakes.Flow{Class: c, Rate: part * r.setup.Rate})
 	}
-	r.load = fakes.NewConsumers(fakes.Load{Network: r.line.network, Address: r.line.address, Seed: r.setup.Seed,
-		Flows: flows, For: long})
+	r.load = fakes.NewConsumers(fakes.Load{
+		Network: r.line.network, Address: r.line.address, Seed: r.setup.Seed,
+		Flows: flows, For: long,
+	})
 	r.start = time.Now()
 	r.running.Go(func() {
 		defer r.cancel()
@@ -174,8 +181,10 @@
 
 // release replaces the first so many providers, a quarter of the fleet at a time, by others at new addresses.
 func (r *rig) release(ctx context.Context, most int) error {
-	plan := fakes.Release{Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
-		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true}
+	plan := fakes.Release{
+		Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
+		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true,
+	}
 	told := r.fleet.Directory.Revision()
 	for batch := range slices.Chunk(r.fleet.Providers[:most], plan.Batch) {
 		for _, p := range batch {
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -3,9 +3,8 @@
 import (
 	"context"
 	"fmt"
-	"time"
-
 	"plankrouter/internal/testbench/fakes"
+	"time"
 )
 
 const (
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -5,10 +5,9 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -38,22 +37,36 @@
 // Scenarios returns all of them, in the order in which they are worth reading.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "release-hidden", About: "every provider is replaced while connections to the directory go silent",
-			event: releaseHidden, after: 11 * time.Second},
+		{
+			Name: "release-hidden", About: "every provider is replaced while connections to the directory go silent",
+			event: releaseHidden, after: 11 * time.Second,
+		},
 		{Name: "release-told", About: "the same, told", event: releaseTold, after: 11 * time.Second},
-		{Name: "silence", About: "a quarter of the machines vanish for 4 s and come back cold",
-			event: silence, after: 8 * time.Second},
-		{Name: "restart", About: "SIGTERM; the next process starts when the first one may be killed",
-			event: restart, after: 7 * time.Second},
+		{
+			Name: "silence", About: "a quarter of the machines vanish for 4 s and come back cold",
+			event: silence, after: 8 * time.Second,
+		},
+		{
+			Name: "restart", About: "SIGTERM; the next process starts when the first one may be killed",
+			event: restart, after: 7 * time.Second,
+		},
 		{Name: "crash", About: "SIGKILL; the next process starts at once", event: crash, after: 4 * time.Second},
-		{Name: "handover", About: "SIGUSR2: a successor takes over",
-			event: handOver, after: 4 * time.Second, strict: true},
-		{Name: "start-cold", About: "a crash with providers that fail; the next process knows nothing",
-			event: startCold, after: 4 * time.Second, prepare: someFail, edit: keepSnapshot},
-		{Name: "start-from-snapshot", About: "the same; the next process has a snapshot",
-			event: crash, after: 4 * time.Second, prepare: someFail, edit: keepSnapshot},
-		{Name: "directory-down", About: "the directory is down for 8 s, misses a release and then tells all",
-			event: directoryDown, after: 11 * time.Second},
+		{
+			Name: "handover", About: "SIGUSR2: a successor takes over",
+			event: handOver, after: 4 * time.Second, strict: true,
+		},
+		{
+			Name: "start-cold", About: "a crash with providers that fail; the next process knows nothing",
+			event: startCold, after: 4 * time.Second, prepare: someFail, edit: keepSnapshot,
+		},
+		{
+			Name: "start-from-snapshot", About: "the same; the next process has a snapshot",
+			event: crash, after: 4 * time.Second, prepare: someFail, edit: keepSnapshot,
+		},
+		{
+			Name: "directory-down", About: "the directory is down for 8 s, misses a release and then tells all",
+			event: directoryDown, after: 11 * time.Second,
+		},
 	}
 }
 
--- a/internal/testbench/recovery/table.go
+++ b/internal/testbench/recovery/table.go
@@ -51,11 +51,17 @@
 		name  string
 		value any
 	}{
-		{"handovers done", o.Restarts}, {"requests", o.Requests}, {"served", o.Served}, {"lost", o.Lost},
-		{"failed", o.Failed}, {"refused", o.Refused}, {"unreachable", o.Unreachable},
+		{"handovers done", o.Restarts},
+		{"requests", o.Requests},
+		{"served", o.Served},
+		{"lost", o.Lost},
+		{"failed", o.Failed},
+		{"refused", o.Refused},
+		{"unreachable", o.Unreachable},
 		{"further runs of orders", o.Twice},
 		{"longest time without an answer", seconds(o.LongestGap)},
-		{"handover, median", seconds(o.Median)}, {"handover, worst", seconds(o.Worst)},
+		{"handover, median", seconds(o.Median)},
+		{"handover, worst", seconds(o.Worst)},
 		{"of it until the successor is ready, median", seconds(o.Start)},
 		{"the lab itself held up, longest", seconds(o.Stall)},
 	} {
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -6,12 +6,11 @@
 	"fmt"
 	"net"
 	"net/http"
+	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -26,8 +25,10 @@
 }
 
 func (t Traffic) minus(o Traffic) Traffic {
-	return Traffic{t.Calls - o.Calls, t.Whole - o.Whole, t.TurnedAway - o.TurnedAway, t.Connections - o.Connections,
-		t.BytesIn - o.BytesIn, t.BytesOut - o.BytesOut}
+	return Traffic{
+		t.Calls - o.Calls, t.Whole - o.Whole, t.TurnedAway - o.TurnedAway, t.Connections - o.Connections,
+		t.BytesIn - o.BytesIn, t.BytesOut - o.BytesOut,
+	}
 }
 
 func (t Traffic) plus(o Traffic) Traffic { return t.minus(Traffic{}.minus(o)) }
@@ -79,8 +80,10 @@
 func (d *discoveryServer) close() { d.server.Close() }
 
 func (d *discoveryServer) traffic() Traffic {
-	return Traffic{d.calls.Load(), d.wholes.Load(), d.turnedAway.Load(), d.count.Accepted.Load(), d.count.In.Load(),
-		d.count.Out.Load()}
+	return Traffic{
+		d.calls.Load(), d.wholes.Load(), d.turnedAway.Load(), d.count.Accepted.Load(), d.count.In.Load(),
+		d.count.Out.Load(),
+	}
 }
 
 // change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -8,15 +8,14 @@
 	"io"
 	"os"
 	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 	"runtime"
 	"runtime/debug"
 	"strconv"
 	"time"
 
 	"golang.org/x/sync/errgroup"
-
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/process"
 )
 
 const (
@@ -195,8 +194,10 @@
 		debug.SetMemoryLimit(int64(o.MemoryMB) << 20)
 	}
 	for i := range o.Count {
-		s := &sidecar{zone: (o.First + i) % zones, name: "h" + strconv.Itoa(o.First+i), seed: uint64(o.First + i + 1), tiles: h.tiles,
-			discovery: o.Discovery[i%len(o.Discovery)], file: filepath.Join(h.dir, strconv.Itoa(i)+".json")}
+		s := &sidecar{
+			zone: (o.First + i) % zones, name: "h" + strconv.Itoa(o.First+i), seed: uint64(o.First + i + 1), tiles: h.tiles,
+			discovery: o.Discovery[i%len(o.Discovery)], file: filepath.Join(h.dir, strconv.Itoa(i)+".json"),
+		}
 		if err := s.write(o.Template); err != nil {
 			return err
 		}
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -7,10 +7,9 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"time"
-
 	"plankrouter/internal/testbench/fakes"
 	"plankrouter/internal/testbench/process"
+	"time"
 )
 
 // Comparison is one real sidecar or one hollow one, alone in a process, in the same world.
@@ -82,7 +81,9 @@
 	w.hollow, w.counts = []*Part{p}, []int{1}
 	for _, o := range []order{
 		{Op: "build", Count: 1, Template: template, Discovery: []string{agent}, Cores: 1, MemoryMB: memoryMB * 7 / 10},
-		{Op: "start", Known: true, Within: readyWithin}, {Op: "calls", PerS: rate}} {
+		{Op: "start", Known: true, Within: readyWithin},
+		{Op: "calls", PerS: rate},
+	} {
 		if _, err := p.ask(o); err != nil {
 			return c, err
 		}
@@ -94,9 +95,11 @@
 	if err != nil {
 		return c, err
 	}
-	c = Comparison{Which: "hollow", Servers: set.Servers, AskedS: rate, CPUPct: 100 * u.Hollow.CPU.Seconds() / long.Seconds(),
+	c = Comparison{
+		Which: "hollow", Servers: set.Servers, AskedS: rate, CPUPct: 100 * u.Hollow.CPU.Seconds() / long.Seconds(),
 		MemoryMB: u.Hollow.MemoryMB, CallsS: float64(u.Hollow.Calls) / long.Seconds(),
-		ProbesS: float64(u.Hollow.Probes) / long.Seconds()}
+		ProbesS: float64(u.Hollow.Probes) / long.Seconds(),
+	}
 	c.list(u, long, busy)
 	return c, nil
 }
@@ -110,8 +113,10 @@
 
 func measureReal(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
 	network := fakes.Loopback()
-	fleet, err := fakes.NewFleet(network, set.Servers, fakes.ProviderOptions{ID: "t", Seed: 1, Cores: 64, Queue: 64,
-		IdleMost: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64}})
+	fleet, err := fakes.NewFleet(network, set.Servers, fakes.ProviderOptions{
+		ID: "t", Seed: 1, Cores: 64, Queue: 64,
+		IdleMost: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64},
+	})
 	if err != nil {
 		return c, err
 	}
@@ -167,8 +172,10 @@
 	go func() {
 		defer close(done)
 		if rate > 0 {
-			fakes.NewConsumers(fakes.Load{Network: network, Address: address, Seed: 1,
-				Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: rate}}, For: warmUp + window + time.Second}).Run(calling)
+			fakes.NewConsumers(fakes.Load{
+				Network: network, Address: address, Seed: 1,
+				Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: rate}}, For: warmUp + window + time.Second,
+			}).Run(calling)
 		}
 	}()
 	defer func() { stop(); <-done }()
@@ -189,8 +196,10 @@
 		return c, err
 	}
 	calls2, probes2 := reached(fleet)
-	c = Comparison{Which: "real", Servers: set.Servers, AskedS: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
-		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds()}
+	c = Comparison{
+		Which: "real", Servers: set.Servers, AskedS: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
+		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds(),
+	}
 	c.list(u, long, busy)
 	c.MemoryMB, err = resident(running.Pid())
 	return c, err
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"fmt"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
-
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/process"
 )
 
 // Plan says how long the scenes are.
@@ -37,8 +36,10 @@
 
 // Usual is the plan of the page.
 func Usual() Plan {
-	return Plan{Window: 10 * time.Second, CallsAll: 4000, CallsOne: 40, Restart: 300, Changes: 5, Burst: 40, Gap: 100 * time.Millisecond,
-		Settle: time.Second, Zone: 2 * time.Second, Within: 12 * time.Second}
+	return Plan{
+		Window: 10 * time.Second, CallsAll: 4000, CallsOne: 40, Restart: 300, Changes: 5, Burst: 40, Gap: 100 * time.Millisecond,
+		Settle: time.Second, Zone: 2 * time.Second, Within: 12 * time.Second,
+	}
 }
 
 // Figure is one of a row. Its name ends in its unit.
@@ -86,7 +87,8 @@
 	p.row("all start", slices.Concat(spreadFigures(times), p.traffic(after, 0), []Figure{
 		{"memory_mb_a_sidecar", after.Hollow.MemoryMB / float64(set.Sidecars)},
 		{"heap_mb_a_sidecar", after.Hollow.HeapMB / float64(set.Sidecars)},
-		{"memory_mb_all", after.Hollow.MemoryMB + after.Discovery.MemoryMB}}))
+		{"memory_mb_all", after.Hollow.MemoryMB + after.Discovery.MemoryMB},
+	}))
 	for _, scene := range p.scenes() {
 		if len(plan.Only) > 0 && !slices.Contains(plan.Only, scene.name) {
 			continue
@@ -108,8 +110,15 @@
 }
 
 func (*play) scenes() []scene {
-	return []scene{{"idle", (*play).idle}, {"calls", (*play).calls}, {"list", (*play).list}, {"burst", (*play).burst},
-		{"configuration", (*play).configuration}, {"zone", (*play).zone}, {"restart", (*play).restart}}
+	return []scene{
+		{"idle", (*play).idle},
+		{"calls", (*play).calls},
+		{"list", (*play).list},
+		{"burst", (*play).burst},
+		{"configuration", (*play).configuration},
+		{"zone", (*play).zone},
+		{"restart", (*play).restart},
+	}
 }
 
 func (p *play) row(scene string, figures []Figure) {
@@ -128,20 +137,33 @@
 func (p *play) traffic(u used, long time.Duration) []Figure {
 	t := u.Discovery.Discovery
 	if long == 0 {
-		return []Figure{{"calls", float64(t.Calls)}, {"whole", float64(t.Whole)}, {"turned_away", float64(t.TurnedAway)},
-			{"connections", float64(t.Connections)}, {"bytes_in", float64(t.BytesIn)}, {"bytes_out", float64(t.BytesOut)}}
+		return []Figure{
+			{"calls", float64(t.Calls)},
+			{"whole", float64(t.Whole)},
+			{"turned_away", float64(t.TurnedAway)},
+			{"connections", float64(t.Connections)},
+			{"bytes_in", float64(t.BytesIn)},
+			{"bytes_out", float64(t.BytesOut)},
+		}
 	}
 	s := long.Seconds() * float64(p.set.Sidecars)
-	return []Figure{{"list_calls_s", float64(t.Calls) / s}, {"list_whole", float64(t.Whole)},
-		{"list_turned_away", float64(t.TurnedAway)}, {"list_bytes_in_s", float64(t.BytesIn) / s},
-		{"list_bytes_out_s", float64(t.BytesOut) / s}}
+	return []Figure{
+		{"list_calls_s", float64(t.Calls) / s},
+		{"list_whole", float64(t.Whole)},
+		{"list_turned_away", float64(t.TurnedAway)},
+		{"list_bytes_in_s", float64(t.BytesIn) / s},
+		{"list_bytes_out_s", float64(t.BytesOut) / s},
+	}
 }
 
 // cpu is the processors' time, in % of a core, of a sidecar and of discovery for each sidecar.
 func (p *play) cpu(u used, long time.Duration) []Figure {
 	part := 100 / long.Seconds() / float64(p.set.Sidecars)
-	return []Figure{{"cpu_sidecar_pct", u.Hollow.CPU.Seconds() * part}, {"cpu_discovery_pct", u.Discovery.CPU.Seconds() * part},
-		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()}}
+	return []Figure{
+		{"cpu_sidecar_pct", u.Hollow.CPU.Seconds() * part},
+		{"cpu_discovery_pct", u.Discovery.CPU.Seconds() * part},
+		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
+	}
 }
 
 func (p *play) sleep(d time.Duration) func() error { return func() error { time.Sleep(d); return nil } }
@@ -165,8 +187,12 @@
 		return err
 	}
 	s := long.Seconds() * float64(p.set.Sidecars)
-	p.row(scene, slices.Concat(p.cpu(u, long), []Figure{{"calls_s", float64(u.Hollow.Calls) / s},
-		{"probes_s", float64(u.Hollow.Probes) / s}, {"refused", float64(u.Hollow.Refused)}, {"failed", float64(u.Hollow.Failed)}},
+	p.row(scene, slices.Concat(p.cpu(u, long), []Figure{
+		{"calls_s", float64(u.Hollow.Calls) / s},
+		{"probes_s", float64(u.Hollow.Probes) / s},
+		{"refused", float64(u.Hollow.Refused)},
+		{"failed", float64(u.Hollow.Failed)},
+	},
 		p.traffic(u, long)))
 	_, err = all(p.hollow, order{Op: "calls"})
 	return err
@@ -223,8 +249,12 @@
 	n := float64(p.set.Sidecars * p.plan.Burst)
 	extra := u.Hollow.CPU.Seconds() - quiet.Hollow.CPU.Seconds()/window.Seconds()*long.Seconds()
 	there := u.Discovery.CPU.Seconds() - quiet.Discovery.CPU.Seconds()/window.Seconds()*long.Seconds()
-	p.row("burst", slices.Concat(spreadFigures(times), []Figure{{"changes", float64(p.plan.Burst)}, {"cpu_us_a_change", extra * 1e6 / n},
-		{"discovery_us_a_change", there * 1e6 / n}, {"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()}},
+	p.row("burst", slices.Concat(spreadFigures(times), []Figure{
+		{"changes", float64(p.plan.Burst)},
+		{"cpu_us_a_change", extra * 1e6 / n},
+		{"discovery_us_a_change", there * 1e6 / n},
+		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
+	},
 		p.traffic(u, 0)))
 	return nil
 }
@@ -250,7 +280,8 @@
 		return err
 	}
 	p.row("configuration", slices.Concat(spreadFigures(times), []Figure{
-		{"cpu_us_a_sidecar", u.Hollow.CPU.Seconds() * 1e6 / float64(p.set.Sidecars)}, {"took_ms", ms(long)}}))
+		{"cpu_us_a_sidecar", u.Hollow.CPU.Seconds() * 1e6 / float64(p.set.Sidecars)}, {"took_ms", ms(long)},
+	}))
 	return nil
 }
 
@@ -284,8 +315,13 @@
 	if err != nil {
 		return err
 	}
-	p.row("zone lost", slices.Concat(spreadFigures(times), []Figure{{"lines", float64(len(lost))}, {"served", float64(u.Hollow.Served)},
-		{"refused", float64(u.Hollow.Refused)}, {"failed", float64(u.Hollow.Failed)}, {"unreached", float64(u.Hollow.Unreached)}},
+	p.row("zone lost", slices.Concat(spreadFigures(times), []Figure{
+		{"lines", float64(len(lost))},
+		{"served", float64(u.Hollow.Served)},
+		{"refused", float64(u.Hollow.Refused)},
+		{"failed", float64(u.Hollow.Failed)},
+		{"unreached", float64(u.Hollow.Unreached)},
+	},
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
 	back := slices.Clone(lost)
 	for i := range back {
@@ -316,10 +352,14 @@
 			warm += n
 		}
 	}
-	p.row("zone back", slices.Concat(spreadFigures(times), []Figure{{"lines", float64(len(lost))},
+	p.row("zone back", slices.Concat(spreadFigures(times), []Figure{
+		{"lines", float64(len(lost))},
 		{"cold_of_warm", cold / float64(len(lost)) / max(1e-9, warm/float64(len(p.members)-len(lost)))},
 		{"coldest_most_of_warm", coldMost / max(1e-9, warm/float64(len(p.members)-len(lost)))},
-		{"served", float64(u.Hollow.Served)}, {"refused", float64(u.Hollow.Refused)}, {"failed", float64(u.Hollow.Failed)}},
+		{"served", float64(u.Hollow.Served)},
+		{"refused", float64(u.Hollow.Refused)},
+		{"failed", float64(u.Hollow.Failed)},
+	},
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
 	_, err = all(p.hollow, order{Op: "calls"})
 	return err
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -6,11 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"strconv"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/discovery"
@@ -19,6 +14,10 @@
 	"plankrouter/internal/request"
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/staleness"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 // sidecar is a hollow one. Its parts are put together as the program does it.
@@ -79,20 +78,24 @@
 	s.stop = stop
 	budget := connlimit.NewBudget(cfg.Limits.Sockets, connlimit.TCP)
 	var pool *dispatch.Pool
-	if s.watch, err = discovery.New(discovery.Options{Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Known: cfg.Known,
+	if s.watch, err = discovery.New(discovery.Options{
+		Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Known: cfg.Known,
 		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
 		Told: func(l endpoints.List, at time.Time) {
 			pool.Told(l, at)
 			pool.Counts() // answered once the list is in force
 			s.hear(l.Revision)
 		},
-		Trust: func(t staleness.Trust) { pool.Trust(t) }}); err != nil {
+		Trust: func(t staleness.Trust) { pool.Trust(t) },
+	}); err != nil {
 		stop()
 		return err
 	}
-	if pool, err = dispatch.New(dispatch.Options{Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Logic: cfg.Logic,
+	if pool, err = dispatch.New(dispatch.Options{
+		Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Logic: cfg.Logic,
 		Seed: s.seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known, Caller: s.tiles,
-		Whole: cfg.Settings.Whole, Saw: s.watch.Saw}); err != nil {
+		Whole: cfg.Settings.Whole, Saw: s.watch.Saw,
+	}); err != nil {
 		stop()
 		return err
 	}
@@ -176,8 +179,10 @@
 	if err != nil {
 		return err
 	}
-	if err := s.core.Change(dispatch.Change{Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
-		Deployment: deployment, DrainGrace: next.DrainGrace}); err != nil {
+	if err := s.core.Change(dispatch.Change{
+		Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
+		Deployment: deployment, DrainGrace: next.DrainGrace,
+	}); err != nil {
 		return err
 	}
 	s.watch.Move(next.Discovery)
@@ -208,8 +213,10 @@
 		case <-timer.C:
 		}
 		if rate > 0 {
-			pool.Take(&request.Invocation{ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Patience: patience,
-				Verb: "GET", Target: "/tile/1", Answer: s.answered})
+			pool.Take(&request.Invocation{
+				ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Patience: patience,
+				Verb: "GET", Target: "/tile/1", Answer: s.answered,
+			})
 		}
 	}
 }
--- a/internal/testbench/simulated/simulated_test.go
+++ b/internal/testbench/simulated/simulated_test.go
@@ -10,8 +10,10 @@
 // given up for being late: an agent's watch is, within 0.3 s, and a busy machine must not change the verdict.
 func TestPlay(t *testing.T) {
 	const sidecars, restarted, servers, changes, many = 20, 6, 16, 2, 1e9
-	plan := Plan{Window: 400 * time.Millisecond, CallsAll: 400, CallsOne: 20, Restart: restarted, Changes: changes, Burst: 4,
-		Gap: 10 * time.Millisecond, Settle: 100 * time.Millisecond, Zone: 400 * time.Millisecond, Within: time.Minute}
+	plan := Plan{
+		Window: 400 * time.Millisecond, CallsAll: 400, CallsOne: 20, Restart: restarted, Changes: changes, Burst: 4,
+		Gap: 10 * time.Millisecond, Settle: 100 * time.Millisecond, Zone: 400 * time.Millisecond, Within: time.Minute,
+	}
 	patient := map[string]float64{"wait_ms": 60000, "least_wait_ms": 60000, "patience_ms": 60000, "least_patience_ms": 60000}
 	type want struct {
 		scene, figure string
@@ -43,8 +45,10 @@
 	}
 	for kind, wants := range map[string][]want{Pushed: both, OnRequest: append(exact, both...)} {
 		t.Run(kind, func(t *testing.T) {
-			rows, err := Play(t.Context(), Setup{Kind: kind, Sidecars: sidecars, PerPart: 8, Servers: servers, ProbePrice: 0.0046,
-				Watch: patient, StartMost: time.Minute}, plan)
+			rows, err := Play(t.Context(), Setup{
+				Kind: kind, Sidecars: sidecars, PerPart: 8, Servers: servers, ProbePrice: 0.0046,
+				Watch: patient, StartMost: time.Minute,
+			}, plan)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testbench/simulated/tiles.go
+++ b/internal/testbench/simulated/tiles.go
@@ -1,13 +1,12 @@
 package simulated
 
 import (
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 // The times that a stand-in tile server takes, from an attempt's start to its end.
@@ -120,8 +119,10 @@
 			return
 		}
 		if result.Ending == outcome.Served {
-			result.Report = policy.Report{HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
-				Latency: float64(callTakes) / float64(time.Millisecond)}
+			result.Report = policy.Report{
+				HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
+				Latency: float64(callTakes) / float64(time.Millisecond),
+			}
 		}
 		task.Ended(result)
 	})
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -8,13 +8,12 @@
 	"math"
 	"os"
 	"os/exec"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"time"
 
 	"golang.org/x/sync/errgroup"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // The kinds of discovery, in the settings' words.
@@ -117,8 +116,10 @@
 // servers makes the list, a zone after another.
 func servers(n int) (members []fakes.Member) {
 	for i := range n {
-		members = append(members, fakes.Member{ID: "t-" + strconv.Itoa(i), Address: serverAddress(0, i), Locality: zone(i % zones),
-			Phase: fakes.Serving})
+		members = append(members, fakes.Member{
+			ID: "t-" + strconv.Itoa(i), Address: serverAddress(0, i), Locality: zone(i % zones),
+			Phase: fakes.Serving,
+		})
 	}
 	return members
 }
@@ -134,9 +135,11 @@
 func (w *world) template() ([]byte, error) {
 	tile := fakes.Tile()
 	tile.Aim = w.aim
-	return fakes.Config(fakes.Sidecar{Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
+	return fakes.Config(fakes.Sidecar{
+		Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
 		Classes: []fakes.Class{tile}, Sockets: places, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
-		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmIn, Edit: w.edit})
+		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmIn, Edit: w.edit,
+	})
 }
 
 func (w *world) edit(document map[string]any) {
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -4,11 +4,10 @@
 	"cmp"
 	"fmt"
 	"math"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // What the rules allow, measured at clients and servers.
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -17,11 +16,13 @@
 
 // sound is a record in which nothing is broken: an order that was served by s1.
 func sound() *record {
-	return &record{start: epoch, slack: ms(10), window: ms(900),
+	return &record{
+		start: epoch, slack: ms(10), window: ms(900),
 		requests: []*request{{id: "n0-1", class: classesFor(1500 * time.Millisecond)[2], begunAt: after(100), sentAt: after(101), answeredAt: after(130), status: 200}},
 		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Answered}, 0}},
 		starts:   map[string][]time.Time{}, births: map[int][]time.Time{0: {epoch}}, heard: map[heardOf][]time.Time{},
-		killed: func(int, time.Time, time.Time) bool { return false }, faults: map[string][]string{}}
+		killed: func(int, time.Time, time.Time) bool { return false }, faults: map[string][]string{},
+	}
 }
 
 // again adds an attempt that was sent at that moment.
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -3,11 +3,10 @@
 import (
 	"io"
 	"net"
+	"plankrouter/internal/testbench/fakes"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -6,10 +6,9 @@
 	"fmt"
 	"io"
 	"maps"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -5,10 +5,9 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/testbench/recovery"
 	"testing"
 	"time"
-
-	"plankrouter/internal/testbench/recovery"
 )
 
 func TestMain(m *testing.M) {
@@ -33,8 +32,10 @@
 		seed uint64
 		only []Kind
 	}{{1, nil}, {2, nil}, {8, ends}, {12, ends}, {14, ends}} {
-		report, err := Run(t.Context(), Options{Program: program, Dir: t.TempDir(), Seed: run.seed, Sidecars: 4, Servers: 5, Rate: 15,
-			For: 12 * time.Second, Only: run.only, Slack: time.Second})
+		report, err := Run(t.Context(), Options{
+			Program: program, Dir: t.TempDir(), Seed: run.seed, Sidecars: 4, Servers: 5, Rate: 15,
+			For: 12 * time.Second, Only: run.only, Slack: time.Second,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -12,15 +12,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strconv"
 	"sync"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/testbench/fakes"
 )
 
 const (
@@ -101,13 +100,15 @@
 
 // configure writes the configuration in one step, as whoever replaces a file that others read.
 func (s *sidecar) configure(discovery string, seed uint64, edit func(map[string]any)) error {
-	raw, err := fakes.Config(fakes.Sidecar{Name: s.name, Listen: s.address, Seed: seed, Directory: discovery, Known: s.known,
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: s.name, Listen: s.address, Seed: seed, Directory: discovery, Known: s.known,
 		Sockets: s.sockets, ConnIdle: connIdle, Connect: s.connect, DrainGrace: drainGrace, WarmIn: warmIn,
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = s.admin
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": s.path("snapshot"), "every_ms": 500}}
 			edit(d)
-		}})
+		},
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/testbench/soak/troubles.go
+++ b/internal/testbench/soak/troubles.go
@@ -5,12 +5,11 @@
 import (
 	"context"
 	"fmt"
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"syscall"
 	"time"
-
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/testbench/fakes"
 )
 
 // begin plays a trouble, in its own time.
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -4,13 +4,12 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"plankrouter/internal/testbench/fakes"
 )
 
 // The nature of servers and the settings of sidecars. A server in slow start bears so little that one which is taken for warm gets
@@ -64,10 +63,12 @@
 
 func (o Options) variant() variant {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x7a))
-	return variant{sockets: one(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
+	return variant{
+		sockets: one(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
 		longest: one(rng, 500*time.Millisecond, 1500*time.Millisecond, 1500*time.Millisecond, 3*time.Second),
 		connect: one(rng, 150*time.Millisecond, 400*time.Millisecond, 1200*time.Millisecond), crowd: rng.IntN(3) == 0,
-		window: one(rng, 300*time.Millisecond, 900*time.Millisecond)}
+		window: one(rng, 300*time.Millisecond, 900*time.Millisecond),
+	}
 }
 
 func one[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
@@ -134,8 +135,10 @@
 	}()
 	var members []fakes.Member
 	for i := range o.Servers {
-		p, err := fakes.NewProvider(w.network, fakes.ProviderOptions{ID: fmt.Sprintf("s%d-0", i), Seed: o.Seed + uint64(i), Cores: cores,
-			Queue: queue, Default: fakes.Service{Mean: meanWork, Body: 200}, IdleMost: connIdle, Connect: time.Millisecond})
+		p, err := fakes.NewProvider(w.network, fakes.ProviderOptions{
+			ID: fmt.Sprintf("s%d-0", i), Seed: o.Seed + uint64(i), Cores: cores,
+			Queue: queue, Default: fakes.Service{Mean: meanWork, Body: 200}, IdleMost: connIdle, Connect: time.Millisecond,
+		})
 		if err != nil {
 			return w, err
 		}
@@ -156,8 +159,10 @@
 		w.directories = append(w.directories, d)
 	}
 	for i := range o.Sidecars {
-		s, err := newSidecar(identity{number: i, program: o.Program, dir: o.Dir, variant: w.variant,
-			known: fakes.List{Revision: 1, Members: members}}, o.Seed+uint64(i), w.network, w.edit(0), w.directories[0].Address())
+		s, err := newSidecar(identity{
+			number: i, program: o.Program, dir: o.Dir, variant: w.variant,
+			known: fakes.List{Revision: 1, Members: members},
+		}, o.Seed+uint64(i), w.network, w.edit(0), w.directories[0].Address())
 		if err != nil {
 			return w, err
 		}
@@ -191,8 +196,10 @@
 		safety["StartCapacity"], safety["TipMultiple"], safety["FallMs"] = startCapacity, tipMultiple, fallFor.Milliseconds()
 		all := []any{}
 		for _, c := range classes {
-			all = append(all, map[string]any{"Name": c.name, "AimMs": 300 + 10*(times%5), "HardLimitMs": c.deadline.Milliseconds(), "Credit": 1,
-				"Repeat": c.repeat, "KeyScope": "all", "MemorySpanMs": w.variant.window.Milliseconds()})
+			all = append(all, map[string]any{
+				"Name": c.name, "AimMs": 300 + 10*(times%5), "HardLimitMs": c.deadline.Milliseconds(), "Credit": 1,
+				"Repeat": c.repeat, "KeyScope": "all", "MemorySpanMs": w.variant.window.Milliseconds(),
+			})
 		}
 		settings["RequestClasses"] = all
 	}
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -12,8 +12,10 @@
 const pause = 20 * time.Millisecond
 
 // local are the errors in which nothing has left this machine: it lacks something that it may have again soon.
-var local = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
-	syscall.ENETDOWN}
+var local = []error{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
+	syscall.ENETDOWN,
+}
 
 // momentary are those of files and calls that were interrupted.
 var momentary = []error{syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ESTALE}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -4,11 +4,10 @@
 package upstream
 
 import (
-	"time"
-
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
+	"time"
 )
 
 // Caller carries the attempts of one pool. All methods are called by the pool's goroutine alone and must not block.
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -7,16 +7,15 @@
 	"errors"
 	"fmt"
 	"net"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"plankrouter/internal/outcome"
-	"plankrouter/internal/request"
-	"plankrouter/internal/upstream"
 )
 
 // Harness is what the suite has to know of a protocol.
@@ -82,8 +81,10 @@
 func (s *stage) begin(number int, notAfter, expires time.Time) upstream.Call {
 	task := upstream.Task{Wait: time.Second, NotAfter: notAfter, Expires: expires, Ended: func(r upstream.Result) { s.reports <- report{number, r} }}
 	if number > 0 {
-		s.last = &request.Invocation{ID: fmt.Sprint("id", number), Verb: "POST", Target: "/order/1", Body: []byte("x"),
-			Gone: s.gone.Load}
+		s.last = &request.Invocation{
+			ID: fmt.Sprint("id", number), Verb: "POST", Target: "/order/1", Body: []byte("x"),
+			Gone: s.gone.Load,
+		}
 		task.Invocation = s.last
 	}
 	return s.at.Start(task)
--- a/middleware/errors.go
+++ b/middleware/errors.go
@@ -7,9 +7,8 @@
 	"math"
 	"net/http"
 	"os"
-	"strconv"
-
 	"plankrouter"
+	"strconv"
 )
 
 // Status returns the status that stands for an error of Do, of a plankrouter.Transport or of this package:
--- a/middleware/gin/example_test.go
+++ b/middleware/gin/example_test.go
@@ -6,11 +6,11 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"plankrouter"
+	"plankrouter/middleware"
 
 	"github.com/gin-gonic/gin"
 
-	"plankrouter"
-	"plankrouter/middleware"
 	plankroutergin "plankrouter/middleware/gin"
 )
 
@@ -21,7 +21,8 @@
 	}))
 	defer server.Close()
 	b, err := plankrouter.New(plankrouter.Options{
-		Members: []plankrouter.Member{{Address: server.Listener.Addr().String()}}})
+		Members: []plankrouter.Member{{Address: server.Listener.Addr().String()}},
+	})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/middleware/gin/plankroutergin.go
+++ b/middleware/gin/plankroutergin.go
@@ -4,11 +4,10 @@
 
 import (
 	"net/http"
-
-	"github.com/gin-gonic/gin"
-
 	"plankrouter"
 	"plankrouter/middleware"
+
+	"github.com/gin-gonic/gin"
 )
 
 // Handler is middleware.Handler. Where the request was cancelled nothing is written by it, but Gin ends such a request
--- a/middleware/handler.go
+++ b/middleware/handler.go
@@ -3,10 +3,9 @@
 import (
 	"net/http"
 	"net/http/httputil"
+	"plankrouter"
 	"strconv"
 	"strings"
-
-	"plankrouter"
 )
 
 // Handler returns a handler that serves each request by one of b's servers, with one Do under the request's context. An
@@ -76,8 +75,10 @@
 	if h.set.Tenant == nil && h.set.TenantHeader == "" {
 		said.tenant = plankrouter.TenantOf(ctx)
 	}
-	return h.b.Do(ctx, &plankrouter.Request{Class: said.class, Tenant: said.tenant, ID: said.id,
-		Method: r.Method, Target: r.URL.RequestURI(), Header: h.header(r), Body: body})
+	return h.b.Do(ctx, &plankrouter.Request{
+		Class: said.class, Tenant: said.tenant, ID: said.id,
+		Method: r.Method, Target: r.URL.RequestURI(), Header: h.header(r), Body: body,
+	})
 }
 
 // header returns what goes to the server; Do leaves out what is of one connection.
@@ -97,8 +98,10 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range []string{"Connection", "Forwarded", "X-Forwarded-For", "X-Forwarded-Host",
-		"X-Forwarded-Proto"} {
+	for _, name := range []string{
+		"Connection", "Forwarded", "X-Forwarded-For", "X-Forwarded-Host",
+		"X-Forwarded-Proto",
+	} {
 		out.Del(name)
 	}
 	proxied := httputil.ProxyRequest{In: r, Out: &http.Request{Header: out}}
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-
 	"plankrouter"
 )
 
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"net/http"
-	"testing"
-
 	"plankrouter"
 	"plankrouter/middleware"
 	"plankrouter/middleware/middlewaretest"
+	"testing"
 )
 
 func TestAdapter(t *testing.T) {
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -20,16 +20,15 @@
 	"io"
 	"log"
 	"net/http"
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/middleware"
 	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/middleware"
 )
 
 // Adapter is what is tested. Both functions return the whole application as an http.Handler, such as a framework's
@@ -112,10 +111,14 @@
 	}))
 	defer server.Close()
 
-	o := plankrouter.Options{Seed: 1, Sockets: plankrouter.NewSockets(16, net.Dial),
-		Classes: []plankrouter.Class{{Name: "tile", Aim: 750 * ms, Deadline: 2500 * ms},
-			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Repeat: plankrouter.Once}},
-		Members: []plankrouter.Member{{Address: address}}}
+	o := plankrouter.Options{
+		Seed: 1, Sockets: plankrouter.NewSockets(16, net.Dial),
+		Classes: []plankrouter.Class{
+			{Name: "tile", Aim: 750 * ms, Deadline: 2500 * ms},
+			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Repeat: plankrouter.Once},
+		},
+		Members: []plankrouter.Member{{Address: address}},
+	}
 	if r.balancer != nil {
 		r.balancer(&o)
 	}
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -18,13 +18,12 @@
 	"io"
 	"math"
 	"net/http"
+	"plankrouter"
+	"plankrouter/internal/http1"
 	"runtime/debug"
 	"strconv"
 	"strings"
 	"time"
-
-	"plankrouter"
-	"plankrouter/internal/http1"
 )
 
 // Options say what is read from a request that comes in, and what is made of it. The zero value trusts no header. The
@@ -149,8 +148,10 @@
 	if o.DeadlineHeader != "" && len(r.Header.Values(o.DeadlineHeader)) > 0 {
 		s, bad := strconv.ParseFloat(within, 64)
 		if bad != nil || !(s > 0) || math.IsInf(s, 0) {
-			return said, &plankrouter.RequestError{Field: o.DeadlineHeader,
-				Why: fmt.Sprintf("%q is not a number of seconds above 0", within)}
+			return said, &plankrouter.RequestError{
+				Field: o.DeadlineHeader,
+				Why:   fmt.Sprintf("%q is not a number of seconds above 0", within),
+			}
 		}
 		said.within = max(1, time.Duration(min(s, longest.Seconds())*float64(time.Second)))
 	}
--- a/options.go
+++ b/options.go
@@ -9,11 +9,10 @@
 	"math"
 	"math/rand/v2"
 	"net"
-	"time"
-
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
+	"time"
 )
 
 // round is, in ms, how soon the core takes up what has happened, at the latest on a machine that is not overloaded. A call is
@@ -170,8 +169,12 @@
 		option string
 		v      *time.Duration
 		none   time.Duration
-	}{{"Connect", &o.Connect, 150 * time.Millisecond}, {"ConnIdle", &o.ConnIdle, time.Minute},
-		{"DrainGrace", &o.DrainGrace, 750 * time.Millisecond}, {"AdviceMost", &o.AdviceMost, time.Second}} {
+	}{
+		{"Connect", &o.Connect, 150 * time.Millisecond},
+		{"ConnIdle", &o.ConnIdle, time.Minute},
+		{"DrainGrace", &o.DrainGrace, 750 * time.Millisecond},
+		{"AdviceMost", &o.AdviceMost, time.Second},
+	} {
 		if *d.v < 0 {
 			return bad(d.option, "%s is negative", *d.v)
 		}
@@ -255,10 +258,12 @@
 // logic words the options for the decision module.
 func (o *Options) logic() policy.Config {
 	ms := func(d time.Duration) policy.Ms { return float64(d) / float64(time.Millisecond) }
-	cfg := policy.Config{OverShareWorth: o.OverShare, Balancers: o.Instances, Probes: o.Probes, Cancel: true,
+	cfg := policy.Config{
+		OverShareWorth: o.OverShare, Balancers: o.Instances, Probes: o.Probes, Cancel: true,
 		MaxAttempts: o.Attempts, MaxRetryAfter: ms(o.AdviceMost), Round: round, CrossPrice: o.ZonePrice,
 		WastePrice: o.WastePrice, ColdShare: o.Cold.Share, WarmWithin: ms(o.Cold.Within), TipMultiple: o.Cold.Multiple,
-		TipWindow: ms(o.Cold.Window)}
+		TipWindow: ms(o.Cold.Window),
+	}
 	for _, c := range o.Classes {
 		k := policy.Class{Aim: ms(c.Aim), Deadline: ms(c.Deadline), Worth: c.Worth}
 		if c.Repeat == Once {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,11 +1,10 @@
 package policy
 
 import (
-	"slices"
-	"testing"
-
 	"plankrouter/internal/limit"
 	"plankrouter/policy/internal/probepool"
+	"slices"
+	"testing"
 )
 
 // An answer after the aim earns nothing, but given up at the aim the client asks again: the work was in vain, and more
@@ -52,8 +51,15 @@
 		rif          float64
 		latency, all Ms
 		want         bool
-	}{{4, 200, 0, true}, {4, 250, 0, false}, {1, 250, 0, true}, {1, 460, 0, true}, {1, 500, 0, false},
-		{4, 900, 120, true}, {4, 900, 170, false}} {
+	}{
+		{4, 200, 0, true},
+		{4, 250, 0, false},
+		{1, 250, 0, true},
+		{1, 460, 0, true},
+		{1, 500, 0, false},
+		{4, 900, 120, true},
+		{4, 900, 170, false},
+	} {
 		s.rif, s.latency = c.rif, c.latency
 		if g.b.fleetLatency = c.all; c.all == 0 {
 			g.b.fleetLatency = c.latency
@@ -155,8 +161,10 @@
 			case Send:
 				acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
 			case Probe:
-				acts = append(acts, g.do(Event{Kind: ProbeDone, Server: a.Server, Took: 1,
-					Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})...)
+				acts = append(acts, g.do(Event{
+					Kind: ProbeDone, Server: a.Server, Took: 1,
+					Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
+				})...)
 			}
 		}
 	}
@@ -180,8 +188,10 @@
 				switch a := acts[0]; a.Kind {
 				case Probe:
 					probes++
-					acts = append(acts, g.do(Event{Kind: ProbeDone, Server: a.Server, Took: 1,
-						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})...)
+					acts = append(acts, g.do(Event{
+						Kind: ProbeDone, Server: a.Server, Took: 1,
+						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
+					})...)
 				case Send:
 					asked++
 					acts = append(acts, g.done(id, 0, a.Server, OK)...)
--- a/policy/advice_test.go
+++ b/policy/advice_test.go
@@ -21,8 +21,10 @@
 		b := Balancer{cfg: Config{MaxRetryAfter: 1200}, fleetLatency: c.service}
 		got[name] = b.comeBack(&request{over: c.over})
 	}
-	want := map[string]Ms{"by the time the work in hand has left": 300, "nothing is known yet": serverPrior,
-		"slower than clients follow": 1200, "beyond the tenant's share": 1200}
+	want := map[string]Ms{
+		"by the time the work in hand has left": 300, "nothing is known yet": serverPrior,
+		"slower than clients follow": 1200, "beyond the tenant's share": 1200,
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -7,7 +7,6 @@
 import (
 	"errors"
 	"fmt"
-
 	"plankrouter/policy/internal/outlier"
 )
 
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -10,8 +10,10 @@
 type kept struct{ Servers, ByID, Requests, Waiting, Pool, RIFs, Tallies, OutAll int }
 
 func (b *Balancer) kept() kept {
-	h := kept{Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waiting),
-		Pool: b.pool.Len(), RIFs: len(b.rifs), OutAll: b.outAll}
+	h := kept{
+		Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waiting),
+		Pool: b.pool.Len(), RIFs: len(b.rifs), OutAll: b.outAll,
+	}
 	for _, s := range b.servers {
 		h.Tallies += len(s.by)
 	}
@@ -38,8 +40,10 @@
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
 				case Probe:
-					e := Event{Kind: ProbeDone, Server: a.Server, Took: 1, Status: []Status{OK, OK, TimedOut, NoConnection}[i%4],
-						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}}
+					e := Event{
+						Kind: ProbeDone, Server: a.Server, Took: 1, Status: []Status{OK, OK, TimedOut, NoConnection}[i%4],
+						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
+					}
 					acts = append(acts, g.do(e)...)
 				case Send:
 					if i%5 == 0 {
@@ -47,8 +51,10 @@
 						continue
 					}
 					how := []Status{OK, Failed, Reset, NoConnection, Full, TimedOut}[i%6]
-					acts = append(acts, g.do(Event{Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: how, Took: 40,
-						Final: how == OK})...)
+					acts = append(acts, g.do(Event{
+						Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: how, Took: 40,
+						Final: how == OK,
+					})...)
 				}
 			}
 			if len(open) > 0 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-
 	"plankrouter/policy"
 )
 
--- a/policy/logic.go
+++ b/policy/logic.go
@@ -10,11 +10,10 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"slices"
-
 	"plankrouter/internal/limit"
 	"plankrouter/policy/internal/overload"
 	"plankrouter/policy/internal/probepool"
+	"slices"
 )
 
 const tickEvery = 50.0 // ms between looks at what moves without traffic
@@ -71,8 +70,10 @@
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), minAim: -never,
-		byID: map[ServerID]*server{}, requests: map[RequestID]*request{}, hotRIF: -never, sureAt: -never}
+	b := &Balancer{
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), minAim: -never,
+		byID: map[ServerID]*server{}, requests: map[RequestID]*request{}, hotRIF: -never, sureAt: -never,
+	}
 	aims, targets := 0.0, []Ms(nil)
 	for _, c := range cfg.Classes {
 		targets = append(targets, c.Aim)
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -1,10 +1,9 @@
 package policy
 
 import (
-	"testing"
-
 	"plankrouter/internal/limit"
 	"plankrouter/policy/internal/outlier"
+	"testing"
 )
 
 // testConfig has one class of each kind and ten servers' worth of room.
@@ -57,16 +56,20 @@
 }
 
 func (g *rig) done(id RequestID, attempt int, s ServerID, st Status) []Action {
-	return g.answer(g.do(Event{Kind: AttemptDone, Request: id, Attempt: attempt, Server: s, Status: st, Took: 40,
-		Final: st == OK}))
+	return g.answer(g.do(Event{
+		Kind: AttemptDone, Request: id, Attempt: attempt, Server: s, Status: st, Took: 40,
+		Final: st == OK,
+	}))
 }
 
 // answer answers the probes that a request waits for at once, with the loads known already.
 func (g *rig) answer(acts []Action) []Action {
 	for i := 0; i < len(acts) && len(g.b.waiting) > 0; i++ {
 		if s := g.b.byID[acts[i].Server]; acts[i].Kind == Probe {
-			acts = append(acts, g.do(Event{Kind: ProbeDone, Server: acts[i].Server, Took: 1,
-				Report: Report{HasRIF: true, HasLatency: true, RIF: s.rif, Latency: g.b.service(s)}})...)
+			acts = append(acts, g.do(Event{
+				Kind: ProbeDone, Server: acts[i].Server, Took: 1,
+				Report: Report{HasRIF: true, HasLatency: true, RIF: s.rif, Latency: g.b.service(s)},
+			})...)
 		}
 	}
 	return acts
@@ -78,8 +81,10 @@
 	for ; len(acts) > 0; acts = acts[1:] {
 		switch a := acts[0]; a.Kind {
 		case Probe:
-			acts = append(acts, g.do(Event{Kind: ProbeDone, Server: a.Server, Took: 1,
-				Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})...)
+			acts = append(acts, g.do(Event{
+				Kind: ProbeDone, Server: a.Server, Took: 1,
+				Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
+			})...)
 		case Send:
 			to = a.Server
 			acts = append(acts, g.done(id, 0, a.Server, OK)...)
@@ -311,8 +316,10 @@
 			if i == 1 {
 				rif = 0
 			}
-			sent = find(g.do(Event{Kind: ProbeDone, Server: s, Took: 1,
-				Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40}}), Send)
+			sent = find(g.do(Event{
+				Kind: ProbeDone, Server: s, Took: 1,
+				Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
+			}), Send)
 		}
 		g.now += syncPart*g.b.minAim + 5
 		for i := range 2*syncRounds + 1 {
@@ -334,7 +341,13 @@
 // Few sidecars choose among all.
 func TestReachFollowsTheNumberOfSidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, want int }{
-		{1, 64, 64}, {5, 12, 12}, {1000, 1, 1}, {1000, 2, 2}, {1000, 64, 8}, {1000, 65, 8}, {1000, 1000, 128},
+		{1, 64, 64},
+		{5, 12, 12},
+		{1000, 1, 1},
+		{1000, 2, 2},
+		{1000, 64, 8},
+		{1000, 65, 8},
+		{1000, 1000, 128},
 		{100000, 1000, limit.LeastReach},
 	} {
 		cfg := testConfig()
@@ -393,8 +406,10 @@
 		trusted     bool
 	}{{0, 0, true}, {1, 0, true}, {60, 0, false}, {60, 3 * outlier.HalfLife, true}} {
 		g := newRig(t, testConfig(), 6)
-		g.do(Event{Kind: ProbeDone, Server: 4, Took: 1, Report: Report{HasRIF: true, HasLatency: true,
-			HasErrors: true, Latency: 40, Errors: c.errors}})
+		g.do(Event{Kind: ProbeDone, Server: 4, Took: 1, Report: Report{
+			HasRIF: true, HasLatency: true,
+			HasErrors: true, Latency: 40, Errors: c.errors,
+		}})
 		g.now += c.age
 		g.do(Event{Kind: TimerDue, Timer: tickTimer})
 		if got := g.b.trusted(g.b.byID[4]); got != c.trusted {
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -1,9 +1,8 @@
 package policy
 
 import (
-	"testing"
-
 	"plankrouter/policy/internal/probepool"
+	"testing"
 )
 
 // newFleetWithoutProbes is newFleetOfOthers where no probes are allowed: answers alone tell of servers.
@@ -86,8 +85,10 @@
 	g.b.cfg.Probes, g.b.pool = false, probepool.Pool[*server]{}
 	s := find(g.arrive(1, 0), Send)
 	g.now += 50
-	g.do(Event{Kind: AttemptDone, Request: 1, Server: s.Server, Status: OK, Took: 50, Final: true,
-		Report: Report{HasRIF: true, HasLatency: true, RIF: 30, Latency: 70}})
+	g.do(Event{
+		Kind: AttemptDone, Request: 1, Server: s.Server, Status: OK, Took: 50, Final: true,
+		Report: Report{HasRIF: true, HasLatency: true, RIF: 30, Latency: 70},
+	})
 	of := g.b.byID[s.Server]
 	if of.rif != 30 || of.latency != 70 || of.reportAt != g.now || g.b.pool.Len() != 1 {
 		t.Errorf("30 in flight and 70 ms were reported; the server is taken to have %g and %g, the pool holds %d", of.rif,
--- a/policy/overload_cases_test.go
+++ b/policy/overload_cases_test.go
@@ -9,17 +9,23 @@
 		change func(f *fleetOfOthers) // after ten seconds in which all is well
 	}{
 		"a quiet sidecar becomes the busiest": {
-			func(f *fleetOfOthers) { f.every = 2000 }, func(f *fleetOfOthers) { f.every = 25 }},
+			func(f *fleetOfOthers) { f.every = 2000 }, func(f *fleetOfOthers) { f.every = 25 },
+		},
 		"servers refuse probes and serve": {
-			func(f *fleetOfOthers) { f.mute = true }, func(*fleetOfOthers) {}},
+			func(f *fleetOfOthers) { f.mute = true }, func(*fleetOfOthers) {},
+		},
 		"one in ten turns cold and slow": {
-			func(*fleetOfOthers) {}, func(f *fleetOfOthers) { f.slow = 4 }},
+			func(*fleetOfOthers) {}, func(f *fleetOfOthers) { f.slow = 4 },
+		},
 		"the list grows from 40 to 2,000": {
-			func(*fleetOfOthers) {}, func(f *fleetOfOthers) { f.list(2000) }},
+			func(*fleetOfOthers) {}, func(f *fleetOfOthers) { f.list(2000) },
+		},
 		"the list shrinks from 400 to 13": {
-			func(f *fleetOfOthers) { f.list(400) }, func(f *fleetOfOthers) { f.list(13) }},
+			func(f *fleetOfOthers) { f.list(400) }, func(f *fleetOfOthers) { f.list(13) },
+		},
 		"a tenth of the servers is gone": {
-			func(*fleetOfOthers) {}, func(f *fleetOfOthers) { f.gone = 4 }},
+			func(*fleetOfOthers) {}, func(f *fleetOfOthers) { f.gone = 4 },
+		},
 	} {
 		for _, queues := range []bool{true, false} {
 			f := newFleetOfOthers(t, 40, 300, queues)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -35,8 +35,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleetOfOthers{rig: &rig{t: t, b: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, queues: queues,
-		every: 50}
+	f := &fleetOfOthers{
+		rig: &rig{t: t, b: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, queues: queues,
+		every: 50,
+	}
 	f.act(f.do(Event{Kind: Started}))
 	f.list(servers)
 	return f
@@ -79,8 +81,10 @@
 			if took > a.After || a.Server <= f.gone {
 				took, status = a.After, TimedOut
 			}
-			f.due = append(f.due, due{f.now + took, Event{Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: status,
-				Took: took, Final: status == OK}})
+			f.due = append(f.due, due{f.now + took, Event{
+				Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: status,
+				Took: took, Final: status == OK,
+			}})
 		case SetTimer:
 			f.due = append(f.due, due{f.now + a.After, Event{Kind: TimerDue, Timer: a.Timer}})
 		}
@@ -131,8 +135,10 @@
 	for name, c := range map[string]struct {
 		queues bool
 		told   int // of 300 sidecars
-	}{"probes queue": {true, 300}, "probes don't": {false, 300}, "four times too many told": {false, 1200},
-		"a quarter told": {false, 75}} {
+	}{
+		"probes queue": {true, 300}, "probes don't": {false, 300}, "four times too many told": {false, 1200},
+		"a quarter told": {false, 75},
+	} {
 		f := newFleetOfOthers(t, 40, c.told, c.queues)
 		f.run(10e3)
 		if part := f.run(20e3); part < 0.97 {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -1,16 +1,17 @@
 package policy
 
 import (
-	"testing"
-
 	"plankrouter/internal/limit"
+	"testing"
 )
 
 // A server whose probes fail is asked less and less often, however many requests wait for news, and is found again within a
 // bounded time even when nobody asks for anything. Requests go elsewhere meanwhile.
 func TestFailedProbesBackOff(t *testing.T) {
-	for name, status := range map[string]Status{"refused": NoConnection, "draining": Failed, "turned away": Full,
-		"silent": TimedOut} {
+	for name, status := range map[string]Status{
+		"refused": NoConnection, "draining": Failed, "turned away": Full,
+		"silent": TimedOut,
+	} {
 		g := newRig(t, testConfig(), 4)
 		down, probes, sends := true, 0, 0
 		settle := func(acts []Action) {
@@ -28,8 +29,10 @@
 					if a.Server == 4 {
 						probes++
 					}
-					acts = append(acts, g.do(Event{Kind: ProbeDone, Server: a.Server, Took: 1,
-						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})...)
+					acts = append(acts, g.do(Event{
+						Kind: ProbeDone, Server: a.Server, Took: 1,
+						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
+					})...)
 				}
 			}
 		}
@@ -105,8 +108,12 @@
 	}
 	h := &rig{t: t, b: next, now: g.now + 1000}
 	h.do(Event{Kind: Started})
-	h.do(Event{Kind: List, Full: true, Servers: []ServerInfo{{ID: 1, Health: Ready}, {ID: 2, Health: Ready},
-		{ID: 3, Health: Ready, StartedAt: h.now - 500}, {ID: 4, Health: Ready}}})
+	h.do(Event{Kind: List, Full: true, Servers: []ServerInfo{
+		{ID: 1, Health: Ready},
+		{ID: 2, Health: Ready},
+		{ID: 3, Health: Ready, StartedAt: h.now - 500},
+		{ID: 4, Health: Ready},
+	}})
 	if err := h.b.Restore(&st); err != nil {
 		t.Fatal(err)
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -52,8 +52,10 @@
 	b.arrivals.Add(b.now)
 	b.retries = min(retryBurst, b.retries+retryPart)
 	class := min(max(0, e.Class), len(b.cfg.Classes)-1)
-	r := &request{id: e.Request, class: class, who: 1 + max(-1, min(e.Tenant, len(b.buckets)-1)),
-		aimAt: b.now + b.cfg.Classes[class].Aim, endAt: b.now + max(0, e.Left-b.margin)}
+	r := &request{
+		id: e.Request, class: class, who: 1 + max(-1, min(e.Tenant, len(b.buckets)-1)),
+		aimAt: b.now + b.cfg.Classes[class].Aim, endAt: b.now + max(0, e.Left-b.margin),
+	}
 	b.requests[r.id] = r
 	b.timer(uint64(r.id), r.endAt-b.now)
 	b.tend(r)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"plankrouter/policy/internal/probepool"
 	"reflect"
 	"testing"
-
-	"plankrouter/policy/internal/probepool"
 )
 
 // held is what the walk knows of one request: enough to judge rules 1 and 2.
@@ -117,8 +116,10 @@
 		r.mayRan, r.firstRan = true, r.sentAt
 		r.ranZone, r.ranCell = w.servers[s].Zone, w.servers[s].Cell
 	}
-	return w.check(Event{Kind: AttemptDone, Request: id, Attempt: n, Server: s, Status: st,
-		Took: w.now - r.sentAt, Final: final})
+	return w.check(Event{
+		Kind: AttemptDone, Request: id, Attempt: n, Server: s, Status: st,
+		Took: w.now - r.sentAt, Final: final,
+	})
 }
 
 func (w *walk) list(full bool) error {
@@ -164,17 +165,23 @@
 	case 1:
 		return w.check(Event{Kind: ListFailed})
 	case 2:
-		return w.check(Event{Kind: ProbeDone, Server: ServerID(1 + w.rng.IntN(9)), Status: Status(w.rng.IntN(8)),
-			Took: 1, Report: Report{HasRIF: w.rng.IntN(2) == 0, HasLatency: w.rng.IntN(2) == 0,
+		return w.check(Event{
+			Kind: ProbeDone, Server: ServerID(1 + w.rng.IntN(9)), Status: Status(w.rng.IntN(8)),
+			Took: 1, Report: Report{
+				HasRIF: w.rng.IntN(2) == 0, HasLatency: w.rng.IntN(2) == 0,
 				HasErrors: w.rng.IntN(2) == 0, RIF: w.rng.Float64() * 20, Latency: w.rng.Float64() * 90,
-				Errors: w.rng.Float64() * 30}})
+				Errors: w.rng.Float64() * 30,
+			},
+		})
 	case 3, 4, 5, 6:
 		w.next++
 		left := w.rng.Float64() * 1000
 		w.reqs[w.next] = &held{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
 		w.order = append(w.order, w.next)
-		return w.check(Event{Kind: Arrival, Request: w.next, Class: w.reqs[w.next].class, Left: left,
-			Tenant: w.rng.IntN(2), Again: w.rng.IntN(4) == 0})
+		return w.check(Event{
+			Kind: Arrival, Request: w.next, Class: w.reqs[w.next].class, Left: left,
+			Tenant: w.rng.IntN(2), Again: w.rng.IntN(4) == 0,
+		})
 	default:
 		if len(w.order) == 0 {
 			return nil
@@ -202,8 +209,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &walk{rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, b: b, now: 5000, reqs: map[RequestID]*held{},
-		servers: map[ServerID]*ServerInfo{}, sends: map[ServerID][]Ms{}}
+	w := &walk{
+		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, b: b, now: 5000, reqs: map[RequestID]*held{},
+		servers: map[ServerID]*ServerInfo{}, sends: map[ServerID][]Ms{},
+	}
 	for id := ServerID(1); id <= 8; id++ {
 		w.servers[id] = &ServerInfo{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, Health: Ready}
 	}
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -56,9 +56,11 @@
 		}
 		if s.reportAt == 0 || in.StartedAt != s.info.StartedAt {
 			// A new process: what was known of the old one no longer holds.
-			*s = server{rank: s.rank, network: s.network, out: s.out, reportAt: never, quietAt: b.now,
+			*s = server{
+				rank: s.rank, network: s.network, out: s.out, reportAt: never, quietAt: b.now,
 				by:   make([]Tally, 1+len(b.buckets)),
-				cold: limit.Bucket{V: b.rng.Float64(), At: b.now}} // a random part: not all send at once
+				cold: limit.Bucket{V: b.rng.Float64(), At: b.now},
+			} // a random part: not all send at once
 			b.pool.Remove(s)
 		}
 		if s.info = in; in.Returned && b.cfg.Probes {
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -137,8 +137,10 @@
 					if room && a.Server%2 == 0 {
 						rif = 1
 					}
-					acts = append(acts, g.do(Event{Kind: ProbeDone, Server: a.Server, Took: 1,
-						Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40}})...)
+					acts = append(acts, g.do(Event{
+						Kind: ProbeDone, Server: a.Server, Took: 1,
+						Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
+					})...)
 				case SetTimer:
 					if a.Timer >= waitTimer {
 						g.now += a.After
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,14 +2,15 @@
 
 import (
 	"fmt"
-
 	"plankrouter/internal/limit"
 )
 
 // State returns what has been learned. Servers that were left are not in it.
 func (b *Balancer) State() State {
-	st := State{XX: b.fit.XX, XY: b.fit.XY, FitAt: b.fit.At, FleetLatency: b.fleetLatency, FracOwn: b.fracOwn,
-		FracAll: b.fracAll, Arrivals: Level(b.arrivals), Sends: Level(b.sendRate)}
+	st := State{
+		XX: b.fit.XX, XY: b.fit.XY, FitAt: b.fit.At, FleetLatency: b.fleetLatency, FracOwn: b.fracOwn,
+		FracAll: b.fracAll, Arrivals: Level(b.arrivals), Sends: Level(b.sendRate),
+	}
 	for _, c := range b.fit.Class {
 		st.Classes = append(st.Classes, Mean{c.N, c.Sum})
 	}
@@ -18,8 +19,10 @@
 	}
 	for _, s := range b.servers { // the present load, of s.rif and the pool, stays out
 		if s.info.Health == Ready {
-			st.Servers = append(st.Servers, ServerState{s.info.ID, s.info.StartedAt, s.latency, s.reported,
-				s.reportAt, s.network, s.failing, append([]Tally(nil), s.by...), Level(s.cold)})
+			st.Servers = append(st.Servers, ServerState{
+				s.info.ID, s.info.StartedAt, s.latency, s.reported,
+				s.reportAt, s.network, s.failing, append([]Tally(nil), s.by...), Level(s.cold),
+			})
 		}
 	}
 	return st
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -39,8 +39,10 @@
 			for ; len(acts) > 0; acts = acts[1:] {
 				a := acts[0]
 				away := a.Server > local
-				e := Event{Kind: ProbeDone, Server: a.Server, Took: 1, Report: Report{HasRIF: true, RIF: c.here,
-					HasLatency: true, Latency: 40}}
+				e := Event{Kind: ProbeDone, Server: a.Server, Took: 1, Report: Report{
+					HasRIF: true, RIF: c.here,
+					HasLatency: true, Latency: 40,
+				}}
 				if e.Report.RIF = c.here; away {
 					e.Report.RIF = c.there
 				}
@@ -83,7 +85,11 @@
 // zones there is nothing beyond what is in reach.
 func TestHowFarProbesGo(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, local, home, far int }{
-		{300, 200, 40, 40, 40 + 85}, {300, 200, 200, 85, 85}, {5000, 200, 40, 5, 5 + 5}, {5000, 200, 200, 5, 5}, {80, 60, 12, 12, 60},
+		{300, 200, 40, 40, 40 + 85},
+		{300, 200, 200, 85, 85},
+		{5000, 200, 40, 5, 5 + 5},
+		{5000, 200, 200, 5, 5},
+		{80, 60, 12, 12, 60},
 		{4, 16, 3, 4, 16},
 	} {
 		cfg := testConfig()
--- a/transport.go
+++ b/transport.go
@@ -64,9 +64,11 @@
 		t.Balancer.once(r.Class) {
 		return nil, fmt.Errorf("a redirect would send a request of class %q again: %w", r.Class, &FailedError{MayHaveRun: true})
 	}
-	resp := &http.Response{StatusCode: answer.Status, Status: fmt.Sprintf("%d %s", answer.Status, http.StatusText(answer.Status)),
+	resp := &http.Response{
+		StatusCode: answer.Status, Status: fmt.Sprintf("%d %s", answer.Status, http.StatusText(answer.Status)),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: answer.Header, ContentLength: int64(len(answer.Body)),
-		Body: io.NopCloser(bytes.NewReader(answer.Body)), Request: req}
+		Body: io.NopCloser(bytes.NewReader(answer.Body)), Request: req,
+	}
 	if len(answer.Body) == 0 {
 		resp.Body = http.NoBody
 	}
@@ -111,8 +113,10 @@
 		}
 		header["Host"] = []string{host}
 	}
-	return &Request{Class: cmp.Or(ClassOf(req.Context()), t.Class), Tenant: cmp.Or(TenantOf(req.Context()), t.Tenant),
-		Method: req.Method, Target: req.URL.RequestURI(), Header: header, Body: body}, nil
+	return &Request{
+		Class: cmp.Or(ClassOf(req.Context()), t.Class), Tenant: cmp.Or(TenantOf(req.Context()), t.Tenant),
+		Method: req.Method, Target: req.URL.RequestURI(), Header: header, Body: body,
+	}, nil
 }
 
 // readBody reads a body to its end, or to more than MaxBody, until ctx ends: whoever still writes it must not hold this
