--- a/balancer_test.go
+++ b/balancer_test.go
@@ -31,8 +31,8 @@
 	o := plankrouter.Options{
 		Seed: 1, Sockets: plankrouter.NewSockets(64, net.Dial), Probes: true,
 		Classes: []plankrouter.Class{
-			{Name: "tile", Aim: 750 * ms, Deadline: 2500 * ms},
-			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Worth: 5, Repeat: plankrouter.Once},
+			{Name: "tile", LatencyObjective: 750 * ms, Deadline: 2500 * ms},
+			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 5, Repeat: plankrouter.Once},
 		},
 	}
 	for _, p := range f.Providers {
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -36,8 +36,8 @@
 // names.
 func usual(all ...*provider) plankrouter.Options {
 	o := plankrouter.Options{Name: "n1", Seed: 1, Connect: 10 * time.Second, Classes: []plankrouter.Class{
-		{Name: "tile", Aim: 20 * time.Second, Deadline: 40 * time.Second},
-		{Name: "order", Aim: 20 * time.Second, Deadline: 40 * time.Second, Repeat: plankrouter.Once},
+		{Name: "tile", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second},
+		{Name: "order", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, Repeat: plankrouter.Once},
 	}}
 	for _, p := range all {
 		o.Members = append(o.Members, plankrouter.Member{ID: p.name, Address: p.address})
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -61,8 +61,8 @@
 	var classes []fakes.Class
 	for _, c := range d.set.classes {
 		classes = append(classes, fakes.Class{
-			Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.Aim,
-			Deadline: c.Deadline, Worth: c.Worth,
+			Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.LatencyObjective,
+			Deadline: c.Deadline, Worth: c.PriorityWeight,
 		})
 	}
 	s, ms := d.set, func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -85,8 +85,8 @@
 	if p.set.classes == nil {
 		for i, name := range []string{"tile", "order"} {
 			p.set.classes = append(p.set.classes, plankrouter.Class{
-				Name: name, Aim: time.Minute,
-				Deadline: 2 * time.Minute, Worth: 1, Repeat: plankrouter.Repeat(i),
+				Name: name, LatencyObjective: time.Minute,
+				Deadline: 2 * time.Minute, PriorityWeight: 1, Repeat: plankrouter.Repeat(i),
 			})
 		}
 	}
@@ -142,14 +142,14 @@
 			one.down()
 		}
 	case "class":
-		c := plankrouter.Class{Name: plain[1], Worth: 1}
+		c := plankrouter.Class{Name: plain[1], PriorityWeight: 1}
 		if plain[2] == "once" {
 			c.Repeat = plankrouter.Once
 		}
 		worth, err := strconv.ParseFloat(cmp.Or(o.get("worth"), "1"), 64)
-		c.Worth = worth
+		c.PriorityWeight = worth
 		p.set.classes = append(p.set.classes, c)
-		return errors.Join(err, duration(o, "aim", &p.set.classes[len(p.set.classes)-1].Aim),
+		return errors.Join(err, duration(o, "aim", &p.set.classes[len(p.set.classes)-1].LatencyObjective),
 			duration(o, "deadline", &p.set.classes[len(p.set.classes)-1].Deadline))
 	case "tenant":
 		rate, err := strconv.ParseFloat(plain[2], 64)
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -260,7 +260,7 @@
 	t.Parallel()
 	p := servers(t, "s-1")[0]
 	o := usual(p)
-	o.Classes[1].Deadline, o.Classes[1].Aim = time.Second, time.Second
+	o.Classes[1].Deadline, o.Classes[1].LatencyObjective = time.Second, time.Second
 	b := balancer(t, o)
 	p.own.add(deed{word: "silent"}, 1)
 	ctx := plankrouter.WithTenant(plankrouter.WithClass(t.Context(), "order"), "acme")
--- a/example_test.go
+++ b/example_test.go
@@ -28,8 +28,8 @@
 
 	b, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{
-			{Name: "tile", Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-			{Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 5, Repeat: plankrouter.Once},
+			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
+			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Repeat: plankrouter.Once},
 		},
 		Members: []plankrouter.Member{{Address: address}},
 	})
@@ -51,7 +51,7 @@
 // An option that makes no sense is named.
 func ExampleNew() {
 	_, err := plankrouter.New(plankrouter.Options{
-		Classes: []plankrouter.Class{{Name: "tile", Aim: time.Second, Deadline: 500 * time.Millisecond}},
+		Classes: []plankrouter.Class{{Name: "tile", LatencyObjective: time.Second, Deadline: 500 * time.Millisecond}},
 	})
 	fmt.Println(err)
 
@@ -70,7 +70,7 @@
 	defer failing.Close()
 	b, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{{
-			Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second,
+			Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second,
 			Repeat: plankrouter.Once,
 		}},
 		Members: []plankrouter.Member{{Address: failing.Listener.Addr().String()}},
--- a/internal/backend/provider.go
+++ b/internal/backend/provider.go
@@ -45,8 +45,8 @@
 // Stakes are what the requests of the module's classes put at risk.
 func Stakes(classes []policy.Class) (out []keepalive.Stakes) {
 	for _, c := range classes {
-		aim := time.Duration(c.Aim * float64(time.Millisecond))
-		out = append(out, keepalive.Stakes{Once: c.Repeat == policy.Unsafe, Aim: aim, Worth: c.Worth})
+		aim := time.Duration(c.LatencyObjective * float64(time.Millisecond))
+		out = append(out, keepalive.Stakes{Once: c.Idempotency == policy.NonIdempotent, Aim: aim, Worth: c.PriorityWeight})
 	}
 	return out
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -55,9 +55,9 @@
 // Pure is what Repeat says of a class that is safe to repeat.
 const Pure = "pure"
 
-var repeats = map[string]policy.Repeat{Pure: policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe}
+var repeats = map[string]policy.Idempotency{Pure: policy.Idempotent, "token": policy.WithIdempotencyKey, "side_effect": policy.NonIdempotent}
 
-var scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+var scopes = map[string]policy.KeyScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
 // ParseSettings reads the settings; Logic says whether the module can work with them.
 func ParseSettings(raw []byte) (*Settings, error) {
@@ -81,17 +81,17 @@
 // Logic converts the settings to those of the decision module.
 func (s *Settings) Logic() (policy.Config, error) {
 	cfg := policy.Config{
-		OverShareWorth: s.OverShareWorth, Balancers: s.Balancers, Zone: s.Locality,
+		OverQuotaWeight: s.OverShareWorth, Instances: s.Balancers, Zone: s.Locality,
 		Probes: s.Limits.Probes, Cancel: s.Limits.MayCancel, MaxAttempts: s.Limits.MaxAttempts,
-		Round:     s.RoundMs,
-		ColdShare: s.Safety.StartCapacity, WarmWithin: s.Safety.WarmWithinMs,
-		TipMultiple: s.Safety.TipMultiple, TipWindow: s.Safety.FallMs,
-		CrossPrice: s.Prices.CrossZone, WastePrice: s.Prices.Waste, ProbePrice: s.Prices.Probe,
+		Round:         s.RoundMs,
+		StartCapacity: s.Safety.StartCapacity, WarmUpTime: s.Safety.WarmWithinMs,
+		OverloadMultiple: s.Safety.TipMultiple, OverloadWindow: s.Safety.FallMs,
+		CrossZoneCost: s.Prices.CrossZone, WastedWorkCost: s.Prices.Waste, ProbeCost: s.Prices.Probe,
 	}
 	cfg.MaxRetryAfter = s.Limits.MaxRetryAfterMs // always: where clients are not handed the advice it does no harm
 	switch s.Discovery {
 	case "on_request":
-		cfg.AskForList = true
+		cfg.SubscribeToList = true
 	case pushed:
 	default:
 		//lint:ignore ST1005 the message begins with a key of the settings file, which is spelled so
@@ -99,14 +99,14 @@
 	}
 	for i, c := range s.Classes {
 		k := policy.Class{
-			Aim: c.AimMs, Deadline: c.HardLimitMs, Worth: c.Credit, LateWorth: c.LateWorth,
-			Window: c.MemorySpanMs, Attempts: c.Attempts, Dropped: c.Dropped,
+			LatencyObjective: c.AimMs, Deadline: c.HardLimitMs, PriorityWeight: c.Credit, LateWeight: c.LateWorth,
+			KeyWindow: c.MemorySpanMs, Attempts: c.Attempts, Retired: c.Dropped,
 		}
 		var known bool
-		if k.Repeat, known = repeats[c.Repeat]; !known {
+		if k.Idempotency, known = repeats[c.Repeat]; !known {
 			return cfg, fmt.Errorf("RequestClasses[%d].Repeat: unknown word %q", i, c.Repeat)
 		}
-		if k.Scope, known = scopes[c.KeyScope]; !known && k.Repeat == policy.Keyed {
+		if k.KeyScope, known = scopes[c.KeyScope]; !known && k.Idempotency == policy.WithIdempotencyKey {
 			return cfg, fmt.Errorf("RequestClasses[%d].KeyScope: unknown word %q", i, c.KeyScope)
 		}
 		cfg.Classes = append(cfg.Classes, k)
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -15,19 +15,19 @@
 // do carries out one of the module's actions.
 func (s *Pool) do(a *policy.Action) {
 	switch a.Kind {
-	case policy.Send:
+	case policy.StartAttempt:
 		s.invoke(a)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		if h := s.held[a.Request]; h != nil && h.call != 0 && a.Attempt == h.attempts-1 {
 			s.stop(h.call, outcome.CalledOff)
 		}
-	case policy.Refuse:
+	case policy.RejectRequest:
 		s.unserved(a)
 		s.answer(a.Request, request.Answer{Kind: request.Refused, RetryAfter: duration(a.After)})
-	case policy.Fail:
+	case policy.FailRequest:
 		s.unserved(a)
 		s.answer(a.Request, request.Answer{Kind: request.Failed})
-	case policy.Probe:
+	case policy.SendProbe:
 		if k := s.providers[a.Server]; k != nil {
 			s.counts.Probes++
 			s.start(k, nil, &attempt{probe: true, server: a.Server}, probeTimeout)
@@ -47,7 +47,7 @@
 		// Not asked for by a sound module; answering it keeps the books of a faulty one straight.
 		s.set.Logf("state=send_refused request=%d server=%d", a.Request, a.Server)
 		s.step(policy.Event{
-			Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
+			Kind: policy.AttemptEnded, Request: a.Request, Server: a.Server, Status: policy.NotSent,
 			Final: h == nil || h.answered,
 		})
 		return
@@ -152,7 +152,7 @@
 		health, since := s.effective(m, told, now)
 		lines = append(lines, policy.ServerInfo{
 			ID: id, Zone: zone, Cell: m.Cell, Health: health, StartedAt: k.origin.startedAt,
-			Returned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listed,
+			Uncordoned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listed,
 		})
 		s.setHealth(id, k, health, since)
 	}
@@ -173,7 +173,7 @@
 		}
 	}
 	s.ready.Store(ready)
-	s.step(policy.Event{Kind: policy.List, Full: l.Complete, Servers: lines})
+	s.step(policy.Event{Kind: policy.EndpointsUpdated, Complete: l.Complete, Servers: lines})
 	s.lookedAt = time.Time{}
 	for number, a := range s.calls { // once the module knows it: what is withdrawn may go out again
 		if left[a.at] {
--- a/internal/dispatch/bans.go
+++ b/internal/dispatch/bans.go
@@ -74,7 +74,7 @@
 	s.lookedAt = now
 	s.readWall(now)
 	for _, a := range s.uploads {
-		s.step(policy.Event{Kind: policy.Flowing, Server: a.server})
+		s.step(policy.Event{Kind: policy.BodyProgressed, Server: a.server})
 	}
 	listed, out := 0, 0
 	for id, k := range s.providers {
@@ -82,7 +82,7 @@
 			continue
 		}
 		listed++
-		if !s.bal.LeftOut(id) {
+		if !s.bal.IsExcluded(id) {
 			k.outSince = time.Time{}
 		} else if k.outSince.IsZero() {
 			k.outSince = now
--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -49,8 +49,8 @@
 func options(wall *wallClock, counts map[string]int) Options {
 	return Options{
 		Logic: policy.Config{
-			MaxAttempts: 1, Cancel: true, Balancers: 1, ColdShare: 0.3, WarmWithin: 8000,
-			TipMultiple: 4, Classes: []policy.Class{{Aim: 500, Deadline: 1000, Worth: 1}},
+			MaxAttempts: 1, Cancel: true, Instances: 1, StartCapacity: 0.3, WarmUpTime: 8000,
+			OverloadMultiple: 4, Classes: []policy.Class{{LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}},
 		}, Caller: serving{started: counts},
 		Wall: wall.now, DrainGrace: 750 * time.Millisecond,
 	}
--- a/internal/dispatch/crossings_test.go
+++ b/internal/dispatch/crossings_test.go
@@ -123,7 +123,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
 				s, err := New(Options{
-					Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c,
+					Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Caller: c,
 					DrainGrace: time.Minute,
 				})
 				if err != nil {
@@ -177,7 +177,7 @@
 		t.Run(how.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{Aim: 1e4, Deadline: 6e4}}}, Caller: c})
+				s, err := New(Options{Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Caller: c})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -333,15 +333,15 @@
 	s.trust = staleness.Trust(e)
 	pick, _ := staleness.Leave(s.set.DrainGrace)
 	s.step(policy.Event{
-		Kind: policy.Sure, Left: millis(time.Until(e.Sure) + pick),
-		Took: millis(time.Until(e.Known)),
+		Kind: policy.ListValidityChanged, TimeLeft: millis(time.Until(e.Sure) + pick),
+		Elapsed: millis(time.Until(e.Known)),
 	})
 }
 
 // vouching adds to the module's settings for how long a probe stands for a list that is not sure.
 func vouching(cfg policy.Config, grace time.Duration) policy.Config {
 	pick, _ := staleness.Leave(grace)
-	cfg.Vouched = millis(pick)
+	cfg.ProbeValidity = millis(pick)
 	return cfg
 }
 
@@ -405,8 +405,8 @@
 		next := s.pending[0]
 		s.pending = s.pending[1:]
 		s.now = time.Now()
-		if h := s.held[next.Request]; next.Kind == policy.Arrival && h != nil { // as of the time from which the module counts it
-			next.Left = millis(s.left(h.inv, s.now))
+		if h := s.held[next.Request]; next.Kind == policy.RequestArrived && h != nil { // as of the time from which the module counts it
+			next.TimeLeft = millis(s.left(h.inv, s.now))
 		}
 		s.actions = s.bal.Handle(s.clock.at(s.now), &next, s.actions[:0])
 		for i := range s.actions {
@@ -422,7 +422,7 @@
 		t := heap.Pop(&s.timers).(*timer)
 		switch {
 		case t.call == 0:
-			s.step(policy.Event{Kind: policy.TimerDue, Timer: t.handle})
+			s.step(policy.Event{Kind: policy.TimerFired, Timer: t.handle})
 		case t.expires:
 			s.withdraw(t.call, outcome.Expired)
 		default:
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -47,7 +47,7 @@
 func host(t *testing.T) *Pool {
 	t.Helper()
 	s, err := New(Options{
-		Logic:  policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{Aim: 100, Deadline: 1000}}},
+		Logic:  policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}}},
 		Caller: refusing{},
 	})
 	if err != nil {
@@ -223,7 +223,7 @@
 		s, err := New(Options{
 			Logic: policy.Config{
 				MaxAttempts: 1, Cancel: true, Probes: true,
-				Classes: []policy.Class{{Aim: 100, Deadline: 1000}},
+				Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}},
 			}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
 			Known: endpoints.List{Members: []endpoints.Member{
 				{ID: "a", Address: "a:1", Phase: endpoints.Serving},
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -20,33 +20,33 @@
 	const never, second = time.Duration(-1), time.Second
 	gone := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
-		repeat  policy.Repeat
+		repeat  policy.Idempotency
 		ends    []outcome.Ending // of its attempts, a second after each was sent; the last one's connection does not come up
 		written bool             // or does
 		expires []time.Duration  // of each attempt, from the first one on
 		did     []string         // to the last attempt within 3 s of the first
 		answers []request.Kind
 	}{
-		"what may run twice": {repeat: policy.Safe, ends: []outcome.Ending{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
+		"what may run twice": {repeat: policy.Idempotent, ends: []outcome.Ending{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
 		"the first may have run": {
-			repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused},
 		},
 		"the first has timed out": {
-			repeat: policy.Keyed, ends: []outcome.Ending{outcome.TimedOut},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.TimedOut},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused},
 		},
 		"the second is written": {
-			repeat: policy.Keyed, ends: []outcome.Ending{outcome.ResetByPeer}, written: true,
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.ResetByPeer}, written: true,
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond},
 		},
-		"the first never ran": {repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined}, expires: []time.Duration{never, never}},
+		"the first never ran": {repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.Declined}, expires: []time.Duration{never, never}},
 		"the second may have run": {
-			repeat: policy.Keyed, ends: []outcome.Ending{outcome.Declined, outcome.ResetByPeer},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.Declined, outcome.ResetByPeer},
 			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond},
 		},
 		"the first two may have run": {
-			repeat: policy.Keyed, ends: []outcome.Ending{outcome.ServerError, outcome.ResetByPeer},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
 			did:     gone, answers: []request.Kind{request.Refused},
 		},
@@ -55,8 +55,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
 				s, err := New(Options{Logic: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
-					Aim: 2e4, Deadline: 6e4,
-					Repeat: tc.repeat, Window: 3000,
+					LatencyObjective: 2e4, Deadline: 6e4,
+					Idempotency: tc.repeat, KeyWindow: 3000,
 				}}}, Caller: c, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -13,7 +13,7 @@
 	case h.call != 0:
 		s.heldBack(invariant.OneAttempt, h, "send")
 		return false
-	case h.mayRun && s.class(h).Repeat == policy.Unsafe:
+	case h.mayRun && s.class(h).Idempotency == policy.NonIdempotent:
 		s.heldBack(invariant.Effect, h, "send")
 		return false
 	case k.health != policy.Ready:
@@ -29,7 +29,7 @@
 		return true
 	}
 	c := s.class(h)
-	return c.Repeat == policy.Safe || c.Repeat == policy.Keyed && c.Scope == policy.ScopeAll
+	return c.Idempotency == policy.Idempotent || c.Idempotency == policy.WithIdempotencyKey && c.KeyScope == policy.ScopeAll
 }
 
 // class is that of the invocation, as the module knows it.
@@ -37,7 +37,7 @@
 	if n := h.inv.Class; n >= 0 && n < len(s.set.Logic.Classes) {
 		return s.set.Logic.Classes[n]
 	}
-	return policy.Class{Repeat: policy.Unsafe}
+	return policy.Class{Idempotency: policy.NonIdempotent}
 }
 
 // heldBack counts what a guard has held back, and logs it: the module should not have asked for it.
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -13,8 +13,8 @@
 // What an unsound module asks for against a rule is held back at the one place that sends, or that refuses, and counted there.
 func TestGuards(t *testing.T) {
 	for name, row := range map[string]struct {
-		repeat  policy.Repeat
-		scope   policy.Scope
+		repeat  policy.Idempotency
+		scope   policy.KeyScope
 		mayRun  bool
 		out     bool
 		leaves  bool // the server does
@@ -22,20 +22,20 @@
 		refuse  bool
 		counted invariant.Rule
 	}{
-		"nothing has run":                {repeat: policy.Unsafe, send: true, refuse: true},
-		"an order may have run":          {repeat: policy.Unsafe, mayRun: true, counted: invariant.Effect},
-		"what is safe may have run":      {repeat: policy.Safe, mayRun: true, send: true, refuse: true},
-		"a token of all may have run":    {repeat: policy.Keyed, mayRun: true, send: true, refuse: true},
-		"a token of a zone may have run": {repeat: policy.Keyed, scope: policy.ScopeZone, mayRun: true, send: true},
-		"an attempt is out":              {repeat: policy.Safe, out: true, refuse: true, counted: invariant.OneAttempt},
-		"an order's attempt is out":      {repeat: policy.Unsafe, out: true, counted: invariant.OneAttempt},
-		"the server drains":              {repeat: policy.Safe, leaves: true, refuse: true, counted: invariant.DrainGrace},
+		"nothing has run":                {repeat: policy.NonIdempotent, send: true, refuse: true},
+		"an order may have run":          {repeat: policy.NonIdempotent, mayRun: true, counted: invariant.Effect},
+		"what is safe may have run":      {repeat: policy.Idempotent, mayRun: true, send: true, refuse: true},
+		"a token of all may have run":    {repeat: policy.WithIdempotencyKey, mayRun: true, send: true, refuse: true},
+		"a token of a zone may have run": {repeat: policy.WithIdempotencyKey, scope: policy.ScopeZone, mayRun: true, send: true},
+		"an attempt is out":              {repeat: policy.Idempotent, out: true, refuse: true, counted: invariant.OneAttempt},
+		"an order's attempt is out":      {repeat: policy.NonIdempotent, out: true, counted: invariant.OneAttempt},
+		"the server drains":              {repeat: policy.Idempotent, leaves: true, refuse: true, counted: invariant.DrainGrace},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			book := new(invariant.Book)
 			s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
-				Aim: 100, Deadline: 1000,
-				Repeat: row.repeat, Scope: row.scope,
+				LatencyObjective: 100, Deadline: 1000,
+				Idempotency: row.repeat, KeyScope: row.scope,
 			}}}, Caller: refusing{}, Rules: book})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -43,29 +43,29 @@
 	}
 	l := &out.Learned
 	*l = snapshot.Learned{
-		Now: s.clock.at(now), FleetLatency: st.FleetLatency, FracOwn: st.FracOwn, FracAll: st.FracAll,
-		Fit:      snapshot.Fit{XX: st.XX, XY: st.XY, At: st.FitAt},
-		Arrivals: snapshot.Rate{V: st.Arrivals.V, At: st.Arrivals.At}, Sends: snapshot.Rate{V: st.Sends.V, At: st.Sends.At},
+		Now: s.clock.at(now), FleetLatency: st.FleetLatency, FracOwn: st.OwnInFlight, FracAll: st.TotalInFlight,
+		Fit:      snapshot.Fit{XX: st.SumLoadSquared, XY: st.SumLoadLatency, At: st.FittedAt},
+		Arrivals: snapshot.Rate{V: st.Arrivals.Value, At: st.Arrivals.At}, Sends: snapshot.Rate{V: st.Sends.Value, At: st.Sends.At},
 	}
 	for _, n := range s.classes { // the next process numbers them in the order of the settings
-		l.Fit.Classes = append(l.Fit.Classes, snapshot.ClassFit{N: st.Classes[n].N, Sum: st.Classes[n].Sum})
+		l.Fit.Classes = append(l.Fit.Classes, snapshot.ClassFit{N: st.Classes[n].Count, Sum: st.Classes[n].Sum})
 	}
 	for _, n := range s.tenants {
-		l.Tenants = append(l.Tenants, snapshot.Bucket{Tokens: st.Tenants[n].V, At: once(st.Tenants[n].At)})
+		l.Tenants = append(l.Tenants, snapshot.Bucket{Tokens: st.Tenants[n].Value, At: once(st.Tenants[n].At)})
 	}
 	for _, in := range st.Servers {
 		one := snapshot.LearnedServer{
-			Name: names[in.ID], StartedAt: s.dateOf(in), Latency: in.Latency, Reported: in.Reported,
-			ReportAt: once(in.ReportAt), Network: in.Network, Failing: in.Failing,
-			Cold: snapshot.Rate{V: max(0, in.Cold.V), At: in.Cold.At},
+			Name: names[in.ID], StartedAt: s.dateOf(in), Latency: in.Latency, Reported: in.LatencyReported,
+			ReportAt: once(in.ReportedAt), Network: in.RoundTrip, Failing: in.ErrorRate,
+			Cold: snapshot.Rate{V: max(0, in.SlowStartBudget.Value), At: in.SlowStartBudget.At},
 		}
 		for who := range 1 + len(s.tenants) { // of all, then by tenant
 			t := in.Outcomes[0]
 			if who > 0 {
 				t = in.Outcomes[1+s.tenants[who-1]]
 			}
-			if t.Oks+t.Misses > 0 {
-				one.By = append(one.By, snapshot.Tally{Who: uint32(who), Oks: t.Oks, Misses: t.Misses, At: t.At})
+			if t.Successes+t.Failures > 0 {
+				one.By = append(one.By, snapshot.Tally{Who: uint32(who), Oks: t.Successes, Misses: t.Failures, At: t.At})
 			}
 		}
 		l.Servers = append(l.Servers, one)
@@ -148,14 +148,14 @@
 	}
 	l := &before.Learned
 	st := policy.State{
-		XX: l.Fit.XX, XY: l.Fit.XY, FitAt: l.Fit.At, FleetLatency: l.FleetLatency, FracOwn: l.FracOwn,
-		FracAll: l.FracAll, Arrivals: policy.Level{V: l.Arrivals.V, At: l.Arrivals.At}, Sends: policy.Level{V: l.Sends.V, At: l.Sends.At},
+		SumLoadSquared: l.Fit.XX, SumLoadLatency: l.Fit.XY, FittedAt: l.Fit.At, FleetLatency: l.FleetLatency, OwnInFlight: l.FracOwn,
+		TotalInFlight: l.FracAll, Arrivals: policy.Level{Value: l.Arrivals.V, At: l.Arrivals.At}, Sends: policy.Level{Value: l.Sends.V, At: l.Sends.At},
 	}
 	for _, c := range l.Fit.Classes {
-		st.Classes = append(st.Classes, policy.Mean{N: c.N, Sum: c.Sum})
+		st.Classes = append(st.Classes, policy.Mean{Count: c.N, Sum: c.Sum})
 	}
 	for _, t := range l.Tenants {
-		st.Tenants = append(st.Tenants, policy.Level{V: t.Tokens, At: never(t.At)})
+		st.Tenants = append(st.Tenants, policy.Level{Value: t.Tokens, At: never(t.At)})
 	}
 	for _, in := range l.Servers {
 		id, have := s.serverIDs[in.Name]
@@ -167,14 +167,14 @@
 			startedAt = o.listed
 		}
 		one := policy.ServerState{
-			ID: id, StartedAt: startedAt, Latency: in.Latency, Reported: in.Reported,
-			ReportAt: never(in.ReportAt), Network: in.Network, Failing: in.Failing,
-			Cold:     policy.Level{V: in.Cold.V, At: in.Cold.At},
-			Outcomes: make([]policy.Tally, 1+len(s.set.Logic.Tenants)),
+			ID: id, StartedAt: startedAt, Latency: in.Latency, LatencyReported: in.Reported,
+			ReportedAt: never(in.ReportAt), RoundTrip: in.Network, ErrorRate: in.Failing,
+			SlowStartBudget: policy.Level{Value: in.Cold.V, At: in.Cold.At},
+			Outcomes:        make([]policy.Tally, 1+len(s.set.Logic.Tenants)),
 		}
 		for _, t := range in.By {
 			if int(t.Who) < len(one.Outcomes) {
-				one.Outcomes[t.Who] = policy.Tally{Oks: t.Oks, Misses: t.Misses, At: t.At}
+				one.Outcomes[t.Who] = policy.Tally{Successes: t.Oks, Failures: t.Misses, At: t.At}
 			}
 		}
 		st.Servers = append(st.Servers, one)
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -32,7 +32,7 @@
 			st := s.bal.State()
 			for i := range st.Servers {
 				if st.Servers[i].ID == id {
-					st.Servers[i].Latency, st.Servers[i].ReportAt = 80, s.clock.at(time.Now())
+					st.Servers[i].Latency, st.Servers[i].ReportedAt = 80, s.clock.at(time.Now())
 				}
 			}
 			if err := s.bal.Restore(&st); err != nil {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -39,7 +39,7 @@
 		s.refuseAtEnd(s.next)
 		return
 	}
-	s.step(policy.Event{Kind: policy.Arrival, Request: s.next, Class: inv.Class, Tenant: inv.Tenant, Again: inv.Again})
+	s.step(policy.Event{Kind: policy.RequestArrived, Request: s.next, Class: inv.Class, Tenant: inv.Tenant, ClientRetry: inv.Again})
 }
 
 // pastLast reports whether this process may be killed so soon that it sends nothing new.
@@ -53,7 +53,7 @@
 
 // refuseAtEnd refuses a request of which nothing was sent.
 func (s *Pool) refuseAtEnd(id policy.RequestID) {
-	s.unserved(&policy.Action{Request: id, Why: Ending})
+	s.unserved(&policy.Action{Request: id, Reason: Ending})
 	s.answer(id, request.Answer{Kind: request.Refused})
 }
 
@@ -80,7 +80,7 @@
 	if a == nil {
 		return
 	}
-	s.step(policy.Event{Kind: policy.Flowing, Server: a.server})
+	s.step(policy.Event{Kind: policy.BodyProgressed, Server: a.server})
 	delete(s.uploads, e.number)
 	h := s.held[a.request]
 	if h == nil || h.answered {
@@ -194,8 +194,8 @@
 			dialed = millis(r.Since.Sub(a.began))
 		}
 		s.step(policy.Event{
-			Kind: policy.ProbeDone, Server: a.server, Status: r.Ending.Status(), Took: took, Dialed: dialed,
-			Seen: seen, Report: r.Report,
+			Kind: policy.ProbeEnded, Server: a.server, Status: r.Ending.Status(), Elapsed: took, ConnectTime: dialed,
+			ProbeSentAt: seen, Report: r.Report,
 		})
 		return
 	}
@@ -218,9 +218,9 @@
 		delete(s.held, a.request)
 	}
 	s.step(policy.Event{
-		Kind: policy.AttemptDone, Request: a.request, Attempt: a.number,
-		Server: a.server, Status: r.Ending.Status(), Took: took, Final: h.answered, Report: r.Report,
-		Spent: h.inv.Rest != nil && h.inv.Rest.Spent(),
+		Kind: policy.AttemptEnded, Request: a.request, Attempt: a.number,
+		Server: a.server, Status: r.Ending.Status(), Elapsed: took, Final: h.answered, Report: r.Report,
+		BodyConsumed: h.inv.Rest != nil && h.inv.Rest.Spent(),
 	})
 }
 
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -79,6 +79,6 @@
 	if s.counts.Unserved == nil {
 		s.counts.Unserved = map[policy.Reason]int{}
 	}
-	s.counts.Unserved[a.Why]++
-	s.traceRequest(h.inv, "unserved", "why=%s", a.Why)
+	s.counts.Unserved[a.Reason]++
+	s.traceRequest(h.inv, "unserved", "why=%s", a.Reason)
 }
--- a/internal/limit/level.go
+++ b/internal/limit/level.go
@@ -8,12 +8,12 @@
 const rateMemory = 2000.0 // ms over which a rate is averaged
 
 // Bucket is an allowance: V may be used at At, and it fills steadily up to a limit.
-type Bucket struct{ V, At float64 }
+type Bucket struct{ Value, At float64 }
 
 // Fill brings the bucket up to now, and reports whether it holds one.
 func (k *Bucket) Fill(now, perMs, full float64) bool {
-	k.V, k.At = min(full, k.V+perMs*(now-k.At)), now
-	return k.V >= 1
+	k.Value, k.At = min(full, k.Value+perMs*(now-k.At)), now
+	return k.Value >= 1
 }
 
 // Take takes one out of the bucket, if it holds one now.
@@ -21,18 +21,20 @@
 	if !k.Fill(now, perMs, full) {
 		return false
 	}
-	k.V--
+	k.Value--
 	return true
 }
 
 // Rate is how often something happens, exponentially weighted.
-type Rate struct{ V, At float64 }
+type Rate struct{ Value, At float64 }
 
 // Add counts one that happens now.
-func (r *Rate) Add(now float64) { r.V, r.At = r.V*math.Exp((r.At-now)/rateMemory)+1, now }
+func (r *Rate) Add(now float64) { r.Value, r.At = r.Value*math.Exp((r.At-now)/rateMemory)+1, now }
 
 // PerMs is the rate at now.
-func (r *Rate) PerMs(now float64) float64 { return r.V * math.Exp((r.At-now)/rateMemory) / rateMemory }
+func (r *Rate) PerMs(now float64) float64 {
+	return r.Value * math.Exp((r.At-now)/rateMemory) / rateMemory
+}
 
 // Luck is the part of late of tries that came out well, each new one counting for a tenth.
 type Luck float64
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -54,7 +54,7 @@
 )
 
 var outcomes = map[uint16]policy.Status{
-	0: policy.OK, 13: policy.Failed, 8: policy.Full, 4: policy.TimedOut, 14: policy.NoConnection,
+	0: policy.OK, 13: policy.Failed, 8: policy.Declined, 4: policy.TimedOut, 14: policy.ConnectFailed,
 	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
 }
 
@@ -180,22 +180,22 @@
 			if slot >= uint32(len(h.pages)) {
 				return 0, fmt.Errorf("list number %d is out of bounds", slot)
 			}
-			e = policy.Event{Kind: policy.List, Full: form != 0, Servers: h.pages[slot]}
+			e = policy.Event{Kind: policy.EndpointsUpdated, Complete: form != 0, Servers: h.pages[slot]}
 		case 3:
-			e = policy.Event{Kind: policy.ListFailed}
+			e = policy.Event{Kind: policy.SubscriptionFailed}
 		default:
 			return 0, fmt.Errorf("unknown list form %d", form)
 		}
 	case evInbound:
 		e = policy.Event{
-			Kind: policy.Arrival, Request: policy.RequestID(u32(rec, 4)), Left: f64(rec, 8),
+			Kind: policy.RequestArrived, Request: policy.RequestID(u32(rec, 4)), TimeLeft: f64(rec, 8),
 			Class: int(rec[24]), Tenant: int(u32(rec, 25)),
-			Again: rec[29]&2 != 0,
+			ClientRetry: rec[29]&2 != 0,
 		}
 	case evEnded:
 		e = policy.Event{
-			Kind: policy.AttemptDone, Request: policy.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
-			Server: policy.ServerID(u32(rec, 9)), Took: f64(rec, 13), Final: rec[21] != 0,
+			Kind: policy.AttemptEnded, Request: policy.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
+			Server: policy.ServerID(u32(rec, 9)), Elapsed: f64(rec, 13), Final: rec[21] != 0,
 		}
 		if e.Status, err = status(rec, 22); err != nil {
 			return 0, err
@@ -206,9 +206,9 @@
 	case evDropped:
 		e = policy.Event{Kind: policy.ClientGone, Request: policy.RequestID(u32(rec, 4))}
 	case evDue:
-		e = policy.Event{Kind: policy.TimerDue, Timer: binary.LittleEndian.Uint64(rec[4:])}
+		e = policy.Event{Kind: policy.TimerFired, Timer: binary.LittleEndian.Uint64(rec[4:])}
 	case evCheckResult:
-		e = policy.Event{Kind: policy.ProbeDone, Server: policy.ServerID(u32(rec, 4)), Took: f64(rec, 10)}
+		e = policy.Event{Kind: policy.ProbeEnded, Server: policy.ServerID(u32(rec, 4)), Elapsed: f64(rec, 10)}
 		if e.Status, err = status(rec, 8); err != nil {
 			return 0, err
 		}
@@ -232,23 +232,23 @@
 	le := binary.LittleEndian
 	code := func(c uint16) { le.PutUint16(b[0:], c); le.PutUint16(b[2:], who) }
 	switch a.Kind {
-	case policy.Send:
+	case policy.StartAttempt:
 		code(acDispatch)
 		le.PutUint32(b[4:], uint32(a.Request))
 		le.PutUint32(b[8:], uint32(a.Server))
 		le.PutUint64(b[12:], math.Float64bits(a.After))
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		code(acDropAttempt)
 		le.PutUint32(b[4:], uint32(a.Request))
 		b[8] = byte(a.Attempt)
-	case policy.Refuse:
+	case policy.RejectRequest:
 		code(acRefuse)
 		le.PutUint32(b[4:], uint32(a.Request))
 		le.PutUint64(b[8:], math.Float64bits(a.After))
-	case policy.Fail:
+	case policy.FailRequest:
 		code(acEndFailed)
 		le.PutUint32(b[4:], uint32(a.Request))
-	case policy.Probe:
+	case policy.SendProbe:
 		code(acCheck)
 		le.PutUint32(b[4:], uint32(a.Server))
 	case policy.SetTimer:
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -28,9 +28,9 @@
 // attempts that are answered after their time.
 func module(of Point, seconds float64) (used time.Duration, probes, requests int, err error) {
 	b, err := policy.New(policy.Config{
-		Classes: []policy.Class{{Aim: 750, Deadline: 2500, Worth: 1}}, Balancers: of.Instances,
-		Probes: true, Cancel: true, MaxAttempts: 3, Round: moduleRound, ColdShare: 0.3, WarmWithin: 8000, TipMultiple: 4,
-		TipWindow: 3000, CrossPrice: 0.01, WastePrice: 0.1, ProbePrice: of.Price, Vouched: 550,
+		Classes: []policy.Class{{LatencyObjective: 750, Deadline: 2500, PriorityWeight: 1}}, Instances: of.Instances,
+		Probes: true, Cancel: true, MaxAttempts: 3, Round: moduleRound, StartCapacity: 0.3, WarmUpTime: 8000, OverloadMultiple: 4,
+		OverloadWindow: 3000, CrossZoneCost: 0.01, WastedWorkCost: 0.1, ProbeCost: of.Price, ProbeValidity: 550,
 	}, 7)
 	if err != nil {
 		return 0, 0, 0, err
@@ -43,14 +43,14 @@
 	const origin = 1e6
 	end := origin + seconds*1000
 	due.at(origin, policy.Event{Kind: policy.Started})
-	due.at(origin, policy.Event{Kind: policy.List, Full: true, Servers: list})
+	due.at(origin, policy.Event{Kind: policy.EndpointsUpdated, Complete: true, Servers: list})
 	for n := 1; of.Rate > 0; n++ {
 		at := origin + float64(n)*1000/of.Rate
 		if at > end {
 			break
 		}
 		requests++
-		due.at(at, policy.Event{Kind: policy.Arrival, Request: policy.RequestID(n), Left: moduleLeft})
+		due.at(at, policy.Event{Kind: policy.RequestArrived, Request: policy.RequestID(n), TimeLeft: moduleLeft})
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -64,18 +64,18 @@
 		for _, a := range acts {
 			switch report := (policy.Report{HasRIF: true, HasLatency: true, Latency: float64(meanTile) / 1e6}); a.Kind {
 			case policy.SetTimer:
-				due.at(d.when+max(a.After, moduleRound), policy.Event{Kind: policy.TimerDue, Timer: a.Timer})
-			case policy.Probe:
+				due.at(d.when+max(a.After, moduleRound), policy.Event{Kind: policy.TimerFired, Timer: a.Timer})
+			case policy.SendProbe:
 				probes++
 				due.at(d.when+modulePath, policy.Event{
-					Kind: policy.ProbeDone, Server: a.Server, Took: modulePath, Seen: d.when,
+					Kind: policy.ProbeEnded, Server: a.Server, Elapsed: modulePath, ProbeSentAt: d.when,
 					Report: report,
 				})
-			case policy.Send:
+			case policy.StartAttempt:
 				took := float64(meanTile) / 1e6
 				due.at(d.when+took, policy.Event{
-					Kind: policy.AttemptDone, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
-					Took: took, Final: true,
+					Kind: policy.AttemptEnded, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
+					Elapsed: took, Final: true,
 				})
 			}
 		}
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -329,19 +329,19 @@
 // logic is what a sidecar in that zone is told.
 func (c *Config) logic(zone int) policy.Config {
 	l := policy.Config{
-		OverShareWorth: c.Rules.OverWorth, Balancers: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
-		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, ColdShare: c.Rules.ColdShare,
-		WarmWithin: c.Rules.WarmWithin, TipMultiple: c.Rules.TipMultiple, TipWindow: c.Rules.TipWindow,
-		CrossPrice: c.Rules.CrossPrice, WastePrice: c.Rules.WastePrice, ProbePrice: c.Rules.ProbePrice,
+		OverQuotaWeight: c.Rules.OverWorth, Instances: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
+		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, StartCapacity: c.Rules.ColdShare,
+		WarmUpTime: c.Rules.WarmWithin, OverloadMultiple: c.Rules.TipMultiple, OverloadWindow: c.Rules.TipWindow,
+		CrossZoneCost: c.Rules.CrossPrice, WastedWorkCost: c.Rules.WastePrice, ProbeCost: c.Rules.ProbePrice,
 	}
 	for _, k := range c.Classes {
-		repeat := policy.Safe
+		repeat := policy.Idempotent
 		if k.Unsafe {
-			repeat = policy.Unsafe
+			repeat = policy.NonIdempotent
 		}
 		l.Classes = append(l.Classes, policy.Class{
-			Aim: k.AimMs, Deadline: k.DeadlineMs, Worth: k.Worth,
-			LateWorth: k.LateWorth, Repeat: repeat,
+			LatencyObjective: k.AimMs, Deadline: k.DeadlineMs, PriorityWeight: k.Worth,
+			LateWeight: k.LateWorth, Idempotency: repeat,
 		})
 	}
 	for t := range c.Tenants {
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -232,9 +232,9 @@
 		}, victim, "no answer"},
 		{"answers twice", OneAnswer, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
-				if e.Kind == policy.Arrival && e.Request == victim { // the attempt is out
-					acts = append(acts, policy.Action{Kind: policy.Fail, Request: victim},
-						policy.Action{Kind: policy.Fail, Request: victim})
+				if e.Kind == policy.RequestArrived && e.Request == victim { // the attempt is out
+					acts = append(acts, policy.Action{Kind: policy.FailRequest, Request: victim},
+						policy.Action{Kind: policy.FailRequest, Request: victim})
 				}
 				return acts
 			}}
@@ -242,7 +242,7 @@
 		{"sends two copies", OneAttempt, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				for _, a := range acts {
-					if a.Kind == policy.Send && a.Request == victim {
+					if a.Kind == policy.StartAttempt && a.Request == victim {
 						acts = append(acts, a)
 					}
 				}
@@ -252,16 +252,16 @@
 		{"repeats orders", NoRerun, Trouble{Name: "failures", For: 5, Part: 0.5, Size: 1}, func(p Policy) mutant {
 			orders := map[policy.RequestID]bool{}
 			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
-				if e.Kind == policy.Arrival && e.Class == 2 {
+				if e.Kind == policy.RequestArrived && e.Class == 2 {
 					orders[e.Request] = true
 				}
 				switch {
-				case e.Kind != policy.AttemptDone || e.Final || !orders[e.Request]:
+				case e.Kind != policy.AttemptEnded || e.Final || !orders[e.Request]:
 					return acts
 				case e.Attempt == 0 && e.Status == policy.Failed:
-					return []policy.Action{{Kind: policy.Send, Request: e.Request, Server: e.Server, After: 200}}
+					return []policy.Action{{Kind: policy.StartAttempt, Request: e.Request, Server: e.Server, After: 200}}
 				}
-				return []policy.Action{{Kind: policy.Fail, Request: e.Request}}
+				return []policy.Action{{Kind: policy.FailRequest, Request: e.Request}}
 			}}
 		}, 0, "order"},
 		{
@@ -269,7 +269,7 @@
 			Trouble{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
 			func(p Policy) mutant {
 				return mutant{Policy: p, event: func(e *policy.Event) {
-					e.Full = false
+					e.Complete = false
 					e.Servers = slices.DeleteFunc(slices.Clone(e.Servers),
 						func(s policy.ServerInfo) bool { return s.Health != policy.Ready })
 				}}
@@ -285,7 +285,7 @@
 				}
 			}, func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				for i := range acts {
-					if acts[i].Kind == policy.Send && newest.Health == policy.Ready {
+					if acts[i].Kind == policy.StartAttempt && newest.Health == policy.Ready {
 						acts[i].Server = newest.ID
 					}
 				}
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -274,7 +274,7 @@
 		return
 	}
 	what := "failed"
-	if kind == policy.Refuse {
+	if kind == policy.RejectRequest {
 		what = "refused"
 	}
 	j.log(r, step{what: what})
@@ -282,10 +282,10 @@
 	case r.answered:
 		j.breach(OneAnswer, sc, r, 0, j.steps(r), "answered a second time")
 		return
-	case kind == policy.Refuse && (r.mayRun || r.out > 0) && j.w.cfg.Classes[r.ask.class].Unsafe:
+	case kind == policy.RejectRequest && (r.mayRun || r.out > 0) && j.w.cfg.Classes[r.ask.class].Unsafe:
 		j.breach(NoRerun, sc, r, 0, j.steps(r), "refused, though an attempt may have run: its client will ask again")
 	}
-	if kind == policy.Refuse {
+	if kind == policy.RejectRequest {
 		j.tally.Refused++
 	} else {
 		j.tally.Failed++
--- a/internal/testbench/emulator/network.go
+++ b/internal/testbench/emulator/network.go
@@ -57,9 +57,9 @@
 		switch {
 		case a.ended:
 		case !w.reaches(m, sc):
-			w.at(a.began+w.cfg.Network.ConnectTimeout, func() { sc.finish(a, policy.NoConnection, policy.Report{}) })
+			w.at(a.began+w.cfg.Network.ConnectTimeout, func() { sc.finish(a, policy.ConnectFailed, policy.Report{}) })
 		case m.phase == dead || len(m.conns) >= w.cfg.Server.Connections:
-			w.after(w.delay(m.zone, sc.zone), func() { sc.finish(a, policy.NoConnection, policy.Report{}) })
+			w.after(w.delay(m.zone, sc.zone), func() { sc.finish(a, policy.ConnectFailed, policy.Report{}) })
 		default:
 			a.conn = &conn{at: m, place: len(m.conns), att: a}
 			m.conns = append(m.conns, a.conn)
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -75,7 +75,7 @@
 		answered, told := 0, 0
 		play(t, cfg, func(_ int, p Policy) Policy {
 			return hears{p, func(e *policy.Event) {
-				if e.Kind == policy.ProbeDone && e.Status == policy.OK {
+				if e.Kind == policy.ProbeEnded && e.Status == policy.OK {
 					if answered++; e.Report != (policy.Report{}) {
 						told++
 					}
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -92,15 +92,15 @@
 
 func (t *textbook) Handle(now policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
 	switch e.Kind {
-	case policy.List:
+	case policy.EndpointsUpdated:
 		t.list(e)
-	case policy.Arrival:
-		end := max(0, e.Left-2*t.cfg.Round-1)
-		c := &choice{class: e.Class, aimAt: now + t.cfg.Classes[e.Class].Aim, endAt: now + end}
+	case policy.RequestArrived:
+		end := max(0, e.TimeLeft-2*t.cfg.Round-1)
+		c := &choice{class: e.Class, aimAt: now + t.cfg.Classes[e.Class].LatencyObjective, endAt: now + end}
 		t.open[e.Request] = c
 		acts = append(acts, policy.Action{Kind: policy.SetTimer, Timer: uint64(e.Request), After: end})
 		return t.send(now, e.Request, c, acts)
-	case policy.AttemptDone:
+	case policy.AttemptEnded:
 		t.out[e.Server]--
 		c := t.open[e.Request]
 		if c == nil {
@@ -115,7 +115,7 @@
 		return t.send(now, e.Request, c, acts)
 	case policy.ClientGone:
 		return t.drop(e.Request, acts)
-	case policy.TimerDue:
+	case policy.TimerFired:
 		if c := t.open[policy.RequestID(e.Timer)]; c != nil {
 			return t.finish(policy.RequestID(e.Timer), c, acts)
 		}
@@ -124,7 +124,7 @@
 }
 
 func (t *textbook) list(e *policy.Event) {
-	if e.Full {
+	if e.Complete {
 		t.ready = t.ready[:0]
 	}
 	for _, s := range e.Servers {
@@ -137,7 +137,7 @@
 
 // send makes the next attempt, if one is allowed.
 func (t *textbook) send(now policy.Ms, id policy.RequestID, c *choice, acts []policy.Action) []policy.Action {
-	unsafe := t.cfg.Classes[c.class].Repeat == policy.Unsafe
+	unsafe := t.cfg.Classes[c.class].Idempotency == policy.NonIdempotent
 	if c.attempts >= t.cfg.MaxAttempts || c.mayRun && unsafe || len(t.ready) == 0 || c.endAt-now < 1 {
 		return t.finish(id, c, acts)
 	}
@@ -166,21 +166,21 @@
 	c.out, c.last = true, best
 	c.attempts++
 	t.out[best]++
-	return append(acts, policy.Action{Kind: policy.Send, Request: id, Server: best, After: c.endAt - now})
+	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.endAt - now})
 }
 
 // finish gives the final answer.
 func (t *textbook) finish(id policy.RequestID, c *choice, acts []policy.Action) []policy.Action {
-	act := policy.Action{Kind: policy.Fail, Request: id}
-	if t.cfg.Classes[c.class].Repeat == policy.Safe || !c.mayRun && !c.out {
-		act.Kind = policy.Refuse
+	act := policy.Action{Kind: policy.FailRequest, Request: id}
+	if t.cfg.Classes[c.class].Idempotency == policy.Idempotent || !c.mayRun && !c.out {
+		act.Kind = policy.RejectRequest
 	}
 	return t.drop(id, append(acts, act))
 }
 
 func (t *textbook) drop(id policy.RequestID, acts []policy.Action) []policy.Action {
 	if c := t.open[id]; c != nil && c.out {
-		acts = append(acts, policy.Action{Kind: policy.Cancel, Request: id, Attempt: c.attempts - 1})
+		acts = append(acts, policy.Action{Kind: policy.CancelAttempt, Request: id, Attempt: c.attempts - 1})
 	}
 	delete(t.open, id)
 	return acts
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -195,7 +195,7 @@
 		return
 	case m.phase == draining || m.held() >= set.Slots+set.Room:
 		m.w.judge.turnedAway++
-		m.reply(a, policy.Full, policy.Report{})
+		m.reply(a, policy.Declined, policy.Report{})
 		return
 	}
 	m.settle()
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	sc.step(policy.Event{Kind: policy.List, Full: whole, Servers: lines})
+	sc.step(policy.Event{Kind: policy.EndpointsUpdated, Complete: whole, Servers: lines})
 }
 
 func (sc *sidecar) setHealth(k *listed, h policy.Health) {
@@ -149,7 +149,7 @@
 	r := &request{id: sc.next, ask: a, number: number, left: left}
 	sc.held[r.id] = r
 	sc.w.judge.arrived(r)
-	sc.step(policy.Event{Kind: policy.Arrival, Request: r.id, Class: a.class, Tenant: a.tenant, Left: left})
+	sc.step(policy.Event{Kind: policy.RequestArrived, Request: r.id, Class: a.class, Tenant: a.tenant, TimeLeft: left})
 	return r
 }
 
@@ -189,15 +189,15 @@
 
 func (sc *sidecar) do(a *policy.Action) {
 	switch a.Kind {
-	case policy.Send:
+	case policy.StartAttempt:
 		sc.send(a)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		if r := sc.held[a.Request]; r != nil && r.current != nil && a.Attempt == r.current.number {
 			sc.finish(r.current, policy.Cancelled, policy.Report{})
 		}
-	case policy.Refuse, policy.Fail:
+	case policy.RejectRequest, policy.FailRequest:
 		sc.answer(a.Request, a.Kind)
-	case policy.Probe:
+	case policy.SendProbe:
 		if k := sc.known[a.Server]; k != nil {
 			sc.w.judge.probed()
 			sc.begin(&attempt{sc: sc, at: k.at}, probeTimeout)
@@ -206,7 +206,7 @@
 		life, handle := sc.life, a.Timer
 		sc.w.after(a.After, func() {
 			if sc.life == life {
-				sc.step(policy.Event{Kind: policy.TimerDue, Timer: handle})
+				sc.step(policy.Event{Kind: policy.TimerFired, Timer: handle})
 			}
 		})
 	case policy.Subscribe, policy.Log: // the list is pushed; the judge sees for itself
@@ -218,7 +218,7 @@
 	sc.w.judge.sent(sc, a, r)
 	if r == nil || k == nil {
 		sc.step(policy.Event{
-			Kind: policy.AttemptDone, Request: a.Request, Server: a.Server, Status: policy.NotSent,
+			Kind: policy.AttemptEnded, Request: a.Request, Server: a.Server, Status: policy.NotSent,
 			Final: true,
 		})
 		return
@@ -240,7 +240,7 @@
 		case a.written:
 			sc.finish(a, policy.TimedOut, policy.Report{})
 		default:
-			sc.finish(a, policy.NoConnection, policy.Report{})
+			sc.finish(a, policy.ConnectFailed, policy.Report{})
 		}
 	})
 	k := sc.known[a.at.id]
@@ -263,7 +263,7 @@
 	case a.ended || a.life != sc.life:
 		a.conn.close()
 	case a.conn.broken:
-		sc.finish(a, policy.NoConnection, policy.Report{})
+		sc.finish(a, policy.ConnectFailed, policy.Report{})
 	default:
 		a.up = sc.w.now
 		sc.write(a)
@@ -274,7 +274,7 @@
 func (sc *sidecar) write(a *attempt) {
 	k := sc.known[a.at.id]
 	if a.req != nil && k.health != policy.Ready && sc.w.now > k.toldAt+sc.w.cfg.Rules.Grace-graceMargin {
-		sc.finish(a, policy.NoConnection, policy.Report{})
+		sc.finish(a, policy.ConnectFailed, policy.Report{})
 		return
 	}
 	a.written = true
@@ -289,7 +289,7 @@
 	if a.written {
 		sc.finish(a, policy.Reset, policy.Report{})
 	} else {
-		sc.finish(a, policy.NoConnection, policy.Report{})
+		sc.finish(a, policy.ConnectFailed, policy.Report{})
 	}
 }
 
@@ -309,7 +309,7 @@
 		c.att, c.idleAt = nil, sc.w.now
 		k := sc.known[a.at.id]
 		switch {
-		case status != policy.OK && status != policy.Failed && status != policy.Full || k.health != policy.Ready:
+		case status != policy.OK && status != policy.Failed && status != policy.Declined || k.health != policy.Ready:
 			c.close()
 		case !c.broken:
 			k.idle = append(k.idle, c)
@@ -322,8 +322,8 @@
 	took := sc.w.now - a.began
 	if a.req == nil {
 		sc.step(policy.Event{
-			Kind: policy.ProbeDone, Server: a.at.id, Status: status, Took: took,
-			Dialed: max(0, a.up-a.began), Report: report,
+			Kind: policy.ProbeEnded, Server: a.at.id, Status: status, Elapsed: took,
+			ConnectTime: max(0, a.up-a.began), Report: report,
 		})
 		return
 	}
@@ -337,14 +337,14 @@
 	if status == policy.OK && !r.answered {
 		r.answered = true
 		r.work = a.work
-		sc.w.answered(r, policy.Send)
+		sc.w.answered(r, policy.StartAttempt)
 	}
 	if r.answered && r.out == 0 {
 		delete(sc.held, r.id)
 	}
 	sc.step(policy.Event{
-		Kind: policy.AttemptDone, Request: r.id, Attempt: a.number, Server: a.at.id, Status: status,
-		Took: took, Final: r.answered, Report: report,
+		Kind: policy.AttemptEnded, Request: r.id, Attempt: a.number, Server: a.at.id, Status: status,
+		Elapsed: took, Final: r.answered, Report: report,
 	})
 }
 
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -340,10 +340,10 @@
 	a := r.ask
 	switch {
 	case a.settled:
-	case kind == policy.Send:
+	case kind == policy.StartAttempt:
 		a.settled = true
 		w.judge.served(r)
-	case kind == policy.Refuse:
+	case kind == policy.RejectRequest:
 		w.again(a, true)
 	default:
 		w.again(a, !w.cfg.Classes[a.class].Unsafe)
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -18,8 +18,8 @@
 	}))
 	b, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{
-			{Name: "tile", Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-			{Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second, Repeat: plankrouter.Once},
+			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
+			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, Repeat: plankrouter.Once},
 		},
 		Members: []plankrouter.Member{{Address: s.Listener.Addr().String()}},
 	})
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -114,8 +114,8 @@
 	o := plankrouter.Options{
 		Seed: 1, Sockets: plankrouter.NewSockets(16, net.Dial),
 		Classes: []plankrouter.Class{
-			{Name: "tile", Aim: 750 * ms, Deadline: 2500 * ms},
-			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Repeat: plankrouter.Once},
+			{Name: "tile", LatencyObjective: 750 * ms, Deadline: 2500 * ms},
+			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, Repeat: plankrouter.Once},
 		},
 		Members: []plankrouter.Member{{Address: address}},
 	}
--- a/options.go
+++ b/options.go
@@ -31,11 +31,11 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name     string
-	Aim      time.Duration // in which an answer has its full worth; more than 0
-	Deadline time.Duration // no call waits for longer; at least Aim
-	Worth    float64       // of an answer in time, compared with other classes; 0 = 1
-	Repeat   Repeat
+	Name             string
+	LatencyObjective time.Duration // in which an answer has its full worth; more than 0
+	Deadline         time.Duration // no call waits for longer; at least Aim
+	PriorityWeight   float64       // of an answer in time, compared with other classes; 0 = 1
+	Repeat           Repeat
 }
 
 // Tenant is one sharer of the fleet. Beyond its share its requests count as worth less and are the first to be refused.
@@ -112,7 +112,7 @@
 
 // OptionError is an option that makes no sense.
 type OptionError struct {
-	Option string // its name, such as "Classes[1].Aim"
+	Option string // its name, such as "Classes[1].LatencyObjective"
 	Why    string // what is wrong and what would do
 }
 
@@ -125,22 +125,22 @@
 // check fills in what is left out and names what makes no sense.
 func (o *Options) check() error {
 	if len(o.Classes) == 0 {
-		o.Classes = []Class{{Name: "default", Aim: time.Second, Deadline: 10 * time.Second}}
+		o.Classes = []Class{{Name: "default", LatencyObjective: time.Second, Deadline: 10 * time.Second}}
 	}
 	seen := map[string]bool{}
 	classes := append([]Class(nil), o.Classes...) // the caller's own stay as they are
 	for i := range classes {
 		c := &classes[i]
 		at := fmt.Sprintf("Classes[%d]", i)
-		switch c.Worth = cmp.Or(c.Worth, 1); {
+		switch c.PriorityWeight = cmp.Or(c.PriorityWeight, 1); {
 		case c.Name == "" || seen[c.Name]:
 			return bad(at+".Name", "%q is empty or given twice", c.Name)
-		case c.Aim <= 0:
-			return bad(at+".Aim", "%s is not above 0", c.Aim)
-		case c.Deadline < c.Aim:
-			return bad(at+".Deadline", "%s is shorter than the aim, %s", c.Deadline, c.Aim)
-		case !(c.Worth > 0) || math.IsInf(c.Worth, 1):
-			return bad(at+".Worth", "%g is not above 0", c.Worth)
+		case c.LatencyObjective <= 0:
+			return bad(at+".LatencyObjective", "%s is not above 0", c.LatencyObjective)
+		case c.Deadline < c.LatencyObjective:
+			return bad(at+".Deadline", "%s is shorter than the latency objective, %s", c.Deadline, c.LatencyObjective)
+		case !(c.PriorityWeight > 0) || math.IsInf(c.PriorityWeight, 1):
+			return bad(at+".PriorityWeight", "%g is not above 0", c.PriorityWeight)
 		case c.Repeat > Once:
 			return bad(at+".Repeat", "%d is neither Safe nor Once", c.Repeat)
 		}
@@ -259,15 +259,15 @@
 func (o *Options) logic() policy.Config {
 	ms := func(d time.Duration) policy.Ms { return float64(d) / float64(time.Millisecond) }
 	cfg := policy.Config{
-		OverShareWorth: o.OverShare, Balancers: o.Instances, Probes: o.Probes, Cancel: true,
-		MaxAttempts: o.Attempts, MaxRetryAfter: ms(o.AdviceMost), Round: round, CrossPrice: o.ZonePrice,
-		WastePrice: o.WastePrice, ColdShare: o.Cold.Share, WarmWithin: ms(o.Cold.Within), TipMultiple: o.Cold.Multiple,
-		TipWindow: ms(o.Cold.Window),
+		OverQuotaWeight: o.OverShare, Instances: o.Instances, Probes: o.Probes, Cancel: true,
+		MaxAttempts: o.Attempts, MaxRetryAfter: ms(o.AdviceMost), Round: round, CrossZoneCost: o.ZonePrice,
+		WastedWorkCost: o.WastePrice, StartCapacity: o.Cold.Share, WarmUpTime: ms(o.Cold.Within), OverloadMultiple: o.Cold.Multiple,
+		OverloadWindow: ms(o.Cold.Window),
 	}
 	for _, c := range o.Classes {
-		k := policy.Class{Aim: ms(c.Aim), Deadline: ms(c.Deadline), Worth: c.Worth}
+		k := policy.Class{LatencyObjective: ms(c.LatencyObjective), Deadline: ms(c.Deadline), PriorityWeight: c.PriorityWeight}
 		if c.Repeat == Once {
-			k.Repeat = policy.Unsafe
+			k.Idempotency = policy.NonIdempotent
 		}
 		cfg.Classes = append(cfg.Classes, k)
 	}
--- a/plankrouter.go
+++ b/plankrouter.go
@@ -4,8 +4,8 @@
 //
 //	b, err := plankrouter.New(plankrouter.Options{
 //		Classes: []plankrouter.Class{
-//			{Name: "tile", Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-//			{Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 5, Repeat: plankrouter.Once},
+//			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
+//			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Repeat: plankrouter.Once},
 //		},
 //		Members: []plankrouter.Member{{Address: "10.0.0.4:3000"}, {Address: "10.0.0.5:3000"}},
 //	})
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -26,7 +26,7 @@
 func (b *Balancer) admits(s *server, r *request) bool {
 	worth := b.density(r.class)
 	if r.over {
-		worth *= b.cfg.OverShareWorth
+		worth *= b.cfg.OverQuotaWeight
 	}
 	if !b.told && !b.gauge.Admits(uint32(r.id), worth) {
 		return false // by what all servers have taken of late
@@ -38,13 +38,13 @@
 	if s.rif < 1 && !r.over {
 		return true // an idle server is worth a try: only a sample can correct a wrong estimate
 	}
-	margin := limit.Room(b.sparse, b.cfg.WastePrice, s.rif/b.fit.SideBySide())
+	margin := limit.Room(b.sparse, b.cfg.WastedWorkCost, s.rif/b.fit.SideBySide())
 	margin *= min(1, max(slowMost*b.fleetLatency, serverPrior)/b.service(s)) // a few costly ones raise a mean
 	for i, c := range b.cfg.Classes {
-		room := c.Aim
+		room := c.LatencyObjective
 		if i == r.class {
 			room = left
-		} else if c.Dropped || b.density(i) < peerWorth*worth {
+		} else if c.Retired || b.density(i) < peerWorth*worth {
 			continue // only where no worthier or equal request would find room is this one out of place
 		}
 		most := room / margin
@@ -62,11 +62,11 @@
 func (b *Balancer) density(class int) float64 {
 	most := math.SmallestNonzeroFloat64
 	for i, c := range b.cfg.Classes {
-		if !c.Dropped {
-			most = max(most, c.Worth/b.fit.Of(i))
+		if !c.Retired {
+			most = max(most, c.PriorityWeight/b.fit.Of(i))
 		}
 	}
-	return b.cfg.Classes[class].Worth / b.fit.Of(class) / most
+	return b.cfg.Classes[class].PriorityWeight / b.fit.Of(class) / most
 }
 
 // roomy is a random server with room where the pool's pick has none: the best would draw all sidecars.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,10 +12,10 @@
 func TestLateAnswersAreWaitedFor(t *testing.T) {
 	cfg := testConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LateWorth = 0
+		cfg.Classes[i].LateWeight = 0
 	}
 	g := newRig(t, cfg, 4)
-	if s := find(g.arrive(1, 2), Send); s == nil || s.After < 900-g.b.margin {
+	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.b.margin {
 		t.Errorf("an attempt for a client that waits 900 ms: %+v", s)
 	}
 }
@@ -29,7 +29,7 @@
 		for s := range g.b.byID {
 			g.report(s, 1, 40)
 		}
-		s := find(g.arrive(id, 0), Send)
+		s := find(g.arrive(id, 0), StartAttempt)
 		g.now += 40
 		g.done(id, 0, s.Server, OK)
 		if got := g.b.fit.Class[0].N > 0; got != want {
@@ -44,7 +44,7 @@
 // server's mean, which a few costly requests raise, counts up to 1.5 times the median of all.
 func TestAdmissionLeavesRoomForLongResponses(t *testing.T) {
 	cfg := testConfig()
-	cfg.WastePrice = 0.1
+	cfg.WastedWorkCost = 0.1
 	g := newRig(t, cfg, 1)
 	s, r := g.b.byID[1], &request{class: 0, aimAt: g.now + 400, endAt: g.now + 900}
 	for _, c := range []struct {
@@ -78,13 +78,13 @@
 	out := map[ServerID]int{}
 	count := func(acts []Action) {
 		for _, a := range acts {
-			if a.Kind == Probe {
+			if a.Kind == SendProbe {
 				out[a.Server]++
 			}
 		}
 	}
 	for id := range RequestID(20) {
-		count(g.do(Event{Kind: Arrival, Request: id, Left: 900}))
+		count(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900}))
 	}
 	for s, n := range out {
 		if n != 1 {
@@ -94,9 +94,9 @@
 	clear(out)
 	for id := range RequestID(1000) { // a second of one a millisecond, each answered at once
 		g.now++
-		acts := g.do(Event{Kind: Arrival, Request: 100 + id, Left: 900})
+		acts := g.do(Event{Kind: RequestArrived, Request: 100 + id, TimeLeft: 900})
 		for count(acts); len(acts) > 0; acts = acts[1:] {
-			if acts[0].Kind == Probe {
+			if acts[0].Kind == SendProbe {
 				g.report(acts[0].Server, 1, 40)
 			}
 		}
@@ -111,7 +111,7 @@
 // A server that turns one tenant's requests away serves the others: it is left out for that tenant alone.
 func TestTroubleOfOneTenant(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants, cfg.OverShareWorth = make([]Tenant, 2), 1
+	cfg.Tenants, cfg.OverQuotaWeight = make([]Tenant, 2), 1
 	for i := range cfg.Tenants {
 		cfg.Tenants[i].Quota = 1e3
 	}
@@ -120,7 +120,7 @@
 	for i := range 12 {
 		r := &request{id: RequestID(i + 1), who: 1 + i%4/3, out: true, endAt: g.now + 900} // the second's is every fourth
 		g.b.requests[r.id] = r
-		g.do(Event{Kind: AttemptDone, Request: r.id, Server: 1, Status: []Status{OK, Full}[r.who-1], Took: 40, Final: true})
+		g.do(Event{Kind: AttemptEnded, Request: r.id, Server: 1, Status: []Status{OK, Declined}[r.who-1], Elapsed: 40, Final: true})
 	}
 	for tenant, want := range []bool{true, false} {
 		if got := g.b.suits(s, &request{who: 1 + tenant}); got != want {
@@ -132,7 +132,7 @@
 		for s := range g.b.byID {
 			g.report(s, map[bool]float64{true: 0, false: 2}[s == 1], 40) // the least loaded of all
 		}
-		if a := find(g.answer(g.do(Event{Kind: Arrival, Request: 100 + id, Tenant: 1, Left: 900})), Send); a != nil {
+		if a := find(g.answer(g.do(Event{Kind: RequestArrived, Request: 100 + id, Tenant: 1, TimeLeft: 900})), StartAttempt); a != nil {
 			to = append(to, a.Server)
 			g.done(100+id, 0, a.Server, OK)
 		}
@@ -152,17 +152,17 @@
 	waited := 0
 	for id := range RequestID(10000) { // half a second of 20,000 a second, and a probe of each server in 40 ms
 		g.now += 0.05
-		acts := g.do(Event{Kind: Arrival, Request: id, Left: 900})
-		if find(acts, Send) == nil {
+		acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
+		if find(acts, StartAttempt) == nil {
 			waited++
 		}
 		for ; len(acts) > 0; acts = acts[1:] {
 			switch a := acts[0]; a.Kind {
-			case Send:
+			case StartAttempt:
 				acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
-			case Probe:
+			case SendProbe:
 				acts = append(acts, g.do(Event{
-					Kind: ProbeDone, Server: a.Server, Took: 1,
+					Kind: ProbeEnded, Server: a.Server, Elapsed: 1,
 					Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
 				})...)
 			}
@@ -178,24 +178,24 @@
 func TestProbesOfAQuietSidecarAreBudgeted(t *testing.T) {
 	for _, c := range []struct{ price, most, least float64 }{{0, 2, 1.9}, {0.0046, 2, 1.9}, {0.08, 0.5, 0.4}, {1, 0.15, 0.1}} {
 		cfg := testConfig()
-		cfg.ProbePrice = c.price
+		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 60)
 		probes, asked := 0, 0
 		for id := range RequestID(400) { // each long after the last one, whose news are old
 			g.now += 1500
-			acts := g.do(Event{Kind: Arrival, Request: id, Left: 900})
+			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case Probe:
+				case SendProbe:
 					probes++
 					acts = append(acts, g.do(Event{
-						Kind: ProbeDone, Server: a.Server, Took: 1,
+						Kind: ProbeEnded, Server: a.Server, Elapsed: 1,
 						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
 					})...)
-				case Send:
+				case StartAttempt:
 					asked++
 					acts = append(acts, g.done(id, 0, a.Server, OK)...)
-				case Refuse, Fail:
+				case RejectRequest, FailRequest:
 					t.Fatalf("request %d is not sent", id)
 				}
 			}
--- a/policy/api.go
+++ b/policy/api.go
@@ -19,37 +19,37 @@
 	RequestID uint32
 )
 
-// Repeat says what may happen if a request runs twice.
-type Repeat uint8
+// Idempotency says what may happen if a request runs twice.
+type Idempotency uint8
 
 // Safe requests may run any number of times, Keyed ones only where the repeat is recognised and
 // dropped, Unsafe ones never.
 const (
-	Safe Repeat = iota
-	Keyed
-	Unsafe
+	Idempotent Idempotency = iota
+	WithIdempotencyKey
+	NonIdempotent
 )
 
-// Scope is the group of servers that drop a repeat of a Keyed request.
-type Scope uint8
+// KeyScope is the group of servers that drop a repeat of a Keyed request.
+type KeyScope uint8
 
 // The scopes of a repeat key.
 const (
-	ScopeAll Scope = iota
+	ScopeAll KeyScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Aim, Deadline Ms      // full worth until Aim; no client waits past Deadline
-	Worth         float64 // worth of one answer in time
-	LateWorth     float64 // part of Worth that an answer after Aim still earns
-	Repeat        Repeat
-	Scope         Scope // for Keyed
-	Window        Ms    // for Keyed: how long repeats are dropped
-	Attempts      int   // per request; 0 = Config.MaxAttempts
-	Dropped       bool  // no further request is of it: only those that are open keep its rules
+	LatencyObjective, Deadline Ms      // full worth until Aim; no client waits past Deadline
+	PriorityWeight             float64 // worth of one answer in time
+	LateWeight                 float64 // part of Worth that an answer after Aim still earns
+	Idempotency                Idempotency
+	KeyScope                   KeyScope // for Keyed
+	KeyWindow                  Ms       // for Keyed: how long repeats are dropped
+	Attempts                   int      // per request; 0 = Config.MaxAttempts
+	Retired                    bool     // no further request is of it: only those that are open keep its rules
 }
 
 // Tenant is one sharer of the fleet.
@@ -59,28 +59,28 @@
 
 // Config is what a sidecar is told at its start.
 type Config struct {
-	Classes        []Class
-	Tenants        []Tenant // may be empty
-	OverShareWorth float64  // worth of a request beyond its tenant's share, as a part of the full one
-	Balancers      int      // sidecars in service, this one included
-	Zone           int      // the sidecar's own zone
-
-	AskForList    bool // the server list is sent only to those who subscribe
-	Probes        bool // Probe is allowed
-	Cancel        bool // Cancel is allowed
-	MaxAttempts   int  // per request
-	MaxRetryAfter Ms   // longest advice a client follows; 0 = none is passed on
-	Round         Ms   // least time between two looks at the events
-
-	ColdShare   float64 // least part of its capacity at which a server starts
-	WarmWithin  Ms      // and is fully warm by then
-	TipMultiple float64 // of present capacity; more than this, for TipWindow, fells a cold server
-	TipWindow   Ms
-	CrossPrice  float64 // part of a request's worth that an attempt in another zone costs
-	WastePrice  float64 // the same for all work of the servers being in vain
-	ProbePrice  float64 // the same for one probe
-
-	Vouched Ms // for so long after it was sent, a probe stands for a list that is not sure; see Event.Seen
+	Classes         []Class
+	Tenants         []Tenant // may be empty
+	OverQuotaWeight float64  // worth of a request beyond its tenant's share, as a part of the full one
+	Instances       int      // sidecars in service, this one included
+	Zone            int      // the sidecar's own zone
+
+	SubscribeToList bool // the server list is sent only to those who subscribe
+	Probes          bool // Probe is allowed
+	Cancel          bool // Cancel is allowed
+	MaxAttempts     int  // per request
+	MaxRetryAfter   Ms   // longest advice a client follows; 0 = none is passed on
+	Round           Ms   // least time between two looks at the events
+
+	StartCapacity    float64 // least part of its capacity at which a server starts
+	WarmUpTime       Ms      // and is fully warm by then
+	OverloadMultiple float64 // of present capacity; more than this, for OverloadWindow, fells a cold server
+	OverloadWindow   Ms
+	CrossZoneCost    float64 // part of a request's worth that an attempt in another zone costs
+	WastedWorkCost   float64 // the same for all work of the servers being in vain
+	ProbeCost        float64 // the same for one probe
+
+	ProbeValidity Ms // for so long after it was sent, a probe stands for a list that is not sure; see Event.Seen
 }
 
 // validate names what the module can't work with.
@@ -89,11 +89,11 @@
 		return errors.New("logic: no request classes")
 	}
 	for i, k := range c.Classes {
-		if !(k.Aim > 0) || !(k.Deadline > 0) || k.Repeat > Unsafe || k.Scope > ScopeCell || k.Window < 0 {
+		if !(k.LatencyObjective > 0) || !(k.Deadline > 0) || k.Idempotency > NonIdempotent || k.KeyScope > ScopeCell || k.KeyWindow < 0 {
 			return fmt.Errorf("logic: class %d is malformed: %+v", i, k)
 		}
 	}
-	for _, v := range []float64{c.Round, c.WarmWithin, c.TipWindow, c.ColdShare, c.TipMultiple} {
+	for _, v := range []float64{c.Round, c.WarmUpTime, c.OverloadWindow, c.StartCapacity, c.OverloadMultiple} {
 		if !(v >= 0) {
 			return fmt.Errorf("logic: negative or missing figure in %+v", *c)
 		}
@@ -106,35 +106,35 @@
 
 // The events. The comments name the fields of Event that each one uses.
 const (
-	Started     EventKind = iota // the first event of an instance
-	List                         // Servers, Full: the list of servers, or changes to it
-	ListFailed                   // a subscription or its request has failed
-	Arrival                      // Request, Class, Tenant, Left, Again
-	AttemptDone                  // Request, Attempt, Server, Status, Took, Final, Spent, Report
-	ClientGone                   // Request
-	TimerDue                     // Timer
-	ProbeDone                    // Server, Status, Took, Dialed, Seen, Report
-	Sure                         // Left: for how long; Took: for how long any server may be asked for proof
-	Flowing                      // Server: a long request is still on its way there
+	Started             EventKind = iota // the first event of an instance
+	EndpointsUpdated                     // Servers, Full: the list of servers, or changes to it
+	SubscriptionFailed                   // a subscription or its request has failed
+	RequestArrived                       // Request, Class, Tenant, Left, Again
+	AttemptEnded                         // Request, Attempt, Server, Status, Took, Final, Spent, Report
+	ClientGone                           // Request
+	TimerFired                           // Timer
+	ProbeEnded                           // Server, Status, Took, Dialed, Seen, Report
+	ListValidityChanged                  // Left: for how long; Took: for how long any server may be asked for proof
+	BodyProgressed                       // Server: a long request is still on its way there
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint8
 
-// The outcomes. Full, NoConnection and NotSent prove that the attempt never ran.
+// The outcomes. Full, ConnectFailed and NotSent prove that the attempt never ran.
 const (
 	OK Status = iota
 	Failed
-	Full
+	Declined
 	TimedOut
-	NoConnection
+	ConnectFailed
 	Reset
 	Cancelled
 	NotSent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (s Status) NeverRan() bool { return s == Full || s == NoConnection || s == NotSent }
+func (s Status) NeverRan() bool { return s == Declined || s == ConnectFailed || s == NotSent }
 
 // Health is what the list says of a server.
 type Health uint8
@@ -154,7 +154,7 @@
 	Zone, Cell int
 	Health     Health
 	StartedAt  Ms   // 0 = long ago
-	Returned   bool // operators have just put it back: nobody else sends to it for that
+	Uncordoned bool // operators have just put it back: nobody else sends to it for that
 }
 
 // Report is a server's load report; a field is meaningful only if its Has flag is set.
@@ -168,24 +168,24 @@
 
 // Event is one thing that has happened; Kind tells which of the fields count.
 type Event struct {
-	Kind    EventKind
-	Status  Status
-	Final   bool // the request is answered: nothing more is owed
-	Full    bool // Servers is the whole list
-	Again   bool // the client marked the request as a repetition
-	Spent   bool // with AttemptDone: the request's body is gone, so that it can't be sent again
-	Attempt int
-	Request RequestID
-	Server  ServerID
-	Class   int
-	Tenant  int
-	Left    Ms // until the client gives up
-	Took    Ms
-	Dialed  Ms // part of Took in which a new connection came up
-	Seen    Ms // when the probe was sent, if who answered is the process that the list names; else 0
-	Timer   uint64
-	Report  Report
-	Servers []ServerInfo
+	Kind         EventKind
+	Status       Status
+	Final        bool // the request is answered: nothing more is owed
+	Complete     bool // Servers is the whole list
+	ClientRetry  bool // the client marked the request as a repetition
+	BodyConsumed bool // with AttemptEnded: the request's body is gone, so that it can't be sent again
+	Attempt      int
+	Request      RequestID
+	Server       ServerID
+	Class        int
+	Tenant       int
+	TimeLeft     Ms // until the client gives up
+	Elapsed      Ms
+	ConnectTime  Ms // part of Took in which a new connection came up
+	ProbeSentAt  Ms // when the probe was sent, if who answered is the process that the list names; else 0
+	Timer        uint64
+	Report       Report
+	Servers      []ServerInfo
 }
 
 // ActionKind names what the sidecar is to do.
@@ -193,14 +193,14 @@
 
 // The actions. The comments name the fields of Action that each one uses.
 const (
-	Send      ActionKind = iota // Request, Server, After = the attempt's time-out, Expires
-	Cancel                      // Request, Attempt
-	Refuse                      // Request, After = advice when to come back, Why
-	Fail                        // Request, Why
-	Probe                       // Server
-	SetTimer                    // Timer, After
-	Subscribe                   // to changes of the server list
-	Log                         // Text
+	StartAttempt  ActionKind = iota // Request, Server, After = the attempt's time-out, Expires
+	CancelAttempt                   // Request, Attempt
+	RejectRequest                   // Request, After = advice when to come back, Why
+	FailRequest                     // Request, Why
+	SendProbe                       // Server
+	SetTimer                        // Timer, After
+	Subscribe                       // to changes of the server list
+	Log                             // Text
 )
 
 // Action is one thing to do; Kind tells which of the fields count.
@@ -213,7 +213,7 @@
 	Expires Ms // until when, from now, its last byte has to be written; 0 = at any time
 	Timer   uint64
 	Text    string
-	Why     Reason
+	Reason  Reason
 }
 
 // Reason says why a request is refused or failed, for logs and counts.
@@ -221,45 +221,45 @@
 
 // The reasons.
 const (
-	NoServer  Reason = "no_server"  // the rules allow none, or the evidence excludes all
-	ListStale Reason = "list_stale" // likewise, while the list may no longer be relied on
-	Crowded   Reason = "crowded"    // no server has room for a request of this value
-	TimeUp    Reason = "time_up"    // the client is about to stop waiting
-	NoRetry   Reason = "no_retry"   // an attempt has ended, and no further one may or can follow
+	NoEligibleServer Reason = "no_server"  // the rules allow none, or the evidence excludes all
+	ListStale        Reason = "list_stale" // likewise, while the list may no longer be relied on
+	NoCapacity       Reason = "crowded"    // no server has room for a request of this value
+	DeadlineReached  Reason = "time_up"    // the client is about to stop waiting
+	RetryNotAllowed  Reason = "no_retry"   // an attempt has ended, and no further one may or can follow
 )
 
 // State is what a Balancer has learned that outlives its process. No present load is in it. Times are those
 // of the clock that Handle is given; a figure whose time is in the past has faded since.
 type State struct {
-	Servers       []ServerState
-	XX, XY, FitAt float64 // of the fit of the response time to the load
-	Classes       []Mean  // by class
-	FleetLatency  Ms      // median service time
-	FracOwn       float64 // own requests, and all, that probed servers held
-	FracAll       float64
-	Tenants       []Level // by tenant: requests that each may still send at once
-	Arrivals      Level   // fading counts of events
-	Sends         Level
+	Servers                                  []ServerState
+	SumLoadSquared, SumLoadLatency, FittedAt float64 // of the fit of the response time to the load
+	Classes                                  []Mean  // by class
+	FleetLatency                             Ms      // median service time
+	OwnInFlight                              float64 // own requests, and all, that probed servers held
+	TotalInFlight                            float64
+	Tenants                                  []Level // by tenant: requests that each may still send at once
+	Arrivals                                 Level   // fading counts of events
+	Sends                                    Level
 }
 
 // ServerState is what is known of one server's process.
 type ServerState struct {
-	ID        ServerID
-	StartedAt Ms // of the process
-	Latency   Ms // service time; 0 = not known
-	Reported  bool
-	ReportAt  Ms // of Latency and Failing
-	Network   Ms // lowest round trip
-	Failing   float64
-	Outcomes  []Tally // of all requests, then by tenant
-	Cold      Level   // what was left of its allowance while cold
+	ID              ServerID
+	StartedAt       Ms // of the process
+	Latency         Ms // service time; 0 = not known
+	LatencyReported bool
+	ReportedAt      Ms // of Latency and Failing
+	RoundTrip       Ms // lowest round trip
+	ErrorRate       float64
+	Outcomes        []Tally // of all requests, then by tenant
+	SlowStartBudget Level   // what was left of its allowance while cold
 }
 
 // Tally is fading evidence for and against a server.
 type Tally = outlier.Tally
 
 // Mean is the sum of N fading samples.
-type Mean struct{ N, Sum float64 }
+type Mean struct{ Count, Sum float64 }
 
 // Level is a figure that changes by itself, as it was at At.
-type Level struct{ V, At float64 }
+type Level struct{ Value, At float64 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -12,14 +12,14 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	sized(b, func(g *rig, _ int) { g.do(Event{Kind: TimerDue, Timer: tickTimer}) })
+	sized(b, func(g *rig, _ int) { g.do(Event{Kind: TimerFired, Timer: tickTimer}) })
 }
 
 func sized(b *testing.B, once func(g *rig, n int)) {
 	for _, servers := range []int{16, 60, 200, 350, 1024, 2000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			cfg := testConfig()
-			cfg.Balancers, cfg.ProbePrice = 300, 0.08
+			cfg.Instances, cfg.ProbeCost = 300, 0.08
 			g := newRig(b, cfg, servers)
 			b.ReportAllocs()
 			n := 0
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -24,7 +24,7 @@
 // is held in the end is what the same servers needed at the start.
 func TestNothingGrows(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants, cfg.ProbePrice, cfg.Balancers = []Tenant{{Quota: 10}, {Quota: 10}}, 0.08, 300
+	cfg.Tenants, cfg.ProbeCost, cfg.Instances = []Tenant{{Quota: 10}, {Quota: 10}}, 0.08, 300
 	g := newRig(t, cfg, 12)
 	turn := func(from int) {
 		for i := from; i < from+2000; i++ {
@@ -33,46 +33,46 @@
 			if i >= 12 {
 				list = append(list, ServerInfo{ID: ServerID((i-12)%12 + 1 + (i-12)/12*12), Health: Gone})
 			}
-			g.do(Event{Kind: List, Servers: list})
+			g.do(Event{Kind: EndpointsUpdated, Servers: list})
 			id := RequestID(i)
-			acts := g.do(Event{Kind: Arrival, Request: id, Class: i % 3, Tenant: i % 2, Left: 900})
+			acts := g.do(Event{Kind: RequestArrived, Request: id, Class: i % 3, Tenant: i % 2, TimeLeft: 900})
 			var open []Event // answered once the servers may have gone
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case Probe:
+				case SendProbe:
 					e := Event{
-						Kind: ProbeDone, Server: a.Server, Took: 1, Status: []Status{OK, OK, TimedOut, NoConnection}[i%4],
+						Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Status: []Status{OK, OK, TimedOut, ConnectFailed}[i%4],
 						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
 					}
 					acts = append(acts, g.do(e)...)
-				case Send:
+				case StartAttempt:
 					if i%5 == 0 {
-						open = append(open, Event{Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: OK, Final: true})
+						open = append(open, Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: OK, Final: true})
 						continue
 					}
-					how := []Status{OK, Failed, Reset, NoConnection, Full, TimedOut}[i%6]
+					how := []Status{OK, Failed, Reset, ConnectFailed, Declined, TimedOut}[i%6]
 					acts = append(acts, g.do(Event{
-						Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: how, Took: 40,
+						Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: how, Elapsed: 40,
 						Final: how == OK,
 					})...)
 				}
 			}
 			if len(open) > 0 {
 				g.do(Event{Kind: ClientGone, Request: id})
-				g.do(Event{Kind: List, Servers: []ServerInfo{{ID: open[0].Server, Health: Gone}}})
+				g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: open[0].Server, Health: Gone}}})
 				g.do(open[0])
 			}
-			g.do(Event{Kind: TimerDue, Timer: waitTimer + uint64(id)})
-			g.do(Event{Kind: TimerDue, Timer: uint64(id)})
-			g.do(Event{Kind: TimerDue, Timer: tickTimer})
+			g.do(Event{Kind: TimerFired, Timer: waitTimer + uint64(id)})
+			g.do(Event{Kind: TimerFired, Timer: uint64(id)})
+			g.do(Event{Kind: TimerFired, Timer: tickTimer})
 		}
 		g.now += 5000
 		var list []ServerInfo
 		for i := range 12 {
 			list = append(list, ServerInfo{ID: ServerID(1e6 + i), Health: Ready})
 		}
-		g.do(Event{Kind: List, Full: true, Servers: list})
-		g.do(Event{Kind: TimerDue, Timer: tickTimer})
+		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
+		g.do(Event{Kind: TimerFired, Timer: tickTimer})
 	}
 	turn(0)
 	before := g.b.kept()
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -16,7 +16,7 @@
 	quiet             Ms      // until so long after the cold server's start there is a tenth of the requests
 }
 
-// play returns when the cold server got its requests, from its start on, and the most in a TipWindow over what fells it.
+// play returns when the cold server got its requests, from its start on, and the most in a OverloadWindow over what fells it.
 func (c coldFleet) play(t *testing.T, cfg Config, seed uint64) (sent []Ms, worst float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f6c64))
 	fleet, parts, sum := make([]*rig, c.sidecars), make([]float64, c.sidecars), 0.0
@@ -30,7 +30,7 @@
 		for j := range list {
 			list[j] = ServerInfo{ID: ServerID(j + 1), Health: Ready}
 		}
-		fleet[i].do(Event{Kind: List, Full: true, Servers: list})
+		fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		part := 1.0
 		if c.skewed {
 			part = math.Exp(rng.NormFloat64())
@@ -53,7 +53,7 @@
 			started, now = true, born
 			for _, g := range fleet {
 				g.now = now
-				g.do(Event{Kind: List, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
+				g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
 			}
 		}
 		i, at := 0, rng.Float64()*sum
@@ -73,22 +73,22 @@
 	for i, at := range sent {
 		in := 0
 		for _, later := range sent[i:] {
-			if later < at+cfg.TipWindow {
+			if later < at+cfg.OverloadWindow {
 				in++
 			}
 		}
-		warmth := cfg.ColdShare + (1-cfg.ColdShare)*(at-born)/cfg.WarmWithin
-		bears := cfg.TipMultiple * warmth * c.eachPerS / 1000 * cfg.TipWindow
+		warmth := cfg.StartCapacity + (1-cfg.StartCapacity)*(at-born)/cfg.WarmUpTime
+		bears := cfg.OverloadMultiple * warmth * c.eachPerS / 1000 * cfg.OverloadWindow
 		worst = max(worst, float64(in)/(bears+2*math.Sqrt(bears)+2))
 	}
 	return sent, worst
 }
 
-// What all sidecars together send to a cold server stays below what fells it: N and two roots of N and 2, N being TipMultiple times
+// What all sidecars together send to a cold server stays below what fells it: N and two roots of N and 2, N being OverloadMultiple times
 // what it must bear by then; whether they are few or many, equal or not, quiet or busy, and under a burst.
 func TestColdServerIsNotFelledByTheSum(t *testing.T) {
 	cfg := testConfig()
-	cfg.ProbePrice, cfg.TipWindow, cfg.Round, cfg.WarmWithin = 0.08, 3000, 1, 8000
+	cfg.ProbeCost, cfg.OverloadWindow, cfg.Round, cfg.WarmUpTime = 0.08, 3000, 1, 8000
 	for _, each := range []float64{2, 15} {
 		for _, size := range [][2]int{{4, 30}, {20, 13}, {30, 20}, {300, 60}, {2000, 60}, {6000, 60}} {
 			for _, skewed := range []bool{false, true} {
@@ -106,7 +106,7 @@
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						cfg := cfg
-						cfg.Balancers, cfg.TipMultiple = size[0], way.tip
+						cfg.Instances, cfg.OverloadMultiple = size[0], way.tip
 						seeds, most, got := uint64(3), 0.0, 0
 						if size[0] > 300 { // these take longer, and their sum varies less
 							seeds = 1
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -44,7 +44,7 @@
 	if b.silent(s) {
 		return 1
 	}
-	return max(s.by[0].Missed(b.now), s.failing*outlier.Faded(b.now-s.reportAt))
+	return max(s.by[0].FailureRate(b.now), s.failing*outlier.Decay(b.now-s.reportAt))
 }
 
 // excess is how much likelier than the median a server fails: trouble that most share excludes none.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 // A sidecar feeds events and carries out the actions that come back.
 func Example() {
 	b, err := policy.New(policy.Config{
-		Classes: []policy.Class{{Aim: 200, Deadline: 1000, Worth: 1, Repeat: policy.Safe}},
+		Classes: []policy.Class{{LatencyObjective: 200, Deadline: 1000, PriorityWeight: 1, Idempotency: policy.Idempotent}},
 		Probes:  true, MaxAttempts: 2, Round: 1,
 	}, 42)
 	if err != nil {
@@ -17,15 +17,15 @@
 	}
 	now := 0.0
 	acts := b.Handle(now, &policy.Event{Kind: policy.Started}, nil)
-	acts = b.Handle(now, &policy.Event{Kind: policy.List, Full: true, Servers: []policy.ServerInfo{
+	acts = b.Handle(now, &policy.Event{Kind: policy.EndpointsUpdated, Complete: true, Servers: []policy.ServerInfo{
 		{ID: 7, Health: policy.Ready},
 	}}, acts[:0])
-	acts = b.Handle(now+1, &policy.Event{Kind: policy.Arrival, Request: 1, Left: 500}, acts[:0])
+	acts = b.Handle(now+1, &policy.Event{Kind: policy.RequestArrived, Request: 1, TimeLeft: 500}, acts[:0])
 	for _, a := range acts {
 		switch a.Kind {
-		case policy.Probe:
+		case policy.SendProbe:
 			fmt.Println("probe", a.Server)
-		case policy.Send:
+		case policy.StartAttempt:
 			fmt.Println("send request", a.Request, "to", a.Server)
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,7 +6,7 @@
 )
 
 // Whatever the number of sidecars that share the same traffic, all of which hear of a cold server in the same moment: what
-// they send it together, in any TipWindow, stays under three quarters of TipMultiple times what it must bear when the window
+// they send it together, in any OverloadWindow, stays under three quarters of OverloadMultiple times what it must bear when the window
 // begins, where the fleet's servers are used to the full; and it gets half of a warm server's part at least.
 func TestColdServerBearsTheSumOfAllSidecars(t *testing.T) {
 	const lasts = 8000
@@ -15,7 +15,7 @@
 		perMs := 0.015 * float64(servers)
 		t.Run(fmt.Sprint(sidecars), func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Balancers, cfg.ProbePrice, cfg.TipMultiple, cfg.TipWindow, cfg.Round = sidecars, 0.08, 4, 3000, 1
+			cfg.Instances, cfg.ProbeCost, cfg.OverloadMultiple, cfg.OverloadWindow, cfg.Round = sidecars, 0.08, 4, 3000, 1
 			fleet := make([]*rig, sidecars)
 			for i := range fleet {
 				b, err := New(cfg, uint64(i))
@@ -27,7 +27,7 @@
 				for j := range list {
 					list[j] = ServerInfo{ID: ServerID(j + 1), Health: Ready}
 				}
-				fleet[i].do(Event{Kind: List, Full: true, Servers: list})
+				fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 			}
 			var sent []Ms
 			born := Ms(5000)
@@ -36,7 +36,7 @@
 				if now-1/perMs < born && now >= born {
 					for _, g := range fleet {
 						g.now = now
-						g.do(Event{Kind: List, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
+						g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
 					}
 				}
 				g := fleet[n*7919%sidecars]
@@ -49,14 +49,14 @@
 			for i, at := range sent {
 				in := 0
 				for _, later := range sent[i:] {
-					if later < at+cfg.TipWindow {
+					if later < at+cfg.OverloadWindow {
 						in++
 					}
 				}
-				bears := (cfg.ColdShare + (1-cfg.ColdShare)*(at-born)/cfg.WarmWithin) * perMs / float64(servers) * cfg.TipWindow
+				bears := (cfg.StartCapacity + (1-cfg.StartCapacity)*(at-born)/cfg.WarmUpTime) * perMs / float64(servers) * cfg.OverloadWindow
 				worst = max(worst, float64(in)/bears)
 			}
-			if worst > 0.75*cfg.TipMultiple {
+			if worst > 0.75*cfg.OverloadMultiple {
 				t.Errorf("%.2f times what it must bear", worst)
 			}
 			if fair := perMs / float64(servers) * lasts; float64(len(sent)) < 0.5*fair {
--- a/policy/internal/outlier/evidence.go
+++ b/policy/internal/outlier/evidence.go
@@ -13,25 +13,25 @@
 )
 
 // Tally is fading evidence for and against a server, as it was at At.
-type Tally struct{ Oks, Misses, At float64 }
+type Tally struct{ Successes, Failures, At float64 }
 
-// Missed is the probability of a failure.
-func (t *Tally) Missed(now float64) float64 {
-	if t.Oks+t.Misses == 0 { // as of most: fading them would take most of the time
+// FailureRate is the probability of a failure.
+func (t *Tally) FailureRate(now float64) float64 {
+	if t.Successes+t.Failures == 0 { // as of most: fading them would take most of the time
 		return 0
 	}
-	k := Faded(now - t.At)
-	*t = Tally{t.Oks * k, t.Misses * k, now}
-	return t.Misses / (t.Oks + t.Misses + prior)
+	k := Decay(now - t.At)
+	*t = Tally{t.Successes * k, t.Failures * k, now}
+	return t.Failures / (t.Successes + t.Failures + prior)
 }
 
 // Add takes a failure of that weight, or a success if it is 0.
 func (t *Tally) Add(now, weight float64) {
-	t.Missed(now)
-	if t.Misses, t.At = t.Misses+weight, now; weight == 0 {
-		t.Oks, t.Misses = t.Oks+1, t.Misses*okShrink
+	t.FailureRate(now)
+	if t.Failures, t.At = t.Failures+weight, now; weight == 0 {
+		t.Successes, t.Failures = t.Successes+1, t.Failures*okShrink
 	}
 }
 
-// Faded is what an outcome of that age still weighs.
-func Faded(age float64) float64 { return math.Exp2(-age / HalfLife) }
+// Decay is what an outcome of that age still weighs.
+func Decay(age float64) float64 { return math.Exp2(-age / HalfLife) }
--- a/policy/internal/overload/model.go
+++ b/policy/internal/overload/model.go
@@ -14,9 +14,9 @@
 
 // Model rebuilds the response time at a load from service times, which leave out waiting, and loads.
 type Model struct {
-	XX, XY float64 // of the least-squares line through the origin: waiting over load
-	At     float64 // when it was aged last
-	Class  []Mean
+	SumLoadSquared, SumLoadLatency float64 // of the least-squares line through the origin: waiting over load
+	At                             float64 // when it was aged last
+	Class                          []Mean
 }
 
 // Mean is that of one class of requests, as a part of the service time. N weighs its samples.
@@ -25,7 +25,7 @@
 // Age lets old samples fade: an instance that refuses for want of room gets none and must not believe its last.
 func (m *Model) Age(now float64) {
 	k := math.Exp((m.At - now) / memory)
-	m.XX, m.XY, m.At = m.XX*k, m.XY*k, now
+	m.SumLoadSquared, m.SumLoadLatency, m.At = m.SumLoadSquared*k, m.SumLoadLatency*k, now
 	for i := range m.Class {
 		m.Class[i].N, m.Class[i].Sum = m.Class[i].N*k, m.Class[i].Sum*k
 	}
@@ -36,7 +36,7 @@
 	k := &m.Class[class]
 	k.N, k.Sum = k.N+ended, k.Sum+ratio/m.Stretch(load)
 	if 2*load >= m.SideBySide() { // a low load tells nothing of how much would fit
-		m.XX, m.XY = m.XX+ended*load*load, m.XY+load*ratio/m.Of(class)
+		m.SumLoadSquared, m.SumLoadLatency = m.SumLoadSquared+ended*load*load, m.SumLoadLatency+load*ratio/m.Of(class)
 	}
 }
 
@@ -54,7 +54,9 @@
 
 // Full learns from a request that was turned away at that load: the server is crowded, whatever its service time, and
 // counts as stretched so far.
-func (m *Model) Full(load, stretch float64) { m.XX, m.XY = m.XX+load*load, m.XY+load*stretch }
+func (m *Model) Full(load, stretch float64) {
+	m.SumLoadSquared, m.SumLoadLatency = m.SumLoadSquared+load*load, m.SumLoadLatency+load*stretch
+}
 
 // Of is the mean of a class as a part of the service time.
 func (m *Model) Of(class int) float64 {
@@ -64,7 +66,7 @@
 
 // SideBySide is the load at which a server runs all that it has without making others wait.
 func (m *Model) SideBySide() float64 {
-	return max(1, (m.XX+2*sideBySidePrior*sideBySidePrior)/(m.XY+2*sideBySidePrior))
+	return max(1, (m.SumLoadSquared+2*sideBySidePrior*sideBySidePrior)/(m.SumLoadLatency+2*sideBySidePrior))
 }
 
 // Stretch is the response time over an unhindered one at a load, 1 or more.
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -35,5 +35,5 @@
 
 // fraction is this sidecar's part of the fleet's traffic.
 func (b *Balancer) fraction() float64 {
-	return limit.Part(b.fracOwn, b.fracAll, b.arrivals.PerMs(b.now)*1000, b.quotas, b.cfg.Balancers)
+	return limit.Part(b.fracOwn, b.fracAll, b.arrivals.PerMs(b.now)*1000, b.quotas, b.cfg.Instances)
 }
--- a/policy/logic.go
+++ b/policy/logic.go
@@ -76,16 +76,16 @@
 	}
 	aims, targets := 0.0, []Ms(nil)
 	for _, c := range cfg.Classes {
-		targets = append(targets, c.Aim)
-		if aims += c.Aim / float64(len(cfg.Classes)); !c.Dropped {
-			b.minAim = min(b.minAim, c.Aim)
+		targets = append(targets, c.LatencyObjective)
+		if aims += c.LatencyObjective / float64(len(cfg.Classes)); !c.Retired {
+			b.minAim = min(b.minAim, c.LatencyObjective)
 		}
 	}
-	b.cfg.Balancers, b.cfg.Classes = max(1, cfg.Balancers), slices.Clone(cfg.Classes)
+	b.cfg.Instances, b.cfg.Classes = max(1, cfg.Instances), slices.Clone(cfg.Classes)
 	b.gauge = overload.NewGauge(targets)
 	b.margin, b.perRequest, b.elsewhere = 2*cfg.Round+1, limit.MostProbes, 1
 	for i, c := range cfg.Classes { // who is to be answered sooner takes less time
-		b.fit.Class = append(b.fit.Class, overload.Mean{Prior: c.Aim / aims})
+		b.fit.Class = append(b.fit.Class, overload.Mean{Prior: c.LatencyObjective / aims})
 		b.cfg.Classes[i].Attempts = max(1, cmp.Or(c.Attempts, cfg.MaxAttempts))
 	}
 	for _, t := range cfg.Tenants {
@@ -108,7 +108,7 @@
 				b.proceed(r)
 			}
 		} else if r != nil && !r.done {
-			b.finish(r, TimeUp)
+			b.finish(r, DeadlineReached)
 		}
 	}
 }
@@ -120,15 +120,15 @@
 	b.updateMedians()
 	left := math.Inf(1)
 	for i, c := range b.cfg.Classes {
-		if !c.Dropped {
-			left = min(left, c.Aim/b.fit.Of(i))
+		if !c.Retired {
+			left = min(left, c.LatencyObjective/b.fit.Of(i))
 		}
 	}
 	b.gauge.Look(b.now, left)
 	if b.now-b.lastProbe >= idleProbe {
 		b.probe(1, b.reach())
 	}
-	for i := 0; i < tickRetries && !limit.Dear(b.cfg.ProbePrice); i++ { // random ones: none waits for ever
+	for i := 0; i < tickRetries && !limit.Dear(b.cfg.ProbeCost); i++ { // random ones: none waits for ever
 		b.ask(b.draw(func(s *server) int {
 			if b.cfg.Probes && s.fails > 0 && !s.probing && b.now >= s.tryAt && s.info.Health == Ready {
 				return 1
@@ -150,8 +150,8 @@
 	}
 }
 
-// LeftOut reports whether a server listed as ready is kept from picks by evidence, connections or probes.
-func (b *Balancer) LeftOut(id ServerID) bool {
+// IsExcluded reports whether a server listed as ready is kept from picks by evidence, connections or probes.
+func (b *Balancer) IsExcluded(id ServerID) bool {
 	s := b.byID[id]
 	return s != nil && s.info.Health == Ready && (s.ejected || b.isShut(s))
 }
@@ -171,28 +171,28 @@
 	case Started:
 		b.bornAt = now
 		b.timer(tickTimer, tickEvery)
-		if b.cfg.AskForList {
+		if b.cfg.SubscribeToList {
 			b.out = append(b.out, Action{Kind: Subscribe})
 		}
-	case List:
+	case EndpointsUpdated:
 		b.onList(e)
-	case ListFailed:
+	case SubscriptionFailed:
 		b.onListFailed()
-	case Arrival:
+	case RequestArrived:
 		b.onArrival(e)
-	case AttemptDone:
+	case AttemptEnded:
 		b.onAttemptDone(e)
 	case ClientGone:
 		if r := b.requests[e.Request]; r != nil {
 			b.abandon(r)
 		}
-	case TimerDue:
+	case TimerFired:
 		b.onTimer(e)
-	case ProbeDone:
+	case ProbeEnded:
 		b.onProbe(e)
-	case Sure:
-		b.sureAt, b.proveAt = b.now+e.Left, b.now+e.Took
-	case Flowing:
+	case ListValidityChanged:
+		b.sureAt, b.proveAt = b.now+e.TimeLeft, b.now+e.Elapsed
+	case BodyProgressed:
 		b.byID[e.Server].quietAt = b.now
 	}
 	return b.out
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -10,12 +10,12 @@
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
-			{Aim: 400, Deadline: 1000, Worth: 1, LateWorth: 0.5, Repeat: Safe},
-			{Aim: 400, Deadline: 1000, Worth: 2, LateWorth: 0.5, Repeat: Keyed, Scope: ScopeCell, Window: 600},
-			{Aim: 400, Deadline: 1000, Worth: 3, LateWorth: 0.5, Repeat: Unsafe},
+			{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateWeight: 0.5, Idempotency: Idempotent},
+			{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 2, LateWeight: 0.5, Idempotency: WithIdempotencyKey, KeyScope: ScopeCell, KeyWindow: 600},
+			{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 3, LateWeight: 0.5, Idempotency: NonIdempotent},
 		},
-		Balancers: 2, Probes: true, Cancel: true, MaxAttempts: 3, Round: 5,
-		ColdShare: 0.3, WarmWithin: 9000, TipMultiple: 2.5, TipWindow: 2000,
+		Instances: 2, Probes: true, Cancel: true, MaxAttempts: 3, Round: 5,
+		StartCapacity: 0.3, WarmUpTime: 9000, OverloadMultiple: 2.5, OverloadWindow: 2000,
 	}
 }
 
@@ -38,7 +38,7 @@
 	for i := range list {
 		list[i] = ServerInfo{ID: ServerID(i + 1), Health: Ready, Cell: i / 2}
 	}
-	g.do(Event{Kind: List, Full: true, Servers: list})
+	g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 	for i := range list {
 		g.report(ServerID(i+1), 1, 40)
 	}
@@ -48,16 +48,16 @@
 func (g *rig) do(e Event) []Action { return g.b.Handle(g.now, &e, nil) }
 
 func (g *rig) report(s ServerID, rif, latency float64) {
-	g.do(Event{Kind: ProbeDone, Server: s, Took: 1, Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: latency}})
+	g.do(Event{Kind: ProbeEnded, Server: s, Elapsed: 1, Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: latency}})
 }
 
 func (g *rig) arrive(id RequestID, class int) []Action {
-	return g.answer(g.do(Event{Kind: Arrival, Request: id, Class: class, Left: 900}))
+	return g.answer(g.do(Event{Kind: RequestArrived, Request: id, Class: class, TimeLeft: 900}))
 }
 
 func (g *rig) done(id RequestID, attempt int, s ServerID, st Status) []Action {
 	return g.answer(g.do(Event{
-		Kind: AttemptDone, Request: id, Attempt: attempt, Server: s, Status: st, Took: 40,
+		Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Status: st, Elapsed: 40,
 		Final: st == OK,
 	}))
 }
@@ -65,9 +65,9 @@
 // answer answers the probes that a request waits for at once, with the loads known already.
 func (g *rig) answer(acts []Action) []Action {
 	for i := 0; i < len(acts) && len(g.b.waiting) > 0; i++ {
-		if s := g.b.byID[acts[i].Server]; acts[i].Kind == Probe {
+		if s := g.b.byID[acts[i].Server]; acts[i].Kind == SendProbe {
 			acts = append(acts, g.do(Event{
-				Kind: ProbeDone, Server: acts[i].Server, Took: 1,
+				Kind: ProbeEnded, Server: acts[i].Server, Elapsed: 1,
 				Report: Report{HasRIF: true, HasLatency: true, RIF: s.rif, Latency: g.b.service(s)},
 			})...)
 		}
@@ -77,15 +77,15 @@
 
 // pass has a request arrive and all probes and attempts that follow on it answered at once, and returns where it was sent.
 func (g *rig) pass(id RequestID) (to ServerID) {
-	acts := g.do(Event{Kind: Arrival, Request: id, Left: 900})
+	acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 	for ; len(acts) > 0; acts = acts[1:] {
 		switch a := acts[0]; a.Kind {
-		case Probe:
+		case SendProbe:
 			acts = append(acts, g.do(Event{
-				Kind: ProbeDone, Server: a.Server, Took: 1,
+				Kind: ProbeEnded, Server: a.Server, Elapsed: 1,
 				Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
 			})...)
-		case Send:
+		case StartAttempt:
 			to = a.Server
 			acts = append(acts, g.done(id, 0, a.Server, OK)...)
 		}
@@ -105,10 +105,10 @@
 func TestNewRejectsBadConfig(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"no classes":    func(c *Config) { c.Classes = nil },
-		"negative aim":  func(c *Config) { c.Classes[0].Aim = -1 },
-		"bad repeat":    func(c *Config) { c.Classes[0].Repeat = 9 },
-		"bad scope":     func(c *Config) { c.Classes[1].Scope = 9 },
-		"negative time": func(c *Config) { c.WarmWithin = -1 },
+		"negative aim":  func(c *Config) { c.Classes[0].LatencyObjective = -1 },
+		"bad repeat":    func(c *Config) { c.Classes[0].Idempotency = 9 },
+		"bad scope":     func(c *Config) { c.Classes[1].KeyScope = 9 },
+		"negative time": func(c *Config) { c.WarmUpTime = -1 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -128,19 +128,19 @@
 	}{
 		{"safe after error", 0, Failed, true, 0},
 		{"keyed after error", 1, Failed, true, 0},
-		{"unsafe after error", 2, Failed, false, Fail},
-		{"unsafe after reset", 2, Reset, false, Fail},
-		{"unsafe after full", 2, Full, true, 0},
-		{"unsafe after no connection", 2, NoConnection, true, 0},
+		{"unsafe after error", 2, Failed, false, FailRequest},
+		{"unsafe after reset", 2, Reset, false, FailRequest},
+		{"unsafe after full", 2, Declined, true, 0},
+		{"unsafe after no connection", 2, ConnectFailed, true, 0},
 	} {
 		g := newRig(t, testConfig(), 6)
 		g.b.retries = 5
-		first := find(g.arrive(1, c.class), Send)
+		first := find(g.arrive(1, c.class), StartAttempt)
 		if first == nil {
 			t.Fatalf("%s: not sent", c.name)
 		}
 		acts := g.done(1, 0, first.Server, c.status)
-		next := find(acts, Send)
+		next := find(acts, StartAttempt)
 		if (next != nil) != c.again {
 			t.Errorf("%s: next attempt %v", c.name, next)
 		}
@@ -156,10 +156,10 @@
 func TestKeyedRepeatEndsWithItsWindow(t *testing.T) {
 	g := newRig(t, testConfig(), 6)
 	g.b.retries = 5
-	first := find(g.arrive(1, 1), Send)
+	first := find(g.arrive(1, 1), StartAttempt)
 	g.now += 595
 	acts := g.done(1, 0, first.Server, Failed)
-	if find(acts, Send) != nil || find(acts, Fail) == nil {
+	if find(acts, StartAttempt) != nil || find(acts, FailRequest) == nil {
 		t.Errorf("after the window: %v", acts)
 	}
 }
@@ -177,7 +177,7 @@
 			g.report(s, rif, 40)
 		}
 		id++
-		a := find(g.arrive(id, 2), Send)
+		a := find(g.arrive(id, 2), StartAttempt)
 		if a == nil {
 			continue
 		}
@@ -205,7 +205,7 @@
 			g.report(s, rif, 40)
 		}
 		id++
-		a := find(g.arrive(id, 2), Send)
+		a := find(g.arrive(id, 2), StartAttempt)
 		if a == nil {
 			continue
 		}
@@ -224,8 +224,8 @@
 func TestLongAimsLeaveRoomForWorthierTightOnes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
-		{Aim: 2000, Deadline: 4000, Worth: 1, Repeat: Safe},
-		{Aim: 200, Deadline: 2000, Worth: 5, Repeat: Safe},
+		{LatencyObjective: 2000, Deadline: 4000, PriorityWeight: 1, Idempotency: Idempotent},
+		{LatencyObjective: 200, Deadline: 2000, PriorityWeight: 5, Idempotency: Idempotent},
 	}
 	for _, c := range []struct {
 		rif  float64
@@ -235,7 +235,7 @@
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, c.rif, 40)
 		}
-		if got := find(g.arrive(1, 0), Send) != nil; got != c.sent {
+		if got := find(g.arrive(1, 0), StartAttempt) != nil; got != c.sent {
 			t.Errorf("at %v in flight: sent %t", c.rif, got)
 		}
 	}
@@ -250,16 +250,16 @@
 		for s := ServerID(1); s <= 6; s++ {
 			g.report(s, 3*float64(min(1, max(s, 4)-4)+min(1, 4-min(s, 4))), 40) // server 4 reports none
 		}
-		a := find(g.arrive(id, 2), Send)
+		a := find(g.arrive(id, 2), StartAttempt)
 		if a == nil {
 			continue
 		}
 		st := OK
 		if a.Server == 4 {
-			st, full = Full, full+1
+			st, full = Declined, full+1
 		}
 		for _, n := range g.done(id, 0, a.Server, st) {
-			if n.Kind == Send {
+			if n.Kind == StartAttempt {
 				g.done(id, 1, n.Server, OK)
 			}
 		}
@@ -278,12 +278,12 @@
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 0, 40)
 		}
-		g.done(id, 0, find(g.arrive(id, 0), Send).Server, OK)
+		g.done(id, 0, find(g.arrive(id, 0), StartAttempt).Server, OK)
 	}
 	for s := ServerID(1); s <= 4; s++ {
 		g.report(s, 4, 40)
 	}
-	if find(g.arrive(1000, 2), Send) == nil {
+	if find(g.arrive(1000, 2), StartAttempt) == nil {
 		t.Error("refused at four in flight after a quiet time")
 	}
 }
@@ -299,14 +299,14 @@
 		g := newRig(t, testConfig(), 8)
 		g.now += 5000                   // what was known is old
 		g.b.probeDue = limit.MostProbes // an earlier request has needed none
-		acts := g.do(Event{Kind: Arrival, Request: 1, Class: 0, Left: 900})
+		acts := g.do(Event{Kind: RequestArrived, Request: 1, Class: 0, TimeLeft: 900})
 		var targets []ServerID
 		for _, a := range acts {
-			if a.Kind == Probe {
+			if a.Kind == SendProbe {
 				targets = append(targets, a.Server)
 			}
 		}
-		if find(acts, Send) != nil || len(targets) != limit.SyncProbes {
+		if find(acts, StartAttempt) != nil || len(targets) != limit.SyncProbes {
 			t.Fatalf("%s: did not wait for %d probes: %v", c.name, limit.SyncProbes, acts)
 		}
 		g.now += 5
@@ -317,14 +317,14 @@
 				rif = 0
 			}
 			sent = find(g.do(Event{
-				Kind: ProbeDone, Server: s, Took: 1,
+				Kind: ProbeEnded, Server: s, Elapsed: 1,
 				Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
-			}), Send)
+			}), StartAttempt)
 		}
 		g.now += syncPart*g.b.minAim + 5
 		for i := range 2*syncRounds + 1 {
-			if acts := g.do(Event{Kind: TimerDue, Timer: waitTimer + 1}); sent == nil {
-				sent = find(acts, Send)
+			if acts := g.do(Event{Kind: TimerFired, Timer: waitTimer + 1}); sent == nil {
+				sent = find(acts, StartAttempt)
 			}
 			g.now += 20 * float64(i+1)
 		}
@@ -351,7 +351,7 @@
 		{100000, 1000, limit.LeastReach},
 	} {
 		cfg := testConfig()
-		cfg.Balancers, cfg.CrossPrice = c.sidecars, 0.01
+		cfg.Instances, cfg.CrossZoneCost = c.sidecars, 0.01
 		b, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -361,13 +361,13 @@
 		for i := range c.servers {
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Zone: i % 2, Health: Ready})
 		}
-		g.do(Event{Kind: List, Full: true, Servers: list})
+		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		met := map[ServerID]bool{}
 		for range 40 * c.servers {
 			g.b.probe(limit.MostProbes, g.b.reach())
 		}
 		for _, a := range g.b.out {
-			if a.Kind == Probe {
+			if a.Kind == SendProbe {
 				met[a.Server] = true
 			}
 		}
@@ -390,8 +390,8 @@
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 3, 40)
 		}
-		if a := find(g.arrive(id, 2), Send); a != nil {
-			g.done(id, 0, a.Server, Full)
+		if a := find(g.arrive(id, 2), StartAttempt); a != nil {
+			g.done(id, 0, a.Server, Declined)
 		}
 	}
 	if after := g.b.fit.SideBySide(); after >= before {
@@ -406,12 +406,12 @@
 		trusted     bool
 	}{{0, 0, true}, {1, 0, true}, {60, 0, false}, {60, 3 * outlier.HalfLife, true}} {
 		g := newRig(t, testConfig(), 6)
-		g.do(Event{Kind: ProbeDone, Server: 4, Took: 1, Report: Report{
+		g.do(Event{Kind: ProbeEnded, Server: 4, Elapsed: 1, Report: Report{
 			HasRIF: true, HasLatency: true,
 			HasErrors: true, Latency: 40, Errors: c.errors,
 		}})
 		g.now += c.age
-		g.do(Event{Kind: TimerDue, Timer: tickTimer})
+		g.do(Event{Kind: TimerFired, Timer: tickTimer})
 		if got := g.b.trusted(g.b.byID[4]); got != c.trusted {
 			t.Errorf("%v errors a second, %v ms ago: trusted %t", c.errors, c.age, got)
 		}
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -41,7 +41,7 @@
 	}
 	g.b.byID[2].out = 0
 	g.now += 300
-	g.do(Event{Kind: TimerDue, Timer: tickTimer})
+	g.do(Event{Kind: TimerFired, Timer: tickTimer})
 	r := &request{aimAt: g.now + 400, endAt: g.now + 900}
 	if got := g.b.cost(g.b.byID[1], r); got < 300 {
 		t.Errorf("a cost of %.0f ms by a server that has owed an answer for 300 ms", got)
@@ -72,7 +72,7 @@
 		}
 	}
 	for id := range RequestID(20) {
-		if s := find(g.arrive(id, 0), Send); s == nil || s.Server != 20 {
+		if s := find(g.arrive(id, 0), StartAttempt); s == nil || s.Server != 20 {
 			t.Fatalf("request %d: %+v, where server 20 alone has room", id, s)
 		}
 		g.done(id, 0, 20, OK)
@@ -83,10 +83,10 @@
 func TestReportsInAnswersAreUsed(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	g.b.cfg.Probes, g.b.pool = false, probepool.Pool[*server]{}
-	s := find(g.arrive(1, 0), Send)
+	s := find(g.arrive(1, 0), StartAttempt)
 	g.now += 50
 	g.do(Event{
-		Kind: AttemptDone, Request: 1, Server: s.Server, Status: OK, Took: 50, Final: true,
+		Kind: AttemptEnded, Request: 1, Server: s.Server, Status: OK, Elapsed: 50, Final: true,
 		Report: Report{HasRIF: true, HasLatency: true, RIF: 30, Latency: 70},
 	})
 	of := g.b.byID[s.Server]
@@ -103,7 +103,7 @@
 		f.b.cfg.Probes = probes
 		cfg := f.b.cfg
 		for i := range cfg.Classes {
-			cfg.Classes[i].Aim = 90 // 60 ms unhindered
+			cfg.Classes[i].LatencyObjective = 90 // 60 ms unhindered
 		}
 		if err := f.b.Reconfigure(cfg, []int{0, 1, 2}, nil); err != nil {
 			t.Fatal(err)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -30,7 +30,7 @@
 
 func newFleetOfOthers(t *testing.T, servers, told int, queues bool) *fleetOfOthers {
 	cfg := testConfig()
-	cfg.Balancers, cfg.ProbePrice, cfg.WastePrice = told, 0.01, 0.05
+	cfg.Instances, cfg.ProbeCost, cfg.WastedWorkCost = told, 0.01, 0.05
 	b, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
@@ -50,24 +50,24 @@
 	for i := range list {
 		list[i] = ServerInfo{ID: ServerID(i + 1), Health: Ready}
 	}
-	f.act(f.do(Event{Kind: List, Full: true, Servers: list}))
+	f.act(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
 }
 
 func (f *fleetOfOthers) act(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case Probe:
+		case SendProbe:
 			took, status := 1+0.2*f.rng.Float64(), OK
 			if f.queues {
 				took *= f.stretch * f.times(a.Server)
 			}
 			if f.mute {
-				status = Full
+				status = Declined
 			} else if a.Server <= f.gone {
 				took, status = 200, TimedOut
 			}
-			f.due = append(f.due, due{f.now + took, Event{Kind: ProbeDone, Server: a.Server, Status: status, Took: took}})
-		case Send:
+			f.due = append(f.due, due{f.now + took, Event{Kind: ProbeEnded, Server: a.Server, Status: status, Elapsed: took}})
+		case StartAttempt:
 			if f.b.requests[a.Request].attempts == 1 {
 				f.sent++
 				if f.sentTo != nil {
@@ -82,11 +82,11 @@
 				took, status = a.After, TimedOut
 			}
 			f.due = append(f.due, due{f.now + took, Event{
-				Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: status,
-				Took: took, Final: status == OK,
+				Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: status,
+				Elapsed: took, Final: status == OK,
 			}})
 		case SetTimer:
-			f.due = append(f.due, due{f.now + a.After, Event{Kind: TimerDue, Timer: a.Timer}})
+			f.due = append(f.due, due{f.now + a.After, Event{Kind: TimerFired, Timer: a.Timer}})
 		}
 	}
 }
@@ -117,7 +117,7 @@
 			if f.rng.Float64() < f.long {
 				class = 0
 			}
-			f.act(f.do(Event{Kind: Arrival, Request: f.last, Class: class, Left: 900}))
+			f.act(f.do(Event{Kind: RequestArrived, Request: f.last, Class: class, TimeLeft: 900}))
 			continue
 		}
 		d := f.due[next]
@@ -163,8 +163,8 @@
 	f.run(3e3)
 	crowded, free := f.b.byID[1], f.b.byID[2]
 	crowded.out, free.out = 0, 0 // own requests count as well
-	f.do(Event{Kind: ProbeDone, Server: 1, Took: 30})
-	f.do(Event{Kind: ProbeDone, Server: 2, Took: 1.1})
+	f.do(Event{Kind: ProbeEnded, Server: 1, Elapsed: 30})
+	f.do(Event{Kind: ProbeEnded, Server: 2, Elapsed: 1.1})
 	if crowded.rif < 20 || free.rif > 1 {
 		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", crowded.rif, free.rif)
 	}
@@ -182,14 +182,14 @@
 	g := newRig(t, testConfig(), 4)
 	for id := range RequestID(200) {
 		g.now += 50
-		s := find(g.arrive(id, 0), Send)
+		s := find(g.arrive(id, 0), StartAttempt)
 		if s == nil {
 			continue
 		}
 		g.now += 380
 		g.done(id, 0, s.Server, OK)
-		g.do(Event{Kind: ProbeDone, Server: s.Server, Took: 100, Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})
-		g.do(Event{Kind: TimerDue, Timer: tickTimer})
+		g.do(Event{Kind: ProbeEnded, Server: s.Server, Elapsed: 100, Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})
+		g.do(Event{Kind: TimerFired, Timer: tickTimer})
 		if rif := g.b.byID[s.Server].rif; rif > 2 {
 			t.Fatalf("a load of %.1f where 1 is reported", rif)
 		}
@@ -202,7 +202,7 @@
 // Where nobody tells what all send, a busy sidecar's tenants are within their shares as long as its own traffic is shared so.
 func TestSharesOfABusySidecar(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers, cfg.Tenants = 300, []Tenant{{Quota: 300}, {Quota: 100}}
+	cfg.Instances, cfg.Tenants = 300, []Tenant{{Quota: 300}, {Quota: 100}}
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -16,10 +16,10 @@
 
 // cost compares cold entries: the expected response time plus, as time, likely failures and crossings.
 func (b *Balancer) cost(s *server, r *request) float64 {
-	aim := b.cfg.Classes[r.class].Aim
+	aim := b.cfg.Classes[r.class].LatencyObjective
 	t := max(b.overdue(s), b.expect(s, r.class, s.rif)) * (1 + rifLean*s.rif/b.fit.SideBySide())
 	if s.info.Zone != b.cfg.Zone {
-		t += b.cfg.CrossPrice * crossPerAim * aim
+		t += b.cfg.CrossZoneCost * crossPerAim * aim
 	}
 	return t + b.excess(s)*missPerAim*aim
 }
@@ -39,7 +39,7 @@
 // allowed: rules 2, 3 and 4 let the server have this request.
 func (b *Balancer) allowed(s *server, r *request) bool {
 	return s.info.Health == Ready && b.mayRepeatAt(s, r) && b.warmEnough(s) &&
-		(!b.unsure() || b.now-s.seenAt < b.cfg.Vouched)
+		(!b.unsure() || b.now-s.seenAt < b.cfg.ProbeValidity)
 }
 
 // unsure: what the list does not say may count as told. Only a probe of a process known before can tell it.
@@ -47,7 +47,7 @@
 
 // suits: not even for its tenant alone does the evidence exclude the server.
 func (b *Balancer) suits(s *server, r *request) bool {
-	return b.trusted(s) && s.by[r.who].Missed(b.now) < b.medianMiss+ejectAt
+	return b.trusted(s) && s.by[r.who].FailureRate(b.now) < b.medianMiss+ejectAt
 }
 
 // trusted: the evidence does not exclude the server. One that is idle gets a trial once that has faded.
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -34,20 +34,20 @@
 	b.pool.Remove(s)
 	load := e.Report.RIF
 	if e.Status == OK && !e.Report.HasRIF {
-		load = b.probes.Load(b.now, s.info.Zone, e.Took-e.Dialed)
+		load = b.probes.Load(b.now, s.info.Zone, e.Elapsed-e.ConnectTime)
 	}
 	if s.rank >= 1 { // in another zone
 		b.elsewhere.Note(e.Status == OK && load < b.fit.SideBySide())
 	}
 	if e.Status != OK {
-		if b.shutOut(s); e.Status != Full {
+		if b.shutOut(s); e.Status != Declined {
 			b.learn(s, 0, probeWeight)
 		}
 		return
 	}
-	s.shut, s.fails, s.tryAt, s.seenAt = false, 0, b.now, e.Seen
-	if s.network == 0 || e.Took < s.network {
-		s.network = e.Took
+	s.shut, s.fails, s.tryAt, s.seenAt = false, 0, b.now, e.ProbeSentAt
+	if s.network == 0 || e.Elapsed < s.network {
+		s.network = e.Elapsed
 	}
 	b.onReport(s, &e.Report, load)
 	for _, r := range slices.Clone(b.waiting) {
@@ -88,8 +88,8 @@
 	if b.ready < 2 || r.waits >= syncRounds || r.endAt-b.now < 2*hold {
 		return false
 	}
-	n := limit.Awaited(b.probeDue+debt, b.sparse || limit.Dear(b.cfg.ProbePrice), blind)
-	if b.sparse || limit.Dear(b.cfg.ProbePrice) { // then they come out of what requests have saved up
+	n := limit.Awaited(b.probeDue+debt, b.sparse || limit.Dear(b.cfg.ProbeCost), blind)
+	if b.sparse || limit.Dear(b.cfg.ProbeCost) { // then they come out of what requests have saved up
 		b.probeDue = max(b.probeDue-float64(n), -probeDebt)
 	}
 	if r.need = b.probe(n, b.near(r.waits > 0)) - 1; r.need <= 0 {
@@ -109,7 +109,7 @@
 }
 
 // reach is the number of servers to choose among: connections of many sidecars to each would fill its table.
-func (b *Balancer) reach() int { return limit.Reach(b.ready, b.cfg.Balancers) }
+func (b *Balancer) reach() int { return limit.Reach(b.ready, b.cfg.Instances) }
 
 // near is among how many to probe: the preferred zone's, or more if far or if those are full and others not.
 func (b *Balancer) near(far bool) int {
@@ -146,7 +146,7 @@
 // ask probes the server, if there is one and no answer on the way.
 func (b *Balancer) ask(s *server) {
 	if s != nil && !s.probing {
-		b.out = append(b.out, Action{Kind: Probe, Server: s.info.ID})
+		b.out = append(b.out, Action{Kind: SendProbe, Server: s.info.ID})
 		s.probing = true
 	}
 }
@@ -154,7 +154,7 @@
 // tend ages the pool and removes the oldest and the worst entry in turn: bad servers must not collect there.
 func (b *Balancer) tend(r *request) {
 	b.pool.Expire(b.now, b.entryAge())
-	b.perRequest = limit.ProbesARequest(b.cfg.ProbePrice, b.ready, b.arrivals.PerMs(b.now))
+	b.perRequest = limit.ProbesARequest(b.cfg.ProbeCost, b.ready, b.arrivals.PerMs(b.now))
 	b.probeDue = min(b.probeDue, limit.MostProbes) + b.perRequest
 	b.sparse = b.now-b.bornAt >= firstAnswers && // as soon as the rate of requests is known
 		float64(b.ready) > poolAge*b.perRequest*b.arrivals.PerMs(b.now)
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -9,7 +9,7 @@
 // bounded time even when nobody asks for anything. Requests go elsewhere meanwhile.
 func TestFailedProbesBackOff(t *testing.T) {
 	for name, status := range map[string]Status{
-		"refused": NoConnection, "draining": Failed, "turned away": Full,
+		"refused": ConnectFailed, "draining": Failed, "turned away": Declined,
 		"silent": TimedOut,
 	} {
 		g := newRig(t, testConfig(), 4)
@@ -17,31 +17,31 @@
 		settle := func(acts []Action) {
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; {
-				case a.Kind == Send && a.Server == 4:
+				case a.Kind == StartAttempt && a.Server == 4:
 					sends++
 					fallthrough
-				case a.Kind == Send:
+				case a.Kind == StartAttempt:
 					acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
-				case a.Kind == Probe && a.Server == 4 && down:
+				case a.Kind == SendProbe && a.Server == 4 && down:
 					probes++
-					acts = append(acts, g.do(Event{Kind: ProbeDone, Server: 4, Status: status, Took: 1})...)
-				case a.Kind == Probe:
+					acts = append(acts, g.do(Event{Kind: ProbeEnded, Server: 4, Status: status, Elapsed: 1})...)
+				case a.Kind == SendProbe:
 					if a.Server == 4 {
 						probes++
 					}
 					acts = append(acts, g.do(Event{
-						Kind: ProbeDone, Server: a.Server, Took: 1,
+						Kind: ProbeEnded, Server: a.Server, Elapsed: 1,
 						Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40},
 					})...)
 				}
 			}
 		}
-		tick := func() { settle(g.do(Event{Kind: TimerDue, Timer: tickTimer})) }
+		tick := func() { settle(g.do(Event{Kind: TimerFired, Timer: tickTimer})) }
 		for id := range RequestID(2000) { // ten seconds of one every 5 ms
 			if g.now += 5; id%10 == 0 {
 				tick()
 			}
-			settle(g.do(Event{Kind: Arrival, Request: id, Left: 900}))
+			settle(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900}))
 		}
 		if probes < 9 || probes > 25 {
 			t.Errorf("%s: %d probes in 10 s", name, probes)
@@ -86,7 +86,7 @@
 	g := newRig(t, cfg, 3)
 	for id := range RequestID(60) {
 		g.now += 20
-		a := find(g.arrive(id, 0), Send)
+		a := find(g.arrive(id, 0), StartAttempt)
 		if a == nil {
 			t.Fatalf("request %d not sent", id)
 		}
@@ -98,7 +98,7 @@
 		g.b.learn(g.b.byID[2], 1, 1)
 	}
 	st := g.b.State()
-	miss := g.b.byID[2].by[0].Missed(g.now)
+	miss := g.b.byID[2].by[0].FailureRate(g.now)
 	if miss < ejectAt {
 		t.Fatalf("the failing server misses %.2f", miss)
 	}
@@ -108,7 +108,7 @@
 	}
 	h := &rig{t: t, b: next, now: g.now + 1000}
 	h.do(Event{Kind: Started})
-	h.do(Event{Kind: List, Full: true, Servers: []ServerInfo{
+	h.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: []ServerInfo{
 		{ID: 1, Health: Ready},
 		{ID: 2, Health: Ready},
 		{ID: 3, Health: Ready, StartedAt: h.now - 500},
@@ -121,22 +121,22 @@
 	if one.latency != 80 || !one.reported || one.network != 1 {
 		t.Errorf("what was known of a server is lost: %+v", one)
 	}
-	if got := two.by[0].Missed(h.now); got >= miss || got < miss/2 {
+	if got := two.by[0].FailureRate(h.now); got >= miss || got < miss/2 {
 		t.Errorf("evidence of %.2f is %.2f a second later", miss, got)
 	}
-	if three.latency != 0 || len(three.by) != 2 || three.by[0].Misses != 0 {
+	if three.latency != 0 || len(three.by) != 2 || three.by[0].Failures != 0 {
 		t.Errorf("another process inherits: %+v", three)
 	}
 	if one.rif != 0 || h.b.pool.Len() != 0 || one.out != 0 {
 		t.Errorf("an old load is taken for a present one: %+v", one)
 	}
-	h.do(Event{Kind: TimerDue, Timer: tickTimer})
-	g.b.now, g.b.fit.At = h.now, st.FitAt
+	h.do(Event{Kind: TimerFired, Timer: tickTimer})
+	g.b.now, g.b.fit.At = h.now, st.FittedAt
 	g.b.fit.Age(h.now)
 	if got, want := h.b.fit.Of(0), g.b.fit.Of(0); got != want {
 		t.Errorf("fit %g, want %g", got, want)
 	}
-	if b := h.b.buckets[0]; b.At != st.Tenants[0].At || b.V != st.Tenants[0].V {
+	if b := h.b.buckets[0]; b.At != st.Tenants[0].At || b.Value != st.Tenants[0].Value {
 		t.Errorf("the tenant's share is %+v", b)
 	}
 	st.Classes = st.Classes[:1]
@@ -149,7 +149,7 @@
 // request, and the others' news is not kept away by them.
 func TestNoneWaitsForEver(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers = 1
+	cfg.Instances = 1
 	g := newRig(t, cfg, 60)
 	down := func(s ServerID) bool { return s > 50 || s%2 == 0 }
 	found, healthy := map[ServerID]Ms{}, 0
@@ -159,12 +159,12 @@
 		for id := range ServerID(61) {
 			if until, out := silent[id]; out && g.now >= until {
 				delete(silent, id)
-				g.do(Event{Kind: ProbeDone, Server: id, Status: TimedOut, Took: 200})
+				g.do(Event{Kind: ProbeEnded, Server: id, Status: TimedOut, Elapsed: 200})
 			}
 		}
-		for _, a := range g.do(Event{Kind: TimerDue, Timer: tickTimer}) {
+		for _, a := range g.do(Event{Kind: TimerFired, Timer: tickTimer}) {
 			switch {
-			case a.Kind != Probe:
+			case a.Kind != SendProbe:
 			case down(a.Server) && (g.now < start+30e3 || a.Server > 50):
 				silent[a.Server] = g.now + 200
 			default:
@@ -179,7 +179,7 @@
 		if g.now == start {
 			for id := range ServerID(60) { // what is down has been found out
 				if down(id + 1) {
-					g.do(Event{Kind: ProbeDone, Server: id + 1, Status: NoConnection, Took: 1})
+					g.do(Event{Kind: ProbeEnded, Server: id + 1, Status: ConnectFailed, Elapsed: 1})
 				}
 			}
 		}
@@ -203,11 +203,11 @@
 	probes := 0
 	for id := range RequestID(400) { // two seconds
 		g.now += 5
-		acts := g.do(Event{Kind: Arrival, Request: id, Left: 900})
+		acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 		for ; len(acts) > 0; acts = acts[1:] {
-			if acts[0].Kind == Probe {
+			if acts[0].Kind == SendProbe {
 				probes++
-				acts = append(acts, g.do(Event{Kind: ProbeDone, Server: acts[0].Server, Status: NotSent})...)
+				acts = append(acts, g.do(Event{Kind: ProbeEnded, Server: acts[0].Server, Status: NotSent})...)
 			}
 		}
 	}
@@ -229,10 +229,10 @@
 		for range 200 { // 100 a second, of which next to none are sent
 			g.b.arrivals.Add(g.now)
 		}
-		s.cold = limit.Bucket{V: 0, At: g.now - 60}
+		s.cold = limit.Bucket{Value: 0, At: g.now - 60}
 		g.b.now = g.now
 		if got := g.b.warmEnough(s); got != c.want {
-			t.Errorf("%s: %t, with %.2f requests left", name, got, s.cold.V)
+			t.Errorf("%s: %t, with %.2f requests left", name, got, s.cold.Value)
 		}
 	}
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -34,18 +34,18 @@
 // mayRepeatAt is rule 2 for a further attempt: the only place that says where one is allowed.
 func (b *Balancer) mayRepeatAt(s *server, r *request) bool {
 	c := &b.cfg.Classes[r.class]
-	if !r.mayRan || c.Repeat != Keyed {
-		return !r.mayRan || c.Repeat == Safe
+	if !r.mayRan || c.Idempotency != WithIdempotencyKey {
+		return !r.mayRan || c.Idempotency == Idempotent
 	}
 	zone := s.info.Zone == r.ranZone
-	return b.now < r.dropped && (c.Scope == ScopeAll ||
-		zone && (c.Scope == ScopeZone || s.info.Cell == r.ranCell))
+	return b.now < r.dropped && (c.KeyScope == ScopeAll ||
+		zone && (c.KeyScope == ScopeZone || s.info.Cell == r.ranCell))
 }
 
 // mayRefuse is rule 2 for a refusal.
 func (b *Balancer) mayRefuse(r *request) bool {
 	c := &b.cfg.Classes[r.class]
-	return !r.out && (!r.mayRan || c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll)
+	return !r.out && (!r.mayRan || c.Idempotency == Idempotent || c.Idempotency == WithIdempotencyKey && c.KeyScope == ScopeAll)
 }
 
 func (b *Balancer) onArrival(e *Event) {
@@ -54,7 +54,7 @@
 	class := min(max(0, e.Class), len(b.cfg.Classes)-1)
 	r := &request{
 		id: e.Request, class: class, who: 1 + max(-1, min(e.Tenant, len(b.buckets)-1)),
-		aimAt: b.now + b.cfg.Classes[class].Aim, endAt: b.now + max(0, e.Left-b.margin),
+		aimAt: b.now + b.cfg.Classes[class].LatencyObjective, endAt: b.now + max(0, e.TimeLeft-b.margin),
 	}
 	b.requests[r.id] = r
 	b.timer(uint64(r.id), r.endAt-b.now)
@@ -79,18 +79,18 @@
 // decide sends the request, waits for news of more servers, or gives up.
 func (b *Balancer) decide(r *request) {
 	if b.now >= r.endAt { // it was long in coming, or waited: a server would be told more time than there is
-		b.finish(r, TimeUp)
+		b.finish(r, DeadlineReached)
 		return
 	}
-	s, why := b.pick(r), NoServer
+	s, why := b.pick(r), NoEligibleServer
 	blind := s == nil && b.unsure()
 	if blind {
 		why = ListStale
 	}
 	if s != nil && r.attempts == 0 && !b.admits(s, r) {
-		s, why = b.roomy(r), Crowded
+		s, why = b.roomy(r), NoCapacity
 	} else if r.attempts > 0 && s != nil && b.expect(s, r.class, s.rif) >= r.endAt-b.now {
-		s, why = nil, TimeUp
+		s, why = nil, DeadlineReached
 	}
 	switch {
 	case s != nil:
@@ -110,7 +110,7 @@
 	r.expected = b.expect(s, r.class, s.rif)
 	s.expected = r.expected
 	c := &b.cfg.Classes[r.class]
-	again := c.Repeat != Unsafe && r.attempts+1 < c.Attempts && b.retries >= 1
+	again := c.Idempotency != NonIdempotent && r.attempts+1 < c.Attempts && b.retries >= 1
 	if w := max(timeoutTimes*r.expected, b.minAim/2); again && w < end/2 {
 		end = w
 	}
@@ -119,12 +119,12 @@
 	}
 	b.outAll++
 	s.rif++
-	s.cold.V--
+	s.cold.Value--
 	b.sendRate.Add(b.now)
 	r.out, r.sentAt = true, b.now
 	r.attempts++
-	act := Action{Kind: Send, Request: r.id, Server: s.info.ID, After: max(end, 1)}
-	if r.mayRan && c.Repeat == Keyed { // its connection may come up long after mayRepeatAt has looked
+	act := Action{Kind: StartAttempt, Request: r.id, Server: s.info.ID, After: max(end, 1)}
+	if r.mayRan && c.Idempotency == WithIdempotencyKey { // its connection may come up long after mayRepeatAt has looked
 		act.Expires = r.dropped - b.now
 	}
 	b.out = append(b.out, act)
@@ -145,21 +145,21 @@
 		case OK:
 			s.quietAt, s.shut = b.now, false
 			b.learn(s, who, 0)
-			if b.sample(s, r, e.Took, 1); e.Report.HasRIF {
+			if b.sample(s, r, e.Elapsed, 1); e.Report.HasRIF {
 				b.onReport(s, &e.Report, e.Report.RIF)
 			}
-		case Failed, Reset, NoConnection, Full:
+		case Failed, Reset, ConnectFailed, Declined:
 			s.quietAt = b.now
-			if b.learn(s, who, 1); e.Status == NoConnection {
+			if b.learn(s, who, 1); e.Status == ConnectFailed {
 				b.shutOut(s)
-			} else if e.Status == Full {
+			} else if e.Status == Declined {
 				b.fit.Full(s.rif+1, limit.CrowdMost)
 			}
 		case TimedOut:
 			if !b.silent(s) {
-				b.sample(s, r, e.Took, 0) // the survivors alone would look too fast
+				b.sample(s, r, e.Elapsed, 0) // the survivors alone would look too fast
 			}
-			if b.silent(s) || r != nil && e.Took+b.cfg.Round > timeoutTimes*r.expected {
+			if b.silent(s) || r != nil && e.Elapsed+b.cfg.Round > timeoutTimes*r.expected {
 				b.learn(s, who, 1)
 			}
 		}
@@ -170,7 +170,7 @@
 	r.out = false
 	if !e.Status.NeverRan() && e.Status != OK {
 		if !r.mayRan && s != nil {
-			window := b.cfg.Classes[r.class].Window - b.margin
+			window := b.cfg.Classes[r.class].KeyWindow - b.margin
 			r.dropped, r.ranZone, r.ranCell = r.sentAt+window, s.info.Zone, s.info.Cell
 		}
 		r.mayRan = true
@@ -180,14 +180,14 @@
 		return
 	}
 	r.avoid = s
-	left := e.Status != NotSent && !e.Spent && r.attempts < b.cfg.Classes[r.class].Attempts
+	left := e.Status != NotSent && !e.BodyConsumed && r.attempts < b.cfg.Classes[r.class].Attempts
 	if left && b.retries >= 1 && r.endAt-b.now > b.margin {
 		b.retries--
 		r.waits = 0
 		b.choose(r)
 		return
 	}
-	b.finish(r, NoRetry)
+	b.finish(r, RetryNotAllowed)
 }
 
 // sample learns from the duration of an attempt. Without reports durations are all there is.
@@ -209,10 +209,10 @@
 
 // finish gives the final answer: a refusal where that is true, else a failure.
 func (b *Balancer) finish(r *request, why Reason) {
-	act := Action{Kind: Fail, Request: r.id, Why: why}
+	act := Action{Kind: FailRequest, Request: r.id, Reason: why}
 	if b.mayRefuse(r) {
 		b.shed++
-		act.Kind, act.After = Refuse, b.comeBack(r)
+		act.Kind, act.After = RejectRequest, b.comeBack(r)
 	}
 	b.out = append(b.out, act)
 	b.abandon(r)
@@ -233,6 +233,6 @@
 		delete(b.requests, r.id)
 		b.waiting = slices.DeleteFunc(b.waiting, func(w *request) bool { return w == r })
 	} else if b.cfg.Cancel {
-		b.out = append(b.out, Action{Kind: Cancel, Request: r.id, Attempt: r.attempts - 1})
+		b.out = append(b.out, Action{Kind: CancelAttempt, Request: r.id, Attempt: r.attempts - 1})
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -47,7 +47,7 @@
 	for _, a := range acts {
 		w.log = append(w.log, fmt.Sprintf("%.1f %+v", w.now, a))
 		switch a.Kind {
-		case Send:
+		case StartAttempt:
 			r := w.reqs[a.Request]
 			s := w.servers[a.Server]
 			switch {
@@ -63,34 +63,34 @@
 				return fmt.Errorf("too many attempts: %+v", a)
 			}
 			c := w.cfg.Classes[r.class]
-			if r.mayRan && c.Repeat == Unsafe {
+			if r.mayRan && c.Idempotency == NonIdempotent {
 				return fmt.Errorf("rule 2: unsafe request sent again: %+v", a)
 			}
-			if r.mayRan && c.Repeat == Keyed {
-				if w.now-r.firstRan >= c.Window || s.Zone != r.ranZone || s.Cell != r.ranCell {
+			if r.mayRan && c.Idempotency == WithIdempotencyKey {
+				if w.now-r.firstRan >= c.KeyWindow || s.Zone != r.ranZone || s.Cell != r.ranCell {
 					return fmt.Errorf("rule 2: keyed request left its group or window: %+v", a)
 				}
 			}
 			r.out[r.attempts] = a.Server
 			r.attempts++
 			r.sentAt = w.now
-			if s.StartedAt > 0 && w.now-s.StartedAt < w.cfg.WarmWithin {
+			if s.StartedAt > 0 && w.now-s.StartedAt < w.cfg.WarmUpTime {
 				w.sends[a.Server] = append(w.sends[a.Server], w.now)
 			}
-		case Refuse, Fail:
+		case RejectRequest, FailRequest:
 			r := w.reqs[a.Request]
 			if r == nil || r.answered {
 				return fmt.Errorf("rule 1: a second answer: %+v", a)
 			}
 			c := w.cfg.Classes[r.class]
-			if a.Kind == Refuse && (len(r.out) > 0 || r.mayRan && c.Repeat != Safe) {
+			if a.Kind == RejectRequest && (len(r.out) > 0 || r.mayRan && c.Idempotency != Idempotent) {
 				return fmt.Errorf("rule 2: refused what may have run: %+v", a)
 			}
 			r.answered = true
 		case SetTimer:
-			w.timers = append(w.timers, Event{Kind: TimerDue, Timer: a.Timer})
+			w.timers = append(w.timers, Event{Kind: TimerFired, Timer: a.Timer})
 			w.dues = append(w.dues, w.now+a.After)
-		case Cancel:
+		case CancelAttempt:
 			if r := w.reqs[a.Request]; r == nil || a.Attempt >= r.attempts {
 				return fmt.Errorf("cancelled an attempt never made: %+v", a)
 			}
@@ -117,8 +117,8 @@
 		r.ranZone, r.ranCell = w.servers[s].Zone, w.servers[s].Cell
 	}
 	return w.check(Event{
-		Kind: AttemptDone, Request: id, Attempt: n, Server: s, Status: st,
-		Took: w.now - r.sentAt, Final: final,
+		Kind: AttemptEnded, Request: id, Attempt: n, Server: s, Status: st,
+		Elapsed: w.now - r.sentAt, Final: final,
 	})
 }
 
@@ -129,7 +129,7 @@
 			lines = append(lines, *s)
 		}
 	}
-	return w.check(Event{Kind: List, Full: full, Servers: lines})
+	return w.check(Event{Kind: EndpointsUpdated, Complete: full, Servers: lines})
 }
 
 func (w *walk) step() error {
@@ -163,11 +163,11 @@
 		}
 		return w.list(w.rng.IntN(2) == 0)
 	case 1:
-		return w.check(Event{Kind: ListFailed})
+		return w.check(Event{Kind: SubscriptionFailed})
 	case 2:
 		return w.check(Event{
-			Kind: ProbeDone, Server: ServerID(1 + w.rng.IntN(9)), Status: Status(w.rng.IntN(8)),
-			Took: 1, Report: Report{
+			Kind: ProbeEnded, Server: ServerID(1 + w.rng.IntN(9)), Status: Status(w.rng.IntN(8)),
+			Elapsed: 1, Report: Report{
 				HasRIF: w.rng.IntN(2) == 0, HasLatency: w.rng.IntN(2) == 0,
 				HasErrors: w.rng.IntN(2) == 0, RIF: w.rng.Float64() * 20, Latency: w.rng.Float64() * 90,
 				Errors: w.rng.Float64() * 30,
@@ -179,8 +179,8 @@
 		w.reqs[w.next] = &held{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
 		w.order = append(w.order, w.next)
 		return w.check(Event{
-			Kind: Arrival, Request: w.next, Class: w.reqs[w.next].class, Left: left,
-			Tenant: w.rng.IntN(2), Again: w.rng.IntN(4) == 0,
+			Kind: RequestArrived, Request: w.next, Class: w.reqs[w.next].class, TimeLeft: left,
+			Tenant: w.rng.IntN(2), ClientRetry: w.rng.IntN(4) == 0,
 		})
 	default:
 		if len(w.order) == 0 {
@@ -204,7 +204,7 @@
 	t.Helper()
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 20}, {Quota: 40}}
-	cfg.OverShareWorth, cfg.AskForList = 0.1, true
+	cfg.OverQuotaWeight, cfg.SubscribeToList = 0.1, true
 	b, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -283,22 +283,22 @@
 		}
 	}
 	for name, spoil := range map[string]func(*Balancer, []Action) []Action{
-		"failures swallowed": drop(Fail),
-		"refusals swallowed": drop(Refuse),
+		"failures swallowed": drop(FailRequest),
+		"refusals swallowed": drop(RejectRequest),
 		"failures told as refusals": func(_ *Balancer, acts []Action) []Action {
 			for i := range acts {
-				if acts[i].Kind == Fail {
-					acts[i].Kind = Refuse
+				if acts[i].Kind == FailRequest {
+					acts[i].Kind = RejectRequest
 				}
 			}
 			return acts
 		},
 		"unsafe as safe": func(b *Balancer, acts []Action) []Action {
-			b.cfg.Classes[2].Repeat = Safe
+			b.cfg.Classes[2].Idempotency = Idempotent
 			return acts
 		},
 		"keyed in any cell": func(b *Balancer, acts []Action) []Action {
-			b.cfg.Classes[1].Scope = ScopeAll
+			b.cfg.Classes[1].KeyScope = ScopeAll
 			return acts
 		},
 		"drains ignored": func(b *Balancer, acts []Action) []Action {
@@ -309,7 +309,7 @@
 		},
 		"answers twice": func(_ *Balancer, acts []Action) []Action {
 			for _, a := range acts {
-				if a.Kind == Refuse {
+				if a.Kind == RejectRequest {
 					return append(acts, a)
 				}
 			}
@@ -344,7 +344,7 @@
 			g.now += 10
 			if step == 400 {
 				started = g.now
-				g.do(Event{Kind: List, Servers: []ServerInfo{{ID: 4, Health: Ready, Cell: 1, StartedAt: g.now}}})
+				g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 4, Health: Ready, Cell: 1, StartedAt: g.now}}})
 			}
 			for s := ServerID(1); s <= 4; s++ {
 				rif := 4.0
@@ -355,7 +355,7 @@
 			}
 			for range perStep {
 				id++
-				a := find(g.arrive(id, 0), Send)
+				a := find(g.arrive(id, 0), StartAttempt)
 				if a == nil {
 					continue
 				}
@@ -396,14 +396,14 @@
 	for id := ServerID(1); id <= 4; id++ {
 		list = append(list, ServerInfo{ID: id, Health: Ready, StartedAt: g.now - 100})
 	}
-	g.do(Event{Kind: List, Full: true, Servers: list})
+	g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 	sent := 0
 	for id := RequestID(1); id <= 200; id++ { // 2 s at 100 requests a second
 		g.now += 10
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 0, 40)
 		}
-		if a := find(g.arrive(id, 0), Send); a != nil {
+		if a := find(g.arrive(id, 0), StartAttempt); a != nil {
 			sent++
 			g.done(id, 0, a.Server, OK)
 		}
@@ -422,7 +422,7 @@
 		asked := 0
 		for i := range uint64(sidecars) {
 			cfg := testConfig()
-			cfg.Balancers = sidecars
+			cfg.Instances = sidecars
 			b, err := New(cfg, seed*1000+i)
 			if err != nil {
 				t.Fatal(err)
@@ -432,7 +432,7 @@
 			for id := ServerID(1); id <= servers; id++ {
 				list = append(list, ServerInfo{ID: id, Health: Ready})
 			}
-			g.do(Event{Kind: List, Full: true, Servers: list})
+			g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 			every := 500.0 // ms between requests; a few sidecars carry far more
 			if i%20 == 0 {
 				every = 50
@@ -448,7 +448,7 @@
 					}
 					g.report(s, rif, 40)
 				}
-				if a := find(g.arrive(id, 0), Send); a != nil {
+				if a := find(g.arrive(id, 0), StartAttempt); a != nil {
 					if count {
 						asked++
 						if a.Server == 1 {
@@ -461,7 +461,7 @@
 			for g.now < 1e6+4000 {
 				step(false)
 			}
-			g.do(Event{Kind: List, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: g.now}}})
+			g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: g.now}}})
 			for end := g.now + 2000; g.now < end; {
 				step(true)
 			}
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -41,14 +41,14 @@
 
 func (b *Balancer) onList(e *Event) {
 	b.askWait = 0
-	for i := 0; e.Full && i < len(b.servers); i++ {
+	for i := 0; e.Complete && i < len(b.servers); i++ {
 		b.servers[i].info.Health = Gone
 	}
 	for _, in := range e.Servers {
 		s := b.byID[in.ID]
 		if s == nil {
 			s = &server{rank: b.rng.Float64()}
-			if in.Zone != b.cfg.Zone && b.cfg.CrossPrice > 0 {
+			if in.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 {
 				s.rank++
 			}
 			b.byID[in.ID] = s
@@ -59,11 +59,11 @@
 			*s = server{
 				rank: s.rank, network: s.network, out: s.out, reportAt: never, quietAt: b.now,
 				by:   make([]Tally, 1+len(b.buckets)),
-				cold: limit.Bucket{V: b.rng.Float64(), At: b.now},
+				cold: limit.Bucket{Value: b.rng.Float64(), At: b.now},
 			} // a random part: not all send at once
 			b.pool.Remove(s)
 		}
-		if s.info = in; in.Returned && b.cfg.Probes {
+		if s.info = in; in.Uncordoned && b.cfg.Probes {
 			b.ask(s) // else it would be found again by chance
 		}
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,7 +10,7 @@
 )
 
 func (b *Balancer) warmth(s *server) float64 {
-	return limit.Warmth(b.now-s.info.StartedAt, s.info.StartedAt > 0, b.cfg.ColdShare, b.cfg.WarmWithin)
+	return limit.Warmth(b.now-s.info.StartedAt, s.info.StartedAt > 0, b.cfg.StartCapacity, b.cfg.WarmUpTime)
 }
 
 func (b *Balancer) warmEnough(s *server) bool {
@@ -19,6 +19,6 @@
 		return true
 	}
 	room := b.now-s.reportAt <= coldFresh && s.rif < coldIdle*w*b.fit.SideBySide() // as it has just said
-	rate := limit.ColdRate(w, b.cfg.TipMultiple, room, b.sendRate.PerMs(b.now), b.arrivals.PerMs(b.now))
+	rate := limit.ColdRate(w, b.cfg.OverloadMultiple, room, b.sendRate.PerMs(b.now), b.arrivals.PerMs(b.now))
 	return s.cold.Fill(b.now, rate/float64(max(1, b.ready)), 1)
 }
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -11,7 +11,7 @@
 		want    bool
 	}{{60, 60, 0.08, true}, {16, 4, 0.0046, false}, {60, 1, 0.08, false}, {60, 60, 0, true}, {3, 60, 0.0046, false}} {
 		cfg := testConfig()
-		cfg.ProbePrice = c.price
+		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, c.servers)
 		for id := range RequestID(6000 / c.every) { // as long as it takes to know the rate
 			g.now += c.every
@@ -26,7 +26,7 @@
 // Where news is sparse a server must show more room, and one whose report is older than a pool's entry shows none.
 func TestSparseNewsAsksForMoreRoom(t *testing.T) {
 	cfg := testConfig()
-	cfg.WastePrice = 0.1
+	cfg.WastedWorkCost = 0.1
 	for _, c := range []struct {
 		rif                    float64
 		latency                Ms
@@ -85,17 +85,17 @@
 		least, most int
 	}{{0.0046, 20, 60}, {0.08, 0, 0}} {
 		cfg := testConfig()
-		cfg.ProbePrice = c.price
+		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 20)
 		probes := 0
 		for range 100 { // five seconds in which all are down
 			g.now += tickEvery
-			for _, a := range g.do(Event{Kind: TimerDue, Timer: tickTimer}) {
-				if a.Kind == Probe && g.b.lastProbe != g.now { // not one of those that an idle sidecar sends
+			for _, a := range g.do(Event{Kind: TimerFired, Timer: tickTimer}) {
+				if a.Kind == SendProbe && g.b.lastProbe != g.now { // not one of those that an idle sidecar sends
 					probes++
 				}
-				if a.Kind == Probe {
-					g.do(Event{Kind: ProbeDone, Server: a.Server, Status: NoConnection, Took: 1})
+				if a.Kind == SendProbe {
+					g.do(Event{Kind: ProbeEnded, Server: a.Server, Status: ConnectFailed, Elapsed: 1})
 				}
 			}
 		}
@@ -105,8 +105,8 @@
 		if s := g.b.byID[1]; c.price > 0.05 {
 			for s.fails = 1; s.fails > 0 && g.now < 1e6; {
 				g.now += 60
-				for _, a := range g.do(Event{Kind: Arrival, Request: RequestID(g.now), Left: 900}) {
-					if a.Kind == Probe {
+				for _, a := range g.do(Event{Kind: RequestArrived, Request: RequestID(g.now), TimeLeft: 900}) {
+					if a.Kind == SendProbe {
 						g.report(a.Server, 1, 40)
 					}
 				}
@@ -122,34 +122,34 @@
 // within what they may cost.
 func TestSparseNewsIsSoughtBeforeARefusal(t *testing.T) {
 	cfg := testConfig()
-	cfg.ProbePrice, cfg.WastePrice = 0.08, 0.1
+	cfg.ProbeCost, cfg.WastedWorkCost = 0.08, 0.1
 	for _, room := range []bool{true, false} {
 		g := newRig(t, cfg, 60)
 		probes, sent, refused := 0, 0, 0
 		for id := range RequestID(400) {
 			g.now += 100
-			acts := g.do(Event{Kind: Arrival, Request: id, Left: 900})
+			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case Probe: // half of them have room, if any
+				case SendProbe: // half of them have room, if any
 					probes++
 					rif := 40.0
 					if room && a.Server%2 == 0 {
 						rif = 1
 					}
 					acts = append(acts, g.do(Event{
-						Kind: ProbeDone, Server: a.Server, Took: 1,
+						Kind: ProbeEnded, Server: a.Server, Elapsed: 1,
 						Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
 					})...)
 				case SetTimer:
 					if a.Timer >= waitTimer {
 						g.now += a.After
-						acts = append(acts, g.do(Event{Kind: TimerDue, Timer: a.Timer})...)
+						acts = append(acts, g.do(Event{Kind: TimerFired, Timer: a.Timer})...)
 					}
-				case Send:
+				case StartAttempt:
 					sent++
 					acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
-				case Refuse:
+				case RejectRequest:
 					refused++
 				}
 			}
@@ -166,14 +166,14 @@
 // Sparse news is of the own zone, but for one probe in ten.
 func TestSparseNewsIsOfTheOwnZone(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossPrice, cfg.ProbePrice = 0.01, 0.08
+	cfg.CrossZoneCost, cfg.ProbeCost = 0.01, 0.08
 	for sparse, want := range map[bool][2]int{false: {380, 620}, true: {720, 950}} {
 		g := newRig(t, cfg, 1)
 		list := make([]ServerInfo, 60)
 		for i := range list {
 			list[i] = ServerInfo{ID: ServerID(i + 1), Health: Ready, Zone: i % 5}
 		}
-		g.do(Event{Kind: List, Full: true, Servers: list})
+		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		near, all := 0, 0
 		for id := RequestID(0); all < 1000; id++ {
 			g.b.sparse = sparse
@@ -181,7 +181,7 @@
 			g.b.probeDue, g.b.out = 1, nil
 			g.b.choose(r)
 			for _, a := range g.b.out {
-				if a.Kind != Probe {
+				if a.Kind != SendProbe {
 					continue
 				}
 				if all++; (a.Server-1)%5 == 0 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -8,8 +8,8 @@
 // State returns what has been learned. Servers that were left are not in it.
 func (b *Balancer) State() State {
 	st := State{
-		XX: b.fit.XX, XY: b.fit.XY, FitAt: b.fit.At, FleetLatency: b.fleetLatency, FracOwn: b.fracOwn,
-		FracAll: b.fracAll, Arrivals: Level(b.arrivals), Sends: Level(b.sendRate),
+		SumLoadSquared: b.fit.SumLoadSquared, SumLoadLatency: b.fit.SumLoadLatency, FittedAt: b.fit.At, FleetLatency: b.fleetLatency, OwnInFlight: b.fracOwn,
+		TotalInFlight: b.fracAll, Arrivals: Level(b.arrivals), Sends: Level(b.sendRate),
 	}
 	for _, c := range b.fit.Class {
 		st.Classes = append(st.Classes, Mean{c.N, c.Sum})
@@ -36,23 +36,23 @@
 		return fmt.Errorf("logic: a state of %d classes and %d tenants does not fit %d and %d",
 			len(st.Classes), len(st.Tenants), len(b.fit.Class), len(b.buckets))
 	}
-	b.fit.XX, b.fit.XY, b.fit.At = st.XX, st.XY, st.FitAt
+	b.fit.SumLoadSquared, b.fit.SumLoadLatency, b.fit.At = st.SumLoadSquared, st.SumLoadLatency, st.FittedAt
 	for i, m := range st.Classes {
-		b.fit.Class[i].N, b.fit.Class[i].Sum = m.N, m.Sum
+		b.fit.Class[i].N, b.fit.Class[i].Sum = m.Count, m.Sum
 	}
 	for i, l := range st.Tenants {
 		b.buckets[i] = limit.Bucket(l)
 	}
-	b.fleetLatency, b.fracOwn, b.fracAll = st.FleetLatency, st.FracOwn, st.FracAll
+	b.fleetLatency, b.fracOwn, b.fracAll = st.FleetLatency, st.OwnInFlight, st.TotalInFlight
 	b.arrivals, b.sendRate = limit.Rate(st.Arrivals), limit.Rate(st.Sends)
 	for _, in := range st.Servers {
 		s := b.byID[in.ID]
 		if s == nil || s.info.StartedAt != in.StartedAt {
 			continue
 		}
-		s.latency, s.reported, s.network, s.failing = in.Latency, in.Reported, in.Network, in.Failing
-		s.reportAt = min(in.ReportAt, b.now-poolAge-1) // whose load is not known: no server is idle by that
-		s.cold = limit.Bucket(in.Cold)
+		s.latency, s.reported, s.network, s.failing = in.Latency, in.LatencyReported, in.RoundTrip, in.ErrorRate
+		s.reportAt = min(in.ReportedAt, b.now-poolAge-1) // whose load is not known: no server is idle by that
+		s.cold = limit.Bucket(in.SlowStartBudget)
 		copy(s.by, in.Outcomes)
 	}
 	b.updateMedians()
--- a/policy/unsure_test.go
+++ b/policy/unsure_test.go
@@ -8,26 +8,26 @@
 	const holds = 550
 	for name, price := range map[string]float64{"dear": 0.08, "cheap": 0} {
 		cfg := testConfig()
-		cfg.ProbePrice, cfg.Vouched, cfg.Balancers = price, holds, 300
+		cfg.ProbeCost, cfg.ProbeValidity, cfg.Instances = price, holds, 300
 		g := newRig(t, cfg, 40)
-		g.do(Event{Kind: Sure, Left: 3650})
+		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3650})
 		answered, drains, probes := map[ServerID]Ms{}, map[ServerID]bool{}, 0
 		var handle func([]Action) bool
 		handle = func(acts []Action) (sent bool) {
 			for _, a := range acts {
 				switch a.Kind {
-				case Send:
+				case StartAttempt:
 					sent = true
 					if last, ok := answered[a.Server]; g.now >= 1000+3650 && (!ok || g.now-last >= holds) {
 						t.Fatalf("%s, %.0f ms: sent to %d, which answered a probe at %.0f", name, g.now, a.Server, last)
 					}
-					g.do(Event{Kind: AttemptDone, Request: a.Request, Server: a.Server, Status: OK, Took: 40, Final: true})
-				case Probe:
+					g.do(Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: OK, Elapsed: 40, Final: true})
+				case SendProbe:
 					probes++
-					e := Event{Kind: ProbeDone, Server: a.Server, Took: 1, Status: Failed}
+					e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Status: Failed}
 					if !drains[a.Server] {
 						if a.Server <= 30 || g.now < 1000+3650 { // else by whom is not known
-							answered[a.Server], e.Seen = g.now, g.now
+							answered[a.Server], e.ProbeSentAt = g.now, g.now
 						}
 						e.Status, e.Report = OK, Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}
 					}
@@ -41,15 +41,15 @@
 			if g.now += 350; id%10 == 0 {
 				drains[ServerID(1+id/10)] = true // half of them in the end
 			}
-			handle(g.do(Event{Kind: TimerDue, Timer: tickTimer}))
-			if !handle(g.do(Event{Kind: Arrival, Request: id, Left: 900})) {
+			handle(g.do(Event{Kind: TimerFired, Timer: tickTimer}))
+			if !handle(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})) {
 				refused++
 			}
 		}
 		if refused > 20 || probes > 3*200 && price > 0 {
 			t.Errorf("%s: %d of 200 were not sent, %d probes", name, refused, probes)
 		}
-		g.do(Event{Kind: Sure, Left: 3000})
+		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3000})
 		if g.b.unsure() {
 			t.Errorf("%s: heard again, and not believed", name)
 		}
@@ -57,10 +57,10 @@
 	cfg := testConfig()
 	cfg.Probes = false
 	g := newRig(t, cfg, 4)
-	if g.do(Event{Kind: Sure, Left: -1}); find(g.arrive(1, 0), Refuse) == nil {
+	if g.do(Event{Kind: ListValidityChanged, TimeLeft: -1}); find(g.arrive(1, 0), RejectRequest) == nil {
 		t.Error("without probes nothing stands for an old list")
 	}
-	if g.do(Event{Kind: Sure, Left: 1}); find(g.arrive(2, 0), Send) == nil {
+	if g.do(Event{Kind: ListValidityChanged, TimeLeft: 1}); find(g.arrive(2, 0), StartAttempt) == nil {
 		t.Error("heard again, and not believed")
 	}
 }
@@ -69,15 +69,15 @@
 func TestUnheardServersAreProbedWhileThatProves(t *testing.T) {
 	for proves, want := range map[Ms]bool{5000: true, 0: false} {
 		cfg := testConfig()
-		cfg.Vouched = 550
+		cfg.ProbeValidity = 550
 		g := newRig(t, cfg, 8)
-		g.do(Event{Kind: Sure, Left: -1, Took: proves})
-		probe := find(g.arrive(1, 0), Probe)
+		g.do(Event{Kind: ListValidityChanged, TimeLeft: -1, Elapsed: proves})
+		probe := find(g.arrive(1, 0), SendProbe)
 		if (probe != nil) != want {
 			t.Errorf("%.0f ms of proof: probed %t", proves, probe != nil)
 		}
 		g.now += 6000
-		if find(g.arrive(2, 0), Probe) != nil {
+		if find(g.arrive(2, 0), SendProbe) != nil {
 			t.Errorf("%.0f ms of proof: probed after that", proves)
 		}
 	}
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -19,7 +19,7 @@
 		{"full here and cut off", 20, 1, true, 0, 0.3, 0, 0},
 	} {
 		cfg := testConfig()
-		cfg.Balancers, cfg.ProbePrice, cfg.CrossPrice = 300, 0.08, 0.01
+		cfg.Instances, cfg.ProbeCost, cfg.CrossZoneCost = 300, 0.08, 0.01
 		b, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -30,16 +30,16 @@
 		for i := range servers {
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Health: Ready, Zone: i / local})
 		}
-		g.do(Event{Kind: List, Full: true, Servers: list})
+		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		probes, far, sent, out := 0.0, 0.0, 0.0, 0.0
 		for id := range RequestID(600) {
 			g.now += 70
-			g.do(Event{Kind: TimerDue, Timer: tickTimer})
-			acts := g.do(Event{Kind: Arrival, Request: id, Left: 900})
+			g.do(Event{Kind: TimerFired, Timer: tickTimer})
+			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				a := acts[0]
 				away := a.Server > local
-				e := Event{Kind: ProbeDone, Server: a.Server, Took: 1, Report: Report{
+				e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Report: Report{
 					HasRIF: true, RIF: c.here,
 					HasLatency: true, Latency: 40,
 				}}
@@ -50,21 +50,21 @@
 					e.Status = TimedOut
 				}
 				switch a.Kind {
-				case Probe:
+				case SendProbe:
 					if id >= 100 { // once the rate is known, and what there is elsewhere
 						probes++
 						if away {
 							far++
 						}
 					}
-				case Send:
+				case StartAttempt:
 					if id >= 100 {
 						sent++
 						if away {
 							out++
 						}
 					}
-					e = Event{Kind: AttemptDone, Request: id, Server: a.Server, Status: OK, Took: 40, Final: true}
+					e = Event{Kind: AttemptEnded, Request: id, Server: a.Server, Status: OK, Elapsed: 40, Final: true}
 				default:
 					continue
 				}
@@ -93,13 +93,13 @@
 		{4, 16, 3, 4, 16},
 	} {
 		cfg := testConfig()
-		cfg.Balancers, cfg.CrossPrice = c.sidecars, 0.01
+		cfg.Instances, cfg.CrossZoneCost = c.sidecars, 0.01
 		g := newRig(t, cfg, 0)
 		var list []ServerInfo
 		for i := range c.servers {
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Health: Ready, Zone: min(1, i/c.local)})
 		}
-		g.do(Event{Kind: List, Full: true, Servers: list})
+		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		if home, far := g.b.near(false), g.b.near(true); home != c.home || far != c.far {
 			t.Errorf("%+v: %d, %d", c, home, far)
 		}
