--- a/example_test.go
+++ b/example_test.go
@@ -58,7 +58,7 @@
 	var bad *plankrouter.OptionError
 	fmt.Println(errors.As(err, &bad), bad.Option)
 	// Output:
-	// plankrouter: Classes[0].Deadline: 500ms is shorter than the aim, 1s
+	// plankrouter: Classes[0].Deadline: 500ms is shorter than the latency objective, 1s
 	// true Classes[0].Deadline
 }
 
