--- a/balancer.go
+++ b/balancer.go
@@ -33,7 +33,7 @@
 // Balancer is one pool of servers. Its methods are safe for concurrent use.
 type Balancer struct {
 	set     Options
-	core    *dispatch.Pool
+	core    *dispatch.Dispatcher
 	caller  *backend.Caller
 	watch   *discovery.Watch // nil = there is none
 	classes map[string]int
@@ -76,21 +76,21 @@
 		stop()
 		return nil, err
 	}
-	saw := func(string, staleness.Sign) {}
+	saw := func(string, staleness.Evidence) {}
 	if o.Directory != "" {
 		if b.watch, err = discovery.New(discovery.Options{
-			Address: o.Directory, Watch: staleness.Default(), Seed: o.Seed,
-			Known: endpoints.List{Members: known.Members}, Budget: o.Sockets.budget,
-			Told: func(l endpoints.List, at time.Time) { b.core.Told(l, at) }, Logf: b.log.printf,
+			Address: o.Directory, Watch: staleness.DefaultSettings(), Seed: o.Seed,
+			Initial: endpoints.List{Endpoints: known.Endpoints}, Budget: o.Sockets.budget,
+			OnUpdate: func(l endpoints.List, at time.Time) { b.core.UpdateEndpoints(l, at) }, Logf: b.log.printf,
 		}); err != nil {
 			stop()
 			return nil, err
 		}
-		saw = b.watch.Saw
+		saw = b.watch.Observe
 	}
 	if b.core, err = dispatch.New(dispatch.Options{
-		Name: o.Name, Logic: cfg, Seed: o.Seed, Zones: []string{o.Zone},
-		DrainGrace: o.DrainGrace, Known: known, Caller: b.caller, Whole: whole, Logf: b.log.printf, Saw: saw,
+		Name: o.Name, Policy: cfg, Seed: o.Seed, Zones: []string{o.Zone},
+		DrainGrace: o.DrainGrace, InitialEndpoints: known, Upstream: b.caller, IsComplete: whole, Logf: b.log.printf, OnEvidence: saw,
 	}); err != nil {
 		stop()
 		return nil, fmt.Errorf("plankrouter: %w", err)
@@ -122,7 +122,7 @@
 		}
 		return err
 	}
-	b.core.Told(l, time.Now())
+	b.core.UpdateEndpoints(l, time.Now())
 	return nil
 }
 
@@ -136,7 +136,7 @@
 		}
 		return err
 	}
-	b.core.Told(l, time.Now())
+	b.core.UpdateEndpoints(l, time.Now())
 	return nil
 }
 
@@ -174,19 +174,19 @@
 	}
 	inv.SentAt = time.Now()
 	if until, ends := ctx.Deadline(); ends {
-		inv.Patience = min(inv.Patience, until.Sub(inv.SentAt)+afterContext)
+		inv.Timeout = min(inv.Timeout, until.Sub(inv.SentAt)+afterContext)
 	}
-	answers := make(chan request.Answer, 1)
-	inv.Answer = func(a request.Answer) { answers <- a }
-	inv.Gone = func() bool { return ctx.Err() != nil }
-	if !b.core.Take(inv) {
+	answers := make(chan request.Response, 1)
+	inv.Respond = func(a request.Response) { answers <- a }
+	inv.ClientGone = func() bool { return ctx.Err() != nil }
+	if !b.core.Submit(inv) {
 		return nil, ErrClosed
 	}
 	select {
 	case a := <-answers:
 		return responseOf(a)
 	case <-ctx.Done():
-	case <-b.core.Stopped():
+	case <-b.core.Done():
 	}
 	mayRun := b.core.Cancel(inv)
 	select {
@@ -202,7 +202,7 @@
 }
 
 // word turns the request into the core's words.
-func (b *Balancer) word(r *Request) (*request.Invocation, error) {
+func (b *Balancer) word(r *Request) (*request.Request, error) {
 	class, known := b.classes[r.Class]
 	tenant, named := b.tenants[r.Tenant]
 	method, target, id := cmp.Or(r.Method, http.MethodGet), cmp.Or(r.Target, "/"), r.ID
@@ -238,24 +238,24 @@
 	if !http1.ValidField(http1.HeaderID, id) {
 		return nil, &RequestError{"ID", fmt.Sprintf("%q can't be sent", id)}
 	}
-	return &request.Invocation{
-		ID: id, Class: class, Tenant: tenant, Patience: b.set.Classes[class].Deadline, Host: host,
-		Verb: method, Target: target, Fields: all.EndToEnd(http1.Reworded), Body: r.Body,
+	return &request.Request{
+		ID: id, Class: class, Tenant: tenant, Timeout: b.set.Classes[class].Deadline, Host: host,
+		Method: method, Target: target, Fields: all.EndToEnd(http1.Reworded), Body: r.Body,
 	}, nil
 }
 
 // responseOf turns the core's answer into that of Do.
-func responseOf(a request.Answer) (*Response, error) {
+func responseOf(a request.Response) (*Response, error) {
 	switch a.Kind {
 	case request.Served:
-		r := &Response{Status: a.Code, Header: make(http.Header, len(a.Fields)), Body: a.Body}
+		r := &Response{Status: a.StatusCode, Header: make(http.Header, len(a.Fields)), Body: a.Body}
 		for _, f := range a.Fields {
 			r.Header.Add(f.Name, f.Value)
 		}
 		return r, nil
-	case request.Refused:
+	case request.Rejected:
 		return nil, &RefusedError{RetryAfter: a.RetryAfter, MayHaveRun: a.MayHaveRun}
-	case request.Conflict:
+	case request.Duplicate:
 		return nil, ErrDuplicate
 	}
 	return nil, &FailedError{MayHaveRun: a.MayHaveRun}
@@ -303,13 +303,13 @@
 	c := b.core.Counts()
 	words := func(counts outcome.Counts) map[string]int {
 		m := map[string]int{}
-		counts.Each(func(e outcome.Ending, n int) { m[e.String()] = n })
+		counts.Each(func(e outcome.Kind, n int) { m[e.String()] = n })
 		return m
 	}
 	return Stats{
-		Taken: c.Taken, Served: c.Served, Refused: c.Refused, Failed: c.Failed, Cancelled: int(b.cancelled.Load()),
-		Duplicates: c.Conflicts, Attempts: c.Sent, Probes: c.Probes, Lists: c.Lists, AttemptEndings: words(c.Calls),
-		ProbeEndings: words(c.Asked), Connections: b.set.Sockets.budget.Used(), LogLost: int(b.log.lost.Load()),
+		Taken: c.Accepted, Served: c.Served, Refused: c.Rejected, Failed: c.Failed, Cancelled: int(b.cancelled.Load()),
+		Duplicates: c.Conflicts, Attempts: c.Attempts, Probes: c.Probes, Lists: c.EndpointUpdates, AttemptEndings: words(c.AttemptOutcomes),
+		ProbeEndings: words(c.ProbeOutcomes), Connections: b.set.Sockets.budget.Used(), LogLost: int(b.log.lost.Load()),
 	}
 }
 
--- a/cmd/plankrouter/daily_test.go
+++ b/cmd/plankrouter/daily_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-func (s *service) figures() (f metrics.Figures) {
+func (s *service) figures() (f metrics.Values) {
 	s.Helper()
 	status, text := s.call("GET", "/metrics")
 	if err := json.Unmarshal([]byte(text), &f); err != nil || status != 200 {
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -63,7 +63,7 @@
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		if from != nil {
-			from.Refuse(err.Error())
+			from.Reject(err.Error())
 		}
 		return err
 	}
@@ -90,7 +90,7 @@
 // listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
 // new one.
 func listen(cfg *config.Config, from *hotrestart.Successor) (net.Listener, error) {
-	if from != nil && !from.Met() {
+	if from != nil && !from.TookOver() {
 		return from.Listener(), from.Check(cfg.Listen)
 	}
 	if l, err := hotrestart.Held(os.Getenv, cfg.Listen); err != nil || l != nil {
@@ -129,15 +129,15 @@
 	share        share           // of the descriptors, while no other process shares them
 	told         context.Context // ends with the word to stop
 	caller       *backend.Caller
-	core         *dispatch.Pool
+	core         *dispatch.Dispatcher
 	watch        *discovery.Watch
-	book         metrics.Book
-	rules        invariant.Book
+	book         metrics.Registry
+	rules        invariant.Recorder
 	bans         *cordon.Store
 	front        *frontend.Server
-	writer       *snapshot.Writer    // nil = snapshots are not kept
-	line         hotrestart.Handover // of processes that take over from one another
-	moved        atomic.Bool         // a reload has named another directory than the environment
+	writer       *snapshot.Writer       // nil = snapshots are not kept
+	line         hotrestart.Coordinator // of processes that take over from one another
+	moved        atomic.Bool            // a reload has named another directory than the environment
 	stop         context.CancelFunc
 	signals      signalQueues
 	reloads      chan reloaded             // for whoever ends this process
@@ -164,7 +164,7 @@
 			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", least))
 	}
 	p := program{
-		cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Handover{From: from},
+		cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Coordinator{Inherited: from},
 		budget: connlimit.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv),
 	}
 	p.rules.Logf = log.Printf
@@ -172,7 +172,7 @@
 	var leaving context.CancelFunc
 	p.told, leaving = context.WithCancel(ctx)
 	defer leaving()
-	if from != nil && from.Met() {
+	if from != nil && from.TookOver() {
 		p.budget.Limit(p.share.places / shareIdle)
 	}
 	trace := tracing(ctx, group, getenv)
@@ -190,24 +190,24 @@
 	var err error
 	if p.watch, err = discovery.New(discovery.Options{
 		Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
-		Known: known, Anew: before != nil, // the directory may count anew by now
-		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: connlimit.NewBudget(shares.watch, dial),
-		Told:  func(l endpoints.List, at time.Time) { p.core.Told(l, at) },
-		Trust: func(t staleness.Trust) { p.core.Trust(t) }, Logf: log.Printf, Trace: trace,
+		Initial: known, IgnoreRevision: before != nil, // the directory may count anew by now
+		MaxListBytes: discovery.MaxListBytes(int64(cfg.Limits.MemoryMB) << 20), Budget: connlimit.NewBudget(shares.watch, dial),
+		OnUpdate:   func(l endpoints.List, at time.Time) { p.core.UpdateEndpoints(l, at) },
+		OnValidity: func(t staleness.Validity) { p.core.SetListValidity(t) }, Logf: log.Printf, Trace: trace,
 	}); err != nil {
 		return err
 	}
 	if p.caller, err = backend.New(ctx, p.budget, backend.Settings{
 		Figures: figuresOf(cfg), Trace: trace,
-		Written: p.book.Dispatched, Bounds: bounds, Rules: &p.rules,
+		Written: p.book.AttemptSent, Bounds: bounds, Rules: &p.rules,
 	}); err != nil {
 		return err
 	}
 	if p.core, err = dispatch.New(dispatch.Options{
 		Name: cfg.Name, Deployment: deployment,
-		Logic: cfg.Logic, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known,
-		Before: before, Caller: p.caller, Whole: cfg.Settings.Whole, Logf: log.Printf, Trace: trace, Saw: p.watch.Saw,
-		Targets: p.book.Targets, Bans: out, Rules: &p.rules, Wall: faultinjection.Wall,
+		Policy: cfg.Policy, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, InitialEndpoints: cfg.Known,
+		Restored: before, Upstream: p.caller, IsComplete: cfg.Settings.IsComplete, Logf: log.Printf, Trace: trace, OnEvidence: p.watch.Observe,
+		OnServerCounts: p.book.SetTargets, Cordons: out, Invariants: &p.rules, WallClock: faultinjection.Wall,
 	}); err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 	})
 	group.Go(func() error { p.stopping(ctx, leaving, signals.stop); return nil })
 	group.Go(func() error { p.obey(ctx, group, signals); return nil })
-	log.Printf("name=%s state=started listen=%s providers=%d", cfg.Name, l.Addr(), len(known.Members))
+	log.Printf("name=%s state=started listen=%s providers=%d", cfg.Name, l.Addr(), len(known.Endpoints))
 	err = group.Wait()
 	p.report()
 	return err
@@ -243,10 +243,10 @@
 func (p *program) report() {
 	c, f, w, now := p.core.Counts(), p.front, p.watch, p.book.Read()
 	log.Printf("name=%s counters=core taken=%d conflicts=%d consumer_gone=%d sent=%d probes=%d lists=%d served=%d "+
-		"refused=%d failed=%d", p.cfg.Name, c.Taken, c.Conflicts, c.Gone, now.Dispatches, c.Probes, c.Lists,
+		"refused=%d failed=%d", p.cfg.Name, c.Accepted, c.Conflicts, c.ClientsGone, now.Dispatches, c.Probes, c.EndpointUpdates,
 		metrics.Sum(now.Success), metrics.Sum(now.Overload), metrics.Sum(now.Error))
-	for _, why := range slices.Sorted(maps.Keys(c.Unserved)) {
-		log.Printf("name=%s counters=unserved why=%s requests=%d", p.cfg.Name, why, c.Unserved[why])
+	for _, why := range slices.Sorted(maps.Keys(c.UnservedByReason)) {
+		log.Printf("name=%s counters=unserved why=%s requests=%d", p.cfg.Name, why, c.UnservedByReason[why])
 	}
 	for _, class := range slices.Sorted(maps.Keys(now.Success)) {
 		log.Printf("name=%s counters=requests class=%s success=%d overload=%d error=%d", p.cfg.Name, class, now.Success[class],
@@ -255,22 +255,22 @@
 	log.Printf("name=%s counters=front connections=%d adopted=%d not_taken=%d sockets=%d",
 		p.cfg.Name, f.Connections.Load(), f.Adopted.Load(), f.NotTaken.Load(), p.budget.Used())
 	log.Printf("name=%s counters=directory answers=%d failures=%d doubts=%d", p.cfg.Name, w.Answers.Load(), w.Failures.Load(),
-		w.Doubts.Load())
+		w.FullRefreshes.Load())
 	if s := p.writer; s != nil {
 		log.Printf("name=%s counters=snapshots written=%d failed=%d skipped=%d", p.cfg.Name, s.Written.Load(), s.Failed.Load(),
 			s.Skipped.Load())
 	}
 	for _, c := range p.rules.Counts() {
-		if c.Held+c.Broken > 0 {
-			log.Printf("name=%s counters=rules rule=%s held_back=%d broken=%d", p.cfg.Name, c.Rule, c.Held, c.Broken)
+		if c.Prevented+c.Violations > 0 {
+			log.Printf("name=%s counters=rules rule=%s held_back=%d broken=%d", p.cfg.Name, c.Rule, c.Prevented, c.Violations)
 		}
 	}
 	for _, e := range []struct {
 		of     string
 		counts outcome.Counts
-	}{{"calls", c.Calls}, {"probes", c.Asked}, {"idle_connections", p.caller.Idle()}, {"consumers", f.Endings()}} {
+	}{{"calls", c.AttemptOutcomes}, {"probes", c.ProbeOutcomes}, {"idle_connections", p.caller.Idle()}, {"consumers", f.Endings()}} {
 		var b strings.Builder
-		e.counts.Each(func(how outcome.Ending, n int) { fmt.Fprintf(&b, " %s=%d", how, n) })
+		e.counts.Each(func(how outcome.Kind, n int) { fmt.Fprintf(&b, " %s=%d", how, n) })
 		log.Printf("name=%s counters=ended of=%s%s", p.cfg.Name, e.of, b.String())
 	}
 }
--- a/cmd/plankrouter/operators.go
+++ b/cmd/plankrouter/operators.go
@@ -52,8 +52,8 @@
 func bansFor(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
 		return &cordon.Store{
-			Path:   filepath.Join(folder, "plankrouter-bans.json"),
-			Before: func(step cordon.Step, _ string) error { return faultinjection.Inject(bansFaults[step]) },
+			Path:       filepath.Join(folder, "plankrouter-bans.json"),
+			BeforeStep: func(step cordon.Step, _ string) error { return faultinjection.Inject(bansFaults[step]) },
 		}
 	}
 	return &cordon.Store{}
@@ -73,7 +73,7 @@
 		if err == nil {
 			return set
 		}
-		if errors.Is(err, cordon.ErrContent) || time.Since(began) >= bansWithin {
+		if errors.Is(err, cordon.ErrMalformedFile) || time.Since(began) >= bansWithin {
 			log.Printf("name=%s state=bans_not_used err=%q", p.cfg.Name, err)
 			return set
 		}
@@ -95,7 +95,7 @@
 	p.ordering.Lock()
 	defer p.ordering.Unlock()
 	if set, _, err := p.bans.Read(); err == nil {
-		p.core.Ban(set)
+		p.core.SetCordons(set)
 	}
 }
 
@@ -103,27 +103,27 @@
 func (p *program) Ready() bool { return p.core.Ready() && p.front.Taking() }
 
 // Figures are those of this process.
-func (p *program) Figures() metrics.Figures { return p.book.Read() }
+func (p *program) Figures() metrics.Values { return p.book.Read() }
 
 // Disable takes a provider out, for all processes of this sidecar.
 func (p *program) Disable(id string) error {
-	return p.order("disable", id, (*cordon.Set).Disable)
+	return p.order("disable", id, (*cordon.Set).Cordon)
 }
 
 // Enable puts it back.
 func (p *program) Enable(id string) error {
-	return p.order("enable", id, (*cordon.Set).Enable)
+	return p.order("enable", id, (*cordon.Set).Uncordon)
 }
 
 // order changes the bans, and returns once the change is in force here.
 func (p *program) order(what, id string, how func(*cordon.Set, string, float64, bool) error) error {
-	listed, now := p.core.Listed(id), config.Millis(time.Duration(faultinjection.Wall().UnixNano()))
-	set, err := p.bans.Change(func(s *cordon.Set) error { return how(s, id, now, listed) })
+	listed, now := p.core.IsListed(id), config.Millis(time.Duration(faultinjection.Wall().UnixNano()))
+	set, err := p.bans.Update(func(s *cordon.Set) error { return how(s, id, now, listed) })
 	if err != nil {
 		log.Printf("name=%s operators=%s target=%q state=refused err=%q", p.cfg.Name, what, id, err)
 		return err
 	}
 	p.obeyBans()
-	log.Printf("name=%s operators=%s target=%q state=done out=%d", p.cfg.Name, what, id, len(set.Out))
+	log.Printf("name=%s operators=%s target=%q state=done out=%d", p.cfg.Name, what, id, len(set.Cordoned))
 	return nil
 }
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -14,7 +14,7 @@
 type turn struct {
 	at   time.Duration
 	who  int
-	call staleness.Call
+	call staleness.Poll
 }
 
 type turns []turn
@@ -32,13 +32,13 @@
 // firstLists plays so many processes that restart within a second with no list at all, at a directory that makes perSecond whole
 // lists and lets calls wait in turn for queued before it turns them away, and returns when each has its list, sorted.
 func firstLists(t *testing.T, processes, perSecond int, queued time.Duration, seed uint64) (heard []time.Duration) {
-	set := staleness.Default()
-	set.Callers = processes
-	keepers := make([]*staleness.Keeper, processes)
+	set := staleness.DefaultSettings()
+	set.Instances = processes
+	keepers := make([]*staleness.Scheduler, processes)
 	all := &turns{}
 	next := func(who int, now time.Duration) {
 		c := keepers[who].Next(time.Unix(1e9, 0).Add(now))
-		heap.Push(all, turn{now + c.After, who, c})
+		heap.Push(all, turn{now + c.Delay, who, c})
 	}
 	for i := range keepers {
 		k, err := staleness.New(set, seed<<32+uint64(i), true)
@@ -57,12 +57,12 @@
 		k, begins := keepers[one.who], max(free, one.at)
 		switch {
 		case begins-one.at > queued:
-			k.TurnedAway()
+			k.Rejected()
 			next(one.who, one.at)
-		case begins+each-one.at > one.call.Within: // the directory answers nobody
+		case begins+each-one.at > one.call.Timeout: // the directory answers nobody
 			free = begins + each
 			k.Failed()
-			next(one.who, one.at+one.call.Within)
+			next(one.who, one.at+one.call.Timeout)
 		default:
 			free = begins + each
 			heard = append(heard, free)
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -13,7 +13,7 @@
 // reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent no earlier than that.
 func (p *program) reload(ctx context.Context, now, earliest time.Time) {
 	fixed, err := p.change(now)
-	p.book.Reloaded(err == nil)
+	p.book.ConfigReloaded(err == nil)
 	if err != nil {
 		log.Printf("name=%s state=reload_failed err=%q", p.cfg.Name, err)
 		return
@@ -23,7 +23,7 @@
 	}
 	is := p.inForce.Load()
 	select {
-	case p.reloads <- reloaded{is.StopPlan, earliest}:
+	case p.reloads <- reloaded{is.ShutdownSchedule, earliest}:
 	case <-ctx.Done():
 	}
 	log.Printf("name=%s state=reloaded discovery=%s classes=%v", p.cfg.Name, is.Discovery, is.Settings.ClassNames())
@@ -41,15 +41,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.core.Change(dispatch.Change{
-		Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
+	if err := p.core.Reconfigure(dispatch.Reconfiguration{
+		Policy: next.Policy, Classes: numbers.Classes, Tenants: numbers.Tenants,
 		Deployment: deployment, DrainGrace: next.DrainGrace,
 	}); err != nil {
 		return nil, err
 	}
 	p.caller.Reconfigure(figuresOf(next))
 	p.front.Reconfigure(&next.Settings)
-	p.watch.Move(next.Discovery)
+	p.watch.SetAddress(next.Discovery)
 	p.moved.Store(true)
 	p.inForce.Store(next)
 	return fixed, nil
@@ -57,5 +57,5 @@
 
 // figuresOf are the caller's.
 func figuresOf(cfg *config.Config) backend.Figures {
-	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Logic.Classes)}
+	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -14,7 +14,7 @@
 
 // reloaded is a configuration that has been put in force, by a signal that was sent no earlier than that.
 type reloaded struct {
-	plan     shutdown.Plan
+	plan     shutdown.Schedule
 	earliest time.Time
 }
 
@@ -27,11 +27,11 @@
 type shutdownRun struct {
 	program  *program
 	word     received
-	granted  shutdown.Plan // by the settings that whoever gave the word goes by
-	inForce  shutdown.Plan // for as many clients as there have been since
-	most     int           // clients' connections that have been open at once
-	passedOn bool          // the word is a predecessor's, and has not come from anybody else yet
-	hastened bool          // told twice
+	granted  shutdown.Schedule // by the settings that whoever gave the word goes by
+	inForce  shutdown.Schedule // for as many clients as there have been since
+	most     int               // clients' connections that have been open at once
+	passedOn bool              // the word is a predecessor's, and has not come from anybody else yet
+	hastened bool              // told twice
 	drained  bool
 }
 
@@ -69,12 +69,12 @@
 
 // beginShutdown notes the word to stop, and by when the process may be killed for it.
 func (p *program) beginShutdown(word received) *shutdownRun {
-	end := &shutdownRun{program: p, word: word, passedOn: !word.kill.IsZero(), granted: p.inForce.Load().StopPlan}
+	end := &shutdownRun{program: p, word: word, passedOn: !word.kill.IsZero(), granted: p.inForce.Load().ShutdownSchedule}
 	if !word.kill.IsZero() {
-		end.granted = end.granted.Sooner(shutdown.For(0, max(word.kill.Sub(word.earliest), 1)))
+		end.granted = end.granted.Earlier(shutdown.NewSchedule(0, max(word.kill.Sub(word.earliest), 1)))
 	}
 	log.Printf("name=%s state=stopping signal=%q sent_ms_ago=%d last_request_after=%s answers_after=%s kill_after=%s", p.cfg.Name, word.Signal,
-		time.Since(word.earliest).Milliseconds(), end.granted.Last, end.granted.Answer, end.granted.Kill)
+		time.Since(word.earliest).Milliseconds(), end.granted.LastForward, end.granted.LastAnswer, end.granted.Kill)
 	end.adopt(end.granted)
 	return end
 }
@@ -90,10 +90,10 @@
 }
 
 // adopt goes by the plan from now on.
-func (s *shutdownRun) adopt(plan shutdown.Plan) {
+func (s *shutdownRun) adopt(plan shutdown.Schedule) {
 	s.inForce = plan
 	s.program.stopOrder.Store(&stopOrder{at: s.word.earliest, kill: s.word.earliest.Add(plan.Kill)})
-	s.program.core.Stopping(plan, s.word.earliest)
+	s.program.core.ScheduleShutdown(plan, s.word.earliest)
 }
 
 // reconsider goes by a configuration whose signal may have been sent before the word to stop, if the kill comes sooner by it: whoever
@@ -103,9 +103,9 @@
 		return
 	}
 	s.granted = r.plan
-	log.Printf("name=%s state=stopping_sooner last_request_after=%s answers_after=%s kill_after=%s", s.program.cfg.Name, s.granted.Last,
-		s.granted.Answer, s.granted.Kill)
-	s.adopt(s.granted.Among(s.most))
+	log.Printf("name=%s state=stopping_sooner last_request_after=%s answers_after=%s kill_after=%s", s.program.cfg.Name, s.granted.LastForward,
+		s.granted.LastAnswer, s.granted.Kill)
+	s.adopt(s.granted.ForConnections(s.most))
 	s.follow(time.Now())
 }
 
@@ -116,10 +116,10 @@
 	}
 	p := s.program
 	s.most = max(s.most, p.front.Open())
-	if plan := s.granted.Among(s.most); plan.Last < s.inForce.Last-lookEvery {
+	if plan := s.granted.ForConnections(s.most); plan.LastForward < s.inForce.LastForward-lookEvery {
 		s.adopt(plan)
 	}
-	last := s.inForce.Last
+	last := s.inForce.LastForward
 	if s.hastened {
 		last = min(last, hasten)
 	}
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -50,7 +50,7 @@
 
 // date notes of each signal to stop or to reload since when it can have been sent.
 func (w signalQueues) date(reload, stop <-chan os.Signal, heartbeat *shutdown.Heartbeat) {
-	beat := time.NewTicker(shutdown.BeatEvery)
+	beat := time.NewTicker(shutdown.HeartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
--- a/cmd/plankrouter/succession.go
+++ b/cmd/plankrouter/succession.go
@@ -30,7 +30,7 @@
 
 // before returns what this process can go by from an earlier one: the predecessor's state, or the snapshot that was
 // kept if it has handed over none. Nil says that there is nothing but the configuration.
-func (p *program) before(from *hotrestart.Successor, now time.Time) *snapshot.Beginning {
+func (p *program) before(from *hotrestart.Successor, now time.Time) *snapshot.Restored {
 	cfg := p.cfg
 	if cfg.Own.Snapshot.Path != "" {
 		p.writer = &snapshot.Writer{
@@ -59,10 +59,10 @@
 		}
 		return nil
 	}
-	rules := snapshot.DefaultRules()
+	rules := snapshot.DefaultValidityRules()
 	rules.Program, rules.Deployment, rules.Directory = cfg.Name, snapshot.Fingerprint(&cfg.Settings), cfg.Discovery
 	rules.Classes, rules.Tenants = len(cfg.Settings.Classes), len(cfg.Settings.Realms)
-	begin, dropped := snapshot.Begin(snap, snapshot.FromConfig(cfg.Known, cfg.Discovery, now), now, rules)
+	begin, dropped := snapshot.Restore(snap, snapshot.FromConfig(cfg.Known, cfg.Discovery, now), now, rules)
 	log.Printf("name=%s snapshot=%q state=used age=%s providers=%d learned_of=%d left_out=%d %s", cfg.Name, origin,
 		now.Sub(snap.TakenAt).Round(time.Millisecond), len(begin.List.Members), len(begin.Learned.Servers), len(dropped),
 		snapshot.Summary(dropped))
@@ -113,7 +113,7 @@
 	}
 	snap := p.core.Snapshot()
 	if snap != nil {
-		snap.Directory = p.watch.Source()
+		snap.Directory = p.watch.Address()
 	}
 	return snap
 }
@@ -127,12 +127,12 @@
 		return nil
 	}
 	select {
-	case <-p.watch.First():
+	case <-p.watch.FirstUpdate():
 	case <-time.After(firstListWithin):
 	case <-from.Cancelled():
 	case <-ctx.Done():
 	}
-	if err := from.Ready(); err != nil && from.Met() {
+	if err := from.Ready(); err != nil && from.TookOver() {
 		log.Printf("name=%s handover=alone err=%q", p.cfg.Name, err)
 		p.succeed(ctx, group)
 		return nil
@@ -140,8 +140,8 @@
 		return err
 	}
 	log.Printf("name=%s handover=taken_over predecessor=%q", p.cfg.Name, from.Hello().Name)
-	p.core.Elsewhere(from.Open())
-	if from.Met() {
+	p.core.SetOpenInPredecessor(from.Open())
+	if from.TookOver() {
 		p.budget.Limit(p.share.places - p.share.places/shareIdle)
 	}
 	from.Stopped = func(word hotrestart.Stop) {
@@ -153,13 +153,13 @@
 	done := p.front.Expect()
 	group.Go(func() error {
 		defer done()
-		err := from.Conns(ctx, func(c *net.TCPConn, note []byte) { p.front.Adopt(c, note) })
+		err := from.ReceiveConns(ctx, func(c *net.TCPConn, note []byte) { p.front.Adopt(c, note) })
 		switch {
 		case ctx.Err() != nil: // this process is at its end, whatever the other does
 		case err == nil || errors.Is(err, hotrestart.ErrGone):
 			log.Printf("name=%s handover=complete adopted=%d err=%v", p.cfg.Name, p.front.Adopted.Load(), err)
 			p.succeed(ctx, group)
-		case from.Met(): // the other is as it is, and the platform ends it
+		case from.TookOver(): // the other is as it is, and the platform ends it
 			log.Printf("name=%s handover=broken err=%q", p.cfg.Name, err)
 			from.Close()
 			p.succeed(ctx, group)
@@ -196,7 +196,7 @@
 	begun := time.Now()
 	to, err := begin(l, hotrestart.Options{
 		ReadyWithin: p.cfg.ReadyWithin, Name: p.cfg.Name, Address: p.cfg.Listen,
-		State: state, Env: p.environment(), Open: p.core.Open,
+		State: state, Env: p.environment(), Open: p.core.OpenRequests,
 	})
 	if err != nil {
 		log.Printf("name=%s handover=failed err=%q", p.cfg.Name, err)
@@ -207,13 +207,13 @@
 		p.budget.Limit(p.share.places / shareIdle)
 		defer p.budget.Limit(p.share.places) // if it serves on
 	}
-	left := p.front.HandOver(func(c net.Conn, note []byte) error { return to.Pass(c.(syscall.Conn), note) })
+	left := p.front.HandOver(func(c net.Conn, note []byte) error { return to.TransferConn(c.(syscall.Conn), note) })
 	l.SetDeadline(time.Unix(1, 0)) // accepts no more, but keeps the listener
 	passed := p.passStopOn(to, l)
 	select {
 	case <-left:
 		p.passReloadOn(to, begun)
-		if err := to.Done(); err == nil {
+		if err := to.Complete(); err == nil {
 			log.Printf("name=%s handover=done successor=%d", p.cfg.Name, to.Pid())
 			passed()
 			p.stop()
@@ -296,7 +296,7 @@
 // succeed makes this process the sidecar's only one, and the one that a second process finds.
 func (p *program) succeed(ctx context.Context, group *errgroup.Group) {
 	p.budget.Limit(p.share.places)
-	p.core.Elsewhere(nil)
+	p.core.SetOpenInPredecessor(nil)
 	folder := meeting(p.getenv)
 	if folder == "" {
 		return
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -35,7 +35,7 @@
 // Operations are what operators may ask for. None may wait for a peer.
 type Operations interface {
 	Ready() bool // a request would be served
-	Figures() metrics.Figures
+	Figures() metrics.Values
 	Disable(id string) error // nothing more to that provider; cordon.ErrUnknown
 	Enable(id string) error  // and put back; cordon.ErrUnknown
 }
@@ -218,7 +218,7 @@
 		return said(400, "target: give the id of one tile server, as ?target=ID")
 	}
 	switch err := act(ids[0]); {
-	case errors.Is(err, cordon.ErrUnknown):
+	case errors.Is(err, cordon.ErrUnknownServer):
 		return said(404, "target: "+err.Error())
 	case err != nil:
 		return said(500, err.Error())
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -60,10 +60,10 @@
 				at, ended, body := v.Endpoint("p", l.Addr().String()).(*endpoint), make(chan upstream.Result), []byte(strings.Repeat("x", size))
 				b.ReportAllocs()
 				for b.Loop() {
-					inv := &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: body, Gone: gone}
-					v.start(at.word(upstream.Task{Invocation: inv, Wait: time.Minute, Ended: func(r upstream.Result) { ended <- r }}), fixed(0))
-					if r := <-ended; r.Ending != outcome.Served {
-						b.Fatal(r.Ending)
+					inv := &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: body, ClientGone: gone}
+					v.start(at.word(upstream.AttemptOptions{Request: inv, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixed(0))
+					if r := <-ended; r.Outcome != outcome.Served {
+						b.Fatal(r.Outcome)
 					}
 				}
 				cancel()
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -38,10 +38,10 @@
 	at       *endpoint
 	message  []byte
 	probe    bool
-	inv      *request.Invocation // nil = none: a probe
-	bodiless bool                // its answer has no body, whatever it says
+	inv      *request.Request // nil = none: a probe
+	bodiless bool             // its answer has no body, whatever it says
 	done     func(upstream.Result)
-	upload   request.Source  // what follows message; nil = nothing
+	upload   request.Upload  // what follows message; nil = nothing
 	flowed   func()          // told when its last byte is written
 	hold     time.Duration   // of the last byte, on the present connection
 	fresh    time.Duration   // likewise, on a new one
@@ -75,21 +75,21 @@
 const rewordAfter = 10 * time.Millisecond
 
 // word words the task for the endpoint.
-func (e *endpoint) word(t upstream.Task) *call {
+func (e *endpoint) word(t upstream.AttemptOptions) *call {
 	c := &call{
-		at: e, done: t.Ended, inv: t.Invocation, notAfter: firstByte(t.NotAfter),
-		expires: invariant.LimitAt(t.Expires, invariant.SocketSlack),
+		at: e, done: t.OnEnd, inv: t.Request, notAfter: firstByte(t.StartBy),
+		expires: invariant.NewLimit(t.Expires, invariant.SocketSlack),
 	}
-	inv := t.Invocation
+	inv := t.Request
 	if inv == nil {
 		c.probe, c.message = true, http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
 		return c
 	}
-	c.bodiless = inv.Verb == "HEAD"
-	wait := t.Wait
-	if c.upload, c.flowed = inv.Rest, t.Flowed; c.upload == nil { // else its client's time has not begun
+	c.bodiless = inv.Method == "HEAD"
+	wait := t.Timeout
+	if c.upload, c.flowed = inv.Remainder, t.OnBodySent; c.upload == nil { // else its client's time has not begun
 		now := time.Now()
-		if c.endsAt = t.Until; c.endsAt.IsZero() {
+		if c.endsAt = t.Deadline; c.endsAt.IsZero() {
 			c.endsAt = now.Add(wait)
 		}
 		wait = c.endsAt.Sub(now)
@@ -112,7 +112,7 @@
 			length = -1
 		}
 	}
-	c.message = http1.AppendLongRequest(nil, inv.Verb, inv.Target, cmp.Or(inv.Host, c.at.address), fields, inv.Body, length)
+	c.message = http1.AppendLongRequest(nil, inv.Method, inv.Target, cmp.Or(inv.Host, c.at.address), fields, inv.Body, length)
 }
 
 // reword words the message anew if the deadline in it is out of date, as after a connection that was long in coming up.
@@ -139,7 +139,7 @@
 		if err != nil {
 			how := dialEnding(err)
 			v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", c.at.name, how, time.Since(began).Seconds()*1e3)
-			v.end(c, result{Result: upstream.Result{Ending: how}})
+			v.end(c, result{Result: upstream.Result{Outcome: how}})
 			return
 		}
 		name := c.at.name
@@ -165,7 +165,7 @@
 func (v *Caller) serve(conn *conn, c *call) *call {
 	if !conn.socket.Quiet() { // a provider that speaks first is no HTTP server
 		conn.close()
-		v.end(c, result{Result: upstream.Result{Ending: outcome.Unwritten}})
+		v.end(c, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
 	}
 	for {
@@ -173,7 +173,7 @@
 		switch e := c.begin(conn); e {
 		case outcome.Open:
 			r, again := conn.carry(c)
-			r.Since = conn.since
+			r.ConnectedAt = conn.since
 			if !again && conn.foundDead(c, &r) && c.rewind(dead{conn.use, c.hold, r.took, r.early}) {
 				conn.close()
 				return c
@@ -196,7 +196,7 @@
 				return nil
 			}
 		default: // nobody waits for it, or it is too late: another call may use the connection
-			v.end(c, result{Result: upstream.Result{Ending: e}})
+			v.end(c, result{Result: upstream.Result{Outcome: e}})
 		}
 		v.keep(conn)
 		if untold != nil {
@@ -212,26 +212,26 @@
 	}
 }
 
-func dialEnding(err error) outcome.Ending {
+func dialEnding(err error) outcome.Kind {
 	is := func(target error) bool { return errors.Is(err, target) }
 	switch {
 	case is(connlimit.ErrNone):
-		return outcome.NoSocket
+		return outcome.ConnectionLimit
 	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the provider
-		return outcome.LocalFault
+		return outcome.LocalError
 	case is(os.ErrDeadlineExceeded), is(context.DeadlineExceeded):
 		return outcome.ConnectTimeout
 	}
-	return outcome.Refused
+	return outcome.ConnectRefused
 }
 
 // firstByte is the limit on a first byte that a drain's grace leaves.
 func firstByte(notAfter time.Time) invariant.Limit {
-	return invariant.LimitAt(notAfter, staleness.ByteLead+invariant.SocketSlack)
+	return invariant.NewLimit(notAfter, staleness.FirstByteLead+invariant.SocketSlack)
 }
 
 // begin moves the call to its first byte, unless it has ended or its provider no longer wants it.
-func (c *call) begin(conn *conn) outcome.Ending {
+func (c *call) begin(conn *conn) outcome.Kind {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -251,24 +251,24 @@
 
 // over reports whether nothing of the call may be written any more: it looks whether its consumer is there at this moment. It is
 // called with mu held.
-func (c *call) over() bool { return c.stage == ended || c.inv != nil && c.inv.Look() }
+func (c *call) over() bool { return c.stage == ended || c.inv != nil && c.inv.CheckClientGone() }
 
 // barred is the guard of all that is written of a call: it says why neither the first nor the last byte may be; Open = it may. It
 // is called with mu held.
-func (c *call) barred(now time.Time, first bool) outcome.Ending {
+func (c *call) barred(now time.Time, first bool) outcome.Kind {
 	rules := c.at.of.set.Rules
 	switch {
 	case c.stage == ended:
 		return outcome.Withdrawn
 	case c.over():
-		rules.Held(invariant.ClientGone)
+		rules.Prevented(invariant.ClientGone)
 		return outcome.Withdrawn
-	case c.expires.Over(now):
-		rules.Held(invariant.RepeatWindow)
+	case c.expires.GuardPassed(now):
+		rules.Prevented(invariant.RepeatWindow)
 		return outcome.Expired
-	case first && c.notAfter.Over(now): // the list said so while the connection came up
-		rules.Held(invariant.DrainGrace)
-		return outcome.Drained
+	case first && c.notAfter.GuardPassed(now): // the list said so while the connection came up
+		rules.Prevented(invariant.DrainGrace)
+		return outcome.ServerDraining
 	case !c.endsAt.IsZero() && !now.Before(c.endsAt): // it is about to be stopped
 		return outcome.Withdrawn
 	}
@@ -282,23 +282,23 @@
 		return
 	}
 	rules, now := c.at.of.set.Rules, time.Now()
-	if late := c.inv.GoneFor(now); late > invariant.ClientGoneGrace {
-		rules.Broken(invariant.ClientGone, "request=%q provider=%s late_ms=%.1f", c.inv.ID, c.at.name, late.Seconds()*1e3)
+	if late := c.inv.ClientGoneFor(now); late > invariant.ClientGoneGrace {
+		rules.Violated(invariant.ClientGone, "request=%q provider=%s late_ms=%.1f", c.inv.ID, c.at.name, late.Seconds()*1e3)
 	}
 	c.mu.Lock()
 	notAfter, expires := c.notAfter, c.expires
 	c.mu.Unlock()
-	if expires.BrokenAt(now) {
-		rules.Broken(invariant.RepeatWindow, "request=%q provider=%s", c.inv.ID, c.at.name)
+	if expires.ViolatedAt(now) {
+		rules.Violated(invariant.RepeatWindow, "request=%q provider=%s", c.inv.ID, c.at.name)
 	}
-	if first && notAfter.BrokenAt(now) {
-		rules.Broken(invariant.DrainGrace, "request=%q provider=%s", c.inv.ID, c.at.name)
+	if first && notAfter.ViolatedAt(now) {
+		rules.Violated(invariant.DrainGrace, "request=%q provider=%s", c.inv.ID, c.at.name)
 	}
 	if c.upload != nil { // its client does not wait yet
 		return
 	}
-	if left := c.inv.Patience - now.Sub(c.inv.SentAt); c.told > left+invariant.DeadlineSlack {
-		rules.Broken(invariant.Deadline, "request=%q provider=%s told_ms=%d left_ms=%d", c.inv.ID, c.at.name,
+	if left := c.inv.Timeout - now.Sub(c.inv.SentAt); c.told > left+invariant.DeadlineSlack {
+		rules.Violated(invariant.Deadline, "request=%q provider=%s told_ms=%d left_ms=%d", c.inv.ID, c.at.name,
 			c.told.Milliseconds(), left.Milliseconds())
 	}
 }
@@ -307,7 +307,7 @@
 func (c *call) inParts() bool { return len(c.message) > lump || c.hold > 0 || c.upload != nil }
 
 // release moves the call to its last byte, or says why that may not be written.
-func (c *call) release() outcome.Ending {
+func (c *call) release() outcome.Kind {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.barred(time.Now(), false)
@@ -322,7 +322,7 @@
 func (c *call) rewind(d dead) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over() || c.dead != nil || c.upload != nil && c.upload.Spent() {
+	if c.over() || c.dead != nil || c.upload != nil && c.upload.Consumed() {
 		return false
 	}
 	c.stage, c.conn, c.dead = connecting, nil, &d
@@ -343,24 +343,24 @@
 	return true
 }
 
-// NotAfter forbids a first byte later than t.
-func (c *call) NotAfter(t time.Time) {
+// StartBy forbids a first byte later than t.
+func (c *call) StartBy(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.notAfter.Own.IsZero() || t.Before(c.notAfter.Own) {
+	if c.notAfter.GuardAt.IsZero() || t.Before(c.notAfter.GuardAt) {
 		c.notAfter = firstByte(t)
 	}
 }
 
-// Stop gives the call up. Its connection is closed when Stop returns, so that no later attempt can be out
+// Cancel gives the call up. Its connection is closed when Stop returns, so that no later attempt can be out
 // beside this one. False means that it had ended already and its Result is on the way.
-func (c *call) Stop(why outcome.Ending) (outcome.Ending, bool) { return c.giveUp(why, waiting) }
+func (c *call) Cancel(why outcome.Kind) (outcome.Kind, bool) { return c.giveUp(why, waiting) }
 
 // Withdraw is Stop for a call whose last byte is not written.
-func (c *call) Withdraw(why outcome.Ending) (outcome.Ending, bool) { return c.giveUp(why, holding) }
+func (c *call) Withdraw(why outcome.Kind) (outcome.Kind, bool) { return c.giveUp(why, holding) }
 
 // giveUp ends the call unless it has come further than to that stage.
-func (c *call) giveUp(why outcome.Ending, most stage) (outcome.Ending, bool) {
+func (c *call) giveUp(why outcome.Kind, most stage) (outcome.Kind, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stage > most {
@@ -400,21 +400,21 @@
 
 // resultOf reads an answer for what it says to the decision module.
 func (c *call) resultOf(r *http1.Response) upstream.Result {
-	out := upstream.Result{Ending: outcome.ServerError, Body: r.Body}
+	out := upstream.Result{Outcome: outcome.ServerError, Body: r.Body}
 	switch {
 	case r.Status == 200, !c.probe && c.at.of.set.Answers != nil && c.at.of.set.Answers(r.Status):
-		out.Ending, out.Code = outcome.Served, r.Status
+		out.Outcome, out.StatusCode = outcome.Served, r.Status
 		out.Fields = r.Header.EndToEnd(ownHeader)
 		if length := r.Header.Get("Content-Length"); c.bodiless && length != "" { // it says what a body would have had
 			out.Fields = append(out.Fields, http1.Field{Name: "Content-Length", Value: length})
 		}
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get(http1.HeaderDeclined) == "1":
-		out.Ending = outcome.Declined
+		out.Outcome = outcome.Declined
 	}
 	if load := r.Header.Get(http1.HeaderLoad); load != "" {
 		out.Report = loadreport.Parse([]byte(load))
 	}
-	if c.probe && out.Ending == outcome.Served { // without it the module would judge by its own durations alone
+	if c.probe && out.Outcome == outcome.Served { // without it the module would judge by its own durations alone
 		out.Report = loadreport.Parse(r.Body)
 	}
 	return out
--- a/internal/backend/call_test.go
+++ b/internal/backend/call_test.go
@@ -11,10 +11,10 @@
 
 // What this machine could not even try says nothing of the provider.
 func TestLocalFaultsAreNobodysElse(t *testing.T) {
-	for err, want := range map[error]outcome.Ending{
-		syscall.EMFILE: outcome.LocalFault, syscall.ENETUNREACH: outcome.LocalFault, syscall.EADDRNOTAVAIL: outcome.LocalFault,
-		syscall.ECONNREFUSED: outcome.Refused, syscall.EHOSTUNREACH: outcome.Refused, syscall.ECONNRESET: outcome.Refused,
-		os.ErrDeadlineExceeded: outcome.ConnectTimeout, connlimit.ErrNone: outcome.NoSocket,
+	for err, want := range map[error]outcome.Kind{
+		syscall.EMFILE: outcome.LocalError, syscall.ENETUNREACH: outcome.LocalError, syscall.EADDRNOTAVAIL: outcome.LocalError,
+		syscall.ECONNREFUSED: outcome.ConnectRefused, syscall.EHOSTUNREACH: outcome.ConnectRefused, syscall.ECONNRESET: outcome.ConnectRefused,
+		os.ErrDeadlineExceeded: outcome.ConnectTimeout, connlimit.ErrNone: outcome.ConnectionLimit,
 	} {
 		if got := dialEnding(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
--- a/internal/backend/caller_test.go
+++ b/internal/backend/caller_test.go
@@ -17,7 +17,7 @@
 
 func TestCaller(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Harness{
-		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Caller, func()) {
+		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
 			v, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{
 				Connect: time.Second, ConnIdle: time.Hour,
 				Stakes: []keepalive.Stakes{{Once: true, Worth: 1}},
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -84,7 +84,7 @@
 }
 
 // idle waits for the next call. How says why the connection can't carry it, or has ended without one; Open = it can.
-func (c *conn) idle() (next *call, how outcome.Ending) {
+func (c *conn) idle() (next *call, how outcome.Kind) {
 	began := time.Now()
 	_, err := c.br.Peek(1)
 	c.use.idle = time.Since(began)
@@ -99,7 +99,7 @@
 			return next, outcome.Open
 		}
 	}
-	return next, outcome.OfIdle(err)
+	return next, outcome.FromIdleError(err)
 }
 
 // carry makes the call, on a connection that is quiet, and reports how it ended, with the answer if there was one, and
@@ -107,10 +107,10 @@
 func (c *conn) carry(call *call) (r result, again bool) {
 	sent := time.Now()
 	early := func() (result, bool) { // a part of a request can't have run
-		return result{Result: upstream.Result{Ending: outcome.Unwritten}, early: true, took: time.Since(sent)}, false
+		return result{Result: upstream.Result{Outcome: outcome.PartlyWritten}, early: true, took: time.Since(sent)}, false
 	}
-	unsent := func(e outcome.Ending) (result, bool) { // nobody waits for it, or it is too late, and its last byte is not written
-		return result{Result: upstream.Result{Ending: e}}, false
+	unsent := func(e outcome.Kind) (result, bool) { // nobody waits for it, or it is too late, and its last byte is not written
+		return result{Result: upstream.Result{Outcome: e}}, false
 	}
 	rest := call.message
 	if call.upload != nil {
@@ -150,19 +150,19 @@
 	resp, err := c.answer(call)
 	switch {
 	case errors.Is(err, http1.ErrMalformed), errors.Is(err, os.ErrDeadlineExceeded):
-		return result{Result: upstream.Result{Ending: outcome.Malformed}}, false
+		return result{Result: upstream.Result{Outcome: outcome.Malformed}}, false
 	case err != nil: // the kernel has taken the last byte, and nobody knows
-		return result{Result: upstream.Result{Ending: outcome.ResetByPeer}, took: time.Since(sent)}, false
+		return result{Result: upstream.Result{Outcome: outcome.ResetByPeer}, took: time.Since(sent)}, false
 	}
 	out := result{Result: call.resultOf(resp)}
 	if resp.Rest == nil {
 		return out, !resp.Close && c.br.Buffered() == 0
 	}
-	if out.Ending != outcome.Served { // nobody reads the rest
+	if out.Outcome != outcome.Served { // nobody reads the rest
 		return out, false
 	}
 	out.flow = &download{Stream: resp.Rest, conn: c, done: make(chan struct{})}
-	out.Rest = out.flow
+	out.Remainder = out.flow
 	return out, !resp.Close
 }
 
@@ -285,7 +285,7 @@
 // foundDead reports whether the call has learned nothing but that the kept connection was dead. What is not a probe must
 // not have been sent whole: whether to send that again is not decided here.
 func (c *conn) foundDead(call *call, r *result) bool {
-	return c.use.carried > 0 && (r.early || call.probe && r.Ending == outcome.ResetByPeer)
+	return c.use.carried > 0 && (r.early || call.probe && r.Outcome == outcome.ResetByPeer)
 }
 
 // begun starts the time of an answer, or ends it.
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -39,17 +39,17 @@
 		t.Fatal(err)
 	}
 	conn.until = time.Now().Add(time.Hour)
-	if !conn.offer(at.word(upstream.Task{})) {
+	if !conn.offer(at.word(upstream.AttemptOptions{})) {
 		t.Fatal("an idle connection takes no call")
 	}
 	call, how := conn.idle()
-	if call == nil || how != outcome.Unasked {
+	if call == nil || how != outcome.UnexpectedBytes {
 		t.Errorf("taken from idle: call %v, %s", call, how)
 	}
-	c := at.word(upstream.Task{Invocation: &request.Invocation{ID: "a", Verb: "POST", Body: make([]byte, lump)}, Wait: time.Second})
+	c := at.word(upstream.AttemptOptions{Request: &request.Request{ID: "a", Method: "POST", Body: make([]byte, lump)}, Timeout: time.Second})
 	go io.Copy(io.Discard, in)
-	if r, again := conn.carry(c); r.Ending != outcome.Unwritten || again || r.Body != nil {
-		t.Errorf("carried: %s, %q, again %t", r.Ending, r.Body, again)
+	if r, again := conn.carry(c); r.Outcome != outcome.PartlyWritten || again || r.Body != nil {
+		t.Errorf("carried: %s, %q, again %t", r.Outcome, r.Body, again)
 	}
 }
 
@@ -68,9 +68,9 @@
 	}
 	defer v.Wait()
 	defer cancel()
-	at, ends := v.Endpoint("p1", "p1:1").(*endpoint), make(chan outcome.Ending, 2)
-	next := at.word(upstream.Task{Ended: func(r upstream.Result) { ends <- r.Ending }})
-	first := at.word(upstream.Task{Ended: func(r upstream.Result) { ends <- r.Ending; v.start(next, fixed(0)) }})
+	at, ends := v.Endpoint("p1", "p1:1").(*endpoint), make(chan outcome.Kind, 2)
+	next := at.word(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome }})
+	first := at.word(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome; v.start(next, fixed(0)) }})
 	v.start(first, fixed(0))
 	for kept, i := <-opened, 0; i < 2; i++ {
 		kept.SetDeadline(time.Now().Add(5 * time.Second)) // on a connection of its own the next never comes here
--- a/internal/backend/dead_test.go
+++ b/internal/backend/dead_test.go
@@ -33,7 +33,7 @@
 func TestDeadConnections(t *testing.T) {
 	const hold = 5 * time.Millisecond
 	type seen struct {
-		Ending outcome.Ending
+		Ending outcome.Kind
 		Dead   bool
 		Whole  int // messages that the provider got with their last byte, the first one included
 	}
@@ -53,7 +53,7 @@
 		"dead before the last":      {hold: hold, early: true, want: seen{Ending: outcome.Served, Dead: true, Whole: 2}},
 		"dead after it":             {hold: 0, early: true, want: seen{Ending: outcome.ResetByPeer, Whole: 2}},
 		"a probe, dead after it":    {probe: true, early: true, want: seen{Ending: outcome.Served, Dead: true, Whole: 3}},
-		"stopped while held back":   {hold: hold, stop: hold / 2, want: seen{Ending: outcome.Unwritten, Whole: 1}},
+		"stopped while held back":   {hold: hold, stop: hold / 2, want: seen{Ending: outcome.PartlyWritten, Whole: 1}},
 		"left while held back":      {hold: hold, stop: hold / 2, leave: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
 		"withdrawn while held back": {hold: hold, stop: hold / 2, withdraw: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
 		"gone while held back":      {hold: hold, stop: hold / 2, gone: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
@@ -102,13 +102,13 @@
 					}
 				}
 				start := func() *call {
-					task := upstream.Task{Ended: func(r upstream.Result) { results <- r }}
+					task := upstream.AttemptOptions{OnEnd: func(r upstream.Result) { results <- r }}
 					if !c.probe {
-						task.Invocation = &request.Invocation{
-							ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x"),
-							Gone: gone.Load,
+						task.Request = &request.Request{
+							ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x"),
+							ClientGone: gone.Load,
 						}
-						task.Wait = time.Second
+						task.Timeout = time.Second
 					}
 					if c.expires > 0 {
 						task.Expires = time.Now().Add(c.expires)
@@ -131,19 +131,19 @@
 				if c.stop > 0 {
 					go func() {
 						time.Sleep(c.stop)
-						give, why := second.Stop, outcome.TimedOut
+						give, why := second.Cancel, outcome.TimedOut
 						switch {
 						case c.gone:
 							gone.Store(true)
 							return
 						case c.leave:
-							second.inv.Leave()
+							second.inv.MarkClientGone()
 							return
 						case c.withdraw:
-							give, why = second.Withdraw, outcome.CalledOff
+							give, why = second.Withdraw, outcome.Cancelled
 						}
 						if how, stopped := give(why); stopped {
-							results <- upstream.Result{Ending: how}
+							results <- upstream.Result{Outcome: how}
 						}
 					}()
 				}
@@ -170,7 +170,7 @@
 					kept.Write([]byte(answer))
 				}
 				r := <-results
-				got.Ending, got.Dead = r.Ending, second.dead != nil
+				got.Ending, got.Dead = r.Outcome, second.dead != nil
 				if got != c.want {
 					t.Errorf("%+v, want %+v", got, c.want)
 				}
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -50,9 +50,9 @@
 				results := make(chan upstream.Result, 2)
 				at := v.Endpoint("p1", "p1:1").(*endpoint)
 				begin := func(hold time.Duration) time.Time {
-					v.start(at.word(upstream.Task{
-						Wait: patience, Ended: func(r upstream.Result) { results <- r },
-						Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")},
+					v.start(at.word(upstream.AttemptOptions{
+						Timeout: patience, OnEnd: func(r upstream.Result) { results <- r },
+						Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
 					}), fixed(hold))
 					return time.Now()
 				}
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -19,8 +19,8 @@
 // body is what a consumer still sends.
 type body struct{ *strings.Reader }
 
-func (b body) Length() int64 { return int64(b.Len()) }
-func (b body) Spent() bool   { return b.Len() < int(b.Size()) }
+func (b body) Length() int64  { return int64(b.Len()) }
+func (b body) Consumed() bool { return b.Len() < int(b.Size()) }
 
 func (b body) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
@@ -38,7 +38,7 @@
 		flows   bool          // the consumer still sends it
 		expires time.Duration // after its start; 0 = never
 		gone    time.Duration // after that its consumer is gone, and nobody is told; 0 = never
-		want    outcome.Ending
+		want    outcome.Kind
 	}{
 		"here, in time":    {want: outcome.Served, expires: 2 * time.Second},
 		"here, expired":    {want: outcome.Expired, expires: time.Second / 2},
@@ -60,19 +60,19 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				inv := &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1"}
+				inv := &request.Request{ID: "a", Method: "POST", Target: "/order/1"}
 				if content := strings.Repeat("x", size); c.flows {
-					inv.Rest = body{strings.NewReader(content)}
+					inv.Remainder = body{strings.NewReader(content)}
 				} else {
 					inv.Body = []byte(content)
 				}
 				if began := time.Now(); c.gone > 0 {
-					inv.Gone = func() bool { return time.Since(began) > c.gone }
+					inv.ClientGone = func() bool { return time.Since(began) > c.gone }
 				}
 				results := make(chan upstream.Result, 1)
-				task := upstream.Task{
-					Invocation: inv, Wait: time.Minute, Flowed: func() {},
-					Ended: func(r upstream.Result) { results <- r },
+				task := upstream.AttemptOptions{
+					Request: inv, Timeout: time.Minute, OnBodySent: func() {},
+					OnEnd: func(r upstream.Result) { results <- r },
 				}
 				if c.expires > 0 {
 					task.Expires = time.Now().Add(c.expires)
@@ -91,8 +91,8 @@
 				if whole {
 					theirs.Write([]byte(answer))
 				}
-				if r := <-results; r.Ending != c.want || whole != (c.want == outcome.Served) {
-					t.Errorf("%s, whole=%t, want %s", r.Ending, whole, c.want)
+				if r := <-results; r.Outcome != c.want || whole != (c.want == outcome.Served) {
+					t.Errorf("%s, whole=%t, want %s", r.Outcome, whole, c.want)
 				}
 				cancel()
 				v.Wait()
--- a/internal/backend/late_test.go
+++ b/internal/backend/late_test.go
@@ -29,9 +29,9 @@
 		}
 		at, results := v.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
 		for n := range 2 {
-			one := at.word(upstream.Task{
-				Wait: time.Second, Ended: func(r upstream.Result) { results <- r },
-				Invocation: &request.Invocation{ID: "a", Verb: "POST", Target: "/order/1", Body: []byte("x")},
+			one := at.word(upstream.AttemptOptions{
+				Timeout: time.Second, OnEnd: func(r upstream.Result) { results <- r },
+				Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
 			})
 			v.start(one, fixed(0))
 			synctest.Wait()
--- a/internal/backend/provider.go
+++ b/internal/backend/provider.go
@@ -39,7 +39,7 @@
 	Written func()                           // told of each attempt at an invocation whose last byte is written; nil = nobody is
 	Bounds  *streaming.Bounds                // of bodies that flow; nil = none does: those beyond 64 KiB are malformed
 	Answers func(status int) bool            // which statuses are a served request's; nil = 200 alone
-	Rules   *invariant.Book                  // of what was held back and what got past; nil = nobody counts
+	Rules   *invariant.Recorder              // of what was held back and what got past; nil = nobody counts
 }
 
 // Stakes are what the requests of the module's classes put at risk.
@@ -130,10 +130,10 @@
 func (e *endpoint) Address() string { return e.address }
 
 // Start sends the task on a kept connection or on a new one, as the book decides.
-func (e *endpoint) Start(t upstream.Task) upstream.Call {
+func (e *endpoint) Start(t upstream.AttemptOptions) upstream.Attempt {
 	stakes := probeStakes
-	if t.Invocation != nil {
-		stakes = e.of.now.Load().Stakes[t.Invocation.Class]
+	if t.Request != nil {
+		stakes = e.of.now.Load().Stakes[t.Request.Class]
 	}
 	c := e.word(t)
 	e.of.start(c, chooser{e.of.book, time.Now(), e.name, stakes})
@@ -194,7 +194,7 @@
 }
 
 // drop forgets a connection that has ended while it was kept.
-func (v *Caller) drop(c *conn, how outcome.Ending) {
+func (v *Caller) drop(c *conn, how outcome.Kind) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.idle[how]++
@@ -258,12 +258,12 @@
 	if c.dialed > 0 {
 		v.book.Dialed(name, c.dialed)
 	}
-	switch r.Ending {
+	switch r.Outcome {
 	case outcome.Served, outcome.ServerError, outcome.Declined, outcome.Malformed:
 		v.book.Learn(now, c.use.of(name), keepalive.Answered, c.hold, 0)
 	case outcome.ResetByPeer:
 		v.book.Learn(now, c.use.of(name), keepalive.Broken, c.hold, r.took)
-	case outcome.Unwritten:
+	case outcome.PartlyWritten:
 		if r.early {
 			v.book.Learn(now, c.use.of(name), keepalive.Early, c.hold, r.took)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,16 +48,16 @@
 	Settings Settings       `json:"settings"`
 	Own      Own            `json:"plankrouter"`
 
-	StopPlan       shutdown.Plan      `json:"-"`
-	SnapshotEvery  time.Duration      `json:"-"`
-	ReadyWithin    time.Duration      `json:"-"`
-	Watch          staleness.Settings `json:"-"`
-	Seed           uint64             `json:"-"`
-	Logic          policy.Config      `json:"-"`
-	ConnIdle       time.Duration      `json:"-"` // a provider closes a connection left idle this long
-	ConnectTimeout time.Duration      `json:"-"`
-	DrainGrace     time.Duration      `json:"-"`
-	AskEvery       time.Duration      `json:"-"` // without a subscription all counts as told that was listed so long ago; 0 = not said
+	ShutdownSchedule shutdown.Schedule  `json:"-"`
+	SnapshotEvery    time.Duration      `json:"-"`
+	ReadyWithin      time.Duration      `json:"-"`
+	Watch            staleness.Settings `json:"-"`
+	Seed             uint64             `json:"-"`
+	Policy           policy.Config      `json:"-"`
+	ConnIdle         time.Duration      `json:"-"` // a provider closes a connection left idle this long
+	ConnectTimeout   time.Duration      `json:"-"`
+	DrainGrace       time.Duration      `json:"-"`
+	PollInterval     time.Duration      `json:"-"` // without a subscription all counts as told that was listed so long ago; 0 = not said
 
 	shape map[string]any // of the file
 }
@@ -227,7 +227,7 @@
 		figure{"Limits.ConnIdleMs", s.Limits.ConnIdleMs, &c.ConnIdle, defaultIdle},
 		figure{"Limits.ConnectTimeoutMs", s.Limits.ConnectTimeoutMs, &c.ConnectTimeout, defaultConnect},
 		figure{"Safety.DrainGraceMs", s.Safety.DrainGraceMs, &c.DrainGrace, defaultGrace},
-		figure{"Safety.AskEveryMs", s.Safety.AskEveryMs, &c.AskEvery, 0},
+		figure{"Safety.AskEveryMs", s.Safety.AskEveryMs, &c.PollInterval, 0},
 	); err != nil {
 		return err
 	}
@@ -256,14 +256,14 @@
 	if err := c.checkOwn(longest); err != nil {
 		return err
 	}
-	if faults := c.Known.Clean(); len(faults) > 0 {
+	if faults := c.Known.RemoveInvalid(); len(faults) > 0 {
 		return fmt.Errorf("known.%w", faults[0])
 	}
-	c.Known.Settle() // the directory's own contradiction is no reason not to start
-	if c.Logic, err = s.Logic(); err != nil {
+	c.Known.Normalize() // the directory's own contradiction is no reason not to start
+	if c.Policy, err = s.PolicyConfig(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	if _, err := policy.New(c.Logic, c.Seed); err != nil {
+	if _, err := policy.New(c.Policy, c.Seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,7 +47,7 @@
 	}
 	got := told{
 		c.Name, c.Listen, c.Discovery, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, c.ConnIdle, c.ConnectTimeout,
-		c.DrainGrace, c.Known.Revision, c.Logic.MaxRetryAfter,
+		c.DrainGrace, c.Known.Revision, c.Policy.MaxRetryAfter,
 	}
 	want := told{
 		"n1", "127.0.0.2:1", "127.0.0.1:8500", 0x8c1f30d27a5be964, 100, 512, time.Minute, 150 * time.Millisecond,
@@ -56,12 +56,12 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if c.StopPlan != shutdown.For(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.Agent(c.DrainGrace).Wait || c.Watch.Grace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
-		t.Errorf("an installation that says nothing: %+v, %+v", c.StopPlan, c.Watch)
+	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
+		t.Errorf("an installation that says nothing: %+v, %+v", c.ShutdownSchedule, c.Watch)
 	}
 	c, err = load(t, strings.Replace(good, own("")[0], own(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
-	if err != nil || c.StopPlan.Kill != 9*time.Second || c.Watch.Wait != 100*time.Millisecond || c.Watch.LeastWait != c.Watch.Wait {
-		t.Errorf("an installation's own: %+v, %+v, %v", c.StopPlan, c.Watch, err)
+	if err != nil || c.ShutdownSchedule.Kill != 9*time.Second || c.Watch.Wait != 100*time.Millisecond || c.Watch.MinWait != c.Watch.Wait {
+		t.Errorf("an installation's own: %+v, %+v, %v", c.ShutdownSchedule, c.Watch, err)
 	}
 	c, err = load(t, strings.NewReplacer(`"memory_mb":100,"sockets":512`, "", `"cores":1.0,`, "", `"ConnIdleMs":60000,`, "").Replace(good), nil)
 	if err != nil || c.Limits.MemoryMB != defaultMemoryMB || c.Limits.Sockets != defaultSockets || c.ConnIdle != defaultIdle {
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -17,7 +17,7 @@
 }
 
 // Numbered is what a numbering came to.
-type Numbered struct{ Classes, Tenants stableid.Plan }
+type Numbered struct{ Classes, Tenants stableid.Mapping }
 
 // Apply puts the classes and tenants of c, which has been checked, in the order of their numbers, those that were dropped
 // among them.
@@ -45,6 +45,6 @@
 		s.Realms = append(s.Realms, Realm{name, quotas[name], !live})
 	}
 	var err error
-	c.Logic, err = s.Logic()
+	c.Policy, err = s.PolicyConfig()
 	return out, err
 }
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -34,14 +34,14 @@
 // WatchMs says, in milliseconds, what the directory may be asked; see staleness.Settings. The defaults are those for a
 // directory on the own machine, which costs nothing to ask.
 type WatchMs struct {
-	Wait          float64 `json:"wait_ms"`
-	LeastWait     float64 `json:"least_wait_ms"`
-	Patience      float64 `json:"patience_ms"`
-	LeastPatience float64 `json:"least_patience_ms"`
-	Retry         float64 `json:"retry_ms"`
-	RetryMost     float64 `json:"retry_most_ms"`
-	Ask           float64 `json:"ask_ms"`
-	AskMost       float64 `json:"ask_most_ms"`
+	Wait       float64 `json:"wait_ms"`
+	MinWait    float64 `json:"least_wait_ms"`
+	Timeout    float64 `json:"patience_ms"`
+	MinTimeout float64 `json:"least_patience_ms"`
+	Retry      float64 `json:"retry_ms"`
+	MaxRetry   float64 `json:"retry_most_ms"`
+	Refresh    float64 `json:"ask_ms"`
+	MaxRefresh float64 `json:"ask_most_ms"`
 }
 
 // figure is a time in the file: its key, its value there, where it goes and what stands for 0.
@@ -74,36 +74,36 @@
 	); err != nil {
 		return err
 	}
-	c.StopPlan = shutdown.For(longest, kill)
-	if err := c.StopPlan.Check(); err != nil {
+	c.ShutdownSchedule = shutdown.NewSchedule(longest, kill)
+	if err := c.ShutdownSchedule.Check(); err != nil {
 		return fmt.Errorf("plankrouter.stop.%w", err)
 	}
 	var err error
-	usual := staleness.Default()
-	if usual.Callers = c.Settings.Balancers; c.Settings.Discovery == pushed { // to an agent on the own machine
-		usual = staleness.Agent(c.DrainGrace)
+	usual := staleness.DefaultSettings()
+	if usual.Instances = c.Settings.Balancers; c.Settings.Discovery == pushed { // to an agent on the own machine
+		usual = staleness.PushedSettings(c.DrainGrace)
 	}
-	usual.Told, usual.Grace = c.AskEvery, c.DrainGrace
+	usual.EffectiveBy, usual.DrainGrace = c.PollInterval, c.DrainGrace
 	c.Watch, err = o.Watch.settings(usual)
 	return err
 }
 
 // settings fills in defaults, which stay on the right side of what is given, and checks.
 func (w *WatchMs) settings(usual staleness.Settings) (s staleness.Settings, err error) {
-	s.Callers, s.Told, s.Grace, s.AtOnce = usual.Callers, usual.Told, usual.Grace, usual.AtOnce
+	s.Instances, s.EffectiveBy, s.DrainGrace, s.Pushed = usual.Instances, usual.EffectiveBy, usual.DrainGrace, usual.Pushed
 	if err := read("plankrouter.watch.", 1, mostMs,
 		figure{"wait_ms", w.Wait, &s.Wait, usual.Wait},
-		figure{"patience_ms", w.Patience, &s.Patience, usual.Patience},
-		figure{"retry_ms", w.Retry, &s.Retry, usual.Retry},
-		figure{"ask_ms", w.Ask, &s.Ask, usual.Ask},
+		figure{"patience_ms", w.Timeout, &s.Timeout, usual.Timeout},
+		figure{"retry_ms", w.Retry, &s.RetryBackoff, usual.RetryBackoff},
+		figure{"ask_ms", w.Refresh, &s.RefreshInterval, usual.RefreshInterval},
 	); err != nil {
 		return s, err
 	}
 	if err := read("plankrouter.watch.", 1, mostMs,
-		figure{"least_wait_ms", w.LeastWait, &s.LeastWait, min(usual.LeastWait, s.Wait)},
-		figure{"least_patience_ms", w.LeastPatience, &s.LeastPatience, min(usual.LeastPatience, s.Patience)},
-		figure{"retry_most_ms", w.RetryMost, &s.RetryMost, max(usual.RetryMost, s.Retry)},
-		figure{"ask_most_ms", w.AskMost, &s.AskMost, max(usual.AskMost, s.Ask)},
+		figure{"least_wait_ms", w.MinWait, &s.MinWait, min(usual.MinWait, s.Wait)},
+		figure{"least_patience_ms", w.MinTimeout, &s.MinTimeout, min(usual.MinTimeout, s.Timeout)},
+		figure{"retry_most_ms", w.MaxRetry, &s.MaxRetryBackoff, max(usual.MaxRetryBackoff, s.RetryBackoff)},
+		figure{"ask_most_ms", w.MaxRefresh, &s.MaxRefreshInterval, max(usual.MaxRefreshInterval, s.RefreshInterval)},
 	); err != nil {
 		return s, err
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -78,8 +78,8 @@
 	return names
 }
 
-// Logic converts the settings to those of the decision module.
-func (s *Settings) Logic() (policy.Config, error) {
+// PolicyConfig converts the settings to those of the decision module.
+func (s *Settings) PolicyConfig() (policy.Config, error) {
 	cfg := policy.Config{
 		OverQuotaWeight: s.OverShareWorth, Instances: s.Balancers, Zone: s.Locality,
 		Probes: s.Limits.Probes, Cancel: s.Limits.MayCancel, MaxAttempts: s.Limits.MaxAttempts,
@@ -117,8 +117,8 @@
 	return cfg, nil
 }
 
-// Whole says whether a report has what the module can't do without, where the deployment's reports hold it: a provider
+// IsComplete says whether a report has what the module can't do without, where the deployment's reports hold it: a provider
 // that has just started may have no service time to tell, but it knows what it holds.
-func (s *Settings) Whole(r policy.Report) bool {
+func (s *Settings) IsComplete(r policy.Report) bool {
 	return r.HasRIF || !slices.Contains(loadreport.Fields(s.Report.Names), loadreport.RIF)
 }
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -14,36 +14,36 @@
 
 func TestSet(t *testing.T) {
 	var s Set
-	if err := s.Disable("a", 1, false); !errors.Is(err, ErrUnknown) {
+	if err := s.Cordon("a", 1, false); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("an unknown id: %v", err)
 	}
-	if err := errors.Join(s.Disable("a", 1, true), s.Disable("a", 2, true), s.Disable("b", 3, true)); err != nil {
+	if err := errors.Join(s.Cordon("a", 1, true), s.Cordon("a", 2, true), s.Cordon("b", 3, true)); err != nil {
 		t.Error(err)
 	}
 	before := s.Clone()
-	if err := s.Enable("a", 9, false); err != nil { // out, and listed no more
+	if err := s.Uncordon("a", 9, false); err != nil { // out, and listed no more
 		t.Error(err)
 	}
-	if err := s.Enable("c", 9, true); err != nil { // never out
+	if err := s.Uncordon("c", 9, true); err != nil { // never out
 		t.Error(err)
 	}
-	if err := s.Enable("c", 9, false); !errors.Is(err, ErrUnknown) {
+	if err := s.Uncordon("c", 9, false); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("an unknown id: %v", err)
 	}
-	if diff := cmp.Diff(Set{Out: map[string]float64{"b": 3}, Back: map[string]float64{"a": 9}}, s); diff != "" {
+	if diff := cmp.Diff(Set{Cordoned: map[string]float64{"b": 3}, Uncordoned: map[string]float64{"a": 9}}, s); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"a"}, before.Changed(s)); diff != "" {
+	if diff := cmp.Diff([]string{"a"}, before.ChangedIDs(s)); diff != "" {
 		t.Error(diff)
 	}
 	for i := range 2 * mostBack {
 		id := strings.Repeat("x", i+1)
-		if err := errors.Join(s.Disable(id, float64(10+i), true), s.Enable(id, float64(10+i), true)); err != nil {
+		if err := errors.Join(s.Cordon(id, float64(10+i), true), s.Uncordon(id, float64(10+i), true)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, early := s.Back["x"]; len(s.Back) != mostBack || early {
-		t.Errorf("%d returns are kept", len(s.Back))
+	if _, early := s.Uncordoned["x"]; len(s.Uncordoned) != mostBack || early {
+		t.Errorf("%d returns are kept", len(s.Uncordoned))
 	}
 }
 
@@ -56,15 +56,15 @@
 		both.Go(func() {
 			for n := range 50 {
 				id := string(rune('a'+i)) + strings.Repeat("x", n)
-				if _, err := s.Change(func(s *Set) error { return s.Disable(id, 1, true) }); err != nil {
+				if _, err := s.Update(func(s *Set) error { return s.Cordon(id, 1, true) }); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
 	both.Wait()
-	if set, _, err := one.Read(); err != nil || len(set.Out) != 100 {
-		t.Fatalf("%d out, %v", len(set.Out), err)
+	if set, _, err := one.Read(); err != nil || len(set.Cordoned) != 100 {
+		t.Fatalf("%d out, %v", len(set.Cordoned), err)
 	}
 	if _, changed, err := one.Read(); changed || err != nil {
 		t.Errorf("read twice: %t, %v", changed, err)
@@ -72,13 +72,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	told := make(chan bool, 1)
 	go one.Watch(ctx, func() { told <- true }, func(err error) { t.Error(err) })
-	if _, err := two.Change(func(s *Set) error { return s.Enable("a", 7, true) }); err != nil {
+	if _, err := two.Update(func(s *Set) error { return s.Uncordon("a", 7, true) }); err != nil {
 		t.Error(err)
 	}
 	<-told
 	cancel()
-	if set, _, _ := one.Read(); len(set.Out) != 99 || set.Back["a"] != 7 {
-		t.Errorf("%d out, back %v", len(set.Out), set.Back)
+	if set, _, _ := one.Read(); len(set.Cordoned) != 99 || set.Uncordoned["a"] != 7 {
+		t.Errorf("%d out, back %v", len(set.Cordoned), set.Uncordoned)
 	}
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -89,17 +89,17 @@
 			t.Fatal(err)
 		}
 		fresh := &Store{Path: path}
-		if set, changed, err := fresh.Read(); err == nil || changed || len(set.Out) > 0 || !strings.Contains(err.Error(), path) {
-			t.Errorf("%.40q: %v, %v", bad, set.Out, err)
+		if set, changed, err := fresh.Read(); err == nil || changed || len(set.Cordoned) > 0 || !strings.Contains(err.Error(), path) {
+			t.Errorf("%.40q: %v, %v", bad, set.Cordoned, err)
 		}
-		if set, err := fresh.Change(func(s *Set) error { return s.Disable("z", 1, true) }); err != nil || len(set.Out) != 1 {
-			t.Errorf("after %.40q: %v, %v", bad, set.Out, err)
+		if set, err := fresh.Update(func(s *Set) error { return s.Cordon("z", 1, true) }); err != nil || len(set.Cordoned) != 1 {
+			t.Errorf("after %.40q: %v, %v", bad, set.Cordoned, err)
 		}
 	}
 	lost := &Store{Path: filepath.Join(t.TempDir(), "nowhere", "bans.json")}
-	if _, err := lost.Change(func(s *Set) error { return s.Disable("a", 1, true) }); err == nil {
+	if _, err := lost.Update(func(s *Set) error { return s.Cordon("a", 1, true) }); err == nil {
 		t.Error("what can't be kept is not in force")
-	} else if set, _, err := lost.Read(); len(set.Out) > 0 || err != nil {
-		t.Errorf("after that: %v, %v", set.Out, err)
+	} else if set, _, err := lost.Read(); len(set.Cordoned) > 0 || err != nil {
+		t.Errorf("after that: %v, %v", set.Cordoned, err)
 	}
 }
--- a/internal/cordon/faults_test.go
+++ b/internal/cordon/faults_test.go
@@ -28,7 +28,7 @@
 func out(t *testing.T, id string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "bans.json")
-	if _, err := (&Store{Path: path}).Change(func(s *Set) error { return s.Disable(id, 1, true) }); err != nil {
+	if _, err := (&Store{Path: path}).Update(func(s *Set) error { return s.Cordon(id, 1, true) }); err != nil {
 		t.Fatal(err)
 	}
 	past := time.Now().Add(-time.Hour)
@@ -50,14 +50,14 @@
 		{StepOpen, 2, syscall.ENFILE}, {StepOpen, 2, syscall.EIO}, {StepRead, 2, syscall.EIO}, {StepRead, 1, syscall.EINTR},
 	} {
 		disk := fault
-		s := &Store{Path: out(t, "a"), Before: disk.before}
+		s := &Store{Path: out(t, "a"), BeforeStep: disk.before}
 		for range fault.times {
 			if _, _, err := s.Read(); !errors.Is(err, fault.err) {
 				t.Errorf("%s: %v, want %v", fault.step, err, fault.err)
 			}
 		}
-		if set, changed, err := s.Read(); err != nil || !changed || set.Out["a"] != 1 {
-			t.Errorf("%s failed %d times with %v: out %v, changed %t, %v", fault.step, fault.times, fault.err, set.Out, changed, err)
+		if set, changed, err := s.Read(); err != nil || !changed || set.Cordoned["a"] != 1 {
+			t.Errorf("%s failed %d times with %v: out %v, changed %t, %v", fault.step, fault.times, fault.err, set.Cordoned, changed, err)
 		}
 	}
 }
@@ -67,18 +67,18 @@
 	for _, step := range []Step{StepOpen, StepRead} {
 		path := out(t, "a")
 		disk := &failing{step, 1, syscall.EIO}
-		s := &Store{Path: path, Before: disk.before}
-		if _, err := s.Change(func(s *Set) error { return s.Disable("b", 2, true) }); !errors.Is(err, syscall.EIO) {
+		s := &Store{Path: path, BeforeStep: disk.before}
+		if _, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); !errors.Is(err, syscall.EIO) {
 			t.Errorf("%s: %v, want an I/O error", step, err)
 		}
-		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Out["a"] != 1 || set.Out["b"] != 0 {
-			t.Errorf("%s: out %v, %v; want a alone", step, set.Out, err)
+		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Cordoned["a"] != 1 || set.Cordoned["b"] != 0 {
+			t.Errorf("%s: out %v, %v; want a alone", step, set.Cordoned, err)
 		}
-		if _, err := s.Change(func(s *Set) error { return s.Disable("b", 2, true) }); err != nil {
+		if _, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); err != nil {
 			t.Errorf("%s, once the disk is back: %v", step, err)
 		}
-		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Out["a"] != 1 || set.Out["b"] != 2 {
-			t.Errorf("%s, once the disk is back: out %v, %v; want both", step, set.Out, err)
+		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Cordoned["a"] != 1 || set.Cordoned["b"] != 2 {
+			t.Errorf("%s, once the disk is back: out %v, %v; want both", step, set.Cordoned, err)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 // A wait for another writer that a signal interrupts is taken up again: the order is not refused.
 func TestInterruptedLock(t *testing.T) {
 	disk := &failing{StepLock, 2, syscall.EINTR}
-	s := &Store{Path: out(t, "a"), Before: disk.before}
-	if set, err := s.Change(func(s *Set) error { return s.Disable("b", 2, true) }); err != nil || set.Out["b"] != 2 {
-		t.Errorf("out %v, %v", set.Out, err)
+	s := &Store{Path: out(t, "a"), BeforeStep: disk.before}
+	if set, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); err != nil || set.Cordoned["b"] != 2 {
+		t.Errorf("out %v, %v", set.Cordoned, err)
 	}
 }
--- a/internal/cordon/golden_test.go
+++ b/internal/cordon/golden_test.go
@@ -25,13 +25,13 @@
 		t.Fatalf("changed=%t err=%v", changed, err)
 	}
 	want := Set{
-		Out:  map[string]float64{"s-1": 1_800_000_000_000, "s-2": 1_800_000_000_250.5},
-		Back: map[string]float64{"s-3": 1_800_000_000_500},
+		Cordoned:   map[string]float64{"s-1": 1_800_000_000_000, "s-2": 1_800_000_000_250.5},
+		Uncordoned: map[string]float64{"s-3": 1_800_000_000_500},
 	}
 	if diff := cmp.Diff(want, set); diff != "" {
 		t.Error(diff)
 	}
-	if _, err := store.Change(func(*Set) error { return nil }); err != nil {
+	if _, err := store.Update(func(*Set) error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(path)
--- a/internal/cordon/store.go
+++ b/internal/cordon/store.go
@@ -20,8 +20,8 @@
 	version  = 1
 	maxBytes = 1 << 20
 
-	// LookEvery is how soon a process knows what another one has been told: well within a drain's grace.
-	LookEvery = 50 * time.Millisecond
+	// PollInterval is how soon a process knows what another one has been told: well within a drain's grace.
+	PollInterval = 50 * time.Millisecond
 
 	settled = time.Second // since a file was first seen: two that are written at one moment can look the same from outside
 )
@@ -44,8 +44,8 @@
 type Store struct {
 	Path string // "" = the set is kept by this process alone
 
-	// Before, if set, is called before each step on a file, and its error is the step's: a test's way to a disk that fails.
-	Before func(step Step, path string) error
+	// BeforeStep, if set, is called before each step on a file, and its error is the step's: a test's way to a disk that fails.
+	BeforeStep func(step Step, path string) error
 
 	mu   sync.Mutex
 	set  Set
@@ -60,8 +60,8 @@
 	Set
 }
 
-// ErrContent says that the file was read and is none of this program's. Any other error is of the disk, which may be back soon.
-var ErrContent = errors.New("bans")
+// ErrMalformedFile says that the file was read and is none of this program's. Any other error is of the disk, which may be back soon.
+var ErrMalformedFile = errors.New("bans")
 
 // saw notes which file was read or written.
 func (s *Store) saw(info fs.FileInfo) { s.seen, s.at = info, time.Now() }
@@ -116,19 +116,19 @@
 	s.raw = raw
 	var in file
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &in); err != nil {
-		return false, fmt.Errorf("%w: %s: %w; remove the file, or disable the tile servers again", ErrContent, s.Path, err)
+		return false, fmt.Errorf("%w: %s: %w; remove the file, or disable the tile servers again", ErrMalformedFile, s.Path, err)
 	}
 	if in.Version != version {
-		return false, fmt.Errorf("%w: %s: version %d, this program knows %d; disable the tile servers again", ErrContent, s.Path,
+		return false, fmt.Errorf("%w: %s: version %d, this program knows %d; disable the tile servers again", ErrMalformedFile, s.Path,
 			in.Version, version)
 	}
 	s.set = in.Set
 	return true, nil
 }
 
-// Change applies how to the set, as all processes know it, and keeps the outcome, whole or not at all. After an error nothing
+// Update applies how to the set, as all processes know it, and keeps the outcome, whole or not at all. After an error nothing
 // has changed.
-func (s *Store) Change(how func(*Set) error) (Set, error) {
+func (s *Store) Update(how func(*Set) error) (Set, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Path == "" {
@@ -145,7 +145,7 @@
 	}
 	defer lock.Close()
 	// A file that says nothing is about to be replaced. One that can't be read may say what another process was told.
-	if _, err := s.refresh(); err != nil && !errors.Is(err, ErrContent) {
+	if _, err := s.refresh(); err != nil && !errors.Is(err, ErrMalformedFile) {
 		return Set{}, err
 	}
 	next := s.set.Clone()
@@ -161,8 +161,8 @@
 
 // do is one step.
 func (s *Store) do(step Step, path string, how func() error) error {
-	if s.Before != nil {
-		if err := s.Before(step, path); err != nil {
+	if s.BeforeStep != nil {
+		if err := s.BeforeStep(step, path); err != nil {
 			return &fs.PathError{Op: string(step), Path: path, Err: err}
 		}
 	}
@@ -231,7 +231,7 @@
 	if s.Path == "" {
 		return
 	}
-	tick := time.NewTicker(LookEvery)
+	tick := time.NewTicker(PollInterval)
 	defer tick.Stop()
 	told := "" // the failure that was told last
 	for {
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -37,7 +37,7 @@
 	told := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	w, err := New(Options{
-		Address: d.Address(), Watch: staleness.Default(), Seed: 1,
+		Address: d.Address(), Watch: staleness.DefaultSettings(), Seed: 1,
 		Budget: connlimit.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := connlimit.TCP(ctx, address)
 			if err != nil {
@@ -45,7 +45,7 @@
 			}
 			return slowReader{c.(*net.TCPConn), heldUp}, nil
 		}),
-		Told: func(_ endpoints.List, at time.Time) {
+		OnUpdate: func(_ endpoints.List, at time.Time) {
 			select {
 			case told <- at:
 			default:
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -17,8 +17,8 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(raw)))
 			for b.Loop() {
-				if l, _, err := parse(raw); err != nil || len(l.Members) != n {
-					b.Fatal(len(l.Members), err)
+				if l, _, err := parse(raw); err != nil || len(l.Endpoints) != n {
+					b.Fatal(len(l.Endpoints), err)
 				}
 			}
 		})
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -120,7 +120,7 @@
 			play(t, 0, func(r *rig) {
 				d := scripted(t, r.network)
 				set := r.watch.set
-				set.Address, set.Watch = d.Addr().String(), staleness.Agent(grace)
+				set.Address, set.Watch = d.Addr().String(), staleness.PushedSettings(grace)
 				r.watch, _ = New(set)
 				defer r.run()()
 				first := d.turn()
@@ -151,7 +151,7 @@
 func TestNoEndAndNoBeginning(t *testing.T) {
 	play(t, 0, func(r *rig) {
 		d, set := scripted(t, r.network), r.watch.set
-		set.Address, set.Watch = d.Addr().String(), staleness.Agent(750*time.Millisecond)
+		set.Address, set.Watch = d.Addr().String(), staleness.PushedSettings(750*time.Millisecond)
 		dials := make(chan time.Time, 100)
 		set.Budget = connlimit.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
 			if dials <- time.Now(); len(dials) == 1 {
@@ -183,10 +183,10 @@
 		d, set := scripted(t, r.network), r.watch.set
 		set.Address = d.Addr().String()
 		var sure time.Time
-		set.Trust = func(t staleness.Trust) { sure = t.Sure }
-		set.Told = func(l endpoints.List, at time.Time) {
+		set.OnValidity = func(t staleness.Validity) { sure = t.ListUntil }
+		set.OnUpdate = func(l endpoints.List, at time.Time) {
 			if r.told(l, at); l.Revision == 8 {
-				r.watch.Move("e:1")
+				r.watch.SetAddress("e:1")
 			}
 		}
 		r.watch, _ = New(set)
@@ -224,8 +224,8 @@
 func cross(t *testing.T) *crossed {
 	x := &crossed{script: scripted(t, nil), told: make(chan string), goOn: make(chan struct{}, 100)}
 	set := staleness.Settings{
-		Wait: time.Minute, LeastWait: time.Minute, Patience: time.Minute, LeastPatience: time.Minute,
-		Retry: time.Millisecond, RetryMost: time.Millisecond, Ask: time.Millisecond, AskMost: time.Millisecond,
+		Wait: time.Minute, MinWait: time.Minute, Timeout: time.Minute, MinTimeout: time.Minute,
+		RetryBackoff: time.Millisecond, MaxRetryBackoff: time.Millisecond, RefreshInterval: time.Millisecond, MaxRefreshInterval: time.Millisecond,
 	}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := connlimit.TCP(ctx, address)
@@ -241,16 +241,16 @@
 	var err error
 	x.Watch, err = New(Options{
 		Address: x.Addr().String(), Watch: set, Seed: 1, Budget: connlimit.NewBudget(8, dial),
-		Trust: func(staleness.Trust) {
+		OnValidity: func(staleness.Validity) {
 			if x.trust != nil {
 				x.trust()
 			}
 		},
-		Told: func(l endpoints.List, at time.Time) {
+		OnUpdate: func(l endpoints.List, at time.Time) {
 			if l.Complete {
 				clear(phases)
 			}
-			for _, m := range l.Members {
+			for _, m := range l.Endpoints {
 				if phases[m.ID] = m.Phase; m.Phase == endpoints.Deleted {
 					delete(phases, m.ID)
 				}
@@ -385,7 +385,7 @@
 			conn := x.start()
 			if c.whole {
 				asked = ""
-				x.Saw("a", staleness.Refused)
+				x.Observe("a", staleness.ConnectRefused)
 			}
 			x.goOn <- struct{}{}
 			x.want("asked", conn.asked(), asked)
@@ -433,10 +433,10 @@
 			x, e, f := cross(t), scripted(t, nil), scripted(t, nil)
 			old, moved := x.Addr().String(), make(chan bool, 1)
 			move := func() {
-				if x.Move(e.Addr().String()); c.back {
-					x.Move(old)
+				if x.SetAddress(e.Addr().String()); c.back {
+					x.SetAddress(old)
 				} else {
-					x.Move(f.Addr().String())
+					x.SetAddress(f.Addr().String())
 				}
 				moved <- true
 			}
@@ -465,7 +465,7 @@
 			}
 			if c.told {
 				x.wantTold("9 map[a:DRAINING]")
-				x.want("source", x.Source(), old)
+				x.want("source", x.Address(), old)
 				if c.at == "pool" {
 					move()
 				}
@@ -485,10 +485,10 @@
 			}
 			now := f.turn()
 			x.want("the new one is asked", now.asked(), "")
-			x.want("source", x.Source(), old)
+			x.want("source", x.Address(), old)
 			now.say(answer(wording(3, true, "c=SERVING")))
 			x.wantTold("3 map[c:SERVING]")
-			x.want("source", x.Source(), f.Addr().String())
+			x.want("source", x.Address(), f.Addr().String())
 			x.goOn <- struct{}{}
 			x.want("the new one is asked", now.asked(), "?index=3&wait=60000")
 			if x.Failures.Load() != 0 {
@@ -505,8 +505,8 @@
 		conn, to, once := x.start(), e, sync.Once{}
 		x.up = func() {
 			once.Do(func() {
-				if x.Move(e.Addr().String()); back {
-					x.Move(x.Addr().String())
+				if x.SetAddress(e.Addr().String()); back {
+					x.SetAddress(x.Addr().String())
 				}
 			})
 		}
@@ -529,7 +529,7 @@
 func TestSilenceOnASocket(t *testing.T) {
 	x := cross(t)
 	set := x.set
-	set.Watch.Patience, set.Watch.LeastPatience = 200*time.Millisecond, 200*time.Millisecond
+	set.Watch.Timeout, set.Watch.MinTimeout = 200*time.Millisecond, 200*time.Millisecond
 	x.Watch, _ = New(set)
 	x.run()
 	conn, at := x.turn(), time.Now()
@@ -554,7 +554,7 @@
 						if end {
 							x.end()
 						} else {
-							x.Saw("a", staleness.Refused)
+							x.Observe("a", staleness.ConnectRefused)
 						}
 						done <- true
 					})
@@ -632,7 +632,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := cross(t)
 			set := x.set
-			set.Anew, set.Known = c.anew, endpoints.List{Revision: 50, Members: []endpoints.Member{{ID: "a", Phase: endpoints.Serving}}}
+			set.IgnoreRevision, set.Initial = c.anew, endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
 			x.Watch, _ = New(set)
 			x.run()
 			conn := x.turn()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -33,10 +33,10 @@
 type Watch struct {
 	set Options
 
-	Answers, Failures, Doubts atomic.Int64 // Doubts: whole lists asked for because providers spoke against the list
+	Answers, Failures, FullRefreshes atomic.Int64 // Doubts: whole lists asked for because providers spoke against the list
 
 	mu      sync.Mutex
-	keeper  *staleness.Keeper
+	keeper  *staleness.Scheduler
 	address string             // where the next call goes
 	leave   context.CancelFunc // ends the present one; nil = none
 	source  string             // of the list that was told last
@@ -50,45 +50,45 @@
 
 // Options are what a watch is told.
 type Options struct {
-	Address string // host:port of the directory
-	Watch   staleness.Settings
-	Seed    uint64
-	Known   endpoints.List // what it begins with; if it is empty, the first call asks for the whole list,
-	Anew    bool           // and if the revision of Known is not one that the directory has told
-	Most    int64          // bytes of an answer, at most; 0 = ListMost of no memory told
-	Budget  *connlimit.Budget
-	Told    func(l endpoints.List, at time.Time) // takes each answer that tells anything, in order, and when its first byte came
-	Trust   func(staleness.Trust)                // as a call or a pause before it begins; nil = nobody asks
-	Logf    func(format string, args ...any)     // nil = nothing is logged
-	Trace   func(format string, args ...any)     // logs a line for every call; nil = none
+	Address        string // host:port of the directory
+	Watch          staleness.Settings
+	Seed           uint64
+	Initial        endpoints.List // what it begins with; if it is empty, the first call asks for the whole list,
+	IgnoreRevision bool           // and if the revision of Known is not one that the directory has told
+	MaxListBytes   int64          // bytes of an answer, at most; 0 = MaxListBytes of no memory told
+	Budget         *connlimit.Budget
+	OnUpdate       func(l endpoints.List, at time.Time) // takes each answer that tells anything, in order, and when its first byte came
+	OnValidity     func(staleness.Validity)             // as a call or a pause before it begins; nil = nobody asks
+	Logf           func(format string, args ...any)     // nil = nothing is logged
+	Trace          func(format string, args ...any)     // logs a line for every call; nil = none
 }
 
 // New returns a watch that Run begins.
 func New(o Options) (*Watch, error) {
-	keeper, err := staleness.New(o.Watch, o.Seed, o.Anew || len(o.Known.Members) == 0)
+	keeper, err := staleness.New(o.Watch, o.Seed, o.IgnoreRevision || len(o.Initial.Endpoints) == 0)
 	if err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
-	o.Most = cmp.Or(o.Most, ListMost(0))
+	o.MaxListBytes = cmp.Or(o.MaxListBytes, MaxListBytes(0))
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
 	}
-	if o.Trust == nil {
-		o.Trust = func(staleness.Trust) {}
+	if o.OnValidity == nil {
+		o.OnValidity = func(staleness.Validity) {}
 	}
 	w := &Watch{
-		set: o, keeper: keeper, revision: o.Known.Revision, address: o.Address, at: o.Address,
+		set: o, keeper: keeper, revision: o.Initial.Revision, address: o.Address, at: o.Address,
 		source: o.Address, first: make(chan struct{}),
 	}
-	known := o.Known
+	known := o.Initial
 	known.Complete = true
 	w.note(known)
 	return w, nil
 }
 
-// Move sends the watch to address, at once: what another directory counts as told is not what this one does, so the
+// SetAddress sends the watch to address, at once: what another directory counts as told is not what this one does, so the
 // first call there asks for the whole list.
-func (w *Watch) Move(address string) {
+func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.address {
@@ -105,47 +105,47 @@
 	now := time.Now()
 	since, known := s.SinceArrival()
 	if !known {
-		since = shutdown.HoldUp
+		since = shutdown.MaxStall
 	}
 	return now.Add(-since)
 }
 
-// Source is the directory that told the present list.
-func (w *Watch) Source() string {
+// Address is the directory that told the present list.
+func (w *Watch) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.source
 }
 
-// First is closed by the first answer.
-func (w *Watch) First() <-chan struct{} { return w.first }
+// FirstUpdate is closed by the first answer.
+func (w *Watch) FirstUpdate() <-chan struct{} { return w.first }
 
-// Saw takes a sign of a provider from whoever calls it. Where several speak against the list at once the present call is
+// Observe takes a sign of a provider from whoever calls it. Where several speak against the list at once the present call is
 // given up for one that asks for the whole list. It is safe for concurrent use and does not block.
-func (w *Watch) Saw(provider string, sign staleness.Sign) {
+func (w *Watch) Observe(provider string, sign staleness.Evidence) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.keeper.Saw(time.Now(), provider, sign) {
+	if !w.keeper.Observe(time.Now(), provider, sign) {
 		return
 	}
-	w.Doubts.Add(1)
+	w.FullRefreshes.Add(1)
 	if w.leave != nil {
 		w.leave()
 	}
 }
 
 // begin returns the next call, a context that ends when it is to be left, and what the list is worth.
-func (w *Watch) begin(ctx context.Context) (context.Context, staleness.Call, staleness.Trust) {
+func (w *Watch) begin(ctx context.Context) (context.Context, staleness.Poll, staleness.Validity) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ctx, w.leave = context.WithCancel(ctx)
 	if w.at != w.address {
 		w.hangUp()
-		w.keeper.Moved()
+		w.keeper.SourceChanged()
 		w.at = w.address
 	}
 	c := w.keeper.Next(time.Now())
-	return ctx, c, w.keeper.Trust()
+	return ctx, c, w.keeper.Validity()
 }
 
 // Run watches until ctx ends.
@@ -153,10 +153,10 @@
 	defer w.hangUp()
 	for ctx.Err() == nil {
 		here, c, trust := w.begin(ctx)
-		w.set.Trust(trust)
+		w.set.OnValidity(trust)
 		select {
 		case <-here.Done():
-		case <-time.After(c.After): // none after an answer: a watch goes on only if the next call comes within 200 ms
+		case <-time.After(c.Delay): // none after an answer: a watch goes on only if the next call comes within 200 ms
 			if here.Err() == nil {
 				w.once(here, c)
 			}
@@ -167,17 +167,17 @@
 }
 
 // once makes a call. One that is left has not failed, but its connection may still bring the answer: it is done with.
-func (w *Watch) once(ctx context.Context, c staleness.Call) {
+func (w *Watch) once(ctx context.Context, c staleness.Poll) {
 	began := time.Now()
 	list, heard, err := w.call(ctx, c)
 	if w.set.Trace != nil {
-		w.set.Trace("trace=list whole=%t wait_ms=%d took_ms=%.1f lines=%d ok=%t full=%t", c.Whole, c.Wait.Milliseconds(),
-			time.Since(began).Seconds()*1e3, len(list.Members), err == nil, errors.Is(err, errFull))
+		w.set.Trace("trace=list whole=%t wait_ms=%d took_ms=%.1f lines=%d ok=%t full=%t", c.Complete, c.Wait.Milliseconds(),
+			time.Since(began).Seconds()*1e3, len(list.Endpoints), err == nil, errors.Is(err, errFull))
 	}
 	switch {
 	case err == nil:
 		w.mu.Lock()
-		w.keeper.Answered(c, max(0, heard.Sub(began))) // what follows its first byte may take long and says nothing of the directory
+		w.keeper.Responded(c, max(0, heard.Sub(began))) // what follows its first byte may take long and says nothing of the directory
 		w.note(list)
 		w.source = w.at
 		w.mu.Unlock()
@@ -188,8 +188,8 @@
 			w.hangUp()
 		}
 		w.revision = list.Revision
-		if list.Complete || len(list.Members) > 0 {
-			w.set.Told(list, heard) // not under the lock: it may wait for one who wants to tell what it saw
+		if list.Complete || len(list.Endpoints) > 0 {
+			w.set.OnUpdate(list, heard) // not under the lock: it may wait for one who wants to tell what it saw
 		}
 	case ctx.Err() != nil:
 		w.hangUp()
@@ -200,30 +200,30 @@
 		w.mu.Lock()
 		switch {
 		case errors.Is(err, errFull):
-			w.keeper.TurnedAway()
+			w.keeper.Rejected()
 		case silent:
-			w.keeper.Unanswered()
+			w.keeper.TimedOut()
 		default:
 			w.keeper.Failed()
 		}
 		w.mu.Unlock()
-		w.set.Logf("directory=%s state=failed whole=%t err=%q", w.at, c.Whole, err)
+		w.set.Logf("directory=%s state=failed whole=%t err=%q", w.at, c.Complete, err)
 	}
 }
 
 // note lets the keeper know what the list says.
 func (w *Watch) note(l endpoints.List) {
 	ready := map[string]float64{}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		if m.Phase == endpoints.Serving {
-			ready[m.ID] = m.UpSince
+			ready[m.ID] = m.StartedAt
 		}
 		if !l.Complete {
-			w.keeper.Listed(m.ID, m.Phase == endpoints.Serving, m.UpSince)
+			w.keeper.SetListed(m.ID, m.Phase == endpoints.Serving, m.StartedAt)
 		}
 	}
 	if l.Complete {
-		w.keeper.ListedAll(ready)
+		w.keeper.ReplaceListed(ready)
 	}
 }
 
@@ -235,8 +235,8 @@
 }
 
 // target words the call.
-func (w *Watch) target(c staleness.Call) string {
-	if c.Whole {
+func (w *Watch) target(c staleness.Poll) string {
+	if c.Complete {
 		return http1.PathList
 	}
 	return http1.PathList + "?index=" + strconv.FormatUint(w.revision, 10) +
@@ -260,7 +260,7 @@
 }
 
 // call makes the call and takes what it brings; heard is the first byte of that.
-func (w *Watch) call(ctx context.Context, c staleness.Call) (list endpoints.List, heard time.Time, err error) {
+func (w *Watch) call(ctx context.Context, c staleness.Poll) (list endpoints.List, heard time.Time, err error) {
 	kept := w.conn != nil
 	raw, heard, err := w.exchange(ctx, c)
 	if err != nil {
@@ -274,7 +274,7 @@
 		w.set.Logf("directory=%s state=line_skipped err=%q", w.at, fault)
 	}
 	switch {
-	case c.Whole && !list.Complete:
+	case c.Complete && !list.Complete:
 		err = errors.New("asked for the whole list, got a part")
 	case list.Revision < w.revision && (kept || !list.Complete):
 		// The process that has told the newer one may have meant another call, another process counts anew. A whole list on a
@@ -285,19 +285,19 @@
 }
 
 // exchange makes the call and reads the whole of its answer.
-func (w *Watch) exchange(ctx context.Context, c staleness.Call) (raw []byte, heard time.Time, err error) {
+func (w *Watch) exchange(ctx context.Context, c staleness.Poll) (raw []byte, heard time.Time, err error) {
 	if w.conn != nil && (w.br.Buffered() > 0 || !w.conn.Quiet()) { // it would pass for the answer to this call
 		return nil, heard, errUnasked
 	}
 	if w.conn == nil {
-		socket, err := w.set.Budget.Dial(ctx, w.at, min(dialWithin, c.Pause))
+		socket, err := w.set.Budget.Dial(ctx, w.at, min(dialWithin, c.StallTimeout))
 		if err != nil {
 			return nil, heard, err
 		}
 		w.conn = &line{Socket: socket}
 		w.br = http1.NewReader(w.conn)
 	}
-	conn, due := w.conn, time.Now().Add(c.Within)
+	conn, due := w.conn, time.Now().Add(c.Timeout)
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	if err := conn.SetWriteDeadline(due); err != nil {
 		return nil, heard, err
@@ -309,7 +309,7 @@
 	begun := func(begun bool) { // a long list is no silence, and an interim answer none that counts
 		if conn.due, conn.pause = due, 0; begun {
 			heard = arrival(conn.Socket)
-			conn.due, conn.pause = heard.Add(transferMost), c.Pause
+			conn.due, conn.pause = heard.Add(transferMost), c.StallTimeout
 		}
 	}
 	resp, err := http1.ReadLong(w.br, false, begun, func(int) bool { return false }) // body has it all
@@ -323,8 +323,8 @@
 	default:
 		return nil, heard, fmt.Errorf("status %d", resp.Status)
 	}
-	conn.due, conn.pause = heard.Add(transferMost), c.Pause
-	if raw, err = body(resp, w.set.Most); err == nil && resp.Close {
+	conn.due, conn.pause = heard.Add(transferMost), c.StallTimeout
+	if raw, err = body(resp, w.set.MaxListBytes); err == nil && resp.Close {
 		w.hangUp()
 	}
 	return raw, heard, err
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -42,8 +42,8 @@
 		defer r.at.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
 		w, err := New(Options{
-			Address: "d:1", Watch: staleness.Default(), Seed: 1, Known: endpoints.List{Revision: revision},
-			Budget: connlimit.NewBudget(8, dial), Told: r.told, Logf: func(format string, args ...any) {
+			Address: "d:1", Watch: staleness.DefaultSettings(), Seed: 1, Initial: endpoints.List{Revision: revision},
+			Budget: connlimit.NewBudget(8, dial), OnUpdate: r.told, Logf: func(format string, args ...any) {
 				r.lines = append(r.lines, fmt.Sprintf(format, args...))
 			},
 		})
@@ -59,7 +59,7 @@
 	if l.Complete {
 		clear(r.phases)
 	}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		r.phases[m.ID] = m.Phase
 	}
 }
@@ -127,7 +127,7 @@
 		t.Run(name, func(t *testing.T) {
 			play(t, 0, func(r *rig) {
 				defer r.run()()
-				<-r.watch.First()
+				<-r.watch.FirstUpdate()
 				for range 3 { // so that it counts from a revision above 1
 					r.at.Change(fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
@@ -165,20 +165,20 @@
 				other := r.directory("e:1")
 				defer other.Close()
 				if before {
-					r.watch.Move("e:1")
+					r.watch.SetAddress("e:1")
 				}
 				defer r.run()()
 				if !before {
-					<-r.watch.First()
-					r.watch.Move("e:1")
+					<-r.watch.FirstUpdate()
+					r.watch.SetAddress("e:1")
 				}
 				r.wait(500 * time.Millisecond)
 				calls := other.Calls()
 				if len(calls) == 0 || !calls[0].Whole || slices.ContainsFunc(calls[1:], func(c fakes.DirectoryCall) bool { return c.Whole }) {
 					t.Errorf("the new directory is asked %+v", calls)
 				}
-				if r.watch.Source() != "e:1" || len(r.phases) != 2 {
-					t.Errorf("source %s, told %v", r.watch.Source(), r.phases)
+				if r.watch.Address() != "e:1" || len(r.phases) != 2 {
+					t.Errorf("source %s, told %v", r.watch.Address(), r.phases)
 				}
 			})
 		})
@@ -189,13 +189,13 @@
 func TestPausesAreToldOf(t *testing.T) {
 	play(t, 0, func(r *rig) {
 		set := r.watch.set
-		set.Watch = staleness.Agent(750 * time.Millisecond)
+		set.Watch = staleness.PushedSettings(750 * time.Millisecond)
 		var err error
 		if r.watch, err = New(set); err != nil {
 			t.Fatal(err)
 		}
 		var left []time.Duration // for which the list is sure, as each call or pause begins
-		r.watch.set.Trust = func(t staleness.Trust) { left = append(left, time.Until(t.Sure)) }
+		r.watch.set.OnValidity = func(t staleness.Validity) { left = append(left, time.Until(t.ListUntil)) }
 		end := r.run()
 		r.wait(1500 * time.Millisecond)
 		before := len(left)
@@ -225,8 +225,8 @@
 		t.Run(name, func(t *testing.T) {
 			play(t, 0, func(r *rig) {
 				d, set := scripted(t, r.network), r.watch.set
-				set.Address, set.Watch.Callers = d.Addr().String(), 32
-				set.Known = endpoints.List{Revision: 7, Members: []endpoints.Member{{ID: "a", Phase: endpoints.Serving}}}
+				set.Address, set.Watch.Instances = d.Addr().String(), 32
+				set.Initial = endpoints.List{Revision: 7, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
 				r.watch, _ = New(set)
 				defer r.run()()
 				var at *turn
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -21,8 +21,8 @@
 	errTooLong = errors.New("list too long")
 )
 
-// ListMost is the longest answer, in bytes, that a process takes which may use so much memory.
-func ListMost(memory int64) int64 { return max(leastList, memory/listPart) }
+// MaxListBytes is the longest answer, in bytes, that a process takes which may use so much memory.
+func MaxListBytes(memory int64) int64 { return max(leastList, memory/listPart) }
 
 // body reads the whole of an answer, in a buffer that grows by need and is nobody's afterwards.
 func body(r *http1.Response, most int64) ([]byte, error) {
@@ -43,7 +43,7 @@
 // malformed tells nothing; of one that is not, a line that can't be read does not hide the others.
 func parse(raw []byte) (l endpoints.List, faults []error, err error) {
 	if err = codec.Unmarshal(raw, &l); err == nil {
-		faults = l.Clean()
+		faults = l.RemoveInvalid()
 	} else {
 		var loose struct {
 			endpoints.List
@@ -52,9 +52,9 @@
 		if err = codec.Unmarshal(raw, &loose); err != nil {
 			return l, nil, err
 		}
-		l = endpoints.List{Revision: loose.Revision, Complete: loose.Complete, Members: []endpoints.Member{}}
+		l = endpoints.List{Revision: loose.Revision, Complete: loose.Complete, Endpoints: []endpoints.Endpoint{}}
 		for i, line := range loose.Members {
-			var m endpoints.Member
+			var m endpoints.Endpoint
 			err := codec.Unmarshal(line, &m)
 			if err == nil {
 				err = m.Check()
@@ -63,11 +63,11 @@
 				faults = append(faults, fmt.Errorf("members[%d]: %w", i, err))
 				continue
 			}
-			l.Members = append(l.Members, m)
+			l.Endpoints = append(l.Endpoints, m)
 		}
 	}
-	if l.Complete && l.Members == nil {
+	if l.Complete && l.Endpoints == nil {
 		return l, nil, errors.New("members: missing from a whole list")
 	}
-	return l, append(faults, l.Settle()...), nil
+	return l, append(faults, l.Normalize()...), nil
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -50,7 +50,7 @@
 func TestListTooLong(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		play(t, 0, func(r *rig) {
-			r.watch.set.Most = 200_000
+			r.watch.set.MaxListBytes = 200_000
 			r.at.Word(true, chunked)
 			defer r.run()()
 			r.wait(100 * time.Millisecond)
@@ -98,7 +98,7 @@
 	} {
 		l, faults, err := parse([]byte(c.raw))
 		got := fmt.Sprint(l.Revision, l.Complete)
-		for _, m := range l.Members {
+		for _, m := range l.Endpoints {
 			got += fmt.Sprintf(" %s=%s", m.ID, m.Phase)
 		}
 		if (err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) || err == nil && got != c.want {
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -13,20 +13,20 @@
 )
 
 // do carries out one of the module's actions.
-func (s *Pool) do(a *policy.Action) {
+func (s *Dispatcher) do(a *policy.Action) {
 	switch a.Kind {
 	case policy.StartAttempt:
 		s.invoke(a)
 	case policy.CancelAttempt:
 		if h := s.held[a.Request]; h != nil && h.call != 0 && a.Attempt == h.attempts-1 {
-			s.stop(h.call, outcome.CalledOff)
+			s.stop(h.call, outcome.Cancelled)
 		}
 	case policy.RejectRequest:
 		s.unserved(a)
-		s.answer(a.Request, request.Answer{Kind: request.Refused, RetryAfter: duration(a.After)})
+		s.answer(a.Request, request.Response{Kind: request.Rejected, RetryAfter: duration(a.After)})
 	case policy.FailRequest:
 		s.unserved(a)
-		s.answer(a.Request, request.Answer{Kind: request.Failed})
+		s.answer(a.Request, request.Response{Kind: request.Failed})
 	case policy.SendProbe:
 		if k := s.providers[a.Server]; k != nil {
 			s.counts.Probes++
@@ -41,7 +41,7 @@
 }
 
 // invoke makes the attempt that the module asks for.
-func (s *Pool) invoke(a *policy.Action) {
+func (s *Dispatcher) invoke(a *policy.Action) {
 	h, k := s.held[a.Request], s.providers[a.Server]
 	if !s.maySend(h, k) {
 		// Not asked for by a sound module; answering it keeps the books of a faulty one straight.
@@ -52,7 +52,7 @@
 		})
 		return
 	}
-	s.counts.Sent++
+	s.counts.Attempts++
 	wait := duration(a.After)
 	h.attempts++
 	one := &attempt{request: a.Request, number: h.attempts - 1, server: a.Server}
@@ -63,14 +63,14 @@
 }
 
 // start begins an attempt, for an invocation or a probe, gives it up after wait, and returns its number.
-func (s *Pool) start(k *known, inv *request.Invocation, a *attempt, wait time.Duration) uint64 {
+func (s *Dispatcher) start(k *known, inv *request.Request, a *attempt, wait time.Duration) uint64 {
 	s.lastCall++
 	number := s.lastCall
 	// The module often gives an attempt until its request's own deadline, for which it has set a timer too. The
 	// time-out must win that race: called off by the deadline instead, the attempt would teach the module nothing,
 	// and it would judge the providers by the answers that came in time alone.
 	a.end = &timer{at: s.now.Add(wait - timeoutLead), call: number, index: -1}
-	if inv == nil || inv.Rest == nil {
+	if inv == nil || inv.Remainder == nil {
 		heap.Push(&s.timers, a.end)
 	} else { // its time begins when its last byte is written
 		s.uploads[number] = a
@@ -84,27 +84,27 @@
 	a.began, a.at = time.Now(), k.at
 	s.traceStart(a, k)
 	notAfter := k.notAfter
-	if t := s.trust.NotAfter(k.proof, s.set.DrainGrace); inv != nil && !t.IsZero() && (notAfter.IsZero() || t.Before(notAfter)) {
+	if t := s.trust.StartBy(k.proof, s.set.DrainGrace); inv != nil && !t.IsZero() && (notAfter.IsZero() || t.Before(notAfter)) {
 		notAfter = t
 	}
 	var until time.Time
-	if inv != nil && inv.Rest == nil {
+	if inv != nil && inv.Remainder == nil {
 		until = s.now.Add(wait)
 	}
-	a.call = k.at.Start(upstream.Task{
-		Invocation: inv, Wait: wait, Until: until, NotAfter: notAfter, Expires: a.expires,
-		Flowed: func() { s.send(flowed{number}) },
-		Ended: func(r upstream.Result) {
+	a.call = k.at.Start(upstream.AttemptOptions{
+		Request: inv, Timeout: wait, Deadline: until, StartBy: notAfter, Expires: a.expires,
+		OnBodySent: func() { s.send(flowed{number}) },
+		OnEnd: func(r upstream.Result) {
 			if !s.send(callEnded{number, r}) {
-				closeFlow(r.Rest)
+				closeFlow(r.Remainder)
 			}
 		},
 	})
 	return number
 }
 
-func (e told) apply(s *Pool) {
-	s.counts.Lists++
+func (e told) apply(s *Dispatcher) {
+	s.counts.EndpointUpdates++
 	s.listAt(e.List, e.at)
 }
 
@@ -120,33 +120,33 @@
 }
 
 // list takes the directory's word as of now.
-func (s *Pool) list(l endpoints.List) { s.listAt(l, time.Now()) }
+func (s *Dispatcher) list(l endpoints.List) { s.listAt(l, time.Now()) }
 
 // listAt takes the directory's word, which came when it was told, with the operators' laid over it: the table first, then the
 // module.
-func (s *Pool) listAt(l endpoints.List, told time.Time) {
+func (s *Dispatcher) listAt(l endpoints.List, told time.Time) {
 	s.revision = l.Revision
 	now := time.Now()
 	s.readWall(now)
 	named := map[policy.ServerID]bool{}
 	left := map[upstream.Endpoint]bool{} // where another process is by now
-	lines := make([]policy.ServerInfo, 0, len(l.Members))
-	for _, m := range l.Members {
+	lines := make([]policy.ServerInfo, 0, len(l.Endpoints))
+	for _, m := range l.Endpoints {
 		id, zone := s.serverID(m.ID), -1
-		if z, have := s.zones[m.Locality]; have {
+		if z, have := s.zones[m.Zone]; have {
 			zone = z
 		}
 		named[id] = true
 		k := s.providers[id]
 		if k == nil {
-			k = &known{name: m.ID, health: policy.Ready, at: s.set.Caller.Endpoint(m.ID, m.Address), toldAt: told}
+			k = &known{name: m.ID, health: policy.Ready, at: s.set.Upstream.Endpoint(m.ID, m.Address), toldAt: told}
 			s.providers[id] = k
 		}
-		if m.Address != "" && m.Address != k.at.Address() || m.UpSince != k.line.UpSince {
+		if m.Address != "" && m.Address != k.at.Address() || m.StartedAt != k.line.StartedAt {
 			k.at.Close() // another process: nobody answers for it at the old place or on the old connections
 			left[k.at] = true
-			k.at = s.set.Caller.Endpoint(m.ID, cmp.Or(m.Address, k.at.Address()))
-			k.proof = staleness.Proof{}
+			k.at = s.set.Upstream.Endpoint(m.ID, cmp.Or(m.Address, k.at.Address()))
+			k.proof = staleness.Liveness{}
 		}
 		k.line, k.origin = m, s.originOf(k, m, now)
 		health, since := s.effective(m, told, now)
@@ -167,7 +167,7 @@
 		if k.health == policy.Gone && k.calls == 0 {
 			s.forget(s.member(k, now))
 			delete(s.providers, id)
-			s.set.Caller.Forget(k.name)
+			s.set.Upstream.Forget(k.name)
 			delete(s.serverIDs, k.name)
 			delete(s.numbers, id)
 		}
@@ -177,13 +177,13 @@
 	s.lookedAt = time.Time{}
 	for number, a := range s.calls { // once the module knows it: what is withdrawn may go out again
 		if left[a.at] {
-			s.withdraw(number, outcome.Drained)
+			s.withdraw(number, outcome.ServerDraining)
 		}
 	}
 }
 
 // setHealth notes a provider's state and, when it leaves, the end of the grace for calls that still connect.
-func (s *Pool) setHealth(id policy.ServerID, k *known, h policy.Health, told time.Time) {
+func (s *Dispatcher) setHealth(id policy.ServerID, k *known, h policy.Health, told time.Time) {
 	was := k.health
 	if k.health = h; h != was {
 		k.toldAt = told
@@ -192,15 +192,15 @@
 	switch {
 	case h == policy.Ready:
 		if k.notAfter = (time.Time{}); was != policy.Ready {
-			k.at = s.set.Caller.Endpoint(k.name, k.at.Address())
+			k.at = s.set.Upstream.Endpoint(k.name, k.at.Address())
 		}
 	case was == policy.Ready:
 		k.at.Close()
-		_, write := staleness.Leave(s.set.DrainGrace)
+		_, write := staleness.DrainLimits(s.set.DrainGrace)
 		k.notAfter = told.Add(write)
 		for _, a := range s.calls {
 			if a.server == id {
-				a.call.NotAfter(k.notAfter)
+				a.call.StartBy(k.notAfter)
 			}
 		}
 	}
--- a/internal/dispatch/bans.go
+++ b/internal/dispatch/bans.go
@@ -12,29 +12,29 @@
 	outLeast  = 300 * time.Millisecond // for which the module must leave a provider out: one that is late with an answer is not avoided
 )
 
-// Ban lays operators' word over the list from now on, in place of the earlier one, and returns once it is in force, or once
+// SetCordons lays operators' word over the list from now on, in place of the earlier one, and returns once it is in force, or once
 // the pool has stopped.
-func (s *Pool) Ban(set cordon.Set) {
+func (s *Dispatcher) SetCordons(set cordon.Set) {
 	ask(s, func(done chan<- struct{}) event { return banning{set, done} })
 }
 
-// Listed reports whether the list has a provider of that id, in whatever phase.
-func (s *Pool) Listed(provider string) bool {
+// IsListed reports whether the list has a provider of that id, in whatever phase.
+func (s *Dispatcher) IsListed(provider string) bool {
 	is, _ := ask(s, func(to chan<- bool) event { return finding{provider, to} })
 	return is
 }
 
-func (e finding) apply(s *Pool) {
+func (e finding) apply(s *Dispatcher) {
 	id, have := s.serverIDs[e.provider]
 	e.to <- have && s.listed(s.providers[id])
 }
 
 // listed: a provider that has gone stays in the table while a call to it is out.
-func (s *Pool) listed(k *known) bool { return k != nil && k.health != policy.Gone }
+func (s *Dispatcher) listed(k *known) bool { return k != nil && k.health != policy.Gone }
 
-func (e banning) apply(s *Pool) {
+func (e banning) apply(s *Dispatcher) {
 	defer close(e.done)
-	changed := s.bans.Changed(e.set)
+	changed := s.bans.ChangedIDs(e.set)
 	s.bans = e.set
 	l := endpoints.List{Revision: s.revision}
 	for _, provider := range changed {
@@ -42,21 +42,21 @@
 		if !s.listed(k) || k.name != provider {
 			continue
 		}
-		l.Members = append(l.Members, k.line)
-		if _, out := s.bans.Out[provider]; !out {
-			s.set.Caller.Forget(provider)
+		l.Endpoints = append(l.Endpoints, k.line)
+		if _, out := s.bans.Cordoned[provider]; !out {
+			s.set.Upstream.Forget(provider)
 		}
 	}
-	if len(l.Members) > 0 { // the directory's own lines again, as changes, under the new word
+	if len(l.Endpoints) > 0 { // the directory's own lines again, as changes, under the new word
 		s.list(l)
 	}
 }
 
 // effective is what a line of the list amounts to under the operators' word: the provider's health, and since when. One that is
 // out counts as draining.
-func (s *Pool) effective(m endpoints.Member, told, now time.Time) (h policy.Health, since time.Time) {
+func (s *Dispatcher) effective(m endpoints.Endpoint, told, now time.Time) (h policy.Health, since time.Time) {
 	h = health(m.Phase)
-	if at, out := s.bans.Out[m.ID]; out && h == policy.Ready {
+	if at, out := s.bans.Cordoned[m.ID]; out && h == policy.Ready {
 		h = policy.Draining
 		if since := s.since(at, now); since.Before(told) {
 			told = since
@@ -67,7 +67,7 @@
 
 // reportTargets tells now and then how many providers are listed, and how many of them operators or the module leave out; and the
 // module, of which providers no answer is missing since the request is still being sent.
-func (s *Pool) reportTargets(now time.Time) {
+func (s *Dispatcher) reportTargets(now time.Time) {
 	if now.Sub(s.lookedAt) < lookEvery {
 		return
 	}
@@ -87,10 +87,10 @@
 		} else if k.outSince.IsZero() {
 			k.outSince = now
 		}
-		_, banned := s.bans.Out[k.name]
+		_, banned := s.bans.Cordoned[k.name]
 		if banned || !k.outSince.IsZero() && now.Sub(k.outSince) >= outLeast {
 			out++
 		}
 	}
-	s.set.Targets(listed, out)
+	s.set.OnServerCounts(listed, out)
 }
--- a/internal/dispatch/change.go
+++ b/internal/dispatch/change.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Change is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
-type Change struct {
-	Logic            policy.Config
-	Classes, Tenants stableid.Plan
+// Reconfigure is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
+type Reconfiguration struct {
+	Policy           policy.Config
+	Classes, Tenants stableid.Mapping
 	Deployment       string
 	DrainGrace       time.Duration
 }
 
 var errStopped = errors.New("the pool has stopped")
 
-// Change takes other settings, or none of them, and returns once they are in force.
-func (s *Pool) Change(c Change) error {
+// Reconfigure takes other settings, or none of them, and returns once they are in force.
+func (s *Dispatcher) Reconfigure(c Reconfiguration) error {
 	err, ok := ask(s, func(done chan<- error) event { return changing{c, done} })
 	if !ok {
 		return errStopped
@@ -26,11 +26,11 @@
 	return err
 }
 
-func (e changing) apply(s *Pool) {
-	err := s.bal.Reconfigure(vouching(e.Logic, e.DrainGrace), e.Classes.From, e.Tenants.From)
+func (e changing) apply(s *Dispatcher) {
+	err := s.bal.Reconfigure(vouching(e.Policy, e.DrainGrace), e.Classes.PredecessorOf, e.Tenants.PredecessorOf)
 	if err == nil {
-		s.set.Logic, s.set.Deployment, s.set.DrainGrace = e.Logic, e.Deployment, e.DrainGrace
-		s.classes, s.tenants = e.Classes.Order, e.Tenants.Order
+		s.set.Policy, s.set.Deployment, s.set.DrainGrace = e.Policy, e.Deployment, e.DrainGrace
+		s.classes, s.tenants = e.Classes.ByPosition, e.Tenants.ByPosition
 	}
 	e.done <- err
 }
--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -31,9 +31,9 @@
 	started map[string]int
 }
 
-func (e *servingEnd) Start(t upstream.Task) upstream.Call {
+func (e *servingEnd) Start(t upstream.AttemptOptions) upstream.Attempt {
 	e.started[e.Address()]++
-	time.AfterFunc(5*time.Millisecond, func() { t.Ended(upstream.Result{Ending: outcome.Served, Code: 200}) })
+	time.AfterFunc(5*time.Millisecond, func() { t.OnEnd(upstream.Result{Outcome: outcome.Served, StatusCode: 200}) })
 	return refusedCall{}
 }
 
@@ -48,20 +48,20 @@
 // options are those of a pool of slow start.
 func options(wall *wallClock, counts map[string]int) Options {
 	return Options{
-		Logic: policy.Config{
+		Policy: policy.Config{
 			MaxAttempts: 1, Cancel: true, Instances: 1, StartCapacity: 0.3, WarmUpTime: 8000,
 			OverloadMultiple: 4, Classes: []policy.Class{{LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}},
-		}, Caller: serving{started: counts},
-		Wall: wall.now, DrainGrace: 750 * time.Millisecond,
+		}, Upstream: serving{started: counts},
+		WallClock: wall.now, DrainGrace: 750 * time.Millisecond,
 	}
 }
 
 // play sends requests to a pool that runs, for two seconds.
-func play(s *Pool) {
+func play(s *Dispatcher) {
 	for i := range 200 {
-		s.Take(&request.Invocation{
-			ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second,
-			Answer: func(request.Answer) {},
+		s.Submit(&request.Request{
+			ID: fmt.Sprint(i), SentAt: time.Now(), Timeout: time.Second,
+			Respond: func(request.Response) {},
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -69,7 +69,7 @@
 
 // slowStart plays requests for two seconds at a pool of one old server and one that do lists, and returns how many attempts
 // that one got.
-func slowStart(t *testing.T, do func(*wallClock, *Pool)) (attempts int) {
+func slowStart(t *testing.T, do func(*wallClock, *Dispatcher)) (attempts int) {
 	synctest.Test(t, func(t *testing.T) {
 		wall, counts := new(wallClock), map[string]int{}
 		s, err := New(options(wall, counts))
@@ -79,7 +79,7 @@
 		ctx, end := context.WithCancel(t.Context())
 		running := make(chan error, 1)
 		go func() { running <- s.Run(ctx) }()
-		s.Told(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{
+		s.UpdateEndpoints(endpoints.List{Revision: 1, Complete: true, Endpoints: []endpoints.Endpoint{{
 			ID: "old", Address: "old:1",
 			Phase: endpoints.Serving,
 		}}}, time.Now())
@@ -96,43 +96,43 @@
 }
 
 // lists tells that a server has started so long ago by the wall clock as it is.
-func lists(s *Pool, upSince float64) {
-	s.Told(endpoints.List{Revision: 2, Members: []endpoints.Member{{
+func lists(s *Dispatcher, upSince float64) {
+	s.UpdateEndpoints(endpoints.List{Revision: 2, Endpoints: []endpoints.Endpoint{{
 		ID: "new", Address: "new:1", Phase: endpoints.Serving,
-		UpSince: upSince,
+		StartedAt: upSince,
 	}}}, time.Now())
 }
 
 // A server in slow start gets no more, and for no longer gets less, because the wall clock was stepped: its start is a date, its
 // warming up a span of real time.
 func TestSlowStartOutlivesAClockStep(t *testing.T) {
-	usual := slowStart(t, func(w *wallClock, s *Pool) { lists(s, w.ms()) })
-	warm := slowStart(t, func(w *wallClock, s *Pool) { lists(s, w.ago(time.Hour)) })
+	usual := slowStart(t, func(w *wallClock, s *Dispatcher) { lists(s, w.ms()) })
+	warm := slowStart(t, func(w *wallClock, s *Dispatcher) { lists(s, w.ago(time.Hour)) })
 	if usual == 0 || warm < 2*usual {
 		t.Fatalf("no slow start to look at: %d attempts, %d at a warm server", usual, warm)
 	}
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
-		for name, do := range map[string]func(*wallClock, *Pool){
-			"started after the step": func(w *wallClock, s *Pool) {
+		for name, do := range map[string]func(*wallClock, *Dispatcher){
+			"started after the step": func(w *wallClock, s *Dispatcher) {
 				w.step(step)
 				lists(s, w.ms())
 			},
-			"started before the step, listed after it": func(w *wallClock, s *Pool) {
+			"started before the step, listed after it": func(w *wallClock, s *Dispatcher) {
 				started := w.ms()
 				w.step(step)
 				lists(s, started)
 			},
-			"listed before the step and again after it": func(w *wallClock, s *Pool) {
+			"listed before the step and again after it": func(w *wallClock, s *Dispatcher) {
 				started := w.ms()
 				lists(s, started)
 				w.step(step)
 				lists(s, started)
 			},
-			"put back by operators after the step": func(w *wallClock, s *Pool) {
+			"put back by operators after the step": func(w *wallClock, s *Dispatcher) {
 				w.step(step)
 				lists(s, 0)
-				s.Ban(cordon.Set{Out: map[string]float64{"new": w.ms()}})
-				s.Ban(cordon.Set{Back: map[string]float64{"new": w.ms()}})
+				s.SetCordons(cordon.Set{Cordoned: map[string]float64{"new": w.ms()}})
+				s.SetCordons(cordon.Set{Uncordoned: map[string]float64{"new": w.ms()}})
 			},
 		} {
 			if got := slowStart(t, do); got > usual+1 || got < usual-1 {
@@ -144,9 +144,9 @@
 
 // A server that has warmed up stays warm, whatever the clock does after that and however often it is listed.
 func TestAWarmServerStaysWarmOverAClockStep(t *testing.T) {
-	warm := slowStart(t, func(w *wallClock, s *Pool) { lists(s, w.ago(time.Hour)) })
+	warm := slowStart(t, func(w *wallClock, s *Dispatcher) { lists(s, w.ago(time.Hour)) })
 	for _, step := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
-		got := slowStart(t, func(w *wallClock, s *Pool) {
+		got := slowStart(t, func(w *wallClock, s *Dispatcher) {
 			started := w.ms()
 			lists(s, started)
 			time.Sleep(10 * time.Second)
@@ -169,10 +169,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			first.list(endpoints.List{Revision: 1, Complete: true, Members: []endpoints.Member{{
+			first.list(endpoints.List{Revision: 1, Complete: true, Endpoints: []endpoints.Endpoint{{
 				ID: "old", Address: "old:1",
 				Phase: endpoints.Serving,
-			}, {ID: "new", Address: "new:1", Phase: endpoints.Serving, UpSince: wall.ms()}}})
+			}, {ID: "new", Address: "new:1", Phase: endpoints.Serving, StartedAt: wall.ms()}}})
 			time.Sleep(time.Second)
 			wall.step(step)
 			first.list(endpoints.List{Revision: 2})
@@ -185,9 +185,9 @@
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
-			begin, _ := snapshot.Begin(snap, snapshot.List{}, wall.now(), snapshot.DefaultRules())
+			begin, _ := snapshot.Restore(snap, snapshot.List{}, wall.now(), snapshot.DefaultValidityRules())
 			o := options(wall, counts)
-			o.Before = &begin
+			o.Restored = &begin
 			next, err := New(o)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/dispatch/crossings_test.go
+++ b/internal/dispatch/crossings_test.go
@@ -28,7 +28,7 @@
 
 type slowCall struct {
 	*slowEnd
-	upstream.Task
+	upstream.AttemptOptions
 	over bool
 }
 
@@ -36,23 +36,23 @@
 
 func (e *slowEnd) Address() string { return e.address }
 func (e *slowEnd) Close()          {}
-func (e *slowEnd) Start(t upstream.Task) upstream.Call {
+func (e *slowEnd) Start(t upstream.AttemptOptions) upstream.Attempt {
 	c := &slowCall{e, t, false}
 	e.of.calls = append(e.of.calls, c)
 	e.of.did = append(e.of.did, "start "+e.address)
 	return c
 }
 
-func (c *slowCall) NotAfter(time.Time) {}
-func (c *slowCall) Stop(why outcome.Ending) (outcome.Ending, bool) {
+func (c *slowCall) StartBy(time.Time) {}
+func (c *slowCall) Cancel(why outcome.Kind) (outcome.Kind, bool) {
 	return c.end("stop", why)
 }
 
-func (c *slowCall) Withdraw(why outcome.Ending) (outcome.Ending, bool) {
+func (c *slowCall) Withdraw(why outcome.Kind) (outcome.Kind, bool) {
 	return c.end("withdraw", why)
 }
 
-func (c *slowCall) end(how string, why outcome.Ending) (outcome.Ending, bool) {
+func (c *slowCall) end(how string, why outcome.Kind) (outcome.Kind, bool) {
 	if c.over {
 		return outcome.Open, false
 	}
@@ -64,55 +64,55 @@
 // Attempts whose connections are still coming up when something else comes: nothing of them is wanted any more, whether or not
 // the settings let running ones be called off.
 func TestWhatIsNotWantedAnyMoreIsWithdrawn(t *testing.T) {
-	serving := func(id, address string, since float64) endpoints.Member {
-		return endpoints.Member{ID: id, Address: address, Phase: endpoints.Serving, UpSince: since}
+	serving := func(id, address string, since float64) endpoints.Endpoint {
+		return endpoints.Endpoint{ID: id, Address: address, Phase: endpoints.Serving, StartedAt: since}
 	}
 	for name, tc := range map[string]struct {
-		members []endpoints.Member
-		play    func(s *Pool, inv *request.Invocation, c *slow)
+		members []endpoints.Endpoint
+		play    func(s *Dispatcher, inv *request.Request, c *slow)
 		did     []string
-		answers []request.Answer
+		answers []request.Response
 		gone    int
 	}{
-		"the consumer leaves": {[]endpoints.Member{serving("s", "p:1", 0)}, func(s *Pool, inv *request.Invocation, c *slow) {
+		"the consumer leaves": {[]endpoints.Endpoint{serving("s", "p:1", 0)}, func(s *Dispatcher, inv *request.Request, c *slow) {
 			abandoned{inv: inv}.apply(s)
 		}, []string{"start p:1", "withdraw p:1 withdrawn"}, nil, 1},
 		"a word to stop that leaves less time than the attempt has": {
-			[]endpoints.Member{serving("s", "p:1", 0)},
-			func(s *Pool, inv *request.Invocation, c *slow) {
-				stopNow{plan: shutdown.For(time.Minute, time.Second), at: time.Now()}.apply(s)
+			[]endpoints.Endpoint{serving("s", "p:1", 0)},
+			func(s *Dispatcher, inv *request.Request, c *slow) {
+				stopNow{plan: shutdown.NewSchedule(time.Minute, time.Second), at: time.Now()}.apply(s)
 				time.Sleep(time.Second)
 				s.due()
 			},
 			[]string{"start p:1", "withdraw p:1 withdrawn"},
-			[]request.Answer{{Kind: request.Failed}},
+			[]request.Response{{Kind: request.Failed}},
 			0,
 		},
 		"another process under the same id": {
-			[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
-			func(s *Pool, inv *request.Invocation, c *slow) {
+			[]endpoints.Endpoint{serving("s", "p:1", 1), serving("t", "p:1", 1)},
+			func(s *Dispatcher, inv *request.Request, c *slow) {
 				s.retryFreely()
-				s.list(endpoints.List{Members: []endpoints.Member{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
+				s.list(endpoints.List{Endpoints: []endpoints.Endpoint{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
 			},
 			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
 			nil, 0,
 		},
 		"another start of the same process": {
-			[]endpoints.Member{serving("s", "p:1", 1), serving("t", "p:1", 1)},
-			func(s *Pool, inv *request.Invocation, c *slow) {
+			[]endpoints.Endpoint{serving("s", "p:1", 1), serving("t", "p:1", 1)},
+			func(s *Dispatcher, inv *request.Request, c *slow) {
 				s.retryFreely()
-				s.list(endpoints.List{Members: []endpoints.Member{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
+				s.list(endpoints.List{Endpoints: []endpoints.Endpoint{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
 			},
 			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
 			nil, 0,
 		},
 		"an attempt fails, and the word of the consumer's end waits": {
-			[]endpoints.Member{serving("s", "p:1", 0), serving("t", "p:1", 0)},
-			func(s *Pool, inv *request.Invocation, c *slow) {
+			[]endpoints.Endpoint{serving("s", "p:1", 0), serving("t", "p:1", 0)},
+			func(s *Dispatcher, inv *request.Request, c *slow) {
 				s.retryFreely()
-				s.Abandon(inv)
+				s.ClientGone(inv)
 				c.calls[0].over = true
-				s.ended(1, upstream.Result{Ending: outcome.Declined})
+				s.ended(1, upstream.Result{Outcome: outcome.Declined})
 				(<-s.events).apply(s)
 			},
 			[]string{"start p:1"},
@@ -123,18 +123,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
 				s, err := New(Options{
-					Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Caller: c,
+					Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: c,
 					DrainGrace: time.Minute,
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.list(endpoints.List{Members: tc.members})
+				s.list(endpoints.List{Endpoints: tc.members})
 				before := s.sizes()
-				var got []request.Answer
-				inv := &request.Invocation{
-					ID: "a", SentAt: time.Now(), Patience: time.Minute,
-					Answer: func(a request.Answer) { got = append(got, a) },
+				var got []request.Response
+				inv := &request.Request{
+					ID: "a", SentAt: time.Now(), Timeout: time.Minute,
+					Respond: func(a request.Response) { got = append(got, a) },
 				}
 				arrived{inv}.apply(s)
 				tc.play(s, inv, c)
@@ -143,10 +143,10 @@
 						c.did[i+1] = "start elsewhere"
 					}
 				}
-				if !slices.Equal(c.did, tc.did) || !slices.EqualFunc(got, tc.answers, func(a, b request.Answer) bool {
+				if !slices.Equal(c.did, tc.did) || !slices.EqualFunc(got, tc.answers, func(a, b request.Response) bool {
 					return a.Kind == b.Kind && a.MayHaveRun == b.MayHaveRun
-				}) || s.counts.Gone != tc.gone {
-					t.Errorf("%q, %+v, %d gone", c.did, got, s.counts.Gone)
+				}) || s.counts.ClientsGone != tc.gone {
+					t.Errorf("%q, %+v, %d gone", c.did, got, s.counts.ClientsGone)
 				}
 				if last := tc.did[len(tc.did)-1]; last != "start elsewhere" {
 					time.Sleep(time.Minute) // until its timers have passed
@@ -161,39 +161,39 @@
 }
 
 // retryFreely has so many invocations come and go that a further attempt is allowed.
-func (s *Pool) retryFreely() {
+func (s *Dispatcher) retryFreely() {
 	for i := range 20 {
-		inv := &request.Invocation{ID: fmt.Sprint("x", i), SentAt: time.Now(), Patience: time.Minute, Answer: func(request.Answer) {}}
+		inv := &request.Request{ID: fmt.Sprint("x", i), SentAt: time.Now(), Timeout: time.Minute, Respond: func(request.Response) {}}
 		arrived{inv}.apply(s)
 		abandoned{inv: inv}.apply(s)
 	}
-	c := s.set.Caller.(*slow)
-	c.calls, c.did, s.counts.Gone = c.calls[:1], c.did[:1], 0
+	c := s.set.Upstream.(*slow)
+	c.calls, c.did, s.counts.ClientsGone = c.calls[:1], c.did[:1], 0
 }
 
 // Whoever cancels learns whether an attempt may have run, also where an attempt has found before that its consumer had left.
 func TestCancelAfterItWasFoundToHaveLeft(t *testing.T) {
-	for how, want := range map[outcome.Ending]bool{outcome.Withdrawn: false, outcome.Declined: false, outcome.ResetByPeer: true} {
+	for how, want := range map[outcome.Kind]bool{outcome.Withdrawn: false, outcome.Declined: false, outcome.ResetByPeer: true} {
 		t.Run(how.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Caller: c})
+				s, err := New(Options{Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: c})
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.list(endpoints.List{Members: []endpoints.Member{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
-				inv := &request.Invocation{
-					ID: "a", SentAt: time.Now(), Patience: time.Minute, Gone: func() bool { return true },
-					Answer: func(a request.Answer) { t.Errorf("answered: %+v", a) },
+				s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
+				inv := &request.Request{
+					ID: "a", SentAt: time.Now(), Timeout: time.Minute, ClientGone: func() bool { return true },
+					Respond: func(a request.Response) { t.Errorf("answered: %+v", a) },
 				}
 				arrived{inv}.apply(s)
-				inv.Look()
+				inv.CheckClientGone()
 				c.calls[0].over = true
-				s.ended(1, upstream.Result{Ending: how})
+				s.ended(1, upstream.Result{Outcome: how})
 				told := make(chan bool, 1)
 				abandoned{inv, told}.apply(s)
-				if got := <-told; got != want || s.counts.Gone != 1 || len(c.calls) != 1 {
-					t.Errorf("may have run: %t, want %t; %d gone, %d attempts", got, want, s.counts.Gone, len(c.calls))
+				if got := <-told; got != want || s.counts.ClientsGone != 1 || len(c.calls) != 1 {
+					t.Errorf("may have run: %t, want %t; %d gone, %d attempts", got, want, s.counts.ClientsGone, len(c.calls))
 				}
 			})
 		})
--- a/internal/dispatch/dates.go
+++ b/internal/dispatch/dates.go
@@ -21,37 +21,39 @@
 }
 
 // readWall notes whether the wall clock has been stepped: what is dated from now on goes by it.
-func (s *Pool) readWall(now time.Time) {
-	if step := s.dates.Observe(s.clock.at(now), unixMs(s.set.Wall())); step != 0 {
+func (s *Dispatcher) readWall(now time.Time) {
+	if step := s.dates.Observe(s.clock.at(now), unixMs(s.set.WallClock())); step != 0 {
 		s.set.Logf("state=clock_stepped by_ms=%.0f", step)
 	}
 }
 
 // place returns where on the module's clock a date lies.
-func (s *Pool) place(date float64, now time.Time) policy.Ms {
+func (s *Dispatcher) place(date float64, now time.Time) policy.Ms {
 	return s.dates.Place(date, s.clock.at(now))
 }
 
 // originOf is the origin of the process that a line of the list names, given what is known of its server.
-func (s *Pool) originOf(k *known, m endpoints.Member, now time.Time) origin {
-	back := s.bans.Back[m.ID]
-	if k.origin.upSince == m.UpSince && k.origin.back == back {
+func (s *Dispatcher) originOf(k *known, m endpoints.Endpoint, now time.Time) origin {
+	back := s.bans.Uncordoned[m.ID]
+	if k.origin.upSince == m.StartedAt && k.origin.back == back {
 		return k.origin
 	}
 	listed := k.origin.listed
-	if k.origin.upSince != m.UpSince {
-		listed = s.place(m.UpSince, now)
-		if a, known := s.ages[m.ID]; known && a.upSince == m.UpSince {
+	if k.origin.upSince != m.StartedAt {
+		listed = s.place(m.StartedAt, now)
+		if a, known := s.ages[m.ID]; known && a.upSince == m.StartedAt {
 			listed = s.clock.at(now) - a.ms
 		}
 	}
-	return origin{upSince: m.UpSince, back: back, listed: listed, startedAt: max(listed, s.place(back, now))}
+	return origin{upSince: m.StartedAt, back: back, listed: listed, startedAt: max(listed, s.place(back, now))}
 }
 
 // wallAt is the date that the wall clock, as it is now, gives a moment of this process.
-func (s *Pool) wallAt(t, now time.Time) float64 { return unixMs(s.set.Wall()) - millis(now.Sub(t)) }
+func (s *Dispatcher) wallAt(t, now time.Time) float64 {
+	return unixMs(s.set.WallClock()) - millis(now.Sub(t))
+}
 
 // since is the moment of a date, no later than now.
-func (s *Pool) since(date float64, now time.Time) time.Time {
+func (s *Dispatcher) since(date float64, now time.Time) time.Time {
 	return now.Add(-duration(max(0, s.clock.at(now)-s.place(date, now))))
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -38,37 +38,37 @@
 
 // Options are what a pool is told. Caller is required; the rest may be left out as far as Logic allows.
 type Options struct {
-	Name       string // in snapshots
-	Deployment string // in snapshots: stands for the settings that give positions their meaning
-	Logic      policy.Config
-	Seed       uint64
-	Zones      []string            // the names of Logic's zones, by position; a member of any other is in none
-	DrainGrace time.Duration       // after which nothing new may reach a provider that drains or is gone
-	Known      endpoints.List      // the providers, as far as they are known
-	Before     *snapshot.Beginning // takes the place of Known; nil = there is none
-	Caller     upstream.Caller
-
-	// Whole reports whether a probe's report has what the module can't do without; nil = any will do.
-	Whole func(policy.Report) bool
+	Name             string // in snapshots
+	Deployment       string // in snapshots: stands for the settings that give positions their meaning
+	Policy           policy.Config
+	Seed             uint64
+	Zones            []string           // the names of Logic's zones, by position; a member of any other is in none
+	DrainGrace       time.Duration      // after which nothing new may reach a provider that drains or is gone
+	InitialEndpoints endpoints.List     // the providers, as far as they are known
+	Restored         *snapshot.Restored // takes the place of Known; nil = there is none
+	Upstream         upstream.Upstream
+
+	// IsComplete reports whether a probe's report has what the module can't do without; nil = any will do.
+	IsComplete func(policy.Report) bool
 	// Logf logs a line of key=value pairs; nil = nothing is logged.
 	Logf func(format string, args ...any)
 	// Trace logs a line for every attempt and probe, as it begins and as it ends; nil = none.
 	Trace func(format string, args ...any)
-	// Saw is told what is seen of providers that bears on the list. It must not block; nil = nobody is.
-	Saw func(provider string, sign staleness.Sign)
-	// Targets is told now and then how many providers are listed, and how many of those are left out. It must not block;
+	// OnEvidence is told what is seen of providers that bears on the list. It must not block; nil = nobody is.
+	OnEvidence func(provider string, sign staleness.Evidence)
+	// OnServerCounts is told now and then how many providers are listed, and how many of those are left out. It must not block;
 	// nil = nobody is.
-	Targets func(listed, leftOut int)
-	// Bans are the operators' word at the start.
-	Bans cordon.Set
-	// Rules counts what the guards of the rules held back; nil = nobody does.
-	Rules *invariant.Book
-	// Wall reads the wall clock, which may be stepped; nil = time.Now.
-	Wall func() time.Time
+	OnServerCounts func(listed, leftOut int)
+	// Cordons are the operators' word at the start.
+	Cordons cordon.Set
+	// Invariants counts what the guards of the rules held back; nil = nobody does.
+	Invariants *invariant.Recorder
+	// WallClock reads the wall clock, which may be stepped; nil = time.Now.
+	WallClock func() time.Time
 }
 
-// Pool is the host of one Balancer. Its exported methods are safe for concurrent use.
-type Pool struct {
+// Dispatcher is the host of one Balancer. Its exported methods are safe for concurrent use.
+type Dispatcher struct {
 	set        Options
 	bal        *policy.Balancer
 	clock      clock
@@ -81,7 +81,7 @@
 	stopped    chan struct{} // closed when Run has ended
 
 	held      map[policy.RequestID]*held
-	byInv     map[*request.Invocation]policy.RequestID
+	byInv     map[*request.Request]policy.RequestID
 	open      map[string]bool     // the consumers' ids of what has no final answer yet
 	elsewhere map[string]bool     // likewise, in the process before this one
 	calls     map[uint64]*attempt // and probes under way
@@ -95,47 +95,47 @@
 	actions   []policy.Action
 	pending   []policy.Event // for the module, in order
 	stepping  bool
-	now       time.Time       // of the event that the module has last seen; what it asks for counts from here
-	revision  uint64          // of the list
-	trust     staleness.Trust // in the list; none = it is never in doubt
-	bans      cordon.Set      // lies over the list
-	lookedAt  time.Time       // see look
-	classes   []int           // of the module, in the order of the settings
+	now       time.Time          // of the event that the module has last seen; what it asks for counts from here
+	revision  uint64             // of the list
+	trust     staleness.Validity // in the list; none = it is never in doubt
+	bans      cordon.Set         // lies over the list
+	lookedAt  time.Time          // see look
+	classes   []int              // of the module, in the order of the settings
 	tenants   []int
 	gone      []snapshot.Member // deleted lately: an older list must not bring them back to the next process
 	stopAt    time.Time         // when it was told to stop; zero = it was not
-	stopPlan  shutdown.Plan
+	stopPlan  shutdown.Schedule
 
 	counts Counts
 }
 
 // Counts is what the core has taken in, sent and answered.
 type Counts struct {
-	Taken, Conflicts, Gone  int
-	Sent, Probes, Lists     int
-	Served, Refused, Failed int
-	Unserved                map[policy.Reason]int // refused or failed, by reason
-	Calls, Asked            outcome.Counts        // endings of invoker calls and of probes
+	Accepted, Conflicts, ClientsGone  int
+	Attempts, Probes, EndpointUpdates int
+	Served, Rejected, Failed          int
+	UnservedByReason                  map[policy.Reason]int // refused or failed, by reason
+	AttemptOutcomes, ProbeOutcomes    outcome.Counts        // endings of invoker calls and of probes
 }
 
 // known is a provider that the directory has named.
 type known struct {
 	name     string
-	line     endpoints.Member // as the directory last told it
-	origin   origin           // of the process that it names
-	toldAt   time.Time        // since when it has told the present phase
+	line     endpoints.Endpoint // as the directory last told it
+	origin   origin             // of the process that it names
+	toldAt   time.Time          // since when it has told the present phase
 	at       upstream.Endpoint
 	health   policy.Health
 	notAfter time.Time // of a first byte, once it drains or is gone
 	calls    int       // and probes under way
 	newsAt   time.Time // of its last load report
 	outSince time.Time // the module has left it out; zero = it does not
-	proof    staleness.Proof
+	proof    staleness.Liveness
 }
 
 // attempt is an invoker call or a probe under way, and what it is for.
 type attempt struct {
-	call    upstream.Call
+	call    upstream.Attempt
 	began   time.Time
 	probe   bool
 	request policy.RequestID
@@ -147,12 +147,12 @@
 }
 
 // event is something that another goroutine has seen.
-type event interface{ apply(*Pool) }
+type event interface{ apply(*Dispatcher) }
 
 type (
-	arrived   struct{ inv *request.Invocation }
+	arrived   struct{ inv *request.Request }
 	abandoned struct {
-		inv    *request.Invocation
+		inv    *request.Request
 		mayRun chan<- bool // nil = nobody asks
 	}
 	callEnded struct {
@@ -164,14 +164,14 @@
 		endpoints.List
 		at time.Time
 	}
-	trusting staleness.Trust
+	trusting staleness.Validity
 	taking   struct{ to chan<- *snapshot.Snapshot }
 	stopNow  struct {
-		plan shutdown.Plan
+		plan shutdown.Schedule
 		at   time.Time
 	}
 	changing struct {
-		Change
+		Reconfiguration
 		done chan<- error
 	}
 	reading struct{ to chan<- Counts }
@@ -188,48 +188,48 @@
 )
 
 // New returns a Pool that does nothing until Run is called; what is sent to it waits.
-func New(o Options) (*Pool, error) {
-	bal, err := policy.New(vouching(o.Logic, o.DrainGrace), o.Seed)
+func New(o Options) (*Dispatcher, error) {
+	bal, err := policy.New(vouching(o.Policy, o.DrainGrace), o.Seed)
 	if err != nil {
 		return nil, err
 	}
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
 	}
-	if o.Targets == nil {
-		o.Targets = func(int, int) {}
+	if o.OnServerCounts == nil {
+		o.OnServerCounts = func(int, int) {}
 	}
-	if o.Wall == nil {
-		o.Wall = time.Now
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
-	if o.Saw == nil {
-		o.Saw = func(string, staleness.Sign) {}
+	if o.OnEvidence == nil {
+		o.OnEvidence = func(string, staleness.Evidence) {}
 	}
-	s := &Pool{
-		set: o, bans: o.Bans, bal: bal, clock: newClock(o.Wall), zones: map[string]int{}, stopped: make(chan struct{}),
+	s := &Dispatcher{
+		set: o, bans: o.Cordons, bal: bal, clock: newClock(o.WallClock), zones: map[string]int{}, stopped: make(chan struct{}),
 		events: make(chan event, eventsAhead), listEvents: make(chan event, 1), held: map[policy.RequestID]*held{},
-		byInv: map[*request.Invocation]policy.RequestID{}, open: map[string]bool{},
+		byInv: map[*request.Request]policy.RequestID{}, open: map[string]bool{},
 		calls: map[uint64]*attempt{}, uploads: map[uint64]*attempt{},
 		providers: map[policy.ServerID]*known{}, serverIDs: map[string]policy.ServerID{},
 		numbers: map[policy.ServerID]bool{},
 	}
-	s.classes, s.tenants = upTo(len(o.Logic.Classes)), upTo(len(o.Logic.Tenants))
+	s.classes, s.tenants = upTo(len(o.Policy.Classes)), upTo(len(o.Policy.Tenants))
 	for i, name := range o.Zones {
 		s.zones[name] = i
 	}
 	s.step(policy.Event{Kind: policy.Started})
-	if o.Before == nil {
-		cached := o.Known
+	if o.Restored == nil {
+		cached := o.InitialEndpoints
 		cached.Complete = true
 		s.list(cached)
 	} else {
-		s.restore(o.Before)
+		s.restore(o.Restored)
 	}
 	return s, nil
 }
 
 // Run carries out the module's decisions until ctx ends. It is called once.
-func (s *Pool) Run(ctx context.Context) error {
+func (s *Dispatcher) Run(ctx context.Context) error {
 	defer close(s.stopped)
 	far := time.Now().Add(farAhead)
 	alarm := time.NewTimer(farAhead)
@@ -259,7 +259,7 @@
 }
 
 // handleListEvents handles what discovery has told.
-func (s *Pool) handleListEvents() {
+func (s *Dispatcher) handleListEvents() {
 	for {
 		select {
 		case e := <-s.listEvents:
@@ -271,7 +271,7 @@
 }
 
 // handleWaiting handles what else has come in, up to a point at which timers must be looked at.
-func (s *Pool) handleWaiting() {
+func (s *Dispatcher) handleWaiting() {
 	for range eventsAtOnce {
 		s.handleListEvents()
 		select {
@@ -283,9 +283,9 @@
 	}
 }
 
-func (s *Pool) send(e event) bool { return s.sendOn(s.events, e) }
+func (s *Dispatcher) send(e event) bool { return s.sendOn(s.events, e) }
 
-func (s *Pool) sendOn(way chan<- event, e event) bool {
+func (s *Dispatcher) sendOn(way chan<- event, e event) bool {
 	select {
 	case way <- e:
 		return true
@@ -294,17 +294,17 @@
 	}
 }
 
-// Take hands over an invocation; with Abandon and Ready it makes the Pool an request.Core.
-func (s *Pool) Take(inv *request.Invocation) bool { return s.send(arrived{inv}) }
+// Submit hands over an invocation; with Abandon and Ready it makes the Pool an request.Core.
+func (s *Dispatcher) Submit(inv *request.Request) bool { return s.send(arrived{inv}) }
 
-// Abandon says that the consumer is gone. Its word may have to wait behind others; meanwhile nothing more is sent all the same.
-func (s *Pool) Abandon(inv *request.Invocation) {
-	inv.Leave()
+// ClientGone says that the consumer is gone. Its word may have to wait behind others; meanwhile nothing more is sent all the same.
+func (s *Dispatcher) ClientGone(inv *request.Request) {
+	inv.MarkClientGone()
 	s.send(abandoned{inv: inv})
 }
 
 // Cancel is Abandon for one who has to know whether an attempt may have run. What has been answered meanwhile may have.
-func (s *Pool) Cancel(inv *request.Invocation) (mayRun bool) {
+func (s *Dispatcher) Cancel(inv *request.Request) (mayRun bool) {
 	told := make(chan bool, 1)
 	if s.send(abandoned{inv, told}) {
 		select {
@@ -317,76 +317,80 @@
 	return h == nil || h.mayRun || h.call != 0
 }
 
-// Stopped is closed when Run has ended: nothing is answered any more.
-func (s *Pool) Stopped() <-chan struct{} { return s.stopped }
+// Done is closed when Run has ended: nothing is answered any more.
+func (s *Dispatcher) Done() <-chan struct{} { return s.stopped }
 
 // Ready reports whether there is a provider to send to.
-func (s *Pool) Ready() bool { return s.ready.Load() }
+func (s *Dispatcher) Ready() bool { return s.ready.Load() }
 
-// Told takes news from the directory, which were there at that moment.
-func (s *Pool) Told(l endpoints.List, at time.Time) { s.sendOn(s.listEvents, told{l, at}) }
+// UpdateEndpoints takes news from the directory, which were there at that moment.
+func (s *Dispatcher) UpdateEndpoints(l endpoints.List, at time.Time) {
+	s.sendOn(s.listEvents, told{l, at})
+}
 
-// Trust takes what the list is worth from now on.
-func (s *Pool) Trust(t staleness.Trust) { s.sendOn(s.listEvents, trusting(t)) }
+// SetListValidity takes what the list is worth from now on.
+func (s *Dispatcher) SetListValidity(t staleness.Validity) { s.sendOn(s.listEvents, trusting(t)) }
 
-func (e trusting) apply(s *Pool) {
-	s.trust = staleness.Trust(e)
-	pick, _ := staleness.Leave(s.set.DrainGrace)
+func (e trusting) apply(s *Dispatcher) {
+	s.trust = staleness.Validity(e)
+	pick, _ := staleness.DrainLimits(s.set.DrainGrace)
 	s.step(policy.Event{
-		Kind: policy.ListValidityChanged, TimeLeft: millis(time.Until(e.Sure) + pick),
-		Elapsed: millis(time.Until(e.Known)),
+		Kind: policy.ListValidityChanged, TimeLeft: millis(time.Until(e.ListUntil) + pick),
+		Elapsed: millis(time.Until(e.ProcessUntil)),
 	})
 }
 
 // vouching adds to the module's settings for how long a probe stands for a list that is not sure.
 func vouching(cfg policy.Config, grace time.Duration) policy.Config {
-	pick, _ := staleness.Leave(grace)
+	pick, _ := staleness.DrainLimits(grace)
 	cfg.ProbeValidity = millis(pick)
 	return cfg
 }
 
-// Stopping says that the process was told to stop, at that moment: what comes in from then on is answered in time for that.
-func (s *Pool) Stopping(plan shutdown.Plan, at time.Time) { s.send(stopNow{plan, at}) }
+// ScheduleShutdown says that the process was told to stop, at that moment: what comes in from then on is answered in time for that.
+func (s *Dispatcher) ScheduleShutdown(plan shutdown.Schedule, at time.Time) {
+	s.send(stopNow{plan, at})
+}
 
-func (e stopNow) apply(s *Pool) {
+func (e stopNow) apply(s *Dispatcher) {
 	s.stopAt, s.stopPlan = e.at, e.plan
 	for id, h := range s.held {
 		end := h.inv.SentAt.Add(s.patience(h.inv))
-		if h.inv.Rest != nil { // its body may flow on: then its own deadline is not set yet
-			end = s.stopAt.Add(e.plan.Answer)
+		if h.inv.Remainder != nil { // its body may flow on: then its own deadline is not set yet
+			end = s.stopAt.Add(e.plan.LastAnswer)
 		}
-		if !h.answered && (h.inv.Rest != nil || end.Before(h.inv.SentAt.Add(h.inv.Patience))) {
+		if !h.answered && (h.inv.Remainder != nil || end.Before(h.inv.SentAt.Add(h.inv.Timeout))) {
 			heap.Push(&s.timers, &timer{at: end, handle: uint64(id)}) // as its own deadline would
 		}
 	}
 }
 
 // Counts asks for the present figures; after Run has ended it reads the last ones.
-func (s *Pool) Counts() Counts {
+func (s *Dispatcher) Counts() Counts {
 	if c, ok := ask(s, func(to chan<- Counts) event { return reading{to} }); ok {
 		return c
 	}
 	return s.counts
 }
 
-func (e reading) apply(s *Pool) {
+func (e reading) apply(s *Dispatcher) {
 	counts := s.counts
-	counts.Unserved = maps.Clone(counts.Unserved)
+	counts.UnservedByReason = maps.Clone(counts.UnservedByReason)
 	e.to <- counts
 }
 
-// Open returns the consumers' ids of what has no final answer yet.
-func (s *Pool) Open() []string {
+// OpenRequests returns the consumers' ids of what has no final answer yet.
+func (s *Dispatcher) OpenRequests() []string {
 	ids, _ := ask(s, func(to chan<- []string) event { return asking{to} })
 	return ids
 }
 
-func (e asking) apply(s *Pool) { e.to <- slices.Collect(maps.Keys(s.open)) }
+func (e asking) apply(s *Dispatcher) { e.to <- slices.Collect(maps.Keys(s.open)) }
 
-// Elsewhere takes the ids of what another process of the same sidecar has open, in place of those it took before.
-func (s *Pool) Elsewhere(ids []string) { s.send(foreign{ids}) }
+// SetOpenInPredecessor takes the ids of what another process of the same sidecar has open, in place of those it took before.
+func (s *Dispatcher) SetOpenInPredecessor(ids []string) { s.send(foreign{ids}) }
 
-func (e foreign) apply(s *Pool) {
+func (e foreign) apply(s *Dispatcher) {
 	s.elsewhere = map[string]bool{}
 	for _, id := range e.ids {
 		s.elsewhere[id] = true
@@ -395,7 +399,7 @@
 
 // step gives the module an event and carries out what it decides. Carrying out an action may end a call at
 // once; that event waits until all that the module decided before is done.
-func (s *Pool) step(e policy.Event) {
+func (s *Dispatcher) step(e policy.Event) {
 	s.pending = append(s.pending, e)
 	if s.stepping {
 		return
@@ -417,7 +421,7 @@
 }
 
 // due handles the timers whose time has come.
-func (s *Pool) due() {
+func (s *Dispatcher) due() {
 	for len(s.timers) > 0 && !time.Now().Before(s.timers[0].at) {
 		t := heap.Pop(&s.timers).(*timer)
 		switch {
@@ -432,25 +436,25 @@
 }
 
 // stop gives up a call that has not ended yet.
-func (s *Pool) stop(number uint64, why outcome.Ending) {
+func (s *Dispatcher) stop(number uint64, why outcome.Kind) {
 	if a := s.calls[number]; a != nil {
-		if how, stopped := a.call.Stop(why); stopped {
-			s.ended(number, upstream.Result{Ending: how})
+		if how, stopped := a.call.Cancel(why); stopped {
+			s.ended(number, upstream.Result{Outcome: how})
 		}
 	}
 }
 
 // withdraw gives up a call of which the last byte is not written.
-func (s *Pool) withdraw(number uint64, why outcome.Ending) {
+func (s *Dispatcher) withdraw(number uint64, why outcome.Kind) {
 	if a := s.calls[number]; a != nil {
 		if how, withdrawn := a.call.Withdraw(why); withdrawn {
-			s.ended(number, upstream.Result{Ending: how})
+			s.ended(number, upstream.Result{Outcome: how})
 		}
 	}
 }
 
 // serverID is the provider's number: the same in every life of its process and of this one.
-func (s *Pool) serverID(id string) policy.ServerID {
+func (s *Dispatcher) serverID(id string) policy.ServerID {
 	n, have := s.serverIDs[id]
 	if !have {
 		h := fnv.New32a()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -32,23 +32,23 @@
 
 func (e refusingEnd) Address() string { return string(e) }
 func (refusingEnd) Close()            {}
-func (refusingEnd) Start(t upstream.Task) upstream.Call {
-	go t.Ended(upstream.Result{Ending: outcome.Refused})
+func (refusingEnd) Start(t upstream.AttemptOptions) upstream.Attempt {
+	go t.OnEnd(upstream.Result{Outcome: outcome.ConnectRefused})
 	return refusedCall{}
 }
 
 type refusedCall struct{}
 
-func (refusedCall) Stop(outcome.Ending) (outcome.Ending, bool)     { return 0, false }
-func (refusedCall) Withdraw(outcome.Ending) (outcome.Ending, bool) { return 0, false }
-func (refusedCall) NotAfter(time.Time)                             {}
+func (refusedCall) Cancel(outcome.Kind) (outcome.Kind, bool)   { return 0, false }
+func (refusedCall) Withdraw(outcome.Kind) (outcome.Kind, bool) { return 0, false }
+func (refusedCall) StartBy(time.Time)                          {}
 
 // host returns a Pool that knows no provider yet, run by the test itself.
-func host(t *testing.T) *Pool {
+func host(t *testing.T) *Dispatcher {
 	t.Helper()
 	s, err := New(Options{
-		Logic:  policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}}},
-		Caller: refusing{},
+		Policy:   policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}}},
+		Upstream: refusing{},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 
 type sizes struct{ Providers, IDs, Numbers, Held, Open, Calls, Timers int }
 
-func (s *Pool) sizes() sizes {
+func (s *Dispatcher) sizes() sizes {
 	return sizes{len(s.providers), len(s.serverIDs), len(s.numbers), len(s.held), len(s.open), len(s.calls), len(s.timers)}
 }
 
@@ -70,13 +70,13 @@
 		before := s.sizes()
 		for i := range 20000 {
 			name, was := fmt.Sprintf("s-%d", i), fmt.Sprintf("s-%d", i-1)
-			s.list(endpoints.List{Members: []endpoints.Member{
+			s.list(endpoints.List{Endpoints: []endpoints.Endpoint{
 				{ID: name, Address: "p:1", Phase: endpoints.Serving},
 				{ID: was, Phase: endpoints.Deleted},
 			}})
-			arrived{&request.Invocation{
-				ID: name, SentAt: time.Now(), Patience: time.Second,
-				Answer: func(request.Answer) {},
+			arrived{&request.Request{
+				ID: name, SentAt: time.Now(), Timeout: time.Second,
+				Respond: func(request.Response) {},
 			}}.apply(s)
 			synctest.Wait()
 			for len(s.calls) > 0 {
@@ -88,8 +88,8 @@
 		s.list(endpoints.List{Complete: true})
 		time.Sleep(time.Second) // until the last deadline
 		s.due()
-		if diff := cmp.Diff(before, s.sizes()); diff != "" || s.counts.Sent != 20000 || len(s.gone) > goneMost {
-			t.Errorf("%d sent, %d gone\n%s", s.counts.Sent, len(s.gone), diff)
+		if diff := cmp.Diff(before, s.sizes()); diff != "" || s.counts.Attempts != 20000 || len(s.gone) > goneMost {
+			t.Errorf("%d sent, %d gone\n%s", s.counts.Attempts, len(s.gone), diff)
 		}
 	})
 }
@@ -100,11 +100,11 @@
 		s := host(t)
 		var got []request.Kind
 		for range 3 {
-			s.list(endpoints.List{Members: []endpoints.Member{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
+			s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
 			for range 2 {
-				arrived{&request.Invocation{
-					ID: "a", SentAt: time.Now(), Patience: time.Second,
-					Answer: func(a request.Answer) { got = append(got, a.Kind) },
+				arrived{&request.Request{
+					ID: "a", SentAt: time.Now(), Timeout: time.Second,
+					Respond: func(a request.Response) { got = append(got, a.Kind) },
 				}}.apply(s)
 			}
 			synctest.Wait()
@@ -113,10 +113,10 @@
 			}
 		}
 		want := []request.Kind{
-			request.Conflict, request.Refused, request.Conflict, request.Refused,
-			request.Conflict, request.Refused,
+			request.Duplicate, request.Rejected, request.Duplicate, request.Rejected,
+			request.Duplicate, request.Rejected,
 		}
-		if diff := cmp.Diff(want, got); diff != "" || s.counts.Conflicts != 3 || s.counts.Calls[outcome.Refused] != 3 {
+		if diff := cmp.Diff(want, got); diff != "" || s.counts.Conflicts != 3 || s.counts.AttemptOutcomes[outcome.ConnectRefused] != 3 {
 			t.Errorf("%+v\n%s", s.counts, diff)
 		}
 	})
@@ -128,7 +128,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	end()
 	for i, h := range []*held{{}, {call: 1}, {mayRun: true}, nil} {
-		inv := &request.Invocation{ID: fmt.Sprint(i)}
+		inv := &request.Request{ID: fmt.Sprint(i)}
 		if id := policy.RequestID(i + 1); h != nil {
 			s.held[id], s.byInv[inv] = h, id
 		}
@@ -146,11 +146,11 @@
 func TestUnreadableReportsAreLeftOut(t *testing.T) {
 	settings := config.Settings{}
 	settings.Report.Names = []string{"active", "avg_ms"}
-	s := &Pool{set: Options{Whole: settings.Whole}, calls: map[uint64]*attempt{}, providers: map[policy.ServerID]*known{}}
+	s := &Dispatcher{set: Options{IsComplete: settings.IsComplete}, calls: map[uint64]*attempt{}, providers: map[policy.ServerID]*known{}}
 	s.stepping = true // the module's events are looked at, not handled
 	for _, report := range []string{`{"active":3}`, `{"active":null,"avg_ms":20}`, `{"avg_ms":3}`, `{"act`, ``} {
 		s.calls[1] = &attempt{probe: true, end: &timer{index: -1}}
-		s.ended(1, upstream.Result{Ending: outcome.Served, Report: loadreport.Parse([]byte(report))})
+		s.ended(1, upstream.Result{Outcome: outcome.Served, Report: loadreport.Parse([]byte(report))})
 	}
 	var got []policy.Status
 	for _, e := range s.pending {
@@ -165,11 +165,11 @@
 // What an ending says of the list: a refused connection and a probe that is turned away speak against it, an answer for it, and
 // a request that is turned away says nothing, since a queue may have been full.
 func TestSigns(t *testing.T) {
-	const none = staleness.Sign(255)
-	for e, want := range map[outcome.Ending][2]staleness.Sign{
-		outcome.Served: {staleness.Alive, staleness.Alive}, outcome.Refused: {staleness.Refused, staleness.Refused},
+	const none = staleness.Evidence(255)
+	for e, want := range map[outcome.Kind][2]staleness.Evidence{
+		outcome.Served: {staleness.Alive, staleness.Alive}, outcome.ConnectRefused: {staleness.ConnectRefused, staleness.ConnectRefused},
 		outcome.Declined: {none, staleness.Draining}, outcome.ServerError: {none, staleness.Draining},
-		outcome.TimedOut: {none, none}, outcome.ConnectTimeout: {none, none}, outcome.LocalFault: {none, none},
+		outcome.TimedOut: {none, none}, outcome.ConnectTimeout: {none, none}, outcome.LocalError: {none, none},
 	} {
 		for i, probe := range []bool{false, true} {
 			got, is := signOf(e, probe)
@@ -190,13 +190,13 @@
 		var got []string
 		s.set.Trace = func(format string, args ...any) { got = append(got, fmt.Sprintf(format, args...)) }
 		up := float64(time.Now().UnixMilli())
-		s.list(endpoints.List{Members: []endpoints.Member{{ID: "a", Address: "p:1", Phase: endpoints.Serving, UpSince: up}}})
+		s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "p:1", Phase: endpoints.Serving, StartedAt: up}}})
 		probe := s.start(s.providers[s.serverID("a")], nil, &attempt{probe: true, server: s.serverID("a")}, time.Second)
-		s.ended(probe, upstream.Result{Ending: outcome.Served})
+		s.ended(probe, upstream.Result{Outcome: outcome.Served})
 		time.Sleep(1500 * time.Millisecond)
-		arrived{&request.Invocation{
-			ID: "r", SentAt: time.Now(), Patience: time.Second,
-			Answer: func(request.Answer) {},
+		arrived{&request.Request{
+			ID: "r", SentAt: time.Now(), Timeout: time.Second,
+			Respond: func(request.Response) {},
 		}}.apply(s)
 		synctest.Wait()
 		for len(s.calls) > 0 {
@@ -221,11 +221,11 @@
 func TestUnsureListGetsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, err := New(Options{
-			Logic: policy.Config{
+			Policy: policy.Config{
 				MaxAttempts: 1, Cancel: true, Probes: true,
 				Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}},
-			}, Caller: refusing{}, DrainGrace: 750 * time.Millisecond,
-			Known: endpoints.List{Members: []endpoints.Member{
+			}, Upstream: refusing{}, DrainGrace: 750 * time.Millisecond,
+			InitialEndpoints: endpoints.List{Endpoints: []endpoints.Endpoint{
 				{ID: "a", Address: "a:1", Phase: endpoints.Serving},
 				{ID: "b", Address: "b:1", Phase: endpoints.Serving},
 			}},
@@ -235,20 +235,20 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go s.Run(ctx)
-		s.Trust(staleness.Trust{Sure: time.Now().Add(time.Second)})
+		s.SetListValidity(staleness.Validity{ListUntil: time.Now().Add(time.Second)})
 		for i, want := range []int{1, 1} {
-			inv := &request.Invocation{
-				ID: fmt.Sprint(i), Patience: time.Second, SentAt: time.Now(),
-				Answer: func(request.Answer) {},
+			inv := &request.Request{
+				ID: fmt.Sprint(i), Timeout: time.Second, SentAt: time.Now(),
+				Respond: func(request.Response) {},
 			}
-			s.Take(inv)
+			s.Submit(inv)
 			time.Sleep(2 * time.Second)
-			if c := s.Counts(); c.Sent != want || c.Probes == 0 {
-				t.Errorf("request %d: %d sent, want %d; %d probes", i, c.Sent, want, c.Probes)
+			if c := s.Counts(); c.Attempts != want || c.Probes == 0 {
+				t.Errorf("request %d: %d sent, want %d; %d probes", i, c.Attempts, want, c.Probes)
 			}
 		}
 		cancel()
-		<-s.Stopped()
+		<-s.Done()
 	})
 }
 
@@ -256,12 +256,12 @@
 func TestWordsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := host(t)
-		line := func(id, phase string) endpoints.Member {
-			return endpoints.Member{ID: id, Address: id + ":1", Phase: phase}
+		line := func(id, phase string) endpoints.Endpoint {
+			return endpoints.Endpoint{ID: id, Address: id + ":1", Phase: phase}
 		}
-		s.list(endpoints.List{Complete: true, Members: []endpoints.Member{line("a", endpoints.Serving), line("b", endpoints.Serving)}})
+		s.list(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{line("a", endpoints.Serving), line("b", endpoints.Serving)}})
 		for i := range eventsAhead / 2 {
-			s.Take(&request.Invocation{ID: fmt.Sprint(i), SentAt: time.Now(), Patience: time.Second, Answer: func(request.Answer) {}})
+			s.Submit(&request.Request{ID: fmt.Sprint(i), SentAt: time.Now(), Timeout: time.Second, Respond: func(request.Response) {}})
 		}
 		var sent []string
 		s.set.Trace = func(format string, args ...any) {
@@ -269,12 +269,12 @@
 				sent = append(sent, args[1].(string))
 			}
 		}
-		s.Told(endpoints.List{Members: []endpoints.Member{line("a", endpoints.Draining)}}, time.Now())
+		s.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{line("a", endpoints.Draining)}}, time.Now())
 		ctx, cancel := context.WithCancel(t.Context())
 		go s.Run(ctx)
 		synctest.Wait()
 		cancel()
-		<-s.Stopped()
+		<-s.Done()
 		if n := len(sent); n == 0 || slices.Contains(sent, "a") {
 			t.Errorf("%d sent: %q", n, sent[:min(n, 20)])
 		}
@@ -287,7 +287,7 @@
 	for _, phase := range []string{endpoints.Serving, endpoints.Deleted} {
 		l := endpoints.List{}
 		for i := range 2000 {
-			l.Members = append(l.Members, endpoints.Member{ID: fmt.Sprint(i), Address: "p:1", Phase: phase})
+			l.Endpoints = append(l.Endpoints, endpoints.Endpoint{ID: fmt.Sprint(i), Address: "p:1", Phase: phase})
 		}
 		s.list(l)
 	}
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -21,55 +21,55 @@
 	gone := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
 		repeat  policy.Idempotency
-		ends    []outcome.Ending // of its attempts, a second after each was sent; the last one's connection does not come up
-		written bool             // or does
-		expires []time.Duration  // of each attempt, from the first one on
-		did     []string         // to the last attempt within 3 s of the first
+		ends    []outcome.Kind  // of its attempts, a second after each was sent; the last one's connection does not come up
+		written bool            // or does
+		expires []time.Duration // of each attempt, from the first one on
+		did     []string        // to the last attempt within 3 s of the first
 		answers []request.Kind
 	}{
-		"what may run twice": {repeat: policy.Idempotent, ends: []outcome.Ending{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
+		"what may run twice": {repeat: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
 		"the first may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.ResetByPeer},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Rejected},
 		},
 		"the first has timed out": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.TimedOut},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Refused},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.TimedOut},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Rejected},
 		},
 		"the second is written": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.ResetByPeer}, written: true,
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer}, written: true,
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond},
 		},
-		"the first never ran": {repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.Declined}, expires: []time.Duration{never, never}},
+		"the first never ran": {repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined}, expires: []time.Duration{never, never}},
 		"the second may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.Declined, outcome.ResetByPeer},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined, outcome.ResetByPeer},
 			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond},
 		},
 		"the first two may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Ending{outcome.ServerError, outcome.ResetByPeer},
+			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
-			did:     gone, answers: []request.Kind{request.Refused},
+			did:     gone, answers: []request.Kind{request.Rejected},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := new(slow)
-				s, err := New(Options{Logic: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
+				s, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
 					LatencyObjective: 2e4, Deadline: 6e4,
 					Idempotency: tc.repeat, KeyWindow: 3000,
-				}}}, Caller: c, DrainGrace: time.Minute})
+				}}}, Upstream: c, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
 				}
 				list := endpoints.List{}
 				for i := range 4 {
-					list.Members = append(list.Members, endpoints.Member{ID: fmt.Sprint(i), Address: "p:1", Phase: endpoints.Serving})
+					list.Endpoints = append(list.Endpoints, endpoints.Endpoint{ID: fmt.Sprint(i), Address: "p:1", Phase: endpoints.Serving})
 				}
 				s.list(list)
 				var got []request.Kind
-				inv := &request.Invocation{
-					ID: "a", SentAt: time.Now(), Patience: time.Minute,
-					Answer: func(a request.Answer) { got = append(got, a.Kind) },
+				inv := &request.Request{
+					ID: "a", SentAt: time.Now(), Timeout: time.Minute,
+					Respond: func(a request.Response) { got = append(got, a.Kind) },
 				}
 				first := time.Now()
 				arrived{inv}.apply(s)
@@ -78,7 +78,7 @@
 					time.Sleep(second)
 					s.due()
 					c.calls[i].over = true
-					s.ended(s.held[s.byInv[inv]].call, upstream.Result{Ending: end})
+					s.ended(s.held[s.byInv[inv]].call, upstream.Result{Outcome: end})
 				}
 				if tc.written {
 					c.calls[len(c.calls)-1].over = true
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -6,7 +6,7 @@
 )
 
 // maySend is the guard of every attempt: it holds back what a sound module does not ask for.
-func (s *Pool) maySend(h *held, k *known) bool {
+func (s *Dispatcher) maySend(h *held, k *known) bool {
 	switch {
 	case h == nil || h.answered || k == nil:
 		return false
@@ -24,7 +24,7 @@
 }
 
 // mayRefuse is the guard of every refusal, which promises that trying again is harmless.
-func (s *Pool) mayRefuse(h *held) bool {
+func (s *Dispatcher) mayRefuse(h *held) bool {
 	if !h.mayRun && h.call == 0 {
 		return true
 	}
@@ -33,16 +33,16 @@
 }
 
 // class is that of the invocation, as the module knows it.
-func (s *Pool) class(h *held) policy.Class {
-	if n := h.inv.Class; n >= 0 && n < len(s.set.Logic.Classes) {
-		return s.set.Logic.Classes[n]
+func (s *Dispatcher) class(h *held) policy.Class {
+	if n := h.inv.Class; n >= 0 && n < len(s.set.Policy.Classes) {
+		return s.set.Policy.Classes[n]
 	}
 	return policy.Class{Idempotency: policy.NonIdempotent}
 }
 
 // heldBack counts what a guard has held back, and logs it: the module should not have asked for it.
-func (s *Pool) heldBack(r invariant.Rule, h *held, what string) {
-	s.set.Rules.Held(r)
+func (s *Dispatcher) heldBack(r invariant.Rule, h *held, what string) {
+	s.set.Invariants.Prevented(r)
 	s.set.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", r, h.inv.ID, what, h.attempts,
 		h.mayRun, h.call != 0)
 }
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -32,23 +32,23 @@
 		"the server drains":              {repeat: policy.Idempotent, leaves: true, refuse: true, counted: invariant.DrainGrace},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			book := new(invariant.Book)
-			s, err := New(Options{Logic: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
+			book := new(invariant.Recorder)
+			s, err := New(Options{Policy: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
 				LatencyObjective: 100, Deadline: 1000,
 				Idempotency: row.repeat, KeyScope: row.scope,
-			}}}, Caller: refusing{}, Rules: book})
+			}}}, Upstream: refusing{}, Invariants: book})
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.list(endpoints.List{Members: []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Serving}}})
+			s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Serving}}})
 			k := s.providers[s.serverIDs["a"]]
 			if row.leaves {
 				k.health = policy.Draining
 			}
 			var got []request.Kind
-			h := &held{mayRun: row.mayRun, inv: &request.Invocation{
-				ID: "r", SentAt: time.Now(), Patience: time.Second,
-				Answer: func(a request.Answer) { got = append(got, a.Kind) },
+			h := &held{mayRun: row.mayRun, inv: &request.Request{
+				ID: "r", SentAt: time.Now(), Timeout: time.Second,
+				Respond: func(a request.Response) { got = append(got, a.Kind) },
 			}}
 			if row.out {
 				h.call = 1
@@ -56,12 +56,12 @@
 			if send := s.maySend(h, k); send != row.send {
 				t.Errorf("%s: may send %t", name, send)
 			}
-			if c := book.Counts()[row.counted]; !row.send && c.Held != 1 {
-				t.Errorf("%s: %s held back %d times", name, c.Rule, c.Held)
+			if c := book.Counts()[row.counted]; !row.send && c.Prevented != 1 {
+				t.Errorf("%s: %s held back %d times", name, c.Rule, c.Prevented)
 			}
 			s.held[1] = h
-			s.answer(1, request.Answer{Kind: request.Refused})
-			want := request.Refused
+			s.answer(1, request.Response{Kind: request.Rejected})
+			want := request.Rejected
 			if !row.refuse {
 				want = request.Failed
 			}
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -12,18 +12,18 @@
 
 // Snapshot returns what the sidecar has learned, or nil if it has stopped. Who listens to which directory is filled in by
 // the caller.
-func (s *Pool) Snapshot() *snapshot.Snapshot {
+func (s *Dispatcher) Snapshot() *snapshot.Snapshot {
 	snap, _ := ask(s, func(to chan<- *snapshot.Snapshot) event { return taking{to} })
 	return snap
 }
 
-func (e taking) apply(s *Pool) { e.to <- s.snapshot(time.Now()) }
+func (e taking) apply(s *Dispatcher) { e.to <- s.snapshot(time.Now()) }
 
 // snapshot gives the module's state the names by which the next process knows its providers.
-func (s *Pool) snapshot(now time.Time) *snapshot.Snapshot {
+func (s *Dispatcher) snapshot(now time.Time) *snapshot.Snapshot {
 	st := s.bal.State()
 	out := &snapshot.Snapshot{
-		TakenAt: s.set.Wall(), Program: s.set.Name, Deployment: s.set.Deployment,
+		TakenAt: s.set.WallClock(), Program: s.set.Name, Deployment: s.set.Deployment,
 		Revision: s.revision,
 	}
 	names := map[policy.ServerID]string{}
@@ -38,7 +38,7 @@
 	}
 	slices.SortFunc(out.Members, func(a, b snapshot.Member) int { return cmp.Compare(a.ID, b.ID) })
 	var err error
-	if out.Reuse, err = s.set.Caller.State(now); err != nil {
+	if out.Reuse, err = s.set.Upstream.State(now); err != nil {
 		s.set.Logf("snapshot=connections state=left_out err=%q", err)
 	}
 	l := &out.Learned
@@ -75,14 +75,14 @@
 }
 
 // forget keeps a deleted provider in mind for the next process, in place of the one forgotten longest.
-func (s *Pool) forget(m snapshot.Member) {
+func (s *Dispatcher) forget(m snapshot.Member) {
 	s.gone = append(slices.DeleteFunc(s.gone, func(o snapshot.Member) bool { return o.ID == m.ID }), m)
 	s.gone = s.gone[max(0, len(s.gone)-goneMost):]
 }
 
 // dateOf is the date that the list gives the start of the process of which the module has learned; one that operators have put back
 // may be another by now, and has none of the list's.
-func (s *Pool) dateOf(in policy.ServerState) float64 {
+func (s *Dispatcher) dateOf(in policy.ServerState) float64 {
 	if k := s.providers[in.ID]; k != nil && k.origin.listed == in.StartedAt {
 		return k.origin.upSince
 	}
@@ -90,15 +90,15 @@
 }
 
 // member words the provider for a snapshot.
-func (s *Pool) member(k *known, now time.Time) snapshot.Member {
+func (s *Dispatcher) member(k *known, now time.Time) snapshot.Member {
 	m := k.line
 	phase := m.Phase
 	if k.health == policy.Gone { // also where a whole list left it out
 		phase = endpoints.Deleted
 	}
 	out := snapshot.Member{
-		ID: m.ID, Address: k.at.Address(), Locality: m.Locality, Cell: m.Cell, Phase: phase,
-		UpSince: m.UpSince, ToldAt: math.Floor(s.wallAt(k.toldAt, now)),
+		ID: m.ID, Address: k.at.Address(), Locality: m.Zone, Cell: m.Cell, Phase: phase,
+		UpSince: m.StartedAt, ToldAt: math.Floor(s.wallAt(k.toldAt, now)),
 	}
 	if k.origin.listed > 0 {
 		out.Age = max(1, s.clock.at(now)-k.origin.listed) // an age of 0 is none
@@ -122,7 +122,7 @@
 }
 
 // restore begins with the list and what was learned before, instead of the configuration's list alone.
-func (s *Pool) restore(before *snapshot.Beginning) {
+func (s *Dispatcher) restore(before *snapshot.Restored) {
 	listed := before.List
 	listed.Members = nil
 	for _, m := range before.List.Members {
@@ -170,7 +170,7 @@
 			ID: id, StartedAt: startedAt, Latency: in.Latency, LatencyReported: in.Reported,
 			ReportedAt: never(in.ReportAt), RoundTrip: in.Network, ErrorRate: in.Failing,
 			SlowStartBudget: policy.Level{Value: in.Cold.V, At: in.Cold.At},
-			Outcomes:        make([]policy.Tally, 1+len(s.set.Logic.Tenants)),
+			Outcomes:        make([]policy.Tally, 1+len(s.set.Policy.Tenants)),
 		}
 		for _, t := range in.By {
 			if int(t.Who) < len(one.Outcomes) {
@@ -184,7 +184,7 @@
 	}
 	if len(before.Reuse) > 0 {
 		age := duration(s.clock.at(now) - l.Now)
-		if err := s.set.Caller.Restore(now, before.Reuse, age); err != nil {
+		if err := s.set.Upstream.Restore(now, before.Reuse, age); err != nil {
 			s.set.Logf("snapshot=connections state=left_out err=%q", err)
 		}
 	}
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -16,17 +16,17 @@
 func TestRestartRemembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := host(t)
-		lines := []endpoints.Member{
+		lines := []endpoints.Endpoint{
 			{ID: "a", Address: "a:1", Phase: endpoints.Serving},
 			{ID: "b", Address: "b:1", Phase: endpoints.Serving},
-			{ID: "c", Address: "c:1", Phase: endpoints.Serving, UpSince: 5},
+			{ID: "c", Address: "c:1", Phase: endpoints.Serving, StartedAt: 5},
 		}
-		s.list(endpoints.List{Revision: 7, Complete: true, Members: lines})
+		s.list(endpoints.List{Revision: 7, Complete: true, Endpoints: lines})
 		time.Sleep(time.Second)
 		told := time.Now()
-		s.list(endpoints.List{Revision: 8, Members: []endpoints.Member{{ID: "a", Address: "a:1", Phase: endpoints.Draining}}})
-		s.list(endpoints.List{Revision: 8, Members: []endpoints.Member{{ID: "d", Address: "d:1", Phase: endpoints.Serving}}})
-		s.list(endpoints.List{Revision: 8, Members: []endpoints.Member{{ID: "d", Phase: endpoints.Deleted}}})
+		s.list(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Draining}}})
+		s.list(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Address: "d:1", Phase: endpoints.Serving}}})
+		s.list(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Phase: endpoints.Deleted}}})
 		for _, name := range []string{"b", "c"} {
 			id := s.serverIDs[name]
 			st := s.bal.State()
@@ -49,13 +49,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rules := snapshot.DefaultRules()
+		rules := snapshot.DefaultValidityRules()
 		rules.Deployment, rules.Classes = "", 1
-		lines[2].UpSince = 6
-		known := snapshot.FromConfig(endpoints.List{Revision: 9, Members: lines}, "", time.Now())
-		begin, _ := snapshot.Begin(snap, known, time.Now(), rules)
+		lines[2].StartedAt = 6
+		known := snapshot.FromConfig(endpoints.List{Revision: 9, Endpoints: lines}, "", time.Now())
+		begin, _ := snapshot.Restore(snap, known, time.Now(), rules)
 		set := s.set
-		set.Before = &begin
+		set.Restored = &begin
 		next, err := New(set)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -10,7 +10,7 @@
 
 // traceStart logs what an attempt is decided on: how old the provider's last report is and how long its process runs, in
 // ms; -1 = not known.
-func (s *Pool) traceStart(a *attempt, k *known) {
+func (s *Dispatcher) traceStart(a *attempt, k *known) {
 	if s.set.Trace == nil {
 		return
 	}
@@ -26,7 +26,7 @@
 }
 
 // traceEnd logs how it ended, and takes note of a report.
-func (s *Pool) traceEnd(a *attempt, k *known, how outcome.Ending, took policy.Ms) {
+func (s *Dispatcher) traceEnd(a *attempt, k *known, how outcome.Kind, took policy.Ms) {
 	if s.set.Trace == nil || k == nil {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // requestOf is the id of the request that an attempt is for, with nothing in it that ends a word of the log; "-" = none.
-func (s *Pool) requestOf(a *attempt) string {
+func (s *Dispatcher) requestOf(a *attempt) string {
 	if h := s.held[a.request]; h != nil && !a.probe {
 		return url.QueryEscape(h.inv.ID)
 	}
@@ -52,14 +52,14 @@
 }
 
 // traceRequest logs a change of a request's state.
-func (s *Pool) traceRequest(inv *request.Invocation, state, format string, args ...any) {
+func (s *Dispatcher) traceRequest(inv *request.Request, state, format string, args ...any) {
 	if s.set.Trace != nil {
 		s.set.Trace("trace=request id=%s state=%s "+format, append([]any{url.QueryEscape(inv.ID), state}, args...)...)
 	}
 }
 
 // traceServer logs a change of what a server is to this pool.
-func (s *Pool) traceServer(k *known, was policy.Health) {
+func (s *Dispatcher) traceServer(k *known, was policy.Health) {
 	if s.set.Trace == nil {
 		return
 	}
@@ -71,14 +71,14 @@
 }
 
 // unserved counts why a request is refused or failed.
-func (s *Pool) unserved(a *policy.Action) {
+func (s *Dispatcher) unserved(a *policy.Action) {
 	h := s.held[a.Request]
 	if h == nil || h.answered {
 		return
 	}
-	if s.counts.Unserved == nil {
-		s.counts.Unserved = map[policy.Reason]int{}
+	if s.counts.UnservedByReason == nil {
+		s.counts.UnservedByReason = map[policy.Reason]int{}
 	}
-	s.counts.Unserved[a.Reason]++
+	s.counts.UnservedByReason[a.Reason]++
 	s.traceRequest(h.inv, "unserved", "why=%s", a.Reason)
 }
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -15,25 +15,25 @@
 	Deleted  = "DELETED" // only among changes
 )
 
-// Member is one provider, as a line of the platform's list.
-type Member struct {
-	ID       string  `json:"id"`
-	Address  string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	UpSince  float64 `json:"up_since_ms"` // start of its process in Unix milliseconds; 0 = long ago
+// Endpoint is one provider, as a line of the platform's list.
+type Endpoint struct {
+	ID        string  `json:"id"`
+	Address   string  `json:"host_port"`
+	Zone      string  `json:"locality"`
+	Cell      int     `json:"cell"`
+	Phase     string  `json:"phase"`
+	StartedAt float64 `json:"up_since_ms"` // start of its process in Unix milliseconds; 0 = long ago
 }
 
 // List is what a source has to say: the whole list, or what has changed.
 type List struct {
-	Revision uint64   `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []Member `json:"members"`
+	Revision  uint64     `json:"revision"`
+	Complete  bool       `json:"complete"`
+	Endpoints []Endpoint `json:"members"`
 }
 
 // Check says what makes the line one that nothing can be done with.
-func (m *Member) Check() error {
+func (m *Endpoint) Check() error {
 	if m.ID == "" {
 		return errors.New("id: missing")
 	}
@@ -43,33 +43,33 @@
 	return nil
 }
 
-// Clean takes out the lines that nothing can be done with and says what is wrong with each, by its position.
-func (l *List) Clean() (faults []error) {
-	kept := l.Members[:0]
-	for i, m := range l.Members {
+// RemoveInvalid takes out the lines that nothing can be done with and says what is wrong with each, by its position.
+func (l *List) RemoveInvalid() (faults []error) {
+	kept := l.Endpoints[:0]
+	for i, m := range l.Endpoints {
 		if err := m.Check(); err != nil {
 			faults = append(faults, fmt.Errorf("members[%d].%w", i, err))
 		} else {
 			kept = append(kept, m)
 		}
 	}
-	l.Members = kept
+	l.Endpoints = kept
 	return faults
 }
 
-// Settle leaves one line of each provider that has several, and names those that contradict each other. The last one stands,
+// Normalize leaves one line of each provider that has several, and names those that contradict each other. The last one stands,
 // unless it alone asks for new work, for the same process: whom one line takes out of service gets nothing new by another.
-func (l *List) Settle() (faults []error) {
-	at := make(map[string]int, len(l.Members))
-	kept := l.Members[:0]
-	for _, m := range l.Members {
+func (l *List) Normalize() (faults []error) {
+	at := make(map[string]int, len(l.Endpoints))
+	kept := l.Endpoints[:0]
+	for _, m := range l.Endpoints {
 		first, again := at[m.ID]
 		if !again {
 			at[m.ID] = len(kept)
 			kept = append(kept, m)
 			continue
 		}
-		if was := kept[first]; was != m && m.UpSince <= was.UpSince {
+		if was := kept[first]; was != m && m.StartedAt <= was.StartedAt {
 			faults = append(faults, fmt.Errorf("members: %q is %s and %s", m.ID, was.Phase, m.Phase))
 			if m.Phase == Serving && was.Phase != Serving {
 				continue
@@ -77,6 +77,6 @@
 		}
 		kept[first] = m
 	}
-	l.Members = kept
+	l.Endpoints = kept
 	return faults
 }
--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -16,12 +16,12 @@
 // over is a core that has stopped.
 type over struct{ holding }
 
-func (*over) Take(*request.Invocation) bool { return false }
+func (*over) Submit(*request.Request) bool { return false }
 
 // A connection that ends without the answer to a request that was read from it is counted, unless its consumer has gone.
 func TestMissingAnswersAreCounted(t *testing.T) {
 	for name, row := range map[string]struct {
-		core  request.Core
+		core  request.Dispatcher
 		reads bool // the answer, before the front ends
 		leave bool
 		want  int64
@@ -35,9 +35,9 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-			book := new(invariant.Book)
+			book := new(invariant.Recorder)
 			h := &house{
-				Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16)),
+				Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16)),
 				l:      newPipes(), done: make(chan error, 1),
 			}
 			h.Rules = book
@@ -59,7 +59,7 @@
 			if err := <-h.done; err != nil {
 				t.Error(err)
 			}
-			if got := book.Counts()[invariant.Answer].Broken; got != row.want {
+			if got := book.Counts()[invariant.Answer].Violations; got != row.want {
 				t.Errorf("%s: %d counted, want %d", name, got, row.want)
 			}
 		})
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -11,10 +11,10 @@
 // taking is a core that shows what it takes.
 type taking struct {
 	holding
-	took chan *request.Invocation
+	took chan *request.Request
 }
 
-func (c *taking) Take(inv *request.Invocation) bool {
+func (c *taking) Submit(inv *request.Request) bool {
 	c.took <- inv
 	return true
 }
@@ -25,7 +25,7 @@
 		unread  = 300 * time.Millisecond // for which the request lies in the kernel
 		blurred = 30 * time.Millisecond  // by the kernel's ticks
 	)
-	core := &taking{took: make(chan *request.Invocation, 1)}
+	core := &taking{took: make(chan *request.Request, 1)}
 	s, l, done := behindGate(t, core, 16)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -23,8 +23,8 @@
 // quick is a core that answers at once.
 type quick struct{ holding }
 
-func (c *quick) Take(inv *request.Invocation) bool {
-	c.holding.Take(inv)
+func (c *quick) Submit(inv *request.Request) bool {
+	c.holding.Submit(inv)
 	go c.answer()
 	return true
 }
@@ -43,7 +43,7 @@
 }
 
 // behindGate returns a front with so many places that is about to accept, as soon as the gate opens, and where its end is told.
-func behindGate(t *testing.T, core request.Core, places int) (*Server, *gated, <-chan error) {
+func behindGate(t *testing.T, core request.Dispatcher, places int) (*Server, *gated, <-chan error) {
 	t.Helper()
 	plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -52,7 +52,7 @@
 	l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	s := New(cfg, core, connlimit.NewBudget(places, nil), new(metrics.Book), streaming.New(1<<20, places))
+	s := New(cfg, core, connlimit.NewBudget(places, nil), new(metrics.Registry), streaming.New(1<<20, places))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(t.Context(), l) }()
 	<-l.at
@@ -70,7 +70,7 @@
 		l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16))
+		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
 		<-l.at
@@ -143,7 +143,7 @@
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			l := &until{pipes: newPipes()}
 			budget := connlimit.NewBudget(4, nil) // two of them are for consumers
-			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Book), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
+			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Registry), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
 			for range held {
 				budget.Force(connlimit.Inward)
 			}
@@ -209,7 +209,7 @@
 		l := &faulty{&gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}, errno, 2}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16))
+		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
 		<-l.at
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -43,13 +43,13 @@
 	crowded bool                   // there was no place for it
 	reading bool                   // a message has begun and is not there yet; likewise
 	answers chan answer            // at most one is under way; nil = no writer yet
-	written chan outcome.Ending    // how writing it ended; Open = the connection goes on
+	written chan outcome.Kind      // how writing it ended; Open = the connection goes on
 	done    chan struct{}
 	writer  errgroup.Group
 
 	mu   sync.Mutex
-	gone bool         // nobody writes answers any more
-	long request.Flow // the rest of the present answer; nil = there is none
+	gone bool               // nobody writes answers any more
+	long request.BodyStream // the rest of the present answer; nil = there is none
 }
 
 func (c *conn) run() {
@@ -69,21 +69,21 @@
 }
 
 // checkAnswered looks, as the connection is about to be closed, whether an answer is still owed to a consumer that is there.
-func (c *conn) checkAnswered(e outcome.Ending) {
+func (c *conn) checkAnswered(e outcome.Kind) {
 	id := c.owed.Load()
-	if id == nil || e == outcome.ConsumerGone || e == outcome.WriteFailed || c.socket.Left() {
+	if id == nil || e == outcome.ClientGone || e == outcome.WriteFailed || c.socket.Left() {
 		return
 	}
-	c.server.Rules.Broken(invariant.Answer, "request=%q consumer=%s ending=%s", *id, c.socket.RemoteAddr(), e)
+	c.server.Rules.Violated(invariant.Answer, "request=%q consumer=%s ending=%s", *id, c.socket.RemoteAddr(), e)
 }
 
-func (c *conn) read() outcome.Ending {
+func (c *conn) read() outcome.Kind {
 	for {
 		switch err := c.next(); {
 		case err == errHandedOver:
-			return outcome.HandedOver
+			return outcome.PassedToSuccessor
 		case err != nil:
-			return outcome.OfIdle(err)
+			return outcome.FromIdleError(err)
 		}
 		c.setBusy(true)
 		inv, turned, e := c.message()
@@ -97,7 +97,7 @@
 			c.letGo()
 			e = c.writeOne(c.turn(http.StatusServiceUnavailable, true))
 		default:
-			if e = c.invoke(inv); e == outcome.ConsumerGone || e == outcome.Stopped {
+			if e = c.invoke(inv); e == outcome.ClientGone || e == outcome.ShuttingDown {
 				return e
 			}
 		}
@@ -109,15 +109,15 @@
 }
 
 // invoke has the core answer the invocation, and returns how writing that has ended; or how the connection has.
-func (c *conn) invoke(inv *request.Invocation) outcome.Ending {
+func (c *conn) invoke(inv *request.Request) outcome.Kind {
 	c.serve()
-	c.request = c.server.book.Taken(c.class)
+	c.request = c.server.book.RequestStarted(c.class)
 	defer c.letGo()
 	if (c.br.Buffered() > 0 || !c.socket.Quiet()) && c.socket.Left() { // while its request waited to be read
-		return outcome.ConsumerGone
+		return outcome.ClientGone
 	}
-	if !c.server.core.Take(inv) {
-		return outcome.Stopped
+	if !c.server.core.Submit(inv) {
+		return outcome.ShuttingDown
 	}
 	if c.upload != nil {
 		if e := c.uploaded(inv); e != outcome.Open {
@@ -131,7 +131,7 @@
 }
 
 // await returns how writing the answer has ended; or, if the consumer leaves before, how the connection has.
-func (c *conn) await(inv *request.Invocation) outcome.Ending {
+func (c *conn) await(inv *request.Request) outcome.Kind {
 	_, err := c.br.Peek(1) // the next message, or the consumer's end
 	select {
 	case e := <-c.written:
@@ -146,17 +146,17 @@
 		case e := <-c.written:
 			return e
 		case <-c.server.hung:
-			return outcome.Stopped
+			return outcome.ShuttingDown
 		case <-look:
 		}
 	}
 	select {
 	case <-c.server.hung: // which has closed the connection
-		return outcome.Stopped
+		return outcome.ShuttingDown
 	default:
 	}
-	c.server.core.Abandon(inv)
-	return outcome.ConsumerGone
+	c.server.core.ClientGone(inv)
+	return outcome.ClientGone
 }
 
 // next waits for the first byte of a message. Its deadline passes when the connection is to end while idle, or when it
@@ -227,7 +227,7 @@
 func (c *conn) wind(after time.Duration) { c.socket.SetReadDeadline(time.Now().Add(after)) }
 
 // message reads one message: an invocation, or what turns it away. Another ending than Open says that there is neither.
-func (c *conn) message() (*request.Invocation, *http1.Response, outcome.Ending) {
+func (c *conn) message() (*request.Request, *http1.Response, outcome.Kind) {
 	began := time.Now()
 	until := began.Add(headWithin)
 	if !c.known {
@@ -268,7 +268,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, c.turn(408, true), outcome.Open
 	case err != nil || !c.socket.Busy() || c.endReading() != nil:
-		return nil, nil, outcome.BadInput
+		return nil, nil, outcome.MalformedRequest
 	}
 	c.brought = true
 	if req.Method == "GET" && req.Target == http1.PathUp {
@@ -286,17 +286,17 @@
 		return nil, c.turn(status, req.Close || status == 400), outcome.Open
 	}
 	c.owed.Store(&inv.ID)
-	c.known, c.class, inv.Gone = true, words.names[inv.Class], c.socket.Left
+	c.known, c.class, inv.ClientGone = true, words.names[inv.Class], c.socket.Left
 	if c.upload = nil; req.Rest != nil {
-		c.upload = &upload{conn: c, body: req.Rest, pace: c.paced, leave: inv.Leave, done: make(chan struct{})}
-		inv.Rest = c.upload
+		c.upload = &upload{conn: c, body: req.Rest, pace: c.paced, leave: inv.MarkClientGone, done: make(chan struct{})}
+		inv.Remainder = c.upload
 	}
 	c.paced = nil
-	inv.Answer = func(a request.Answer) { // never blocks: there is room for the one answer that is owed
+	inv.Respond = func(a request.Response) { // never blocks: there is room for the one answer that is owed
 		r := response(a)
 		r.Bodiless = a.Kind == request.Served && req.Method == "HEAD"
-		r.Close = req.Close || a.Rest != nil && a.Rest.Length() < 0 && req.Old
-		c.deliver(r, a.Rest, req.Old)
+		r.Close = req.Close || a.Remainder != nil && a.Remainder.Length() < 0 && req.Old
+		c.deliver(r, a.Remainder, req.Old)
 	}
 	return inv, nil, outcome.Open
 }
@@ -315,7 +315,7 @@
 	if c.answers != nil {
 		return
 	}
-	c.answers, c.written = make(chan answer, 1), make(chan outcome.Ending, 1)
+	c.answers, c.written = make(chan answer, 1), make(chan outcome.Kind, 1)
 	c.writer.Go(func() error {
 		for {
 			select {
@@ -323,7 +323,7 @@
 				e := c.writeAnswer(a)
 				switch e {
 				case outcome.WriteFailed:
-				case outcome.Broken:
+				case outcome.ResponseAborted:
 					c.request.End(metrics.Error)
 				default:
 					c.request.End(outcomes[a.Status])
@@ -336,12 +336,12 @@
 	})
 }
 
-func (c *conn) writeOne(r *http1.Response) outcome.Ending {
+func (c *conn) writeOne(r *http1.Response) outcome.Kind {
 	return c.writeAnswer(answer{Response: r})
 }
 
 // writeAnswer writes an answer, with the rest of a long one as it comes.
-func (c *conn) writeAnswer(a answer) outcome.Ending {
+func (c *conn) writeAnswer(a answer) outcome.Kind {
 	r := a.Response
 	r.Close = r.Close || c.server.isClosing() || c.socket.Leaving()
 	e := c.write(http1.AppendResponse(nil, r, a.old))
@@ -353,7 +353,7 @@
 		a.flow.Close(e == outcome.Open)
 	}
 	if e != outcome.Open {
-		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && e == outcome.Broken && a.old {
+		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && e == outcome.ResponseAborted && a.old {
 			abrupt.SetLinger(0) // an end in order would look like the body's
 		}
 		c.socket.Close()
@@ -363,9 +363,9 @@
 		c.socket.CloseWrite()
 		c.wind(c.lingering())
 		if r.Status == 400 || r.Status == 408 || r.Status == 413 {
-			return outcome.BadInput
+			return outcome.MalformedRequest
 		}
-		return outcome.LastAnswer
+		return outcome.ClosedAfterResponse
 	}
 	if c.upload == nil || c.upload.answered() { // else its body is still to be read
 		c.rest()
--- a/internal/frontend/consumer.go
+++ b/internal/frontend/consumer.go
@@ -50,14 +50,14 @@
 
 // Server is the front.
 type Server struct {
-	core    request.Core
+	core    request.Dispatcher
 	budget  *connlimit.Budget
-	book    *metrics.Book
+	book    *metrics.Registry
 	bounds  *streaming.Bounds
 	dialect atomic.Pointer[dialect]
 
 	// Rules counts the requests whose connection was ended without their answer; nil = nobody does. Set it before Serve.
-	Rules *invariant.Book
+	Rules *invariant.Recorder
 	// Trace logs a line for each connection as it ends; nil = none does. Set it before Serve.
 	Trace func(format string, args ...any)
 
@@ -83,7 +83,7 @@
 }
 
 // New returns a front for core that counts in book what becomes of the requests it takes.
-func New(cfg *config.Config, core request.Core, budget *connlimit.Budget, book *metrics.Book, bounds *streaming.Bounds) *Server {
+func New(cfg *config.Config, core request.Dispatcher, budget *connlimit.Budget, book *metrics.Registry, bounds *streaming.Bounds) *Server {
 	s := &Server{
 		core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
 		hung: make(chan struct{}),
@@ -125,13 +125,13 @@
 	return s.serving && !s.closing && s.pass == nil
 }
 
-func (s *Server) ended(c *conn, e outcome.Ending) {
+func (s *Server) ended(c *conn, e outcome.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	s.leftEmpty()
 	if s.closing && e == outcome.IdleRetired {
-		e = outcome.Stopped
+		e = outcome.ShuttingDown
 	}
 	s.endings[e]++
 	if s.Trace != nil {
