--- a/internal/frontend/dialect.go
+++ b/internal/frontend/dialect.go
@@ -39,7 +39,7 @@
 }
 
 // invocation words the request for the core, or returns the status that turns it away.
-func (d *dialect) invocation(r *http1.Request, sentAt time.Time) (*request.Invocation, int) {
+func (d *dialect) invocation(r *http1.Request, sentAt time.Time) (*request.Request, int) {
 	target := r.Target
 	if u, err := url.Parse(target); err == nil && u.Scheme == "http" && u.Host != "" { // the absolute form
 		target = u.RequestURI()
@@ -71,23 +71,23 @@
 	if !known {
 		tenant = -1
 	}
-	return &request.Invocation{
+	return &request.Request{
 		ID: id, Class: class, Tenant: tenant,
-		Again: r.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Patience: patience,
-		Verb: r.Method, Target: target, Fields: r.Header.EndToEnd(http1.Reworded), Body: r.Body,
+		ClientRetry: r.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Timeout: patience,
+		Method: r.Method, Target: target, Fields: r.Header.EndToEnd(http1.Reworded), Body: r.Body,
 	}, 0
 }
 
 // response words the core's answer.
-func response(a request.Answer) *http1.Response {
+func response(a request.Response) *http1.Response {
 	switch a.Kind {
 	case request.Served:
 		r := &http1.Response{Status: 200, Header: a.Fields, Body: a.Body}
-		if a.Rest != nil {
-			r.Rest = a.Rest
+		if a.Remainder != nil {
+			r.Rest = a.Remainder
 		}
 		return r
-	case request.Refused:
+	case request.Rejected:
 		r := &http1.Response{Status: 503}
 		if a.RetryAfter > 0 {
 			r.Header = http1.Header{{
@@ -97,7 +97,7 @@
 		}
 		return r
 	}
-	if a.Kind == request.Conflict {
+	if a.Kind == request.Duplicate {
 		return &http1.Response{Status: 409}
 	}
 	return &http1.Response{Status: 502}
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -21,23 +21,23 @@
 // holding is a core that answers when it is told to.
 type holding struct {
 	mu   sync.Mutex
-	held []*request.Invocation
+	held []*request.Request
 }
 
-func (c *holding) Take(inv *request.Invocation) bool {
+func (c *holding) Submit(inv *request.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.held = append(c.held, inv)
 	return true
 }
-func (c *holding) Abandon(*request.Invocation) {}
+func (c *holding) ClientGone(*request.Request) {}
 func (c *holding) Ready() bool                 { return true }
 
 func (c *holding) answer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, inv := range c.held {
-		inv.Answer(request.Answer{Kind: request.Served, Body: []byte("ok")})
+		inv.Respond(request.Response{Kind: request.Served, Body: []byte("ok")})
 	}
 	c.held = nil
 }
@@ -102,7 +102,7 @@
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 	h := &house{core: new(holding), l: newPipes(), done: make(chan error, 1)}
-	h.Server = New(cfg, h.core, connlimit.NewBudget(16, nil), new(metrics.Book), streaming.New(1<<20, 16))
+	h.Server = New(cfg, h.core, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
 	go func() { h.done <- h.Serve(ctx, h.l) }()
 	return h
 }
--- a/internal/frontend/long.go
+++ b/internal/frontend/long.go
@@ -16,12 +16,12 @@
 // answer is what the writer is to write.
 type answer struct {
 	*http1.Response
-	flow request.Flow // its rest; nil = there is none
-	old  bool         // the consumer can't read chunks
+	flow request.BodyStream // its rest; nil = there is none
+	old  bool               // the consumer can't read chunks
 }
 
 // deliver hands the core's answer to the writer, unless the consumer is gone.
-func (c *conn) deliver(r *http1.Response, rest request.Flow, old bool) {
+func (c *conn) deliver(r *http1.Response, rest request.BodyStream, old bool) {
 	c.mu.Lock()
 	gone := c.gone
 	c.long = rest
@@ -44,7 +44,7 @@
 }
 
 // write writes a piece of an answer.
-func (c *conn) write(p []byte) outcome.Ending {
+func (c *conn) write(p []byte) outcome.Kind {
 	c.socket.SetWriteDeadline(time.Now().Add(writeWithin))
 	if _, err := c.socket.Write(p); err != nil {
 		return outcome.WriteFailed
@@ -54,7 +54,7 @@
 
 // pass writes what follows the beginning of a long answer, as it comes. One that breaks off is not ended as its framing says, so
 // that the consumer can tell.
-func (c *conn) pass(a answer) outcome.Ending {
+func (c *conn) pass(a answer) outcome.Kind {
 	buf, free := c.server.bounds.Buffer()
 	defer free()
 	chunked := a.flow.Length() < 0 && !a.old
@@ -75,7 +75,7 @@
 		case err == io.EOF:
 			return outcome.Open
 		case err != nil:
-			return outcome.Broken
+			return outcome.ResponseAborted
 		}
 	}
 }
@@ -155,8 +155,8 @@
 	late    bool // before the body was read to its end
 }
 
-func (u *upload) Length() int64 { return u.body.Length() }
-func (u *upload) Spent() bool   { return u.spent.Load() }
+func (u *upload) Length() int64  { return u.body.Length() }
+func (u *upload) Consumed() bool { return u.spent.Load() }
 
 // Read makes it an request.Source.
 func (u *upload) Read(p []byte) (int, error) {
@@ -220,15 +220,15 @@
 
 // uploaded waits until the rest of the body has been read. Another ending than Open says that the connection is at its end. If the
 // answer came first, what is left of the body is read and dropped, and c.upload is nil then.
-func (c *conn) uploaded(inv *request.Invocation) outcome.Ending {
+func (c *conn) uploaded(inv *request.Request) outcome.Kind {
 	u, look := c.upload, time.Tick(leftEvery) // where no attempt reads, nobody sees the consumer's end
 	for waiting := true; waiting; {
 		select {
 		case <-look:
 			if c.socket.Left() {
-				c.server.core.Abandon(inv)
+				c.server.core.ClientGone(inv)
 				u.seize()
-				return outcome.ConsumerGone
+				return outcome.ClientGone
 			}
 			continue
 		case <-u.done:
@@ -243,11 +243,11 @@
 				c.rest()
 				return outcome.Open
 			}
-			c.server.core.Abandon(inv)
+			c.server.core.ClientGone(inv)
 			if errors.Is(u.err, os.ErrDeadlineExceeded) || errors.Is(u.err, http1.ErrMalformed) {
-				return outcome.BadInput
+				return outcome.MalformedRequest
 			}
-			return outcome.ConsumerGone
+			return outcome.ClientGone
 		case e := <-c.written:
 			u.seize() // before anything else: who still reads must not do so beyond the connection's end
 			if e != outcome.Open {
@@ -255,7 +255,7 @@
 			}
 		case <-c.server.hung:
 			u.seize()
-			return outcome.Stopped
+			return outcome.ShuttingDown
 		}
 		waiting = false
 	}
@@ -264,7 +264,7 @@
 		c.socket.Extend(u.pace.Until(time.Now()))
 		_, err := io.Copy(io.Discard, u.body)
 		if c.paced = nil; err != nil || !c.socket.Busy() || c.socket.SetReadDeadline(time.Time{}) != nil {
-			return outcome.BadInput
+			return outcome.MalformedRequest
 		}
 	}
 	c.upload = nil
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -48,26 +48,26 @@
 	ErrGone      = errors.New("the predecessor has ended before it was done: this process goes on alone")
 )
 
-// Handover is a process's one place in a line of processes: it lets only one handover be under way. It is safe for
+// Coordinator is a process's one place in a line of processes: it lets only one handover be under way. It is safe for
 // concurrent use. The zero value is that of a process without a predecessor.
-type Handover struct {
-	From *Successor // of a process that has a predecessor; it hands over only once it has everything
+type Coordinator struct {
+	Inherited *Successor // of a process that has a predecessor; it hands over only once it has everything
 
 	mu   sync.Mutex
 	busy bool
 }
 
-func (h *Handover) claim() bool {
+func (h *Coordinator) claim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.busy || h.From != nil && !h.From.alone.Load() {
+	if h.busy || h.Inherited != nil && !h.Inherited.alone.Load() {
 		return false
 	}
 	h.busy = true
 	return true
 }
 
-func (h *Handover) release() {
+func (h *Coordinator) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.busy = false
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -267,8 +267,8 @@
 	for range 3 {
 		old.sendConn(message{kind: kindConn}, client(t, l.Addr().String()))
 	}
-	taken, next := 0, Handover{From: s}
-	err := s.Conns(t.Context(), func(*net.TCPConn, []byte) {
+	taken, next := 0, Coordinator{Inherited: s}
+	err := s.ReceiveConns(t.Context(), func(*net.TCPConn, []byte) {
 		if taken++; taken == 1 && next.claim() {
 			t.Error("it may hand over before it has everything")
 		}
--- a/internal/hotrestart/meet.go
+++ b/internal/hotrestart/meet.go
@@ -102,7 +102,7 @@
 	s := &Successor{control: &control{UnixConn: c}, met: true, cancelled: make(chan struct{}), decided: make(chan struct{})}
 	c.SetReadDeadline(time.Now().Add(metWithin))
 	if err := s.greet(); err != nil {
-		return nil, s.Refuse(err.Error())
+		return nil, s.Reject(err.Error())
 	}
 	c.SetReadDeadline(time.Time{})
 	s.listener.Close() // this process has its own
@@ -113,7 +113,7 @@
 // Meet hands over to a process that has found this one, over its connection, as Start does to one that it starts; but a
 // successor that fails goes on living. What was passed to it without an answer is then nobody's: Pass returns nil, and the
 // caller closes its copy.
-func (h *Handover) Meet(ctx context.Context, c *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
+func (h *Coordinator) Meet(ctx context.Context, c *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
 	pid, err := peer(c)
 	if err == nil && !h.claim() {
 		err = ErrUnderWay
--- a/internal/hotrestart/meet_test.go
+++ b/internal/hotrestart/meet_test.go
@@ -32,7 +32,7 @@
 		if s, err := Find(folder); s != nil || err != nil {
 			t.Fatalf("found %v, %v where nobody is", s, err)
 		}
-		var first, second Handover
+		var first, second Coordinator
 		var ids []string
 		for i := range 9000 { // more than one message holds
 			ids = append(ids, "request-"+strconv.Itoa(i))
@@ -43,20 +43,20 @@
 			p, err := first.Meet(t.Context(), must(place.AcceptUnix()), own,
 				Options{Name: "n1", State: state, Open: func() []string { return ids }})
 			if err == nil {
-				err = errors.Join(p.Pass(client(t, own.Addr().String()), []byte("known")), p.Done())
+				err = errors.Join(p.TransferConn(client(t, own.Addr().String()), []byte("known")), p.Complete())
 			}
 			ended <- err
 		}()
 		s := must(Find(folder))
-		if second.From = s; string(s.State()) != string(state) || !s.Met() || second.claim() {
-			t.Errorf("a state of %d bytes, met %t", len(s.State()), s.Met())
+		if second.Inherited = s; string(s.State()) != string(state) || !s.TookOver() || second.claim() {
+			t.Errorf("a state of %d bytes, met %t", len(s.State()), s.TookOver())
 		}
 		must(0, s.Ready())
 		if len(s.Open()) != len(ids) || s.Open()[8999] != ids[8999] {
 			t.Errorf("%d open ids, want %d", len(s.Open()), len(ids))
 		}
 		notes := ""
-		must(0, s.Conns(t.Context(), func(c *net.TCPConn, note []byte) { notes += string(note); c.Close() }))
+		must(0, s.ReceiveConns(t.Context(), func(c *net.TCPConn, note []byte) { notes += string(note); c.Close() }))
 		if err := <-ended; err != nil || notes != "known" {
 			t.Errorf("%v, %q", err, notes)
 		}
@@ -99,14 +99,14 @@
 		c.Close()
 	}()
 	s := must(Find(folder))
-	alone := Handover{From: s}
+	alone := Coordinator{Inherited: s}
 	if err := s.Ready(); !errors.Is(err, ErrCancelled) || !alone.claim() {
 		t.Errorf("%v; it must hand over to others as if nothing had been", err)
 	}
 
-	var line Handover
+	var line Coordinator
 	for what, young := range map[string]func(s *Successor){
-		"refuses":      func(s *Successor) { s.Refuse("bad configuration") },
+		"refuses":      func(s *Successor) { s.Reject("bad configuration") },
 		"ends at once": func(s *Successor) { s.Close() },
 	} {
 		go func() { young(must(Find(folder))) }()
@@ -130,11 +130,11 @@
 	}()
 	p := must(line.Meet(t.Context(), must(place.AcceptUnix()), own, Options{}))
 	silent := <-c
-	if err := p.Pass(client(t, own.Addr().String()), nil); err != nil {
+	if err := p.TransferConn(client(t, own.Addr().String()), nil); err != nil {
 		t.Errorf("without an answer: %v", err)
 	}
 	<-p.Lost()
-	if err := p.Done(); !errors.Is(err, ErrLost) || !line.claim() {
+	if err := p.Complete(); !errors.Is(err, ErrLost) || !line.claim() {
 		t.Errorf("it is to serve on: %v", err)
 	}
 	silent.Close()
--- a/internal/hotrestart/node_test.go
+++ b/internal/hotrestart/node_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	n := &node{h: Handover{From: s}, settled: make(chan struct{})}
+	n := &node{h: Coordinator{Inherited: s}, settled: make(chan struct{})}
 	if s == nil {
 		close(n.settled)
 		n.l = must(Listener(os.Getenv))
@@ -72,7 +72,7 @@
 	}
 	n.l = s.Listener()
 	if role == "refuses" || !bytes.Equal(s.State(), state) {
-		return s.Refuse("no room")
+		return s.Reject("no room")
 	}
 	at("late", func() { fmt.Println("waiting"); <-s.Cancelled() })
 	if err := s.Ready(); err != nil {
@@ -81,7 +81,7 @@
 	at("dies", die)
 	at("silent", hang)
 	go func() {
-		err := s.Conns(context.Background(), func(c *net.TCPConn, note []byte) {
+		err := s.ReceiveConns(context.Background(), func(c *net.TCPConn, note []byte) {
 			at("dies passing", die)
 			n.serving.Go(func() { n.serve(c, must(strconv.Atoi(string(note)))) })
 		})
@@ -95,7 +95,7 @@
 // node is a daemon that answers each line with its process id and how many lines that makes on the connection.
 // "next ROLE" lets it hand over before it answers, "hold" is never answered, "end" ends it.
 type node struct {
-	h       Handover
+	h       Coordinator
 	l       *net.TCPListener
 	settled chan struct{} // all is its own
 	serving sync.WaitGroup
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	if p.Pass(must(net.ListenUDP("udp", nil)), nil) == nil && role == "node" {
+	if p.TransferConn(must(net.ListenUDP("udp", nil)), nil) == nil && role == "node" {
 		panic("what is no connection counts as passed")
 	}
 	n.next.Store(p)
@@ -140,7 +140,7 @@
 		}
 		p, done := n.next.Load(), make(chan struct{})
 		go func() {
-			if n.serving.Wait(); p.Done() == nil {
+			if n.serving.Wait(); p.Complete() == nil {
 				close(done)
 			}
 		}()
@@ -160,7 +160,7 @@
 	n.conns.Store(c, nil)
 	var line string
 	for {
-		if p := n.next.Load(); p != nil && line == "" && p.Pass(c, []byte(strconv.Itoa(count))) == nil {
+		if p := n.next.Load(); p != nil && line == "" && p.TransferConn(c, []byte(strconv.Itoa(count))) == nil {
 			return
 		}
 		var b [1]byte // nothing beyond a line's end may be read
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -33,7 +33,7 @@
 
 // Predecessor is the running process's side of a handover whose successor is ready.
 type Predecessor struct {
-	handover *Handover
+	handover *Coordinator
 	control  *control
 	cmd      *exec.Cmd // nil = the platform has started it: it can't be ended from here
 	pid      int
@@ -59,7 +59,7 @@
 // On success the caller stops accepting (with a deadline, since it may need the listener again), calls Pass for its
 // connections as they become idle, and then Done. The program must be Path itself or be put in place by exec, and this
 // process must not be process 1, whose end would end the successor too.
-func (h *Handover) Start(ctx context.Context, l *net.TCPListener, o Options) (*Predecessor, error) {
+func (h *Coordinator) Start(ctx context.Context, l *net.TCPListener, o Options) (*Predecessor, error) {
 	switch {
 	case len(o.State) > MaxState:
 		return nil, fmt.Errorf("handover: state of %d bytes, at most %d", len(o.State), MaxState)
@@ -77,7 +77,7 @@
 }
 
 // begin takes the successor to where it serves.
-func (h *Handover) begin(ctx context.Context, p *Predecessor, l *net.TCPListener, o Options) (*Predecessor, error) {
+func (h *Coordinator) begin(ctx context.Context, p *Predecessor, l *net.TCPListener, o Options) (*Predecessor, error) {
 	p.handover = h
 	if err := p.prepare(ctx, l, o); err != nil {
 		p.end()
@@ -214,12 +214,12 @@
 // then is this process's to serve, and so is the listener. A new handover may be started.
 func (p *Predecessor) Lost() <-chan struct{} { return p.lost }
 
-// Pass hands a connection over with a note of up to MaxNote bytes, and returns when the successor has taken it. From
+// TransferConn hands a connection over with a note of up to MaxNote bytes, and returns when the successor has taken it. From
 // before the call on nothing may be read from it or written to it, and all that has been read of it must have been
 // dealt with: what the kernel still holds goes along. After nil the connection is the successor's, and the caller
 // closes its own copy with nothing but Close (no CloseWrite, no linger). After an error, ErrLost for one, the successor
 // has never used it and never will: the caller serves on. It is safe for concurrent use.
-func (p *Predecessor) Pass(c syscall.Conn, note []byte) error {
+func (p *Predecessor) TransferConn(c syscall.Conn, note []byte) error {
 	if len(note) > MaxNote {
 		return fmt.Errorf("handover: note of %d bytes, at most %d", len(note), MaxNote)
 	}
@@ -238,10 +238,10 @@
 	return nil
 }
 
-// Done waits for the calls of Pass under way, tells the successor that this was all, and returns when it knows: then
+// Complete waits for the calls of Pass under way, tells the successor that this was all, and returns when it knows: then
 // everything is its own and this process should exit. systemd is told the successor's process id, if NOTIFY_SOCKET is
 // set. After ErrLost this process serves on; ErrFinished says that Done has been called before.
-func (p *Predecessor) Done() error {
+func (p *Predecessor) Complete() error {
 	p.mu.Lock()
 	before := p.finished
 	p.finished = true
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -51,7 +51,7 @@
 	}
 	s := &Successor{control: c, cancelled: make(chan struct{}), decided: make(chan struct{})}
 	if err := s.greet(); err != nil {
-		return nil, s.Refuse(err.Error())
+		return nil, s.Reject(err.Error())
 	}
 	go s.await()
 	return s, nil
@@ -110,8 +110,8 @@
 // has returned nil.
 func (s *Successor) Listener() *net.TCPListener { return s.listener }
 
-// Met reports whether the platform has started this process beside the other: if that one fails, this one serves alone.
-func (s *Successor) Met() bool { return s.met }
+// TookOver reports whether the platform has started this process beside the other: if that one fails, this one serves alone.
+func (s *Successor) TookOver() bool { return s.met }
 
 // Open are the ids of requests that the predecessor had open when it let this process serve.
 func (s *Successor) Open() []string { return s.open }
@@ -129,13 +129,13 @@
 	if address == s.hello.Address {
 		return nil
 	}
-	return s.Refuse(fmt.Sprintf("the running process was told to listen on %q, this one on %q: restart instead",
+	return s.Reject(fmt.Sprintf("the running process was told to listen on %q, this one on %q: restart instead",
 		s.hello.Address, address))
 }
 
-// Refuse tells the predecessor why this process can't take over, of which it gets up to 1 KiB, and returns that as an
+// Reject tells the predecessor why this process can't take over, of which it gets up to 1 KiB, and returns that as an
 // error. This process should exit then.
-func (s *Successor) Refuse(reason string) error {
+func (s *Successor) Reject(reason string) error {
 	s.control.send(message{kind: kindRefuse, body: []byte(reason[:min(len(reason), maxReason)])}, -1)
 	s.Close()
 	return fmt.Errorf("handover refused: %s", reason)
@@ -162,12 +162,12 @@
 	return nil
 }
 
-// Conns calls take, one at a time, with each connection that the predecessor passes and a note of the caller's own;
+// ReceiveConns calls take, one at a time, with each connection that the predecessor passes and a note of the caller's own;
 // take should return soon: nothing is answered meanwhile, and a successor that does not answer is killed. Call it once,
 // after Ready. It returns nil when the predecessor has passed all and exits, and ErrGone when it has ended without a
 // word: in both cases all is this process's own. After any other error, ctx's for one, the predecessor lives and serves
 // again as soon as Close has been called or this process has ended: it should stop accepting first, and end.
-func (s *Successor) Conns(ctx context.Context, take func(c *net.TCPConn, note []byte)) error {
+func (s *Successor) ReceiveConns(ctx context.Context, take func(c *net.TCPConn, note []byte)) error {
 	defer context.AfterFunc(ctx, func() { s.control.SetDeadline(longAgo) })()
 	if <-s.decided; s.verdict != nil {
 		return fmt.Errorf("handover: %w", s.verdict)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Rule is one of the rules.
+// ViolationAt is one of the rules.
 type Rule uint8
 
 // The rules. The comment says what is forbidden.
@@ -34,23 +34,23 @@
 	SocketSlack     = 50 * time.Millisecond // of every other time limit
 )
 
-// Book counts. It is safe for concurrent use, and a nil Book counts nothing.
-type Book struct {
+// Recorder counts. It is safe for concurrent use, and a nil Book counts nothing.
+type Recorder struct {
 	// Logf logs a line of key=value pairs for each act that got past its guard; nil = nothing is logged.
 	Logf func(format string, args ...any)
 
 	held, broken [count]atomic.Int64
 }
 
-// Held counts an act that the rule's guard has held back.
-func (b *Book) Held(r Rule) {
+// Prevented counts an act that the rule's guard has held back.
+func (b *Recorder) Prevented(r Rule) {
 	if b != nil {
 		b.held[r].Add(1)
 	}
 }
 
-// Broken counts an act that got past the rule's guard, and logs what is known of it as key=value pairs.
-func (b *Book) Broken(r Rule, format string, args ...any) {
+// Violations counts an act that got past the rule's guard, and logs what is known of it as key=value pairs.
+func (b *Recorder) Violated(r Rule, format string, args ...any) {
 	if b == nil {
 		return
 	}
@@ -62,16 +62,16 @@
 
 // Count is how often a rule's guard has held an act back, and how often one got past it.
 type Count struct {
-	Rule         Rule
-	Held, Broken int64
+	Rule                  Rule
+	Prevented, Violations int64
 }
 
 // Counts are those of all rules, in a fixed order.
-func (b *Book) Counts() (all []Count) {
+func (b *Recorder) Counts() (all []Count) {
 	for r := range count {
 		one := Count{Rule: r}
 		if b != nil {
-			one.Held, one.Broken = b.held[r].Load(), b.broken[r].Load()
+			one.Prevented, one.Violations = b.held[r].Load(), b.broken[r].Load()
 		}
 		all = append(all, one)
 	}
@@ -80,18 +80,20 @@
 
 // Limit is a time limit on an act: past Own its guard holds the act back, past Rule the rule is broken. The zero value is no
 // limit.
-type Limit struct{ Own, Rule time.Time }
+type Limit struct{ GuardAt, ViolationAt time.Time }
 
-// LimitAt is the limit on an act that its guard lets pass until own, and the rule for so long after that.
-func LimitAt(own time.Time, slack time.Duration) Limit {
+// NewLimit is the limit on an act that its guard lets pass until own, and the rule for so long after that.
+func NewLimit(own time.Time, slack time.Duration) Limit {
 	if own.IsZero() {
 		return Limit{}
 	}
 	return Limit{own, own.Add(slack)}
 }
 
-// Over reports whether the guard has to hold the act back.
-func (l Limit) Over(now time.Time) bool { return !l.Own.IsZero() && now.After(l.Own) }
+// GuardPassed reports whether the guard has to hold the act back.
+func (l Limit) GuardPassed(now time.Time) bool { return !l.GuardAt.IsZero() && now.After(l.GuardAt) }
 
-// BrokenAt reports whether the act, done by then, has broken the rule.
-func (l Limit) BrokenAt(done time.Time) bool { return !l.Rule.IsZero() && done.After(l.Rule) }
+// ViolatedAt reports whether the act, done by then, has broken the rule.
+func (l Limit) ViolatedAt(done time.Time) bool {
+	return !l.ViolationAt.IsZero() && done.After(l.ViolationAt)
+}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,8 +18,8 @@
 	Error
 )
 
-// Figures are the counts, in the form in which operators read them. The first three are by class.
-type Figures struct {
+// Values are the counts, in the form in which operators read them. The first three are by class.
+type Values struct {
 	Success         map[string]int `json:"success"`
 	Overload        map[string]int `json:"overload"`
 	Error           map[string]int `json:"error"`
@@ -31,14 +31,14 @@
 	ReloadFailure   int            `json:"reload_failure"`
 }
 
-// Book is where they are counted. It is safe for concurrent use; the zero value counts.
-type Book struct {
+// Registry is where they are counted. It is safe for concurrent use; the zero value counts.
+type Registry struct {
 	mu  sync.Mutex
-	now Figures
+	now Values
 }
 
 // Classes makes sure that these classes have counts, if only 0. Those of others stay.
-func (b *Book) Classes(names ...string) {
+func (b *Registry) Classes(names ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, counts := range []*map[string]int{&b.now.Success, &b.now.Overload, &b.now.Error} {
@@ -53,13 +53,13 @@
 
 // Request is one that was taken.
 type Request struct {
-	book  *Book
+	book  *Registry
 	class string
 	once  sync.Once
 }
 
-// Taken counts a request of that class, which is under way until End.
-func (b *Book) Taken(class string) *Request {
+// RequestStarted counts a request of that class, which is under way until End.
+func (b *Registry) RequestStarted(class string) *Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.now.Concurrent++
@@ -84,22 +84,22 @@
 	})
 }
 
-// Dispatched counts an attempt whose last byte is written.
-func (b *Book) Dispatched() {
+// AttemptSent counts an attempt whose last byte is written.
+func (b *Registry) AttemptSent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.now.Dispatches++
 }
 
-// Targets notes how many providers the list has, and how many of those are left out.
-func (b *Book) Targets(listed, disabled int) {
+// SetTargets notes how many providers the list has, and how many of those are left out.
+func (b *Registry) SetTargets(listed, disabled int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.now.Targets, b.now.TargetsDisabled = listed, disabled
 }
 
-// Reloaded counts a file that was taken, or turned down.
-func (b *Book) Reloaded(taken bool) {
+// ConfigReloaded counts a file that was taken, or turned down.
+func (b *Registry) ConfigReloaded(taken bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if taken {
@@ -110,7 +110,7 @@
 }
 
 // Read returns a copy of the figures as they are.
-func (b *Book) Read() Figures {
+func (b *Registry) Read() Values {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.now
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -9,46 +9,46 @@
 	"plankrouter/policy"
 )
 
-// Ending is one such way.
-type Ending uint8
+// Kind is one such way.
+type Kind uint8
 
 // The endings, by what had been under way.
 const (
-	Open Ending = iota // not ended
+	Open Kind = iota // not ended
 
 	// Of a connection between two invocations, on either side.
-	IdleRetired  // left idle too long, or closed to make room for another
-	PeerClosed   // the other side closed it
-	Unasked      // bytes came that nobody had asked for
-	LastAnswer   // the answer that went out or came in was said to be the last
-	Stopped      // the sidecar is being stopped
-	ConsumerGone // the consumer left while its invocation was held
-	BadInput     // what the consumer sent is malformed
-	Broken       // the provider broke off in the middle of an answer that was being passed on
-	WriteFailed  // the answer could not be written to the consumer
-	HandedOver   // a successor has it now
+	IdleRetired         // left idle too long, or closed to make room for another
+	PeerClosed          // the other side closed it
+	UnexpectedBytes     // bytes came that nobody had asked for
+	ClosedAfterResponse // the answer that went out or came in was said to be the last
+	ShuttingDown        // the sidecar is being stopped
+	ClientGone          // the consumer left while its invocation was held
+	MalformedRequest    // what the consumer sent is malformed
+	ResponseAborted     // the provider broke off in the middle of an answer that was being passed on
+	WriteFailed         // the answer could not be written to the consumer
+	PassedToSuccessor   // a successor has it now
 
 	// Of an invoker call or a probe: answered.
-	Served      // 200 and a whole body
-	ServerError // an answer that is neither a 200 nor a provider's word that it has not run
-	Declined    // the provider's word that it has not run
-	Unreadable  // what became of a probe without the load report that it should bring, or sent to an earlier process: it says nothing
+	Served       // 200 and a whole body
+	ServerError  // an answer that is neither a 200 nor a provider's word that it has not run
+	Declined     // the provider's word that it has not run
+	NoLoadReport // what became of a probe without the load report that it should bring, or sent to an earlier process: it says nothing
 
 	// Of an invoker call or a probe: never ran.
-	NoSocket       // the limit on sockets left none for it
-	LocalFault     // this machine could not even try: no descriptor, no port, no route
-	Refused        // the connection was refused or came to nothing
-	ConnectTimeout // the connection did not come up in time
-	Drained        // the provider was draining or gone before the first byte was written
-	Expired        // the time in which it could be repeated was over before the last byte was written
-	Unwritten      // the connection broke, or time was up, before the last byte was written
-	Withdrawn      // called off before the last byte was written
+	ConnectionLimit // the limit on sockets left none for it
+	LocalError      // this machine could not even try: no descriptor, no port, no route
+	ConnectRefused  // the connection was refused or came to nothing
+	ConnectTimeout  // the connection did not come up in time
+	ServerDraining  // the provider was draining or gone before the first byte was written
+	Expired         // the time in which it could be repeated was over before the last byte was written
+	PartlyWritten   // the connection broke, or time was up, before the last byte was written
+	Withdrawn       // called off before the last byte was written
 
 	// Of an invoker call or a probe: may have run.
 	ResetByPeer // the connection broke or ended before the whole answer had come
 	Malformed   // what came back is no HTTP answer, or too large a one
 	TimedOut    // nothing came back in time
-	CalledOff   // the sidecar stopped waiting
+	Cancelled   // the sidecar stopped waiting
 
 	count
 )
@@ -57,57 +57,57 @@
 	name   string
 	status policy.Status
 }{
-	Open:           {"open", policy.NotSent},
-	IdleRetired:    {"idle_retired", policy.NotSent},
-	PeerClosed:     {"peer_closed", policy.NotSent},
-	Unasked:        {"unasked", policy.NotSent},
-	LastAnswer:     {"last_answer", policy.NotSent},
-	Stopped:        {"stopped", policy.NotSent},
-	ConsumerGone:   {"consumer_gone", policy.Cancelled},
-	BadInput:       {"bad_input", policy.NotSent},
-	Broken:         {"broken", policy.Reset},
-	WriteFailed:    {"write_failed", policy.Cancelled},
-	HandedOver:     {"handed_over", policy.NotSent},
-	Served:         {"served", policy.OK},
-	ServerError:    {"server_error", policy.Failed},
-	Declined:       {"declined", policy.Declined},
-	Unreadable:     {"unreadable", policy.NotSent},
-	NoSocket:       {"no_socket", policy.NotSent},
-	LocalFault:     {"local_fault", policy.NotSent},
-	Refused:        {"refused", policy.ConnectFailed},
-	ConnectTimeout: {"connect_timeout", policy.ConnectFailed},
-	Drained:        {"drained", policy.ConnectFailed},
-	Expired:        {"expired", policy.NotSent},
-	Unwritten:      {"unwritten", policy.ConnectFailed},
-	Withdrawn:      {"withdrawn", policy.NotSent},
-	ResetByPeer:    {"reset", policy.Reset},
-	Malformed:      {"malformed", policy.Reset},
-	TimedOut:       {"timed_out", policy.TimedOut},
-	CalledOff:      {"called_off", policy.Cancelled},
+	Open:                {"open", policy.NotSent},
+	IdleRetired:         {"idle_retired", policy.NotSent},
+	PeerClosed:          {"peer_closed", policy.NotSent},
+	UnexpectedBytes:     {"unasked", policy.NotSent},
+	ClosedAfterResponse: {"last_answer", policy.NotSent},
+	ShuttingDown:        {"stopped", policy.NotSent},
+	ClientGone:          {"consumer_gone", policy.Cancelled},
+	MalformedRequest:    {"bad_input", policy.NotSent},
+	ResponseAborted:     {"broken", policy.Reset},
+	WriteFailed:         {"write_failed", policy.Cancelled},
+	PassedToSuccessor:   {"handed_over", policy.NotSent},
+	Served:              {"served", policy.OK},
+	ServerError:         {"server_error", policy.Failed},
+	Declined:            {"declined", policy.Declined},
+	NoLoadReport:        {"unreadable", policy.NotSent},
+	ConnectionLimit:     {"no_socket", policy.NotSent},
+	LocalError:          {"local_fault", policy.NotSent},
+	ConnectRefused:      {"refused", policy.ConnectFailed},
+	ConnectTimeout:      {"connect_timeout", policy.ConnectFailed},
+	ServerDraining:      {"drained", policy.ConnectFailed},
+	Expired:             {"expired", policy.NotSent},
+	PartlyWritten:       {"unwritten", policy.ConnectFailed},
+	Withdrawn:           {"withdrawn", policy.NotSent},
+	ResetByPeer:         {"reset", policy.Reset},
+	Malformed:           {"malformed", policy.Reset},
+	TimedOut:            {"timed_out", policy.TimedOut},
+	Cancelled:           {"called_off", policy.Cancelled},
 }
 
 // Status is the decision module's word for the ending of an invoker call or a probe.
-func (e Ending) Status() policy.Status { return table[e].status }
+func (e Kind) Status() policy.Status { return table[e].status }
 
-func (e Ending) String() string { return table[e].name }
+func (e Kind) String() string { return table[e].name }
 
 // Unsent turns an ending into the one that applies while the last byte has not been written: nothing that
 // the provider has not wholly received can have run.
-func (e Ending) Unsent() Ending {
+func (e Kind) Unsent() Kind {
 	switch e {
-	case CalledOff:
+	case Cancelled:
 		return Withdrawn
 	case TimedOut, ResetByPeer, Malformed:
-		return Unwritten
+		return PartlyWritten
 	}
 	return e
 }
 
-// OfIdle reads how the reader of an idle connection was ended; without an error it got bytes that nobody asked for.
-func OfIdle(err error) Ending {
+// FromIdleError reads how the reader of an idle connection was ended; without an error it got bytes that nobody asked for.
+func FromIdleError(err error) Kind {
 	switch {
 	case err == nil:
-		return Unasked
+		return UnexpectedBytes
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 		return IdleRetired
 	case errors.Is(err, io.EOF):
@@ -120,10 +120,10 @@
 type Counts [count]int
 
 // Each calls f with every ending that has been counted, in a fixed order.
-func (c *Counts) Each(f func(Ending, int)) {
+func (c *Counts) Each(f func(Kind, int)) {
 	for e, n := range c {
 		if n > 0 {
-			f(Ending(e), n)
+			f(Kind(e), n)
 		}
 	}
 }
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -8,9 +8,9 @@
 // What proves that an invoker call never ran decides whether an order may be sent again: no ending may slip over to
 // the other side.
 func TestWhatNeverRan(t *testing.T) {
-	never := map[Ending]bool{
-		Declined: true, NoSocket: true, LocalFault: true, Refused: true, ConnectTimeout: true, Drained: true, Expired: true,
-		Unwritten: true, Withdrawn: true, Unreadable: true,
+	never := map[Kind]bool{
+		Declined: true, ConnectionLimit: true, LocalError: true, ConnectRefused: true, ConnectTimeout: true, ServerDraining: true, Expired: true,
+		PartlyWritten: true, Withdrawn: true, NoLoadReport: true,
 	} // the last is of probes alone
 	names := map[string]bool{}
 	for e := Served; e < count; e++ {
@@ -27,7 +27,7 @@
 		}
 		names[e.String()] = true
 	}
-	for _, e := range []Ending{ResetByPeer, Malformed, TimedOut, CalledOff} {
+	for _, e := range []Kind{ResetByPeer, Malformed, TimedOut, Cancelled} {
 		if !e.Unsent().Status().NeverRan() {
 			t.Errorf("%s before the last byte: %s", e, e.Unsent())
 		}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -12,56 +12,56 @@
 // Field is one named attribute that travels with an invocation or its answer.
 type Field = field.Field
 
-// Invocation is one request of a consumer.
-type Invocation struct {
-	ID       string // the consumer's own, passed on unchanged
-	Class    int    // position in the settings
-	Tenant   int    // position in the settings; -1 = none that they name
-	Again    bool   // the consumer marked it as a repetition
-	SentAt   time.Time
-	Patience time.Duration // how long the consumer waits, from SentAt
-
-	Host   string // whom it is meant for, where the protocol has that; "" = the provider that gets it
-	Verb   string // what to do
-	Target string // to what
-	Fields []Field
-	Body   []byte
-	Rest   Source // of the body, beyond Body; nil = that is all
-
-	// Answer takes the one final answer. It must not block.
-	Answer func(Answer)
-	// Gone looks whether its consumer is gone by now; nil = Leave alone tells. It must not block, and any goroutine may call it.
-	Gone func() bool
+// Request is one request of a consumer.
+type Request struct {
+	ID          string // the consumer's own, passed on unchanged
+	Class       int    // position in the settings
+	Tenant      int    // position in the settings; -1 = none that they name
+	ClientRetry bool   // the consumer marked it as a repetition
+	SentAt      time.Time
+	Timeout     time.Duration // how long the consumer waits, from SentAt
+
+	Host      string // whom it is meant for, where the protocol has that; "" = the provider that gets it
+	Method    string // what to do
+	Target    string // to what
+	Fields    []Field
+	Body      []byte
+	Remainder Upload // of the body, beyond Body; nil = that is all
+
+	// Respond takes the one final answer. It must not block.
+	Respond func(Response)
+	// ClientGone looks whether its consumer is gone by now; nil = Leave alone tells. It must not block, and any goroutine may call it.
+	ClientGone func() bool
 	// MayHaveRun is set by the core as it lets go of it: an attempt may have run, or may yet.
 	MayHaveRun bool
 
 	leftAt atomic.Pointer[time.Time] // when its consumer was found to be gone; nil = it is there
 }
 
-// Leave notes that its consumer is gone. Whoever is about to write something of it sees that at once, wherever the word of it
+// MarkClientGone notes that its consumer is gone. Whoever is about to write something of it sees that at once, wherever the word of it
 // has to wait.
-func (i *Invocation) Leave() {
+func (i *Request) MarkClientGone() {
 	now := time.Now()
 	i.leftAt.CompareAndSwap(nil, &now)
 }
 
-// Left reports whether its consumer is known to be gone.
-func (i *Invocation) Left() bool { return i.leftAt.Load() != nil }
+// IsClientGone reports whether its consumer is known to be gone.
+func (i *Request) IsClientGone() bool { return i.leftAt.Load() != nil }
 
-// GoneFor is for how long its consumer has been known to be gone at now; 0 = it is there.
-func (i *Invocation) GoneFor(now time.Time) time.Duration {
+// ClientGoneFor is for how long its consumer has been known to be gone at now; 0 = it is there.
+func (i *Request) ClientGoneFor(now time.Time) time.Duration {
 	if at := i.leftAt.Load(); at != nil {
 		return now.Sub(*at)
 	}
 	return 0
 }
 
-// Look is Left as of now: it asks whoever can tell, and notes what it is told.
-func (i *Invocation) Look() bool {
-	if !i.Left() && i.Gone != nil && i.Gone() {
-		i.Leave()
+// CheckClientGone is Left as of now: it asks whoever can tell, and notes what it is told.
+func (i *Request) CheckClientGone() bool {
+	if !i.IsClientGone() && i.ClientGone != nil && i.ClientGone() {
+		i.MarkClientGone()
 	}
-	return i.Left()
+	return i.IsClientGone()
 }
 
 // Stream is a body that flows.
@@ -70,14 +70,14 @@
 	Length() int64 // of what is left; -1 = that is not known
 }
 
-// Source is a body that the consumer still sends. One attempt at a time reads it.
-type Source interface {
+// Upload is a body that the consumer still sends. One attempt at a time reads it.
+type Upload interface {
 	Stream
-	Spent() bool // something of it was read: it can't be sent again
+	Consumed() bool // something of it was read: it can't be sent again
 }
 
-// Flow is an answer's body that the provider still sends.
-type Flow interface {
+// BodyStream is an answer's body that the provider still sends.
+type BodyStream interface {
 	Stream
 	// Close ends it, whole or not; only the first call counts. Any goroutine may call it, and a Read under way ends soon.
 	Close(whole bool)
@@ -90,31 +90,31 @@
 // was never taken, since another of the same id is open.
 const (
 	Served Kind = iota
-	Refused
+	Rejected
 	Failed
-	Conflict
+	Duplicate
 )
 
 func (k Kind) String() string { return [...]string{"served", "refused", "failed", "conflict"}[k] }
 
-// Answer is the final answer to an invocation.
-type Answer struct {
+// Respond is the final answer to an invocation.
+type Response struct {
 	Kind       Kind
 	RetryAfter time.Duration // with Refused: when to come back; 0 = no advice
-	Code       int           // with Served: the protocol's own word for the answer, which the core passes on unread
+	StatusCode int           // with Served: the protocol's own word for the answer, which the core passes on unread
 	Fields     []Field       // with Served: the provider's
 	Body       []byte        // with Served: the provider's, unchanged
-	Rest       Flow          // with Served: what follows Body; nil = that is all
+	Remainder  BodyStream    // with Served: what follows Body; nil = that is all
 	MayHaveRun bool          // an attempt may have run, or may yet
 }
 
-// Core takes invocations from any front.
-type Core interface {
-	// Take hands over an invocation; its Answer is called exactly once, unless Abandon comes first. False
+// Dispatcher takes invocations from any front.
+type Dispatcher interface {
+	// Submit hands over an invocation; its Answer is called exactly once, unless Abandon comes first. False
 	// means that the core has stopped and will never answer.
-	Take(*Invocation) bool
-	// Abandon says that the consumer no longer waits.
-	Abandon(*Invocation)
+	Submit(*Request) bool
+	// ClientGone says that the consumer no longer waits.
+	ClientGone(*Request)
 	// Ready reports whether an invocation could be served now.
 	Ready() bool
 }
--- a/internal/shutdown/heartbeat.go
+++ b/internal/shutdown/heartbeat.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// BeatEvery is the time between two calls of Heartbeat.Beat.
-const BeatEvery = 40 * time.Millisecond
+// HeartbeatInterval is the time between two calls of Heartbeat.Beat.
+const HeartbeatInterval = 40 * time.Millisecond
 
 // beatLate is the time from one beat to the next beyond which the process was held up in between.
-const beatLate = BeatEvery * 3 / 2
+const beatLate = HeartbeatInterval * 3 / 2
 
 // Heartbeat knows since when a signal that is read now may have been sent. The kernel does not tell that, and whoever sent it counts from
 // then, however long the process is held up before it reads it. So the process beats as long as no signal waits. The first beat after
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -26,49 +26,49 @@
 	afterLongest = 700 * time.Millisecond // from there to the kill
 	killLeast    = 500 * time.Millisecond // with less time nothing sensible can be done
 
-	// HoldUp is for how long a process may be held up at any step.
-	HoldUp = 150 * time.Millisecond
+	// MaxStall is for how long a process may be held up at any step.
+	MaxStall = 150 * time.Millisecond
 	// spare is for the work itself, and for what is on its way to be written or read.
 	spare = 50 * time.Millisecond
 
 	// Until the kill: that the moment has come is seen, the answer is given, it is written.
-	answerLead = 3*HoldUp + spare
+	answerLead = 3*MaxStall + spare
 	// That the moment has come is seen, so that connections are closed; a request that had come by then is read; it is refused; that is written.
-	lastLead = 4*HoldUp + spare
+	lastLead = 4*MaxStall + spare
 
 	answerPart = 2 // one part in so many of the time to the kill is left before Answer where that is short,
 	lastPart   = 4 // and before Last
 
-	// PerConnection is the time that the end of a client's connection takes, with an answer on it, on a tenth of a core.
-	PerConnection = 250 * time.Microsecond
+	// CloseTimePerConnection is the time that the end of a client's connection takes, with an answer on it, on a tenth of a core.
+	CloseTimePerConnection = 250 * time.Microsecond
 )
 
-// Plan is the timetable from the word to stop on.
-type Plan struct {
-	Last   time.Duration // then nothing more is taken: the listener and idle connections are closed
-	Answer time.Duration // by then all that was taken is answered
-	Kill   time.Duration // then the process may be killed
+// Schedule is the timetable from the word to stop on.
+type Schedule struct {
+	LastForward time.Duration // then nothing more is taken: the listener and idle connections are closed
+	LastAnswer  time.Duration // by then all that was taken is answered
+	Kill        time.Duration // then the process may be killed
 }
 
-// For returns the plan for classes whose longest deadline is longest and a kill that comes no sooner than kill after the
+// NewSchedule returns the plan for classes whose longest deadline is longest and a kill that comes no sooner than kill after the
 // word; 0 = as the platform does it.
-func For(longest, kill time.Duration) Plan {
+func NewSchedule(longest, kill time.Duration) Schedule {
 	if kill <= 0 {
 		kill = min(longest, deadlineMost) + afterLongest
 	}
-	return Plan{Last: max(kill-lastLead, kill/lastPart), Answer: max(kill-answerLead, kill/answerPart), Kill: kill}
+	return Schedule{LastForward: max(kill-lastLead, kill/lastPart), LastAnswer: max(kill-answerLead, kill/answerPart), Kill: kill}
 }
 
-// Among returns the plan for so many open connections of clients, all of which have to be answered and closed before the kill.
-func (p Plan) Among(connections int) Plan {
-	work := time.Duration(connections) * PerConnection
-	p.Last = max(p.Last-work, min(p.Last, p.Kill/lastPart))
-	p.Answer = max(p.Answer-work, p.Last)
+// ForConnections returns the plan for so many open connections of clients, all of which have to be answered and closed before the kill.
+func (p Schedule) ForConnections(connections int) Schedule {
+	work := time.Duration(connections) * CloseTimePerConnection
+	p.LastForward = max(p.LastForward-work, min(p.LastForward, p.Kill/lastPart))
+	p.LastAnswer = max(p.LastAnswer-work, p.LastForward)
 	return p
 }
 
-// Sooner returns the plan of the two whose kill comes first.
-func (p Plan) Sooner(other Plan) Plan {
+// Earlier returns the plan of the two whose kill comes first.
+func (p Schedule) Earlier(other Schedule) Schedule {
 	if other.Kill < p.Kill {
 		return other
 	}
@@ -76,16 +76,16 @@
 }
 
 // Check says why nothing sensible follows from the plan.
-func (p Plan) Check() error {
+func (p Schedule) Check() error {
 	if p.Kill < killLeast {
 		return fmt.Errorf("kill_after_ms: %s leaves no time to answer what is taken; want %s or more", p.Kill, killLeast)
 	}
 	return nil
 }
 
-// Patience is how long an invocation may take that comes in at since, which is negative before the word, and whose consumer
+// WaitLimit is how long an invocation may take that comes in at since, which is negative before the word, and whose consumer
 // waits for patience: it is answered by Answer, also where its deadline is beyond what the platform counts of it, or was before the
 // settings changed. The platform does not count what comes in its first 0.7 s and is open at the kill; those who sent it do.
-func (p Plan) Patience(since, patience time.Duration) time.Duration {
-	return min(patience, max(0, p.Answer-since))
+func (p Schedule) WaitLimit(since, patience time.Duration) time.Duration {
+	return min(patience, max(0, p.LastAnswer-since))
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -340,6 +340,6 @@
 	if err != nil {
 		return policy.Config{}, nil, err
 	}
-	cfg, err := s.Logic()
+	cfg, err := s.PolicyConfig()
 	return cfg, loadreport.Fields(s.Report.Names), err
 }
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -181,10 +181,10 @@
 			return
 		}
 		same(t, "encoded again", s, must(Decode(must(Encode(s, 0)))))
-		r := DefaultRules()
+		r := DefaultValidityRules()
 		r.Program, r.Deployment, r.Directory = s.Program, s.Deployment, s.Directory
 		r.Classes, r.Tenants = len(s.Learned.Fit.Classes), len(s.Learned.Tenants)
-		left, _ := Still(s, taken.Add(3*time.Second), r)
+		left, _ := DropStale(s, taken.Add(3*time.Second), r)
 		must(Encode(left, 0))
 	})
 }
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -60,22 +60,22 @@
 	return out
 }
 
-// Beginning is what a start has to go by.
-type Beginning struct {
+// Restored is what a start has to go by.
+type Restored struct {
 	List    List
 	Learned Learned
 	Reuse   []byte
 }
 
-// Begin puts Still, Merge and Match together: what a start at now takes of a snapshot, nil for none, beside the list
+// Restore puts Still, Merge and Match together: what a start at now takes of a snapshot, nil for none, beside the list
 // that its configuration knows. known.Directory is the directory that will be asked.
-func Begin(s *Snapshot, known List, now time.Time, r Rules) (Beginning, []Dropped) {
+func Restore(s *Snapshot, known List, now time.Time, r ValidityRules) (Restored, []Dropped) {
 	if s == nil {
-		return Beginning{List: known.clone()}, nil
+		return Restored{List: known.clone()}, nil
 	}
-	s, out := Still(s, now, r)
+	s, out := DropStale(s, now, r)
 	list, more := Merge(s.List(), known)
 	out = append(out, more...)
 	s.Learned.Servers, more = Match(s.Learned.Servers, list.Members)
-	return Beginning{list, s.Learned, s.Reuse}, append(out, more...)
+	return Restored{list, s.Learned, s.Reuse}, append(out, more...)
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -148,10 +148,10 @@
 // FromConfig is the list that the configuration knows of, whose phases count as told at that moment.
 func FromConfig(l endpoints.List, directory string, told time.Time) List {
 	out := List{Directory: directory, Revision: l.Revision}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		out.Members = append(out.Members, Member{
-			ID: m.ID, Address: m.Address, Locality: m.Locality, Cell: m.Cell, Phase: m.Phase,
-			UpSince: m.UpSince, ToldAt: unixMs(told),
+			ID: m.ID, Address: m.Address, Locality: m.Zone, Cell: m.Cell, Phase: m.Phase,
+			UpSince: m.StartedAt, ToldAt: unixMs(told),
 		})
 	}
 	return out
@@ -159,11 +159,11 @@
 
 // Config is the list in the form in which the rest of the program takes it, whole.
 func (l List) Config() endpoints.List {
-	out := endpoints.List{Revision: l.Revision, Complete: true, Members: make([]endpoints.Member, 0, len(l.Members))}
+	out := endpoints.List{Revision: l.Revision, Complete: true, Endpoints: make([]endpoints.Endpoint, 0, len(l.Members))}
 	for _, m := range l.Members {
-		out.Members = append(out.Members, endpoints.Member{
-			ID: m.ID, Address: m.Address, Locality: m.Locality,
-			Cell: m.Cell, Phase: m.Phase, UpSince: m.UpSince,
+		out.Endpoints = append(out.Endpoints, endpoints.Endpoint{
+			ID: m.ID, Address: m.Address, Zone: m.Locality,
+			Cell: m.Cell, Phase: m.Phase, StartedAt: m.UpSince,
 		})
 	}
 	return out
--- a/internal/snapshot/still.go
+++ b/internal/snapshot/still.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Rules say what a start accepts of a snapshot, and up to what age.
-type Rules struct {
+// ValidityRules say what a start accepts of a snapshot, and up to what age.
+type ValidityRules struct {
 	Program, Deployment, Directory string // of this start
 	Classes, Tenants               int    // positions that the settings have
 
@@ -26,9 +26,9 @@
 	Least     float64       // weight of evidence, in outcomes, below which it is left out
 }
 
-// DefaultRules returns the age limits; who starts and with what positions is left to fill in.
-func DefaultRules() Rules {
-	return Rules{
+// DefaultValidityRules returns the age limits; who starts and with what positions is left to fill in.
+func DefaultValidityRules() ValidityRules {
+	return ValidityRules{
 		Tolerance: 2 * time.Second, List: 24 * time.Hour, Drains: 7 * 24 * time.Hour, Service: 5 * time.Minute,
 		Fit: 2 * time.Minute, Limits: 10 * time.Second, Reuse: 5 * time.Minute, HalfLife: 4 * time.Second, Least: 0.05,
 	}
@@ -101,10 +101,10 @@
 	return b.String()
 }
 
-// Still returns what of s is still true at now, and what was left out. Times of the module's clock come out as Unix ms
+// DropStale returns what of s is still true at now, and what was left out. Times of the module's clock come out as Unix ms
 // of the wall clock, none later than the snapshot or than now: nothing is taken for fresher than it is. A start time is
 // never altered, so that a provider that was cold is as cold as that says. s stays as it is.
-func Still(s *Snapshot, now time.Time, r Rules) (*Snapshot, []Dropped) {
+func DropStale(s *Snapshot, now time.Time, r ValidityRules) (*Snapshot, []Dropped) {
 	v := sieve{r: r, now: unixMs(now), taken: unixMs(s.TakenAt)}
 	if s.Learned.Now > 0 {
 		v.shift = v.taken - s.Learned.Now
@@ -133,7 +133,7 @@
 }
 
 // stranger says in what s is not this program's own.
-func (s *Snapshot) stranger(r Rules) Reason {
+func (s *Snapshot) stranger(r ValidityRules) Reason {
 	switch {
 	case s.Program != r.Program:
 		return OtherProgram
@@ -145,7 +145,7 @@
 
 // sieve takes out what no longer holds. Times are Unix ms.
 type sieve struct {
-	r          Rules
+	r          ValidityRules
 	now, taken float64
 	shift      float64 // from the module's clock to the wall clock
 	out        []Dropped
--- a/internal/snapshot/still_test.go
+++ b/internal/snapshot/still_test.go
@@ -27,8 +27,8 @@
 	return s
 }
 
-func rules() Rules {
-	r := DefaultRules()
+func rules() ValidityRules {
+	r := DefaultValidityRules()
 	r.Program, r.Deployment, r.Directory, r.Classes, r.Tenants = "n1", "d", "127.0.0.1:8500", 2, 1
 	return r
 }
@@ -59,7 +59,7 @@
 	for _, c := range []struct {
 		what string
 		age  time.Duration
-		set  func(*Snapshot, *Rules)
+		set  func(*Snapshot, *ValidityRules)
 		want string
 		why  string // among others
 	}{
@@ -73,24 +73,24 @@
 		{"a week", 8 * 24 * time.Hour, nil, "", `dropped_drain=2 why="too old"`},
 		{"the future", -time.Minute, nil, "drains gone", `dropped_learned=1 why="from the future"`},
 		{
-			"another program", 0, func(s *Snapshot, r *Rules) { r.Program = "" }, "drains gone",
+			"another program", 0, func(s *Snapshot, r *ValidityRules) { r.Program = "" }, "drains gone",
 			`dropped_member=2 why="another program"`,
 		},
-		{"another deployment", 0, func(s *Snapshot, r *Rules) { r.Deployment = "" }, "drains gone", ""},
+		{"another deployment", 0, func(s *Snapshot, r *ValidityRules) { r.Deployment = "" }, "drains gone", ""},
 		{
-			"another fleet", 0, func(s *Snapshot, r *Rules) { r.Deployment, r.Directory = "", "" }, "",
+			"another fleet", 0, func(s *Snapshot, r *ValidityRules) { r.Deployment, r.Directory = "", "" }, "",
 			`dropped_drain=2 why="another deployment"`,
 		},
 		{
-			"another directory", 0, func(s *Snapshot, r *Rules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
+			"another directory", 0, func(s *Snapshot, r *ValidityRules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
 			`dropped_provider=3 why="another directory"`,
 		},
 		{
-			"fewer positions", 0, func(s *Snapshot, r *Rules) { r.Tenants, r.Classes = 0, 1 },
+			"fewer positions", 0, func(s *Snapshot, r *ValidityRules) { r.Tenants, r.Classes = 0, 1 },
 			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_evidence=3 why="no such position"`,
 		},
 		{
-			"started anew", 0, func(s *Snapshot, r *Rules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
+			"started anew", 0, func(s *Snapshot, r *ValidityRules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
 			all + learned + " w:++2", `dropped_provider=1 why="another process" dropped_provider=1 why="not listed"`,
 		},
 	} {
@@ -99,7 +99,7 @@
 			c.set(s, &r)
 		}
 		before, now := must(Encode(s, 0)), taken.Add(c.age)
-		got, why := Still(s, now, r)
+		got, why := DropStale(s, now, r)
 		same(t, c.what, c.want, has(got))
 		if text := Summary(why); !strings.Contains(text, c.why) {
 			t.Errorf("%s: %s", c.what, text)
@@ -159,18 +159,18 @@
 }
 
 func TestBegin(t *testing.T) {
-	known := FromConfig(endpoints.List{Revision: 50, Members: []endpoints.Member{
-		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, UpSince: unixMs(taken) + 1},
+	known := FromConfig(endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{
+		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, StartedAt: unixMs(taken) + 1},
 		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving},
 	}}, "127.0.0.1:8500", taken)
-	none, _ := Begin(nil, known, taken, rules())
+	none, _ := Restore(nil, known, taken, rules())
 	same(t, "without a snapshot", known, none.List)
-	got, _ := Begin(four(), known, taken.Add(time.Second), rules())
+	got, _ := Restore(four(), known, taken.Add(time.Second), rules())
 	same(t, "learned", "d:++2", has(&Snapshot{Learned: Learned{Servers: got.Learned.Servers}}))
 	l := got.List.Config()
 	same(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{
-		l.Members[0].Phase,
-		l.Members[1].Phase, l.Members[2].Phase, fmt.Sprint(l.Revision),
+		l.Endpoints[0].Phase,
+		l.Endpoints[1].Phase, l.Endpoints[2].Phase, fmt.Sprint(l.Revision),
 	})
 }
 
--- a/internal/stableid/stableid.go
+++ b/internal/stableid/stableid.go
@@ -13,29 +13,29 @@
 	until time.Time // when it may get another meaning, once it is not live
 }
 
-// Plan is what a change comes to.
-type Plan struct {
-	Order []int // the numbers of what is named, in the order of the names
-	From  []int // by number: whose past is also this one's; its own where nothing changed; -1 = nobody's
+// Mapping is what a change comes to.
+type Mapping struct {
+	ByPosition    []int // the numbers of what is named, in the order of the names
+	PredecessorOf []int // by number: whose past is also this one's; its own where nothing changed; -1 = nobody's
 }
 
 // Apply names things anew. What keeps its name and rules keeps its number, or has it again. What has new rules gets another
 // number and the past of its name. A number whose name or rules are gone stands for them for another hold: who has
 // it may still use it.
-func (t *Table[R]) Apply(now time.Time, hold time.Duration, names []string, rules []R) Plan {
-	p := Plan{Order: make([]int, len(names)), From: make([]int, len(t.slots))}
+func (t *Table[R]) Apply(now time.Time, hold time.Duration, names []string, rules []R) Mapping {
+	p := Mapping{ByPosition: make([]int, len(names)), PredecessorOf: make([]int, len(t.slots))}
 	named := map[int]bool{}
 	for i, name := range names {
-		p.Order[i] = -1
+		p.ByPosition[i] = -1
 		for n := range t.slots {
 			if t.slots[n].name == name && t.slots[n].rules == rules[i] {
-				p.Order[i], named[n] = n, true
+				p.ByPosition[i], named[n] = n, true
 				break
 			}
 		}
 	}
 	for n := range t.slots {
-		p.From[n] = n
+		p.PredecessorOf[n] = n
 		if t.slots[n].live && !named[n] {
 			t.slots[n].until = now.Add(hold)
 		}
@@ -43,7 +43,7 @@
 	}
 	before := len(t.slots)
 	for i, name := range names {
-		if p.Order[i] < 0 {
+		if p.ByPosition[i] < 0 {
 			from := -1
 			for n, s := range t.slots[:before] { // the one that it had last, if it had several
 				if s.name == name && (from < 0 || s.until.After(t.slots[from].until)) {
@@ -52,10 +52,10 @@
 			}
 			n := t.free(now)
 			if n == len(t.slots) {
-				t.slots, p.From = append(t.slots, slot[R]{}), append(p.From, -1)
+				t.slots, p.PredecessorOf = append(t.slots, slot[R]{}), append(p.PredecessorOf, -1)
 			}
 			t.slots[n] = slot[R]{name: name, rules: rules[i], live: true}
-			p.Order[i], p.From[n] = n, from
+			p.ByPosition[i], p.PredecessorOf[n] = n, from
 		}
 	}
 	return p
--- a/internal/stableid/stableid_test.go
+++ b/internal/stableid/stableid_test.go
@@ -14,15 +14,15 @@
 	for _, tc := range []struct {
 		after        time.Duration
 		names, rules []string
-		want         Plan
+		want         Mapping
 	}{
-		{0, []string{"a", "b"}, []string{"1", "1"}, Plan{[]int{0, 1}, []int{-1, -1}}},
-		{0, []string{"b", "a"}, []string{"1", "1"}, Plan{[]int{1, 0}, []int{0, 1}}},        // another order
-		{1, []string{"b", "a"}, []string{"2", "1"}, Plan{[]int{2, 0}, []int{0, 1, 1}}},     // other rules, the same past
-		{2, []string{"b", "c"}, []string{"1", "1"}, Plan{[]int{1, 3}, []int{0, 1, 2, -1}}}, // back, one dropped, one added
-		{5, []string{"d", "c"}, []string{"1", "1"}, Plan{[]int{4, 3}, []int{0, 1, 2, 3, -1}}},
-		{12, []string{"a", "c"}, []string{"2", "1"}, Plan{[]int{0, 3}, []int{0, 1, 2, 3, 4}}}, // 0 is free by now, and had a's past
-		{30, []string{"e", "c"}, []string{"1", "1"}, Plan{[]int{1, 3}, []int{0, -1, 2, 3, 4}}},
+		{0, []string{"a", "b"}, []string{"1", "1"}, Mapping{[]int{0, 1}, []int{-1, -1}}},
+		{0, []string{"b", "a"}, []string{"1", "1"}, Mapping{[]int{1, 0}, []int{0, 1}}},        // another order
+		{1, []string{"b", "a"}, []string{"2", "1"}, Mapping{[]int{2, 0}, []int{0, 1, 1}}},     // other rules, the same past
+		{2, []string{"b", "c"}, []string{"1", "1"}, Mapping{[]int{1, 3}, []int{0, 1, 2, -1}}}, // back, one dropped, one added
+		{5, []string{"d", "c"}, []string{"1", "1"}, Mapping{[]int{4, 3}, []int{0, 1, 2, 3, -1}}},
+		{12, []string{"a", "c"}, []string{"2", "1"}, Mapping{[]int{0, 3}, []int{0, 1, 2, 3, 4}}}, // 0 is free by now, and had a's past
+		{30, []string{"e", "c"}, []string{"1", "1"}, Mapping{[]int{1, 3}, []int{0, -1, 2, 3, 4}}},
 	} {
 		got := table.Apply(at.Add(tc.after*time.Second), 10*time.Second, tc.names, tc.rules)
 		if diff := cmp.Diff(tc.want, got); diff != "" {
@@ -54,7 +54,7 @@
 				t.Fatalf("%d became %s %d while it was held as %v", n, name, r, u)
 			}
 		}
-		for i, n := range p.Order {
+		for i, n := range p.ByPosition {
 			if name, r, live := table.Rules(n); !live || name != names[i] || r != rules[i] {
 				t.Fatalf("%d is %s %d, live %t, want %s %d", n, name, r, live, names[i], rules[i])
 			}
--- a/internal/staleness/grace_test.go
+++ b/internal/staleness/grace_test.go
@@ -11,8 +11,8 @@
 // the steps that follow it.
 func TestGraceBearsAHoldUp(t *testing.T) {
 	for grace := 300 * time.Millisecond; grace <= 5*time.Second; grace += 50 * time.Millisecond {
-		pick, write := Leave(grace)
-		if write+shutdown.HoldUp > grace || pick > write || pick < 0 {
+		pick, write := DrainLimits(grace)
+		if write+shutdown.MaxStall > grace || pick > write || pick < 0 {
 			t.Errorf("grace %s: picked until %s, written until %s", grace, pick, write)
 		}
 	}
--- a/internal/staleness/line_test.go
+++ b/internal/staleness/line_test.go
@@ -17,8 +17,8 @@
 
 // waiter is one of its callers.
 type waiter struct {
-	*Keeper
-	call   Call
+	*Scheduler
+	call   Poll
 	sentAt time.Time // of the call; zero = it is not out yet
 	next   time.Time // when the call is made, or ends
 	ends   func()
@@ -31,7 +31,7 @@
 // ask has the waiter decide on its next call.
 func (w *waiter) ask(now time.Time) {
 	w.call = w.Next(now)
-	w.sentAt, w.next = time.Time{}, now.Add(w.call.After)
+	w.sentAt, w.next = time.Time{}, now.Add(w.call.Delay)
 }
 
 // step makes the call, or ends it.
@@ -44,30 +44,30 @@
 	}
 	w.sentAt = now
 	at := now.Add(w.call.Wait)
-	if l.whole += one(w.call.Whole); w.call.Whole || !w.goesOn {
+	if l.whole += one(w.call.Complete); w.call.Complete || !w.goesOn {
 		w.goesOn = false
 		served := now.Add(l.turn)
 		if l.freeAt.After(now) {
 			served = l.freeAt.Add(l.turn)
 		}
 		if served.Sub(now) > l.most {
-			w.next, w.ends = now.Add(10*ms), func() { l.refused++; w.TurnedAway() }
+			w.next, w.ends = now.Add(10*ms), func() { l.refused++; w.Rejected() }
 			return
 		}
-		if l.freeAt = served; w.call.Whole || served.After(at) {
+		if l.freeAt = served; w.call.Complete || served.After(at) {
 			at = served
 		}
 	}
-	if giveUp := now.Add(w.call.Within); at.After(giveUp) {
-		w.next, w.ends = giveUp, func() { l.given++; w.goesOn = false; w.Unanswered() }
+	if giveUp := now.Add(w.call.Timeout); at.After(giveUp) {
+		w.next, w.ends = giveUp, func() { l.given++; w.goesOn = false; w.TimedOut() }
 		return
 	}
 	w.next, w.ends = at, func() {
-		w.Answered(w.call, at.Sub(now))
-		if w.call.Whole {
-			w.ListedAll(named(12))
+		w.Responded(w.call, at.Sub(now))
+		if w.call.Complete {
+			w.ReplaceListed(named(12))
 		}
-		if w.goesOn = !w.call.Whole; w.first.IsZero() {
+		if w.goesOn = !w.call.Complete; w.first.IsZero() {
 			w.first = at
 		} else {
 			w.gap = max(w.gap, at.Sub(w.heard))
@@ -96,13 +96,13 @@
 			l, all := &line{turn: 200 * ms, most: 2 * time.Second}, []*waiter{}
 			for i := range c.callers {
 				set := usual
-				set.Callers = c.callers
+				set.Instances = c.callers
 				k, err := New(set, seed*1000+uint64(i), false)
 				if err != nil {
 					t.Fatal(err)
 				}
-				k.ListedAll(named(12))
-				w := &waiter{Keeper: k}
+				k.ReplaceListed(named(12))
+				w := &waiter{Scheduler: k}
 				w.ask(start)
 				all = append(all, w)
 			}
@@ -112,7 +112,7 @@
 						l.step(w)
 					}
 					if s := now.Sub(start); c.callers > 1 && s > 45*time.Second && s < 55*time.Second && s%(100*ms) == 0 {
-						if w.Saw(now, "p1", Refused); w.Saw(now, "p2", Refused) { // it leaves the present call
+						if w.Observe(now, "p1", ConnectRefused); w.Observe(now, "p2", ConnectRefused) { // it leaves the present call
 							w.goesOn = false
 							w.ask(now)
 						}
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -49,64 +49,64 @@
 // Settings bound what is asked of the directory. What asking costs there decides on them: an agent on the own machine is
 // asked every second for nothing, one service for thousands is not. Durations are positive.
 type Settings struct {
-	Wait          time.Duration // for which a call is held while there is no news
-	LeastWait     time.Duration // to which doubt about the list may shorten that
-	Patience      time.Duration // beyond that wait, at most, before a call is given up
-	LeastPatience time.Duration // and at least, however quickly the directory usually answers
-	Retry         time.Duration // from a failure to the next call; doubled with each further one
-	RetryMost     time.Duration // bound on that
-	Ask           time.Duration // between two calls that evidence brings on; doubled while they settle nothing
-	AskMost       time.Duration // bound on that
-	Told          time.Duration // after which all counts as told while no call waits for it; 0 = toldWithin, which bounds it
-	AtOnce        bool          // all counts as told as soon as it could be: the list is pushed
-	Callers       int           // instances that ask the same directory, as far as is known; below 1 counts as 1
-	Grace         time.Duration // for which a provider that drains still takes work
+	Wait               time.Duration // for which a call is held while there is no news
+	MinWait            time.Duration // to which doubt about the list may shorten that
+	Timeout            time.Duration // beyond that wait, at most, before a call is given up
+	MinTimeout         time.Duration // and at least, however quickly the directory usually answers
+	RetryBackoff       time.Duration // from a failure to the next call; doubled with each further one
+	MaxRetryBackoff    time.Duration // bound on that
+	RefreshInterval    time.Duration // between two calls that evidence brings on; doubled while they settle nothing
+	MaxRefreshInterval time.Duration // bound on that
+	EffectiveBy        time.Duration // after which all counts as told while no call waits for it; 0 = toldWithin, which bounds it
+	Pushed             bool          // all counts as told as soon as it could be: the list is pushed
+	Instances          int           // instances that ask the same directory, as far as is known; below 1 counts as 1
+	DrainGrace         time.Duration // for which a provider that drains still takes work
 }
 
-// Agent returns the settings for an agent on the own machine that the list is pushed to. It answers at once and costs nothing,
+// PushedSettings returns the settings for an agent on the own machine that the list is pushed to. It answers at once and costs nothing,
 // so that no other instance matters; and what it has counts as told whether or not it was asked. Hence a watch that has died
 // is found out, and the agent asked anew, within the grace of a drain: a wait, the time beyond it and the pause together are
 // 0.7 of it at first, and a directory that has been down is heard again as soon. A grace too short for that is no reason to ask
 // without a pause.
-func Agent(grace time.Duration) Settings {
+func PushedSettings(grace time.Duration) Settings {
 	grace = max(grace, leastGrace)
 	s := Settings{
-		Wait: grace * 2 / 5, LeastWait: grace / 5, Patience: grace / 2, LeastPatience: grace / 5, Retry: grace / 10,
-		RetryMost: grace / 5, AtOnce: true, Callers: 1,
-	}
-	usual := Default()
-	s.Wait, s.LeastWait = min(s.Wait, usual.Wait), min(s.LeastWait, usual.LeastWait)
-	s.Patience, s.LeastPatience = min(s.Patience, usual.Patience), min(s.LeastPatience, usual.LeastPatience)
-	s.Retry, s.RetryMost = min(s.Retry, usual.Retry), min(s.RetryMost, usual.RetryMost)
-	s.Ask, s.AskMost = usual.Ask, usual.AskMost
+		Wait: grace * 2 / 5, MinWait: grace / 5, Timeout: grace / 2, MinTimeout: grace / 5, RetryBackoff: grace / 10,
+		MaxRetryBackoff: grace / 5, Pushed: true, Instances: 1,
+	}
+	usual := DefaultSettings()
+	s.Wait, s.MinWait = min(s.Wait, usual.Wait), min(s.MinWait, usual.MinWait)
+	s.Timeout, s.MinTimeout = min(s.Timeout, usual.Timeout), min(s.MinTimeout, usual.MinTimeout)
+	s.RetryBackoff, s.MaxRetryBackoff = min(s.RetryBackoff, usual.RetryBackoff), min(s.MaxRetryBackoff, usual.MaxRetryBackoff)
+	s.RefreshInterval, s.MaxRefreshInterval = usual.RefreshInterval, usual.MaxRefreshInterval
 	return s
 }
 
-// Default returns the settings of a single sidecar for a directory that it asks.
-func Default() Settings {
+// DefaultSettings returns the settings of a single sidecar for a directory that it asks.
+func DefaultSettings() Settings {
 	return Settings{
-		Wait: time.Second, LeastWait: 250 * time.Millisecond, Patience: time.Second,
-		LeastPatience: 250 * time.Millisecond, Retry: 50 * time.Millisecond, RetryMost: 2 * time.Second, Ask: time.Second,
-		AskMost: 30 * time.Second, Callers: 1,
+		Wait: time.Second, MinWait: 250 * time.Millisecond, Timeout: time.Second,
+		MinTimeout: 250 * time.Millisecond, RetryBackoff: 50 * time.Millisecond, MaxRetryBackoff: 2 * time.Second, RefreshInterval: time.Second,
+		MaxRefreshInterval: 30 * time.Second, Instances: 1,
 	}
 }
 
 // among returns the settings sized for the number of callers.
 func (s Settings) among() Settings {
-	s.Callers = max(1, s.Callers)
-	s.Told = min(cmp.Or(s.Told, toldWithin), toldWithin)
-	n := time.Duration(s.Callers)
-	s.Retry = max(s.Retry, min(n*callerRetry, callerFirst))
-	s.RetryMost = max(s.RetryMost, min(n*callerMost, callerBound))
+	s.Instances = max(1, s.Instances)
+	s.EffectiveBy = min(cmp.Or(s.EffectiveBy, toldWithin), toldWithin)
+	n := time.Duration(s.Instances)
+	s.RetryBackoff = max(s.RetryBackoff, min(n*callerRetry, callerFirst))
+	s.MaxRetryBackoff = max(s.MaxRetryBackoff, min(n*callerMost, callerBound))
 	return s
 }
 
 // turn is the time until this caller's turn among all, each of which gets so long.
-func (k *Keeper) turn(each, most time.Duration) time.Duration {
-	if k.set.Callers == 1 {
+func (k *Scheduler) turn(each, most time.Duration) time.Duration {
+	if k.set.Instances == 1 {
 		return 0
 	}
-	return time.Duration(k.rng.Float64() * float64(min(time.Duration(k.set.Callers-1)*each, most)))
+	return time.Duration(k.rng.Float64() * float64(min(time.Duration(k.set.Instances-1)*each, most)))
 }
 
 // Check names the setting that makes no sense, by its key in a configuration.
@@ -115,10 +115,10 @@
 		key, bound  string
 		least, most time.Duration
 	}{
-		{"least_wait_ms", "wait_ms", s.LeastWait, s.Wait},
-		{"least_patience_ms", "patience_ms", s.LeastPatience, s.Patience},
-		{"retry_ms", "retry_most_ms", s.Retry, s.RetryMost},
-		{"ask_ms", "ask_most_ms", s.Ask, s.AskMost},
+		{"least_wait_ms", "wait_ms", s.MinWait, s.Wait},
+		{"least_patience_ms", "patience_ms", s.MinTimeout, s.Timeout},
+		{"retry_ms", "retry_most_ms", s.RetryBackoff, s.MaxRetryBackoff},
+		{"ask_ms", "ask_most_ms", s.RefreshInterval, s.MaxRefreshInterval},
 	} {
 		if d.least <= 0 || d.most < d.least {
 			return fmt.Errorf("%s: %s does not lie above 0 and up to %s, %s", d.key, d.least, d.bound, d.most)
@@ -127,27 +127,27 @@
 	return nil
 }
 
-// Call is what to ask the directory next.
-type Call struct {
-	Whole  bool          // the whole list, at once; else what has changed
-	Wait   time.Duration // for news; 0 with Whole
-	Within time.Duration // after which the call is given up, unless its answer has begun
-	Pause  time.Duration // after which it is given up while its connection comes up, or its answer has begun and pauses
-	After  time.Duration // pause before it
+// Poll is what to ask the directory next.
+type Poll struct {
+	Complete     bool          // the whole list, at once; else what has changed
+	Wait         time.Duration // for news; 0 with Whole
+	Timeout      time.Duration // after which the call is given up, unless its answer has begun
+	StallTimeout time.Duration // after which it is given up while its connection comes up, or its answer has begun and pauses
+	Delay        time.Duration // pause before it
 }
 
-// Sign is what has been seen of a provider.
-type Sign uint8
+// Evidence is what has been seen of a provider.
+type Evidence uint8
 
 // The signs. Alive speaks for the list's word that the provider is in service, the others against it.
 const (
-	Alive    Sign = iota // it has answered as one in service does
-	Refused              // a connection was refused: no process is there
-	Draining             // it turned a probe away, as one does that drains
+	Alive          Evidence = iota // it has answered as one in service does
+	ConnectRefused                 // a connection was refused: no process is there
+	Draining                       // it turned a probe away, as one does that drains
 )
 
-// Keeper is the state of one watch. It is not safe for concurrent use.
-type Keeper struct {
+// Scheduler is the state of one watch. It is not safe for concurrent use.
+type Scheduler struct {
 	set Settings
 	rng *rand.Rand
 
@@ -181,41 +181,41 @@
 }
 
 // New returns a Keeper; whole says that the first call is for the whole list, since none is known.
-func New(set Settings, seed uint64, whole bool) (*Keeper, error) {
+func New(set Settings, seed uint64, whole bool) (*Scheduler, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Keeper{
+	return &Scheduler{
 		set: set.among(), rng: rand.New(rand.NewPCG(seed, 0x6c697374)), whole: whole, listed: map[string]float64{},
 		doubted: map[string]*against{},
 	}, nil
 }
 
 // Next is the call to make at now.
-func (k *Keeper) Next(now time.Time) Call {
-	c := Call{Whole: k.whole || k.asked}
-	c.Within, c.Pause = k.patience(c.Whole), k.set.Patience // no turn is waited for there, and nothing is learned of it
+func (k *Scheduler) Next(now time.Time) Poll {
+	c := Poll{Complete: k.whole || k.asked}
+	c.Timeout, c.StallTimeout = k.patience(c.Complete), k.set.Timeout // no turn is waited for there, and nothing is learned of it
 	switch {
 	case k.failures > 0:
-		c.After = wait(k.set.Retry, k.set.RetryMost, k.failures, k.rng.Float64())
+		c.Delay = wait(k.set.RetryBackoff, k.set.MaxRetryBackoff, k.failures, k.rng.Float64())
 	case k.asked || !k.started: // all start together and see the same, and each has a list meanwhile
-		c.After = k.turn(callerRetry, callerFirst)
+		c.Delay = k.turn(callerRetry, callerFirst)
 	}
-	if !c.Whole && (k.started || !k.set.AtOnce) { // an agent is asked without a wait what has changed since a list of unknown age
+	if !c.Complete && (k.started || !k.set.Pushed) { // an agent is asked without a wait what has changed since a list of unknown age
 		d := k.set.Wait / time.Duration(1+k.against(now))
-		c.Wait = max(k.set.LeastWait, d-time.Duration(waitJitter*k.rng.Float64()*float64(d))).Truncate(time.Millisecond)
-		c.Within += c.Wait
+		c.Wait = max(k.set.MinWait, d-time.Duration(waitJitter*k.rng.Float64()*float64(d))).Truncate(time.Millisecond)
+		c.Timeout += c.Wait
 	}
 	k.started, k.asking = true, k.asked
-	if k.lateAt = now.Add(c.After + c.Wait + k.set.LeastPatience); k.set.Callers > 1 { // in line, a call is in time as long as it waits
-		k.lateAt = now.Add(c.After + c.Within)
+	if k.lateAt = now.Add(c.Delay + c.Wait + k.set.MinTimeout); k.set.Instances > 1 { // in line, a call is in time as long as it waits
+		k.lateAt = now.Add(c.Delay + c.Timeout)
 	}
-	k.began = now.Add(c.After)
+	k.began = now.Add(c.Delay)
 	until := now // of the list to begin with nobody knows the age; and an agent may have had the word since it was asked last
 	switch {
-	case c.After > 0 && k.set.AtOnce || k.asOf.IsZero() || k.left: // who leaves a watch would have been told
-	case (c.After > 0 || c.Whole) && !k.set.AtOnce:
-		until = k.asOf.Add(max(0, k.set.Told-newsLag))
+	case c.Delay > 0 && k.set.Pushed || k.asOf.IsZero() || k.left: // who leaves a watch would have been told
+	case (c.Delay > 0 || c.Complete) && !k.set.Pushed:
+		until = k.asOf.Add(max(0, k.set.EffectiveBy-newsLag))
 	default:
 		until = k.began.Add(c.Wait + toldAfter)
 	}
@@ -229,79 +229,79 @@
 	return c
 }
 
-// Trust is what the list in force is worth.
-type Trust struct {
-	// Sure is the time until which it is all that counts as told. After that a provider that it names as in service may have
+// Validity is what the list in force is worth.
+type Validity struct {
+	// ListUntil is the time until which it is all that counts as told. After that a provider that it names as in service may have
 	// begun to drain, and the word of it may count as soon as it would have come, although it never did: the watch has been
 	// silent for so long that it counts as broken. What stands for the list then is Proof.
-	Sure time.Time
-	// Known is the time until which the process that answers at a provider's address is the one that the list names.
-	Known time.Time
+	ListUntil time.Time
+	// ProcessUntil is the time until which the process that answers at a provider's address is the one that the list names.
+	ProcessUntil time.Time
 }
 
-// Trust is that of the list as the last call or pause began. On request, changes wait to be told for up to 6 s: a provider may have
+// Validity is that of the list as the last call or pause began. On request, changes wait to be told for up to 6 s: a provider may have
 // gone and be back under its id, unheard, at any time after the list was heard, and while it has gone is told before that
 // it is back, nothing may go there. Where calls wait in turn at one service, a sidecar that starts in a herd may not be heard for
 // long and has no connection from before: a provider that leaves after the start stays for its grace, so that another process
 // takes longer to be there.
-func (k *Keeper) Trust() Trust {
+func (k *Scheduler) Validity() Validity {
 	switch {
-	case k.set.AtOnce:
-		return Trust{k.sure, k.sure}
+	case k.set.Pushed:
+		return Validity{k.sure, k.sure}
 	case k.asOf.IsZero():
-		return Trust{k.sure, k.sure.Add(k.set.Grace)}
+		return Validity{k.sure, k.sure.Add(k.set.DrainGrace)}
 	}
-	return Trust{k.sure, k.asOf.Add(-newsLag)}
+	return Validity{k.sure, k.asOf.Add(-newsLag)}
 }
 
-// NotAfter is until when a first byte may go to a provider whose drain would have that grace; zero = at any time, since the list
+// StartBy is until when a first byte may go to a provider whose drain would have that grace; zero = at any time, since the list
 // is never in doubt.
-func (t Trust) NotAfter(p Proof, grace time.Duration) time.Time {
-	if t.Sure.IsZero() {
-		return t.Sure
+func (t Validity) StartBy(p Liveness, grace time.Duration) time.Time {
+	if t.ListUntil.IsZero() {
+		return t.ListUntil
 	}
-	if p.Probed.After(t.Sure) {
-		t.Sure = p.Probed
+	if p.ProbedAt.After(t.ListUntil) {
+		t.ListUntil = p.ProbedAt
 	}
-	_, write := Leave(grace)
-	return t.Sure.Add(write)
+	_, write := DrainLimits(grace)
+	return t.ListUntil.Add(write)
 }
 
-// Proof is what is known of one provider's process beside the list: when it was last there for certain.
-type Proof struct{ Alive, Probed time.Time }
+// Liveness is what is known of one provider's process beside the list: when it was last there for certain.
+type Liveness struct{ AliveAt, ProbedAt time.Time }
 
-// Answered takes note of an answer to what was asked at that moment over a connection that had come up at since; known is that
+// Responded takes note of an answer to what was asked at that moment over a connection that had come up at since; known is that
 // of Trust, probe says that it was a probe and answered as by one in service. Only a connection that was there while
 // the list could be relied on, or while the process was known to be alive, leads to the process that the list names: another one may
 // have come up in its place, at the same address and under the same id, and the list would say so. One that drains turns
 // probes away, though it still serves requests, so that it began to drain after it was asked.
-func (p *Proof) Answered(asked, since, known time.Time, probe bool) {
-	if since.IsZero() || since.After(known) && since.After(p.Alive) {
+func (p *Liveness) Observe(asked, since, known time.Time, probe bool) {
+	if since.IsZero() || since.After(known) && since.After(p.AliveAt) {
 		return
 	}
-	if asked.After(p.Alive) { // answers come in any order
-		p.Alive = asked
+	if asked.After(p.AliveAt) { // answers come in any order
+		p.AliveAt = asked
 	}
-	if probe && asked.After(p.Probed) {
-		p.Probed = asked
+	if probe && asked.After(p.ProbedAt) {
+		p.ProbedAt = asked
 	}
 }
 
-// ByteLead is the time in which a first byte that is about to be written goes out: the process may be held up there, and it has a part of
+// FirstByteLead is the time in which a first byte that is about to be written goes out: the process may be held up there, and it has a part of
 // a core. A connection usually comes up within it, too.
-const ByteLead = shutdown.HoldUp + 50*time.Millisecond
+const FirstByteLead = shutdown.MaxStall + 50*time.Millisecond
 
-// A grace that is hardly longer than ByteLead leaves one part in shortPart for first bytes, and one no longer than leastLead none.
+// A grace that is hardly longer than FirstByteLead leaves one part in shortPart for first bytes, and one no longer than leastLead none.
 const (
 	shortPart = 4
 	leastLead = 100 * time.Millisecond
 )
 
-// Leave says for how long after the word of a drain, which has that grace, a provider may still be picked and a first byte
+// DrainLimits says for how long after the word of a drain, which has that grace, a provider may still be picked and a first byte
 // still be written. The same goes for a word that may count unheard: from Sure on, or since the provider was last Probed. A connection that
 // comes up too late is not written to.
-func Leave(grace time.Duration) (pick, write time.Duration) {
-	write = max(0, grace-ByteLead, min(grace/shortPart, grace-leastLead))
+func DrainLimits(grace time.Duration) (pick, write time.Duration) {
+	write = max(0, grace-FirstByteLead, min(grace/shortPart, grace-leastLead))
 	return write, write
 }
 
@@ -312,27 +312,27 @@
 
 // patience is the time beyond its wait after which an answer is not expected any more. What is learned holds for a watch
 // that goes on. A new one may have to wait in turn, and whoever gives up there goes to the end of the queue.
-func (k *Keeper) patience(whole bool) time.Duration {
-	n := time.Duration(k.set.Callers)
+func (k *Scheduler) patience(whole bool) time.Duration {
+	n := time.Duration(k.set.Instances)
 	switch {
 	case n == 1 && (whole || !k.known || k.full || k.failures > 0):
-		return k.set.Patience // there is no line
+		return k.set.Timeout // there is no line
 	case whole:
-		return max(k.set.Patience, min(n*callerTurn, callerLine), min(n*callerQueue, callerBound))
+		return max(k.set.Timeout, min(n*callerTurn, callerLine), min(n*callerQueue, callerBound))
 	case !k.known || k.full || k.failures > 0:
-		return max(k.set.Patience, min(n*callerTurn, callerTold))
+		return max(k.set.Timeout, min(n*callerTurn, callerTold))
 	}
-	return min(k.set.Patience, max(k.set.LeastPatience, k.late+varTimes*k.spread))
+	return min(k.set.Timeout, max(k.set.MinTimeout, k.late+varTimes*k.spread))
 }
 
-// Answered takes note of an answer to c that began after took, whatever it said.
-func (k *Keeper) Answered(c Call, took time.Duration) {
+// Responded takes note of an answer to c that began after took, whatever it said.
+func (k *Scheduler) Responded(c Poll, took time.Duration) {
 	k.failures = 0
 	k.owed = k.asked && !k.asking // the evidence came as this was answered
 	k.asOf, k.sure, k.moved = k.began, time.Time{}, false
-	k.whole = k.whole && !c.Whole
-	k.full = k.full && c.Whole // a whole list that was there already says nothing of the room for a watch
-	if took < c.Wait {         // there was news: how late an answer is, it does not say
+	k.whole = k.whole && !c.Complete
+	k.full = k.full && c.Complete // a whole list that was there already says nothing of the room for a watch
+	if took < c.Wait {            // there was news: how late an answer is, it does not say
 		return
 	}
 	k.asOf = k.began.Add(c.Wait) // there was none until then
@@ -347,36 +347,36 @@
 
 // Failed takes note of a call that brought nothing. Who answers at the directory's address may be another process by now,
 // so that what has changed meanwhile is unknown: the next call is for the whole list.
-func (k *Keeper) Failed() { k.failures, k.whole = k.failures+1, true }
+func (k *Scheduler) Failed() { k.failures, k.whole = k.failures+1, true }
 
-// TurnedAway takes note of a call that the directory had no room for. It is still the one that has told the list in force,
+// Rejected takes note of a call that the directory had no room for. It is still the one that has told the list in force,
 // and bears the few lines of what has changed since where it can't bear the whole list from everybody: a whole list that
 // only evidence has asked for is not asked for again.
-func (k *Keeper) TurnedAway() {
+func (k *Scheduler) Rejected() {
 	k.failures++
 	k.full, k.asked = true, false
 }
 
-// Unanswered takes note of a call that was given up: its connection had come up, and nothing came over it. Where calls have been
+// TimedOut takes note of a call that was given up: its connection had come up, and nothing came over it. Where calls have been
 // turned away since a watch was answered that is the line, and goes for a call that is turned away; else the directory that has
 // told the list may be gone without a word.
-func (k *Keeper) Unanswered() {
-	if k.full && !k.set.AtOnce {
-		k.TurnedAway()
+func (k *Scheduler) TimedOut() {
+	if k.full && !k.set.Pushed {
+		k.Rejected()
 		return
 	}
 	k.Failed()
 }
 
-// Moved takes note that the next call goes to another directory, of which nothing is known.
-func (k *Keeper) Moved() {
+// SourceChanged takes note that the next call goes to another directory, of which nothing is known.
+func (k *Scheduler) SourceChanged() {
 	k.failures, k.whole, k.known, k.started, k.full = 0, true, false, false, false
 	k.asks, k.asked, k.moved = 0, false, true
 }
 
-// Listed takes the directory's word of one provider: whether the list now names it as in service, and the start of its
+// SetListed takes the directory's word of one provider: whether the list now names it as in service, and the start of its
 // process. What spoke against an earlier process is over.
-func (k *Keeper) Listed(provider string, ready bool, process float64) {
+func (k *Scheduler) SetListed(provider string, ready bool, process float64) {
 	was, known := k.listed[provider]
 	if !ready || known && was != process {
 		delete(k.doubted, provider)
@@ -386,19 +386,19 @@
 	}
 }
 
-// ListedAll takes a whole list: the providers that are in service, with the starts of their processes. Those that speak
+// ReplaceListed takes a whole list: the providers that are in service, with the starts of their processes. Those that speak
 // against it still have had their hearing.
-func (k *Keeper) ListedAll(ready map[string]float64) {
+func (k *Scheduler) ReplaceListed(ready map[string]float64) {
 	if !maps.Equal(k.listed, ready) {
 		k.asks = 0
 	}
 	for p := range k.listed {
 		if _, still := ready[p]; !still {
-			k.Listed(p, false, 0)
+			k.SetListed(p, false, 0)
 		}
 	}
 	for p, process := range ready {
-		k.Listed(p, true, process)
+		k.SetListed(p, true, process)
 	}
 	for _, a := range k.doubted {
 		a.settled = true
@@ -407,7 +407,7 @@
 }
 
 // against counts the providers that speak against the list and about which the directory has not been asked since.
-func (k *Keeper) against(now time.Time) (n int) {
+func (k *Scheduler) against(now time.Time) (n int) {
 	for _, a := range k.doubted {
 		if !a.settled && now.Sub(a.at) <= memory {
 			n++
@@ -419,14 +419,16 @@
 // othersFirst reports whether evidence has to wait, as it does at a directory that others ask, too, while the watch is in time. All
 // see the same then, and whoever leaves a watch for the whole list loses the word that is on its way and goes to the end of the
 // line: with 32 callers, four servers that refused cost most of them every list for 10 to 20 s.
-func (k *Keeper) othersFirst(now time.Time) bool { return k.set.Callers > 1 && now.Before(k.lateAt) }
+func (k *Scheduler) othersFirst(now time.Time) bool {
+	return k.set.Instances > 1 && now.Before(k.lateAt)
+}
 
-// Saw takes a sign of a provider. True asks for the whole list now, even while a call is out: several providers speak
+// Observe takes a sign of a provider. True asks for the whole list now, even while a call is out: several providers speak
 // against the list at once. It is bounded: never twice within Settings.Ask, less and less often while the directory
 // stands by its list, not while it turns calls away, nor while it answers several callers in time; and a provider for which it
 // stands by its list counts no more until it has answered or restarted. No sign takes a provider out of the list: a fault of
 // this side makes all look gone.
-func (k *Keeper) Saw(now time.Time, provider string, sign Sign) bool {
+func (k *Scheduler) Observe(now time.Time, provider string, sign Evidence) bool {
 	if _, listed := k.listed[provider]; !listed {
 		return false
 	}
@@ -445,7 +447,7 @@
 		return false
 	}
 	k.asks++
-	k.askAt = now.Add(max(k.set.Ask, wait(2*k.set.Ask, k.set.AskMost, k.asks, k.rng.Float64())))
-	k.asked, k.left = true, now.Before(k.lateAt) && !k.set.AtOnce
+	k.askAt = now.Add(max(k.set.RefreshInterval, wait(2*k.set.RefreshInterval, k.set.MaxRefreshInterval, k.asks, k.rng.Float64())))
+	k.asked, k.left = true, now.Before(k.lateAt) && !k.set.Pushed
 	return true
 }
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -10,15 +10,15 @@
 
 const ms = time.Millisecond
 
-var usual = Default()
+var usual = DefaultSettings()
 
-func keeper(t *testing.T, providers int) *Keeper {
+func keeper(t *testing.T, providers int) *Scheduler {
 	t.Helper()
 	k, err := New(usual, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.ListedAll(named(providers))
+	k.ReplaceListed(named(providers))
 	return k
 }
 
@@ -42,21 +42,21 @@
 	k, now := keeper(t, 0), time.Unix(1e9, 0)
 	c := k.Next(now)
 	within(t, "first wait", c.Wait, 900*ms, time.Second)
-	within(t, "patience before any sample", c.Within-c.Wait, time.Second, time.Second)
+	within(t, "patience before any sample", c.Timeout-c.Wait, time.Second, time.Second)
 	for range 50 {
 		c = k.Next(now)
-		k.Answered(c, c.Wait+2*ms)
+		k.Responded(c, c.Wait+2*ms)
 	}
 	c = k.Next(now)
-	within(t, "patience with a quick directory", c.Within-c.Wait, 250*ms, 250*ms)
-	k.Answered(c, 10*ms) // news: how late the directory is, this does not say
+	within(t, "patience with a quick directory", c.Timeout-c.Wait, 250*ms, 250*ms)
+	k.Responded(c, 10*ms) // news: how late the directory is, this does not say
 	for range 50 {
 		c = k.Next(now)
-		k.Answered(c, c.Wait+400*ms)
+		k.Responded(c, c.Wait+400*ms)
 	}
 	c = k.Next(now)
-	within(t, "patience with a slow one", c.Within-c.Wait, 400*ms, 500*ms)
-	if c.Whole || c.After != 0 {
+	within(t, "patience with a slow one", c.Timeout-c.Wait, 400*ms, 500*ms)
+	if c.Complete || c.Delay != 0 {
 		t.Errorf("after an answer: %+v", c)
 	}
 }
@@ -64,22 +64,22 @@
 // A directory that is down is asked less and less often, for the whole list, and given ever more time.
 func TestFailures(t *testing.T) {
 	k, now := keeper(t, 0), time.Unix(1e9, 0)
-	k.Answered(Call{Whole: true}, ms)
+	k.Responded(Poll{Complete: true}, ms)
 	for i, most := range []time.Duration{50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
 		k.Failed()
 		c := k.Next(now)
-		within(t, fmt.Sprint("pause ", i), c.After, most/2, most)
-		within(t, fmt.Sprint("time ", i), c.Within, min(time.Second, 250*ms<<i), time.Second)
-		if !c.Whole || c.Wait != 0 {
+		within(t, fmt.Sprint("pause ", i), c.Delay, most/2, most)
+		within(t, fmt.Sprint("time ", i), c.Timeout, min(time.Second, 250*ms<<i), time.Second)
+		if !c.Complete || c.Wait != 0 {
 			t.Errorf("after a failure: %+v", c)
 		}
 	}
-	k.Answered(Call{Whole: true}, ms)
-	if c := k.Next(now); c.Whole || c.After != 0 {
+	k.Responded(Poll{Complete: true}, ms)
+	if c := k.Next(now); c.Complete || c.Delay != 0 {
 		t.Errorf("after the answer: %+v", c)
 	}
-	k.Moved()
-	if c := k.Next(now); !c.Whole || c.After != 0 || c.Within != time.Second {
+	k.SourceChanged()
+	if c := k.Next(now); !c.Complete || c.Delay != 0 || c.Timeout != time.Second {
 		t.Errorf("at another directory: %+v", c)
 	}
 }
@@ -89,69 +89,69 @@
 	type step struct {
 		at       time.Duration
 		provider int
-		sign     Sign
+		sign     Evidence
 		asks     bool
 	}
 	again := func(from, every time.Duration, n int, asks ...int) (steps []step) { // two providers refuse again and again
 		for i := range n {
 			at := from + time.Duration(i)*every
-			steps = append(steps, step{at, 0, Refused, false}, step{at, 1, Refused, false})
+			steps = append(steps, step{at, 0, ConnectRefused, false}, step{at, 1, ConnectRefused, false})
 		}
 		for _, i := range asks {
 			steps[2*i+1].asks = true
 		}
 		return steps
 	}
-	const listed, moved = Sign(100), Sign(101)
+	const listed, moved = Evidence(100), Evidence(101)
 	for name, c := range map[string]struct {
 		providers int
 		steps     []step
 	}{
-		"one of many is its own trouble": {15, []step{{0, 0, Refused, false}, {1, 0, Refused, false}, {2, 0, Draining, false}}},
-		"two at once":                    {15, []step{{0, 0, Refused, false}, {500 * ms, 1, Draining, true}}},
-		"two, but not at once":           {15, []step{{0, 0, Refused, false}, {4 * time.Second, 1, Refused, false}}},
-		"one has answered meanwhile":     {15, []step{{0, 0, Refused, false}, {1, 0, Alive, false}, {2, 1, Refused, false}}},
+		"one of many is its own trouble": {15, []step{{0, 0, ConnectRefused, false}, {1, 0, ConnectRefused, false}, {2, 0, Draining, false}}},
+		"two at once":                    {15, []step{{0, 0, ConnectRefused, false}, {500 * ms, 1, Draining, true}}},
+		"two, but not at once":           {15, []step{{0, 0, ConnectRefused, false}, {4 * time.Second, 1, ConnectRefused, false}}},
+		"one has answered meanwhile":     {15, []step{{0, 0, ConnectRefused, false}, {1, 0, Alive, false}, {2, 1, ConnectRefused, false}}},
 		"a tenth of a large fleet": {40, []step{
-			{0, 0, Refused, false},
-			{1, 1, Refused, false},
-			{2, 2, Refused, false},
-			{3, 3, Refused, true},
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, false},
+			{2, 2, ConnectRefused, false},
+			{3, 3, ConnectRefused, true},
 		}},
-		"the only one":            {1, []step{{0, 0, Refused, true}}},
-		"not on the list":         {2, []step{{0, 7, Refused, false}, {1, 8, Refused, false}}},
-		"not before the answer":   {15, []step{{0, 0, Refused, false}, {1, 1, Refused, true}, {5 * time.Second, 2, Refused, false}, {5 * time.Second, 3, Refused, false}}},
-		"the list stands by them": {15, append([]step{{0, 0, Refused, false}, {1, 1, Refused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
+		"the only one":            {1, []step{{0, 0, ConnectRefused, true}}},
+		"not on the list":         {2, []step{{0, 7, ConnectRefused, false}, {1, 8, ConnectRefused, false}}},
+		"not before the answer":   {15, []step{{0, 0, ConnectRefused, false}, {1, 1, ConnectRefused, true}, {5 * time.Second, 2, ConnectRefused, false}, {5 * time.Second, 3, ConnectRefused, false}}},
+		"the list stands by them": {15, append([]step{{0, 0, ConnectRefused, false}, {1, 1, ConnectRefused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
 		"others after that": {15, []step{
-			{0, 0, Refused, false},
-			{1, 1, Refused, true},
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, true},
 			{2, 0, listed, false},
-			{5 * time.Second, 2, Refused, false},
-			{5 * time.Second, 3, Refused, true},
+			{5 * time.Second, 2, ConnectRefused, false},
+			{5 * time.Second, 3, ConnectRefused, true},
 		}},
 		"others too soon after that": {15, []step{
-			{0, 0, Refused, false},
-			{1, 1, Refused, true},
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, true},
 			{2, 0, listed, false},
-			{900 * ms, 2, Refused, false},
-			{900 * ms, 3, Refused, false},
+			{900 * ms, 2, ConnectRefused, false},
+			{900 * ms, 3, ConnectRefused, false},
 		}},
 		"a new directory": {15, []step{
-			{0, 0, Refused, false},
-			{1, 1, Refused, true},
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, true},
 			{2, 0, moved, false},
-			{5 * time.Second, 2, Refused, false},
-			{5 * time.Second, 3, Refused, true},
+			{5 * time.Second, 2, ConnectRefused, false},
+			{5 * time.Second, 3, ConnectRefused, true},
 		}},
 	} {
 		k, start := keeper(t, c.providers), time.Unix(1e9, 0)
 		for i, s := range c.steps {
 			switch s.sign {
 			case listed:
-				k.ListedAll(named(c.providers))
+				k.ReplaceListed(named(c.providers))
 			case moved:
-				k.Moved()
+				k.SourceChanged()
 			default:
-				if got := k.Saw(start.Add(s.at), fmt.Sprint("p", s.provider), s.sign); got != s.asks {
+				if got := k.Observe(start.Add(s.at), fmt.Sprint("p", s.provider), s.sign); got != s.asks {
 					t.Errorf("%s, step %d: asks %t", name, i, got)
 				}
 			}
@@ -166,14 +166,14 @@
 	for range 600 { // ten minutes
 		for p := range 15 {
 			name := fmt.Sprint("p", p)
-			k.Saw(now, name, Alive)
-			if k.Saw(now, name, Refused) {
+			k.Observe(now, name, Alive)
+			if k.Observe(now, name, ConnectRefused) {
 				asks++
-				if c := k.Next(now); !c.Whole {
+				if c := k.Next(now); !c.Complete {
 					t.Fatalf("the next call is %+v", c)
 				}
-				k.Answered(Call{Whole: true}, ms)
-				k.ListedAll(named(15))
+				k.Responded(Poll{Complete: true}, ms)
+				k.ReplaceListed(named(15))
 			}
 		}
 		now = now.Add(time.Second)
@@ -187,22 +187,22 @@
 func TestEvidenceDuringACall(t *testing.T) {
 	k, now := keeper(t, 15), time.Unix(1e9, 0)
 	k.Next(now)
-	k.Saw(now, "p0", Refused)
+	k.Observe(now, "p0", ConnectRefused)
 	c := k.Next(now)
 	within(t, "wait with one doubt", c.Wait, 450*ms, 500*ms)
-	if !k.Saw(now, "p1", Refused) {
+	if !k.Observe(now, "p1", ConnectRefused) {
 		t.Fatal("not asked")
 	}
-	k.Answered(c, 10*ms)
-	if c = k.Next(now); !c.Whole {
+	k.Responded(c, 10*ms)
+	if c = k.Next(now); !c.Complete {
 		t.Errorf("after the answer to another call: %+v", c)
 	}
 	k.Failed()
-	k.Answered(k.Next(now), 10*ms)
-	k.ListedAll(named(3))
-	k.Listed("p0", true, 2) // a new process: what spoke against the old one is over
-	k.Saw(now.Add(time.Minute), "p0", Refused)
-	if c = k.Next(now.Add(time.Minute)); c.Whole || c.Wait > 500*ms {
+	k.Responded(k.Next(now), 10*ms)
+	k.ReplaceListed(named(3))
+	k.SetListed("p0", true, 2) // a new process: what spoke against the old one is over
+	k.Observe(now.Add(time.Minute), "p0", ConnectRefused)
+	if c = k.Next(now.Add(time.Minute)); c.Complete || c.Wait > 500*ms {
 		t.Errorf("after the whole list: %+v", c)
 	}
 }
@@ -215,18 +215,18 @@
 			k.Failed()
 		}
 		c := k.Next(now)
-		k.Saw(now, "p0", Refused)
-		if c.Whole != whole || !k.Saw(now, "p1", Refused) {
+		k.Observe(now, "p0", ConnectRefused)
+		if c.Complete != whole || !k.Observe(now, "p1", ConnectRefused) {
 			t.Fatalf("%+v, not asked", c)
 		}
-		k.Answered(c, ms)
-		k.ListedAll(named(4))
-		if c = k.Next(now); !c.Whole {
+		k.Responded(c, ms)
+		k.ReplaceListed(named(4))
+		if c = k.Next(now); !c.Complete {
 			t.Errorf("whole %t: evidence is lost", whole)
 		}
-		k.Answered(c, ms)
-		k.ListedAll(named(4))
-		if c = k.Next(now); c.Whole {
+		k.Responded(c, ms)
+		k.ReplaceListed(named(4))
+		if c = k.Next(now); c.Complete {
 			t.Errorf("whole %t: it is asked twice", whole)
 		}
 	}
@@ -234,10 +234,10 @@
 
 func TestSettings(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"least_wait":     func(s *Settings) { s.LeastWait = 2 * s.Wait },
-		"least_patience": func(s *Settings) { s.LeastPatience = 0 },
-		"retry":          func(s *Settings) { s.RetryMost = 0 },
-		"ask":            func(s *Settings) { s.Ask = -1 },
+		"least_wait":     func(s *Settings) { s.MinWait = 2 * s.Wait },
+		"least_patience": func(s *Settings) { s.MinTimeout = 0 },
+		"retry":          func(s *Settings) { s.MaxRetryBackoff = 0 },
+		"ask":            func(s *Settings) { s.RefreshInterval = -1 },
 	} {
 		s := usual
 		spoil(&s)
@@ -248,15 +248,15 @@
 }
 
 // among returns a watch that is one of so many.
-func among(t *testing.T, callers int, seed uint64) *Keeper {
+func among(t *testing.T, callers int, seed uint64) *Scheduler {
 	t.Helper()
 	set := usual
-	set.Callers = callers
+	set.Instances = callers
 	k, err := New(set, seed, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.ListedAll(named(15))
+	k.ReplaceListed(named(15))
 	return k
 }
 
@@ -272,25 +272,25 @@
 			k, at := among(t, c.callers, uint64(i)), time.Duration(0)
 			for at < 30*time.Second {
 				next := k.Next(time.Unix(0, 0).Add(at))
-				if next.Whole {
+				if next.Complete {
 					t.Fatalf("caller %d asks for the whole list", i)
 				}
-				at += next.After
+				at += next.Delay
 				calls[int(at/(100*ms))]++
-				k.TurnedAway()
+				k.Rejected()
 			}
 			k, at = among(t, c.callers, uint64(i)), 0
 			for end := time.Duration(0); at < 30*time.Second; at += 50 * ms {
 				now := time.Unix(1e9, 0).Add(at)
 				if at >= end {
 					next := k.Next(now)
-					k.Answered(next, next.Wait)
-					end = at + next.After + next.Wait
+					k.Responded(next, next.Wait)
+					end = at + next.Delay + next.Wait
 				}
-				if first := k.Saw(now, "p1", Refused); k.Saw(now, "p2", Refused) || first {
+				if first := k.Observe(now, "p1", ConnectRefused); k.Observe(now, "p2", ConnectRefused) || first {
 					doubts[int(at/time.Second)]++
-					k.TurnedAway()
-					k.Answered(k.Next(now), 0)
+					k.Rejected()
+					k.Responded(k.Next(now), 0)
 					break
 				}
 			}
@@ -315,43 +315,43 @@
 // directory; and while calls are turned away no evidence makes it leave its place.
 func TestFull(t *testing.T) {
 	k, now := among(t, 80, 1), time.Unix(1e9, 0)
-	if c := k.Next(now); c.Whole || c.Within-c.Wait != 1900*ms || c.After > 800*ms {
+	if c := k.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay > 800*ms {
 		t.Errorf("the first call: %+v", c)
 	}
 	for range 50 {
 		c := k.Next(now)
-		k.Answered(c, c.Wait+2*ms)
+		k.Responded(c, c.Wait+2*ms)
 	}
-	if c := k.Next(now); c.Within > 1500*ms {
+	if c := k.Next(now); c.Timeout > 1500*ms {
 		t.Errorf("a watch that goes on: %+v", c)
 	}
-	k.TurnedAway()
-	if c := k.Next(now); c.Whole || c.Within-c.Wait != 1900*ms || c.After < 250*ms || c.After > 500*ms {
+	k.Rejected()
+	if c := k.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay < 250*ms || c.Delay > 500*ms {
 		t.Errorf("turned away: %+v", c)
 	}
 	now = now.Add(time.Minute) // overdue
-	if k.Saw(now, "p1", Refused); k.Saw(now, "p2", Refused) {
+	if k.Observe(now, "p1", ConnectRefused); k.Observe(now, "p2", ConnectRefused) {
 		t.Error("the place is left")
 	}
-	k.Answered(Call{Whole: true}, ms) // it had that at hand
-	if c := k.Next(now); c.Within-c.Wait != 1900*ms {
+	k.Responded(Poll{Complete: true}, ms) // it had that at hand
+	if c := k.Next(now); c.Timeout-c.Wait != 1900*ms {
 		t.Errorf("after a whole list: %+v", c)
 	}
 	c := k.Next(now)
-	k.Answered(c, c.Wait+2*ms)
+	k.Responded(c, c.Wait+2*ms)
 	now = now.Add(time.Minute)
-	if k.Saw(now, "p1", Refused); !k.Saw(now, "p2", Refused) {
+	if k.Observe(now, "p1", ConnectRefused); !k.Observe(now, "p2", ConnectRefused) {
 		t.Error("no evidence counts any more")
 	}
-	if c := k.Next(now); !c.Whole || c.After > 800*ms || c.Within != 4*time.Second {
+	if c := k.Next(now); !c.Complete || c.Delay > 800*ms || c.Timeout != 4*time.Second {
 		t.Errorf("in doubt: %+v", c)
 	}
-	k.TurnedAway()
-	if c := k.Next(now); c.Whole {
+	k.Rejected()
+	if c := k.Next(now); c.Complete {
 		t.Errorf("a doubt that is turned away: %+v", c)
 	}
 	k.Failed()
-	if k.TurnedAway(); !k.Next(now).Whole {
+	if k.Rejected(); !k.Next(now).Complete {
 		t.Error("what is owed since a failure is forgotten")
 	}
 }
@@ -359,12 +359,12 @@
 // Until when the list is sure, by what became of the calls since its last answer: each told as its age when it was made, how
 // long it may wait, and what followed. What is left of the fate of the last call is what the next one finds.
 func TestHowLongTheListIsSure(t *testing.T) {
-	type fate func(*Keeper, Call)
-	answered := func(k *Keeper, c Call) { k.Answered(c, c.Wait+2*ms) }
-	news := func(k *Keeper, c Call) { k.Answered(c, c.Wait/2) }
-	lost := func(k *Keeper, c Call) { k.Failed() }
-	full := func(k *Keeper, c Call) { k.TurnedAway() }
-	left := func(*Keeper, Call) {}
+	type fate func(*Scheduler, Poll)
+	answered := func(k *Scheduler, c Poll) { k.Responded(c, c.Wait+2*ms) }
+	news := func(k *Scheduler, c Poll) { k.Responded(c, c.Wait/2) }
+	lost := func(k *Scheduler, c Poll) { k.Failed() }
+	full := func(k *Scheduler, c Poll) { k.Rejected() }
+	left := func(*Scheduler, Poll) {}
 	for _, c := range []struct {
 		name  string
 		fates []fate        // of one call a second
@@ -380,15 +380,15 @@
 		{"found again", []fate{lost, lost, answered}, 6 * time.Second},
 	} {
 		k, now := keeper(t, 4), time.Unix(1e9, 0)
-		k.set.AtOnce = strings.HasPrefix(c.name, "an agent")
+		k.set.Pushed = strings.HasPrefix(c.name, "an agent")
 		for i, f := range append(c.fates, left) {
 			call := k.Next(now.Add(time.Duration(i) * time.Second))
 			f(k, call)
 		}
-		within(t, c.name, k.Trust().Sure.Sub(now), c.want-100*ms, c.want+100*ms)
+		within(t, c.name, k.Validity().ListUntil.Sub(now), c.want-100*ms, c.want+100*ms)
 	}
 	set := usual
-	set.Wait, set.LeastWait = 20*time.Second, 10*time.Second
+	set.Wait, set.MinWait = 20*time.Second, 10*time.Second
 	k, err := New(set, 1, true)
 	if err != nil {
 		t.Fatal(err)
@@ -396,46 +396,46 @@
 	now := time.Unix(1e9, 0)
 	for i := range 2 {
 		k.Next(now.Add(time.Duration(i) * time.Second))
-		within(t, "nothing was ever heard", k.Trust().Sure.Sub(now), 0, 0)
+		within(t, "nothing was ever heard", k.Validity().ListUntil.Sub(now), 0, 0)
 		k.Failed()
 	}
-	k.Answered(Call{Whole: true}, ms)
+	k.Responded(Poll{Complete: true}, ms)
 	k.Next(now)
-	within(t, "a call that may wait for long", k.Trust().Sure.Sub(now), 20*time.Second, 22*time.Second)
-	k.TurnedAway()
+	within(t, "a call that may wait for long", k.Validity().ListUntil.Sub(now), 20*time.Second, 22*time.Second)
+	k.Rejected()
 	k.Next(now)
-	within(t, "that was turned away", k.Trust().Sure.Sub(now), 4*time.Second, 6*time.Second)
-	set.Callers = 300
+	within(t, "that was turned away", k.Validity().ListUntil.Sub(now), 4*time.Second, 6*time.Second)
+	set.Instances = 300
 	if k, err = New(set, 1, false); err != nil {
 		t.Fatal(err)
 	}
-	k.Answered(k.Next(now), ms)
-	k.Moved()
+	k.Responded(k.Next(now), ms)
+	k.SourceChanged()
 	c := k.Next(now.Add(time.Second))
-	within(t, "the turn at another directory", c.After, ms, 500*ms)
-	within(t, "meanwhile", k.Trust().Sure.Sub(now), 4*time.Second, 4500*ms)
+	within(t, "the turn at another directory", c.Delay, ms, 500*ms)
+	within(t, "meanwhile", k.Validity().ListUntil.Sub(now), 4*time.Second, 4500*ms)
 }
 
 // On request, a change that the directory has had, and that could be reached there, counts as told 6 s later, whatever became of the
 // calls: also where the last of them was held for long. Hence the list is sure for 6 s from when it was heard and no longer,
 // once a call has failed, has been turned away or been given up.
 func TestAfterAFailedCallToo(t *testing.T) {
-	failed, full, left := (*Keeper).Failed, (*Keeper).TurnedAway, func(*Keeper) {}
+	failed, full, left := (*Scheduler).Failed, (*Scheduler).Rejected, func(*Scheduler) {}
 	for _, callers := range []int{1, 32, 300} {
-		for name, fates := range map[string][]func(*Keeper){
-			"failed": {failed}, "turned away": {full}, "given up": {(*Keeper).Unanswered}, "left for another": {left},
-			"turned away, then given up": {full, (*Keeper).Unanswered}, "failed and turned away": {failed, full, full},
-			"given up again and again": {(*Keeper).Unanswered, (*Keeper).Unanswered, (*Keeper).Unanswered},
+		for name, fates := range map[string][]func(*Scheduler){
+			"failed": {failed}, "turned away": {full}, "given up": {(*Scheduler).TimedOut}, "left for another": {left},
+			"turned away, then given up": {full, (*Scheduler).TimedOut}, "failed and turned away": {failed, full, full},
+			"given up again and again": {(*Scheduler).TimedOut, (*Scheduler).TimedOut, (*Scheduler).TimedOut},
 		} {
 			for _, told := range []time.Duration{0, 3 * time.Second, time.Minute} {
 				set := usual
-				set.Wait, set.LeastWait, set.Callers, set.Told = 20*time.Second, 10*time.Second, callers, told
+				set.Wait, set.MinWait, set.Instances, set.EffectiveBy = 20*time.Second, 10*time.Second, callers, told
 				k, err := New(set, 1, false)
 				if err != nil {
 					t.Fatal(err)
 				}
 				heard := time.Unix(1e9, 0)
-				k.Answered(k.Next(heard), ms)
+				k.Responded(k.Next(heard), ms)
 				heard = k.began // there has been a turn before the first call
 				now, most := heard.Add(ms), min(6*time.Second, cmp.Or(told, time.Minute))
 				for i, fate := range fates {
@@ -444,7 +444,7 @@
 					now = now.Add(3 * time.Second)
 					k.asked = name == "left for another" // only evidence makes it leave
 					k.Next(now)
-					if sure := k.Trust().Sure.Sub(heard); sure > most {
+					if sure := k.Validity().ListUntil.Sub(heard); sure > most {
 						t.Errorf("%s, %d callers, told after %s, after call %d: sure for %s", name, callers, told, i, sure)
 					}
 				}
@@ -460,25 +460,25 @@
 	start := time.Unix(1e9, 0)
 	for _, c := range []struct {
 		name  string
-		fates []func(*Keeper, Call) // of one call a second
-		want  time.Duration         // after the start
+		fates []func(*Scheduler, Poll) // of one call a second
+		want  time.Duration            // after the start
 	}{
 		{"never heard", nil, 750 * ms},
-		{"never heard, and turned away", []func(*Keeper, Call){
-			func(k *Keeper, _ Call) { k.TurnedAway() }, func(k *Keeper, _ Call) { k.Failed() },
+		{"never heard, and turned away", []func(*Scheduler, Poll){
+			func(k *Scheduler, _ Poll) { k.Rejected() }, func(k *Scheduler, _ Poll) { k.Failed() },
 		}, 750 * ms},
-		{"heard", []func(*Keeper, Call){func(k *Keeper, c Call) { k.Answered(c, ms) }}, -2 * time.Second},
-		{"heard, then turned away", []func(*Keeper, Call){
-			func(k *Keeper, c Call) { k.Answered(c, ms) },
-			func(k *Keeper, _ Call) { k.TurnedAway() }, func(k *Keeper, _ Call) { k.TurnedAway() },
+		{"heard", []func(*Scheduler, Poll){func(k *Scheduler, c Poll) { k.Responded(c, ms) }}, -2 * time.Second},
+		{"heard, then turned away", []func(*Scheduler, Poll){
+			func(k *Scheduler, c Poll) { k.Responded(c, ms) },
+			func(k *Scheduler, _ Poll) { k.Rejected() }, func(k *Scheduler, _ Poll) { k.Rejected() },
 		}, -2 * time.Second},
-		{"heard again", []func(*Keeper, Call){
-			func(k *Keeper, c Call) { k.Answered(c, ms) },
-			func(k *Keeper, _ Call) { k.Failed() }, func(k *Keeper, c Call) { k.Answered(c, ms) },
+		{"heard again", []func(*Scheduler, Poll){
+			func(k *Scheduler, c Poll) { k.Responded(c, ms) },
+			func(k *Scheduler, _ Poll) { k.Failed() }, func(k *Scheduler, c Poll) { k.Responded(c, ms) },
 		}, 0},
 	} {
 		set := usual
-		set.Grace = 750 * ms
+		set.DrainGrace = 750 * ms
 		k, err := New(set, 1, false)
 		if err != nil {
 			t.Fatal(err)
@@ -489,7 +489,7 @@
 				f(k, call)
 			}
 		}
-		within(t, c.name, k.Trust().Known.Sub(start), c.want, c.want+100*ms)
+		within(t, c.name, k.Validity().ProcessUntil.Sub(start), c.want, c.want+100*ms)
 	}
 }
 
@@ -497,17 +497,17 @@
 func TestLeftInTime(t *testing.T) {
 	k, now := keeper(t, 4), time.Unix(1e9, 0)
 	c := k.Next(now)
-	k.Answered(c, c.Wait+ms)
+	k.Responded(c, c.Wait+ms)
 	now = now.Add(c.Wait + ms)
 	k.Next(now)
 	now = now.Add(100 * ms)
-	if k.Saw(now, "p1", Refused); !k.Saw(now, "p2", Refused) {
+	if k.Observe(now, "p1", ConnectRefused); !k.Observe(now, "p2", ConnectRefused) {
 		t.Fatal("not asked")
 	}
-	if c = k.Next(now); !c.Whole {
+	if c = k.Next(now); !c.Complete {
 		t.Errorf("in doubt: %+v", c)
 	}
-	within(t, "left in time", k.Trust().Sure.Sub(now), 0, 0)
+	within(t, "left in time", k.Validity().ListUntil.Sub(now), 0, 0)
 }
 
 // A call that waits in line where others have been turned away since is one that had no turn: it keeps its place among those who
@@ -515,28 +515,28 @@
 func TestUnanswered(t *testing.T) {
 	k, now := among(t, 32, 1), time.Unix(1e9, 0)
 	k.Next(now)
-	k.TurnedAway()
+	k.Rejected()
 	for range 3 {
-		if c := k.Next(now); c.Whole || c.Within-c.Wait < 1900*ms {
+		if c := k.Next(now); c.Complete || c.Timeout-c.Wait < 1900*ms {
 			t.Errorf("in line: %+v", c)
 		}
-		k.Unanswered()
+		k.TimedOut()
 	}
-	k.Answered(k.Next(now), ms)
+	k.Responded(k.Next(now), ms)
 	k.Next(now)
-	if k.Unanswered(); !k.Next(now).Whole {
+	if k.TimedOut(); !k.Next(now).Complete {
 		t.Error("a watch that has fallen silent goes on")
 	}
-	k.TurnedAway()
-	k.Unanswered()
-	if c := k.Next(now); !c.Whole || c.Within < 2*time.Second {
+	k.Rejected()
+	k.TimedOut()
+	if c := k.Next(now); !c.Complete || c.Timeout < 2*time.Second {
 		t.Errorf("what is owed since the silence is forgotten, or given up before its turn: %+v", c)
 	}
-	set := Agent(750 * ms)
+	set := PushedSettings(750 * ms)
 	if k, _ = New(set, 1, false); true {
 		k.Next(now)
-		k.TurnedAway()
-		if k.Unanswered(); !k.Next(now).Whole {
+		k.Rejected()
+		if k.TimedOut(); !k.Next(now).Complete {
 			t.Error("an agent has no line")
 		}
 	}
@@ -569,15 +569,15 @@
 		{"on no connection", []answer{{900, 0, true}}, 0, 0},
 		{"a slow request, after a probe", []answer{{5000, 999, true}, {4000, 999, false}}, 5000, 5000},
 	} {
-		p := Proof{}
+		p := Liveness{}
 		for _, a := range c.answers {
-			p.Answered(at(a.asked), at(a.since), at(1000), a.probe)
+			p.Observe(at(a.asked), at(a.since), at(1000), a.probe)
 		}
-		if p != (Proof{at(c.alive), at(c.probed)}) {
+		if p != (Liveness{at(c.alive), at(c.probed)}) {
 			t.Errorf("%s: %+v", c.what, p)
 		}
 		late := max(1000, c.probed) + 550 // of a first byte, with a grace of 750
-		if got := (Trust{Sure: at(1000)}).NotAfter(p, 750*ms); !got.Equal(at(late)) {
+		if got := (Validity{ListUntil: at(1000)}).StartBy(p, 750*ms); !got.Equal(at(late)) {
 			t.Errorf("%s: a first byte until %s, want %d", c.what, got, late)
 		}
 	}
@@ -586,7 +586,7 @@
 // Whatever the grace, a provider is picked early enough for a connection, and no first byte is written at its end.
 func TestLeave(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * ms, 100 * ms, 200 * ms, 750 * ms, 2000 * ms} {
-		pick, write := Leave(grace)
+		pick, write := DrainLimits(grace)
 		if pick < 0 || write > max(0, grace-100*ms) || pick > write || grace >= 200*ms && pick < grace/4 {
 			t.Errorf("%s: picked until %s, written until %s", grace, pick, write)
 		}
@@ -595,36 +595,36 @@
 
 // Whatever the grace, a watch of an agent that has died is given up, and the agent asked anew, within it.
 func TestAgentIsHeardWithinTheGrace(t *testing.T) {
-	if c := Agent(ms); c.Check() != nil || c.LeastWait < 20*ms || c.Retry < 10*ms {
+	if c := PushedSettings(ms); c.Check() != nil || c.MinWait < 20*ms || c.RetryBackoff < 10*ms {
 		t.Errorf("a grace of a millisecond: %+v", c)
 	}
 	for _, grace := range []time.Duration{200 * ms, 750 * ms, 2000 * ms, 10 * time.Second} {
-		k, err := New(Agent(grace), 3, false)
+		k, err := New(PushedSettings(grace), 3, false)
 		if err != nil {
 			t.Fatalf("%s: %v", grace, err)
 		}
 		now := time.Unix(1e9, 0)
 		for i := range 20 { // answered in time
 			c := k.Next(now)
-			if c.After != 0 || i == 0 && c.Wait != 0 {
-				t.Fatalf("%s: it waits %s", grace, c.After)
+			if c.Delay != 0 || i == 0 && c.Wait != 0 {
+				t.Fatalf("%s: it waits %s", grace, c.Delay)
 			}
-			k.Answered(c, c.Wait+ms)
+			k.Responded(c, c.Wait+ms)
 			now = now.Add(c.Wait + ms)
 		}
 		dead := k.Next(now)
 		k.Failed()
-		again := k.Next(now.Add(dead.Within))
-		if gap := dead.Within + again.After; gap > grace*3/4 || !again.Whole {
+		again := k.Next(now.Add(dead.Timeout))
+		if gap := dead.Timeout + again.Delay; gap > grace*3/4 || !again.Complete {
 			t.Errorf("%s: asked anew %s after it died", grace, gap)
 		}
-		if gap := dead.Pause + again.After; dead.Pause <= 0 || gap > grace*3/4 {
+		if gap := dead.StallTimeout + again.Delay; dead.StallTimeout <= 0 || gap > grace*3/4 {
 			t.Errorf("%s: asked anew %s after its answer stopped", grace, gap)
 		}
 		for range 20 {
 			k.Failed()
-			if c := k.Next(now); c.After+c.Within > grace {
-				t.Errorf("%s: after a long silence it asks every %s", grace, c.After+c.Within)
+			if c := k.Next(now); c.Delay+c.Timeout > grace {
+				t.Errorf("%s: after a long silence it asks every %s", grace, c.Delay+c.Timeout)
 			}
 		}
 	}
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -38,8 +38,8 @@
 	for _, servers := range []int{13, 600, 2000, 6000} {
 		near(fmt.Sprintf("servers chosen among, of %d", servers), float64(limit.Reach(servers, fleetSize)), 0)
 	}
-	near("ms that a watch is held, agent", ms(staleness.Agent(drainGrace).Wait), 0)
-	near("ms that a watch is held, on request", ms(staleness.Default().Wait), 0)
+	near("ms that a watch is held, agent", ms(staleness.PushedSettings(drainGrace).Wait), 0)
+	near("ms that a watch is held, on request", ms(staleness.DefaultSettings().Wait), 0)
 
 	w := start(t, Point{Servers: 10, Instances: fleetSize, Price: cheap})
 	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // addresses differ in length
--- a/internal/testbench/fakes/consumers_test.go
+++ b/internal/testbench/fakes/consumers_test.go
@@ -260,7 +260,7 @@
 	ok(t, os.WriteFile(path, raw, 0o600))
 	c, err := config.Load(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
 	ok(t, err)
-	if c.Seed != 77 || c.Limits.Sockets != 99 || c.DrainGrace != time.Second || len(c.Known.Members) != 1 ||
+	if c.Seed != 77 || c.Limits.Sockets != 99 || c.DrainGrace != time.Second || len(c.Known.Endpoints) != 1 ||
 		len(c.Settings.Classes) != 2 || c.Settings.Classes[1].Repeat != "side_effect" || len(c.Settings.Realms) != 1 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -277,7 +277,7 @@
 		c.WatchDoubts += s.doubts
 		if s.stop != nil {
 			c.WatchFailures += s.watch.Failures.Load()
-			c.WatchDoubts += s.watch.Doubts.Load()
+			c.WatchDoubts += s.watch.FullRefreshes.Load()
 		}
 	}
 	if h.discovery != nil {
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -29,7 +29,7 @@
 
 	cfg     *config.Config
 	numbers config.Numbering
-	core    *dispatch.Pool
+	core    *dispatch.Dispatcher
 	watch   *discovery.Watch
 	stop    context.CancelFunc
 	ended   sync.WaitGroup
@@ -77,24 +77,24 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	budget := connlimit.NewBudget(cfg.Limits.Sockets, connlimit.TCP)
-	var pool *dispatch.Pool
+	var pool *dispatch.Dispatcher
 	if s.watch, err = discovery.New(discovery.Options{
-		Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Known: cfg.Known,
-		Most: discovery.ListMost(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
-		Told: func(l endpoints.List, at time.Time) {
-			pool.Told(l, at)
+		Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Initial: cfg.Known,
+		MaxListBytes: discovery.MaxListBytes(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
+		OnUpdate: func(l endpoints.List, at time.Time) {
+			pool.UpdateEndpoints(l, at)
 			pool.Counts() // answered once the list is in force
 			s.hear(l.Revision)
 		},
-		Trust: func(t staleness.Trust) { pool.Trust(t) },
+		OnValidity: func(t staleness.Validity) { pool.SetListValidity(t) },
 	}); err != nil {
 		stop()
 		return err
 	}
 	if pool, err = dispatch.New(dispatch.Options{
-		Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Logic: cfg.Logic,
-		Seed: s.seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, Known: cfg.Known, Caller: s.tiles,
-		Whole: cfg.Settings.Whole, Saw: s.watch.Saw,
+		Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Policy: cfg.Policy,
+		Seed: s.seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, InitialEndpoints: cfg.Known, Upstream: s.tiles,
+		IsComplete: cfg.Settings.IsComplete, OnEvidence: s.watch.Observe,
 	}); err != nil {
 		stop()
 		return err
@@ -105,7 +105,7 @@
 	s.mu.Unlock()
 	s.ended.Go(func() { pool.Run(ctx) })
 	s.ended.Go(func() { s.watch.Run(ctx) })
-	s.ended.Go(func() { s.note(ctx, s.watch.First()) })
+	s.ended.Go(func() { s.note(ctx, s.watch.FirstUpdate()) })
 	s.ended.Go(func() { s.call(ctx, pool, cfg) })
 	return nil
 }
@@ -118,7 +118,7 @@
 	s.stop()
 	s.ended.Wait()
 	s.failures += s.watch.Failures.Load()
-	s.doubts += s.watch.Doubts.Load()
+	s.doubts += s.watch.FullRefreshes.Load()
 	s.stop = nil
 }
 
@@ -179,13 +179,13 @@
 	if err != nil {
 		return err
 	}
-	if err := s.core.Change(dispatch.Change{
-		Logic: next.Logic, Classes: numbers.Classes, Tenants: numbers.Tenants,
+	if err := s.core.Reconfigure(dispatch.Reconfiguration{
+		Policy: next.Policy, Classes: numbers.Classes, Tenants: numbers.Tenants,
 		Deployment: deployment, DrainGrace: next.DrainGrace,
 	}); err != nil {
 		return err
 	}
-	s.watch.Move(next.Discovery)
+	s.watch.SetAddress(next.Discovery)
 	s.cfg = next
 	return nil
 }
@@ -193,7 +193,7 @@
 const callLook = 200 * time.Millisecond // between two looks at the rate while there are no calls
 
 // call draws calls at the rate that was ordered.
-func (s *sidecar) call(ctx context.Context, pool *dispatch.Pool, cfg *config.Config) {
+func (s *sidecar) call(ctx context.Context, pool *dispatch.Dispatcher, cfg *config.Config) {
 	rng := rand.New(rand.NewPCG(s.seed, 0x63616c6c))
 	patience := config.Duration(cfg.Settings.Classes[0].HardLimitMs)
 	timer := time.NewTimer(0)
@@ -213,19 +213,19 @@
 		case <-timer.C:
 		}
 		if rate > 0 {
-			pool.Take(&request.Invocation{
-				ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Patience: patience,
-				Verb: "GET", Target: "/tile/1", Answer: s.answered,
+			pool.Submit(&request.Request{
+				ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Timeout: patience,
+				Method: "GET", Target: "/tile/1", Respond: s.answered,
 			})
 		}
 	}
 }
 
-func (s *sidecar) answered(a request.Answer) {
+func (s *sidecar) answered(a request.Response) {
 	switch a.Kind {
 	case request.Served:
 		s.served.Add(1)
-	case request.Refused:
+	case request.Rejected:
 		s.refused.Add(1)
 	default:
 		s.failed.Add(1)
--- a/internal/testbench/simulated/tiles.go
+++ b/internal/testbench/simulated/tiles.go
@@ -89,28 +89,28 @@
 func (e *endpoint) Close()          { e.since = time.Time{} }
 
 // Start answers the attempt later, as a real one's end: from a goroutine of its own.
-func (e *endpoint) Start(task upstream.Task) upstream.Call {
+func (e *endpoint) Start(task upstream.AttemptOptions) upstream.Attempt {
 	now := time.Now()
 	if e.since.IsZero() {
 		e.since = now
 	}
 	c := &attempt{tile: e.tile}
-	result, takes := upstream.Result{Ending: outcome.Served, Since: e.since}, probeTakes
-	inv := task.Invocation
+	result, takes := upstream.Result{Outcome: outcome.Served, ConnectedAt: e.since}, probeTakes
+	inv := task.Request
 	switch {
-	case inv != nil && inv.Left():
-		result, takes = upstream.Result{Ending: outcome.Withdrawn}, 0
-	case !task.NotAfter.IsZero() && now.After(task.NotAfter):
-		result, takes = upstream.Result{Ending: outcome.Drained}, 0
+	case inv != nil && inv.IsClientGone():
+		result, takes = upstream.Result{Outcome: outcome.Withdrawn}, 0
+	case !task.StartBy.IsZero() && now.After(task.StartBy):
+		result, takes = upstream.Result{Outcome: outcome.ServerDraining}, 0
 	case e.tile.down.Load():
 		e.tile.refused.Add(1)
-		result, takes = upstream.Result{Ending: outcome.Refused}, refuseTakes
+		result, takes = upstream.Result{Outcome: outcome.ConnectRefused}, refuseTakes
 	case inv != nil:
 		takes = callTakes
 		e.tile.calls.Add(1)
 		e.tile.inFlight.Add(1)
 		c.counted = true
-		result.Code = 200
+		result.StatusCode = 200
 	default:
 		e.tile.probes.Add(1)
 	}
@@ -118,13 +118,13 @@
 		if !c.end() {
 			return
 		}
-		if result.Ending == outcome.Served {
+		if result.Outcome == outcome.Served {
 			result.Report = policy.Report{
 				HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
 				Latency: float64(callTakes) / float64(time.Millisecond),
 			}
 		}
-		task.Ended(result)
+		task.OnEnd(result)
 	})
 	return c
 }
@@ -146,8 +146,8 @@
 	return true
 }
 
-func (a *attempt) Stop(why outcome.Ending) (outcome.Ending, bool)     { return why, a.end() }
-func (a *attempt) Withdraw(why outcome.Ending) (outcome.Ending, bool) { return why, false }
-func (a *attempt) NotAfter(time.Time)                                 {}
+func (a *attempt) Cancel(why outcome.Kind) (outcome.Kind, bool)   { return why, a.end() }
+func (a *attempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) { return why, false }
+func (a *attempt) StartBy(time.Time)                              {}
 
-var _ upstream.Caller = (*tiles)(nil)
+var _ upstream.Upstream = (*tiles)(nil)
--- a/internal/testbench/soak/ending.go
+++ b/internal/testbench/soak/ending.go
@@ -24,7 +24,7 @@
 	denseBefore   = 300 * time.Millisecond // of the word to end
 	lateRests     = 4
 	lateWithin    = 700 * time.Millisecond // of the kill, that the rest of a request comes
-	holdFor       = shutdown.HoldUp
+	holdFor       = shutdown.MaxStall
 	holdMost      = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
 	holdApart     = 20 * time.Millisecond
 	endBeforeKill = 100 * time.Millisecond // that a last hold-up ends, at the earliest,
@@ -71,7 +71,7 @@
 		longest /= shorterPart
 		e.series = append(e.series, signalAt{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(seriesWithin))})
 	}
-	plan := shutdown.For(longest, 0)
+	plan := shutdown.NewSchedule(longest, 0)
 	e.kill = killAfter(longest)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2} {
 		if rng.IntN(5) < 2 {
@@ -84,11 +84,11 @@
 	if rng.IntN(4) > 0 {
 		e.holdBeforeKill(rng)
 	} else { // across the last accept or the last answer
-		e.hold(one(rng, plan.Last, plan.Answer) - time.Duration(rng.Float64()*float64(holdFor)))
+		e.hold(one(rng, plan.LastForward, plan.LastAnswer) - time.Duration(rng.Float64()*float64(holdFor)))
 	}
 	e.hanging = rng.IntN(3) > 0
 	if rng.IntN(3) == 0 {
-		e.failFrom = plan.Last - time.Duration(rng.Float64()*float64(holdApart))
+		e.failFrom = plan.LastForward - time.Duration(rng.Float64()*float64(holdApart))
 		e.failAccepts = time.Duration(rng.Float64() * float64(failAcceptMax))
 	}
 	e.interrupted = rng.IntN(4) == 0
@@ -172,10 +172,10 @@
 		})
 	}
 	if e.interrupted {
-		at(shutdown.For(w.variant.longest, 0).Last-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
+		at(shutdown.NewSchedule(w.variant.longest, 0).LastForward-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
 	}
 	if e.hanging {
-		at(shutdown.For(w.variant.longest, 0).Last-hangFrom, func() { w.hang(word.Add(e.kill)) })
+		at(shutdown.NewSchedule(w.variant.longest, 0).LastForward-hangFrom, func() { w.hang(word.Add(e.kill)) })
 	}
 	time.Sleep(time.Until(word))
 	sent := time.Now()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Caller carries the attempts of one pool. All methods are called by the pool's goroutine alone and must not block.
-type Caller interface {
+// Upstream carries the attempts of one pool. All methods are called by the pool's goroutine alone and must not block.
+type Upstream interface {
 	// Endpoint returns what stands for a provider's process at host:port.
 	Endpoint(provider, address string) Endpoint
 	// Forget says that the provider is gone for good: what was learned of it may go, too.
@@ -25,46 +25,46 @@
 // Endpoint is one process of a provider at one address. A provider that restarts or moves gets another.
 type Endpoint interface {
 	// Start begins an attempt. Its end is reported by Task.Ended, never before Start has returned.
-	Start(Task) Call
+	Start(AttemptOptions) Attempt
 	// Close ends what is kept idle: the provider drains, is gone or lives elsewhere. Attempts under way go on.
 	Close()
 	// Address is the host:port.
 	Address() string
 }
 
-// Task is an attempt to be made.
-type Task struct {
-	// Invocation is whom the attempt is for. Once its consumer has left, neither the first nor the last byte of the attempt may be
+// AttemptOptions is an attempt to be made.
+type AttemptOptions struct {
+	// Request is whom the attempt is for. Once its consumer has left, neither the first nor the last byte of the attempt may be
 	// written; Invocation.Look says so at the moment. nil = a probe: the provider is asked for its load.
-	Invocation *request.Invocation
-	Wait       time.Duration // after which the attempt is going to be stopped, for the provider to know
-	Until      time.Time     // when it is going to be stopped: no last byte later than this; zero = after Wait from when it is sent
-	NotAfter   time.Time     // no first byte later than this; zero = any time
+	Request    *request.Request
+	Timeout    time.Duration // after which the attempt is going to be stopped, for the provider to know
+	Deadline   time.Time     // when it is going to be stopped: no last byte later than this; zero = after Wait from when it is sent
+	StartBy    time.Time     // no first byte later than this; zero = any time
 	Expires    time.Time     // neither the first nor the last byte later than this; zero = any time
-	Flowed     func()        // with a Source: called when its last byte is written; nil = nobody asks
-	Ended      func(Result)  // called once from any goroutine, unless Stop returned true; may wait for the pool's goroutine
+	OnBodySent func()        // with a Source: called when its last byte is written; nil = nobody asks
+	OnEnd      func(Result)  // called once from any goroutine, unless Stop returned true; may wait for the pool's goroutine
 }
 
-// Call is an attempt under way. Its methods are safe for concurrent use and do not block.
-type Call interface {
-	// Stop gives the attempt up, for the reason why, and returns how that has ended it, and true; when it returns, nothing
+// Attempt is an attempt under way. Its methods are safe for concurrent use and do not block.
+type Attempt interface {
+	// Cancel gives the attempt up, for the reason why, and returns how that has ended it, and true; when it returns, nothing
 	// further of this attempt can reach the provider. False means that it has ended already: Ended has been called or is
 	// about to be.
-	Stop(why outcome.Ending) (outcome.Ending, bool)
+	Cancel(why outcome.Kind) (outcome.Kind, bool)
 	// Withdraw is Stop for an attempt whose last byte is not written. False means that it may have run, or has ended already.
 	// What was never sent is no running attempt: to withdraw it is no cancel, and allowed where cancels are not.
-	Withdraw(why outcome.Ending) (outcome.Ending, bool)
-	// NotAfter forbids a first byte later than t, beside what was forbidden before.
-	NotAfter(t time.Time)
+	Withdraw(why outcome.Kind) (outcome.Kind, bool)
+	// StartBy forbids a first byte later than t, beside what was forbidden before.
+	StartBy(t time.Time)
 }
 
 // Result is how an attempt ended.
 type Result struct {
-	Ending outcome.Ending
-	Report policy.Report   // the provider's load, where the answer told it
-	Code   int             // the protocol's own word for the answer, where it was Served
-	Fields []request.Field // the answer's, where it was Served
-	Body   []byte
-	Rest   request.Flow // what follows Body; nil = that is all. Whoever gets it closes it
-	Since  time.Time    // when the connection came up on which an answer came; zero = none did, or there are no connections
+	Outcome     outcome.Kind
+	Report      policy.Report   // the provider's load, where the answer told it
+	StatusCode  int             // the protocol's own word for the answer, where it was Served
+	Fields      []request.Field // the answer's, where it was Served
+	Body        []byte
+	Remainder   request.BodyStream // what follows Body; nil = that is all. Whoever gets it closes it
+	ConnectedAt time.Time          // when the connection came up on which an answer came; zero = none did, or there are no connections
 }
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -21,7 +21,7 @@
 // Harness is what the suite has to know of a protocol.
 type Harness struct {
 	// New returns a Caller whose connections are opened by dial and end with ctx. wait returns when its last goroutine has.
-	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (c upstream.Caller, wait func())
+	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (c upstream.Upstream, wait func())
 	// Read reads one whole request and returns the invocation's id, or "" for a probe.
 	Read func(net.Conn) (id string, err error)
 	// What a provider answers to a request: that it is served with the body "ok", has failed, is turned away unseen, or
@@ -46,8 +46,8 @@
 	reports chan report
 	got     seen
 	ended   map[int]bool
-	last    *request.Invocation // that was begun
-	gone    atomic.Bool         // its consumer is gone, and nobody has been told
+	last    *request.Request // that was begun
+	gone    atomic.Bool      // its consumer is gone, and nobody has been told
 }
 
 type report struct {
@@ -73,19 +73,19 @@
 }
 
 // start begins an attempt by its number; 0 is a probe.
-func (s *stage) start(number int, notAfter time.Time) upstream.Call {
+func (s *stage) start(number int, notAfter time.Time) upstream.Attempt {
 	return s.begin(number, notAfter, time.Time{})
 }
 
 // begin is start for an attempt that expires.
-func (s *stage) begin(number int, notAfter, expires time.Time) upstream.Call {
-	task := upstream.Task{Wait: time.Second, NotAfter: notAfter, Expires: expires, Ended: func(r upstream.Result) { s.reports <- report{number, r} }}
+func (s *stage) begin(number int, notAfter, expires time.Time) upstream.Attempt {
+	task := upstream.AttemptOptions{Timeout: time.Second, StartBy: notAfter, Expires: expires, OnEnd: func(r upstream.Result) { s.reports <- report{number, r} }}
 	if number > 0 {
-		s.last = &request.Invocation{
-			ID: fmt.Sprint("id", number), Verb: "POST", Target: "/order/1", Body: []byte("x"),
-			Gone: s.gone.Load,
+		s.last = &request.Request{
+			ID: fmt.Sprint("id", number), Method: "POST", Target: "/order/1", Body: []byte("x"),
+			ClientGone: s.gone.Load,
 		}
-		task.Invocation = s.last
+		task.Request = s.last
 	}
 	return s.at.Start(task)
 }
@@ -121,11 +121,11 @@
 	synctest.Wait()
 	for len(s.reports) > 0 {
 		r := <-s.reports
-		s.note(r.number, r.Ending, r.Result)
+		s.note(r.number, r.Outcome, r.Result)
 	}
 }
 
-func (s *stage) note(number int, e outcome.Ending, r upstream.Result) {
+func (s *stage) note(number int, e outcome.Kind, r upstream.Result) {
 	if s.ended[number] {
 		s.t.Errorf("attempt %d has ended twice, as %s", number, e)
 	}
@@ -141,21 +141,21 @@
 }
 
 // stop gives an attempt up.
-func (s *stage) stop(number int, c upstream.Call, why outcome.Ending) {
-	if how, stopped := c.Stop(why); stopped {
+func (s *stage) stop(number int, c upstream.Attempt, why outcome.Kind) {
+	if how, stopped := c.Cancel(why); stopped {
 		s.note(number, how, upstream.Result{})
 	}
-	if _, again := c.Stop(why); again {
+	if _, again := c.Cancel(why); again {
 		s.t.Errorf("attempt %d was stopped twice", number)
 	}
 }
 
 // withdraw gives an attempt up, if it has not been sent.
-func (s *stage) withdraw(number int, c upstream.Call) {
-	if how, withdrawn := c.Withdraw(outcome.CalledOff); withdrawn {
+func (s *stage) withdraw(number int, c upstream.Attempt) {
+	if how, withdrawn := c.Withdraw(outcome.Cancelled); withdrawn {
 		s.note(number, how, upstream.Result{})
 	}
-	if _, again := c.Withdraw(outcome.CalledOff); again {
+	if _, again := c.Withdraw(outcome.Cancelled); again {
 		s.t.Errorf("attempt %d was withdrawn twice", number)
 	}
 }
@@ -197,7 +197,7 @@
 		s.dialed = "late"
 		c := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.stop(1, c, outcome.CalledOff)
+		s.stop(1, c, outcome.Cancelled)
 		time.Sleep(time.Second)
 		s.settle()
 	}, seen{[]string{"1 withdrawn"}, nil}},
@@ -221,7 +221,7 @@
 		s.dialed = "late"
 		s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.last.Leave()
+		s.last.MarkClientGone()
 		time.Sleep(time.Second)
 		s.settle()
 		s.read(0)
@@ -234,7 +234,7 @@
 		time.Sleep(time.Second)
 		s.settle()
 		s.read(0)
-		if !s.last.Left() {
+		if !s.last.IsClientGone() {
 			s.t.Error("it has not been noted that it left")
 		}
 	}, seen{[]string{"1 withdrawn"}, []string{"nothing "}}},
@@ -256,9 +256,9 @@
 	"a drain told while connecting": {func(s *stage) {
 		s.dialed = "late"
 		c := s.start(1, time.Time{})
-		c.NotAfter(time.Now().Add(time.Hour))
-		c.NotAfter(time.Now().Add(50 * time.Millisecond)) // what forbids more counts, whatever came first
-		c.NotAfter(time.Now().Add(time.Hour))
+		c.StartBy(time.Now().Add(time.Hour))
+		c.StartBy(time.Now().Add(50 * time.Millisecond)) // what forbids more counts, whatever came first
+		c.StartBy(time.Now().Add(time.Hour))
 		time.Sleep(time.Second)
 		s.settle()
 		s.read(0)
@@ -293,7 +293,7 @@
 	"called off": {func(s *stage) {
 		c := s.start(1, time.Time{})
 		s.read(0)
-		s.stop(1, c, outcome.CalledOff)
+		s.stop(1, c, outcome.Cancelled)
 		s.settle()
 	}, seen{[]string{"1 called_off"}, []string{"id1 "}}},
 	"stopped after its end": {func(s *stage) {
--- a/options.go
+++ b/options.go
@@ -228,9 +228,9 @@
 	out := endpoints.List{Complete: complete}
 	seen := map[string]bool{}
 	for i, m := range in {
-		one := endpoints.Member{ID: cmp.Or(m.ID, m.Address), Address: m.Address, Locality: m.Zone}
+		one := endpoints.Endpoint{ID: cmp.Or(m.ID, m.Address), Address: m.Address, Zone: m.Zone}
 		if !m.StartedAt.IsZero() {
-			one.UpSince = float64(m.StartedAt.UnixMicro()) / 1e3
+			one.StartedAt = float64(m.StartedAt.UnixMicro()) / 1e3
 		}
 		switch m.Phase {
 		case Serving:
@@ -250,7 +250,7 @@
 			return out, bad(fmt.Sprintf("[%d].Address", i), "%q is not host:port", m.Address)
 		}
 		seen[one.ID] = true
-		out.Members = append(out.Members, one)
+		out.Endpoints = append(out.Endpoints, one)
 	}
 	return out, nil
 }
