--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -95,7 +95,7 @@
 	case pushed:
 	default:
 		//lint:ignore ST1005 the message begins with a key of the settings file, which is spelled so
-		return cfg, fmt.Errorf("Discovery: unknown word %q", s.Discovery)
+		return cfg, fmt.Errorf("Discovery: unknown word %q", s.Discovery) //nolint:staticcheck // the message begins with the settings' key, which is capitalized
 	}
 	for i, c := range s.Classes {
 		k := policy.Class{
--- a/internal/dispatch/change.go
+++ b/internal/dispatch/change.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Reconfigure is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
+// Reconfiguration is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
 type Reconfiguration struct {
 	Policy           policy.Config
 	Classes, Tenants stableid.Mapping
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ViolationAt is one of the rules.
+// Rule is one of the rules.
 type Rule uint8
 
 // The rules. The comment says what is forbidden.
@@ -49,7 +49,7 @@
 	}
 }
 
-// Violations counts an act that got past the rule's guard, and logs what is known of it as key=value pairs.
+// Violated counts an act that got past the rule's guard, and logs what is known of it as key=value pairs.
 func (b *Recorder) Violated(r Rule, format string, args ...any) {
 	if b == nil {
 		return
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -97,7 +97,7 @@
 
 func (k Kind) String() string { return [...]string{"served", "refused", "failed", "conflict"}[k] }
 
-// Respond is the final answer to an invocation.
+// Response is the final answer to an invocation.
 type Response struct {
 	Kind       Kind
 	RetryAfter time.Duration // with Refused: when to come back; 0 = no advice
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -270,7 +270,7 @@
 // Liveness is what is known of one provider's process beside the list: when it was last there for certain.
 type Liveness struct{ AliveAt, ProbedAt time.Time }
 
-// Responded takes note of an answer to what was asked at that moment over a connection that had come up at since; known is that
+// Observe takes note of an answer to what was asked at that moment over a connection that had come up at since; known is that
 // of Trust, probe says that it was a probe and answered as by one in service. Only a connection that was there while
 // the list could be relied on, or while the process was known to be alive, leads to the process that the list names: another one may
 // have come up in its place, at the same address and under the same id, and the list would say so. One that drains turns
