--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -40,7 +40,7 @@
 	var b strings.Builder
 	b.WriteString("testbench emulate --sidecars 100 --servers 40 --trouble silence,neighbour --seed 7\n\n" +
 		"testbench emulate --trouble deploy --days 20 --against-with least\n\nTroubles:\n\n")
-	for _, k := range emulator.Troubles() {
+	for _, k := range emulator.FaultKinds() {
 		fmt.Fprintf(&b, "%s: %s.\n\n", k.Name, k.About)
 	}
 	return b.String()
@@ -72,7 +72,7 @@
 			names = emulator.Random(cfg.Seed)
 		}
 		for _, n := range names {
-			cfg.Troubles = append(cfg.Troubles, emulator.Trouble{Name: n})
+			cfg.Faults = append(cfg.Faults, emulator.Fault{Name: n})
 		}
 	}
 	return cfg, cfg.Check()
--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -16,7 +16,7 @@
 	A       string       `json:"a"` // the policy, as B
 	B       string       `json:"b"`
 	Days    int          `json:"days"`
-	Figures []Difference `json:"figures"`
+	Metrics []Difference `json:"figures"`
 	BrokenA int          `json:"broken_a"` // days on which a rule was broken, as BrokenB
 	BrokenB int          `json:"broken_b"`
 }
@@ -47,7 +47,7 @@
 	{"mean ms", func(r *Report) float64 { return r.MeanMs }},
 	{"waste", func(r *Report) float64 { return r.Waste }},
 	{"attempts", func(r *Report) float64 { return r.Attempts }},
-	{"crossings", func(r *Report) float64 { return r.Crossings }},
+	{"crossings", func(r *Report) float64 { return r.CrossZone }},
 	{"probes", func(r *Report) float64 { return r.Probes }},
 	{"connections", func(r *Report) float64 { return r.ConnsMean }},
 	{"jams", func(r *Report) float64 { return float64(r.Jams) }},
@@ -85,7 +85,7 @@
 		for _, r := range reports {
 			as, bs = append(as, f.of(r[0])), append(bs, f.of(r[1]))
 		}
-		c.Figures = append(c.Figures, differ(f.name, as, bs))
+		c.Metrics = append(c.Metrics, differ(f.name, as, bs))
 	}
 	return c, nil
 }
@@ -105,7 +105,7 @@
 	spread := func(v []float64) float64 { return quantile(v, 0.75) - quantile(v, 0.25) }
 	d.A, d.B, d.SpreadA, d.SpreadB = quantile(as, 0.5), quantile(bs, 0.5), spread(as), spread(bs)
 	d.Median, d.Quartiles = quantile(diffs, 0.5), [2]float64{quantile(diffs, 0.25), quantile(diffs, 0.75)}
-	d.Discernible = signTest(d.More, d.Less) < 0.05
+	d.Discernible = pairedSignTest(d.More, d.Less) < 0.05
 	return d
 }
 
@@ -120,8 +120,8 @@
 	return v[low] + (at-float64(low))*(v[low+1]-v[low])
 }
 
-// signTest is the probability, on both sides, of a split as uneven as this if either way is as likely.
-func signTest(more, less int) float64 {
+// pairedSignTest is the probability, on both sides, of a split as uneven as this if either way is as likely.
+func pairedSignTest(more, less int) float64 {
 	n, few := more+less, min(more, less)
 	sum := 0.0
 	for k := range few + 1 {
@@ -140,7 +140,7 @@
 		c.B)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\ta\tb\tb-a, by days\tquartiles\tb more/less\tdiscernible\t")
-	for _, d := range c.Figures {
+	for _, d := range c.Metrics {
 		fmt.Fprintf(t, "%s\t%.4f (%.4f)\t%.4f (%.4f)\t%+.4f\t%+.4f to %+.4f\t%d/%d\t%t\t\n", d.Name, d.A, d.SpreadA,
 			d.B, d.SpreadB, d.Median, d.Quartiles[0], d.Quartiles[1], d.More, d.Less, d.Discernible)
 	}
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -29,62 +29,62 @@
 	Tenants   []Tenant  `json:"tenants"` // may be empty
 	Server    Server    `json:"server"`
 	Network   Network   `json:"network"`
-	Directory Directory `json:"directory"`
+	Discovery Discovery `json:"directory"`
 	Clients   Clients   `json:"clients"`
 	Rules     Rules     `json:"rules"`
-	Troubles  []Trouble `json:"troubles"`
+	Faults    []Fault   `json:"troubles"`
 }
 
 // Kind is a model of machine.
 type Kind struct {
-	Share float64    `json:"share"` // of the servers
-	Cores float64    `json:"cores"`
-	Speed [2]float64 `json:"speed"` // of a core, drawn between the two for each server
+	Fraction float64    `json:"share"` // of the servers
+	Cores    float64    `json:"cores"`
+	Speed    [2]float64 `json:"speed"` // of a core, drawn between the two for each server
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name       string  `json:"name"`
-	Share      float64 `json:"share"`   // of the first tries
-	WorkMs     float64 `json:"work_ms"` // mean; exponential, or lognormal where there is a Spread
-	WaitMs     float64 `json:"wait_ms"` // mean of what it then waits for others: it holds its slot, but no core
-	Spread     float64 `json:"spread"`  // coefficient of variation of WorkMs and of WaitMs; 0 = both are exponential
-	Noise      float64 `json:"noise"`   // the same of a factor to the work, drawn for each attempt; 0 = none
-	AimMs      float64 `json:"aim_ms"`
-	DeadlineMs float64 `json:"deadline_ms"` // for all tries together
-	Worth      float64 `json:"worth"`
-	LateWorth  float64 `json:"late_worth"` // part of Worth that an answer after the aim still earns
-	Unsafe     bool    `json:"unsafe"`     // must never run twice; else any number of times
+	Name               string  `json:"name"`
+	Fraction           float64 `json:"share"`   // of the first tries
+	WorkMs             float64 `json:"work_ms"` // mean; exponential, or lognormal where there is a Spread
+	WaitMs             float64 `json:"wait_ms"` // mean of what it then waits for others: it holds its slot, but no core
+	Spread             float64 `json:"spread"`  // coefficient of variation of WorkMs and of WaitMs; 0 = both are exponential
+	Noise              float64 `json:"noise"`   // the same of a factor to the work, drawn for each attempt; 0 = none
+	LatencyObjectiveMs float64 `json:"aim_ms"`
+	DeadlineMs         float64 `json:"deadline_ms"` // for all tries together
+	PriorityWeight     float64 `json:"worth"`
+	LateWeight         float64 `json:"late_worth"` // part of Worth that an answer after the aim still earns
+	NonIdempotent      bool    `json:"unsafe"`     // must never run twice; else any number of times
 }
 
 // Tenant is a sharer of the fleet.
 type Tenant struct {
-	Name  string  `json:"name"`
-	Share float64 `json:"share"` // of the traffic
-	Quota float64 `json:"quota"` // first tries a second that count in full
+	Name     string  `json:"name"`
+	Fraction float64 `json:"share"` // of the traffic
+	Quota    float64 `json:"quota"` // first tries a second that count in full
 }
 
 // Server is how every server works. Lengths of time are in ms.
 type Server struct {
-	Slots     int     `json:"slots"`      // requests that share the cores
-	Room      int     `json:"room"`       // requests that may wait for a slot; what comes beyond is turned away unseen
-	CrowdFrom float64 `json:"crowd_from"` // requests held for each core from which efficiency falls
-	CrowdLoss float64 `json:"crowd_loss"` // by so much for each further one
-	CrowdMost float64 `json:"crowd_most"` // but by no more
+	Slots           int     `json:"slots"`      // requests that share the cores
+	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; what comes beyond is turned away unseen
+	OverloadFrom    float64 `json:"crowd_from"` // requests held for each core from which efficiency falls
+	OverloadLoss    float64 `json:"crowd_loss"` // by so much for each further one
+	MaxOverloadLoss float64 `json:"crowd_most"` // but by no more
 
 	JamWaiting float64 `json:"jam_waiting"` // requests waiting for each core that jam it,
 	JamAfter   float64 `json:"jam_after_ms"`
 	JamSlow    float64 `json:"jam_slow"` // times slower, until
 	JamIdle    float64 `json:"jam_idle"` // it holds no more for each core
 	JamClears  float64 `json:"jam_clears_ms"`
-	JamMost    float64 `json:"jam_most_ms"` // or until this has passed
+	MaxJam     float64 `json:"jam_most_ms"` // or until this has passed
 
 	Connections int     `json:"connections"` // beyond which none is accepted
 	TableLoss   float64 `json:"table_loss"`  // part of the capacity that a full table takes
 	Handshake   float64 `json:"handshake_ms"`
 	Idle        float64 `json:"idle_ms"` // after which an idle connection is closed
 	ProbeWork   float64 `json:"probe_ms"`
-	ProbesMost  float64 `json:"probes_most"`  // a second, beyond which they are turned away
+	MaxProbes   float64 `json:"probes_most"`  // a second, beyond which they are turned away
 	ReportEvery float64 `json:"report_ms"`    // between two refreshes of what probes report
 	ReportNoise float64 `json:"report_noise"` // standard deviation, as a part of the figure
 	NoReport    bool    `json:"no_report"`    // probes are answered without any load report
@@ -101,8 +101,8 @@
 	ConnectTimeout float64    `json:"connect_timeout_ms"`
 }
 
-// Directory is how changes of the list reach the sidecars.
-type Directory struct {
+// Discovery is how changes of the list reach the sidecars.
+type Discovery struct {
 	Late   [2]float64 `json:"late_ms"` // drawn for each change and sidecar
 	Lossy  float64    `json:"lossy"`   // part of the changes that a sidecar is not told
 	Repair float64    `json:"repair_ms"`
@@ -112,24 +112,24 @@
 type Clients struct {
 	Retries   int        `json:"retries"`
 	Wait      float64    `json:"wait_ms"`
-	Patience  [2]float64 `json:"patience"`  // part of the deadline until a try is given up, drawn for each request
+	Timeout   [2]float64 `json:"patience"`  // part of the deadline until a try is given up, drawn for each request
 	Impatient float64    `json:"impatient"` // part of the tries that are given up at a random moment before
 }
 
 // Rules are the figures of the rules, and what the module is told beside.
 type Rules struct {
-	Grace       float64 `json:"grace_ms"`        // of a drain
-	AnswerSlack float64 `json:"answer_slack_ms"` // after a try's end within which an answer still counts as given
-	ColdShare   float64 `json:"cold_share"`
-	WarmWithin  float64 `json:"warm_within_ms"`
-	TipMultiple float64 `json:"tip_multiple"`
-	TipWindow   float64 `json:"tip_window_ms"`
-	MaxAttempts int     `json:"max_attempts"`
-	OverWorth   float64 `json:"over_share_worth"`
-	CrossPrice  float64 `json:"cross_price"`
-	WastePrice  float64 `json:"waste_price"`
-	ProbePrice  float64 `json:"probe_price"`
-	Round       float64 `json:"round_ms"`
+	DrainGrace       float64 `json:"grace_ms"`        // of a drain
+	AnswerSlack      float64 `json:"answer_slack_ms"` // after a try's end within which an answer still counts as given
+	StartCapacity    float64 `json:"cold_share"`
+	WarmUpTime       float64 `json:"warm_within_ms"`
+	OverloadMultiple float64 `json:"tip_multiple"`
+	OverloadWindow   float64 `json:"tip_window_ms"`
+	MaxAttempts      int     `json:"max_attempts"`
+	OverQuotaWeight  float64 `json:"over_share_worth"`
+	CrossZoneCost    float64 `json:"cross_price"`
+	WastedWorkCost   float64 `json:"waste_price"`
+	ProbeCost        float64 `json:"probe_price"`
+	Round            float64 `json:"round_ms"`
 }
 
 // Default is an ordinary world of that size: every further key has the value that docs/operate/emulator.md lists. Its
@@ -139,30 +139,30 @@
 		Sidecars: sidecars, Servers: servers, Zones: 5, Rate: 20 * float64(servers), Seconds: 30, Skew: 0.5, Seed: 1,
 		Policy: "module",
 		Kinds: []Kind{
-			{Share: 0.47, Cores: 4, Speed: [2]float64{0.85, 1.1}},
-			{Share: 0.53, Cores: 4, Speed: [2]float64{0.64, 0.86}},
+			{Fraction: 0.47, Cores: 4, Speed: [2]float64{0.85, 1.1}},
+			{Fraction: 0.53, Cores: 4, Speed: [2]float64{0.64, 0.86}},
 		},
 		Classes: []Class{
-			{Name: "tile", Share: 0.54, WorkMs: 130, AimMs: 750, DeadlineMs: 2500, Worth: 1},
-			{Name: "record", Share: 0.33, WorkMs: 70, AimMs: 500, DeadlineMs: 1500, Worth: 1},
-			{Name: "order", Share: 0.13, WorkMs: 40, AimMs: 300, DeadlineMs: 1000, Worth: 5, Unsafe: true},
+			{Name: "tile", Fraction: 0.54, WorkMs: 130, LatencyObjectiveMs: 750, DeadlineMs: 2500, PriorityWeight: 1},
+			{Name: "record", Fraction: 0.33, WorkMs: 70, LatencyObjectiveMs: 500, DeadlineMs: 1500, PriorityWeight: 1},
+			{Name: "order", Fraction: 0.13, WorkMs: 40, LatencyObjectiveMs: 300, DeadlineMs: 1000, PriorityWeight: 5, NonIdempotent: true},
 		},
 		Server: Server{
-			Slots: 16, Room: 32, CrowdFrom: 4, CrowdLoss: 0.04, CrowdMost: 0.4,
-			JamWaiting: 3, JamAfter: 2000, JamSlow: 2.9, JamIdle: 0.5, JamClears: 3000, JamMost: 24000,
-			Connections: 400, TableLoss: 0.2, Handshake: 1, Idle: 30000, ProbeWork: 0.16, ProbesMost: 2000,
+			Slots: 16, QueueCapacity: 32, OverloadFrom: 4, OverloadLoss: 0.04, MaxOverloadLoss: 0.4,
+			JamWaiting: 3, JamAfter: 2000, JamSlow: 2.9, JamIdle: 0.5, JamClears: 3000, MaxJam: 24000,
+			Connections: 400, TableLoss: 0.2, Handshake: 1, Idle: 30000, ProbeWork: 0.16, MaxProbes: 2000,
 			ReportEvery: 3, ReportNoise: 0.05,
 		},
 		Network:   Network{Near: 0.2, Far: [2]float64{1.4, 2.6}, Jitter: 0.1, ConnectTimeout: 150},
-		Directory: Directory{Late: [2]float64{500, 3000}, Lossy: 0.02, Repair: 6000},
-		Clients:   Clients{Retries: 3, Wait: 50, Patience: [2]float64{0.33, 0.55}, Impatient: 0.01},
+		Discovery: Discovery{Late: [2]float64{500, 3000}, Lossy: 0.02, Repair: 6000},
+		Clients:   Clients{Retries: 3, Wait: 50, Timeout: [2]float64{0.33, 0.55}, Impatient: 0.01},
 		Rules: Rules{
-			Grace: 750, AnswerSlack: 20, ColdShare: 0.3, WarmWithin: 8100, TipMultiple: 4, TipWindow: 3000,
-			MaxAttempts: 3, OverWorth: 0.2, CrossPrice: 0.01, WastePrice: 0.1, Round: 5,
+			DrainGrace: 750, AnswerSlack: 20, StartCapacity: 0.3, WarmUpTime: 8100, OverloadMultiple: 4, OverloadWindow: 3000,
+			MaxAttempts: 3, OverQuotaWeight: 0.2, CrossZoneCost: 0.01, WastedWorkCost: 0.1, Round: 5,
 		},
 	}
 	for i, share := range []float64{0.3, 0.25, 0.2, 0.15, 0.1} {
-		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Share: share})
+		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Fraction: share})
 	}
 	return c
 }
@@ -177,7 +177,7 @@
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	c := *into
-	c.Kinds, c.Classes, c.Tenants, c.Troubles = nil, nil, nil, nil // the decoder would write into the old ones
+	c.Kinds, c.Classes, c.Tenants, c.Faults = nil, nil, nil, nil // the decoder would write into the old ones
 	if err := d.Decode(&c); err != nil {
 		return fmt.Errorf("the plan%s: %w", place(raw, err), err)
 	}
@@ -187,12 +187,12 @@
 	keep(&c.Kinds, into.Kinds)
 	keep(&c.Classes, into.Classes)
 	keep(&c.Tenants, into.Tenants)
-	keep(&c.Troubles, into.Troubles)
+	keep(&c.Faults, into.Faults)
 	*into = c
 	return nil
 }
 
-// place names the line of an error that has one. An unknown key has none, but its name can be searched for.
+// index names the line of an error that has one. An unknown key has none, but its name can be searched for.
 func place(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -232,20 +232,20 @@
 		{"skew", c.Skew, 0, 4},
 		{"zone_skew", c.ZoneSkew, 0, 1},
 		{"server.slots", float64(c.Server.Slots), 1, 1e9},
-		{"server.crowd_from", c.Server.CrowdFrom, 0, inf},
+		{"server.crowd_from", c.Server.OverloadFrom, 0, inf},
 		{"server.jam_waiting", c.Server.JamWaiting, 0, inf},
 		{"server.jam_after_ms", c.Server.JamAfter, 0, inf},
 		{"server.jam_idle", c.Server.JamIdle, 0, inf},
 		{"server.jam_clears_ms", c.Server.JamClears, 0, inf},
-		{"server.jam_most_ms", c.Server.JamMost, 0, inf},
-		{"server.probes_most", c.Server.ProbesMost, 0, inf},
-		{"rules.grace_ms", c.Rules.Grace, 0, inf},
-		{"rules.cross_price", c.Rules.CrossPrice, 0, inf},
-		{"rules.waste_price", c.Rules.WastePrice, 0, inf},
-		{"rules.probe_price", c.Rules.ProbePrice, 0, inf},
-		{"server.room", float64(c.Server.Room), 0, 1e9},
-		{"server.crowd_most", c.Server.CrowdMost, 0, 0.99},
-		{"server.crowd_loss", c.Server.CrowdLoss, 0, 1},
+		{"server.jam_most_ms", c.Server.MaxJam, 0, inf},
+		{"server.probes_most", c.Server.MaxProbes, 0, inf},
+		{"rules.grace_ms", c.Rules.DrainGrace, 0, inf},
+		{"rules.cross_price", c.Rules.CrossZoneCost, 0, inf},
+		{"rules.waste_price", c.Rules.WastedWorkCost, 0, inf},
+		{"rules.probe_price", c.Rules.ProbeCost, 0, inf},
+		{"server.room", float64(c.Server.QueueCapacity), 0, 1e9},
+		{"server.crowd_most", c.Server.MaxOverloadLoss, 0, 0.99},
+		{"server.crowd_loss", c.Server.OverloadLoss, 0, 1},
 		{"server.jam_slow", c.Server.JamSlow, 1, 1e3},
 		{"server.connections", float64(c.Server.Connections), 1, 1e9},
 		{"server.table_loss", c.Server.TableLoss, 0, 0.99},
@@ -258,42 +258,42 @@
 		{"network.far_ms", c.Network.Far[0], 0, c.Network.Far[1]},
 		{"network.jitter_ms", c.Network.Jitter, 0, 1e4},
 		{"network.connect_timeout_ms", c.Network.ConnectTimeout, 1, 1e5},
-		{"directory.late_ms", c.Directory.Late[0], 0, c.Directory.Late[1]},
-		{"directory.lossy", c.Directory.Lossy, 0, 1},
-		{"directory.repair_ms", c.Directory.Repair, 1, inf},
+		{"directory.late_ms", c.Discovery.Late[0], 0, c.Discovery.Late[1]},
+		{"directory.lossy", c.Discovery.Lossy, 0, 1},
+		{"directory.repair_ms", c.Discovery.Repair, 1, inf},
 		{"clients.retries", float64(c.Clients.Retries), 0, 100},
 		{"clients.wait_ms", c.Clients.Wait, 0, inf},
-		{"clients.patience", c.Clients.Patience[0], 0.01, c.Clients.Patience[1]},
-		{"clients.patience", c.Clients.Patience[1], 0.01, 1},
+		{"clients.patience", c.Clients.Timeout[0], 0.01, c.Clients.Timeout[1]},
+		{"clients.patience", c.Clients.Timeout[1], 0.01, 1},
 		{"clients.impatient", c.Clients.Impatient, 0, 1},
-		{"rules.cold_share", c.Rules.ColdShare, 0.01, 1},
-		{"rules.warm_within_ms", c.Rules.WarmWithin, 0, inf},
-		{"rules.tip_multiple", c.Rules.TipMultiple, 1, inf},
-		{"rules.tip_window_ms", c.Rules.TipWindow, 1, inf},
+		{"rules.cold_share", c.Rules.StartCapacity, 0.01, 1},
+		{"rules.warm_within_ms", c.Rules.WarmUpTime, 0, inf},
+		{"rules.tip_multiple", c.Rules.OverloadMultiple, 1, inf},
+		{"rules.tip_window_ms", c.Rules.OverloadWindow, 1, inf},
 		{"rules.max_attempts", float64(c.Rules.MaxAttempts), 1, 100},
 		{"rules.round_ms", c.Rules.Round, 0, 1e3},
-		{"rules.over_share_worth", c.Rules.OverWorth, 0, 1},
+		{"rules.over_share_worth", c.Rules.OverQuotaWeight, 0, 1},
 		{"rules.answer_slack_ms", c.Rules.AnswerSlack, 0, inf},
 	}
 	var kinds, classes, tenants float64 // sums of shares
 	for i, k := range c.Kinds {
-		kinds += k.Share
+		kinds += k.Fraction
 		at := fmt.Sprintf("kinds[%d].", i)
-		bounds = append(bounds, bound{at + "share", k.Share, 0, inf}, bound{at + "cores", k.Cores, 1, 1e4},
+		bounds = append(bounds, bound{at + "share", k.Fraction, 0, inf}, bound{at + "cores", k.Cores, 1, 1e4},
 			bound{at + "speed", k.Speed[0], 0.01, k.Speed[1]})
 	}
 	for i, k := range c.Classes {
-		classes += k.Share
+		classes += k.Fraction
 		at := fmt.Sprintf("classes[%d].", i)
-		bounds = append(bounds, bound{at + "share", k.Share, 0, inf}, bound{at + "work_ms", k.WorkMs, 0.001, inf},
+		bounds = append(bounds, bound{at + "share", k.Fraction, 0, inf}, bound{at + "work_ms", k.WorkMs, 0.001, inf},
 			bound{at + "wait_ms", k.WaitMs, 0, inf}, bound{at + "spread", k.Spread, 0, 10},
-			bound{at + "noise", k.Noise, 0, 10}, bound{at + "aim_ms", k.AimMs, 1, inf}, bound{at + "deadline_ms", k.DeadlineMs, 1, inf},
-			bound{at + "worth", k.Worth, 0, inf}, bound{at + "late_worth", k.LateWorth, 0, 1})
+			bound{at + "noise", k.Noise, 0, 10}, bound{at + "aim_ms", k.LatencyObjectiveMs, 1, inf}, bound{at + "deadline_ms", k.DeadlineMs, 1, inf},
+			bound{at + "worth", k.PriorityWeight, 0, inf}, bound{at + "late_worth", k.LateWeight, 0, 1})
 	}
 	for i, t := range c.Tenants {
-		tenants += t.Share
+		tenants += t.Fraction
 		at := fmt.Sprintf("tenants[%d].", i)
-		bounds = append(bounds, bound{at + "share", t.Share, 0, inf}, bound{at + "quota", t.Quota, 0, inf})
+		bounds = append(bounds, bound{at + "share", t.Fraction, 0, inf}, bound{at + "quota", t.Quota, 0, inf})
 	}
 	for _, b := range bounds {
 		if !(b.v >= b.lo && b.v <= b.hi) {
@@ -306,8 +306,8 @@
 	if !slices.Contains(Policies(), c.Policy) {
 		return fmt.Errorf("policy: there is no %q; there are %v", c.Policy, Policies())
 	}
-	for i := range c.Troubles {
-		if err := c.Troubles[i].check(c); err != nil {
+	for i := range c.Faults {
+		if err := c.Faults[i].check(c); err != nil {
 			return fmt.Errorf("troubles[%d].%w", i, err)
 		}
 	}
@@ -321,27 +321,27 @@
 	}
 	all := 0.0
 	for _, t := range c.Tenants {
-		all += t.Share
+		all += t.Fraction
 	}
-	return 1.25 * c.Rate * c.Tenants[t].Share / all
+	return 1.25 * c.Rate * c.Tenants[t].Fraction / all
 }
 
 // logic is what a sidecar in that zone is told.
 func (c *Config) logic(zone int) policy.Config {
 	l := policy.Config{
-		OverQuotaWeight: c.Rules.OverWorth, Instances: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
-		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, StartCapacity: c.Rules.ColdShare,
-		WarmUpTime: c.Rules.WarmWithin, OverloadMultiple: c.Rules.TipMultiple, OverloadWindow: c.Rules.TipWindow,
-		CrossZoneCost: c.Rules.CrossPrice, WastedWorkCost: c.Rules.WastePrice, ProbeCost: c.Rules.ProbePrice,
+		OverQuotaWeight: c.Rules.OverQuotaWeight, Instances: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
+		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, StartCapacity: c.Rules.StartCapacity,
+		WarmUpTime: c.Rules.WarmUpTime, OverloadMultiple: c.Rules.OverloadMultiple, OverloadWindow: c.Rules.OverloadWindow,
+		CrossZoneCost: c.Rules.CrossZoneCost, WastedWorkCost: c.Rules.WastedWorkCost, ProbeCost: c.Rules.ProbeCost,
 	}
 	for _, k := range c.Classes {
 		repeat := policy.Idempotent
-		if k.Unsafe {
+		if k.NonIdempotent {
 			repeat = policy.NonIdempotent
 		}
 		l.Classes = append(l.Classes, policy.Class{
-			LatencyObjective: k.AimMs, Deadline: k.DeadlineMs, PriorityWeight: k.Worth,
-			LateWeight: k.LateWorth, Idempotency: repeat,
+			LatencyObjective: k.LatencyObjectiveMs, Deadline: k.DeadlineMs, PriorityWeight: k.PriorityWeight,
+			LateWeight: k.LateWeight, Idempotency: repeat,
 		})
 	}
 	for t := range c.Tenants {
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -41,7 +41,7 @@
 // brief is the part of a report that says why a test has failed.
 func brief(r *Report) string {
 	return fmt.Sprintf("requests %d, service %.3f, %.1f ms, %.3f attempts, %.3f handshakes, turned away %d, lost %d, "+
-		"broken %v; %v", r.Requests, r.Service, r.MeanMs, r.Attempts, r.Handshakes, r.TurnedAway, r.Lost, r.Broken,
+		"broken %v; %v", r.Requests, r.Service, r.MeanMs, r.Attempts, r.Handshakes, r.Rejected, r.Lost, r.Broken,
 		r.Timeline)
 }
 
@@ -50,13 +50,13 @@
 func plain(cores float64, slots int, load float64) Config {
 	c := Default(1, 1)
 	c.Policy, c.Seed, c.Zones, c.Rate, c.Seconds = "random", 2, 1, load*cores*100, 400/cores
-	c.Kinds = []Kind{{Share: 1, Cores: cores, Speed: [2]float64{1, 1}}}
-	c.Classes = []Class{{Name: "x", Share: 1, WorkMs: 10, AimMs: 5e3, DeadlineMs: 5e3, Worth: 1}}
+	c.Kinds = []Kind{{Fraction: 1, Cores: cores, Speed: [2]float64{1, 1}}}
+	c.Classes = []Class{{Name: "x", Fraction: 1, WorkMs: 10, LatencyObjectiveMs: 5e3, DeadlineMs: 5e3, PriorityWeight: 1}}
 	c.Tenants = nil
 	c.Network = Network{ConnectTimeout: 150}
-	c.Clients = Clients{Patience: [2]float64{1, 1}}
-	c.Server.Slots, c.Server.Room, c.Server.Connections = slots, 1e6, 1e6
-	c.Server.CrowdLoss, c.Server.TableLoss, c.Server.Handshake, c.Server.JamAfter = 0, 0, 0, 1e9
+	c.Clients = Clients{Timeout: [2]float64{1, 1}}
+	c.Server.Slots, c.Server.QueueCapacity, c.Server.Connections = slots, 1e6, 1e6
+	c.Server.OverloadLoss, c.Server.TableLoss, c.Server.Handshake, c.Server.JamAfter = 0, 0, 0, 1e9
 	return c
 }
 
@@ -90,9 +90,9 @@
 	}
 }
 
-func TestAgendaKeepsOrder(t *testing.T) {
+func TestScheduleKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var a agenda
+	var a schedule
 	type due struct{ at, entered int }
 	var got, want []due
 	for i := range 5000 {
@@ -113,9 +113,9 @@
 	cfg := Default(6, 12)
 	cfg.Seconds, cfg.Clients.Impatient = 12, 0.2
 	for _, name := range []string{"deploy", "silence", "restart", "neighbour", "directory"} {
-		cfg.Troubles = append(cfg.Troubles, Trouble{Name: name})
+		cfg.Faults = append(cfg.Faults, Fault{Name: name})
 	}
-	cfg.Troubles[2].For = 0.02 // back before the clients' next tries, whose order could show a map's
+	cfg.Faults[2].For = 0.02 // back before the clients' next tries, whose order could show a map's
 	first := text(t, play(t, cfg, nil))
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	if text(t, play(t, cfg, nil)) != first {
@@ -128,69 +128,69 @@
 }
 
 // day is a world for troubles and mutants: the calm part, the trouble from 3 s on.
-func day(policy string, troubles ...Trouble) Config {
+func day(policy string, troubles ...Fault) Config {
 	c := Default(4, 10)
-	c.Policy, c.Seconds, c.Troubles = policy, 12, troubles
+	c.Policy, c.Seconds, c.Faults = policy, 12, troubles
 	for i := range troubles {
 		troubles[i].At = 3
 	}
 	return c
 }
 
-func TestEachTroubleChangesWhatItShould(t *testing.T) {
+func TestEachFaultChangesWhatItShould(t *testing.T) {
 	calm := map[string]*Report{}
 	for _, p := range []string{"random", "module"} {
 		calm[p] = play(t, day(p), nil)
 	}
 	for _, c := range []struct {
 		policy string
-		t      Trouble
+		t      Fault
 		shows  func(r, calm *Report) bool
 	}{
-		{"random", Trouble{Name: "silence", For: 5, Part: 0.2}, func(r, c *Report) bool {
+		{"random", Fault{Name: "silence", For: 5, Part: 0.2}, func(r, c *Report) bool {
 			return r.Rows[5].Silent == 2 && r.Rows[9].Silent == 0 && r.Service < c.Service-0.02
 		}},
-		{"random", Trouble{Name: "failures", For: 5, Part: 0.3, Size: 1}, func(r, c *Report) bool {
+		{"random", Fault{Name: "failures", For: 5, Part: 0.3, Size: 1}, func(r, c *Report) bool {
 			return r.Attempts > c.Attempts+0.05 && r.Classes[2].Service < c.Classes[2].Service-0.05
 		}},
-		{"random", Trouble{Name: "neighbour", For: 6, Part: 0.5, Size: 0.6, Every: 1}, func(r, c *Report) bool {
+		{"random", Fault{Name: "neighbour", For: 6, Part: 0.5, Size: 0.6, Every: 1}, func(r, c *Report) bool {
 			return r.MeanMs > c.MeanMs+5
 		}},
-		{"random", Trouble{Name: "costly", For: 6, Part: 0.05, Size: 20, Class: "tile"}, func(r, c *Report) bool {
+		{"random", Fault{Name: "costly", For: 6, Part: 0.05, Size: 20, Class: "tile"}, func(r, c *Report) bool {
 			return r.MeanMs > c.MeanMs+5 && r.Requests == c.Requests
 		}},
-		{"module", Trouble{Name: "deploy", For: 5, Part: 0.5, Size: 0.1, Every: 2}, func(r, c *Report) bool {
-			return r.TurnedAway > c.TurnedAway && r.Handshakes > c.Handshakes && r.Timeline != nil
+		{"module", Fault{Name: "deploy", For: 5, Part: 0.5, Size: 0.1, Every: 2}, func(r, c *Report) bool {
+			return r.Rejected > c.Rejected && r.Handshakes > c.Handshakes && r.Timeline != nil
 		}},
-		{"random", Trouble{Name: "cutoff", For: 5}, func(r, c *Report) bool {
+		{"random", Fault{Name: "cutoff", For: 5}, func(r, c *Report) bool {
 			return r.Service < c.Service-0.05 && r.Rows[11].Service > 0.9
 		}},
-		{"random", Trouble{Name: "restart", For: 1, Part: 0.5}, func(r, c *Report) bool {
+		{"random", Fault{Name: "restart", For: 1, Part: 0.5}, func(r, c *Report) bool {
 			return r.Lost > 0 && r.Rows[3].Service < c.Rows[3].Service-0.1
 		}},
-		{"random", Trouble{Name: "pause", For: 1.5, Part: 0.4}, func(r, c *Report) bool {
+		{"random", Fault{Name: "pause", For: 1.5, Part: 0.4}, func(r, c *Report) bool {
 			return r.MeanMs > c.MeanMs+5
 		}},
-		{"random", Trouble{Name: "resets", For: 5, Part: 0.2}, func(r, c *Report) bool {
+		{"random", Fault{Name: "resets", For: 5, Part: 0.2}, func(r, c *Report) bool {
 			return r.Attempts > c.Attempts+0.05 && r.Handshakes > c.Handshakes+0.05
 		}},
-		{"module", Trouble{Name: "surge", For: 4, Size: 3}, func(r, c *Report) bool {
-			return r.Rows[4].Asked > 2*c.Rows[4].Asked && r.Rows[4].Service < c.Rows[4].Service
+		{"module", Fault{Name: "surge", For: 4, Size: 3}, func(r, c *Report) bool {
+			return r.Rows[4].Requests > 2*c.Rows[4].Requests && r.Rows[4].Service < c.Rows[4].Service
 		}},
 	} {
 		if r := play(t, day(c.policy, c.t), nil); !c.shows(r, calm[c.policy]) || !r.Ok() {
 			t.Errorf("%s does not show, or a rule is broken: %s", c.t.Name, brief(r))
 		}
 	}
-	deploy := Trouble{Name: "deploy", For: 3, Part: 0.5, Size: 0.1, Every: 1}
+	deploy := Fault{Name: "deploy", For: 3, Part: 0.5, Size: 0.1, Every: 1}
 	told := play(t, day("module", deploy), nil)
-	slow := play(t, day("module", Trouble{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
-	mute := play(t, day("module", Trouble{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
+	slow := play(t, day("module", Fault{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
+	mute := play(t, day("module", Fault{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
 	if slow.MeanMs < told.MeanMs+10 || slow.Requests != told.Requests || mute.Probes < told.Probes+0.1 {
 		t.Errorf("a deploy: %s, %.3f probes; a slow one: %s; a mute one: %.3f probes", brief(told), told.Probes,
 			brief(slow), mute.Probes)
 	}
-	hidden := play(t, day("module", deploy, Trouble{Name: "directory", For: 8}), nil)
+	hidden := play(t, day("module", deploy, Fault{Name: "directory", For: 8}), nil)
 	if hidden.Service >= told.Service-0.02 {
 		t.Errorf("a deploy that the directory hides: %.3f are served, one that it tells: %.3f", hidden.Service,
 			told.Service)
@@ -220,17 +220,17 @@
 	for _, c := range []struct {
 		name    string
 		rule    Rule
-		trouble Trouble
+		trouble Fault
 		make    func(Policy) mutant
 		request uint32 // 0 = any
 		what    string
 	}{
-		{"forgets a request", OneAnswer, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
+		{"forgets a request", OneAnswer, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				return slices.DeleteFunc(acts, func(a policy.Action) bool { return a.Request == victim })
 			}}
 		}, victim, "no answer"},
-		{"answers twice", OneAnswer, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
+		{"answers twice", OneAnswer, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
 				if e.Kind == policy.RequestArrived && e.Request == victim { // the attempt is out
 					acts = append(acts, policy.Action{Kind: policy.FailRequest, Request: victim},
@@ -239,7 +239,7 @@
 				return acts
 			}}
 		}, victim, "second time"},
-		{"sends two copies", OneAttempt, Trouble{Name: "surge", Size: 1}, func(p Policy) mutant {
+		{"sends two copies", OneAttempt, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				for _, a := range acts {
 					if a.Kind == policy.StartAttempt && a.Request == victim {
@@ -249,7 +249,7 @@
 				return acts
 			}}
 		}, victim, "an attempt is out"},
-		{"repeats orders", NoRerun, Trouble{Name: "failures", For: 5, Part: 0.5, Size: 1}, func(p Policy) mutant {
+		{"repeats orders", NoRerun, Fault{Name: "failures", For: 5, Part: 0.5, Size: 1}, func(p Policy) mutant {
 			orders := map[policy.RequestID]bool{}
 			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
 				if e.Kind == policy.RequestArrived && e.Class == 2 {
@@ -266,7 +266,7 @@
 		}, 0, "order"},
 		{
 			"forgets drains", Drained,
-			Trouble{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
+			Fault{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
 			func(p Policy) mutant {
 				return mutant{Policy: p, event: func(e *policy.Event) {
 					e.Complete = false
@@ -275,7 +275,7 @@
 				}}
 			}, 0, "after the grace",
 		},
-		{"runs to the newest server", ColdServer, Trouble{Name: "silence", For: 2, Part: 0.1}, func(p Policy) mutant {
+		{"runs to the newest server", ColdServer, Fault{Name: "silence", For: 2, Part: 0.1}, func(p Policy) mutant {
 			var newest policy.ServerInfo
 			return mutant{p, func(e *policy.Event) {
 				for _, s := range e.Servers {
@@ -295,7 +295,7 @@
 	} {
 		cfg := day("random", c.trouble)
 		cfg.Rate = 100 // so few that no cold server is pushed over by chance
-		cfg.Directory.Late = [2]float64{100, 300}
+		cfg.Discovery.Late = [2]float64{100, 300}
 		if sound := play(t, cfg, nil); !sound.Ok() {
 			t.Errorf("%s: the sound host breaks a rule, too: %s", c.name, brief(sound))
 		}
@@ -315,7 +315,7 @@
 			t.Errorf("%s: other rules are held broken, too: %v", c.name, r.Broken)
 		}
 		if c.rule == ColdServer {
-			cfg.Rules.TipMultiple = 1e6
+			cfg.Rules.OverloadMultiple = 1e6
 			if r := play(t, cfg, func(_ int, p Policy) Policy { return c.make(p) }); r.Falls > 0 || !r.Ok() {
 				t.Errorf("a server that bears any load falls %d times", r.Falls)
 			}
@@ -324,7 +324,7 @@
 }
 
 func TestJamLasts(t *testing.T) {
-	cfg := day("random", Trouble{Name: "surge", For: 4, Size: 2.5})
+	cfg := day("random", Fault{Name: "surge", For: 4, Size: 2.5})
 	cfg.Clients.Retries = 0
 	r := play(t, cfg, nil)
 	cfg.Server.JamSlow = 1 // a jam that costs nothing
@@ -340,28 +340,28 @@
 	if r := play(t, none, nil); r.Requests != 0 || r.Service != 1 || !r.Ok() || strings.Contains(text(t, r), "NaN") {
 		t.Errorf("no arrivals: %s", brief(r))
 	}
-	all := day("module", Trouble{Name: "silence", For: 20, Part: 1})
+	all := day("module", Fault{Name: "silence", For: 20, Part: 1})
 	if r := play(t, all, nil); r.Rows[8].Service != 0 || !r.Ok() {
 		t.Errorf("all servers silent: %s", brief(r))
 	}
 }
 
 func TestCompareIsPaired(t *testing.T) {
-	a := day("least", Trouble{Name: "neighbour"})
+	a := day("least", Fault{Name: "neighbour"})
 	a.Seconds = 6
 	c, err := Compare(context.Background(), a, a, 3, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range c.Figures {
+	for _, d := range c.Metrics {
 		if d.Median != 0 || d.More+d.Less != 0 || d.Discernible {
 			t.Errorf("a setting and itself: %+v", d)
 		}
 	}
 	worlds := map[string][]float64{} // what a policy must leave as it is
 	for _, policy := range []string{"module", "random"} {
-		cfg := day(policy, Trouble{Name: "deploy", For: 3, Part: 0.3, Size: 0.1, Every: 1},
-			Trouble{Name: "silence", For: 4})
+		cfg := day(policy, Fault{Name: "deploy", For: 3, Part: 0.3, Size: 0.1, Every: 1},
+			Fault{Name: "silence", For: 4})
 		w, err := newWorld(cfg, Options{})
 		if err == nil {
 			err = w.play(context.Background())
@@ -370,16 +370,16 @@
 			t.Fatal(err)
 		}
 		for _, m := range w.machines {
-			worlds[policy] = append(worlds[policy], m.speed, m.startedAt, m.coldShare, m.warmIn)
+			worlds[policy] = append(worlds[policy], m.speed, m.startedAt, m.startCapacity, m.warmUpTime)
 		}
-		worlds[policy] = append(worlds[policy], w.judge.workAsk)
+		worlds[policy] = append(worlds[policy], w.judge.workRequested)
 	}
 	if !slices.Equal(worlds["module"], worlds["random"]) {
 		t.Errorf("two policies meet two worlds:\n%v\n%v", worlds["module"], worlds["random"])
 	}
 	if d := differ("x", []float64{1, 2, 3, 4, 5, 6}, []float64{2, 4, 4, 6, 6, 9}); d.Median != 1.5 || d.A != 3.5 ||
-		d.SpreadA != 2.5 || d.More != 6 || !d.Discernible || math.Abs(signTest(1, 5)-14.0/64) > 1e-9 {
-		t.Errorf("%+v; sign test of 1 to 5: %v", d, signTest(1, 5))
+		d.SpreadA != 2.5 || d.More != 6 || !d.Discernible || math.Abs(pairedSignTest(1, 5)-14.0/64) > 1e-9 {
+		t.Errorf("%+v; sign test of 1 to 5: %v", d, pairedSignTest(1, 5))
 	}
 }
 
@@ -427,11 +427,11 @@
 		"jam":          {func(m *machine) { m.jammed = true }, 4 / 2.9},
 		"neighbour":    {func(m *machine) { m.host.taken = []float64{0.25} }, 3},
 		"probes":       {func(m *machine) { m.busy(500) }, 3},
-		"cold":         {func(m *machine) { m.startedAt, m.coldShare, m.warmIn = 1000, 0.4, 3000 }, 4 * 0.6},
-		"warm again":   {func(m *machine) { m.startedAt, m.coldShare, m.warmIn = 1000, 0.4, 500 }, 4},
+		"cold":         {func(m *machine) { m.startedAt, m.startCapacity, m.warmUpTime = 1000, 0.4, 3000 }, 4 * 0.6},
+		"warm again":   {func(m *machine) { m.startedAt, m.startCapacity, m.warmUpTime = 1000, 0.4, 500 }, 4},
 	} {
 		cfg := Default(1, 1)
-		cfg.Kinds = []Kind{{Share: 1, Cores: 4, Speed: [2]float64{1, 1}}}
+		cfg.Kinds = []Kind{{Fraction: 1, Cores: 4, Speed: [2]float64{1, 1}}}
 		w, err := newWorld(cfg, Options{})
 		if err != nil {
 			t.Fatal(err)
@@ -448,14 +448,14 @@
 	cfg := day("module")
 	free := play(t, cfg, nil)
 	cfg.Server.Connections = 2
-	if few := play(t, cfg, nil); few.ConnsMost != 2 || few.Service > free.Service-0.1 {
-		t.Errorf("two connections each: %d at most, %s", few.ConnsMost, brief(few))
+	if few := play(t, cfg, nil); few.MaxConns != 2 || few.Service > free.Service-0.1 {
+		t.Errorf("two connections each: %d at most, %s", few.MaxConns, brief(few))
 	}
 	cfg = day("module")
-	cfg.Server.ProbesMost = 2
-	if few := play(t, cfg, nil); few.Rows[11].Held <= free.Rows[11].Held || few.Crossings <= free.Crossings {
-		t.Errorf("two probes a second each: held %d, crossings %.3f; all: %d, %.3f", few.Rows[11].Held, few.Crossings,
-			free.Rows[11].Held, free.Crossings)
+	cfg.Server.MaxProbes = 2
+	if few := play(t, cfg, nil); few.Rows[11].InFlight <= free.Rows[11].InFlight || few.CrossZone <= free.CrossZone {
+		t.Errorf("two probes a second each: held %d, crossings %.3f; all: %d, %.3f", few.Rows[11].InFlight, few.CrossZone,
+			free.Rows[11].InFlight, free.CrossZone)
 	}
 }
 
@@ -464,9 +464,9 @@
 	cfg := Default(1, 4)
 	cfg.Rate = 0
 	for _, size := range []float64{0.3, 0.7} {
-		cfg.Troubles = append(cfg.Troubles, Trouble{Name: "neighbour", At: 2, For: 12, Part: 1, Size: size, Every: 1})
+		cfg.Faults = append(cfg.Faults, Fault{Name: "neighbour", At: 2, For: 12, Part: 1, Size: size, Every: 1})
 	}
-	cfg.Troubles = append(cfg.Troubles, Trouble{Name: "deploy", At: 3, For: 6, Part: 1, Size: 0.25, Every: 1})
+	cfg.Faults = append(cfg.Faults, Fault{Name: "deploy", At: 3, For: 6, Part: 1, Size: 0.25, Every: 1})
 	w, err := newWorld(cfg, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -492,9 +492,9 @@
 	}
 }
 
-func TestDirectoryThatIsDownLosesNews(t *testing.T) {
+func TestDiscoveryThatIsDownLosesUpdates(t *testing.T) {
 	cfg := Default(2, 3)
-	cfg.Rate, cfg.Directory = 0, Directory{Late: [2]float64{100, 100}, Repair: 1}
+	cfg.Rate, cfg.Discovery = 0, Discovery{Late: [2]float64{100, 100}, Repair: 1}
 	w, err := newWorld(cfg, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -506,11 +506,11 @@
 	}
 	until(1500)
 	m := w.machines[1]
-	w.dir.change(m, policy.Draining)
+	w.discovery.change(m, policy.Draining)
 	until(1550)
-	w.dir.stop() // with that still on its way
+	w.discovery.stop() // with that still on its way
 	until(3000)
-	w.dir.change(m, policy.Gone)
+	w.discovery.change(m, policy.Gone)
 	until(4000)
 	if h := w.sidecars[0].known[m.id].health; h != policy.Ready {
 		t.Errorf("a directory that is down has told %v", h)
@@ -520,7 +520,7 @@
 	if k := w.sidecars[1].known[m.id]; k == nil || k.health != policy.Draining {
 		t.Errorf("a sidecar that starts meanwhile knows %+v", k)
 	}
-	w.dir.restart()
+	w.discovery.restart()
 	until(4200)
 	for _, sc := range w.sidecars {
 		if h := sc.known[m.id].health; h != policy.Gone {
--- a/internal/testbench/emulator/trouble.go
+++ b/internal/testbench/emulator/fault.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Trouble is something that goes wrong. What is 0 in a plan is drawn from the day's seed; Troubles says what Part, Size
+// Fault is something that goes wrong. What is 0 in a plan is drawn from the day's seed; Troubles says what Part, Size
 // and Every mean for each.
-type Trouble struct {
+type Fault struct {
 	Name  string  `json:"name"`
 	At    float64 `json:"at_s"`
 	For   float64 `json:"for_s"`
@@ -22,7 +22,7 @@
 	Zone  int     `json:"zone"`  // with silence: this zone, from 1, whose processes live on; 0 = a part of all servers
 }
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	s := fmt.Sprintf("%s at %.2f s for %.2f s", t.Name, t.At, t.For)
 	if t.Part > 0 {
 		s += fmt.Sprintf(", part %.2f", t.Part)
@@ -42,26 +42,26 @@
 	return s
 }
 
-// TroubleKind is a kind of trouble, and the ranges from which it is drawn; a range of zeros is not used.
-type TroubleKind struct {
+// FaultKind is a kind of trouble, and the ranges from which it is drawn; a range of zeros is not used.
+type FaultKind struct {
 	Name, About            string
 	For, Part, Size, Every [2]float64
-	play                   func(w *world, t Trouble, rng *rand.Rand)
+	play                   func(w *world, t Fault, rng *rand.Rand)
 }
 
-// Troubles lists the kinds, by name.
-func Troubles() []TroubleKind {
-	kinds := make([]TroubleKind, 0, len(troubles))
-	for _, k := range troubles {
+// FaultKinds lists the kinds, by name.
+func FaultKinds() []FaultKind {
+	kinds := make([]FaultKind, 0, len(faultKinds))
+	for _, k := range faultKinds {
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b TroubleKind) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(kinds, func(a, b FaultKind) int { return strings.Compare(a.Name, b.Name) })
 	return kinds
 }
 
-var troubles = func() map[string]TroubleKind {
-	byName := map[string]TroubleKind{}
-	for _, k := range []TroubleKind{
+var faultKinds = func() map[string]FaultKind {
+	byName := map[string]FaultKind{}
+	for _, k := range []FaultKind{
 		{
 			"silence", "a part of the servers says nothing at all, and is back with cold processes",
 			[2]float64{8, 20},
@@ -172,12 +172,12 @@
 	return byName
 }()
 
-func (t *Trouble) check(c *Config) error {
-	_, have := troubles[t.Name]
+func (t *Fault) check(c *Config) error {
+	_, have := faultKinds[t.Name]
 	switch {
 	case !have:
 		var names []string
-		for _, k := range Troubles() {
+		for _, k := range FaultKinds() {
 			names = append(names, k.Name)
 		}
 		return fmt.Errorf("name: there is no %q; there are %s", t.Name, strings.Join(names, ", "))
@@ -196,7 +196,7 @@
 // Random names up to three kinds, drawn from seed.
 func Random(seed uint64) (names []string) {
 	rng := rand.New(rand.NewPCG(seed, mix(seed, 77)))
-	kinds := Troubles()
+	kinds := FaultKinds()
 	for _, i := range rng.Perm(len(kinds))[:1+rng.IntN(3)] {
 		names = append(names, kinds[i].Name)
 	}
@@ -204,8 +204,8 @@
 }
 
 // drawn fills in what a plan has left open.
-func (t Trouble) drawn(c *Config, rng *rand.Rand) Trouble {
-	k := troubles[t.Name]
+func (t Fault) drawn(c *Config, rng *rand.Rand) Fault {
+	k := faultKinds[t.Name]
 	timed := t.For > 0
 	at := (0.2 + 0.2*rng.Float64()) * c.Seconds
 	for _, f := range []struct {
@@ -242,7 +242,7 @@
 }
 
 // upon does something to a part of the servers, and undoes it when the trouble is over, where the process is the same.
-func upon(w *world, t Trouble, rng *rand.Rand, do, undo func(*machine)) {
+func upon(w *world, t Fault, rng *rand.Rand, do, undo func(*machine)) {
 	some, ids := w.some(t.Part, rng)
 	w.note("%s begins at servers %s", t.Name, ids)
 	for _, m := range some {
@@ -258,7 +258,7 @@
 	w.after(t.For*1000, func() { w.note("%s ends", t.Name) })
 }
 
-func silence(w *world, t Trouble, rng *rand.Rand) {
+func silence(w *world, t Fault, rng *rand.Rand) {
 	if t.Zone > 0 {
 		silentZone(w, t)
 		return
@@ -271,7 +271,7 @@
 }
 
 // silentZone lets nothing into or out of the servers of a zone. They work on meanwhile.
-func silentZone(w *world, t Trouble) {
+func silentZone(w *world, t Fault) {
 	w.note("silence begins in zone %d", t.Zone)
 	for _, m := range w.alive() {
 		if m.zone != t.Zone-1 || m.phase != serving {
@@ -287,23 +287,23 @@
 	w.after(t.For*1000, func() { w.note("silence ends") })
 }
 
-func failures(w *world, t Trouble, rng *rand.Rand) {
+func failures(w *world, t Fault, rng *rand.Rand) {
 	upon(w, t, rng, func(m *machine) { m.failing = t.Size }, func(m *machine) { m.failing = 0 })
 }
 
-func pause(w *world, t Trouble, rng *rand.Rand) {
+func pause(w *world, t Fault, rng *rand.Rand) {
 	upon(w, t, rng, func(m *machine) { m.settle(); m.paused = true }, func(m *machine) { m.settle(); m.paused = false })
 }
 
-func neighbour(w *world, t Trouble, rng *rand.Rand) {
+func neighbour(w *world, t Fault, rng *rand.Rand) {
 	until := w.now + t.For*1000
 	upon(w, t, rng, func(m *machine) {
 		h, place := m.host, len(m.host.taken) // the process may be replaced meanwhile: the neighbour stays
 		h.taken = append(h.taken, 0)
 		set := func(part float64) {
-			h.now.settle()
+			h.current.settle()
 			h.taken[place] = part
-			h.now.resume()
+			h.current.resume()
 		}
 		var toggle func()
 		toggle = func() {
@@ -317,7 +317,7 @@
 	}, func(*machine) {})
 }
 
-func dear(w *world, t Trouble, _ *rand.Rand) {
+func dear(w *world, t Fault, _ *rand.Rand) {
 	class := slices.IndexFunc(w.cfg.Classes, func(k Class) bool { return k.Name == t.Class })
 	w.costly = append(w.costly, costly{class, t.Part, t.Size})
 	w.note("costly begins: %.1f%% of %s need %.1f times the work", 100*t.Part, t.Class, t.Size)
@@ -327,18 +327,18 @@
 	})
 }
 
-func deploy(w *world, t Trouble, rng *rand.Rand) { replace(w, t, rng, t.Size, func(*machine) {}) }
+func deploy(w *world, t Fault, rng *rand.Rand) { replace(w, t, rng, t.Size, func(*machine) {}) }
 
-func releaseSlow(w *world, t Trouble, rng *rand.Rand) {
+func releaseSlow(w *world, t Fault, rng *rand.Rand) {
 	replace(w, t, rng, 0.1, func(m *machine) { m.slow = t.Size })
 }
 
-func releaseMute(w *world, t Trouble, rng *rand.Rand) {
-	replace(w, t, rng, 0.1, func(m *machine) { m.mute = true })
+func releaseMute(w *world, t Fault, rng *rand.Rand) {
+	replace(w, t, rng, 0.1, func(m *machine) { m.rejectsProbes = true })
 }
 
 // replace drains servers in batches, ends each after its drain and starts one with a new id in its place.
-func replace(w *world, t Trouble, rng *rand.Rand, batch float64, change func(*machine)) {
+func replace(w *world, t Fault, rng *rand.Rand, batch float64, change func(*machine)) {
 	some, ids := w.some(t.Part, rng)
 	n := max(1, int(math.Round(batch*float64(len(w.alive())))))
 	batches := float64((len(some) + n - 1) / n)
@@ -349,15 +349,15 @@
 				return
 			}
 			old.phase = draining
-			w.dir.change(old, policy.Draining)
+			w.discovery.change(old, policy.Draining)
 			w.after(t.Every*1000, func() {
 				old.die()
-				w.dir.change(old, policy.Gone)
+				w.discovery.change(old, policy.Gone)
 				m := &machine{
-					w: w, id: policy.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
-					speed: old.speed, slow: old.slow, host: old.host, probeRoom: w.cfg.Server.ProbesMost,
+					world: w, id: policy.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
+					speed: old.speed, slow: old.slow, host: old.host, probeTokens: w.cfg.Server.MaxProbes,
 				}
-				m.host.now = m
+				m.host.current = m
 				change(m)
 				w.machines = append(w.machines, m)
 				w.byID[m.id] = m
@@ -368,7 +368,7 @@
 	w.after((t.For+t.Every)*1000, func() { w.note("%s ends", t.Name) })
 }
 
-func cutoff(w *world, t Trouble, rng *rand.Rand) {
+func cutoff(w *world, t Fault, rng *rand.Rand) {
 	zone := rng.IntN(w.cfg.Zones)
 	w.cut[zone] = true
 	w.note("cutoff begins: zone %d", zone)
@@ -378,7 +378,7 @@
 	})
 }
 
-func restart(w *world, t Trouble, rng *rand.Rand) {
+func restart(w *world, t Fault, rng *rand.Rand) {
 	n := max(1, int(math.Round(t.Part*float64(len(w.sidecars)))))
 	w.note("restart: %d sidecars are killed", n)
 	for _, i := range rng.Perm(len(w.sidecars))[:n] {
@@ -390,7 +390,7 @@
 	}
 }
 
-func resets(w *world, t Trouble, _ *rand.Rand) {
+func resets(w *world, t Fault, _ *rand.Rand) {
 	w.resets += t.Part
 	w.note("resets begin: %.1f%% of what is sent", 100*t.Part)
 	w.after(t.For*1000, func() {
@@ -399,16 +399,16 @@
 	})
 }
 
-func directoryDown(w *world, t Trouble, _ *rand.Rand) {
-	w.dir.stop()
+func directoryDown(w *world, t Fault, _ *rand.Rand) {
+	w.discovery.stop()
 	w.note("the directory is down")
 	w.after(t.For*1000, func() {
-		w.dir.restart()
+		w.discovery.restart()
 		w.note("the directory is back")
 	})
 }
 
-func surge(w *world, t Trouble, _ *rand.Rand) {
+func surge(w *world, t Fault, _ *rand.Rand) {
 	w.surge *= t.Size
 	w.note("surge begins: %.2f times the arrivals", t.Size)
 	w.after(t.For*1000, func() {
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -9,7 +9,7 @@
 const (
 	breachesKept = 20 // of each rule; all are counted
 	pushesShown  = 12 // of those that felled a server
-	toldPart     = 2.0 / 3
+	notifiedPart = 2.0 / 3
 	slackMs      = 0.5 // a sidecar's last moment for a first byte is its grace, give or take what a clock shows
 )
 
@@ -58,66 +58,66 @@
 }
 
 func (j *judge) steps(r *request) []string {
-	out := []string{fmt.Sprintf("class %s, try %d", j.w.cfg.Classes[r.ask.class].Name, r.number)}
+	out := []string{fmt.Sprintf("class %s, try %d", j.world.cfg.Classes[r.origin.class].Name, r.number)}
 	for _, s := range r.log {
 		out = append(out, s.String())
 	}
 	return out
 }
 
-// part is worth: how much was asked for and how much of that was answered in time.
-type part struct{ asked, got float64 }
+// outcomeShare is worth: how much was asked for and how much of that was answered in time.
+type outcomeShare struct{ requested, served float64 }
 
-func (p part) share() float64 {
-	if p.asked == 0 {
+func (p outcomeShare) ratio() float64 {
+	if p.requested == 0 {
 		return 1
 	}
-	return p.got / p.asked
+	return p.served / p.requested
 }
 
 // judge sees every event, checks the rules and counts.
 type judge struct {
-	w        *world
+	world    *world
 	breaches []Breach
 	broken   map[Rule]int
 	timeline []string
 
-	all      part
-	seconds  []part // by the second of the arrival
-	inTime   []part // the same, each request counting for one
-	classes  []part
-	tenants  []part // within their shares
-	quota    []bucket
-	rows     []Row
-	tally    Row // of the second that runs
-	late     int
-	left     int
-	lost     int
-	servedN  int
-	askedN   int
-	inAim    int
-	took     float64 // sum over what was served, from the first try on
-	workDone float64
-	workUsed float64
-	workAsk  float64
-	waits    float64
-	begun    int
-
-	attempts, crossings, probes, handshakes, turnedAway, jams, falls int
+	all           outcomeShare
+	seconds       []outcomeShare // by the second of the arrival
+	inTime        []outcomeShare // the same, each request counting for one
+	classes       []outcomeShare
+	tenants       []outcomeShare // within their shares
+	quota         []bucket
+	rows          []Row
+	tally         Row // of the second that runs
+	late          int
+	left          int
+	lost          int
+	servedCount   int
+	requestCount  int
+	inObjective   int
+	took          float64 // sum over what was served, from the first try on
+	workDone      float64
+	workUsed      float64
+	workRequested float64
+	waits         float64
+	begun         int
+
+	attempts, crossZone, probes, handshakes, rejected, jams, falls int
 }
 
 // bucket is a tenant's share: a second's quota may come at once.
 type bucket struct {
-	v  float64
-	at policy.Ms
+	tokens float64
+	at     policy.Ms
 }
 
 func newJudge(w *world) *judge {
 	j := &judge{
-		w: w, broken: map[Rule]int{}, classes: make([]part, len(w.cfg.Classes)),
-		tenants: make([]part, len(w.cfg.Tenants)), quota: make([]bucket, len(w.cfg.Tenants)),
-		seconds: make([]part, int(math.Ceil(w.cfg.Seconds))),
-		inTime:  make([]part, int(math.Ceil(w.cfg.Seconds))),
+		world: w, broken: map[Rule]int{}, classes: make([]outcomeShare, len(w.cfg.Classes)),
+		tenants: make([]outcomeShare, len(w.cfg.Tenants)), quota: make([]bucket, len(w.cfg.Tenants)),
+		seconds: make([]outcomeShare, int(math.Ceil(w.cfg.Seconds))),
+		inTime:  make([]outcomeShare, int(math.Ceil(w.cfg.Seconds))),
 	}
 	for t := range j.quota {
 		j.quota[t] = bucket{max(5, w.cfg.quota(t)), lead}
@@ -132,7 +132,7 @@
 		return
 	}
 	b := Breach{
-		Rule: rule, At: (j.w.now - lead) / 1000, Sidecar: -1, Server: uint32(server), Steps: steps,
+		Rule: rule, At: (j.world.now - lead) / 1000, Sidecar: -1, Server: uint32(server), Steps: steps,
 		What: fmt.Sprintf(format, args...),
 	}
 	if sc != nil {
@@ -146,61 +146,61 @@
 
 // ---- What is asked for and served.
 
-// asked notes a first try and says whether it is within its tenant's share.
-func (j *judge) asked(a *ask) (inShare bool) {
+// requestArrived notes a first try and says whether it is within its tenant's share.
+func (j *judge) requestArrived(a *clientRequest) (inShare bool) {
 	inShare = true
 	if a.tenant >= 0 {
-		q, k := j.w.cfg.quota(a.tenant), &j.quota[a.tenant]
-		k.v, k.at = min(max(5, q), k.v+q*(j.w.now-k.at)/1000), j.w.now
-		if inShare = k.v >= 1; inShare {
-			k.v--
+		q, k := j.world.cfg.quota(a.tenant), &j.quota[a.tenant]
+		k.tokens, k.at = min(max(5, q), k.tokens+q*(j.world.now-k.at)/1000), j.world.now
+		if inShare = k.tokens >= 1; inShare {
+			k.tokens--
 		}
 	}
-	a.inShare = inShare
-	j.askedN++
-	j.tally.Asked++
-	j.workAsk += a.work
-	j.inTime[int((a.at-lead)/1000)].asked++
-	j.each(a, func(p *part, worth float64) { p.asked += worth })
+	a.withinQuota = inShare
+	j.requestCount++
+	j.tally.Requests++
+	j.workRequested += a.work
+	j.inTime[int((a.arrivedAt-lead)/1000)].requested++
+	j.each(a, func(p *outcomeShare, worth float64) { p.requested += worth })
 	return inShare
 }
 
 // each does do for all that a request counts to.
-func (j *judge) each(a *ask, do func(p *part, worth float64)) {
-	worth := j.w.cfg.Classes[a.class].Worth
-	if !a.inShare {
-		worth *= j.w.cfg.Rules.OverWorth
+func (j *judge) each(a *clientRequest, do func(p *outcomeShare, worth float64)) {
+	worth := j.world.cfg.Classes[a.class].PriorityWeight
+	if !a.withinQuota {
+		worth *= j.world.cfg.Rules.OverQuotaWeight
 	}
 	do(&j.all, worth)
 	do(&j.classes[a.class], worth)
-	do(&j.seconds[int((a.at-lead)/1000)], worth)
-	if a.tenant >= 0 && a.inShare {
+	do(&j.seconds[int((a.arrivedAt-lead)/1000)], worth)
+	if a.tenant >= 0 && a.withinQuota {
 		do(&j.tenants[a.tenant], worth)
 	}
 }
 
 // served notes the answer that a client got for its request.
 func (j *judge) served(r *request) {
-	a := r.ask
-	class := &j.w.cfg.Classes[a.class]
-	took := j.w.now - a.at
+	a := r.origin
+	class := &j.world.cfg.Classes[a.class]
+	took := j.world.now - a.arrivedAt
 	if took > class.DeadlineMs {
 		return
 	}
-	j.servedN++
+	j.servedCount++
 	j.took += took
 	j.workUsed += r.work
 	share := 1.0
-	if took > class.AimMs {
+	if took > class.LatencyObjectiveMs {
 		j.late++
 		j.tally.Late++
-		share = class.LateWorth
+		share = class.LateWeight
 	} else {
-		j.inAim++
-		j.tally.InAim++
-		j.inTime[int((a.at-lead)/1000)].got++
+		j.inObjective++
+		j.tally.InObjective++
+		j.inTime[int((a.arrivedAt-lead)/1000)].served++
 	}
-	j.each(a, func(p *part, worth float64) { p.got += worth * share })
+	j.each(a, func(p *outcomeShare, worth float64) { p.served += worth * share })
 }
 
 func (j *judge) waited(ms float64) {
@@ -222,7 +222,7 @@
 }
 
 func (j *judge) log(r *request, s step) {
-	s.at = j.w.now
+	s.at = j.world.now
 	r.log = append(r.log, s)
 }
 
@@ -236,32 +236,32 @@
 	switch {
 	case r.answered:
 		j.breach(OneAnswer, sc, r, a.Server, j.steps(r), "sent after its final answer")
-	case r.out > 0:
+	case r.attemptsInFlight > 0:
 		j.breach(OneAttempt, sc, r, a.Server, j.steps(r), "sent while an attempt is out")
-	case r.mayRun && j.w.cfg.Classes[r.ask.class].Unsafe:
+	case r.mayRun && j.world.cfg.Classes[r.origin.class].NonIdempotent:
 		j.breach(NoRerun, sc, r, a.Server, j.steps(r), "sent again, though an attempt may have run")
 	}
 	j.attempts++
-	j.tally.Sent++
+	j.tally.Attempts++
 	if k := sc.known[a.Server]; k != nil {
 		j.drained(sc, r, k, "it is sent")
-		if k.at.zone != sc.zone {
-			j.crossings++
+		if k.machine.zone != sc.zone {
+			j.crossZone++
 		}
 	}
 }
 
 // drained looks at a send, both when it is decided and when its first byte goes out.
-func (j *judge) drained(sc *sidecar, r *request, k *listed, what string) {
-	if late := j.w.now - k.toldAt - j.w.cfg.Rules.Grace; k.health != policy.Ready && late > slackMs {
-		told := step{at: k.toldAt, what: "told to leave", server: k.at.id}
-		j.breach(Drained, sc, r, k.at.id, append([]string{told.String()}, j.steps(r)...),
+func (j *judge) drained(sc *sidecar, r *request, k *knownServer, what string) {
+	if late := j.world.now - k.notifiedAt - j.world.cfg.Rules.DrainGrace; k.health != policy.Ready && late > slackMs {
+		told := step{at: k.notifiedAt, what: "told to leave", server: k.machine.id}
+		j.breach(Drained, sc, r, k.machine.id, append([]string{told.String()}, j.steps(r)...),
 			"%s %.0f ms after the grace", what, late)
 	}
 }
 
 func (j *judge) ended(a *attempt, s policy.Status) {
-	j.log(a.req, step{what: "ended", server: a.at.id, status: s})
+	j.log(a.request, step{what: "ended", server: a.machine.id, status: s})
 	if s == policy.TimedOut {
 		j.tally.TimedOut++
 	}
@@ -282,11 +282,11 @@
 	case r.answered:
 		j.breach(OneAnswer, sc, r, 0, j.steps(r), "answered a second time")
 		return
-	case kind == policy.RejectRequest && (r.mayRun || r.out > 0) && j.w.cfg.Classes[r.ask.class].Unsafe:
+	case kind == policy.RejectRequest && (r.mayRun || r.attemptsInFlight > 0) && j.world.cfg.Classes[r.origin.class].NonIdempotent:
 		j.breach(NoRerun, sc, r, 0, j.steps(r), "refused, though an attempt may have run: its client will ask again")
 	}
 	if kind == policy.RejectRequest {
-		j.tally.Refused++
+		j.tally.Rejected++
 	} else {
 		j.tally.Failed++
 	}
@@ -294,7 +294,7 @@
 
 // overdue is a request without an answer when its try is over.
 func (j *judge) overdue(sc *sidecar, r *request) {
-	j.breach(OneAnswer, sc, r, 0, j.steps(r), "no answer %.0f ms after its time", j.w.cfg.Rules.AnswerSlack)
+	j.breach(OneAnswer, sc, r, 0, j.steps(r), "no answer %.0f ms after its time", j.world.cfg.Rules.AnswerSlack)
 }
 
 // fallen is a cold server that got too much. The rule is broken where two thirds of it came from sidecars that had been
@@ -302,23 +302,23 @@
 func (j *judge) fallen(m *machine) {
 	j.falls++
 	told := 0.0
-	for _, p := range m.pressure {
-		if p.told {
+	for _, p := range m.arrivals {
+		if p.notified {
 			told += p.work
 		}
 	}
-	j.w.note("server %d is pushed over: %.0f ms of work in %.1f s at %.2f of its capacity", m.id, m.pushed,
-		j.w.cfg.Rules.TipWindow/1000, m.warmth())
-	if told < toldPart*m.pushed {
+	j.world.note("server %d is pushed over: %.0f ms of work in %.1f s at %.2f of its capacity", m.id, m.arrivedWork,
+		j.world.cfg.Rules.OverloadWindow/1000, m.slowStartFraction())
+	if told < notifiedPart*m.arrivedWork {
 		return
 	}
 	var lines []string
-	for _, p := range m.pressure[max(0, len(m.pressure)-pushesShown):] {
+	for _, p := range m.arrivals[max(0, len(m.arrivals)-pushesShown):] {
 		lines = append(lines, fmt.Sprintf("%.4f s sidecar %d brings %.1f ms of work", (p.at-lead)/1000, p.from.number,
 			p.work))
 	}
 	j.breach(ColdServer, nil, nil, m.id, lines,
 		"started %.2f s ago, %.0f ms of work in %.1f s where %.0f fell it, by %d sends",
-		(j.w.now-m.startedAt)/1000, m.pushed, j.w.cfg.Rules.TipWindow/1000,
-		j.w.cfg.Rules.TipMultiple*m.capacity()*j.w.cfg.Rules.TipWindow, len(m.pressure))
+		(j.world.now-m.startedAt)/1000, m.arrivedWork, j.world.cfg.Rules.OverloadWindow/1000,
+		j.world.cfg.Rules.OverloadMultiple*m.capacity()*j.world.cfg.Rules.OverloadWindow, len(m.arrivals))
 }
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -49,16 +49,16 @@
 )
 
 // overloadEvent is the trouble of an event, and how long it lasts in s.
-func overloadEvent(name string) (troubles []Trouble, long float64, err error) {
+func overloadEvent(name string) (troubles []Fault, long float64, err error) {
 	switch name {
 	case "none":
 		return nil, 0, nil
 	case "burst":
-		return []Trouble{{Name: "surge", At: overloadAt, For: 2, Size: 3}}, 2, nil
+		return []Fault{{Name: "surge", At: overloadAt, For: 2, Size: 3}}, 2, nil
 	case "swell":
-		return []Trouble{{Name: "surge", At: overloadAt, For: 5, Size: 1.5}}, 5, nil
+		return []Fault{{Name: "surge", At: overloadAt, For: 5, Size: 1.5}}, 5, nil
 	case "zone":
-		return []Trouble{{Name: "silence", At: overloadAt, For: 5, Zone: 1}}, 5, nil
+		return []Fault{{Name: "silence", At: overloadAt, For: 5, Zone: 1}}, 5, nil
 	}
 	return nil, 0, fmt.Errorf("event: there is no %q; there are %v", name, OverloadEvents())
 }
@@ -69,8 +69,8 @@
 	c := Default(o.Sidecars, o.Servers)
 	c.Seconds, c.Seed, c.Policy, c.ZoneSkew = overloadLength, o.Seed, o.Policy, o.ZoneSkew
 	c.Kinds = []Kind{
-		{Share: 0.44, Cores: 2, Speed: [2]float64{1.5, 2.1}},
-		{Share: 0.56, Cores: 2, Speed: [2]float64{0.77, 1}},
+		{Fraction: 0.44, Cores: 2, Speed: [2]float64{1.5, 2.1}},
+		{Fraction: 0.56, Cores: 2, Speed: [2]float64{0.77, 1}},
 	}
 	work, wait, spread, noise := 139.0, 139.0, 0.5, 0.45
 	chokesAt, chokeSlow, slots, backoff, retries := 5.5, 2.9, 19, 100.0, 3 // chokesAt: in flight for each core
@@ -85,35 +85,35 @@
 	bear := c.capacity() / work * 1000 // requests a second
 	c.Rate = o.Load * overloadBears * bear
 	c.Classes = []Class{{
-		Name: "hold", Share: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, AimMs: 1000,
-		DeadlineMs: 5000, Worth: 1, Unsafe: true,
+		Name: "hold", Fraction: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, LatencyObjectiveMs: 1000,
+		DeadlineMs: 5000, PriorityWeight: 1, NonIdempotent: true,
 	}}
 	if o.Worthy > 0 {
 		worthy := c.Classes[0]
-		worthy.Name, worthy.Share, worthy.Worth = "order", o.Worthy, 5
-		c.Classes[0].Share -= o.Worthy
+		worthy.Name, worthy.Fraction, worthy.PriorityWeight = "order", o.Worthy, 5
+		c.Classes[0].Fraction -= o.Worthy
 		c.Classes = append(c.Classes, worthy)
 	}
 	c.Tenants = nil
 	for i, share := range []float64{0.24, 0.22, 0.22, 0.1, 0.08, 0.05, 0.05, 0.04} {
-		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Share: share, Quota: 0.785 * bear * share})
+		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Fraction: share, Quota: 0.785 * bear * share})
 	}
 	s := &c.Server
-	s.Slots, s.Room, s.CrowdLoss = slots, 1000, 0
+	s.Slots, s.QueueCapacity, s.OverloadLoss = slots, 1000, 0
 	s.JamWaiting, s.JamAfter, s.JamSlow = chokesAt-1, 2000, chokeSlow
-	s.JamIdle, s.JamClears, s.JamMost = chokesAt/3, 3500, 25000
+	s.JamIdle, s.JamClears, s.MaxJam = chokesAt/3, 3500, 25000
 	s.Connections, s.TableLoss, s.Handshake, s.ProbeWork = 3600, 0.09, 2, 1
 	if o.Free {
 		s.TableLoss, s.Handshake, s.ProbeWork = 0, 0, 0
 	}
 	s.NoReport, s.ProbesQueue, s.ReportEvery, s.ReportNoise = o.Reports != "full", o.Reports == "queued", 100, 0.09
 	c.Network = Network{Near: 0.2, Far: [2]float64{1.4, 2.6}, Jitter: 0.1, ConnectTimeout: 250}
-	c.Clients = Clients{Retries: retries, Wait: backoff, Patience: [2]float64{0.3, 0.55}, Impatient: 0.005}
+	c.Clients = Clients{Retries: retries, Wait: backoff, Timeout: [2]float64{0.3, 0.55}, Impatient: 0.005}
 	r := &c.Rules
-	r.Grace, r.ColdShare, r.WarmWithin, r.TipMultiple, r.TipWindow = 1000, 0.32, 8200, 3, 2000
-	r.MaxAttempts, r.OverWorth, r.CrossPrice, r.WastePrice, r.ProbePrice = 6, 0.1, 0.01, 0.05, 0.01
+	r.DrainGrace, r.StartCapacity, r.WarmUpTime, r.OverloadMultiple, r.OverloadWindow = 1000, 0.32, 8200, 3, 2000
+	r.MaxAttempts, r.OverQuotaWeight, r.CrossZoneCost, r.WastedWorkCost, r.ProbeCost = 6, 0.1, 0.01, 0.05, 0.01
 	var err error
-	if c.Troubles, _, err = overloadEvent(o.Event); err != nil {
+	if c.Faults, _, err = overloadEvent(o.Event); err != nil {
 		return c, err
 	}
 	if !slices.Contains(OverloadReports(), o.Reports) {
@@ -163,14 +163,14 @@
 		Shakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
 	}
 	asked := math.Max(1, float64(report.Requests))
-	r.Share = float64(report.InAim) / asked
+	r.Share = float64(report.InObjective) / asked
 	ends := o.ends()
 	r.Before = inTime(report.Rows, overloadFrom, overloadAt)
 	r.During = inTime(report.Rows, overloadAt, ends+overloadBack)
 	r.After = inTime(report.Rows, ends+overloadBack, overloadLength)
 	r.Back = back(report.Rows, int(ends), r.Before-overloadNear)
 	for i, row := range report.Rows {
-		r.Refused += float64(row.Refused) / asked
+		r.Refused += float64(row.Rejected) / asked
 		r.Failed += float64(row.Failed) / asked
 		r.Tries += float64(row.Tries) / asked
 		r.TimedOut += float64(row.TimedOut) / asked
@@ -184,7 +184,7 @@
 	return r, nil
 }
 
-// ends is when the event is over, in s.
+// endsAt is when the event is over, in s.
 func (o Overload) ends() float64 {
 	_, long, _ := overloadEvent(o.Event)
 	return overloadAt + long
@@ -192,11 +192,11 @@
 
 // inTime is the share of the first tries of those seconds that were answered within the aim.
 func inTime(rows []Row, from, to float64) float64 {
-	p := part{}
+	p := outcomeShare{}
 	for _, r := range rows[min(len(rows), int(from)):min(len(rows), int(to))] {
-		p.asked, p.got = p.asked+float64(r.Asked), p.got+r.InTime*float64(r.Asked)
+		p.requested, p.served = p.requested+float64(r.Requests), p.served+r.InTime*float64(r.Requests)
 	}
-	return p.share()
+	return p.ratio()
 }
 
 // back is how long after a second the share, averaged, reaches want and stays; -1 if it doesn't.
@@ -279,8 +279,8 @@
 			r.Event, r.Reports, r.Load, r.Seed, r.Sidecars)
 		fmt.Fprintln(t, "second\tasked\tshare\ttries\tattempts\trefused\tfailed\ttimed out\theld/server\tmost\tchoked\tprobes\tconns\t")
 		for _, w := range r.Rows {
-			fmt.Fprintf(t, "%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t\n", w.Second, w.Asked, w.InTime, w.Tries,
-				w.Sent, w.Refused, w.Failed, w.TimedOut, float64(w.Held)/float64(r.Servers), w.Most, w.Jammed, w.Probes,
+			fmt.Fprintf(t, "%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t\n", w.Second, w.Requests, w.InTime, w.Tries,
+				w.Attempts, w.Rejected, w.Failed, w.TimedOut, float64(w.InFlight)/float64(r.Servers), w.MaxInFlight, w.Jammed, w.Probes,
 				w.Conns)
 		}
 		if err := t.Flush(); err != nil {
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestCancelledWorkLeavesTheQueueWhereToldSo(t *testing.T) {
+func TestCancelledWorkLeavesTheQueueWhereConfigured(t *testing.T) {
 	cfg := plain(1, 1, 2)
 	cfg.Classes[0].DeadlineMs, cfg.Seconds = 200, 20
 	kept := play(t, cfg, nil)
@@ -52,8 +52,8 @@
 		t.Errorf("at twice the load %.2f of the work is in vain, %.2f where what was cancelled leaves the queue",
 			kept.Waste, dropped.Waste)
 	}
-	if most := kept.Rows[19].Held; most < 500 || dropped.Rows[19].Held > 100 {
-		t.Errorf("held at the end: %d, and %d where what was cancelled leaves", most, dropped.Rows[19].Held)
+	if most := kept.Rows[19].InFlight; most < 500 || dropped.Rows[19].InFlight > 100 {
+		t.Errorf("held at the end: %d, and %d where what was cancelled leaves", most, dropped.Rows[19].InFlight)
 	}
 }
 
@@ -68,7 +68,7 @@
 	return h.Policy.Handle(now, e, out)
 }
 
-func TestReportsAreTakenAwayAlone(t *testing.T) {
+func TestOnlyReportsAreRemoved(t *testing.T) {
 	for _, none := range []bool{false, true} {
 		cfg := day("module")
 		cfg.Server.NoReport, cfg.Seconds = none, 3
@@ -89,7 +89,7 @@
 }
 
 func TestSilentZoneComesBackWarm(t *testing.T) {
-	cfg := day("module", Trouble{Name: "silence", For: 4, Zone: 2})
+	cfg := day("module", Fault{Name: "silence", For: 4, Zone: 2})
 	r := play(t, cfg, nil)
 	if r.Rows[1].Silent != 0 || r.Rows[4].Silent != 2 || r.Rows[7].Silent != 0 || !r.Ok() {
 		t.Errorf("a zone of 2 servers is silent from 3 to 7 s: %s", text(t, r))
@@ -97,7 +97,7 @@
 	if all := strings.Join(r.Timeline, "\n"); strings.Contains(all, "pushed over") || !strings.Contains(all, "zone 2") {
 		t.Errorf("its servers should be those of before: %s", all)
 	}
-	cfg.Troubles[0].Zone = 9
+	cfg.Faults[0].Zone = 9
 	if _, err := Run(context.Background(), cfg, Options{}); err == nil || !strings.Contains(err.Error(), "zone") {
 		t.Errorf("zone 9 of %d: %v", cfg.Zones, err)
 	}
@@ -122,8 +122,8 @@
 			b.Report.Requests)
 	}
 	for i, row := range a.Rows {
-		if row.Asked != b.Rows[i].Asked {
-			t.Errorf("second %d: %d and %d requests", i, row.Asked, b.Rows[i].Asked)
+		if row.Requests != b.Rows[i].Requests {
+			t.Errorf("second %d: %d and %d requests", i, row.Requests, b.Rows[i].Requests)
 		}
 	}
 	cfg, err := runs[0].Config()
@@ -143,11 +143,11 @@
 	}
 }
 
-func TestBackSaysWhenTheShareIsWhatItWas(t *testing.T) {
+func TestRecoveryTimeIsWhenTheShareIsWhatItWas(t *testing.T) {
 	rows := make([]Row, overloadLength+5)
 	share := func(from, to int, v float64) {
 		for i := from; i < to; i++ {
-			rows[i] = Row{Second: i, Asked: 10, InTime: v}
+			rows[i] = Row{Second: i, Requests: 10, InTime: v}
 		}
 	}
 	share(0, overloadLength, 0.9)
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -25,8 +25,8 @@
 		return policy.New(cfg, seed)
 	}
 	t := &textbook{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), out: map[policy.ServerID]int{},
-		open: map[policy.RequestID]*choice{},
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), inFlight: map[policy.ServerID]int{},
+		open: map[policy.RequestID]*openRequest{},
 	}
 	switch w.cfg.Policy {
 	case "random":
@@ -35,15 +35,15 @@
 		turn := map[policy.ServerID]int{}
 		t.rank = func(id policy.ServerID) float64 { return float64(turn[id]) }
 		t.chosen = func(id policy.ServerID) {
-			turn[id] = t.turns
-			t.turns++
+			turn[id] = t.nextTurn
+			t.nextTurn++
 		}
-		t.turns = 1
+		t.nextTurn = 1
 	case "least":
-		t.rank = func(id policy.ServerID) float64 { return float64(t.out[id]) }
+		t.rank = func(id policy.ServerID) float64 { return float64(t.inFlight[id]) }
 	case "oracle":
 		t.rank = func(id policy.ServerID) float64 { return w.truth(sc, id) }
-		t.knows = true
+		t.seesTruth = true
 	default:
 		return nil, fmt.Errorf("there is no policy %q", w.cfg.Policy)
 	}
@@ -57,37 +57,37 @@
 	if m.phase != serving || m.paused || !w.reaches(m, sc) || m.failing > 0 {
 		return out
 	}
-	if float64(m.held()+jamMargin) > m.cores*(1+w.cfg.Server.JamWaiting) {
+	if float64(m.inFlight()+jamMargin) > m.cores*(1+w.cfg.Server.JamWaiting) {
 		return out // one more could jam it
 	}
 	work, shares := 0.0, 0.0
 	for _, c := range w.cfg.Classes {
-		work, shares = work+c.Share*c.WorkMs*m.slow, shares+c.Share
+		work, shares = work+c.Fraction*c.WorkMs*m.slow, shares+c.Fraction
 	}
-	return work/shares*max(m.cores, float64(m.held()+1))/m.power() + 2*w.far[sc.zone][m.zone]
+	return work/shares*max(m.cores, float64(m.inFlight()+1))/m.power() + 2*w.far[sc.zone][m.zone]
 }
 
 // textbook sends each request to the server of the lowest rank and tries again what may be tried again. But for the one
 // that knows, it turns nothing away while there is a server. It keeps the rules on answers, repeats and drains; on cold
 // servers it has none.
 type textbook struct {
-	cfg    policy.Config
-	rng    *rand.Rand
-	rank   func(policy.ServerID) float64
-	chosen func(policy.ServerID) // may be nil
-	turns  int
-	knows  bool // rank is the time to an answer, so that what would come after the aim is turned away
-	ready  []policy.ServerID
-	out    map[policy.ServerID]int
-	open   map[policy.RequestID]*choice
+	cfg       policy.Config
+	rng       *rand.Rand
+	rank      func(policy.ServerID) float64
+	chosen    func(policy.ServerID) // may be nil
+	nextTurn  int
+	seesTruth bool // rank is the time to an answer, so that what would come after the aim is turned away
+	ready     []policy.ServerID
+	inFlight  map[policy.ServerID]int
+	open      map[policy.RequestID]*openRequest
 }
 
-// choice is an open request.
-type choice struct {
-	class, attempts int
-	out, mayRun     bool
-	last            policy.ServerID
-	aimAt, endAt    policy.Ms
+// openRequest is an open request.
+type openRequest struct {
+	class, attempts       int
+	inFlight, mayRun      bool
+	last                  policy.ServerID
+	objectiveAt, deadline policy.Ms
 }
 
 func (t *textbook) Handle(now policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
@@ -96,17 +96,17 @@
 		t.list(e)
 	case policy.RequestArrived:
 		end := max(0, e.TimeLeft-2*t.cfg.Round-1)
-		c := &choice{class: e.Class, aimAt: now + t.cfg.Classes[e.Class].LatencyObjective, endAt: now + end}
+		c := &openRequest{class: e.Class, objectiveAt: now + t.cfg.Classes[e.Class].LatencyObjective, deadline: now + end}
 		t.open[e.Request] = c
 		acts = append(acts, policy.Action{Kind: policy.SetTimer, Timer: uint64(e.Request), After: end})
 		return t.send(now, e.Request, c, acts)
 	case policy.AttemptEnded:
-		t.out[e.Server]--
+		t.inFlight[e.Server]--
 		c := t.open[e.Request]
 		if c == nil {
 			return acts
 		}
-		c.out = false
+		c.inFlight = false
 		if e.Final {
 			delete(t.open, e.Request)
 			return acts
@@ -136,9 +136,9 @@
 }
 
 // send makes the next attempt, if one is allowed.
-func (t *textbook) send(now policy.Ms, id policy.RequestID, c *choice, acts []policy.Action) []policy.Action {
+func (t *textbook) send(now policy.Ms, id policy.RequestID, c *openRequest, acts []policy.Action) []policy.Action {
 	unsafe := t.cfg.Classes[c.class].Idempotency == policy.NonIdempotent
-	if c.attempts >= t.cfg.MaxAttempts || c.mayRun && unsafe || len(t.ready) == 0 || c.endAt-now < 1 {
+	if c.attempts >= t.cfg.MaxAttempts || c.mayRun && unsafe || len(t.ready) == 0 || c.deadline-now < 1 {
 		return t.finish(id, c, acts)
 	}
 	var best policy.ServerID
@@ -157,29 +157,29 @@
 			}
 		}
 	}
-	if t.knows && now+lowest > min(c.aimAt, c.endAt) {
+	if t.seesTruth && now+lowest > min(c.objectiveAt, c.deadline) {
 		return t.finish(id, c, acts)
 	}
 	if t.chosen != nil {
 		t.chosen(best)
 	}
-	c.out, c.last = true, best
+	c.inFlight, c.last = true, best
 	c.attempts++
-	t.out[best]++
-	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.endAt - now})
+	t.inFlight[best]++
+	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.deadline - now})
 }
 
 // finish gives the final answer.
-func (t *textbook) finish(id policy.RequestID, c *choice, acts []policy.Action) []policy.Action {
+func (t *textbook) finish(id policy.RequestID, c *openRequest, acts []policy.Action) []policy.Action {
 	act := policy.Action{Kind: policy.FailRequest, Request: id}
-	if t.cfg.Classes[c.class].Idempotency == policy.Idempotent || !c.mayRun && !c.out {
+	if t.cfg.Classes[c.class].Idempotency == policy.Idempotent || !c.mayRun && !c.inFlight {
 		act.Kind = policy.RejectRequest
 	}
 	return t.drop(id, append(acts, act))
 }
 
 func (t *textbook) drop(id policy.RequestID, acts []policy.Action) []policy.Action {
-	if c := t.open[id]; c != nil && c.out {
+	if c := t.open[id]; c != nil && c.inFlight {
 		acts = append(acts, policy.Action{Kind: policy.CancelAttempt, Request: id, Attempt: c.attempts - 1})
 	}
 	delete(t.open, id)
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -18,31 +18,31 @@
 	Servers  int      `json:"servers"`
 	Rate     float64  `json:"rate"`
 	Seconds  float64  `json:"seconds"`
-	Troubles []string `json:"troubles"`
+	Faults   []string `json:"troubles"`
 
-	Requests      int     `json:"requests"` // first tries
-	InAim         int     `json:"in_aim"`
-	Late          int     `json:"late"` // answered within the deadline, but after the aim
-	Service       float64 `json:"service"`
-	WorstWindow   float64 `json:"worst_window"` // of 10 s, or the day if that is shorter
-	WorstWindowAt float64 `json:"worst_window_at_s"`
-	Classes       []Share `json:"classes"`
-	Tenants       []Share `json:"tenants"` // within their shares
-	WorstClass    float64 `json:"worst_class"`
-	WorstTenant   float64 `json:"worst_tenant"`
-	MeanMs        float64 `json:"mean_ms"` // of what was served, from the first try's intended send to the answer
-	WaitMs        float64 `json:"wait_ms"` // mean wait for a slot
+	Requests      int            `json:"requests"` // first tries
+	InObjective   int            `json:"in_aim"`
+	Late          int            `json:"late"` // answered within the deadline, but after the aim
+	Service       float64        `json:"service"`
+	WorstWindow   float64        `json:"worst_window"` // of 10 s, or the day if that is shorter
+	WorstWindowAt float64        `json:"worst_window_at_s"`
+	Classes       []ServiceShare `json:"classes"`
+	Tenants       []ServiceShare `json:"tenants"` // within their shares
+	WorstClass    float64        `json:"worst_class"`
+	WorstTenant   float64        `json:"worst_tenant"`
+	MeanMs        float64        `json:"mean_ms"` // of what was served, from the first try's intended send to the answer
+	WaitMs        float64        `json:"wait_ms"` // mean wait for a slot
 
 	Waste       float64 `json:"waste"`     // work that served nobody, as a part of what was asked for
 	Attempts    float64 `json:"attempts"`  // for each request, as the next three
 	Probes      float64 `json:"probes"`    //
-	Crossings   float64 `json:"crossings"` // attempts in another zone
+	CrossZone   float64 `json:"crossings"` // attempts in another zone
 	Handshakes  float64 `json:"handshakes"`
 	ProbesEach  float64 `json:"probes_each"`  // for each server and second
-	ProbesMost  float64 `json:"probes_most"`  // of the server that got the most
+	MaxProbes   float64 `json:"probes_most"`  // of the server that got the most
 	ConnsMean   float64 `json:"conns_mean"`   // for each server
-	ConnsMost   int     `json:"conns_most"`   // of any server at any time
-	TurnedAway  int     `json:"turned_away"`  // attempts, by full or draining servers
+	MaxConns    int     `json:"conns_most"`   // of any server at any time
+	Rejected    int     `json:"turned_away"`  // attempts, by full or draining servers
 	Jams        int     `json:"jams"`         // of servers
 	Falls       int     `json:"falls"`        // of cold servers
 	ClientsLeft int     `json:"clients_left"` // tries that impatient clients gave up
@@ -57,29 +57,29 @@
 	InPolicy time.Duration `json:"-"` // spent in policies, by Options.Clock: a figure of the machine, not of the day
 }
 
-// Share is how a class or a tenant was served.
-type Share struct {
+// ServiceShare is how a class or a tenant was served.
+type ServiceShare struct {
 	Name    string  `json:"name"`
 	Service float64 `json:"service"`
 }
 
 // Row is one second of a day.
 type Row struct {
-	Second  int
-	Asked   int // first tries
-	InAim   int
-	Late    int
-	Refused int // answers of sidecars, as the next
-	Failed  int
-	Sent    int // attempts
-	Probes  int
-	Held    int // by all servers, at the end of the second, as all that follows
-	Most    int // by any server
-	Conns   int
-	Jammed  int // servers
-	Silent  int // servers
-	Service float64
-	InTime  float64 // part of the first tries of that second that were answered within the aim
+	Second      int
+	Requests    int // first tries
+	InObjective int
+	Late        int
+	Rejected    int // answers of sidecars, as the next
+	Failed      int
+	Attempts    int // attempts
+	Probes      int
+	InFlight    int // by all servers, at the end of the second, as all that follows
+	MaxInFlight int // by any server
+	Conns       int
+	Jammed      int // servers
+	Silent      int // servers
+	Service     float64
+	InTime      float64 // part of the first tries of that second that were answered within the aim
 
 	Tries    int // that reached a sidecar, first ones included
 	TimedOut int // attempts
@@ -89,10 +89,10 @@
 func (j *judge) row() {
 	r := j.tally
 	r.Second = len(j.rows)
-	for _, m := range j.w.machines {
-		held := m.held()
-		r.Held += held
-		r.Most = max(r.Most, held)
+	for _, m := range j.world.machines {
+		held := m.inFlight()
+		r.InFlight += held
+		r.MaxInFlight = max(r.MaxInFlight, held)
 		r.Conns += len(m.conns)
 		if m.jammed {
 			r.Jammed++
@@ -112,11 +112,11 @@
 	full := j.seconds
 	share = 2
 	for from := 0; from == 0 || from+window <= len(full); from++ {
-		sum := part{}
+		sum := outcomeShare{}
 		for _, s := range full[from:min(len(full), from+window)] {
-			sum.asked, sum.got = sum.asked+s.asked, sum.got+s.got
+			sum.requested, sum.served = sum.requested+s.requested, sum.served+s.served
 		}
-		if s := sum.share(); s < share {
+		if s := sum.ratio(); s < share {
 			share, at = s, from
 		}
 	}
@@ -127,45 +127,45 @@
 	j, c := w.judge, &w.cfg
 	r := &Report{
 		Policy: c.Policy, Seed: c.Seed, Sidecars: c.Sidecars, Servers: c.Servers, Rate: c.Rate,
-		Seconds: c.Seconds, Requests: j.askedN, InAim: j.inAim, Late: j.late, Service: j.all.share(), WorstClass: 1,
-		WorstTenant: 1, TurnedAway: j.turnedAway, Jams: j.jams, Falls: j.falls, ClientsLeft: j.left, Lost: j.lost,
-		Events: w.done, Broken: j.broken, Breaches: j.breaches, Timeline: j.timeline, Rows: j.rows,
+		Seconds: c.Seconds, Requests: j.requestCount, InObjective: j.inObjective, Late: j.late, Service: j.all.ratio(), WorstClass: 1,
+		WorstTenant: 1, Rejected: j.rejected, Jams: j.jams, Falls: j.falls, ClientsLeft: j.left, Lost: j.lost,
+		Events: w.processed, Broken: j.broken, Breaches: j.breaches, Timeline: j.timeline, Rows: j.rows,
 		InPolicy: w.inPolicy,
 	}
-	for _, t := range c.Troubles {
-		r.Troubles = append(r.Troubles, t.String())
+	for _, t := range c.Faults {
+		r.Faults = append(r.Faults, t.String())
 	}
 	at := 0
 	r.WorstWindow, at = j.worst()
 	r.WorstWindowAt = float64(at)
 	for i, p := range j.classes {
-		r.Classes = append(r.Classes, Share{c.Classes[i].Name, p.share()})
-		r.WorstClass = min(r.WorstClass, p.share())
+		r.Classes = append(r.Classes, ServiceShare{c.Classes[i].Name, p.ratio()})
+		r.WorstClass = min(r.WorstClass, p.ratio())
 	}
 	for i, p := range j.tenants {
-		r.Tenants = append(r.Tenants, Share{c.Tenants[i].Name, p.share()})
-		r.WorstTenant = min(r.WorstTenant, p.share())
+		r.Tenants = append(r.Tenants, ServiceShare{c.Tenants[i].Name, p.ratio()})
+		r.WorstTenant = min(r.WorstTenant, p.ratio())
 	}
-	asked := max(1, float64(j.askedN))
-	r.MeanMs = j.took / max(1, float64(j.servedN))
+	asked := max(1, float64(j.requestCount))
+	r.MeanMs = j.took / max(1, float64(j.servedCount))
 	r.WaitMs = j.waits / max(1, float64(j.begun))
-	if j.workAsk > 0 {
-		r.Waste = max(0, j.workDone-j.workUsed) / j.workAsk
+	if j.workRequested > 0 {
+		r.Waste = max(0, j.workDone-j.workUsed) / j.workRequested
 	}
 	r.Attempts, r.Probes = float64(j.attempts)/asked, float64(j.probes)/asked
-	r.Crossings, r.Handshakes = float64(j.crossings)/asked, float64(j.handshakes)/asked
+	r.CrossZone, r.Handshakes = float64(j.crossZone)/asked, float64(j.handshakes)/asked
 	looks := 0
 	for _, m := range w.machines {
-		r.ProbesMost = max(r.ProbesMost, float64(m.probes)/c.Seconds)
+		r.MaxProbes = max(r.MaxProbes, float64(m.probes)/c.Seconds)
 		r.ProbesEach += float64(m.probes) / c.Seconds / float64(c.Servers)
 		r.ConnsMean += m.sumConns
 		looks += m.liveChecks
-		r.ConnsMost = max(r.ConnsMost, m.maxConns)
+		r.MaxConns = max(r.MaxConns, m.maxConns)
 	}
 	r.ConnsMean /= max(1, float64(looks))
 	for i := range r.Rows {
 		if i < len(j.seconds) {
-			r.Rows[i].Service, r.Rows[i].InTime = j.seconds[i].share(), j.inTime[i].share()
+			r.Rows[i].Service, r.Rows[i].InTime = j.seconds[i].ratio(), j.inTime[i].ratio()
 		}
 	}
 	return r
@@ -182,10 +182,10 @@
 	}
 	line("day", "%s, seed %d, %d sidecars, %d servers, %g requests/s for %g s", r.Policy, r.Seed, r.Sidecars, r.Servers,
 		r.Rate, r.Seconds)
-	for _, s := range r.Troubles {
+	for _, s := range r.Faults {
 		line("trouble", "%s", s)
 	}
-	line("requests", "%d, answered within the aim %d, later %d", r.Requests, r.InAim, r.Late)
+	line("requests", "%d, answered within the aim %d, later %d", r.Requests, r.InObjective, r.Late)
 	line("service", "%.4f; worst 10 s %.4f (from %.0f s), worst class %.4f, worst tenant %.4f", r.Service,
 		r.WorstWindow, r.WorstWindowAt, r.WorstClass, r.WorstTenant)
 	for _, s := range r.Classes {
@@ -197,10 +197,10 @@
 	line("mean time to an answer", "%.1f ms, of it waiting for a slot %.1f ms", r.MeanMs, r.WaitMs)
 	line("work wasted", "%.4f of what was asked for", r.Waste)
 	line("for each request", "%.3f attempts (%.3f in another zone), %.3f probes, %.4f handshakes", r.Attempts,
-		r.Crossings, r.Probes, r.Handshakes)
-	line("probes a second", "%.1f for each server, %.1f for the one with most", r.ProbesEach, r.ProbesMost)
-	line("connections", "%.1f for each server, %d at most", r.ConnsMean, r.ConnsMost)
-	line("servers", "turned away %d, jammed %d times, cold ones pushed over %d", r.TurnedAway, r.Jams, r.Falls)
+		r.CrossZone, r.Probes, r.Handshakes)
+	line("probes a second", "%.1f for each server, %.1f for the one with most", r.ProbesEach, r.MaxProbes)
+	line("connections", "%.1f for each server, %d at most", r.ConnsMean, r.MaxConns)
+	line("servers", "turned away %d, jammed %d times, cold ones pushed over %d", r.Rejected, r.Jams, r.Falls)
 	line("clients", "left early %d, lost with a sidecar %d", r.ClientsLeft, r.Lost)
 	if err := t.Flush(); err != nil {
 		return err
@@ -243,8 +243,8 @@
 	for _, w := range r.Rows {
 		var cells []string
 		for _, n := range []int{
-			w.Second, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Sent, w.Probes, w.Held,
-			w.Most, w.Conns, w.Jammed, w.Silent,
+			w.Second, w.Requests, w.InObjective, w.Late, w.Rejected, w.Failed, w.Attempts, w.Probes, w.InFlight,
+			w.MaxInFlight, w.Conns, w.Jammed, w.Silent,
 		} {
 			cells = append(cells, strconv.Itoa(n))
 		}
--- a/internal/testbench/emulator/agenda.go
+++ b/internal/testbench/emulator/schedule.go
@@ -11,17 +11,17 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// agenda is virtual time: what is due, in order. It is a heap of its own, since container/heap would box every event,
+// schedule is virtual time: what is due, in order. It is a heap of its own, since container/heap would box every event,
 // and four wide, since a world holds some 100,000 of them and most are timers that matter no more when they are due.
-type agenda struct {
-	now  policy.Ms
-	seq  uint64
-	done uint64 // events so far
-	heap []event
+type schedule struct {
+	now       policy.Ms
+	seq       uint64
+	processed uint64 // events so far
+	heap      []event
 }
 
-// at enters do for time t, or for now if that has passed.
-func (a *agenda) at(t policy.Ms, do func()) {
+// machine enters do for time t, or for now if that has passed.
+func (a *schedule) at(t policy.Ms, do func()) {
 	a.seq++
 	e := event{max(t, a.now), a.seq, do}
 	a.heap = append(a.heap, e)
@@ -36,29 +36,29 @@
 	h[i] = e
 }
 
-func (a *agenda) after(d policy.Ms, do func()) { a.at(a.now+d, do) }
+func (a *schedule) after(d policy.Ms, do func()) { a.at(a.now+d, do) }
 
-// next takes the event that is due first and makes its time the present.
-func (a *agenda) next() func() {
+// nextID takes the event that is due first and makes its time the present.
+func (a *schedule) next() func() {
 	h := a.heap
 	first, last := h[0], h[len(h)-1]
 	h[len(h)-1] = event{} // else its closure would be kept
 	h = h[:len(h)-1]
 	a.heap = h
 	for i := 0; len(h) > 0; {
-		least := -1
+		earliest := -1
 		for c := 4*i + 1; c < min(4*i+5, len(h)); c++ {
-			if least < 0 || h[c].before(&h[least]) {
-				least = c
+			if earliest < 0 || h[c].before(&h[earliest]) {
+				earliest = c
 			}
 		}
-		if least < 0 || !h[least].before(&last) {
+		if earliest < 0 || !h[earliest].before(&last) {
 			h[i] = last
 			break
 		}
-		h[i], i = h[least], least
+		h[i], i = h[earliest], earliest
 	}
 	a.now = first.at
-	a.done++
+	a.processed++
 	return first.do
 }
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -18,14 +18,14 @@
 
 // world is one day while it is played.
 type world struct {
-	agenda
-	cfg      Config
-	machines []*machine // all there ever were, in order of their start
-	byID     map[policy.ServerID]*machine
-	sidecars []*sidecar
-	dir      *directory
-	judge    *judge
-	host     func(sc *sidecar, seed uint64) Policy
+	schedule
+	cfg       Config
+	machines  []*machine // all there ever were, in order of their start
+	byID      map[policy.ServerID]*machine
+	sidecars  []*sidecar
+	discovery *discovery
+	judge     *judge
+	host      func(sc *sidecar, seed uint64) Policy
 
 	far    [][]policy.Ms // one way, between zones
 	cut    []bool        // zones that nothing enters or leaves
@@ -34,7 +34,7 @@
 	costly []costly
 
 	// Apart from each other, so that what a policy does leaves the load and the troubles as they are.
-	rngLoad, rngServers, rngStarts, rngNetwork, rngDirectory, rngClients *rand.Rand
+	rngLoad, rngServers, rngStarts, rngNetwork, rngDiscovery, rngClients *rand.Rand
 
 	clock    func() time.Duration
 	inPolicy time.Duration
@@ -68,14 +68,14 @@
 
 // play runs the day until all is answered.
 func (w *world) play(ctx context.Context) error {
-	most := 0.0
+	longest := 0.0
 	for _, c := range w.cfg.Classes {
-		most = max(most, c.DeadlineMs)
+		longest = max(longest, c.DeadlineMs)
 	}
-	end := lead + w.cfg.Seconds*1000 + most + sweepEvery
+	end := lead + w.cfg.Seconds*1000 + longest + sweepEvery
 	for len(w.heap) > 0 && w.heap[0].at <= end {
 		w.next()()
-		if w.done%lookEvery == 0 && ctx.Err() != nil {
+		if w.processed%lookEvery == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
@@ -89,12 +89,12 @@
 	w := &world{cfg: cfg, byID: map[policy.ServerID]*machine{}, surge: 1, cut: make([]bool, cfg.Zones), clock: o.Clock}
 	for i, r := range []**rand.Rand{
 		&w.rngLoad, &w.rngServers, &w.rngStarts, &w.rngNetwork,
-		&w.rngDirectory, &w.rngClients,
+		&w.rngDiscovery, &w.rngClients,
 	} {
 		*r = cfg.stream(i)
 	}
 	w.judge = newJudge(w)
-	w.dir = &directory{w: w}
+	w.discovery = &discovery{world: w}
 	w.host = func(sc *sidecar, seed uint64) Policy {
 		p, err := newPolicy(w, sc, seed)
 		if err != nil {
@@ -109,12 +109,12 @@
 		return nil, err
 	}
 	w.layOut()
-	w.cfg.Troubles = slices.Clone(cfg.Troubles)
-	for i, t := range cfg.Troubles {
+	w.cfg.Faults = slices.Clone(cfg.Faults)
+	for i, t := range cfg.Faults {
 		rng := rand.New(rand.NewPCG(cfg.Seed, mix(cfg.Seed, uint64(1000+i))))
 		t = t.drawn(&cfg, rng)
-		w.cfg.Troubles[i] = t
-		w.at(lead+t.At*1000, func() { troubles[t.Name].play(w, t, rng) })
+		w.cfg.Faults[i] = t
+		w.at(lead+t.At*1000, func() { faultKinds[t.Name].play(w, t, rng) })
 	}
 	w.at(lead, w.load())
 	return w, nil
@@ -136,7 +136,7 @@
 		w.machine(i%cfg.Zones, m.cores, m.speed)
 	}
 	for i := range cfg.Sidecars {
-		sc := &sidecar{w: w, number: i, zone: i % cfg.Zones}
+		sc := &sidecar{world: w, number: i, zone: i % cfg.Zones}
 		w.sidecars = append(w.sidecars, sc)
 		w.at(w.rngClients.Float64()*lead, sc.start) // their clocks must not tick together
 	}
@@ -163,7 +163,7 @@
 // models draws the servers.
 func (c *Config) models(rng *rand.Rand) (models []model) {
 	for range c.Servers {
-		kind := c.Kinds[pick(rng, len(c.Kinds), func(i int) float64 { return c.Kinds[i].Share })]
+		kind := c.Kinds[pick(rng, len(c.Kinds), func(i int) float64 { return c.Kinds[i].Fraction })]
 		models = append(models, model{kind.Cores, between(rng, kind.Speed)})
 	}
 	return models
@@ -187,13 +187,13 @@
 // machine adds a server whose process has been running for long.
 func (w *world) machine(zone int, cores, speed float64) *machine {
 	m := &machine{
-		w: w, id: policy.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
-		host: new(host), crowded: -1, idle: -1, probeRoom: w.cfg.Server.ProbesMost,
+		world: w, id: policy.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
+		host: new(host), overloadedSince: -1, idleSince: -1, probeTokens: w.cfg.Server.MaxProbes,
 	}
-	m.host.now = m
+	m.host.current = m
 	w.machines = append(w.machines, m)
 	w.byID[m.id] = m
-	w.dir.lines = append(w.dir.lines, m.info(policy.Ready))
+	w.discovery.endpoints = append(w.discovery.endpoints, m.info(policy.Ready))
 	return m
 }
 
@@ -243,17 +243,17 @@
 
 // ---- Clients: arrivals that wait for nothing, deadlines, and tries that are repeated.
 
-// ask is a first try with all that repeats it.
-type ask struct {
-	at, endAt     policy.Ms
-	class, tenant int
-	sidecar       int
-	patience      float64
-	work          float64
-	wait          policy.Ms
-	inShare       bool
-	tries         int
-	settled       bool
+// clientRequest is a first try with all that repeats it.
+type clientRequest struct {
+	arrivedAt, deadline policy.Ms
+	class, tenant       int
+	sidecar             int
+	timeout             float64
+	work                float64
+	wait                policy.Ms
+	withinQuota         bool
+	tries               int
+	settled             bool
 }
 
 // load returns what brings the next request and enters itself again.
@@ -275,17 +275,17 @@
 		if w.now >= lead+cfg.Seconds*1000 || cfg.Rate == 0 {
 			return
 		}
-		a := &ask{
-			at: w.now, tenant: -1,
-			class: pick(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Share }),
+		a := &clientRequest{
+			arrivedAt: w.now, tenant: -1,
+			class: pick(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Fraction }),
 		}
 		a.sidecar, _ = slices.BinarySearch(heavy, rng.Float64()*sum)
 		if len(cfg.Tenants) > 0 {
-			a.tenant = pick(rng, len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Share })
+			a.tenant = pick(rng, len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Fraction })
 		}
 		class := &cfg.Classes[a.class]
-		a.endAt = a.at + class.DeadlineMs
-		a.patience = between(rng, cfg.Clients.Patience) * class.DeadlineMs
+		a.deadline = a.arrivedAt + class.DeadlineMs
+		a.timeout = between(rng, cfg.Clients.Timeout) * class.DeadlineMs
 		if class.Spread > 0 {
 			a.work, a.wait = lognormal(rng, class.WorkMs, class.Spread), lognormal(rng, class.WaitMs, class.Spread)
 		} else if a.work = rng.ExpFloat64() * class.WorkMs; class.WaitMs > 0 {
@@ -297,36 +297,36 @@
 				a.work *= c.times
 			}
 		}
-		a.inShare = w.judge.asked(a)
-		w.try(a)
+		a.withinQuota = w.judge.requestArrived(a)
+		w.startAttempt(a)
 		w.after(rng.ExpFloat64()*1000/(cfg.Rate*w.surge), next)
 	}
 	return next
 }
 
-// try brings a to its sidecar.
-func (w *world) try(a *ask) {
-	left := min(a.patience, a.endAt-w.now)
+// startAttempt brings a to its sidecar.
+func (w *world) startAttempt(a *clientRequest) {
+	left := min(a.timeout, a.deadline-w.now)
 	a.tries++
 	w.judge.tally.Tries++
 	sc := w.sidecars[a.sidecar]
 	if !sc.up {
-		w.again(a, true)
+		w.retry(a, true)
 		return
 	}
 	r := sc.take(a, a.tries, left)
-	life := sc.life
+	incarnation := sc.incarnation
 	w.after(left+w.cfg.Rules.AnswerSlack, func() {
-		if r.answered || sc.life != life {
+		if r.answered || sc.incarnation != incarnation {
 			return
 		}
 		w.judge.overdue(sc, r)
 		sc.gone(r)
-		w.again(a, !w.cfg.Classes[a.class].Unsafe)
+		w.retry(a, !w.cfg.Classes[a.class].NonIdempotent)
 	})
 	if w.rngClients.Float64() < w.cfg.Clients.Impatient {
 		w.after(w.rngClients.Float64()*left, func() {
-			if !r.answered && sc.life == life {
+			if !r.answered && sc.incarnation == incarnation {
 				w.judge.left++
 				a.settled = true
 				sc.gone(r)
@@ -337,35 +337,35 @@
 
 // answered is a final answer at the client: kind is Send for the server's own, Refuse or Fail for the sidecar's.
 func (w *world) answered(r *request, kind policy.ActionKind) {
-	a := r.ask
+	a := r.origin
 	switch {
 	case a.settled:
 	case kind == policy.StartAttempt:
 		a.settled = true
 		w.judge.served(r)
 	case kind == policy.RejectRequest:
-		w.again(a, true)
+		w.retry(a, true)
 	default:
-		w.again(a, !w.cfg.Classes[a.class].Unsafe)
+		w.retry(a, !w.cfg.Classes[a.class].NonIdempotent)
 	}
 }
 
 // lost is a try whose sidecar has died with it.
 func (w *world) lost(r *request) {
 	w.judge.lost++
-	w.again(r.ask, !w.cfg.Classes[r.ask.class].Unsafe)
+	w.retry(r.origin, !w.cfg.Classes[r.origin.class].NonIdempotent)
 }
 
-// again tries once more where that is harmless and there is time, or gives up.
-func (w *world) again(a *ask, harmless bool) {
+// retry tries once more where that is harmless and there is time, or gives up.
+func (w *world) retry(a *clientRequest, harmless bool) {
 	wait := w.cfg.Clients.Wait
-	if a.settled || !harmless || a.tries > w.cfg.Clients.Retries || w.now+wait >= a.endAt-1 {
+	if a.settled || !harmless || a.tries > w.cfg.Clients.Retries || w.now+wait >= a.deadline-1 {
 		a.settled = true
 		return
 	}
 	w.after(wait, func() {
 		if !a.settled {
-			w.try(a)
+			w.startAttempt(a)
 		}
 	})
 }
