--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -59,7 +59,7 @@
 			if role[0] == RoleRelay {
 				go serveAll(l, func(c net.Conn) { relay(c, pick(role[1:])) })
 			} else {
-				go http.Serve(l, proxy(role[1:]))
+				go func() { _ = http.Serve(l, proxy(role[1:])) }()
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	io.Copy(io.Discard, os.Stdin)
+	_, _ = io.Copy(io.Discard, os.Stdin)
 	os.Exit(0)
 }
 
@@ -120,8 +120,8 @@
 		return
 	}
 	defer d.Close()
-	go io.Copy(d, c)
-	io.Copy(c, d)
+	go func() { _, _ = io.Copy(d, c) }() // a benchmark's client notices a relay that broke
+	_, _ = io.Copy(c, d)
 }
 
 func proxy(addresses []string) http.Handler {
@@ -185,7 +185,7 @@
 func (p *Process) Stop() {
 	p.in.Close()
 	p.cmd.Process.Kill()
-	p.cmd.Wait()
+	_ = p.cmd.Wait()
 }
 
 // CPU is the time that the child has used so far.
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -196,7 +196,7 @@
 func place(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
-	at := int64(0)
+	var at int64
 	switch {
 	case errors.As(err, &syntax):
 		at = syntax.Offset
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -135,9 +135,9 @@
 	for _, t := range c.Faults {
 		r.Faults = append(r.Faults, t.String())
 	}
-	at := 0
-	r.WorstWindow, at = j.worst()
-	r.WorstWindowAt = float64(at)
+	worstWindow, worstWindowAt := j.worst()
+	r.WorstWindow = worstWindow
+	r.WorstWindowAt = float64(worstWindowAt)
 	for i, p := range j.classes {
 		r.Classes = append(r.Classes, ServiceShare{c.Classes[i].Name, p.ratio()})
 		r.WorstClass = min(r.WorstClass, p.ratio())
--- a/internal/testbench/fakes/consumers_test.go
+++ b/internal/testbench/fakes/consumers_test.go
@@ -178,7 +178,7 @@
 			ok(t, err)
 			handler := relay(n, f.Members())
 			server := http.Server{Handler: handler}
-			go server.Serve(l)
+			go func() { _ = server.Serve(l) }() // until Close
 			defer server.Close()
 			defer handler.(*httputil.ReverseProxy).Transport.(*http.Transport).CloseIdleConnections()
 			start := time.Now()
--- a/internal/testbench/fakes/directory_test.go
+++ b/internal/testbench/fakes/directory_test.go
@@ -104,8 +104,8 @@
 		calls string // targets on one connection, or "new" for another connection
 		want  string
 	}{
-		"whole":   {func(d *Directory) {}, whole, "1=aSbS"},
-		"no news": {func(d *Directory) {}, short, "1+"},
+		"whole":   {func(*Directory) {}, whole, "1=aSbS"},
+		"no news": {func(*Directory) {}, short, "1+"},
 		"changes": {
 			func(d *Directory) { then(d, func() { d.Change(gone) }) },
 			watch + " " + whole, "2+aD 2=bS",
@@ -127,10 +127,10 @@
 			d.Mute(true)
 			then(d, func() { d.Change(gone); d.Mute(false) })
 		}, watch, "2+aD"},
-		"vanished": {func(d *Directory) { d.Vanish(true) }, whole, "silence"},
+		"vanished": {func(d *Directory) { _ = d.Vanish(true) }, whole, "silence"},
 		"vanished and back": {func(d *Directory) {
-			d.Vanish(true)
-			time.AfterFunc(20*time.Millisecond, func() { d.Vanish(false) })
+			_ = d.Vanish(true)
+			time.AfterFunc(20*time.Millisecond, func() { _ = d.Vanish(false) })
 		}, whole, "1=aSbS"},
 		"down": {func(d *Directory) { d.Down(true) }, whole, "reset"},
 		"down and up": {func(d *Directory) {
--- a/internal/testbench/fakes/provider_test.go
+++ b/internal/testbench/fakes/provider_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"slices"
@@ -90,7 +91,7 @@
 						ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 						defer cancel()
 						_, err := n.Dial(ctx, p.Address())
-						if timeout, is := err.(net.Error); is && timeout.Timeout() {
+						if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 							got = append(got, "hangs")
 						}
 					case "pause":
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -213,16 +213,16 @@
 // Write prints the count, with a row for each stretch of shown.
 func (c *Count) Write(to io.Writer, shown time.Duration) error {
 	var err error
-	print := func(format string, args ...any) {
+	printf := func(format string, args ...any) {
 		if err == nil {
 			_, err = fmt.Fprintf(to, format, args...)
 		}
 	}
 	const row = "%7s %7d %7d %7d %7d %7d %7d %8d %7d %6d %6d %6d %6d\n"
-	print("%7s %7s %7s %7s %7s %7s %7s %8s %7s %6s %6s %6s %6s\n", "s", "calls", "retries", "stale", "cold", "probes", "failed",
+	printf("%7s %7s %7s %7s %7s %7s %7s %8s %7s %6s %6s %6s %6s\n", "s", "calls", "retries", "stale", "cold", "probes", "failed",
 		"connects", "failed", "open", "lists", "full", "wrong")
 	line := func(at string, r Row) {
-		print(row, at, r.Calls, r.Retries, r.Stale, r.Cold, r.Probes, r.ProbesFailed, r.Dials, r.DialsFailed, r.Open, r.Lists,
+		printf(row, at, r.Calls, r.Retries, r.Stale, r.Cold, r.Probes, r.ProbesFailed, r.Dials, r.DialsFailed, r.Open, r.Lists,
 			r.ListsFull, r.ListsWrong)
 	}
 	each := max(1, int(shown/c.Every))
@@ -236,14 +236,14 @@
 	line("all", c.Total)
 	for _, what := range []string{"calls", "probes", "connects"} {
 		p := c.Most[what]
-		print("most %s at one server within %s: %d, %s at %.1f s\n", what, c.Every, p.N, p.Provider, p.At.Seconds())
+		printf("most %s at one server within %s: %d, %s at %.1f s\n", what, c.Every, p.N, p.Provider, p.At.Seconds())
 	}
 	for _, v := range []struct {
 		what string
 		ms   []float64
 	}{{"age of the news behind a send", c.News}, {"list calls beyond their wait", c.Waits}, {"CPU of a sidecar", c.CPU}} {
 		if n := len(v.ms); n > 0 {
-			print("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.what, v.ms[(n-1)/2], v.ms[(n-1)*9/10], v.ms[n-1])
+			printf("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.what, v.ms[(n-1)/2], v.ms[(n-1)*9/10], v.ms[n-1])
 		}
 	}
 	return err
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -81,7 +81,7 @@
 			defer busy.Done()
 			h(start, w, r)
 		})}
-		go s.Serve(l)
+		go func() { _ = s.Serve(l) }() // until Close
 		defer busy.Wait()
 		defer s.Close()
 		o.Dialer, o.Address = n, cmp.Or(o.Address, l.Addr().String())
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -48,7 +48,7 @@
 func newHist(digits int) Hist { return Hist{hdrhistogram.NewPacked(1, longestUs, digits)} }
 
 func (h Hist) record(d time.Duration) {
-	h.packed.RecordValue(min(max(0, d.Microseconds()), longestUs)) // in range, so that it can't fail
+	_ = h.packed.RecordValue(min(max(0, d.Microseconds()), longestUs)) // in range, so that it can't fail
 }
 
 // Count is how many were recorded.
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -186,7 +186,7 @@
 		}
 		fmt.Fprintf(t, "%d\t%d\t\n", c.Tries, c.Resent)
 	}
-	t.Flush()
+	_ = t.Flush()
 	fmt.Fprint(t, "\nms, of all asked for\tcounted from\tp50\tp90\tp99\tp99.9\tlongest\t\n")
 	for _, c := range r.Classes {
 		for _, from := range []struct {
@@ -200,7 +200,7 @@
 			fmt.Fprintln(t)
 		}
 	}
-	t.Flush()
+	_ = t.Flush()
 }
 
 // WriteCSV writes a row for each second and class in which something was due. A quantile is empty where too few
@@ -213,7 +213,7 @@
 			head = append(head, from+"_"+q+"_ms")
 		}
 	}
-	c.Write(append(head, "late_max_ms"))
+	_ = c.Write(append(head, "late_max_ms"))
 	number := func(ms float64) string { return strconv.FormatFloat(ms, 'f', 3, 64) }
 	for _, s := range r.Seconds {
 		row := []string{strconv.Itoa(s.Second), s.Class, fmt.Sprint(s.Asked), fmt.Sprint(s.Tries), fmt.Sprint(s.InAim)}
@@ -227,7 +227,7 @@
 				row = append(row, number(*ms))
 			}
 		}
-		c.Write(append(row, number(s.LateMs)))
+		_ = c.Write(append(row, number(s.LateMs)))
 	}
 	c.Flush()
 	return c.Error()
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -126,7 +126,7 @@
 func (a *alarm) sleep(d time.Duration) {
 	var times [8]byte
 	if unix.TimerfdSettime(a.fd, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(int64(d))}, nil) == nil {
-		a.file.Read(times[:])
+		_, _ = a.file.Read(times[:])
 	}
 }
 
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -33,7 +33,7 @@
 	workers := make([]*worker, len(commands))
 	defer func() {
 		for _, w := range workers {
-			w.kill()
+			_ = w.kill()
 		}
 	}()
 	for i, cmd := range commands {
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -175,11 +175,11 @@
 		for {
 			line, err := br.ReadSlice('\n')
 			switch {
-			case err == io.EOF && len(line) == 0:
+			case errors.Is(err, io.EOF) && len(line) == 0:
 				return
-			case err == io.EOF:
+			case errors.Is(err, io.EOF):
 				err = errors.New("the line has no end, so that the trace seems to be cut; leave the rest of it out")
-			case err == bufio.ErrBufferFull:
+			case errors.Is(err, bufio.ErrBufferFull):
 				err = errors.New("the line is longer than 64 KB; shorten it")
 			}
 			if !yield(line, err) || err != nil {
@@ -191,12 +191,12 @@
 
 // parse makes a request of a line.
 func (t *TraceSource) parse(p *Plan, line []byte) (Request, error) {
-	r, err := parseCSV, error(nil)
+	read := parseCSV
 	if strings.HasSuffix(t.File, ".jsonl") {
-		r = parseJSON
+		read = parseJSON
 	}
-	var rec record
-	if rec, err = r(line); err != nil {
+	rec, err := read(line)
+	if err != nil {
 		return Request{}, err
 	}
 	at, err := seconds(rec.At.String())
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -35,7 +35,7 @@
 		if err := unix.SchedSetaffinity(0, &one); err != nil {
 			return nil, fmt.Errorf("core %d: %w", core, err)
 		}
-		defer unix.SchedSetaffinity(0, &before)
+		defer func() { _ = unix.SchedSetaffinity(0, &before) }() // it was allowed before
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start the program: %w", err)
@@ -57,7 +57,7 @@
 	defer again.Stop()
 	late := time.After(endWithin)
 	for {
-		p.Signal(syscall.SIGTERM)
+		_ = p.Signal(syscall.SIGTERM)
 		select {
 		case err := <-p.exited:
 			return err
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -74,11 +74,11 @@
 // stop tells the process that serves to end, twice so that it does not wait for the kill, and sees that it does.
 func (l *line) stop(ctx context.Context) error {
 	from := l.log.mark()
-	l.main.Signal(syscall.SIGTERM)
+	_ = l.main.Signal(syscall.SIGTERM)
 	if _, err := l.log.await(ctx, from, l.main, "state=stopping"); err != nil {
 		return err
 	}
-	l.main.Signal(syscall.SIGTERM)
+	_ = l.main.Signal(syscall.SIGTERM)
 	return ended(ctx, l.main)
 }
 
@@ -96,7 +96,7 @@
 func (l *line) close() {
 	if l.main != nil && l.main.running() {
 		if pid := childOf(l.main.Pid); pid != 0 {
-			l.byPid(pid)
+			_, _ = l.byPid(pid)
 		}
 	}
 	for _, p := range l.met {
--- a/internal/testbench/recovery/logbook.go
+++ b/internal/testbench/recovery/logbook.go
@@ -64,7 +64,7 @@
 // close returns when all that processes have printed is kept. All must have ended.
 func (b *logbook) close() {
 	b.w.Close()
-	b.r.SetReadDeadline(time.Now().Add(closeMost))
+	_ = b.r.SetReadDeadline(time.Now().Add(closeMost))
 	<-b.done
 	b.r.Close()
 }
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -42,7 +42,7 @@
 		set.Spawn = Here
 	}
 	set.Sidecars, set.Kind = 1, Pushed
-	real, err := measureReal(ctx, program, set, rate, window)
+	measured, err := measureReal(ctx, program, set, rate, window)
 	if err != nil {
 		return nil, fmt.Errorf("real: %w", err)
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
-	return []Comparison{real, hollow}, nil
+	return []Comparison{measured, hollow}, nil
 }
 
 // one is a world with an agent and nobody else.
--- a/internal/testbench/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -19,11 +19,11 @@
 
 // class is one of the requests that clients send.
 type class struct {
-	name     string
-	method   string
-	repeat   string // in the settings
-	deadline time.Duration
-	part     float64 // of all requests
+	name        string
+	method      string
+	idempotency string // in the settings
+	deadline    time.Duration
+	share       float64 // of all requests
 }
 
 // classesFor are the classes of a deployment whose longest deadline is that.
@@ -35,38 +35,38 @@
 	}
 }
 
-// manner is how a client sends a request and waits for its answer.
-type manner uint8
+// behaviour is how a client sends a request and waits for its answer.
+type behaviour uint8
 
 const (
-	waits    manner = iota
-	leaves          // ends its connection before the answer
-	resets          // likewise, with a reset
-	pieces          // sends it slowly, in pieces
-	lateRest        // sends its last bytes at a given moment, unless it has an answer or an end by then
+	waitsForResponse   behaviour = iota
+	closesEarly                  // ends its connection before the answer
+	resetsEarly                  // likewise, with a reset
+	sendsInPieces                // sends it slowly, in pieces
+	sendsLastBytesLate           // sends its last bytes at a given moment, unless it has an answer or an end by then
 )
 
 // request is one as its client has seen it.
 type request struct {
-	id          string
-	class       class
-	sidecar     int
-	manner      manner
-	fresh       bool      // on a new connection, at last
-	again       bool      // sent once more, behind a kept connection that was closed
-	dialedAt    time.Time // its new connection was up; zero = it went out on a kept one
-	crossed     span      // from when it was first sent until that connection ended; zero = it was not sent twice
-	leaveAt     time.Time // when a client that leaves does; zero = after a while
-	restAt      time.Time // with lateRest: of its last bytes
-	seed        uint64    // of how it is sent
-	begunAt     time.Time // its first byte
-	sentAt      time.Time // its last byte was written; zero = it was not
-	leftAt      time.Time // the client ended its connection; zero = it did not
-	answeredAt  time.Time
-	status      int // 0 = no whole answer
-	unreachable bool
-	err         string
-	truncated   bool // the answer began and did not end as its framing says
+	id            string
+	class         class
+	sidecar       int
+	behaviour     behaviour
+	newConnection bool      // on a new connection, at last
+	resent        bool      // sent once more, behind a kept connection that was closed
+	dialedAt      time.Time // its new connection was up; zero = it went out on a kept one
+	firstSend     span      // from when it was first sent until that connection ended; zero = it was not sent twice
+	leaveAt       time.Time // when a client that leaves does; zero = after a while
+	lastBytesAt   time.Time // with sendsLastBytesLate: of its last bytes
+	seed          uint64    // of how it is sent
+	begunAt       time.Time // its first byte
+	sentAt        time.Time // its last byte was written; zero = it was not
+	leftAt        time.Time // the client ended its connection; zero = it did not
+	answeredAt    time.Time
+	status        int // 0 = no whole answer
+	unreachable   bool
+	err           string
+	truncated     bool // the answer began and did not end as its framing says
 }
 
 // clients are those of one sidecar.
@@ -75,18 +75,18 @@
 	rate    float64
 	classes []class
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	idle  []*clientConn
-	all   []*request
-	count int
-	wg    sync.WaitGroup
-	burst bool // all that wait leave
+	mu       sync.Mutex
+	rng      *rand.Rand
+	idle     []*clientConn
+	all      []*request
+	count    int
+	wg       sync.WaitGroup
+	allLeave bool // all that wait leave
 }
 
 type clientConn struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
 func newClients(s *sidecar, seed uint64, rate float64, classes []class) *clients {
@@ -110,14 +110,14 @@
 	}
 }
 
-// dense has so many clients send one request after another with a pause, each on a connection that it keeps, until then.
-func (c *clients) dense(number int, pause time.Duration, until time.Time) {
+// sendSteadily has so many clients send one request after another with a pause, each on a connection that it keeps, until then.
+func (c *clients) sendSteadily(number int, pause time.Duration, until time.Time) {
 	var all sync.WaitGroup
 	for range number {
 		all.Go(func() {
 			for time.Now().Before(until) {
 				r, _ := c.draw()
-				r.manner = waits
+				r.behaviour = waitsForResponse
 				c.send(r)
 				time.Sleep(pause)
 			}
@@ -126,23 +126,23 @@
 	all.Wait()
 }
 
-// leaveAt has so many clients send a request at once and leave at that moment.
-func (c *clients) leaveAt(number int, at time.Time) {
+// sendAndLeaveAt has so many clients send a request at once and leave at that moment.
+func (c *clients) sendAndLeaveAt(number int, at time.Time) {
 	var all sync.WaitGroup
 	for range number {
 		all.Go(func() {
 			r, _ := c.draw()
-			r.manner, r.leaveAt = leaves, at
+			r.behaviour, r.leaveAt = closesEarly, at
 			c.send(r)
 		})
 	}
 	all.Wait()
 }
 
-// restAt has a client send a request on a new connection, its last bytes at that moment.
-func (c *clients) restAt(at time.Time) {
+// sendLastBytesAt has a client send a request on a new connection, its last bytes at that moment.
+func (c *clients) sendLastBytesAt(at time.Time) {
 	r, _ := c.draw()
-	r.manner, r.restAt = lateRest, at
+	r.behaviour, r.lastBytesAt = sendsLastBytesLate, at
 	c.send(r)
 }
 
@@ -154,18 +154,18 @@
 	r = &request{id: fmt.Sprintf("%s-%d", c.sidecar.name, c.count), sidecar: c.sidecar.number, seed: c.rng.Uint64()}
 	p := c.rng.Float64()
 	for _, k := range c.classes {
-		if r.class = k; p < k.part {
+		if r.class = k; p < k.share {
 			break
 		}
-		p -= k.part
+		p -= k.share
 	}
 	switch p := c.rng.Float64(); {
-	case c.burst || p < 0.06:
-		r.manner = leaves
+	case c.allLeave || p < 0.06:
+		r.behaviour = closesEarly
 	case p < 0.09:
-		r.manner = resets
+		r.behaviour = resetsEarly
 	case p < 0.12:
-		r.manner = pieces
+		r.behaviour = sendsInPieces
 	}
 	c.all = append(c.all, r)
 	return r, time.Duration(c.rng.ExpFloat64() / c.rate * float64(time.Second))
@@ -177,31 +177,31 @@
 	rng := rand.New(rand.NewPCG(r.seed, 1))
 	until := time.Now().Add(r.class.deadline)
 	var k *clientConn
-	if r.manner != lateRest {
-		k = c.take()
+	if r.behaviour != sendsLastBytesLate {
+		k = c.takeIdle()
 	}
-	r.fresh = k == nil
+	r.newConnection = k == nil
 	if k == nil {
 		k = c.dial(r, until)
 	}
 	if k == nil {
 		return
 	}
-	end := c.try(r, k, until, rng)
-	mayResend := end == endedUnread || end == endedUnanswered && !r.fresh
+	end := c.attempt(r, k, until, rng)
+	mayResend := end == endedUnread || end == endedUnanswered && !r.newConnection
 	if !mayResend || c.sidecar.wasKilled(r.begunAt, time.Now()) {
 		return
 	}
-	if !r.sentAt.IsZero() { // it crossed the end of its connection, or was lost with it: see judgeCrossing
-		r.crossed = span{r.sentAt, time.Now()}
+	if !r.sentAt.IsZero() { // it crossed the end of its connection, or was lost with it: see judgeResent
+		r.firstSend = span{r.sentAt, time.Now()}
 	}
 	if k = c.dial(r, until); k != nil {
-		r.fresh, r.again, r.err, r.sentAt = true, true, "", time.Time{}
-		c.try(r, k, until, rng)
+		r.newConnection, r.resent, r.err, r.sentAt = true, true, "", time.Time{}
+		c.attempt(r, k, until, rng)
 	}
 }
 
-func (c *clients) take() *clientConn {
+func (c *clients) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) == 0 {
@@ -231,8 +231,8 @@
 	endedUnread                          // likewise, and before the sidecar read the request
 )
 
-// try sends the request over the connection.
-func (c *clients) try(r *request, k *clientConn, until time.Time, rng *rand.Rand) connectionEnd {
+// attempt sends the request over the connection.
+func (c *clients) attempt(r *request, k *clientConn, until time.Time, rng *rand.Rand) connectionEnd {
 	keep := false
 	defer func() {
 		c.mu.Lock()
@@ -251,18 +251,18 @@
 		return r.endAfter(k, err)
 	}
 	r.sentAt = time.Now()
-	if r.manner == leaves || r.manner == resets {
+	if r.behaviour == closesEarly || r.behaviour == resetsEarly {
 		if r.leaveAt.IsZero() {
 			time.Sleep(time.Duration(rng.Float64() * float64(left) / 3))
 		}
 		time.Sleep(time.Until(r.leaveAt))
-		if r.manner == resets {
+		if r.behaviour == resetsEarly {
 			k.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		r.leftAt = time.Now()
 		return notEnded
 	}
-	resp, err := http.ReadResponse(k.br, &http.Request{Method: r.class.method})
+	resp, err := http.ReadResponse(k.reader, &http.Request{Method: r.class.method})
 	if err != nil {
 		r.err = err.Error()
 		return r.endAfter(k, err)
@@ -277,7 +277,7 @@
 	if r.status == http.StatusOK && !strings.HasPrefix(string(body), r.id+"\n") {
 		r.err = fmt.Sprintf("an answer of another request: %.40q", body)
 	}
-	keep = !resp.Close && k.br.Buffered() == 0
+	keep = !resp.Close && k.reader.Buffered() == 0
 	return notEnded
 }
 
@@ -287,7 +287,7 @@
 	switch {
 	case timedOut(err):
 		return notEnded
-	case r.manner == pieces || r.manner == lateRest:
+	case r.behaviour == sendsInPieces || r.behaviour == sendsLastBytesLate:
 		return endedUnanswered
 	case errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
 		return endedUnread
@@ -315,10 +315,10 @@
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
 	text += "\r\n" + body
-	if r.manner == lateRest {
+	if r.behaviour == sendsLastBytesLate {
 		return c.writeLate(r, k, text)
 	}
-	if r.manner != pieces {
+	if r.behaviour != sendsInPieces {
 		_, err := io.WriteString(k, text)
 		return err
 	}
@@ -333,8 +333,8 @@
 	return nil
 }
 
-// errEarly is why a client does not send the rest of its request.
-var errEarly = errors.New("answered or ended before it was whole")
+// errEndedEarly is why a client does not send the rest of its request.
+var errEndedEarly = errors.New("answered or ended before it was whole")
 
 // writeLate writes the request but for its last bytes, and those at their moment.
 func (c *clients) writeLate(r *request, k *clientConn, text string) error {
@@ -342,26 +342,26 @@
 	if _, err := io.WriteString(k, text[:len(text)-rest]); err != nil {
 		return err
 	}
-	k.SetReadDeadline(r.restAt)
-	if _, err := k.br.Peek(1); !timedOut(err) {
-		return errEarly
+	k.SetReadDeadline(r.lastBytesAt)
+	if _, err := k.reader.Peek(1); !timedOut(err) {
+		return errEndedEarly
 	}
-	k.SetDeadline(r.restAt.Add(r.class.deadline + answerSlack + time.Second))
+	k.SetDeadline(r.lastBytesAt.Add(r.class.deadline + answerSlack + time.Second))
 	r.begunAt = time.Now()
 	_, err := io.WriteString(k, text[len(text)-rest:])
 	return err
 }
 
-// leave has the clients that send from now on leave, until it is called with false.
-func (c *clients) leave(on bool) {
+// setAllLeave has the clients that send from now on leave, until it is called with false.
+func (c *clients) setAllLeave(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.burst = on
+	c.allLeave = on
 }
 
 // flood opens connections that say nothing or half a request, and stay for so long. It returns how many of those that sent half a
 // request had neither an answer nor an end in time.
-func (c *clients) flood(ctx context.Context, n int, long time.Duration) (owed int) {
+func (c *clients) flood(ctx context.Context, n int, long time.Duration) (unanswered int) {
 	type visit struct {
 		net.Conn
 		half bool
@@ -374,22 +374,22 @@
 		}
 		half := i%4 == 0
 		if half {
-			io.WriteString(nc, "POST /order/x HTTP/1.1\r\nHost: api.internal\r\nReq-Id: half\r\nContent-Length: 10\r\n\r\nxx")
+			_, _ = io.WriteString(nc, "POST /order/x HTTP/1.1\r\nHost: api.internal\r\nReq-Id: half\r\nContent-Length: 10\r\n\r\nxx")
 		}
 		all = append(all, visit{nc, half})
 	}
 	began := time.Now()
-	fakes.Pause(ctx, long)
+	_ = fakes.Pause(ctx, long)
 	for _, v := range all {
 		if v.half {
 			v.SetReadDeadline(began.Add(badClientWithin + time.Second))
 			if _, err := io.Copy(io.Discard, v); timedOut(err) {
-				owed++
+				unanswered++
 			}
 		}
 		v.Close()
 	}
-	return owed
+	return unanswered
 }
 
 // requests returns all so far.
--- a/internal/testbench/soak/client_test.go
+++ b/internal/testbench/soak/client_test.go
@@ -52,13 +52,13 @@
 				if _, err := http.ReadRequest(bufio.NewReader(second)); err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(second, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nn0-1\n")
+				_, _ = io.WriteString(second, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nn0-1\n")
 			}
 			<-sent
-			if r.again != test.resent || (r.status == http.StatusOK) != test.resent {
-				t.Errorf("resent %t, status %d, %q; want resent %t", r.again, r.status, r.err, test.resent)
+			if r.resent != test.resent || (r.status == http.StatusOK) != test.resent {
+				t.Errorf("resent %t, status %d, %q; want resent %t", r.resent, r.status, r.err, test.resent)
 			}
-			if crossed := !r.crossed.from.IsZero(); crossed != test.resent {
+			if crossed := !r.firstSend.from.IsZero(); crossed != test.resent {
 				t.Errorf("judged as crossing the end of its connection: %t, want %t", crossed, test.resent)
 			}
 		})
--- a/internal/testbench/soak/troubles.go
+++ b/internal/testbench/soak/faults.go
@@ -13,7 +13,7 @@
 )
 
 // begin plays a trouble, in its own time.
-func (w *world) begin(ctx context.Context, t Trouble) {
+func (w *world) begin(ctx context.Context, t Fault) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
 	pause := func() { fakes.Pause(ctx, t.For) }
 	switch t.Kind {
@@ -60,12 +60,12 @@
 	case CutAnswers, Dribble:
 		w.spoil(t.Kind, v, pause)
 	case Leave:
-		w.clients[n].leave(true)
+		w.clients[n].setAllLeave(true)
 		pause()
-		w.clients[n].leave(false)
+		w.clients[n].setAllLeave(false)
 	case Flood:
-		owed := w.clients[n].flood(ctx, int(t.Draw*floodMost), badClientWithin)
-		w.note(func(r *record) { r.owed += owed })
+		owed := w.clients[n].flood(ctx, int(t.Draw*maxFlood), badClientWithin)
+		w.note(func(r *record) { r.unansweredPartial += owed })
 	default:
 		w.server(ctx, t, v, pause)
 	}
@@ -75,8 +75,8 @@
 
 // slowConnects has connections to a sidecar's servers come up late, half of the time as those that it has are reset under their next request, so
 // that repeats go out on new ones.
-func (w *world) slowConnects(t Trouble, s *sidecar, pause func()) {
-	late := (1 + t.Draw) / 2 * float64(min(w.variant.connect-slowConnectRest, slowConnectMost))
+func (w *world) slowConnects(t Fault, s *sidecar, pause func()) {
+	late := (1 + t.Draw) / 2 * float64(min(w.variant.connect-slowConnectRest, maxSlowConnect))
 	s.control.Hold(faultinjection.SlowConnect, time.Duration(late))
 	defer s.control.Heal(faultinjection.SlowConnect)
 	if t.Target%2 == 0 {
@@ -108,7 +108,7 @@
 }
 
 // process plays what ends, replaces or reloads a sidecar's process.
-func (w *world) process(ctx context.Context, t Trouble, s *sidecar) {
+func (w *world) process(ctx context.Context, t Fault, s *sidecar) {
 	switch t.Kind {
 	case Terminate:
 		s.terminate(ctx)
@@ -134,13 +134,13 @@
 }
 
 // reload gives the sidecar another configuration.
-func (w *world) reload(s *sidecar, t Trouble) {
+func (w *world) reload(s *sidecar, t Fault) {
 	w.reconfigure(s, t, w.classes)
 	s.signal(syscall.SIGHUP)
 }
 
 // reconfigure writes the sidecar another configuration, with these classes.
-func (w *world) reconfigure(s *sidecar, t Trouble, classes []class) {
+func (w *world) reconfigure(s *sidecar, t Fault, classes []class) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	s.edits++
@@ -151,9 +151,9 @@
 }
 
 // order has operators take a server out at a sidecar, and put it back.
-func (w *world) order(ctx context.Context, t Trouble, n int, s *sidecar, v *stand) {
+func (w *world) order(ctx context.Context, t Fault, n int, s *sidecar, v *stand) {
 	server := v.ID()
-	of := heardOf{n, server}
+	of := learnedServer{n, server}
 	if _, under := w.ordered.LoadOrStore(of, true); under { // one order's end is not another's
 		return
 	}
@@ -187,7 +187,7 @@
 			case Silent:
 				d.LoseAnswers(on)
 			case Down:
-				d.Down(on)
+				_ = d.Down(on)
 			case Late:
 				delay := time.Duration(0)
 				if on {
@@ -223,7 +223,7 @@
 }
 
 // server plays a server's trouble. One at a time befalls a server.
-func (w *world) server(ctx context.Context, t Trouble, v *stand, pause func()) {
+func (w *world) server(ctx context.Context, t Fault, v *stand, pause func()) {
 	if !v.busy.CompareAndSwap(false, true) {
 		return
 	}
@@ -239,9 +239,9 @@
 	case Replace:
 		w.replace(v, pause)
 	case Vanish:
-		v.Vanish(true)
+		_ = v.Vanish(true)
 		pause()
-		v.Vanish(false)
+		_ = v.Vanish(false)
 	case ResetKept:
 		v.ResetKept()
 		if v.proxy != nil {
@@ -283,7 +283,7 @@
 	v.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // as one that drains does, which serves what it gets
 	defer v.Behave(fakes.Behaviour{})
 	leave := w.member(v, fakes.Draining, 0)
-	w.note(func(r *record) { r.leavings = append(r.leavings, leaving{leave.ID, time.Now()}) })
+	w.note(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
 	w.list(leave)
 	pause()
 	v.Kill()
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -16,7 +16,7 @@
 	drainSlack      = 50 * time.Millisecond
 	goneSlack       = 100 * time.Millisecond
 	deadlineSlack   = 150 * time.Millisecond
-	toldAtLatest    = 6 * time.Second // of a change, while the watch is silent
+	maxNotifyDelay  = 6 * time.Second // of a change, while the watch is silent
 	badClientWithin = 3 * time.Second
 	stallNear       = 300 * time.Millisecond // of a moment, in which a hold-up of this process blurs it
 )
@@ -26,18 +26,18 @@
 
 // The rules.
 const (
-	Lost      Rule = "lost"      // a request without its final answer
-	Twice     Rule = "twice"     // an order that may have run goes out again
-	Promise   Rule = "promise"   // a refusal of an order that may have run
-	Window    Rule = "window"    // a repeat with a token beyond its window
-	Gone      Rule = "gone"      // an attempt for a client that has left
-	Deadline  Rule = "deadline"  // a server is told more time than the client has
-	Drain     Rule = "drain"     // an attempt at a server that drains or is gone
-	Order     Rule = "order"     // an attempt at a server that operators have taken out
-	SlowStart Rule = "slowstart" // too much for a cold server
-	Foreign   Rule = "foreign"   // an answer of another request
-	BadClient Rule = "badclient" // half a request without an error or an end
-	Process   Rule = "process"   // a crash, a late start, or what a sidecar logs of its own guards
+	Lost           Rule = "lost"      // a request without its final answer
+	RunTwice       Rule = "twice"     // an order that may have run goes out again
+	FalseRejection Rule = "promise"   // a refusal of an order that may have run
+	RetryWindow    Rule = "window"    // a repeat with a token beyond its window
+	ClientGone     Rule = "gone"      // an attempt for a client that has left
+	Deadline       Rule = "deadline"  // a server is told more time than the client has
+	Drain          Rule = "drain"     // an attempt at a server that drains or is gone
+	Order          Rule = "order"     // an attempt at a server that operators have taken out
+	SlowStart      Rule = "slowstart" // too much for a cold server
+	WrongResponse  Rule = "foreign"   // an answer of another request
+	BadClient      Rule = "badclient" // half a request without an error or an end
+	Process        Rule = "process"   // a crash, a late start, or what a sidecar logs of its own guards
 )
 
 // Violation is a rule that was broken.
@@ -51,8 +51,8 @@
 	return fmt.Sprintf("%-9s at %8.3fs  %s", v.Rule, v.At.Seconds(), v.Detail)
 }
 
-// heardOf is a sidecar and a server.
-type heardOf struct {
+// learnedServer is a sidecar and a server.
+type learnedServer struct {
 	sidecar int
 	server  string
 }
@@ -63,8 +63,8 @@
 	sidecar int
 }
 
-// leaving is a server that drains or is gone.
-type leaving struct {
+// drainingServer is a server that drains or is gone.
+type drainingServer struct {
 	server string
 	at     time.Time // discovery had it
 }
@@ -84,24 +84,24 @@
 
 // record is what a run has left behind.
 type record struct {
-	start     time.Time
-	window    time.Duration // of repeats with a token
-	onRequest bool          // discovery is asked: its word counts as told later
-	slack     time.Duration // by which the machine's load blurs what is measured at the other end of a socket
-	stalls    []span        // in which this process itself was held up
-	requests  []*request
-	attempts  []attempt
-	leavings  []leaving
-	outages   []outage
-	orders    []order
-	starts    map[string][]time.Time  // of servers' processes that were cold, by id
-	births    map[int][]time.Time     // of sidecars' processes, by number
-	heard     map[heardOf][]time.Time // when a sidecar has logged that a server leaves
-	killed    func(sidecar int, from, to time.Time) bool
-	ended     map[int][]span // from a word to end to the kill in its time, by sidecar
-	longHolds int            // hold-ups that this process made longer than they were to be
-	owed      int            // clients that sent half a request and had neither answer nor end
-	faults    map[string][]string
+	start             time.Time
+	window            time.Duration // of repeats with a token
+	onRequest         bool          // discovery is asked: its word counts as told later
+	slack             time.Duration // by which the machine's load blurs what is measured at the other end of a socket
+	stalls            []span        // in which this process itself was held up
+	requests          []*request
+	attempts          []attempt
+	draining          []drainingServer
+	outages           []outage
+	orders            []order
+	starts            map[string][]time.Time        // of servers' processes that were cold, by id
+	processStarts     map[int][]time.Time           // of sidecars' processes, by number
+	learnedAt         map[learnedServer][]time.Time // when a sidecar has logged that a server leaves
+	killed            func(sidecar int, from, to time.Time) bool
+	shutdowns         map[int][]span // from a word to end to the kill in its time, by sidecar
+	longHolds         int            // hold-ups that this process made longer than they were to be
+	unansweredPartial int            // clients that sent half a request and had neither answer nor end
+	faults            map[string][]string
 }
 
 // judge returns what was broken, in the order of time.
@@ -117,15 +117,15 @@
 		tries := byID[q.id]
 		slices.SortFunc(tries, func(a, b attempt) int { return a.Sent.Compare(b.Sent) })
 		r.judgeAnswer(q, add)
-		r.judgeCrossing(q, tries, add)
+		r.judgeResent(q, tries, add)
 		r.judgeEffect(q, tries, add)
 		r.judgeTimes(q, tries, add)
 	}
-	r.judgeLeavings(add)
+	r.judgeDraining(add)
 	r.judgeOrders(add)
 	r.judgeStarts(add)
-	if r.owed > 0 {
-		add(BadClient, r.start, "%d clients that sent half a request had neither an error nor an end within %s", r.owed, badClientWithin)
+	if r.unansweredPartial > 0 {
+		add(BadClient, r.start, "%d clients that sent half a request had neither an error nor an end within %s", r.unansweredPartial, badClientWithin)
 	}
 	for name, lines := range r.faults {
 		for _, line := range lines {
@@ -145,19 +145,19 @@
 	switch {
 	case q.unreachable || q.sentAt.IsZero() || !q.leftAt.IsZero() || r.killed(q.sidecar, q.begunAt, latest):
 	case q.status == 0 && !q.truncated:
-		add(Lost, q.sentAt, "%s: no answer (%s), new connection %t, sent again %t, %s after it had connected", q.id, q.err, q.fresh, q.again,
+		add(Lost, q.sentAt, "%s: no answer (%s), new connection %t, sent again %t, %s after it had connected", q.id, q.err, q.newConnection, q.resent,
 			q.sentAt.Sub(q.dialedAt))
 	case q.answeredAt.After(latest):
 		add(Lost, q.sentAt, "%s: answered %s after its deadline", q.id, q.answeredAt.Sub(q.begunAt)-q.class.deadline)
 	case q.err != "" && q.status == 200:
-		add(Foreign, q.answeredAt, "%s: %s", q.id, q.err)
+		add(WrongResponse, q.answeredAt, "%s: %s", q.id, q.err)
 	}
 }
 
-// judgeCrossing looks at a request whose kept connection ended without an answer, so that its client sent it again. It may have crossed the
+// judgeResent looks at a request whose kept connection ended without an answer, so that its client sent it again. It may have crossed the
 // end of a connection that was at rest; but what was forwarded had been read, and what was open when its process was killed is lost.
-func (r *record) judgeCrossing(q *request, tries []attempt, add adder) {
-	first := q.crossed
+func (r *record) judgeResent(q *request, tries []attempt, add adder) {
+	first := q.firstSend
 	if first.from.IsZero() || r.killed(q.sidecar, first.from, first.to) {
 		return
 	}
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	for _, e := range r.ended[q.sidecar] {
+	for _, e := range r.shutdowns[q.sidecar] {
 		if first.from.Before(e.to) && !first.to.Before(e.to) {
 			add(Lost, first.from, "%s: sent %s after the word to end, open as the process was killed", q.id, first.from.Sub(e.from))
 			return
@@ -200,16 +200,16 @@
 	switch {
 	case len(ran) == 0 || r.killed(q.sidecar, q.begunAt, q.begunAt.Add(q.class.deadline)):
 		return
-	case q.class.repeat == "side_effect":
+	case q.class.idempotency == "side_effect":
 		if last := tries[len(tries)-1]; last.Sent.After(ran[0].Sent) {
-			add(Twice, last.Sent, "%s: %s by %s, then sent to %s", q.id, ran[0].Outcome, ran[0].Server, last.Server)
+			add(RunTwice, last.Sent, "%s: %s by %s, then sent to %s", q.id, ran[0].Outcome, ran[0].Server, last.Server)
 		}
 		if q.status == 429 || q.status == 503 {
-			add(Promise, q.answeredAt, "%s: refused with %d, %s by %s", q.id, q.status, ran[0].Outcome, ran[0].Server)
+			add(FalseRejection, q.answeredAt, "%s: refused with %d, %s by %s", q.id, q.status, ran[0].Outcome, ran[0].Server)
 		}
-	case q.class.repeat == "token":
+	case q.class.idempotency == "token":
 		if late := tries[len(tries)-1].Sent.Sub(ran[0].Sent) - r.window; late > drainSlack+r.slackAt(tries[len(tries)-1].Sent) {
-			add(Window, tries[len(tries)-1].Sent, "%s: repeated %s beyond its window", q.id, late)
+			add(RetryWindow, tries[len(tries)-1].Sent, "%s: repeated %s beyond its window", q.id, late)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 func (r *record) judgeTimes(q *request, tries []attempt, add adder) {
 	for _, a := range tries {
 		if late := a.Sent.Sub(q.leftAt); !q.leftAt.IsZero() && late > goneSlack+r.slackAt(a.Sent) {
-			add(Gone, a.Sent, "%s: begun %s after its client had left", q.id, late)
+			add(ClientGone, a.Sent, "%s: begun %s after its client had left", q.id, late)
 		}
 		told, err := strconv.ParseFloat(a.Deadline, 64)
 		left := q.class.deadline - a.Sent.Sub(q.begunAt)
@@ -228,12 +228,12 @@
 	}
 }
 
-// told is when a change that discovery has had since at counts as told to everybody. A watch that falls silent is given its time
+// signalled is when a change that discovery has had since at counts as told to everybody. A watch that falls silent is given its time
 // from when it did; one that has been told before that knows by itself, see heard.
-func (r *record) told(at time.Time) time.Time {
+func (r *record) notifiedAt(at time.Time) time.Time {
 	told := at
 	if r.onRequest {
-		told = at.Add(toldAtLatest)
+		told = at.Add(maxNotifyDelay)
 	}
 	for _, o := range r.outages { // in the order of their beginnings
 		if told.Before(o.from) || !told.Before(o.to) {
@@ -242,20 +242,20 @@
 		switch o.kind {
 		case Down:
 			if told = o.to; r.onRequest {
-				told = told.Add(toldAtLatest)
+				told = told.Add(maxNotifyDelay)
 			}
 		case Late:
 			told = told.Add(listDelay)
 		case Silent:
-			told = later(told, o.from.Add(toldAtLatest))
+			told = later(told, o.from.Add(maxNotifyDelay))
 		}
 	}
 	return told
 }
 
-// born is when the sidecar's process began that lived at that moment.
-func (r *record) born(sidecar int, at time.Time) (born time.Time) {
-	for _, b := range r.births[sidecar] {
+// processStart is when the sidecar's process began that lived at that moment.
+func (r *record) processStart(sidecar int, at time.Time) (born time.Time) {
+	for _, b := range r.processStarts[sidecar] {
 		if b.Before(at) {
 			born = b
 		}
@@ -270,20 +270,20 @@
 	return b
 }
 
-func (r *record) judgeLeavings(add adder) {
-	for _, l := range r.leavings {
-		told := r.told(l.at)
+func (r *record) judgeDraining(add adder) {
+	for _, l := range r.draining {
+		told := r.notifiedAt(l.at)
 		for _, a := range r.attempts {
 			if a.Server != l.server || a.Sent.Before(l.at) {
 				continue
 			}
 			since := told
-			for _, heard := range r.heard[heardOf{a.sidecar, l.server}] { // by operators' orders, too, before it left
+			for _, heard := range r.learnedAt[learnedServer{a.sidecar, l.server}] { // by operators' orders, too, before it left
 				if !heard.Before(l.at) && heard.Before(since) {
 					since = heard
 				}
 			}
-			since = later(since, r.born(a.sidecar, a.Sent))
+			since = later(since, r.processStart(a.sidecar, a.Sent))
 			if late := a.Sent.Sub(since) - drainGrace; late > drainSlack+r.slackAt(a.Sent) {
 				add(Drain, a.Sent, "%s: begun at %s %s after the grace", a.ID, a.Server, late)
 			}
@@ -320,8 +320,8 @@
 
 // arrival is a request that has reached a cold server, and whether its sidecar had been told of the server's start.
 type arrival struct {
-	at   time.Time
-	told bool
+	at       time.Time
+	notified bool
 }
 
 // judgeStarts looks for what is too much for a server in slow start. Sidecars whose watch was silent have not been told of it: the
@@ -333,7 +333,7 @@
 			if i+1 < len(starts) && starts[i+1].Before(end) {
 				end = starts[i+1]
 			}
-			told := r.told(began)
+			told := r.notifiedAt(began)
 			var got []arrival
 			for _, a := range r.attempts {
 				if a.Server == server && !a.Sent.Before(began) && a.Sent.Before(end) {
@@ -341,9 +341,9 @@
 				}
 			}
 			slices.SortFunc(got, func(a, b arrival) int { return a.at.Compare(b.at) })
-			if w := worstSpan(got, began); w.n > w.most && w.told > w.n*2/3 {
-				add(SlowStart, w.at, "%s: %d requests within %s from %s after its start, at most %d; %d by sidecars that were told", server, w.n,
-					fallFor, w.at.Sub(began), w.most, w.told)
+			if w := worstSpan(got, began); w.count > w.allowed && w.notified > w.count*2/3 {
+				add(SlowStart, w.at, "%s: %d requests within %s from %s after its start, at most %d; %d by sidecars that were told", server, w.count,
+					fallFor, w.at.Sub(began), w.allowed, w.notified)
 			}
 		}
 	}
@@ -351,25 +351,25 @@
 
 // window is what a cold server got within fallFor, and what it may get.
 type window struct {
-	at            time.Time
-	n, told, most int
+	at                       time.Time
+	count, notified, allowed int
 }
 
 // worstSpan is the window in which a cold server got most beyond what it may get.
 func worstSpan(got []arrival, began time.Time) (worst window) {
 	over := math.MinInt
 	for i, from := range got {
-		w := window{at: from.at, most: allowance(from.at.Sub(began))}
+		w := window{at: from.at, allowed: allowance(from.at.Sub(began))}
 		for _, a := range got[i:] {
 			if a.at.Sub(from.at) >= fallFor {
 				break
 			}
-			if w.n++; a.told {
-				w.told++
+			if w.count++; a.notified {
+				w.notified++
 			}
 		}
-		if w.n-w.most > over {
-			over, worst = w.n-w.most, w
+		if w.count-w.allowed > over {
+			over, worst = w.count-w.allowed, w
 		}
 	}
 	return worst
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -14,19 +14,19 @@
 
 func after(n int) time.Time { return epoch.Add(ms(n)) }
 
-// sound is a record in which nothing is broken: an order that was served by s1.
-func sound() *record {
+// validRecord is a record in which nothing is broken: an order that was served by s1.
+func validRecord() *record {
 	return &record{
 		start: epoch, slack: ms(10), window: ms(900),
 		requests: []*request{{id: "n0-1", class: classesFor(1500 * time.Millisecond)[2], begunAt: after(100), sentAt: after(101), answeredAt: after(130), status: 200}},
 		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Answered}, 0}},
-		starts:   map[string][]time.Time{}, births: map[int][]time.Time{0: {epoch}}, heard: map[heardOf][]time.Time{},
+		starts:   map[string][]time.Time{}, processStarts: map[int][]time.Time{0: {epoch}}, learnedAt: map[learnedServer][]time.Time{},
 		killed: func(int, time.Time, time.Time) bool { return false }, faults: map[string][]string{},
 	}
 }
 
-// again adds an attempt that was sent at that moment.
-func (r *record) again(server string, at int, outcome fakes.Outcome) {
+// addAttempt adds an attempt that was sent at that moment.
+func (r *record) addAttempt(server string, at int, outcome fakes.Outcome) {
 	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: server, Sent: after(at), Deadline: "0.1", Outcome: outcome}, 0})
 }
 
@@ -44,18 +44,18 @@
 			r.requests[0].status, r.killed = 0, func(int, time.Time, time.Time) bool { return true }
 		}, ""},
 		"forwarded, and its connection ended": {func(r *record) {
-			r.requests[0].crossed, r.requests[0].unreachable = span{after(101), after(140)}, true
+			r.requests[0].firstSend, r.requests[0].unreachable = span{after(101), after(140)}, true
 		}, Lost},
 		"crossed the end of its connection": {func(r *record) {
-			r.requests[0].crossed, r.attempts[0].Sent = span{after(101), after(102)}, after(103)
+			r.requests[0].firstSend, r.attempts[0].Sent = span{after(101), after(102)}, after(103)
 		}, ""},
 		"open at the kill": {func(r *record) {
-			r.requests[0].crossed, r.requests[0].unreachable, r.attempts = span{after(101), after(140)}, true, nil
-			r.ended = map[int][]span{0: {{after(-2000), after(139)}}}
+			r.requests[0].firstSend, r.requests[0].unreachable, r.attempts = span{after(101), after(140)}, true, nil
+			r.shutdowns = map[int][]span{0: {{after(-2000), after(139)}}}
 		}, Lost},
 		"sent behind the kill": {func(r *record) {
-			r.requests[0].crossed, r.requests[0].unreachable, r.attempts = span{after(141), after(142)}, true, nil
-			r.ended = map[int][]span{0: {{after(-2000), after(139)}}}
+			r.requests[0].firstSend, r.requests[0].unreachable, r.attempts = span{after(141), after(142)}, true, nil
+			r.shutdowns = map[int][]span{0: {{after(-2000), after(139)}}}
 		}, ""},
 		"told too much, the judge held up": {func(r *record) {
 			r.attempts[0].Sent, r.requests[0].answeredAt = after(300), after(310)
@@ -65,48 +65,54 @@
 			r.start, r.attempts[0].Sent, r.requests[0].answeredAt = after(-2000), after(300), after(310)
 			r.stalls = []span{{after(-1000), after(-900)}}
 		}, Deadline},
-		"another's":       {func(r *record) { r.requests[0].err = "an answer of another request" }, Foreign},
-		"sent twice":      {func(r *record) { r.again("s2", 120, fakes.Answered) }, Twice},
-		"declined before": {func(r *record) { r.attempts[0].Outcome = fakes.Declined; r.again("s2", 120, fakes.Answered) }, ""},
-		"refused after":   {func(r *record) { r.requests[0].status = 503; r.attempts[0].Outcome = fakes.Reset }, Promise},
+		"another's":       {func(r *record) { r.requests[0].err = "an answer of another request" }, WrongResponse},
+		"sent twice":      {func(r *record) { r.addAttempt("s2", 120, fakes.Answered) }, RunTwice},
+		"declined before": {func(r *record) { r.attempts[0].Outcome = fakes.Declined; r.addAttempt("s2", 120, fakes.Answered) }, ""},
+		"refused after":   {func(r *record) { r.requests[0].status = 503; r.attempts[0].Outcome = fakes.Reset }, FalseRejection},
 		"refused, unsent": {func(r *record) { r.requests[0].status = 503; r.attempts = nil }, ""},
 		"failed after":    {func(r *record) { r.requests[0].status = 502; r.attempts[0].Outcome = fakes.Reset }, ""},
 		"within a window": {func(r *record) {
 			r.requests[0].class = classesFor(1500 * time.Millisecond)[1]
-			r.again("s2", 900, fakes.Answered)
+			r.addAttempt("s2", 900, fakes.Answered)
 		}, ""},
 		"past a window": {func(r *record) {
 			r.requests[0].class = classesFor(1500 * time.Millisecond)[1]
-			r.again("s2", 1100, fakes.Answered)
-		}, Window},
-		"for one gone":   {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(205) }, Gone},
+			r.addAttempt("s2", 1100, fakes.Answered)
+		}, RetryWindow},
+		"for one gone":   {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(205) }, ClientGone},
 		"just gone":      {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(195) }, ""},
 		"told too much":  {func(r *record) { r.attempts[0].Sent = after(300); r.requests[0].answeredAt = after(310) }, Deadline},
-		"drained, grace": {func(r *record) { r.leavings = []leaving{{"s1", after(-700)}} }, ""},
-		"drained":        {func(r *record) { r.leavings = []leaving{{"s1", after(-710)}}; r.births[0][0] = after(-2000) }, Drain},
+		"drained, grace": {func(r *record) { r.draining = []drainingServer{{"s1", after(-700)}} }, ""},
+		"drained": {func(r *record) {
+			r.draining = []drainingServer{{"s1", after(-710)}}
+			r.processStarts[0][0] = after(-2000)
+		}, Drain},
 		"drained, silent": {func(r *record) {
-			r.leavings, r.births[0][0] = []leaving{{"s1", after(-710)}}, after(-9000)
+			r.draining, r.processStarts[0][0] = []drainingServer{{"s1", after(-710)}}, after(-9000)
 			r.outages = []outage{{Silent, after(-1000), after(50)}}
 		}, ""},
 		"drained, silent for long": {func(r *record) {
-			r.leavings, r.births[0][0] = []leaving{{"s1", after(-5000)}}, after(-9000)
+			r.draining, r.processStarts[0][0] = []drainingServer{{"s1", after(-5000)}}, after(-9000)
 			r.outages = []outage{{Silent, after(-6800), after(50)}}
 		}, Drain},
 		"drained, silent, and heard": {func(r *record) {
-			r.leavings, r.births[0][0] = []leaving{{"s1", after(-1500)}}, after(-9000)
+			r.draining, r.processStarts[0][0] = []drainingServer{{"s1", after(-1500)}}, after(-9000)
 			r.outages = []outage{{Silent, after(-2000), after(50)}}
-			r.heard[heardOf{0, "s1"}] = []time.Time{after(-3000), after(-1000)}
+			r.learnedAt[learnedServer{0, "s1"}] = []time.Time{after(-3000), after(-1000)}
 		}, Drain},
 		"drained, down": {func(r *record) {
-			r.leavings, r.births[0][0] = []leaving{{"s1", after(-5000)}}, after(-9000)
+			r.draining, r.processStarts[0][0] = []drainingServer{{"s1", after(-5000)}}, after(-9000)
 			r.outages = []outage{{Down, after(-6000), after(-100)}}
 		}, ""},
-		"drained, younger": {func(r *record) { r.leavings = []leaving{{"s1", after(-5000)}}; r.births[0][0] = after(-300) }, ""},
-		"out by hand":      {func(r *record) { r.orders = []order{{0, "s1", after(-800), time.Time{}}} }, Order},
-		"put back":         {func(r *record) { r.orders = []order{{0, "s1", after(-800), after(50)}} }, ""},
-		"out elsewhere":    {func(r *record) { r.orders = []order{{1, "s1", after(-800), time.Time{}}} }, ""},
-		"half a request":   {func(r *record) { r.owed = 1 }, BadClient},
-		"a crash":          {func(r *record) { r.faults["n0"] = []string{"exit status 2"} }, Process},
+		"drained, younger": {func(r *record) {
+			r.draining = []drainingServer{{"s1", after(-5000)}}
+			r.processStarts[0][0] = after(-300)
+		}, ""},
+		"out by hand":    {func(r *record) { r.orders = []order{{0, "s1", after(-800), time.Time{}}} }, Order},
+		"put back":       {func(r *record) { r.orders = []order{{0, "s1", after(-800), after(50)}} }, ""},
+		"out elsewhere":  {func(r *record) { r.orders = []order{{1, "s1", after(-800), time.Time{}}} }, ""},
+		"half a request": {func(r *record) { r.unansweredPartial = 1 }, BadClient},
+		"a crash":        {func(r *record) { r.faults["n0"] = []string{"exit status 2"} }, Process},
 		"cold, a lot": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			for i := range allowance(0) + 5 {
@@ -134,7 +140,7 @@
 			}
 		}, ""},
 	} {
-		r := sound()
+		r := validRecord()
 		row.change(r)
 		var rules []Rule
 		for _, v := range r.judge() {
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -54,7 +54,7 @@
 
 const (
 	// A trouble begins every so often for each five sidecars, so that two or three overlap.
-	troubleEvery = 700 * time.Millisecond
+	faultInterval = 700 * time.Millisecond
 	// Nothing begins in the last part of a run: what is under way ends.
 	quietEnd = 3 * time.Second
 	// Nor before load and connections are there.
@@ -97,8 +97,8 @@
 	{Flood, 1, 500 * time.Millisecond, 2 * time.Second},
 }
 
-// Trouble is one that begins at a moment of the run and lasts for a while.
-type Trouble struct {
+// Fault is one that begins at a moment of the run and lasts for a while.
+type Fault struct {
 	At, For time.Duration
 	Kind    Kind
 	Target  int     // a sidecar or a server, by its number
@@ -106,7 +106,7 @@
 }
 
 // Draw returns the troubles of a run in the order of their beginning.
-func Draw(seed uint64, long time.Duration, sidecars, servers int, only []Kind) (all []Trouble) {
+func Draw(seed uint64, long time.Duration, sidecars, servers int, only []Kind) (all []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
 	from := slices.Clone(shares)
 	if len(only) > 0 {
@@ -116,7 +116,7 @@
 	for _, s := range from {
 		sum += s.weight
 	}
-	every := float64(troubleEvery) * 5 / float64(max(1, sidecars))
+	every := float64(faultInterval) * 5 / float64(max(1, sidecars))
 	for at := quietStart; at < long-quietEnd; at += time.Duration(every * rng.ExpFloat64()) {
 		pick, chosen := rng.Float64()*sum, from[0]
 		for _, s := range from {
@@ -125,10 +125,10 @@
 			}
 			pick -= s.weight
 		}
-		t := Trouble{At: at, Kind: chosen.kind, Draw: rng.Float64(), Target: rng.IntN(sidecars * servers)}
+		t := Fault{At: at, Kind: chosen.kind, Draw: rng.Float64(), Target: rng.IntN(sidecars * servers)}
 		t.For = chosen.least + time.Duration(rng.Float64()*float64(chosen.most-chosen.least))
 		all = append(all, t)
 	}
-	slices.SortStableFunc(all, func(a, b Trouble) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"errors"
 	"io"
 	"net"
 	"plankrouter/internal/testbench/fakes"
@@ -61,7 +62,7 @@
 	go func() {
 		defer close(done)
 		copyAll(s, c)
-		s.(*net.TCPConn).CloseWrite()
+		_ = s.(*net.TCPConn).CloseWrite()
 	}()
 	p.answers(c, s)
 	c.Close()
@@ -92,7 +93,7 @@
 		piece := buf[:n]
 		switch {
 		case n > 0 && p.cut.Load():
-			c.Write(piece[:min(n, cutBytes)])
+			_, _ = c.Write(piece[:min(n, cutBytes)])
 			fakes.Abort(c)
 			return
 		case n > 0 && p.dribble.Load():
@@ -110,7 +111,7 @@
 			}
 		}
 		if err != nil {
-			if err != io.EOF { // a reset is no end
+			if !errors.Is(err, io.EOF) { // a reset is no end
 				fakes.Abort(c)
 			}
 			return
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	stallTick  = 5 * time.Millisecond
-	stallLeast = 3 * time.Millisecond  // below that it is no hold-up
-	baseSlack  = 30 * time.Millisecond // of what is measured at the other end of a socket, on a busy machine
+	stallTick = 5 * time.Millisecond
+	minStall  = 3 * time.Millisecond  // below that it is no hold-up
+	baseSlack = 30 * time.Millisecond // of what is measured at the other end of a socket, on a busy machine
 )
 
 // Report is what a run has shown.
@@ -48,7 +48,7 @@
 		defer close(stalled)
 		for before := time.Now(); fakes.Pause(loading, stallTick) == nil; before = time.Now() {
 			late := time.Since(before) - stallTick
-			if stall = max(stall, late); late > stallLeast {
+			if stall = max(stall, late); late > minStall {
 				stalls = append(stalls, span{time.Now().Add(-late), time.Now()})
 			}
 		}
--- a/internal/testbench/soak/ending.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	denseClients  = 12
-	densePause    = 20 * time.Millisecond // after each answer
-	crowdClients  = 150
-	crowdPause    = 100 * time.Millisecond
-	denseBefore   = 300 * time.Millisecond // of the word to end
-	lateRests     = 4
-	lateWithin    = 700 * time.Millisecond // of the kill, that the rest of a request comes
-	holdFor       = shutdown.MaxStall
-	holdMost      = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
-	holdApart     = 20 * time.Millisecond
-	endBeforeKill = 100 * time.Millisecond // that a last hold-up ends, at the earliest,
-	endAfterKill  = 140 * time.Millisecond // and at the latest
-	sliceLeast    = 2 * time.Millisecond   // for which a process runs between two hold-ups in a row
-	sliceMost     = 30 * time.Millisecond
-	hangFrom      = 200 * time.Millisecond // before the last accept
-	seriesWithin  = 150 * time.Millisecond // of the word, before or after it, that other signals come
-	seriesClose   = 5 * time.Millisecond   // half of them so close to it
-	failAcceptMax = 60 * time.Millisecond
-	lookAfter     = 60 * time.Millisecond // of the word, whether the process has handed over meanwhile
-	shorterPart   = 2                     // one part in so many of the deadlines, where a reload makes them shorter
-	groupGone     = 2 * time.Second
+	denseClients    = 12
+	densePause      = 20 * time.Millisecond // after each answer
+	overloadClients = 150
+	overloadPause   = 100 * time.Millisecond
+	denseBefore     = 300 * time.Millisecond // of the word to end
+	lateRests       = 4
+	lateWithin      = 700 * time.Millisecond // of the kill, that the rest of a request comes
+	holdFor         = shutdown.MaxStall
+	maxHold         = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
+	holdApart       = 20 * time.Millisecond
+	endBeforeKill   = 100 * time.Millisecond // that a last hold-up ends, at the earliest,
+	endAfterKill    = 140 * time.Millisecond // and at the latest
+	minSlice        = 2 * time.Millisecond   // for which a process runs between two hold-ups in a row
+	maxSlice        = 30 * time.Millisecond
+	hangFrom        = 200 * time.Millisecond // before the last accept
+	seriesWithin    = 150 * time.Millisecond // of the word, before or after it, that other signals come
+	seriesClose     = 5 * time.Millisecond   // half of them so close to it
+	failAcceptMax   = 60 * time.Millisecond
+	lookAfter       = 60 * time.Millisecond // of the word, whether the process has handed over meanwhile
+	shorterPart     = 2                     // one part in so many of the deadlines, where a reload makes them shorter
+	groupGone       = 2 * time.Second
 )
 
 // signalAt is a signal that comes so long after the word to end, or before it.
@@ -46,8 +46,8 @@
 	at     time.Duration
 }
 
-// ending is how the end of a process is aimed at.
-type ending struct {
+// shutdownFault is how the end of a process is aimed at.
+type shutdownFault struct {
 	series      []signalAt
 	holds       []time.Duration // after the word, at which the process is stopped for holdFor
 	failAccepts time.Duration   // for so long around the last accept; 0 = none does
@@ -61,11 +61,11 @@
 	lateRests   int           // clients that have sent half a request, and send its rest shortly before the kill
 }
 
-// drawEnding draws the end of a process with that longest deadline. Its edges are the word, the last accept, the last answer and the kill.
-func drawEnding(rng *rand.Rand, longest time.Duration, crowd bool) ending {
-	e := ending{clients: denseClients, pause: densePause, lateRests: lateRests, shorter: rng.IntN(6) == 0}
+// drawShutdownFault draws the end of a process with that longest deadline. Its edges are the word, the last accept, the last answer and the kill.
+func drawShutdownFault(rng *rand.Rand, longest time.Duration, crowd bool) shutdownFault {
+	e := shutdownFault{clients: denseClients, pause: densePause, lateRests: lateRests, shorter: rng.IntN(6) == 0}
 	if crowd {
-		e.clients, e.pause = crowdClients, crowdPause
+		e.clients, e.pause = overloadClients, overloadPause
 	}
 	if e.shorter {
 		longest /= shorterPart
@@ -106,16 +106,16 @@
 
 // holdBeforeKill adds one to three hold-ups with little time between them, the last of which ends around the kill: one for each step that a
 // last answer takes.
-func (e *ending) holdBeforeKill(rng *rand.Rand) {
+func (e *shutdownFault) holdBeforeKill(rng *rand.Rand) {
 	end := e.kill + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
 	for range 1 + rng.IntN(3) {
 		e.holds = append(e.holds, end-holdFor)
-		end -= holdFor + sliceLeast + time.Duration(rng.Float64()*float64(sliceMost-sliceLeast))
+		end -= holdFor + minSlice + time.Duration(rng.Float64()*float64(maxSlice-minSlice))
 	}
 }
 
 // hold adds a hold-up unless it would run into another one.
-func (e *ending) hold(at time.Duration) {
+func (e *shutdownFault) hold(at time.Duration) {
 	for _, other := range e.holds {
 		if at < other+holdFor+holdApart && other < at+holdFor+holdApart {
 			return
@@ -125,9 +125,9 @@
 }
 
 // aimedEnd tells a process to end among dense clients, with what was drawn on the edges, kills it at the earliest and starts another.
-func (w *world) aimedEnd(ctx context.Context, t Trouble, s *sidecar) {
+func (w *world) aimedEnd(ctx context.Context, t Fault, s *sidecar) {
 	rng := rand.New(rand.NewPCG(w.options.Seed, uint64(t.At)))
-	e := drawEnding(rng, w.variant.longest, w.variant.crowd)
+	e := drawShutdownFault(rng, w.variant.longest, w.variant.crowd)
 	p := s.present()
 	group, err := syscall.Getpgid(p.Pid)
 	if err != nil {
@@ -135,7 +135,7 @@
 		return
 	}
 	s.mu.Lock()
-	p.told = true
+	p.signalled = true
 	s.mu.Unlock()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
 	word := time.Now().Add(denseBefore)
@@ -146,10 +146,10 @@
 			do()
 		})
 	}
-	all.Go(func() { w.clients[s.number].dense(e.clients, e.pause, word.Add(e.kill)) })
+	all.Go(func() { w.clients[s.number].sendSteadily(e.clients, e.pause, word.Add(e.kill)) })
 	for range e.lateRests {
 		all.Go(func() {
-			w.clients[s.number].restAt(word.Add(e.kill - time.Duration(rand.Float64()*float64(lateWithin))))
+			w.clients[s.number].sendLastBytesAt(word.Add(e.kill - time.Duration(rand.Float64()*float64(lateWithin))))
 		})
 	}
 	for i, one := range e.series {
@@ -160,7 +160,7 @@
 			if one.signal == syscall.SIGUSR2 {
 				s.born()
 			}
-			p.Signal(one.signal)
+			_ = p.Signal(one.signal)
 		})
 	}
 	for _, after := range e.holds {
@@ -179,7 +179,7 @@
 	}
 	time.Sleep(time.Until(word))
 	sent := time.Now()
-	p.Signal(syscall.SIGTERM)
+	_ = p.Signal(syscall.SIGTERM)
 	if slices.ContainsFunc(e.series, func(one signalAt) bool { return one.signal == syscall.SIGUSR2 }) {
 		sent = s.followHandover(p, offset, sent)
 	}
@@ -189,7 +189,7 @@
 	if e.shorter {
 		w.reconfigure(s, t, w.classes)
 	}
-	s.start(ctx)
+	_ = s.start(ctx)
 }
 
 // hang has half of the servers hang in the middle of their work until then, but for those that something else befalls.
@@ -214,7 +214,7 @@
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(holdFor)
 	p.Signal(syscall.SIGCONT)
-	if to := time.Now(); to.Sub(from) > holdMost {
+	if to := time.Now(); to.Sub(from) > maxHold {
 		s.mu.Lock()
 		s.killed = append(s.killed, span{from, to.Add(holdFor)})
 		s.mu.Unlock()
@@ -249,7 +249,7 @@
 	now := time.Now()
 	if err := syscall.Kill(-group, syscall.SIGKILL); err == nil || err == syscall.EPERM {
 		s.mu.Lock()
-		s.ended = append(s.ended, span{told, now})
+		s.shutdownSpans = append(s.shutdownSpans, span{told, now})
 		s.mu.Unlock()
 	}
 	<-p.exited
@@ -273,8 +273,8 @@
 	s.control.Hold(faultinjection.SlowConnect, slow)
 	defer s.control.Heal(faultinjection.SlowConnect)
 	var all sync.WaitGroup
-	all.Go(func() { w.clients[n].leaveAt(clients, began.Add(before+leaving)) })
-	fakes.Pause(ctx, before)
+	all.Go(func() { w.clients[n].sendAndLeaveAt(clients, began.Add(before+leaving)) })
+	_ = fakes.Pause(ctx, before)
 	w.holdUp(s, s.present())
 	all.Wait()
 }
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -26,9 +26,9 @@
 	readyWithin = 10 * time.Second
 	adminWithin = 3 * time.Second
 
-	listenFailures = 3                      // of a process that starts after a crash
-	afterLongest   = 700 * time.Millisecond // of the longest deadline, the kill after SIGTERM
-	mostCounted    = 3 * time.Second        // of the longest deadline
+	listenFailures     = 3                      // of a process that starts after a crash
+	afterLongest       = 700 * time.Millisecond // of the longest deadline, the kill after SIGTERM
+	maxCountedDeadline = 3 * time.Second        // of the longest deadline
 )
 
 // identity is what a sidecar is from its first process to its last.
@@ -40,7 +40,9 @@
 }
 
 // killAfter is when the process may be killed after SIGTERM at the earliest, by its longest deadline.
-func killAfter(longest time.Duration) time.Duration { return min(longest, mostCounted) + afterLongest }
+func killAfter(longest time.Duration) time.Duration {
+	return min(longest, maxCountedDeadline) + afterLongest
+}
 
 // sidecar is one real process after another under one name, with its folder, its configuration and its faults.
 type sidecar struct {
@@ -53,12 +55,12 @@
 	edits                int        // of it, so far
 	born                 func()     // told as a process is about to begin
 
-	mu      sync.Mutex
-	current *process
-	busy    bool // being ended, started or handed over
-	killed  []span
-	ended   []span   // from a word to end until the process was killed in its time, since it had not ended by itself
-	faults  []string // what a process did that it must not
+	mu            sync.Mutex
+	current       *process
+	busy          bool // being ended, started or handed over
+	killed        []span
+	shutdownSpans []span   // from a word to end until the process was killed in its time, since it had not ended by itself
+	faults        []string // what a process did that it must not
 }
 
 // span is a time from which a sidecar was killed until another process served.
@@ -67,9 +69,9 @@
 // process is one process of a sidecar.
 type process struct {
 	*os.Process
-	exited chan struct{}
-	state  *os.ProcessState
-	told   bool // to end, or killed
+	exited    chan struct{}
+	state     *os.ProcessState
+	signalled bool // to end, or killed
 }
 
 func newSidecar(is identity, seed uint64, network fakes.Network, edit func(map[string]any), discovery string) (*sidecar, error) {
@@ -143,7 +145,7 @@
 	go func() {
 		one.state, _ = p.Wait()
 		s.mu.Lock()
-		if one.state != nil && !one.state.Success() && !one.told {
+		if one.state != nil && !one.state.Success() && !one.signalled {
 			s.faults = append(s.faults, fmt.Sprintf("process %d ended by itself: %s", p.Pid, one.state))
 		}
 		s.mu.Unlock()
@@ -217,7 +219,7 @@
 func (s *sidecar) terminate(ctx context.Context) {
 	p := s.present()
 	s.mu.Lock()
-	p.told = true
+	p.signalled = true
 	s.mu.Unlock()
 	from := time.Now()
 	p.Signal(syscall.SIGTERM)
@@ -228,40 +230,40 @@
 		}
 	case <-time.After(killAfter(s.longest)):
 		s.mu.Lock()
-		s.ended = append(s.ended, span{from, time.Now()})
+		s.shutdownSpans = append(s.shutdownSpans, span{from, time.Now()})
 		s.mu.Unlock()
-		p.Kill()
+		_ = p.Kill()
 		<-p.exited
 	}
-	fakes.Pause(ctx, killAfter(s.longest)-time.Since(from))
-	s.start(ctx)
+	_ = fakes.Pause(ctx, killAfter(s.longest)-time.Since(from))
+	_ = s.start(ctx)
 }
 
 // crash kills the process, and starts another after a while, whose first tries to listen fail.
 func (s *sidecar) crash(ctx context.Context, pause time.Duration) {
 	p := s.present()
 	s.mu.Lock()
-	p.told = true
+	p.signalled = true
 	s.mu.Unlock()
 	from := time.Now()
 	s.mu.Lock()
 	s.killed = append(s.killed, span{from, from.Add(time.Hour)})
 	s.mu.Unlock()
-	p.Kill()
+	_ = p.Kill()
 	<-p.exited
 	fakes.Pause(ctx, pause)
 	s.control.Fail(faultinjection.Listen, syscall.ENOBUFS, listenFailures)
-	s.start(ctx)
+	_ = s.start(ctx)
 	s.mu.Lock()
 	s.killed[len(s.killed)-1].to = time.Now()
 	s.mu.Unlock()
 }
 
-// endings returns the times from a word to end to the kill of a process that had not ended by itself.
-func (s *sidecar) endings() []span {
+// shutdowns returns the times from a word to end to the kill of a process that had not ended by itself.
+func (s *sidecar) shutdowns() []span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.ended)
+	return slices.Clone(s.shutdownSpans)
 }
 
 // wasKilled reports whether the process was killed between two moments, or was being started again.
@@ -329,7 +331,7 @@
 func (s *sidecar) close() (faults []string) {
 	if p := s.present(); p != nil {
 		s.mu.Lock()
-		p.told = true
+		p.signalled = true
 		s.mu.Unlock()
 		p.Signal(syscall.SIGCONT)
 		p.Signal(syscall.SIGTERM)
@@ -339,13 +341,13 @@
 				s.fault("process %d, told to end: %s", p.Pid, p.state)
 			}
 		case <-time.After(killAfter(s.longest) + time.Second):
-			p.Kill()
+			_ = p.Kill()
 			<-p.exited
 			s.fault("process %d has not ended by itself %s after SIGTERM", p.Pid, killAfter(s.longest)+time.Second)
 		}
 	}
 	if s.control != nil {
-		s.control.Close()
+		_ = s.control.Close()
 	}
 	if s.log != nil {
 		s.log.Close()
@@ -373,7 +375,7 @@
 // leavingLine is the line of the log by which a server leaves.
 var leavingLine = regexp.MustCompile(`(?m)^(\S+ \S+) trace=server provider=(\S+) was=ready is=(?:draining|gone) `)
 
-// heard returns when the sidecar has logged, of each server, that it leaves.
+// learnedAt returns when the sidecar has logged, of each server, that it leaves.
 func (s *sidecar) heard() map[string][]time.Time {
 	raw, _ := os.ReadFile(s.path("log"))
 	heard := map[string][]time.Time{}
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -28,9 +28,9 @@
 	listDelay       = 200 * time.Millisecond // of discovery, while it is late
 	proxied         = 3                      // one in so many servers stands behind a proxy
 	slowTimes       = 6
-	slowConnectMost = 1150 * time.Millisecond
+	maxSlowConnect  = 1150 * time.Millisecond
 	slowConnectRest = 20 * time.Millisecond // of the time that a connection has to come up
-	floodMost       = 120
+	maxFlood        = 120
 
 	startTries = 100 // of a server that comes back
 	startPause = 20 * time.Millisecond
@@ -115,7 +115,7 @@
 	clients     []*clients
 	offset      atomic.Int64 // of the wall clock
 	troubles    sync.WaitGroup
-	ordered     sync.Map // by heardOf: operators' orders under way
+	ordered     sync.Map // by learnedServer: operators' orders under way
 
 	mu      sync.Mutex
 	record  record
@@ -127,7 +127,7 @@
 func build(ctx context.Context, o Options) (w *world, err error) {
 	w = &world{options: o, network: fakes.Loopback(), variant: o.variant()}
 	w.classes = classesFor(w.variant.longest)
-	w.record = record{onRequest: w.variant.onRequest, window: w.variant.window, starts: map[string][]time.Time{}, births: map[int][]time.Time{}, faults: map[string][]string{}}
+	w.record = record{onRequest: w.variant.onRequest, window: w.variant.window, starts: map[string][]time.Time{}, processStarts: map[int][]time.Time{}, faults: map[string][]string{}}
 	defer func() {
 		if err != nil {
 			w.close()
@@ -198,18 +198,18 @@
 		for _, c := range classes {
 			all = append(all, map[string]any{
 				"Name": c.name, "AimMs": 300 + 10*(times%5), "HardLimitMs": c.deadline.Milliseconds(), "Credit": 1,
-				"Repeat": c.repeat, "KeyScope": "all", "MemorySpanMs": w.variant.window.Milliseconds(),
+				"Repeat": c.idempotency, "KeyScope": "all", "MemorySpanMs": w.variant.window.Milliseconds(),
 			})
 		}
 		settings["RequestClasses"] = all
 	}
 }
 
-// born notes that a sidecar's process begins.
+// processStart notes that a sidecar's process begins.
 func (w *world) born(sidecar int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.record.births[sidecar] = append(w.record.births[sidecar], time.Now())
+	w.record.processStarts[sidecar] = append(w.record.processStarts[sidecar], time.Now())
 }
 
 // list tells both directories, one of which each sidecar watches.
@@ -237,19 +237,19 @@
 		for _, q := range v.Requests() {
 			name, _, _ := strings.Cut(strings.TrimPrefix(q.ID, "n"), "-")
 			var sidecar int
-			fmt.Sscan(name, &sidecar)
+			_, _ = fmt.Sscan(name, &sidecar)
 			r.attempts = append(r.attempts, attempt{q, sidecar})
 		}
 	}
-	r.heard = map[heardOf][]time.Time{}
+	r.learnedAt = map[learnedServer][]time.Time{}
 	for _, c := range w.sidecars {
 		for server, at := range c.heard() {
-			r.heard[heardOf{c.number, server}] = at
+			r.learnedAt[learnedServer{c.number, server}] = at
 		}
 	}
-	r.ended = map[int][]span{}
+	r.shutdowns = map[int][]span{}
 	for _, s := range w.sidecars {
-		r.ended[s.number] = s.endings()
+		r.shutdowns[s.number] = s.shutdowns()
 	}
 	r.killed = func(sidecar int, from, to time.Time) bool { return w.sidecars[sidecar].wasKilled(from, to) }
 	slices.SortFunc(r.outages, func(a, b outage) int { return a.from.Compare(b.from) })
