--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -112,7 +112,7 @@
 				return err
 			}
 			if failed != nil {
-				simulated.WriteTable(out, f.Rows)
+				_ = simulated.WriteTable(out, f.Rows)
 				return fmt.Errorf("%s, %d sidecars: %w", kind, n, failed)
 			}
 		}
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -140,7 +140,7 @@
 	switch {
 	case c.Serve:
 		context.AfterFunc(ctx, func() { os.Exit(0) })
-		os.Setenv(cpubench.RoleVariable, cpubench.RoleServers+" 1")
+		_ = os.Setenv(cpubench.RoleVariable, cpubench.RoleServers+" 1")
 		cpubench.Serve() // ends the process
 	case c.Work:
 		return loadgen.Work(ctx, os.Stdin, out)
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -31,7 +31,7 @@
 		return l.Keep, func() {}, os.MkdirAll(l.Keep, 0o755)
 	}
 	dir, err := os.MkdirTemp("", "testbench-")
-	return dir, func() { os.RemoveAll(dir) }, err
+	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
 // save writes the figures where they are asked for.
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -147,7 +147,7 @@
 	if _, err := fmt.Fprintf(c, "GET /tile/x HTTP/1.1\r\nHost: api.internal\r\nReq-Id: ask-%d\r\nReq-Deadline: 2.500\r\n\r\n", n); err != nil {
 		t.Fatal(err)
 	}
-	c.Read(make([]byte, 1))
+	_, _ = c.Read(make([]byte, 1))
 }
 
 // firstWhole is 1 where the first call to the directory is for the whole list. Later ones may be for it where a busy machine lets a
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -388,7 +388,7 @@
 		}
 		w.open.Add(1)
 		go func() {
-			br.ReadByte() // until the sidecar, or hangUp, closes it
+			_, _ = br.ReadByte() // until the sidecar, or hangUp, closes it
 			w.open.Add(-1)
 		}()
 	}
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -215,15 +215,50 @@
 	}
 }
 
+// unbounded is the upper bound of what has none.
+const unbounded = math.MaxFloat64
+
+// bound is the range in which the value of a plan's key has to lie.
+type bound struct {
+	key       string
+	value     float64
+	low, high float64
+}
+
 // Check says what is wrong, by the plan's key.
 func (c *Config) Check() error {
-	type bound struct {
-		key    string
-		v      float64
-		lo, hi float64
+	for _, b := range slices.Concat(c.dayBounds(), c.serverBounds(), c.environmentBounds(), c.ruleBounds(), c.listBounds()) {
+		if !(b.value >= b.low && b.value <= b.high) { // so that NaN is refused, too
+			return fmt.Errorf("%s: %v; want %v to %v", b.key, b.value, b.low, b.high)
+		}
+	}
+	var kinds, classes, tenants float64 // sums of shares
+	for _, k := range c.Kinds {
+		kinds += k.Fraction
+	}
+	for _, k := range c.Classes {
+		classes += k.Fraction
+	}
+	for _, t := range c.Tenants {
+		tenants += t.Fraction
+	}
+	if kinds == 0 || classes == 0 || len(c.Tenants) > 0 && tenants == 0 {
+		return errors.New("kinds, classes, tenants: one of the first two at least, with a share above 0, is needed")
+	}
+	if !slices.Contains(Policies(), c.Policy) {
+		return fmt.Errorf("policy: there is no %q; there are %v", c.Policy, Policies())
+	}
+	for i := range c.Faults {
+		if err := c.Faults[i].check(c); err != nil {
+			return fmt.Errorf("troubles[%d].%w", i, err)
+		}
 	}
-	inf := math.MaxFloat64
-	bounds := []bound{
+	return nil
+}
+
+// dayBounds are those of the size of the world and of its load.
+func (c *Config) dayBounds() []bound {
+	return []bound{
 		{"sidecars", float64(c.Sidecars), 1, 1e5},
 		{"servers", float64(c.Servers), 1, 1e4},
 		{"zones", float64(c.Zones), 1, 100},
@@ -231,18 +266,20 @@
 		{"seconds", c.Seconds, 1, 86400},
 		{"skew", c.Skew, 0, 4},
 		{"zone_skew", c.ZoneSkew, 0, 1},
+	}
+}
+
+// serverBounds are those of how servers work.
+func (c *Config) serverBounds() []bound {
+	return []bound{
 		{"server.slots", float64(c.Server.Slots), 1, 1e9},
-		{"server.crowd_from", c.Server.OverloadFrom, 0, inf},
-		{"server.jam_waiting", c.Server.JamWaiting, 0, inf},
-		{"server.jam_after_ms", c.Server.JamAfter, 0, inf},
-		{"server.jam_idle", c.Server.JamIdle, 0, inf},
-		{"server.jam_clears_ms", c.Server.JamClears, 0, inf},
-		{"server.jam_most_ms", c.Server.MaxJam, 0, inf},
-		{"server.probes_most", c.Server.MaxProbes, 0, inf},
-		{"rules.grace_ms", c.Rules.DrainGrace, 0, inf},
-		{"rules.cross_price", c.Rules.CrossZoneCost, 0, inf},
-		{"rules.waste_price", c.Rules.WastedWorkCost, 0, inf},
-		{"rules.probe_price", c.Rules.ProbeCost, 0, inf},
+		{"server.crowd_from", c.Server.OverloadFrom, 0, unbounded},
+		{"server.jam_waiting", c.Server.JamWaiting, 0, unbounded},
+		{"server.jam_after_ms", c.Server.JamAfter, 0, unbounded},
+		{"server.jam_idle", c.Server.JamIdle, 0, unbounded},
+		{"server.jam_clears_ms", c.Server.JamClears, 0, unbounded},
+		{"server.jam_most_ms", c.Server.MaxJam, 0, unbounded},
+		{"server.probes_most", c.Server.MaxProbes, 0, unbounded},
 		{"server.room", float64(c.Server.QueueCapacity), 0, 1e9},
 		{"server.crowd_most", c.Server.MaxOverloadLoss, 0, 0.99},
 		{"server.crowd_loss", c.Server.OverloadLoss, 0, 1},
@@ -250,68 +287,68 @@
 		{"server.connections", float64(c.Server.Connections), 1, 1e9},
 		{"server.table_loss", c.Server.TableLoss, 0, 0.99},
 		{"server.handshake_ms", c.Server.Handshake, 0, 1e3},
-		{"server.idle_ms", c.Server.Idle, 1, inf},
+		{"server.idle_ms", c.Server.Idle, 1, unbounded},
 		{"server.probe_ms", c.Server.ProbeWork, 0, 1e3},
 		{"server.report_ms", c.Server.ReportEvery, 0.1, 1e6},
 		{"server.report_noise", c.Server.ReportNoise, 0, 1},
+	}
+}
+
+// environmentBounds are those of network, discovery and clients.
+func (c *Config) environmentBounds() []bound {
+	return []bound{
 		{"network.near_ms", c.Network.Near, 0, 1e4},
 		{"network.far_ms", c.Network.Far[0], 0, c.Network.Far[1]},
 		{"network.jitter_ms", c.Network.Jitter, 0, 1e4},
 		{"network.connect_timeout_ms", c.Network.ConnectTimeout, 1, 1e5},
 		{"directory.late_ms", c.Discovery.Late[0], 0, c.Discovery.Late[1]},
 		{"directory.lossy", c.Discovery.Lossy, 0, 1},
-		{"directory.repair_ms", c.Discovery.Repair, 1, inf},
+		{"directory.repair_ms", c.Discovery.Repair, 1, unbounded},
 		{"clients.retries", float64(c.Clients.Retries), 0, 100},
-		{"clients.wait_ms", c.Clients.Wait, 0, inf},
+		{"clients.wait_ms", c.Clients.Wait, 0, unbounded},
 		{"clients.patience", c.Clients.Timeout[0], 0.01, c.Clients.Timeout[1]},
 		{"clients.patience", c.Clients.Timeout[1], 0.01, 1},
 		{"clients.impatient", c.Clients.Impatient, 0, 1},
+	}
+}
+
+// ruleBounds are those of the rules' figures.
+func (c *Config) ruleBounds() []bound {
+	return []bound{
+		{"rules.grace_ms", c.Rules.DrainGrace, 0, unbounded},
+		{"rules.cross_price", c.Rules.CrossZoneCost, 0, unbounded},
+		{"rules.waste_price", c.Rules.WastedWorkCost, 0, unbounded},
+		{"rules.probe_price", c.Rules.ProbeCost, 0, unbounded},
 		{"rules.cold_share", c.Rules.StartCapacity, 0.01, 1},
-		{"rules.warm_within_ms", c.Rules.WarmUpTime, 0, inf},
-		{"rules.tip_multiple", c.Rules.OverloadMultiple, 1, inf},
-		{"rules.tip_window_ms", c.Rules.OverloadWindow, 1, inf},
+		{"rules.warm_within_ms", c.Rules.WarmUpTime, 0, unbounded},
+		{"rules.tip_multiple", c.Rules.OverloadMultiple, 1, unbounded},
+		{"rules.tip_window_ms", c.Rules.OverloadWindow, 1, unbounded},
 		{"rules.max_attempts", float64(c.Rules.MaxAttempts), 1, 100},
 		{"rules.round_ms", c.Rules.Round, 0, 1e3},
 		{"rules.over_share_worth", c.Rules.OverQuotaWeight, 0, 1},
-		{"rules.answer_slack_ms", c.Rules.AnswerSlack, 0, inf},
+		{"rules.answer_slack_ms", c.Rules.AnswerSlack, 0, unbounded},
 	}
-	var kinds, classes, tenants float64 // sums of shares
+}
+
+// listBounds are those of the elements of lists.
+func (c *Config) listBounds() (bounds []bound) {
 	for i, k := range c.Kinds {
-		kinds += k.Fraction
 		at := fmt.Sprintf("kinds[%d].", i)
-		bounds = append(bounds, bound{at + "share", k.Fraction, 0, inf}, bound{at + "cores", k.Cores, 1, 1e4},
+		bounds = append(bounds, bound{at + "share", k.Fraction, 0, unbounded}, bound{at + "cores", k.Cores, 1, 1e4},
 			bound{at + "speed", k.Speed[0], 0.01, k.Speed[1]})
 	}
 	for i, k := range c.Classes {
-		classes += k.Fraction
 		at := fmt.Sprintf("classes[%d].", i)
-		bounds = append(bounds, bound{at + "share", k.Fraction, 0, inf}, bound{at + "work_ms", k.WorkMs, 0.001, inf},
-			bound{at + "wait_ms", k.WaitMs, 0, inf}, bound{at + "spread", k.Spread, 0, 10},
-			bound{at + "noise", k.Noise, 0, 10}, bound{at + "aim_ms", k.LatencyObjectiveMs, 1, inf}, bound{at + "deadline_ms", k.DeadlineMs, 1, inf},
-			bound{at + "worth", k.PriorityWeight, 0, inf}, bound{at + "late_worth", k.LateWeight, 0, 1})
+		bounds = append(bounds, bound{at + "share", k.Fraction, 0, unbounded}, bound{at + "work_ms", k.WorkMs, 0.001, unbounded},
+			bound{at + "wait_ms", k.WaitMs, 0, unbounded}, bound{at + "spread", k.Spread, 0, 10},
+			bound{at + "noise", k.Noise, 0, 10}, bound{at + "aim_ms", k.LatencyObjectiveMs, 1, unbounded}, bound{at + "deadline_ms", k.DeadlineMs, 1, unbounded},
+			bound{at + "worth", k.PriorityWeight, 0, unbounded}, bound{at + "late_worth", k.LateWeight, 0, 1})
 	}
 	for i, t := range c.Tenants {
-		tenants += t.Fraction
 		at := fmt.Sprintf("tenants[%d].", i)
-		bounds = append(bounds, bound{at + "share", t.Fraction, 0, inf}, bound{at + "quota", t.Quota, 0, inf})
+		bounds = append(bounds, bound{at + "share", t.Fraction, 0, unbounded}, bound{at + "quota", t.Quota, 0, unbounded})
 	}
-	for _, b := range bounds {
-		if !(b.v >= b.lo && b.v <= b.hi) {
-			return fmt.Errorf("%s: %v; want %v to %v", b.key, b.v, b.lo, b.hi)
-		}
-	}
-	if kinds == 0 || classes == 0 || len(c.Tenants) > 0 && tenants == 0 {
-		return errors.New("kinds, classes, tenants: one of the first two at least, with a share above 0, is needed")
-	}
-	if !slices.Contains(Policies(), c.Policy) {
-		return fmt.Errorf("policy: there is no %q; there are %v", c.Policy, Policies())
-	}
-	for i := range c.Faults {
-		if err := c.Faults[i].check(c); err != nil {
-			return fmt.Errorf("troubles[%d].%w", i, err)
-		}
-	}
-	return nil
+	return bounds
 }
 
 // quota is a tenant's; 0 in the plan stands for a quarter more than its part of the traffic.
--- a/internal/testbench/emulator/fault.go
+++ b/internal/testbench/emulator/fault.go
@@ -181,9 +181,9 @@
 			names = append(names, k.Name)
 		}
 		return fmt.Errorf("name: there is no %q; there are %s", t.Name, strings.Join(names, ", "))
-	case t.At < 0 || t.For < 0 || t.Part < 0 || t.Part > 1 || t.Size < 0 || t.Every < 0:
+	case min(t.At, t.For, t.Part, t.Size, t.Every) < 0 || t.Part > 1:
 		return fmt.Errorf("%s: a figure is below 0, or part above 1: %v", t.Name, *t)
-	case t.Size >= 1 && (t.Name == "neighbour" || t.Name == "deploy") || t.Size > 1 && t.Name == "failures":
+	case !t.sizeIsPart():
 		return fmt.Errorf("%s: size: %v; it is a part, below 1", t.Name, t.Size)
 	case t.Zone < 0 || t.Zone > c.Zones:
 		return fmt.Errorf("%s: zone: %d; want 0 to %d", t.Name, t.Zone, c.Zones)
@@ -193,6 +193,17 @@
 	return nil
 }
 
+// sizeIsPart reports whether the size is a part below 1 where the kind wants one.
+func (t *Fault) sizeIsPart() bool {
+	switch t.Name {
+	case "neighbour", "deploy":
+		return t.Size < 1
+	case "failures":
+		return t.Size <= 1
+	}
+	return true
+}
+
 // Random names up to three kinds, drawn from seed.
 func Random(seed uint64) (names []string) {
 	rng := rand.New(rand.NewPCG(seed, mix(seed, 77)))
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -141,8 +141,23 @@
 	if c.attempts >= t.cfg.MaxAttempts || c.mayRun && unsafe || len(t.ready) == 0 || c.deadline-now < 1 {
 		return t.finish(id, c, acts)
 	}
-	var best policy.ServerID
-	lowest, seen := 0.0, 0
+	best, lowest := t.lowestRanked(c)
+	if t.seesTruth && now+lowest > min(c.objectiveAt, c.deadline) {
+		return t.finish(id, c, acts)
+	}
+	if t.chosen != nil {
+		t.chosen(best)
+	}
+	c.inFlight, c.last = true, best
+	c.attempts++
+	t.inFlight[best]++
+	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.deadline - now})
+}
+
+// lowestRanked returns a random one of the servers of the lowest rank, and that rank. The server of the last attempt is left out while there
+// is another.
+func (t *textbook) lowestRanked(c *openRequest) (best policy.ServerID, lowest float64) {
+	seen := 0
 	for _, s := range t.ready {
 		if s == c.last && c.attempts > 0 && len(t.ready) > 1 {
 			continue
@@ -157,16 +172,7 @@
 			}
 		}
 	}
-	if t.seesTruth && now+lowest > min(c.objectiveAt, c.deadline) {
-		return t.finish(id, c, acts)
-	}
-	if t.chosen != nil {
-		t.chosen(best)
-	}
-	c.inFlight, c.last = true, best
-	c.attempts++
-	t.inFlight[best]++
-	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.deadline - now})
+	return best, lowest
 }
 
 // finish gives the final answer.
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -236,7 +236,7 @@
 // WriteRows writes the seconds of the day as CSV.
 func (r *Report) WriteRows(out io.Writer) error {
 	c := csv.NewWriter(out)
-	c.Write([]string{
+	_ = c.Write([]string{
 		"second", "asked", "in_aim", "late", "refused", "failed", "sent", "probes", "held", "held_most",
 		"connections", "jammed", "silent", "service", "in_time", "tries", "timed_out",
 	})
@@ -248,7 +248,7 @@
 		} {
 			cells = append(cells, strconv.Itoa(n))
 		}
-		c.Write(append(cells, strconv.FormatFloat(w.Service, 'f', 4, 64), strconv.FormatFloat(w.InTime, 'f', 4, 64),
+		_ = c.Write(append(cells, strconv.FormatFloat(w.Service, 'f', 4, 64), strconv.FormatFloat(w.InTime, 'f', 4, 64),
 			strconv.Itoa(w.Tries), strconv.Itoa(w.TimedOut)))
 	}
 	c.Flush()
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -305,16 +305,7 @@
 		}
 		return
 	}
-	if c := a.conn; c != nil {
-		c.attempt, c.idleAt = nil, sc.world.now
-		k := sc.known[a.machine.id]
-		switch {
-		case status != policy.OK && status != policy.Failed && status != policy.Declined || k.health != policy.Ready:
-			c.close()
-		case !c.closed:
-			k.idle = append(k.idle, c)
-		}
-	}
+	sc.releaseConn(a, status)
 	if sc.world.cfg.Server.DropsCancelled && a.written && (status == policy.Cancelled || status == policy.TimedOut) {
 		m, incarnation := a.machine, a.machine.incarnation
 		sc.world.after(sc.world.delay(sc.zone, m.zone), func() { m.drop(a, incarnation) })
@@ -327,6 +318,28 @@
 		})
 		return
 	}
+	sc.finishAttempt(a, status, report, took)
+}
+
+// releaseConn keeps the attempt's connection if it can carry another one.
+func (sc *sidecar) releaseConn(a *attempt, status policy.Status) {
+	c := a.conn
+	if c == nil {
+		return
+	}
+	c.attempt, c.idleAt = nil, sc.world.now
+	k := sc.known[a.machine.id]
+	responded := status == policy.OK || status == policy.Failed || status == policy.Declined
+	switch {
+	case !responded || k.health != policy.Ready:
+		c.close()
+	case !c.closed:
+		k.idle = append(k.idle, c)
+	}
+}
+
+// finishAttempt tells the judge and the policy how the attempt at a request has ended.
+func (sc *sidecar) finishAttempt(a *attempt, status policy.Status, report policy.Report, took policy.Ms) {
 	r := a.request
 	r.attemptsInFlight--
 	if r.current == a {
--- a/internal/testbench/fakes/directory_test.go
+++ b/internal/testbench/fakes/directory_test.go
@@ -132,10 +132,10 @@
 			_ = d.Vanish(true)
 			time.AfterFunc(20*time.Millisecond, func() { _ = d.Vanish(false) })
 		}, whole, "1=aSbS"},
-		"down": {func(d *Directory) { d.Down(true) }, whole, "reset"},
+		"down": {func(d *Directory) { _ = d.Down(true) }, whole, "reset"},
 		"down and up": {func(d *Directory) {
-			d.Down(true)
-			d.Down(false)
+			_ = d.Down(true)
+			_ = d.Down(false)
 		}, whole + " new " + whole, "reset 1=aSbS"},
 		"delay":             {func(d *Directory) { d.Delay(2 * patience) }, whole, "silence"},
 		"late":              {func(d *Directory) { d.AnswerLate(true) }, whole, "silence"},
@@ -143,11 +143,11 @@
 		"part for whole":    {func(d *Directory) { d.PartForWhole(true) }, whole, "1+aS"},
 		"spoilt":            {func(d *Directory) { d.Spoil(answer(200, "", []byte("{"))) }, whole, "{"},
 		"lower revision": {
-			func(d *Directory) { d.Change(gone); d.Change(a); d.RestartAt(1) },
+			func(d *Directory) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
 			"new " + pathList + "?index=3&wait=50", "1=aSbS",
 		},
-		"forgotten changes": {func(d *Directory) { d.Change(gone); d.RestartAt(5) }, "new " + watch, "5=bS"},
-		"moved":             {func(d *Directory) { d.Move() }, whole + " new " + whole, "reset 1=aSbS"},
+		"forgotten changes": {func(d *Directory) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
+		"moved":             {func(d *Directory) { _, _ = d.Move() }, whole + " new " + whole, "reset 1=aSbS"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
--- a/internal/testbench/fakes/memory.go
+++ b/internal/testbench/fakes/memory.go
@@ -181,7 +181,7 @@
 		delete(l.network.listeners, l.addr.String())
 	}
 	l.network.mu.Unlock()
-	l.Freeze(false)
+	_ = l.Freeze(false)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -360,7 +360,7 @@
 func (c *memConn) Close() error { return c.end(false) }
 
 // Abort resets the connection.
-func (c *memConn) Abort() { c.end(true) }
+func (c *memConn) Abort() { _ = c.end(true) }
 
 func (c *memConn) end(reset bool) error {
 	c.mu.Lock()
--- a/internal/testbench/fakes/network.go
+++ b/internal/testbench/fakes/network.go
@@ -39,7 +39,7 @@
 		c.Abort()
 	case *net.TCPConn:
 		c.SetLinger(0)
-		c.Close()
+		_ = c.Close()
 	default:
 		c.Close()
 	}
--- a/internal/testbench/fakes/provider_test.go
+++ b/internal/testbench/fakes/provider_test.go
@@ -50,13 +50,13 @@
 		"failed":   {behave(Behaviour{FailShare: 1}), "x", "500", "errored!+"},
 		"spoilt":   {behave(Behaviour{Spoilt: found}), "x", "302", "spoilt!+"},
 		"slow":     {behave(Behaviour{Slow: 1e6}), "x", "nothing silence", "killed!"},
-		"vanished": {func(p *Provider) { p.Vanish(true) }, "x dial", "nothing silence|hangs", ""},
+		"vanished": {func(p *Provider) { _ = p.Vanish(true) }, "x dial", "nothing silence|hangs", ""},
 		"vanished and back": {func(p *Provider) {
-			p.Vanish(true)
-			time.AfterFunc(20*time.Millisecond, func() { p.Vanish(false) })
+			_ = p.Vanish(true)
+			time.AfterFunc(20*time.Millisecond, func() { _ = p.Vanish(false) })
 		}, "x new y", "200 x|200 y", "answered!+ answered!+"},
 		"vanished, then another": {
-			func(p *Provider) { p.Vanish(true); p.Restart("s-2") }, "x new y",
+			func(p *Provider) { _ = p.Vanish(true); p.Restart("s-2") }, "x new y",
 			"nothing reset|200 y", "answered!+",
 		},
 		"killed": {(*Provider).Kill, "x", "nothing reset", ""},
@@ -70,7 +70,7 @@
 			}()
 		}, "x", "nothing reset", "killed!"},
 		"restarted": {
-			func(p *Provider) { p.Behave(Behaviour{Drain: true}); p.Restart("s-2") }, "x new load y",
+			func(p *Provider) { p.Behave(Behaviour{Drain: true}); _ = p.Restart("s-2") }, "x new load y",
 			`nothing reset|200 {"active":0}|200 y`, "answered!+",
 		},
 	} {
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -84,7 +84,7 @@
 	for _, c := range conns {
 		c.drop(true)
 	}
-	s.hush(false)
+	_ = s.hush(false)
 }
 
 // close is down for good.
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -124,83 +124,120 @@
 	return v, nil
 }
 
+// counter adds lines to a Count.
+type counter struct {
+	*Count
+	warm    float64 // ms within which a server's process is cold
+	open    int     // connections
+	perRow  map[rowKey]int
+	cpu     map[string]float64 // ms used, by sidecar
+	invalid error
+}
+
+// rowKey is a server in one stretch of time, for one kind of traffic.
+type rowKey struct {
+	what, server string
+	stretch      int
+}
+
 func (c *Count) count(lines []line, warm float64) error {
-	type place struct {
-		what, provider string
-		stretch        int
-	}
-	at, open, used, wrong := map[place]int{}, 0, map[string]float64{}, error(nil)
-	number := func(l *line, key string) float64 {
-		v, err := l.number(key)
-		wrong = errors.Join(wrong, err)
-		return v
-	}
+	k := counter{Count: c, warm: warm, perRow: map[rowKey]int{}, cpu: map[string]float64{}}
 	for i := range lines {
-		l := &lines[i]
-		stretch := int(l.at.Sub(lines[0].at) / c.Every)
-		for len(c.Rows) <= stretch {
-			c.Rows = append(c.Rows, Row{Open: open})
-		}
-		r := &c.Rows[stretch]
-		what := l.field["trace"]
-		switch f := l.field; {
-		case what == "start" && f["of"] == "probe":
-			r.Probes++
-			what = "probes"
-		case what == "start":
-			r.Calls++
-			what = "calls"
-			if number(l, "try") > 0 {
-				r.Retries++
-			}
-			news := number(l, "news_ms")
-			if news < 0 || news > stale {
-				r.Stale++
-			}
-			if news >= 0 {
-				c.News = append(c.News, news)
-			}
-			if age := number(l, "age_ms"); age >= 0 && age < warm {
-				r.Cold++
-			}
-		case what == "end" && f["of"] == "probe" && f["ending"] != "served":
-			r.ProbesFailed++
-		case what == "dial":
-			what = "connects"
-			if r.Dials++; f["ending"] != "open" {
-				r.DialsFailed++
-			} else {
-				open++
-			}
-		case what == "closed":
-			open--
-		case what == "list":
-			if r.Lists++; f["full"] == "true" {
-				r.ListsFull++
-			} else if f["ok"] != "true" {
-				r.ListsWrong++
-			}
-			c.Waits = append(c.Waits, max(0, number(l, "took_ms")-number(l, "wait_ms")))
-		case what == "cpu":
-			used[l.sidecar] = max(used[l.sidecar], number(l, "used_ms"))
-		}
-		r.Open = open
-		if p := (place{what, l.field["provider"], stretch}); what == "probes" || what == "calls" || what == "connects" {
-			if at[p]++; at[p] > c.Most[what].N {
-				c.Most[what] = Peak{at[p], p.provider, time.Duration(stretch) * c.Every}
-			}
-		}
+		k.add(&lines[i], int(lines[i].at.Sub(lines[0].at)/c.Every))
 	}
 	for _, r := range c.Rows {
 		c.Total.add(r)
 	}
-	for _, ms := range used {
+	for _, ms := range k.cpu {
 		c.CPU = append(c.CPU, ms)
 	}
 	slices.Sort(c.News)
 	slices.Sort(c.Waits)
 	slices.Sort(c.CPU)
-	return wrong
+	return k.invalid
+}
+
+// number reads a field, and remembers that it is none.
+func (k *counter) number(l *line, key string) float64 {
+	value, err := l.number(key)
+	k.invalid = errors.Join(k.invalid, err)
+	return value
+}
+
+// add counts a line of that stretch.
+func (k *counter) add(l *line, stretch int) {
+	for len(k.Rows) <= stretch {
+		k.Rows = append(k.Rows, Row{Open: k.open})
+	}
+	row := &k.Rows[stretch]
+	switch l.field["trace"] {
+	case "start":
+		if l.field["of"] == "probe" {
+			row.Probes++
+			k.notePeak(l, "probes", stretch)
+			break
+		}
+		k.addAttempt(l, row)
+		k.notePeak(l, "calls", stretch)
+	case "end":
+		if l.field["of"] == "probe" && l.field["ending"] != "served" {
+			row.ProbesFailed++
+		}
+	case "dial":
+		row.Dials++
+		if l.field["ending"] == "open" {
+			k.open++
+		} else {
+			row.DialsFailed++
+		}
+		k.notePeak(l, "connects", stretch)
+	case "closed":
+		k.open--
+	case "list":
+		k.addPoll(l, row)
+	case "cpu":
+		k.cpu[l.sidecar] = max(k.cpu[l.sidecar], k.number(l, "used_ms"))
+	}
+	row.Open = k.open
+}
+
+// addAttempt counts an attempt that begins.
+func (k *counter) addAttempt(l *line, row *Row) {
+	row.Calls++
+	if k.number(l, "try") > 0 {
+		row.Retries++
+	}
+	reportAge := k.number(l, "news_ms")
+	if reportAge < 0 || reportAge > stale {
+		row.Stale++
+	}
+	if reportAge >= 0 {
+		k.News = append(k.News, reportAge)
+	}
+	if age := k.number(l, "age_ms"); age >= 0 && age < k.warm {
+		row.Cold++
+	}
+}
+
+// addPoll counts an answered poll of discovery.
+func (k *counter) addPoll(l *line, row *Row) {
+	row.Lists++
+	switch {
+	case l.field["full"] == "true":
+		row.ListsFull++
+	case l.field["ok"] != "true":
+		row.ListsWrong++
+	}
+	k.Waits = append(k.Waits, max(0, k.number(l, "took_ms")-k.number(l, "wait_ms")))
+}
+
+// notePeak keeps the stretch in which one server got most.
+func (k *counter) notePeak(l *line, what string, stretch int) {
+	key := rowKey{what, l.field["provider"], stretch}
+	k.perRow[key]++
+	if n := k.perRow[key]; n > k.Most[what].N {
+		k.Most[what] = Peak{n, key.server, time.Duration(stretch) * k.Every}
+	}
 }
 
 func (r *Row) add(o Row) {
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -131,7 +131,7 @@
 		return fmt.Errorf("read the moment of the start: %w", err)
 	}
 	go func() {
-		io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, in)
 		stop()
 	}()
 	start = time.Now().Add(time.Until(start)) // with this process's own steady clock
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -64,7 +64,7 @@
 		case <-again.C:
 		case <-late:
 			p.cmd.Process.Kill()
-			<-p.exited
+			_ = <-p.exited
 			return fmt.Errorf("process %d has not ended within %s of SIGTERM", p.Pid(), endWithin)
 		}
 	}
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -72,7 +72,7 @@
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
 		d.addresses = append(d.addresses, l.Addr().String())
-		go d.server.Serve(l)
+		go func() { _ = d.server.Serve(l) }()
 	}
 	return d, nil
 }
@@ -172,7 +172,7 @@
 		if is || late {
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-			w.Write(raw) // who has hung up asks again
+			_, _ = w.Write(raw) // who has hung up asks again
 			return
 		}
 		select {
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -134,7 +134,7 @@
 	if h.discovery != nil {
 		h.discovery.close()
 	}
-	os.RemoveAll(h.dir)
+	_ = os.RemoveAll(h.dir)
 }
 
 func (h *worker) obey(o *order) (r reply, err error) {
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return c, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	s := sidecar{discovery: agent, file: filepath.Join(dir, "config.json")}
 	if err := s.write(template); err != nil {
 		return c, err
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -103,8 +103,8 @@
 	s.mu.Lock()
 	s.heard, s.first = nil, time.Time{}
 	s.mu.Unlock()
-	s.ended.Go(func() { pool.Run(ctx) })
-	s.ended.Go(func() { s.watch.Run(ctx) })
+	s.ended.Go(func() { _ = pool.Run(ctx) })
+	s.ended.Go(func() { _ = s.watch.Run(ctx) })
 	s.ended.Go(func() { s.note(ctx, s.watch.FirstUpdate()) })
 	s.ended.Go(func() { s.call(ctx, pool, cfg) })
 	return nil
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -63,7 +63,7 @@
 		replies.CloseWithError(err)
 		ended <- err
 	}()
-	return &Part{json.NewEncoder(toIt), json.NewDecoder(fromIt), func() error { toIt.Close(); return <-ended }}, nil
+	return &Part{json.NewEncoder(toIt), json.NewDecoder(fromIt), func() error { _ = toIt.Close(); return <-ended }}, nil
 }
 
 // Program returns a Spawn that starts a program, which has to Serve.
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -15,7 +15,7 @@
 // begin plays a trouble, in its own time.
 func (w *world) begin(ctx context.Context, t Fault) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
-	pause := func() { fakes.Pause(ctx, t.For) }
+	pause := func() { _ = fakes.Pause(ctx, t.For) }
 	switch t.Kind {
 	case Terminate, Crash, HandOver, AimedEnd:
 		if !s.claim() {
@@ -121,14 +121,14 @@
 	case ConfigFails:
 		s.control.Fail(faultinjection.ReadConfig, pick(t.Draw, syscall.ENFILE, syscall.EIO), -1)
 		w.reload(s, t)
-		fakes.Pause(ctx, t.For)
+		_ = fakes.Pause(ctx, t.For)
 		s.control.Heal(faultinjection.ReadConfig)
 	case Reload:
 		w.reload(s, t)
 	case ReloadBurst:
 		for i := range 4 {
 			w.reload(s, t)
-			fakes.Pause(ctx, time.Duration(i)*30*time.Millisecond)
+			_ = fakes.Pause(ctx, time.Duration(i)*30*time.Millisecond)
 		}
 	}
 }
@@ -166,14 +166,14 @@
 		number = len(r.orders)
 		r.orders = append(r.orders, order{sidecar: n, server: server, from: time.Now()})
 	})
-	fakes.Pause(ctx, t.For)
+	_ = fakes.Pause(ctx, t.For)
 	now := time.Now()
 	for range 40 { // the sidecar may be starting, or its disk may fail
 		if s.order("enable", server) == 200 {
 			w.note(func(r *record) { r.orders[number].to = now })
 			return
 		}
-		fakes.Pause(ctx, 100*time.Millisecond)
+		_ = fakes.Pause(ctx, 100*time.Millisecond)
 		now = time.Now()
 	}
 }
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -251,7 +251,7 @@
 	s.mu.Unlock()
 	_ = p.Kill()
 	<-p.exited
-	fakes.Pause(ctx, pause)
+	_ = fakes.Pause(ctx, pause)
 	s.control.Fail(faultinjection.Listen, syscall.ENOBUFS, listenFailures)
 	_ = s.start(ctx)
 	s.mu.Lock()
@@ -298,7 +298,7 @@
 	all := successor.FindAllSubmatch(raw[min(int(offset), len(raw)):], -1)
 	if len(all) == 0 {
 		s.fault("process %d ended at a handover without a successor", p.Pid)
-		s.start(ctx)
+		_ = s.start(ctx)
 		return
 	}
 	pid, _ := strconv.Atoi(string(all[len(all)-1][1]))
