--- a/policy/admission.go
+++ b/policy/admission.go
@@ -22,6 +22,11 @@
 	return k.Take(b.now, quota/1000, max(quotaLeast, quota))
 }
 
+// fraction is this sidecar's part of the fleet's traffic.
+func (b *Balancer) fraction() float64 {
+	return limit.Part(b.fracOwn, b.fracAll, b.arrivals.PerMs(b.now)*1000, b.quotas, b.cfg.Instances)
+}
+
 // admits: the answer is likely in time, and the crowding leaves room for a request of this worth.
 func (b *Balancer) admits(s *server, r *request) bool {
 	worth := b.density(r.class)
--- a/policy/logic.go
+++ b/policy/balancer.go
@@ -1,10 +1,11 @@
+// Package policy decides for one load-balancing sidecar: where each request goes, when it is tried
+// again, and when it is refused. It does no input or output and reads no clock.
+//
+// config.go, events.go, actions.go and state.go are the interface; the other files hold a decision each.
+// It is asynchronous Prequal: probes sent along with requests fill a small pool of fresh loads, from which
+// the hot-cold rule picks. See docs/design.md.
 package policy
 
-// The balancer and its events; api.go is the interface, and a file each holds the server table, evidence,
-// latency, probes, the pick, admission, slow start and requests. It is asynchronous Prequal: probes sent
-// along with requests fill a small pool of fresh loads, from which the hot-cold rule picks.
-// See docs/design.md.
-
 import (
 	"cmp"
 	"fmt"
@@ -95,6 +96,40 @@
 	return b, nil
 }
 
+// Handle takes one event at time now and appends to out what is to be done about it.
+func (b *Balancer) Handle(now Ms, e *Event, out []Action) []Action {
+	b.now, b.out = now, out
+	switch e.Kind {
+	case Started:
+		b.bornAt = now
+		b.timer(tickTimer, tickEvery)
+		if b.cfg.SubscribeToList {
+			b.out = append(b.out, Action{Kind: Subscribe})
+		}
+	case EndpointsUpdated:
+		b.onList(e)
+	case SubscriptionFailed:
+		b.onListFailed()
+	case RequestArrived:
+		b.onArrival(e)
+	case AttemptEnded:
+		b.onAttemptDone(e)
+	case ClientGone:
+		if r := b.requests[e.Request]; r != nil {
+			b.abandon(r)
+		}
+	case TimerFired:
+		b.onTimer(e)
+	case ProbeEnded:
+		b.onProbe(e)
+	case ListValidityChanged:
+		b.sureAt, b.proveAt = b.now+e.TimeLeft, b.now+e.Elapsed
+	case BodyProgressed:
+		b.byID[e.Server].quietAt = b.now
+	}
+	return b.out
+}
+
 func (b *Balancer) onTimer(e *Event) {
 	switch e.Timer {
 	case askTimer:
@@ -150,12 +185,6 @@
 	}
 }
 
-// IsExcluded reports whether a server listed as ready is kept from picks by evidence, connections or probes.
-func (b *Balancer) IsExcluded(id ServerID) bool {
-	s := b.byID[id]
-	return s != nil && s.info.Health == Ready && (s.ejected || b.isShut(s))
-}
-
 func (b *Balancer) logf(format string, args ...any) {
 	b.out = append(b.out, Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
@@ -163,37 +192,3 @@
 func (b *Balancer) timer(id uint64, after Ms) {
 	b.out = append(b.out, Action{Kind: SetTimer, Timer: id, After: max(after, 0)})
 }
-
-// Handle takes one event at time now and appends to out what is to be done about it.
-func (b *Balancer) Handle(now Ms, e *Event, out []Action) []Action {
-	b.now, b.out = now, out
-	switch e.Kind {
-	case Started:
-		b.bornAt = now
-		b.timer(tickTimer, tickEvery)
-		if b.cfg.SubscribeToList {
-			b.out = append(b.out, Action{Kind: Subscribe})
-		}
-	case EndpointsUpdated:
-		b.onList(e)
-	case SubscriptionFailed:
-		b.onListFailed()
-	case RequestArrived:
-		b.onArrival(e)
-	case AttemptEnded:
-		b.onAttemptDone(e)
-	case ClientGone:
-		if r := b.requests[e.Request]; r != nil {
-			b.abandon(r)
-		}
-	case TimerFired:
-		b.onTimer(e)
-	case ProbeEnded:
-		b.onProbe(e)
-	case ListValidityChanged:
-		b.sureAt, b.proveAt = b.now+e.TimeLeft, b.now+e.Elapsed
-	case BodyProgressed:
-		b.byID[e.Server].quietAt = b.now
-	}
-	return b.out
-}
--- /dev/null
+++ b/policy/events.go
@@ -0,0 +1,96 @@
+package policy
+
+// Events: what a Balancer is told.
+
+// ServerID and RequestID are opaque names that the owner of a Balancer chooses.
+type (
+	ServerID  uint32
+	RequestID uint32
+)
+
+// EventKind names what has happened.
+type EventKind uint8
+
+// The events. The comments name the fields of Event that each one uses.
+const (
+	Started             EventKind = iota // the first event of an instance
+	EndpointsUpdated                     // Servers, Full: the list of servers, or changes to it
+	SubscriptionFailed                   // a subscription or its request has failed
+	RequestArrived                       // Request, Class, Tenant, Left, Again
+	AttemptEnded                         // Request, Attempt, Server, Status, Took, Final, Spent, Report
+	ClientGone                           // Request
+	TimerFired                           // Timer
+	ProbeEnded                           // Server, Status, Took, Dialed, Seen, Report
+	ListValidityChanged                  // Left: for how long; Took: for how long any server may be asked for proof
+	BodyProgressed                       // Server: a long request is still on its way there
+)
+
+// Status is how an attempt or a probe ended.
+type Status uint8
+
+// The outcomes. Full, ConnectFailed and NotSent prove that the attempt never ran.
+const (
+	OK Status = iota
+	Failed
+	Declined
+	TimedOut
+	ConnectFailed
+	Reset
+	Cancelled
+	NotSent
+)
+
+// NeverRan reports whether the outcome proves that the attempt had no effect.
+func (s Status) NeverRan() bool { return s == Declined || s == ConnectFailed || s == NotSent }
+
+// Health is what the list says of a server.
+type Health uint8
+
+// The list's states.
+const (
+	Gone Health = iota
+	Ready
+	Draining
+)
+
+func (h Health) String() string { return [...]string{"gone", "ready", "draining"}[h] }
+
+// ServerInfo is one line of the server list.
+type ServerInfo struct {
+	ID         ServerID
+	Zone, Cell int
+	Health     Health
+	StartedAt  Ms   // 0 = long ago
+	Uncordoned bool // operators have just put it back: nobody else sends to it for that
+}
+
+// Report is a server's load report; a field is meaningful only if its Has flag is set.
+type Report struct {
+	HasRIF, HasLatency bool
+	HasErrors          bool
+	RIF                float64 // requests in flight
+	Latency            Ms      // recent service time
+	Errors             float64 // a second
+}
+
+// Event is one thing that has happened; Kind tells which of the fields count.
+type Event struct {
+	Kind         EventKind
+	Status       Status
+	Final        bool // the request is answered: nothing more is owed
+	Complete     bool // Servers is the whole list
+	ClientRetry  bool // the client marked the request as a repetition
+	BodyConsumed bool // with AttemptEnded: the request's body is gone, so that it can't be sent again
+	Attempt      int
+	Request      RequestID
+	Server       ServerID
+	Class        int
+	Tenant       int
+	TimeLeft     Ms // until the client gives up
+	Elapsed      Ms
+	ConnectTime  Ms // part of Took in which a new connection came up
+	ProbeSentAt  Ms // when the probe was sent, if who answered is the process that the list names; else 0
+	Timer        uint64
+	Report       Report
+	Servers      []ServerInfo
+}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"cmp"
-	"plankrouter/internal/limit"
-)
+import "cmp"
 
 // Expected latency. service is without waiting; fit rebuilds the paper's response time at the present RIF.
 
@@ -33,7 +30,19 @@
 	return b.now - s.quietAt
 }
 
-// fraction is this sidecar's part of the fleet's traffic.
-func (b *Balancer) fraction() float64 {
-	return limit.Part(b.fracOwn, b.fracAll, b.arrivals.PerMs(b.now)*1000, b.quotas, b.cfg.Instances)
+// sample learns from the duration of an attempt. Without reports durations are all there is.
+func (b *Balancer) sample(s *server, r *request, took Ms, ended float64) {
+	if alone := took; !s.reported {
+		if r != nil && !b.told { // by what all take: a server's own time and waiting show as a product alone
+			alone = max(0, took-s.network) / b.fit.Of(r.class) / b.fit.Stretch(r.sentRIF+1)
+			r.sentBase = b.gauge.Unhindered()
+		}
+		s.latency = b.service(s) + latencyStep*(alone-b.service(s))
+	}
+	if r != nil && (s.reported || !b.told && r.sentBase > 0) && r.sentAt-b.bornAt >= firstAnswers {
+		b.fit.Add(r.class, r.sentRIF+1, min(10, max(0, took-s.network)/r.sentBase), ended)
+		if !b.told {
+			b.fit.Level()
+		}
+	}
 }
--- a/policy/evidence.go
+++ b/policy/outlier.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"plankrouter/internal/backoff"
 	"plankrouter/internal/limit"
 	"plankrouter/policy/internal/outlier"
 	"slices"
@@ -15,6 +16,10 @@
 	silentPart  = 0.25 // of the tightest aim: no shorter answer is expected there
 )
 
+// retryProbe is when a server whose probe or connection failed is asked again, in ms. What is down costs
+// nothing then, and what is back is found within the bound.
+var retryProbe = backoff.Policy{First: 50, Most: 1000, Factor: 2, Jitter: 0.5}
+
 // learn adds a failure of that weight, or a success if it is 0, to the evidence at all and to the tenant's.
 func (b *Balancer) learn(s *server, who int, weight float64) {
 	for _, i := range slices.Compact([]int{0, who}) {
@@ -63,3 +68,19 @@
 	b.medianMiss = limit.Quantile(0.5, misses, 0)
 	b.fleetLatency = limit.Quantile(0.5, latencies, b.fleetLatency)
 }
+
+// suits: not even for its tenant alone does the evidence exclude the server.
+func (b *Balancer) suits(s *server, r *request) bool {
+	return b.trusted(s) && s.by[r.who].FailureRate(b.now) < b.medianMiss+ejectAt
+}
+
+// trusted: the evidence does not exclude the server. One that is idle gets a trial once that has faded.
+func (b *Balancer) trusted(s *server) bool {
+	return b.excess(s) < ejectAt || s.out == 0 && b.miss(s) < ejectAt
+}
+
+// IsExcluded reports whether a server listed as ready is kept from picks by evidence, connections or probes.
+func (b *Balancer) IsExcluded(id ServerID) bool {
+	s := b.byID[id]
+	return s != nil && s.info.Health == Ready && (s.ejected || b.isShut(s))
+}
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -9,9 +9,10 @@
 // The hot-cold pick among the servers that the rules allow.
 
 const (
-	rifLean     = 0.2 // added part of the expected latency when all places are taken: breaks ties
-	crossPerAim = 8.0 // a zone crossing of price p counts as p x this x the aim in added latency
-	missPerAim  = 2.0 // a failure of probability p counts as p x this x the aim in added latency
+	knownFor    = 3000 // ms after a report in which a random pick prefers the server
+	rifLean     = 0.2  // added part of the expected latency when all places are taken: breaks ties
+	crossPerAim = 8.0  // a zone crossing of price p counts as p x this x the aim in added latency
+	missPerAim  = 2.0  // a failure of probability p counts as p x this x the aim in added latency
 )
 
 // cost compares cold entries: the expected response time plus, as time, likely failures and crossings.
@@ -42,19 +43,6 @@
 		(!b.unsure() || b.now-s.seenAt < b.cfg.ProbeValidity)
 }
 
-// unsure: what the list does not say may count as told. Only a probe of a process known before can tell it.
-func (b *Balancer) unsure() bool { return b.now >= b.sureAt }
-
-// suits: not even for its tenant alone does the evidence exclude the server.
-func (b *Balancer) suits(s *server, r *request) bool {
-	return b.trusted(s) && s.by[r.who].FailureRate(b.now) < b.medianMiss+ejectAt
-}
-
-// trusted: the evidence does not exclude the server. One that is idle gets a trial once that has faded.
-func (b *Balancer) trusted(s *server) bool {
-	return b.excess(s) < ejectAt || s.out == 0 && b.miss(s) < ejectAt
-}
-
 // best is the pool's choice by the hot-cold rule among the usable entries, and how many of those there are.
 func (b *Balancer) best(r *request) (best *server, n int) {
 	return b.pool.Best(func(s *server) bool { return s != r.avoid && b.allowed(s, r) && b.suits(s, r) },
--- a/policy/probes.go
+++ b/policy/probing.go
@@ -9,7 +9,6 @@
 // Probes and the probe pool. Loads are in the server table: a use raises the RIF for later picks.
 
 const (
-	knownFor    = 3000   // ms after a report in which a random pick prefers the server
 	poolAge     = 1000.0 // ms; the paper's testbed limit on an entry's age
 	staleTimes  = 2.0    // service times that also limit it: by then most of what was in flight has left
 	removePart  = 0.25   // of the rate of probes, at which entries are removed: the pool must not run dry
--- a/policy/requests.go
+++ b/policy/request.go
@@ -5,13 +5,9 @@
 	"slices"
 )
 
-// The life of a request: arrival, attempts, retries and its one final answer.
+// The life of a request: its arrival, its attempts and its one final answer.
 
-const (
-	retryPart    = 0.1  // further attempts a request, at most: keeps retries from becoming the load
-	retryBurst   = 10.0 // further attempts that may be saved up
-	timeoutTimes = 8.0  // expected responses after which what may be repeated is tried elsewhere
-)
+const timeoutTimes = 8.0 // expected responses after which what may be repeated is tried elsewhere
 
 type request struct {
 	id                RequestID
@@ -31,23 +27,6 @@
 	waitEnd           Ms
 }
 
-// mayRepeatAt is rule 2 for a further attempt: the only place that says where one is allowed.
-func (b *Balancer) mayRepeatAt(s *server, r *request) bool {
-	c := &b.cfg.Classes[r.class]
-	if !r.mayRan || c.Idempotency != WithIdempotencyKey {
-		return !r.mayRan || c.Idempotency == Idempotent
-	}
-	zone := s.info.Zone == r.ranZone
-	return b.now < r.dropped && (c.KeyScope == ScopeAll ||
-		zone && (c.KeyScope == ScopeZone || s.info.Cell == r.ranCell))
-}
-
-// mayRefuse is rule 2 for a refusal.
-func (b *Balancer) mayRefuse(r *request) bool {
-	c := &b.cfg.Classes[r.class]
-	return !r.out && (!r.mayRan || c.Idempotency == Idempotent || c.Idempotency == WithIdempotencyKey && c.KeyScope == ScopeAll)
-}
-
 func (b *Balancer) onArrival(e *Event) {
 	b.arrivals.Add(b.now)
 	b.retries = min(retryBurst, b.retries+retryPart)
@@ -190,23 +169,6 @@
 	b.finish(r, RetryNotAllowed)
 }
 
-// sample learns from the duration of an attempt. Without reports durations are all there is.
-func (b *Balancer) sample(s *server, r *request, took Ms, ended float64) {
-	if alone := took; !s.reported {
-		if r != nil && !b.told { // by what all take: a server's own time and waiting show as a product alone
-			alone = max(0, took-s.network) / b.fit.Of(r.class) / b.fit.Stretch(r.sentRIF+1)
-			r.sentBase = b.gauge.Unhindered()
-		}
-		s.latency = b.service(s) + latencyStep*(alone-b.service(s))
-	}
-	if r != nil && (s.reported || !b.told && r.sentBase > 0) && r.sentAt-b.bornAt >= firstAnswers {
-		b.fit.Add(r.class, r.sentRIF+1, min(10, max(0, took-s.network)/r.sentBase), ended)
-		if !b.told {
-			b.fit.Level()
-		}
-	}
-}
-
 // finish gives the final answer: a refusal where that is true, else a failure.
 func (b *Balancer) finish(r *request, why Reason) {
 	act := Action{Kind: FailRequest, Request: r.id, Reason: why}
@@ -218,14 +180,6 @@
 	b.abandon(r)
 }
 
-// comeBack advises when to try again: not soon beyond a share, else when what servers work on has left.
-func (b *Balancer) comeBack(r *request) Ms {
-	if r.over {
-		return b.cfg.MaxRetryAfter
-	}
-	return min(b.cfg.MaxRetryAfter, max(b.fleetLatency, serverPrior))
-}
-
 // abandon stops the work on a request that nobody waits for.
 func (b *Balancer) abandon(r *request) {
 	r.done = true
--- a/policy/servers.go
+++ b/policy/serverlist.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"plankrouter/internal/backoff"
 	"plankrouter/internal/limit"
 	"slices"
 )
@@ -14,10 +13,6 @@
 	askAgainMax = 8e3   // ms
 )
 
-// retryProbe is when a server whose probe or connection failed is asked again, in ms. What is down costs
-// nothing then, and what is back is found within the bound.
-var retryProbe = backoff.Policy{First: 50, Most: 1000, Factor: 2, Jitter: 0.5}
-
 type server struct {
 	info             ServerInfo
 	rank             float64 // this sidecar's order of preference: own zone first, else at random
@@ -91,3 +86,6 @@
 	b.askWait = min(max(2*b.askWait, askAgainMin), askAgainMax)
 	b.timer(askTimer, b.askWait*(0.5+b.rng.Float64()))
 }
+
+// unsure: what the list does not say may count as told. Only a probe of a process known before can tell it.
+func (b *Balancer) unsure() bool { return b.now >= b.sureAt }
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,89 +1,41 @@
 package policy
 
-import (
-	"fmt"
-	"plankrouter/internal/limit"
-)
+import "plankrouter/policy/internal/outlier"
 
-// State returns what has been learned. Servers that were left are not in it.
-func (b *Balancer) State() State {
-	st := State{
-		SumLoadSquared: b.fit.SumLoadSquared, SumLoadLatency: b.fit.SumLoadLatency, FittedAt: b.fit.At, FleetLatency: b.fleetLatency, OwnInFlight: b.fracOwn,
-		TotalInFlight: b.fracAll, Arrivals: Level(b.arrivals), Sends: Level(b.sendRate),
-	}
-	for _, c := range b.fit.Class {
-		st.Classes = append(st.Classes, Mean{c.N, c.Sum})
-	}
-	for _, k := range b.buckets {
-		st.Tenants = append(st.Tenants, Level(k))
-	}
-	for _, s := range b.servers { // the present load, of s.rif and the pool, stays out
-		if s.info.Health == Ready {
-			st.Servers = append(st.Servers, ServerState{
-				s.info.ID, s.info.StartedAt, s.latency, s.reported,
-				s.reportAt, s.network, s.failing, append([]Tally(nil), s.by...), Level(s.cold),
-			})
-		}
-	}
-	return st
-}
+// What a Balancer has learned, as it is stored in a snapshot; restore.go takes and restores it.
 
-// Restore takes what an earlier process has learned, after the list and before any request. What concerns a
-// process that a listed server is not any more is left out; a state of other classes or tenants is an error.
-func (b *Balancer) Restore(st *State) error {
-	fits := func(n, have int) bool { return n == 0 || n == have } // what is too old is left out of a state
-	if !fits(len(st.Classes), len(b.fit.Class)) || !fits(len(st.Tenants), len(b.buckets)) {
-		return fmt.Errorf("logic: a state of %d classes and %d tenants does not fit %d and %d",
-			len(st.Classes), len(st.Tenants), len(b.fit.Class), len(b.buckets))
-	}
-	b.fit.SumLoadSquared, b.fit.SumLoadLatency, b.fit.At = st.SumLoadSquared, st.SumLoadLatency, st.FittedAt
-	for i, m := range st.Classes {
-		b.fit.Class[i].N, b.fit.Class[i].Sum = m.Count, m.Sum
-	}
-	for i, l := range st.Tenants {
-		b.buckets[i] = limit.Bucket(l)
-	}
-	b.fleetLatency, b.fracOwn, b.fracAll = st.FleetLatency, st.OwnInFlight, st.TotalInFlight
-	b.arrivals, b.sendRate = limit.Rate(st.Arrivals), limit.Rate(st.Sends)
-	for _, in := range st.Servers {
-		s := b.byID[in.ID]
-		if s == nil || s.info.StartedAt != in.StartedAt {
-			continue
-		}
-		s.latency, s.reported, s.network, s.failing = in.Latency, in.LatencyReported, in.RoundTrip, in.ErrorRate
-		s.reportAt = min(in.ReportedAt, b.now-poolAge-1) // whose load is not known: no server is idle by that
-		s.cold = limit.Bucket(in.SlowStartBudget)
-		copy(s.by, in.Outcomes)
-	}
-	b.updateMedians()
-	return nil
+// State is what a Balancer has learned that outlives its process. No present load is in it. Times are those
+// of the clock that Handle is given; a figure whose time is in the past has faded since.
+type State struct {
+	Servers                                  []ServerState
+	SumLoadSquared, SumLoadLatency, FittedAt float64 // of the fit of the response time to the load
+	Classes                                  []Mean  // by class
+	FleetLatency                             Ms      // median service time
+	OwnInFlight                              float64 // own requests, and all, that probed servers held
+	TotalInFlight                            float64
+	Tenants                                  []Level // by tenant: requests that each may still send at once
+	Arrivals                                 Level   // fading counts of events
+	Sends                                    Level
 }
 
-// Reconfigure takes other settings, or none of them. A number among classes and tenants is the old one whose
-// past is the new one's, -1 = nobody's; what is open keeps the number and so the rules it came with.
-func (b *Balancer) Reconfigure(cfg Config, classes, tenants []int) error {
-	next, err := New(cfg, 0)
-	if err != nil {
-		return err
-	}
-	follow(classes, b.fit.Class, next.fit.Class)
-	b.gauge.Reconfigure(next.gauge, classes)
-	follow(tenants, b.buckets, next.buckets)
-	for _, s := range b.servers {
-		by := make([]Tally, 1+len(next.buckets))
-		by[0] = s.by[0]
-		follow(tenants, s.by[1:], by[1:])
-		s.by = by
-	}
-	b.cfg, b.minAim, b.margin, b.quotas = next.cfg, next.minAim, next.margin, next.quotas
-	b.buckets, b.fit.Class = next.buckets, next.fit.Class
-	return nil
+// ServerState is what is known of one server's process.
+type ServerState struct {
+	ID              ServerID
+	StartedAt       Ms // of the process
+	Latency         Ms // service time; 0 = not known
+	LatencyReported bool
+	ReportedAt      Ms // of Latency and Failing
+	RoundTrip       Ms // lowest round trip
+	ErrorRate       float64
+	Outcomes        []Tally // of all requests, then by tenant
+	SlowStartBudget Level   // what was left of its allowance while cold
 }
 
-func follow[T any](from []int, was, is []T) {
-	for i, n := range from {
-		if n >= 0 {
-			is[i] = was[n]
-		}
-	}
-}
+// Tally is fading evidence for and against a server.
+type Tally = outlier.Tally
+
+// Mean is the sum of N fading samples.
+type Mean struct{ Count, Sum float64 }
+
+// Level is a figure that changes by itself, as it was at At.
+type Level struct{ Value, At float64 }
