--- a/internal/limit/level.go
+++ b/internal/limit/level.go
@@ -11,17 +11,17 @@
 type Bucket struct{ Value, At float64 }
 
 // Fill brings the bucket up to now, and reports whether it holds one.
-func (k *Bucket) Fill(now, perMs, full float64) bool {
-	k.Value, k.At = min(full, k.Value+perMs*(now-k.At)), now
-	return k.Value >= 1
+func (b *Bucket) Fill(now, perMs, full float64) bool {
+	b.Value, b.At = min(full, b.Value+perMs*(now-b.At)), now
+	return b.Value >= 1
 }
 
 // Take takes one out of the bucket, if it holds one now.
-func (k *Bucket) Take(now, perMs, full float64) bool {
-	if !k.Fill(now, perMs, full) {
+func (b *Bucket) Take(now, perMs, full float64) bool {
+	if !b.Fill(now, perMs, full) {
 		return false
 	}
-	k.Value--
+	b.Value--
 	return true
 }
 
@@ -36,20 +36,20 @@
 	return r.Value * math.Exp((r.At-now)/rateMemory) / rateMemory
 }
 
-// Luck is the part of late of tries that came out well, each new one counting for a tenth.
-type Luck float64
+// SuccessRate is the part of late of tries that came out well, each new one counting for a tenth.
+type SuccessRate float64
 
-// Note takes note of one.
-func (l *Luck) Note(well bool) {
+// Add takes note of one.
+func (l *SuccessRate) Add(well bool) {
 	*l *= 0.9
 	if well {
 		*l += 0.1
 	}
 }
 
-// Warmth is the part of its capacity that a process bears at least: it begins with share and is warm within a time. One
+// SlowStartFraction is the part of its capacity that a process bears at least: it begins with share and is warm within a time. One
 // whose start is not known, as of those that began long ago, is warm.
-func Warmth(age float64, started bool, share, within float64) float64 {
+func SlowStartFraction(age float64, started bool, share, within float64) float64 {
 	if !started || within <= 0 {
 		return 1
 	}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -23,7 +23,7 @@
 		{0.0046, 80, 60, 45},
 		{0, 80, 60, 45}, // cheap ones: as the design would
 	} {
-		each := ProbesARequest(c.price, c.servers, rate)
+		each := ProbesPerRequest(c.price, c.servers, rate)
 		if sum := float64(c.instances) * each * rate * 1000 / float64(c.servers); sum > c.most || sum < 0.9*c.most {
 			t.Errorf("price %g, %d instances: %.2f probes a second at each server, want %.2f", c.price, c.instances, sum, c.most)
 		}
@@ -34,7 +34,7 @@
 func TestProbesOfABusyInstance(t *testing.T) {
 	for _, perMs := range []float64{0.1, 1, 100} {
 		for _, price := range []float64{0, 0.0046, 0.08} {
-			if each := ProbesARequest(price, 16, perMs); each*perMs > 16/ProbeFresh+1e-9 {
+			if each := ProbesPerRequest(price, 16, perMs); each*perMs > 16/MinProbeInterval+1e-9 {
 				t.Errorf("price %g, %g requests a ms: %g probes a request", price, perMs, each)
 			}
 		}
@@ -45,9 +45,9 @@
 func TestProbesFollowTheirPrice(t *testing.T) {
 	was := math.Inf(1)
 	for _, price := range []float64{0, 0.001, 0.0046, 0.01, 0.08, 0.3, 1} {
-		each := ProbesARequest(price, 60, 0.001)
-		if each > was || each <= 0 || Dear(price) != (each < MostProbes) || each*price > math.Sqrt(probeWorth*price)+1e-9 {
-			t.Errorf("price %g: %g probes a request after %g, dear %t", price, each, was, Dear(price))
+		each := ProbesPerRequest(price, 60, 0.001)
+		if each > was || each <= 0 || AreCostly(price) != (each < MaxProbesPerRequest) || each*price > math.Sqrt(missingNewsCost*price)+1e-9 {
+			t.Errorf("price %g: %g probes a request after %g, dear %t", price, each, was, AreCostly(price))
 		}
 		was = each
 	}
@@ -57,7 +57,7 @@
 	for _, c := range []struct{ servers, instances, want int }{
 		{60, 0, 60}, {60, 1, 60}, {60, 4, 60}, {60, 80, 60}, {60, 2000, 4}, {200, 300, 85}, {200, 2000, 12}, {200, 5000, 5}, {3, 2000, 3}, {0, 80, 0},
 	} {
-		if got := Reach(c.servers, c.instances); got != c.want {
+		if got := SubsetSize(c.servers, c.instances); got != c.want {
 			t.Errorf("%d servers, %d instances: %d, want %d", c.servers, c.instances, got, c.want)
 		}
 	}
@@ -80,7 +80,7 @@
 		{3.5, true, true, 3},
 		{10, true, true, 4},
 	} {
-		if got := Awaited(c.saved, c.dear, c.blind); got != c.want {
+		if got := ProbesToAwait(c.saved, c.dear, c.blind); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
@@ -103,7 +103,7 @@
 		{10, 0, 400, 400, 20, 11.0 / 20},
 		{0, 0, 0, 400, 0, 1},
 	} {
-		if got := Part(c.own, c.all, c.perSecond, c.quotas, c.instances); math.Abs(got-c.want) > 1e-9 {
+		if got := TrafficShare(c.own, c.all, c.perSecond, c.quotas, c.instances); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%+v: %g", c, got)
 		}
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,7 +15,7 @@
 		cfg.Classes[i].LateWeight = 0
 	}
 	g := newRig(t, cfg, 4)
-	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.b.margin {
+	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.b.answerMargin {
 		t.Errorf("an attempt for a client that waits 900 ms: %+v", s)
 	}
 }
@@ -25,17 +25,17 @@
 func TestFirstAnswersTeachNothing(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id, want := range map[RequestID]bool{1: false, 2: true} {
-		g.now = 1000 + float64(id-1)*firstAnswers
+		g.now = 1000 + float64(id-1)*startupPeriod
 		for s := range g.b.byID {
 			g.report(s, 1, 40)
 		}
 		s := find(g.arrive(id, 0), StartAttempt)
 		g.now += 40
 		g.done(id, 0, s.Server, OK)
-		if got := g.b.fit.Class[0].N > 0; got != want {
+		if got := g.b.loadModel.Classes[0].Count > 0; got != want {
 			t.Errorf("%.0f ms after the start: taught %t, want %t", g.now-1000, got, want)
 		}
-		g.b.fit.Class[0].N = 0
+		g.b.loadModel.Classes[0].Count = 0
 	}
 }
 
@@ -46,7 +46,7 @@
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
 	g := newRig(t, cfg, 1)
-	s, r := g.b.byID[1], &request{class: 0, aimAt: g.now + 400, endAt: g.now + 900}
+	s, r := g.b.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
 	for _, c := range []struct {
 		rif          float64
 		latency, all Ms
@@ -66,7 +66,7 @@
 		}
 		if got := g.b.admits(s, r); got != c.want {
 			t.Errorf("%g in flight, a response of about %.0f ms for an aim of 400, %.0f ms usual: admitted %t", c.rif,
-				g.b.expect(s, 0, s.rif), g.b.fleetLatency, got)
+				g.b.expectedLatency(s, 0, s.rif), g.b.fleetLatency, got)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		}
 	}
 	for s, n := range out {
-		if n > 1000/limit.ProbeFresh*2 {
+		if n > 1000/limit.MinProbeInterval*2 {
 			t.Errorf("%d probes of server %d in a second", n, s)
 		}
 	}
@@ -118,12 +118,12 @@
 	g := newRig(t, cfg, 4)
 	s := g.b.byID[1]
 	for i := range 12 {
-		r := &request{id: RequestID(i + 1), who: 1 + i%4/3, out: true, endAt: g.now + 900} // the second's is every fourth
+		r := &request{id: RequestID(i + 1), tenant: 1 + i%4/3, inFlight: true, answerBy: g.now + 900} // the second's is every fourth
 		g.b.requests[r.id] = r
-		g.do(Event{Kind: AttemptEnded, Request: r.id, Server: 1, Status: []Status{OK, Declined}[r.who-1], Elapsed: 40, Final: true})
+		g.do(Event{Kind: AttemptEnded, Request: r.id, Server: 1, Status: []Status{OK, Declined}[r.tenant-1], Elapsed: 40, Final: true})
 	}
 	for tenant, want := range []bool{true, false} {
-		if got := g.b.suits(s, &request{who: 1 + tenant}); got != want {
+		if got := g.b.acceptsTenant(s, &request{tenant: 1 + tenant}); got != want {
 			t.Errorf("tenant %d: suits %t, want %t", tenant, got, want)
 		}
 	}
@@ -146,7 +146,7 @@
 // probe's answer, or most of them would find the pool empty and wait for probes of their own.
 func TestUsesFollowTheRateOfProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 40)
-	if n := limit.Uses(probepool.Size, g.b.ready, g.b.perRequest, removePart); n < 1 || n > 4 {
+	if n := limit.Uses(probepool.Size, g.b.readyCount, g.b.probesPerRequest, removalFraction); n < 1 || n > 4 {
 		t.Errorf("%.1f uses before any request", n)
 	}
 	waited := 0
--- a/policy/advice_test.go
+++ b/policy/advice_test.go
@@ -19,10 +19,10 @@
 		"beyond the tenant's share":             {service: 300, over: true},
 	} {
 		b := Balancer{cfg: Config{MaxRetryAfter: 1200}, fleetLatency: c.service}
-		got[name] = b.comeBack(&request{over: c.over})
+		got[name] = b.retryAfter(&request{overQuota: c.over})
 	}
 	want := map[string]Ms{
-		"by the time the work in hand has left": 300, "nothing is known yet": serverPrior,
+		"by the time the work in hand has left": 300, "nothing is known yet": priorServiceTime,
 		"slower than clients follow": 1200, "beyond the tenant's share": 1200,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -11,11 +11,11 @@
 
 func (b *Balancer) kept() kept {
 	h := kept{
-		Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waiting),
-		Pool: b.pool.Len(), RIFs: len(b.rifs), OutAll: b.outAll,
+		Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waitingForProbes),
+		Pool: b.pool.Len(), RIFs: len(b.recentRIFs), OutAll: b.inFlight,
 	}
 	for _, s := range b.servers {
-		h.Tallies += len(s.by)
+		h.Tallies += len(s.outcomesByTenant)
 	}
 	return h
 }
@@ -62,7 +62,7 @@
 				g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: open[0].Server, Health: Gone}}})
 				g.do(open[0])
 			}
-			g.do(Event{Kind: TimerFired, Timer: waitTimer + uint64(id)})
+			g.do(Event{Kind: TimerFired, Timer: probeWaitTimer + uint64(id)})
 			g.do(Event{Kind: TimerFired, Timer: uint64(id)})
 			g.do(Event{Kind: TimerFired, Timer: tickTimer})
 		}
--- a/policy/internal/outlier/evidence.go
+++ b/policy/internal/outlier/evidence.go
@@ -8,8 +8,8 @@
 const HalfLife = 4e3
 
 const (
-	prior    = 2.0  // weight of a server's innocence: one failure alone takes no server out
-	okShrink = 0.85 // what one success leaves of the weight of failures
+	priorSuccesses = 2.0  // weight of a server's innocence: one failure alone takes no server out
+	successShrink  = 0.85 // what one success leaves of the weight of failures
 )
 
 // Tally is fading evidence for and against a server, as it was at At.
@@ -20,16 +20,16 @@
 	if t.Successes+t.Failures == 0 { // as of most: fading them would take most of the time
 		return 0
 	}
-	k := Decay(now - t.At)
-	*t = Tally{t.Successes * k, t.Failures * k, now}
-	return t.Failures / (t.Successes + t.Failures + prior)
+	decay := Decay(now - t.At)
+	*t = Tally{t.Successes * decay, t.Failures * decay, now}
+	return t.Failures / (t.Successes + t.Failures + priorSuccesses)
 }
 
 // Add takes a failure of that weight, or a success if it is 0.
 func (t *Tally) Add(now, weight float64) {
 	t.FailureRate(now)
 	if t.Failures, t.At = t.Failures+weight, now; weight == 0 {
-		t.Successes, t.Failures = t.Successes+1, t.Failures*okShrink
+		t.Successes, t.Failures = t.Successes+1, t.Failures*successShrink
 	}
 }
 
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -36,18 +36,18 @@
 				took = 5000
 			}
 			w.id++
-			w.g.Began(w.now, w.id, 0, 1)
+			w.g.AttemptStarted(w.now, w.id, 0, 1)
 			w.ends[w.id] = w.now + took
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.ends)) {
 			if at := w.ends[id]; at <= w.now {
-				w.g.Ended(at, id, true)
+				w.g.AttemptEnded(at, id, true)
 				delete(w.ends, id)
 			}
 		}
-		w.g.Look(w.now, w.left)
+		w.g.Update(w.now, w.left)
 		looks++
-		part += w.g.refused
+		part += w.g.refusedFraction
 	}
 	return part / looks
 }
@@ -79,7 +79,7 @@
 func TestGaugeDoesNotWaitForAnswersThatHang(t *testing.T) {
 	w := newWorld(500)
 	w.run(10e3, 0.02, 200, 1, 0)
-	for w.g.refused < 0.5 && w.now < 20e3 {
+	for w.g.refusedFraction < 0.5 && w.now < 20e3 {
 		w.run(w.now+50, 0.02, 200, 1, 1)
 	}
 	if w.now > 13e3 {
@@ -138,7 +138,7 @@
 	for w.now < 11e3 { // all of one second hang for 20 s
 		w.run(w.now+50, 0, 200, 1, 0)
 		w.id++
-		w.g.Began(w.now, w.id, 0, 1)
+		w.g.AttemptStarted(w.now, w.id, 0, 1)
 		w.ends[w.id] = w.now + 20e3
 	}
 	w.run(15e3, 0.02, 200, 1, 0)
@@ -150,10 +150,10 @@
 // After a reload with fewer classes, an attempt of a class that is gone tells nothing and does no harm.
 func TestGaugeReconfigured(t *testing.T) {
 	g := NewGauge([]float64{500, 300})
-	g.Began(100, 1, 1, 1)
+	g.AttemptStarted(100, 1, 1, 1)
 	g.Reconfigure(NewGauge([]float64{500}), []int{0})
-	g.Ended(300, 1, true)
-	g.Look(400, 500)
+	g.AttemptEnded(300, 1, true)
+	g.Update(400, 500)
 	if len(g.classes) != 1 || g.Stretch() != 1 {
 		t.Errorf("%d classes, stretch %g", len(g.classes), g.Stretch())
 	}
--- a/policy/internal/overload/probes.go
+++ b/policy/internal/overload/probes.go
@@ -7,32 +7,32 @@
 // many nothing of what the others have sent.
 
 const (
-	driftTime = 60e3 // ms in which what counts as the least time grows by e: routes and machines change
-	leastTime = 0.05 // ms; no clock or network tells shorter probes apart
+	minTimeDrift = 60e3 // ms in which what counts as the least time grows by e: routes and machines change
+	minProbeTime = 0.05 // ms; no clock or network tells shorter probes apart
 )
 
-// Probes keeps the least time that probes have taken, by zone: the way there and back and the unhindered probe.
-type Probes struct{ zones map[int]least }
+// ProbeTimes keeps the least time that probes have taken, by zone: the way there and back and the unhindered probe.
+type ProbeTimes struct{ zones map[int]minTime }
 
-type least struct{ took, at float64 }
+type minTime struct{ duration, at float64 }
 
 // Load is how crowded a server of that zone is by a probe that was answered at now and took so long, its connection being
 // up. It counts as requests in flight do in reports, in units in which Model, as long as it has learned nothing else, takes a
 // request to be stretched by the waiting in the probe over the least time that any has taken. It is about 0 where probes don't
 // queue with requests.
-func (p *Probes) Load(now float64, zone int, took float64) float64 {
+func (p *ProbeTimes) Load(now float64, zone int, duration float64) float64 {
 	if p.zones == nil {
-		p.zones = map[int]least{}
+		p.zones = map[int]minTime{}
 	}
 	z, known := p.zones[zone]
-	if z.took *= math.Exp((now - z.at) / driftTime); !known || took < z.took {
-		z.took = took
+	if z.duration *= math.Exp((now - z.at) / minTimeDrift); !known || duration < z.duration {
+		z.duration = duration
 	}
 	z.at = now
 	p.zones[zone] = z
-	unit := z.took
+	unit := z.duration
 	for _, other := range p.zones {
-		unit = min(unit, other.took)
+		unit = min(unit, other.duration)
 	}
-	return sideBySidePrior * (took - z.took) / max(unit, leastTime)
+	return priorConcurrency * (duration - z.duration) / max(unit, minProbeTime)
 }
--- a/policy/internal/overload/probes_test.go
+++ b/policy/internal/overload/probes_test.go
@@ -4,7 +4,7 @@
 
 // A probe's time tells the load where it queues with requests, whoever has sent them, and none where it doesn't.
 func TestLoadByProbes(t *testing.T) {
-	var p Probes
+	var p ProbeTimes
 	for _, c := range []struct {
 		zone       int
 		took, want float64 // want: waiting over the least time, which Model takes for the stretch
@@ -21,7 +21,7 @@
 		{-1, 3, 2},
 		{3, 10, 10},
 	} {
-		if got := p.Load(1000, c.zone, c.took) / sideBySidePrior; got < c.want-1e-9 || got > c.want+1e-9 {
+		if got := p.Load(1000, c.zone, c.took) / priorConcurrency; got < c.want-1e-9 || got > c.want+1e-9 {
 			t.Errorf("zone %d, %g ms: %g, want %g", c.zone, c.took, got, c.want)
 		}
 	}
@@ -29,7 +29,7 @@
 
 // What was the least long ago is not believed for ever.
 func TestLeastProbeIsForgotten(t *testing.T) {
-	var p Probes
+	var p ProbeTimes
 	p.Load(0, 0, 1)
 	for now := 1e3; now <= 120e3; now += 1e3 {
 		p.Load(now, 0, 3)
@@ -41,9 +41,9 @@
 
 // No clock is exact enough for the time of a probe that takes next to none.
 func TestProbesThatTakeNoTime(t *testing.T) {
-	var p Probes
+	var p ProbeTimes
 	p.Load(0, 0, 0)
-	if got := p.Load(0, 0, 0.05); got < sideBySidePrior-1e-9 || got > sideBySidePrior+1e-9 {
+	if got := p.Load(0, 0, 0.05); got < priorConcurrency-1e-9 || got > priorConcurrency+1e-9 {
 		t.Errorf("%g", got)
 	}
 }
--- a/policy/internal/probepool/probepool.go
+++ b/policy/internal/probepool/probepool.go
@@ -8,20 +8,20 @@
 // Size is the most entries that a pool holds: the paper's m.
 const Size = 16
 
-const leastLeft = 2 // entries that removal leaves: with fewer a request can't choose
+const minEntries = 2 // entries that removal leaves: with fewer a request can't choose
 
 // Pool is a probe pool over servers of type S. The zero value is an empty one. It is not safe for concurrent use.
 type Pool[S comparable] struct {
-	entries   []entry[S] // in order of receipt
-	due       float64    // removals
-	dropWorst bool       // by the next removal, rather than the oldest
+	entries     []entry[S] // in order of receipt
+	removalsDue float64    // removals
+	dropWorst   bool       // by the next removal, rather than the oldest
 }
 
 // entry is one report.
 type entry[S comparable] struct {
-	server S
-	at     float64 // of receipt
-	uses   int     // that are left
+	server     S
+	receivedAt float64 // of receipt
+	usesLeft   int     // that are left
 }
 
 // Len is the number of entries.
@@ -44,14 +44,14 @@
 
 // Expire drops the entries that are older than age at now.
 func (p *Pool[S]) Expire(now, age float64) {
-	p.entries = slices.DeleteFunc(p.entries, func(e entry[S]) bool { return now-e.at > age })
+	p.entries = slices.DeleteFunc(p.entries, func(e entry[S]) bool { return now-e.receivedAt > age })
 }
 
 // Trim removes the oldest and the worst entry in turn, on average as many as due says: bad servers must not collect in the
 // pool.
 func (p *Pool[S]) Trim(due float64, better func(x, y S) bool) {
-	for p.due += due; p.due >= 1; p.due-- {
-		if len(p.entries) <= leastLeft {
+	for p.removalsDue += due; p.removalsDue >= 1; p.removalsDue-- {
+		if len(p.entries) <= minEntries {
 			continue
 		}
 		at := 0
@@ -95,7 +95,7 @@
 		if e.server != server {
 			continue
 		}
-		if e.uses--; e.uses <= 0 {
+		if e.usesLeft--; e.usesLeft <= 0 {
 			p.Remove(server)
 		}
 		return
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -64,11 +64,11 @@
 
 // answer answers the probes that a request waits for at once, with the loads known already.
 func (g *rig) answer(acts []Action) []Action {
-	for i := 0; i < len(acts) && len(g.b.waiting) > 0; i++ {
+	for i := 0; i < len(acts) && len(g.b.waitingForProbes) > 0; i++ {
 		if s := g.b.byID[acts[i].Server]; acts[i].Kind == SendProbe {
 			acts = append(acts, g.do(Event{
 				Kind: ProbeEnded, Server: acts[i].Server, Elapsed: 1,
-				Report: Report{HasRIF: true, HasLatency: true, RIF: s.rif, Latency: g.b.service(s)},
+				Report: Report{HasRIF: true, HasLatency: true, RIF: s.rif, Latency: g.b.serviceTime(s)},
 			})...)
 		}
 	}
@@ -134,7 +134,7 @@
 		{"unsafe after no connection", 2, ConnectFailed, true, 0},
 	} {
 		g := newRig(t, testConfig(), 6)
-		g.b.retries = 5
+		g.b.retryBudget = 5
 		first := find(g.arrive(1, c.class), StartAttempt)
 		if first == nil {
 			t.Fatalf("%s: not sent", c.name)
@@ -155,7 +155,7 @@
 
 func TestKeyedRepeatEndsWithItsWindow(t *testing.T) {
 	g := newRig(t, testConfig(), 6)
-	g.b.retries = 5
+	g.b.retryBudget = 5
 	first := find(g.arrive(1, 1), StartAttempt)
 	g.now += 595
 	acts := g.done(1, 0, first.Server, Failed)
@@ -297,8 +297,8 @@
 		best    bool
 	}{{"answered", 3, true}, {"silent probes", 0, false}} {
 		g := newRig(t, testConfig(), 8)
-		g.now += 5000                   // what was known is old
-		g.b.probeDue = limit.MostProbes // an earlier request has needed none
+		g.now += 5000                               // what was known is old
+		g.b.probeCredit = limit.MaxProbesPerRequest // an earlier request has needed none
 		acts := g.do(Event{Kind: RequestArrived, Request: 1, Class: 0, TimeLeft: 900})
 		var targets []ServerID
 		for _, a := range acts {
@@ -306,8 +306,8 @@
 				targets = append(targets, a.Server)
 			}
 		}
-		if find(acts, StartAttempt) != nil || len(targets) != limit.SyncProbes {
-			t.Fatalf("%s: did not wait for %d probes: %v", c.name, limit.SyncProbes, acts)
+		if find(acts, StartAttempt) != nil || len(targets) != limit.ProbesPerWait {
+			t.Fatalf("%s: did not wait for %d probes: %v", c.name, limit.ProbesPerWait, acts)
 		}
 		g.now += 5
 		var sent *Action
@@ -321,9 +321,9 @@
 				Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
 			}), StartAttempt)
 		}
-		g.now += syncPart*g.b.minAim + 5
-		for i := range 2*syncRounds + 1 {
-			if acts := g.do(Event{Kind: TimerFired, Timer: waitTimer + 1}); sent == nil {
+		g.now += probeWaitFraction*g.b.minObjective + 5
+		for i := range 2*maxProbeWaits + 1 {
+			if acts := g.do(Event{Kind: TimerFired, Timer: probeWaitTimer + 1}); sent == nil {
 				sent = find(acts, StartAttempt)
 			}
 			g.now += 20 * float64(i+1)
@@ -331,8 +331,8 @@
 		if sent == nil || c.best && sent.Server != targets[1] {
 			t.Errorf("%s: sent %v, want server %v", c.name, sent, targets)
 		}
-		if len(g.b.waiting) != 0 {
-			t.Errorf("%s: %d requests still wait", c.name, len(g.b.waiting))
+		if len(g.b.waitingForProbes) != 0 {
+			t.Errorf("%s: %d requests still wait", c.name, len(g.b.waitingForProbes))
 		}
 	}
 }
@@ -348,7 +348,7 @@
 		{1000, 64, 8},
 		{1000, 65, 8},
 		{1000, 1000, 128},
-		{100000, 1000, limit.LeastReach},
+		{100000, 1000, limit.MinSubset},
 	} {
 		cfg := testConfig()
 		cfg.Instances, cfg.CrossZoneCost = c.sidecars, 0.01
@@ -364,9 +364,9 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		met := map[ServerID]bool{}
 		for range 40 * c.servers {
-			g.b.probe(limit.MostProbes, g.b.reach())
+			g.b.probeRandom(limit.MaxProbesPerRequest, g.b.subsetSize())
 		}
-		for _, a := range g.b.out {
+		for _, a := range g.b.actions {
 			if a.Kind == SendProbe {
 				met[a.Server] = true
 			}
@@ -385,7 +385,7 @@
 // Being turned away as full must lower what is let in.
 func TestFullTeachesCrowding(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
-	before := g.b.fit.SideBySide()
+	before := g.b.loadModel.Concurrency()
 	for id := RequestID(1); id <= 10; id++ {
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 3, 40)
@@ -394,7 +394,7 @@
 			g.done(id, 0, a.Server, Declined)
 		}
 	}
-	if after := g.b.fit.SideBySide(); after >= before {
+	if after := g.b.loadModel.Concurrency(); after >= before {
 		t.Errorf("side by side %.1f, then %.1f", before, after)
 	}
 }
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -36,27 +36,27 @@
 func TestOverdueAnswersCount(t *testing.T) {
 	g := newRig(t, testConfig(), 2)
 	g.b.cfg.Probes = false
-	for id := RequestID(1); g.b.byID[1].out == 0; id++ {
+	for id := RequestID(1); g.b.byID[1].inFlight == 0; id++ {
 		g.arrive(id, 0)
 	}
-	g.b.byID[2].out = 0
+	g.b.byID[2].inFlight = 0
 	g.now += 300
 	g.do(Event{Kind: TimerFired, Timer: tickTimer})
-	r := &request{aimAt: g.now + 400, endAt: g.now + 900}
-	if got := g.b.cost(g.b.byID[1], r); got < 300 {
+	r := &request{objectiveAt: g.now + 400, answerBy: g.now + 900}
+	if got := g.b.pickCost(g.b.byID[1], r); got < 300 {
 		t.Errorf("a cost of %.0f ms by a server that has owed an answer for 300 ms", got)
 	}
-	if got := g.b.cost(g.b.byID[2], r); got > 150 {
+	if got := g.b.pickCost(g.b.byID[2], r); got > 150 {
 		t.Errorf("a cost of %.0f ms by one that owes none", got)
 	}
 	if !g.b.admits(g.b.byID[1], r) {
 		t.Error("not admitted where 300 ms are overdue and 400 ms are left")
 	}
-	if r.aimAt = g.now + 200; g.b.admits(g.b.byID[1], r) {
+	if r.objectiveAt = g.now + 200; g.b.admits(g.b.byID[1], r) {
 		t.Error("admitted where 300 ms are overdue and 200 ms are left")
 	}
 	g.b.cfg.Probes = true // then its reports tell
-	if got := g.b.cost(g.b.byID[1], r); got > 150 || !g.b.admits(g.b.byID[1], r) {
+	if got := g.b.pickCost(g.b.byID[1], r); got > 150 || !g.b.admits(g.b.byID[1], r) {
 		t.Errorf("a cost of %.0f ms where probes tell service times, or not admitted", got)
 	}
 }
@@ -67,8 +67,8 @@
 	g.b.cfg.Probes = false
 	g.b.pool = probepool.Pool[*server]{}
 	for id, s := range g.b.byID {
-		if s.reportAt = never; id < 20 {
-			s.rif, s.out, s.quietAt = 60, 60, g.now
+		if s.reportedAt = never; id < 20 {
+			s.rif, s.inFlight, s.silentSince = 60, 60, g.now
 		}
 	}
 	for id := range RequestID(20) {
@@ -90,7 +90,7 @@
 		Report: Report{HasRIF: true, HasLatency: true, RIF: 30, Latency: 70},
 	})
 	of := g.b.byID[s.Server]
-	if of.rif != 30 || of.latency != 70 || of.reportAt != g.now || g.b.pool.Len() != 1 {
+	if of.rif != 30 || of.latency != 70 || of.reportedAt != g.now || g.b.pool.Len() != 1 {
 		t.Errorf("30 in flight and 70 ms were reported; the server is taken to have %g and %g, the pool holds %d", of.rif,
 			of.latency, g.b.pool.Len())
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -162,13 +162,13 @@
 	f := newFleetOfOthers(t, 2, 300, true)
 	f.run(3e3)
 	crowded, free := f.b.byID[1], f.b.byID[2]
-	crowded.out, free.out = 0, 0 // own requests count as well
+	crowded.inFlight, free.inFlight = 0, 0 // own requests count as well
 	f.do(Event{Kind: ProbeEnded, Server: 1, Elapsed: 30})
 	f.do(Event{Kind: ProbeEnded, Server: 2, Elapsed: 1.1})
 	if crowded.rif < 20 || free.rif > 1 {
 		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", crowded.rif, free.rif)
 	}
-	r := &request{class: 2, aimAt: f.b.now + 400, endAt: f.b.now + 900}
+	r := &request{class: 2, objectiveAt: f.b.now + 400, answerBy: f.b.now + 900}
 	if s := f.b.pick(r); s != free {
 		t.Errorf("the crowded server is picked")
 	}
@@ -210,12 +210,12 @@
 	over := [2]int{}
 	for n := range 4000 { // 40 a second: 30 times the mean, nine in ten of the second tenant, whose share is a quarter
 		b.now += 25
-		b.arrivals.Add(b.now)
+		b.arrivalRate.Add(b.now)
 		tenant := 1
 		if n%10 == 0 {
 			tenant = 0
 		}
-		if !b.inShare(tenant) {
+		if !b.withinQuota(tenant) {
 			over[tenant]++
 		}
 	}
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -9,155 +9,157 @@
 // Probes and the probe pool. Loads are in the server table: a use raises the RIF for later picks.
 
 const (
-	poolAge     = 1000.0 // ms; the paper's testbed limit on an entry's age
-	staleTimes  = 2.0    // service times that also limit it: by then most of what was in flight has left
-	removePart  = 0.25   // of the rate of probes, at which entries are removed: the pool must not run dry
-	hotQuantile = 0.6    // the low end of the paper's advised Q_RIF: reported latency lags, RIF leads
-	rifSamples  = 64     // recent answers behind that quantile; one second at 30 requests a second
-	idleProbe   = 1000   // ms without any probe after which one is sent; an idle sidecar's only news
-	tickRetries = 2      // probes a tick of servers that were shut: their way back, which needs no request
-	probeDebt   = 10.0   // probes that may be borrowed where they are dear, before a refusal
-	syncRounds  = 2      // such waits for an attempt
-	syncPart    = 0.05   // of the tightest aim that one of them may take
+	maxPoolAge            = 1000.0 // ms; the paper's testbed limit on an entry's age
+	maxServiceTimes       = 2.0    // service times that also limit it: by then most of what was in flight has left
+	removalFraction       = 0.25   // of the rate of probes, at which entries are removed: the pool must not run dry
+	hotQuantile           = 0.6    // the low end of the paper's advised Q_RIF: reported latency lags, RIF leads
+	maxRIFSamples         = 64     // recent answers behind that quantile; one second at 30 requests a second
+	idleProbeInterval     = 1000   // ms without any probe after which one is sent; an idle sidecar's only news
+	recoveryProbesPerTick = 2      // probes a tick of servers that were shut: their way back, which needs no request
+	maxProbeDebt          = 10.0   // probes that may be borrowed where they are dear, before a refusal
+	maxProbeWaits         = 2      // such waits for an attempt
+	probeWaitFraction     = 0.05   // of the tightest aim that one of them may take
 )
 
-func (b *Balancer) onProbe(e *Event) {
+func (b *Balancer) onProbeEnded(e *Event) {
 	s := b.byID[e.Server]
 	if s == nil {
 		return
 	}
-	if s.probing = false; e.Status == NotSent { // which says nothing of it, but would be so again
-		s.tryAt = b.now + retryProbe.First
+	if s.probeInFlight = false; e.Status == NotSent { // which says nothing of it, but would be so again
+		s.nextProbeAt = b.now + probeBackoff.First
 		return
 	}
 	b.pool.Remove(s)
 	load := e.Report.RIF
 	if e.Status == OK && !e.Report.HasRIF {
-		load = b.probes.Load(b.now, s.info.Zone, e.Elapsed-e.ConnectTime)
+		load = b.probeTimes.Load(b.now, s.info.Zone, e.Elapsed-e.ConnectTime)
 	}
 	if s.rank >= 1 { // in another zone
-		b.elsewhere.Note(e.Status == OK && load < b.fit.SideBySide())
+		b.roomElsewhere.Add(e.Status == OK && load < b.loadModel.Concurrency())
 	}
 	if e.Status != OK {
-		if b.shutOut(s); e.Status != Declined {
-			b.learn(s, 0, probeWeight)
+		if b.markUnreachable(s); e.Status != Declined {
+			b.recordOutcome(s, 0, failedProbeWeight)
 		}
 		return
 	}
-	s.shut, s.fails, s.tryAt, s.seenAt = false, 0, b.now, e.ProbeSentAt
-	if s.network == 0 || e.Elapsed < s.network {
-		s.network = e.Elapsed
+	s.unreachable, s.consecutiveFailures, s.nextProbeAt, s.probeSentAt = false, 0, b.now, e.ProbeSentAt
+	if s.roundTrip == 0 || e.Elapsed < s.roundTrip {
+		s.roundTrip = e.Elapsed
 	}
-	b.onReport(s, &e.Report, load)
-	for _, r := range slices.Clone(b.waiting) {
-		if r.need--; r.need <= 0 {
-			b.proceed(r)
+	b.applyReport(s, &e.Report, load)
+	for _, r := range slices.Clone(b.waitingForProbes) {
+		if r.answersMissing--; r.answersMissing <= 0 {
+			b.resume(r)
 		}
 	}
 }
 
-// onReport takes what a server tells of its load, in the answer to a probe or to a request.
-func (b *Balancer) onReport(s *server, report *Report, load float64) {
-	s.rif, s.reportAt = max(load, float64(s.out)), b.now // own requests on their way are in no report yet
+// applyReport takes what a server tells of its load, in the answer to a probe or to a request.
+func (b *Balancer) applyReport(s *server, report *Report, load float64) {
+	s.rif, s.reportedAt = max(load, float64(s.inFlight)), b.now // own requests on their way are in no report yet
 	if report.HasRIF {
-		b.fracOwn = b.fracOwn*fracMemory + float64(b.outAll)/float64(max(1, b.ready))
-		b.fracAll = b.fracAll*fracMemory + report.RIF
+		b.ownInFlightSum = b.ownInFlightSum*shareMemory + float64(b.inFlight)/float64(max(1, b.readyCount))
+		b.totalInFlightSum = b.totalInFlightSum*shareMemory + report.RIF
 	}
 	if report.HasLatency && report.Latency > 0 {
-		s.latency, s.reported, b.told = report.Latency, true, true
+		s.latency, s.latencyReported, b.latencyReported = report.Latency, true, true
 	}
-	if b.rifs = append(b.rifs, s.rif); len(b.rifs) > rifSamples {
-		b.rifs = slices.Delete(b.rifs, 0, 1)
+	if b.recentRIFs = append(b.recentRIFs, s.rif); len(b.recentRIFs) > maxRIFSamples {
+		b.recentRIFs = slices.Delete(b.recentRIFs, 0, 1)
 	}
-	b.hotRIF = limit.Quantile(hotQuantile, slices.Clone(b.rifs), 0)
+	b.hotRIF = limit.Quantile(hotQuantile, slices.Clone(b.recentRIFs), 0)
 	if report.HasErrors { // against what it answers in its service time, by Little's law
-		s.failing = report.Errors / (report.Errors + 1000*(s.rif+1)/b.service(s))
+		s.reportedErrorRate = report.Errors / (report.Errors + 1000*(s.rif+1)/b.serviceTime(s))
 	}
 	if s.info.Health != Ready {
 		return
 	}
-	uses := limit.Uses(probepool.Size, b.ready, b.perRequest, removePart) // randomly rounded
+	uses := limit.Uses(probepool.Size, b.readyCount, b.probesPerRequest, removalFraction) // randomly rounded
 	b.pool.Add(s, b.now, int(uses+b.rng.Float64()))
 }
 
-// await is the paper's synchronous mode, for a pool that is short: wait for all but one of the own probes.
+// waitForProbes is the paper's synchronous mode, for a pool that is short: wait for all but one of the own probes.
 // Up to debt they may be borrowed from later requests: who is about to be refused needs them more.
-func (b *Balancer) await(r *request, debt float64, blind bool) bool {
-	hold := max(2*b.cfg.Round, syncPart*b.minAim)
-	if b.ready < 2 || r.waits >= syncRounds || r.endAt-b.now < 2*hold {
+func (b *Balancer) waitForProbes(r *request, debt float64, urgent bool) bool {
+	wait := max(2*b.cfg.Round, probeWaitFraction*b.minObjective)
+	if b.readyCount < 2 || r.probeWaits >= maxProbeWaits || r.answerBy-b.now < 2*wait {
 		return false
 	}
-	n := limit.Awaited(b.probeDue+debt, b.sparse || limit.Dear(b.cfg.ProbeCost), blind)
-	if b.sparse || limit.Dear(b.cfg.ProbeCost) { // then they come out of what requests have saved up
-		b.probeDue = max(b.probeDue-float64(n), -probeDebt)
+	n := limit.ProbesToAwait(b.probeCredit+debt, b.reportsSparse || limit.AreCostly(b.cfg.ProbeCost), urgent)
+	if b.reportsSparse || limit.AreCostly(b.cfg.ProbeCost) { // then they come out of what requests have saved up
+		b.probeCredit = max(b.probeCredit-float64(n), -maxProbeDebt)
 	}
-	if r.need = b.probe(n, b.near(r.waits > 0)) - 1; r.need <= 0 {
+	if r.answersMissing = b.probeRandom(n, b.candidateCount(r.probeWaits > 0)) - 1; r.answersMissing <= 0 {
 		return false
 	}
-	r.waits, r.waitEnd = r.waits+1, b.now+hold
-	b.waiting = append(b.waiting, r)
-	b.timer(waitTimer+uint64(r.id), hold)
+	r.probeWaits, r.waitUntil = r.probeWaits+1, b.now+wait
+	b.waitingForProbes = append(b.waitingForProbes, r)
+	b.setTimer(probeWaitTimer+uint64(r.id), wait)
 	return true
 }
 
-func (b *Balancer) proceed(r *request) {
-	b.waiting = slices.DeleteFunc(b.waiting, func(w *request) bool { return w == r })
+func (b *Balancer) resume(r *request) {
+	b.waitingForProbes = slices.DeleteFunc(b.waitingForProbes, func(w *request) bool { return w == r })
 	if !r.done {
-		b.decide(r)
+		b.sendOrRefuse(r)
 	}
 }
 
-// reach is the number of servers to choose among: connections of many sidecars to each would fill its table.
-func (b *Balancer) reach() int { return limit.Reach(b.ready, b.cfg.Instances) }
+// subsetSize is the number of servers to choose among: connections of many sidecars to each would fill its table.
+func (b *Balancer) subsetSize() int { return limit.SubsetSize(b.readyCount, b.cfg.Instances) }
 
-// near is among how many to probe: the preferred zone's, or more if far or if those are full and others not.
-func (b *Balancer) near(far bool) int {
-	home := min(b.reach(), max(limit.LeastReach, b.local))
-	if far || b.sparse && b.hotRIF > b.fit.SideBySide() && b.rng.Float64() < float64(b.elsewhere) {
-		return min(b.ready, home+min(b.reach(), b.ready-b.local))
+// candidateCount is among how many to probe: the preferred zone's, or more if far or if those are full and others not.
+func (b *Balancer) candidateCount(allZones bool) int {
+	ownZone := min(b.subsetSize(), max(limit.MinSubset, b.localCount))
+	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.roomElsewhere) {
+		return min(b.readyCount, ownZone+min(b.subsetSize(), b.readyCount-b.localCount))
 	}
-	return home
+	return ownZone
 }
 
-// probe fires n probes at servers drawn at random without replacement, among the near first ones by rank.
-func (b *Balancer) probe(n, near int) int {
-	var all []*server
+// probeRandom fires n probes at servers drawn at random without replacement, among the near first ones by rank.
+func (b *Balancer) probeRandom(n, among int) int {
+	var candidates []*server
 	for _, s := range b.servers {
-		may := b.cfg.Probes && s.info.Health == Ready && b.now >= s.tryAt
-		proves := s.seenAt > 0 || b.now < b.proveAt || !b.unsure()
-		if may && proves && (near >= b.ready || near > 0 && b.trusted(s)) {
-			all = append(all, s)
-			if b.warmth(s) >= 1 { // one that is still cold is no substitute for a warm one
-				near--
+		allowed := b.cfg.Probes && s.info.Health == Ready && b.now >= s.nextProbeAt
+		useful := s.probeSentAt > 0 || b.now < b.probeAnyUntil || !b.isListStale()
+		if allowed && useful && (among >= b.readyCount || among > 0 && b.trusted(s)) {
+			candidates = append(candidates, s)
+			if b.slowStartFraction(s) >= 1 { // one that is still cold is no substitute for a warm one
+				among--
 			}
 		}
 	}
-	n = min(n, len(all))
+	n = min(n, len(candidates))
 	for i := range n {
-		j := i + b.rng.IntN(len(all)-i)
-		all[i], all[j] = all[j], all[i]
-		b.ask(all[i])
-		b.lastProbe = b.now // not by retries: who is down must not keep news of the others away
+		j := i + b.rng.IntN(len(candidates)-i)
+		candidates[i], candidates[j] = candidates[j], candidates[i]
+		b.probe(candidates[i])
+		b.lastProbeAt = b.now // not by retries: who is down must not keep news of the others away
 	}
 	return n
 }
 
-// ask probes the server, if there is one and no answer on the way.
-func (b *Balancer) ask(s *server) {
-	if s != nil && !s.probing {
-		b.out = append(b.out, Action{Kind: SendProbe, Server: s.info.ID})
-		s.probing = true
+// probe probes the server, if there is one and no answer on the way.
+func (b *Balancer) probe(s *server) {
+	if s != nil && !s.probeInFlight {
+		b.actions = append(b.actions, Action{Kind: SendProbe, Server: s.info.ID})
+		s.probeInFlight = true
 	}
 }
 
-// tend ages the pool and removes the oldest and the worst entry in turn: bad servers must not collect there.
-func (b *Balancer) tend(r *request) {
-	b.pool.Expire(b.now, b.entryAge())
-	b.perRequest = limit.ProbesARequest(b.cfg.ProbeCost, b.ready, b.arrivals.PerMs(b.now))
-	b.probeDue = min(b.probeDue, limit.MostProbes) + b.perRequest
-	b.sparse = b.now-b.bornAt >= firstAnswers && // as soon as the rate of requests is known
-		float64(b.ready) > poolAge*b.perRequest*b.arrivals.PerMs(b.now)
-	b.pool.Trim(removePart*b.perRequest, func(x, y *server) bool { return b.better(x, y, r) })
+// replenishProbes ages the pool and removes the oldest and the worst entry in turn: bad servers must not collect there.
+func (b *Balancer) replenishProbes(r *request) {
+	b.pool.Expire(b.now, b.maxEntryAge())
+	b.probesPerRequest = limit.ProbesPerRequest(b.cfg.ProbeCost, b.readyCount, b.arrivalRate.PerMs(b.now))
+	b.probeCredit = min(b.probeCredit, limit.MaxProbesPerRequest) + b.probesPerRequest
+	b.reportsSparse = b.now-b.startedAt >= startupPeriod && // as soon as the rate of requests is known
+		float64(b.readyCount) > maxPoolAge*b.probesPerRequest*b.arrivalRate.PerMs(b.now)
+	b.pool.Trim(removalFraction*b.probesPerRequest, func(x, y *server) bool { return b.isBetter(x, y, r) })
 }
 
-func (b *Balancer) entryAge() Ms { return min(poolAge, max(staleTimes*b.fleetLatency, 4*b.cfg.Round)) }
+func (b *Balancer) maxEntryAge() Ms {
+	return min(maxPoolAge, max(maxServiceTimes*b.fleetLatency, 4*b.cfg.Round))
+}
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -50,11 +50,11 @@
 			t.Errorf("%s: %d requests", name, sends)
 		}
 		down, probes = false, 0
-		for at := g.now; probes == 0 && g.now < at+5000; g.now += tickEvery {
+		for at := g.now; probes == 0 && g.now < at+5000; g.now += tickInterval {
 			tick()
 		}
-		if s := g.b.byID[4]; s.shut || s.fails > 0 || g.now-s.reportAt > retryProbe.Most {
-			t.Errorf("%s: still shut out %.0f ms after its return: %+v", name, g.now-s.reportAt, s)
+		if s := g.b.byID[4]; s.unreachable || s.consecutiveFailures > 0 || g.now-s.reportedAt > probeBackoff.Most {
+			t.Errorf("%s: still shut out %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
 		}
 	}
 }
@@ -65,15 +65,15 @@
 	cfg.Probes = false
 	g := newRig(t, cfg, 2)
 	s := g.b.byID[2]
-	g.b.shutOut(s)
-	first := s.tryAt
-	if g.b.shutOut(s); s.fails != 1 || s.tryAt != first {
-		t.Errorf("two refusals at once count as %d", s.fails)
+	g.b.markUnreachable(s)
+	first := s.nextProbeAt
+	if g.b.markUnreachable(s); s.consecutiveFailures != 1 || s.nextProbeAt != first {
+		t.Errorf("two refusals at once count as %d", s.consecutiveFailures)
 	}
-	if !g.b.isShut(s) {
+	if !g.b.isUnreachable(s) {
 		t.Error("not shut out")
 	}
-	if g.b.now = s.tryAt; g.b.isShut(s) {
+	if g.b.now = s.nextProbeAt; g.b.isUnreachable(s) {
 		t.Error("shut out beyond the wait")
 	}
 }
@@ -95,11 +95,11 @@
 		g.report(3, 5, 120)
 	}
 	for range 20 {
-		g.b.learn(g.b.byID[2], 1, 1)
+		g.b.recordOutcome(g.b.byID[2], 1, 1)
 	}
 	st := g.b.State()
-	miss := g.b.byID[2].by[0].FailureRate(g.now)
-	if miss < ejectAt {
+	miss := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
+	if miss < ejectionThreshold {
 		t.Fatalf("the failing server misses %.2f", miss)
 	}
 	next, err := New(cfg, 8)
@@ -118,25 +118,25 @@
 		t.Fatal(err)
 	}
 	one, two, three := h.b.byID[1], h.b.byID[2], h.b.byID[3]
-	if one.latency != 80 || !one.reported || one.network != 1 {
+	if one.latency != 80 || !one.latencyReported || one.roundTrip != 1 {
 		t.Errorf("what was known of a server is lost: %+v", one)
 	}
-	if got := two.by[0].FailureRate(h.now); got >= miss || got < miss/2 {
+	if got := two.outcomesByTenant[0].FailureRate(h.now); got >= miss || got < miss/2 {
 		t.Errorf("evidence of %.2f is %.2f a second later", miss, got)
 	}
-	if three.latency != 0 || len(three.by) != 2 || three.by[0].Failures != 0 {
+	if three.latency != 0 || len(three.outcomesByTenant) != 2 || three.outcomesByTenant[0].Failures != 0 {
 		t.Errorf("another process inherits: %+v", three)
 	}
-	if one.rif != 0 || h.b.pool.Len() != 0 || one.out != 0 {
+	if one.rif != 0 || h.b.pool.Len() != 0 || one.inFlight != 0 {
 		t.Errorf("an old load is taken for a present one: %+v", one)
 	}
 	h.do(Event{Kind: TimerFired, Timer: tickTimer})
-	g.b.now, g.b.fit.At = h.now, st.FittedAt
-	g.b.fit.Age(h.now)
-	if got, want := h.b.fit.Of(0), g.b.fit.Of(0); got != want {
+	g.b.now, g.b.loadModel.FadedAt = h.now, st.FittedAt
+	g.b.loadModel.Fade(h.now)
+	if got, want := h.b.loadModel.ClassFactor(0), g.b.loadModel.ClassFactor(0); got != want {
 		t.Errorf("fit %g, want %g", got, want)
 	}
-	if b := h.b.buckets[0]; b.At != st.Tenants[0].At || b.Value != st.Tenants[0].Value {
+	if b := h.b.tenantBuckets[0]; b.At != st.Tenants[0].At || b.Value != st.Tenants[0].Value {
 		t.Errorf("the tenant's share is %+v", b)
 	}
 	st.Classes = st.Classes[:1]
@@ -155,7 +155,7 @@
 	found, healthy := map[ServerID]Ms{}, 0
 	start := g.now
 	silent := map[ServerID]Ms{} // probes out, until when
-	for ; g.now < start+60e3; g.now += tickEvery {
+	for ; g.now < start+60e3; g.now += tickInterval {
 		for id := range ServerID(61) {
 			if until, out := silent[id]; out && g.now >= until {
 				delete(silent, id)
@@ -222,17 +222,17 @@
 		rif  float64
 		age  Ms
 		want bool
-	}{"has room": {0, 0, true}, "is busy": {5, 0, false}, "said so long ago": {0, coldFresh + 1, false}} {
+	}{"has room": {0, 0, true}, "is busy": {5, 0, false}, "said so long ago": {0, maxSlowStartReportAge + 1, false}} {
 		g := newRig(t, testConfig(), 2)
 		s := g.b.byID[1]
-		s.info.StartedAt, s.rif, s.reportAt = g.now, c.rif, g.now-c.age
+		s.info.StartedAt, s.rif, s.reportedAt = g.now, c.rif, g.now-c.age
 		for range 200 { // 100 a second, of which next to none are sent
-			g.b.arrivals.Add(g.now)
+			g.b.arrivalRate.Add(g.now)
 		}
-		s.cold = limit.Bucket{Value: 0, At: g.now - 60}
+		s.slowStartBudget = limit.Bucket{Value: 0, At: g.now - 60}
 		g.b.now = g.now
-		if got := g.b.warmEnough(s); got != c.want {
-			t.Errorf("%s: %t, with %.2f requests left", name, got, s.cold.Value)
+		if got := g.b.hasSlowStartBudget(s); got != c.want {
+			t.Errorf("%s: %t, with %.2f requests left", name, got, s.slowStartBudget.Value)
 		}
 	}
 }
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -9,53 +9,53 @@
 
 // State returns what has been learned. Servers that were left are not in it.
 func (b *Balancer) State() State {
-	st := State{
-		SumLoadSquared: b.fit.SumLoadSquared, SumLoadLatency: b.fit.SumLoadLatency, FittedAt: b.fit.At, FleetLatency: b.fleetLatency, OwnInFlight: b.fracOwn,
-		TotalInFlight: b.fracAll, Arrivals: Level(b.arrivals), Sends: Level(b.sendRate),
+	state := State{
+		SumLoadSquared: b.loadModel.SumLoadSquared, SumLoadLatency: b.loadModel.SumLoadLatency, FittedAt: b.loadModel.FadedAt, FleetLatency: b.fleetLatency, OwnInFlight: b.ownInFlightSum,
+		TotalInFlight: b.totalInFlightSum, Arrivals: Level(b.arrivalRate), Sends: Level(b.sendRate),
 	}
-	for _, c := range b.fit.Class {
-		st.Classes = append(st.Classes, Mean{c.N, c.Sum})
+	for _, c := range b.loadModel.Classes {
+		state.Classes = append(state.Classes, Mean{c.Count, c.Sum})
 	}
-	for _, k := range b.buckets {
-		st.Tenants = append(st.Tenants, Level(k))
+	for _, k := range b.tenantBuckets {
+		state.Tenants = append(state.Tenants, Level(k))
 	}
 	for _, s := range b.servers { // the present load, of s.rif and the pool, stays out
 		if s.info.Health == Ready {
-			st.Servers = append(st.Servers, ServerState{
-				s.info.ID, s.info.StartedAt, s.latency, s.reported,
-				s.reportAt, s.network, s.failing, append([]Tally(nil), s.by...), Level(s.cold),
+			state.Servers = append(state.Servers, ServerState{
+				s.info.ID, s.info.StartedAt, s.latency, s.latencyReported,
+				s.reportedAt, s.roundTrip, s.reportedErrorRate, append([]Tally(nil), s.outcomesByTenant...), Level(s.slowStartBudget),
 			})
 		}
 	}
-	return st
+	return state
 }
 
 // Restore takes what an earlier process has learned, after the list and before any request. What concerns a
 // process that a listed server is not any more is left out; a state of other classes or tenants is an error.
-func (b *Balancer) Restore(st *State) error {
+func (b *Balancer) Restore(state *State) error {
 	fits := func(n, have int) bool { return n == 0 || n == have } // what is too old is left out of a state
-	if !fits(len(st.Classes), len(b.fit.Class)) || !fits(len(st.Tenants), len(b.buckets)) {
+	if !fits(len(state.Classes), len(b.loadModel.Classes)) || !fits(len(state.Tenants), len(b.tenantBuckets)) {
 		return fmt.Errorf("logic: a state of %d classes and %d tenants does not fit %d and %d",
-			len(st.Classes), len(st.Tenants), len(b.fit.Class), len(b.buckets))
+			len(state.Classes), len(state.Tenants), len(b.loadModel.Classes), len(b.tenantBuckets))
 	}
-	b.fit.SumLoadSquared, b.fit.SumLoadLatency, b.fit.At = st.SumLoadSquared, st.SumLoadLatency, st.FittedAt
-	for i, m := range st.Classes {
-		b.fit.Class[i].N, b.fit.Class[i].Sum = m.Count, m.Sum
+	b.loadModel.SumLoadSquared, b.loadModel.SumLoadLatency, b.loadModel.FadedAt = state.SumLoadSquared, state.SumLoadLatency, state.FittedAt
+	for i, m := range state.Classes {
+		b.loadModel.Classes[i].Count, b.loadModel.Classes[i].Sum = m.Count, m.Sum
 	}
-	for i, l := range st.Tenants {
-		b.buckets[i] = limit.Bucket(l)
+	for i, l := range state.Tenants {
+		b.tenantBuckets[i] = limit.Bucket(l)
 	}
-	b.fleetLatency, b.fracOwn, b.fracAll = st.FleetLatency, st.OwnInFlight, st.TotalInFlight
-	b.arrivals, b.sendRate = limit.Rate(st.Arrivals), limit.Rate(st.Sends)
-	for _, in := range st.Servers {
-		s := b.byID[in.ID]
-		if s == nil || s.info.StartedAt != in.StartedAt {
+	b.fleetLatency, b.ownInFlightSum, b.totalInFlightSum = state.FleetLatency, state.OwnInFlight, state.TotalInFlight
+	b.arrivalRate, b.sendRate = limit.Rate(state.Arrivals), limit.Rate(state.Sends)
+	for _, stored := range state.Servers {
+		s := b.byID[stored.ID]
+		if s == nil || s.info.StartedAt != stored.StartedAt {
 			continue
 		}
-		s.latency, s.reported, s.network, s.failing = in.Latency, in.LatencyReported, in.RoundTrip, in.ErrorRate
-		s.reportAt = min(in.ReportedAt, b.now-poolAge-1) // whose load is not known: no server is idle by that
-		s.cold = limit.Bucket(in.SlowStartBudget)
-		copy(s.by, in.Outcomes)
+		s.latency, s.latencyReported, s.roundTrip, s.reportedErrorRate = stored.Latency, stored.LatencyReported, stored.RoundTrip, stored.ErrorRate
+		s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // whose load is not known: no server is idle by that
+		s.slowStartBudget = limit.Bucket(stored.SlowStartBudget)
+		copy(s.outcomesByTenant, stored.Outcomes)
 	}
 	b.updateMedians()
 	return nil
@@ -68,24 +68,24 @@
 	if err != nil {
 		return err
 	}
-	follow(classes, b.fit.Class, next.fit.Class)
+	carryOver(classes, b.loadModel.Classes, next.loadModel.Classes)
 	b.gauge.Reconfigure(next.gauge, classes)
-	follow(tenants, b.buckets, next.buckets)
+	carryOver(tenants, b.tenantBuckets, next.tenantBuckets)
 	for _, s := range b.servers {
-		by := make([]Tally, 1+len(next.buckets))
-		by[0] = s.by[0]
-		follow(tenants, s.by[1:], by[1:])
-		s.by = by
+		outcomes := make([]Tally, 1+len(next.tenantBuckets))
+		outcomes[0] = s.outcomesByTenant[0]
+		carryOver(tenants, s.outcomesByTenant[1:], outcomes[1:])
+		s.outcomesByTenant = outcomes
 	}
-	b.cfg, b.minAim, b.margin, b.quotas = next.cfg, next.minAim, next.margin, next.quotas
-	b.buckets, b.fit.Class = next.buckets, next.fit.Class
+	b.cfg, b.minObjective, b.answerMargin, b.totalQuota = next.cfg, next.minObjective, next.answerMargin, next.totalQuota
+	b.tenantBuckets, b.loadModel.Classes = next.tenantBuckets, next.loadModel.Classes
 	return nil
 }
 
-func follow[T any](from []int, was, is []T) {
-	for i, n := range from {
-		if n >= 0 {
-			is[i] = was[n]
+func carryOver[T any](from []int, previous, next []T) {
+	for i, old := range from {
+		if old >= 0 {
+			next[i] = previous[old]
 		}
 	}
 }
--- a/policy/retryafter.go
+++ b/policy/retryafter.go
@@ -2,10 +2,10 @@
 
 // Advice for clients that are refused.
 
-// comeBack advises when to try again: not soon beyond a share, else when what servers work on has left.
-func (b *Balancer) comeBack(r *request) Ms {
-	if r.over {
+// retryAfter advises when to try again: not soon beyond a share, else when what servers work on has left.
+func (b *Balancer) retryAfter(r *request) Ms {
+	if r.overQuota {
 		return b.cfg.MaxRetryAfter
 	}
-	return min(b.cfg.MaxRetryAfter, max(b.fleetLatency, serverPrior))
+	return min(b.cfg.MaxRetryAfter, max(b.fleetLatency, priorServiceTime))
 }
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -9,71 +9,71 @@
 // The server table: what the list says and what the last report and this instance's own traffic add.
 
 const (
-	askAgainMin = 500.0 // ms before subscribing anew after a failure, doubled each time
-	askAgainMax = 8e3   // ms
+	minResubscribeWait = 500.0 // ms before subscribing anew after a failure, doubled each time
+	maxResubscribeWait = 8e3   // ms
 )
 
 type server struct {
-	info             ServerInfo
-	rank             float64 // this sidecar's order of preference: own zone first, else at random
-	rif              float64 // last probed, plus own sends and minus own answers since
-	latency          Ms      // service time
-	reportAt, seenAt Ms      // seenAt: a probe was sent then that proves the listed process to be there
-	network          Ms      // lowest probe round trip
-	reported         bool    // latency is the server's own figure
-	out              int
-	expected         Ms      // of the latest attempt sent
-	quietAt          Ms      // last answer, or the first send after all was answered
-	by               []Tally // own outcomes: of all, then by tenant
-	failing          float64 // part of what it answers that its last report counts as errors
-	ejected          bool
-	probing          bool         // a probe is under way
-	shut             bool         // a probe or a connection has failed since the last answer: no first choice
-	fails            int          // such failures in a row,
-	tryAt            Ms           // before which it is not probed again
-	cold             limit.Bucket // cold-start budget
+	info                    ServerInfo
+	rank                    float64 // this sidecar's order of preference: own zone first, else at random
+	rif                     float64 // last probed, plus own sends and minus own answers since
+	latency                 Ms      // service time
+	reportedAt, probeSentAt Ms      // probeSentAt: a probe was sent then that proves the listed process to be there
+	roundTrip               Ms      // lowest probe round trip
+	latencyReported         bool    // latency is the server's own figure
+	inFlight                int
+	expectedLatency         Ms      // of the latest attempt sent
+	silentSince             Ms      // last answer, or the first send after all was answered
+	outcomesByTenant        []Tally // own outcomes: of all, then by tenant
+	reportedErrorRate       float64 // part of what it answers that its last report counts as errors
+	ejected                 bool
+	probeInFlight           bool         // a probe is under way
+	unreachable             bool         // a probe or a connection has failed since the last answer: no first choice
+	consecutiveFailures     int          // such failures in a row,
+	nextProbeAt             Ms           // before which it is not probed again
+	slowStartBudget         limit.Bucket // cold-start budget
 }
 
-func (b *Balancer) onList(e *Event) {
-	b.askWait = 0
+func (b *Balancer) onEndpointsUpdated(e *Event) {
+	b.resubscribeWait = 0
 	for i := 0; e.Complete && i < len(b.servers); i++ {
 		b.servers[i].info.Health = Gone
 	}
-	for _, in := range e.Servers {
-		s := b.byID[in.ID]
+	for _, info := range e.Servers {
+		s := b.byID[info.ID]
 		if s == nil {
 			s = &server{rank: b.rng.Float64()}
-			if in.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 {
+			if info.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 {
 				s.rank++
 			}
-			b.byID[in.ID] = s
+			b.byID[info.ID] = s
 			b.servers = append(b.servers, s)
 		}
-		if s.reportAt == 0 || in.StartedAt != s.info.StartedAt {
+		if s.reportedAt == 0 || info.StartedAt != s.info.StartedAt {
 			// A new process: what was known of the old one no longer holds.
 			*s = server{
-				rank: s.rank, network: s.network, out: s.out, reportAt: never, quietAt: b.now,
-				by:   make([]Tally, 1+len(b.buckets)),
-				cold: limit.Bucket{Value: b.rng.Float64(), At: b.now},
+				rank: s.rank, roundTrip: s.roundTrip, inFlight: s.inFlight, reportedAt: never, silentSince: b.now,
+				outcomesByTenant: make([]Tally, 1+len(b.tenantBuckets)),
+				slowStartBudget:  limit.Bucket{Value: b.rng.Float64(), At: b.now},
 			} // a random part: not all send at once
 			b.pool.Remove(s)
 		}
-		if s.info = in; in.Uncordoned && b.cfg.Probes {
-			b.ask(s) // else it would be found again by chance
+		if s.info = info; info.Uncordoned && b.cfg.Probes {
+			b.probe(s) // else it would be found again by chance
 		}
 	}
-	b.ready, b.local = 0, 0
+	b.readyCount, b.localCount = 0, 0
 	slices.SortStableFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		if s.info.Health == Ready {
-			b.ready++
+			b.readyCount++
 			if s.rank < 1 {
-				b.local++
+				b.localCount++
 			}
 			return false
 		}
 		b.pool.Remove(s)
-		if s.info.Health != Gone || s.out > 0 {
+		if s.info.Health != Gone || s.inFlight > 0 {
 			return false
 		}
 		delete(b.byID, s.info.ID)
@@ -81,11 +81,11 @@
 	})
 }
 
-// onListFailed subscribes anew after a jittered, growing wait: the list is one service for all.
-func (b *Balancer) onListFailed() {
-	b.askWait = min(max(2*b.askWait, askAgainMin), askAgainMax)
-	b.timer(askTimer, b.askWait*(0.5+b.rng.Float64()))
+// onSubscriptionFailed subscribes anew after a jittered, growing wait: the list is one service for all.
+func (b *Balancer) onSubscriptionFailed() {
+	b.resubscribeWait = min(max(2*b.resubscribeWait, minResubscribeWait), maxResubscribeWait)
+	b.setTimer(resubscribeTimer, b.resubscribeWait*(0.5+b.rng.Float64()))
 }
 
-// unsure: what the list does not say may count as told. Only a probe of a process known before can tell it.
-func (b *Balancer) unsure() bool { return b.now >= b.sureAt }
+// isListStale: what the list does not say may count as told. Only a probe of a process known before can tell it.
+func (b *Balancer) isListStale() bool { return b.now >= b.listValidUntil }
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -17,8 +17,8 @@
 			g.now += c.every
 			g.arrive(id, 0)
 		}
-		if g.b.sparse != c.want {
-			t.Errorf("%d servers, a request in %.0f ms, price %g: sparse %t", c.servers, c.every, c.price, g.b.sparse)
+		if g.b.reportsSparse != c.want {
+			t.Errorf("%d servers, a request in %.0f ms, price %g: sparse %t", c.servers, c.every, c.price, g.b.reportsSparse)
 		}
 	}
 }
@@ -33,24 +33,24 @@
 		informed, whenIsSparse bool
 	}{{2, 40, true, true}, {17, 40, true, false}, {5, 200, true, false}, {30, 40, false, false}} {
 		g := newRig(t, cfg, 2)
-		s, r := g.b.byID[1], &request{class: 0, aimAt: g.now + 400, endAt: g.now + 900}
+		s, r := g.b.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
 		s.rif, s.latency, g.b.fleetLatency = c.rif, c.latency, c.latency
 		g.b.byID[2].rif = 50
 		for sparse, want := range map[bool]bool{false: c.informed, true: c.whenIsSparse} {
-			if g.b.sparse = sparse; g.b.admits(s, r) != want {
+			if g.b.reportsSparse = sparse; g.b.admits(s, r) != want {
 				t.Errorf("%g in flight, %.0f ms, sparse %t: admitted %t", c.rif, c.latency, sparse, !want)
 			}
-			if got := g.b.roomy(r) == s; got != want {
+			if got := g.b.randomWithCapacity(r) == s; got != want {
 				t.Errorf("%g in flight, %.0f ms, sparse %t: has room %t", c.rif, c.latency, sparse, got)
 			}
 		}
 	}
 	g := newRig(t, cfg, 1)
-	r := &request{class: 0, aimAt: g.now + 1200, endAt: g.now + 1700}
-	if g.b.now += 800; g.b.roomy(r) == nil {
+	r := &request{class: 0, objectiveAt: g.now + 1200, answerBy: g.now + 1700}
+	if g.b.now += 800; g.b.randomWithCapacity(r) == nil {
 		t.Error("a report of 800 ms ago counts for nothing")
 	}
-	if g.b.sparse = true; g.b.roomy(r) != nil {
+	if g.b.reportsSparse = true; g.b.randomWithCapacity(r) != nil {
 		t.Error("a report of 800 ms ago counts as news")
 	}
 }
@@ -64,8 +64,8 @@
 		g.report(id, 1, 40)
 	}
 	g.b.now += 2000 // the pool's entries are too old
-	g.b.pool.Expire(g.b.now, g.b.entryAge())
-	r := &request{class: 0, aimAt: g.b.now + 400, endAt: g.b.now + 900}
+	g.b.pool.Expire(g.b.now, g.b.maxEntryAge())
+	r := &request{class: 0, objectiveAt: g.b.now + 400, answerBy: g.b.now + 900}
 	met := map[ServerID]bool{}
 	for range 100 {
 		met[g.b.pick(r).info.ID] = true
@@ -89,9 +89,9 @@
 		g := newRig(t, cfg, 20)
 		probes := 0
 		for range 100 { // five seconds in which all are down
-			g.now += tickEvery
+			g.now += tickInterval
 			for _, a := range g.do(Event{Kind: TimerFired, Timer: tickTimer}) {
-				if a.Kind == SendProbe && g.b.lastProbe != g.now { // not one of those that an idle sidecar sends
+				if a.Kind == SendProbe && g.b.lastProbeAt != g.now { // not one of those that an idle sidecar sends
 					probes++
 				}
 				if a.Kind == SendProbe {
@@ -103,7 +103,7 @@
 			t.Errorf("price %g: %d probes out of turn, want %d to %d", c.price, probes, c.least, c.most)
 		}
 		if s := g.b.byID[1]; c.price > 0.05 {
-			for s.fails = 1; s.fails > 0 && g.now < 1e6; {
+			for s.consecutiveFailures = 1; s.consecutiveFailures > 0 && g.now < 1e6; {
 				g.now += 60
 				for _, a := range g.do(Event{Kind: RequestArrived, Request: RequestID(g.now), TimeLeft: 900}) {
 					if a.Kind == SendProbe {
@@ -111,7 +111,7 @@
 					}
 				}
 			}
-			if s.fails > 0 {
+			if s.consecutiveFailures > 0 {
 				t.Error("a shut server is not found again")
 			}
 		}
@@ -142,7 +142,7 @@
 						Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
 					})...)
 				case SetTimer:
-					if a.Timer >= waitTimer {
+					if a.Timer >= probeWaitTimer {
 						g.now += a.After
 						acts = append(acts, g.do(Event{Kind: TimerFired, Timer: a.Timer})...)
 					}
@@ -176,18 +176,18 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		near, all := 0, 0
 		for id := RequestID(0); all < 1000; id++ {
-			g.b.sparse = sparse
-			r := &request{id: id, aimAt: g.now + 400, endAt: g.now + 900, waits: syncRounds}
-			g.b.probeDue, g.b.out = 1, nil
-			g.b.choose(r)
-			for _, a := range g.b.out {
+			g.b.reportsSparse = sparse
+			r := &request{id: id, objectiveAt: g.now + 400, answerBy: g.now + 900, probeWaits: maxProbeWaits}
+			g.b.probeCredit, g.b.actions = 1, nil
+			g.b.pickOrWait(r)
+			for _, a := range g.b.actions {
 				if a.Kind != SendProbe {
 					continue
 				}
 				if all++; (a.Server-1)%5 == 0 {
 					near++
 				}
-				g.b.byID[a.Server].probing = false
+				g.b.byID[a.Server].probeInFlight = false
 			}
 		}
 		if near < want[0] || near > want[1] {
--- a/policy/unsure_test.go
+++ b/policy/unsure_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%s: %d of 200 were not sent, %d probes", name, refused, probes)
 		}
 		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3000})
-		if g.b.unsure() {
+		if g.b.isListStale() {
 			t.Errorf("%s: heard again, and not believed", name)
 		}
 	}
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -100,7 +100,7 @@
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Health: Ready, Zone: min(1, i/c.local)})
 		}
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-		if home, far := g.b.near(false), g.b.near(true); home != c.home || far != c.far {
+		if home, far := g.b.candidateCount(false), g.b.candidateCount(true); home != c.home || far != c.far {
 			t.Errorf("%+v: %d, %d", c, home, far)
 		}
 	}
