--- /dev/null
+++ b/internal/probing/probing_test.go
@@ -0,0 +1,84 @@
+package probing
+
+import (
+	"math"
+	"testing"
+)
+
+// All instances together must not send a server more probes than the price allows; each has one request in 60 ms.
+func TestProbesAtAServer(t *testing.T) {
+	const rate = 1.0 / 60
+	for name, c := range map[string]struct {
+		price              float64
+		instances, servers int
+		maxPerSecond       float64 // at one server
+	}{
+		"costly, one instance":                       {0.08, 1, 60, 0.15},
+		"costly, few instances":                      {0.08, 4, 60, 0.57},
+		"costly, 80 instances":                       {0.08, 80, 60, 11.2},
+		"costly, 2,000 instances":                    {0.08, 2000, 60, 280},
+		"costly, 200 servers":                        {0.08, 300, 200, 12.6},
+		"costly, 200 servers and 5,000 instances":    {0.08, 5000, 200, 210},
+		"cheap, one instance":                        {0.0046, 1, 60, 0.6},
+		"cheap, 80 instances: as the design would":   {0.0046, 80, 60, 45},
+		"for free, 80 instances: no more than cheap": {0, 80, 60, 45},
+	} {
+		each := PerRequest(c.price, c.servers, rate)
+		sum := float64(c.instances) * each * rate * 1000 / float64(c.servers)
+		if sum > c.maxPerSecond || sum < 0.9*c.maxPerSecond {
+			t.Errorf("%s: %.2f probes a second at each server, want %.2f", name, sum, c.maxPerSecond)
+		}
+	}
+}
+
+// A busy instance probes no server more often than news of it is worth, whatever a probe costs.
+func TestProbesOfABusyInstance(t *testing.T) {
+	for _, perMs := range []float64{0.1, 1, 100} {
+		for _, price := range []float64{0, 0.0046, 0.08} {
+			if each := PerRequest(price, 16, perMs); each*perMs > 16/MinInterval+1e-9 {
+				t.Errorf("price %g, %g requests a ms: %g probes a request", price, perMs, each)
+			}
+		}
+	}
+}
+
+// The more a probe costs the fewer are sent, so that what is paid for them grows no faster than the root of the price.
+func TestProbesFollowTheirPrice(t *testing.T) {
+	previous := math.Inf(1)
+	for _, price := range []float64{0, 0.001, 0.0046, 0.01, 0.08, 0.3, 1} {
+		each := PerRequest(price, 60, 0.001)
+		if each > previous || each <= 0 {
+			t.Errorf("price %g: %g probes a request after %g", price, each, previous)
+		}
+		if AreCostly(price) != (each < MaxPerRequest) {
+			t.Errorf("price %g: %g probes a request, costly %t", price, each, AreCostly(price))
+		}
+		if each*price > math.Sqrt(missingNewsCost*price)+1e-9 {
+			t.Errorf("price %g: %g is paid for each request's probes", price, each*price)
+		}
+		previous = each
+	}
+}
+
+// What requests that can't do without an answer cost at most, whatever is saved up.
+func TestToAwait(t *testing.T) {
+	for name, c := range map[string]struct {
+		saved           float64
+		limited, urgent bool
+		want            int
+	}{
+		"unlimited":                            {0, false, false, 4},
+		"unlimited and urgent":                 {-9, false, true, 4},
+		"less than one saved":                  {0.9, true, false, 0},
+		"some saved":                           {3.5, true, false, 3},
+		"more saved than a wait needs":         {10, true, false, 4},
+		"in debt":                              {-9, true, false, 0},
+		"in debt, urgent":                      {-9, true, true, 2},
+		"some saved, urgent":                   {3.5, true, true, 3},
+		"more saved than a wait needs, urgent": {10, true, true, 4},
+	} {
+		if got := ToAwait(c.saved, c.limited, c.urgent); got != c.want {
+			t.Errorf("%s: %d probes, want %d", name, got, c.want)
+		}
+	}
+}
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -7,8 +7,9 @@
 	"fmt"
 	"math"
 	"os"
-	"plankrouter/internal/limit"
+	"plankrouter/internal/probing"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/subset"
 	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
@@ -33,10 +34,10 @@
 		}
 	}
 	for _, price := range []float64{cheap, 0.02, dear, 0.32} {
-		near(fmt.Sprintf("probes a request, price %g", price), limit.ProbesPerRequest(price, fleetSize, usualCalls/1000.0), 0.005)
+		near(fmt.Sprintf("probes a request, price %g", price), probing.PerRequest(price, fleetSize, usualCalls/1000.0), 0.005)
 	}
 	for _, servers := range []int{13, 600, 2000, 6000} {
-		near(fmt.Sprintf("servers chosen among, of %d", servers), float64(limit.SubsetSize(servers, fleetSize)), 0)
+		near(fmt.Sprintf("servers chosen among, of %d", servers), float64(subset.Size(servers, fleetSize)), 0)
 	}
 	near("ms that a watch is held, agent", ms(staleness.PushedSettings(drainGrace).Wait), 0)
 	near("ms that a watch is held, on request", ms(staleness.DefaultSettings().Wait), 0)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,7 @@
 
 import (
 	"math"
-	"plankrouter/internal/limit"
+	"plankrouter/policy/internal/admission"
 )
 
 // Admission. Of load beyond what servers can finish in time, the least worthy is refused first.
@@ -24,7 +24,13 @@
 
 // trafficShare is this sidecar's part of the fleet's traffic.
 func (b *Balancer) trafficShare() float64 {
-	return limit.TrafficShare(b.ownInFlightSum, b.totalInFlightSum, b.arrivalRate.PerMs(b.now)*1000, b.totalQuota, b.cfg.Instances)
+	return admission.Traffic{
+		OwnInFlight:   b.ownInFlightSum,
+		TotalInFlight: b.totalInFlightSum,
+		PerSecond:     b.arrivalRate.PerMs(b.now) * 1000,
+		TotalQuota:    b.totalQuota,
+		Instances:     b.cfg.Instances,
+	}.Share()
 }
 
 // admits: the answer is likely in time, and the crowding leaves room for a request of this worth.
@@ -43,7 +49,7 @@
 	if s.rif < 1 && !r.overQuota {
 		return true // an idle server is worth a try: only a sample can correct a wrong estimate
 	}
-	margin := limit.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
+	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
 	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s)) // a few costly ones raise a mean
 	for i, c := range b.cfg.Classes {
 		room := c.LatencyObjective
@@ -54,13 +60,13 @@
 		}
 		most := room / margin
 		if !b.latencyReported { // a target that is tight for unhindered answers is no reason to leave servers idle
-			most = max(most, limit.FreeMultiple*b.gauge.Baseline()*b.loadModel.ClassFactor(i))
+			most = max(most, admission.FreeMultiple*b.gauge.Baseline()*b.loadModel.ClassFactor(i))
 		}
 		if b.expectedLatency(s, i, s.rif) > most {
 			return false
 		}
 	}
-	return b.loadModel.Stretch(s.rif+1) <= limit.MaxStretch(b.reportsSparse, value)
+	return b.loadModel.Stretch(s.rif+1) <= admission.MaxStretch(b.reportsSparse, value)
 }
 
 // relativeValue is the worth of a class for the time its requests hold a server, over that of the best class.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,7 +1,7 @@
 package policy
 
 import (
-	"plankrouter/internal/limit"
+	"plankrouter/internal/probing"
 	"plankrouter/policy/internal/probepool"
 	"slices"
 	"testing"
@@ -102,7 +102,7 @@
 		}
 	}
 	for s, n := range out {
-		if n > 1000/limit.MinProbeInterval*2 {
+		if n > 1000/probing.MinInterval*2 {
 			t.Errorf("%d probes of server %d in a second", n, s)
 		}
 	}
@@ -146,7 +146,7 @@
 // probe's answer, or most of them would find the pool empty and wait for probes of their own.
 func TestUsesFollowTheRateOfProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 40)
-	if n := limit.Uses(probepool.Size, g.b.readyCount, g.b.probesPerRequest, removalFraction); n < 1 || n > 4 {
+	if n := probing.Uses(probepool.Size, g.b.readyCount, g.b.probesPerRequest, removalFraction); n < 1 || n > 4 {
 		t.Errorf("%.1f uses before any request", n)
 	}
 	waited := 0
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -11,9 +11,11 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"plankrouter/internal/limit"
+	"plankrouter/internal/probing"
 	"plankrouter/policy/internal/overload"
 	"plankrouter/policy/internal/probepool"
+	"plankrouter/policy/internal/stats"
+	"plankrouter/policy/internal/tokenbucket"
 	"slices"
 )
 
@@ -46,7 +48,7 @@
 	recentRIFs                    []float64 // ring of recently reported RIF
 	hotRIF                        float64
 	probeCredit, probesPerRequest float64           // probesPerRequest: probes, at the present rate of requests
-	roomElsewhere                 limit.SuccessRate // of probes in other zones: servers with room
+	roomElsewhere                 stats.SuccessRate // of probes in other zones: servers with room
 	latencyReported               bool              // told: servers report their service times
 	reportsSparse                 bool              // most servers' news is older than maxPoolAge
 	waitingForProbes              []*request        // for answers of probes, in order of arrival
@@ -58,8 +60,8 @@
 	medianFailureRate                                  float64
 	fleetLatency                                       Ms      // median service time
 	ownInFlightSum, totalInFlightSum, totalQuota       float64 // own requests, and all, that servers held; of all tenants
-	tenantBuckets                                      []limit.Bucket
-	sendRate, arrivalRate                              limit.Rate
+	tenantBuckets                                      []tokenbucket.Bucket
+	sendRate, arrivalRate                              stats.Rate
 	retryBudget                                        float64
 	requests                                           map[RequestID]*request
 	refusedSinceLog                                    int // refused since loggedAt
@@ -84,7 +86,7 @@
 	}
 	b.cfg.Instances, b.cfg.Classes = max(1, cfg.Instances), slices.Clone(cfg.Classes)
 	b.gauge = overload.NewGauge(objectives)
-	b.answerMargin, b.probesPerRequest, b.roomElsewhere = 2*cfg.Round+1, limit.MaxProbesPerRequest, 1
+	b.answerMargin, b.probesPerRequest, b.roomElsewhere = 2*cfg.Round+1, probing.MaxPerRequest, 1
 	for i, c := range cfg.Classes { // who is to be answered sooner takes less time
 		b.loadModel.Classes = append(b.loadModel.Classes, overload.Mean{Prior: c.LatencyObjective / meanObjective})
 		b.cfg.Classes[i].Attempts = max(1, cmp.Or(c.Attempts, cfg.MaxAttempts))
@@ -92,7 +94,7 @@
 	for _, t := range cfg.Tenants {
 		b.totalQuota += t.Quota
 	}
-	b.tenantBuckets = slices.Repeat([]limit.Bucket{{At: math.Inf(-1)}}, len(cfg.Tenants))
+	b.tenantBuckets = slices.Repeat([]tokenbucket.Bucket{{At: math.Inf(-1)}}, len(cfg.Tenants))
 	return b, nil
 }
 
@@ -163,7 +165,7 @@
 	if b.now-b.lastProbeAt >= idleProbeInterval {
 		b.probeRandom(1, b.subsetSize())
 	}
-	for i := 0; i < recoveryProbesPerTick && !limit.AreCostly(b.cfg.ProbeCost); i++ { // random ones: none waits for ever
+	for i := 0; i < recoveryProbesPerTick && !probing.AreCostly(b.cfg.ProbeCost); i++ { // random ones: none waits for ever
 		b.probe(b.drawOne(func(s *server) int {
 			if b.cfg.Probes && s.consecutiveFailures > 0 && !s.probeInFlight && b.now >= s.nextProbeAt && s.info.Health == Ready {
 				return 1
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -1,7 +1,8 @@
 package policy
 
 import (
-	"plankrouter/internal/limit"
+	"plankrouter/internal/probing"
+	"plankrouter/internal/subset"
 	"plankrouter/policy/internal/outlier"
 	"testing"
 )
@@ -297,8 +298,8 @@
 		best    bool
 	}{{"answered", 3, true}, {"silent probes", 0, false}} {
 		g := newRig(t, testConfig(), 8)
-		g.now += 5000                               // what was known is old
-		g.b.probeCredit = limit.MaxProbesPerRequest // an earlier request has needed none
+		g.now += 5000                           // what was known is old
+		g.b.probeCredit = probing.MaxPerRequest // an earlier request has needed none
 		acts := g.do(Event{Kind: RequestArrived, Request: 1, Class: 0, TimeLeft: 900})
 		var targets []ServerID
 		for _, a := range acts {
@@ -306,8 +307,8 @@
 				targets = append(targets, a.Server)
 			}
 		}
-		if find(acts, StartAttempt) != nil || len(targets) != limit.ProbesPerWait {
-			t.Fatalf("%s: did not wait for %d probes: %v", c.name, limit.ProbesPerWait, acts)
+		if find(acts, StartAttempt) != nil || len(targets) != probing.PerWait {
+			t.Fatalf("%s: did not wait for %d probes: %v", c.name, probing.PerWait, acts)
 		}
 		g.now += 5
 		var sent *Action
@@ -348,7 +349,7 @@
 		{1000, 64, 8},
 		{1000, 65, 8},
 		{1000, 1000, 128},
-		{100000, 1000, limit.MinSubset},
+		{100000, 1000, subset.MinSize},
 	} {
 		cfg := testConfig()
 		cfg.Instances, cfg.CrossZoneCost = c.sidecars, 0.01
@@ -364,7 +365,7 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		met := map[ServerID]bool{}
 		for range 40 * c.servers {
-			g.b.probeRandom(limit.MaxProbesPerRequest, g.b.subsetSize())
+			g.b.probeRandom(probing.MaxPerRequest, g.b.subsetSize())
 		}
 		for _, a := range g.b.actions {
 			if a.Kind == SendProbe {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,8 +2,8 @@
 
 import (
 	"plankrouter/internal/backoff"
-	"plankrouter/internal/limit"
 	"plankrouter/policy/internal/outlier"
+	"plankrouter/policy/internal/stats"
 	"slices"
 )
 
@@ -69,8 +69,8 @@
 			}
 		}
 	}
-	b.medianFailureRate = limit.Quantile(0.5, failureRates, 0)
-	b.fleetLatency = limit.Quantile(0.5, latencies, b.fleetLatency)
+	b.medianFailureRate = stats.Quantile(0.5, failureRates, 0)
+	b.fleetLatency = stats.Quantile(0.5, latencies, b.fleetLatency)
 }
 
 // acceptsTenant: not even for its tenant alone does the evidence exclude the server.
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	"plankrouter/internal/limit"
+	"plankrouter/internal/probing"
 	"slices"
 )
 
@@ -55,7 +55,7 @@
 		b.pool.Use(s)
 		return s
 	}
-	found := b.drawUpTo(limit.Choices(b.cfg.Probes), func(s *server) int {
+	found := b.drawUpTo(probing.RandomChoices(b.cfg.Probes), func(s *server) int {
 		switch {
 		case !b.isEligible(s, r):
 			return 0
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -1,8 +1,10 @@
 package policy
 
 import (
-	"plankrouter/internal/limit"
+	"plankrouter/internal/probing"
+	"plankrouter/internal/subset"
 	"plankrouter/policy/internal/probepool"
+	"plankrouter/policy/internal/stats"
 	"slices"
 )
 
@@ -69,14 +71,14 @@
 	if b.recentRIFs = append(b.recentRIFs, s.rif); len(b.recentRIFs) > maxRIFSamples {
 		b.recentRIFs = slices.Delete(b.recentRIFs, 0, 1)
 	}
-	b.hotRIF = limit.Quantile(hotQuantile, slices.Clone(b.recentRIFs), 0)
+	b.hotRIF = stats.Quantile(hotQuantile, slices.Clone(b.recentRIFs), 0)
 	if report.HasErrors { // against what it answers in its service time, by Little's law
 		s.reportedErrorRate = report.Errors / (report.Errors + 1000*(s.rif+1)/b.serviceTime(s))
 	}
 	if s.info.Health != Ready {
 		return
 	}
-	uses := limit.Uses(probepool.Size, b.readyCount, b.probesPerRequest, removalFraction) // randomly rounded
+	uses := probing.Uses(probepool.Size, b.readyCount, b.probesPerRequest, removalFraction) // randomly rounded
 	b.pool.Add(s, b.now, int(uses+b.rng.Float64()))
 }
 
@@ -87,8 +89,8 @@
 	if b.readyCount < 2 || r.probeWaits >= maxProbeWaits || r.answerBy-b.now < 2*wait {
 		return false
 	}
-	n := limit.ProbesToAwait(b.probeCredit+debt, b.reportsSparse || limit.AreCostly(b.cfg.ProbeCost), urgent)
-	if b.reportsSparse || limit.AreCostly(b.cfg.ProbeCost) { // then they come out of what requests have saved up
+	n := probing.ToAwait(b.probeCredit+debt, b.reportsSparse || probing.AreCostly(b.cfg.ProbeCost), urgent)
+	if b.reportsSparse || probing.AreCostly(b.cfg.ProbeCost) { // then they come out of what requests have saved up
 		b.probeCredit = max(b.probeCredit-float64(n), -maxProbeDebt)
 	}
 	if r.answersMissing = b.probeRandom(n, b.candidateCount(r.probeWaits > 0)) - 1; r.answersMissing <= 0 {
@@ -108,11 +110,11 @@
 }
 
 // subsetSize is the number of servers to choose among: connections of many sidecars to each would fill its table.
-func (b *Balancer) subsetSize() int { return limit.SubsetSize(b.readyCount, b.cfg.Instances) }
+func (b *Balancer) subsetSize() int { return subset.Size(b.readyCount, b.cfg.Instances) }
 
 // candidateCount is among how many to probe: the preferred zone's, or more if far or if those are full and others not.
 func (b *Balancer) candidateCount(allZones bool) int {
-	ownZone := min(b.subsetSize(), max(limit.MinSubset, b.localCount))
+	ownZone := min(b.subsetSize(), max(subset.MinSize, b.localCount))
 	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.roomElsewhere) {
 		return min(b.readyCount, ownZone+min(b.subsetSize(), b.readyCount-b.localCount))
 	}
@@ -153,8 +155,8 @@
 // replenishProbes ages the pool and removes the oldest and the worst entry in turn: bad servers must not collect there.
 func (b *Balancer) replenishProbes(r *request) {
 	b.pool.Expire(b.now, b.maxEntryAge())
-	b.probesPerRequest = limit.ProbesPerRequest(b.cfg.ProbeCost, b.readyCount, b.arrivalRate.PerMs(b.now))
-	b.probeCredit = min(b.probeCredit, limit.MaxProbesPerRequest) + b.probesPerRequest
+	b.probesPerRequest = probing.PerRequest(b.cfg.ProbeCost, b.readyCount, b.arrivalRate.PerMs(b.now))
+	b.probeCredit = min(b.probeCredit, probing.MaxPerRequest) + b.probesPerRequest
 	b.reportsSparse = b.now-b.startedAt >= startupPeriod && // as soon as the rate of requests is known
 		float64(b.readyCount) > maxPoolAge*b.probesPerRequest*b.arrivalRate.PerMs(b.now)
 	b.pool.Trim(removalFraction*b.probesPerRequest, func(x, y *server) bool { return b.isBetter(x, y, r) })
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -1,7 +1,7 @@
 package policy
 
 import (
-	"plankrouter/internal/limit"
+	"plankrouter/policy/internal/tokenbucket"
 	"testing"
 )
 
@@ -229,7 +229,7 @@
 		for range 200 { // 100 a second, of which next to none are sent
 			g.b.arrivalRate.Add(g.now)
 		}
-		s.slowStartBudget = limit.Bucket{Value: 0, At: g.now - 60}
+		s.slowStartBudget = tokenbucket.Bucket{Value: 0, At: g.now - 60}
 		g.b.now = g.now
 		if got := g.b.hasSlowStartBudget(s); got != c.want {
 			t.Errorf("%s: %t, with %.2f requests left", name, got, s.slowStartBudget.Value)
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,7 +1,8 @@
 package policy
 
 import (
-	"plankrouter/internal/limit"
+	"plankrouter/internal/subset"
+	"plankrouter/policy/internal/admission"
 	"slices"
 )
 
@@ -50,7 +51,7 @@
 	if r.attempts == 0 {
 		n := max(0, int(b.probeCredit))
 		b.probeCredit -= float64(n)
-		b.probeRandom(n, b.candidateCount(b.rng.IntN(limit.FarInterval(b.reportsSparse)) == 1))
+		b.probeRandom(n, b.candidateCount(b.rng.IntN(subset.FarInterval(b.reportsSparse)) == 1))
 	}
 	b.sendOrRefuse(r)
 }
@@ -132,7 +133,7 @@
 			if b.recordOutcome(s, tenant, 1); e.Status == ConnectFailed {
 				b.markUnreachable(s)
 			} else if e.Status == Declined {
-				b.loadModel.AddDeclined(s.rif+1, limit.FullStretch)
+				b.loadModel.AddDeclined(s.rif+1, admission.FullStretch)
 			}
 		case TimedOut:
 			if !b.isSilent(s) {
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -2,7 +2,8 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/limit"
+	"plankrouter/policy/internal/stats"
+	"plankrouter/policy/internal/tokenbucket"
 )
 
 // Learned state across processes and settings.
@@ -43,10 +44,10 @@
 		b.loadModel.Classes[i].Count, b.loadModel.Classes[i].Sum = m.Count, m.Sum
 	}
 	for i, l := range state.Tenants {
-		b.tenantBuckets[i] = limit.Bucket(l)
+		b.tenantBuckets[i] = tokenbucket.Bucket(l)
 	}
 	b.fleetLatency, b.ownInFlightSum, b.totalInFlightSum = state.FleetLatency, state.OwnInFlight, state.TotalInFlight
-	b.arrivalRate, b.sendRate = limit.Rate(state.Arrivals), limit.Rate(state.Sends)
+	b.arrivalRate, b.sendRate = stats.Rate(state.Arrivals), stats.Rate(state.Sends)
 	for _, stored := range state.Servers {
 		s := b.byID[stored.ID]
 		if s == nil || s.info.StartedAt != stored.StartedAt {
@@ -54,7 +55,7 @@
 		}
 		s.latency, s.latencyReported, s.roundTrip, s.reportedErrorRate = stored.Latency, stored.LatencyReported, stored.RoundTrip, stored.ErrorRate
 		s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // whose load is not known: no server is idle by that
-		s.slowStartBudget = limit.Bucket(stored.SlowStartBudget)
+		s.slowStartBudget = tokenbucket.Bucket(stored.SlowStartBudget)
 		copy(s.outcomesByTenant, stored.Outcomes)
 	}
 	b.updateMedians()
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	"plankrouter/internal/limit"
+	"plankrouter/policy/internal/tokenbucket"
 	"slices"
 )
 
@@ -27,11 +27,11 @@
 	outcomesByTenant        []Tally // own outcomes: of all, then by tenant
 	reportedErrorRate       float64 // part of what it answers that its last report counts as errors
 	ejected                 bool
-	probeInFlight           bool         // a probe is under way
-	unreachable             bool         // a probe or a connection has failed since the last answer: no first choice
-	consecutiveFailures     int          // such failures in a row,
-	nextProbeAt             Ms           // before which it is not probed again
-	slowStartBudget         limit.Bucket // cold-start budget
+	probeInFlight           bool               // a probe is under way
+	unreachable             bool               // a probe or a connection has failed since the last answer: no first choice
+	consecutiveFailures     int                // such failures in a row,
+	nextProbeAt             Ms                 // before which it is not probed again
+	slowStartBudget         tokenbucket.Bucket // cold-start budget
 }
 
 func (b *Balancer) onEndpointsUpdated(e *Event) {
@@ -54,7 +54,7 @@
 			*s = server{
 				rank: s.rank, roundTrip: s.roundTrip, inFlight: s.inFlight, reportedAt: never, silentSince: b.now,
 				outcomesByTenant: make([]Tally, 1+len(b.tenantBuckets)),
-				slowStartBudget:  limit.Bucket{Value: b.rng.Float64(), At: b.now},
+				slowStartBudget:  tokenbucket.Bucket{Value: b.rng.Float64(), At: b.now},
 			} // a random part: not all send at once
 			b.pool.Remove(s)
 		}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,6 +1,8 @@
 package policy
 
-import "plankrouter/internal/limit"
+import (
+	"plankrouter/policy/internal/slowstart"
+)
 
 // Slow start (rule 4): a cold server gets a warm one's part, times what it must bear by now.
 
@@ -10,7 +12,7 @@
 )
 
 func (b *Balancer) slowStartFraction(s *server) float64 {
-	return limit.SlowStartFraction(b.now-s.info.StartedAt, s.info.StartedAt > 0, b.cfg.StartCapacity, b.cfg.WarmUpTime)
+	return slowstart.Fraction(b.now-s.info.StartedAt, s.info.StartedAt > 0, b.cfg.StartCapacity, b.cfg.WarmUpTime)
 }
 
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
@@ -19,6 +21,6 @@
 		return true
 	}
 	hasRoom := b.now-s.reportedAt <= maxSlowStartReportAge && s.rif < slowStartRoomFraction*fraction*b.loadModel.Concurrency() // as it has just said
-	rate := limit.SlowStartRate(fraction, b.cfg.OverloadMultiple, hasRoom, b.sendRate.PerMs(b.now), b.arrivalRate.PerMs(b.now))
+	rate := slowstart.Rate(fraction, b.cfg.OverloadMultiple, hasRoom, b.sendRate.PerMs(b.now), b.arrivalRate.PerMs(b.now))
 	return s.slowStartBudget.Fill(b.now, rate/float64(max(1, b.readyCount)), 1)
 }
