--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -12,104 +12,104 @@
 	"time"
 )
 
-// do carries out one of the module's actions.
-func (s *Dispatcher) do(a *policy.Action) {
+// execute carries out one of the module's actions.
+func (d *Dispatcher) execute(a *policy.Action) {
 	switch a.Kind {
 	case policy.StartAttempt:
-		s.invoke(a)
+		d.startAttempt(a)
 	case policy.CancelAttempt:
-		if h := s.held[a.Request]; h != nil && h.call != 0 && a.Attempt == h.attempts-1 {
-			s.stop(h.call, outcome.Cancelled)
+		if h := d.requests[a.Request]; h != nil && h.attempt != 0 && a.Attempt == h.attempts-1 {
+			d.cancelAttempt(h.attempt, outcome.Cancelled)
 		}
 	case policy.RejectRequest:
-		s.unserved(a)
-		s.answer(a.Request, request.Response{Kind: request.Rejected, RetryAfter: duration(a.After)})
+		d.countUnserved(a)
+		d.respond(a.Request, request.Response{Kind: request.Rejected, RetryAfter: duration(a.After)})
 	case policy.FailRequest:
-		s.unserved(a)
-		s.answer(a.Request, request.Response{Kind: request.Failed})
+		d.countUnserved(a)
+		d.respond(a.Request, request.Response{Kind: request.Failed})
 	case policy.SendProbe:
-		if k := s.providers[a.Server]; k != nil {
-			s.counts.Probes++
-			s.start(k, nil, &attempt{probe: true, server: a.Server}, probeTimeout)
+		if k := d.servers[a.Server]; k != nil {
+			d.counts.Probes++
+			d.launch(k, nil, &attemptRecord{isProbe: true, server: a.Server}, probeTimeout)
 		}
 	case policy.SetTimer:
-		heap.Push(&s.timers, &timer{at: s.now.Add(duration(a.After)), handle: a.Timer})
+		heap.Push(&d.timers, &timer{at: d.eventTime.Add(duration(a.After)), policyTimer: a.Timer})
 	case policy.Subscribe: // the directory is watched all the time
 	case policy.Log:
-		s.set.Logf("decision=%q", a.Text)
+		d.options.Logf("decision=%q", a.Text)
 	}
 }
 
-// invoke makes the attempt that the module asks for.
-func (s *Dispatcher) invoke(a *policy.Action) {
-	h, k := s.held[a.Request], s.providers[a.Server]
-	if !s.maySend(h, k) {
+// startAttempt makes the attempt that the module asks for.
+func (d *Dispatcher) startAttempt(a *policy.Action) {
+	h, k := d.requests[a.Request], d.servers[a.Server]
+	if !d.maySend(h, k) {
 		// Not asked for by a sound module; answering it keeps the books of a faulty one straight.
-		s.set.Logf("state=send_refused request=%d server=%d", a.Request, a.Server)
-		s.step(policy.Event{
+		d.options.Logf("state=send_refused request=%d server=%d", a.Request, a.Server)
+		d.handle(policy.Event{
 			Kind: policy.AttemptEnded, Request: a.Request, Server: a.Server, Status: policy.NotSent,
 			Final: h == nil || h.answered,
 		})
 		return
 	}
-	s.counts.Attempts++
+	d.counts.Attempts++
 	wait := duration(a.After)
 	h.attempts++
-	one := &attempt{request: a.Request, number: h.attempts - 1, server: a.Server}
+	one := &attemptRecord{request: a.Request, number: h.attempts - 1, server: a.Server}
 	if a.Expires > 0 {
-		one.expires = s.now.Add(duration(a.Expires))
+		one.expires = d.eventTime.Add(duration(a.Expires))
 	}
-	h.call = s.start(k, h.inv, one, wait)
+	h.attempt = d.launch(k, h.request, one, wait)
 }
 
-// start begins an attempt, for an invocation or a probe, gives it up after wait, and returns its number.
-func (s *Dispatcher) start(k *known, inv *request.Request, a *attempt, wait time.Duration) uint64 {
-	s.lastCall++
-	number := s.lastCall
+// launch begins an attempt, for an invocation or a probe, gives it up after wait, and returns its number.
+func (d *Dispatcher) launch(k *serverRecord, req *request.Request, a *attemptRecord, wait time.Duration) uint64 {
+	d.lastAttempt++
+	number := d.lastAttempt
 	// The module often gives an attempt until its request's own deadline, for which it has set a timer too. The
 	// time-out must win that race: called off by the deadline instead, the attempt would teach the module nothing,
 	// and it would judge the providers by the answers that came in time alone.
-	a.end = &timer{at: s.now.Add(wait - timeoutLead), call: number, index: -1}
-	if inv == nil || inv.Remainder == nil {
-		heap.Push(&s.timers, a.end)
+	a.timeout = &timer{at: d.eventTime.Add(wait - timeoutLead), attempt: number, index: -1}
+	if req == nil || req.Remainder == nil {
+		heap.Push(&d.timers, a.timeout)
 	} else { // its time begins when its last byte is written
-		s.uploads[number] = a
-		wait = s.patience(inv)
+		d.uploads[number] = a
+		wait = d.waitLimit(req)
 	}
-	if !a.expires.IsZero() && a.expires.Before(a.end.at) { // else its consumer would wait for what will not be sent
-		heap.Push(&s.timers, &timer{at: a.expires, call: number, expires: true})
+	if !a.expires.IsZero() && a.expires.Before(a.timeout.at) { // else its consumer would wait for what will not be sent
+		heap.Push(&d.timers, &timer{at: a.expires, attempt: number, expires: true})
 	}
-	s.calls[number] = a
-	k.calls++
-	a.began, a.at = time.Now(), k.at
-	s.traceStart(a, k)
-	notAfter := k.notAfter
-	if t := s.trust.StartBy(k.proof, s.set.DrainGrace); inv != nil && !t.IsZero() && (notAfter.IsZero() || t.Before(notAfter)) {
+	d.attempts[number] = a
+	k.attempts++
+	a.startedAt, a.process = time.Now(), k.process
+	d.traceStart(a, k)
+	notAfter := k.firstByteBy
+	if t := d.listValidity.StartBy(k.liveness, d.options.DrainGrace); req != nil && !t.IsZero() && (notAfter.IsZero() || t.Before(notAfter)) {
 		notAfter = t
 	}
 	var until time.Time
-	if inv != nil && inv.Remainder == nil {
-		until = s.now.Add(wait)
+	if req != nil && req.Remainder == nil {
+		until = d.eventTime.Add(wait)
 	}
-	a.call = k.at.Start(upstream.AttemptOptions{
-		Request: inv, Timeout: wait, Deadline: until, StartBy: notAfter, Expires: a.expires,
-		OnBodySent: func() { s.send(flowed{number}) },
+	a.running = k.process.Start(upstream.AttemptOptions{
+		Request: req, Timeout: wait, Deadline: until, StartBy: notAfter, Expires: a.expires,
+		OnBodySent: func() { d.send(bodySent{number}) },
 		OnEnd: func(r upstream.Result) {
-			if !s.send(callEnded{number, r}) {
-				closeFlow(r.Remainder)
+			if !d.send(attemptEnded{number, r}) {
+				closeBody(r.Remainder)
 			}
 		},
 	})
 	return number
 }
 
-func (e told) apply(s *Dispatcher) {
-	s.counts.EndpointUpdates++
-	s.listAt(e.List, e.at)
+func (e endpointsUpdated) apply(d *Dispatcher) {
+	d.counts.EndpointUpdates++
+	d.applyEndpointsAt(e.List, e.at)
 }
 
-// health reads a phase. One that is unknown gets no new work: it is not the one that asks for it.
-func health(phase string) policy.Health {
+// healthOfPhase reads a phase. One that is unknown gets no new work: it is not the one that asks for it.
+func healthOfPhase(phase string) policy.Health {
 	switch phase {
 	case endpoints.Serving:
 		return policy.Ready
@@ -119,88 +119,88 @@
 	return policy.Draining
 }
 
-// list takes the directory's word as of now.
-func (s *Dispatcher) list(l endpoints.List) { s.listAt(l, time.Now()) }
+// applyEndpoints takes the directory's word as of now.
+func (d *Dispatcher) applyEndpoints(l endpoints.List) { d.applyEndpointsAt(l, time.Now()) }
 
-// listAt takes the directory's word, which came when it was told, with the operators' laid over it: the table first, then the
+// applyEndpointsAt takes the directory's word, which came when it was told, with the operators' laid over it: the table first, then the
 // module.
-func (s *Dispatcher) listAt(l endpoints.List, told time.Time) {
-	s.revision = l.Revision
+func (d *Dispatcher) applyEndpointsAt(l endpoints.List, told time.Time) {
+	d.listRevision = l.Revision
 	now := time.Now()
-	s.readWall(now)
+	d.observeWallClock(now)
 	named := map[policy.ServerID]bool{}
 	left := map[upstream.Endpoint]bool{} // where another process is by now
 	lines := make([]policy.ServerInfo, 0, len(l.Endpoints))
 	for _, m := range l.Endpoints {
-		id, zone := s.serverID(m.ID), -1
-		if z, have := s.zones[m.Zone]; have {
+		id, zone := d.serverID(m.ID), -1
+		if z, have := d.zonePositions[m.Zone]; have {
 			zone = z
 		}
 		named[id] = true
-		k := s.providers[id]
+		k := d.servers[id]
 		if k == nil {
-			k = &known{name: m.ID, health: policy.Ready, at: s.set.Upstream.Endpoint(m.ID, m.Address), toldAt: told}
-			s.providers[id] = k
+			k = &serverRecord{name: m.ID, health: policy.Ready, process: d.options.Upstream.Endpoint(m.ID, m.Address), phaseSince: told}
+			d.servers[id] = k
 		}
-		if m.Address != "" && m.Address != k.at.Address() || m.StartedAt != k.line.StartedAt {
-			k.at.Close() // another process: nobody answers for it at the old place or on the old connections
-			left[k.at] = true
-			k.at = s.set.Upstream.Endpoint(m.ID, cmp.Or(m.Address, k.at.Address()))
-			k.proof = staleness.Liveness{}
+		if m.Address != "" && m.Address != k.process.Address() || m.StartedAt != k.endpoint.StartedAt {
+			k.process.Close() // another process: nobody answers for it at the old place or on the old connections
+			left[k.process] = true
+			k.process = d.options.Upstream.Endpoint(m.ID, cmp.Or(m.Address, k.process.Address()))
+			k.liveness = staleness.Liveness{}
 		}
-		k.line, k.origin = m, s.originOf(k, m, now)
-		health, since := s.effective(m, told, now)
+		k.endpoint, k.origin = m, d.originOf(k, m, now)
+		health, since := d.effectiveHealth(m, told, now)
 		lines = append(lines, policy.ServerInfo{
 			ID: id, Zone: zone, Cell: m.Cell, Health: health, StartedAt: k.origin.startedAt,
-			Uncordoned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listed,
+			Uncordoned: health == policy.Ready && k.health == policy.Draining && k.origin.startedAt > k.origin.listedAt,
 		})
-		s.setHealth(id, k, health, since)
+		d.setHealth(id, k, health, since)
 	}
-	for id, k := range s.providers {
+	for id, k := range d.servers {
 		if l.Complete && !named[id] {
-			s.setHealth(id, k, policy.Gone, told)
+			d.setHealth(id, k, policy.Gone, told)
 		}
 	}
 	ready := false
-	for id, k := range s.providers {
+	for id, k := range d.servers {
 		ready = ready || k.health == policy.Ready
-		if k.health == policy.Gone && k.calls == 0 {
-			s.forget(s.member(k, now))
-			delete(s.providers, id)
-			s.set.Upstream.Forget(k.name)
-			delete(s.serverIDs, k.name)
-			delete(s.numbers, id)
+		if k.health == policy.Gone && k.attempts == 0 {
+			d.rememberDeleted(d.snapshotMember(k, now))
+			delete(d.servers, id)
+			d.options.Upstream.Forget(k.name)
+			delete(d.serverIDs, k.name)
+			delete(d.usedServerIDs, id)
 		}
 	}
-	s.ready.Store(ready)
-	s.step(policy.Event{Kind: policy.EndpointsUpdated, Complete: l.Complete, Servers: lines})
-	s.lookedAt = time.Time{}
-	for number, a := range s.calls { // once the module knows it: what is withdrawn may go out again
-		if left[a.at] {
-			s.withdraw(number, outcome.ServerDraining)
+	d.ready.Store(ready)
+	d.handle(policy.Event{Kind: policy.EndpointsUpdated, Complete: l.Complete, Servers: lines})
+	d.reportedAt = time.Time{}
+	for number, a := range d.attempts { // once the module knows it: what is withdrawn may go out again
+		if left[a.process] {
+			d.withdrawAttempt(number, outcome.ServerDraining)
 		}
 	}
 }
 
 // setHealth notes a provider's state and, when it leaves, the end of the grace for calls that still connect.
-func (s *Dispatcher) setHealth(id policy.ServerID, k *known, h policy.Health, told time.Time) {
+func (d *Dispatcher) setHealth(id policy.ServerID, k *serverRecord, h policy.Health, told time.Time) {
 	was := k.health
 	if k.health = h; h != was {
-		k.toldAt = told
-		defer s.traceServer(k, was)
+		k.phaseSince = told
+		defer d.traceServer(k, was)
 	}
 	switch {
 	case h == policy.Ready:
-		if k.notAfter = (time.Time{}); was != policy.Ready {
-			k.at = s.set.Upstream.Endpoint(k.name, k.at.Address())
+		if k.firstByteBy = (time.Time{}); was != policy.Ready {
+			k.process = d.options.Upstream.Endpoint(k.name, k.process.Address())
 		}
 	case was == policy.Ready:
-		k.at.Close()
-		_, write := staleness.DrainLimits(s.set.DrainGrace)
-		k.notAfter = told.Add(write)
-		for _, a := range s.calls {
+		k.process.Close()
+		_, write := staleness.DrainLimits(d.options.DrainGrace)
+		k.firstByteBy = told.Add(write)
+		for _, a := range d.attempts {
 			if a.server == id {
-				a.call.StartBy(k.notAfter)
+				a.running.StartBy(k.firstByteBy)
 			}
 		}
 	}
--- a/internal/dispatch/time.go
+++ b/internal/dispatch/clock.go
@@ -26,10 +26,10 @@
 
 // timer is one that the module has set, or the end of a call's time.
 type timer struct {
-	at     time.Time
-	handle uint64
-	call   uint64 // 0 = the module's
-	index  int    // in timers
+	at          time.Time
+	policyTimer uint64
+	attempt     uint64 // 0 = the module's
+	index       int    // in timers
 
 	expires bool // with call: it ends only what is not written whole
 }
--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -16,50 +16,52 @@
 	"time"
 )
 
-// serving is a caller whose servers answer each attempt after a while. It counts attempts by address.
-type serving struct {
-	refusing
+// servingUpstream is a caller whose servers answer each attempt after a while. It counts attempts by address.
+type servingUpstream struct {
+	refusingUpstream
 	started map[string]int
 }
 
-func (c serving) Endpoint(_, address string) upstream.Endpoint {
-	return &servingEnd{refusingEnd(address), c.started}
+func (c servingUpstream) Endpoint(_, address string) upstream.Endpoint {
+	return &servingEndpoint{refusingEndpoint(address), c.started}
 }
 
-type servingEnd struct {
-	refusingEnd
+type servingEndpoint struct {
+	refusingEndpoint
 	started map[string]int
 }
 
-func (e *servingEnd) Start(t upstream.AttemptOptions) upstream.Attempt {
+func (e *servingEndpoint) Start(t upstream.AttemptOptions) upstream.Attempt {
 	e.started[e.Address()]++
 	time.AfterFunc(5*time.Millisecond, func() { t.OnEnd(upstream.Result{Outcome: outcome.Served, StatusCode: 200}) })
-	return refusedCall{}
+	return refusedAttempt{}
 }
 
-// wallClock is a wall clock that is stepped.
-type wallClock struct{ offset atomic.Int64 }
+// steppedClock is a wall clock that is stepped.
+type steppedClock struct{ offset atomic.Int64 }
 
-func (w *wallClock) now() time.Time              { return time.Now().Round(0).Add(time.Duration(w.offset.Load())) }
-func (w *wallClock) step(by time.Duration)       { w.offset.Add(int64(by)) }
-func (w *wallClock) ms() float64                 { return unixMs(w.now()) }
-func (w *wallClock) ago(d time.Duration) float64 { return w.ms() - millis(d) }
+func (w *steppedClock) now() time.Time {
+	return time.Now().Round(0).Add(time.Duration(w.offset.Load()))
+}
+func (w *steppedClock) step(by time.Duration)       { w.offset.Add(int64(by)) }
+func (w *steppedClock) ms() float64                 { return unixMs(w.now()) }
+func (w *steppedClock) ago(d time.Duration) float64 { return w.ms() - millis(d) }
 
 // options are those of a pool of slow start.
-func options(wall *wallClock, counts map[string]int) Options {
+func options(wall *steppedClock, counts map[string]int) Options {
 	return Options{
 		Policy: policy.Config{
 			MaxAttempts: 1, Cancel: true, Instances: 1, StartCapacity: 0.3, WarmUpTime: 8000,
 			OverloadMultiple: 4, Classes: []policy.Class{{LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}},
-		}, Upstream: serving{started: counts},
+		}, Upstream: servingUpstream{started: counts},
 		WallClock: wall.now, DrainGrace: 750 * time.Millisecond,
 	}
 }
 
-// play sends requests to a pool that runs, for two seconds.
-func play(s *Dispatcher) {
+// sendRequests sends requests to a pool that runs, for two seconds.
+func sendRequests(d *Dispatcher) {
 	for i := range 200 {
-		s.Submit(&request.Request{
+		d.Submit(&request.Request{
 			ID: fmt.Sprint(i), SentAt: time.Now(), Timeout: time.Second,
 			Respond: func(request.Response) {},
 		})
@@ -67,25 +69,25 @@
 	}
 }
 
-// slowStart plays requests for two seconds at a pool of one old server and one that do lists, and returns how many attempts
+// attemptsDuringSlowStart plays requests for two seconds at a pool of one old server and one that do lists, and returns how many attempts
 // that one got.
-func slowStart(t *testing.T, do func(*wallClock, *Dispatcher)) (attempts int) {
+func attemptsDuringSlowStart(t *testing.T, do func(*steppedClock, *Dispatcher)) (attempts int) {
 	synctest.Test(t, func(t *testing.T) {
-		wall, counts := new(wallClock), map[string]int{}
-		s, err := New(options(wall, counts))
+		wall, counts := new(steppedClock), map[string]int{}
+		d, err := New(options(wall, counts))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, end := context.WithCancel(t.Context())
 		running := make(chan error, 1)
-		go func() { running <- s.Run(ctx) }()
-		s.UpdateEndpoints(endpoints.List{Revision: 1, Complete: true, Endpoints: []endpoints.Endpoint{{
+		go func() { running <- d.Run(ctx) }()
+		d.UpdateEndpoints(endpoints.List{Revision: 1, Complete: true, Endpoints: []endpoints.Endpoint{{
 			ID: "old", Address: "old:1",
 			Phase: endpoints.Serving,
 		}}}, time.Now())
 		time.Sleep(time.Second)
-		do(wall, s)
-		play(s)
+		do(wall, d)
+		sendRequests(d)
 		end()
 		if err := <-running; err != nil {
 			t.Error(err)
@@ -95,9 +97,9 @@
 	return attempts
 }
 
-// lists tells that a server has started so long ago by the wall clock as it is.
-func lists(s *Dispatcher, upSince float64) {
-	s.UpdateEndpoints(endpoints.List{Revision: 2, Endpoints: []endpoints.Endpoint{{
+// listNewServer tells that a server has started so long ago by the wall clock as it is.
+func listNewServer(d *Dispatcher, upSince float64) {
+	d.UpdateEndpoints(endpoints.List{Revision: 2, Endpoints: []endpoints.Endpoint{{
 		ID: "new", Address: "new:1", Phase: endpoints.Serving,
 		StartedAt: upSince,
 	}}}, time.Now())
@@ -106,36 +108,36 @@
 // A server in slow start gets no more, and for no longer gets less, because the wall clock was stepped: its start is a date, its
 // warming up a span of real time.
 func TestSlowStartOutlivesAClockStep(t *testing.T) {
-	usual := slowStart(t, func(w *wallClock, s *Dispatcher) { lists(s, w.ms()) })
-	warm := slowStart(t, func(w *wallClock, s *Dispatcher) { lists(s, w.ago(time.Hour)) })
+	usual := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) { listNewServer(d, w.ms()) })
+	warm := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) { listNewServer(d, w.ago(time.Hour)) })
 	if usual == 0 || warm < 2*usual {
 		t.Fatalf("no slow start to look at: %d attempts, %d at a warm server", usual, warm)
 	}
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
-		for name, do := range map[string]func(*wallClock, *Dispatcher){
-			"started after the step": func(w *wallClock, s *Dispatcher) {
+		for name, do := range map[string]func(*steppedClock, *Dispatcher){
+			"started after the step": func(w *steppedClock, d *Dispatcher) {
 				w.step(step)
-				lists(s, w.ms())
+				listNewServer(d, w.ms())
 			},
-			"started before the step, listed after it": func(w *wallClock, s *Dispatcher) {
+			"started before the step, listed after it": func(w *steppedClock, d *Dispatcher) {
 				started := w.ms()
 				w.step(step)
-				lists(s, started)
+				listNewServer(d, started)
 			},
-			"listed before the step and again after it": func(w *wallClock, s *Dispatcher) {
+			"listed before the step and again after it": func(w *steppedClock, d *Dispatcher) {
 				started := w.ms()
-				lists(s, started)
+				listNewServer(d, started)
 				w.step(step)
-				lists(s, started)
+				listNewServer(d, started)
 			},
-			"put back by operators after the step": func(w *wallClock, s *Dispatcher) {
+			"put back by operators after the step": func(w *steppedClock, d *Dispatcher) {
 				w.step(step)
-				lists(s, 0)
-				s.SetCordons(cordon.Set{Cordoned: map[string]float64{"new": w.ms()}})
-				s.SetCordons(cordon.Set{Uncordoned: map[string]float64{"new": w.ms()}})
+				listNewServer(d, 0)
+				d.SetCordons(cordon.Set{Cordoned: map[string]float64{"new": w.ms()}})
+				d.SetCordons(cordon.Set{Uncordoned: map[string]float64{"new": w.ms()}})
 			},
 		} {
-			if got := slowStart(t, do); got > usual+1 || got < usual-1 {
+			if got := attemptsDuringSlowStart(t, do); got > usual+1 || got < usual-1 {
 				t.Errorf("clock stepped by %s, %s: %d attempts in two seconds, %d without a step", step, name, got, usual)
 			}
 		}
@@ -143,15 +145,15 @@
 }
 
 // A server that has warmed up stays warm, whatever the clock does after that and however often it is listed.
-func TestAWarmServerStaysWarmOverAClockStep(t *testing.T) {
-	warm := slowStart(t, func(w *wallClock, s *Dispatcher) { lists(s, w.ago(time.Hour)) })
+func TestWarmServerRemainsWarmOverAClockStep(t *testing.T) {
+	warm := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) { listNewServer(d, w.ago(time.Hour)) })
 	for _, step := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
-		got := slowStart(t, func(w *wallClock, s *Dispatcher) {
+		got := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) {
 			started := w.ms()
-			lists(s, started)
+			listNewServer(d, started)
 			time.Sleep(10 * time.Second)
 			w.step(step)
-			lists(s, started)
+			listNewServer(d, started)
 		})
 		if got < warm-5 {
 			t.Errorf("clock stepped by %s: %d attempts in two seconds, %d without a step", step, got, warm)
@@ -164,18 +166,18 @@
 func TestSlowStartOutlivesAClockStepAndAHotRestart(t *testing.T) {
 	restarted := func(step time.Duration) (attempts int) {
 		synctest.Test(t, func(t *testing.T) {
-			wall, counts := new(wallClock), map[string]int{}
+			wall, counts := new(steppedClock), map[string]int{}
 			first, err := New(options(wall, counts))
 			if err != nil {
 				t.Fatal(err)
 			}
-			first.list(endpoints.List{Revision: 1, Complete: true, Endpoints: []endpoints.Endpoint{{
+			first.applyEndpoints(endpoints.List{Revision: 1, Complete: true, Endpoints: []endpoints.Endpoint{{
 				ID: "old", Address: "old:1",
 				Phase: endpoints.Serving,
 			}, {ID: "new", Address: "new:1", Phase: endpoints.Serving, StartedAt: wall.ms()}}})
 			time.Sleep(time.Second)
 			wall.step(step)
-			first.list(endpoints.List{Revision: 2})
+			first.applyEndpoints(endpoints.List{Revision: 2})
 			raw, err := snapshot.Encode(first.snapshot(time.Now()), 0)
 			if err != nil {
 				t.Fatal(err)
@@ -195,7 +197,7 @@
 			ctx, end := context.WithCancel(t.Context())
 			running := make(chan error, 1)
 			go func() { running <- next.Run(ctx) }()
-			play(next)
+			sendRequests(next)
 			end()
 			if err := <-running; err != nil {
 				t.Error(err)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -20,122 +20,124 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// refusing is a caller to whom no provider opens a connection.
-type refusing struct{}
+// refusingUpstream is a caller to whom no provider opens a connection.
+type refusingUpstream struct{}
 
-func (refusing) Endpoint(_, address string) upstream.Endpoint   { return refusingEnd(address) }
-func (refusing) Forget(string)                                  {}
-func (refusing) State(time.Time) ([]byte, error)                { return nil, nil }
-func (refusing) Restore(time.Time, []byte, time.Duration) error { return nil }
+func (refusingUpstream) Endpoint(_, address string) upstream.Endpoint {
+	return refusingEndpoint(address)
+}
+func (refusingUpstream) Forget(string)                                  {}
+func (refusingUpstream) State(time.Time) ([]byte, error)                { return nil, nil }
+func (refusingUpstream) Restore(time.Time, []byte, time.Duration) error { return nil }
 
-type refusingEnd string
+type refusingEndpoint string
 
-func (e refusingEnd) Address() string { return string(e) }
-func (refusingEnd) Close()            {}
-func (refusingEnd) Start(t upstream.AttemptOptions) upstream.Attempt {
+func (e refusingEndpoint) Address() string { return string(e) }
+func (refusingEndpoint) Close()            {}
+func (refusingEndpoint) Start(t upstream.AttemptOptions) upstream.Attempt {
 	go t.OnEnd(upstream.Result{Outcome: outcome.ConnectRefused})
-	return refusedCall{}
+	return refusedAttempt{}
 }
 
-type refusedCall struct{}
+type refusedAttempt struct{}
 
-func (refusedCall) Cancel(outcome.Kind) (outcome.Kind, bool)   { return 0, false }
-func (refusedCall) Withdraw(outcome.Kind) (outcome.Kind, bool) { return 0, false }
-func (refusedCall) StartBy(time.Time)                          {}
+func (refusedAttempt) Cancel(outcome.Kind) (outcome.Kind, bool)   { return 0, false }
+func (refusedAttempt) Withdraw(outcome.Kind) (outcome.Kind, bool) { return 0, false }
+func (refusedAttempt) StartBy(time.Time)                          {}
 
-// host returns a Pool that knows no provider yet, run by the test itself.
-func host(t *testing.T) *Dispatcher {
+// newDispatcher returns a Pool that knows no provider yet, run by the test itself.
+func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
-	s, err := New(Options{
+	d, err := New(Options{
 		Policy:   policy.Config{MaxAttempts: 1, Cancel: true, Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}}},
-		Upstream: refusing{},
+		Upstream: refusingUpstream{},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return d
 }
 
-type sizes struct{ Providers, IDs, Numbers, Held, Open, Calls, Timers int }
+type sizes struct{ Servers, IDs, Numbers, Requests, Open, Attempts, Timers int }
 
-func (s *Dispatcher) sizes() sizes {
-	return sizes{len(s.providers), len(s.serverIDs), len(s.numbers), len(s.held), len(s.open), len(s.calls), len(s.timers)}
+func (d *Dispatcher) sizes() sizes {
+	return sizes{len(d.servers), len(d.serverIDs), len(d.usedServerIDs), len(d.requests), len(d.openIDs), len(d.attempts), len(d.timers)}
 }
 
 // Providers are replaced by new ones under new ids all day long, and each call ends long before its time: nothing may be
 // kept of those that are gone.
-func TestWhatIsGoneIsForgotten(t *testing.T) {
+func TestNothingIsKeptOfDeletedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := host(t)
-		before := s.sizes()
+		d := newDispatcher(t)
+		before := d.sizes()
 		for i := range 20000 {
 			name, was := fmt.Sprintf("s-%d", i), fmt.Sprintf("s-%d", i-1)
-			s.list(endpoints.List{Endpoints: []endpoints.Endpoint{
+			d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{
 				{ID: name, Address: "p:1", Phase: endpoints.Serving},
 				{ID: was, Phase: endpoints.Deleted},
 			}})
-			arrived{&request.Request{
+			requestArrived{&request.Request{
 				ID: name, SentAt: time.Now(), Timeout: time.Second,
 				Respond: func(request.Response) {},
-			}}.apply(s)
+			}}.apply(d)
 			synctest.Wait()
-			for len(s.calls) > 0 {
-				(<-s.events).apply(s)
+			for len(d.attempts) > 0 {
+				(<-d.events).apply(d)
 			}
 			time.Sleep(10 * time.Millisecond)
-			s.due()
+			d.fireTimers()
 		}
-		s.list(endpoints.List{Complete: true})
+		d.applyEndpoints(endpoints.List{Complete: true})
 		time.Sleep(time.Second) // until the last deadline
-		s.due()
-		if diff := cmp.Diff(before, s.sizes()); diff != "" || s.counts.Attempts != 20000 || len(s.gone) > goneMost {
-			t.Errorf("%d sent, %d gone\n%s", s.counts.Attempts, len(s.gone), diff)
+		d.fireTimers()
+		if diff := cmp.Diff(before, d.sizes()); diff != "" || d.counts.Attempts != 20000 || len(d.deletedServers) > maxDeletedServers {
+			t.Errorf("%d sent, %d gone\n%s", d.counts.Attempts, len(d.deletedServers), diff)
 		}
 	})
 }
 
 // Two open invocations of one id: the second is turned away, untaken, and the id is free again with the first's answer.
-func TestAnOpenIDIsTakenOnce(t *testing.T) {
+func TestDuplicateOfOpenRequestIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := host(t)
+		d := newDispatcher(t)
 		var got []request.Kind
 		for range 3 {
-			s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
+			d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
 			for range 2 {
-				arrived{&request.Request{
+				requestArrived{&request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Second,
 					Respond: func(a request.Response) { got = append(got, a.Kind) },
-				}}.apply(s)
+				}}.apply(d)
 			}
 			synctest.Wait()
-			for len(s.calls) > 0 {
-				(<-s.events).apply(s)
+			for len(d.attempts) > 0 {
+				(<-d.events).apply(d)
 			}
 		}
 		want := []request.Kind{
 			request.Duplicate, request.Rejected, request.Duplicate, request.Rejected,
 			request.Duplicate, request.Rejected,
 		}
-		if diff := cmp.Diff(want, got); diff != "" || s.counts.Conflicts != 3 || s.counts.AttemptOutcomes[outcome.ConnectRefused] != 3 {
-			t.Errorf("%+v\n%s", s.counts, diff)
+		if diff := cmp.Diff(want, got); diff != "" || d.counts.Conflicts != 3 || d.counts.AttemptOutcomes[outcome.ConnectRefused] != 3 {
+			t.Errorf("%+v\n%s", d.counts, diff)
 		}
 	})
 }
 
 // When Run has ended, Cancel still tells what was never sent from what may have run; what it does not know may have.
-func TestCancelAfterTheEnd(t *testing.T) {
-	s := host(t)
+func TestCancelAfterRunEnded(t *testing.T) {
+	d := newDispatcher(t)
 	ctx, end := context.WithCancel(t.Context())
 	end()
-	for i, h := range []*held{{}, {call: 1}, {mayRun: true}, nil} {
-		inv := &request.Request{ID: fmt.Sprint(i)}
+	for i, h := range []*pendingRequest{{}, {attempt: 1}, {mayRun: true}, nil} {
+		req := &request.Request{ID: fmt.Sprint(i)}
 		if id := policy.RequestID(i + 1); h != nil {
-			s.held[id], s.byInv[inv] = h, id
+			d.requests[id], d.requestIDs[req] = h, id
 		}
 		if i == 0 {
-			s.Run(ctx)
+			d.Run(ctx)
 		}
-		if mayRun := s.Cancel(inv); mayRun != (i > 0) {
+		if mayRun := d.Cancel(req); mayRun != (i > 0) {
 			t.Errorf("%+v: may have run: %t", h, mayRun)
 		}
 	}
@@ -143,17 +145,17 @@
 
 // A probe's answer whose report can't be read, or lacks the load, says nothing: a zero made up for it would look like a
 // provider with nothing to do.
-func TestUnreadableReportsAreLeftOut(t *testing.T) {
+func TestUnreadableReportsAreIgnored(t *testing.T) {
 	settings := config.Settings{}
 	settings.Report.Names = []string{"active", "avg_ms"}
-	s := &Dispatcher{set: Options{IsComplete: settings.IsComplete}, calls: map[uint64]*attempt{}, providers: map[policy.ServerID]*known{}}
-	s.stepping = true // the module's events are looked at, not handled
+	d := &Dispatcher{options: Options{IsComplete: settings.IsComplete}, attempts: map[uint64]*attemptRecord{}, servers: map[policy.ServerID]*serverRecord{}}
+	d.handling = true // the module's events are looked at, not handled
 	for _, report := range []string{`{"active":3}`, `{"active":null,"avg_ms":20}`, `{"avg_ms":3}`, `{"act`, ``} {
-		s.calls[1] = &attempt{probe: true, end: &timer{index: -1}}
-		s.ended(1, upstream.Result{Outcome: outcome.Served, Report: loadreport.Parse([]byte(report))})
+		d.attempts[1] = &attemptRecord{isProbe: true, timeout: &timer{index: -1}}
+		d.endAttempt(1, upstream.Result{Outcome: outcome.Served, Report: loadreport.Parse([]byte(report))})
 	}
 	var got []policy.Status
-	for _, e := range s.pending {
+	for _, e := range d.policyEvents {
 		got = append(got, e.Status)
 	}
 	want := []policy.Status{policy.OK, policy.NotSent, policy.NotSent, policy.NotSent, policy.NotSent}
@@ -164,7 +166,7 @@
 
 // What an ending says of the list: a refused connection and a probe that is turned away speak against it, an answer for it, and
 // a request that is turned away says nothing, since a queue may have been full.
-func TestSigns(t *testing.T) {
+func TestEvidenceOfOutcomes(t *testing.T) {
 	const none = staleness.Evidence(255)
 	for e, want := range map[outcome.Kind][2]staleness.Evidence{
 		outcome.Served: {staleness.Alive, staleness.Alive}, outcome.ConnectRefused: {staleness.ConnectRefused, staleness.ConnectRefused},
@@ -172,7 +174,7 @@
 		outcome.TimedOut: {none, none}, outcome.ConnectTimeout: {none, none}, outcome.LocalError: {none, none},
 	} {
 		for i, probe := range []bool{false, true} {
-			got, is := signOf(e, probe)
+			got, is := evidenceOf(e, probe)
 			if !is {
 				got = none
 			}
@@ -186,21 +188,21 @@
 // The trace says of each attempt what it was decided on, and how it ended.
 func TestTrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := host(t)
+		d := newDispatcher(t)
 		var got []string
-		s.set.Trace = func(format string, args ...any) { got = append(got, fmt.Sprintf(format, args...)) }
+		d.options.Trace = func(format string, args ...any) { got = append(got, fmt.Sprintf(format, args...)) }
 		up := float64(time.Now().UnixMilli())
-		s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "p:1", Phase: endpoints.Serving, StartedAt: up}}})
-		probe := s.start(s.providers[s.serverID("a")], nil, &attempt{probe: true, server: s.serverID("a")}, time.Second)
-		s.ended(probe, upstream.Result{Outcome: outcome.Served})
+		d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "p:1", Phase: endpoints.Serving, StartedAt: up}}})
+		probe := d.launch(d.servers[d.serverID("a")], nil, &attemptRecord{isProbe: true, server: d.serverID("a")}, time.Second)
+		d.endAttempt(probe, upstream.Result{Outcome: outcome.Served})
 		time.Sleep(1500 * time.Millisecond)
-		arrived{&request.Request{
+		requestArrived{&request.Request{
 			ID: "r", SentAt: time.Now(), Timeout: time.Second,
 			Respond: func(request.Response) {},
-		}}.apply(s)
+		}}.apply(d)
 		synctest.Wait()
-		for len(s.calls) > 0 {
-			(<-s.events).apply(s)
+		for len(d.attempts) > 0 {
+			(<-d.events).apply(d)
 		}
 		want := []string{
 			"trace=start of=probe provider=a try=0 news_ms=-1 age_ms=0 request=-",
@@ -218,13 +220,13 @@
 }
 
 // Once the list is not sure a provider gets no request before a probe has been answered by the process that the list names.
-func TestUnsureListGetsProbes(t *testing.T) {
+func TestStaleListNeedsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, err := New(Options{
+		d, err := New(Options{
 			Policy: policy.Config{
 				MaxAttempts: 1, Cancel: true, Probes: true,
 				Classes: []policy.Class{{LatencyObjective: 100, Deadline: 1000}},
-			}, Upstream: refusing{}, DrainGrace: 750 * time.Millisecond,
+			}, Upstream: refusingUpstream{}, DrainGrace: 750 * time.Millisecond,
 			InitialEndpoints: endpoints.List{Endpoints: []endpoints.Endpoint{
 				{ID: "a", Address: "a:1", Phase: endpoints.Serving},
 				{ID: "b", Address: "b:1", Phase: endpoints.Serving},
@@ -234,47 +236,47 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go s.Run(ctx)
-		s.SetListValidity(staleness.Validity{ListUntil: time.Now().Add(time.Second)})
+		go d.Run(ctx)
+		d.SetListValidity(staleness.Validity{ListUntil: time.Now().Add(time.Second)})
 		for i, want := range []int{1, 1} {
-			inv := &request.Request{
+			req := &request.Request{
 				ID: fmt.Sprint(i), Timeout: time.Second, SentAt: time.Now(),
 				Respond: func(request.Response) {},
 			}
-			s.Submit(inv)
+			d.Submit(req)
 			time.Sleep(2 * time.Second)
-			if c := s.Counts(); c.Attempts != want || c.Probes == 0 {
+			if c := d.Counts(); c.Attempts != want || c.Probes == 0 {
 				t.Errorf("request %d: %d sent, want %d; %d probes", i, c.Attempts, want, c.Probes)
 			}
 		}
 		cancel()
-		<-s.Done()
+		<-d.Done()
 	})
 }
 
 // The word that a provider drains goes before all else that waits: however much that is, nothing of it is sent there.
-func TestWordsGoFirst(t *testing.T) {
+func TestEndpointUpdatesOvertakeQueuedEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := host(t)
+		d := newDispatcher(t)
 		line := func(id, phase string) endpoints.Endpoint {
 			return endpoints.Endpoint{ID: id, Address: id + ":1", Phase: phase}
 		}
-		s.list(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{line("a", endpoints.Serving), line("b", endpoints.Serving)}})
-		for i := range eventsAhead / 2 {
-			s.Submit(&request.Request{ID: fmt.Sprint(i), SentAt: time.Now(), Timeout: time.Second, Respond: func(request.Response) {}})
+		d.applyEndpoints(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{line("a", endpoints.Serving), line("b", endpoints.Serving)}})
+		for i := range eventQueueSize / 2 {
+			d.Submit(&request.Request{ID: fmt.Sprint(i), SentAt: time.Now(), Timeout: time.Second, Respond: func(request.Response) {}})
 		}
 		var sent []string
-		s.set.Trace = func(format string, args ...any) {
+		d.options.Trace = func(format string, args ...any) {
 			if strings.HasPrefix(format, "trace=start") {
 				sent = append(sent, args[1].(string))
 			}
 		}
-		s.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{line("a", endpoints.Draining)}}, time.Now())
+		d.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{line("a", endpoints.Draining)}}, time.Now())
 		ctx, cancel := context.WithCancel(t.Context())
-		go s.Run(ctx)
+		go d.Run(ctx)
 		synctest.Wait()
 		cancel()
-		<-s.Done()
+		<-d.Done()
 		if n := len(sent); n == 0 || slices.Contains(sent, "a") {
 			t.Errorf("%d sent: %q", n, sent[:min(n, 20)])
 		}
@@ -282,16 +284,16 @@
 }
 
 // A release may replace all of a large fleet at once: the next process is told of each that is gone.
-func TestAllThatAreGoneAreKeptInMind(t *testing.T) {
-	s := host(t)
+func TestAllDeletedServersAreRemembered(t *testing.T) {
+	d := newDispatcher(t)
 	for _, phase := range []string{endpoints.Serving, endpoints.Deleted} {
 		l := endpoints.List{}
 		for i := range 2000 {
 			l.Endpoints = append(l.Endpoints, endpoints.Endpoint{ID: fmt.Sprint(i), Address: "p:1", Phase: phase})
 		}
-		s.list(l)
+		d.applyEndpoints(l)
 	}
-	if n := len(s.snapshot(time.Now()).Members); n != 2000 {
+	if n := len(d.snapshot(time.Now()).Members); n != 2000 {
 		t.Errorf("%d of 2000", n)
 	}
 }
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -53,8 +53,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := new(slow)
-				s, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
+				c := new(delayedUpstream)
+				d, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
 					LatencyObjective: 2e4, Deadline: 6e4,
 					Idempotency: tc.repeat, KeyWindow: 3000,
 				}}}, Upstream: c, DrainGrace: time.Minute})
@@ -65,39 +65,39 @@
 				for i := range 4 {
 					list.Endpoints = append(list.Endpoints, endpoints.Endpoint{ID: fmt.Sprint(i), Address: "p:1", Phase: endpoints.Serving})
 				}
-				s.list(list)
+				d.applyEndpoints(list)
 				var got []request.Kind
-				inv := &request.Request{
+				req := &request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Minute,
 					Respond: func(a request.Response) { got = append(got, a.Kind) },
 				}
 				first := time.Now()
-				arrived{inv}.apply(s)
-				s.retryFreely()
+				requestArrived{req}.apply(d)
+				d.retryFreely()
 				for i, end := range tc.ends {
 					time.Sleep(second)
-					s.due()
-					c.calls[i].over = true
-					s.ended(s.held[s.byInv[inv]].call, upstream.Result{Outcome: end})
+					d.fireTimers()
+					c.attempts[i].over = true
+					d.endAttempt(d.requests[d.requestIDs[req]].attempt, upstream.Result{Outcome: end})
 				}
 				if tc.written {
-					c.calls[len(c.calls)-1].over = true
+					c.attempts[len(c.attempts)-1].over = true
 				}
 				var expires []time.Duration
-				for _, call := range c.calls {
+				for _, call := range c.attempts {
 					expires = append(expires, never)
 					if !call.Expires.IsZero() {
 						expires[len(expires)-1] = call.Expires.Sub(first)
 					}
 				}
-				c.did = nil
+				c.actions = nil
 				time.Sleep(time.Until(first.Add(3*second - 12*time.Millisecond)))
-				s.due()
-				before := len(c.did) + len(got)
+				d.fireTimers()
+				before := len(c.actions) + len(got)
 				time.Sleep(time.Millisecond)
-				s.due()
-				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.did, tc.did) || !slices.Equal(got, tc.answers) || before > 0 {
-					t.Errorf("expire %v, did %q, answers %v, %d too early", expires, c.did, got, before)
+				d.fireTimers()
+				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.actions, tc.did) || !slices.Equal(got, tc.answers) || before > 0 {
+					t.Errorf("expire %v, did %q, answers %v, %d too early", expires, c.actions, got, before)
 				}
 			})
 		})
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -6,43 +6,43 @@
 )
 
 // maySend is the guard of every attempt: it holds back what a sound module does not ask for.
-func (s *Dispatcher) maySend(h *held, k *known) bool {
+func (d *Dispatcher) maySend(h *pendingRequest, k *serverRecord) bool {
 	switch {
 	case h == nil || h.answered || k == nil:
 		return false
-	case h.call != 0:
-		s.heldBack(invariant.OneAttempt, h, "send")
+	case h.attempt != 0:
+		d.reportPrevented(invariant.OneAttempt, h, "send")
 		return false
-	case h.mayRun && s.class(h).Idempotency == policy.NonIdempotent:
-		s.heldBack(invariant.Effect, h, "send")
+	case h.mayRun && d.class(h).Idempotency == policy.NonIdempotent:
+		d.reportPrevented(invariant.Effect, h, "send")
 		return false
 	case k.health != policy.Ready:
-		s.heldBack(invariant.DrainGrace, h, "send")
+		d.reportPrevented(invariant.DrainGrace, h, "send")
 		return false
 	}
 	return true
 }
 
-// mayRefuse is the guard of every refusal, which promises that trying again is harmless.
-func (s *Dispatcher) mayRefuse(h *held) bool {
-	if !h.mayRun && h.call == 0 {
+// mayReject is the guard of every refusal, which promises that trying again is harmless.
+func (d *Dispatcher) mayReject(h *pendingRequest) bool {
+	if !h.mayRun && h.attempt == 0 {
 		return true
 	}
-	c := s.class(h)
+	c := d.class(h)
 	return c.Idempotency == policy.Idempotent || c.Idempotency == policy.WithIdempotencyKey && c.KeyScope == policy.ScopeAll
 }
 
 // class is that of the invocation, as the module knows it.
-func (s *Dispatcher) class(h *held) policy.Class {
-	if n := h.inv.Class; n >= 0 && n < len(s.set.Policy.Classes) {
-		return s.set.Policy.Classes[n]
+func (d *Dispatcher) class(h *pendingRequest) policy.Class {
+	if n := h.request.Class; n >= 0 && n < len(d.options.Policy.Classes) {
+		return d.options.Policy.Classes[n]
 	}
 	return policy.Class{Idempotency: policy.NonIdempotent}
 }
 
-// heldBack counts what a guard has held back, and logs it: the module should not have asked for it.
-func (s *Dispatcher) heldBack(r invariant.Rule, h *held, what string) {
-	s.set.Invariants.Prevented(r)
-	s.set.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", r, h.inv.ID, what, h.attempts,
-		h.mayRun, h.call != 0)
+// reportPrevented counts what a guard has held back, and logs it: the module should not have asked for it.
+func (d *Dispatcher) reportPrevented(r invariant.Rule, h *pendingRequest, what string) {
+	d.options.Invariants.Prevented(r)
+	d.options.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", r, h.request.ID, what, h.attempts,
+		h.mayRun, h.attempt != 0)
 }
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -11,7 +11,7 @@
 )
 
 // What an unsound module asks for against a rule is held back at the one place that sends, or that refuses, and counted there.
-func TestGuards(t *testing.T) {
+func TestInvariantGuards(t *testing.T) {
 	for name, row := range map[string]struct {
 		repeat  policy.Idempotency
 		scope   policy.KeyScope
@@ -33,34 +33,34 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			book := new(invariant.Recorder)
-			s, err := New(Options{Policy: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
+			d, err := New(Options{Policy: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
 				LatencyObjective: 100, Deadline: 1000,
 				Idempotency: row.repeat, KeyScope: row.scope,
-			}}}, Upstream: refusing{}, Invariants: book})
+			}}}, Upstream: refusingUpstream{}, Invariants: book})
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.list(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Serving}}})
-			k := s.providers[s.serverIDs["a"]]
+			d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Serving}}})
+			k := d.servers[d.serverIDs["a"]]
 			if row.leaves {
 				k.health = policy.Draining
 			}
 			var got []request.Kind
-			h := &held{mayRun: row.mayRun, inv: &request.Request{
+			h := &pendingRequest{mayRun: row.mayRun, request: &request.Request{
 				ID: "r", SentAt: time.Now(), Timeout: time.Second,
 				Respond: func(a request.Response) { got = append(got, a.Kind) },
 			}}
 			if row.out {
-				h.call = 1
+				h.attempt = 1
 			}
-			if send := s.maySend(h, k); send != row.send {
+			if send := d.maySend(h, k); send != row.send {
 				t.Errorf("%s: may send %t", name, send)
 			}
 			if c := book.Counts()[row.counted]; !row.send && c.Prevented != 1 {
 				t.Errorf("%s: %s held back %d times", name, c.Rule, c.Prevented)
 			}
-			s.held[1] = h
-			s.answer(1, request.Response{Kind: request.Rejected})
+			d.requests[1] = h
+			d.respond(1, request.Response{Kind: request.Rejected})
 			want := request.Rejected
 			if !row.refuse {
 				want = request.Failed
--- a/internal/dispatch/change.go
+++ b/internal/dispatch/reconfigure.go
@@ -18,25 +18,25 @@
 var errStopped = errors.New("the pool has stopped")
 
 // Reconfigure takes other settings, or none of them, and returns once they are in force.
-func (s *Dispatcher) Reconfigure(c Reconfiguration) error {
-	err, ok := ask(s, func(done chan<- error) event { return changing{c, done} })
+func (d *Dispatcher) Reconfigure(c Reconfiguration) error {
+	err, ok := query(d, func(done chan<- error) event { return reconfigured{c, done} })
 	if !ok {
 		return errStopped
 	}
 	return err
 }
 
-func (e changing) apply(s *Dispatcher) {
-	err := s.bal.Reconfigure(vouching(e.Policy, e.DrainGrace), e.Classes.PredecessorOf, e.Tenants.PredecessorOf)
+func (e reconfigured) apply(d *Dispatcher) {
+	err := d.balancer.Reconfigure(withProbeValidity(e.Policy, e.DrainGrace), e.Classes.PredecessorOf, e.Tenants.PredecessorOf)
 	if err == nil {
-		s.set.Policy, s.set.Deployment, s.set.DrainGrace = e.Policy, e.Deployment, e.DrainGrace
-		s.classes, s.tenants = e.Classes.ByPosition, e.Tenants.ByPosition
+		d.options.Policy, d.options.Deployment, d.options.DrainGrace = e.Policy, e.Deployment, e.DrainGrace
+		d.classPositions, d.tenantPositions = e.Classes.ByPosition, e.Tenants.ByPosition
 	}
 	e.done <- err
 }
 
-// upTo returns the first n numbers.
-func upTo(n int) []int {
+// positions returns the first n numbers.
+func positions(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -13,227 +13,227 @@
 	"time"
 )
 
-// held is an invocation that has no final answer yet, or whose invoker call is still out.
-type held struct {
-	inv      *request.Request
+// requests is an invocation that has no final answer yet, or whose invoker call is still out.
+type pendingRequest struct {
+	request  *request.Request
 	attempts int
-	call     uint64 // under way; 0 = none
+	attempt  uint64 // under way; 0 = none
 	mayRun   bool   // an attempt that has ended may have run
 	answered bool
 }
 
-func (e arrived) apply(s *Dispatcher) {
-	inv := e.inv
-	if s.open[inv.ID] || s.elsewhere[inv.ID] { // providers could not tell the two apart, and one might get the other's answer
-		s.counts.Conflicts++
-		inv.Respond(request.Response{Kind: request.Duplicate})
+func (e requestArrived) apply(d *Dispatcher) {
+	req := e.request
+	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // providers could not tell the two apart, and one might get the other's answer
+		d.counts.Conflicts++
+		req.Respond(request.Response{Kind: request.Duplicate})
 		return
 	}
-	s.open[inv.ID] = true
-	s.counts.Accepted++
-	s.next++
-	s.held[s.next], s.byInv[inv] = &held{inv: inv}, s.next
+	d.openIDs[req.ID] = true
+	d.counts.Accepted++
+	d.lastRequest++
+	d.requests[d.lastRequest], d.requestIDs[req] = &pendingRequest{request: req}, d.lastRequest
 	now := time.Now()
-	s.traceRequest(inv, "taken", "class=%d tenant=%d left_ms=%.0f", inv.Class, inv.Tenant, millis(s.left(inv, now)))
-	if s.pastLast(now) {
-		s.refuseAtEnd(s.next)
+	d.traceRequest(req, "taken", "class=%d tenant=%d left_ms=%.0f", req.Class, req.Tenant, millis(d.timeLeft(req, now)))
+	if d.isPastLastForward(now) {
+		d.rejectForShutdown(d.lastRequest)
 		return
 	}
-	s.step(policy.Event{Kind: policy.RequestArrived, Request: s.next, Class: inv.Class, Tenant: inv.Tenant, ClientRetry: inv.ClientRetry})
+	d.handle(policy.Event{Kind: policy.RequestArrived, Request: d.lastRequest, Class: req.Class, Tenant: req.Tenant, ClientRetry: req.ClientRetry})
 }
 
-// pastLast reports whether this process may be killed so soon that it sends nothing new.
-func (s *Dispatcher) pastLast(now time.Time) bool {
-	return !s.stopAt.IsZero() && now.Sub(s.stopAt) >= s.stopPlan.LastForward
+// isPastLastForward reports whether this process may be killed so soon that it sends nothing new.
+func (d *Dispatcher) isPastLastForward(now time.Time) bool {
+	return !d.shutdownAt.IsZero() && now.Sub(d.shutdownAt) >= d.shutdownSchedule.LastForward
 }
 
 // ShuttingDown is why a request is refused that comes in when this process may be killed soon. The module is not asked: it knows nothing of
 // processes.
 const ShuttingDown policy.Reason = "ending"
 
-// refuseAtEnd refuses a request of which nothing was sent.
-func (s *Dispatcher) refuseAtEnd(id policy.RequestID) {
-	s.unserved(&policy.Action{Request: id, Reason: ShuttingDown})
-	s.answer(id, request.Response{Kind: request.Rejected})
+// rejectForShutdown refuses a request of which nothing was sent.
+func (d *Dispatcher) rejectForShutdown(id policy.RequestID) {
+	d.countUnserved(&policy.Action{Request: id, Reason: ShuttingDown})
+	d.respond(id, request.Response{Kind: request.Rejected})
 }
 
-// left is how long the invocation's consumer still waits at now. What it still sends it does not wait for yet: see flowed.
-func (s *Dispatcher) left(inv *request.Request, now time.Time) time.Duration {
-	if inv.Remainder != nil && s.stopAt.IsZero() {
-		return flowMost
-	} else if inv.Remainder != nil {
-		return s.stopPlan.LastAnswer - now.Sub(s.stopAt)
+// timeLeft is how long the invocation's consumer still waits at now. What it still sends it does not wait for yet: see flowed.
+func (d *Dispatcher) timeLeft(req *request.Request, now time.Time) time.Duration {
+	if req.Remainder != nil && d.shutdownAt.IsZero() {
+		return maxUploadTime
+	} else if req.Remainder != nil {
+		return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
 	}
-	return s.patience(inv) - now.Sub(inv.SentAt)
+	return d.waitLimit(req) - now.Sub(req.SentAt)
 }
 
-// patience is how long it waits in all, as long as this process lives.
-func (s *Dispatcher) patience(inv *request.Request) time.Duration {
-	if s.stopAt.IsZero() {
-		return inv.Timeout
+// waitLimit is how long it waits in all, as long as this process lives.
+func (d *Dispatcher) waitLimit(req *request.Request) time.Duration {
+	if d.shutdownAt.IsZero() {
+		return req.Timeout
 	}
-	return s.stopPlan.WaitLimit(inv.SentAt.Sub(s.stopAt), inv.Timeout)
+	return d.shutdownSchedule.WaitLimit(req.SentAt.Sub(d.shutdownAt), req.Timeout)
 }
 
-func (e flowed) apply(s *Dispatcher) {
-	a := s.calls[e.number]
+func (e bodySent) apply(d *Dispatcher) {
+	a := d.attempts[e.number]
 	if a == nil {
 		return
 	}
-	s.step(policy.Event{Kind: policy.BodyProgressed, Server: a.server})
-	delete(s.uploads, e.number)
-	h := s.held[a.request]
+	d.handle(policy.Event{Kind: policy.BodyProgressed, Server: a.server})
+	delete(d.uploads, e.number)
+	h := d.requests[a.request]
 	if h == nil || h.answered {
 		return
 	}
 	now := time.Now() // the consumer waits from now on, and so the attempt counts
-	a.began, h.inv.SentAt = now, now
-	a.end = &timer{at: now.Add(s.patience(h.inv) - flowMargin), call: e.number}
-	heap.Push(&s.timers, a.end)
+	a.startedAt, h.request.SentAt = now, now
+	a.timeout = &timer{at: now.Add(d.waitLimit(h.request) - uploadResponseMargin), attempt: e.number}
+	heap.Push(&d.timers, a.timeout)
 }
 
-func (e abandoned) apply(s *Dispatcher) {
-	id, waits := s.byInv[e.inv]
+func (e clientGone) apply(d *Dispatcher) {
+	id, waits := d.requestIDs[e.request]
 	if !waits { // answered a moment ago, or found to have left
 		if e.mayRun != nil {
-			e.mayRun <- e.inv.MayHaveRun
+			e.mayRun <- e.request.MayHaveRun
 		}
 		return
 	}
-	h := s.held[id]
-	s.leave(id, h)
-	s.step(policy.Event{Kind: policy.ClientGone, Request: id})
+	h := d.requests[id]
+	d.cancelRequest(id, h)
+	d.handle(policy.Event{Kind: policy.ClientGone, Request: id})
 	if e.mayRun != nil {
-		e.mayRun <- h.mayRun || h.call != 0
+		e.mayRun <- h.mayRun || h.attempt != 0
 	}
 }
 
-// leave ends an invocation whose consumer is gone.
-func (s *Dispatcher) leave(id policy.RequestID, h *held) {
-	s.counts.ClientsGone++
-	s.traceRequest(h.inv, "left", "attempts=%d under_way=%t", h.attempts, h.call != 0)
-	s.close(id, h)
+// cancelRequest ends an invocation whose consumer is gone.
+func (d *Dispatcher) cancelRequest(id policy.RequestID, h *pendingRequest) {
+	d.counts.ClientsGone++
+	d.traceRequest(h.request, "left", "attempts=%d under_way=%t", h.attempts, h.attempt != 0)
+	d.closeRequest(id, h)
 }
 
-// answer gives the one final answer, if it is still owed.
-func (s *Dispatcher) answer(id policy.RequestID, a request.Response) {
-	h := s.held[id]
+// respond gives the one final answer, if it is still owed.
+func (d *Dispatcher) respond(id policy.RequestID, a request.Response) {
+	h := d.requests[id]
 	if h == nil || h.answered {
 		return
 	}
-	if a.Kind == request.Rejected && !s.mayRefuse(h) {
-		s.heldBack(invariant.Effect, h, "refuse")
+	if a.Kind == request.Rejected && !d.mayReject(h) {
+		d.reportPrevented(invariant.Effect, h, "refuse")
 		a = request.Response{Kind: request.Failed}
 	}
 	switch a.Kind {
 	case request.Served:
-		s.counts.Served++
+		d.counts.Served++
 	case request.Rejected:
-		s.counts.Rejected++
+		d.counts.Rejected++
 	case request.Failed:
-		s.counts.Failed++
+		d.counts.Failed++
 	}
-	s.traceRequest(h.inv, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", a.Kind, h.attempts, h.mayRun,
-		millis(time.Since(h.inv.SentAt)))
-	s.close(id, h)
-	a.MayHaveRun = h.inv.MayHaveRun
-	h.inv.Respond(a)
+	d.traceRequest(h.request, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", a.Kind, h.attempts, h.mayRun,
+		millis(time.Since(h.request.SentAt)))
+	d.closeRequest(id, h)
+	a.MayHaveRun = h.request.MayHaveRun
+	h.request.Respond(a)
 }
 
-// close ends an invocation. An attempt that may have run goes on, unless the module calls it off; one that was not sent yet is
+// closeRequest ends an invocation. An attempt that may have run goes on, unless the module calls it off; one that was not sent yet is
 // not sent any more, since nobody waits for it.
-func (s *Dispatcher) close(id policy.RequestID, h *held) {
+func (d *Dispatcher) closeRequest(id policy.RequestID, h *pendingRequest) {
 	h.answered = true
-	delete(s.byInv, h.inv)
-	delete(s.open, h.inv.ID)
-	s.withdraw(h.call, outcome.Cancelled)
-	h.inv.MayHaveRun = h.mayRun || h.call != 0
-	if h.call == 0 {
-		delete(s.held, id)
+	delete(d.requestIDs, h.request)
+	delete(d.openIDs, h.request.ID)
+	d.withdrawAttempt(h.attempt, outcome.Cancelled)
+	h.request.MayHaveRun = h.mayRun || h.attempt != 0
+	if h.attempt == 0 {
+		delete(d.requests, id)
 	}
 }
 
-func (e callEnded) apply(s *Dispatcher) { s.ended(e.number, e.Result) }
+func (e attemptEnded) apply(d *Dispatcher) { d.endAttempt(e.number, e.Result) }
 
-// ended turns the end of an invoker call or a probe into the module's event. Every Send comes by here once.
-func (s *Dispatcher) ended(number uint64, r upstream.Result) {
-	a := s.calls[number]
+// endAttempt turns the end of an invoker call or a probe into the module's event. Every Send comes by here once.
+func (d *Dispatcher) endAttempt(number uint64, r upstream.Result) {
+	a := d.attempts[number]
 	if a == nil { // reported twice, or after a Stop that ended it
-		s.set.Logf("state=unknown_call number=%d ending=%s", number, r.Outcome)
-		closeFlow(r.Remainder)
+		d.options.Logf("state=unknown_call number=%d ending=%s", number, r.Outcome)
+		closeBody(r.Remainder)
 		return
 	}
-	delete(s.calls, number)
-	delete(s.uploads, number)
-	if a.end.index >= 0 { // else it would hold the call until its time was up
-		heap.Remove(&s.timers, a.end.index)
+	delete(d.attempts, number)
+	delete(d.uploads, number)
+	if a.timeout.index >= 0 { // else it would hold the call until its time was up
+		heap.Remove(&d.timers, a.timeout.index)
 	}
-	k := s.providers[a.server]
+	k := d.servers[a.server]
 	if k != nil {
-		k.calls--
-	}
-	took := millis(time.Since(a.began))
-	s.traceEnd(a, k, r.Outcome, took)
-	if sign, is := signOf(r.Outcome, a.probe); is && k != nil {
-		s.set.OnEvidence(k.name, sign)
-		if sign == staleness.Alive && k.at == a.at {
-			k.proof.Observe(a.began, r.ConnectedAt, s.trust.ProcessUntil, a.probe)
+		k.attempts--
+	}
+	took := millis(time.Since(a.startedAt))
+	d.traceEnd(a, k, r.Outcome, took)
+	if sign, is := evidenceOf(r.Outcome, a.isProbe); is && k != nil {
+		d.options.OnEvidence(k.name, sign)
+		if sign == staleness.Alive && k.process == a.process {
+			k.liveness.Observe(a.startedAt, r.ConnectedAt, d.listValidity.ProcessUntil, a.isProbe)
 		}
 	}
-	if a.probe {
-		if k != nil && k.at != a.at || r.Outcome == outcome.Served && s.set.IsComplete != nil && !s.set.IsComplete(r.Report) {
+	if a.isProbe {
+		if k != nil && k.process != a.process || r.Outcome == outcome.Served && d.options.IsComplete != nil && !d.options.IsComplete(r.Report) {
 			r.Outcome = outcome.NoLoadReport // or one of a process that is gone
 		}
-		s.counts.ProbeOutcomes[r.Outcome]++
+		d.counts.ProbeOutcomes[r.Outcome]++
 		seen := 0.0
-		if k != nil && k.proof.ProbedAt.Equal(a.began) {
-			seen = s.clock.at(a.began)
+		if k != nil && k.liveness.ProbedAt.Equal(a.startedAt) {
+			seen = d.clock.at(a.startedAt)
 		}
 		dialed := 0.0
-		if r.ConnectedAt.After(a.began) {
-			dialed = millis(r.ConnectedAt.Sub(a.began))
+		if r.ConnectedAt.After(a.startedAt) {
+			dialed = millis(r.ConnectedAt.Sub(a.startedAt))
 		}
-		s.step(policy.Event{
+		d.handle(policy.Event{
 			Kind: policy.ProbeEnded, Server: a.server, Status: r.Outcome.Status(), Elapsed: took, ConnectTime: dialed,
 			ProbeSentAt: seen, Report: r.Report,
 		})
 		return
 	}
-	s.counts.AttemptOutcomes[r.Outcome]++
-	h := s.held[a.request]
-	h.call = 0
+	d.counts.AttemptOutcomes[r.Outcome]++
+	h := d.requests[a.request]
+	h.attempt = 0
 	h.mayRun = h.mayRun || !r.Outcome.Status().NeverRan()
-	if !h.answered && h.inv.IsClientGone() { // the word of it is still on its way
-		s.leave(a.request, h)
+	if !h.answered && h.request.IsClientGone() { // the word of it is still on its way
+		d.cancelRequest(a.request, h)
 	}
 	if r.Outcome == outcome.Served && !h.answered {
-		s.answer(a.request, request.Response{
+		d.respond(a.request, request.Response{
 			Kind: request.Served, StatusCode: r.StatusCode, Fields: r.Fields,
 			Body: r.Body, Remainder: r.Remainder,
 		})
 	} else {
-		closeFlow(r.Remainder)
+		closeBody(r.Remainder)
 	}
 	if h.answered {
-		delete(s.held, a.request)
+		delete(d.requests, a.request)
 	}
-	s.step(policy.Event{
+	d.handle(policy.Event{
 		Kind: policy.AttemptEnded, Request: a.request, Attempt: a.number,
 		Server: a.server, Status: r.Outcome.Status(), Elapsed: took, Final: h.answered, Report: r.Report,
-		BodyConsumed: h.inv.Remainder != nil && h.inv.Remainder.Consumed(),
+		BodyConsumed: h.request.Remainder != nil && h.request.Remainder.Consumed(),
 	})
 }
 
-// closeFlow ends an answer that nobody waits for.
-func closeFlow(f request.BodyStream) {
+// closeBody ends an answer that nobody waits for.
+func closeBody(f request.BodyStream) {
 	if f != nil {
 		f.Close(false)
 	}
 }
 
-// signOf reads an ending for what it says of the provider's place in the list. A request that is turned away may have
+// evidenceOf reads an ending for what it says of the provider's place in the list. A request that is turned away may have
 // met a full queue; a probe is turned away by one that drains.
-func signOf(e outcome.Kind, probe bool) (sign staleness.Evidence, is bool) {
+func evidenceOf(e outcome.Kind, probe bool) (sign staleness.Evidence, is bool) {
 	switch {
 	case e == outcome.Served:
 		return staleness.Alive, true
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -13,34 +13,34 @@
 
 // A drain that was told before a restart, and what was learned of a provider, are known to the next process; its own
 // configuration knows neither. The drain has begun when it was told, and a provider's next process is a stranger.
-func TestRestartRemembers(t *testing.T) {
+func TestRestoreAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := host(t)
+		d := newDispatcher(t)
 		lines := []endpoints.Endpoint{
 			{ID: "a", Address: "a:1", Phase: endpoints.Serving},
 			{ID: "b", Address: "b:1", Phase: endpoints.Serving},
 			{ID: "c", Address: "c:1", Phase: endpoints.Serving, StartedAt: 5},
 		}
-		s.list(endpoints.List{Revision: 7, Complete: true, Endpoints: lines})
+		d.applyEndpoints(endpoints.List{Revision: 7, Complete: true, Endpoints: lines})
 		time.Sleep(time.Second)
 		told := time.Now()
-		s.list(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Draining}}})
-		s.list(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Address: "d:1", Phase: endpoints.Serving}}})
-		s.list(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Phase: endpoints.Deleted}}})
+		d.applyEndpoints(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Draining}}})
+		d.applyEndpoints(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Address: "d:1", Phase: endpoints.Serving}}})
+		d.applyEndpoints(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Phase: endpoints.Deleted}}})
 		for _, name := range []string{"b", "c"} {
-			id := s.serverIDs[name]
-			st := s.bal.State()
+			id := d.serverIDs[name]
+			st := d.balancer.State()
 			for i := range st.Servers {
 				if st.Servers[i].ID == id {
-					st.Servers[i].Latency, st.Servers[i].ReportedAt = 80, s.clock.at(time.Now())
+					st.Servers[i].Latency, st.Servers[i].ReportedAt = 80, d.clock.at(time.Now())
 				}
 			}
-			if err := s.bal.Restore(&st); err != nil {
+			if err := d.balancer.Restore(&st); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(time.Second)
-		raw, err := snapshot.Encode(s.snapshot(time.Now()), 0)
+		raw, err := snapshot.Encode(d.snapshot(time.Now()), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,19 +54,19 @@
 		lines[2].StartedAt = 6
 		known := snapshot.FromConfig(endpoints.List{Revision: 9, Endpoints: lines}, "", time.Now())
 		begin, _ := snapshot.Restore(snap, known, time.Now(), rules)
-		set := s.set
+		set := d.options
 		set.Restored = &begin
 		next, err := New(set)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := map[string]any{}
-		for _, k := range next.providers {
-			got[k.name] = []any{k.health, k.toldAt.Sub(told).Round(time.Second)}
+		for _, k := range next.servers {
+			got[k.name] = []any{k.health, k.phaseSince.Sub(told).Round(time.Second)}
 		}
-		for _, one := range next.bal.State().Servers {
+		for _, one := range next.balancer.State().Servers {
 			if one.Latency > 0 {
-				got["latency of "+next.providers[one.ID].name] = one.Latency
+				got["latency of "+next.servers[one.ID].name] = one.Latency
 			}
 		}
 		for _, m := range next.snapshot(time.Now()).Members {
