--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -148,7 +148,7 @@
 func TestUnreadableReportsAreIgnored(t *testing.T) {
 	settings := config.Settings{}
 	settings.Report.Names = []string{"active", "avg_ms"}
-	d := &Dispatcher{options: Options{IsComplete: settings.IsComplete}, attempts: map[uint64]*attemptRecord{}, servers: map[policy.ServerID]*serverRecord{}}
+	d := &Dispatcher{options: Options{IsComplete: settings.IsComplete}, attempts: map[attemptID]*attemptRecord{}, servers: map[policy.ServerID]*serverRecord{}}
 	d.handling = true // the module's events are looked at, not handled
 	for _, report := range []string{`{"active":3}`, `{"active":null,"avg_ms":20}`, `{"avg_ms":3}`, `{"act`, ``} {
 		d.attempts[1] = &attemptRecord{isProbe: true, timeout: &timer{index: -1}}
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -5,44 +5,44 @@
 	"plankrouter/policy"
 )
 
-// maySend is the guard of every attempt: it holds back what a sound module does not ask for.
-func (d *Dispatcher) maySend(h *pendingRequest, k *serverRecord) bool {
+// maySend is the guard of every attempt: it prevents what a sound policy does not ask for.
+func (d *Dispatcher) maySend(pending *pendingRequest, server *serverRecord) bool {
 	switch {
-	case h == nil || h.answered || k == nil:
+	case pending == nil || pending.answered || server == nil:
 		return false
-	case h.attempt != 0:
-		d.reportPrevented(invariant.OneAttempt, h, "send")
+	case pending.underWay():
+		d.reportPrevented(invariant.OneAttempt, pending, "send")
 		return false
-	case h.mayRun && d.class(h).Idempotency == policy.NonIdempotent:
-		d.reportPrevented(invariant.Effect, h, "send")
+	case pending.mayRun && d.classOf(pending).Idempotency == policy.NonIdempotent:
+		d.reportPrevented(invariant.Effect, pending, "send")
 		return false
-	case k.health != policy.Ready:
-		d.reportPrevented(invariant.DrainGrace, h, "send")
+	case server.health != policy.Ready:
+		d.reportPrevented(invariant.DrainGrace, pending, "send")
 		return false
 	}
 	return true
 }
 
 // mayReject is the guard of every refusal, which promises that trying again is harmless.
-func (d *Dispatcher) mayReject(h *pendingRequest) bool {
-	if !h.mayRun && h.attempt == 0 {
+func (d *Dispatcher) mayReject(pending *pendingRequest) bool {
+	if !pending.mayHaveRun() {
 		return true
 	}
-	c := d.class(h)
-	return c.Idempotency == policy.Idempotent || c.Idempotency == policy.WithIdempotencyKey && c.KeyScope == policy.ScopeAll
+	class := d.classOf(pending)
+	return class.Idempotency == policy.Idempotent || class.Idempotency == policy.WithIdempotencyKey && class.KeyScope == policy.ScopeAll
 }
 
-// class is that of the invocation, as the module knows it.
-func (d *Dispatcher) class(h *pendingRequest) policy.Class {
-	if n := h.request.Class; n >= 0 && n < len(d.options.Policy.Classes) {
-		return d.options.Policy.Classes[n]
+// classOf returns the request's class, as the policy knows it.
+func (d *Dispatcher) classOf(pending *pendingRequest) policy.Class {
+	if position := pending.request.Class; position >= 0 && position < len(d.options.Policy.Classes) {
+		return d.options.Policy.Classes[position]
 	}
 	return policy.Class{Idempotency: policy.NonIdempotent}
 }
 
-// reportPrevented counts what a guard has held back, and logs it: the module should not have asked for it.
-func (d *Dispatcher) reportPrevented(r invariant.Rule, h *pendingRequest, what string) {
-	d.options.Invariants.Prevented(r)
-	d.options.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", r, h.request.ID, what, h.attempts,
-		h.mayRun, h.attempt != 0)
+// reportPrevented counts and logs what a guard has prevented: the policy should not have asked for it.
+func (d *Dispatcher) reportPrevented(rule invariant.Rule, pending *pendingRequest, what string) {
+	d.options.Invariants.Prevented(rule)
+	d.options.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", rule, pending.request.ID, what,
+		pending.attempts, pending.mayRun, pending.underWay())
 }
--- a/internal/dispatch/origin.go
+++ b/internal/dispatch/origin.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// origin is when a server's process counts as started: the dates that say so, and where they lie on the module's clock. Both stay
-// as they were first told, whatever becomes of the wall clock after that.
+// origin is when a server's process counts as started: the dates that say so, in Unix milliseconds, and where they lie on the policy's
+// clock. Both remain as they were at first, whatever becomes of the wall clock after that.
 type origin struct {
-	listedDate, uncordonedDate float64 // by the list, and by operators, who have put it back and may have restarted it
-	listedAt                   policy.Ms
-	startedAt                  policy.Ms
+	listedDate     float64   // by the list
+	uncordonedDate float64   // by operators, who have put the server back and may have restarted it
+	listedAt       policy.Ms // of listedDate
+	startedAt      policy.Ms // the later of the two
 }
 
-// processAge is how long ago a server's process has started, of which the list says that date.
+// processAge is how long ago a server's process has started, of which the list gives that date.
 type processAge struct {
 	startDate float64
 	age       policy.Ms
@@ -27,33 +28,36 @@
 	}
 }
 
-// policyTime returns where on the module's clock a date lies.
+// policyTime returns where on the policy's clock a date lies.
 func (d *Dispatcher) policyTime(date float64, now time.Time) policy.Ms {
 	return d.wallClock.Place(date, d.clock.at(now))
 }
 
-// originOf is the origin of the process that a line of the list names, given what is known of its server.
-func (d *Dispatcher) originOf(k *serverRecord, m endpoints.Endpoint, now time.Time) origin {
-	back := d.cordons.Uncordoned[m.ID]
-	if k.origin.listedDate == m.StartedAt && k.origin.uncordonedDate == back {
-		return k.origin
+// originOf returns the origin of the process that the list names, given what is known of its server.
+func (d *Dispatcher) originOf(server *serverRecord, endpoint endpoints.Endpoint, now time.Time) origin {
+	uncordonedDate := d.cordons.Uncordoned[endpoint.ID]
+	if server.origin.listedDate == endpoint.StartedAt && server.origin.uncordonedDate == uncordonedDate {
+		return server.origin
 	}
-	listed := k.origin.listedAt
-	if k.origin.listedDate != m.StartedAt {
-		listed = d.policyTime(m.StartedAt, now)
-		if a, known := d.predecessorAges[m.ID]; known && a.startDate == m.StartedAt {
-			listed = d.clock.at(now) - a.age
+	listedAt := server.origin.listedAt
+	if server.origin.listedDate != endpoint.StartedAt {
+		listedAt = d.policyTime(endpoint.StartedAt, now)
+		if process, known := d.predecessorAges[endpoint.ID]; known && process.startDate == endpoint.StartedAt {
+			listedAt = d.clock.at(now) - process.age
 		}
 	}
-	return origin{listedDate: m.StartedAt, uncordonedDate: back, listedAt: listed, startedAt: max(listed, d.policyTime(back, now))}
+	return origin{
+		listedDate: endpoint.StartedAt, uncordonedDate: uncordonedDate,
+		listedAt: listedAt, startedAt: max(listedAt, d.policyTime(uncordonedDate, now)),
+	}
 }
 
-// wallDate is the date that the wall clock, as it is now, gives a moment of this process.
-func (d *Dispatcher) wallDate(t, now time.Time) float64 {
+// dateOfTime returns the date that the wall clock, as it is now, gives a moment of this process.
+func (d *Dispatcher) dateOfTime(t, now time.Time) float64 {
 	return unixMs(d.options.WallClock()) - millis(now.Sub(t))
 }
 
-// timeOfDate is the moment of a date, no later than now.
+// timeOfDate returns the moment of a date, no later than now.
 func (d *Dispatcher) timeOfDate(date float64, now time.Time) time.Time {
 	return now.Add(-duration(max(0, d.clock.at(now)-d.policyTime(date, now))))
 }
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Reconfiguration is what a reload may change of a pool. Classes and tenants go by numbers that keep their meaning for what is open.
+// Reconfiguration is what a reload may change. Classes and tenants go by positions that keep their meaning for open requests.
 type Reconfiguration struct {
 	Policy           policy.Config
 	Classes, Tenants stableid.Mapping
@@ -15,7 +15,7 @@
 	DrainGrace       time.Duration
 }
 
-var errStopped = errors.New("the pool has stopped")
+var errStopped = errors.New("the dispatcher has stopped")
 
 // Reconfigure takes other settings, or none of them, and returns once they are in force.
 func (d *Dispatcher) Reconfigure(c Reconfiguration) error {
@@ -29,13 +29,16 @@
 func (e reconfigured) apply(d *Dispatcher) {
 	err := d.balancer.Reconfigure(withProbeValidity(e.Policy, e.DrainGrace), e.Classes.PredecessorOf, e.Tenants.PredecessorOf)
 	if err == nil {
-		d.options.Policy, d.options.Deployment, d.options.DrainGrace = e.Policy, e.Deployment, e.DrainGrace
-		d.classPositions, d.tenantPositions = e.Classes.ByPosition, e.Tenants.ByPosition
+		d.options.Policy = e.Policy
+		d.options.Deployment = e.Deployment
+		d.options.DrainGrace = e.DrainGrace
+		d.classPositions = e.Classes.ByPosition
+		d.tenantPositions = e.Tenants.ByPosition
 	}
 	e.done <- err
 }
 
-// positions returns the first n numbers.
+// positions returns the numbers from 0 up to n.
 func positions(n int) []int {
 	out := make([]int, n)
 	for i := range out {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,30 +1,55 @@
 package dispatch
 
-// The life of a request in the pool: taken, attempted, answered once, or left.
-
 import (
-	"container/heap"
+	"maps"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/staleness"
-	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"slices"
 	"time"
 )
 
-// requests is an invocation that has no final answer yet, or whose invoker call is still out.
+// maxUploadTime is how long a request may take whose body is still being sent.
+const maxUploadTime = 10 * time.Minute
+
+// pendingRequest is a request that has no final answer yet, or whose attempt is still under way.
 type pendingRequest struct {
 	request  *request.Request
-	attempts int
-	attempt  uint64 // under way; 0 = none
-	mayRun   bool   // an attempt that has ended may have run
-	answered bool
+	attempts int       // so far
+	attempt  attemptID // under way, or noAttempt
+	mayRun   bool      // an attempt that has ended may have run
+	answered bool      // or its client is gone
+}
+
+// underWay reports whether an attempt has not ended yet.
+func (p *pendingRequest) underWay() bool { return p.attempt != noAttempt }
+
+// mayHaveRun reports whether an attempt may have run, or may yet.
+func (p *pendingRequest) mayHaveRun() bool { return p.mayRun || p.underWay() }
+
+// Submit hands over a request; with ClientGone and Ready it makes the Dispatcher a request.Dispatcher.
+func (d *Dispatcher) Submit(req *request.Request) bool { return d.send(requestArrived{req}) }
+
+// ClientGone reports that the client is gone. The event may have to wait behind others; nothing more is sent meanwhile all the same.
+func (d *Dispatcher) ClientGone(req *request.Request) {
+	req.MarkClientGone()
+	d.send(clientGone{request: req})
+}
+
+// Cancel is ClientGone for a caller that has to know whether an attempt may have run. What has been answered meanwhile may have.
+func (d *Dispatcher) Cancel(req *request.Request) (mayRun bool) {
+	mayRun, ok := query(d, func(reply chan<- bool) event { return clientGone{req, reply} })
+	if ok {
+		return mayRun
+	}
+	pending := d.requests[d.requestIDs[req]] // as Run has left it: nothing changes it any more
+	return pending == nil || pending.mayHaveRun()
 }
 
 func (e requestArrived) apply(d *Dispatcher) {
 	req := e.request
-	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // providers could not tell the two apart, and one might get the other's answer
+	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // servers could not tell the two apart, and one might get the other's answer
 		d.counts.Conflicts++
 		req.Respond(request.Response{Kind: request.Duplicate})
 		return
@@ -32,42 +57,30 @@
 	d.openIDs[req.ID] = true
 	d.counts.Accepted++
 	d.lastRequest++
-	d.requests[d.lastRequest], d.requestIDs[req] = &pendingRequest{request: req}, d.lastRequest
+	id := d.lastRequest
+	d.requests[id] = &pendingRequest{request: req}
+	d.requestIDs[req] = id
 	now := time.Now()
 	d.traceRequest(req, "taken", "class=%d tenant=%d left_ms=%.0f", req.Class, req.Tenant, millis(d.timeLeft(req, now)))
 	if d.isPastLastForward(now) {
-		d.rejectForShutdown(d.lastRequest)
+		d.rejectForShutdown(id)
 		return
 	}
-	d.handle(policy.Event{Kind: policy.RequestArrived, Request: d.lastRequest, Class: req.Class, Tenant: req.Tenant, ClientRetry: req.ClientRetry})
+	d.handle(policy.Event{Kind: policy.RequestArrived, Request: id, Class: req.Class, Tenant: req.Tenant, ClientRetry: req.ClientRetry})
 }
 
-// isPastLastForward reports whether this process may be killed so soon that it sends nothing new.
-func (d *Dispatcher) isPastLastForward(now time.Time) bool {
-	return !d.shutdownAt.IsZero() && now.Sub(d.shutdownAt) >= d.shutdownSchedule.LastForward
-}
-
-// ShuttingDown is why a request is refused that comes in when this process may be killed soon. The module is not asked: it knows nothing of
-// processes.
-const ShuttingDown policy.Reason = "ending"
-
-// rejectForShutdown refuses a request of which nothing was sent.
-func (d *Dispatcher) rejectForShutdown(id policy.RequestID) {
-	d.countUnserved(&policy.Action{Request: id, Reason: ShuttingDown})
-	d.respond(id, request.Response{Kind: request.Rejected})
-}
-
-// timeLeft is how long the invocation's consumer still waits at now. What it still sends it does not wait for yet: see flowed.
+// timeLeft is how long the request's client still waits at now. While its body is being sent that time has not begun: see bodySent.
 func (d *Dispatcher) timeLeft(req *request.Request, now time.Time) time.Duration {
-	if req.Remainder != nil && d.shutdownAt.IsZero() {
+	switch {
+	case req.Remainder == nil:
+		return d.waitLimit(req) - now.Sub(req.SentAt)
+	case d.shutdownAt.IsZero():
 		return maxUploadTime
-	} else if req.Remainder != nil {
-		return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
 	}
-	return d.waitLimit(req) - now.Sub(req.SentAt)
+	return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
 }
 
-// waitLimit is how long it waits in all, as long as this process lives.
+// waitLimit is how long its client waits in all, as long as this process lives.
 func (d *Dispatcher) waitLimit(req *request.Request) time.Duration {
 	if d.shutdownAt.IsZero() {
 		return req.Timeout
@@ -75,57 +88,40 @@
 	return d.shutdownSchedule.WaitLimit(req.SentAt.Sub(d.shutdownAt), req.Timeout)
 }
 
-func (e bodySent) apply(d *Dispatcher) {
-	a := d.attempts[e.number]
-	if a == nil {
-		return
-	}
-	d.handle(policy.Event{Kind: policy.BodyProgressed, Server: a.server})
-	delete(d.uploads, e.number)
-	h := d.requests[a.request]
-	if h == nil || h.answered {
-		return
-	}
-	now := time.Now() // the consumer waits from now on, and so the attempt counts
-	a.startedAt, h.request.SentAt = now, now
-	a.timeout = &timer{at: now.Add(d.waitLimit(h.request) - uploadResponseMargin), attempt: e.number}
-	heap.Push(&d.timers, a.timeout)
-}
-
 func (e clientGone) apply(d *Dispatcher) {
 	id, waits := d.requestIDs[e.request]
-	if !waits { // answered a moment ago, or found to have left
+	if !waits { // answered a moment ago, or its client was already found to be gone
 		if e.mayRun != nil {
 			e.mayRun <- e.request.MayHaveRun
 		}
 		return
 	}
-	h := d.requests[id]
-	d.cancelRequest(id, h)
+	pending := d.requests[id]
+	d.cancelRequest(id, pending)
 	d.handle(policy.Event{Kind: policy.ClientGone, Request: id})
 	if e.mayRun != nil {
-		e.mayRun <- h.mayRun || h.attempt != 0
+		e.mayRun <- pending.mayHaveRun()
 	}
 }
 
-// cancelRequest ends an invocation whose consumer is gone.
-func (d *Dispatcher) cancelRequest(id policy.RequestID, h *pendingRequest) {
+// cancelRequest ends a request whose client is gone.
+func (d *Dispatcher) cancelRequest(id policy.RequestID, pending *pendingRequest) {
 	d.counts.ClientsGone++
-	d.traceRequest(h.request, "left", "attempts=%d under_way=%t", h.attempts, h.attempt != 0)
-	d.closeRequest(id, h)
+	d.traceRequest(pending.request, "left", "attempts=%d under_way=%t", pending.attempts, pending.underWay())
+	d.closeRequest(id, pending)
 }
 
-// respond gives the one final answer, if it is still owed.
-func (d *Dispatcher) respond(id policy.RequestID, a request.Response) {
-	h := d.requests[id]
-	if h == nil || h.answered {
+// respond gives the one final answer, unless it was given.
+func (d *Dispatcher) respond(id policy.RequestID, resp request.Response) {
+	pending := d.requests[id]
+	if pending == nil || pending.answered {
 		return
 	}
-	if a.Kind == request.Rejected && !d.mayReject(h) {
-		d.reportPrevented(invariant.Effect, h, "refuse")
-		a = request.Response{Kind: request.Failed}
+	if resp.Kind == request.Rejected && !d.mayReject(pending) {
+		d.reportPrevented(invariant.Effect, pending, "refuse")
+		resp = request.Response{Kind: request.Failed}
 	}
-	switch a.Kind {
+	switch resp.Kind {
 	case request.Served:
 		d.counts.Served++
 	case request.Rejected:
@@ -133,114 +129,67 @@
 	case request.Failed:
 		d.counts.Failed++
 	}
-	d.traceRequest(h.request, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", a.Kind, h.attempts, h.mayRun,
-		millis(time.Since(h.request.SentAt)))
-	d.closeRequest(id, h)
-	a.MayHaveRun = h.request.MayHaveRun
-	h.request.Respond(a)
+	d.traceRequest(pending.request, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", resp.Kind, pending.attempts,
+		pending.mayRun, millis(time.Since(pending.request.SentAt)))
+	d.closeRequest(id, pending)
+	resp.MayHaveRun = pending.request.MayHaveRun
+	pending.request.Respond(resp)
 }
 
-// closeRequest ends an invocation. An attempt that may have run goes on, unless the module calls it off; one that was not sent yet is
-// not sent any more, since nobody waits for it.
-func (d *Dispatcher) closeRequest(id policy.RequestID, h *pendingRequest) {
-	h.answered = true
-	delete(d.requestIDs, h.request)
-	delete(d.openIDs, h.request.ID)
-	d.withdrawAttempt(h.attempt, outcome.Cancelled)
-	h.request.MayHaveRun = h.mayRun || h.attempt != 0
-	if h.attempt == 0 {
+// closeRequest ends a request. An attempt that may have run goes on, unless the policy cancels it; one that was not sent yet is
+// withdrawn, since nobody waits for it.
+func (d *Dispatcher) closeRequest(id policy.RequestID, pending *pendingRequest) {
+	pending.answered = true
+	delete(d.requestIDs, pending.request)
+	delete(d.openIDs, pending.request.ID)
+	d.withdrawAttempt(pending.attempt, outcome.Cancelled)
+	pending.request.MayHaveRun = pending.mayHaveRun()
+	if !pending.underWay() {
 		delete(d.requests, id)
 	}
 }
 
-func (e attemptEnded) apply(d *Dispatcher) { d.endAttempt(e.number, e.Result) }
-
-// endAttempt turns the end of an invoker call or a probe into the module's event. Every Send comes by here once.
-func (d *Dispatcher) endAttempt(number uint64, r upstream.Result) {
-	a := d.attempts[number]
-	if a == nil { // reported twice, or after a Stop that ended it
-		d.options.Logf("state=unknown_call number=%d ending=%s", number, r.Outcome)
-		closeBody(r.Remainder)
-		return
-	}
-	delete(d.attempts, number)
-	delete(d.uploads, number)
-	if a.timeout.index >= 0 { // else it would hold the call until its time was up
-		heap.Remove(&d.timers, a.timeout.index)
-	}
-	k := d.servers[a.server]
-	if k != nil {
-		k.attempts--
-	}
-	took := millis(time.Since(a.startedAt))
-	d.traceEnd(a, k, r.Outcome, took)
-	if sign, is := evidenceOf(r.Outcome, a.isProbe); is && k != nil {
-		d.options.OnEvidence(k.name, sign)
-		if sign == staleness.Alive && k.process == a.process {
-			k.liveness.Observe(a.startedAt, r.ConnectedAt, d.listValidity.ProcessUntil, a.isProbe)
-		}
-	}
-	if a.isProbe {
-		if k != nil && k.process != a.process || r.Outcome == outcome.Served && d.options.IsComplete != nil && !d.options.IsComplete(r.Report) {
-			r.Outcome = outcome.NoLoadReport // or one of a process that is gone
-		}
-		d.counts.ProbeOutcomes[r.Outcome]++
-		seen := 0.0
-		if k != nil && k.liveness.ProbedAt.Equal(a.startedAt) {
-			seen = d.clock.at(a.startedAt)
-		}
-		dialed := 0.0
-		if r.ConnectedAt.After(a.startedAt) {
-			dialed = millis(r.ConnectedAt.Sub(a.startedAt))
-		}
-		d.handle(policy.Event{
-			Kind: policy.ProbeEnded, Server: a.server, Status: r.Outcome.Status(), Elapsed: took, ConnectTime: dialed,
-			ProbeSentAt: seen, Report: r.Report,
-		})
+// countUnserved counts why a request is refused or failed.
+func (d *Dispatcher) countUnserved(action *policy.Action) {
+	pending := d.requests[action.Request]
+	if pending == nil || pending.answered {
 		return
 	}
-	d.counts.AttemptOutcomes[r.Outcome]++
-	h := d.requests[a.request]
-	h.attempt = 0
-	h.mayRun = h.mayRun || !r.Outcome.Status().NeverRan()
-	if !h.answered && h.request.IsClientGone() { // the word of it is still on its way
-		d.cancelRequest(a.request, h)
-	}
-	if r.Outcome == outcome.Served && !h.answered {
-		d.respond(a.request, request.Response{
-			Kind: request.Served, StatusCode: r.StatusCode, Fields: r.Fields,
-			Body: r.Body, Remainder: r.Remainder,
-		})
-	} else {
-		closeBody(r.Remainder)
-	}
-	if h.answered {
-		delete(d.requests, a.request)
+	if d.counts.UnservedByReason == nil {
+		d.counts.UnservedByReason = map[policy.Reason]int{}
 	}
-	d.handle(policy.Event{
-		Kind: policy.AttemptEnded, Request: a.request, Attempt: a.number,
-		Server: a.server, Status: r.Outcome.Status(), Elapsed: took, Final: h.answered, Report: r.Report,
-		BodyConsumed: h.request.Remainder != nil && h.request.Remainder.Consumed(),
-	})
+	d.counts.UnservedByReason[action.Reason]++
+	d.traceRequest(pending.request, "unserved", "why=%s", action.Reason)
 }
 
-// closeBody ends an answer that nobody waits for.
-func closeBody(f request.BodyStream) {
-	if f != nil {
-		f.Close(false)
+// Counts returns the present totals; after Run has ended, the last ones.
+func (d *Dispatcher) Counts() Counts {
+	if counts, ok := query(d, func(reply chan<- Counts) event { return countsRequested{reply} }); ok {
+		return counts
 	}
+	return d.counts
 }
 
-// evidenceOf reads an ending for what it says of the provider's place in the list. A request that is turned away may have
-// met a full queue; a probe is turned away by one that drains.
-func evidenceOf(e outcome.Kind, probe bool) (sign staleness.Evidence, is bool) {
-	switch {
-	case e == outcome.Served:
-		return staleness.Alive, true
-	case e == outcome.ConnectRefused:
-		return staleness.ConnectRefused, true
-	case probe && (e == outcome.ServerError || e == outcome.Declined):
-		return staleness.Draining, true
+func (e countsRequested) apply(d *Dispatcher) {
+	counts := d.counts
+	counts.UnservedByReason = maps.Clone(counts.UnservedByReason)
+	e.reply <- counts
+}
+
+// OpenRequests returns the clients' ids of the requests that have no final answer yet.
+func (d *Dispatcher) OpenRequests() []string {
+	ids, _ := query(d, func(reply chan<- []string) event { return openRequestsRequested{reply} })
+	return ids
+}
+
+func (e openRequestsRequested) apply(d *Dispatcher) { e.reply <- slices.Collect(maps.Keys(d.openIDs)) }
+
+// SetOpenInPredecessor replaces the ids of the requests that another process of the same sidecar has open.
+func (d *Dispatcher) SetOpenInPredecessor(ids []string) { d.send(predecessorRequestsListed{ids}) }
+
+func (e predecessorRequestsListed) apply(d *Dispatcher) {
+	d.openInPredecessor = map[string]bool{}
+	for _, id := range e.ids {
+		d.openInPredecessor[id] = true
 	}
-	return sign, false
 }
--- /dev/null
+++ b/internal/dispatch/restore.go
@@ -0,0 +1,91 @@
+package dispatch
+
+import (
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/snapshot"
+	"plankrouter/policy"
+	"time"
+)
+
+// restore begins with the list and what was learned before, instead of the configuration's list alone.
+func (d *Dispatcher) restore(before *snapshot.Restored) {
+	now := d.restoreList(before)
+	state := d.restoredState(&before.Learned)
+	if err := d.balancer.Restore(&state); err != nil {
+		d.options.Logf("snapshot=policy state=not_restored err=%q", err)
+	}
+	if len(before.Reuse) > 0 {
+		age := duration(d.clock.at(now) - before.Learned.Now)
+		if err := d.options.Upstream.Restore(now, before.Reuse, age); err != nil {
+			d.options.Logf("snapshot=connections state=not_restored err=%q", err)
+		}
+	}
+}
+
+// restoreList takes the list of the process before this one, and returns when it was taken.
+func (d *Dispatcher) restoreList(before *snapshot.Restored) (now time.Time) {
+	listed := before.List
+	listed.Members = nil
+	d.predecessorAges = map[string]processAge{}
+	for _, member := range before.List.Members {
+		if member.Phase == endpoints.Deleted {
+			d.rememberDeleted(member)
+			continue
+		}
+		listed.Members = append(listed.Members, member)
+		if member.Age > 0 {
+			d.predecessorAges[member.ID] = processAge{startDate: member.UpSince, age: member.Age}
+		}
+	}
+	d.applyEndpoints(listed.Config())
+	d.predecessorAges = nil
+	now = time.Now()
+	for _, member := range listed.Members {
+		if id, have := d.serverIDs[member.ID]; have && member.ToldAt > 0 {
+			d.servers[id].phaseSince = d.timeOfDate(member.ToldAt, now) // a drain does not begin anew with this process
+		}
+	}
+	return now
+}
+
+// restoredState returns what was learned before as the policy's state, as far as it is about servers that are listed.
+func (d *Dispatcher) restoredState(learned *snapshot.Learned) policy.State {
+	state := policy.State{
+		SumLoadSquared: learned.Fit.XX, SumLoadLatency: learned.Fit.XY, FittedAt: learned.Fit.At, FleetLatency: learned.FleetLatency,
+		OwnInFlight: learned.FracOwn, TotalInFlight: learned.FracAll,
+		Arrivals: policy.Level{Value: learned.Arrivals.V, At: learned.Arrivals.At},
+		Sends:    policy.Level{Value: learned.Sends.V, At: learned.Sends.At},
+	}
+	for _, class := range learned.Fit.Classes {
+		state.Classes = append(state.Classes, policy.Mean{Count: class.N, Sum: class.Sum})
+	}
+	for _, tenant := range learned.Tenants {
+		state.Tenants = append(state.Tenants, policy.Level{Value: tenant.Tokens, At: fromSnapshotTime(tenant.At)})
+	}
+	for _, server := range learned.Servers {
+		if id, have := d.serverIDs[server.Name]; have {
+			state.Servers = append(state.Servers, d.restoredServer(id, server))
+		}
+	}
+	return state
+}
+
+// restoredServer returns what was learned of one server's process.
+func (d *Dispatcher) restoredServer(id policy.ServerID, server snapshot.LearnedServer) policy.ServerState {
+	startedAt := server.StartedAt
+	if origin := d.servers[id].origin; origin.listedDate == startedAt {
+		startedAt = origin.listedAt
+	}
+	state := policy.ServerState{
+		ID: id, StartedAt: startedAt, Latency: server.Latency, LatencyReported: server.Reported,
+		ReportedAt: fromSnapshotTime(server.ReportAt), RoundTrip: server.Network, ErrorRate: server.Failing,
+		SlowStartBudget: policy.Level{Value: server.Cold.V, At: server.Cold.At},
+		Outcomes:        make([]policy.Tally, 1+len(d.options.Policy.Tenants)),
+	}
+	for _, tally := range server.By {
+		if int(tally.Who) < len(state.Outcomes) {
+			state.Outcomes[tally.Who] = policy.Tally{Successes: tally.Oks, Failures: tally.Misses, At: tally.At}
+		}
+	}
+	return state
+}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -8,45 +8,49 @@
 	"time"
 )
 
-// traceStart logs what an attempt is decided on: how old the provider's last report is and how long its process runs, in
-// ms; -1 = not known.
-func (d *Dispatcher) traceStart(a *attemptRecord, k *serverRecord) {
+// unknownMs stands in the trace for a time that is not known.
+const unknownMs = -1.0
+
+// traceStart logs what an attempt is decided on: the age of the server's last report and of its process, in ms.
+func (d *Dispatcher) traceStart(attempt *attemptRecord, server *serverRecord) {
 	if d.options.Trace == nil {
 		return
 	}
-	news, age := -1.0, -1.0
-	if !k.reportedAt.IsZero() {
-		news = millis(a.startedAt.Sub(k.reportedAt))
+	reportAge, processAge := unknownMs, unknownMs
+	if !server.reportedAt.IsZero() {
+		reportAge = millis(attempt.startedAt.Sub(server.reportedAt))
 	}
-	if k.origin.startedAt > 0 {
-		age = d.clock.at(a.startedAt) - k.origin.startedAt
+	if server.origin.startedAt > 0 {
+		processAge = d.clock.at(attempt.startedAt) - server.origin.startedAt
 	}
-	d.options.Trace("trace=start of=%s provider=%s try=%d news_ms=%.0f age_ms=%.0f request=%s", a.kind(), k.name, a.number, news, age,
-		d.requestOf(a))
+	d.options.Trace("trace=start of=%s provider=%s try=%d news_ms=%.0f age_ms=%.0f request=%s", attempt.traceName(), server.name,
+		attempt.number, reportAge, processAge, d.traceRequestID(attempt))
 }
 
 // traceEnd logs how it ended, and takes note of a report.
-func (d *Dispatcher) traceEnd(a *attemptRecord, k *serverRecord, how outcome.Kind, took policy.Ms) {
-	if d.options.Trace == nil || k == nil {
+func (d *Dispatcher) traceEnd(attempt *attemptRecord, server *serverRecord, how outcome.Kind, took policy.Ms) {
+	if d.options.Trace == nil || server == nil {
 		return
 	}
-	if a.isProbe && how == outcome.Served {
-		k.reportedAt = time.Now()
+	if attempt.isProbe && how == outcome.Served {
+		server.reportedAt = time.Now()
 	}
-	d.options.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", a.kind(), k.name, how, took, d.requestOf(a))
+	d.options.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", attempt.traceName(), server.name, how, took,
+		d.traceRequestID(attempt))
 }
 
-func (a *attemptRecord) kind() string {
+// traceName is the attempt's kind in the trace, whose readers know it by that word.
+func (a *attemptRecord) traceName() string {
 	if a.isProbe {
 		return "probe"
 	}
 	return "call"
 }
 
-// requestOf is the id of the request that an attempt is for, with nothing in it that ends a word of the log; "-" = none.
-func (d *Dispatcher) requestOf(a *attemptRecord) string {
-	if h := d.requests[a.request]; h != nil && !a.isProbe {
-		return url.QueryEscape(h.request.ID)
+// traceRequestID returns the id of the request that an attempt is for, escaped so that it is one word of the log; "-" = none.
+func (d *Dispatcher) traceRequestID(attempt *attemptRecord) string {
+	if pending := d.requests[attempt.request]; pending != nil && !attempt.isProbe {
+		return url.QueryEscape(pending.request.ID)
 	}
 	return "-"
 }
@@ -58,27 +62,14 @@
 	}
 }
 
-// traceServer logs a change of what a server is to this pool.
-func (d *Dispatcher) traceServer(k *serverRecord, was policy.Health) {
+// traceServer logs a change of a server's health.
+func (d *Dispatcher) traceServer(server *serverRecord, before policy.Health) {
 	if d.options.Trace == nil {
 		return
 	}
-	left := -1.0 // no limit on a first byte
-	if !k.firstByteBy.IsZero() {
-		left = max(0, millis(time.Until(k.firstByteBy)))
-	}
-	d.options.Trace("trace=server provider=%s was=%s is=%s first_byte_ms=%.0f", k.name, was, k.health, left)
-}
-
-// countUnserved counts why a request is refused or failed.
-func (d *Dispatcher) countUnserved(a *policy.Action) {
-	h := d.requests[a.Request]
-	if h == nil || h.answered {
-		return
-	}
-	if d.counts.UnservedByReason == nil {
-		d.counts.UnservedByReason = map[policy.Reason]int{}
+	firstByteLeft := unknownMs // no limit
+	if !server.firstByteBy.IsZero() {
+		firstByteLeft = max(0, millis(time.Until(server.firstByteBy)))
 	}
-	d.counts.UnservedByReason[a.Reason]++
-	d.traceRequest(h.request, "unserved", "why=%s", a.Reason)
+	d.options.Trace("trace=server provider=%s was=%s is=%s first_byte_ms=%.0f", server.name, before, server.health, firstByteLeft)
 }
