--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// servingUpstream is a caller whose servers answer each attempt after a while. It counts attempts by address.
+// servingUpstream is an upstream whose servers answer each attempt after 5 ms. It counts attempts by address.
 type servingUpstream struct {
 	refusingUpstream
 	started map[string]int
@@ -47,7 +47,7 @@
 func (w *steppedClock) ms() float64                 { return unixMs(w.now()) }
 func (w *steppedClock) ago(d time.Duration) float64 { return w.ms() - millis(d) }
 
-// options are those of a pool of slow start.
+// options returns settings with a slow start.
 func options(wall *steppedClock, counts map[string]int) Options {
 	return Options{
 		Policy: policy.Config{
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendRequests sends requests to a pool that runs, for two seconds.
+// sendRequests sends requests to a dispatcher that runs, for two seconds.
 func sendRequests(d *Dispatcher) {
 	for i := range 200 {
 		d.Submit(&request.Request{
@@ -69,9 +69,9 @@
 	}
 }
 
-// attemptsDuringSlowStart plays requests for two seconds at a pool of one old server and one that do lists, and returns how many attempts
-// that one got.
-func attemptsDuringSlowStart(t *testing.T, do func(*steppedClock, *Dispatcher)) (attempts int) {
+// attemptsDuringSlowStart sends requests for two seconds to a dispatcher that knows one old server and the one that list adds, and
+// returns how many attempts the latter got.
+func attemptsDuringSlowStart(t *testing.T, list func(*steppedClock, *Dispatcher)) (attempts int) {
 	synctest.Test(t, func(t *testing.T) {
 		wall, counts := new(steppedClock), map[string]int{}
 		d, err := New(options(wall, counts))
@@ -86,7 +86,7 @@
 			Phase: endpoints.Serving,
 		}}}, time.Now())
 		time.Sleep(time.Second)
-		do(wall, d)
+		list(wall, d)
 		sendRequests(d)
 		end()
 		if err := <-running; err != nil {
@@ -97,11 +97,11 @@
 	return attempts
 }
 
-// listNewServer tells that a server has started so long ago by the wall clock as it is.
-func listNewServer(d *Dispatcher, upSince float64) {
+// listNewServer lists a server that has started at that date.
+func listNewServer(d *Dispatcher, startedAt float64) {
 	d.UpdateEndpoints(endpoints.List{Revision: 2, Endpoints: []endpoints.Endpoint{{
 		ID: "new", Address: "new:1", Phase: endpoints.Serving,
-		StartedAt: upSince,
+		StartedAt: startedAt,
 	}}}, time.Now())
 }
 
@@ -161,8 +161,8 @@
 	}
 }
 
-// What a process knows of a server's age it passes on to the next one, as an age: a date would be another one by a clock that was
-// stepped since the server started.
+// A process passes on what it knows of a server's age as an age: a date would be another one by a clock that was stepped since the
+// server started.
 func TestSlowStartOutlivesAClockStepAndAHotRestart(t *testing.T) {
 	restarted := func(step time.Duration) (attempts int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -187,9 +187,9 @@
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
-			begin, _ := snapshot.Restore(snap, snapshot.List{}, wall.now(), snapshot.DefaultValidityRules())
+			restored, _ := snapshot.Restore(snap, snapshot.List{}, wall.now(), snapshot.DefaultValidityRules())
 			o := options(wall, counts)
-			o.Restored = &begin
+			o.Restored = &restored
 			next, err := New(o)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -20,7 +20,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// refusingUpstream is a caller to whom no provider opens a connection.
+// refusingUpstream is an upstream whose servers refuse every connection.
 type refusingUpstream struct{}
 
 func (refusingUpstream) Endpoint(_, address string) upstream.Endpoint {
@@ -45,7 +45,7 @@
 func (refusedAttempt) Withdraw(outcome.Kind) (outcome.Kind, bool) { return 0, false }
 func (refusedAttempt) StartBy(time.Time)                          {}
 
-// newDispatcher returns a Pool that knows no provider yet, run by the test itself.
+// newDispatcher returns a Dispatcher that knows no server yet. The test itself applies its events.
 func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	d, err := New(Options{
@@ -64,17 +64,18 @@
 	return sizes{len(d.servers), len(d.serverIDs), len(d.usedServerIDs), len(d.requests), len(d.openIDs), len(d.attempts), len(d.timers)}
 }
 
-// Providers are replaced by new ones under new ids all day long, and each call ends long before its time: nothing may be
-// kept of those that are gone.
+// Servers are replaced by new ones under new ids all day long, and each attempt ends long before its time: nothing may be kept of
+// those that are gone.
 func TestNothingIsKeptOfDeletedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
 		before := d.sizes()
 		for i := range 20000 {
-			name, was := fmt.Sprintf("s-%d", i), fmt.Sprintf("s-%d", i-1)
+			name := fmt.Sprintf("s-%d", i)
+			predecessor := fmt.Sprintf("s-%d", i-1)
 			d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{
 				{ID: name, Address: "p:1", Phase: endpoints.Serving},
-				{ID: was, Phase: endpoints.Deleted},
+				{ID: predecessor, Phase: endpoints.Deleted},
 			}})
 			requestArrived{&request.Request{
 				ID: name, SentAt: time.Now(), Timeout: time.Second,
@@ -96,7 +97,7 @@
 	})
 }
 
-// Two open invocations of one id: the second is turned away, untaken, and the id is free again with the first's answer.
+// Two open requests of one id: the second is refused, and the id is free again with the first's answer.
 func TestDuplicateOfOpenRequestIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
@@ -124,7 +125,7 @@
 	})
 }
 
-// When Run has ended, Cancel still tells what was never sent from what may have run; what it does not know may have.
+// When Run has ended, Cancel still distinguishes what was never sent from what may have run; what it does not know may have.
 func TestCancelAfterRunEnded(t *testing.T) {
 	d := newDispatcher(t)
 	ctx, end := context.WithCancel(t.Context())
@@ -135,7 +136,9 @@
 			d.requests[id], d.requestIDs[req] = h, id
 		}
 		if i == 0 {
-			d.Run(ctx)
+			if err := d.Run(ctx); err != nil {
+				t.Error(err)
+			}
 		}
 		if mayRun := d.Cancel(req); mayRun != (i > 0) {
 			t.Errorf("%+v: may have run: %t", h, mayRun)
@@ -143,13 +146,12 @@
 	}
 }
 
-// A probe's answer whose report can't be read, or lacks the load, says nothing: a zero made up for it would look like a
-// provider with nothing to do.
+// A probe's answer whose report can't be read, or lacks the load, says nothing: a zero in its place would look like an idle server.
 func TestUnreadableReportsAreIgnored(t *testing.T) {
 	settings := config.Settings{}
 	settings.Report.Names = []string{"active", "avg_ms"}
 	d := &Dispatcher{options: Options{IsComplete: settings.IsComplete}, attempts: map[attemptID]*attemptRecord{}, servers: map[policy.ServerID]*serverRecord{}}
-	d.handling = true // the module's events are looked at, not handled
+	d.handling = true // so that the policy's events are only queued
 	for _, report := range []string{`{"active":3}`, `{"active":null,"avg_ms":20}`, `{"avg_ms":3}`, `{"act`, ``} {
 		d.attempts[1] = &attemptRecord{isProbe: true, timeout: &timer{index: -1}}
 		d.endAttempt(1, upstream.Result{Outcome: outcome.Served, Report: loadreport.Parse([]byte(report))})
@@ -164,8 +166,8 @@
 	}
 }
 
-// What an ending says of the list: a refused connection and a probe that is turned away speak against it, an answer for it, and
-// a request that is turned away says nothing, since a queue may have been full.
+// A refused connection and a declined probe contradict the list, an answer confirms it, and a declined request says nothing, since a
+// queue may have been full.
 func TestEvidenceOfOutcomes(t *testing.T) {
 	const none = staleness.Evidence(255)
 	for e, want := range map[outcome.Kind][2]staleness.Evidence{
@@ -185,14 +187,14 @@
 	}
 }
 
-// The trace says of each attempt what it was decided on, and how it ended.
+// The trace has, of each attempt, what it was decided on, and how it ended.
 func TestTrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
 		var got []string
 		d.options.Trace = func(format string, args ...any) { got = append(got, fmt.Sprintf(format, args...)) }
-		up := float64(time.Now().UnixMilli())
-		d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "p:1", Phase: endpoints.Serving, StartedAt: up}}})
+		startedAt := float64(time.Now().UnixMilli())
+		d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "p:1", Phase: endpoints.Serving, StartedAt: startedAt}}})
 		probe := d.launch(d.servers[d.serverID("a")], nil, &attemptRecord{isProbe: true, server: d.serverID("a")}, time.Second)
 		d.endAttempt(probe, upstream.Result{Outcome: outcome.Served})
 		time.Sleep(1500 * time.Millisecond)
@@ -219,7 +221,7 @@
 	})
 }
 
-// Once the list is not sure a provider gets no request before a probe has been answered by the process that the list names.
+// Once the list is stale a server gets no request before a probe has been answered by the process that the list names.
 func TestStaleListNeedsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, err := New(Options{
@@ -236,7 +238,7 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go d.Run(ctx)
+		go func() { _ = d.Run(ctx) }() // it ends with ctx, and has no other error
 		d.SetListValidity(staleness.Validity{ListUntil: time.Now().Add(time.Second)})
 		for i, want := range []int{1, 1} {
 			req := &request.Request{
@@ -254,7 +256,7 @@
 	})
 }
 
-// The word that a provider drains goes before all else that waits: however much that is, nothing of it is sent there.
+// The news that a server drains overtakes all other events: however many wait, nothing of them is sent there.
 func TestEndpointUpdatesOvertakeQueuedEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
@@ -273,7 +275,7 @@
 		}
 		d.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{line("a", endpoints.Draining)}}, time.Now())
 		ctx, cancel := context.WithCancel(t.Context())
-		go d.Run(ctx)
+		go func() { _ = d.Run(ctx) }() // it ends with ctx, and has no other error
 		synctest.Wait()
 		cancel()
 		<-d.Done()
@@ -283,7 +285,7 @@
 	})
 }
 
-// A release may replace all of a large fleet at once: the next process is told of each that is gone.
+// A release may replace all of a large fleet at once: the next process gets to know each server that is gone.
 func TestAllDeletedServersAreRemembered(t *testing.T) {
 	d := newDispatcher(t)
 	for _, phase := range []string{endpoints.Serving, endpoints.Deleted} {
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -13,42 +13,42 @@
 	"time"
 )
 
-// Providers drop a repeat of a keyed request for 3 s after its first attempt that may have run was sent. Each further attempt is
-// told the last moment for its bytes, less the module's margin of 11 ms, and is withdrawn then if it is not written whole: its
-// consumer is answered at once.
+// Servers drop a repeat of a request with an idempotency key for 3 s after its first attempt that may have run was sent. Each further
+// attempt expires at that moment, less the policy's margin of 11 ms, and is withdrawn then if it is not written whole: its client is
+// answered at once.
 func TestFurtherAttemptsExpire(t *testing.T) {
 	const never, second = time.Duration(-1), time.Second
-	gone := []string{"withdraw p:1 expired"}
+	withdrawn := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
-		repeat  policy.Idempotency
-		ends    []outcome.Kind  // of its attempts, a second after each was sent; the last one's connection does not come up
-		written bool            // or does
-		expires []time.Duration // of each attempt, from the first one on
-		did     []string        // to the last attempt within 3 s of the first
-		answers []request.Kind
+		idempotency policy.Idempotency
+		ends        []outcome.Kind  // of its attempts, a second after each was sent; the last one's connection does not come up
+		written     bool            // or does
+		expires     []time.Duration // of each attempt, from the first one on
+		actions     []string        // done to the last attempt within 3 s of the first
+		answers     []request.Kind
 	}{
-		"what may run twice": {repeat: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
+		"what may run twice": {idempotency: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
 		"the first may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Rejected},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, answers: []request.Kind{request.Rejected},
 		},
 		"the first has timed out": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.TimedOut},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Rejected},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.TimedOut},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, answers: []request.Kind{request.Rejected},
 		},
 		"the second is written": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer}, written: true,
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer}, written: true,
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond},
 		},
-		"the first never ran": {repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined}, expires: []time.Duration{never, never}},
+		"the first never ran": {idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined}, expires: []time.Duration{never, never}},
 		"the second may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined, outcome.ResetByPeer},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined, outcome.ResetByPeer},
 			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond},
 		},
 		"the first two may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ServerError, outcome.ResetByPeer},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
-			did:     gone, answers: []request.Kind{request.Rejected},
+			actions: withdrawn, answers: []request.Kind{request.Rejected},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				c := new(delayedUpstream)
 				d, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
 					LatencyObjective: 2e4, Deadline: 6e4,
-					Idempotency: tc.repeat, KeyWindow: 3000,
+					Idempotency: tc.idempotency, KeyWindow: 3000,
 				}}}, Upstream: c, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
@@ -96,7 +96,7 @@
 				before := len(c.actions) + len(got)
 				time.Sleep(time.Millisecond)
 				d.fireTimers()
-				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.actions, tc.did) || !slices.Equal(got, tc.answers) || before > 0 {
+				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.actions, tc.actions) || !slices.Equal(got, tc.answers) || before > 0 {
 					t.Errorf("expire %v, did %q, answers %v, %d too early", expires, c.actions, got, before)
 				}
 			})
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -10,56 +10,56 @@
 	"time"
 )
 
-// What an unsound module asks for against a rule is held back at the one place that sends, or that refuses, and counted there.
+// What a faulty policy asks for against a rule is prevented at the one place that sends, or that refuses, and counted there.
 func TestInvariantGuards(t *testing.T) {
 	for name, row := range map[string]struct {
-		repeat  policy.Idempotency
-		scope   policy.KeyScope
-		mayRun  bool
-		out     bool
-		leaves  bool // the server does
-		send    bool
-		refuse  bool
-		counted invariant.Rule
+		idempotency policy.Idempotency
+		scope       policy.KeyScope
+		mayRun      bool
+		underWay    bool // another attempt is
+		draining    bool // the server is
+		send        bool
+		refuse      bool
+		counted     invariant.Rule
 	}{
-		"nothing has run":                {repeat: policy.NonIdempotent, send: true, refuse: true},
-		"an order may have run":          {repeat: policy.NonIdempotent, mayRun: true, counted: invariant.Effect},
-		"what is safe may have run":      {repeat: policy.Idempotent, mayRun: true, send: true, refuse: true},
-		"a token of all may have run":    {repeat: policy.WithIdempotencyKey, mayRun: true, send: true, refuse: true},
-		"a token of a zone may have run": {repeat: policy.WithIdempotencyKey, scope: policy.ScopeZone, mayRun: true, send: true},
-		"an attempt is out":              {repeat: policy.Idempotent, out: true, refuse: true, counted: invariant.OneAttempt},
-		"an order's attempt is out":      {repeat: policy.NonIdempotent, out: true, counted: invariant.OneAttempt},
-		"the server drains":              {repeat: policy.Idempotent, leaves: true, refuse: true, counted: invariant.DrainGrace},
+		"nothing has run":                          {idempotency: policy.NonIdempotent, send: true, refuse: true},
+		"what is not idempotent may have run":      {idempotency: policy.NonIdempotent, mayRun: true, counted: invariant.Effect},
+		"what is idempotent may have run":          {idempotency: policy.Idempotent, mayRun: true, send: true, refuse: true},
+		"a key that all servers know may have run": {idempotency: policy.WithIdempotencyKey, mayRun: true, send: true, refuse: true},
+		"a key that a zone knows may have run":     {idempotency: policy.WithIdempotencyKey, scope: policy.ScopeZone, mayRun: true, send: true},
+		"an attempt is under way":                  {idempotency: policy.Idempotent, underWay: true, refuse: true, counted: invariant.OneAttempt},
+		"a non-idempotent attempt is under way":    {idempotency: policy.NonIdempotent, underWay: true, counted: invariant.OneAttempt},
+		"the server drains":                        {idempotency: policy.Idempotent, draining: true, refuse: true, counted: invariant.DrainGrace},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			book := new(invariant.Recorder)
+			recorder := new(invariant.Recorder)
 			d, err := New(Options{Policy: policy.Config{MaxAttempts: 1, Classes: []policy.Class{{
 				LatencyObjective: 100, Deadline: 1000,
-				Idempotency: row.repeat, KeyScope: row.scope,
-			}}}, Upstream: refusingUpstream{}, Invariants: book})
+				Idempotency: row.idempotency, KeyScope: row.scope,
+			}}}, Upstream: refusingUpstream{}, Invariants: recorder})
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Serving}}})
-			k := d.servers[d.serverIDs["a"]]
-			if row.leaves {
-				k.health = policy.Draining
+			server := d.servers[d.serverIDs["a"]]
+			if row.draining {
+				server.health = policy.Draining
 			}
 			var got []request.Kind
-			h := &pendingRequest{mayRun: row.mayRun, request: &request.Request{
+			pending := &pendingRequest{mayRun: row.mayRun, request: &request.Request{
 				ID: "r", SentAt: time.Now(), Timeout: time.Second,
 				Respond: func(a request.Response) { got = append(got, a.Kind) },
 			}}
-			if row.out {
-				h.attempt = 1
+			if row.underWay {
+				pending.attempt = 1
 			}
-			if send := d.maySend(h, k); send != row.send {
+			if send := d.maySend(pending, server); send != row.send {
 				t.Errorf("%s: may send %t", name, send)
 			}
-			if c := book.Counts()[row.counted]; !row.send && c.Prevented != 1 {
-				t.Errorf("%s: %s held back %d times", name, c.Rule, c.Prevented)
+			if c := recorder.Counts()[row.counted]; !row.send && c.Prevented != 1 {
+				t.Errorf("%s: %s prevented %d times", name, c.Rule, c.Prevented)
 			}
-			d.requests[1] = h
+			d.requests[1] = pending
 			d.respond(1, request.Response{Kind: request.Rejected})
 			want := request.Rejected
 			if !row.refuse {
@@ -68,7 +68,7 @@
 			if len(got) != 1 || got[0] != want {
 				t.Errorf("%s: answers %v, want %v", name, got, want)
 			}
-			time.Sleep(time.Second) // the caller's goroutines
+			time.Sleep(time.Second) // the goroutines of refusingUpstream
 			synctest.Wait()
 		})
 	}
--- a/internal/dispatch/races_test.go
+++ b/internal/dispatch/races_test.go
@@ -9,12 +9,13 @@
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
 	"slices"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 )
 
-// delayedUpstream is a caller whose connections have not come up yet, and what was asked of it.
+// delayedUpstream is an upstream whose connections have not come up yet. It records what is done to its attempts.
 type delayedUpstream struct {
 	refusingUpstream
 	attempts []*delayedAttempt
@@ -47,7 +48,7 @@
 
 func (c *delayedAttempt) StartBy(time.Time) {}
 func (c *delayedAttempt) Cancel(why outcome.Kind) (outcome.Kind, bool) {
-	return c.end("stop", why)
+	return c.end("cancel", why)
 }
 
 func (c *delayedAttempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) {
@@ -63,25 +64,25 @@
 	return why.Unsent(), true
 }
 
-// Attempts whose connections are still coming up when something else comes: nothing of them is wanted any more, whether or not
-// the settings let running ones be called off.
+// Attempts whose connections are still coming up when something makes them useless are withdrawn, whether or not the settings allow
+// running ones to be cancelled.
 func TestUnwantedAttemptIsWithdrawn(t *testing.T) {
 	serving := func(id, address string, since float64) endpoints.Endpoint {
 		return endpoints.Endpoint{ID: id, Address: address, Phase: endpoints.Serving, StartedAt: since}
 	}
 	for name, tc := range map[string]struct {
-		members []endpoints.Endpoint
-		play    func(d *Dispatcher, req *request.Request, c *delayedUpstream)
-		did     []string
-		answers []request.Response
-		gone    int
+		endpoints   []endpoints.Endpoint
+		act         func(d *Dispatcher, req *request.Request, u *delayedUpstream)
+		actions     []string
+		responses   []request.Response
+		clientsGone int
 	}{
-		"the consumer leaves": {[]endpoints.Endpoint{serving("s", "p:1", 0)}, func(d *Dispatcher, req *request.Request, c *delayedUpstream) {
+		"the client leaves": {[]endpoints.Endpoint{serving("s", "p:1", 0)}, func(d *Dispatcher, req *request.Request, _ *delayedUpstream) {
 			clientGone{request: req}.apply(d)
 		}, []string{"start p:1", "withdraw p:1 withdrawn"}, nil, 1},
-		"a word to stop that leaves less time than the attempt has": {
+		"a shutdown that leaves less time than the attempt has": {
 			[]endpoints.Endpoint{serving("s", "p:1", 0)},
-			func(d *Dispatcher, req *request.Request, c *delayedUpstream) {
+			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
 				shutdownScheduled{schedule: shutdown.NewSchedule(time.Minute, time.Second), at: time.Now()}.apply(d)
 				time.Sleep(time.Second)
 				d.fireTimers()
@@ -92,7 +93,7 @@
 		},
 		"another process under the same id": {
 			[]endpoints.Endpoint{serving("s", "p:1", 1), serving("t", "p:1", 1)},
-			func(d *Dispatcher, req *request.Request, c *delayedUpstream) {
+			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
 				d.retryFreely()
 				d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
 			},
@@ -101,19 +102,19 @@
 		},
 		"another start of the same process": {
 			[]endpoints.Endpoint{serving("s", "p:1", 1), serving("t", "p:1", 1)},
-			func(d *Dispatcher, req *request.Request, c *delayedUpstream) {
+			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
 				d.retryFreely()
 				d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
 			},
 			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
 			nil, 0,
 		},
-		"an attempt fails, and the word of the consumer's end waits": {
+		"an attempt fails while the event of the client's end waits": {
 			[]endpoints.Endpoint{serving("s", "p:1", 0), serving("t", "p:1", 0)},
-			func(d *Dispatcher, req *request.Request, c *delayedUpstream) {
+			func(d *Dispatcher, req *request.Request, u *delayedUpstream) {
 				d.retryFreely()
 				d.ClientGone(req)
-				c.attempts[0].over = true
+				u.attempts[0].over = true
 				d.endAttempt(1, upstream.Result{Outcome: outcome.Declined})
 				(<-d.events).apply(d)
 			},
@@ -123,15 +124,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := new(delayedUpstream)
+				u := new(delayedUpstream)
 				d, err := New(Options{
-					Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: c,
+					Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: u,
 					DrainGrace: time.Minute,
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				d.applyEndpoints(endpoints.List{Endpoints: tc.members})
+				d.applyEndpoints(endpoints.List{Endpoints: tc.endpoints})
 				before := d.sizes()
 				var got []request.Response
 				req := &request.Request{
@@ -139,18 +140,18 @@
 					Respond: func(a request.Response) { got = append(got, a) },
 				}
 				requestArrived{req}.apply(d)
-				tc.play(d, req, c)
-				for i, did := range c.actions[1:] {
-					if did[:3] == "sta" {
-						c.actions[i+1] = "start elsewhere"
+				tc.act(d, req, u)
+				for i, action := range u.actions[1:] {
+					if strings.HasPrefix(action, "start") {
+						u.actions[i+1] = "start elsewhere"
 					}
 				}
-				if !slices.Equal(c.actions, tc.did) || !slices.EqualFunc(got, tc.answers, func(a, b request.Response) bool {
+				if !slices.Equal(u.actions, tc.actions) || !slices.EqualFunc(got, tc.responses, func(a, b request.Response) bool {
 					return a.Kind == b.Kind && a.MayHaveRun == b.MayHaveRun
-				}) || d.counts.ClientsGone != tc.gone {
-					t.Errorf("%q, %+v, %d gone", c.actions, got, d.counts.ClientsGone)
+				}) || d.counts.ClientsGone != tc.clientsGone {
+					t.Errorf("%q, %+v, %d gone", u.actions, got, d.counts.ClientsGone)
 				}
-				if last := tc.did[len(tc.did)-1]; last != "start elsewhere" {
+				if last := tc.actions[len(tc.actions)-1]; last != "start elsewhere" {
 					time.Sleep(time.Minute) // until its timers have passed
 					d.fireTimers()
 					if after := d.sizes(); after.Requests != before.Requests || after.Attempts != before.Attempts || after.Open != before.Open {
@@ -162,24 +163,24 @@
 	}
 }
 
-// retryFreely has so many invocations come and go that a further attempt is allowed.
+// retryFreely has so many requests come and go that the retry budget allows a further attempt.
 func (d *Dispatcher) retryFreely() {
 	for i := range 20 {
 		req := &request.Request{ID: fmt.Sprint("x", i), SentAt: time.Now(), Timeout: time.Minute, Respond: func(request.Response) {}}
 		requestArrived{req}.apply(d)
 		clientGone{request: req}.apply(d)
 	}
-	c := d.options.Upstream.(*delayedUpstream)
-	c.attempts, c.actions, d.counts.ClientsGone = c.attempts[:1], c.actions[:1], 0
+	u := d.options.Upstream.(*delayedUpstream)
+	u.attempts, u.actions, d.counts.ClientsGone = u.attempts[:1], u.actions[:1], 0
 }
 
-// Whoever cancels learns whether an attempt may have run, also where an attempt has found before that its consumer had left.
+// Cancel reports whether an attempt may have run, also where the end of an attempt has found before that the client is gone.
 func TestCancelAfterClientWasFoundGone(t *testing.T) {
 	for how, want := range map[outcome.Kind]bool{outcome.Withdrawn: false, outcome.Declined: false, outcome.ResetByPeer: true} {
 		t.Run(how.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := new(delayedUpstream)
-				d, err := New(Options{Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: c})
+				u := new(delayedUpstream)
+				d, err := New(Options{Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: u})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -190,12 +191,12 @@
 				}
 				requestArrived{req}.apply(d)
 				req.CheckClientGone()
-				c.attempts[0].over = true
+				u.attempts[0].over = true
 				d.endAttempt(1, upstream.Result{Outcome: how})
-				told := make(chan bool, 1)
-				clientGone{req, told}.apply(d)
-				if got := <-told; got != want || d.counts.ClientsGone != 1 || len(c.attempts) != 1 {
-					t.Errorf("may have run: %t, want %t; %d gone, %d attempts", got, want, d.counts.ClientsGone, len(c.attempts))
+				reply := make(chan bool, 1)
+				clientGone{req, reply}.apply(d)
+				if got := <-reply; got != want || d.counts.ClientsGone != 1 || len(u.attempts) != 1 {
+					t.Errorf("may have run: %t, want %t; %d gone, %d attempts", got, want, d.counts.ClientsGone, len(u.attempts))
 				}
 			})
 		})
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -11,31 +11,31 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A drain that was told before a restart, and what was learned of a provider, are known to the next process; its own
-// configuration knows neither. The drain has begun when it was told, and a provider's next process is a stranger.
+// A drain that was listed before a restart, and what was learned of a server, are known to the next process; its own configuration
+// knows neither. The drain has begun when it was listed, and nothing is known of a server's next process.
 func TestRestoreAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
-		lines := []endpoints.Endpoint{
+		listed := []endpoints.Endpoint{
 			{ID: "a", Address: "a:1", Phase: endpoints.Serving},
 			{ID: "b", Address: "b:1", Phase: endpoints.Serving},
 			{ID: "c", Address: "c:1", Phase: endpoints.Serving, StartedAt: 5},
 		}
-		d.applyEndpoints(endpoints.List{Revision: 7, Complete: true, Endpoints: lines})
+		d.applyEndpoints(endpoints.List{Revision: 7, Complete: true, Endpoints: listed})
 		time.Sleep(time.Second)
-		told := time.Now()
+		drainedAt := time.Now()
 		d.applyEndpoints(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "a", Address: "a:1", Phase: endpoints.Draining}}})
 		d.applyEndpoints(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Address: "d:1", Phase: endpoints.Serving}}})
 		d.applyEndpoints(endpoints.List{Revision: 8, Endpoints: []endpoints.Endpoint{{ID: "d", Phase: endpoints.Deleted}}})
 		for _, name := range []string{"b", "c"} {
 			id := d.serverIDs[name]
-			st := d.balancer.State()
-			for i := range st.Servers {
-				if st.Servers[i].ID == id {
-					st.Servers[i].Latency, st.Servers[i].ReportedAt = 80, d.clock.at(time.Now())
+			state := d.balancer.State()
+			for i := range state.Servers {
+				if state.Servers[i].ID == id {
+					state.Servers[i].Latency, state.Servers[i].ReportedAt = 80, d.clock.at(time.Now())
 				}
 			}
-			if err := d.balancer.Restore(&st); err != nil {
+			if err := d.balancer.Restore(&state); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -51,18 +51,18 @@
 		}
 		rules := snapshot.DefaultValidityRules()
 		rules.Deployment, rules.Classes = "", 1
-		lines[2].StartedAt = 6
-		known := snapshot.FromConfig(endpoints.List{Revision: 9, Endpoints: lines}, "", time.Now())
-		begin, _ := snapshot.Restore(snap, known, time.Now(), rules)
-		set := d.options
-		set.Restored = &begin
-		next, err := New(set)
+		listed[2].StartedAt = 6
+		known := snapshot.FromConfig(endpoints.List{Revision: 9, Endpoints: listed}, "", time.Now())
+		restored, _ := snapshot.Restore(snap, known, time.Now(), rules)
+		options := d.options
+		options.Restored = &restored
+		next, err := New(options)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := map[string]any{}
 		for _, k := range next.servers {
-			got[k.name] = []any{k.health, k.phaseSince.Sub(told).Round(time.Second)}
+			got[k.name] = []any{k.health, k.phaseSince.Sub(drainedAt).Round(time.Second)}
 		}
 		for _, one := range next.balancer.State().Servers {
 			if one.Latency > 0 {
