--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	waitJitter  = 0.1             // part of a wait left to chance: those told at once must not all come back at once
-	latePart    = 1.0 / 8         // weight of a new sample of lateness in the mean, as in RFC 6298
-	varPart     = 1.0 / 4         // and in the mean deviation
-	varTimes    = 4               // deviations beyond the mean that an answer may take
-	memory      = 3 * time.Second // in which a sign against the list counts without being repeated
-	severalPart = 10              // one in so many of the listed providers, at least two, must speak against the list
+	waitJitter     = 0.1             // part of a wait left to chance: those told at once must not all come back at once
+	latePart       = 1.0 / 8         // weight of a new sample of lateness in the mean, as in RFC 6298
+	varPart        = 1.0 / 4         // and in the mean deviation
+	varTimes       = 4               // deviations beyond the mean that an answer may take
+	evidenceMemory = 3 * time.Second // in which a sign against the list counts without being repeated
+	severalPart    = 10              // one in so many of the listed providers, at least two, must speak against the list
 
 	// A directory that fails one instance fails all of them, and is asked by all. What one does is sized by how many do it:
 	callerRetry = 10 * time.Millisecond   // a first call and a first retry come 100 times a second from all together,
@@ -91,8 +91,8 @@
 	}
 }
 
-// among returns the settings sized for the number of callers.
-func (s Settings) among() Settings {
+// newSchedulerAmong returns the settings sized for the number of callers.
+func (s Settings) forInstances() Settings {
 	s.Instances = max(1, s.Instances)
 	s.EffectiveBy = min(cmp.Or(s.EffectiveBy, toldWithin), toldWithin)
 	n := time.Duration(s.Instances)
@@ -101,12 +101,12 @@
 	return s
 }
 
-// turn is the time until this caller's turn among all, each of which gets so long.
-func (k *Scheduler) turn(each, most time.Duration) time.Duration {
-	if k.set.Instances == 1 {
+// slot is the time until this caller's turn among all, each of which gets so long.
+func (scheduler *Scheduler) slot(each, most time.Duration) time.Duration {
+	if scheduler.settings.Instances == 1 {
 		return 0
 	}
-	return time.Duration(k.rng.Float64() * float64(min(time.Duration(k.set.Instances-1)*each, most)))
+	return time.Duration(scheduler.rng.Float64() * float64(min(time.Duration(scheduler.settings.Instances-1)*each, most)))
 }
 
 // Check names the setting that makes no sense, by its key in a configuration.
@@ -148,36 +148,36 @@
 
 // Scheduler is the state of one watch. It is not safe for concurrent use.
 type Scheduler struct {
-	set Settings
-	rng *rand.Rand
-
-	whole    bool
-	started  bool          // the first call is made
-	moved    bool          // to another directory, which has not been heard
-	failures int           // in a row
-	full     bool          // the directory has turned a call away, and answered no watch since
-	asOf     time.Time     // what the directory had to tell until then has arrived
-	sure     time.Time     // no later change counts as told before; zero = no call since the last answer
-	began    time.Time     // of the present call
-	left     bool          // a watch that was in time has been left for it
-	lateAt   time.Time     // from when on the present call's answer is overdue
-	late     time.Duration // mean time that an answer takes beyond its wait
-	spread   time.Duration // mean deviation of that
-	known    bool          // there has been a sample
-
-	listed  map[string]float64  // start of the process of each provider that the list names as in service
-	doubted map[string]*against // of those
-	asks    int                 // calls in a row that evidence brought on and that settled nothing
-	askAt   time.Time           // not before
-	asked   bool                // one of those is under way, or to be made
-	asking  bool                // and the present call is it
-	owed    bool                // it is still to be made: the last answer was to another call
+	settings Settings
+	rng      *rand.Rand
+
+	needsCompleteList bool
+	started           bool          // the first call is made
+	sourceChanged     bool          // to another directory, which has not been heard
+	failures          int           // in a row
+	sourceFull        bool          // the directory has turned a call away, and answered no watch since
+	listAsOf          time.Time     // what the directory had to tell until then has arrived
+	freshUntil        time.Time     // no later change counts as told before; zero = no call since the last answer
+	pollStart         time.Time     // of the present call
+	leftWatchInTime   bool          // a watch that was in time has been left for it
+	overdueAt         time.Time     // from when on the present call's answer is overdue
+	meanLateness      time.Duration // mean time that an answer takes beyond its wait
+	latenessDeviation time.Duration // mean deviation of that
+	latenessKnown     bool          // there has been a sample
+
+	listed         map[string]float64        // start of the process of each provider that the list names as in service
+	contradictions map[string]*contradiction // of those
+	refreshes      int                       // calls in a row that evidence brought on and that settled nothing
+	nextRefreshAt  time.Time                 // not before
+	refreshWanted  bool                      // one of those is under way, or to be made
+	pollIsRefresh  bool                      // and the present call is it
+	refreshMissed  bool                      // it is still to be made: the last answer was to another call
 }
 
-// against is the evidence that a provider is not in service.
-type against struct {
-	at      time.Time // lately
-	settled bool      // the directory has been asked and says that it is
+// contradiction is the evidence that a provider is not in service.
+type contradiction struct {
+	lastSeen  time.Time // lately
+	rechecked bool      // the directory has been asked and says that it is
 }
 
 // New returns a Keeper; whole says that the first call is for the whole list, since none is known.
@@ -186,46 +186,46 @@
 		return nil, err
 	}
 	return &Scheduler{
-		set: set.among(), rng: rand.New(rand.NewPCG(seed, 0x6c697374)), whole: whole, listed: map[string]float64{},
-		doubted: map[string]*against{},
+		settings: set.forInstances(), rng: rand.New(rand.NewPCG(seed, 0x6c697374)), needsCompleteList: whole, listed: map[string]float64{},
+		contradictions: map[string]*contradiction{},
 	}, nil
 }
 
 // Next is the call to make at now.
-func (k *Scheduler) Next(now time.Time) Poll {
-	c := Poll{Complete: k.whole || k.asked}
-	c.Timeout, c.StallTimeout = k.patience(c.Complete), k.set.Timeout // no turn is waited for there, and nothing is learned of it
+func (scheduler *Scheduler) Next(now time.Time) Poll {
+	c := Poll{Complete: scheduler.needsCompleteList || scheduler.refreshWanted}
+	c.Timeout, c.StallTimeout = scheduler.answerTimeout(c.Complete), scheduler.settings.Timeout // no turn is waited for there, and nothing is learned of it
 	switch {
-	case k.failures > 0:
-		c.Delay = wait(k.set.RetryBackoff, k.set.MaxRetryBackoff, k.failures, k.rng.Float64())
-	case k.asked || !k.started: // all start together and see the same, and each has a list meanwhile
-		c.Delay = k.turn(callerRetry, callerFirst)
-	}
-	if !c.Complete && (k.started || !k.set.Pushed) { // an agent is asked without a wait what has changed since a list of unknown age
-		d := k.set.Wait / time.Duration(1+k.against(now))
-		c.Wait = max(k.set.MinWait, d-time.Duration(waitJitter*k.rng.Float64()*float64(d))).Truncate(time.Millisecond)
+	case scheduler.failures > 0:
+		c.Delay = wait(scheduler.settings.RetryBackoff, scheduler.settings.MaxRetryBackoff, scheduler.failures, scheduler.rng.Float64())
+	case scheduler.refreshWanted || !scheduler.started: // all start together and see the same, and each has a list meanwhile
+		c.Delay = scheduler.slot(callerRetry, callerFirst)
+	}
+	if !c.Complete && (scheduler.started || !scheduler.settings.Pushed) { // an agent is asked without a wait what has changed since a list of unknown age
+		d := scheduler.settings.Wait / time.Duration(1+scheduler.countContradictions(now))
+		c.Wait = max(scheduler.settings.MinWait, d-time.Duration(waitJitter*scheduler.rng.Float64()*float64(d))).Truncate(time.Millisecond)
 		c.Timeout += c.Wait
 	}
-	k.started, k.asking = true, k.asked
-	if k.lateAt = now.Add(c.Delay + c.Wait + k.set.MinTimeout); k.set.Instances > 1 { // in line, a call is in time as long as it waits
-		k.lateAt = now.Add(c.Delay + c.Timeout)
+	scheduler.started, scheduler.pollIsRefresh = true, scheduler.refreshWanted
+	if scheduler.overdueAt = now.Add(c.Delay + c.Wait + scheduler.settings.MinTimeout); scheduler.settings.Instances > 1 { // in line, a call is in time as long as it waits
+		scheduler.overdueAt = now.Add(c.Delay + c.Timeout)
 	}
-	k.began = now.Add(c.Delay)
+	scheduler.pollStart = now.Add(c.Delay)
 	until := now // of the list to begin with nobody knows the age; and an agent may have had the word since it was asked last
 	switch {
-	case c.Delay > 0 && k.set.Pushed || k.asOf.IsZero() || k.left: // who leaves a watch would have been told
-	case (c.Delay > 0 || c.Complete) && !k.set.Pushed:
-		until = k.asOf.Add(max(0, k.set.EffectiveBy-newsLag))
+	case c.Delay > 0 && scheduler.settings.Pushed || scheduler.listAsOf.IsZero() || scheduler.leftWatchInTime: // who leaves a watch would have been told
+	case (c.Delay > 0 || c.Complete) && !scheduler.settings.Pushed:
+		until = scheduler.listAsOf.Add(max(0, scheduler.settings.EffectiveBy-newsLag))
 	default:
-		until = k.began.Add(c.Wait + toldAfter)
+		until = scheduler.pollStart.Add(c.Wait + toldAfter)
 	}
-	if most := now.Add(toldMoved); k.moved && most.Before(until) {
+	if most := now.Add(toldMoved); scheduler.sourceChanged && most.Before(until) {
 		until = most
 	}
-	if k.sure.IsZero() || until.Before(k.sure) { // the first call that was not answered decides, or the first pause
-		k.sure = until
+	if scheduler.freshUntil.IsZero() || until.Before(scheduler.freshUntil) { // the first call that was not answered decides, or the first pause
+		scheduler.freshUntil = until
 	}
-	k.left = false
+	scheduler.leftWatchInTime = false
 	return c
 }
 
@@ -244,14 +244,14 @@
 // it is back, nothing may go there. Where calls wait in turn at one service, a sidecar that starts in a herd may not be heard for
 // long and has no connection from before: a provider that leaves after the start stays for its grace, so that another process
 // takes longer to be there.
-func (k *Scheduler) Validity() Validity {
+func (scheduler *Scheduler) Validity() Validity {
 	switch {
-	case k.set.Pushed:
-		return Validity{k.sure, k.sure}
-	case k.asOf.IsZero():
-		return Validity{k.sure, k.sure.Add(k.set.DrainGrace)}
+	case scheduler.settings.Pushed:
+		return Validity{scheduler.freshUntil, scheduler.freshUntil}
+	case scheduler.listAsOf.IsZero():
+		return Validity{scheduler.freshUntil, scheduler.freshUntil.Add(scheduler.settings.DrainGrace)}
 	}
-	return Validity{k.sure, k.asOf.Add(-newsLag)}
+	return Validity{scheduler.freshUntil, scheduler.listAsOf.Add(-newsLag)}
 }
 
 // StartBy is until when a first byte may go to a provider whose drain would have that grace; zero = at any time, since the list
@@ -310,117 +310,119 @@
 	return time.Duration(p.Wait(nth, random))
 }
 
-// patience is the time beyond its wait after which an answer is not expected any more. What is learned holds for a watch
+// answerTimeout is the time beyond its wait after which an answer is not expected any more. What is learned holds for a watch
 // that goes on. A new one may have to wait in turn, and whoever gives up there goes to the end of the queue.
-func (k *Scheduler) patience(whole bool) time.Duration {
-	n := time.Duration(k.set.Instances)
+func (scheduler *Scheduler) answerTimeout(whole bool) time.Duration {
+	n := time.Duration(scheduler.settings.Instances)
 	switch {
-	case n == 1 && (whole || !k.known || k.full || k.failures > 0):
-		return k.set.Timeout // there is no line
+	case n == 1 && (whole || !scheduler.latenessKnown || scheduler.sourceFull || scheduler.failures > 0):
+		return scheduler.settings.Timeout // there is no line
 	case whole:
-		return max(k.set.Timeout, min(n*callerTurn, callerLine), min(n*callerQueue, callerBound))
-	case !k.known || k.full || k.failures > 0:
-		return max(k.set.Timeout, min(n*callerTurn, callerTold))
+		return max(scheduler.settings.Timeout, min(n*callerTurn, callerLine), min(n*callerQueue, callerBound))
+	case !scheduler.latenessKnown || scheduler.sourceFull || scheduler.failures > 0:
+		return max(scheduler.settings.Timeout, min(n*callerTurn, callerTold))
 	}
-	return min(k.set.Timeout, max(k.set.MinTimeout, k.late+varTimes*k.spread))
+	return min(scheduler.settings.Timeout, max(scheduler.settings.MinTimeout, scheduler.meanLateness+varTimes*scheduler.latenessDeviation))
 }
 
 // Responded takes note of an answer to c that began after took, whatever it said.
-func (k *Scheduler) Responded(c Poll, took time.Duration) {
-	k.failures = 0
-	k.owed = k.asked && !k.asking // the evidence came as this was answered
-	k.asOf, k.sure, k.moved = k.began, time.Time{}, false
-	k.whole = k.whole && !c.Complete
-	k.full = k.full && c.Complete // a whole list that was there already says nothing of the room for a watch
-	if took < c.Wait {            // there was news: how late an answer is, it does not say
+func (scheduler *Scheduler) Responded(c Poll, took time.Duration) {
+	scheduler.failures = 0
+	scheduler.refreshMissed = scheduler.refreshWanted && !scheduler.pollIsRefresh // the evidence came as this was answered
+	scheduler.listAsOf, scheduler.freshUntil, scheduler.sourceChanged = scheduler.pollStart, time.Time{}, false
+	scheduler.needsCompleteList = scheduler.needsCompleteList && !c.Complete
+	scheduler.sourceFull = scheduler.sourceFull && c.Complete // a whole list that was there already says nothing of the room for a watch
+	if took < c.Wait {                                        // there was news: how late an answer is, it does not say
 		return
 	}
-	k.asOf = k.began.Add(c.Wait) // there was none until then
+	scheduler.listAsOf = scheduler.pollStart.Add(c.Wait) // there was none until then
 	late := took - c.Wait
-	if !k.known {
-		k.known, k.late, k.spread = true, late, late/2
+	if !scheduler.latenessKnown {
+		scheduler.latenessKnown, scheduler.meanLateness, scheduler.latenessDeviation = true, late, late/2
 		return
 	}
-	k.spread += time.Duration(varPart * float64((k.late-late).Abs()-k.spread))
-	k.late += time.Duration(latePart * float64(late-k.late))
+	scheduler.latenessDeviation += time.Duration(varPart * float64((scheduler.meanLateness-late).Abs()-scheduler.latenessDeviation))
+	scheduler.meanLateness += time.Duration(latePart * float64(late-scheduler.meanLateness))
 }
 
 // Failed takes note of a call that brought nothing. Who answers at the directory's address may be another process by now,
 // so that what has changed meanwhile is unknown: the next call is for the whole list.
-func (k *Scheduler) Failed() { k.failures, k.whole = k.failures+1, true }
+func (scheduler *Scheduler) Failed() {
+	scheduler.failures, scheduler.needsCompleteList = scheduler.failures+1, true
+}
 
 // Rejected takes note of a call that the directory had no room for. It is still the one that has told the list in force,
 // and bears the few lines of what has changed since where it can't bear the whole list from everybody: a whole list that
 // only evidence has asked for is not asked for again.
-func (k *Scheduler) Rejected() {
-	k.failures++
-	k.full, k.asked = true, false
+func (scheduler *Scheduler) Rejected() {
+	scheduler.failures++
+	scheduler.sourceFull, scheduler.refreshWanted = true, false
 }
 
 // TimedOut takes note of a call that was given up: its connection had come up, and nothing came over it. Where calls have been
 // turned away since a watch was answered that is the line, and goes for a call that is turned away; else the directory that has
 // told the list may be gone without a word.
-func (k *Scheduler) TimedOut() {
-	if k.full && !k.set.Pushed {
-		k.Rejected()
+func (scheduler *Scheduler) TimedOut() {
+	if scheduler.sourceFull && !scheduler.settings.Pushed {
+		scheduler.Rejected()
 		return
 	}
-	k.Failed()
+	scheduler.Failed()
 }
 
 // SourceChanged takes note that the next call goes to another directory, of which nothing is known.
-func (k *Scheduler) SourceChanged() {
-	k.failures, k.whole, k.known, k.started, k.full = 0, true, false, false, false
-	k.asks, k.asked, k.moved = 0, false, true
+func (scheduler *Scheduler) SourceChanged() {
+	scheduler.failures, scheduler.needsCompleteList, scheduler.latenessKnown, scheduler.started, scheduler.sourceFull = 0, true, false, false, false
+	scheduler.refreshes, scheduler.refreshWanted, scheduler.sourceChanged = 0, false, true
 }
 
 // SetListed takes the directory's word of one provider: whether the list now names it as in service, and the start of its
 // process. What spoke against an earlier process is over.
-func (k *Scheduler) SetListed(provider string, ready bool, process float64) {
-	was, known := k.listed[provider]
+func (scheduler *Scheduler) SetListed(provider string, ready bool, process float64) {
+	was, known := scheduler.listed[provider]
 	if !ready || known && was != process {
-		delete(k.doubted, provider)
+		delete(scheduler.contradictions, provider)
 	}
-	if delete(k.listed, provider); ready {
-		k.listed[provider] = process
+	if delete(scheduler.listed, provider); ready {
+		scheduler.listed[provider] = process
 	}
 }
 
 // ReplaceListed takes a whole list: the providers that are in service, with the starts of their processes. Those that speak
 // against it still have had their hearing.
-func (k *Scheduler) ReplaceListed(ready map[string]float64) {
-	if !maps.Equal(k.listed, ready) {
-		k.asks = 0
+func (scheduler *Scheduler) ReplaceListed(ready map[string]float64) {
+	if !maps.Equal(scheduler.listed, ready) {
+		scheduler.refreshes = 0
 	}
-	for p := range k.listed {
+	for p := range scheduler.listed {
 		if _, still := ready[p]; !still {
-			k.SetListed(p, false, 0)
+			scheduler.SetListed(p, false, 0)
 		}
 	}
 	for p, process := range ready {
-		k.SetListed(p, true, process)
+		scheduler.SetListed(p, true, process)
 	}
-	for _, a := range k.doubted {
-		a.settled = true
+	for _, a := range scheduler.contradictions {
+		a.rechecked = true
 	}
-	k.asked, k.owed = k.owed, false
+	scheduler.refreshWanted, scheduler.refreshMissed = scheduler.refreshMissed, false
 }
 
-// against counts the providers that speak against the list and about which the directory has not been asked since.
-func (k *Scheduler) against(now time.Time) (n int) {
-	for _, a := range k.doubted {
-		if !a.settled && now.Sub(a.at) <= memory {
+// contradiction counts the providers that speak against the list and about which the directory has not been asked since.
+func (scheduler *Scheduler) countContradictions(now time.Time) (n int) {
+	for _, a := range scheduler.contradictions {
+		if !a.rechecked && now.Sub(a.lastSeen) <= evidenceMemory {
 			n++
 		}
 	}
 	return n
 }
 
-// othersFirst reports whether evidence has to wait, as it does at a directory that others ask, too, while the watch is in time. All
+// mustKeepWatch reports whether evidence has to wait, as it does at a directory that others ask, too, while the watch is in time. All
 // see the same then, and whoever leaves a watch for the whole list loses the word that is on its way and goes to the end of the
 // line: with 32 callers, four servers that refused cost most of them every list for 10 to 20 s.
-func (k *Scheduler) othersFirst(now time.Time) bool {
-	return k.set.Instances > 1 && now.Before(k.lateAt)
+func (scheduler *Scheduler) mustKeepWatch(now time.Time) bool {
+	return scheduler.settings.Instances > 1 && now.Before(scheduler.overdueAt)
 }
 
 // Observe takes a sign of a provider. True asks for the whole list now, even while a call is out: several providers speak
@@ -428,26 +430,26 @@
 // stands by its list, not while it turns calls away, nor while it answers several callers in time; and a provider for which it
 // stands by its list counts no more until it has answered or restarted. No sign takes a provider out of the list: a fault of
 // this side makes all look gone.
-func (k *Scheduler) Observe(now time.Time, provider string, sign Evidence) bool {
-	if _, listed := k.listed[provider]; !listed {
+func (scheduler *Scheduler) Observe(now time.Time, provider string, sign Evidence) bool {
+	if _, listed := scheduler.listed[provider]; !listed {
 		return false
 	}
 	if sign == Alive {
-		delete(k.doubted, provider)
+		delete(scheduler.contradictions, provider)
 		return false
 	}
-	a := k.doubted[provider]
+	a := scheduler.contradictions[provider]
 	if a == nil {
-		a = new(against)
-		k.doubted[provider] = a
+		a = new(contradiction)
+		scheduler.contradictions[provider] = a
 	}
-	a.at = now
-	several := max(min(2, len(k.listed)), len(k.listed)/severalPart)
-	if a.settled || k.asked || k.full || now.Before(k.askAt) || k.against(now) < several || k.othersFirst(now) {
+	a.lastSeen = now
+	several := max(min(2, len(scheduler.listed)), len(scheduler.listed)/severalPart)
+	if a.rechecked || scheduler.refreshWanted || scheduler.sourceFull || now.Before(scheduler.nextRefreshAt) || scheduler.countContradictions(now) < several || scheduler.mustKeepWatch(now) {
 		return false
 	}
-	k.asks++
-	k.askAt = now.Add(max(k.set.RefreshInterval, wait(2*k.set.RefreshInterval, k.set.MaxRefreshInterval, k.asks, k.rng.Float64())))
-	k.asked, k.left = true, now.Before(k.lateAt) && !k.set.Pushed
+	scheduler.refreshes++
+	scheduler.nextRefreshAt = now.Add(max(scheduler.settings.RefreshInterval, wait(2*scheduler.settings.RefreshInterval, scheduler.settings.MaxRefreshInterval, scheduler.refreshes, scheduler.rng.Float64())))
+	scheduler.refreshWanted, scheduler.leftWatchInTime = true, now.Before(scheduler.overdueAt) && !scheduler.settings.Pushed
 	return true
 }
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -10,19 +10,19 @@
 
 const ms = time.Millisecond
 
-var usual = DefaultSettings()
+var defaults = DefaultSettings()
 
-func keeper(t *testing.T, providers int) *Scheduler {
+func newScheduler(t *testing.T, providers int) *Scheduler {
 	t.Helper()
-	k, err := New(usual, 1, false)
+	scheduler, err := New(defaults, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.ReplaceListed(named(providers))
-	return k
+	scheduler.ReplaceListed(listedServers(providers))
+	return scheduler
 }
 
-func named(n int) map[string]float64 {
+func listedServers(n int) map[string]float64 {
 	l := map[string]float64{}
 	for i := range n {
 		l[fmt.Sprint("p", i)] = 1
@@ -30,7 +30,7 @@
 	return l
 }
 
-func within(t *testing.T, what string, got, least, most time.Duration) {
+func checkBetween(t *testing.T, what string, got, least, most time.Duration) {
 	t.Helper()
 	if got < least || got > most {
 		t.Errorf("%s: %s, want %s to %s", what, got, least, most)
@@ -38,24 +38,24 @@
 }
 
 // A call is held for a bounded wait, and how long it may be late is learned from how late answers are.
-func TestPatienceIsLearned(t *testing.T) {
-	k, now := keeper(t, 0), time.Unix(1e9, 0)
-	c := k.Next(now)
-	within(t, "first wait", c.Wait, 900*ms, time.Second)
-	within(t, "patience before any sample", c.Timeout-c.Wait, time.Second, time.Second)
+func TestTimeoutIsLearned(t *testing.T) {
+	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
+	c := scheduler.Next(now)
+	checkBetween(t, "first wait", c.Wait, 900*ms, time.Second)
+	checkBetween(t, "patience before any sample", c.Timeout-c.Wait, time.Second, time.Second)
 	for range 50 {
-		c = k.Next(now)
-		k.Responded(c, c.Wait+2*ms)
+		c = scheduler.Next(now)
+		scheduler.Responded(c, c.Wait+2*ms)
 	}
-	c = k.Next(now)
-	within(t, "patience with a quick directory", c.Timeout-c.Wait, 250*ms, 250*ms)
-	k.Responded(c, 10*ms) // news: how late the directory is, this does not say
+	c = scheduler.Next(now)
+	checkBetween(t, "patience with a quick directory", c.Timeout-c.Wait, 250*ms, 250*ms)
+	scheduler.Responded(c, 10*ms) // news: how late the directory is, this does not say
 	for range 50 {
-		c = k.Next(now)
-		k.Responded(c, c.Wait+400*ms)
+		c = scheduler.Next(now)
+		scheduler.Responded(c, c.Wait+400*ms)
 	}
-	c = k.Next(now)
-	within(t, "patience with a slow one", c.Timeout-c.Wait, 400*ms, 500*ms)
+	c = scheduler.Next(now)
+	checkBetween(t, "patience with a slow one", c.Timeout-c.Wait, 400*ms, 500*ms)
 	if c.Complete || c.Delay != 0 {
 		t.Errorf("after an answer: %+v", c)
 	}
@@ -63,23 +63,23 @@
 
 // A directory that is down is asked less and less often, for the whole list, and given ever more time.
 func TestFailures(t *testing.T) {
-	k, now := keeper(t, 0), time.Unix(1e9, 0)
-	k.Responded(Poll{Complete: true}, ms)
+	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
+	scheduler.Responded(Poll{Complete: true}, ms)
 	for i, most := range []time.Duration{50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
-		k.Failed()
-		c := k.Next(now)
-		within(t, fmt.Sprint("pause ", i), c.Delay, most/2, most)
-		within(t, fmt.Sprint("time ", i), c.Timeout, min(time.Second, 250*ms<<i), time.Second)
+		scheduler.Failed()
+		c := scheduler.Next(now)
+		checkBetween(t, fmt.Sprint("pause ", i), c.Delay, most/2, most)
+		checkBetween(t, fmt.Sprint("time ", i), c.Timeout, min(time.Second, 250*ms<<i), time.Second)
 		if !c.Complete || c.Wait != 0 {
 			t.Errorf("after a failure: %+v", c)
 		}
 	}
-	k.Responded(Poll{Complete: true}, ms)
-	if c := k.Next(now); c.Complete || c.Delay != 0 {
+	scheduler.Responded(Poll{Complete: true}, ms)
+	if c := scheduler.Next(now); c.Complete || c.Delay != 0 {
 		t.Errorf("after the answer: %+v", c)
 	}
-	k.SourceChanged()
-	if c := k.Next(now); !c.Complete || c.Delay != 0 || c.Timeout != time.Second {
+	scheduler.SourceChanged()
+	if c := scheduler.Next(now); !c.Complete || c.Delay != 0 || c.Timeout != time.Second {
 		t.Errorf("at another directory: %+v", c)
 	}
 }
@@ -143,15 +143,15 @@
 			{5 * time.Second, 3, ConnectRefused, true},
 		}},
 	} {
-		k, start := keeper(t, c.providers), time.Unix(1e9, 0)
+		scheduler, start := newScheduler(t, c.providers), time.Unix(1e9, 0)
 		for i, s := range c.steps {
 			switch s.sign {
 			case listed:
-				k.ReplaceListed(named(c.providers))
+				scheduler.ReplaceListed(listedServers(c.providers))
 			case moved:
-				k.SourceChanged()
+				scheduler.SourceChanged()
 			default:
-				if got := k.Observe(start.Add(s.at), fmt.Sprint("p", s.provider), s.sign); got != s.asks {
+				if got := scheduler.Observe(start.Add(s.at), fmt.Sprint("p", s.provider), s.sign); got != s.asks {
 					t.Errorf("%s, step %d: asks %t", name, i, got)
 				}
 			}
@@ -161,19 +161,19 @@
 
 // Where the directory stands by a list that is wrong, or all fails because the fault is on this side, it is asked ever more
 // seldom: a provider that answers in between speaks against the list anew each time.
-func TestAsksAreBounded(t *testing.T) {
-	k, now, asks := keeper(t, 15), time.Unix(1e9, 0), 0
+func TestRefreshesAreBounded(t *testing.T) {
+	scheduler, now, asks := newScheduler(t, 15), time.Unix(1e9, 0), 0
 	for range 600 { // ten minutes
 		for p := range 15 {
 			name := fmt.Sprint("p", p)
-			k.Observe(now, name, Alive)
-			if k.Observe(now, name, ConnectRefused) {
+			scheduler.Observe(now, name, Alive)
+			if scheduler.Observe(now, name, ConnectRefused) {
 				asks++
-				if c := k.Next(now); !c.Complete {
+				if c := scheduler.Next(now); !c.Complete {
 					t.Fatalf("the next call is %+v", c)
 				}
-				k.Responded(Poll{Complete: true}, ms)
-				k.ReplaceListed(named(15))
+				scheduler.Responded(Poll{Complete: true}, ms)
+				scheduler.ReplaceListed(listedServers(15))
 			}
 		}
 		now = now.Add(time.Second)
@@ -184,49 +184,49 @@
 }
 
 // Evidence that comes while a call is out is not forgotten with that call's answer, nor with its failure, and doubt shortens the wait.
-func TestEvidenceDuringACall(t *testing.T) {
-	k, now := keeper(t, 15), time.Unix(1e9, 0)
-	k.Next(now)
-	k.Observe(now, "p0", ConnectRefused)
-	c := k.Next(now)
-	within(t, "wait with one doubt", c.Wait, 450*ms, 500*ms)
-	if !k.Observe(now, "p1", ConnectRefused) {
+func TestEvidenceDuringAPoll(t *testing.T) {
+	scheduler, now := newScheduler(t, 15), time.Unix(1e9, 0)
+	scheduler.Next(now)
+	scheduler.Observe(now, "p0", ConnectRefused)
+	c := scheduler.Next(now)
+	checkBetween(t, "wait with one doubt", c.Wait, 450*ms, 500*ms)
+	if !scheduler.Observe(now, "p1", ConnectRefused) {
 		t.Fatal("not asked")
 	}
-	k.Responded(c, 10*ms)
-	if c = k.Next(now); !c.Complete {
+	scheduler.Responded(c, 10*ms)
+	if c = scheduler.Next(now); !c.Complete {
 		t.Errorf("after the answer to another call: %+v", c)
 	}
-	k.Failed()
-	k.Responded(k.Next(now), 10*ms)
-	k.ReplaceListed(named(3))
-	k.SetListed("p0", true, 2) // a new process: what spoke against the old one is over
-	k.Observe(now.Add(time.Minute), "p0", ConnectRefused)
-	if c = k.Next(now.Add(time.Minute)); c.Complete || c.Wait > 500*ms {
+	scheduler.Failed()
+	scheduler.Responded(scheduler.Next(now), 10*ms)
+	scheduler.ReplaceListed(listedServers(3))
+	scheduler.SetListed("p0", true, 2) // a new process: what spoke against the old one is over
+	scheduler.Observe(now.Add(time.Minute), "p0", ConnectRefused)
+	if c = scheduler.Next(now.Add(time.Minute)); c.Complete || c.Wait > 500*ms {
 		t.Errorf("after the whole list: %+v", c)
 	}
 }
 
 // Evidence that comes just as a call made before it is answered by a whole list has not been heard by that.
-func TestEvidenceCrossesAWholeList(t *testing.T) {
+func TestEvidenceCrossesACompleteList(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		k, now := keeper(t, 4), time.Unix(1e9, 0)
+		scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
 		if whole {
-			k.Failed()
+			scheduler.Failed()
 		}
-		c := k.Next(now)
-		k.Observe(now, "p0", ConnectRefused)
-		if c.Complete != whole || !k.Observe(now, "p1", ConnectRefused) {
+		c := scheduler.Next(now)
+		scheduler.Observe(now, "p0", ConnectRefused)
+		if c.Complete != whole || !scheduler.Observe(now, "p1", ConnectRefused) {
 			t.Fatalf("%+v, not asked", c)
 		}
-		k.Responded(c, ms)
-		k.ReplaceListed(named(4))
-		if c = k.Next(now); !c.Complete {
+		scheduler.Responded(c, ms)
+		scheduler.ReplaceListed(listedServers(4))
+		if c = scheduler.Next(now); !c.Complete {
 			t.Errorf("whole %t: evidence is lost", whole)
 		}
-		k.Responded(c, ms)
-		k.ReplaceListed(named(4))
-		if c = k.Next(now); c.Complete {
+		scheduler.Responded(c, ms)
+		scheduler.ReplaceListed(listedServers(4))
+		if c = scheduler.Next(now); c.Complete {
 			t.Errorf("whole %t: it is asked twice", whole)
 		}
 	}
@@ -239,7 +239,7 @@
 		"retry":          func(s *Settings) { s.MaxRetryBackoff = 0 },
 		"ask":            func(s *Settings) { s.RefreshInterval = -1 },
 	} {
-		s := usual
+		s := defaults
 		spoil(&s)
 		if _, err := New(s, 1, true); err == nil {
 			t.Errorf("%s: %+v is taken", key, s)
@@ -247,50 +247,50 @@
 	}
 }
 
-// among returns a watch that is one of so many.
-func among(t *testing.T, callers int, seed uint64) *Scheduler {
+// newSchedulerAmong returns a watch that is one of so many.
+func newSchedulerAmong(t *testing.T, callers int, seed uint64) *Scheduler {
 	t.Helper()
-	set := usual
+	set := defaults
 	set.Instances = callers
-	k, err := New(set, seed, false)
+	scheduler, err := New(set, seed, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.ReplaceListed(named(15))
-	return k
+	scheduler.ReplaceListed(listedServers(15))
+	return scheduler
 }
 
 // What all callers together ask of a directory, when all start or see the same at one moment and it turns them away: the
 // most calls in any 100 ms of the first half minute, and how many there are a second at its end.
-func TestSumOverCallers(t *testing.T) {
+func TestSumOverInstances(t *testing.T) {
 	for _, c := range []struct {
 		callers            int
 		most, last, doubts int // doubts: whole lists asked for in any second, for what all see while their watch is in time
 	}{{1, 2, 1, 1}, {4, 8, 4, 0}, {32, 20, 15, 0}, {80, 32, 18, 0}, {300, 110, 10, 0}, {2000, 750, 40, 0}, {5000, 1800, 90, 0}} {
 		calls, doubts := map[int]int{}, map[int]int{}
 		for i := range c.callers {
-			k, at := among(t, c.callers, uint64(i)), time.Duration(0)
+			scheduler, at := newSchedulerAmong(t, c.callers, uint64(i)), time.Duration(0)
 			for at < 30*time.Second {
-				next := k.Next(time.Unix(0, 0).Add(at))
+				next := scheduler.Next(time.Unix(0, 0).Add(at))
 				if next.Complete {
 					t.Fatalf("caller %d asks for the whole list", i)
 				}
 				at += next.Delay
 				calls[int(at/(100*ms))]++
-				k.Rejected()
+				scheduler.Rejected()
 			}
-			k, at = among(t, c.callers, uint64(i)), 0
+			scheduler, at = newSchedulerAmong(t, c.callers, uint64(i)), 0
 			for end := time.Duration(0); at < 30*time.Second; at += 50 * ms {
 				now := time.Unix(1e9, 0).Add(at)
 				if at >= end {
-					next := k.Next(now)
-					k.Responded(next, next.Wait)
+					next := scheduler.Next(now)
+					scheduler.Responded(next, next.Wait)
 					end = at + next.Delay + next.Wait
 				}
-				if first := k.Observe(now, "p1", ConnectRefused); k.Observe(now, "p2", ConnectRefused) || first {
+				if first := scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) || first {
 					doubts[int(at/time.Second)]++
-					k.Rejected()
-					k.Responded(k.Next(now), 0)
+					scheduler.Rejected()
+					scheduler.Responded(scheduler.Next(now), 0)
 					break
 				}
 			}
@@ -313,57 +313,57 @@
 
 // Where calls wait in turn for two seconds, one that is not the only caller waits too, whatever it has learned of a quick
 // directory; and while calls are turned away no evidence makes it leave its place.
-func TestFull(t *testing.T) {
-	k, now := among(t, 80, 1), time.Unix(1e9, 0)
-	if c := k.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay > 800*ms {
+func TestSourceFull(t *testing.T) {
+	scheduler, now := newSchedulerAmong(t, 80, 1), time.Unix(1e9, 0)
+	if c := scheduler.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay > 800*ms {
 		t.Errorf("the first call: %+v", c)
 	}
 	for range 50 {
-		c := k.Next(now)
-		k.Responded(c, c.Wait+2*ms)
+		c := scheduler.Next(now)
+		scheduler.Responded(c, c.Wait+2*ms)
 	}
-	if c := k.Next(now); c.Timeout > 1500*ms {
+	if c := scheduler.Next(now); c.Timeout > 1500*ms {
 		t.Errorf("a watch that goes on: %+v", c)
 	}
-	k.Rejected()
-	if c := k.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay < 250*ms || c.Delay > 500*ms {
+	scheduler.Rejected()
+	if c := scheduler.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay < 250*ms || c.Delay > 500*ms {
 		t.Errorf("turned away: %+v", c)
 	}
 	now = now.Add(time.Minute) // overdue
-	if k.Observe(now, "p1", ConnectRefused); k.Observe(now, "p2", ConnectRefused) {
+	if scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) {
 		t.Error("the place is left")
 	}
-	k.Responded(Poll{Complete: true}, ms) // it had that at hand
-	if c := k.Next(now); c.Timeout-c.Wait != 1900*ms {
+	scheduler.Responded(Poll{Complete: true}, ms) // it had that at hand
+	if c := scheduler.Next(now); c.Timeout-c.Wait != 1900*ms {
 		t.Errorf("after a whole list: %+v", c)
 	}
-	c := k.Next(now)
-	k.Responded(c, c.Wait+2*ms)
+	c := scheduler.Next(now)
+	scheduler.Responded(c, c.Wait+2*ms)
 	now = now.Add(time.Minute)
-	if k.Observe(now, "p1", ConnectRefused); !k.Observe(now, "p2", ConnectRefused) {
+	if scheduler.Observe(now, "p1", ConnectRefused); !scheduler.Observe(now, "p2", ConnectRefused) {
 		t.Error("no evidence counts any more")
 	}
-	if c := k.Next(now); !c.Complete || c.Delay > 800*ms || c.Timeout != 4*time.Second {
+	if c := scheduler.Next(now); !c.Complete || c.Delay > 800*ms || c.Timeout != 4*time.Second {
 		t.Errorf("in doubt: %+v", c)
 	}
-	k.Rejected()
-	if c := k.Next(now); c.Complete {
+	scheduler.Rejected()
+	if c := scheduler.Next(now); c.Complete {
 		t.Errorf("a doubt that is turned away: %+v", c)
 	}
-	k.Failed()
-	if k.Rejected(); !k.Next(now).Complete {
+	scheduler.Failed()
+	if scheduler.Rejected(); !scheduler.Next(now).Complete {
 		t.Error("what is owed since a failure is forgotten")
 	}
 }
 
 // Until when the list is sure, by what became of the calls since its last answer: each told as its age when it was made, how
 // long it may wait, and what followed. What is left of the fate of the last call is what the next one finds.
-func TestHowLongTheListIsSure(t *testing.T) {
+func TestListUntil(t *testing.T) {
 	type fate func(*Scheduler, Poll)
-	answered := func(k *Scheduler, c Poll) { k.Responded(c, c.Wait+2*ms) }
-	news := func(k *Scheduler, c Poll) { k.Responded(c, c.Wait/2) }
-	lost := func(k *Scheduler, c Poll) { k.Failed() }
-	full := func(k *Scheduler, c Poll) { k.Rejected() }
+	answered := func(scheduler *Scheduler, c Poll) { scheduler.Responded(c, c.Wait+2*ms) }
+	news := func(scheduler *Scheduler, c Poll) { scheduler.Responded(c, c.Wait/2) }
+	lost := func(scheduler *Scheduler, c Poll) { scheduler.Failed() }
+	full := func(scheduler *Scheduler, c Poll) { scheduler.Rejected() }
 	left := func(*Scheduler, Poll) {}
 	for _, c := range []struct {
 		name  string
@@ -379,47 +379,47 @@
 		{"it is left for another", []fate{answered, left}, 4 * time.Second},
 		{"found again", []fate{lost, lost, answered}, 6 * time.Second},
 	} {
-		k, now := keeper(t, 4), time.Unix(1e9, 0)
-		k.set.Pushed = strings.HasPrefix(c.name, "an agent")
+		scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
+		scheduler.settings.Pushed = strings.HasPrefix(c.name, "an agent")
 		for i, f := range append(c.fates, left) {
-			call := k.Next(now.Add(time.Duration(i) * time.Second))
-			f(k, call)
+			call := scheduler.Next(now.Add(time.Duration(i) * time.Second))
+			f(scheduler, call)
 		}
-		within(t, c.name, k.Validity().ListUntil.Sub(now), c.want-100*ms, c.want+100*ms)
+		checkBetween(t, c.name, scheduler.Validity().ListUntil.Sub(now), c.want-100*ms, c.want+100*ms)
 	}
-	set := usual
+	set := defaults
 	set.Wait, set.MinWait = 20*time.Second, 10*time.Second
-	k, err := New(set, 1, true)
+	scheduler, err := New(set, 1, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Unix(1e9, 0)
 	for i := range 2 {
-		k.Next(now.Add(time.Duration(i) * time.Second))
-		within(t, "nothing was ever heard", k.Validity().ListUntil.Sub(now), 0, 0)
-		k.Failed()
-	}
-	k.Responded(Poll{Complete: true}, ms)
-	k.Next(now)
-	within(t, "a call that may wait for long", k.Validity().ListUntil.Sub(now), 20*time.Second, 22*time.Second)
-	k.Rejected()
-	k.Next(now)
-	within(t, "that was turned away", k.Validity().ListUntil.Sub(now), 4*time.Second, 6*time.Second)
+		scheduler.Next(now.Add(time.Duration(i) * time.Second))
+		checkBetween(t, "nothing was ever heard", scheduler.Validity().ListUntil.Sub(now), 0, 0)
+		scheduler.Failed()
+	}
+	scheduler.Responded(Poll{Complete: true}, ms)
+	scheduler.Next(now)
+	checkBetween(t, "a call that may wait for long", scheduler.Validity().ListUntil.Sub(now), 20*time.Second, 22*time.Second)
+	scheduler.Rejected()
+	scheduler.Next(now)
+	checkBetween(t, "that was turned away", scheduler.Validity().ListUntil.Sub(now), 4*time.Second, 6*time.Second)
 	set.Instances = 300
-	if k, err = New(set, 1, false); err != nil {
+	if scheduler, err = New(set, 1, false); err != nil {
 		t.Fatal(err)
 	}
-	k.Responded(k.Next(now), ms)
-	k.SourceChanged()
-	c := k.Next(now.Add(time.Second))
-	within(t, "the turn at another directory", c.Delay, ms, 500*ms)
-	within(t, "meanwhile", k.Validity().ListUntil.Sub(now), 4*time.Second, 4500*ms)
+	scheduler.Responded(scheduler.Next(now), ms)
+	scheduler.SourceChanged()
+	c := scheduler.Next(now.Add(time.Second))
+	checkBetween(t, "the turn at another directory", c.Delay, ms, 500*ms)
+	checkBetween(t, "meanwhile", scheduler.Validity().ListUntil.Sub(now), 4*time.Second, 4500*ms)
 }
 
 // On request, a change that the directory has had, and that could be reached there, counts as told 6 s later, whatever became of the
 // calls: also where the last of them was held for long. Hence the list is sure for 6 s from when it was heard and no longer,
 // once a call has failed, has been turned away or been given up.
-func TestAfterAFailedCallToo(t *testing.T) {
+func TestListUntilAfterUnansweredPolls(t *testing.T) {
 	failed, full, left := (*Scheduler).Failed, (*Scheduler).Rejected, func(*Scheduler) {}
 	for _, callers := range []int{1, 32, 300} {
 		for name, fates := range map[string][]func(*Scheduler){
@@ -428,23 +428,23 @@
 			"given up again and again": {(*Scheduler).TimedOut, (*Scheduler).TimedOut, (*Scheduler).TimedOut},
 		} {
 			for _, told := range []time.Duration{0, 3 * time.Second, time.Minute} {
-				set := usual
+				set := defaults
 				set.Wait, set.MinWait, set.Instances, set.EffectiveBy = 20*time.Second, 10*time.Second, callers, told
-				k, err := New(set, 1, false)
+				scheduler, err := New(set, 1, false)
 				if err != nil {
 					t.Fatal(err)
 				}
 				heard := time.Unix(1e9, 0)
-				k.Responded(k.Next(heard), ms)
-				heard = k.began // there has been a turn before the first call
+				scheduler.Responded(scheduler.Next(heard), ms)
+				heard = scheduler.pollStart // there has been a turn before the first call
 				now, most := heard.Add(ms), min(6*time.Second, cmp.Or(told, time.Minute))
 				for i, fate := range fates {
-					k.Next(now)
-					fate(k)
+					scheduler.Next(now)
+					fate(scheduler)
 					now = now.Add(3 * time.Second)
-					k.asked = name == "left for another" // only evidence makes it leave
-					k.Next(now)
-					if sure := k.Validity().ListUntil.Sub(heard); sure > most {
+					scheduler.refreshWanted = name == "left for another" // only evidence makes it leave
+					scheduler.Next(now)
+					if sure := scheduler.Validity().ListUntil.Sub(heard); sure > most {
 						t.Errorf("%s, %d callers, told after %s, after call %d: sure for %s", name, callers, told, i, sure)
 					}
 				}
@@ -456,7 +456,7 @@
 // Only who was there before the list was heard, by the time that a word may take to it, is known to be the one that it names: on
 // request, another may be there under its id at any time after that, and while calls are turned away nobody says so. A list that was never heard is that of the start:
 // one that leaves after it stays for its grace.
-func TestWhoIsKnown(t *testing.T) {
+func TestProcessUntil(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	for _, c := range []struct {
 		name  string
@@ -465,85 +465,85 @@
 	}{
 		{"never heard", nil, 750 * ms},
 		{"never heard, and turned away", []func(*Scheduler, Poll){
-			func(k *Scheduler, _ Poll) { k.Rejected() }, func(k *Scheduler, _ Poll) { k.Failed() },
+			func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() }, func(scheduler *Scheduler, _ Poll) { scheduler.Failed() },
 		}, 750 * ms},
-		{"heard", []func(*Scheduler, Poll){func(k *Scheduler, c Poll) { k.Responded(c, ms) }}, -2 * time.Second},
+		{"heard", []func(*Scheduler, Poll){func(scheduler *Scheduler, c Poll) { scheduler.Responded(c, ms) }}, -2 * time.Second},
 		{"heard, then turned away", []func(*Scheduler, Poll){
-			func(k *Scheduler, c Poll) { k.Responded(c, ms) },
-			func(k *Scheduler, _ Poll) { k.Rejected() }, func(k *Scheduler, _ Poll) { k.Rejected() },
+			func(scheduler *Scheduler, c Poll) { scheduler.Responded(c, ms) },
+			func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() }, func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() },
 		}, -2 * time.Second},
 		{"heard again", []func(*Scheduler, Poll){
-			func(k *Scheduler, c Poll) { k.Responded(c, ms) },
-			func(k *Scheduler, _ Poll) { k.Failed() }, func(k *Scheduler, c Poll) { k.Responded(c, ms) },
+			func(scheduler *Scheduler, c Poll) { scheduler.Responded(c, ms) },
+			func(scheduler *Scheduler, _ Poll) { scheduler.Failed() }, func(scheduler *Scheduler, c Poll) { scheduler.Responded(c, ms) },
 		}, 0},
 	} {
-		set := usual
+		set := defaults
 		set.DrainGrace = 750 * ms
-		k, err := New(set, 1, false)
+		scheduler, err := New(set, 1, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, f := range append(c.fates, nil) {
-			call := k.Next(start.Add(time.Duration(i) * time.Second))
+			call := scheduler.Next(start.Add(time.Duration(i) * time.Second))
 			if f != nil {
-				f(k, call)
+				f(scheduler, call)
 			}
 		}
-		within(t, c.name, k.Validity().ProcessUntil.Sub(start), c.want, c.want+100*ms)
+		checkBetween(t, c.name, scheduler.Validity().ProcessUntil.Sub(start), c.want, c.want+100*ms)
 	}
 }
 
 // Who leaves a watch that is in time, as a single caller in doubt does, would have been told what comes meanwhile, and at once.
-func TestLeftInTime(t *testing.T) {
-	k, now := keeper(t, 4), time.Unix(1e9, 0)
-	c := k.Next(now)
-	k.Responded(c, c.Wait+ms)
+func TestWatchLeftInTime(t *testing.T) {
+	scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
+	c := scheduler.Next(now)
+	scheduler.Responded(c, c.Wait+ms)
 	now = now.Add(c.Wait + ms)
-	k.Next(now)
+	scheduler.Next(now)
 	now = now.Add(100 * ms)
-	if k.Observe(now, "p1", ConnectRefused); !k.Observe(now, "p2", ConnectRefused) {
+	if scheduler.Observe(now, "p1", ConnectRefused); !scheduler.Observe(now, "p2", ConnectRefused) {
 		t.Fatal("not asked")
 	}
-	if c = k.Next(now); !c.Complete {
+	if c = scheduler.Next(now); !c.Complete {
 		t.Errorf("in doubt: %+v", c)
 	}
-	within(t, "left in time", k.Validity().ListUntil.Sub(now), 0, 0)
+	checkBetween(t, "left in time", scheduler.Validity().ListUntil.Sub(now), 0, 0)
 }
 
 // A call that waits in line where others have been turned away since is one that had no turn: it keeps its place among those who
 // ask for changes. Elsewhere silence may be the end of who has told the list, and the whole of it is asked for.
-func TestUnanswered(t *testing.T) {
-	k, now := among(t, 32, 1), time.Unix(1e9, 0)
-	k.Next(now)
-	k.Rejected()
+func TestTimedOut(t *testing.T) {
+	scheduler, now := newSchedulerAmong(t, 32, 1), time.Unix(1e9, 0)
+	scheduler.Next(now)
+	scheduler.Rejected()
 	for range 3 {
-		if c := k.Next(now); c.Complete || c.Timeout-c.Wait < 1900*ms {
+		if c := scheduler.Next(now); c.Complete || c.Timeout-c.Wait < 1900*ms {
 			t.Errorf("in line: %+v", c)
 		}
-		k.TimedOut()
+		scheduler.TimedOut()
 	}
-	k.Responded(k.Next(now), ms)
-	k.Next(now)
-	if k.TimedOut(); !k.Next(now).Complete {
+	scheduler.Responded(scheduler.Next(now), ms)
+	scheduler.Next(now)
+	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
 		t.Error("a watch that has fallen silent goes on")
 	}
-	k.Rejected()
-	k.TimedOut()
-	if c := k.Next(now); !c.Complete || c.Timeout < 2*time.Second {
+	scheduler.Rejected()
+	scheduler.TimedOut()
+	if c := scheduler.Next(now); !c.Complete || c.Timeout < 2*time.Second {
 		t.Errorf("what is owed since the silence is forgotten, or given up before its turn: %+v", c)
 	}
 	set := PushedSettings(750 * ms)
-	if k, _ = New(set, 1, false); true {
-		k.Next(now)
-		k.Rejected()
-		if k.TimedOut(); !k.Next(now).Complete {
+	if scheduler, _ = New(set, 1, false); true {
+		scheduler.Next(now)
+		scheduler.Rejected()
+		if scheduler.TimedOut(); !scheduler.Next(now).Complete {
 			t.Error("an agent has no line")
 		}
 	}
 }
 
 // What an answer proves, by the connection it came on, in ms: the list was sure until 1000.
-func TestProof(t *testing.T) {
+func TestLiveness(t *testing.T) {
 	at := func(ms int) (t time.Time) {
 		if ms > 0 {
 			t = time.Unix(1e9, int64(ms)*1e6)
@@ -584,7 +584,7 @@
 }
 
 // Whatever the grace, a provider is picked early enough for a connection, and no first byte is written at its end.
-func TestLeave(t *testing.T) {
+func TestDrainLimits(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * ms, 100 * ms, 200 * ms, 750 * ms, 2000 * ms} {
 		pick, write := DrainLimits(grace)
 		if pick < 0 || write > max(0, grace-100*ms) || pick > write || grace >= 200*ms && pick < grace/4 {
@@ -594,27 +594,27 @@
 }
 
 // Whatever the grace, a watch of an agent that has died is given up, and the agent asked anew, within it.
-func TestAgentIsHeardWithinTheGrace(t *testing.T) {
+func TestPushedSettingsPollWithinGrace(t *testing.T) {
 	if c := PushedSettings(ms); c.Check() != nil || c.MinWait < 20*ms || c.RetryBackoff < 10*ms {
 		t.Errorf("a grace of a millisecond: %+v", c)
 	}
 	for _, grace := range []time.Duration{200 * ms, 750 * ms, 2000 * ms, 10 * time.Second} {
-		k, err := New(PushedSettings(grace), 3, false)
+		scheduler, err := New(PushedSettings(grace), 3, false)
 		if err != nil {
 			t.Fatalf("%s: %v", grace, err)
 		}
 		now := time.Unix(1e9, 0)
 		for i := range 20 { // answered in time
-			c := k.Next(now)
+			c := scheduler.Next(now)
 			if c.Delay != 0 || i == 0 && c.Wait != 0 {
 				t.Fatalf("%s: it waits %s", grace, c.Delay)
 			}
-			k.Responded(c, c.Wait+ms)
+			scheduler.Responded(c, c.Wait+ms)
 			now = now.Add(c.Wait + ms)
 		}
-		dead := k.Next(now)
-		k.Failed()
-		again := k.Next(now.Add(dead.Timeout))
+		dead := scheduler.Next(now)
+		scheduler.Failed()
+		again := scheduler.Next(now.Add(dead.Timeout))
 		if gap := dead.Timeout + again.Delay; gap > grace*3/4 || !again.Complete {
 			t.Errorf("%s: asked anew %s after it died", grace, gap)
 		}
@@ -622,8 +622,8 @@
 			t.Errorf("%s: asked anew %s after its answer stopped", grace, gap)
 		}
 		for range 20 {
-			k.Failed()
-			if c := k.Next(now); c.Delay+c.Timeout > grace {
+			scheduler.Failed()
+			if c := scheduler.Next(now); c.Delay+c.Timeout > grace {
 				t.Errorf("%s: after a long silence it asks every %s", grace, c.Delay+c.Timeout)
 			}
 		}
