--- /dev/null
+++ b/internal/dispatch/cordons.go
@@ -0,0 +1,83 @@
+package dispatch
+
+import (
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/endpoints"
+	"plankrouter/policy"
+	"time"
+)
+
+const (
+	reportInterval = 100 * time.Millisecond // between two looks at what changes by itself
+	// minExclusion is for how long the policy must exclude a server before it is counted: it does so for a moment where an answer is late.
+	minExclusion = 300 * time.Millisecond
+)
+
+// SetCordons replaces the operators' cordons, and returns once they are in force, or once Run has ended.
+func (d *Dispatcher) SetCordons(set cordon.Set) {
+	query(d, func(done chan<- struct{}) event { return cordonsChanged{set, done} })
+}
+
+func (e cordonsChanged) apply(d *Dispatcher) {
+	defer close(e.done)
+	changed := d.cordons.ChangedIDs(e.set)
+	d.cordons = e.set
+	list := endpoints.List{Revision: d.listRevision}
+	for _, name := range changed {
+		server := d.servers[d.serverIDs[name]]
+		if !server.isListed() || server.name != name {
+			continue
+		}
+		list.Endpoints = append(list.Endpoints, server.endpoint)
+		if _, cordoned := d.cordons.Cordoned[name]; !cordoned {
+			d.options.Upstream.Forget(name)
+		}
+	}
+	if len(list.Endpoints) > 0 { // as they were listed, as changes, under the new cordons
+		d.applyEndpoints(list)
+	}
+}
+
+// effectiveHealth returns a listed server's health under the cordons, and since when it is so. One that is cordoned counts as
+// draining.
+func (d *Dispatcher) effectiveHealth(endpoint endpoints.Endpoint, listedAt, now time.Time) (health policy.Health, since time.Time) {
+	health = healthOfPhase(endpoint.Phase)
+	since = listedAt
+	if date, cordoned := d.cordons.Cordoned[endpoint.ID]; cordoned && health == policy.Ready {
+		health = policy.Draining
+		if cordonedAt := d.timeOfDate(date, now); cordonedAt.Before(since) {
+			since = cordonedAt
+		}
+	}
+	return health, since
+}
+
+// reportServers reports, at most once in reportInterval, how many servers are listed, and how many of those are cordoned or excluded by
+// the policy; and tells the policy which servers owe no answer yet, since the request is still being sent.
+func (d *Dispatcher) reportServers(now time.Time) {
+	if now.Sub(d.reportedAt) < reportInterval {
+		return
+	}
+	d.reportedAt = now
+	d.observeWallClock(now)
+	for _, attempt := range d.uploads {
+		d.handle(policy.Event{Kind: policy.BodyProgressed, Server: attempt.server})
+	}
+	listed, excluded := 0, 0
+	for id, server := range d.servers {
+		if !server.isListed() {
+			continue
+		}
+		listed++
+		if !d.balancer.IsExcluded(id) {
+			server.excludedSince = time.Time{}
+		} else if server.excludedSince.IsZero() {
+			server.excludedSince = now
+		}
+		_, cordoned := d.cordons.Cordoned[server.name]
+		if cordoned || !server.excludedSince.IsZero() && now.Sub(server.excludedSince) >= minExclusion {
+			excluded++
+		}
+	}
+	d.options.OnServerCounts(listed, excluded)
+}
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -13,50 +13,50 @@
 	"time"
 )
 
-// Providers drop a repeat of a keyed request for 3 s after its first attempt that may have run was sent. Each further attempt is
-// told the last moment for its bytes, less the module's margin of 11 ms, and is withdrawn then if it is not written whole: its
-// consumer is answered at once.
+// Servers drop a repeat of a request with an idempotency key for 3 s after its first attempt that may have run was sent. Each further
+// attempt expires at that moment, less the policy's margin of 11 ms, and is withdrawn then if it is not written whole: its client is
+// answered at once.
 func TestFurtherAttemptsExpire(t *testing.T) {
 	const never, second = time.Duration(-1), time.Second
-	gone := []string{"withdraw p:1 expired"}
+	withdrawn := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
-		repeat  policy.Idempotency
-		ends    []outcome.Kind  // of its attempts, a second after each was sent; the last one's connection does not come up
-		written bool            // or does
-		expires []time.Duration // of each attempt, from the first one on
-		did     []string        // to the last attempt within 3 s of the first
-		answers []request.Kind
+		idempotency policy.Idempotency
+		ends        []outcome.Kind  // of its attempts, a second after each was sent; the last one's connection does not come up
+		written     bool            // or does
+		expires     []time.Duration // of each attempt, from the first one on
+		actions     []string        // done to the last attempt within 3 s of the first
+		answers     []request.Kind
 	}{
-		"what may run twice": {repeat: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
+		"what may run twice": {idempotency: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
 		"the first may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Rejected},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, answers: []request.Kind{request.Rejected},
 		},
 		"the first has timed out": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.TimedOut},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, did: gone, answers: []request.Kind{request.Rejected},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.TimedOut},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, answers: []request.Kind{request.Rejected},
 		},
 		"the second is written": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer}, written: true,
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer}, written: true,
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond},
 		},
-		"the first never ran": {repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined}, expires: []time.Duration{never, never}},
+		"the first never ran": {idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined}, expires: []time.Duration{never, never}},
 		"the second may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined, outcome.ResetByPeer},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.Declined, outcome.ResetByPeer},
 			expires: []time.Duration{never, never, 4*second - 11*time.Millisecond},
 		},
 		"the first two may have run": {
-			repeat: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ServerError, outcome.ResetByPeer},
+			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
-			did:     gone, answers: []request.Kind{request.Rejected},
+			actions: withdrawn, answers: []request.Kind{request.Rejected},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := new(slow)
-				s, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
+				c := new(delayedUpstream)
+				d, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
 					LatencyObjective: 2e4, Deadline: 6e4,
-					Idempotency: tc.repeat, KeyWindow: 3000,
+					Idempotency: tc.idempotency, KeyWindow: 3000,
 				}}}, Upstream: c, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
@@ -65,39 +65,39 @@
 				for i := range 4 {
 					list.Endpoints = append(list.Endpoints, endpoints.Endpoint{ID: fmt.Sprint(i), Address: "p:1", Phase: endpoints.Serving})
 				}
-				s.list(list)
+				d.applyEndpoints(list)
 				var got []request.Kind
-				inv := &request.Request{
+				req := &request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Minute,
 					Respond: func(a request.Response) { got = append(got, a.Kind) },
 				}
 				first := time.Now()
-				arrived{inv}.apply(s)
-				s.retryFreely()
+				requestArrived{req}.apply(d)
+				d.retryFreely()
 				for i, end := range tc.ends {
 					time.Sleep(second)
-					s.due()
-					c.calls[i].over = true
-					s.ended(s.held[s.byInv[inv]].call, upstream.Result{Outcome: end})
+					d.fireTimers()
+					c.attempts[i].over = true
+					d.endAttempt(d.requests[d.requestIDs[req]].attempt, upstream.Result{Outcome: end})
 				}
 				if tc.written {
-					c.calls[len(c.calls)-1].over = true
+					c.attempts[len(c.attempts)-1].over = true
 				}
 				var expires []time.Duration
-				for _, call := range c.calls {
+				for _, call := range c.attempts {
 					expires = append(expires, never)
 					if !call.Expires.IsZero() {
 						expires[len(expires)-1] = call.Expires.Sub(first)
 					}
 				}
-				c.did = nil
+				c.actions = nil
 				time.Sleep(time.Until(first.Add(3*second - 12*time.Millisecond)))
-				s.due()
-				before := len(c.did) + len(got)
+				d.fireTimers()
+				before := len(c.actions) + len(got)
 				time.Sleep(time.Millisecond)
-				s.due()
-				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.did, tc.did) || !slices.Equal(got, tc.answers) || before > 0 {
-					t.Errorf("expire %v, did %q, answers %v, %d too early", expires, c.did, got, before)
+				d.fireTimers()
+				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.actions, tc.actions) || !slices.Equal(got, tc.answers) || before > 0 {
+					t.Errorf("expire %v, did %q, answers %v, %d too early", expires, c.actions, got, before)
 				}
 			})
 		})
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,246 +1,195 @@
 package dispatch
 
-// The life of a request in the pool: taken, attempted, answered once, or left.
-
 import (
-	"container/heap"
+	"maps"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"plankrouter/internal/staleness"
-	"plankrouter/internal/upstream"
 	"plankrouter/policy"
+	"slices"
 	"time"
 )
 
-// held is an invocation that has no final answer yet, or whose invoker call is still out.
-type held struct {
-	inv      *request.Request
-	attempts int
-	call     uint64 // under way; 0 = none
-	mayRun   bool   // an attempt that has ended may have run
-	answered bool
-}
+// maxUploadTime is how long a request may take whose body is still being sent.
+const maxUploadTime = 10 * time.Minute
 
-func (e arrived) apply(s *Dispatcher) {
-	inv := e.inv
-	if s.open[inv.ID] || s.elsewhere[inv.ID] { // providers could not tell the two apart, and one might get the other's answer
-		s.counts.Conflicts++
-		inv.Respond(request.Response{Kind: request.Duplicate})
-		return
-	}
-	s.open[inv.ID] = true
-	s.counts.Accepted++
-	s.next++
-	s.held[s.next], s.byInv[inv] = &held{inv: inv}, s.next
-	now := time.Now()
-	s.traceRequest(inv, "taken", "class=%d tenant=%d left_ms=%.0f", inv.Class, inv.Tenant, millis(s.left(inv, now)))
-	if s.pastLast(now) {
-		s.refuseAtEnd(s.next)
-		return
-	}
-	s.step(policy.Event{Kind: policy.RequestArrived, Request: s.next, Class: inv.Class, Tenant: inv.Tenant, ClientRetry: inv.ClientRetry})
+// pendingRequest is a request that has no final answer yet, or whose attempt is still under way.
+type pendingRequest struct {
+	request  *request.Request
+	attempts int       // so far
+	attempt  attemptID // under way, or noAttempt
+	mayRun   bool      // an attempt that has ended may have run
+	answered bool      // or its client is gone
 }
 
-// pastLast reports whether this process may be killed so soon that it sends nothing new.
-func (s *Dispatcher) pastLast(now time.Time) bool {
-	return !s.stopAt.IsZero() && now.Sub(s.stopAt) >= s.stopPlan.LastForward
-}
+// underWay reports whether an attempt has not ended yet.
+func (p *pendingRequest) underWay() bool { return p.attempt != noAttempt }
 
-// ShuttingDown is why a request is refused that comes in when this process may be killed soon. The module is not asked: it knows nothing of
-// processes.
-const ShuttingDown policy.Reason = "ending"
+// mayHaveRun reports whether an attempt may have run, or may yet.
+func (p *pendingRequest) mayHaveRun() bool { return p.mayRun || p.underWay() }
 
-// refuseAtEnd refuses a request of which nothing was sent.
-func (s *Dispatcher) refuseAtEnd(id policy.RequestID) {
-	s.unserved(&policy.Action{Request: id, Reason: ShuttingDown})
-	s.answer(id, request.Response{Kind: request.Rejected})
-}
+// Submit hands over a request; with ClientGone and Ready it makes the Dispatcher a request.Dispatcher.
+func (d *Dispatcher) Submit(req *request.Request) bool { return d.send(requestArrived{req}) }
 
-// left is how long the invocation's consumer still waits at now. What it still sends it does not wait for yet: see flowed.
-func (s *Dispatcher) left(inv *request.Request, now time.Time) time.Duration {
-	if inv.Remainder != nil && s.stopAt.IsZero() {
-		return flowMost
-	} else if inv.Remainder != nil {
-		return s.stopPlan.LastAnswer - now.Sub(s.stopAt)
-	}
-	return s.patience(inv) - now.Sub(inv.SentAt)
+// ClientGone reports that the client is gone. The event may have to wait behind others; nothing more is sent meanwhile all the same.
+func (d *Dispatcher) ClientGone(req *request.Request) {
+	req.MarkClientGone()
+	d.send(clientGone{request: req})
 }
 
-// patience is how long it waits in all, as long as this process lives.
-func (s *Dispatcher) patience(inv *request.Request) time.Duration {
-	if s.stopAt.IsZero() {
-		return inv.Timeout
+// Cancel is ClientGone for a caller that has to know whether an attempt may have run. What has been answered meanwhile may have.
+func (d *Dispatcher) Cancel(req *request.Request) (mayRun bool) {
+	mayRun, ok := query(d, func(reply chan<- bool) event { return clientGone{req, reply} })
+	if ok {
+		return mayRun
 	}
-	return s.stopPlan.WaitLimit(inv.SentAt.Sub(s.stopAt), inv.Timeout)
+	pending := d.requests[d.requestIDs[req]] // as Run has left it: nothing changes it any more
+	return pending == nil || pending.mayHaveRun()
 }
 
-func (e flowed) apply(s *Dispatcher) {
-	a := s.calls[e.number]
-	if a == nil {
+func (e requestArrived) apply(d *Dispatcher) {
+	req := e.request
+	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // servers could not tell the two apart, and one might get the other's answer
+		d.counts.Conflicts++
+		req.Respond(request.Response{Kind: request.Duplicate})
 		return
 	}
-	s.step(policy.Event{Kind: policy.BodyProgressed, Server: a.server})
-	delete(s.uploads, e.number)
-	h := s.held[a.request]
-	if h == nil || h.answered {
+	d.openIDs[req.ID] = true
+	d.counts.Accepted++
+	d.lastRequest++
+	id := d.lastRequest
+	d.requests[id] = &pendingRequest{request: req}
+	d.requestIDs[req] = id
+	now := time.Now()
+	d.traceRequest(req, "taken", "class=%d tenant=%d left_ms=%.0f", req.Class, req.Tenant, millis(d.timeLeft(req, now)))
+	if d.isPastLastForward(now) {
+		d.rejectForShutdown(id)
 		return
 	}
-	now := time.Now() // the consumer waits from now on, and so the attempt counts
-	a.began, h.inv.SentAt = now, now
-	a.end = &timer{at: now.Add(s.patience(h.inv) - flowMargin), call: e.number}
-	heap.Push(&s.timers, a.end)
+	d.handle(policy.Event{Kind: policy.RequestArrived, Request: id, Class: req.Class, Tenant: req.Tenant, ClientRetry: req.ClientRetry})
+}
+
+// timeLeft is how long the request's client still waits at now. While its body is being sent that time has not begun: see bodySent.
+func (d *Dispatcher) timeLeft(req *request.Request, now time.Time) time.Duration {
+	switch {
+	case req.Remainder == nil:
+		return d.waitLimit(req) - now.Sub(req.SentAt)
+	case d.shutdownAt.IsZero():
+		return maxUploadTime
+	}
+	return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
 }
 
-func (e abandoned) apply(s *Dispatcher) {
-	id, waits := s.byInv[e.inv]
-	if !waits { // answered a moment ago, or found to have left
+// waitLimit is how long its client waits in all, as long as this process lives.
+func (d *Dispatcher) waitLimit(req *request.Request) time.Duration {
+	if d.shutdownAt.IsZero() {
+		return req.Timeout
+	}
+	return d.shutdownSchedule.WaitLimit(req.SentAt.Sub(d.shutdownAt), req.Timeout)
+}
+
+func (e clientGone) apply(d *Dispatcher) {
+	id, waits := d.requestIDs[e.request]
+	if !waits { // answered a moment ago, or its client was already found to be gone
 		if e.mayRun != nil {
-			e.mayRun <- e.inv.MayHaveRun
+			e.mayRun <- e.request.MayHaveRun
 		}
 		return
 	}
-	h := s.held[id]
-	s.leave(id, h)
-	s.step(policy.Event{Kind: policy.ClientGone, Request: id})
+	pending := d.requests[id]
+	d.cancelRequest(id, pending)
+	d.handle(policy.Event{Kind: policy.ClientGone, Request: id})
 	if e.mayRun != nil {
-		e.mayRun <- h.mayRun || h.call != 0
+		e.mayRun <- pending.mayHaveRun()
 	}
 }
 
-// leave ends an invocation whose consumer is gone.
-func (s *Dispatcher) leave(id policy.RequestID, h *held) {
-	s.counts.ClientsGone++
-	s.traceRequest(h.inv, "left", "attempts=%d under_way=%t", h.attempts, h.call != 0)
-	s.close(id, h)
+// cancelRequest ends a request whose client is gone.
+func (d *Dispatcher) cancelRequest(id policy.RequestID, pending *pendingRequest) {
+	d.counts.ClientsGone++
+	d.traceRequest(pending.request, "left", "attempts=%d under_way=%t", pending.attempts, pending.underWay())
+	d.closeRequest(id, pending)
 }
 
-// answer gives the one final answer, if it is still owed.
-func (s *Dispatcher) answer(id policy.RequestID, a request.Response) {
-	h := s.held[id]
-	if h == nil || h.answered {
+// respond gives the one final answer, unless it was given.
+func (d *Dispatcher) respond(id policy.RequestID, resp request.Response) {
+	pending := d.requests[id]
+	if pending == nil || pending.answered {
 		return
 	}
-	if a.Kind == request.Rejected && !s.mayRefuse(h) {
-		s.heldBack(invariant.Effect, h, "refuse")
-		a = request.Response{Kind: request.Failed}
+	if resp.Kind == request.Rejected && !d.mayReject(pending) {
+		d.reportPrevented(invariant.Effect, pending, "refuse")
+		resp = request.Response{Kind: request.Failed}
 	}
-	switch a.Kind {
+	switch resp.Kind {
 	case request.Served:
-		s.counts.Served++
+		d.counts.Served++
 	case request.Rejected:
-		s.counts.Rejected++
+		d.counts.Rejected++
 	case request.Failed:
-		s.counts.Failed++
+		d.counts.Failed++
 	}
-	s.traceRequest(h.inv, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", a.Kind, h.attempts, h.mayRun,
-		millis(time.Since(h.inv.SentAt)))
-	s.close(id, h)
-	a.MayHaveRun = h.inv.MayHaveRun
-	h.inv.Respond(a)
+	d.traceRequest(pending.request, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", resp.Kind, pending.attempts,
+		pending.mayRun, millis(time.Since(pending.request.SentAt)))
+	d.closeRequest(id, pending)
+	resp.MayHaveRun = pending.request.MayHaveRun
+	pending.request.Respond(resp)
 }
 
-// close ends an invocation. An attempt that may have run goes on, unless the module calls it off; one that was not sent yet is
-// not sent any more, since nobody waits for it.
-func (s *Dispatcher) close(id policy.RequestID, h *held) {
-	h.answered = true
-	delete(s.byInv, h.inv)
-	delete(s.open, h.inv.ID)
-	s.withdraw(h.call, outcome.Cancelled)
-	h.inv.MayHaveRun = h.mayRun || h.call != 0
-	if h.call == 0 {
-		delete(s.held, id)
+// closeRequest ends a request. An attempt that may have run goes on, unless the policy cancels it; one that was not sent yet is
+// withdrawn, since nobody waits for it.
+func (d *Dispatcher) closeRequest(id policy.RequestID, pending *pendingRequest) {
+	pending.answered = true
+	delete(d.requestIDs, pending.request)
+	delete(d.openIDs, pending.request.ID)
+	d.withdrawAttempt(pending.attempt, outcome.Cancelled)
+	pending.request.MayHaveRun = pending.mayHaveRun()
+	if !pending.underWay() {
+		delete(d.requests, id)
 	}
 }
 
-func (e callEnded) apply(s *Dispatcher) { s.ended(e.number, e.Result) }
-
-// ended turns the end of an invoker call or a probe into the module's event. Every Send comes by here once.
-func (s *Dispatcher) ended(number uint64, r upstream.Result) {
-	a := s.calls[number]
-	if a == nil { // reported twice, or after a Stop that ended it
-		s.set.Logf("state=unknown_call number=%d ending=%s", number, r.Outcome)
-		closeFlow(r.Remainder)
+// countUnserved counts why a request is refused or failed.
+func (d *Dispatcher) countUnserved(action *policy.Action) {
+	pending := d.requests[action.Request]
+	if pending == nil || pending.answered {
 		return
 	}
-	delete(s.calls, number)
-	delete(s.uploads, number)
-	if a.end.index >= 0 { // else it would hold the call until its time was up
-		heap.Remove(&s.timers, a.end.index)
+	if d.counts.UnservedByReason == nil {
+		d.counts.UnservedByReason = map[policy.Reason]int{}
 	}
-	k := s.providers[a.server]
-	if k != nil {
-		k.calls--
-	}
-	took := millis(time.Since(a.began))
-	s.traceEnd(a, k, r.Outcome, took)
-	if sign, is := signOf(r.Outcome, a.probe); is && k != nil {
-		s.set.OnEvidence(k.name, sign)
-		if sign == staleness.Alive && k.at == a.at {
-			k.proof.Observe(a.began, r.ConnectedAt, s.trust.ProcessUntil, a.probe)
-		}
-	}
-	if a.probe {
-		if k != nil && k.at != a.at || r.Outcome == outcome.Served && s.set.IsComplete != nil && !s.set.IsComplete(r.Report) {
-			r.Outcome = outcome.NoLoadReport // or one of a process that is gone
-		}
-		s.counts.ProbeOutcomes[r.Outcome]++
-		seen := 0.0
-		if k != nil && k.proof.ProbedAt.Equal(a.began) {
-			seen = s.clock.at(a.began)
-		}
-		dialed := 0.0
-		if r.ConnectedAt.After(a.began) {
-			dialed = millis(r.ConnectedAt.Sub(a.began))
-		}
-		s.step(policy.Event{
-			Kind: policy.ProbeEnded, Server: a.server, Status: r.Outcome.Status(), Elapsed: took, ConnectTime: dialed,
-			ProbeSentAt: seen, Report: r.Report,
-		})
-		return
-	}
-	s.counts.AttemptOutcomes[r.Outcome]++
-	h := s.held[a.request]
-	h.call = 0
-	h.mayRun = h.mayRun || !r.Outcome.Status().NeverRan()
-	if !h.answered && h.inv.IsClientGone() { // the word of it is still on its way
-		s.leave(a.request, h)
-	}
-	if r.Outcome == outcome.Served && !h.answered {
-		s.answer(a.request, request.Response{
-			Kind: request.Served, StatusCode: r.StatusCode, Fields: r.Fields,
-			Body: r.Body, Remainder: r.Remainder,
-		})
-	} else {
-		closeFlow(r.Remainder)
-	}
-	if h.answered {
-		delete(s.held, a.request)
-	}
-	s.step(policy.Event{
-		Kind: policy.AttemptEnded, Request: a.request, Attempt: a.number,
-		Server: a.server, Status: r.Outcome.Status(), Elapsed: took, Final: h.answered, Report: r.Report,
-		BodyConsumed: h.inv.Remainder != nil && h.inv.Remainder.Consumed(),
-	})
+	d.counts.UnservedByReason[action.Reason]++
+	d.traceRequest(pending.request, "unserved", "why=%s", action.Reason)
 }
 
-// closeFlow ends an answer that nobody waits for.
-func closeFlow(f request.BodyStream) {
-	if f != nil {
-		f.Close(false)
+// Counts returns the present totals; after Run has ended, the last ones.
+func (d *Dispatcher) Counts() Counts {
+	if counts, ok := query(d, func(reply chan<- Counts) event { return countsRequested{reply} }); ok {
+		return counts
 	}
+	return d.counts
 }
 
-// signOf reads an ending for what it says of the provider's place in the list. A request that is turned away may have
-// met a full queue; a probe is turned away by one that drains.
-func signOf(e outcome.Kind, probe bool) (sign staleness.Evidence, is bool) {
-	switch {
-	case e == outcome.Served:
-		return staleness.Alive, true
-	case e == outcome.ConnectRefused:
-		return staleness.ConnectRefused, true
-	case probe && (e == outcome.ServerError || e == outcome.Declined):
-		return staleness.Draining, true
+func (e countsRequested) apply(d *Dispatcher) {
+	counts := d.counts
+	counts.UnservedByReason = maps.Clone(counts.UnservedByReason)
+	e.reply <- counts
+}
+
+// OpenRequests returns the clients' ids of the requests that have no final answer yet.
+func (d *Dispatcher) OpenRequests() []string {
+	ids, _ := query(d, func(reply chan<- []string) event { return openRequestsRequested{reply} })
+	return ids
+}
+
+func (e openRequestsRequested) apply(d *Dispatcher) { e.reply <- slices.Collect(maps.Keys(d.openIDs)) }
+
+// SetOpenInPredecessor replaces the ids of the requests that another process of the same sidecar has open.
+func (d *Dispatcher) SetOpenInPredecessor(ids []string) { d.send(predecessorRequestsListed{ids}) }
+
+func (e predecessorRequestsListed) apply(d *Dispatcher) {
+	d.openInPredecessor = map[string]bool{}
+	for _, id := range e.ids {
+		d.openInPredecessor[id] = true
 	}
-	return sign, false
 }
