--- a/cmd/plankrouter/daily_test.go
+++ b/cmd/plankrouter/daily_test.go
@@ -28,12 +28,12 @@
 // service is the program with an address for operators, in a bubble of its own.
 type service struct {
 	*testing.T
-	net         *fakes.Memory
-	front, desk string
-	file        string
-	set         fakes.Sidecar
-	signals     signalQueues
-	ended       chan error
+	net              *fakes.Memory
+	front, adminAddr string
+	file             string
+	set              fakes.Sidecar
+	signals          signalQueues
+	ended            chan error
 }
 
 // start runs the program against the directory of fleet, or one of its own with these members.
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	s := &service{
-		T: t, net: n, front: front.Addr().String(), desk: desk.Addr().String(),
+		T: t, net: n, front: front.Addr().String(), adminAddr: desk.Addr().String(),
 		file: filepath.Join(t.TempDir(), "config.json"),
 	}
 	s.set = fakes.Sidecar{
@@ -66,7 +66,7 @@
 	}
 	s.write()
 	s.signals, s.ended = launch(t, map[string]string{
-		"GW_CONFIG": s.file, "GW_ADMIN_ADDR": s.desk,
+		"GW_CONFIG": s.file, "GW_ADMIN_ADDR": s.adminAddr,
 		"TMPDIR": cmp.Or(folder, filepath.Dir(s.file)),
 	}, front, desk, n.Dial)
 	if folder == "" {
@@ -113,7 +113,7 @@
 
 // call makes an operator's call and returns the status and what came with it.
 func (s *service) call(method, target string) (int, string) {
-	return parse(s.T, s.send(s.desk, method+" "+target+" HTTP/1.1\r\nHost: x\r\n\r\n"))
+	return parse(s.T, s.send(s.adminAddr, method+" "+target+" HTTP/1.1\r\nHost: x\r\n\r\n"))
 }
 
 func parse(t *testing.T, raw string) (int, string) {
@@ -129,14 +129,14 @@
 	return resp.StatusCode, string(body)
 }
 
-func (s *service) order(method, target string, want int) {
+func (s *service) adminCall(method, target string, want int) {
 	s.Helper()
 	if got, text := s.call(method, target); got != want {
 		s.Errorf("%s %s: %d %s, want %d", method, target, got, text, want)
 	}
 }
 
-func (s *service) figures() (f metrics.Values) {
+func (s *service) counters() (f metrics.Values) {
 	s.Helper()
 	status, text := s.call("GET", "/metrics")
 	if err := json.Unmarshal([]byte(text), &f); err != nil || status != 200 {
@@ -145,7 +145,7 @@
 	return f
 }
 
-func daily(t *testing.T, providers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
+func withFleet(t *testing.T, providers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		fleet, err := fakes.NewFleet(n, providers, fakes.ProviderOptions{
@@ -162,7 +162,7 @@
 
 // Each wrong call gets its status, in whatever pieces it comes, and callers that say nothing keep nobody waiting.
 func TestOperatorsCalls(t *testing.T) {
-	daily(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		id := fleet.Providers[0].ID()
 		for _, tc := range []struct {
@@ -185,23 +185,23 @@
 			{"PUT", "/tile-servers/enable?target=" + id, 200},
 			{"GET x", "/ready", 400},
 		} {
-			s.order(tc.method, tc.target, tc.want)
+			s.adminCall(tc.method, tc.target, tc.want)
 		}
-		if status, _ := parse(t, s.send(s.desk, "PUT /tile-servers/enable?target="+id+" HTTP/1.1\r\nHost: x\r\n"+
+		if status, _ := parse(t, s.send(s.adminAddr, "PUT /tile-servers/enable?target="+id+" HTTP/1.1\r\nHost: x\r\n"+
 			"Transfer-Encoding: chunked\r\n\r\n1;x=y\r\na\r\n0\r\nT: t\r\n\r\n")); status != 200 {
 			t.Errorf("a call in chunks: %d", status)
 		}
 		began := time.Now()
 		for range 60 { // stay for 4 s, with nothing or half a call
 			for _, half := range []string{"", "GET /met"} {
-				c, err := n.Dial(t.Context(), s.desk)
+				c, err := n.Dial(t.Context(), s.adminAddr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				io.WriteString(c, half)
 				time.AfterFunc(4*time.Second, func() { c.Close() })
 			}
-			s.order("GET", "/ready", 200)
+			s.adminCall("GET", "/ready", 200)
 		}
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("60 calls took %s", took)
@@ -213,14 +213,14 @@
 
 // What the program tells is what its peers have counted, through a reload and abandoned requests.
 func TestFiguresAreTrue(t *testing.T) {
-	daily(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		record := fakes.Tile()
 		record.Name = "record"
 		load := func(flows ...fakes.Flow) []fakes.Try {
 			return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 6 * sec, Flows: flows}).Run(t.Context())
 		}
-		if f := s.figures(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
+		if f := s.counters(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
 			t.Errorf("before anything: %+v", f)
 		}
 		fleet.Providers[0].Change(func(b *fakes.Behaviour) { b.Decline = true })
@@ -243,7 +243,7 @@
 			c.Close()
 		}
 		time.Sleep(sec)
-		f, want := s.figures(), map[fakes.Result]map[string]int{}
+		f, want := s.counters(), map[fakes.Result]map[string]int{}
 		for _, try := range tries {
 			if want[try.Result] == nil {
 				want[try.Result] = map[string]int{}
@@ -278,7 +278,7 @@
 // A provider that operators take out gets nothing after the grace, whatever the list says; put back it is used at once,
 // within what a cold one may get.
 func TestOutByHand(t *testing.T) {
-	daily(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		p, began := fleet.Providers[0], time.Now()
 		after := func(d time.Duration) { time.Sleep(time.Until(began.Add(d))) }
@@ -286,10 +286,10 @@
 		restarted := member
 		go func() {
 			after(3 * sec)
-			s.order("PUT", "/tile-servers/disable?target="+p.ID(), 200)
+			s.adminCall("PUT", "/tile-servers/disable?target="+p.ID(), 200)
 			after(4 * sec)
-			s.order("PUT", "/tile-servers/disable?target="+p.ID(), 200)
-			if f := s.figures(); f.TargetsDisabled != 1 || f.Targets != 6 {
+			s.adminCall("PUT", "/tile-servers/disable?target="+p.ID(), 200)
+			if f := s.counters(); f.TargetsDisabled != 1 || f.Targets != 6 {
 				t.Errorf("while one is out: %+v", f)
 			}
 			for i, phase := range []string{fakes.Draining, fakes.Serving, "DELETED", fakes.Serving} {
@@ -309,7 +309,7 @@
 			restarted = p.Member()
 			fleet.Directory.Change(restarted)
 			after(12 * sec)
-			s.order("PUT", "/tile-servers/enable?target="+p.ID(), 200)
+			s.adminCall("PUT", "/tile-servers/enable?target="+p.ID(), 200)
 		}()
 		fakes.NewConsumers(fakes.Load{
 			Network: n, Address: s.front, Seed: 1, For: 20 * sec,
@@ -337,7 +337,7 @@
 			}
 		}
 		for i, last := range fleet.Providers { // all out: refused, not sent there
-			s.order("PUT", "/tile-servers/disable?target="+last.ID(), 200)
+			s.adminCall("PUT", "/tile-servers/disable?target="+last.ID(), 200)
 			if i == len(fleet.Providers)-1 {
 				time.Sleep(sec)
 			}
@@ -345,14 +345,14 @@
 		if status, _ := parse(t, s.send(s.front, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\nConnection: close\r\n\r\n")); status != 503 {
 			t.Errorf("with all out: %d", status)
 		}
-		s.order("GET", "/ready", 503)
+		s.adminCall("GET", "/ready", 503)
 		s.stop()
 		next := startIn(t, n, fleet.Directory, filepath.Dir(s.file), nil) // as after a kill
-		if f := next.figures(); f.TargetsDisabled != 6 {
+		if f := next.counters(); f.TargetsDisabled != 6 {
 			t.Errorf("the next process: %+v", f)
 		}
-		next.order("PUT", "/tile-servers/enable?target="+p.ID(), 200)
-		next.order("GET", "/ready", 200)
+		next.adminCall("PUT", "/tile-servers/enable?target="+p.ID(), 200)
+		next.adminCall("GET", "/ready", 200)
 		next.stop()
 	})
 }
@@ -376,8 +376,8 @@
 	h.how(w, r)
 }
 
-// hands starts n of them and a directory that lists them.
-func hands(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*hand, *fakes.Directory) {
+// fakeServers starts n of them and a directory that lists them.
+func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*hand, *fakes.Directory) {
 	var all []*hand
 	var listed []fakes.Member
 	for i := range n {
@@ -406,7 +406,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
 		release := make(chan bool)
-		all, directory := hands(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
+		all, directory := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			first := strings.HasSuffix(r.URL.Path, "/first")
 			if first {
 				<-release
@@ -489,7 +489,7 @@
 func TestLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			if err != nil {
 				panic(http.ErrAbortHandler)
@@ -559,7 +559,7 @@
 				t.Errorf("sent %s: %d, %d bytes, %v", what, status, len(got), err)
 			}
 		}
-		f := s.figures()
+		f := s.counters()
 		if f.Success["tile"] != 3 || f.Error["tile"] != 2 || f.Success["order"] != 4 || f.Concurrent != 0 {
 			t.Errorf("%+v", f)
 		}
@@ -580,7 +580,7 @@
 func TestLongRequestLosesItsProvider(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		all, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+		all, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/early") {
 				io.ReadFull(r.Body, make([]byte, 100<<10))
 				c, _, _ := http.NewResponseController(w).Hijack() // else the server reads on before it closes
@@ -621,7 +621,7 @@
 func TestEndlessBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "3221225472")
 			for context.Cause(r.Context()) == nil {
 				if _, err := w.Write(long); err != nil {
@@ -652,7 +652,7 @@
 func TestKeptBodiesAreGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := hands(t, m, 2, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
 		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
 		ask := func(path, rest string) (int, string) {
 			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+
@@ -684,10 +684,10 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	p, ended := program{cfg: &config.Config{AdminAddr: l.Addr().String()}}, make(chan error, 1)
-	if _, err := listenForOperators(p.cfg); err == nil || !strings.Contains(err.Error(), "admin_addr") {
+	if _, err := listenAdmin(p.cfg); err == nil || !strings.Contains(err.Error(), "admin_addr") {
 		t.Errorf("an address that is taken: %v", err)
 	}
-	go func() { ended <- p.serveOperators(ctx, nil) }()
+	go func() { ended <- p.serveAdmin(ctx, nil) }()
 	l.Close()
 	var resp *http.Response
 	for resp == nil && ctx.Err() == nil {
@@ -707,7 +707,7 @@
 func TestLeavingLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := hands(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
+		_, directory := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == "POST" {
 				io.CopyN(io.Discard, r.Body, 80<<10)
 				if strings.HasSuffix(r.URL.Path, "/early") {
@@ -759,7 +759,7 @@
 		}
 		all.Wait()
 		time.Sleep(10 * sec)
-		if f := s.figures(); f.Concurrent != 0 || f.Success["tile"] == 0 || f.Success["order"] == 0 {
+		if f := s.counters(); f.Concurrent != 0 || f.Success["tile"] == 0 || f.Success["order"] == 0 {
 			t.Errorf("%+v", f)
 		}
 		s.stop()
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -50,9 +50,9 @@
 
 // fill waits until the process holds so many.
 func (f *flooded) fill(want int) {
-	for until := time.Now().Add(patience); f.count() < want; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(stepTimeout); f.count() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			f.Fatalf("%d descriptors after %s, want %d", f.last, patience, want)
+			f.Fatalf("%d descriptors after %s, want %d", f.last, stepTimeout, want)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		t.Run(fmt.Sprintf("%d of which %d are inherited", c.limit, c.inherited), func(t *testing.T) {
 			f := startFlooded(t, c.limit, c.inherited)
 			idle := f.count()
-			full := idle + divide(c.limit, idle, true).places - 2 // by requests that hang, whatever else there is
+			full := idle + shareDescriptors(c.limit, idle, true).conns - 2 // by requests that hang, whatever else there is
 			for i := range 2 * admin.MostConns {
 				f.open(f.desk, "")
 				f.open(f.front, "")
@@ -153,16 +153,16 @@
 func TestSharesAddUp(t *testing.T) {
 	for _, operators := range []bool{false, true} {
 		for limit := 32; limit <= 4096; limit++ {
-			for _, held := range []int{usuallyHeld, 12, 30} {
-				s := divide(limit, held, operators)
-				sum := s.sum(held)
-				if sum > limit && s.places > leastPlaces {
+			for _, held := range []int{usuallyOpen, 12, 30} {
+				s := shareDescriptors(limit, held, operators)
+				sum := s.total(held)
+				if sum > limit && s.conns > minConns {
 					t.Fatalf("%+v: %d of %d with %d held", s, sum, limit, held)
 				}
 				if limit >= 64 && (sum > limit || sum < limit-1) {
 					t.Fatalf("%+v: %d of %d with %d held", s, sum, limit, held)
 				}
-				if limit >= 256 && s.places < limit*2/3 {
+				if limit >= 256 && s.conns < limit*2/3 {
 					t.Fatalf("%+v: a limit of %d leaves little", s, limit)
 				}
 			}
@@ -179,7 +179,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				const limit, left = 95, 8
 				n, release := fakes.NewMemory(), make(chan struct{})
-				_, directory := hands(t, n, 4, func(w http.ResponseWriter, _ *http.Request) {
+				_, directory := fakeServers(t, n, 4, func(w http.ResponseWriter, _ *http.Request) {
 					<-release
 					io.WriteString(w, "ok")
 				})
@@ -198,7 +198,7 @@
 					}
 				}
 				down(true)
-				places := divide(limit, usuallyHeld, true).places
+				places := shareDescriptors(limit, usuallyOpen, true).conns
 				request := func(i int) *bufio.Reader {
 					c, err := n.Dial(t.Context(), s.front)
 					if err != nil {
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -40,9 +40,9 @@
 )
 
 const (
-	memoryPart = 0.7 // of the limit: beyond it the collector works harder
+	memoryLimitShare = 0.7 // of the limit: beyond it the collector works harder
 
-	listenWithin = 5 * time.Second // for a listener that can't be had for a moment: the platform waits for 10
+	listenTimeout = 5 * time.Second // for a listener that can't be had for a moment: the platform waits for 10
 )
 
 func main() {
@@ -56,42 +56,42 @@
 }
 
 func run(signals signalQueues) error {
-	from, err := hotrestart.Inherited(os.Getenv)
+	predecessor, err := hotrestart.Inherited(os.Getenv)
 	if err != nil {
 		return err
 	}
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		if from != nil {
-			from.Reject(err.Error())
+		if predecessor != nil {
+			predecessor.Reject(err.Error())
 		}
 		return err
 	}
-	if folder := meeting(os.Getenv); from == nil && folder != "" {
-		if from, err = hotrestart.Find(folder); err != nil {
+	if folder := rendezvousFolder(os.Getenv); predecessor == nil && folder != "" {
+		if predecessor, err = hotrestart.Find(folder); err != nil {
 			log.Printf("name=%s handover=alone err=%q", cfg.Name, err)
 		}
 	}
 	runtime.GOMAXPROCS(1) // one core is all there is; more threads would only wait for one another
-	debug.SetMemoryLimit(int64(memoryPart * float64(cfg.Limits.MemoryMB) * (1 << 20)))
-	l, err := listen(cfg, from)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Limits.MemoryMB) * (1 << 20)))
+	l, err := listen(cfg, predecessor)
 	if err != nil {
 		return err
 	}
-	operators, err := listenForOperators(cfg)
+	adminListener, err := listenAdmin(cfg)
 	if taken := syscall.Errno(0); errors.As(err, &taken) { // a predecessor has it, or a stranger: requests come first
 		log.Printf("name=%s state=operators_wait err=%q", cfg.Name, err)
 	} else if err != nil {
 		return err
 	}
-	return serve(cfg, os.Getenv, l, operators, connlimit.TCP, held(cfg.Limits.Sockets), signals, from)
+	return serve(cfg, os.Getenv, l, adminListener, connlimit.TCP, openDescriptors(cfg.Limits.Sockets), signals, predecessor)
 }
 
 // listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
 // new one.
-func listen(cfg *config.Config, from *hotrestart.Successor) (net.Listener, error) {
-	if from != nil && !from.TookOver() {
-		return from.Listener(), from.Check(cfg.Listen)
+func listen(cfg *config.Config, predecessor *hotrestart.Successor) (net.Listener, error) {
+	if predecessor != nil && !predecessor.TookOver() {
+		return predecessor.Listener(), predecessor.Check(cfg.Listen)
 	}
 	if l, err := hotrestart.Held(os.Getenv, cfg.Listen); err != nil || l != nil {
 		return l, err
@@ -100,7 +100,7 @@
 		return l, err
 	}
 	var plain net.Listener
-	err := transient.Retry(listenWithin, func() (err error) {
+	err := transient.Retry(listenTimeout, func() (err error) {
 		plain, err = listenTCP(cfg.Listen)
 		return err
 	})
@@ -120,120 +120,120 @@
 
 // program is the running parts.
 type program struct {
-	cfg          *config.Config                // as at the start
-	inForce      atomic.Pointer[config.Config] // since the last reload; obey alone changes it
-	numbers      config.Numbering
-	getenv       func(string) string
-	listener     net.Listener
-	budget       *connlimit.Budget
-	share        share           // of the descriptors, while no other process shares them
-	told         context.Context // ends with the word to stop
-	caller       *backend.Caller
-	core         *dispatch.Dispatcher
-	watch        *discovery.Watch
-	book         metrics.Registry
-	rules        invariant.Recorder
-	bans         *cordon.Store
-	front        *frontend.Server
-	writer       *snapshot.Writer       // nil = snapshots are not kept
-	line         hotrestart.Coordinator // of processes that take over from one another
-	moved        atomic.Bool            // a reload has named another directory than the environment
-	stop         context.CancelFunc
-	signals      signalQueues
-	reloads      chan reloaded             // for whoever ends this process
-	stopOrder    atomic.Pointer[stopOrder] // nil = there was none
-	ordering     sync.Mutex                // of bans
-	mu           sync.Mutex
-	endSnapshots func() // writes the last one; nil = none is kept, or it is written
+	cfg             *config.Config                // as at the start
+	activeConfig    atomic.Pointer[config.Config] // since the last reload; obey alone changes it
+	numbering       config.Numbering
+	getenv          func(string) string
+	listener        net.Listener
+	budget          *connlimit.Budget
+	shares          descriptorShares // of the descriptors, while no other process shares them
+	stopRequested   context.Context  // ends with the word to stop
+	backend         *backend.Caller
+	dispatcher      *dispatch.Dispatcher
+	watch           *discovery.Watch
+	metrics         metrics.Registry
+	invariants      invariant.Recorder
+	cordons         *cordon.Store
+	frontend        *frontend.Server
+	snapshotWriter  *snapshot.Writer       // nil = snapshots are not kept
+	coordinator     hotrestart.Coordinator // of processes that take over from one another
+	discoveryMoved  atomic.Bool            // a reload has named another directory than the environment
+	stop            context.CancelFunc
+	signals         signalQueues
+	scheduleChanges chan scheduleChange       // for whoever ends this process
+	forwardableStop atomic.Pointer[stopTimes] // nil = there was none
+	cordonMu        sync.Mutex                // of bans
+	snapshotMu      sync.Mutex
+	stopSnapshots   func() // writes the last one; nil = none is kept, or it is written
 }
 
 // serve runs the sidecar, for operators too if there is a listener for them, until a signal ends it and all that it has taken
 // is answered, or until a successor has it all. So many descriptors are held already, the listeners among them.
-func serve(cfg *config.Config, getenv func(string) string, l, operators net.Listener, dial connlimit.Dialer, held int,
-	signals signalQueues, from *hotrestart.Successor,
+func serve(cfg *config.Config, getenv func(string) string, l, adminListener net.Listener, dial connlimit.Dialer, openAtStart int,
+	signals signalQueues, predecessor *hotrestart.Successor,
 ) error {
-	outer, stop := context.WithCancel(context.Background())
+	processCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	group, ctx := errgroup.WithContext(outer)
-	if cfg.AdminAddr != "" && operators == nil { // it comes once the other process has ended
-		held++
+	group, ctx := errgroup.WithContext(processCtx)
+	if cfg.AdminAddr != "" && adminListener == nil { // it comes once the other process has ended
+		openAtStart++
 	}
-	shares := divide(cfg.Limits.Sockets, held, cfg.AdminAddr != "")
-	if least := shares.sum(held); least > cfg.Limits.Sockets {
-		log.Printf("name=%s limits.sockets=%d held=%d err=%q", cfg.Name, cfg.Limits.Sockets, held,
-			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", least))
+	shares := shareDescriptors(cfg.Limits.Sockets, openAtStart, cfg.AdminAddr != "")
+	if required := shares.total(openAtStart); required > cfg.Limits.Sockets {
+		log.Printf("name=%s limits.sockets=%d held=%d err=%q", cfg.Name, cfg.Limits.Sockets, openAtStart,
+			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", required))
 	}
 	p := program{
-		cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, reloads: make(chan reloaded), line: hotrestart.Coordinator{Inherited: from},
-		budget: connlimit.NewBudget(shares.places, dial), share: shares, bans: bansFor(cfg, getenv),
+		cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, scheduleChanges: make(chan scheduleChange), coordinator: hotrestart.Coordinator{Inherited: predecessor},
+		budget: connlimit.NewBudget(shares.conns, dial), shares: shares, cordons: newCordonStore(cfg, getenv),
 	}
-	p.rules.Logf = log.Printf
-	p.inForce.Store(cfg)
-	var leaving context.CancelFunc
-	p.told, leaving = context.WithCancel(ctx)
-	defer leaving()
-	if from != nil && from.TookOver() {
-		p.budget.Limit(p.share.places / shareIdle)
+	p.invariants.Logf = log.Printf
+	p.activeConfig.Store(cfg)
+	var requestStop context.CancelFunc
+	p.stopRequested, requestStop = context.WithCancel(ctx)
+	defer requestStop()
+	if predecessor != nil && predecessor.TookOver() {
+		p.budget.Limit(p.shares.conns / standbyShare)
 	}
-	trace := tracing(ctx, group, getenv)
+	trace := startTracing(ctx, group, getenv)
 	deployment := snapshot.Fingerprint(&cfg.Settings)
-	if _, err := p.numbers.Apply(time.Now(), cfg); err != nil {
+	if _, err := p.numbering.Apply(time.Now(), cfg); err != nil {
 		return err
 	}
-	before := p.before(from, faultinjection.Wall())
+	restored := p.restoreState(predecessor, faultinjection.Wall())
 	bounds := streaming.New(cfg.Limits.MemoryMB<<20, cfg.Limits.Sockets)
-	out := p.firstBans(ctx)
-	known := cfg.Known
-	if before != nil {
-		known = before.List.Config()
+	cordoned := p.readInitialCordons(ctx)
+	endpointList := cfg.Known
+	if restored != nil {
+		endpointList = restored.List.Config()
 	}
 	var err error
 	if p.watch, err = discovery.New(discovery.Options{
 		Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
-		Initial: known, IgnoreRevision: before != nil, // the directory may count anew by now
+		Initial: endpointList, IgnoreRevision: restored != nil, // the directory may count anew by now
 		MaxListBytes: discovery.MaxListBytes(int64(cfg.Limits.MemoryMB) << 20), Budget: connlimit.NewBudget(shares.watch, dial),
-		OnUpdate:   func(l endpoints.List, at time.Time) { p.core.UpdateEndpoints(l, at) },
-		OnValidity: func(t staleness.Validity) { p.core.SetListValidity(t) }, Logf: log.Printf, Trace: trace,
+		OnUpdate:   func(l endpoints.List, at time.Time) { p.dispatcher.UpdateEndpoints(l, at) },
+		OnValidity: func(t staleness.Validity) { p.dispatcher.SetListValidity(t) }, Logf: log.Printf, Trace: trace,
 	}); err != nil {
 		return err
 	}
-	if p.caller, err = backend.New(ctx, p.budget, backend.Settings{
-		Figures: figuresOf(cfg), Trace: trace,
-		Written: p.book.AttemptSent, Bounds: bounds, Rules: &p.rules,
+	if p.backend, err = backend.New(ctx, p.budget, backend.Settings{
+		Figures: backendFigures(cfg), Trace: trace,
+		Written: p.metrics.AttemptSent, Bounds: bounds, Rules: &p.invariants,
 	}); err != nil {
 		return err
 	}
-	if p.core, err = dispatch.New(dispatch.Options{
+	if p.dispatcher, err = dispatch.New(dispatch.Options{
 		Name: cfg.Name, Deployment: deployment,
 		Policy: cfg.Policy, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, InitialEndpoints: cfg.Known,
-		Restored: before, Upstream: p.caller, IsComplete: cfg.Settings.IsComplete, Logf: log.Printf, Trace: trace, OnEvidence: p.watch.Observe,
-		OnServerCounts: p.book.SetTargets, Cordons: out, Invariants: &p.rules, WallClock: faultinjection.Wall,
+		Restored: restored, Upstream: p.backend, IsComplete: cfg.Settings.IsComplete, Logf: log.Printf, Trace: trace, OnEvidence: p.watch.Observe,
+		OnServerCounts: p.metrics.SetTargets, Cordons: cordoned, Invariants: &p.invariants, WallClock: faultinjection.Wall,
 	}); err != nil {
 		return err
 	}
-	p.front = frontend.New(cfg, p.core, p.budget, &p.book, bounds)
-	p.front.Rules, p.front.Trace = &p.rules, trace
+	p.frontend = frontend.New(cfg, p.dispatcher, p.budget, &p.metrics, bounds)
+	p.frontend.Rules, p.frontend.Trace = &p.invariants, trace
 	group.Go(func() error {
-		defer p.caller.Wait() // once nothing starts a call any more
-		return p.core.Run(ctx)
+		defer p.backend.Wait() // once nothing starts a call any more
+		return p.dispatcher.Run(ctx)
 	})
 	group.Go(func() error { return p.watch.Run(ctx) })
 	if cfg.AdminAddr != "" {
-		group.Go(func() error { return p.serveOperators(ctx, operators) })
-		group.Go(func() error { p.followBans(ctx); return nil })
+		group.Go(func() error { return p.serveAdmin(ctx, adminListener) })
+		group.Go(func() error { p.watchCordons(ctx); return nil })
 	}
 	group.Go(func() error {
 		defer stop() // the core's life ends when the front has answered all that it took
-		if err := p.inherit(ctx, group, from); err != nil {
+		if err := p.takeOver(ctx, group, predecessor); err != nil {
 			return err
 		}
-		p.keepSnapshots(ctx, group)
-		defer p.lastSnapshot() // which the core still has to give
-		return p.front.Serve(ctx, l)
+		p.startSnapshots(ctx, group)
+		defer p.writeLastSnapshot() // which the core still has to give
+		return p.frontend.Serve(ctx, l)
 	})
-	group.Go(func() error { p.stopping(ctx, leaving, signals.stop); return nil })
-	group.Go(func() error { p.obey(ctx, group, signals); return nil })
-	log.Printf("name=%s state=started listen=%s providers=%d", cfg.Name, l.Addr(), len(known.Endpoints))
+	group.Go(func() error { p.followStopSignals(ctx, requestStop, signals.stop); return nil })
+	group.Go(func() error { p.handleSignals(ctx, group, signals); return nil })
+	log.Printf("name=%s state=started listen=%s providers=%d", cfg.Name, l.Addr(), len(endpointList.Endpoints))
 	err = group.Wait()
 	p.report()
 	return err
@@ -241,34 +241,34 @@
 
 // report prints the counters.
 func (p *program) report() {
-	c, f, w, now := p.core.Counts(), p.front, p.watch, p.book.Read()
+	counts, frontend, watch, values := p.dispatcher.Counts(), p.frontend, p.watch, p.metrics.Read()
 	log.Printf("name=%s counters=core taken=%d conflicts=%d consumer_gone=%d sent=%d probes=%d lists=%d served=%d "+
-		"refused=%d failed=%d", p.cfg.Name, c.Accepted, c.Conflicts, c.ClientsGone, now.Dispatches, c.Probes, c.EndpointUpdates,
-		metrics.Sum(now.Success), metrics.Sum(now.Overload), metrics.Sum(now.Error))
-	for _, why := range slices.Sorted(maps.Keys(c.UnservedByReason)) {
-		log.Printf("name=%s counters=unserved why=%s requests=%d", p.cfg.Name, why, c.UnservedByReason[why])
+		"refused=%d failed=%d", p.cfg.Name, counts.Accepted, counts.Conflicts, counts.ClientsGone, values.Dispatches, counts.Probes, counts.EndpointUpdates,
+		metrics.Sum(values.Success), metrics.Sum(values.Overload), metrics.Sum(values.Error))
+	for _, why := range slices.Sorted(maps.Keys(counts.UnservedByReason)) {
+		log.Printf("name=%s counters=unserved why=%s requests=%d", p.cfg.Name, why, counts.UnservedByReason[why])
 	}
-	for _, class := range slices.Sorted(maps.Keys(now.Success)) {
-		log.Printf("name=%s counters=requests class=%s success=%d overload=%d error=%d", p.cfg.Name, class, now.Success[class],
-			now.Overload[class], now.Error[class])
+	for _, class := range slices.Sorted(maps.Keys(values.Success)) {
+		log.Printf("name=%s counters=requests class=%s success=%d overload=%d error=%d", p.cfg.Name, class, values.Success[class],
+			values.Overload[class], values.Error[class])
 	}
 	log.Printf("name=%s counters=front connections=%d adopted=%d not_taken=%d sockets=%d",
-		p.cfg.Name, f.Connections.Load(), f.Adopted.Load(), f.NotTaken.Load(), p.budget.Used())
-	log.Printf("name=%s counters=directory answers=%d failures=%d doubts=%d", p.cfg.Name, w.Answers.Load(), w.Failures.Load(),
-		w.FullRefreshes.Load())
-	if s := p.writer; s != nil {
-		log.Printf("name=%s counters=snapshots written=%d failed=%d skipped=%d", p.cfg.Name, s.Written.Load(), s.Failed.Load(),
-			s.Skipped.Load())
+		p.cfg.Name, frontend.Connections.Load(), frontend.Adopted.Load(), frontend.NotTaken.Load(), p.budget.Used())
+	log.Printf("name=%s counters=directory answers=%d failures=%d doubts=%d", p.cfg.Name, watch.Answers.Load(), watch.Failures.Load(),
+		watch.FullRefreshes.Load())
+	if writer := p.snapshotWriter; writer != nil {
+		log.Printf("name=%s counters=snapshots written=%d failed=%d skipped=%d", p.cfg.Name, writer.Written.Load(), writer.Failed.Load(),
+			writer.Skipped.Load())
 	}
-	for _, c := range p.rules.Counts() {
-		if c.Prevented+c.Violations > 0 {
-			log.Printf("name=%s counters=rules rule=%s held_back=%d broken=%d", p.cfg.Name, c.Rule, c.Prevented, c.Violations)
+	for _, counts := range p.invariants.Counts() {
+		if counts.Prevented+counts.Violations > 0 {
+			log.Printf("name=%s counters=rules rule=%s held_back=%d broken=%d", p.cfg.Name, counts.Rule, counts.Prevented, counts.Violations)
 		}
 	}
 	for _, e := range []struct {
 		of     string
 		counts outcome.Counts
-	}{{"calls", c.AttemptOutcomes}, {"probes", c.ProbeOutcomes}, {"idle_connections", p.caller.Idle()}, {"consumers", f.Endings()}} {
+	}{{"calls", counts.AttemptOutcomes}, {"probes", counts.ProbeOutcomes}, {"idle_connections", p.backend.Idle()}, {"consumers", frontend.Endings()}} {
 		var b strings.Builder
 		e.counts.Each(func(how outcome.Kind, n int) { fmt.Fprintf(&b, " %s=%d", how, n) })
 		log.Printf("name=%s counters=ended of=%s%s", p.cfg.Name, e.of, b.String())
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -29,12 +29,12 @@
 }
 
 var (
-	aWord  = regexp.MustCompile(`"\w"|[\w-]+`)
-	nameOf = regexp.MustCompile(`(?m)^\[\[(class|tenant)\]\].*\n(?:\n|[^\[\n].*\n)*?name\s*=\s*"([^"]+)"`) // in a site's file
+	wordPattern = regexp.MustCompile(`"\w"|[\w-]+`)
+	namePattern = regexp.MustCompile(`(?m)^\[\[(class|tenant)\]\].*\n(?:\n|[^\[\n].*\n)*?name\s*=\s*"([^"]+)"`) // in a site's file
 )
 
 func rename(text string, names map[string]string) string {
-	return aWord.ReplaceAllStringFunc(text, func(w string) string {
+	return wordPattern.ReplaceAllStringFunc(text, func(w string) string {
 		if other, named := names[w]; named {
 			return other
 		}
@@ -109,7 +109,7 @@
 	}
 	for _, site := range sites {
 		text, of := read(site), map[string]int{}
-		for _, m := range nameOf.FindAllStringSubmatch(text, -1) {
+		for _, m := range namePattern.FindAllStringSubmatch(text, -1) {
 			named[strings.ToLower(m[2])] = true
 			of[m[1]]++
 		}
--- a/cmd/plankrouter/program_test.go
+++ b/cmd/plankrouter/program_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// usuallyHeld is what a process of its own holds as it begins to serve; a test's has those of the test, too. They are the standard
+// usuallyOpen is what a process of its own holds as it begins to serve; a test's has those of the test, too. They are the standard
 // ones, two files by which the runtime sees its share of the processor, two of its poller, the platform's listening socket and
 // the process's copy, and the operators'.
-const usuallyHeld = 10
+const usuallyOpen = 10
 
 // raise sends the program a signal.
-func (w signalQueues) raise(s syscall.Signal) {
-	now := received{Signal: s, earliest: time.Now(), read: time.Now()}
+func (q signalQueues) raise(s syscall.Signal) {
+	now := receivedSignal{Signal: s, earliestSent: time.Now(), readAt: time.Now()}
 	switch s {
 	case syscall.SIGHUP:
-		w.lastReload.Store(&now)
-		w.reload <- now
+		q.lastReload.Store(&now)
+		q.reload <- now
 	case syscall.SIGUSR1:
-		w.report <- s
+		q.report <- s
 	case syscall.SIGUSR2:
-		w.handOver <- s
+		q.handOver <- s
 	default:
-		w.stop <- now
+		q.stop <- now
 	}
 }
 
@@ -44,6 +44,6 @@
 		t.Fatal(err)
 	}
 	signals, ended := newSignalQueues(), make(chan error, 1)
-	go func() { ended <- serve(cfg, getenv, front, desk, dial, usuallyHeld, signals, nil) }()
+	go func() { ended <- serve(cfg, getenv, front, desk, dial, usuallyOpen, signals, nil) }()
 	return signals, ended
 }
--- a/cmd/plankrouter/crossings_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -22,7 +22,7 @@
 	"time"
 )
 
-const patience = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
+const stepTimeout = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
 
 // rig is the whole program on loopback sockets between a consumer and providers that a test holds up at the very point. The
 // program's connections to providers come up when the test says so, whether or not the program still wants them.
@@ -98,7 +98,7 @@
 	known := fakes.List{Revision: 1}
 	for i := range providers {
 		l := listenHere(t)
-		go r.provide(l)
+		go r.serveRequests(l)
 		known.Members = append(known.Members, fakes.Member{
 			ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
 			Phase: fakes.Serving,
@@ -181,8 +181,8 @@
 	}
 }
 
-// provide is a provider, which takes note of a request as soon as its head is there.
-func (r *rig) provide(l net.Listener) {
+// serveRequests is a provider, which takes note of a request as soon as its head is there.
+func (r *rig) serveRequests(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -217,14 +217,14 @@
 func wait[T any](r *rig, what string, from <-chan T) (got T) {
 	select {
 	case got = <-from:
-	case <-time.After(patience):
+	case <-time.After(stepTimeout):
 		r.Fatalf("%s has not come", what)
 	}
 	return got
 }
 
-// consumer opens a connection and sends what it is given.
-func (r *rig) consumer(message string) *net.TCPConn {
+// client opens a connection and sends what it is given.
+func (r *rig) client(message string) *net.TCPConn {
 	c, err := net.Dial("tcp", r.front)
 	if err != nil {
 		r.Fatal(err)
@@ -242,9 +242,9 @@
 
 // served has a request answered 200, with all connections coming up from here on.
 func (r *rig) served(id string) {
-	c := r.consumer(get(id))
+	c := r.client(get(id))
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(stepTimeout))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 		r.Errorf("%s: %v %v", id, resp, err)
 	}
@@ -333,7 +333,7 @@
 						want = append(want, "a")
 						r.decline(tc.before+1, stop)
 					}
-					c := r.consumer(tc.message)
+					c := r.client(tc.message)
 					var held chan struct{}
 					switch {
 					case backlog:
@@ -417,7 +417,7 @@
 				want = append(want, "a")
 				r.decline(tc.before+1, stop)
 			}
-			c := r.consumer(tc.message)
+			c := r.client(tc.message)
 			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
 			held := wait(r, "the connection to a provider", r.dials)
 			c.CloseWrite()
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -94,7 +94,7 @@
 
 // A process that is told a list at its start waits for no directory, whatever that does: it is ready at once.
 func TestReadyWithoutTheDirectory(t *testing.T) {
-	daily(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		if err := fleet.Directory.Vanish(true); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -12,8 +12,8 @@
 
 // reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent no earlier than that.
 func (p *program) reload(ctx context.Context, now, earliest time.Time) {
-	fixed, err := p.change(now)
-	p.book.ConfigReloaded(err == nil)
+	fixed, err := p.applyConfig(now)
+	p.metrics.ConfigReloaded(err == nil)
 	if err != nil {
 		log.Printf("name=%s state=reload_failed err=%q", p.cfg.Name, err)
 		return
@@ -21,41 +21,41 @@
 	for _, key := range fixed {
 		log.Printf("name=%s state=reload key=%s err=%q", p.cfg.Name, key, "takes effect at the next start")
 	}
-	is := p.inForce.Load()
+	active := p.activeConfig.Load()
 	select {
-	case p.reloads <- reloaded{is.ShutdownSchedule, earliest}:
+	case p.scheduleChanges <- scheduleChange{active.ShutdownSchedule, earliest}:
 	case <-ctx.Done():
 	}
-	log.Printf("name=%s state=reloaded discovery=%s classes=%v", p.cfg.Name, is.Discovery, is.Settings.ClassNames())
+	log.Printf("name=%s state=reloaded discovery=%s classes=%v", p.cfg.Name, active.Discovery, active.Settings.ClassNames())
 }
 
-// change applies a file that has been checked whole: first what decides and calls, then the front, so that no request comes
+// applyConfig applies a file that has been checked whole: first what decides and calls, then the front, so that no request comes
 // in under a number that is not known yet.
-func (p *program) change(now time.Time) (fixed []string, err error) {
-	next, fixed, err := p.inForce.Load().Reload(p.getenv)
+func (p *program) applyConfig(now time.Time) (fixed []string, err error) {
+	next, fixed, err := p.activeConfig.Load().Reload(p.getenv)
 	if err != nil {
 		return nil, err
 	}
 	deployment := snapshot.Fingerprint(&next.Settings)
-	numbers, err := p.numbers.Apply(now, next)
+	numbers, err := p.numbering.Apply(now, next)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.core.Reconfigure(dispatch.Reconfiguration{
+	if err := p.dispatcher.Reconfigure(dispatch.Reconfiguration{
 		Policy: next.Policy, Classes: numbers.Classes, Tenants: numbers.Tenants,
 		Deployment: deployment, DrainGrace: next.DrainGrace,
 	}); err != nil {
 		return nil, err
 	}
-	p.caller.Reconfigure(figuresOf(next))
-	p.front.Reconfigure(&next.Settings)
+	p.backend.Reconfigure(backendFigures(next))
+	p.frontend.Reconfigure(&next.Settings)
 	p.watch.SetAddress(next.Discovery)
-	p.moved.Store(true)
-	p.inForce.Store(next)
+	p.discoveryMoved.Store(true)
+	p.activeConfig.Store(next)
 	return fixed, nil
 }
 
-// figuresOf are the caller's.
-func figuresOf(cfg *config.Config) backend.Figures {
+// backendFigures are the caller's.
+func backendFigures(cfg *config.Config) backend.Figures {
 	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/meetings_test.go
+++ b/cmd/plankrouter/rendezvous_test.go
@@ -15,7 +15,7 @@
 		errs := []error{syscall.ENFILE, syscall.ECONNABORTED, nil, syscall.ENOBUFS, nil, net.ErrClosed}
 		met := 0
 		began := time.Now()
-		acceptMeetings(t.Context(), func() (*net.UnixConn, error) {
+		acceptSuccessors(t.Context(), func() (*net.UnixConn, error) {
 			err := errs[0]
 			errs = errs[1:]
 			return nil, err
@@ -31,7 +31,7 @@
 			time.Sleep(time.Minute)
 			cancel()
 		}()
-		acceptMeetings(ctx, func() (*net.UnixConn, error) { return nil, syscall.ENFILE }, func(*net.UnixConn) { met++ })
+		acceptSuccessors(ctx, func() (*net.UnixConn, error) { return nil, syscall.ENFILE }, func(*net.UnixConn) { met++ })
 		if met != 2 || ctx.Err() == nil {
 			t.Errorf("%d have met this process; ended before its context: %t", met, ctx.Err() == nil)
 		}
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -37,7 +37,7 @@
 		<-seen
 		select {
 		case got := <-w.stop:
-			if got.Signal != s || time.Since(got.earliest) > time.Minute || got.read.Before(got.earliest) {
+			if got.Signal != s || time.Since(got.earliestSent) > time.Minute || got.readAt.Before(got.earliestSent) {
 				t.Errorf("%v, want %s", got, s)
 			}
 		case <-time.After(10 * time.Second):
@@ -56,7 +56,7 @@
 		t.Run(key, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := fakes.NewMemory()
-				_, directory := hands(t, m, 1, nil)
+				_, directory := fakeServers(t, m, 1, nil)
 				front, err := m.Listen("")
 				if err != nil {
 					t.Fatal(err)
@@ -131,7 +131,7 @@
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := fakes.NewMemory()
-				_, directory := hands(t, m, 2, func(_ http.ResponseWriter, r *http.Request) {
+				_, directory := fakeServers(t, m, 2, func(_ http.ResponseWriter, r *http.Request) {
 					io.Copy(io.Discard, r.Body)
 					<-r.Context().Done()
 				})
--- a/cmd/plankrouter/trace.go
+++ b/cmd/plankrouter/trace.go
@@ -9,16 +9,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const cpuEvery = time.Second
+const cpuInterval = time.Second
 
-// tracing returns what logs a line for whatever is done to providers and the directory, where GW_TRACE is 1, and has the
+// startTracing returns what logs a line for whatever is done to providers and the directory, where GW_TRACE is 1, and has the
 // CPU time logged with it; else nil. testbench fleet counts such lines over a fleet.
-func tracing(ctx context.Context, group *errgroup.Group, getenv func(string) string) func(string, ...any) {
+func startTracing(ctx context.Context, group *errgroup.Group, getenv func(string) string) func(string, ...any) {
 	if getenv("GW_TRACE") != "1" {
 		return nil
 	}
 	group.Go(func() error {
-		every := time.NewTicker(cpuEvery)
+		every := time.NewTicker(cpuInterval)
 		defer every.Stop()
 		for {
 			select {
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -10,7 +10,7 @@
 // One of 300 instances starts with a list that names a provider which the directory no longer does, and which is there all
 // the same, as a machine is that has come back before the directory says so. Its word counts from the start, though unheard.
 func TestFirstListIsAskedForWithinTheGrace(t *testing.T) {
-	daily(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		known := fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
 		gone := fleet.Providers[0].Member()
 		gone.Phase = fakes.Deleted
@@ -47,7 +47,7 @@
 		for way := range 8 {
 			discovery, noProbes, killed := []string{"pushed", "on_request"}[way&1], way&2 > 0, way&4 > 0
 			t.Run(fmt.Sprintf("%s %s noProbes=%t killed=%t", grace, discovery, noProbes, killed), func(t *testing.T) {
-				daily(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+				withFleet(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 					edit := func(c *fakes.Sidecar) {
 						c.Balancers, c.DrainGrace, c.NoProbes = 300, grace, noProbes
 						c.Known = fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
@@ -110,7 +110,7 @@
 		silent, leaves time.Duration // after the start
 	}{{"heard", 3 * sec, 3200 * time.Millisecond}, {"never heard", 0, 1 * sec}} {
 		t.Run(c.name, func(t *testing.T) {
-			daily(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+			withFleet(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 				if c.silent == 0 {
 					fleet.Directory.Mute(true)
 				}
@@ -162,7 +162,7 @@
 // 2,000 servers and 1,024 sidecars, told in the configuration and by the directory, whose answers are indented and in chunks:
 // the program starts, serves, and when half of the servers leave at once, the last in the list among them, nothing new goes there.
 func TestLargeFleetIsObeyed(t *testing.T) {
-	daily(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		var all, leaving []fakes.Member
 		for i := range 2000 { // many at one address: who is asked there does not matter
 			m := fleet.Providers[i%2].Member()
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	deadlineMost = 3 * time.Second        // counted of the longest deadline
-	afterLongest = 700 * time.Millisecond // from there to the kill
-	killLeast    = 500 * time.Millisecond // with less time nothing sensible can be done
+	maxCountedDeadline = 3 * time.Second        // counted of the longest deadline
+	killGrace          = 700 * time.Millisecond // from there to the kill
+	minKill            = 500 * time.Millisecond // with less time nothing sensible can be done
 
 	// MaxStall is for how long a process may be held up at any step.
 	MaxStall = 150 * time.Millisecond
-	// spare is for the work itself, and for what is on its way to be written or read.
-	spare = 50 * time.Millisecond
+	// workMargin is for the work itself, and for what is on its way to be written or read.
+	workMargin = 50 * time.Millisecond
 
 	// Until the kill: that the moment has come is seen, the answer is given, it is written.
-	answerLead = 3*MaxStall + spare
+	answerLead = 3*MaxStall + workMargin
 	// That the moment has come is seen, so that connections are closed; a request that had come by then is read; it is refused; that is written.
-	lastLead = 4*MaxStall + spare
+	forwardLead = 4*MaxStall + workMargin
 
-	answerPart = 2 // one part in so many of the time to the kill is left before Answer where that is short,
-	lastPart   = 4 // and before Last
+	minAnswerShare  = 2 // one part in so many of the time to the kill is left before Answer where that is short,
+	minForwardShare = 4 // and before Last
 
 	// CloseTimePerConnection is the time that the end of a client's connection takes, with an answer on it, on a tenth of a core.
 	CloseTimePerConnection = 250 * time.Microsecond
@@ -54,31 +54,31 @@
 // word; 0 = as the platform does it.
 func NewSchedule(longest, kill time.Duration) Schedule {
 	if kill <= 0 {
-		kill = min(longest, deadlineMost) + afterLongest
+		kill = min(longest, maxCountedDeadline) + killGrace
 	}
-	return Schedule{LastForward: max(kill-lastLead, kill/lastPart), LastAnswer: max(kill-answerLead, kill/answerPart), Kill: kill}
+	return Schedule{LastForward: max(kill-forwardLead, kill/minForwardShare), LastAnswer: max(kill-answerLead, kill/minAnswerShare), Kill: kill}
 }
 
 // ForConnections returns the plan for so many open connections of clients, all of which have to be answered and closed before the kill.
-func (p Schedule) ForConnections(connections int) Schedule {
+func (s Schedule) ForConnections(connections int) Schedule {
 	work := time.Duration(connections) * CloseTimePerConnection
-	p.LastForward = max(p.LastForward-work, min(p.LastForward, p.Kill/lastPart))
-	p.LastAnswer = max(p.LastAnswer-work, p.LastForward)
-	return p
+	s.LastForward = max(s.LastForward-work, min(s.LastForward, s.Kill/minForwardShare))
+	s.LastAnswer = max(s.LastAnswer-work, s.LastForward)
+	return s
 }
 
 // Earlier returns the plan of the two whose kill comes first.
-func (p Schedule) Earlier(other Schedule) Schedule {
-	if other.Kill < p.Kill {
+func (s Schedule) Earlier(other Schedule) Schedule {
+	if other.Kill < s.Kill {
 		return other
 	}
-	return p
+	return s
 }
 
 // Check says why nothing sensible follows from the plan.
-func (p Schedule) Check() error {
-	if p.Kill < killLeast {
-		return fmt.Errorf("kill_after_ms: %s leaves no time to answer what is taken; want %s or more", p.Kill, killLeast)
+func (s Schedule) Check() error {
+	if s.Kill < minKill {
+		return fmt.Errorf("kill_after_ms: %s leaves no time to answer what is taken; want %s or more", s.Kill, minKill)
 	}
 	return nil
 }
@@ -86,6 +86,6 @@
 // WaitLimit is how long an invocation may take that comes in at since, which is negative before the word, and whose consumer
 // waits for patience: it is answered by Answer, also where its deadline is beyond what the platform counts of it, or was before the
 // settings changed. The platform does not count what comes in its first 0.7 s and is open at the kill; those who sent it do.
-func (p Schedule) WaitLimit(since, patience time.Duration) time.Duration {
-	return min(patience, max(0, p.LastAnswer-since))
+func (s Schedule) WaitLimit(received, timeout time.Duration) time.Duration {
+	return min(timeout, max(0, s.LastAnswer-received))
 }
