--- /dev/null
+++ b/cmd/plankrouter/admin_test.go
@@ -0,0 +1,236 @@
+package main
+
+import (
+	"context"
+	"io"
+	"log"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"plankrouter/internal/config"
+	"plankrouter/internal/testbench/fakes"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Each wrong call gets its status, in whatever pieces it comes, and callers that say nothing keep nobody waiting.
+func TestOperatorsCalls(t *testing.T) {
+	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+		s := start(t, n, fleet.Directory, nil)
+		id := fleet.Providers[0].ID()
+		for _, tc := range []struct {
+			method, target string
+			want           int
+		}{
+			{"GET", "/ready", 200},
+			{"GET", "http://x/ready", 200},
+			{"POST", "/ready", 405},
+			{"PUT", "/metrics", 405},
+			{"GET", "/tile-servers/disable?target=" + id, 405},
+			{"GET", "/", 404},
+			{"PUT", "/tile-servers", 404},
+			{"PUT", "/tile-servers/disable", 400},
+			{"PUT", "/tile-servers/disable?target=", 400},
+			{"PUT", "/tile-servers/disable?target=a&target=b", 400},
+			{"PUT", "/tile-servers/disable?target=%zz", 400},
+			{"PUT", "/tile-servers/disable?target=nobody", 404},
+			{"PUT", "/tile-servers/enable?target=nobody", 404},
+			{"PUT", "/tile-servers/enable?target=" + id, 200},
+			{"GET x", "/ready", 400},
+		} {
+			s.adminCall(tc.method, tc.target, tc.want)
+		}
+		if status, _ := parse(t, s.send(s.adminAddr, "PUT /tile-servers/enable?target="+id+" HTTP/1.1\r\nHost: x\r\n"+
+			"Transfer-Encoding: chunked\r\n\r\n1;x=y\r\na\r\n0\r\nT: t\r\n\r\n")); status != 200 {
+			t.Errorf("a call in chunks: %d", status)
+		}
+		began := time.Now()
+		for range 60 { // stay for 4 s, with nothing or half a call
+			for _, half := range []string{"", "GET /met"} {
+				c, err := n.Dial(t.Context(), s.adminAddr)
+				if err != nil {
+					t.Fatal(err)
+				}
+				io.WriteString(c, half)
+				time.AfterFunc(4*time.Second, func() { c.Close() })
+			}
+			s.adminCall("GET", "/ready", 200)
+		}
+		if took := time.Since(began); took > time.Second {
+			t.Errorf("60 calls took %s", took)
+		}
+		time.Sleep(5 * time.Second)
+		s.stop()
+	})
+}
+
+// What the program tells is what its peers have counted, through a reload and abandoned requests.
+func TestFiguresAreTrue(t *testing.T) {
+	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+		s := start(t, n, fleet.Directory, nil)
+		record := fakes.Tile()
+		record.Name = "record"
+		load := func(flows ...fakes.Flow) []fakes.Try {
+			return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 6 * sec, Flows: flows}).Run(t.Context())
+		}
+		if f := s.counters(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
+			t.Errorf("before anything: %+v", f)
+		}
+		fleet.Providers[0].Change(func(b *fakes.Behaviour) { b.Decline = true })
+		tries := load(fakes.Flow{Class: fakes.Tile(), Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})
+		s.set.Classes = []fakes.Class{record, fakes.Order()}
+		s.write()
+		s.reload()
+		tries = append(tries, load(fakes.Flow{Class: record, Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})...)
+		if err := os.WriteFile(s.file, []byte("{"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		s.reload()
+		for range 10 { // abandoned with their answer on the way
+			c, err := n.Dial(t.Context(), s.front)
+			if err != nil {
+				t.Fatal(err)
+			}
+			io.WriteString(c, "GET /record/left HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\n\r\n")
+			time.Sleep(2 * time.Millisecond)
+			c.Close()
+		}
+		time.Sleep(sec)
+		f, want := s.counters(), map[fakes.Result]map[string]int{}
+		for _, try := range tries {
+			if want[try.Result] == nil {
+				want[try.Result] = map[string]int{}
+			}
+			want[try.Result][try.Class.Name]++
+		}
+		seen := 0
+		for _, p := range fleet.Providers {
+			seen += len(p.Requests())
+		}
+		for name, got := range f.Success {
+			if w := want[fakes.Served][name]; got < w || got > w+10 {
+				t.Errorf("%s: success %d, its consumers saw %d", name, got, w)
+			}
+			if w := want[fakes.Refused][name]; f.Overload[name] != w {
+				t.Errorf("%s: overload %d, its consumers saw %d", name, f.Overload[name], w)
+			}
+		}
+		if f.Success["tile"] < 500 || f.Success["record"] < 500 || f.Success["order"] < 200 || f.Dispatches != seen ||
+			f.Concurrent != 0 || f.ReloadSuccess != 1 || f.ReloadFailure != 1 {
+			t.Errorf("%+v, and providers saw %d", f, seen)
+		}
+		s.stop()
+	})
+}
+
+// A provider that operators take out gets nothing after the grace, whatever the list says; put back it is used at once,
+// within what a cold one may get.
+func TestOutByHand(t *testing.T) {
+	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
+		s := start(t, n, fleet.Directory, nil)
+		p, began := fleet.Providers[0], time.Now()
+		after := func(d time.Duration) { time.Sleep(time.Until(began.Add(d))) }
+		member := p.Member()
+		restarted := member
+		go func() {
+			after(3 * sec)
+			s.adminCall("PUT", "/tile-servers/disable?target="+p.ID(), 200)
+			after(4 * sec)
+			s.adminCall("PUT", "/tile-servers/disable?target="+p.ID(), 200)
+			if f := s.counters(); f.TargetsDisabled != 1 || f.Targets != 6 {
+				t.Errorf("while one is out: %+v", f)
+			}
+			for i, phase := range []string{fakes.Draining, fakes.Serving, "DELETED", fakes.Serving} {
+				after(time.Duration(5+i) * sec)
+				m := member
+				m.Phase = phase
+				fleet.Directory.Change(m)
+			}
+			after(9 * sec)
+			fleet.Directory.WholeForWatch(true)
+			fleet.Directory.Change(fleet.Providers[1].Member())
+			s.write()
+			s.reload()
+			after(10 * sec)
+			p.Kill()
+			p.Start(p.ID())
+			restarted = p.Member()
+			fleet.Directory.Change(restarted)
+			after(12 * sec)
+			s.adminCall("PUT", "/tile-servers/enable?target="+p.ID(), 200)
+		}()
+		fakes.NewConsumers(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, For: 20 * sec,
+			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 100}, {Class: fakes.Order(), Rate: 20}},
+		}).Run(t.Context())
+		before, back, soon := 0, time.Duration(0), 0
+		for _, r := range p.Requests() {
+			switch at := r.FirstByte.Sub(began); {
+			case at < 3*sec:
+				before++
+			case at > 3750*time.Millisecond && at < 12*sec:
+				t.Errorf("it got a request %s after the call", at-3*sec)
+			case at >= 12*sec && at < 13*sec:
+				if soon++; back == 0 {
+					back = at - 12*sec
+				}
+			}
+		}
+		if before == 0 || back == 0 || back > sec || soon > 30 {
+			t.Errorf("%d requests before; used %s after the call back, %d within a second", before, back, soon)
+		}
+		for _, probe := range p.Probes() {
+			if at := probe.At.Sub(began); at > 3750*time.Millisecond && at < 12*sec {
+				t.Errorf("it was probed %s after the call", at-3*sec)
+			}
+		}
+		for i, last := range fleet.Providers { // all out: refused, not sent there
+			s.adminCall("PUT", "/tile-servers/disable?target="+last.ID(), 200)
+			if i == len(fleet.Providers)-1 {
+				time.Sleep(sec)
+			}
+		}
+		if status, _ := parse(t, s.send(s.front, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\nConnection: close\r\n\r\n")); status != 503 {
+			t.Errorf("with all out: %d", status)
+		}
+		s.adminCall("GET", "/ready", 503)
+		s.stop()
+		next := startIn(t, n, fleet.Directory, filepath.Dir(s.file), nil) // as after a kill
+		if f := next.counters(); f.TargetsDisabled != 6 {
+			t.Errorf("the next process: %+v", f)
+		}
+		next.adminCall("PUT", "/tile-servers/enable?target="+p.ID(), 200)
+		next.adminCall("GET", "/ready", 200)
+		next.stop()
+	})
+}
+
+// A successor that has no listener for operators has one as soon as its predecessor gives the address up.
+func TestOperatorsAddressIsInherited(t *testing.T) {
+	log.SetOutput(io.Discard)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	p, ended := program{cfg: &config.Config{AdminAddr: l.Addr().String()}}, make(chan error, 1)
+	if _, err := listenAdmin(p.cfg); err == nil || !strings.Contains(err.Error(), "admin_addr") {
+		t.Errorf("an address that is taken: %v", err)
+	}
+	go func() { ended <- p.serveAdmin(ctx, nil) }()
+	l.Close()
+	var resp *http.Response
+	for resp == nil && ctx.Err() == nil {
+		resp, _ = http.Get("http://" + l.Addr().String() + "/nowhere")
+	}
+	if resp == nil || resp.StatusCode != 404 {
+		t.Errorf("it answers %v", resp)
+	} else {
+		resp.Body.Close()
+	}
+	if cancel(); <-ended != nil {
+		t.Error("it has failed")
+	}
+}
--- /dev/null
+++ b/cmd/plankrouter/bodies_test.go
@@ -0,0 +1,284 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"plankrouter/internal/testbench/fakes"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// slowly writes p in pieces, with a pause before each.
+func slowly(w io.Writer, p []byte, piece int, pause time.Duration) {
+	for len(p) > 0 {
+		time.Sleep(pause)
+		n, err := w.Write(p[:min(piece, len(p))])
+		if err != nil {
+			return
+		}
+		p = p[n:]
+	}
+}
+
+var long = bytes.Repeat([]byte("0123456789abcdef"), 20<<10) // 320 KiB
+
+// flusher writes each piece at once.
+type flusher struct{ http.ResponseWriter }
+
+func (f flusher) Write(p []byte) (int, error) {
+	n, err := f.ResponseWriter.Write(p)
+	return n, errors.Join(err, http.NewResponseController(f.ResponseWriter).Flush())
+}
+
+// Long bodies arrive whole in each of HTTP's forms, whatever the pace of their peers.
+func TestLongBodies(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := fakes.NewMemory()
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+			body, err := io.ReadAll(r.Body)
+			if err != nil {
+				panic(http.ErrAbortHandler)
+			}
+			if strings.HasSuffix(r.URL.Path, "/sized") {
+				w.Header().Set("Content-Length", fmt.Sprint(len(long)))
+			}
+			w.WriteHeader(200)
+			switch {
+			case r.Method == "POST":
+				w.Write(body)
+			case strings.HasSuffix(r.URL.Path, "/slow"):
+				slowly(flusher{w}, long, 9000, 90*time.Millisecond) // over 3 s, beyond its deadline
+			case strings.HasSuffix(r.URL.Path, "/broken"):
+				w.Write(long[:200<<10])
+				http.NewResponseController(w).Flush()
+				panic(http.ErrAbortHandler)
+			default:
+				w.Write(long)
+			}
+		})
+		s := start(t, m, directory, nil)
+		ask := func(head string, body []byte, piece int, pause time.Duration) (int, []byte, error) {
+			c, err := m.Dial(t.Context(), s.front)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			go func() {
+				slowly(c, []byte(head+"Host: x\r\nReq-Id: "+rand()+"\r\nReq-Deadline: 1.0\r\n\r\n"), 40, pause/10)
+				slowly(c, body, piece, pause)
+			}()
+			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			if err != nil {
+				return 0, nil, err
+			}
+			got, err := io.ReadAll(resp.Body)
+			return resp.StatusCode, got, err
+		}
+		for _, path := range []string{"sized", "chunked", "slow"} {
+			status, got, err := ask("GET /tile/"+path+" HTTP/1.1\r\n", nil, 1, 0)
+			if status != 200 || err != nil || !bytes.Equal(got, long) {
+				t.Errorf("%s: %d, %d bytes, %v", path, status, len(got), err)
+			}
+		}
+		if _, got, err := ask("GET /tile/broken HTTP/1.1\r\n", nil, 1, 0); err == nil || len(got) == 0 {
+			t.Errorf("an answer that breaks off: %d bytes, %v", len(got), err)
+		}
+		if _, got, err := ask("GET /tile/broken HTTP/1.0\r\n", nil, 1, 0); err == nil && len(got) >= len(long) {
+			t.Errorf("an answer that breaks off, to an old consumer: %d bytes", len(got))
+		}
+		chunks := fmt.Appendf(nil, "%x;ext=1\r\n%s\r\n%x\r\n%s\r\n0\r\nX-Trailer: y\r\n\r\n", 200<<10, long[:200<<10],
+			len(long)-200<<10, long[200<<10:])
+		for what, tc := range map[string]struct {
+			head  string
+			body  []byte
+			piece int
+			pause time.Duration
+		}{
+			"at once":         {fmt.Sprintf("Content-Length: %d\r\n", len(long)), long, len(long), 0},
+			"in chunks":       {"Transfer-Encoding: chunked\r\n", chunks, 30000, 0},
+			"at 64 kB/s":      {fmt.Sprintf("Content-Length: %d\r\n", len(long)), long, 32 << 10, 500 * time.Millisecond},
+			"small, and slow": {"Content-Length: 3000\r\n", long[:3000], 1000, 400 * time.Millisecond},
+		} {
+			status, got, err := ask("POST /order/1 HTTP/1.1\r\n"+tc.head, tc.body, tc.piece, tc.pause)
+			if want := long[:min(len(long), len(got))]; status != 200 || err != nil || len(got) < 3000 || !bytes.Equal(got, want) {
+				t.Errorf("sent %s: %d, %d bytes, %v", what, status, len(got), err)
+			}
+		}
+		f := s.counters()
+		if f.Success["tile"] != 3 || f.Error["tile"] != 2 || f.Success["order"] != 4 || f.Concurrent != 0 {
+			t.Errorf("%+v", f)
+		}
+		s.stop()
+	})
+}
+
+// A long request whose provider is lost before its last byte was written has not run: it is refused, though it is an order;
+// after that it has failed. Nothing of it is sent twice.
+func TestLongRequestLosesItsProvider(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := fakes.NewMemory()
+		all, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+			if strings.HasSuffix(r.URL.Path, "/early") {
+				io.ReadFull(r.Body, make([]byte, 100<<10))
+				c, _, _ := http.NewResponseController(w).Hijack() // else the server reads on before it closes
+				c.Close()
+			} else {
+				io.Copy(io.Discard, r.Body)
+			}
+			panic(http.ErrAbortHandler)
+		})
+		s := start(t, m, directory, nil)
+		for path, want := range map[string]int{"early": 503, "late": 502} {
+			c, err := m.Dial(t.Context(), s.front)
+			if err != nil {
+				t.Fatal(err)
+			}
+			go slowly(c, fmt.Appendf(nil, "POST /order/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s", path, path,
+				len(long), long), 20000, 10*time.Millisecond)
+			br := bufio.NewReader(c)
+			resp, err := http.ReadResponse(br, nil)
+			if err != nil || resp.StatusCode != want {
+				t.Errorf("%s: %v %v", path, resp, err)
+			}
+			if n := all[0].seen[path] + all[1].seen[path]; n != 1 {
+				t.Errorf("%s: sent %d times", path, n)
+			}
+			time.Sleep(sec)
+			io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // the connection goes on behind the body
+			if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 404 {
+				t.Errorf("after %s: %v %v", path, resp, err)
+			}
+			c.Close()
+		}
+		s.stop()
+	})
+}
+
+// What never ends is ended: a body that pauses, one that is announced as endless, and an answer of that kind.
+func TestEndlessBodies(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := fakes.NewMemory()
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+			w.Header().Set("Content-Length", "3221225472")
+			for context.Cause(r.Context()) == nil {
+				if _, err := w.Write(long); err != nil {
+					return
+				}
+			}
+		})
+		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MaxAttempts = 1 })
+		for what, tc := range map[string]struct {
+			raw  string
+			want int
+		}{
+			"pauses":          {"POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 70000\r\n\r\nhalf", 408},
+			"endless":         {"POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 60000000\r\n\r\n", 413},
+			"both lengths":    {"POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+			"endless answers": {"GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: b\r\nConnection: close\r\n\r\n", 503},
+		} {
+			began := time.Now()
+			if status, _ := parse(t, s.send(s.front, tc.raw)); status != tc.want || time.Since(began) > 3*sec {
+				t.Errorf("%s: %d, want %d, after %s", what, status, tc.want, time.Since(began))
+			}
+		}
+		s.stop()
+	})
+}
+
+// What is kept of a body is given back, whatever becomes of its request.
+func TestKeptBodiesAreGivenBack(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := fakes.NewMemory()
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
+		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
+		ask := func(path, rest string) (int, string) {
+			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+
+				"\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"+rest))
+		}
+		for i := range 40 {
+			for path, tc := range map[string]struct {
+				rest string
+				want int
+			}{"/nowhere": {"1\r\nx\r\n0\r\n\r\n", 404}, "/order/1": {"x\r\n", 400}} {
+				if got, _ := ask(path, tc.rest); got != tc.want {
+					t.Fatalf("%d: %s: %d", i, path, got)
+				}
+			}
+		}
+		if got, body := ask("/order/1", "5\r\nhello\r\n0\r\n\r\n"); got != 200 || body != "hello" {
+			t.Errorf("after them: %d %q", got, body)
+		}
+		s.stop()
+	})
+}
+
+// Peers that leave in the middle of long bodies, in either direction, disturb no other: nobody reads a connection that is over.
+func TestLeavingLongBodies(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := fakes.NewMemory()
+		_, directory := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
+			if r.Method == "POST" {
+				io.CopyN(io.Discard, r.Body, 80<<10)
+				if strings.HasSuffix(r.URL.Path, "/early") {
+					c, _, _ := http.NewResponseController(w).Hijack()
+					c.Close()
+					return
+				}
+				io.Copy(io.Discard, r.Body)
+				fmt.Fprint(w, "done")
+				return
+			}
+			slowly(flusher{w}, long, 4000, 2*time.Millisecond)
+		})
+		s := start(t, m, directory, nil)
+		var all sync.WaitGroup
+		for i := range 90 {
+			all.Go(func() {
+				c, err := m.Dial(t.Context(), s.front)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				defer c.Close()
+				leave := time.Duration(i%10*17) * time.Millisecond // 0 = stays
+				if leave > 0 {
+					time.AfterFunc(leave, func() { c.Close() })
+				}
+				path, body := []string{"early", "late", "down"}[i%3], long
+				head := "POST /order/"
+				if path == "down" {
+					head, body = "GET /tile/", nil
+				}
+				go slowly(c, fmt.Appendf(nil, "%s%s HTTP/1.1\r\nHost: x\r\nReq-Id: l%d\r\nContent-Length: %d\r\n\r\n%s", head, path, i,
+					len(body), body), 9000, 3*time.Millisecond)
+				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+				if err != nil {
+					if leave == 0 {
+						t.Errorf("%s: %v", path, err)
+					}
+					return
+				}
+				got, err := io.ReadAll(resp.Body)
+				want := map[string]string{"early": "", "late": "done", "down": string(long)}[path]
+				if leave == 0 && resp.StatusCode == 200 && (err != nil || string(got) != want) || err == nil && resp.StatusCode == 200 &&
+					string(got) != want {
+					t.Errorf("%s: %d bytes that are not its own, %v", path, len(got), err)
+				}
+			})
+		}
+		all.Wait()
+		time.Sleep(10 * sec)
+		if f := s.counters(); f.Concurrent != 0 || f.Success["tile"] == 0 || f.Success["order"] == 0 {
+			t.Errorf("%+v", f)
+		}
+		s.stop()
+	})
+}
--- /dev/null
+++ b/cmd/plankrouter/rig_test.go
@@ -0,0 +1,284 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const stepTimeout = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
+
+// rig is the whole program on loopback sockets between a consumer and providers that a test holds up at the very point. The
+// program's connections to providers come up when the test says so, whether or not the program still wants them.
+type rig struct {
+	*testing.T
+	front   string
+	dials   chan chan struct{} // one for each connection, to be closed when it is to come up
+	accepts chan net.Conn      // those of which the program may learn only when the test passes them on, if holding
+	pass    chan net.Conn
+	closed  chan struct{} // one word for each consumer's connection that the program has closed
+	asked   chan struct{} // and for each probe that a provider has got
+	signals signalQueues
+	ended   chan error
+	file    string
+
+	mu     sync.Mutex
+	seen   []string         // the requests of which a provider has got the head, by their ids
+	answer func(int) string // to the n-th request; "" = none
+	probes chan struct{}    // closed when probes are answered; nil = at once
+}
+
+// logged is what programs log that run side by side.
+var logged struct {
+	sync.Mutex
+	bytes.Buffer
+}
+
+type logging struct{}
+
+func (logging) Write(p []byte) (int, error) {
+	logged.Lock()
+	defer logged.Unlock()
+	return logged.Buffer.Write(p)
+}
+
+// watched is a listener whose connections tell when they are closed here.
+type watched struct {
+	net.Listener
+	*rig
+	holding bool
+}
+
+type telling struct {
+	*net.TCPConn
+	once *sync.Once
+	told chan struct{}
+}
+
+func (c telling) Close() error {
+	err := c.TCPConn.Close()
+	c.once.Do(func() { c.told <- struct{}{} })
+	return err
+}
+
+func (l watched) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	if l.holding {
+		l.accepts <- c
+		c = <-l.pass
+	}
+	return telling{c.(*net.TCPConn), new(sync.Once), l.closed}, nil
+}
+
+func newRig(t *testing.T, providers int, holding bool, edit func(settings map[string]any)) *rig {
+	r := &rig{
+		T: t, dials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
+		closed: make(chan struct{}, 64), asked: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json"),
+	}
+	r.answer = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
+	known := fakes.List{Revision: 1}
+	for i := range providers {
+		l := listenHere(t)
+		go r.serveRequests(l)
+		known.Members = append(known.Members, fakes.Member{
+			ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
+			Phase: fakes.Serving,
+		})
+	}
+	directory, err := fakes.NewDirectory(fakes.Loopback(), "", known.Members...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(directory.Close)
+	front := listenHere(t)
+	r.front = front.Addr().String()
+	name := strings.ReplaceAll(t.Name(), " ", "_")
+	raw, err := fakes.Config(fakes.Sidecar{
+		Name: name, Listen: r.front, Directory: directory.Address(), Known: known, Seed: 1,
+		NoProbes: true, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
+		Classes: []fakes.Class{
+			{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
+			{Name: "order", Aim: time.Minute, Deadline: time.Minute, Worth: 5},
+		},
+		Edit: func(d map[string]any) { edit(d["settings"].(map[string]any)) },
+	})
+	if err != nil || os.WriteFile(r.file, raw, 0o600) != nil {
+		t.Fatal(err)
+	}
+	log.SetOutput(logging{})
+	r.signals, r.ended = launch(t, map[string]string{"GW_CONFIG": r.file}, watched{front, r, holding}, nil,
+		func(ctx context.Context, address string) (net.Conn, error) {
+			if address != directory.Address() {
+				up := make(chan struct{})
+				r.dials <- up
+				<-up
+			}
+			return net.Dial("tcp", address)
+		})
+	return r
+}
+
+func listenHere(t *testing.T) net.Listener {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
+// decline has the nth request declined; the next connection is held up by stop.
+func (r *rig) decline(nth int, stop func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	well := r.answer
+	r.answer = func(n int) string {
+		if n == nth {
+			stop()
+			return "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+		}
+		return well(n)
+	}
+}
+
+// check sees that providers got just those requests, and that the book says so of as many that were served and whose consumers had
+// gone.
+func (r *rig) check(want []string, counts string, gone, served int) {
+	r.Helper()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	slices.Sort(want)
+	slices.Sort(r.seen)
+	if !slices.Equal(r.seen, want) {
+		r.Errorf("providers got %v, want %v", r.seen, want)
+	}
+	for _, word := range []string{
+		fmt.Sprintf(" taken=%d ", gone+served), fmt.Sprintf(" consumer_gone=%d ", gone),
+		fmt.Sprintf(" served=%d refused=0 failed=0", served), " sockets=0",
+	} {
+		if !strings.Contains(counts, word) {
+			r.Errorf("%q is not in\n%s", word, counts)
+		}
+	}
+}
+
+// serveRequests is a provider, which takes note of a request as soon as its head is there.
+func (r *rig) serveRequests(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer c.Close()
+			for br := bufio.NewReader(c); ; {
+				req, err := http.ReadRequest(br)
+				if err != nil {
+					return
+				}
+				answer, probes := "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"active\":0,\"avg_ms\":10.0}", r.probes
+				if id := req.Header.Get("Req-Id"); id != "" {
+					r.mu.Lock()
+					r.seen = append(r.seen, id)
+					answer = r.answer(len(r.seen))
+					r.mu.Unlock()
+				} else if r.asked <- struct{}{}; probes != nil {
+					<-probes
+				}
+				if _, err := io.Copy(io.Discard, req.Body); err != nil {
+					return
+				}
+				io.WriteString(c, answer)
+			}
+		}()
+	}
+}
+
+// client opens a connection and sends what it is given.
+func (r *rig) client(message string) *net.TCPConn {
+	c, err := net.Dial("tcp", r.front)
+	if err != nil {
+		r.Fatal(err)
+	}
+	r.Cleanup(func() { c.Close() })
+	if _, err := io.WriteString(c, message); err != nil {
+		r.Fatal(err)
+	}
+	return c.(*net.TCPConn)
+}
+
+// served has a request answered 200, with all connections coming up from here on.
+func (r *rig) served(id string) {
+	c := r.client(get(id))
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(stepTimeout))
+	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
+		r.Errorf("%s: %v %v", id, resp, err)
+	}
+}
+
+// let lets connections come up as they are asked for, if it is to, until stop is called.
+func (r *rig) let(they bool) (stop func()) {
+	done, stopped := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(stopped)
+		for they {
+			select {
+			case up := <-r.dials:
+				close(up)
+			case <-done:
+				return
+			case <-r.Context().Done():
+				return
+			}
+		}
+	}()
+	return sync.OnceFunc(func() { close(done); <-stopped })
+}
+
+// end stops the program, and returns what it has counted. All that was under way has ended by then.
+func (r *rig) end(words int) string {
+	for range words {
+		r.signals.raise(syscall.SIGTERM)
+	}
+	if err := wait(r, "the end", r.ended); err != nil {
+		r.Error(err)
+	}
+	logged.Lock()
+	defer logged.Unlock()
+	lines := regexp.MustCompile(`name=`+regexp.QuoteMeta(strings.ReplaceAll(r.Name(), " ", "_"))+` counters=(core|front) .*`).
+		FindAllString(logged.String(), -1)
+	return strings.Join(lines, "\n")
+}
+
+// wait returns what comes, and fails the test if nothing does.
+func wait[T any](r *rig, what string, from <-chan T) (got T) {
+	select {
+	case got = <-from:
+	case <-time.After(stepTimeout):
+		r.Fatalf("%s has not come", what)
+	}
+	return got
+}
+
+func get(id string) string {
+	return "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Deadline: 60\r\n\r\n"
+}
--- /dev/null
+++ b/cmd/plankrouter/service_test.go
@@ -0,0 +1,205 @@
+package main
+
+import (
+	"bufio"
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"plankrouter/internal/metrics"
+	"plankrouter/internal/testbench/fakes"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// service is the program with an address for operators, in a bubble of its own.
+type service struct {
+	*testing.T
+	net              *fakes.Memory
+	front, adminAddr string
+	file             string
+	set              fakes.Sidecar
+	signals          signalQueues
+	ended            chan error
+}
+
+// start runs the program against the directory of fleet, or one of its own with these members.
+func start(t *testing.T, n *fakes.Memory, directory *fakes.Directory, edit func(*fakes.Sidecar)) *service {
+	return startIn(t, n, directory, "", edit)
+}
+
+// startIn is start with the TMPDIR of an earlier process, "" for one of its own.
+func startIn(t *testing.T, n *fakes.Memory, directory *fakes.Directory, folder string, edit func(*fakes.Sidecar)) *service {
+	log.SetOutput(io.Discard)
+	front, err := n.Listen("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	desk, err := n.Listen("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &service{
+		T: t, net: n, front: front.Addr().String(), adminAddr: desk.Addr().String(),
+		file: filepath.Join(t.TempDir(), "config.json"),
+	}
+	s.set = fakes.Sidecar{
+		Name: "n1", Listen: s.front, Seed: 1, Directory: directory.Address(), ConnIdle: time.Minute,
+		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
+		Known: fakes.List{Revision: 1, Members: directory.Members()},
+	}
+	if edit != nil {
+		edit(&s.set)
+	}
+	s.write()
+	s.signals, s.ended = launch(t, map[string]string{
+		"GW_CONFIG": s.file, "GW_ADMIN_ADDR": s.adminAddr,
+		"TMPDIR": cmp.Or(folder, filepath.Dir(s.file)),
+	}, front, desk, n.Dial)
+	if folder == "" {
+		if err := fakes.Ready(t.Context(), n, s.front); err != nil {
+			t.Fatal(err)
+		}
+	}
+	synctest.Wait()
+	return s
+}
+
+func (s *service) write() {
+	raw, err := fakes.Config(s.set)
+	if err != nil || os.WriteFile(s.file, raw, 0o600) != nil {
+		s.Fatal(err)
+	}
+}
+
+// reload has the program read its file, as it is by now.
+func (s *service) reload() {
+	s.signals.raise(syscall.SIGHUP)
+	synctest.Wait()
+}
+
+func (s *service) stop() {
+	s.signals.raise(syscall.SIGTERM)
+	if err := <-s.ended; err != nil {
+		s.Error(err)
+	}
+}
+
+// send sends raw bytes and returns all that comes back until the connection ends, or until 2 s have passed.
+func (s *service) send(address, raw string) string {
+	c, err := s.net.Dial(s.Context(), address)
+	if err != nil {
+		s.Fatal(err)
+	}
+	defer c.Close()
+	go io.WriteString(c, raw)
+	c.SetReadDeadline(time.Now().Add(2 * time.Second))
+	b, _ := io.ReadAll(c)
+	return string(b)
+}
+
+// call makes an operator's call and returns the status and what came with it.
+func (s *service) call(method, target string) (int, string) {
+	return parse(s.T, s.send(s.adminAddr, method+" "+target+" HTTP/1.1\r\nHost: x\r\n\r\n"))
+}
+
+func (s *service) adminCall(method, target string, want int) {
+	s.Helper()
+	if got, text := s.call(method, target); got != want {
+		s.Errorf("%s %s: %d %s, want %d", method, target, got, text, want)
+	}
+}
+
+func (s *service) counters() (f metrics.Values) {
+	s.Helper()
+	status, text := s.call("GET", "/metrics")
+	if err := json.Unmarshal([]byte(text), &f); err != nil || status != 200 {
+		s.Fatalf("%d %s: %v", status, text, err)
+	}
+	return f
+}
+
+func parse(t *testing.T, raw string) (int, string) {
+	t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(raw)), nil)
+	if err != nil {
+		t.Fatalf("%q: %v", raw, err)
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Errorf("%q: %v", raw, err)
+	}
+	return resp.StatusCode, string(body)
+}
+
+func withFleet(t *testing.T, providers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
+	synctest.Test(t, func(t *testing.T) {
+		n := fakes.NewMemory()
+		fleet, err := fakes.NewFleet(n, providers, fakes.ProviderOptions{
+			Cores: 4, Queue: 16, Seed: 1,
+			Default: fakes.Service{Mean: 20 * time.Millisecond},
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer fleet.Close()
+		play(t, n, fleet)
+	})
+}
+
+var ids int
+
+// rand returns an id that was not used before.
+func rand() string { ids++; return fmt.Sprint("raw-", ids) }
+
+// hand is a provider that answers as a test tells it to.
+type hand struct {
+	net.Listener
+	mu   sync.Mutex
+	seen map[string]int
+	how  func(w http.ResponseWriter, r *http.Request)
+}
+
+func (h *hand) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if strings.HasPrefix(r.URL.Path, "/metrics/load") {
+		fmt.Fprint(w, `{"active":1,"avg_ms":5}`)
+		return
+	}
+	h.mu.Lock()
+	h.seen[r.Header.Get("Req-Id")]++
+	h.mu.Unlock()
+	h.how(w, r)
+}
+
+// fakeServers starts n of them and a directory that lists them.
+func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*hand, *fakes.Directory) {
+	var all []*hand
+	var listed []fakes.Member
+	for i := range n {
+		l, err := m.Listen("")
+		if err != nil {
+			t.Fatal(err)
+		}
+		h := &hand{Listener: l, seen: map[string]int{}, how: how}
+		server := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
+		go server.Serve(l)
+		t.Cleanup(func() { server.Close() })
+		all = append(all, h)
+		listed = append(listed, fakes.Member{ID: fmt.Sprint("h", i), Address: l.Addr().String(), Locality: fakes.Here, Phase: fakes.Serving})
+	}
+	d, err := fakes.NewDirectory(m, "", listed...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.Close)
+	return all, d
+}
--- /dev/null
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -0,0 +1,306 @@
+package main
+
+import (
+	"bufio"
+	"cmp"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// endingWorld is what a row plays in.
+type endingWorld struct {
+	t        *testing.T
+	row      shutdownCase
+	address  string
+	file     string
+	sidecar  fakes.Sidecar
+	servers  []*fakes.Provider
+	cmd      *exec.Cmd
+	log      *os.File
+	killedAt time.Time // when SIGKILL was about to be sent; guarded by mu
+
+	mu   sync.Mutex
+	lost []string
+}
+
+// play plays the row once, and returns what was lost; not valid says that the machine made a stop longer than it was to be.
+func (row shutdownCase) play(t *testing.T) (lost []string, valid bool) {
+	row.clients, row.service = cmp.Or(row.clients, 24), cmp.Or(row.service, 250*time.Millisecond)
+	row.deadline = cmp.Or(row.deadline, shutdownRow)
+	w := &endingWorld{t: t, row: row}
+	w.start()
+	defer w.end()
+	var clients sync.WaitGroup
+	for i := range row.clients {
+		clients.Go(func() { w.client(i) })
+	}
+	time.Sleep(300 * time.Millisecond) // until all are at work
+	if row.halves {
+		for i := range 4 {
+			clients.Go(func() { w.half(i) })
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	valid = w.shutDown()
+	clients.Wait()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.lost, valid
+}
+
+func (w *endingWorld) start() {
+	network, t := fakes.Loopback(), w.t
+	var members []fakes.Member
+	for i := range 4 {
+		p, err := fakes.NewProvider(network, fakes.ProviderOptions{
+			ID: fmt.Sprint("s", i), Cores: 500, Queue: 10,
+			Default: fakes.Service{Mean: w.row.service, Fixed: true, Body: 100},
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(p.Close)
+		w.servers, members = append(w.servers, p), append(members, p.Member())
+	}
+	directory, err := fakes.NewDirectory(network, "", members...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(directory.Close)
+	l, err := network.Listen("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.address = l.Addr().String()
+	l.Close()
+	folder := t.TempDir()
+	w.file = filepath.Join(folder, "config.json")
+	w.sidecar = fakes.Sidecar{
+		Name: "n1", Listen: w.address, Seed: 1, Directory: directory.Address(), Sockets: 4096, MemoryMB: 256,
+		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Members: members},
+	}
+	w.configure(w.row.deadline)
+	if w.log, err = os.Create(filepath.Join(folder, "log")); err != nil {
+		t.Fatal(err)
+	}
+	w.cmd = exec.Command(os.Args[0])
+	w.cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+w.file, "TMPDIR=", "GW_TRACE=1")
+	w.cmd.Stdout, w.cmd.Stderr = w.log, w.log
+	w.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a successor is killed with it
+	if err := w.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	if err := fakes.Ready(t.Context(), network, w.address); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// configure writes the configuration with this deadline of its one class.
+func (w *endingWorld) configure(longest time.Duration) {
+	tile := fakes.Tile()
+	tile.Deadline, tile.Aim = longest, longest
+	w.sidecar.Classes = []fakes.Class{tile}
+	raw, err := fakes.Config(w.sidecar)
+	if err == nil {
+		err = errors.Join(os.WriteFile(w.file+".next", raw, 0o600), os.Rename(w.file+".next", w.file))
+	}
+	if err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+// end kills what is left of the processes.
+func (w *endingWorld) end() {
+	syscall.Kill(-w.cmd.Process.Pid, syscall.SIGKILL)
+	w.cmd.Wait()
+	w.log.Close()
+	if len(w.lost) > 0 {
+		if raw, err := os.ReadFile(w.log.Name()); err == nil {
+			for _, line := range strings.Split(string(raw), "\n") {
+				if (strings.Contains(line, "state=") || strings.Contains(line, "handover=")) && !strings.Contains(line, "trace=") {
+					w.t.Log(line)
+				}
+			}
+		}
+	}
+}
+
+// shutDown sends the row's signals, stops the process at its moments and kills it at the earliest. It reports whether the stops were as
+// long as they were to be.
+func (w *endingWorld) shutDown() (valid bool) {
+	pid, longest := w.cmd.Process.Pid, w.row.deadline
+	if w.row.shorter > 0 {
+		longest = w.row.shorter
+	}
+	kill := longest + killMargin
+	valid, stopped := true, sync.WaitGroup{}
+	var mu sync.Mutex
+	word := time.Now().Add(20 * time.Millisecond)
+	if len(w.row.before) > 0 {
+		word = word.Add(w.row.before[0].by)
+	}
+	for _, p := range w.row.pauses {
+		at := word.Add(p.at)
+		if p.beforeKill {
+			at = word.Add(kill - p.at)
+		}
+		stopped.Go(func() {
+			time.Sleep(time.Until(at))
+			began := time.Now()
+			syscall.Kill(pid, syscall.SIGSTOP)
+			time.Sleep(holdUp)
+			syscall.Kill(pid, syscall.SIGCONT)
+			mu.Lock()
+			defer mu.Unlock()
+			valid = valid && time.Since(began) < holdUpMost
+		})
+	}
+	for _, s := range w.row.before {
+		time.Sleep(time.Until(word.Add(-s.by)))
+		if s.Signal == syscall.SIGHUP && w.row.shorter > 0 {
+			w.configure(w.row.shorter)
+		}
+		syscall.Kill(pid, s.Signal)
+	}
+	time.Sleep(time.Until(word))
+	sent, to := time.Now(), pid
+	if w.row.group {
+		to = -pid
+	}
+	syscall.Kill(to, syscall.SIGTERM)
+	if w.row.late > 0 {
+		for _, p := range w.servers {
+			p.Change(func(b *fakes.Behaviour) { b.Slow = float64(w.row.late) / float64(w.row.service) })
+		}
+	}
+	for _, s := range w.row.after {
+		time.Sleep(2 * time.Millisecond)
+		syscall.Kill(pid, s)
+	}
+	time.Sleep(time.Until(sent.Add(kill)))
+	w.mu.Lock()
+	w.killedAt = time.Now()
+	w.mu.Unlock()
+	syscall.Kill(-pid, syscall.SIGKILL)
+	stopped.Wait()
+	return valid
+}
+
+func (w *endingWorld) killed() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return !w.killedAt.IsZero()
+}
+
+func (w *endingWorld) lose(format string, args ...any) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lost = append(w.lost, fmt.Sprintf(format, args...))
+}
+
+// client sends one request after another on a connection of its own, until there is nobody to send to.
+func (w *endingWorld) client(number int) {
+	var c net.Conn
+	var br *bufio.Reader
+	for i := 0; !w.killed(); i++ {
+		id := fmt.Sprintf("%d-%d", number, i)
+		for again := false; ; again = true { // a request that crosses the end of its connection is sent once more
+			fresh := c == nil
+			if fresh {
+				var err error
+				if c, err = net.Dial("tcp", w.address); err != nil {
+					return // the process has closed its listener: nobody has taken the request
+				}
+				br = bufio.NewReader(c)
+			}
+			sent := time.Now()
+			if _, err := io.WriteString(c, w.request(id, "")); err == nil || fresh {
+				resp, err := http.ReadResponse(br, nil)
+				if err == nil {
+					_, err = io.Copy(io.Discard, resp.Body)
+				}
+				if err == nil {
+					if resp.Close {
+						c.Close()
+						c = nil
+					}
+					if resp.StatusCode != 200 {
+						time.Sleep(5 * time.Millisecond)
+					}
+					break
+				}
+				if seen := w.seen(id); seen || fresh || w.killed() {
+					w.lose("%s, sent %s before the end of its connection, forwarded %t, new connection %t, killed %t: %v", id,
+						time.Since(sent).Round(time.Millisecond), seen, fresh, w.killed(), err)
+					c.Close()
+					return
+				}
+			}
+			c.Close()
+			if c = nil; again {
+				break
+			}
+		}
+	}
+	if c != nil {
+		c.Close()
+	}
+}
+
+// half sends half a request before SIGTERM, and the rest as late as its number says, unless it has had an answer or an end by then.
+func (w *endingWorld) half(number int) {
+	c, err := net.Dial("tcp", w.address)
+	if err != nil {
+		w.t.Error(err)
+		return
+	}
+	defer c.Close()
+	id, kill := fmt.Sprint("half-", number), w.row.deadline+killMargin
+	text := w.request(id, "0.3")
+	io.WriteString(c, text[:len(text)-3])
+	lead := time.Duration(20+60*number) * time.Millisecond
+	c.SetReadDeadline(time.Now().Add(70*time.Millisecond + kill - lead)) // SIGTERM comes 0.07 s from now
+	br := bufio.NewReader(c)
+	if _, err := br.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+		return
+	}
+	if _, err := io.WriteString(c, text[len(text)-3:]); err != nil {
+		return
+	}
+	c.SetReadDeadline(time.Now().Add(2 * time.Second))
+	if _, err := http.ReadResponse(br, nil); err != nil {
+		w.lose("%s, whole %s before the kill, forwarded %t: %v", id, lead, w.seen(id), err)
+	}
+}
+
+// request words a request; deadline "" = the class's.
+func (w *endingWorld) request(id, deadline string) string {
+	if deadline != "" {
+		deadline = "Req-Deadline: " + deadline + "\r\n"
+	}
+	return fmt.Sprintf("GET /tile/%s HTTP/1.1\r\nHost: api.internal\r\nReq-Id: %s\r\n%s\r\n", id, id, deadline)
+}
+
+// seen reports whether a server has had the request.
+func (w *endingWorld) seen(id string) bool {
+	for _, p := range w.servers {
+		for _, r := range p.Requests() {
+			if r.ID == id {
+				return true
+			}
+		}
+	}
+	return false
+}
