--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -3,14 +3,11 @@
 import (
 	"context"
 	"errors"
-	"io/fs"
 	"log"
 	"net"
 	"os"
-	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/hotrestart"
 	"plankrouter/internal/snapshot"
-	"plankrouter/internal/transient"
 	"slices"
 	"strings"
 	"syscall"
@@ -19,105 +16,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// acceptRetryPause is the pause after an accept that has failed.
-const acceptRetryPause = 20 * time.Millisecond
-
-// rendezvousTimeout bounds the wait for a meeting place that can't be had for a moment.
-const rendezvousTimeout = 2 * time.Second
-
 // firstListTimeout is how long the directory has, before a successor takes over with the list that it was given.
 const firstListTimeout = 2 * time.Second
 
-// restoreState returns what this process can go by from an earlier one: the predecessor's state, or the snapshot that was
-// kept if it has handed over none. Nil says that there is nothing but the configuration.
-func (p *program) restoreState(predecessor *hotrestart.Successor, now time.Time) *snapshot.Restored {
-	cfg := p.cfg
-	if cfg.Own.Snapshot.Path != "" {
-		p.snapshotWriter = &snapshot.Writer{
-			Store: &snapshot.Store{
-				Path:   cfg.Own.Snapshot.Path,
-				Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
-			}, Take: p.takeSnapshot, Every: cfg.SnapshotEvery,
-			Seed: cfg.Seed,
-		}
-	}
-	var taken *snapshot.Snapshot
-	var err error
-	origin := cfg.Own.Snapshot.Path
-	switch {
-	case predecessor != nil && len(predecessor.State()) > 0:
-		origin = "predecessor"
-		taken, err = snapshot.Decode(predecessor.State())
-	case p.snapshotWriter != nil:
-		taken, err = p.snapshotWriter.Store.Read()
-	default:
-		return nil
-	}
-	if err != nil {
-		if !errors.Is(err, fs.ErrNotExist) { // the first start has none
-			log.Printf("name=%s snapshot=%q state=not_used err=%q", cfg.Name, origin, err)
-		}
-		return nil
-	}
-	rules := snapshot.DefaultValidityRules()
-	rules.Program, rules.Deployment, rules.Directory = cfg.Name, snapshot.Fingerprint(&cfg.Settings), cfg.Discovery
-	rules.Classes, rules.Tenants = len(cfg.Settings.Classes), len(cfg.Settings.Realms)
-	restored, dropped := snapshot.Restore(taken, snapshot.FromConfig(cfg.Known, cfg.Discovery, now), now, rules)
-	log.Printf("name=%s snapshot=%q state=used age=%s providers=%d learned_of=%d left_out=%d %s", cfg.Name, origin,
-		now.Sub(taken.TakenAt).Round(time.Millisecond), len(restored.List.Members), len(restored.Learned.Servers), len(dropped),
-		snapshot.Summary(dropped))
-	return &restored
-}
-
-// snapshotFaults are the faults that befall the steps of writing a snapshot in a soak.
-var snapshotFaults = map[snapshot.Step]faultinjection.Op{
-	snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
-	snapshot.StepSweep: faultinjection.WriteFile, snapshot.StepCreate: faultinjection.WriteFile, snapshot.StepFill: faultinjection.WriteFile,
-	snapshot.StepSync: faultinjection.SyncFile, snapshot.StepRename: faultinjection.WriteFile, snapshot.StepSyncDir: faultinjection.SyncFile,
-}
-
-// startSnapshots writes snapshots from now on, if they are to be kept, until writeLastSnapshot is called, which writes one more. A
-// disk that fails is logged and ends nothing.
-func (p *program) startSnapshots(ctx context.Context, group *errgroup.Group) {
-	if p.snapshotWriter == nil {
-		return
-	}
-	ctx, end := context.WithCancel(ctx)
-	done := make(chan struct{})
-	group.Go(func() error {
-		defer close(done)
-		if err := p.snapshotWriter.Run(ctx); errors.Is(err, snapshot.ErrLate) {
-			log.Printf("name=%s snapshot=%q state=late err=%q", p.cfg.Name, p.snapshotWriter.Store.Path, err)
-		}
-		return nil
-	})
-	p.snapshotMu.Lock()
-	defer p.snapshotMu.Unlock()
-	p.stopSnapshots = func() { end(); <-done }
-}
-
-// writeLastSnapshot returns when the last one has been written, or has had its time.
-func (p *program) writeLastSnapshot() {
-	p.snapshotMu.Lock()
-	defer p.snapshotMu.Unlock()
-	if p.stopSnapshots != nil {
-		p.stopSnapshots()
-		p.stopSnapshots = nil
-	}
-}
-
-// takeSnapshot returns what the sidecar has learned, or nil if it has stopped or a successor has taken over its file.
-func (p *program) takeSnapshot() *snapshot.Snapshot {
-	if p.frontend.Passing() {
-		return nil
-	}
-	snap := p.dispatcher.Snapshot()
-	if snap != nil {
-		snap.Directory = p.watch.Address()
-	}
-	return snap
-}
-
 // takeOver makes this process a predecessor's successor: once the directory has answered, or has had its time, it says that
 // it is ready, and when it may serve it takes the connections that come.
 func (p *program) takeOver(ctx context.Context, group *errgroup.Group, predecessor *hotrestart.Successor) error {
@@ -281,70 +182,3 @@
 		log.Printf("notify=%q err=%q", state, err)
 	}
 }
-
-// standbyShare: of two processes the one that does not serve has one in so many of the sockets.
-const standbyShare = 4
-
-// rendezvousFolder is the folder in which two processes of this sidecar meet, where the platform starts the second one; "" = it does not.
-func rendezvousFolder(getenv func(string) string) string {
-	if getenv(hotrestart.ListenVariable) == "" {
-		return ""
-	}
-	return getenv("TMPDIR")
-}
-
-// serveAlone makes this process the sidecar's only one, and the one that a second process finds.
-func (p *program) serveAlone(ctx context.Context, group *errgroup.Group) {
-	p.budget.Limit(p.shares.conns)
-	p.dispatcher.SetOpenInPredecessor(nil)
-	folder := rendezvousFolder(p.getenv)
-	if folder == "" {
-		return
-	}
-	var l *net.UnixListener
-	err := transient.Retry(rendezvousTimeout, func() (err error) {
-		l, err = hotrestart.Listen(folder)
-		return err
-	})
-	if err != nil {
-		log.Printf("name=%s handover=not_found_by_others err=%q", p.cfg.Name, err)
-		return
-	}
-	group.Go(func() error {
-		defer context.AfterFunc(ctx, func() { l.Close() })()
-		acceptSuccessors(ctx, l.AcceptUnix, func(c *net.UnixConn) {
-			p.handOverWith(ctx, func(own *net.TCPListener, o hotrestart.Options) (*hotrestart.Predecessor, error) {
-				live, cancel := context.WithCancel(ctx)
-				defer cancel()
-				defer context.AfterFunc(p.stopRequested, cancel)() // a word to stop calls off what is not ready
-				p.budget.Limit(p.shares.conns - p.shares.conns/standbyShare)
-				to, err := p.coordinator.Meet(live, c, own, o)
-				if err != nil {
-					p.budget.Limit(p.shares.conns)
-				}
-				return to, err
-			})
-			c.Close()
-		})
-		return nil
-	})
-}
-
-// acceptSuccessors hands each process that has found this one to meet, until ctx ends.
-func acceptSuccessors(ctx context.Context, accept func() (*net.UnixConn, error), meet func(*net.UnixConn)) {
-	for ctx.Err() == nil {
-		c, err := accept()
-		switch {
-		case err == nil:
-			meet(c)
-		case errors.Is(err, net.ErrClosed):
-			return
-		default:
-			log.Printf("handover=accept_failed err=%q", err)
-			select {
-			case <-time.After(acceptRetryPause):
-			case <-ctx.Done():
-			}
-		}
-	}
-}
