--- /dev/null
+++ b/cmd/plankrouter/admin.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"plankrouter/internal/admin"
+	"plankrouter/internal/config"
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/metrics"
+	"time"
+)
+
+// adminListenPause is between two attempts to listen for operators while another process does.
+const adminListenPause = 20 * time.Millisecond
+
+// listenAdmin returns the listener for operators, nil where they have no address.
+func listenAdmin(cfg *config.Config) (net.Listener, error) {
+	if cfg.AdminAddr == "" {
+		return nil, nil
+	}
+	l, err := net.Listen("tcp", cfg.AdminAddr)
+	if err != nil {
+		return nil, fmt.Errorf("admin_addr: %w", err)
+	}
+	return l, nil
+}
+
+// serveAdmin answers operators until ctx ends. A process that finds their address taken has no listener before the other has
+// ended, as a successor that its predecessor has started: both are told the same address. It serves requests meanwhile.
+func (p *program) serveAdmin(ctx context.Context, l net.Listener) error {
+	for l == nil {
+		select {
+		case <-time.After(adminListenPause):
+		case <-ctx.Done():
+			return nil
+		}
+		l, _ = listenAdmin(p.cfg)
+	}
+	return admin.New(p, p.shares.admin).Serve(ctx, l)
+}
+
+// Ready, Figures, Disable and Enable make the program admin.Operations.
+func (p *program) Ready() bool { return p.dispatcher.Ready() && p.frontend.Taking() }
+
+// Figures are those of this process.
+func (p *program) Figures() metrics.Values { return p.metrics.Read() }
+
+// Disable takes a provider out, for all processes of this sidecar.
+func (p *program) Disable(id string) error {
+	return p.changeCordons("disable", id, (*cordon.Set).Cordon)
+}
+
+// Enable puts it back.
+func (p *program) Enable(id string) error {
+	return p.changeCordons("enable", id, (*cordon.Set).Uncordon)
+}
--- a/cmd/plankrouter/crossings_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -11,7 +11,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/connlimit"
 	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
@@ -22,7 +21,7 @@
 	"time"
 )
 
-const patience = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
+const stepTimeout = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
 
 // rig is the whole program on loopback sockets between a consumer and providers that a test holds up at the very point. The
 // program's connections to providers come up when the test says so, whether or not the program still wants them.
@@ -98,7 +97,7 @@
 	known := fakes.List{Revision: 1}
 	for i := range providers {
 		l := listenHere(t)
-		go r.provide(l)
+		go r.serveRequests(l)
 		known.Members = append(known.Members, fakes.Member{
 			ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
 			Phase: fakes.Serving,
@@ -181,8 +180,8 @@
 	}
 }
 
-// provide is a provider, which takes note of a request as soon as its head is there.
-func (r *rig) provide(l net.Listener) {
+// serveRequests is a provider, which takes note of a request as soon as its head is there.
+func (r *rig) serveRequests(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -213,18 +212,8 @@
 	}
 }
 
-// wait returns what comes, and fails the test if nothing does.
-func wait[T any](r *rig, what string, from <-chan T) (got T) {
-	select {
-	case got = <-from:
-	case <-time.After(patience):
-		r.Fatalf("%s has not come", what)
-	}
-	return got
-}
-
-// consumer opens a connection and sends what it is given.
-func (r *rig) consumer(message string) *net.TCPConn {
+// client opens a connection and sends what it is given.
+func (r *rig) client(message string) *net.TCPConn {
 	c, err := net.Dial("tcp", r.front)
 	if err != nil {
 		r.Fatal(err)
@@ -236,15 +225,11 @@
 	return c.(*net.TCPConn)
 }
 
-func get(id string) string {
-	return "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Deadline: 60\r\n\r\n"
-}
-
 // served has a request answered 200, with all connections coming up from here on.
 func (r *rig) served(id string) {
-	c := r.consumer(get(id))
+	c := r.client(get(id))
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(stepTimeout))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 		r.Errorf("%s: %v %v", id, resp, err)
 	}
@@ -284,152 +269,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// A consumer leaves while its request waits, wherever that is, whether or not attempts may be called off and however it goes:
-// nothing of the request reaches a provider from then on, and what is counted comes out even.
-func TestWhatNobodyWaitsForIsNotSent(t *testing.T) {
-	leave := map[string]func(*net.TCPConn){
-		"FIN":   func(c *net.TCPConn) { c.CloseWrite() },
-		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-	}
-	cases := []struct {
-		name    string
-		message string
-		probes  bool
-		before  int  // requests that are served before
-		decline bool // the first attempt comes to nothing
-		taken   bool
-	}{
-		{name: "in the module", message: get("a"), probes: true, taken: true},
-		{name: "in the backlog", message: get("a")},
-		{name: "while its connection comes up", message: get("a"), taken: true},
-		{name: "between two attempts", message: get("a"), before: 12, decline: true, taken: true},
-		{name: "with its body half sent", message: "POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 200000\r\n\r\n" +
-			strings.Repeat("x", 120000), taken: true},
-		{name: "with a blank line behind it", message: get("a") + "\r\n", taken: true},
-		{name: "with another request behind it", message: get("a") + get("b"), taken: true},
-		{name: "with much behind it", message: get("a") + strings.Repeat(get("b"), 300), taken: true},
-	}
-	for _, tc := range cases {
-		for how, goes := range leave {
-			for _, mayCancel := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s by %s cancel=%t", tc.name, how, mayCancel), func(t *testing.T) {
-					t.Parallel()
-					backlog := !tc.taken
-					r := newRig(t, 2, backlog, func(settings map[string]any) {
-						limits := settings["Limits"].(map[string]any)
-						limits["MayCancel"], limits["Probes"] = mayCancel, tc.probes
-					})
-					want := []string{"z"}
-					if tc.probes {
-						r.probes = make(chan struct{})
-					}
-					stop := r.let(tc.probes || tc.before > 0)
-					for i := range tc.before {
-						r.served(fmt.Sprint(i))
-						want = append(want, fmt.Sprint(i))
-						wait(r, "the end of a connection", r.closed)
-					}
-					if tc.decline {
-						want = append(want, "a")
-						r.decline(tc.before+1, stop)
-					}
-					c := r.consumer(tc.message)
-					var held chan struct{}
-					switch {
-					case backlog:
-						nc := wait(r, "the connection", r.accepts)
-						goes(c)
-						for s := connlimit.NewBudget(1, nil).Adopt(nc, connlimit.Inward); !s.Left(); {
-							time.Sleep(time.Millisecond)
-						}
-						r.pass <- nc
-					case tc.probes:
-						wait(r, "a probe", r.asked)
-						goes(c)
-					default:
-						held = wait(r, "the connection to a provider", r.dials)
-						goes(c)
-					}
-					wait(r, "the end of a connection whose consumer has left", r.closed)
-					if held != nil {
-						close(held)
-					}
-					words := 2
-					if tc.probes { // until the wait in the module would be over
-						words = 1
-						close(r.probes)
-					}
-					if backlog {
-						go func() { r.pass <- <-r.accepts }()
-					}
-					r.let(true)
-					r.served("z")
-					counts := r.end(words)
-					gone := 0
-					if tc.taken {
-						gone = 1
-					}
-					r.check(want, counts, gone, tc.before+1)
-				})
-			}
-		}
+// wait returns what comes, and fails the test if nothing does.
+func wait[T any](r *rig, what string, from <-chan T) (got T) {
+	select {
+	case got = <-from:
+	case <-time.After(stepTimeout):
+		r.Fatalf("%s has not come", what)
 	}
+	return got
 }
 
-// A consumer leaves with something unread behind its request, so that its end can't be read, in the very moment before its attempt's
-// connection comes up: the attempt looks once more, and nothing of it is written, however long ago anybody else has looked.
-func TestLeftJustBeforeTheFirstByte(t *testing.T) {
-	long := "POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 120000\r\n\r\n"
-	for name, tc := range map[string]struct {
-		message string
-		before  int // requests that are served before; then its first attempt comes to nothing
-	}{
-		"with a blank line behind it":      {get("a") + "\r\n", 0},
-		"with another request behind it":   {get("a") + get("b"), 0},
-		"between two attempts":             {get("a") + "\r\n", 12},
-		"with its long body half sent":     {long + strings.Repeat("x", 90000), 0},
-		"with its long body sent and more": {long + strings.Repeat("x", 120002), 0},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			r := newRig(t, 2, true, func(settings map[string]any) { settings["Limits"].(map[string]any)["Probes"] = false })
-			accepted := make(chan net.Conn, 64)
-			go func() {
-				for {
-					select {
-					case c := <-r.accepts:
-						accepted <- c
-						r.pass <- c
-					case <-r.Context().Done():
-						return
-					}
-				}
-			}()
-			want := []string{"z"}
-			stop := r.let(tc.before > 0)
-			for i := range tc.before {
-				r.served(fmt.Sprint(i))
-				want = append(want, fmt.Sprint(i))
-				<-accepted
-				wait(r, "the end of a connection", r.closed)
-			}
-			if tc.before > 0 {
-				want = append(want, "a")
-				r.decline(tc.before+1, stop)
-			}
-			c := r.consumer(tc.message)
-			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
-			held := wait(r, "the connection to a provider", r.dials)
-			c.CloseWrite()
-			for !s.Left() {
-				time.Sleep(time.Millisecond)
-			}
-			close(held)
-			wait(r, "the end of a connection whose consumer has left", r.closed)
-			r.let(true)
-			r.served("z")
-			counts := r.end(2)
-			r.check(want, counts, 1, tc.before+1)
-		})
-	}
+func get(id string) string {
+	return "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Deadline: 60\r\n\r\n"
 }
