--- a/Makefile
+++ b/Makefile
@@ -32,7 +32,7 @@
 	go test -run '^$$' -fuzz FuzzRequest -fuzztime 30s ./internal/http1
 	go test -run '^$$' -fuzz FuzzResponse -fuzztime 30s ./internal/http1
 	go test -run '^$$' -fuzz FuzzDecode -fuzztime 30s -fuzzminimizetime 2s ./internal/snapshot
-	go test -run '^$$' -fuzz FuzzDecode -fuzztime 30s ./internal/handover
+	go test -run '^$$' -fuzz FuzzDecode -fuzztime 30s ./internal/hotrestart
 
 # What calls and hops cost, and how long until service is back: see docs/operate/measuring.md.
 bench:
