--- a/balancer_test.go
+++ b/balancer_test.go
@@ -29,14 +29,14 @@
 		t.Fatal(err)
 	}
 	o := plankrouter.Options{
-		Seed: 1, Sockets: plankrouter.NewSockets(64, net.Dial), Probes: true,
+		Seed: 1, ConnectionLimit: plankrouter.NewConnectionLimit(64, net.Dial), Probes: true,
 		Classes: []plankrouter.Class{
 			{Name: "tile", LatencyObjective: 750 * ms, Deadline: 2500 * ms},
-			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 5, Repeat: plankrouter.Once},
+			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 5, Idempotency: plankrouter.NonIdempotent},
 		},
 	}
 	for _, p := range f.Providers {
-		o.Members = append(o.Members, plankrouter.Member{ID: p.ID(), Address: p.Address()})
+		o.Endpoints = append(o.Endpoints, plankrouter.Endpoint{ID: p.ID(), Address: p.Address()})
 	}
 	if edit != nil {
 		edit(&o)
@@ -69,7 +69,7 @@
 		if _, err := b.Do(t.Context(), &plankrouter.Request{}); !errors.Is(err, plankrouter.ErrClosed) {
 			t.Errorf("after Close: %v", err)
 		}
-		if s := b.Stats(); s.Taken != 31 || s.Served != 31 || s.Connections != 0 {
+		if s := b.Stats(); s.Accepted != 31 || s.Served != 31 || s.Connections != 0 {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -81,8 +81,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var got atomic.Int32
 		b, err := plankrouter.New(plankrouter.Options{
-			Members: []plankrouter.Member{{Address: "s:1"}},
-			Sockets: plankrouter.NewSockets(8, func(context.Context, string) (net.Conn, error) {
+			Endpoints: []plankrouter.Endpoint{{Address: "s:1"}},
+			ConnectionLimit: plankrouter.NewConnectionLimit(8, func(context.Context, string) (net.Conn, error) {
 				mine, theirs := net.Pipe()
 				go func() {
 					n, _ := theirs.Read(make([]byte, 1))
--- a/bench_test.go
+++ b/bench_test.go
@@ -35,9 +35,9 @@
 	for _, callers := range []int{1, 64, 1024} {
 		for _, probes := range []bool{false, true} {
 			b.Run(fmt.Sprintf("library/probes=%t/callers=%d", probes, callers), func(b *testing.B) {
-				o := plankrouter.Options{Probes: probes, Sockets: plankrouter.NewSockets(4096, nil)}
+				o := plankrouter.Options{Probes: probes, ConnectionLimit: plankrouter.NewConnectionLimit(4096, nil)}
 				for _, a := range children.Addresses {
-					o.Members = append(o.Members, plankrouter.Member{Address: a})
+					o.Endpoints = append(o.Endpoints, plankrouter.Endpoint{Address: a})
 				}
 				lib, err := plankrouter.New(o)
 				if err != nil {
@@ -105,7 +105,7 @@
 		for i := range all {
 			o := plankrouter.Options{Name: fmt.Sprint("b", i)}
 			for s := range 8 {
-				o.Members = append(o.Members, plankrouter.Member{Address: fmt.Sprintf("127.0.0.1:%d", 1+s)})
+				o.Endpoints = append(o.Endpoints, plankrouter.Endpoint{Address: fmt.Sprintf("127.0.0.1:%d", 1+s)})
 			}
 			var err error
 			if all[i], err = plankrouter.New(o); err != nil {
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -35,12 +35,12 @@
 // usual are options that most tests start from: two classes, a long wait for connections, and the providers by their
 // names.
 func usual(all ...*provider) plankrouter.Options {
-	o := plankrouter.Options{Name: "n1", Seed: 1, Connect: 10 * time.Second, Classes: []plankrouter.Class{
+	o := plankrouter.Options{Name: "n1", Seed: 1, ConnectTimeout: 10 * time.Second, Classes: []plankrouter.Class{
 		{Name: "tile", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second},
-		{Name: "order", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, Repeat: plankrouter.Once},
+		{Name: "order", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, Idempotency: plankrouter.NonIdempotent},
 	}}
 	for _, p := range all {
-		o.Members = append(o.Members, plankrouter.Member{ID: p.name, Address: p.address})
+		o.Endpoints = append(o.Endpoints, plankrouter.Endpoint{ID: p.name, Address: p.address})
 	}
 	return o
 }
@@ -135,7 +135,7 @@
 				if word[0] == '+' {
 					o := usual(h.p)
 					if word == "+a" {
-						o.Attempts, o.Classes = 1, o.Classes[:1]
+						o.MaxAttempts, o.Classes = 1, o.Classes[:1]
 					}
 					h.b = balancer(t, o)
 				} else {
@@ -154,7 +154,7 @@
 			}
 			for name, h := range sides {
 				s := h.b.Stats()
-				if s.Taken != h.asked || s.Served != h.asked || s.Attempts != h.asked || s.Connections != 0 ||
+				if s.Accepted != h.asked || s.Served != h.asked || s.Attempts != h.asked || s.Connections != 0 ||
 					len(h.p.seen()) != h.asked {
 					t.Errorf("%s was asked %d times, its server %d: %+v", name, h.asked, len(h.p.seen()), s)
 				}
@@ -253,10 +253,10 @@
 	quiet, loud := new(lines), new(lines)
 	a, b := usual(all[0]), usual(all[1])
 	a.Logger, b.Logger = slog.New(quiet), slog.New(loud)
-	b.Sockets = plankrouter.NewSockets(1, nil)
+	b.ConnectionLimit = plankrouter.NewConnectionLimit(1, nil)
 	one, two := half{b: balancer(t, a), p: all[0]}, half{b: balancer(t, b), p: all[1]}
 	two.hold(t)
-	var refused *plankrouter.RefusedError
+	var refused *plankrouter.RejectedError
 	if err := two.ask("other"); !errors.As(err, &refused) {
 		t.Errorf("beyond its limit of one connection: %v", err)
 	}
@@ -312,7 +312,7 @@
 
 // dials returns the options with a dial function of the test's own.
 func dials(o plankrouter.Options, dial func(context.Context, string) (net.Conn, error)) plankrouter.Options {
-	o.Sockets = plankrouter.NewSockets(64, dial)
+	o.ConnectionLimit = plankrouter.NewConnectionLimit(64, dial)
 	return o
 }
 
@@ -326,7 +326,7 @@
 				closed <- b.Load().Close(ctx)
 				return nil, errors.New("it is closed")
 			})
-			o.Connect = 200 * time.Millisecond // after which nobody waits for the dial function: the close can end
+			o.ConnectTimeout = 200 * time.Millisecond // after which nobody waits for the dial function: the close can end
 			b.Store(balancer(t, o))
 			answer := later(t, func() error {
 				_, err := b.Load().Do(context.Background(), &plankrouter.Request{Class: "order"})
@@ -383,10 +383,10 @@
 		}
 		panic("in the dial function")
 	})
-	o.Connect = 2 * time.Second // only what is late has to pass it
+	o.ConnectTimeout = 2 * time.Second // only what is late has to pass it
 	h := half{p: all[0], b: balancer(t, o)}
 	h.hold(t) // a call of its own connection, which must not notice
-	var refused *plankrouter.RefusedError
+	var refused *plankrouter.RejectedError
 	for _, s := range []string{"panics", "exits", "late"} {
 		set(s)
 		if err := h.ask(s); !errors.As(err, &refused) {
@@ -422,7 +422,7 @@
 			}
 			must(t, await(t.Context(), first))
 			must(t, await(t.Context(), func() bool { return first() && log.count() > 1 })) // and goes on being told
-			must(t, b.Update(plankrouter.Member{Address: p.address}))
+			must(t, b.Update(plankrouter.Endpoint{Address: p.address}))
 			if _, err := b.Do(t.Context(), &plankrouter.Request{}); err != nil {
 				t.Error(err)
 			}
@@ -438,7 +438,7 @@
 		p.own.add(deed{word: "silent"}, 5000)
 	}
 	o := usual(all...)
-	o.Probes, o.Sockets = true, plankrouter.NewSockets(2000, nil)
+	o.Probes, o.ConnectionLimit = true, plankrouter.NewConnectionLimit(2000, nil)
 	b := balancer(t, o)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -457,10 +457,10 @@
 		err := later(t, func() error { return <-outcomes })()
 		kinds[fmt.Sprintf("%T", err)]++
 	}
-	if n := kinds["*plankrouter.CancelledError"] + kinds["*plankrouter.RefusedError"]; n != callers {
+	if n := kinds["*plankrouter.CancelledError"] + kinds["*plankrouter.RejectedError"]; n != callers {
 		t.Errorf("%v", kinds)
 	}
-	if s := b.Stats(); s.Attempts > callers || s.Cancelled+s.Refused != callers {
+	if s := b.Stats(); s.Attempts > callers || s.Cancelled+s.Rejected != callers {
 		t.Errorf("%+v", s)
 	}
 	must(t, await(t.Context(), func() bool { // no connection is left that carried one of them
@@ -485,15 +485,15 @@
 			for n := range 100 {
 				switch i % 6 {
 				case 0:
-					b.Update(plankrouter.Member{ID: "s-1", Address: all[0].address, Phase: plankrouter.Phase(n % 3)})
+					b.Update(plankrouter.Endpoint{ID: "s-1", Address: all[0].address, Phase: plankrouter.Phase(n % 3)})
 				case 1:
-					b.Replace(o.Members...)
+					b.Replace(o.Endpoints...)
 				case 2:
 					b.Stats()
 					b.Ready()
 				default:
 					_, err := b.Do(t.Context(), &plankrouter.Request{Class: "order", Method: "POST"})
-					var refused *plankrouter.RefusedError // as when all are being replaced
+					var refused *plankrouter.RejectedError // as when all are being replaced
 					if err != nil && !errors.As(err, &refused) && !errors.Is(err, plankrouter.ErrClosed) {
 						t.Error(err)
 					}
@@ -505,7 +505,7 @@
 		})
 	}
 	wait.Wait()
-	if s := b.Stats(); s.Taken != s.Served+s.Refused || s.Connections != 0 {
+	if s := b.Stats(); s.Accepted != s.Served+s.Rejected || s.Connections != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -61,7 +61,7 @@
 	var classes []fakes.Class
 	for _, c := range d.set.classes {
 		classes = append(classes, fakes.Class{
-			Name: c.Name, Safe: c.Repeat == plankrouter.Safe, Aim: c.LatencyObjective,
+			Name: c.Name, Safe: c.Idempotency == plankrouter.Idempotent, Aim: c.LatencyObjective,
 			Deadline: c.Deadline, Worth: c.PriorityWeight,
 		})
 	}
@@ -75,12 +75,12 @@
 			set["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.advice)
 			set["OverShareWorth"] = s.over
 			set["Safety"] = map[string]any{
-				"StartCapacity": s.cold.Share, "WarmWithinMs": ms(s.cold.Within),
-				"TipMultiple": s.cold.Multiple, "FallMs": ms(s.cold.Window), "DrainGraceMs": ms(s.grace),
+				"StartCapacity": s.cold.StartCapacity, "WarmWithinMs": ms(s.cold.WarmUpTime),
+				"TipMultiple": s.cold.OverloadMultiple, "FallMs": ms(s.cold.OverloadWindow), "DrainGraceMs": ms(s.grace),
 			}
 			realms := []any{}
 			for _, t := range s.tenants {
-				realms = append(realms, map[string]any{"Name": t.Name, "QuotaPerS": t.PerSecond})
+				realms = append(realms, map[string]any{"Name": t.Name, "QuotaPerS": t.QuotaPerSecond})
 			}
 			set["Realms"] = realms
 		},
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -45,14 +45,14 @@
 	grace     time.Duration
 	advice    time.Duration // longest
 	over      float64       // worth of a request beyond its tenant's share
-	cold      plankrouter.ColdStart
+	cold      plankrouter.SlowStart
 	dir       string // for files
 }
 
 // once reports whether requests of the class must not run twice.
 func (s *settings) once(class string) bool {
 	return slices.ContainsFunc(s.classes, func(c plankrouter.Class) bool {
-		return c.Name == class && c.Repeat == plankrouter.Once
+		return c.Name == class && c.Idempotency == plankrouter.NonIdempotent
 	})
 }
 
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -23,12 +23,12 @@
 	l.set, l.ends = s, make(chan error, 1)
 	members := libraryMembers(s.members)
 	o := plankrouter.Options{
-		Name: "n1", Classes: s.classes, Tenants: s.tenants, Members: members, Probes: s.probes,
-		Attempts: s.attempts, Sockets: plankrouter.NewSockets(s.sockets, nil), Connect: s.connect, ConnIdle: s.connIdle,
-		DrainGrace: s.grace, Cold: s.cold, AdviceMost: s.advice, OverShare: s.over, Seed: 1,
+		Name: "n1", Classes: s.classes, Tenants: s.tenants, Endpoints: members, Probes: s.probes,
+		MaxAttempts: s.attempts, ConnectionLimit: plankrouter.NewConnectionLimit(s.sockets, nil), ConnectTimeout: s.connect, ServerIdleTimeout: s.connIdle,
+		DrainGrace: s.grace, SlowStart: s.cold, MaxRetryAfter: s.advice, OverQuotaWeight: s.over, Seed: 1,
 	}
 	if s.fed == "directory" {
-		o.Directory = s.directory.Address()
+		o.Discovery = s.directory.Address()
 	}
 	if l.b, err = plankrouter.New(o); err == nil && s.fed == "directory" {
 		err = told(l.ctx, s.directory)
@@ -36,13 +36,13 @@
 	return err
 }
 
-func libraryMembers(in []fakes.Member) (out []plankrouter.Member) {
+func libraryMembers(in []fakes.Member) (out []plankrouter.Endpoint) {
 	phases := map[string]plankrouter.Phase{
 		fakes.Serving: plankrouter.Serving, fakes.Draining: plankrouter.Draining,
 		fakes.Deleted: plankrouter.Gone,
 	}
 	for _, m := range in {
-		one := plankrouter.Member{ID: m.ID, Address: m.Address, Phase: phases[m.Phase]}
+		one := plankrouter.Endpoint{ID: m.ID, Address: m.Address, Phase: phases[m.Phase]}
 		if m.UpSince > 0 {
 			one.StartedAt = time.UnixMilli(m.UpSince)
 		}
@@ -106,7 +106,7 @@
 // would have been: a refusal if trying again is harmless, else a failure.
 func (l *library) outcome(r *request, err error) outcome {
 	var (
-		refusal *plankrouter.RefusedError
+		refusal *plankrouter.RejectedError
 		failure *plankrouter.FailedError
 		given   *plankrouter.CancelledError
 		request *plankrouter.RequestError
@@ -134,7 +134,7 @@
 	return outcome{word: fmt.Sprintf("an error of no kind: %v", err)}
 }
 
-func (l *library) Taken() (int, error) { return l.b.Stats().Taken, nil }
+func (l *library) Taken() (int, error) { return l.b.Stats().Accepted, nil }
 
 func (l *library) Left() (int, error) {
 	n := l.b.Stats().Connections
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -86,7 +86,7 @@
 		for i, name := range []string{"tile", "order"} {
 			p.set.classes = append(p.set.classes, plankrouter.Class{
 				Name: name, LatencyObjective: time.Minute,
-				Deadline: 2 * time.Minute, PriorityWeight: 1, Repeat: plankrouter.Repeat(i),
+				Deadline: 2 * time.Minute, PriorityWeight: 1, Idempotency: plankrouter.Idempotency(i),
 			})
 		}
 	}
@@ -144,7 +144,7 @@
 	case "class":
 		c := plankrouter.Class{Name: plain[1], PriorityWeight: 1}
 		if plain[2] == "once" {
-			c.Repeat = plankrouter.Once
+			c.Idempotency = plankrouter.NonIdempotent
 		}
 		worth, err := strconv.ParseFloat(cmp.Or(o.get("worth"), "1"), 64)
 		c.PriorityWeight = worth
@@ -153,7 +153,7 @@
 			duration(o, "deadline", &p.set.classes[len(p.set.classes)-1].Deadline))
 	case "tenant":
 		rate, err := strconv.ParseFloat(plain[2], 64)
-		p.set.tenants = append(p.set.tenants, plankrouter.Tenant{Name: plain[1], PerSecond: rate})
+		p.set.tenants = append(p.set.tenants, plankrouter.Tenant{Name: plain[1], QuotaPerSecond: rate})
 		return err
 	case "set":
 		return p.settings(o)
@@ -190,8 +190,8 @@
 		case "over":
 			s.over, err = strconv.ParseFloat(one.value, 64)
 		case "cold":
-			s.cold = plankrouter.ColdStart{Within: time.Hour, Multiple: 4, Window: 3 * time.Second}
-			s.cold.Share, err = strconv.ParseFloat(one.value, 64)
+			s.cold = plankrouter.SlowStart{WarmUpTime: time.Hour, OverloadMultiple: 4, OverloadWindow: 3 * time.Second}
+			s.cold.StartCapacity, err = strconv.ParseFloat(one.value, 64)
 		default:
 			err = fmt.Errorf("there is no setting %q", one.key)
 		}
@@ -628,7 +628,7 @@
 		slices.Sort(all)
 		lines = []string{"all saw " + list(fold(all))}
 	}
-	if slices.ContainsFunc(p.set.classes, func(c plankrouter.Class) bool { return c.Repeat == plankrouter.Once }) {
+	if slices.ContainsFunc(p.set.classes, func(c plankrouter.Class) bool { return c.Idempotency == plankrouter.NonIdempotent }) {
 		slices.Sort(orders)
 		lines = append(lines, "orders run "+list(fold(orders)))
 	}
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -276,13 +276,13 @@
 		t.Error("the context does not say what it was given")
 	}
 	o = usual()
-	o.AdviceMost, o.Tenants = 2100*time.Millisecond, []plankrouter.Tenant{{Name: "acme", PerSecond: 1e-6}}
+	o.MaxRetryAfter, o.Tenants = 2100*time.Millisecond, []plankrouter.Tenant{{Name: "acme", QuotaPerSecond: 1e-6}}
 	tr := &plankrouter.Transport{Balancer: balancer(t, o), Class: "tile"}
-	var refused *plankrouter.RefusedError
+	var refused *plankrouter.RejectedError
 	for range 6 { // its first five use up the share
 		_, err = tr.RoundTrip((&http.Request{URL: to}).WithContext(plankrouter.WithTenant(t.Context(), "acme")))
 	}
-	if !errors.As(err, &refused) || refused.RetryAfter != o.AdviceMost {
+	if !errors.As(err, &refused) || refused.RetryAfter != o.MaxRetryAfter {
 		t.Errorf("a tenant beyond its share: %v", err)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -29,9 +29,9 @@
 	b, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{
 			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Repeat: plankrouter.Once},
+			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Idempotency: plankrouter.NonIdempotent},
 		},
-		Members: []plankrouter.Member{{Address: address}},
+		Endpoints: []plankrouter.Endpoint{{Address: address}},
 	})
 	if err != nil {
 		fmt.Println(err)
@@ -39,12 +39,12 @@
 	}
 	defer b.Close(context.Background())
 
-	answer, err := b.Do(context.Background(), &plankrouter.Request{Class: "tile", Target: "/tile/roma?z=3"})
+	response, err := b.Do(context.Background(), &plankrouter.Request{Class: "tile", Target: "/tile/roma?z=3"})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	fmt.Printf("%d %s\n", answer.Status, answer.Body)
+	fmt.Printf("%d %s\n", response.Status, response.Body)
 	// Output: 200 s-1: GET /tile/roma?z=3
 }
 
@@ -55,14 +55,14 @@
 	})
 	fmt.Println(err)
 
-	var bad *plankrouter.OptionError
-	fmt.Println(errors.As(err, &bad), bad.Option)
+	var invalid *plankrouter.OptionError
+	fmt.Println(errors.As(err, &invalid), invalid.Option)
 	// Output:
 	// plankrouter: Classes[0].Deadline: 500ms is shorter than the latency objective, 1s
 	// true Classes[0].Deadline
 }
 
-// Every call ends in an answer or in an error that says what the caller must know.
+// Every call ends in a response or in an error that says what the application must know.
 func ExampleBalancer_Do() {
 	failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -71,9 +71,9 @@
 	b, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{{
 			Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second,
-			Repeat: plankrouter.Once,
+			Idempotency: plankrouter.NonIdempotent,
 		}},
-		Members: []plankrouter.Member{{Address: failing.Listener.Addr().String()}},
+		Endpoints: []plankrouter.Endpoint{{Address: failing.Listener.Addr().String()}},
 	})
 	if err != nil {
 		fmt.Println(err)
@@ -83,20 +83,20 @@
 	order := func(ctx context.Context, class string) {
 		_, err := b.Do(ctx, &plankrouter.Request{Class: class, Method: "POST", Target: "/order/7"})
 		var (
-			refused   *plankrouter.RefusedError
+			rejected  *plankrouter.RejectedError
 			failed    *plankrouter.FailedError
 			cancelled *plankrouter.CancelledError
 			request   *plankrouter.RequestError
 		)
 		switch {
-		case errors.As(err, &refused):
-			fmt.Println("trying again is harmless, in", refused.RetryAfter)
+		case errors.As(err, &rejected):
+			fmt.Println("trying again is harmless, in", rejected.RetryAfter)
 		case errors.As(err, &failed):
 			fmt.Println("failed; may have run:", failed.MayHaveRun)
 		case errors.As(err, &cancelled):
 			fmt.Println("given up; may have run:", cancelled.MayHaveRun, "because", cancelled.Cause)
 		case errors.As(err, &request):
-			fmt.Println("can't be sent:", request.Field, request.Why)
+			fmt.Println("can't be sent:", request.Field, request.Reason)
 		default: // ErrClosed, ErrDuplicate, ErrTooLarge
 			fmt.Println(err)
 		}
@@ -119,7 +119,7 @@
 func ExampleTransport() {
 	address, stop := server("s-1")
 	defer stop()
-	b, err := plankrouter.New(plankrouter.Options{Members: []plankrouter.Member{{Address: address}}})
+	b, err := plankrouter.New(plankrouter.Options{Endpoints: []plankrouter.Endpoint{{Address: address}}})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -147,49 +147,49 @@
 	// true Class
 }
 
-// An application that knows its servers itself tells the balancer of changes.
+// An application that knows its servers itself names them to the balancer as they change.
 func ExampleBalancer_Update() {
 	first, stopFirst := server("s-1")
 	defer stopFirst()
 	second, stopSecond := server("s-2")
 	defer stopSecond()
-	b, err := plankrouter.New(plankrouter.Options{Members: []plankrouter.Member{{ID: "s-1", Address: first}}})
+	b, err := plankrouter.New(plankrouter.Options{Endpoints: []plankrouter.Endpoint{{ID: "s-1", Address: first}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer b.Close(context.Background())
-	ask := func() {
-		answer, err := b.Do(context.Background(), &plankrouter.Request{Target: "/tile/roma"})
+	send := func() {
+		response, err := b.Do(context.Background(), &plankrouter.Request{Target: "/tile/roma"})
 		if err != nil {
 			fmt.Println(err)
 			return
 		}
-		fmt.Println(string(answer.Body))
+		fmt.Println(string(response.Body))
 	}
 
-	ask()
+	send()
 	if err := b.Update(
-		plankrouter.Member{ID: "s-1", Address: first, Phase: plankrouter.Draining},
-		plankrouter.Member{ID: "s-2", Address: second},
+		plankrouter.Endpoint{ID: "s-1", Address: first, Phase: plankrouter.Draining},
+		plankrouter.Endpoint{ID: "s-2", Address: second},
 	); err != nil {
 		fmt.Println(err)
 	}
-	ask()
+	send()
 	// Output:
 	// s-1: GET /tile/roma
 	// s-2: GET /tile/roma
 }
 
 // Two fleets of one application share a limit on connections.
-func ExampleNewSockets() {
-	both := plankrouter.NewSockets(8, nil)
+func ExampleNewConnectionLimit() {
+	both := plankrouter.NewConnectionLimit(8, nil)
 	for _, name := range []string{"tiles", "orders"} {
 		address, stop := server(name)
 		defer stop()
 		b, err := plankrouter.New(plankrouter.Options{
-			Name: name, Sockets: both,
-			Members: []plankrouter.Member{{Address: address}},
+			Name: name, ConnectionLimit: both,
+			Endpoints: []plankrouter.Endpoint{{Address: address}},
 		})
 		if err != nil {
 			fmt.Println(err)
--- a/logger.go
+++ b/logger.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// linesAhead is how many log lines may wait for an application's logger.
-const linesAhead = 256
+// maxWaitingLines is how many log lines may wait for an application's logger.
+const maxWaitingLines = 256
 
 // logger passes log lines on to an application's *slog.Logger from a goroutine of its own: one that is slow, panics or calls
 // back holds up nothing.
@@ -25,7 +25,7 @@
 	if name != "" {
 		to = to.With("balancer", name)
 	}
-	l.lines = make(chan string, linesAhead)
+	l.lines = make(chan string, maxWaitingLines)
 	go l.run(ctx, to)
 	return l
 }
@@ -41,7 +41,7 @@
 	for {
 		select {
 		case line := <-l.lines:
-			l.pass(to, line)
+			l.deliver(to, line)
 		case <-ctx.Done():
 			ended = true
 			return
@@ -49,7 +49,7 @@
 	}
 }
 
-func (l *logger) pass(to *slog.Logger, line string) {
+func (l *logger) deliver(to *slog.Logger, line string) {
 	defer func() {
 		if recover() != nil {
 			l.lost.Add(1)
--- a/middleware/errors.go
+++ b/middleware/errors.go
@@ -24,7 +24,7 @@
 //	503  it was refused: trying again is harmless; or the Balancer is closed
 //	504  its context's deadline has passed
 func Status(err error) int {
-	var refused *plankrouter.RefusedError
+	var refused *plankrouter.RejectedError
 	var request *plankrouter.RequestError
 	var panicked *PanicError
 	switch {
@@ -55,7 +55,7 @@
 // WriteError answers with err's Status, in plain words, and after a refusal with Retry-After: whole seconds, rounded
 // up.
 func WriteError(w http.ResponseWriter, _ *http.Request, err error) {
-	var refused *plankrouter.RefusedError
+	var refused *plankrouter.RejectedError
 	status := Status(err)
 	if status == http.StatusServiceUnavailable && errors.As(err, &refused) && refused.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(refused.RetryAfter.Seconds()))))
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -19,9 +19,9 @@
 	b, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{
 			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, Repeat: plankrouter.Once},
+			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, Idempotency: plankrouter.NonIdempotent},
 		},
-		Members: []plankrouter.Member{{Address: s.Listener.Addr().String()}},
+		Endpoints: []plankrouter.Endpoint{{Address: s.Listener.Addr().String()}},
 	})
 	if err != nil {
 		panic(err)
--- a/middleware/gin/example_test.go
+++ b/middleware/gin/example_test.go
@@ -21,7 +21,7 @@
 	}))
 	defer server.Close()
 	b, err := plankrouter.New(plankrouter.Options{
-		Members: []plankrouter.Member{{Address: server.Listener.Addr().String()}},
+		Endpoints: []plankrouter.Endpoint{{Address: server.Listener.Addr().String()}},
 	})
 	if err != nil {
 		fmt.Println(err)
--- a/middleware/handler.go
+++ b/middleware/handler.go
@@ -19,11 +19,11 @@
 // http.ErrAbortHandler, by which net/http ends the connection without a word; were it to return, net/http would make
 // that a 200.
 //
-// A class says whether its requests may run twice, not their method: where a class of Safe requests is served, route to
+// A class says whether its requests may run twice, not their method: where a class of idempotent requests is served, route to
 // it only methods that may run twice, as by the pattern "GET /tile/".
 func Handler(b *plankrouter.Balancer, o Options) (http.Handler, error) {
 	if b == nil {
-		return nil, &plankrouter.OptionError{Option: "Balancer", Why: "missing"}
+		return nil, &plankrouter.OptionError{Option: "Balancer", Reason: "missing"}
 	}
 	if err := o.check(); err != nil {
 		return nil, err
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -38,7 +38,7 @@
 		_, other := middleware.Middleware(c.set)
 		for _, err := range []error{one, other} {
 			var bad *plankrouter.OptionError
-			if !errors.As(err, &bad) || bad.Option != c.option || bad.Why == "" {
+			if !errors.As(err, &bad) || bad.Option != c.option || bad.Reason == "" {
 				t.Errorf("%+v: %v, want %s named", c.set, err, c.option)
 			}
 		}
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -112,12 +112,12 @@
 	defer server.Close()
 
 	o := plankrouter.Options{
-		Seed: 1, Sockets: plankrouter.NewSockets(16, net.Dial),
+		Seed: 1, ConnectionLimit: plankrouter.NewConnectionLimit(16, net.Dial),
 		Classes: []plankrouter.Class{
 			{Name: "tile", LatencyObjective: 750 * ms, Deadline: 2500 * ms},
-			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, Repeat: plankrouter.Once},
+			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, Idempotency: plankrouter.NonIdempotent},
 		},
-		Members: []plankrouter.Member{{Address: address}},
+		Endpoints: []plankrouter.Endpoint{{Address: address}},
 	}
 	if r.balancer != nil {
 		r.balancer(&o)
--- a/middleware/middlewaretest/rows.go
+++ b/middleware/middlewaretest/rows.go
@@ -44,12 +44,12 @@
 	}
 }
 
-func nobody(o *plankrouter.Options) { o.Members = nil }
+func nobody(o *plankrouter.Options) { o.Endpoints = nil }
 
 // beyond leaves the tenant acme a share that its first five requests use up.
 func beyond(o *plankrouter.Options) {
-	o.Members, o.AdviceMost = nil, 2100*ms
-	o.Tenants = []plankrouter.Tenant{{Name: "acme", PerSecond: 1e-6}}
+	o.Endpoints, o.MaxRetryAfter = nil, 2100*ms
+	o.Tenants = []plankrouter.Tenant{{Name: "acme", QuotaPerSecond: 1e-6}}
 }
 
 func cancelled(s plankrouter.Stats) bool { return s.Cancelled == 1 && s.Served == 0 }
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -91,7 +91,7 @@
 
 // check names the option that makes no sense.
 func (o *Options) check() error {
-	bad := func(option, why string) error { return &plankrouter.OptionError{Option: option, Why: why} }
+	bad := func(option, why string) error { return &plankrouter.OptionError{Option: option, Reason: why} }
 	seen := map[string]bool{}
 	for _, h := range []struct{ option, name string }{
 		{"TenantHeader", o.TenantHeader}, {"DeadlineHeader", o.DeadlineHeader}, {"IDHeader", o.IDHeader},
@@ -140,7 +140,7 @@
 		}
 		for i, v := range r.Header.Values(h.name) {
 			if i > 0 && v != *h.to {
-				return said, &plankrouter.RequestError{Field: h.name, Why: "given twice, with different values"}
+				return said, &plankrouter.RequestError{Field: h.name, Reason: "given twice, with different values"}
 			}
 			*h.to = v
 		}
@@ -149,8 +149,8 @@
 		s, bad := strconv.ParseFloat(within, 64)
 		if bad != nil || !(s > 0) || math.IsInf(s, 0) {
 			return said, &plankrouter.RequestError{
-				Field: o.DeadlineHeader,
-				Why:   fmt.Sprintf("%q is not a number of seconds above 0", within),
+				Field:  o.DeadlineHeader,
+				Reason: fmt.Sprintf("%q is not a number of seconds above 0", within),
 			}
 		}
 		said.within = max(1, time.Duration(min(s, longest.Seconds())*float64(time.Second)))
--- a/plankrouter.go
+++ b/plankrouter.go
@@ -1,24 +1,24 @@
-// Package plankrouter balances requests over the servers of a fleet from within an application, by the same core and the
-// same decisions as the plankrouter daemon: asynchronous Prequal over probed load, evidence from own outcomes, admission,
-// budgets for further attempts and for servers that have just started.
+// Package plankrouter balances requests over the servers of a fleet from within an application, by the dispatcher
+// and the policy of the plankrouter daemon: asynchronous Prequal over probed load, outlier detection, admission control, a retry
+// budget and slow start.
 //
 //	b, err := plankrouter.New(plankrouter.Options{
 //		Classes: []plankrouter.Class{
 //			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-//			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Repeat: plankrouter.Once},
+//			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Idempotency: plankrouter.NonIdempotent},
 //		},
-//		Members: []plankrouter.Member{{Address: "10.0.0.4:3000"}, {Address: "10.0.0.5:3000"}},
+//		Endpoints: []plankrouter.Endpoint{{Address: "10.0.0.4:3000"}, {Address: "10.0.0.5:3000"}},
 //	})
 //	...
 //	defer b.Close(ctx)
-//	answer, err := b.Do(ctx, &plankrouter.Request{Class: "tile", Method: "GET", Target: "/tile/roma?z=3"})
+//	response, err := b.Do(ctx, &plankrouter.Request{Class: "tile", Method: "GET", Target: "/tile/roma?z=3"})
 //
-// Each call of Do has exactly one outcome: an answer or an error, which says whether the request may have run. What it
-// promises beside that is what the daemon promises: one attempt out at a time; a request of a class that must not run twice
-// is sent again only where no earlier attempt can have run; nothing new to a server that drains once the grace is over.
+// Each call of Do has exactly one outcome: a response or an error, which says whether the request may have run. What it
+// promises beside that is what the daemon promises: one attempt in flight at a time; a request of a non-idempotent class is
+// sent again only where no earlier attempt can have run; nothing new reaches a draining server once the grace is over.
 //
-// Balancers share nothing with one another but what they are handed, and settle nothing for the process: no signal, no
-// default logger, no limit of the runtime.
+// Balancers share nothing with one another but a ConnectionLimit that several are given, and change nothing of the process: no
+// signal handler, no default logger, no limit of the runtime.
 package plankrouter
 
 import (
@@ -40,29 +40,29 @@
 	Body   []byte      // at most MaxBody
 }
 
-// Response is a server's answer.
+// Response is a server's response.
 type Response struct {
 	Status int // any but 5xx
 	Header http.Header
 	Body   []byte // at most MaxBody
 }
 
-// What calls may end in, beside an answer. RefusedError and FailedError come as pointers, to be told by errors.As.
+// The errors of Do that carry no details, for errors.Is. The others come as pointers to the types below, for errors.As.
 var (
 	ErrClosed    = errors.New("plankrouter: the balancer is closed")
-	ErrDuplicate = errors.New("plankrouter: a request of the same id is open")
+	ErrDuplicate = errors.New("plankrouter: a request with the same id is open")
 	ErrTooLarge  = fmt.Errorf("plankrouter: the body is larger than %d bytes", MaxBody)
 )
 
-// RefusedError says that the request was turned away, and that trying again is harmless.
-type RefusedError struct {
-	RetryAfter time.Duration // when that is worth it; 0 = not known
-	MayHaveRun bool          // only of a class that may run any number of times
+// RejectedError says that the request was rejected, and that sending it again is harmless.
+type RejectedError struct {
+	RetryAfter time.Duration // after which that makes sense; 0 = not known
+	MayHaveRun bool          // only of an idempotent class
 }
 
 // FailedError says that the request was given up.
 type FailedError struct {
-	MayHaveRun bool // an attempt may have run, or may yet: of a class that must not run twice it must not be sent again
+	MayHaveRun bool // an attempt may have run, or may yet: a request of a non-idempotent class must not be sent again then
 }
 
 // CancelledError says that the context ended first. It wraps the context's error.
@@ -73,21 +73,21 @@
 
 // RequestError is a request that can't be sent as it is.
 type RequestError struct {
-	Field string // its name, such as "Class"
-	Why   string
+	Field  string // its name, such as "Class"
+	Reason string
 }
 
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	if e.RetryAfter > 0 {
-		return fmt.Sprintf("plankrouter: refused, come back in %s", e.RetryAfter)
+		return fmt.Sprintf("plankrouter: rejected, retry after %s", e.RetryAfter)
 	}
-	return "plankrouter: refused"
+	return "plankrouter: rejected"
 }
 
-func (e *FailedError) Error() string { return "plankrouter: failed, " + ran(e.MayHaveRun) }
+func (e *FailedError) Error() string { return "plankrouter: failed, " + describeRun(e.MayHaveRun) }
 
 func (e *CancelledError) Error() string {
-	return fmt.Sprintf("plankrouter: %v, %s", e.Cause, ran(e.MayHaveRun))
+	return fmt.Sprintf("plankrouter: %v, %s", e.Cause, describeRun(e.MayHaveRun))
 }
 
 // Timeout reports whether it was the context's deadline that passed, as net.Error does.
@@ -96,10 +96,11 @@
 // Unwrap returns the context's error.
 func (e *CancelledError) Unwrap() error { return e.Cause }
 
-func (e *RequestError) Error() string { return "plankrouter: request: " + e.Field + ": " + e.Why }
+func (e *RequestError) Error() string { return "plankrouter: request: " + e.Field + ": " + e.Reason }
 
-func ran(may bool) string {
-	if may {
+// describeRun words MayHaveRun for an error's message.
+func describeRun(mayHaveRun bool) string {
+	if mayHaveRun {
 		return "the request may have run"
 	}
 	return "the request has not run"
--- a/transport.go
+++ b/transport.go
@@ -10,12 +10,12 @@
 	"strconv"
 )
 
-// Transport is an http.RoundTripper that sends requests through a Balancer, whatever host their URL names; that goes along as
+// Transport is an http.RoundTripper that sends requests through a Balancer, whatever host their URL names; the URL's host goes along as
 // the Host. Only http URLs are taken: there is no TLS to the servers.
 //
 // The class and the tenant of a request are those that WithClass and WithTenant put into its context, else those of the
-// Transport. A request of a class that must not run twice is never sent again by a Transport, and a redirect that would make
-// http.Client send it again (307, 308) fails it.
+// Transport. A request of a non-idempotent class is never sent again by a Transport, and a redirect that would make http.Client
+// send it again (307, 308) fails it.
 type Transport struct {
 	Balancer      *Balancer
 	Class, Tenant string
@@ -38,10 +38,10 @@
 	return context.WithValue(ctx, tenantKey, tenant)
 }
 
-// ClassOf and TenantOf return what WithClass and WithTenant have put into ctx; "" = nothing.
+// ClassOf returns the class that WithClass has put into ctx; "" = none.
 func ClassOf(ctx context.Context) string { return valueOf(ctx, classKey) }
 
-// TenantOf is ClassOf for the tenant.
+// TenantOf returns the tenant that WithTenant has put into ctx; "" = none.
 func TenantOf(ctx context.Context) string { return valueOf(ctx, tenantKey) }
 
 func valueOf(ctx context.Context, key contextKey) string {
@@ -49,57 +49,55 @@
 	return s
 }
 
-// RoundTrip sends the request and returns the answer, whose body is there as a whole. It closes the request's body in every
+// RoundTrip sends the request and returns the response, whose body is there as a whole. It closes the request's body in every
 // case, and neither changes nor keeps the request. Errors are those of Do, and one of a body that can't be read.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	r, err := t.word(req)
+	r, err := t.toRequest(req)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := t.Balancer.Do(req.Context(), r)
+	response, err := t.Balancer.Do(req.Context(), r)
 	if err != nil {
 		return nil, err
 	}
-	if again := answer.Status == http.StatusTemporaryRedirect || answer.Status == http.StatusPermanentRedirect; again &&
-		t.Balancer.once(r.Class) {
+	repeats := response.Status == http.StatusTemporaryRedirect || response.Status == http.StatusPermanentRedirect
+	if repeats && t.Balancer.isNonIdempotent(r.Class) {
 		return nil, fmt.Errorf("a redirect would send a request of class %q again: %w", r.Class, &FailedError{MayHaveRun: true})
 	}
+	return response.toHTTP(req), nil
+}
+
+// toHTTP converts the response to req.
+func (r *Response) toHTTP(req *http.Request) *http.Response {
 	resp := &http.Response{
-		StatusCode: answer.Status, Status: fmt.Sprintf("%d %s", answer.Status, http.StatusText(answer.Status)),
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: answer.Header, ContentLength: int64(len(answer.Body)),
-		Body: io.NopCloser(bytes.NewReader(answer.Body)), Request: req,
+		StatusCode: r.Status, Status: fmt.Sprintf("%d %s", r.Status, http.StatusText(r.Status)),
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.Header, ContentLength: int64(len(r.Body)),
+		Body: io.NopCloser(bytes.NewReader(r.Body)), Request: req,
 	}
-	if len(answer.Body) == 0 {
+	if len(r.Body) == 0 {
 		resp.Body = http.NoBody
 	}
-	if length := answer.Header.Get("Content-Length"); length != "" { // of an answer to HEAD, which has no body
+	if length := r.Header.Get("Content-Length"); length != "" { // of a response to HEAD, which has no body
 		if n, err := strconv.ParseInt(length, 10, 64); err == nil {
 			resp.ContentLength = n
 		}
 	}
-	return resp, nil
+	return resp
 }
 
-// word reads the request, and closes its body.
-func (t *Transport) word(req *http.Request) (*Request, error) {
-	var body []byte
-	var err error
-	switch {
-	case req.URL == nil:
-		err = &RequestError{"URL", "missing"}
-	case req.URL.Scheme != "http":
-		err = &RequestError{"URL.Scheme", fmt.Sprintf("%q: only http is served", req.URL.Scheme)}
-	case req.ContentLength > MaxBody:
-		err = ErrTooLarge
-	}
-	if err != nil {
+// toRequest converts the request, and closes its body.
+func (t *Transport) toRequest(req *http.Request) (*Request, error) {
+	if err := checkSendable(req); err != nil {
 		if req.Body != nil {
 			req.Body.Close()
 		}
 		return nil, err
 	}
+	ctx := req.Context()
+	var body []byte
 	if req.Body != nil && req.Body != http.NoBody {
-		if body, err = readBody(req.Context(), req.Body); err != nil {
+		var err error
+		if body, err = readBody(ctx, req.Body); err != nil {
 			return nil, err
 		}
 		if len(body) > MaxBody {
@@ -114,11 +112,24 @@
 		header["Host"] = []string{host}
 	}
 	return &Request{
-		Class: cmp.Or(ClassOf(req.Context()), t.Class), Tenant: cmp.Or(TenantOf(req.Context()), t.Tenant),
+		Class: cmp.Or(ClassOf(ctx), t.Class), Tenant: cmp.Or(TenantOf(ctx), t.Tenant),
 		Method: req.Method, Target: req.URL.RequestURI(), Header: header, Body: body,
 	}, nil
 }
 
+// checkSendable returns an error for what a Transport can't send, before the body is read.
+func checkSendable(req *http.Request) error {
+	switch {
+	case req.URL == nil:
+		return &RequestError{"URL", "missing"}
+	case req.URL.Scheme != "http":
+		return &RequestError{"URL.Scheme", fmt.Sprintf("%q: only http is served", req.URL.Scheme)}
+	case req.ContentLength > MaxBody:
+		return ErrTooLarge
+	}
+	return nil
+}
+
 // readBody reads a body to its end, or to more than MaxBody, until ctx ends: whoever still writes it must not hold this
 // up, and neither its Close need end a read, nor a read let it close.
 func readBody(ctx context.Context, from io.ReadCloser) ([]byte, error) {
@@ -147,6 +158,3 @@
 		return nil, &CancelledError{Cause: ctx.Err()}
 	}
 }
-
-// once reports whether the class must not run twice.
-func (b *Balancer) once(class string) bool { return b.set.Classes[b.classes[class]].Repeat == Once }
