--- /dev/null
+++ b/internal/http1/body.go
@@ -0,0 +1,198 @@
+package http1
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strconv"
+	"strings"
+)
+
+// framing says how long a body is.
+type framing struct {
+	chunked, sized bool
+	length         int64
+}
+
+// frame decides on the framing. What two readers could take differently is malformed: that is how one
+// request is smuggled inside another.
+func frame(h Header) (f framing, err error) {
+	coding, coded, err := h.Only("Transfer-Encoding")
+	if err != nil {
+		return f, err
+	}
+	length, sized, err := h.Only("Content-Length")
+	switch {
+	case err != nil:
+		return f, err
+	case coded && sized:
+		return f, fmt.Errorf("%w: both Transfer-Encoding and Content-Length", ErrMalformed)
+	case coded && !strings.EqualFold(coding, "chunked"):
+		return f, fmt.Errorf("%w: transfer coding", ErrMalformed)
+	case coded:
+		f.chunked = true
+	case sized:
+		f.sized = true
+		if f.length, err = number(length, 10, MaxLong); err != nil {
+			return f, err
+		}
+	}
+	return f, nil
+}
+
+// number reads an unsigned figure of at most most, digits only.
+func number(s string, base int, most int64) (int64, error) {
+	if s == "" || s[0] == '+' {
+		return 0, fmt.Errorf("%w: length", ErrMalformed)
+	}
+	n, err := strconv.ParseUint(s, base, 63)
+	switch {
+	case errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(most):
+		return 0, ErrTooLarge
+	case err != nil:
+		return 0, fmt.Errorf("%w: length", ErrMalformed)
+	}
+	return int64(n), nil
+}
+
+func (f framing) body(br *bufio.Reader, toEOF bool) *Body {
+	return &Body{br: br, framing: f, left: f.length, toEOF: toEOF && !f.chunked && !f.sized}
+}
+
+// Body reads a message's body as it comes, without its framing. It ends with io.EOF once it was whole; any other error says
+// that it will never be.
+type Body struct {
+	br *bufio.Reader
+	framing
+	toEOF bool
+	left  int64 // of the body, or of the present chunk
+	inner bool  // in a chunk, whose end is still to come
+	total int64
+	err   error
+}
+
+// Length is what is left of the body; -1 = that is not known.
+func (b *Body) Length() int64 {
+	if b.chunked || b.toEOF {
+		return -1
+	}
+	return b.left
+}
+
+// Read reads what is there, and waits where nothing is.
+func (b *Body) Read(p []byte) (int, error) {
+	if b.err == nil && b.left == 0 && !b.toEOF {
+		b.err = io.EOF
+		if b.chunked {
+			b.err = b.nextChunk()
+		}
+	}
+	if b.err != nil {
+		return 0, b.err
+	}
+	if !b.toEOF && int64(len(p)) > b.left {
+		p = p[:b.left]
+	}
+	n, err := b.br.Read(p)
+	if b.total += int64(n); b.total > MaxLong {
+		err = ErrTooLarge
+	}
+	if !b.toEOF {
+		b.left -= int64(n)
+		err = cutShort(err)
+	}
+	if b.chunked || !errors.Is(err, os.ErrDeadlineExceeded) { // else who reads on goes on where it was
+		b.err = err
+	}
+	return n, err
+}
+
+// nextChunk reads up to the next chunk's first byte, or up to the body's end, which is io.EOF.
+func (b *Body) nextChunk() error {
+	if b.inner {
+		if line, err := readLine(b.br); err != nil || line != "" {
+			return cmpErr(err, "chunk end")
+		}
+		b.inner = false
+	}
+	line, err := readLine(b.br)
+	if err != nil {
+		return cutShort(err)
+	}
+	size, _, _ := strings.Cut(line, ";")
+	if b.left, err = number(strings.TrimRight(size, " \t"), 16, MaxLong); err != nil {
+		return err
+	}
+	if b.inner = b.left > 0; b.inner {
+		return nil
+	}
+	if _, err = readHeader(b.br); err != nil { // trailers are not passed on
+		return err
+	}
+	return io.EOF
+}
+
+// first reads the first most bytes; rest is nil if they are all.
+func (b *Body) first(most int) (body []byte, rest *Body, err error) {
+	if n := b.Length(); n > 0 {
+		body = make([]byte, 0, min(n, int64(most)))
+	}
+	for {
+		if b.Length() == 0 {
+			return body, nil, nil
+		}
+		if len(body) >= most {
+			if most > 0 && b.Length() < 0 { // it may have ended just here
+				if err := b.peek(); err == io.EOF {
+					return body, nil, nil
+				} else if err != nil {
+					return body, nil, err
+				}
+			}
+			return body, b, nil
+		}
+		if len(body) == cap(body) {
+			grown := make([]byte, len(body), min(max(most, 1), max(512, 2*cap(body))))
+			copy(grown, body)
+			body = grown
+		}
+		n, err := b.Read(body[len(body):min(cap(body), max(most, 1))])
+		body = body[:len(body)+n]
+		if err == io.EOF {
+			return body, nil, nil
+		}
+		if err != nil {
+			return body, nil, err
+		}
+	}
+}
+
+// peek waits for the next byte of the body, or for its end.
+func (b *Body) peek() error {
+	if b.err == nil && b.chunked && b.left == 0 {
+		b.err = b.nextChunk()
+	}
+	if b.err == nil {
+		_, b.err = b.br.Peek(1)
+		if !b.toEOF {
+			b.err = cutShort(b.err)
+		}
+	}
+	return b.err
+}
+
+func cmpErr(err error, what string) error {
+	if err != nil {
+		return cutShort(err)
+	}
+	return fmt.Errorf("%w: %s", ErrMalformed, what)
+}
+
+func cutShort(err error) error {
+	if err == io.EOF {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
--- /dev/null
+++ b/internal/http1/header.go
@@ -0,0 +1,104 @@
+package http1
+
+import (
+	"bufio"
+	"fmt"
+	"plankrouter/internal/field"
+	"strings"
+)
+
+// Field is one header line.
+type Field = field.Field
+
+// Header is a message's header lines in order.
+type Header []Field
+
+// Get returns the value of the first line of that name.
+func (h Header) Get(name string) string {
+	for _, f := range h {
+		if strings.EqualFold(f.Name, name) {
+			return f.Value
+		}
+	}
+	return ""
+}
+
+// Only returns the value of a name that must not be given twice with different values.
+func (h Header) Only(name string) (value string, given bool, err error) {
+	for _, f := range h {
+		if strings.EqualFold(f.Name, name) {
+			if given && f.Value != value {
+				return "", true, fmt.Errorf("%w: two different %s", ErrMalformed, name)
+			}
+			value, given = f.Value, true
+		}
+	}
+	return value, given, nil
+}
+
+// lists reports whether a comma-separated header holds the word.
+func (h Header) lists(name, word string) bool {
+	for _, f := range h {
+		if !strings.EqualFold(f.Name, name) {
+			continue
+		}
+		for part := range strings.SplitSeq(f.Value, ",") {
+			if strings.EqualFold(strings.Trim(part, " \t"), word) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// EndToEnd returns the lines that are meant for the far end: all but those of one connection or of framing,
+// and those that drop names.
+func (h Header) EndToEnd(drop func(name string) bool) []Field {
+	out := make([]Field, 0, len(h))
+	for _, f := range h {
+		if !hopByHop[strings.ToLower(f.Name)] && !h.lists("Connection", f.Name) && (drop == nil || !drop(f.Name)) {
+			out = append(out, f)
+		}
+	}
+	return out
+}
+
+var hopByHop = map[string]bool{
+	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true,
+	"proxy-authorization": true, "te": true, "trailer": true, "transfer-encoding": true, "upgrade": true,
+	"content-length": true, "expect": true, "host": true,
+}
+
+// ValidField reports whether a header line can be written as it is.
+func ValidField(name, value string) bool { return token(name) && text(value) }
+
+// ValidStart reports whether a request line can be written as it is.
+func ValidStart(method, target string) bool { return token(method) && visible(target) }
+
+func readHeader(br *bufio.Reader) (Header, error) {
+	var h Header
+	for size := 0; ; {
+		line, err := readLine(br)
+		if err != nil {
+			return nil, cutShort(err)
+		}
+		if line == "" {
+			return h, nil
+		}
+		name, value, ok := strings.Cut(line, ":")
+		value = strings.Trim(value, " \t")
+		if size += len(line); !ok || !token(name) || !text(value) || len(h) >= maxHeaders || size > maxHead {
+			return nil, fmt.Errorf("%w: header", ErrMalformed)
+		}
+		h = append(h, Field{Name: name, Value: value})
+	}
+}
+
+func count(h Header, name string) (n int) {
+	for _, f := range h {
+		if strings.EqualFold(f.Name, name) {
+			n++
+		}
+	}
+	return n
+}
