--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -16,9 +16,9 @@
 	length         int64
 }
 
-// frame decides on the framing. What two readers could take differently is malformed: that is how one
+// parseFraming decides on the framing. What two readers could take differently is malformed: that is how one
 // request is smuggled inside another.
-func frame(h Header) (f framing, err error) {
+func parseFraming(h Header) (f framing, err error) {
 	coding, coded, err := h.Only("Transfer-Encoding")
 	if err != nil {
 		return f, err
@@ -35,21 +35,21 @@
 		f.chunked = true
 	case sized:
 		f.sized = true
-		if f.length, err = number(length, 10, MaxLong); err != nil {
+		if f.length, err = parseLength(length, 10, MaxLong); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// number reads an unsigned figure of at most most, digits only.
-func number(s string, base int, most int64) (int64, error) {
+// parseLength reads an unsigned figure of at most most, digits only.
+func parseLength(s string, base int, limit int64) (int64, error) {
 	if s == "" || s[0] == '+' {
 		return 0, fmt.Errorf("%w: length", ErrMalformed)
 	}
 	n, err := strconv.ParseUint(s, base, 63)
 	switch {
-	case errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(most):
+	case errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(limit):
 		return 0, ErrTooLarge
 	case err != nil:
 		return 0, fmt.Errorf("%w: length", ErrMalformed)
@@ -57,25 +57,25 @@
 	return int64(n), nil
 }
 
-func (f framing) body(br *bufio.Reader, toEOF bool) *Body {
-	return &Body{br: br, framing: f, left: f.length, toEOF: toEOF && !f.chunked && !f.sized}
+func (f framing) newBody(reader *bufio.Reader, toEOF bool) *Body {
+	return &Body{reader: reader, framing: f, left: f.length, untilEOF: toEOF && !f.chunked && !f.sized}
 }
 
 // Body reads a message's body as it comes, without its framing. It ends with io.EOF once it was whole; any other error says
 // that it will never be.
 type Body struct {
-	br *bufio.Reader
+	reader *bufio.Reader
 	framing
-	toEOF bool
-	left  int64 // of the body, or of the present chunk
-	inner bool  // in a chunk, whose end is still to come
-	total int64
-	err   error
+	untilEOF    bool
+	left        int64 // of the body, or of the present chunk
+	insideChunk bool  // in a chunk, whose end is still to come
+	total       int64
+	err         error
 }
 
 // Length is what is left of the body; -1 = that is not known.
 func (b *Body) Length() int64 {
-	if b.chunked || b.toEOF {
+	if b.chunked || b.untilEOF {
 		return -1
 	}
 	return b.left
@@ -83,7 +83,7 @@
 
 // Read reads what is there, and waits where nothing is.
 func (b *Body) Read(p []byte) (int, error) {
-	if b.err == nil && b.left == 0 && !b.toEOF {
+	if b.err == nil && b.left == 0 && !b.untilEOF {
 		b.err = io.EOF
 		if b.chunked {
 			b.err = b.nextChunk()
@@ -92,16 +92,16 @@
 	if b.err != nil {
 		return 0, b.err
 	}
-	if !b.toEOF && int64(len(p)) > b.left {
+	if !b.untilEOF && int64(len(p)) > b.left {
 		p = p[:b.left]
 	}
-	n, err := b.br.Read(p)
+	n, err := b.reader.Read(p)
 	if b.total += int64(n); b.total > MaxLong {
 		err = ErrTooLarge
 	}
-	if !b.toEOF {
+	if !b.untilEOF {
 		b.left -= int64(n)
-		err = cutShort(err)
+		err = asUnexpectedEOF(err)
 	}
 	if b.chunked || !errors.Is(err, os.ErrDeadlineExceeded) { // else who reads on goes on where it was
 		b.err = err
@@ -111,31 +111,31 @@
 
 // nextChunk reads up to the next chunk's first byte, or up to the body's end, which is io.EOF.
 func (b *Body) nextChunk() error {
-	if b.inner {
-		if line, err := readLine(b.br); err != nil || line != "" {
+	if b.insideChunk {
+		if line, err := readLine(b.reader); err != nil || line != "" {
 			return cmpErr(err, "chunk end")
 		}
-		b.inner = false
+		b.insideChunk = false
 	}
-	line, err := readLine(b.br)
+	line, err := readLine(b.reader)
 	if err != nil {
-		return cutShort(err)
+		return asUnexpectedEOF(err)
 	}
 	size, _, _ := strings.Cut(line, ";")
-	if b.left, err = number(strings.TrimRight(size, " \t"), 16, MaxLong); err != nil {
+	if b.left, err = parseLength(strings.TrimRight(size, " \t"), 16, MaxLong); err != nil {
 		return err
 	}
-	if b.inner = b.left > 0; b.inner {
+	if b.insideChunk = b.left > 0; b.insideChunk {
 		return nil
 	}
-	if _, err = readHeader(b.br); err != nil { // trailers are not passed on
+	if _, err = readHeader(b.reader); err != nil { // trailers are not passed on
 		return err
 	}
 	return io.EOF
 }
 
-// first reads the first most bytes; rest is nil if they are all.
-func (b *Body) first(most int) (body []byte, rest *Body, err error) {
+// readFirst reads the first most bytes; rest is nil if they are all.
+func (b *Body) readFirst(most int) (body []byte, rest *Body, err error) {
 	if n := b.Length(); n > 0 {
 		body = make([]byte, 0, min(n, int64(most)))
 	}
@@ -145,7 +145,7 @@
 		}
 		if len(body) >= most {
 			if most > 0 && b.Length() < 0 { // it may have ended just here
-				if err := b.peek(); err == io.EOF {
+				if err := b.waitForMore(); err == io.EOF {
 					return body, nil, nil
 				} else if err != nil {
 					return body, nil, err
@@ -169,15 +169,15 @@
 	}
 }
 
-// peek waits for the next byte of the body, or for its end.
-func (b *Body) peek() error {
+// waitForMore waits for the next byte of the body, or for its end.
+func (b *Body) waitForMore() error {
 	if b.err == nil && b.chunked && b.left == 0 {
 		b.err = b.nextChunk()
 	}
 	if b.err == nil {
-		_, b.err = b.br.Peek(1)
-		if !b.toEOF {
-			b.err = cutShort(b.err)
+		_, b.err = b.reader.Peek(1)
+		if !b.untilEOF {
+			b.err = asUnexpectedEOF(b.err)
 		}
 	}
 	return b.err
@@ -185,12 +185,12 @@
 
 func cmpErr(err error, what string) error {
 	if err != nil {
-		return cutShort(err)
+		return asUnexpectedEOF(err)
 	}
 	return fmt.Errorf("%w: %s", ErrMalformed, what)
 }
 
-func cutShort(err error) error {
+func asUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -36,14 +36,14 @@
 	return value, given, nil
 }
 
-// lists reports whether a comma-separated header holds the word.
-func (h Header) lists(name, word string) bool {
+// hasListItem reports whether a comma-separated header holds the word.
+func (h Header) hasListItem(name, item string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
 			continue
 		}
 		for part := range strings.SplitSeq(f.Value, ",") {
-			if strings.EqualFold(strings.Trim(part, " \t"), word) {
+			if strings.EqualFold(strings.Trim(part, " \t"), item) {
 				return true
 			}
 		}
@@ -56,7 +56,7 @@
 func (h Header) EndToEnd(drop func(name string) bool) []Field {
 	out := make([]Field, 0, len(h))
 	for _, f := range h {
-		if !hopByHop[strings.ToLower(f.Name)] && !h.lists("Connection", f.Name) && (drop == nil || !drop(f.Name)) {
+		if !hopByHop[strings.ToLower(f.Name)] && !h.hasListItem("Connection", f.Name) && (drop == nil || !drop(f.Name)) {
 			out = append(out, f)
 		}
 	}
@@ -70,31 +70,31 @@
 }
 
 // ValidField reports whether a header line can be written as it is.
-func ValidField(name, value string) bool { return token(name) && text(value) }
+func ValidField(name, value string) bool { return isToken(name) && isText(value) }
 
 // ValidStart reports whether a request line can be written as it is.
-func ValidStart(method, target string) bool { return token(method) && visible(target) }
+func ValidStart(method, target string) bool { return isToken(method) && isVisible(target) }
 
-func readHeader(br *bufio.Reader) (Header, error) {
+func readHeader(reader *bufio.Reader) (Header, error) {
 	var h Header
 	for size := 0; ; {
-		line, err := readLine(br)
+		line, err := readLine(reader)
 		if err != nil {
-			return nil, cutShort(err)
+			return nil, asUnexpectedEOF(err)
 		}
 		if line == "" {
 			return h, nil
 		}
 		name, value, ok := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if size += len(line); !ok || !token(name) || !text(value) || len(h) >= maxHeaders || size > maxHead {
+		if size += len(line); !ok || !isToken(name) || !isText(value) || len(h) >= maxHeaderLines || size > maxHeaderBytes {
 			return nil, fmt.Errorf("%w: header", ErrMalformed)
 		}
 		h = append(h, Field{Name: name, Value: value})
 	}
 }
 
-func count(h Header, name string) (n int) {
+func countFields(h Header, name string) (n int) {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
 			n++
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -11,9 +11,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// messages reads a file of recorded messages: each starts with "--- VERDICT", the bytes follow as in the exchange
+// recordedMessages reads a file of recorded messages: each starts with "--- VERDICT", the bytes follow as in the exchange
 // files of cmd/plankrouter: CRLF for a line's end, none after a \.
-func messages(t testing.TB, file string) (verdicts, texts []string) {
+func recordedMessages(t testing.TB, file string) (verdicts, texts []string) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -26,10 +26,10 @@
 	return verdicts, texts
 }
 
-func request(br *bufio.Reader) (string, error) {
-	r, err := ReadRequest(br)
+func request(reader *bufio.Reader) (string, error) {
+	r, err := ReadRequest(reader)
 	if err == nil {
-		err = r.ReadBody(br)
+		err = r.ReadBody(reader)
 	}
 	if err != nil {
 		return "", err
@@ -37,19 +37,19 @@
 	return strings.Join([]string{r.Method, r.Target, string(r.Body)}, " "), nil
 }
 
-func response(br *bufio.Reader) (string, error) {
-	r, err := ReadResponse(br, false, func(bool) {})
+func response(reader *bufio.Reader) (string, error) {
+	r, err := ReadResponse(reader, false, func(bool) {})
 	if err != nil {
 		return "", err
 	}
-	return strings.Join([]string{reasons[r.Status], string(r.Body)}, " "), nil
+	return strings.Join([]string{reasonPhrases[r.Status], string(r.Body)}, " "), nil
 }
 
 func TestRecordedMessages(t *testing.T) {
 	for file, read := range map[string]func(*bufio.Reader) (string, error){
 		"testdata/requests.txt": request, "testdata/responses.txt": response,
 	} {
-		verdicts, texts := messages(t, file)
+		verdicts, texts := recordedMessages(t, file)
 		for i, text := range texts {
 			got, err := read(NewReader(strings.NewReader(text)))
 			switch {
@@ -68,11 +68,11 @@
 }
 
 func TestBoundsHold(t *testing.T) {
-	long := strings.Repeat("a", maxLine)
+	long := strings.Repeat("a", maxLineBytes)
 	for name, text := range map[string]string{
 		"line":    "GET /" + long + " HTTP/1.1\r\n",
 		"header":  "GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("A: "+long[:7000]+"\r\n", 5),
-		"headers": "GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("A: b\r\n", maxHeaders),
+		"headers": "GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("A: b\r\n", maxHeaderLines),
 		"chunks":  "GET / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+long[:4096]+"\r\n", 17),
 	} {
 		if _, err := request(NewReader(strings.NewReader(text))); !errors.Is(err, ErrMalformed) {
@@ -95,14 +95,14 @@
 
 // What can be read is read as the same message after it was written.
 func FuzzRequest(f *testing.F) {
-	_, texts := messages(f, "testdata/requests.txt")
+	_, texts := recordedMessages(f, "testdata/requests.txt")
 	for _, text := range texts {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		br := NewReader(strings.NewReader(text))
-		r, err := ReadRequest(br)
-		if err != nil || r.ReadBody(br) != nil {
+		reader := NewReader(strings.NewReader(text))
+		r, err := ReadRequest(reader)
+		if err != nil || r.ReadBody(reader) != nil {
 			return
 		}
 		again, err := request(NewReader(strings.NewReader(string(
@@ -114,7 +114,7 @@
 }
 
 func FuzzResponse(f *testing.F) {
-	_, texts := messages(f, "testdata/responses.txt")
+	_, texts := recordedMessages(f, "testdata/responses.txt")
 	for _, text := range texts {
 		f.Add(text)
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -14,12 +14,12 @@
 
 // The bounds. A line must also fit the reader's buffer, so readers come from NewReader.
 const (
-	MaxBody    = 64 << 10 // of a body that is read whole
-	MaxLong    = 48 << 20 // of one that flows: what is longer is taken for endless
-	maxLine    = 8 << 10
-	maxHeaders = 100
-	maxHead    = 32 << 10
-	maxInterim = 8 // 1xx answers before the real one
+	MaxBody             = 64 << 10 // of a body that is read whole
+	MaxLong             = 48 << 20 // of one that flows: what is longer is taken for endless
+	maxLineBytes        = 8 << 10
+	maxHeaderLines      = 100
+	maxHeaderBytes      = 32 << 10
+	maxInterimResponses = 8 // 1xx answers before the real one
 )
 
 // ErrMalformed is in the chain of every error that is the other side's breach of HTTP or of the bounds; any
@@ -29,25 +29,25 @@
 // ErrTooLarge is a breach of a bound on bodies.
 var ErrTooLarge = fmt.Errorf("%w: body too large", ErrMalformed)
 
-// readers are those that nobody uses: connections come and go by the hundred, and the buffer is most of what one costs.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLine) }}
+// idleReaders are those that nobody uses: connections come and go by the hundred, and the buffer is most of what one costs.
+var idleReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
 
 // NewReader returns a reader whose buffer holds the longest line. Free takes it back.
 func NewReader(r io.Reader) *bufio.Reader {
-	br := readers.Get().(*bufio.Reader)
-	br.Reset(r)
-	return br
+	reader := idleReaders.Get().(*bufio.Reader)
+	reader.Reset(r)
+	return reader
 }
 
 // Free takes back a reader that nobody uses any more.
-func Free(br *bufio.Reader) {
-	br.Reset(nil)
-	readers.Put(br)
+func Free(reader *bufio.Reader) {
+	reader.Reset(nil)
+	idleReaders.Put(reader)
 }
 
 // readLine reads one line without its end. A bare LF ends a line too, a bare CR is malformed.
-func readLine(br *bufio.Reader) (string, error) {
-	line, err := br.ReadSlice('\n')
+func readLine(reader *bufio.Reader) (string, error) {
+	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		return "", fmt.Errorf("%w: line too long", ErrMalformed)
 	}
@@ -64,7 +64,7 @@
 	return string(line), nil
 }
 
-func minorVersion(v string) (int, error) {
+func parseMinorVersion(v string) (int, error) {
 	switch v {
 	case "HTTP/1.1":
 		return 1, nil
@@ -74,11 +74,11 @@
 	return 0, fmt.Errorf("%w: version", ErrMalformed)
 }
 
-func closes(h Header, minor int) bool {
-	return h.lists("Connection", "close") || minor == 0 && !h.lists("Connection", "keep-alive")
+func closesConnection(h Header, minor int) bool {
+	return h.hasListItem("Connection", "close") || minor == 0 && !h.hasListItem("Connection", "keep-alive")
 }
 
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
@@ -89,7 +89,7 @@
 	return s != ""
 }
 
-func visible(s string) bool {
+func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
 			return false
@@ -98,7 +98,7 @@
 	return s != ""
 }
 
-func text(s string) bool {
+func isText(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -18,32 +18,32 @@
 }
 
 // ReadRequest reads up to the end of the header; ReadBody reads the rest.
-func ReadRequest(br *bufio.Reader) (*Request, error) {
-	line, err := readLine(br)
+func ReadRequest(reader *bufio.Reader) (*Request, error) {
+	line, err := readLine(reader)
 	if err == nil && line == "" { // one empty line before a request is tolerated, as RFC 9112 asks
-		line, err = readLine(br)
+		line, err = readLine(reader)
 	}
 	if err != nil {
 		return nil, err
 	}
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, ok := strings.Cut(rest, " ")
-	if !ok || !token(method) || !visible(target) {
+	if !ok || !isToken(method) || !isVisible(target) {
 		return nil, fmt.Errorf("%w: request line", ErrMalformed)
 	}
 	r := &Request{Method: method, Target: target}
-	minor, err := minorVersion(version)
+	minor, err := parseMinorVersion(version)
 	if err != nil {
 		return nil, err
 	}
-	if r.Header, err = readHeader(br); err != nil {
+	if r.Header, err = readHeader(reader); err != nil {
 		return nil, err
 	}
-	if hosts := count(r.Header, "Host"); hosts > 1 || hosts == 0 && minor > 0 {
+	if hosts := countFields(r.Header, "Host"); hosts > 1 || hosts == 0 && minor > 0 {
 		return nil, fmt.Errorf("%w: %d Host lines", ErrMalformed, hosts)
 	}
-	r.Close, r.Old = closes(r.Header, minor), minor == 0
-	r.framing, err = frame(r.Header)
+	r.Close, r.Old = closesConnection(r.Header, minor), minor == 0
+	r.framing, err = parseFraming(r.Header)
 	if r.chunked && minor == 0 {
 		return nil, fmt.Errorf("%w: chunked in HTTP/1.0", ErrMalformed)
 	}
@@ -52,23 +52,23 @@
 
 // WantsContinue reports whether the sender waits to be told to go on before it sends the body.
 func (r *Request) WantsContinue() bool {
-	return r.Header.lists("Expect", "100-continue") && (r.chunked || r.length > 0)
+	return r.Header.hasListItem("Expect", "100-continue") && (r.chunked || r.length > 0)
 }
 
 // ReadBody reads the body that the header announced, which must not be longer than MaxBody.
-func (r *Request) ReadBody(br *bufio.Reader) (err error) {
+func (r *Request) ReadBody(reader *bufio.Reader) (err error) {
 	if r.length > MaxBody {
 		return ErrTooLarge
 	}
-	if err = r.ReadFirst(br); err == nil && r.Rest != nil {
+	if err = r.ReadFirst(reader); err == nil && r.Rest != nil {
 		err = ErrTooLarge
 	}
 	return err
 }
 
 // ReadFirst reads the first MaxBody bytes of the body that the header announced; Rest has what follows, if anything does.
-func (r *Request) ReadFirst(br *bufio.Reader) (err error) {
-	r.Body, r.Rest, err = r.body(br, false).first(MaxBody)
+func (r *Request) ReadFirst(reader *bufio.Reader) (err error) {
+	r.Body, r.Rest, err = r.newBody(reader, false).readFirst(MaxBody)
 	return err
 }
 
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -25,8 +25,8 @@
 }
 
 // ReadResponse reads a whole answer, of up to MaxBody, as ReadLong does.
-func ReadResponse(br *bufio.Reader, bodiless bool, begun func(bool)) (*Response, error) {
-	r, err := ReadLong(br, bodiless, begun, func(int) bool { return true })
+func ReadResponse(reader *bufio.Reader, bodiless bool, begun func(bool)) (*Response, error) {
+	r, err := ReadLong(reader, bodiless, begun, func(int) bool { return true })
 	if err == nil && r.Rest != nil {
 		return nil, ErrTooLarge
 	}
@@ -36,13 +36,13 @@
 // ReadLong reads an answer, passing over interim ones. One to HEAD is bodiless, whatever its header says. Before each it waits
 // for the first byte and then calls begun, with false once it is whole. Of one that is longer than MaxBody, or that mayKeep
 // leaves no room for, it reads a beginning only; Rest has what follows.
-func ReadLong(br *bufio.Reader, bodiless bool, begun func(bool), mayKeep func(int) bool) (*Response, error) {
-	for range maxInterim {
-		if _, err := br.Peek(1); err != nil {
+func ReadLong(reader *bufio.Reader, bodiless bool, begun func(bool), mayKeep func(int) bool) (*Response, error) {
+	for range maxInterimResponses {
+		if _, err := reader.Peek(1); err != nil {
 			return nil, err
 		}
 		begun(true)
-		r, err := readResponse(br, bodiless, mayKeep)
+		r, err := readResponse(reader, bodiless, mayKeep)
 		if err != nil {
 			return nil, err
 		}
@@ -53,14 +53,14 @@
 	return nil, fmt.Errorf("%w: interim answers without end", ErrMalformed)
 }
 
-func readResponse(br *bufio.Reader, bodiless bool, mayKeep func(int) bool) (*Response, error) {
-	line, err := readLine(br)
+func readResponse(reader *bufio.Reader, bodiless bool, mayKeep func(int) bool) (*Response, error) {
+	line, err := readLine(reader)
 	if err != nil {
 		return nil, err
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	minor, err := minorVersion(version)
+	minor, err := parseMinorVersion(version)
 	if err != nil {
 		return nil, err
 	}
@@ -68,21 +68,21 @@
 	if r.Status, err = strconv.Atoi(code); err != nil || len(code) != 3 || r.Status < 100 {
 		return nil, fmt.Errorf("%w: status line", ErrMalformed)
 	}
-	if r.Header, err = readHeader(br); err != nil {
+	if r.Header, err = readHeader(reader); err != nil {
 		return nil, err
 	}
-	r.Close = closes(r.Header, minor)
+	r.Close = closesConnection(r.Header, minor)
 	if r.Status < 200 || bodiless || r.Status == 204 || r.Status == 304 {
 		return r, nil
 	}
-	f, err := frame(r.Header)
+	f, err := parseFraming(r.Header)
 	if err != nil {
 		return nil, err
 	}
 	if !f.chunked && !f.sized { // then the end of the connection ends the body
 		r.Close = true
 	}
-	b, most := f.body(br, true), MaxBody
+	b, most := f.newBody(reader, true), MaxBody
 	switch {
 	case f.sized && f.length > MaxBody:
 		most = 0 // it flows anyway: the sooner the better
@@ -90,7 +90,7 @@
 		most = 0
 	}
 	var more *Body
-	if r.Body, more, err = b.first(most); more != nil {
+	if r.Body, more, err = b.readFirst(most); more != nil {
 		r.Rest = more
 	}
 	return r, err
--- a/internal/http1/writer.go
+++ b/internal/http1/writer.go
@@ -26,7 +26,7 @@
 // is told by chunks, of which this is the first, or, to an old client, by the end of the connection.
 func AppendResponse(b []byte, r *Response, old bool) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(r.Status), 10)
-	b = append(append(append(b, ' '), reasons[r.Status]...), "\r\n"...)
+	b = append(append(append(b, ' '), reasonPhrases[r.Status]...), "\r\n"...)
 	b = appendFields(b, r.Header)
 	if r.Close {
 		b = append(b, "Connection: close\r\n"...)
@@ -67,7 +67,7 @@
 	return b
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	502: "Bad Gateway", 503: "Service Unavailable",
