--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -16,7 +16,7 @@
 	length         int64
 }
 
-// parseFraming decides on the framing. What two readers could take differently is malformed: that is how one
+// parseFraming decides on the framing. What two readers could understand differently is malformed: that is how one
 // request is smuggled inside another.
 func parseFraming(h Header) (f framing, err error) {
 	coding, coded, err := h.Only("Transfer-Encoding")
@@ -35,14 +35,13 @@
 		f.chunked = true
 	case sized:
 		f.sized = true
-		if f.length, err = parseLength(length, 10, MaxLong); err != nil {
-			return f, err
-		}
+		f.length, err = parseLength(length, 10, MaxLong)
+		return f, err
 	}
 	return f, nil
 }
 
-// parseLength reads an unsigned figure of at most most, digits only.
+// parseLength reads an unsigned number of at most limit, digits only.
 func parseLength(s string, base int, limit int64) (int64, error) {
 	if s == "" || s[0] == '+' {
 		return 0, fmt.Errorf("%w: length", ErrMalformed)
@@ -61,14 +60,14 @@
 	return &Body{reader: reader, framing: f, left: f.length, untilEOF: toEOF && !f.chunked && !f.sized}
 }
 
-// Body reads a message's body as it comes, without its framing. It ends with io.EOF once it was whole; any other error says
+// Body reads a message's body as it arrives, without its framing. It ends with io.EOF once it is complete; any other error says
 // that it will never be.
 type Body struct {
 	reader *bufio.Reader
 	framing
 	untilEOF    bool
-	left        int64 // of the body, or of the present chunk
-	insideChunk bool  // in a chunk, whose end is still to come
+	left        int64 // bytes of the body, or of the present chunk
+	insideChunk bool  // the present chunk's end is still to come
 	total       int64
 	err         error
 }
@@ -81,7 +80,7 @@
 	return b.left
 }
 
-// Read reads what is there, and waits where nothing is.
+// Read reads what has arrived, and waits if nothing has.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.err == nil && b.left == 0 && !b.untilEOF {
 		b.err = io.EOF
@@ -96,14 +95,15 @@
 		p = p[:b.left]
 	}
 	n, err := b.reader.Read(p)
-	if b.total += int64(n); b.total > MaxLong {
+	b.total += int64(n)
+	if b.total > MaxLong {
 		err = ErrTooLarge
 	}
 	if !b.untilEOF {
 		b.left -= int64(n)
 		err = asUnexpectedEOF(err)
 	}
-	if b.chunked || !errors.Is(err, os.ErrDeadlineExceeded) { // else who reads on goes on where it was
+	if b.chunked || !errors.Is(err, os.ErrDeadlineExceeded) { // after a time-out in any other body the caller may read on where it was
 		b.err = err
 	}
 	return n, err
@@ -112,8 +112,12 @@
 // nextChunk reads up to the next chunk's first byte, or up to the body's end, which is io.EOF.
 func (b *Body) nextChunk() error {
 	if b.insideChunk {
-		if line, err := readLine(b.reader); err != nil || line != "" {
-			return cmpErr(err, "chunk end")
+		line, err := readLine(b.reader)
+		if err != nil {
+			return asUnexpectedEOF(err)
+		}
+		if line != "" {
+			return fmt.Errorf("%w: chunk end", ErrMalformed)
 		}
 		b.insideChunk = false
 	}
@@ -125,42 +129,48 @@
 	if b.left, err = parseLength(strings.TrimRight(size, " \t"), 16, MaxLong); err != nil {
 		return err
 	}
-	if b.insideChunk = b.left > 0; b.insideChunk {
+	if b.left > 0 {
+		b.insideChunk = true
 		return nil
 	}
-	if _, err = readHeader(b.reader); err != nil { // trailers are not passed on
+	if _, err = readHeader(b.reader); err != nil { // trailers are dropped
 		return err
 	}
 	return io.EOF
 }
 
-// readFirst reads the first most bytes; rest is nil if they are all.
-func (b *Body) readFirst(most int) (body []byte, rest *Body, err error) {
+// minBodyBuffer is the first buffer, in bytes, for a body of unknown length.
+const minBodyBuffer = 512
+
+// readFirst reads the first limit bytes; rest is nil if there are no others.
+func (b *Body) readFirst(limit int) (body []byte, rest *Body, err error) {
 	if n := b.Length(); n > 0 {
-		body = make([]byte, 0, min(n, int64(most)))
+		body = make([]byte, 0, min(n, int64(limit)))
 	}
 	for {
 		if b.Length() == 0 {
 			return body, nil, nil
 		}
-		if len(body) >= most {
-			if most > 0 && b.Length() < 0 { // it may have ended just here
-				if err := b.waitForMore(); err == io.EOF {
+		if len(body) >= limit {
+			if limit > 0 && b.Length() < 0 { // it may have ended just here
+				err := b.waitForMore()
+				if errors.Is(err, io.EOF) {
 					return body, nil, nil
-				} else if err != nil {
+				}
+				if err != nil {
 					return body, nil, err
 				}
 			}
 			return body, b, nil
 		}
 		if len(body) == cap(body) {
-			grown := make([]byte, len(body), min(max(most, 1), max(512, 2*cap(body))))
+			grown := make([]byte, len(body), min(max(limit, 1), max(minBodyBuffer, 2*cap(body))))
 			copy(grown, body)
 			body = grown
 		}
-		n, err := b.Read(body[len(body):min(cap(body), max(most, 1))])
+		n, err := b.Read(body[len(body):min(cap(body), max(limit, 1))])
 		body = body[:len(body)+n]
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return body, nil, nil
 		}
 		if err != nil {
@@ -183,15 +193,9 @@
 	return b.err
 }
 
-func cmpErr(err error, what string) error {
-	if err != nil {
-		return asUnexpectedEOF(err)
-	}
-	return fmt.Errorf("%w: %s", ErrMalformed, what)
-}
-
+// asUnexpectedEOF turns an end of the connection into one inside a message.
 func asUnexpectedEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -36,7 +36,7 @@
 	return value, given, nil
 }
 
-// hasListItem reports whether a comma-separated header holds the word.
+// hasListItem reports whether a comma-separated header contains the item.
 func (h Header) hasListItem(name, item string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
@@ -51,8 +51,8 @@
 	return false
 }
 
-// EndToEnd returns the lines that are meant for the far end: all but those of one connection or of framing,
-// and those that drop names.
+// EndToEnd returns the lines that a proxy passes on: all but those of one connection or of framing (RFC 9110, 7.6.1),
+// and those for which drop reports true.
 func (h Header) EndToEnd(drop func(name string) bool) []Field {
 	out := make([]Field, 0, len(h))
 	for _, f := range h {
@@ -77,7 +77,8 @@
 
 func readHeader(reader *bufio.Reader) (Header, error) {
 	var h Header
-	for size := 0; ; {
+	size := 0
+	for {
 		line, err := readLine(reader)
 		if err != nil {
 			return nil, asUnexpectedEOF(err)
@@ -87,7 +88,8 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if size += len(line); !ok || !isToken(name) || !isText(value) || len(h) >= maxHeaderLines || size > maxHeaderBytes {
+		size += len(line)
+		if !ok || !isToken(name) || !isText(value) || len(h) >= maxHeaderLines || size > maxHeaderBytes {
 			return nil, fmt.Errorf("%w: header", ErrMalformed)
 		}
 		h = append(h, Field{Name: name, Value: value})
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,5 +1,5 @@
 // Package http1 reads and writes HTTP/1.1 messages within fixed bounds. It knows nothing of what they mean
-// to the sidecar, and neither a consumer nor a provider can make it panic or grow without limit.
+// to the sidecar. Neither a client nor a server can make it panic or use memory without limit.
 package http1
 
 import (
@@ -12,24 +12,24 @@
 	"sync"
 )
 
-// The bounds. A line must also fit the reader's buffer, so readers come from NewReader.
+// The bounds, in bytes unless the name says otherwise. A line must also fit the reader's buffer, so readers come from NewReader.
 const (
 	MaxBody             = 64 << 10 // of a body that is read whole
-	MaxLong             = 48 << 20 // of one that flows: what is longer is taken for endless
+	MaxLong             = 48 << 20 // of one that is streamed: a longer one is taken for endless
 	maxLineBytes        = 8 << 10
 	maxHeaderLines      = 100
 	maxHeaderBytes      = 32 << 10
 	maxInterimResponses = 8 // 1xx answers before the real one
 )
 
-// ErrMalformed is in the chain of every error that is the other side's breach of HTTP or of the bounds; any
+// ErrMalformed is wrapped by every error for which the other side is to blame: a breach of HTTP or of the bounds. Any
 // other error comes from the connection.
 var ErrMalformed = errors.New("malformed message")
 
-// ErrTooLarge is a breach of a bound on bodies.
+// ErrTooLarge says that a body exceeds MaxBody or MaxLong.
 var ErrTooLarge = fmt.Errorf("%w: body too large", ErrMalformed)
 
-// idleReaders are those that nobody uses: connections come and go by the hundred, and the buffer is most of what one costs.
+// idleReaders are kept for reuse: connections come and go by the hundred, and the buffer is most of what one costs.
 var idleReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
 
 // NewReader returns a reader whose buffer holds the longest line. Free takes it back.
@@ -52,7 +52,7 @@
 		return "", fmt.Errorf("%w: line too long", ErrMalformed)
 	}
 	if err != nil {
-		if err == io.EOF && len(line) > 0 {
+		if errors.Is(err, io.EOF) && len(line) > 0 {
 			err = io.ErrUnexpectedEOF
 		}
 		return "", err
@@ -74,21 +74,26 @@
 	return 0, fmt.Errorf("%w: version", ErrMalformed)
 }
 
+// closesConnection reports whether the sender ends the connection after this message.
 func closesConnection(h Header, minor int) bool {
 	return h.hasListItem("Connection", "close") || minor == 0 && !h.hasListItem("Connection", "keep-alive")
 }
 
+// isToken reports whether s is a token of RFC 9110, 5.6.2: a method or a header's name.
 func isToken(s string) bool {
 	for i := range len(s) {
-		c := s[i]
-		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
-			strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0) {
+		if !isTokenByte(s[i]) {
 			return false
 		}
 	}
 	return s != ""
 }
 
+func isTokenByte(c byte) bool {
+	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
+}
+
+// isVisible reports whether s has neither spaces nor control characters, and is not empty.
 func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
@@ -98,6 +103,7 @@
 	return s != ""
 }
 
+// isText reports whether s has no control characters but tabs.
 func isText(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/message_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestHopByHopLinesStay(t *testing.T) {
+func TestEndToEndDropsHopByHopHeaders(t *testing.T) {
 	r, err := ReadRequest(NewReader(strings.NewReader("GET / HTTP/1.1\r\nHost: x\r\nConnection: X-Hop\r\nX-Hop: 1\r\n" +
 		"keep-alive: 5\r\nAccept: image/png\r\nMine: 2\r\n\r\n")))
 	if err != nil {
--- a/internal/http1/names.go
+++ b/internal/http1/names.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// The platform's names on the sockets.
+// The platform's header names and paths.
 const (
 	HeaderID         = "Req-Id"
 	HeaderOwner      = "Req-Owner"
@@ -17,7 +17,7 @@
 	PathList = "/discovery/hosts"
 )
 
-// Reworded reports whether a header's line is said anew for each attempt: the id and the time that is left.
+// Reworded reports whether the header is set anew for each attempt, as the request's id and its deadline are.
 func Reworded(name string) bool {
 	return strings.EqualFold(name, HeaderID) || strings.EqualFold(name, HeaderDeadline)
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Request is a consumer's message.
+// Request is a client's message.
 type Request struct {
 	Method, Target string
 	Header         Header
 	Body           []byte
-	Rest           *Body // what follows Body, if that is not all; nil = it is
+	Rest           *Body // what follows Body; nil = nothing does
 	Close          bool  // the connection ends with the answer
-	Old            bool  // HTTP/1.0: it can't read chunks
+	Old            bool  // HTTP/1.0: the client can't read chunks
 	framing
 }
 
-// ReadRequest reads up to the end of the header; ReadBody reads the rest.
+// ReadRequest reads up to the end of the header; ReadBody or ReadFirst reads the rest.
 func ReadRequest(reader *bufio.Reader) (*Request, error) {
 	line, err := readLine(reader)
 	if err == nil && line == "" { // one empty line before a request is tolerated, as RFC 9112 asks
@@ -42,7 +42,8 @@
 	if hosts := countFields(r.Header, "Host"); hosts > 1 || hosts == 0 && minor > 0 {
 		return nil, fmt.Errorf("%w: %d Host lines", ErrMalformed, hosts)
 	}
-	r.Close, r.Old = closesConnection(r.Header, minor), minor == 0
+	r.Close = closesConnection(r.Header, minor)
+	r.Old = minor == 0
 	r.framing, err = parseFraming(r.Header)
 	if r.chunked && minor == 0 {
 		return nil, fmt.Errorf("%w: chunked in HTTP/1.0", ErrMalformed)
@@ -50,7 +51,7 @@
 	return r, err
 }
 
-// WantsContinue reports whether the sender waits to be told to go on before it sends the body.
+// WantsContinue reports whether the client waits for a 100 Continue before it sends the body.
 func (r *Request) WantsContinue() bool {
 	return r.Header.hasListItem("Expect", "100-continue") && (r.chunked || r.length > 0)
 }
@@ -66,13 +67,13 @@
 	return err
 }
 
-// ReadFirst reads the first MaxBody bytes of the body that the header announced; Rest has what follows, if anything does.
+// ReadFirst reads the first MaxBody bytes of the body that the header announced; Rest has what follows.
 func (r *Request) ReadFirst(reader *bufio.Reader) (err error) {
 	r.Body, r.Rest, err = r.newBody(reader, false).readFirst(MaxBody)
 	return err
 }
 
-// Length is the body's length by the header; -1 = it does not say.
+// Length is the body's length as the header gives it; -1 = the header does not.
 func (r *Request) Length() int64 {
 	if r.chunked {
 		return -1
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -4,14 +4,15 @@
 	"bufio"
 	"fmt"
 	"io"
+	"net/http"
 	"strconv"
 	"strings"
 )
 
-// Stream is a body that flows.
+// Stream is the part of a body that is read as it arrives.
 type Stream interface {
-	io.Reader      // io.EOF = it was whole
-	Length() int64 // of what is left; -1 = that is not known
+	io.Reader      // io.EOF says that the body is complete
+	Length() int64 // bytes that are left; -1 = not known
 }
 
 // Response is an answer.
@@ -19,12 +20,12 @@
 	Status   int
 	Header   Header
 	Body     []byte
-	Rest     Stream // what follows Body, if that is not all; nil = it is
-	Close    bool
-	Bodiless bool // it answers HEAD: Header says what a body would have had
+	Rest     Stream // what follows Body; nil = nothing does
+	Close    bool   // the connection ends with the answer
+	Bodiless bool   // it answers HEAD: Header says what a body would have had
 }
 
-// ReadResponse reads a whole answer, of up to MaxBody, as ReadLong does.
+// ReadResponse reads a whole answer, whose body must not be longer than MaxBody, as ReadLong does.
 func ReadResponse(reader *bufio.Reader, bodiless bool, begun func(bool)) (*Response, error) {
 	r, err := ReadLong(reader, bodiless, begun, func(int) bool { return true })
 	if err == nil && r.Rest != nil {
@@ -33,9 +34,9 @@
 	return r, err
 }
 
-// ReadLong reads an answer, passing over interim ones. One to HEAD is bodiless, whatever its header says. Before each it waits
-// for the first byte and then calls begun, with false once it is whole. Of one that is longer than MaxBody, or that mayKeep
-// leaves no room for, it reads a beginning only; Rest has what follows.
+// ReadLong reads an answer and skips interim ones. One to HEAD is bodiless, whatever its header says. Before each it waits
+// for the first byte and then calls begun(true), and begun(false) once the answer is read. Of a body that is longer than MaxBody,
+// or for which mayKeep grants no memory, it reads only the beginning; Rest has what follows.
 func ReadLong(reader *bufio.Reader, bodiless bool, begun func(bool), mayKeep func(int) bool) (*Response, error) {
 	for range maxInterimResponses {
 		if _, err := reader.Peek(1); err != nil {
@@ -46,11 +47,12 @@
 		if err != nil {
 			return nil, err
 		}
-		if begun(false); r.Status >= 200 {
+		begun(false)
+		if r.Status >= http.StatusOK {
 			return r, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: interim answers without end", ErrMalformed)
+	return nil, fmt.Errorf("%w: more than %d interim answers", ErrMalformed, maxInterimResponses)
 }
 
 func readResponse(reader *bufio.Reader, bodiless bool, mayKeep func(int) bool) (*Response, error) {
@@ -58,40 +60,59 @@
 	if err != nil {
 		return nil, err
 	}
-	version, rest, _ := strings.Cut(line, " ")
-	code, _, _ := strings.Cut(rest, " ")
-	minor, err := parseMinorVersion(version)
+	status, minor, err := parseStatusLine(line)
 	if err != nil {
 		return nil, err
 	}
-	r := new(Response)
-	if r.Status, err = strconv.Atoi(code); err != nil || len(code) != 3 || r.Status < 100 {
-		return nil, fmt.Errorf("%w: status line", ErrMalformed)
-	}
+	r := &Response{Status: status}
 	if r.Header, err = readHeader(reader); err != nil {
 		return nil, err
 	}
 	r.Close = closesConnection(r.Header, minor)
-	if r.Status < 200 || bodiless || r.Status == 204 || r.Status == 304 {
+	if bodiless || !statusHasBody(status) {
 		return r, nil
 	}
-	f, err := parseFraming(r.Header)
+	framing, err := parseFraming(r.Header)
 	if err != nil {
 		return nil, err
 	}
-	if !f.chunked && !f.sized { // then the end of the connection ends the body
+	if !framing.chunked && !framing.sized { // then the end of the connection ends the body
 		r.Close = true
 	}
-	b, most := f.newBody(reader, true), MaxBody
+	body, rest, err := framing.newBody(reader, true).readFirst(framing.bytesToKeep(mayKeep))
+	r.Body = body
+	if rest != nil { // a nil *Body in Rest would not be a nil Stream
+		r.Rest = rest
+	}
+	return r, err
+}
+
+// parseStatusLine returns the status and the minor version of HTTP.
+func parseStatusLine(line string) (status, minor int, err error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	if minor, err = parseMinorVersion(version); err != nil {
+		return 0, 0, err
+	}
+	status, err = strconv.Atoi(code)
+	if err != nil || len(code) != 3 || status < 100 {
+		return 0, 0, fmt.Errorf("%w: status line", ErrMalformed)
+	}
+	return status, minor, nil
+}
+
+func statusHasBody(status int) bool {
+	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
+}
+
+// bytesToKeep is how much of the body is read before the answer is passed on. A body that can't be kept whole is streamed from its
+// first byte.
+func (f framing) bytesToKeep(mayKeep func(int) bool) int {
 	switch {
 	case f.sized && f.length > MaxBody:
-		most = 0 // it flows anyway: the sooner the better
+		return 0
 	case f.sized && !mayKeep(int(f.length)), !f.sized && !mayKeep(MaxBody):
-		most = 0
+		return 0
 	}
-	var more *Body
-	if r.Body, more, err = b.readFirst(most); more != nil {
-		r.Rest = more
-	}
-	return r, err
+	return MaxBody
 }
--- a/internal/http1/writer.go
+++ b/internal/http1/writer.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// AppendRequest appends a whole request. A body is announced where there is one or the method suggests it.
+// AppendRequest appends a whole request. It has a Content-Length if there is a body or the method suggests one.
 func AppendRequest(b []byte, method, target, host string, fields []Field, body []byte) []byte {
 	return AppendLongRequest(b, method, target, host, fields, body, int64(len(body)))
 }
 
-// AppendLongRequest appends a request whose body has that length in all and begins with this; -1 = in chunks, of which this is the
-// first.
+// AppendLongRequest appends a request whose body has this length in all and begins with body; a length of -1 sends it in chunks, of
+// which body is the first.
 func AppendLongRequest(b []byte, method, target, host string, fields []Field, body []byte, length int64) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\n"...)
@@ -22,8 +22,8 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// AppendResponse appends an answer: the whole, or, where more of it follows, its head and beginning. A length that is not known
-// is told by chunks, of which this is the first, or, to an old client, by the end of the connection.
+// AppendResponse appends an answer, or its head and the beginning of its body where Rest follows. A body of unknown length is sent in
+// chunks, or to a client of HTTP/1.0 up to the end of the connection.
 func AppendResponse(b []byte, r *Response, old bool) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(r.Status), 10)
 	b = append(append(append(b, ' '), reasonPhrases[r.Status]...), "\r\n"...)
@@ -47,7 +47,7 @@
 // LastChunk ends a body in chunks.
 const LastChunk = "0\r\n\r\n"
 
-// AppendChunk appends a chunk with p, if there is anything in it: an empty one would end the body.
+// AppendChunk appends p as a chunk. An empty p appends nothing, because an empty chunk would end the body.
 func AppendChunk(b, p []byte) []byte {
 	if len(p) == 0 {
 		return b
