--- /dev/null
+++ b/internal/connlimit/dial.go
@@ -0,0 +1,63 @@
+package connlimit
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"plankrouter/internal/faultinjection"
+	"time"
+)
+
+// ErrNone says that the limit leaves no socket, and that no idle one can make room.
+var ErrNone = errors.New("no socket left under the limit")
+
+// Dialer opens a connection to host:port.
+type Dialer func(ctx context.Context, address string) (net.Conn, error)
+
+// TCP dials plainly. It sends no keep-alive: a silent machine is noticed by what it does not answer.
+func TCP(ctx context.Context, address string) (net.Conn, error) {
+	if err := faultinjection.Inject(faultinjection.Connect); err != nil {
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
+	}
+	c, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	if err := faultinjection.Wait(ctx, faultinjection.SlowConnect); err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+// Dial opens a connection under the limit, or fails with ErrNone.
+func (b *Budget) Dial(ctx context.Context, address string, within time.Duration) (*Socket, error) {
+	return b.open(ctx, address, within, b.Reserve(Outward))
+}
+
+// DialSpare is Dial for what can be done without: it leaves the last places to others.
+func (b *Budget) DialSpare(ctx context.Context, address string, within time.Duration) (*Socket, error) {
+	b.mu.Lock()
+	ok := b.used < b.common() || b.takeFrom(&b.strangers, Outward) || b.takeFrom(&b.idle, Outward)
+	if ok {
+		b.count(Outward, 1)
+	}
+	b.mu.Unlock()
+	return b.open(ctx, address, within, ok)
+}
+
+// open opens a connection in a place that has been reserved.
+func (b *Budget) open(ctx context.Context, address string, within time.Duration, reserved bool) (*Socket, error) {
+	if !reserved {
+		return nil, ErrNone
+	}
+	ctx, cancel := context.WithTimeout(ctx, within)
+	defer cancel()
+	c, err := b.dial(ctx, address)
+	if err != nil {
+		b.Release(Outward)
+		return nil, err
+	}
+	return b.Adopt(c, Outward), nil
+}
