--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -133,7 +133,7 @@
 		began := time.Now()
 		dial := v.budget.Dial
 		if c.probe {
-			dial = v.budget.DialSpare
+			dial = v.budget.DialOptional
 		}
 		socket, err := dial(c.ctx, c.at.address, v.now.Load().Connect)
 		if err != nil {
@@ -215,7 +215,7 @@
 func dialEnding(err error) outcome.Kind {
 	is := func(target error) bool { return errors.Is(err, target) }
 	switch {
-	case is(connlimit.ErrNone):
+	case is(connlimit.ErrLimitReached):
 		return outcome.ConnectionLimit
 	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the provider
 		return outcome.LocalError
--- a/internal/backend/call_test.go
+++ b/internal/backend/call_test.go
@@ -14,7 +14,7 @@
 	for err, want := range map[error]outcome.Kind{
 		syscall.EMFILE: outcome.LocalError, syscall.ENETUNREACH: outcome.LocalError, syscall.EADDRNOTAVAIL: outcome.LocalError,
 		syscall.ECONNREFUSED: outcome.ConnectRefused, syscall.EHOSTUNREACH: outcome.ConnectRefused, syscall.ECONNRESET: outcome.ConnectRefused,
-		os.ErrDeadlineExceeded: outcome.ConnectTimeout, connlimit.ErrNone: outcome.ConnectionLimit,
+		os.ErrDeadlineExceeded: outcome.ConnectTimeout, connlimit.ErrLimitReached: outcome.ConnectionLimit,
 	} {
 		if got := dialEnding(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
--- a/internal/backend/provider.go
+++ b/internal/backend/provider.go
@@ -168,7 +168,7 @@
 		}
 		e.idle = slices.Delete(e.idle, at, at+1)
 		c.hold = b.hold(u)
-		if k.socket.Busy() && !k.socket.Leaving() && k.offer(c) {
+		if k.socket.MarkBusy() && !k.socket.IsEvicted() && k.offer(c) {
 			return true
 		}
 		k.close()
@@ -188,7 +188,7 @@
 		c.close()
 		return
 	}
-	c.socket.Idle(0)
+	c.socket.MarkIdle(0)
 	c.put, c.until = now, now.Add(retire)
 	c.at.idle = append(c.at.idle, c)
 }
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -11,50 +11,50 @@
 
 // Budget is the limit and what is held under it. It is safe for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	most    int
-	used    int
-	inward  int // of those used
-	leaving int // whose place has been given away and which are not closed yet
-	hurried bool
+	mu             sync.Mutex
+	limit          int
+	used           int
+	inward         int // of those used
+	evicted        int // whose place has been given away and which are not closed yet
+	backlogFavored bool
 	// What can make room, as lists of *Socket, in the order in which they do: strangers, which have brought nothing
 	// yet, and idle ones. In each the least recently used is first.
-	strangers, idle list.List
-	freed           chan struct{}
-	dial            Dialer
+	unused, idle list.List
+	freed        chan struct{}
+	dial         Dialer
 }
 
 // NewBudget allows for most sockets; dial opens those that this side opens.
-func NewBudget(most int, dial Dialer) *Budget {
-	return &Budget{most: most, dial: dial, freed: make(chan struct{}, 1)}
+func NewBudget(limit int, dial Dialer) *Budget {
+	return &Budget{limit: limit, dial: dial, freed: make(chan struct{}, 1)}
 }
 
 // Limit allows for most sockets from now on. Where more are in use, idle ones to providers are closed at once, and none
 // is opened until enough have ended; consumers keep theirs.
-func (b *Budget) Limit(most int) {
+func (b *Budget) Limit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = most
-	for e := b.idle.Front(); e != nil && b.used > most; {
+	b.limit = limit
+	for e := b.idle.Front(); e != nil && b.used > limit; {
 		s := e.Value.(*Socket)
 		if e = e.Next(); s.side == Outward {
 			s.close()
 		}
 	}
-	b.tell()
+	b.notifyFreed()
 }
 
-// Hurry has strangers make room as soon as another one wants it, and lets them have all places of their side: what waits to be let in
+// FavorBacklog has strangers make room as soon as another one wants it, and lets them have all places of their side: what waits to be let in
 // is about to be lost.
-func (b *Budget) Hurry() {
+func (b *Budget) FavorBacklog() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.hurried = true
+	b.backlogFavored = true
 	now := time.Now()
-	for e := b.strangers.Front(); e != nil; e = e.Next() {
-		e.Value.(*Socket).spare = now
+	for e := b.unused.Front(); e != nil; e = e.Next() {
+		e.Value.(*Socket).evictFrom = now
 	}
-	b.tell()
+	b.notifyFreed()
 }
 
 // Reserve takes one place under the limit, if need be that of a stranger or of the idle socket least recently used. The
@@ -66,79 +66,79 @@
 	defer b.mu.Unlock()
 	ok := true
 	switch {
-	case side == Inward && !b.hurried && b.strangers.Len() >= max(1, b.most/strangerPart):
-		ok = b.takeFrom(&b.strangers, side)
-	case side == Inward && b.inward >= b.most/inwardPart:
-		ok = b.takeFrom(&b.strangers, Inward) || b.takeFrom(&b.idle, Inward)
-	case b.used >= b.most || side == Inward && b.used >= b.common():
-		ok = b.takeFrom(&b.strangers, Outward) || b.takeFrom(&b.idle, Outward)
-	case side == Inward && b.inward >= b.most/easyPart:
+	case side == Inward && !b.backlogFavored && b.unused.Len() >= max(1, b.limit/unusedDivisor):
+		ok = b.evictFrom(&b.unused, side)
+	case side == Inward && b.inward >= b.limit/inwardDivisor:
+		ok = b.evictFrom(&b.unused, Inward) || b.evictFrom(&b.idle, Inward)
+	case b.used >= b.limit || side == Inward && b.used >= b.limitBesideAttempts():
+		ok = b.evictFrom(&b.unused, Outward) || b.evictFrom(&b.idle, Outward)
+	case side == Inward && b.inward >= b.limit/inwardEvictDivisor:
 		// Consumers have limits too: one whose sockets all hang on to connections that it asked once can't open another
 		// and so can't make the room that it waits for.
-		_ = b.takeFrom(&b.strangers, side) || b.takeFrom(&b.idle, side)
+		_ = b.evictFrom(&b.unused, side) || b.evictFrom(&b.idle, side)
 	}
 	if ok {
-		b.count(side, 1)
+		b.addUsed(side, 1)
 	}
 	return ok
 }
 
-// ReserveBrief takes one of the places of connections that are about to be closed, beyond the limit: for an inward connection that is only told
-// that there is no place. It goes to a Socket by AdoptBrief, or back by ReleaseBrief. Half of those places stay for connections that make
+// ReserveForRejection takes one of the places of connections that are about to be closed, beyond the limit: for an inward connection that is only told
+// that there is no place. It goes to a Socket by AdoptForRejection, or back by ReleaseForRejection. Half of those places stay for connections that make
 // room, unless strangers hurry.
-func (b *Budget) ReserveBrief() bool {
+func (b *Budget) ReserveForRejection() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := Closing(b.most)
-	if !b.hurried {
-		most = max(1, most/briefPart)
+	limit := Closing(b.limit)
+	if !b.backlogFavored {
+		limit = max(1, limit/rejectionDivisor)
 	}
-	if b.leaving >= most {
+	if b.evicted >= limit {
 		return false
 	}
-	b.leaving++
+	b.evicted++
 	return true
 }
 
-// ReleaseBrief gives back a place that was not adopted.
-func (b *Budget) ReleaseBrief() {
+// ReleaseForRejection gives back a place that was not adopted.
+func (b *Budget) ReleaseForRejection() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.leaving--
-	b.tell()
+	b.evicted--
+	b.notifyFreed()
 }
 
-// takeFrom frees the place of the first in the list that may be closed: for Inward one from a consumer, for Outward any.
-func (b *Budget) takeFrom(l *list.List, side Side) bool {
+// evictFrom frees the place of the first in the list that may be closed: for Inward one from a consumer, for Outward any.
+func (b *Budget) evictFrom(candidates *list.List, side Side) bool {
 	now := time.Now()
-	for e := l.Front(); e != nil && b.leaving < Closing(b.most); e = e.Next() {
-		if s := e.Value.(*Socket); !now.Before(s.spare) && (side == Outward || s.side == Inward) {
-			s.leave()
+	for e := candidates.Front(); e != nil && b.evicted < Closing(b.limit); e = e.Next() {
+		if s := e.Value.(*Socket); !now.Before(s.evictFrom) && (side == Outward || s.side == Inward) {
+			s.evict()
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Budget) count(side Side, n int) {
+func (b *Budget) addUsed(side Side, n int) {
 	b.used += n
 	if side == Inward {
 		b.inward += n
 	}
 }
 
-// Scarce reports whether more than half of the places are taken.
-func (b *Budget) Scarce() bool {
+// IsScarce reports whether more than half of the places are taken.
+func (b *Budget) IsScarce() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return 2*b.used > b.most
+	return 2*b.used > b.limit
 }
 
-// Force takes one place whether or not the limit leaves it, for a connection that is there already.
-func (b *Budget) Force(side Side) {
+// ReserveBeyondLimit takes one place whether or not the limit leaves it, for a connection that is there already.
+func (b *Budget) ReserveBeyondLimit(side Side) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.count(side, 1)
+	b.addUsed(side, 1)
 }
 
 // Release gives back a place that was not adopted.
@@ -149,11 +149,11 @@
 }
 
 func (b *Budget) release(side Side) {
-	b.count(side, -1)
-	b.tell()
+	b.addUsed(side, -1)
+	b.notifyFreed()
 }
 
-func (b *Budget) tell() {
+func (b *Budget) notifyFreed() {
 	select {
 	case b.freed <- struct{}{}:
 	default:
@@ -173,7 +173,7 @@
 // Adopt binds a reserved place to a connection.
 func (b *Budget) Adopt(c net.Conn, side Side) *Socket { return &Socket{Conn: c, budget: b, side: side} }
 
-// AdoptBrief binds a place of ReserveBrief to a connection, which is Leaving from the start.
-func (b *Budget) AdoptBrief(c net.Conn) *Socket {
-	return &Socket{Conn: c, budget: b, side: Inward, leaving: true}
+// AdoptForRejection binds a place of ReserveForRejection to a connection, which is Leaving from the start.
+func (b *Budget) AdoptForRejection(c net.Conn) *Socket {
+	return &Socket{Conn: c, budget: b, side: Inward, evicted: true}
 }
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -51,16 +51,16 @@
 	if b.Reserve(Outward) {
 		t.Error("a place beyond the limit")
 	}
-	sockets[0].Idle(time.Hour) // too lately used
-	sockets[1].Idle(0)
-	sockets[2].Idle(0)
-	if !b.Reserve(Outward) || sockets[0].Leaving() || !sockets[1].Leaving() || sockets[2].Leaving() {
+	sockets[0].MarkIdle(time.Hour) // too lately used
+	sockets[1].MarkIdle(0)
+	sockets[2].MarkIdle(0)
+	if !b.Reserve(Outward) || sockets[0].IsEvicted() || !sockets[1].IsEvicted() || sockets[2].IsEvicted() {
 		t.Error("not the one idle for longest has left")
 	}
 	if _, err := sockets[1].Read(make([]byte, 1)); err == nil {
 		t.Error("its reader was not woken")
 	}
-	if !sockets[2].Busy() || b.Reserve(Outward) || b.Used() != 3 {
+	if !sockets[2].MarkBusy() || b.Reserve(Outward) || b.Used() != 3 {
 		t.Errorf("a busy one has left; %d used", b.Used())
 	}
 	for _, s := range sockets {
@@ -85,38 +85,38 @@
 		return b.Adopt(c, side)
 	}
 	known, provider := open(Inward), open(Outward)
-	known.Idle(time.Hour)
-	provider.Idle(0) // for longer than any other
+	known.MarkIdle(time.Hour)
+	provider.MarkIdle(0) // for longer than any other
 	var strangers []*Socket
 	for range 3 {
 		s := open(Inward)
-		s.Stranger(time.Hour)
+		s.MarkUnused(time.Hour)
 		strangers = append(strangers, s)
 	}
 	if b.Reserve(Inward) {
 		t.Error("a fourth stranger beyond a quarter of twelve")
 	}
-	strangers[1].Stranger(0)
-	if open(Inward); !strangers[1].Leaving() || known.Leaving() {
+	strangers[1].MarkUnused(0)
+	if open(Inward); !strangers[1].IsEvicted() || known.IsEvicted() {
 		t.Error("not the stranger that may be closed has left")
 	}
 	open(Inward)
 	open(Inward)
-	known.Idle(0)
-	if open(Inward); !known.Leaving() || provider.Leaving() {
+	known.MarkIdle(0)
+	if open(Inward); !known.IsEvicted() || provider.IsEvicted() {
 		t.Error("not the idle one of their own has left for a seventh of them")
 	}
 	if b.Reserve(Inward) {
 		t.Error("consumers hold more than half")
 	}
-	strangers[0].Stranger(0)
+	strangers[0].MarkUnused(0)
 	for range 5 {
 		open(Outward)
 	}
-	if open(Outward); !strangers[0].Leaving() || provider.Leaving() {
+	if open(Outward); !strangers[0].IsEvicted() || provider.IsEvicted() {
 		t.Error("one that has been useful has left before a stranger")
 	}
-	if strangers[0].Extend(time.Now()) || !provider.Extend(time.Now()) {
+	if strangers[0].ExtendReadDeadline(time.Now()) || !provider.ExtendReadDeadline(time.Now()) {
 		t.Error("one that is to leave may stay, or the other way round")
 	}
 }
@@ -135,22 +135,22 @@
 		s := b.Adopt(c, Inward)
 		if i == 0 {
 			first = s
-			s.Idle(0)
+			s.MarkIdle(0)
 		}
-		got = append(got, first.Leaving())
+		got = append(got, first.IsEvicted())
 	}
 	for i, want := range []bool{false, false, false, false, true, true} {
 		if got[i] != want {
 			t.Errorf("with %d connections: the idle one leaves: %t", i+1, got[i])
 		}
 	}
-	if b.Scarce() {
+	if b.IsScarce() {
 		t.Error("5 of 16 are scarce")
 	}
 	for range 4 {
 		b.Reserve(Outward)
 	}
-	if !b.Scarce() {
+	if !b.IsScarce() {
 		t.Error("9 of 16 are plenty")
 	}
 }
@@ -192,11 +192,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Idle(0)
+		s.MarkIdle(0)
 		idle = append(idle, s)
 	}
 	for i := range 8 { // half of the places
-		if !b.Reserve(Inward) || !idle[i].Leaving() {
+		if !b.Reserve(Inward) || !idle[i].IsEvicted() {
 			t.Fatalf("consumer %d waits for idle connections to providers", i+1)
 		}
 		idle[i].Close()
@@ -208,7 +208,7 @@
 		s.Close()
 	}
 	for b.Used() < 14 {
-		if s, err := b.DialSpare(t.Context(), "", time.Hour); err != nil || s.Leaving() {
+		if s, err := b.DialOptional(t.Context(), "", time.Hour); err != nil || s.IsEvicted() {
 			t.Fatal(err)
 		}
 	}
@@ -217,7 +217,7 @@
 	if b.Reserve(Inward) {
 		t.Error("a consumer takes a place that is left to calls")
 	}
-	if _, err := b.DialSpare(t.Context(), "", time.Hour); err != ErrNone {
+	if _, err := b.DialOptional(t.Context(), "", time.Hour); err != ErrLimitReached {
 		t.Errorf("a probe takes a place that is left to calls: %v", err)
 	}
 	for range 2 {
@@ -225,7 +225,7 @@
 			t.Errorf("a call finds no place: %v", err)
 		}
 	}
-	if _, err := b.Dial(t.Context(), "", time.Hour); err != ErrNone {
+	if _, err := b.Dial(t.Context(), "", time.Hour); err != ErrLimitReached {
 		t.Errorf("a call beyond the limit: %v", err)
 	}
 }
--- a/internal/connlimit/dial.go
+++ b/internal/connlimit/dial.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ErrNone says that the limit leaves no socket, and that no idle one can make room.
-var ErrNone = errors.New("no socket left under the limit")
+// ErrLimitReached says that the limit leaves no socket, and that no idle one can make room.
+var ErrLimitReached = errors.New("no socket left under the limit")
 
 // Dialer opens a connection to host:port.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
@@ -31,17 +31,17 @@
 	return c, nil
 }
 
-// Dial opens a connection under the limit, or fails with ErrNone.
+// Dial opens a connection under the limit, or fails with ErrLimitReached.
 func (b *Budget) Dial(ctx context.Context, address string, within time.Duration) (*Socket, error) {
 	return b.open(ctx, address, within, b.Reserve(Outward))
 }
 
-// DialSpare is Dial for what can be done without: it leaves the last places to others.
-func (b *Budget) DialSpare(ctx context.Context, address string, within time.Duration) (*Socket, error) {
+// DialOptional is Dial for what can be done without: it leaves the last places to others.
+func (b *Budget) DialOptional(ctx context.Context, address string, within time.Duration) (*Socket, error) {
 	b.mu.Lock()
-	ok := b.used < b.common() || b.takeFrom(&b.strangers, Outward) || b.takeFrom(&b.idle, Outward)
+	ok := b.used < b.limitBesideAttempts() || b.evictFrom(&b.unused, Outward) || b.evictFrom(&b.idle, Outward)
 	if ok {
-		b.count(Outward, 1)
+		b.addUsed(Outward, 1)
 	}
 	b.mu.Unlock()
 	return b.open(ctx, address, within, ok)
@@ -50,7 +50,7 @@
 // open opens a connection in a place that has been reserved.
 func (b *Budget) open(ctx context.Context, address string, within time.Duration, reserved bool) (*Socket, error) {
 	if !reserved {
-		return nil, ErrNone
+		return nil, ErrLimitReached
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
--- a/internal/connlimit/limits_test.go
+++ b/internal/connlimit/limits_test.go
@@ -35,7 +35,7 @@
 				s, err := b.Dial(t.Context(), "", time.Second)
 				if err != nil { // all that may leave has: one reader gets its turn
 					for i, one := range held {
-						if one.Leaving() {
+						if one.IsEvicted() {
 							leaving = append(leaving, one)
 							held = append(held[:i], held[i+1:]...)
 							break
@@ -47,7 +47,7 @@
 					}
 					continue
 				}
-				s.Idle(0)
+				s.MarkIdle(0)
 				held = append(held, s)
 				worst = max(worst, open.Load())
 			}
--- a/internal/connlimit/look.go
+++ b/internal/connlimit/look.go
@@ -27,8 +27,8 @@
 	}
 )
 
-// Waiting reports whether something lies in the listener's backlog. errors.ErrUnsupported says that it is no socket of the kernel's.
-func Waiting(l net.Listener) (waiting bool, err error) {
+// HasBacklog reports whether something lies in the listener's backlog. errors.ErrUnsupported says that it is no socket of the kernel's.
+func HasBacklog(l net.Listener) (waiting bool, err error) {
 	sys, ok := l.(syscall.Conn)
 	if !ok {
 		return false, errors.ErrUnsupported
@@ -45,10 +45,10 @@
 	return n > 0, errors.Join(e, err)
 }
 
-// CloseEmpty closes the listener if nothing lies in its backlog, and reports whether it has. Between the look and the close nothing else is
+// CloseIfBacklogEmpty closes the listener if nothing lies in its backlog, and reports whether it has. Between the look and the close nothing else is
 // done: what knocks there is lost.
-func CloseEmpty(l net.Listener) (closed bool, err error) {
-	if waiting, err := Waiting(l); waiting || err != nil {
+func CloseIfBacklogEmpty(l net.Listener) (closed bool, err error) {
+	if waiting, err := HasBacklog(l); waiting || err != nil {
 		return false, err
 	}
 	return true, l.Close()
--- a/internal/connlimit/socket.go
+++ b/internal/connlimit/socket.go
@@ -13,73 +13,73 @@
 // Socket is a connection that counts under the limit until it is closed.
 type Socket struct {
 	net.Conn
-	budget *Budget
-	side   Side
-	in     *list.List // of those that can make room
-	idle   *list.Element
-	spare  time.Time // not before
+	budget       *Budget
+	side         Side
+	evictList    *list.List // of those that can make room
+	evictElement *list.Element
+	evictFrom    time.Time // not before
 
-	leaving, closed bool
+	evicted, closed bool
 }
 
-// Idle marks the socket as one that may be closed to make room once it has been idle for so long.
-func (s *Socket) Idle(after time.Duration) { s.mark(&s.budget.idle, after) }
+// MarkIdle marks the socket as one that may be closed to make room once it has been idle for so long.
+func (s *Socket) MarkIdle(after time.Duration) { s.markEvictable(&s.budget.idle, after) }
 
-// Stranger is Idle for a connection that has brought nothing yet: it makes room before any other.
-func (s *Socket) Stranger(after time.Duration) { s.mark(&s.budget.strangers, after) }
+// MarkUnused is Idle for a connection that has brought nothing yet: it makes room before any other.
+func (s *Socket) MarkUnused(after time.Duration) { s.markEvictable(&s.budget.unused, after) }
 
-func (s *Socket) mark(in *list.List, after time.Duration) {
+func (s *Socket) markEvictable(evictList *list.List, after time.Duration) {
 	b := s.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s.closed || s.leaving {
+	if s.closed || s.evicted {
 		return
 	}
-	s.unmark()
-	if b.hurried && in == &b.strangers {
-		after = min(after, hurriedAfter)
+	s.unmarkEvictable()
+	if b.backlogFavored && evictList == &b.unused {
+		after = min(after, minUnusedAge)
 	}
-	s.in, s.idle, s.spare = in, in.PushBack(s), time.Now().Add(after)
-	b.tell()
+	s.evictList, s.evictElement, s.evictFrom = evictList, evictList.PushBack(s), time.Now().Add(after)
+	b.notifyFreed()
 }
 
-// Busy takes the mark back. False means that the socket has been closed meanwhile.
-func (s *Socket) Busy() bool {
+// MarkBusy takes the mark back. False means that the socket has been closed meanwhile.
+func (s *Socket) MarkBusy() bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
-	s.unmark()
+	s.unmarkEvictable()
 	return !s.closed
 }
 
-func (s *Socket) unmark() {
-	if s.idle != nil {
-		s.in.Remove(s.idle)
-		s.idle = nil
+func (s *Socket) unmarkEvictable() {
+	if s.evictElement != nil {
+		s.evictList.Remove(s.evictElement)
+		s.evictElement = nil
 	}
 }
 
-// leave gives the socket's place away and wakes its reader, which closes it. Only the reader can tell whether a
+// evict gives the socket's place away and wakes its reader, which closes it. Only the reader can tell whether a
 // request has come in meanwhile: closed from here, the connection would take that along, and it would be lost.
-func (s *Socket) leave() {
-	s.unmark()
-	s.leaving = true
-	s.budget.count(s.side, -1)
-	s.budget.leaving++
+func (s *Socket) evict() {
+	s.unmarkEvictable()
+	s.evicted = true
+	s.budget.addUsed(s.side, -1)
+	s.budget.evicted++
 	s.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Extend sets the read deadline, unless the socket is to make room: then it reports false, and its reader is to end.
-func (s *Socket) Extend(t time.Time) bool {
+// ExtendReadDeadline sets the read deadline, unless the socket is to make room: then it reports false, and its reader is to end.
+func (s *Socket) ExtendReadDeadline(t time.Time) bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
-	return !s.leaving && s.Conn.SetReadDeadline(t) == nil
+	return !s.evicted && s.Conn.SetReadDeadline(t) == nil
 }
 
-// Leaving reports whether the socket's place has been given away.
-func (s *Socket) Leaving() bool {
+// IsEvicted reports whether the socket's place has been given away.
+func (s *Socket) IsEvicted() bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
-	return s.leaving
+	return s.evicted
 }
 
 // Quiet reports whether nothing that has come in is still unread, the other side's close or reset included.
@@ -128,11 +128,11 @@
 		return nil
 	}
 	s.closed = true
-	s.unmark()
+	s.unmarkEvictable()
 	err := s.Conn.Close()
-	if s.leaving {
-		s.budget.leaving--
-		s.budget.tell()
+	if s.evicted {
+		s.budget.evicted--
+		s.budget.notifyFreed()
 	} else {
 		s.budget.release(s.side)
 	}
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -96,7 +96,7 @@
 // acceptRest accepts until nothing is left, and reports whether that was so; false = it is to be tried again.
 func (s *Server) acceptRest(l net.Listener) (empty bool) {
 	for !s.pastLast(acceptAgain) {
-		closed, err := connlimit.CloseEmpty(l)
+		closed, err := connlimit.CloseIfBacklogEmpty(l)
 		if closed {
 			return true
 		}
@@ -125,19 +125,19 @@
 // turnAway accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
 // something to do it with.
 func (s *Server) turnAway(l net.Listener) bool {
-	waiting, err := connlimit.Waiting(l)
-	if err != nil || !waiting || !s.budget.ReserveBrief() {
+	waiting, err := connlimit.HasBacklog(l)
+	if err != nil || !waiting || !s.budget.ReserveForRejection() {
 		return false
 	}
 	nc, err := accept(l)
 	if err != nil {
-		s.budget.ReleaseBrief()
+		s.budget.ReleaseForRejection()
 		return false
 	}
 	s.Connections.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &conn{server: s, socket: s.budget.AdoptBrief(nc), began: time.Now(), last: true, crowded: true}
+	c := &conn{server: s, socket: s.budget.AdoptForRejection(nc), began: time.Now(), last: true, crowded: true}
 	c.idleAt = c.began
 	s.conns[c] = false
 	c.wind(crowdedFor)
@@ -172,9 +172,9 @@
 		known: note == noteKnown,
 	}
 	if c.known {
-		c.socket.Idle(spareAfter)
+		c.socket.MarkIdle(spareAfter)
 	} else {
-		c.socket.Stranger(strangerAfter)
+		c.socket.MarkUnused(strangerAfter)
 	}
 	s.conns[c] = false
 	switch c.idleAt = c.began; {
@@ -186,7 +186,7 @@
 	case s.pass != nil:
 		c.wind(0)
 	default:
-		c.socket.Extend(c.began.Add(lookEvery))
+		c.socket.ExtendReadDeadline(c.began.Add(lookEvery))
 	}
 	s.running.Go(func() error { c.run(); return nil })
 	return c
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -145,7 +145,7 @@
 			budget := connlimit.NewBudget(4, nil) // two of them are for consumers
 			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Registry), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
 			for range held {
-				budget.Force(connlimit.Inward)
+				budget.ReserveBeyondLimit(connlimit.Inward)
 			}
 			go func() { h.done <- h.Serve(ctx, l) }()
 			for range 2 - held {
@@ -156,7 +156,7 @@
 				}
 			}
 			if held > 0 {
-				budget.Force(connlimit.Inward) // which nothing makes room for
+				budget.ReserveBeyondLimit(connlimit.Inward) // which nothing makes room for
 			}
 			mine, theirs := net.Pipe()
 			l.conns <- mine
--- a/internal/frontend/closing.go
+++ b/internal/frontend/closing.go
@@ -15,7 +15,7 @@
 	defer s.mu.Unlock()
 	if now := time.Now(); !s.closing {
 		s.closing, s.closeAt, s.halfAt = true, now, now.Add(halfFor)
-		s.budget.Hurry() // others wait in a backlog that is about to be closed
+		s.budget.FavorBacklog() // others wait in a backlog that is about to be closed
 		close(s.closed)
 	}
 	if d, ok := l.(deadliner); s.serving && ok && s.pass == nil && d.SetDeadline(s.closeAt) == nil {
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -190,7 +190,7 @@
 	c.server.mu.Lock()
 	pass, busy := c.server.pass, c.server.conns[c]
 	c.server.mu.Unlock()
-	if pass == nil || busy || c.br.Buffered() > 0 || c.socket.Leaving() {
+	if pass == nil || busy || c.br.Buffered() > 0 || c.socket.IsEvicted() {
 		return false
 	}
 	note := ""
@@ -214,12 +214,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	idle := time.Since(c.idleAt)
-	stays := idle < idleMost && (idle < lookEvery || !s.budget.Scarce())
+	stays := idle < idleMost && (idle < lookEvery || !s.budget.IsScarce())
 	if !c.brought { // it was woken before its time by a handover that came to nothing
 		stays = idle < lookEvery
-		return stays && !s.closing && c.socket.Extend(c.idleAt.Add(lookEvery))
+		return stays && !s.closing && c.socket.ExtendReadDeadline(c.idleAt.Add(lookEvery))
 	}
-	return !s.closing && (stays || s.staying) && c.socket.Extend(time.Now().Add(lookEvery))
+	return !s.closing && (stays || s.staying) && c.socket.ExtendReadDeadline(time.Now().Add(lookEvery))
 }
 
 // wind ends the connection as soon as it is idle. Its reader does that, not the caller: a request that the reader has
@@ -231,7 +231,7 @@
 	began := time.Now()
 	until := began.Add(headWithin)
 	if !c.known {
-		c.socket.Stranger(partAfter)
+		c.socket.MarkUnused(partAfter)
 	}
 	if !c.brought {
 		if first := c.began.Add(firstWithin); first.Before(until) {
@@ -267,7 +267,7 @@
 		return nil, c.turn(503, true), outcome.Open
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, c.turn(408, true), outcome.Open
-	case err != nil || !c.socket.Busy() || c.endReading() != nil:
+	case err != nil || !c.socket.MarkBusy() || c.endReading() != nil:
 		return nil, nil, outcome.MalformedRequest
 	}
 	c.brought = true
@@ -343,7 +343,7 @@
 // writeAnswer writes an answer, with the rest of a long one as it comes.
 func (c *conn) writeAnswer(a answer) outcome.Kind {
 	r := a.Response
-	r.Close = r.Close || c.server.isClosing() || c.socket.Leaving()
+	r.Close = r.Close || c.server.isClosing() || c.socket.IsEvicted()
 	e := c.write(http1.AppendResponse(nil, r, a.old))
 	c.owed.Store(nil) // what could not be written went to nobody
 	if a.flow != nil {
@@ -387,9 +387,9 @@
 // rest marks the connection as one between two messages.
 func (c *conn) rest() {
 	if c.known {
-		c.socket.Idle(spareAfter)
+		c.socket.MarkIdle(spareAfter)
 	} else {
-		c.socket.Stranger(strangerAfter)
+		c.socket.MarkUnused(strangerAfter)
 	}
 	c.setBusy(false)
 }
@@ -398,7 +398,7 @@
 // request would turn a plain close into a reset, and that could overtake the answer. A flood is not read to its end: it
 // gets a moment for the answer to arrive.
 func (c *conn) linger() {
-	c.socket.Stranger(0)
+	c.socket.MarkUnused(0)
 	if n, _ := io.CopyN(io.Discard, c.br, lingerMost); n == lingerMost {
 		time.Sleep(floodFor)
 	}
@@ -409,7 +409,7 @@
 func (c *conn) extend(t time.Time) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.socket.Extend(c.server.readUntil(t))
+	return c.socket.ExtendReadDeadline(c.server.readUntil(t))
 }
 
 // extendLeaving is extend for a connection whose place has been given away.
@@ -454,6 +454,6 @@
 	if c.idleAt = time.Now(); s.closing || s.pass != nil {
 		c.wind(0)
 	} else {
-		c.socket.Extend(c.idleAt.Add(lookEvery))
+		c.socket.ExtendReadDeadline(c.idleAt.Add(lookEvery))
 	}
 }
--- a/internal/frontend/long.go
+++ b/internal/frontend/long.go
@@ -96,7 +96,7 @@
 	if c.upload == nil {
 		c.extend(t)
 	} else {
-		c.socket.Extend(t)
+		c.socket.ExtendReadDeadline(t)
 	}
 }
 
@@ -170,7 +170,7 @@
 	}
 	u.spent.Store(true)
 	u.conn.paced = u.pace
-	u.conn.socket.Extend(u.pace.Until(time.Now()))
+	u.conn.socket.ExtendReadDeadline(u.pace.Until(time.Now()))
 	n, err := u.body.Read(p)
 	if err == nil && u.body.Length() == 0 {
 		err = io.EOF
@@ -261,9 +261,9 @@
 	}
 	if u.err == errSeized {
 		c.paced = u.pace
-		c.socket.Extend(u.pace.Until(time.Now()))
+		c.socket.ExtendReadDeadline(u.pace.Until(time.Now()))
 		_, err := io.Copy(io.Discard, u.body)
-		if c.paced = nil; err != nil || !c.socket.Busy() || c.socket.SetReadDeadline(time.Time{}) != nil {
+		if c.paced = nil; err != nil || !c.socket.MarkBusy() || c.socket.SetReadDeadline(time.Time{}) != nil {
 			return outcome.MalformedRequest
 		}
 	}
