--- /dev/null
+++ b/internal/backend/client.go
@@ -0,0 +1,116 @@
+// Package backend is the HTTP caller: it makes invoker calls and probes to the providers and keeps each provider's
+// connections.
+package backend
+
+import (
+	"context"
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/invariant"
+	"plankrouter/internal/keepalive"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/streaming"
+	"plankrouter/internal/upstream"
+	"plankrouter/policy"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Figures are those of the deployment that may change while a Caller works.
+type Figures struct {
+	Connect  time.Duration      // within which a connection has to come up
+	ConnIdle time.Duration      // after which a provider closes an idle one
+	Stakes   []keepalive.Stakes // by class of invocations
+}
+
+// Settings are what a Caller is told.
+type Settings struct {
+	Figures
+	Trace   func(format string, args ...any) // logs a line for every connection, as it comes up or not and as it ends; nil = none
+	Written func()                           // told of each attempt at an invocation whose last byte is written; nil = nobody is
+	Bounds  *streaming.Bounds                // of bodies that flow; nil = none does: those beyond 64 KiB are malformed
+	Answers func(status int) bool            // which statuses are a served request's; nil = 200 alone
+	Rules   *invariant.Recorder              // of what was held back and what got past; nil = nobody counts
+}
+
+// Stakes are what the requests of the module's classes put at risk.
+func Stakes(classes []policy.Class) (out []keepalive.Stakes) {
+	for _, c := range classes {
+		aim := time.Duration(c.LatencyObjective * float64(time.Millisecond))
+		out = append(out, keepalive.Stakes{Once: c.Idempotency == policy.NonIdempotent, Aim: aim, Worth: c.PriorityWeight})
+	}
+	return out
+}
+
+// Caller is the upstream.Caller of HTTP/1.1. Beside what that says, its endpoints may belong to any goroutine.
+type Caller struct {
+	ctx    context.Context
+	budget *connlimit.Budget
+	set    Settings
+	now    atomic.Pointer[Figures]
+	wg     sync.WaitGroup
+
+	mu   sync.Mutex      // of all that follows, and of what endpoints keep
+	book *keepalive.Book // of how connections break
+	idle outcome.Counts  // how kept connections have ended
+}
+
+// New returns a Caller whose connections end with ctx.
+func New(ctx context.Context, budget *connlimit.Budget, set Settings) (*Caller, error) {
+	// A retry draws on a budget of one in ten requests, so that where connections break often there is none left for it; a
+	// handshake is a small part of a request's work.
+	prices := keepalive.Default()
+	prices.Handshake, prices.Retry = 0.01, 0.3
+	book, err := keepalive.New(prices)
+	if err != nil {
+		return nil, err
+	}
+	v := &Caller{ctx: ctx, budget: budget, set: set, book: book}
+	v.Reconfigure(set.Figures)
+	return v, nil
+}
+
+// Reconfigure goes by other figures from the next call on.
+func (v *Caller) Reconfigure(f Figures) { v.now.Store(&f) }
+
+// Wait returns when the last goroutine has ended, which it does soon after the context's end.
+func (v *Caller) Wait() { v.wg.Wait() }
+
+// Idle counts how kept connections have ended so far.
+func (v *Caller) Idle() outcome.Counts {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.idle
+}
+
+// Forget drops a provider that is gone for good, as a upstream.Caller does.
+func (v *Caller) Forget(provider string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.book.Forget(provider)
+}
+
+// State returns what was learned of how connections break.
+func (v *Caller) State(now time.Time) ([]byte, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.book.State(now)
+}
+
+// Restore takes what State returned.
+func (v *Caller) Restore(now time.Time, state []byte, age time.Duration) error {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.book.Restore(now, state, age)
+}
+
+// Endpoint returns a provider's process at address.
+func (v *Caller) Endpoint(provider, address string) upstream.Endpoint {
+	return &endpoint{of: v, name: provider, address: address}
+}
+
+func (v *Caller) trace(format string, args ...any) {
+	if v.set.Trace != nil {
+		v.set.Trace(format, args...)
+	}
+}
