--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -15,138 +15,144 @@
 type stage uint8
 
 const (
-	connecting stage = iota
-	holding          // its last byte is still here
-	writing          // from here on its last byte may have been written
-	waiting          // its last byte is written
-	ended
+	stageConnecting       stage = iota
+	stageLastByteHeld           // its last byte is still here
+	stageWriting                // from here on its last byte may have been written
+	stageAwaitingResponse       // its last byte is written
+	stageEnded
 )
 
-// call is one invoker call or one probe, the upstream.Call of this protocol. It ends exactly once: by the goroutine that
+// attempt is one invoker call or one probe, the upstream.Call of this protocol. It ends exactly once: by the goroutine that
 // carries it, or by Stop; the first of them wins.
-type call struct {
-	at       *endpoint
-	message  []byte
-	probe    bool
-	inv      *request.Request // nil = none: a probe
-	bodiless bool             // its answer has no body, whatever it says
-	done     func(upstream.Result)
-	upload   request.Upload  // what follows message; nil = nothing
-	flowed   func()          // told when its last byte is written
-	hold     time.Duration   // of the last byte, on the present connection
-	fresh    time.Duration   // likewise, on a new one
-	ctx      context.Context // ends with the call
-	cancel   context.CancelFunc
+type attempt struct {
+	endpoint   *endpoint
+	message    []byte
+	isProbe    bool
+	request    *request.Request // nil = none: a probe
+	bodiless   bool             // its answer has no body, whatever it says
+	onEnd      func(upstream.Result)
+	upload     request.Upload  // what follows message; nil = nothing
+	onBodySent func()          // told when its last byte is written
+	pause      time.Duration   // of the last byte, on the present connection
+	pauseOnNew time.Duration   // likewise, on a new one
+	ctx        context.Context // ends with the call
+	cancel     context.CancelFunc
 
 	// How its connections did, for the book. The goroutine that carries it writes them.
-	use    use           // the connection that carried it
-	dialed time.Duration // the connection took so long to come up, if it was new
-	dead   *dead         // a kept connection that was found dead before; nil = there was none
-
-	endsAt time.Time     // when this process stops waiting; zero = its client's time has not begun, or it has no client
-	told   time.Duration // the deadline in message
-
-	mu       sync.Mutex
-	stage    stage
-	conn     *conn
-	notAfter invariant.Limit // on the first byte
-	expires  invariant.Limit // on the first byte and the last
+	use      connUse       // the connection that carried it
+	dialTime time.Duration // the connection took so long to come up, if it was new
+	deadConn *deadConn     // a kept connection that was found dead before; nil = there was none
+
+	deadline    time.Time     // when this process stops waiting; zero = its client's time has not begun, or it has no client
+	timeoutSent time.Duration // the deadline in message
+
+	mu      sync.Mutex
+	stage   stage
+	conn    *conn
+	startBy invariant.Limit // on the first byte
+	expires invariant.Limit // on the first byte and the last
 }
 
-// firstByte is the limit on a first byte that a drain's grace leaves.
-func firstByte(notAfter time.Time) invariant.Limit {
-	return invariant.NewLimit(notAfter, staleness.FirstByteLead+invariant.SocketSlack)
+// firstByteLimit is the limit on a first byte that a drain's grace leaves.
+func firstByteLimit(startBy time.Time) invariant.Limit {
+	return invariant.NewLimit(startBy, staleness.FirstByteLead+invariant.SocketSlack)
 }
 
 // begin moves the call to its first byte, unless it has ended or its provider no longer wants it.
-func (c *call) begin(conn *conn) outcome.Kind {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (a *attempt) begin(conn *conn) outcome.Kind {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	now := time.Now()
-	if e := c.barred(now, true); e != outcome.Open {
+	if e := a.expiredOrForbidden(now, true); e != outcome.Open {
 		return e
 	}
-	c.reword(now)
-	c.conn, c.use = conn, conn.use
-	if !conn.use.kept() {
-		c.dialed = conn.dialed
+	a.refreshDeadline(now)
+	a.conn, a.use = conn, conn.use
+	if !conn.use.isKept() {
+		a.dialTime = conn.dialTime
 	}
-	if c.stage = writing; c.inParts() {
-		c.stage = holding
+	if a.stage = stageWriting; a.lastByteApart() {
+		a.stage = stageLastByteHeld
 	}
 	return outcome.Open
 }
 
-// inParts reports whether the last byte is written by itself, so that what comes in before it is seen to.
-func (c *call) inParts() bool { return len(c.message) > lump || c.hold > 0 || c.upload != nil }
+// lastByteApart reports whether the last byte is written by itself, so that what comes in before it is seen to.
+func (a *attempt) lastByteApart() bool {
+	return len(a.message) > chunkSize || a.pause > 0 || a.upload != nil
+}
 
-// release moves the call to its last byte, or says why that may not be written.
-func (c *call) release() outcome.Kind {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	e := c.barred(time.Now(), false)
+// releaseLastByte moves the call to its last byte, or says why that may not be written.
+func (a *attempt) releaseLastByte() outcome.Kind {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	e := a.expiredOrForbidden(time.Now(), false)
 	if e == outcome.Open {
-		c.stage = writing
+		a.stage = stageWriting
 	}
 	return e
 }
 
 // rewind takes the call back to where it has no connection, unless it has ended meanwhile or lost one before. The next one
 // is new.
-func (c *call) rewind(d dead) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.over() || c.dead != nil || c.upload != nil && c.upload.Consumed() {
+func (a *attempt) rewind(d deadConn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.isOver() || a.deadConn != nil || a.upload != nil && a.upload.Consumed() {
 		return false
 	}
-	c.stage, c.conn, c.dead = connecting, nil, &d
+	a.stage, a.conn, a.deadConn = stageConnecting, nil, &d
 	return true
 }
 
-// written notes that the last byte is written, and reports whether the call still waits for its answer.
-func (c *call) written() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stage == ended {
+// markSent notes that the last byte is written, and reports whether the call still waits for its answer.
+func (a *attempt) markSent() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stage == stageEnded {
 		return false
 	}
-	c.stage = waiting
-	if told := c.at.of.set.Written; told != nil && !c.probe {
+	a.stage = stageAwaitingResponse
+	if told := a.endpoint.client.settings.Written; told != nil && !a.isProbe {
 		told()
 	}
 	return true
 }
 
 // StartBy forbids a first byte later than t.
-func (c *call) StartBy(t time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.notAfter.GuardAt.IsZero() || t.Before(c.notAfter.GuardAt) {
-		c.notAfter = firstByte(t)
+func (a *attempt) StartBy(t time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.startBy.GuardAt.IsZero() || t.Before(a.startBy.GuardAt) {
+		a.startBy = firstByteLimit(t)
 	}
 }
 
 // Cancel gives the call up. Its connection is closed when Stop returns, so that no later attempt can be out
 // beside this one. False means that it had ended already and its Result is on the way.
-func (c *call) Cancel(why outcome.Kind) (outcome.Kind, bool) { return c.giveUp(why, waiting) }
+func (a *attempt) Cancel(why outcome.Kind) (outcome.Kind, bool) {
+	return a.abort(why, stageAwaitingResponse)
+}
 
 // Withdraw is Stop for a call whose last byte is not written.
-func (c *call) Withdraw(why outcome.Kind) (outcome.Kind, bool) { return c.giveUp(why, holding) }
+func (a *attempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) {
+	return a.abort(why, stageLastByteHeld)
+}
 
-// giveUp ends the call unless it has come further than to that stage.
-func (c *call) giveUp(why outcome.Kind, most stage) (outcome.Kind, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stage > most {
+// abort ends the call unless it has come further than to that stage.
+func (a *attempt) abort(why outcome.Kind, lastStage stage) (outcome.Kind, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stage > lastStage {
 		return outcome.Open, false
 	}
-	if c.stage <= holding {
+	if a.stage <= stageLastByteHeld {
 		why = why.Unsent()
 	}
-	c.stage = ended
-	c.cancel()
-	if c.conn != nil {
-		c.conn.close()
+	a.stage = stageEnded
+	a.cancel()
+	if a.conn != nil {
+		a.conn.close()
 	}
 	return why, true
 }
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -49,9 +49,9 @@
 	}
 	defer theirs.Close()
 	consumer := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
-	for _, size := range []int{1, 2 * lump} {
+	for _, size := range []int{1, 2 * chunkSize} {
 		for _, gone := range []func() bool{nil, consumer.Left} {
-			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/lump/2, gone != nil), func(b *testing.B) {
+			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/chunkSize/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
 				v, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{Figures: Figures{Connect: time.Minute, ConnIdle: time.Hour}})
 				if err != nil {
@@ -61,7 +61,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					inv := &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: body, ClientGone: gone}
-					v.start(at.word(upstream.AttemptOptions{Request: inv, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixed(0))
+					v.start(at.encode(upstream.AttemptOptions{Request: inv, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixed(0))
 					if r := <-ended; r.Outcome != outcome.Served {
 						b.Fatal(r.Outcome)
 					}
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -44,15 +44,15 @@
 
 // Caller is the upstream.Caller of HTTP/1.1. Beside what that says, its endpoints may belong to any goroutine.
 type Caller struct {
-	ctx    context.Context
-	budget *connlimit.Budget
-	set    Settings
-	now    atomic.Pointer[Figures]
-	wg     sync.WaitGroup
+	ctx      context.Context
+	budget   *connlimit.Budget
+	settings Settings
+	figures  atomic.Pointer[Figures]
+	wg       sync.WaitGroup
 
-	mu   sync.Mutex      // of all that follows, and of what endpoints keep
-	book *keepalive.Book // of how connections break
-	idle outcome.Counts  // how kept connections have ended
+	mu           sync.Mutex      // of all that follows, and of what endpoints keep
+	estimator    *keepalive.Book // of how connections break
+	idleOutcomes outcome.Counts  // how kept connections have ended
 }
 
 // New returns a Caller whose connections end with ctx.
@@ -65,13 +65,13 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Caller{ctx: ctx, budget: budget, set: set, book: book}
+	v := &Caller{ctx: ctx, budget: budget, settings: set, estimator: book}
 	v.Reconfigure(set.Figures)
 	return v, nil
 }
 
 // Reconfigure goes by other figures from the next call on.
-func (v *Caller) Reconfigure(f Figures) { v.now.Store(&f) }
+func (v *Caller) Reconfigure(f Figures) { v.figures.Store(&f) }
 
 // Wait returns when the last goroutine has ended, which it does soon after the context's end.
 func (v *Caller) Wait() { v.wg.Wait() }
@@ -80,37 +80,37 @@
 func (v *Caller) Idle() outcome.Counts {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.idle
+	return v.idleOutcomes
 }
 
 // Forget drops a provider that is gone for good, as a upstream.Caller does.
-func (v *Caller) Forget(provider string) {
+func (v *Caller) Forget(server string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.book.Forget(provider)
+	v.estimator.Forget(server)
 }
 
 // State returns what was learned of how connections break.
 func (v *Caller) State(now time.Time) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.State(now)
+	return v.estimator.State(now)
 }
 
 // Restore takes what State returned.
 func (v *Caller) Restore(now time.Time, state []byte, age time.Duration) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Restore(now, state, age)
+	return v.estimator.Restore(now, state, age)
 }
 
 // Endpoint returns a provider's process at address.
-func (v *Caller) Endpoint(provider, address string) upstream.Endpoint {
-	return &endpoint{of: v, name: provider, address: address}
+func (v *Caller) Endpoint(server, address string) upstream.Endpoint {
+	return &endpoint{client: v, name: server, address: address}
 }
 
 func (v *Caller) trace(format string, args ...any) {
-	if v.set.Trace != nil {
-		v.set.Trace(format, args...)
+	if v.settings.Trace != nil {
+		v.settings.Trace(format, args...)
 	}
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -15,25 +15,25 @@
 // them: whatever comes while there is no call on it belongs to nobody, and so does what comes before a call's last
 // byte is written.
 type conn struct {
-	at     *endpoint // that it was opened to
-	put    time.Time // when it was last put there,
-	until  time.Time // and until when it may be used from there
-	socket *connlimit.Socket
-	br     *bufio.Reader
-	dialed time.Duration // until it was up,
-	since  time.Time     // which it was then
-	use    use           // by its present call
+	endpoint    *endpoint // that it was opened to
+	idleSince   time.Time // when it was last put there,
+	idleUntil   time.Time // and until when it may be used from there
+	socket      *connlimit.Socket
+	reader      *bufio.Reader
+	dialTime    time.Duration // until it was up,
+	connectedAt time.Time     // which it was then
+	use         connUse       // by its present call
 
 	mu   sync.Mutex
-	next *call // to carry, once the goroutine has seen that nothing had come in
-	over bool  // no further call may use it
+	next *attempt // to carry, once the goroutine has seen that nothing had come in
+	over bool     // no further call may use it
 
 	answering bool // an answer is being judged; of the goroutine that reads
 }
 
 func newConn(s *connlimit.Socket, at *endpoint) *conn {
-	c := &conn{at: at, socket: s}
-	c.br = http1.NewReader(c)
+	c := &conn{endpoint: at, socket: s}
+	c.reader = http1.NewReader(c)
 	return c
 }
 
@@ -41,19 +41,19 @@
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.socket.Read(p)
 	if n > 0 && c.answering {
-		c.socket.SetReadDeadline(time.Now().Add(pauseMost))
+		c.socket.SetReadDeadline(time.Now().Add(maxResponsePause))
 	}
 	return n, err
 }
 
 // offer gives the idle connection its next call, unless it has ended.
-func (c *conn) offer(call *call) bool {
+func (c *conn) offer(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.over {
 		return false
 	}
-	c.next = call
+	c.next = a
 	c.socket.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine
 	return true
 }
@@ -66,17 +66,17 @@
 	c.socket.Close()
 }
 
-// idle waits for the next call. How says why the connection can't carry it, or has ended without one; Open = it can.
-func (c *conn) idle() (next *call, how outcome.Kind) {
+// idleOutcomes waits for the next call. How says why the connection can't carry it, or has ended without one; Open = it can.
+func (c *conn) waitForAttempt() (next *attempt, how outcome.Kind) {
 	began := time.Now()
-	_, err := c.br.Peek(1)
+	_, err := c.reader.Peek(1)
 	c.use.idle = time.Since(began)
 	c.mu.Lock()
 	next, c.next = c.next, nil
 	c.over = c.over || next == nil
 	c.mu.Unlock()
 	// This goroutine may have been woken late, and the provider may be about to close the connection.
-	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.until) {
+	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.idleUntil) {
 		err = c.socket.SetReadDeadline(time.Time{})
 		if err == nil && c.socket.Quiet() {
 			return next, outcome.Open
@@ -85,20 +85,20 @@
 	return next, outcome.FromIdleError(err)
 }
 
-// quietFor waits, with the last byte still to be written, and reports whether nothing has come in, an end included.
-func (c *conn) quietFor(hold time.Duration) bool {
-	if hold <= 0 {
+// staysQuiet waits, with the last byte still to be written, and reports whether nothing has come in, an end included.
+func (c *conn) staysQuiet(pause time.Duration) bool {
+	if pause <= 0 {
 		return c.socket.Quiet()
 	}
-	c.socket.SetReadDeadline(time.Now().Add(hold))
-	_, err := c.br.Peek(1)
+	c.socket.SetReadDeadline(time.Now().Add(pause))
+	_, err := c.reader.Peek(1)
 	return errors.Is(err, os.ErrDeadlineExceeded) && c.socket.SetReadDeadline(time.Time{}) == nil
 }
 
-// begun starts the time of an answer, or ends it.
-func (c *conn) begun(begun bool) {
+// setAnswering starts the time of an answer, or ends it.
+func (c *conn) setAnswering(begun bool) {
 	if c.answering = begun; begun {
-		c.socket.SetReadDeadline(time.Now().Add(pauseMost))
+		c.socket.SetReadDeadline(time.Now().Add(maxResponsePause))
 	} else {
 		c.socket.SetReadDeadline(time.Time{})
 	}
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -32,23 +32,23 @@
 	defer in.Close()
 	budget := connlimit.NewBudget(1, nil)
 	budget.Reserve(connlimit.Outward)
-	at := &endpoint{of: new(Caller), address: "p1:1"}
+	at := &endpoint{client: new(Caller), address: "p1:1"}
 	conn := newConn(budget.Adopt(out, connlimit.Outward), at)
 	defer conn.close()
 	if _, err := in.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nmap")); err != nil {
 		t.Fatal(err)
 	}
-	conn.until = time.Now().Add(time.Hour)
-	if !conn.offer(at.word(upstream.AttemptOptions{})) {
+	conn.idleUntil = time.Now().Add(time.Hour)
+	if !conn.offer(at.encode(upstream.AttemptOptions{})) {
 		t.Fatal("an idle connection takes no call")
 	}
-	call, how := conn.idle()
+	call, how := conn.waitForAttempt()
 	if call == nil || how != outcome.UnexpectedBytes {
 		t.Errorf("taken from idle: call %v, %s", call, how)
 	}
-	c := at.word(upstream.AttemptOptions{Request: &request.Request{ID: "a", Method: "POST", Body: make([]byte, lump)}, Timeout: time.Second})
+	c := at.encode(upstream.AttemptOptions{Request: &request.Request{ID: "a", Method: "POST", Body: make([]byte, chunkSize)}, Timeout: time.Second})
 	go io.Copy(io.Discard, in)
-	if r, again := conn.carry(c); r.Outcome != outcome.PartlyWritten || again || r.Body != nil {
+	if r, again := conn.exchange(c); r.Outcome != outcome.PartlyWritten || again || r.Body != nil {
 		t.Errorf("carried: %s, %q, again %t", r.Outcome, r.Body, again)
 	}
 }
@@ -69,8 +69,8 @@
 	defer v.Wait()
 	defer cancel()
 	at, ends := v.Endpoint("p1", "p1:1").(*endpoint), make(chan outcome.Kind, 2)
-	next := at.word(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome }})
-	first := at.word(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome; v.start(next, fixed(0)) }})
+	next := at.encode(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome }})
+	first := at.encode(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome; v.start(next, fixed(0)) }})
 	v.start(first, fixed(0))
 	for kept, i := <-opened, 0; i < 2; i++ {
 		kept.SetDeadline(time.Now().Add(5 * time.Second)) // on a connection of its own the next never comes here
--- a/internal/backend/dead_test.go
+++ b/internal/backend/deadconn_test.go
@@ -17,10 +17,10 @@
 // fixed is a bet that takes any kept connection and holds the last byte back there for so long.
 type fixed time.Duration
 
-func (fixed) take(use) bool { return true }
+func (fixed) mayReuse(connUse) bool { return true }
 
-func (f fixed) hold(u use) time.Duration {
-	if !u.kept() {
+func (f fixed) pauseBeforeLastByte(u connUse) time.Duration {
+	if !u.isKept() {
 		return 0
 	}
 	return time.Duration(f)
@@ -101,7 +101,7 @@
 						got.Whole++
 					}
 				}
-				start := func() *call {
+				start := func() *attempt {
 					task := upstream.AttemptOptions{OnEnd: func(r upstream.Result) { results <- r }}
 					if !c.probe {
 						task.Request = &request.Request{
@@ -113,7 +113,7 @@
 					if c.expires > 0 {
 						task.Expires = time.Now().Add(c.expires)
 					}
-					one := at.word(task)
+					one := at.encode(task)
 					v.start(one, fixed(c.hold))
 					return one
 				}
@@ -137,7 +137,7 @@
 							gone.Store(true)
 							return
 						case c.leave:
-							second.inv.MarkClientGone()
+							second.request.MarkClientGone()
 							return
 						case c.withdraw:
 							give, why = second.Withdraw, outcome.Cancelled
@@ -170,7 +170,7 @@
 					kept.Write([]byte(answer))
 				}
 				r := <-results
-				got.Ending, got.Dead = r.Outcome, second.dead != nil
+				got.Ending, got.Dead = r.Outcome, second.deadConn != nil
 				if got != c.want {
 					t.Errorf("%+v, want %+v", got, c.want)
 				}
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -50,7 +50,7 @@
 				results := make(chan upstream.Result, 2)
 				at := v.Endpoint("p1", "p1:1").(*endpoint)
 				begin := func(hold time.Duration) time.Time {
-					v.start(at.word(upstream.AttemptOptions{
+					v.start(at.encode(upstream.AttemptOptions{
 						Timeout: patience, OnEnd: func(r upstream.Result) { results <- r },
 						Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
 					}), fixed(hold))
@@ -81,7 +81,7 @@
 	}
 }
 
-// check reads a request and compares what it tells with what is left of the client's patience.
+// recordViolations reads a request and compares what it tells with what is left of the client's patience.
 func check(t *testing.T, peer net.Conn, began time.Time, patience time.Duration) {
 	t.Helper()
 	told := readDeadline(t, peer)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -9,91 +9,91 @@
 	"time"
 )
 
-// lump is what a kernel takes at once. Only a larger message takes so long to write that an answer could come before
+// chunkSize is what a kernel takes at once. Only a larger message takes so long to write that an answer could come before
 // its end.
-const lump = 8 << 10
+const chunkSize = 8 << 10
 
 const (
-	// pauseMost is how long an answer that has begun may pause while it is judged. Its work is done by then: what is still
+	// maxResponsePause is how long an answer that has begun may pause while it is judged. Its work is done by then: what is still
 	// missing after that, as behind a head that does not end or a length that is too large, will not come.
-	pauseMost = 400 * time.Millisecond
-	// stallMost is the same for a body that flows, either way.
-	stallMost = 5 * time.Second
+	maxResponsePause = 400 * time.Millisecond
+	// maxStreamStall is the same for a body that flows, either way.
+	maxStreamStall = 5 * time.Second
 )
 
-// carry makes the call, on a connection that is quiet, and reports how it ended, with the answer if there was one, and
+// exchange makes the call, on a connection that is quiet, and reports how it ended, with the answer if there was one, and
 // whether the connection may be used again.
-func (c *conn) carry(call *call) (r result, again bool) {
+func (c *conn) exchange(a *attempt) (r result, again bool) {
 	sent := time.Now()
 	early := func() (result, bool) { // a part of a request can't have run
-		return result{Result: upstream.Result{Outcome: outcome.PartlyWritten}, early: true, took: time.Since(sent)}, false
+		return result{Result: upstream.Result{Outcome: outcome.PartlyWritten}, early: true, tookUntilBreak: time.Since(sent)}, false
 	}
 	unsent := func(e outcome.Kind) (result, bool) { // nobody waits for it, or it is too late, and its last byte is not written
 		return result{Result: upstream.Result{Outcome: e}}, false
 	}
-	rest := call.message
-	if call.upload != nil {
+	rest := a.message
+	if a.upload != nil {
 		var consumer error
-		if rest, consumer = c.pump(call); rest == nil && consumer != nil { // who sends it has ended: so has the attempt, unsent
+		if rest, consumer = c.streamBody(a); rest == nil && consumer != nil { // who sends it has ended: so has the attempt, unsent
 			return unsent(outcome.Withdrawn)
 		}
 		if rest == nil {
 			return early()
 		}
-	} else if call.inParts() {
+	} else if a.lastByteApart() {
 		_, err := c.socket.Write(rest[:len(rest)-1])
 		if err == nil {
-			call.check(true)
+			a.recordViolations(true)
 		}
-		if err != nil || !c.quietFor(call.hold) {
+		if err != nil || !c.staysQuiet(a.pause) {
 			return early()
 		}
 		rest = rest[len(rest)-1:]
 	}
-	if call.inParts() {
-		if e := call.release(); e != outcome.Open {
+	if a.lastByteApart() {
+		if e := a.releaseLastByte(); e != outcome.Open {
 			return unsent(e)
 		}
 	}
 	if _, err := c.socket.Write(rest); err != nil {
 		return early()
 	}
-	call.check(!call.inParts())
-	if !call.written() {
+	a.recordViolations(!a.lastByteApart())
+	if !a.markSent() {
 		return result{}, false
 	}
-	if call.upload != nil {
-		call.flowed()
+	if a.upload != nil {
+		a.onBodySent()
 	}
 	sent = time.Now()
-	resp, err := c.answer(call)
+	resp, err := c.readResponse(a)
 	switch {
 	case errors.Is(err, http1.ErrMalformed), errors.Is(err, os.ErrDeadlineExceeded):
 		return result{Result: upstream.Result{Outcome: outcome.Malformed}}, false
 	case err != nil: // the kernel has taken the last byte, and nobody knows
-		return result{Result: upstream.Result{Outcome: outcome.ResetByPeer}, took: time.Since(sent)}, false
+		return result{Result: upstream.Result{Outcome: outcome.ResetByPeer}, tookUntilBreak: time.Since(sent)}, false
 	}
-	out := result{Result: call.resultOf(resp)}
+	out := result{Result: a.resultOf(resp)}
 	if resp.Rest == nil {
-		return out, !resp.Close && c.br.Buffered() == 0
+		return out, !resp.Close && c.reader.Buffered() == 0
 	}
 	if out.Outcome != outcome.Served { // nobody reads the rest
 		return out, false
 	}
-	out.flow = &download{Stream: resp.Rest, conn: c, done: make(chan struct{})}
-	out.Remainder = out.flow
+	out.download = &download{Stream: resp.Rest, conn: c, done: make(chan struct{})}
+	out.Remainder = out.download
 	return out, !resp.Close
 }
 
-// answer reads the call's answer, or the beginning of a long one.
-func (c *conn) answer(call *call) (*http1.Response, error) {
-	bounds := call.at.of.set.Bounds
-	if bounds == nil || call.probe {
-		return http1.ReadResponse(c.br, call.bodiless, c.begun)
+// readResponse reads the call's answer, or the beginning of a long one.
+func (c *conn) readResponse(a *attempt) (*http1.Response, error) {
+	bounds := a.endpoint.client.settings.Bounds
+	if bounds == nil || a.isProbe {
+		return http1.ReadResponse(c.reader, a.bodiless, c.setAnswering)
 	}
 	kept := 0
 	defer func() { bounds.Give(kept) }()
-	return http1.ReadLong(c.br, call.bodiless, c.begun, func(n int) bool {
+	return http1.ReadLong(c.reader, a.bodiless, c.setAnswering, func(n int) bool {
 		if bounds.Take(n) {
 			kept = n
 		}
@@ -103,6 +103,6 @@
 
 // foundDead reports whether the call has learned nothing but that the kept connection was dead. What is not a probe must
 // not have been sent whole: whether to send that again is not decided here.
-func (c *conn) foundDead(call *call, r *result) bool {
-	return c.use.carried > 0 && (r.early || call.probe && r.Outcome == outcome.ResetByPeer)
+func (c *conn) foundDead(a *attempt, r *result) bool {
+	return c.use.attempts > 0 && (r.early || a.isProbe && r.Outcome == outcome.ResetByPeer)
 }
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -77,7 +77,7 @@
 				if c.expires > 0 {
 					task.Expires = time.Now().Add(c.expires)
 				}
-				one := v.Endpoint("p1", "p1:1").(*endpoint).word(task)
+				one := v.Endpoint("p1", "p1:1").(*endpoint).encode(task)
 				v.start(one, fixed(0))
 				head := len(one.message) - len(inv.Body)
 				whole := sync.OnceValue(func() bool {
--- a/internal/backend/message.go
+++ b/internal/backend/message.go
@@ -10,56 +10,56 @@
 	"time"
 )
 
-// rewordAfter is the time after which a message that tells a deadline is worded anew.
-const rewordAfter = 10 * time.Millisecond
+// maxDeadlineDrift is the time after which a message that tells a deadline is worded anew.
+const maxDeadlineDrift = 10 * time.Millisecond
 
-// word words the task for the endpoint.
-func (e *endpoint) word(t upstream.AttemptOptions) *call {
-	c := &call{
-		at: e, done: t.OnEnd, inv: t.Request, notAfter: firstByte(t.StartBy),
-		expires: invariant.NewLimit(t.Expires, invariant.SocketSlack),
+// encode words the task for the endpoint.
+func (e *endpoint) encode(options upstream.AttemptOptions) *attempt {
+	a := &attempt{
+		endpoint: e, onEnd: options.OnEnd, request: options.Request, startBy: firstByteLimit(options.StartBy),
+		expires: invariant.NewLimit(options.Expires, invariant.SocketSlack),
 	}
-	inv := t.Request
+	inv := options.Request
 	if inv == nil {
-		c.probe, c.message = true, http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
-		return c
+		a.isProbe, a.message = true, http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
+		return a
 	}
-	c.bodiless = inv.Method == "HEAD"
-	wait := t.Timeout
-	if c.upload, c.flowed = inv.Remainder, t.OnBodySent; c.upload == nil { // else its client's time has not begun
+	a.bodiless = inv.Method == "HEAD"
+	wait := options.Timeout
+	if a.upload, a.onBodySent = inv.Remainder, options.OnBodySent; a.upload == nil { // else its client's time has not begun
 		now := time.Now()
-		if c.endsAt = t.Deadline; c.endsAt.IsZero() {
-			c.endsAt = now.Add(wait)
+		if a.deadline = options.Deadline; a.deadline.IsZero() {
+			a.deadline = now.Add(wait)
 		}
-		wait = c.endsAt.Sub(now)
+		wait = a.deadline.Sub(now)
 	}
-	c.compose(wait)
-	return c
+	a.encodeMessage(wait)
+	return a
 }
 
-// compose words the message, which tells the server how long this process waits.
-func (c *call) compose(wait time.Duration) {
-	inv := c.inv
-	c.told = max(wait, time.Millisecond)
+// encodeMessage words the message, which tells the server how long this process waits.
+func (a *attempt) encodeMessage(wait time.Duration) {
+	inv := a.request
+	a.timeoutSent = max(wait, time.Millisecond)
 	fields := append([]request.Field{
 		{Name: http1.HeaderID, Value: inv.ID},
-		{Name: http1.HeaderDeadline, Value: strconv.FormatFloat(c.told.Seconds(), 'f', 3, 64)},
+		{Name: http1.HeaderDeadline, Value: strconv.FormatFloat(a.timeoutSent.Seconds(), 'f', 3, 64)},
 	}, inv.Fields...)
 	length := int64(len(inv.Body))
-	if c.upload != nil {
-		if length += c.upload.Length(); c.upload.Length() < 0 {
+	if a.upload != nil {
+		if length += a.upload.Length(); a.upload.Length() < 0 {
 			length = -1
 		}
 	}
-	c.message = http1.AppendLongRequest(nil, inv.Method, inv.Target, cmp.Or(inv.Host, c.at.address), fields, inv.Body, length)
+	a.message = http1.AppendLongRequest(nil, inv.Method, inv.Target, cmp.Or(inv.Host, a.endpoint.address), fields, inv.Body, length)
 }
 
-// reword words the message anew if the deadline in it is out of date, as after a connection that was long in coming up.
-func (c *call) reword(now time.Time) {
-	if c.endsAt.IsZero() {
+// refreshDeadline words the message anew if the deadline in it is out of date, as after a connection that was long in coming up.
+func (a *attempt) refreshDeadline(now time.Time) {
+	if a.deadline.IsZero() {
 		return
 	}
-	if left := c.endsAt.Sub(now); c.told-left > rewordAfter {
-		c.compose(left)
+	if left := a.deadline.Sub(now); a.timeoutSent-left > maxDeadlineDrift {
+		a.encodeMessage(left)
 	}
 }
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -13,63 +13,63 @@
 	"time"
 )
 
-// run opens a connection for the call and stays with it until it ends. A call that finds it dead when it was to be
+// dialAndServe opens a connection for the call and stays with it until it ends. A call that finds it dead when it was to be
 // carried, before the last byte was sent, gets another one: it can't have run.
-func (v *Caller) run(c *call) {
-	for c != nil {
-		c.hold = c.fresh
+func (v *Caller) dialAndServe(a *attempt) {
+	for a != nil {
+		a.pause = a.pauseOnNew
 		began := time.Now()
 		dial := v.budget.Dial
-		if c.probe {
+		if a.isProbe {
 			dial = v.budget.DialOptional
 		}
-		socket, err := dial(c.ctx, c.at.address, v.now.Load().Connect)
+		socket, err := dial(a.ctx, a.endpoint.address, v.figures.Load().Connect)
 		if err != nil {
-			how := dialEnding(err)
-			v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", c.at.name, how, time.Since(began).Seconds()*1e3)
-			v.end(c, result{Result: upstream.Result{Outcome: how}})
+			how := dialOutcome(err)
+			v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, how, time.Since(began).Seconds()*1e3)
+			v.end(a, result{Result: upstream.Result{Outcome: how}})
 			return
 		}
-		name := c.at.name
+		name := a.endpoint.name
 		v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", name, outcome.Open, time.Since(began).Seconds()*1e3)
-		conn := newConn(socket, c.at)
-		conn.since = time.Now()
-		conn.dialed = conn.since.Sub(began)
+		conn := newConn(socket, a.endpoint)
+		conn.connectedAt = time.Now()
+		conn.dialTime = conn.connectedAt.Sub(began)
 		stop := context.AfterFunc(v.ctx, conn.close)
-		c = v.serve(conn, c)
+		a = v.serve(conn, a)
 		stop()
 		v.trace("trace=closed provider=%s", name)
-		http1.Free(conn.br)
+		http1.Free(conn.reader)
 	}
 }
 
 // serve carries calls on the connection until it ends, and returns the one that it could not begin.
-func (v *Caller) serve(conn *conn, c *call) *call {
+func (v *Caller) serve(conn *conn, a *attempt) *attempt {
 	if !conn.socket.Quiet() { // a provider that speaks first is no HTTP server
 		conn.close()
-		v.end(c, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
+		v.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
 	}
 	for {
 		var untold *result
-		switch e := c.begin(conn); e {
+		switch e := a.begin(conn); e {
 		case outcome.Open:
-			r, again := conn.carry(c)
-			r.ConnectedAt = conn.since
-			if !again && conn.foundDead(c, &r) && c.rewind(dead{conn.use, c.hold, r.took, r.early}) {
+			r, again := conn.exchange(a)
+			r.ConnectedAt = conn.connectedAt
+			if !again && conn.foundDead(a, &r) && a.rewind(deadConn{conn.use, a.pause, r.tookUntilBreak, r.early}) {
 				conn.close()
-				return c
+				return a
 			}
-			conn.use.carried++
+			conn.use.attempts++
 			// The call ends before its connection is kept for another: once it has ended, Stop can't close that. It is told
 			// after that, unless a long answer still holds the connection: a call that follows from it is to find that.
-			ended := v.settle(c, &r)
+			ended := v.finish(a, &r)
 			switch {
-			case ended && r.flow != nil:
-				c.done(r.Result)
-				again = r.flow.wait(v.ctx) && again
+			case ended && r.download != nil:
+				a.onEnd(r.Result)
+				again = r.download.wait(v.ctx) && again
 			case ended && !again:
-				c.done(r.Result)
+				a.onEnd(r.Result)
 			default:
 				untold = &r
 			}
@@ -78,23 +78,23 @@
 				return nil
 			}
 		default: // nobody waits for it, or it is too late: another call may use the connection
-			v.end(c, result{Result: upstream.Result{Outcome: e}})
+			v.end(a, result{Result: upstream.Result{Outcome: e}})
 		}
-		v.keep(conn)
+		v.keepIdle(conn)
 		if untold != nil {
-			c.done(untold.Result)
+			a.onEnd(untold.Result)
 		}
-		next, how := conn.idle()
+		next, how := conn.waitForAttempt()
 		if how != outcome.Open {
 			conn.close()
-			v.drop(conn, how)
+			v.removeIdle(conn, how)
 			return next
 		}
-		c = next
+		a = next
 	}
 }
 
-func dialEnding(err error) outcome.Kind {
+func dialOutcome(err error) outcome.Kind {
 	is := func(target error) bool { return errors.Is(err, target) }
 	switch {
 	case is(connlimit.ErrLimitReached):
@@ -108,22 +108,22 @@
 }
 
 // end reports the result unless the call has ended before.
-func (v *Caller) end(c *call, r result) {
-	if v.settle(c, &r) {
-		c.done(r.Result)
+func (v *Caller) end(a *attempt, r result) {
+	if v.finish(a, &r) {
+		a.onEnd(r.Result)
 	}
 }
 
-// settle ends the call with a result that is still to be told, unless it has ended before.
-func (v *Caller) settle(c *call, r *result) bool {
-	c.mu.Lock()
-	if c.stage == ended {
-		c.mu.Unlock()
+// finish ends the call with a result that is still to be told, unless it has ended before.
+func (v *Caller) finish(a *attempt, r *result) bool {
+	a.mu.Lock()
+	if a.stage == stageEnded {
+		a.mu.Unlock()
 		return false
 	}
-	c.stage = ended
-	c.cancel()
-	c.mu.Unlock()
-	v.learn(c, r)
+	a.stage = stageEnded
+	a.cancel()
+	a.mu.Unlock()
+	v.learn(a, r)
 	return true
 }
--- a/internal/backend/call_test.go
+++ b/internal/backend/run_test.go
@@ -16,7 +16,7 @@
 		syscall.ECONNREFUSED: outcome.ConnectRefused, syscall.EHOSTUNREACH: outcome.ConnectRefused, syscall.ECONNRESET: outcome.ConnectRefused,
 		os.ErrDeadlineExceeded: outcome.ConnectTimeout, connlimit.ErrLimitReached: outcome.ConnectionLimit,
 	} {
-		if got := dialEnding(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); got != want {
+		if got := dialOutcome(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
 		}
 	}
--- a/internal/backend/late_test.go
+++ b/internal/backend/server_test.go
@@ -29,7 +29,7 @@
 		}
 		at, results := v.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
 		for n := range 2 {
-			one := at.word(upstream.AttemptOptions{
+			one := at.encode(upstream.AttemptOptions{
 				Timeout: time.Second, OnEnd: func(r upstream.Result) { results <- r },
 				Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
 			})
@@ -45,7 +45,7 @@
 			<-results
 			synctest.Wait()
 			if n == 0 {
-				at.idle[0].until = time.Now()
+				at.idle[0].idleUntil = time.Now()
 			}
 		}
 		cancel()
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// pump writes the request up to its last byte, which it returns: that may not be written before the call is released. Without
+// streamBody writes the request up to its last byte, which it returns: that may not be written before the call is released. Without
 // it the connection has failed, or the consumer has, with an error.
-func (c *conn) pump(call *call) (last []byte, consumer error) {
-	buf, free := call.at.of.set.Bounds.Buffer()
+func (c *conn) streamBody(a *attempt) (last []byte, consumer error) {
+	buf, free := a.endpoint.client.settings.Bounds.Buffer()
 	defer free()
 	write := func(p []byte) bool {
-		c.socket.SetWriteDeadline(time.Now().Add(stallMost))
+		c.socket.SetWriteDeadline(time.Now().Add(maxStreamStall))
 		_, err := c.socket.Write(p)
 		return err == nil && c.socket.Quiet()
 	}
 	defer c.socket.SetWriteDeadline(time.Time{})
-	if !write(call.message) {
+	if !write(a.message) {
 		return nil, nil
 	}
-	call.check(true)
+	a.recordViolations(true)
 	allBut := func(piece []byte) (last []byte, consumer error) {
 		at := max(0, len(piece)-1)
 		if at > 0 && !write(piece[:at]) {
@@ -32,9 +32,9 @@
 		}
 		return append([]byte{}, piece[at:]...), nil
 	}
-	chunked := call.upload.Length() < 0
+	chunked := a.upload.Length() < 0
 	for {
-		n, err := call.upload.Read(buf)
+		n, err := a.upload.Read(buf)
 		piece := buf[:n]
 		switch {
 		case chunked:
@@ -42,7 +42,7 @@
 			if err == io.EOF {
 				return allBut(append(piece, http1.LastChunk...))
 			}
-		case call.upload.Length() == 0 && (err == nil || err == io.EOF):
+		case a.upload.Length() == 0 && (err == nil || err == io.EOF):
 			return allBut(piece)
 		}
 		if err != nil {
@@ -73,7 +73,7 @@
 	if d.over {
 		return 0, net.ErrClosed
 	}
-	d.conn.socket.SetReadDeadline(time.Now().Add(stallMost))
+	d.conn.socket.SetReadDeadline(time.Now().Add(maxStreamStall))
 	return d.Stream.Read(p)
 }
 
@@ -97,5 +97,5 @@
 	d.mu.Lock() // a Read that was under way when it was closed ends first
 	defer d.mu.Unlock()
 	d.over = true
-	return d.whole && d.conn.br.Buffered() == 0 && d.conn.socket.SetReadDeadline(time.Time{}) == nil
+	return d.whole && d.conn.reader.Buffered() == 0 && d.conn.socket.SetReadDeadline(time.Time{}) == nil
 }
