--- /dev/null
+++ b/internal/http1/message.go
@@ -0,0 +1,114 @@
+// Package http1 reads and writes HTTP/1.1 messages within fixed bounds. It knows nothing of what they mean
+// to the sidecar. Neither a client nor a server can make it panic or use memory without limit.
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+)
+
+// The bounds, in bytes unless the name says otherwise. A line must also fit the reader's buffer, so readers come from NewReader.
+const (
+	MaxBody             = 64 << 10 // of a body that is read whole
+	MaxLong             = 48 << 20 // of one that is streamed: a longer one is taken for endless
+	maxLineBytes        = 8 << 10
+	maxHeaderLines      = 100
+	maxHeaderBytes      = 32 << 10
+	maxInterimResponses = 8 // 1xx answers before the real one
+)
+
+// ErrMalformed is wrapped by every error for which the other side is to blame: a breach of HTTP or of the bounds. Any
+// other error comes from the connection.
+var ErrMalformed = errors.New("malformed message")
+
+// ErrTooLarge says that a body exceeds MaxBody or MaxLong.
+var ErrTooLarge = fmt.Errorf("%w: body too large", ErrMalformed)
+
+// idleReaders are kept for reuse: connections come and go by the hundred, and the buffer is most of what one costs.
+var idleReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
+
+// NewReader returns a reader whose buffer holds the longest line. Free takes it back.
+func NewReader(r io.Reader) *bufio.Reader {
+	reader := idleReaders.Get().(*bufio.Reader)
+	reader.Reset(r)
+	return reader
+}
+
+// Free takes back a reader that nobody uses any more.
+func Free(reader *bufio.Reader) {
+	reader.Reset(nil)
+	idleReaders.Put(reader)
+}
+
+// readLine reads one line without its end. A bare LF ends a line too, a bare CR is malformed.
+func readLine(reader *bufio.Reader) (string, error) {
+	line, err := reader.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) {
+		return "", fmt.Errorf("%w: line too long", ErrMalformed)
+	}
+	if err != nil {
+		if errors.Is(err, io.EOF) && len(line) > 0 {
+			err = io.ErrUnexpectedEOF
+		}
+		return "", err
+	}
+	line = bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'})
+	if bytes.IndexByte(line, '\r') >= 0 {
+		return "", fmt.Errorf("%w: bare CR", ErrMalformed)
+	}
+	return string(line), nil
+}
+
+func parseMinorVersion(v string) (int, error) {
+	switch v {
+	case "HTTP/1.1":
+		return 1, nil
+	case "HTTP/1.0":
+		return 0, nil
+	}
+	return 0, fmt.Errorf("%w: version", ErrMalformed)
+}
+
+// closesConnection reports whether the sender ends the connection after this message.
+func closesConnection(h Header, minor int) bool {
+	return h.hasListItem("Connection", "close") || minor == 0 && !h.hasListItem("Connection", "keep-alive")
+}
+
+// isToken reports whether s is a token of RFC 9110, 5.6.2: a method or a header's name.
+func isToken(s string) bool {
+	for i := range len(s) {
+		if !isTokenByte(s[i]) {
+			return false
+		}
+	}
+	return s != ""
+}
+
+func isTokenByte(c byte) bool {
+	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
+}
+
+// isVisible reports whether s has neither spaces nor control characters, and is not empty.
+func isVisible(s string) bool {
+	for i := range len(s) {
+		if s[i] <= ' ' || s[i] == 0x7f {
+			return false
+		}
+	}
+	return s != ""
+}
+
+// isText reports whether s has no control characters but tabs.
+func isText(s string) bool {
+	for i := range len(s) {
+		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
+			return false
+		}
+	}
+	return true
+}
