--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -77,8 +77,8 @@
 		return err
 	}
 	set := simulated.Setup{
-		PerPart: c.PerPart, Servers: c.Servers, ProbePrice: c.ProbePrice, TurnRate: c.TurnRate,
-		MemoryMost: c.MemoryMost, StartMost: time.Minute, Spawn: simulated.Program(self, "fleet-part"),
+		PerPart: c.PerPart, Servers: c.Servers, ProbeCost: c.ProbePrice, SlotRate: c.TurnRate,
+		MaxMemory: c.MemoryMost, MaxStartTime: time.Minute, Spawn: simulated.Program(self, "fleet-part"),
 	}
 	if c.Watch != "" {
 		if set.Watch, err = readWatch(c.Watch); err != nil {
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -115,7 +115,7 @@
 func (c *loadCommand) makePlan() (err error) {
 	if c.Plan == "" {
 		c.plan = &loadgen.Plan{
-			Classes: []loadgen.Class{{Name: "tile", AimMs: 750, DeadlineMs: 2500}},
+			Classes: []loadgen.Class{{Name: "tile", LatencyObjectiveMs: 750, DeadlineMs: 2500}},
 			Streams: []loadgen.Stream{{Spacing: c.Spacing, Shape: loadgen.Shape{Kind: "constant", Rate: c.Rate}}},
 		}
 	} else if c.plan, err = loadgen.Read(c.Plan); err != nil {
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -22,7 +22,7 @@
 }
 
 func (l *lab) setup(program string, seed uint64) recovery.Setup {
-	return recovery.Setup{Program: program, Providers: l.Providers, Rate: l.Rate, Seed: seed}
+	return recovery.Setup{Program: program, Servers: l.Providers, Rate: l.Rate, Seed: seed}
 }
 
 // folder returns the folder for what is kept, and what to do with it at the end.
--- a/internal/testbench/capacity/standins.go
+++ b/internal/testbench/capacity/fakes.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	headerID  = "Req-Id:"
-	pathProbe = "/metrics/load"
-	meanTile  = 20 * time.Millisecond // that a call takes at a tile server
-	tileBody  = 512                   // bytes of an answer's body
+	headerID        = "Req-Id:"
+	pathProbe       = "/metrics/load"
+	meanServiceTime = 20 * time.Millisecond // that a call takes at a tile server
+	responseBody    = 512                   // bytes of an answer's body
 )
 
 // tally is what has come over a stand-in's connections.
@@ -37,8 +37,8 @@
 	return Traffic{t.Messages - before.Messages, t.Bytes - before.Bytes}
 }
 
-// tiles are many tile servers in this process, each at an address of its own.
-type tiles struct {
+// fakeServers are many tile servers in this process, each at an address of its own.
+type fakeServers struct {
 	listeners           []net.Listener
 	probes, calls       tally
 	accepted, open, met atomic.Int64 // connections; met = servers that ever had one
@@ -48,8 +48,8 @@
 	running             sync.WaitGroup
 }
 
-func newTiles(n fakes.Network, servers int) (*tiles, error) {
-	t := &tiles{conns: map[net.Conn]struct{}{}}
+func newFakeServers(n fakes.Network, servers int) (*fakeServers, error) {
+	t := &fakeServers{conns: map[net.Conn]struct{}{}}
 	for range servers {
 		l, err := n.Listen("")
 		if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // members are the lines of the list.
-func (t *tiles) members() (all []fakes.Member) {
+func (t *fakeServers) members() (all []fakes.Member) {
 	for i, l := range t.listeners {
 		all = append(all, fakes.Member{
 			ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
@@ -73,7 +73,7 @@
 	return all
 }
 
-func (t *tiles) close() {
+func (t *fakeServers) close() {
 	for _, l := range t.listeners {
 		l.Close()
 	}
@@ -85,7 +85,7 @@
 	t.running.Wait()
 }
 
-func (t *tiles) accept(l net.Listener) {
+func (t *fakeServers) accept(l net.Listener) {
 	var active atomic.Int64
 	met := false
 	for {
@@ -116,7 +116,7 @@
 }
 
 // serve answers one request after another, probes at once and calls after their time.
-func (t *tiles) serve(c net.Conn, active *atomic.Int64) {
+func (t *fakeServers) serve(c net.Conn, active *atomic.Int64) {
 	br := bufio.NewReader(c)
 	for {
 		target, id, size, err := readHead(br)
@@ -124,7 +124,7 @@
 			return
 		}
 		if strings.HasPrefix(target, pathProbe) {
-			body := fmt.Sprintf(`{"active":%d,"avg_ms":%.1f}`, active.Load(), float64(meanTile)/1e6)
+			body := fmt.Sprintf(`{"active":%d,"avg_ms":%.1f}`, active.Load(), float64(meanServiceTime)/1e6)
 			raw := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			t.probes.add(size + len(raw))
 			if _, err := c.Write([]byte(raw)); err != nil {
@@ -134,9 +134,9 @@
 		}
 		start := time.Now()
 		active.Add(1)
-		time.Sleep(meanTile)
+		time.Sleep(meanServiceTime)
 		active.Add(-1)
-		body := id + "\n" + strings.Repeat("x", max(0, tileBody-len(id)-1))
+		body := id + "\n" + strings.Repeat("x", max(0, responseBody-len(id)-1))
 		raw := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		t.calls.add(size + len(raw))
 		t.took.Store(id, time.Since(start))
@@ -167,16 +167,16 @@
 	}
 }
 
-// directory is the scripted one, counted.
-type directory struct {
+// fakeDiscovery is the scripted one, counted.
+type fakeDiscovery struct {
 	*fakes.Directory
 	count fakes.Counter
 }
 
-func newDirectory(n fakes.Network, members []fakes.Member) (*directory, error) {
-	d := &directory{}
+func newFakeDiscovery(n fakes.Network, endpoints []fakes.Member) (*fakeDiscovery, error) {
+	d := &fakeDiscovery{}
 	var err error
-	d.Directory, err = fakes.NewDirectory(d.count.Of(n), "", members...)
+	d.Directory, err = fakes.NewDirectory(d.count.Of(n), "", endpoints...)
 	if err == nil {
 		d.Word(true, false)
 	}
@@ -184,13 +184,13 @@
 }
 
 // lists returns the traffic so far, and how many of its messages asked for the whole list.
-func (d *directory) lists() (t Traffic, whole int64) {
+func (d *fakeDiscovery) lists() (t Traffic, complete int64) {
 	for _, c := range d.Calls() {
 		t.Messages++
 		if c.Whole {
-			whole++
+			complete++
 		}
 	}
 	t.Bytes = d.count.In.Load() + d.count.Out.Load()
-	return t, whole
+	return t, complete
 }
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -62,7 +62,7 @@
 	for d, ok := due.next(end); ok; d, ok = due.next(end) {
 		acts = b.Handle(d.when, &d.event, acts[:0])
 		for _, a := range acts {
-			switch report := (policy.Report{HasRIF: true, HasLatency: true, Latency: float64(meanTile) / 1e6}); a.Kind {
+			switch report := (policy.Report{HasRIF: true, HasLatency: true, Latency: float64(meanServiceTime) / 1e6}); a.Kind {
 			case policy.SetTimer:
 				due.at(d.when+max(a.After, moduleRound), policy.Event{Kind: policy.TimerFired, Timer: a.Timer})
 			case policy.SendProbe:
@@ -72,7 +72,7 @@
 					Report: report,
 				})
 			case policy.StartAttempt:
-				took := float64(meanTile) / 1e6
+				took := float64(meanServiceTime) / 1e6
 				due.at(d.when+took, policy.Event{
 					Kind: policy.AttemptEnded, Request: a.Request, Attempt: a.Attempt, Server: a.Server,
 					Elapsed: took, Final: true,
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -100,11 +100,11 @@
 	dir := t.TempDir()
 	w := &world{told: point, network: fakes.Loopback()}
 	var err error
-	if w.tiles, err = newTiles(w.network, point.Servers); err != nil {
+	if w.tiles, err = newFakeServers(w.network, point.Servers); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.tiles.close)
-	if w.directory, err = newDirectory(w.network, w.tiles.members()); err != nil {
+	if w.directory, err = newFakeDiscovery(w.network, w.tiles.members()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.directory.Close)
@@ -173,13 +173,13 @@
 		revision := w.directory.Change(one)
 		known := func(c fakes.DirectoryCall) bool { return c.Index >= revision }
 		w.await(t, func() bool { return slices.ContainsFunc(w.directory.Calls(), known) })
-		told, whole := 0, false
+		told, complete := 0, false
 		for _, c := range w.directory.Calls()[from:] {
-			if whole = whole || c.Whole; c.Members > 0 && c.Revision == revision {
+			if complete = complete || c.Whole; c.Members > 0 && c.Revision == revision {
 				told++
 			}
 		}
-		if !whole {
+		if !complete {
 			return float64(told)
 		}
 	}
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -24,7 +24,7 @@
 	"time"
 )
 
-const stallMost = 100 * time.Millisecond // by which a timer may come late: beyond it a point is measured again
+const maxStall = 100 * time.Millisecond // by which a timer may come late: beyond it a point is measured again
 
 // Setup is what a run needs to know.
 type Setup struct {
@@ -120,8 +120,8 @@
 type world struct {
 	told      Point // as before anything is measured
 	network   fakes.Network
-	tiles     *tiles
-	directory *directory
+	tiles     *fakeServers
+	directory *fakeDiscovery
 	sidecar   *sidecar
 	clients   []net.Conn
 	open      atomic.Int64 // of clients
@@ -164,7 +164,7 @@
 			*point = once
 		}
 		point.Measured.Tries = tries
-		if time.Duration(point.Measured.StallMs*float64(time.Millisecond)) <= stallMost || tries > p.Again {
+		if time.Duration(point.Measured.StallMs*float64(time.Millisecond)) <= maxStall || tries > p.Again {
 			return nil
 		}
 	}
@@ -177,11 +177,11 @@
 		return err
 	}
 	w := &world{told: *point, network: fakes.Loopback()}
-	if w.tiles, err = newTiles(w.network, point.Servers); err != nil {
+	if w.tiles, err = newFakeServers(w.network, point.Servers); err != nil {
 		return err
 	}
 	defer w.tiles.close()
-	if w.directory, err = newDirectory(w.network, w.tiles.members()); err != nil {
+	if w.directory, err = newFakeDiscovery(w.network, w.tiles.members()); err != nil {
 		return err
 	}
 	defer w.directory.Close()
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -23,29 +23,29 @@
 
 // Row is what all did in one stretch of time.
 type Row struct {
-	Calls, Retries, Stale, Cold  int // Stale: on news older than a second, or none; Cold: to processes that may be cold
-	Probes, ProbesFailed         int
-	Dials, DialsFailed, Open     int // Open: connections at its end
-	Lists, ListsFull, ListsWrong int // Full: turned away; Wrong: failed otherwise
+	Attempts, Retries, Stale, Cold int // Stale: on news older than a second, or none; Cold: to processes that may be cold
+	Probes, ProbesFailed           int
+	Dials, DialsFailed, Open       int // Open: connections at its end
+	Lists, ListsFull, ListsWrong   int // Full: turned away; Wrong: failed otherwise
 }
 
 // Count is the whole count.
 type Count struct {
-	Sidecars int
-	Rows     []Row // by stretch of Every
-	Every    time.Duration
-	Total    Row
-	Most     map[string]Peak // of calls, probes and dials: the most at one server in any stretch
-	News     []float64       // ms of age behind each send that had any, sorted
-	Waits    []float64       // ms that list calls took beyond their wait, sorted
-	CPU      []float64       // ms of each sidecar's processes, sorted
+	Sidecars   int
+	Rows       []Row // by stretch of Every
+	Every      time.Duration
+	Total      Row
+	Most       map[string]Peak // of calls, probes and dials: the most at one server in any stretch
+	ReportAges []float64       // ms of age behind each send that had any, sorted
+	Waits      []float64       // ms that list calls took beyond their wait, sorted
+	CPU        []float64       // ms of each sidecar's processes, sorted
 }
 
 // Peak is a most, and where and when.
 type Peak struct {
-	N        int
-	Provider string
-	At       time.Duration
+	Count  int
+	Server string
+	At     time.Duration
 }
 
 // line is one trace line.
@@ -151,7 +151,7 @@
 	for _, ms := range k.cpu {
 		c.CPU = append(c.CPU, ms)
 	}
-	slices.Sort(c.News)
+	slices.Sort(c.ReportAges)
 	slices.Sort(c.Waits)
 	slices.Sort(c.CPU)
 	return k.invalid
@@ -203,7 +203,7 @@
 
 // addAttempt counts an attempt that begins.
 func (k *counter) addAttempt(l *line, row *Row) {
-	row.Calls++
+	row.Attempts++
 	if k.number(l, "try") > 0 {
 		row.Retries++
 	}
@@ -212,7 +212,7 @@
 		row.Stale++
 	}
 	if reportAge >= 0 {
-		k.News = append(k.News, reportAge)
+		k.ReportAges = append(k.ReportAges, reportAge)
 	}
 	if age := k.number(l, "age_ms"); age >= 0 && age < k.warm {
 		row.Cold++
@@ -235,13 +235,13 @@
 func (k *counter) notePeak(l *line, what string, stretch int) {
 	key := rowKey{what, l.field["provider"], stretch}
 	k.perRow[key]++
-	if n := k.perRow[key]; n > k.Most[what].N {
+	if n := k.perRow[key]; n > k.Most[what].Count {
 		k.Most[what] = Peak{n, key.server, time.Duration(stretch) * k.Every}
 	}
 }
 
 func (r *Row) add(o Row) {
-	r.Calls, r.Retries, r.Stale, r.Cold = r.Calls+o.Calls, r.Retries+o.Retries, r.Stale+o.Stale, r.Cold+o.Cold
+	r.Attempts, r.Retries, r.Stale, r.Cold = r.Attempts+o.Attempts, r.Retries+o.Retries, r.Stale+o.Stale, r.Cold+o.Cold
 	r.Probes, r.ProbesFailed = r.Probes+o.Probes, r.ProbesFailed+o.ProbesFailed
 	r.Dials, r.DialsFailed, r.Open = r.Dials+o.Dials, r.DialsFailed+o.DialsFailed, max(r.Open, o.Open)
 	r.Lists, r.ListsFull, r.ListsWrong = r.Lists+o.Lists, r.ListsFull+o.ListsFull, r.ListsWrong+o.ListsWrong
@@ -259,7 +259,7 @@
 	printf("%7s %7s %7s %7s %7s %7s %7s %8s %7s %6s %6s %6s %6s\n", "s", "calls", "retries", "stale", "cold", "probes", "failed",
 		"connects", "failed", "open", "lists", "full", "wrong")
 	line := func(at string, r Row) {
-		printf(row, at, r.Calls, r.Retries, r.Stale, r.Cold, r.Probes, r.ProbesFailed, r.Dials, r.DialsFailed, r.Open, r.Lists,
+		printf(row, at, r.Attempts, r.Retries, r.Stale, r.Cold, r.Probes, r.ProbesFailed, r.Dials, r.DialsFailed, r.Open, r.Lists,
 			r.ListsFull, r.ListsWrong)
 	}
 	each := max(1, int(shown/c.Every))
@@ -273,12 +273,12 @@
 	line("all", c.Total)
 	for _, what := range []string{"calls", "probes", "connects"} {
 		p := c.Most[what]
-		printf("most %s at one server within %s: %d, %s at %.1f s\n", what, c.Every, p.N, p.Provider, p.At.Seconds())
+		printf("most %s at one server within %s: %d, %s at %.1f s\n", what, c.Every, p.Count, p.Server, p.At.Seconds())
 	}
 	for _, v := range []struct {
 		what string
 		ms   []float64
-	}{{"age of the news behind a send", c.News}, {"list calls beyond their wait", c.Waits}, {"CPU of a sidecar", c.CPU}} {
+	}{{"age of the news behind a send", c.ReportAges}, {"list calls beyond their wait", c.Waits}, {"CPU of a sidecar", c.CPU}} {
 		if n := len(v.ms); n > 0 {
 			printf("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.what, v.ms[(n-1)/2], v.ms[(n-1)*9/10], v.ms[n-1])
 		}
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -29,7 +29,7 @@
 // request sends q, due at a moment, as often as its class wants, and takes down how that ended.
 func (c *client) request(q Request, due time.Time) {
 	class := &c.plan.Classes[q.class]
-	d := done{class: q.class, due: due, aim: milliseconds(class.AimMs)}
+	d := done{class: q.class, due: due, aim: milliseconds(class.LatencyObjectiveMs)}
 	until := due.Add(milliseconds(class.DeadlineMs))
 	for try, at := 0, due; ; try++ {
 		t := c.try(&q, class, try, at, until)
@@ -44,7 +44,7 @@
 		}
 		d.last, d.sent, d.end = end, t.SentAt, time.Now()
 		at = d.end.Add(class.Retry.wait(t.advice))
-		if try >= class.Retry.Most || !slices.Contains(class.Retry.On, end.String()) || !at.Before(until) {
+		if try >= class.Retry.MaxRetries || !slices.Contains(class.Retry.On, end.String()) || !at.Before(until) {
 			break
 		}
 		time.Sleep(time.Until(at))
@@ -56,7 +56,7 @@
 
 // wait is how long a client waits before it asks again, by its own habit and the advice that it was given.
 func (r *Retry) wait(advice time.Duration) time.Duration {
-	return max(milliseconds(r.WaitMs), min(advice, milliseconds(r.AdviceMs)))
+	return max(milliseconds(r.WaitMs), min(advice, milliseconds(r.MaxRetryAfterMs)))
 }
 
 // try is how one try went.
@@ -68,8 +68,8 @@
 
 // try sends one try, due at a moment.
 func (c *client) try(q *Request, class *Class, number int, at, until time.Time) (t try) {
-	if class.PatienceMs > 0 {
-		if patient := at.Add(milliseconds(class.PatienceMs)); patient.Before(until) {
+	if class.TimeoutMs > 0 {
+		if patient := at.Add(milliseconds(class.TimeoutMs)); patient.Before(until) {
 			until = patient
 		}
 	}
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -59,7 +59,7 @@
 	t.Helper()
 	p := &Plan{
 		Seed: 1, ForS: forS, Streams: []Stream{{Shape: shape, Spacing: spacing}},
-		Classes: []Class{{Name: "tile", AimMs: 500, DeadlineMs: 5000}},
+		Classes: []Class{{Name: "tile", LatencyObjectiveMs: 500, DeadlineMs: 5000}},
 	}
 	ok(t, p.Check())
 	return p
@@ -183,9 +183,9 @@
 	p := &Plan{
 		Seed: 5, ForS: 50, Tenants: []string{"acme", "beta", "gamma"},
 		Classes: []Class{
-			{Name: "tile", AimMs: 100, DeadlineMs: 500, Keys: Keys{1000, 1.2}},
-			{Name: "order", Method: "POST", BodyBytes: 300, AimMs: 100, DeadlineMs: 500},
-			{Name: "look", Path: "/look?of={key}", AimMs: 100, DeadlineMs: 500, Keys: Keys{Count: 4}},
+			{Name: "tile", LatencyObjectiveMs: 100, DeadlineMs: 500, Keys: Keys{1000, 1.2}},
+			{Name: "order", Method: "POST", BodyBytes: 300, LatencyObjectiveMs: 100, DeadlineMs: 500},
+			{Name: "look", Path: "/look?of={key}", LatencyObjectiveMs: 100, DeadlineMs: 500, Keys: Keys{Count: 4}},
 		},
 		Streams: []Stream{
 			{
@@ -255,7 +255,7 @@
 			})
 			report := NewReport(p, r, "", 1)
 			row := report.Classes[0]
-			if row.Asked != 1000 || row.Ends["served"] != 1000 || row.InAim != 850 || row.Goodput != 85 ||
+			if row.Requests != 1000 || row.Ends["served"] != 1000 || row.InObjective != 850 || row.Goodput != 85 ||
 				!report.Valid {
 				t.Errorf("%+v", row)
 			}
@@ -270,7 +270,7 @@
 				near(t, fmt.Sprint("from due, ", q), row.Due[i], byHand)
 				near(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
 			}
-			if s := report.Seconds; s[4].Asked != 100 || math.Abs(*s[4].Due[4]-1995) > 20 || *s[3].Due[4] != 0 {
+			if s := report.Seconds; s[4].Requests != 100 || math.Abs(*s[4].Due[4]-1995) > 20 || *s[3].Due[4] != 0 {
 				t.Errorf("seconds 3 and 4: %+v", s[3:5])
 			}
 		})
@@ -281,7 +281,7 @@
 // then goes out late, but all of it goes out. That second tries are on time makes no difference.
 func TestHeldUp(t *testing.T) {
 	p := tiles(t, constant(100), Even, 3)
-	p.Classes[0].Retry.Most = 1
+	p.Classes[0].Retry.MaxRetries = 1
 	calls := 0
 	r := inBubble(t, p, Options{Pause: func(d time.Duration) {
 		if calls++; calls == 100 { // 2 ms before the request of second 1 is due
@@ -311,13 +311,13 @@
 
 // Each request counts once, with all its tries, from when it was first due.
 func TestRetries(t *testing.T) {
-	get := Class{Name: "tile", AimMs: 150, DeadlineMs: 1000, Retry: Retry{Most: 2, WaitMs: 100}}
+	get := Class{Name: "tile", LatencyObjectiveMs: 150, DeadlineMs: 1000, Retry: Retry{MaxRetries: 2, WaitMs: 100}}
 	post := get
 	post.Method = "POST"
 	hasty, advised, impatient, short := get, get, get, get
 	hasty.Retry.WaitMs = 0
-	advised.Retry.AdviceMs = 400
-	impatient.PatienceMs, impatient.Retry.On = 50, []string{"timed_out"}
+	advised.Retry.MaxRetryAfterMs = 400
+	impatient.TimeoutMs, impatient.Retry.On = 50, []string{"timed_out"}
 	short.DeadlineMs = 150
 	answer := func(code int) func(http.ResponseWriter, int) {
 		return func(w http.ResponseWriter, try int) {
@@ -368,8 +368,8 @@
 			})
 			row := NewReport(p, r, "", 1).Classes[0]
 			maps.DeleteFunc(row.Ends, func(_ string, n uint64) bool { return n == 0 })
-			maps.DeleteFunc(row.TryEnds, func(_ string, n uint64) bool { return n == 0 })
-			if got := fmt.Sprint(row.Asked, row.Tries, row.InAim, row.Ends, row.TryEnds); got != test.want {
+			maps.DeleteFunc(row.AttemptEnds, func(_ string, n uint64) bool { return n == 0 })
+			if got := fmt.Sprint(row.Requests, row.Attempts, row.InObjective, row.Ends, row.AttemptEnds); got != test.want {
 				t.Errorf("%s, want %s", got, test.want)
 			}
 			if test.due >= 0 {
@@ -404,7 +404,7 @@
 	s.File = filepath.Join(t.TempDir(), name)
 	ok(t, os.WriteFile(s.File, []byte(text), 0o600))
 	p := &Plan{Tenants: []string{"acme"}, Trace: &s, Classes: []Class{
-		{Name: "tile", AimMs: 100, DeadlineMs: 500}, {Name: "order", Method: "POST", AimMs: 100, DeadlineMs: 500},
+		{Name: "tile", LatencyObjectiveMs: 100, DeadlineMs: 500}, {Name: "order", Method: "POST", LatencyObjectiveMs: 100, DeadlineMs: 500},
 	}}
 	return p, p.Check()
 }
@@ -599,7 +599,7 @@
 	}
 	r, err := Spread(t.Context(), p, provider.Address(), workers())
 	ok(t, err)
-	if c := r.Classes[0]; c.Asked != 50 || c.Ends[Served] != 50 || r.Partial || len(provider.Requests()) != 50 {
+	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(provider.Requests()) != 50 {
 		t.Errorf("%+v", r)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -684,7 +684,7 @@
 }
 
 // A request that crosses the close of a kept connection goes out once more, at once.
-func TestCrossing(t *testing.T) {
+func TestRequestMeetsClosingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
@@ -695,9 +695,9 @@
 		r, err := Run(t.Context(), p, Options{Dialer: n, Address: provider.Address(), Pause: time.Sleep})
 		ok(t, err)
 		c := r.Classes[0]
-		if seen := uint64(len(provider.Requests())); c.Ends[Served] != c.Asked || c.Tries != c.Asked || c.Resent == 0 ||
-			seen != c.Asked {
-			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Asked, c.Ends, c.Resent, seen)
+		if seen := uint64(len(provider.Requests())); c.Ends[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
+			seen != c.Requests {
+			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Ends, c.Resent, seen)
 		}
 	})
 }
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -31,15 +31,15 @@
 
 // Class is a class of requests, and what its clients do.
 type Class struct {
-	Name       string  `json:"name"`
-	Method     string  `json:"method,omitempty"` // "" = GET
-	Path       string  `json:"path,omitempty"`   // {key} stands for the key; "" = /NAME/{key}
-	BodyBytes  int     `json:"body_bytes,omitempty"`
-	AimMs      float64 `json:"aim_ms"`                // an answer within it counts as served in time
-	DeadlineMs float64 `json:"deadline_ms"`           // for all tries together, from when it was due
-	PatienceMs float64 `json:"patience_ms,omitempty"` // for which it waits for one try; 0 = the deadline alone ends it
-	Keys       Keys    `json:"keys,omitzero"`
-	Retry      Retry   `json:"retry,omitzero"`
+	Name               string  `json:"name"`
+	Method             string  `json:"method,omitempty"` // "" = GET
+	Path               string  `json:"path,omitempty"`   // {key} stands for the key; "" = /NAME/{key}
+	BodyBytes          int     `json:"body_bytes,omitempty"`
+	LatencyObjectiveMs float64 `json:"aim_ms"`                // an answer within it counts as served in time
+	DeadlineMs         float64 `json:"deadline_ms"`           // for all tries together, from when it was due
+	TimeoutMs          float64 `json:"patience_ms,omitempty"` // for which it waits for one try; 0 = the deadline alone ends it
+	Keys               Keys    `json:"keys,omitzero"`
+	Retry              Retry   `json:"retry,omitzero"`
 }
 
 // Keys are what requests ask for: the numbers from 1 to Count, the n-th in proportion to n to the power of -Zipf.
@@ -50,10 +50,10 @@
 
 // Retry is when a client asks again.
 type Retry struct {
-	Most     int      `json:"most,omitempty"`      // tries after the first
-	WaitMs   float64  `json:"wait_ms,omitempty"`   // before each
-	AdviceMs float64  `json:"advice_ms,omitempty"` // a Retry-After up to this is followed where it is longer; 0 = none
-	On       []string `json:"on,omitempty"`        // ends; none = refused, unreachable, with GET failed and lost, too
+	MaxRetries      int      `json:"most,omitempty"`      // tries after the first
+	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each
+	MaxRetryAfterMs float64  `json:"advice_ms,omitempty"` // a Retry-After up to this is followed where it is longer; 0 = none
+	On              []string `json:"on,omitempty"`        // ends; none = refused, unreachable, with GET failed and lost, too
 }
 
 // Stream is a flow of requests.
@@ -73,17 +73,17 @@
 
 // Lateness is how late the generator may be for a run to count.
 type Lateness struct {
-	P99Ms  float64 `json:"p99_ms,omitempty"`  // at the 99th percentile of first tries; 0 = 1
-	MostMs float64 `json:"most_ms,omitempty"` // of any first try, and of the generator's own clock; 0 = 50
+	P99Ms float64 `json:"p99_ms,omitempty"`  // at the 99th percentile of first tries; 0 = 1
+	MaxMs float64 `json:"most_ms,omitempty"` // of any first try, and of the generator's own clock; 0 = 50
 }
 
 // What a plan may hold at most.
 const (
-	mostKeys     = 1_000_000
-	mostBody     = 1 << 20 // bytes
-	mostRetries  = 100
-	mostDeadline = 10 * time.Minute
-	mostClasses  = 64
+	maxKeys     = 1_000_000
+	maxBody     = 1 << 20 // bytes
+	maxRetries  = 100
+	maxDeadline = 10 * time.Minute
+	maxClasses  = 64
 )
 
 // Read reads and checks a plan. Errors name the file, the line or key, and what to do. The name of a trace is taken
@@ -160,11 +160,11 @@
 	switch {
 	case len(p.Classes) == 0:
 		return errors.New("classes: none; name one or more")
-	case len(p.Classes) > mostClasses:
-		return fmt.Errorf("classes: %d; want at most %d", len(p.Classes), mostClasses)
+	case len(p.Classes) > maxClasses:
+		return fmt.Errorf("classes: %d; want at most %d", len(p.Classes), maxClasses)
 	case p.Connections < 0:
 		return fmt.Errorf("connections: %d; want 1 or more, or 0 for the default", p.Connections)
-	case p.Lateness.P99Ms < 0 || p.Lateness.MostMs < 0:
+	case p.Lateness.P99Ms < 0 || p.Lateness.MaxMs < 0:
 		return errors.New("lateness: below 0; want p99_ms and most_ms of more than 0, or 0 for the defaults")
 	case !(p.ForS >= 0 && p.ForS <= mostAt.Seconds()):
 		return fmt.Errorf("for_s: %v; want from 0 to %v seconds", p.ForS, mostAt.Seconds())
@@ -202,7 +202,7 @@
 func (p *Plan) fill() {
 	set(&p.Connections, 10000)
 	set(&p.Lateness.P99Ms, 1)
-	set(&p.Lateness.MostMs, 50)
+	set(&p.Lateness.MaxMs, 50)
 	for i := range p.Classes {
 		c := &p.Classes[i]
 		set(&c.Method, "GET")
@@ -245,13 +245,13 @@
 		value float64
 		least float64
 	}{
-		{"aim_ms", c.AimMs, 1},
+		{"aim_ms", c.LatencyObjectiveMs, 1},
 		{"deadline_ms", c.DeadlineMs, 1},
-		{"patience_ms", c.PatienceMs, 0},
+		{"patience_ms", c.TimeoutMs, 0},
 		{"retry.wait_ms", c.Retry.WaitMs, 0},
-		{"retry.advice_ms", c.Retry.AdviceMs, 0},
+		{"retry.advice_ms", c.Retry.MaxRetryAfterMs, 0},
 	} {
-		if most := mostDeadline.Seconds() * 1000; !(n.value >= n.least && n.value <= most) {
+		if most := maxDeadline.Seconds() * 1000; !(n.value >= n.least && n.value <= most) {
 			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, n.key, n.value, n.least, most)
 		}
 	}
@@ -259,14 +259,14 @@
 	case !token(c.Name) || strings.ContainsAny(c.Name, "/,\""):
 		return fmt.Errorf("%s.name: %q; want 1 to 200 printable characters without blanks, commas, slashes and quotes",
 			key, c.Name)
-	case c.AimMs > c.DeadlineMs:
-		return fmt.Errorf("%s.aim_ms: %v is beyond deadline_ms, which is %v; lower it", key, c.AimMs, c.DeadlineMs)
-	case c.Keys.Count < 1 || c.Keys.Count > mostKeys:
-		return fmt.Errorf("%s.keys.count: %d; want from 1 to %d", key, c.Keys.Count, mostKeys)
+	case c.LatencyObjectiveMs > c.DeadlineMs:
+		return fmt.Errorf("%s.aim_ms: %v is beyond deadline_ms, which is %v; lower it", key, c.LatencyObjectiveMs, c.DeadlineMs)
+	case c.Keys.Count < 1 || c.Keys.Count > maxKeys:
+		return fmt.Errorf("%s.keys.count: %d; want from 1 to %d", key, c.Keys.Count, maxKeys)
 	case !(c.Keys.Zipf >= 0 && c.Keys.Zipf <= 10):
 		return fmt.Errorf("%s.keys.zipf: %v; want from 0 to 10", key, c.Keys.Zipf)
-	case c.Retry.Most < 0 || c.Retry.Most > mostRetries:
-		return fmt.Errorf("%s.retry.most: %d; want from 0 to %d", key, c.Retry.Most, mostRetries)
+	case c.Retry.MaxRetries < 0 || c.Retry.MaxRetries > maxRetries:
+		return fmt.Errorf("%s.retry.most: %d; want from 0 to %d", key, c.Retry.MaxRetries, maxRetries)
 	}
 	for i, name := range c.Retry.On {
 		if end, ok := endNamed(name); !ok || end == Served {
@@ -285,8 +285,8 @@
 		return r <= ' ' || r > '~'
 	}):
 		return fmt.Errorf("%s: path %q; want up to 2000 printable characters without blanks, from / on", key, path)
-	case size < 0 || size > mostBody:
-		return fmt.Errorf("%s: a body of %d bytes; want from 0 to %d", key, size, mostBody)
+	case size < 0 || size > maxBody:
+		return fmt.Errorf("%s: a body of %d bytes; want from 0 to %d", key, size, maxBody)
 	case method == "GET" && size > 0:
 		return fmt.Errorf("%s: a GET has no body; set it to 0 bytes, or take POST", key)
 	}
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -15,7 +15,7 @@
 // The parts of a plot.
 const (
 	plotWidth, plotHeight = 1200, 600
-	leastMs               = 0.1 // where the axis of latency begins
+	minMs                 = 0.1 // where the axis of latency begins
 	neverMs               = 1e6 // stands for requests that were never served, above all that were
 )
 
@@ -53,8 +53,8 @@
 		line("p99 from send", "e6550d", larger, func(s *SecondRow) *float64 { return s.Sent[2] }),
 		line("generator late", "999999", larger, func(s *SecondRow) *float64 { return &s.LateMs }),
 	}, []perSecond{
-		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return whole(s.Asked) }),
-		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return whole(s.InAim) }),
+		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return whole(s.Requests) }),
+		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return whole(s.InObjective) }),
 	}
 }
 
@@ -75,7 +75,7 @@
 		YAxisSecondary: chart.YAxis{ValueFormatter: chart.IntValueFormatter},
 	}
 	latencies, rates := plotLines()
-	longest, most := leastMs, 1.0
+	longest, most := minMs, 1.0
 	for i := range latencies {
 		for _, y := range latencies[i].draw(r) {
 			if y < neverMs {
@@ -86,7 +86,7 @@
 	top := math.Floor(math.Log10(longest)) + 1
 	for i := range latencies {
 		for j, y := range latencies[i].ys { // the library's own logarithmic range is one for values above 1 only
-			latencies[i].ys[j] = min(top, math.Log10(max(leastMs, y)))
+			latencies[i].ys[j] = min(top, math.Log10(max(minMs, y)))
 		}
 		c.Series = append(c.Series, latencies[i].series(chart.YAxisPrimary))
 	}
@@ -94,7 +94,7 @@
 		most = max(most, slices.Max(rates[i].draw(r)))
 		c.Series = append(c.Series, rates[i].series(chart.YAxisSecondary))
 	}
-	for power := math.Log10(leastMs); power <= top; power++ {
+	for power := math.Log10(minMs); power <= top; power++ {
 		label := fmt.Sprintf("%.4g ms", math.Pow(10, power))
 		c.YAxis.Ticks = append(c.YAxis.Ticks, chart.Tick{Value: power, Label: label})
 	}
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -87,12 +87,12 @@
 
 // Tally counts requests of one class.
 type Tally struct {
-	Asked   uint64       `json:"asked"`    // requests, each with all its tries
-	Tries   uint64       `json:"tries"`    // sendings, or attempts to
-	Resent  uint64       `json:"resent"`   // tries that crossed the close of a kept connection and went out once more
-	InAim   uint64       `json:"in_aim"`   // requests served within their aim, from when they were due
-	Ends    [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
-	TryEnds [ends]uint64 `json:"try_ends"` // of tries
+	Requests    uint64       `json:"asked"`    // requests, each with all its tries
+	Attempts    uint64       `json:"tries"`    // sendings, or attempts to
+	Resent      uint64       `json:"resent"`   // tries that crossed the close of a kept connection and went out once more
+	InObjective uint64       `json:"in_aim"`   // requests served within their aim, from when they were due
+	Ends        [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
+	AttemptEnds [ends]uint64 `json:"try_ends"` // of tries
 
 	Due  Hist `json:"due"`  // from when a request was due to its answer; requests that were served
 	Sent Hist `json:"sent"` // from when the try that was served was sent to its answer: what a tool that waits reports
@@ -112,28 +112,28 @@
 }
 
 func (t *Tally) add(d *done) {
-	t.Asked++
-	t.Tries += d.tries
+	t.Requests++
+	t.Attempts += d.tries
 	t.Resent += d.resent
 	for i, n := range d.tryEnds {
-		t.TryEnds[i] += n
+		t.AttemptEnds[i] += n
 	}
 	t.Ends[d.last]++
 	if d.last != Served {
 		return
 	}
 	if d.end.Sub(d.due) <= d.aim {
-		t.InAim++
+		t.InObjective++
 	}
 	t.Due.record(d.end.Sub(d.due))
 	t.Sent.record(d.end.Sub(d.sent))
 }
 
 func (t *Tally) merge(o *Tally) {
-	t.Asked, t.Tries, t.Resent, t.InAim = t.Asked+o.Asked, t.Tries+o.Tries, t.Resent+o.Resent, t.InAim+o.InAim
+	t.Requests, t.Attempts, t.Resent, t.InObjective = t.Requests+o.Requests, t.Attempts+o.Attempts, t.Resent+o.Resent, t.InObjective+o.InObjective
 	for i := range t.Ends {
 		t.Ends[i] += o.Ends[i]
-		t.TryEnds[i] += o.TryEnds[i]
+		t.AttemptEnds[i] += o.AttemptEnds[i]
 	}
 	t.Due.packed.Merge(o.Due.packed)
 	t.Sent.packed.Merge(o.Sent.packed)
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -35,44 +35,44 @@
 
 // Row is what came of the requests of one class, or of all.
 type Row struct {
-	Class   string            `json:"class"` // "all" for all of them
-	Asked   uint64            `json:"asked"`
-	Tries   uint64            `json:"tries"`
-	Resent  uint64            `json:"resent"`
-	InAim   uint64            `json:"in_aim"`
-	Goodput float64           `json:"goodput_per_s"` // requests served within their aim a second of due time
-	Ends    map[string]uint64 `json:"ends"`          // of requests
-	TryEnds map[string]uint64 `json:"try_ends"`
-	Due     Latency           `json:"latency_from_due_ms"`
-	Sent    Latency           `json:"latency_from_send_ms"`
+	Class       string            `json:"class"` // "all" for all of them
+	Requests    uint64            `json:"asked"`
+	Attempts    uint64            `json:"tries"`
+	Resent      uint64            `json:"resent"`
+	InObjective uint64            `json:"in_aim"`
+	Goodput     float64           `json:"goodput_per_s"` // requests served within their aim a second of due time
+	Ends        map[string]uint64 `json:"ends"`          // of requests
+	AttemptEnds map[string]uint64 `json:"try_ends"`
+	Due         Latency           `json:"latency_from_due_ms"`
+	Sent        Latency           `json:"latency_from_send_ms"`
 }
 
 func newRow(class string, t *Tally, lasted float64) Row {
 	row := Row{
-		Class: class, Asked: t.Asked, Tries: t.Tries, Resent: t.Resent, InAim: t.InAim,
-		Ends: map[string]uint64{}, TryEnds: map[string]uint64{},
-		Due: newLatency(t.Due, t.Asked), Sent: newLatency(t.Sent, t.Asked),
+		Class: class, Requests: t.Requests, Attempts: t.Attempts, Resent: t.Resent, InObjective: t.InObjective,
+		Ends: map[string]uint64{}, AttemptEnds: map[string]uint64{},
+		Due: newLatency(t.Due, t.Requests), Sent: newLatency(t.Sent, t.Requests),
 	}
 	if lasted > 0 {
-		row.Goodput = float64(t.InAim) / lasted
+		row.Goodput = float64(t.InObjective) / lasted
 	}
 	for i, name := range endNames {
-		row.Ends[name], row.TryEnds[name] = t.Ends[i], t.TryEnds[i]
+		row.Ends[name], row.AttemptEnds[name] = t.Ends[i], t.AttemptEnds[i]
 	}
 	return row
 }
 
 // SecondRow is what came of the requests of one class that were due in one second.
 type SecondRow struct {
-	Second int               `json:"second"`
-	Class  string            `json:"class"`
-	Asked  uint64            `json:"asked"`
-	Tries  uint64            `json:"tries"`
-	InAim  uint64            `json:"in_aim"`
-	Ends   map[string]uint64 `json:"ends"`
-	Due    Latency           `json:"latency_from_due_ms"`
-	Sent   Latency           `json:"latency_from_send_ms"`
-	LateMs float64           `json:"late_longest_ms"` // of all classes
+	Second      int               `json:"second"`
+	Class       string            `json:"class"`
+	Requests    uint64            `json:"asked"`
+	Attempts    uint64            `json:"tries"`
+	InObjective uint64            `json:"in_aim"`
+	Ends        map[string]uint64 `json:"ends"`
+	Due         Latency           `json:"latency_from_due_ms"`
+	Sent        Latency           `json:"latency_from_send_ms"`
+	LateMs      float64           `json:"late_longest_ms"` // of all classes
 }
 
 // Report is what a run has shown. Times are in milliseconds unless they say otherwise.
@@ -116,10 +116,10 @@
 	out.Classes = append(out.Classes, newRow("all", &all, out.LastedS))
 	for i, s := range r.Seconds {
 		for j := range s.Classes {
-			if t := &s.Classes[j]; t.Asked > 0 {
+			if t := &s.Classes[j]; t.Requests > 0 {
 				row := newRow(p.Classes[j].Name, t, 1)
 				out.Seconds = append(out.Seconds, SecondRow{
-					i, row.Class, row.Asked, row.Tries, row.InAim, row.Ends,
+					i, row.Class, row.Requests, row.Attempts, row.InObjective, row.Ends,
 					row.Due, row.Sent, float64(s.LateUs) / 1000,
 				})
 			}
@@ -137,9 +137,9 @@
 	}
 	if r.LateMs[0] != nil {
 		say("requests were taken up late, at the 99th percentile by", *r.LateMs[2], l.P99Ms)
-		say("a request was taken up late by", *r.LateMs[4], l.MostMs)
+		say("a request was taken up late by", *r.LateMs[4], l.MaxMs)
 	}
-	say("the generator itself was held up for", r.StallMs, l.MostMs)
+	say("the generator itself was held up for", r.StallMs, l.MaxMs)
 	r.Valid = len(r.Invalid) == 0
 }
 
@@ -179,12 +179,12 @@
 	fmt.Fprintf(t, "\nclass\tasked\tin aim\tshare\tin aim/s\t%s\ttries\tresent\t\n",
 		strings.ReplaceAll(strings.Join(endNames[:], "\t"), "_", " "))
 	for _, c := range r.Classes {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.1f\t", c.Class, c.Asked, c.InAim,
-			float64(c.InAim)/math.Max(1, float64(c.Asked)), c.Goodput)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.1f\t", c.Class, c.Requests, c.InObjective,
+			float64(c.InObjective)/math.Max(1, float64(c.Requests)), c.Goodput)
 		for _, name := range endNames {
 			fmt.Fprintf(t, "%d\t", c.Ends[name])
 		}
-		fmt.Fprintf(t, "%d\t%d\t\n", c.Tries, c.Resent)
+		fmt.Fprintf(t, "%d\t%d\t\n", c.Attempts, c.Resent)
 	}
 	_ = t.Flush()
 	fmt.Fprint(t, "\nms, of all asked for\tcounted from\tp50\tp90\tp99\tp99.9\tlongest\t\n")
@@ -216,7 +216,7 @@
 	_ = c.Write(append(head, "late_max_ms"))
 	number := func(ms float64) string { return strconv.FormatFloat(ms, 'f', 3, 64) }
 	for _, s := range r.Seconds {
-		row := []string{strconv.Itoa(s.Second), s.Class, fmt.Sprint(s.Asked), fmt.Sprint(s.Tries), fmt.Sprint(s.InAim)}
+		row := []string{strconv.Itoa(s.Second), s.Class, fmt.Sprint(s.Requests), fmt.Sprint(s.Attempts), fmt.Sprint(s.InObjective)}
 		for _, name := range endNames {
 			row = append(row, fmt.Sprint(s.Ends[name]))
 		}
--- a/internal/testbench/loadgen/shape.go
+++ b/internal/testbench/loadgen/shape.go
@@ -47,7 +47,7 @@
 }
 
 const (
-	mostRate  = 1e6 // requests a second, of one shape
+	maxRate   = 1e6 // requests a second, of one shape
 	edge      = 1.0 // seconds that a spike takes to rise and to fall, unless it says more
 	deepShape = 8   // shapes within shapes
 )
@@ -87,8 +87,8 @@
 		}
 	}
 	switch {
-	case max(s.Rate, s.To, s.Rate*s.Times) > mostRate:
-		return fmt.Errorf("%s: more than %v requests a second; lower rate, to or times", key, mostRate)
+	case max(s.Rate, s.To, s.Rate*s.Times) > maxRate:
+		return fmt.Errorf("%s: more than %v requests a second; lower rate, to or times", key, maxRate)
 	case s.Swing > 1:
 		return fmt.Errorf("%s.swing: %v; want at most 1, or the rate would fall below 0", key, s.Swing)
 	}
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -142,7 +142,7 @@
 		}
 		defer f.Close()
 		number, last := 0, time.Duration(0)
-		for line, err := range wholeLines(f) {
+		for line, err := range completeLines(f) {
 			number++
 			if err == nil && number == 1 && strings.HasSuffix(t.File, ".csv") {
 				if string(line) != traceHead+"\n" {
@@ -168,8 +168,8 @@
 	}
 }
 
-// wholeLines reads lines with their ends. One without an end is an error.
-func wholeLines(r io.Reader) iter.Seq2[[]byte, error] {
+// completeLines reads lines with their ends. One without an end is an error.
+func completeLines(r io.Reader) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		br := bufio.NewReaderSize(r, 64<<10)
 		for {
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	perHandover = 3 * time.Second  // of load drawn ahead
-	goesOn      = 5 * time.Second  // after a kill some request must be served
-	patience    = 10 * time.Second // of clients: who gets no answer then has been forgotten
-	passSpan    = 20 * time.Millisecond
-	startSpan   = 50 * time.Millisecond // in which a kill falls, as long as nothing has been measured
+	perHandover   = 3 * time.Second  // of load drawn ahead
+	goesOn        = 5 * time.Second  // after a kill some request must be served
+	clientTimeout = 10 * time.Second // of clients: who gets no answer then has been forgotten
+	passSpan      = 20 * time.Millisecond
+	startSpan     = 50 * time.Millisecond // in which a kill falls, as long as nothing has been measured
 )
 
 // HandoverPlan is a line of processes that hand over to one another under load.
@@ -52,7 +52,7 @@
 	Served      int     `json:"served"`
 	Lost        int     `json:"lost"` // or not answered
 	Failed      int     `json:"failed"`
-	Refused     int     `json:"refused"`
+	Rejected    int     `json:"refused"`
 	Unreachable int     `json:"unreachable"`
 	Twice       int     `json:"twice"`
 	LongestGap  float64 `json:"longest_gap_s"` // without an answer to anyone
@@ -70,7 +70,7 @@
 // patient are the usual classes with clients that wait for long.
 func patient() []fakes.Class {
 	tile, order := fakes.Tile(), fakes.Order()
-	tile.Deadline, order.Deadline = patience, patience
+	tile.Deadline, order.Deadline = clientTimeout, clientTimeout
 	return []fakes.Class{tile, order}
 }
 
@@ -164,13 +164,13 @@
 
 // fill counts, and says which rules are broken.
 func (o *HandoverReport) fill(r *rig, took []phases, kills []kill) {
-	whole := func(t phases) time.Duration { return t.whole }
-	o.Restarts, o.Median = len(took), middle(took, whole).Seconds()
+	complete := func(t phases) time.Duration { return t.whole }
+	o.Restarts, o.Median = len(took), middle(took, complete).Seconds()
 	o.Start = middle(took, func(t phases) time.Duration { return t.start }).Seconds()
 	for _, t := range took {
 		o.Worst = max(o.Worst, t.whole.Seconds())
 	}
-	var all Figures
+	var all Metrics
 	var strays []fakes.Try
 	for i := range r.tries {
 		t := &r.tries[i]
@@ -186,7 +186,7 @@
 		}
 	}
 	o.Requests, o.Lost, o.Failed = len(r.tries), all.Lost+all.Unanswered, all.Failed
-	o.Refused, o.Unreachable = all.Refused, all.Unreachable
+	o.Rejected, o.Unreachable = all.Rejected, all.Unreachable
 	o.Twice = r.extraRuns()
 	o.LongestGap, o.Stall = longestGap(r.tries).Seconds(), r.stall.Seconds()
 	for _, k := range kills {
--- a/internal/testbench/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -83,7 +83,7 @@
 // successorOf waits for the successor that p, asked at a mark in the log, starts. It has no word of its own in the log
 // before it is ready, so it is looked for among p's children.
 func (l *line) successorOf(ctx context.Context, from int, p *process) (*process, error) {
-	for until := time.Now().Add(awaitMost); time.Now().Before(until); {
+	for until := time.Now().Add(maxAwait); time.Now().Before(until); {
 		if pid := childOf(p.Pid); pid != 0 {
 			return l.byPid(pid)
 		}
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -22,7 +22,7 @@
 	env     []string
 	address string
 	network fakes.Network
-	log     *logbook
+	log     *processLog
 	main    *process
 	served  []*process // all that have been main
 	met     []*process // all, successors that never served included
@@ -38,7 +38,7 @@
 	p := l.meet(cmd.Process)
 	p.watch(l.log)
 	l.take(p)
-	ctx, cancel := context.WithTimeout(ctx, awaitMost)
+	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
 	if err := fakes.Ready(ctx, l.network, l.address); err != nil {
 		return fmt.Errorf("process %d (%s): %w", p.Pid, p.fate(), err)
--- a/internal/testbench/recovery/figures.go
+++ b/internal/testbench/recovery/metrics.go
@@ -8,15 +8,15 @@
 
 const (
 	firstSpan  = 2 * time.Second        // of a second life
-	leastSpan  = 2 * time.Second        // in which probes and calls are counted
-	leastWidth = 250 * time.Millisecond // of a window, which also holds windowAsked requests
+	minSpan    = 2 * time.Second        // in which probes and calls are counted
+	minWidth   = 250 * time.Millisecond // of a window, which also holds windowAsked requests
 	windowWith = 50
 	noticeIn   = 50 * time.Millisecond // in which the lab may notice what has come
 )
 
-// Figures is what a run has shown. Seconds count from the event. What became of tries is counted of those that ended
+// Metrics is what a run has shown. Seconds count from the event. What became of tries is counted of those that ended
 // after it, twice and late sends of the whole run.
-type Figures struct {
+type Metrics struct {
 	Requests    int      `json:"requests"`   // of the whole run
 	Normal      float64  `json:"normal"`     // share served within the aim before the event
 	Back        *float64 `json:"back_s"`     // until 95% of normal holds for a second; nil = never
@@ -26,7 +26,7 @@
 	Lost        int      `json:"lost"`       // the connection ended without an answer, or brought another's
 	Unanswered  int      `json:"unanswered"` // nothing came while the client waited
 	Failed      int      `json:"failed"`     // an error or a broken answer
-	Refused     int      `json:"refused"`
+	Rejected    int      `json:"refused"`
 	Unreachable int      `json:"unreachable"`      // no connection came up
 	Twice       int      `json:"twice"`            // runs of what must not run twice beyond the first
 	Late        int      `json:"late"`             // sends to a provider after the grace of its drain
@@ -41,12 +41,12 @@
 }
 
 // count adds what became of a try.
-func (f *Figures) count(t *fakes.Try) {
+func (f *Metrics) count(t *fakes.Try) {
 	switch {
 	case t.Result == fakes.Failed:
 		f.Failed++
 	case t.Result == fakes.Refused:
-		f.Refused++
+		f.Rejected++
 	case t.Result == fakes.Unreachable:
 		f.Unreachable++
 	case isLost(t) && t.Result == fakes.TimedOut:
@@ -56,8 +56,8 @@
 	}
 }
 
-// share is the part of the requests due in a span that was served within the aim.
-func share(tries []fakes.Try, from, to time.Time) float64 {
+// servedShare is the part of the requests due in a span that was served within the aim.
+func servedShare(tries []fakes.Try, from, to time.Time) float64 {
 	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.AskedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
 		return all.Share()
@@ -67,7 +67,7 @@
 
 // width is that of windows for a load of rate requests a second.
 func width(rate float64) time.Duration {
-	return max(leastWidth, time.Duration(windowWith/rate*float64(time.Second)))
+	return max(minWidth, time.Duration(windowWith/rate*float64(time.Second)))
 }
 
 // trouble is what an event did to service.
@@ -78,10 +78,10 @@
 	worst float64       // share of the worst window
 }
 
-// troubleAfter looks for the first window after the event that is below 95% of normal: what follows a word to stop,
+// faultAfter looks for the first window after the event that is below 95% of normal: what follows a word to stop,
 // say, is well for a while. From there on it is fakes.Recovered that says when service is back. A trouble that begins
 // in the last second is only counted: how it ends can't be seen.
-func troubleAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) trouble {
+func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) trouble {
 	out := trouble{ok: true, worst: 1}
 	windows := fakes.Tally(tries, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
@@ -123,22 +123,22 @@
 // toldAt returns when each drain was told, given the revisions that told them: with the first answer that holds it,
 // whoever asked.
 func toldAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
-	told := map[string]time.Time{}
+	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
-			before, known := told[id]
+			before, known := notifiedAt[id]
 			if c.Answered && c.Revision >= revision && (!known || c.AnsweredAt.Before(before)) {
-				told[id] = c.AnsweredAt
+				notifiedAt[id] = c.AnsweredAt
 			}
 		}
 	}
-	return told
+	return notifiedAt
 }
 
 // lateSends counts the requests whose first byte came to a provider after the grace of its drain.
-func lateSends(told map[string]time.Time, requests []fakes.Request) (n int) {
+func lateSends(notifiedAt map[string]time.Time, requests []fakes.Request) (n int) {
 	for _, q := range requests {
-		if at, drained := told[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeIn)) {
+		if at, drained := notifiedAt[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeIn)) {
 			n++
 		}
 	}
@@ -146,19 +146,19 @@
 }
 
 // figures measures a run whose load has ended.
-func (r *rig) figures(event time.Time) Figures {
+func (r *rig) figures(event time.Time) Metrics {
 	w := width(r.setup.Rate)
-	f := Figures{Stall: r.stall.Seconds(), Normal: share(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
-	t := troubleAfter(r.tries, event, f.Normal, w)
+	f := Metrics{Stall: r.stall.Seconds(), Normal: servedShare(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
+	t := faultAfter(r.tries, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
 	until := r.tries[len(r.tries)-1].At
 	if t.ok {
 		back := t.back.Seconds()
 		f.Back = &back
-		until = event.Add(max(leastSpan, t.back))
+		until = event.Add(max(minSpan, t.back))
 	}
 	if !r.second.IsZero() {
-		first := share(r.tries, r.second, r.second.Add(firstSpan))
+		first := servedShare(r.tries, r.second, r.second.Add(firstSpan))
 		f.First = &first
 	}
 	for i := range r.tries {
@@ -171,7 +171,7 @@
 	}
 	f.Twice = r.extraRuns()
 	calls := r.fleet.Directory.Calls()
-	told := toldAt(r.drains, calls)
+	notifiedAt := toldAt(r.drains, calls)
 	within := func(at time.Time) float64 {
 		if at.Before(event) || at.After(until) {
 			return 0
@@ -179,7 +179,7 @@
 		return 1 / until.Sub(event).Seconds()
 	}
 	for _, p := range r.fleet.Providers {
-		f.Late += lateSends(told, p.Requests())
+		f.Late += lateSends(notifiedAt, p.Requests())
 		for _, probe := range p.Probes() {
 			f.Probes += within(probe.At)
 		}
--- a/internal/testbench/recovery/figures_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -31,7 +31,7 @@
 	return tries
 }
 
-func TestTrouble(t *testing.T) {
+func TestFault(t *testing.T) {
 	ms := time.Millisecond
 	well := slices.Repeat([]int{20}, 8)
 	for name, test := range map[string]struct {
@@ -48,7 +48,7 @@
 		"at the very end": {slices.Concat(well, []int{0, 20, 20}), 1, trouble{0, true, 250 * ms, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := troubleAfter(windowsOf(test.served...), epoch, test.normal, 250*ms); got != test.want {
+			if got := faultAfter(windowsOf(test.served...), epoch, test.normal, 250*ms); got != test.want {
 				t.Errorf("%+v, want %+v", got, test.want)
 			}
 		})
@@ -57,13 +57,13 @@
 
 func TestShareIsOfWhatWasDue(t *testing.T) {
 	tries := windowsOf(0, 10, 20, 0)
-	if got := share(tries, after(250), after(750)); got != 0.75 {
+	if got := servedShare(tries, after(250), after(750)); got != 0.75 {
 		t.Errorf("%g, want 0.75", got)
 	}
 }
 
 func TestCounts(t *testing.T) {
-	var got Figures
+	var got Metrics
 	for r, n := range map[fakes.Result]int{
 		fakes.Served: 1, fakes.Refused: 2, fakes.Failed: 3, fakes.Lost: 4,
 		fakes.TimedOut: 5, fakes.Unreachable: 6, fakes.Wrong: 7,
@@ -73,14 +73,14 @@
 		}
 	}
 	got.count(&fakes.Try{Result: fakes.TimedOut}) // it was never sent
-	if want := (Figures{Lost: 11, Unanswered: 5, Failed: 3, Refused: 2, Unreachable: 6}); got != want {
+	if want := (Metrics{Lost: 11, Unanswered: 5, Failed: 3, Rejected: 2, Unreachable: 6}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
 // A drain counts from the first answer that told it, and only for the process that it is about.
 func TestLateSends(t *testing.T) {
-	told := toldAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DirectoryCall{
+	notifiedAt := toldAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DirectoryCall{
 		{Answered: true, AnsweredAt: after(0), Revision: 2},
 		{Answered: false, AnsweredAt: after(10), Revision: 3},
 		{Answered: true, AnsweredAt: after(200), Revision: 3},
@@ -92,8 +92,8 @@
 		{Server: "b", FirstByte: after(5000)},
 		{Server: "c", FirstByte: after(5000)},
 	}
-	if n := lateSends(told, sent); n != 1 {
-		t.Errorf("%d late sends, want that at 901 ms alone; told: %v", n, told)
+	if n := lateSends(notifiedAt, sent); n != 1 {
+		t.Errorf("%d late sends, want that at 901 ms alone; told: %v", n, notifiedAt)
 	}
 }
 
@@ -131,9 +131,9 @@
 }
 
 func TestPlansAreChecked(t *testing.T) {
-	good := HandoverPlan{Setup: Setup{Providers: 4, Rate: 100}, Restarts: 1}
+	good := HandoverPlan{Setup: Setup{Servers: 4, Rate: 100}, Restarts: 1}
 	for name, spoil := range map[string]func(*HandoverPlan){
-		"providers": func(p *HandoverPlan) { p.Providers = 3 },
+		"providers": func(p *HandoverPlan) { p.Servers = 3 },
 		"rate":      func(p *HandoverPlan) { p.Rate = 0 },
 		"restarts":  func(p *HandoverPlan) { p.Restarts = 0 },
 		"pause":     func(p *HandoverPlan) { p.Pause = time.Hour },
--- a/internal/testbench/recovery/process.go
+++ b/internal/testbench/recovery/process.go
@@ -33,7 +33,7 @@
 
 // watch waits for its end, in a goroutine of its own, and notes that in the log. It must be this process's child, or
 // have become so.
-func (p *process) watch(log *logbook) {
+func (p *process) watch(log *processLog) {
 	go func() {
 		p.state, p.err = p.Wait()
 		p.endedAt = time.Now()
--- a/internal/testbench/recovery/logbook.go
+++ b/internal/testbench/recovery/processlog.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	awaitMost = 15 * time.Second // for a word in the log
-	closeMost = 2 * time.Second  // for a writer that has not ended
+	maxAwait  = 15 * time.Second // for a word in the log
+	maxClose  = 2 * time.Second  // for a writer that has not ended
 	tailLines = 5
 )
 
-// logbook keeps what processes print: in a file, and line by line for those who wait for a word. All print into one
+// processLog keeps what processes print: in a file, and line by line for those who wait for a word. All print into one
 // pipe, and how a process has ended is written there, too, so that this comes after its last words.
-type logbook struct {
+type processLog struct {
 	file io.Writer
 	r, w *os.File
 	done chan struct{} // closed when nobody writes any more
@@ -29,8 +29,8 @@
 	changed chan struct{} // closed with the next line
 }
 
-func newLogbook(file io.Writer) (*logbook, error) {
-	b := &logbook{file: file, done: make(chan struct{}), changed: make(chan struct{})}
+func newProcessLog(file io.Writer) (*processLog, error) {
+	b := &processLog{file: file, done: make(chan struct{}), changed: make(chan struct{})}
 	var err error
 	if b.r, b.w, err = os.Pipe(); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	return b, nil
 }
 
-func (b *logbook) read() {
+func (b *processLog) read() {
 	defer close(b.done)
 	for br := bufio.NewReader(b.r); ; {
 		line, err := br.ReadString('\n')
@@ -52,7 +52,7 @@
 	}
 }
 
-func (b *logbook) add(line string) {
+func (b *processLog) add(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fmt.Fprintln(b.file, line)
@@ -62,27 +62,27 @@
 }
 
 // close returns when all that processes have printed is kept. All must have ended.
-func (b *logbook) close() {
+func (b *processLog) close() {
 	b.w.Close()
-	_ = b.r.SetReadDeadline(time.Now().Add(closeMost))
+	_ = b.r.SetReadDeadline(time.Now().Add(maxClose))
 	<-b.done
 	b.r.Close()
 }
 
 // mark is the place behind the last line.
-func (b *logbook) mark() int {
+func (b *processLog) mark() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.lines)
 }
 
 // end notes that a process has ended.
-func (b *logbook) end(p *process) { fmt.Fprintln(b.w, p.lastLine()) }
+func (b *processLog) end(p *process) { fmt.Fprintln(b.w, p.lastLine()) }
 
 // await returns the first line from a mark on that holds one of the words. It gives up at the end of ctx, after
-// awaitMost, or when p has ended, which was to say it.
-func (b *logbook) await(ctx context.Context, from int, p *process, words ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, awaitMost)
+// maxAwait, or when p has ended, which was to say it.
+func (b *processLog) await(ctx context.Context, from int, p *process, words ...string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
 	last := p.lastLine()
 	for at := from; ; {
@@ -106,7 +106,7 @@
 }
 
 // look returns the first line from a mark on that holds the word, if there is one by now.
-func (b *logbook) look(from int, word string) (string, bool) {
+func (b *processLog) look(from int, word string) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return find(b.lines[from:], []string{word})
--- a/internal/testbench/recovery/program_test.go
+++ b/internal/testbench/recovery/program_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	setup := func(t *testing.T) Setup {
-		return Setup{Program: program, Providers: 4, Rate: 100, Seed: 1, Dir: t.TempDir()}
+		return Setup{Program: program, Servers: 4, Rate: 100, Seed: 1, Dir: t.TempDir()}
 	}
 	t.Run("handovers", func(t *testing.T) {
 		t.Parallel()
@@ -63,8 +63,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := strings.Join(got.Broken, "; ")
-		if got.Unreachable == 0 || got.Twice != 0 || !strings.Contains(told, "killed") {
+		notifiedAt := strings.Join(got.Broken, "; ")
+		if got.Unreachable == 0 || got.Twice != 0 || !strings.Contains(notifiedAt, "killed") {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -31,19 +31,19 @@
 
 // Setup is what every experiment needs to know.
 type Setup struct {
-	Program   string // path of the sidecar's program
-	Providers int    // at least 4, so that some can be in trouble
-	Rate      float64
-	Seed      uint64        // of the load, the providers and the sidecar
-	Dir       string        // an existing folder for the configuration, the snapshot and the log
-	Classes   []fakes.Class // one that is safe and one that is not; nil = fakes.Tile and fakes.Order
+	Program string // path of the sidecar's program
+	Servers int    // at least 4, so that some can be in trouble
+	Rate    float64
+	Seed    uint64        // of the load, the providers and the sidecar
+	Dir     string        // an existing folder for the configuration, the snapshot and the log
+	Classes []fakes.Class // one that is safe and one that is not; nil = fakes.Tile and fakes.Order
 }
 
 // Check says why nothing can be measured with the setup.
 func (s Setup) Check() error {
 	switch {
-	case s.Providers < 4 || s.Providers > 200:
-		return fmt.Errorf("providers: %d; want 4 to 200", s.Providers)
+	case s.Servers < 4 || s.Servers > 200:
+		return fmt.Errorf("providers: %d; want 4 to 200", s.Servers)
 	case !(s.Rate >= 20 && s.Rate <= 5000):
 		return fmt.Errorf("rate: %g requests a second; want 20 to 5000", s.Rate)
 	}
@@ -95,7 +95,7 @@
 		WarmIn: warmIn, IdleMost: connIdle, Default: fakes.Service{Mean: tileMean, Body: answerSize},
 		Service: map[string]fakes.Service{"order": {Mean: orderMean, Body: answerSize}},
 	}
-	if r.fleet, err = fakes.NewFleet(network, s.Providers, nature); err != nil {
+	if r.fleet, err = fakes.NewFleet(network, s.Servers, nature); err != nil {
 		return r, err
 	}
 	front, err := network.Listen("") // an address on a host of this process's own: nobody takes it while it is free
@@ -121,7 +121,7 @@
 	if r.file, err = os.Create(filepath.Join(s.Dir, "sidecar.log")); err != nil {
 		return r, err
 	}
-	log, err := newLogbook(r.file)
+	log, err := newProcessLog(r.file)
 	if err != nil {
 		return r, err
 	}
@@ -177,7 +177,7 @@
 }
 
 // some are the first providers of the fleet, a quarter of it.
-func (r *rig) some() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Providers/4)] }
+func (r *rig) some() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
 
 // release replaces the first so many providers, a quarter of the fleet at a time, by others at new addresses.
 func (r *rig) release(ctx context.Context, most int) error {
@@ -185,12 +185,12 @@
 		Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
 		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true,
 	}
-	told := r.fleet.Directory.Revision()
+	notifiedAt := r.fleet.Directory.Revision()
 	for batch := range slices.Chunk(r.fleet.Providers[:most], plan.Batch) {
 		for _, p := range batch {
-			r.drains[p.ID()] = told + 1 // and the next revision tells of its end
+			r.drains[p.ID()] = notifiedAt + 1 // and the next revision tells of its end
 		}
-		told += 2
+		notifiedAt += 2
 	}
 	return r.fleet.Release(ctx, plan)
 }
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -24,7 +24,7 @@
 	Scenario string `json:"scenario"`
 	Program  string `json:"program"`
 	Seed     uint64 `json:"seed"`
-	Figures
+	Metrics
 	Broken []string `json:"broken,omitempty"` // rules, and processes that ended in another way than they should
 }
 
@@ -57,7 +57,7 @@
 	if err := ctx.Err(); err != nil {
 		return out, err
 	}
-	out.Figures = r.figures(event)
+	out.Metrics = r.figures(event)
 	out.Broken = append(out.Broken, r.finish(ctx)...)
 	out.Broken = append(out.Broken, none(out.Twice, ruleTwice)...)
 	out.Broken = append(out.Broken, none(out.Late, ruleLate)...)
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -18,8 +18,8 @@
 	snapshotMs   = 500
 
 	// What the platform grants between SIGTERM and SIGKILL: the longest deadline, or this if that is longer, and a bit.
-	deadlineMost = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
+	maxDeadline = 3 * time.Second
+	killAfter   = 700 * time.Millisecond
 )
 
 // Scenario is something that happens to a fleet or a sidecar.
@@ -65,17 +65,17 @@
 		},
 		{
 			Name: "directory-down", About: "the directory is down for 8 s, misses a release and then tells all",
-			event: directoryDown, after: 11 * time.Second,
+			event: discoveryDown, after: 11 * time.Second,
 		},
 	}
 }
 
-func releaseTold(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Providers) }
+func releaseTold(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
 
 // releaseHidden loses the answers on every connection that has been open for a moment. New ones are fine.
 func releaseHidden(ctx context.Context, r *rig) error {
 	released := make(chan error, 1)
-	go func() { released <- r.release(ctx, r.setup.Providers) }()
+	go func() { released <- r.release(ctx, r.setup.Servers) }()
 	for {
 		r.fleet.Directory.LosePresent()
 		select {
@@ -115,7 +115,7 @@
 	if err := r.line.main.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("signal process %d: %w", r.line.main.Pid, err)
 	}
-	if err := fakes.Pause(ctx, min(longest, deadlineMost)+killAfter); err != nil {
+	if err := fakes.Pause(ctx, min(longest, maxDeadline)+killAfter); err != nil {
 		return err
 	}
 	return crash(ctx, r) // however early the first one has ended, the next one starts only now
@@ -145,7 +145,7 @@
 	return err
 }
 
-func directoryDown(ctx context.Context, r *rig) error {
+func discoveryDown(ctx context.Context, r *rig) error {
 	if err := r.fleet.Directory.Down(true); err != nil {
 		return err
 	}
--- a/internal/testbench/recovery/table.go
+++ b/internal/testbench/recovery/table.go
@@ -25,7 +25,7 @@
 		}
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%.3f\t%s\t%.2f\t%.3f\t%s\t", r.Scenario, r.Seed, r.Program, r.Requests,
 			r.Normal, back, r.Below, r.Worst, first)
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.0f\t\n", r.Lost, r.Unanswered, r.Failed, r.Refused,
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.0f\t\n", r.Lost, r.Unanswered, r.Failed, r.Rejected,
 			r.Unreachable, r.Twice, r.Late, r.Probes, r.Lists, r.Stall*1000)
 	}
 	if err := t.Flush(); err != nil {
@@ -56,7 +56,7 @@
 		{"served", o.Served},
 		{"lost", o.Lost},
 		{"failed", o.Failed},
-		{"refused", o.Refused},
+		{"refused", o.Rejected},
 		{"unreachable", o.Unreachable},
 		{"further runs of orders", o.Twice},
 		{"longest time without an answer", seconds(o.LongestGap)},
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	queueMost = 2 * time.Second  // for which a call that needs a turn waits for it, before it is turned away
-	holdMost  = 60 * time.Second // for which a call is held
+	maxQueueTime = 2 * time.Second  // for which a call that needs a turn waits for it, before it is turned away
+	maxPollTime  = 60 * time.Second // for which a call is held
 )
 
 // Traffic is what discovery has seen. Bytes are those of TCP's payload.
 type Traffic struct {
-	Calls, Whole, TurnedAway, Connections int64
-	BytesIn, BytesOut                     int64
+	Calls, Complete, Rejected, Connections int64
+	BytesIn, BytesOut                      int64
 }
 
 func (t Traffic) minus(o Traffic) Traffic {
 	return Traffic{
-		t.Calls - o.Calls, t.Whole - o.Whole, t.TurnedAway - o.TurnedAway, t.Connections - o.Connections,
+		t.Calls - o.Calls, t.Complete - o.Complete, t.Rejected - o.Rejected, t.Connections - o.Connections,
 		t.BytesIn - o.BytesIn, t.BytesOut - o.BytesOut,
 	}
 }
@@ -43,13 +43,13 @@
 	lines    []line
 	at       map[string]int // in lines
 	changed  chan struct{}  // closed with the next revision
-	whole    []byte         // the whole list as of now; nil = not worded yet
+	complete []byte         // the whole list as of now; nil = not worded yet
 	next     time.Time      // the next free turn
 
-	server                    http.Server
-	calls, wholes, turnedAway atomic.Int64
-	count                     fakes.Counter
-	addresses                 []string
+	server                  http.Server
+	calls, wholes, rejected atomic.Int64
+	count                   fakes.Counter
+	addresses               []string
 }
 
 // line is the last that is known of a server.
@@ -59,9 +59,9 @@
 }
 
 // newDiscovery listens at so many addresses of 127.0.0.0/8 with a first revision.
-func newDiscovery(listeners int, rate float64, members []fakes.Member) (*discoveryServer, error) {
+func newDiscovery(listeners int, rate float64, endpoints []fakes.Member) (*discoveryServer, error) {
 	d := &discoveryServer{rate: rate, at: map[string]int{}, changed: make(chan struct{})}
-	d.change(members)
+	d.change(endpoints)
 	d.server.Handler = d
 	d.server.ConnContext = withFirst
 	network := d.count.Of(fakes.Loopback())
@@ -81,17 +81,17 @@
 
 func (d *discoveryServer) traffic() Traffic {
 	return Traffic{
-		d.calls.Load(), d.wholes.Load(), d.turnedAway.Load(), d.count.Accepted.Load(), d.count.In.Load(),
+		d.calls.Load(), d.wholes.Load(), d.rejected.Load(), d.count.Accepted.Load(), d.count.In.Load(),
 		d.count.Out.Load(),
 	}
 }
 
 // change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
-func (d *discoveryServer) change(members []fakes.Member) uint64 {
+func (d *discoveryServer) change(endpoints []fakes.Member) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	for _, m := range members {
+	for _, m := range endpoints {
 		i, known := d.at[m.ID]
 		if !known {
 			i = len(d.lines)
@@ -100,34 +100,34 @@
 		}
 		d.lines[i] = line{m, d.revision}
 	}
-	d.whole = nil
+	d.complete = nil
 	close(d.changed)
 	d.changed = make(chan struct{})
 	return d.revision
 }
 
-// news words what a call gets, and says whether there is any; changed tells when there is.
-func (d *discoveryServer) news(whole bool, after uint64) (raw []byte, is bool, changed <-chan struct{}) {
+// update words what a call gets, and says whether there is any; changed tells when there is.
+func (d *discoveryServer) update(complete bool, after uint64) (raw []byte, is bool, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if whole && d.whole != nil {
-		return d.whole, true, nil
+	if complete && d.complete != nil {
+		return d.complete, true, nil
 	}
-	l := fakes.List{Revision: d.revision, Complete: whole, Members: []fakes.Member{}}
+	l := fakes.List{Revision: d.revision, Complete: complete, Members: []fakes.Member{}}
 	for _, e := range d.lines {
-		if whole && e.Phase != fakes.Deleted || !whole && e.revision > after {
+		if complete && e.Phase != fakes.Deleted || !complete && e.revision > after {
 			l.Members = append(l.Members, e.Member)
 		}
 	}
 	raw, _ = json.Marshal(l) // plain structs of strings and numbers
-	if whole {
-		d.whole = raw
+	if complete {
+		d.complete = raw
 	}
-	return raw, whole || d.revision > after, d.changed
+	return raw, complete || d.revision > after, d.changed
 }
 
-// turn is how long a call waits for its turn; false = it is turned away.
-func (d *discoveryServer) turn(now time.Time) (time.Duration, bool) {
+// reserveSlot is how long a call waits for its turn; false = it is turned away.
+func (d *discoveryServer) reserveSlot(now time.Time) (time.Duration, bool) {
 	if d.rate <= 0 {
 		return 0, true
 	}
@@ -137,7 +137,7 @@
 		d.next = now
 	}
 	wait := d.next.Sub(now)
-	if wait > queueMost {
+	if wait > maxQueueTime {
 		return 0, false
 	}
 	d.next = d.next.Add(time.Duration(float64(time.Second) / d.rate))
@@ -148,13 +148,13 @@
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
 	q := r.URL.Query()
-	whole := !q.Has("index")
+	complete := !q.Has("index")
 	after, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(q.Get("wait"), 10, 32)
-	if first := isFirst(r.Context()); whole || first {
-		wait, ok := d.turn(time.Now())
+	if first := isFirst(r.Context()); complete || first {
+		wait, ok := d.reserveSlot(time.Now())
 		if !ok {
-			d.turnedAway.Add(1)
+			d.rejected.Add(1)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -162,13 +162,13 @@
 			return
 		}
 	}
-	if whole {
+	if complete {
 		d.wholes.Add(1)
 	}
-	until := time.NewTimer(min(holdMost, time.Duration(ms)*time.Millisecond))
+	until := time.NewTimer(min(maxPollTime, time.Duration(ms)*time.Millisecond))
 	defer until.Stop()
 	for late := ms == 0; ; {
-		raw, is, changed := d.news(whole, after)
+		raw, is, changed := d.update(complete, after)
 		if is || late {
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -31,7 +31,7 @@
 	// listen: a discovery with so many addresses; 0 Rate = no bound.
 	Listeners int
 	Rate      float64
-	Members   []fakes.Member // change, too
+	Endpoints []fakes.Member // change, too
 
 	// build: hollow sidecars, told by the template. One of their own, or one for all, is each one's discovery.
 	First     int
@@ -95,7 +95,7 @@
 type worker struct {
 	dir       string
 	discovery *discoveryServer
-	tiles     *tiles
+	servers   *fakeServers
 	sidecars  []*sidecar
 	busy      *process.Neighbours
 }
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	h := &worker{dir: dir, tiles: newTiles(), busy: process.Watch()}
+	h := &worker{dir: dir, servers: newFakeServers(), busy: process.Watch()}
 	defer h.close()
 	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
 	for {
@@ -140,11 +140,11 @@
 func (h *worker) obey(o *order) (r reply, err error) {
 	switch o.Op {
 	case "listen":
-		if h.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Members); err == nil {
+		if h.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Endpoints); err == nil {
 			r.Addresses, r.Revision = h.discovery.addresses, 1
 		}
 	case "change":
-		r.Revision = h.discovery.change(o.Members)
+		r.Revision = h.discovery.change(o.Endpoints)
 	case "build":
 		return r, h.build(o)
 	case "prepare":
@@ -171,12 +171,12 @@
 		}
 	case "down":
 		for _, address := range o.At {
-			h.tiles.at(address).down.Store(o.Down)
+			h.servers.at(address).down.Store(o.Down)
 		}
 	case "count":
 		r.Counts, err = h.counts()
 	case "sent":
-		r.Sent = h.tiles.sent()
+		r.Sent = h.servers.sent()
 	default:
 		err = errors.New("unknown order")
 	}
@@ -195,7 +195,7 @@
 	}
 	for i := range o.Count {
 		s := &sidecar{
-			zone: (o.First + i) % zones, name: "h" + strconv.Itoa(o.First+i), seed: uint64(o.First + i + 1), tiles: h.tiles,
+			zone: (o.First + i) % zones, name: "h" + strconv.Itoa(o.First+i), seed: uint64(o.First + i + 1), servers: h.servers,
 			discovery: o.Discovery[i%len(o.Discovery)], file: filepath.Join(h.dir, strconv.Itoa(i)+".json"),
 		}
 		if err := s.write(o.Template); err != nil {
@@ -268,7 +268,7 @@
 	runtime.ReadMemStats(&memory)
 	c.HeapMB = float64(memory.HeapInuse+memory.StackInuse) / (1 << 20)
 	c.Late, _ = h.busy.Look()
-	c.Calls, c.Probes, c.Unreached = h.tiles.counts()
+	c.Calls, c.Probes, c.Unreached = h.servers.counts()
 	for _, s := range h.sidecars {
 		c.Served += s.served.Load()
 		c.Refused += s.refused.Load()
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -14,19 +14,19 @@
 
 // Comparison is one real sidecar or one hollow one, alone in a process, in the same world.
 type Comparison struct {
-	Which     string  `json:"which"` // real or hollow
-	Servers   int     `json:"servers"`
-	AskedS    float64 `json:"asked_s"` // calls a second that were drawn
-	CPUPct    float64 `json:"cpu_pct"` // of a core
-	MemoryMB  float64 `json:"memory_mb"`
-	CallsS    float64 `json:"calls_s"` // that servers got
-	ProbesS   float64 `json:"probes_s"`
-	ListCalls float64 `json:"list_calls_s"`
-	ListIn    float64 `json:"list_bytes_in_s"`
-	ListOut   float64 `json:"list_bytes_out_s"`
-	Whole     int64   `json:"list_whole"`
-	StallMs   float64 `json:"stall_ms"`           // see process.Neighbours
-	Machine   float64 `json:"machine_cores_busy"` // likewise
+	Which             string  `json:"which"` // real or hollow
+	Servers           int     `json:"servers"`
+	RequestsPerSecond float64 `json:"asked_s"` // calls a second that were drawn
+	CPUPct            float64 `json:"cpu_pct"` // of a core
+	MemoryMB          float64 `json:"memory_mb"`
+	CallsS            float64 `json:"calls_s"` // that servers got
+	ProbesS           float64 `json:"probes_s"`
+	ListCalls         float64 `json:"list_calls_s"`
+	ListIn            float64 `json:"list_bytes_in_s"`
+	ListOut           float64 `json:"list_bytes_out_s"`
+	CompleteLists     int64   `json:"list_whole"`
+	StallMs           float64 `json:"stall_ms"`           // see process.Neighbours
+	Machine           float64 `json:"machine_cores_busy"` // likewise
 }
 
 const (
@@ -46,16 +46,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("real: %w", err)
 	}
-	hollow, err := measureHollow(ctx, set, rate, window)
+	simulatedSidecar, err := measureSimulated(ctx, set, rate, window)
 	if err != nil {
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
-	return []Comparison{measured, hollow}, nil
+	return []Comparison{measured, simulatedSidecar}, nil
 }
 
 // one is a world with an agent and nobody else.
-func one(ctx context.Context, set Setup, members []fakes.Member) (w *world, agent string, template []byte, err error) {
-	w = &world{set: set, members: members, aim: fakes.Tile().Aim, known: fakes.List{Revision: 1, Members: members}}
+func one(ctx context.Context, set Setup, endpoints []fakes.Member) (w *world, agent string, template []byte, err error) {
+	w = &world{set: set, endpoints: endpoints, latencyObjective: fakes.Tile().Aim, known: fakes.List{Revision: 1, Members: endpoints}}
 	addresses, err := w.listen(ctx, 1)
 	if err != nil {
 		return w, "", nil, err
@@ -64,7 +64,7 @@
 	return w, addresses[0], template, err
 }
 
-func measureHollow(ctx context.Context, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
+func measureSimulated(ctx context.Context, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
 	w, agent, template, err := one(ctx, set, servers(set.Servers))
 	defer func() {
 		if ended := w.close(); err == nil {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return c, err
 	}
-	w.hollow, w.counts = []*Part{p}, []int{1}
+	w.simulatedFleet, w.counts = []*Part{p}, []int{1}
 	for _, o := range []order{
 		{Op: "build", Count: 1, Template: template, Discovery: []string{agent}, Cores: 1, MemoryMB: memoryMB * 7 / 10},
 		{Op: "start", Known: true, Within: readyWithin},
@@ -96,7 +96,7 @@
 		return c, err
 	}
 	c = Comparison{
-		Which: "hollow", Servers: set.Servers, AskedS: rate, CPUPct: 100 * u.Hollow.CPU.Seconds() / long.Seconds(),
+		Which: "hollow", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * u.Hollow.CPU.Seconds() / long.Seconds(),
 		MemoryMB: u.Hollow.MemoryMB, CallsS: float64(u.Hollow.Calls) / long.Seconds(),
 		ProbesS: float64(u.Hollow.Probes) / long.Seconds(),
 	}
@@ -108,7 +108,7 @@
 	late, cores := busy.Look()
 	c.StallMs, c.Machine = ms(late), cores
 	t, s := u.Discovery.Discovery, long.Seconds()
-	c.ListCalls, c.ListIn, c.ListOut, c.Whole = float64(t.Calls)/s, float64(t.BytesIn)/s, float64(t.BytesOut)/s, t.Whole
+	c.ListCalls, c.ListIn, c.ListOut, c.CompleteLists = float64(t.Calls)/s, float64(t.BytesIn)/s, float64(t.BytesOut)/s, t.Complete
 }
 
 func measureReal(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
@@ -121,11 +121,11 @@
 		return c, err
 	}
 	defer fleet.Close()
-	members := fleet.Members()
-	for i := range members {
-		members[i].Locality, members[i].UpSince = zone(i%zones), 0 // warm, as the hollow one's
+	endpoints := fleet.Members()
+	for i := range endpoints {
+		endpoints[i].Locality, endpoints[i].UpSince = zone(i%zones), 0 // warm, as the hollow one's
 	}
-	w, agent, template, err := one(ctx, set, members)
+	w, agent, template, err := one(ctx, set, endpoints)
 	defer func() {
 		if ended := w.close(); err == nil {
 			err = ended
@@ -197,7 +197,7 @@
 	}
 	calls2, probes2 := reached(fleet)
 	c = Comparison{
-		Which: "real", Servers: set.Servers, AskedS: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
+		Which: "real", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
 		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds(),
 	}
 	c.list(u, long, busy)
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -54,7 +54,7 @@
 	Kind     string   `json:"kind"` // of discovery
 	Sidecars int      `json:"sidecars"`
 	Servers  int      `json:"servers"`
-	Figures  []Figure `json:"figures"`
+	Metrics  []Figure `json:"figures"`
 }
 
 // play is a run of all scenes on one fleet.
@@ -125,7 +125,7 @@
 	late, cores := p.busy.Look()
 	figures = append(figures, Figure{"stall_ms", ms(max(late, p.late))}, Figure{"machine_cores_busy", cores})
 	p.late = 0
-	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Figures: figures})
+	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: figures})
 }
 
 func spreadFigures(times []float64) []Figure {
@@ -139,8 +139,8 @@
 	if long == 0 {
 		return []Figure{
 			{"calls", float64(t.Calls)},
-			{"whole", float64(t.Whole)},
-			{"turned_away", float64(t.TurnedAway)},
+			{"whole", float64(t.Complete)},
+			{"turned_away", float64(t.Rejected)},
 			{"connections", float64(t.Connections)},
 			{"bytes_in", float64(t.BytesIn)},
 			{"bytes_out", float64(t.BytesOut)},
@@ -149,8 +149,8 @@
 	s := long.Seconds() * float64(p.set.Sidecars)
 	return []Figure{
 		{"list_calls_s", float64(t.Calls) / s},
-		{"list_whole", float64(t.Whole)},
-		{"list_turned_away", float64(t.TurnedAway)},
+		{"list_whole", float64(t.Complete)},
+		{"list_turned_away", float64(t.Rejected)},
 		{"list_bytes_in_s", float64(t.BytesIn) / s},
 		{"list_bytes_out_s", float64(t.BytesOut) / s},
 	}
@@ -178,7 +178,7 @@
 func (p *play) calls() error { return p.minute("calls", p.rate()) }
 
 func (p *play) minute(scene string, rate float64) error {
-	if _, err := all(p.hollow, order{Op: "calls", PerS: rate}); err != nil {
+	if _, err := all(p.simulatedFleet, order{Op: "calls", PerS: rate}); err != nil {
 		return err
 	}
 	time.Sleep(p.plan.Settle)
@@ -194,7 +194,7 @@
 		{"failed", float64(u.Hollow.Failed)},
 	},
 		p.traffic(u, long)))
-	_, err = all(p.hollow, order{Op: "calls"})
+	_, err = all(p.simulatedFleet, order{Op: "calls"})
 	return err
 }
 
@@ -203,7 +203,7 @@
 	var times []float64
 	u, _, err := p.during(func() error {
 		for i := range p.plan.Changes {
-			m := p.members[i%len(p.members)]
+			m := p.endpoints[i%len(p.endpoints)]
 			m.Phase = map[string]string{fakes.Serving: fakes.Draining, fakes.Draining: fakes.Serving}[m.Phase]
 			one, err := p.change([]fakes.Member{m}, p.plan.Within)
 			if err != nil {
@@ -230,7 +230,7 @@
 	var times []float64
 	u, long, err := p.during(func() error {
 		for i := range p.plan.Burst {
-			m := p.members[i%len(p.members)]
+			m := p.endpoints[i%len(p.endpoints)]
 			m.UpSince = 1 + int64(i) // another process at the same place, long ago
 			within := time.Duration(0)
 			if i == p.plan.Burst-1 {
@@ -261,12 +261,12 @@
 
 // configuration changes a class's aim, from the word to read the file until it is in force.
 func (p *play) configuration() error {
-	p.aim += 10 * time.Millisecond
+	p.latencyObjective += 10 * time.Millisecond
 	template, err := p.template()
 	if err != nil {
 		return err
 	}
-	if _, err := all(p.hollow, order{Op: "prepare", Template: template}); err != nil {
+	if _, err := all(p.simulatedFleet, order{Op: "prepare", Template: template}); err != nil {
 		return err
 	}
 	var times []float64
@@ -290,13 +290,13 @@
 // zone loses a zone, an eighth of the servers, under calls: they refuse connections and discovery knows at once. Then they come
 // back as new processes.
 func (p *play) zone() error {
-	if _, err := all(p.hollow, order{Op: "calls", PerS: p.rate()}); err != nil {
+	if _, err := all(p.simulatedFleet, order{Op: "calls", PerS: p.rate()}); err != nil {
 		return err
 	}
 	time.Sleep(p.plan.Settle)
 	var lost []fakes.Member
 	var gone []string
-	for _, m := range p.members {
+	for _, m := range p.endpoints {
 		if m.Locality == zone(zones-1) {
 			gone = append(gone, m.Address)
 			m.Phase = fakes.Deleted
@@ -305,7 +305,7 @@
 	}
 	var times []float64
 	u, long, err := p.during(func() (err error) {
-		if _, err = all(p.hollow, order{Op: "down", At: gone, Down: true}); err != nil {
+		if _, err = all(p.simulatedFleet, order{Op: "down", At: gone, Down: true}); err != nil {
 			return err
 		}
 		times, err = p.change(lost, p.plan.Within)
@@ -326,7 +326,7 @@
 	back := slices.Clone(lost)
 	for i := range back {
 		back[i].Phase, back[i].UpSince = fakes.Serving, time.Now().UnixMilli()
-		back[i].Address = serverAddress(1, slices.IndexFunc(p.members, func(m fakes.Member) bool { return m.ID == back[i].ID }))
+		back[i].Address = serverAddress(1, slices.IndexFunc(p.endpoints, func(m fakes.Member) bool { return m.ID == back[i].ID }))
 	}
 	before, err := p.sent()
 	if err != nil {
@@ -344,7 +344,7 @@
 		return err
 	}
 	cold, coldMost, warm := 0.0, 0.0, 0.0
-	for _, m := range p.members {
+	for _, m := range p.endpoints {
 		n := float64(after[m.Address] - before[m.Address])
 		if m.Locality == zone(zones-1) {
 			cold, coldMost = cold+n, max(coldMost, n)
@@ -354,20 +354,20 @@
 	}
 	p.row("zone back", slices.Concat(spreadFigures(times), []Figure{
 		{"lines", float64(len(lost))},
-		{"cold_of_warm", cold / float64(len(lost)) / max(1e-9, warm/float64(len(p.members)-len(lost)))},
-		{"coldest_most_of_warm", coldMost / max(1e-9, warm/float64(len(p.members)-len(lost)))},
+		{"cold_of_warm", cold / float64(len(lost)) / max(1e-9, warm/float64(len(p.endpoints)-len(lost)))},
+		{"coldest_most_of_warm", coldMost / max(1e-9, warm/float64(len(p.endpoints)-len(lost)))},
 		{"served", float64(u.Hollow.Served)},
 		{"refused", float64(u.Hollow.Refused)},
 		{"failed", float64(u.Hollow.Failed)},
 	},
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
-	_, err = all(p.hollow, order{Op: "calls"})
+	_, err = all(p.simulatedFleet, order{Op: "calls"})
 	return err
 }
 
 // sent returns the calls that each address has had.
 func (p *play) sent() (map[string]int64, error) {
-	replies, err := all(p.hollow, order{Op: "sent"})
+	replies, err := all(p.simulatedFleet, order{Op: "sent"})
 	sum := map[string]int64{}
 	for _, r := range replies {
 		for address, n := range r.Sent {
@@ -377,20 +377,20 @@
 	return sum, err
 }
 
-const restartMost = 30 * time.Second // for which a restarted sidecar is waited for
+const maxRestartTime = 30 * time.Second // for which a restarted sidecar is waited for
 
 // restart ends some sidecars and starts them all at once: with the list of their configuration, then without.
 func (p *play) restart() error {
 	for _, known := range []bool{true, false} {
 		var times []float64
 		u, _, err := p.during(func() error {
-			replies, left := make([]reply, len(p.hollow)), min(p.plan.Restart, p.set.Sidecars)
+			replies, left := make([]reply, len(p.simulatedFleet)), min(p.plan.Restart, p.set.Sidecars)
 			var group errgroup.Group
-			for i, part := range p.hollow {
+			for i, part := range p.simulatedFleet {
 				n := min(left, p.counts[i])
 				left -= n
 				group.Go(func() (err error) {
-					replies[i], err = part.ask(order{Op: "restart", Count: n, Known: known, Within: restartMost})
+					replies[i], err = part.ask(order{Op: "restart", Count: n, Known: known, Within: maxRestartTime})
 					return err
 				})
 			}
--- a/internal/testbench/simulated/tiles.go
+++ b/internal/testbench/simulated/servers.go
@@ -16,33 +16,33 @@
 	refuseTakes = 200 * time.Microsecond
 )
 
-// tiles are the tile servers as the sidecars of one process see them: they answer in memory, and count.
-type tiles struct {
+// fakeServers are the tile servers as the sidecars of one process see them: they answer in memory, and count.
+type fakeServers struct {
 	mu  sync.Mutex
-	all map[string]*tile // by address
+	all map[string]*fakeServer // by address
 }
 
-// tile is one process of a server.
-type tile struct {
+// fakeServer is one process of a server.
+type fakeServer struct {
 	down                             atomic.Bool // it refuses connections
 	inFlight, calls, probes, refused atomic.Int64
 }
 
-func newTiles() *tiles { return &tiles{all: map[string]*tile{}} }
+func newFakeServers() *fakeServers { return &fakeServers{all: map[string]*fakeServer{}} }
 
-func (t *tiles) at(address string) *tile {
+func (t *fakeServers) at(address string) *fakeServer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	one := t.all[address]
 	if one == nil {
-		one = new(tile)
+		one = new(fakeServer)
 		t.all[address] = one
 	}
 	return one
 }
 
 // sent returns the calls that each address got.
-func (t *tiles) sent() map[string]int64 {
+func (t *fakeServers) sent() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]int64, len(t.all))
@@ -53,7 +53,7 @@
 }
 
 // counts returns the calls and probes of all, and what was refused of either.
-func (t *tiles) counts() (calls, probes, refused int64) {
+func (t *fakeServers) counts() (calls, probes, refused int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, one := range t.all {
@@ -65,23 +65,23 @@
 }
 
 // Endpoint, Forget, State and Restore make tiles a upstream.Caller. Package callertest does not apply: there are no connections.
-func (t *tiles) Endpoint(_, address string) upstream.Endpoint {
+func (t *fakeServers) Endpoint(_, address string) upstream.Endpoint {
 	return &endpoint{address: address, tile: t.at(address)}
 }
 
 // Forget does nothing: the counts outlive the server.
-func (t *tiles) Forget(string) {}
+func (t *fakeServers) Forget(string) {}
 
 // State is nothing.
-func (t *tiles) State(time.Time) ([]byte, error) { return nil, nil }
+func (t *fakeServers) State(time.Time) ([]byte, error) { return nil, nil }
 
 // Restore takes nothing.
-func (t *tiles) Restore(time.Time, []byte, time.Duration) error { return nil }
+func (t *fakeServers) Restore(time.Time, []byte, time.Duration) error { return nil }
 
 // endpoint stands for one sidecar's connections to a tile server: one that comes up with the first attempt.
 type endpoint struct {
 	address string
-	tile    *tile
+	tile    *fakeServer
 	since   time.Time
 }
 
@@ -131,7 +131,7 @@
 
 // attempt is one under way: it counts as written from its start.
 type attempt struct {
-	tile    *tile
+	tile    *fakeServer
 	ended   atomic.Bool
 	counted bool
 }
@@ -150,4 +150,4 @@
 func (a *attempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) { return why, false }
 func (a *attempt) StartBy(time.Time)                              {}
 
-var _ upstream.Upstream = (*tiles)(nil)
+var _ upstream.Upstream = (*fakeServers)(nil)
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -25,7 +25,7 @@
 	name, file, discovery string
 	seed                  uint64
 	zone                  int
-	tiles                 *tiles
+	servers               *fakeServers
 
 	cfg     *config.Config
 	numbers config.Numbering
@@ -93,7 +93,7 @@
 	}
 	if pool, err = dispatch.New(dispatch.Options{
 		Name: cfg.Name, Deployment: snapshot.Fingerprint(&cfg.Settings), Policy: cfg.Policy,
-		Seed: s.seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, InitialEndpoints: cfg.Known, Upstream: s.tiles,
+		Seed: s.seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, InitialEndpoints: cfg.Known, Upstream: s.servers,
 		IsComplete: cfg.Settings.IsComplete, OnEvidence: s.watch.Observe,
 	}); err != nil {
 		stop()
--- a/internal/testbench/simulated/simulated_test.go
+++ b/internal/testbench/simulated/simulated_test.go
@@ -46,8 +46,8 @@
 	for kind, wants := range map[string][]want{Pushed: both, OnRequest: append(exact, both...)} {
 		t.Run(kind, func(t *testing.T) {
 			rows, err := Play(t.Context(), Setup{
-				Kind: kind, Sidecars: sidecars, PerPart: 8, Servers: servers, ProbePrice: 0.0046,
-				Watch: patient, StartMost: time.Minute,
+				Kind: kind, Sidecars: sidecars, PerPart: 8, Servers: servers, ProbeCost: 0.0046,
+				Watch: patient, MaxStartTime: time.Minute,
 			}, plan)
 			if err != nil {
 				t.Fatal(err)
@@ -62,10 +62,10 @@
 					t.Errorf("%s: not played", w.scene)
 					continue
 				}
-				at := slices.IndexFunc(r.Figures, func(f Figure) bool { return f.Name == w.figure })
+				at := slices.IndexFunc(r.Metrics, func(f Figure) bool { return f.Name == w.figure })
 				if at < 0 {
 					t.Errorf("%s: there is no %s", w.scene, w.figure)
-				} else if v := r.Figures[at].Value; v < w.least || v > w.most {
+				} else if v := r.Metrics[at].Value; v < w.least || v > w.most {
 					t.Errorf("%s: %s is %g, want %g to %g", w.scene, w.figure, v, w.least, w.most)
 				}
 			}
@@ -73,18 +73,18 @@
 	}
 }
 
-// TestTurns: who comes beyond a full queue is turned away, and the queue moves at the rate.
-func TestTurns(t *testing.T) {
+// TestSlotsOfDiscovery: who comes beyond a full queue is turned away, and the queue moves at the rate.
+func TestSlotsOfDiscovery(t *testing.T) {
 	d, now := discoveryServer{rate: 10}, time.Now()
 	for i := range 21 { // one at once, and twenty more in the two seconds of the queue
-		if wait, ok := d.turn(now); !ok || wait != time.Duration(i)*100*time.Millisecond {
+		if wait, ok := d.reserveSlot(now); !ok || wait != time.Duration(i)*100*time.Millisecond {
 			t.Fatalf("turn %d: waits %s, %t", i, wait, ok)
 		}
 	}
-	if _, ok := d.turn(now); ok {
+	if _, ok := d.reserveSlot(now); ok {
 		t.Error("a call beyond the queue gets a turn")
 	}
-	if wait, ok := d.turn(now.Add(time.Second)); !ok || wait != 1100*time.Millisecond {
+	if wait, ok := d.reserveSlot(now.Add(time.Second)); !ok || wait != 1100*time.Millisecond {
 		t.Errorf("a second later: waits %s, %t", wait, ok)
 	}
 }
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -32,15 +32,15 @@
 
 // Setup is a fleet.
 type Setup struct {
-	Kind       string // of discovery
-	Sidecars   int
-	PerPart    int // sidecars in a process; 0 = 250
-	Servers    int // in the list
-	ProbePrice float64
-	TurnRate   float64       // on request: turns a second, see discovery.rate
-	Watch      any           // on request: plankrouter.watch of the configuration; nil = the defaults
-	MemoryMost float64       // MB, of all parts in sum, beyond which nothing more is started; 0 = no bound
-	StartMost  time.Duration // until all have had a first answer
+	Kind         string // of discovery
+	Sidecars     int
+	PerPart      int // sidecars in a process; 0 = 250
+	Servers      int // in the list
+	ProbeCost    float64
+	SlotRate     float64       // on request: turns a second, see discovery.rate
+	Watch        any           // on request: plankrouter.watch of the configuration; nil = the defaults
+	MaxMemory    float64       // MB, of all parts in sum, beyond which nothing more is started; 0 = no bound
+	MaxStartTime time.Duration // until all have had a first answer
 
 	// Spawn starts a part; nil = in this process.
 	Spawn func(ctx context.Context) (*Part, error)
@@ -103,25 +103,25 @@
 
 // world is the fleet under way.
 type world struct {
-	set       Setup
-	members   []fakes.Member // as discovery has them
-	aim       time.Duration
-	discovery []*Part // one, or one for each of hollow
-	hollow    []*Part
-	counts    []int // of sidecars, by part
-	known     fakes.List
-	late      time.Duration // by which a timer came late in a part, at most, since the last row
+	set              Setup
+	endpoints        []fakes.Member // as discovery has them
+	latencyObjective time.Duration
+	discovery        []*Part // one, or one for each of hollow
+	simulatedFleet   []*Part
+	counts           []int // of sidecars, by part
+	known            fakes.List
+	late             time.Duration // by which a timer came late in a part, at most, since the last row
 }
 
 // servers makes the list, a zone after another.
-func servers(n int) (members []fakes.Member) {
+func servers(n int) (endpoints []fakes.Member) {
 	for i := range n {
-		members = append(members, fakes.Member{
+		endpoints = append(endpoints, fakes.Member{
 			ID: "t-" + strconv.Itoa(i), Address: serverAddress(0, i), Locality: zone(i % zones),
 			Phase: fakes.Serving,
 		})
 	}
-	return members
+	return endpoints
 }
 
 func zone(i int) string { return "zone-" + strconv.Itoa(i) }
@@ -134,7 +134,7 @@
 // template words the configuration of all.
 func (w *world) template() ([]byte, error) {
 	tile := fakes.Tile()
-	tile.Aim = w.aim
+	tile.Aim = w.latencyObjective
 	return fakes.Config(fakes.Sidecar{
 		Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
 		Classes: []fakes.Class{tile}, Sockets: places, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
@@ -149,7 +149,7 @@
 		names = append(names, zone(i))
 	}
 	s["Discovery"], s["Dcs"], s["Locality"] = w.set.Kind, names, "zone-of-this-one"
-	s["Prices"] = map[string]any{"Probe": w.set.ProbePrice}
+	s["Prices"] = map[string]any{"Probe": w.set.ProbeCost}
 	if w.set.Kind == OnRequest && w.set.Watch != nil {
 		document["plankrouter"] = map[string]any{"watch": w.set.Watch}
 	}
@@ -163,8 +163,8 @@
 	if set.PerPart == 0 {
 		set.PerPart = 250
 	}
-	w = &world{set: set, members: servers(set.Servers), aim: fakes.Tile().Aim}
-	w.known = fakes.List{Revision: 1, Members: w.members}
+	w = &world{set: set, endpoints: servers(set.Servers), latencyObjective: fakes.Tile().Aim}
+	w.known = fakes.List{Revision: 1, Members: w.endpoints}
 	template, err := w.template()
 	if err != nil {
 		return w, nil, err
@@ -186,18 +186,18 @@
 		if err != nil {
 			return w, nil, err
 		}
-		w.hollow, w.counts = append(w.hollow, p), append(w.counts, count)
+		w.simulatedFleet, w.counts = append(w.simulatedFleet, p), append(w.counts, count)
 		if _, err := p.ask(order{Op: "build", First: first, Count: count, Template: template, Discovery: addresses}); err != nil {
 			return w, nil, err
 		}
 	}
-	times, err = w.times(order{Op: "start", Within: set.StartMost})
+	times, err = w.times(order{Op: "start", Within: set.MaxStartTime})
 	if err != nil {
 		return w, nil, err
 	}
 	c, err := w.count()
-	if sum := c.Hollow.MemoryMB + c.Discovery.MemoryMB; err == nil && set.MemoryMost > 0 && sum > set.MemoryMost {
-		err = fmt.Errorf("%d sidecars take %.0f MB with their discovery, and %.0f are allowed", set.Sidecars, sum, set.MemoryMost)
+	if sum := c.Hollow.MemoryMB + c.Discovery.MemoryMB; err == nil && set.MaxMemory > 0 && sum > set.MaxMemory {
+		err = fmt.Errorf("%d sidecars take %.0f MB with their discovery, and %.0f are allowed", set.Sidecars, sum, set.MaxMemory)
 	}
 	return w, times, err
 }
@@ -209,18 +209,18 @@
 		return nil, err
 	}
 	w.discovery = append(w.discovery, p)
-	rate := w.set.TurnRate
+	rate := w.set.SlotRate
 	if w.set.Kind == Pushed {
 		rate = 0
 	}
-	r, err := p.ask(order{Op: "listen", Listeners: listeners, Rate: rate, Members: w.members})
+	r, err := p.ask(order{Op: "listen", Listeners: listeners, Rate: rate, Endpoints: w.endpoints})
 	return r.Addresses, err
 }
 
 // close ends all parts.
 func (w *world) close() error {
 	var group errgroup.Group
-	for _, p := range slices.Concat(w.hollow, w.discovery) {
+	for _, p := range slices.Concat(w.simulatedFleet, w.discovery) {
 		group.Go(p.end)
 	}
 	return group.Wait()
@@ -238,7 +238,7 @@
 
 // times gives an order to the sidecars' parts and returns the times of all.
 func (w *world) times(o order) (times []float64, err error) {
-	replies, err := all(w.hollow, o)
+	replies, err := all(w.simulatedFleet, o)
 	for _, r := range replies {
 		times = append(times, r.Times...)
 	}
@@ -256,7 +256,7 @@
 	for _, side := range []struct {
 		parts []*Part
 		sum   *Counts
-	}{{w.hollow, &u.Hollow}, {w.discovery, &u.Discovery}} {
+	}{{w.simulatedFleet, &u.Hollow}, {w.discovery, &u.Discovery}} {
 		replies, err := all(side.parts, order{Op: "count"})
 		if err != nil {
 			return u, err
@@ -289,11 +289,11 @@
 // change puts lines in force at discovery and returns after how many ms each sidecar went by it; 0 = not within the time.
 func (w *world) change(lines []fakes.Member, within time.Duration) ([]float64, error) {
 	for _, m := range lines {
-		i := slices.IndexFunc(w.members, func(o fakes.Member) bool { return o.ID == m.ID })
-		w.members[i] = m
+		i := slices.IndexFunc(w.endpoints, func(o fakes.Member) bool { return o.ID == m.ID })
+		w.endpoints[i] = m
 	}
 	began := unixMs(time.Now())
-	replies, err := all(w.discovery, order{Op: "change", Members: lines})
+	replies, err := all(w.discovery, order{Op: "change", Endpoints: lines})
 	if err != nil {
 		return nil, err
 	}
