--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,7 +1,5 @@
 package policy
 
-// Actions: what a Balancer asks its owner to do.
-
 // ActionKind names what the sidecar is to do.
 type ActionKind uint8
 
@@ -9,8 +7,8 @@
 const (
 	StartAttempt  ActionKind = iota // Request, Server, After = the attempt's time-out, Expires
 	CancelAttempt                   // Request, Attempt
-	RejectRequest                   // Request, After = advice when to come back, Why
-	FailRequest                     // Request, Why
+	RejectRequest                   // Request, After = advice when to try again, Reason
+	FailRequest                     // Request, Reason
 	SendProbe                       // Server
 	SetTimer                        // Timer, After
 	Subscribe                       // to changes of the server list
@@ -35,9 +33,9 @@
 
 // The reasons.
 const (
-	NoEligibleServer Reason = "no_server"  // the rules allow none, or the evidence excludes all
+	NoEligibleServer Reason = "no_server"  // the rules allow none, or all are ejected
 	ListStale        Reason = "list_stale" // likewise, while the list may no longer be relied on
-	NoCapacity       Reason = "crowded"    // no server has room for a request of this value
-	DeadlineReached  Reason = "time_up"    // the client is about to stop waiting
+	NoCapacity       Reason = "crowded"    // no server has capacity for a request of this value
+	DeadlineReached  Reason = "time_up"    // the client is about to give up
 	RetryNotAllowed  Reason = "no_retry"   // an attempt has ended, and no further one may or can follow
 )
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,24 +5,25 @@
 	"plankrouter/policy/internal/admission"
 )
 
-// Admission. Of load beyond what servers can finish in time, the least worthy is refused first.
+// Of load beyond what servers can finish in time, requests of the least value are refused first.
 
 const (
-	maxSlowFactor   = 1.5  // times the median service time, at most, that a usual request is taken to need
-	peerValueFactor = 1.5  // times a request's worth: classes worth more keep their room against it
+	maxSlowFactor   = 1.5  // times the median service time that a usual request is taken to need at most: a few costly ones raise a mean
+	peerValueFactor = 1.5  // times a request's value, from which a class keeps its room against it
 	minQuotaBurst   = 5.0  // requests of a tenant that may come at once; else a second's quota
-	shareMemory     = 0.99 // weight of older samples in this sidecar's part of the fleet's traffic
+	shareMemory     = 0.99 // weight that each report leaves to those before it in this instance's share of the traffic
+	minIdleRIF      = 1    // requests in flight below which a server is idle
 )
 
 func (b *Balancer) withinQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantBuckets) {
 		return true
 	}
-	bucket, quota := &b.tenantBuckets[tenant], b.cfg.Tenants[tenant].Quota*b.trafficShare()
-	return bucket.Take(b.now, quota/1000, max(minQuotaBurst, quota))
+	quota := b.cfg.Tenants[tenant].Quota * b.trafficShare()
+	return b.tenantBuckets[tenant].Take(b.now, quota/1000, max(minQuotaBurst, quota))
 }
 
-// trafficShare is this sidecar's part of the fleet's traffic.
+// trafficShare is this instance's part of the fleet's traffic.
 func (b *Balancer) trafficShare() float64 {
 	return admission.Traffic{
 		OwnInFlight:   b.ownInFlightSum,
@@ -33,43 +34,51 @@
 	}.Share()
 }
 
-// admits: the answer is likely in time, and the crowding leaves room for a request of this worth.
+// admits reports whether the answer is likely in time and the server has capacity for a request of this value. An idle
+// server gets a request that may fail: only a sample can correct a wrong estimate.
 func (b *Balancer) admits(s *server, r *request) bool {
 	value := b.relativeValue(r.class)
 	if r.overQuota {
 		value *= b.cfg.OverQuotaWeight
 	}
 	if !b.latencyReported && !b.gauge.Admits(uint32(r.id), value) {
-		return false // by what all servers have taken of late
+		return false
 	}
-	left := min(r.objectiveAt, r.answerBy) - b.now
-	if b.overdueFor(s) > left {
+	timeLeft := min(r.objectiveAt, r.answerBy) - b.now
+	if b.overdueFor(s) > timeLeft {
 		return false
 	}
-	if s.rif < 1 && !r.overQuota {
-		return true // an idle server is worth a try: only a sample can correct a wrong estimate
+	if s.rif < minIdleRIF && !r.overQuota {
+		return true
 	}
+	return b.meetsObjectives(s, r, value, timeLeft) &&
+		b.loadModel.Stretch(s.rif+1) <= admission.MaxStretch(b.reportsSparse, value)
+}
+
+// meetsObjectives reports whether the server would answer in time not only this request but also one of each class that is
+// worth more: only where none of those would be too late is this one out of nobody's way.
+func (b *Balancer) meetsObjectives(s *server, r *request, value float64, timeLeft Ms) bool {
 	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
-	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s)) // a few costly ones raise a mean
-	for i, c := range b.cfg.Classes {
-		room := c.LatencyObjective
-		if i == r.class {
-			room = left
-		} else if c.Retired || b.relativeValue(i) < peerValueFactor*value {
-			continue // only where no worthier or equal request would find room is this one out of place
+	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s))
+	for class, c := range b.cfg.Classes {
+		objective := c.LatencyObjective
+		if class == r.class {
+			objective = timeLeft
+		} else if c.Retired || b.relativeValue(class) < peerValueFactor*value {
+			continue
 		}
-		most := room / margin
-		if !b.latencyReported { // a target that is tight for unhindered answers is no reason to leave servers idle
-			most = max(most, admission.FreeMultiple*b.gauge.Baseline()*b.loadModel.ClassFactor(i))
+		maxLatency := objective / margin
+		if !b.latencyReported { // an objective that is tight for free servers is no reason to leave them idle
+			maxLatency = max(maxLatency, admission.FreeMultiple*b.gauge.Baseline()*b.loadModel.ClassFactor(class))
 		}
-		if b.expectedLatency(s, i, s.rif) > most {
+		if b.expectedLatency(s, class, s.rif) > maxLatency {
 			return false
 		}
 	}
-	return b.loadModel.Stretch(s.rif+1) <= admission.MaxStretch(b.reportsSparse, value)
+	return true
 }
 
-// relativeValue is the worth of a class for the time its requests hold a server, over that of the best class.
+// relativeValue is the value of a class for the time that its requests take, over that of the best class.
 func (b *Balancer) relativeValue(class int) float64 {
 	highest := math.SmallestNonzeroFloat64
 	for i, c := range b.cfg.Classes {
@@ -80,16 +89,27 @@
 	return b.cfg.Classes[class].PriorityWeight / b.loadModel.ClassFactor(class) / highest
 }
 
-// randomWithCapacity is a random server with room where the pool's pick has none: the best would draw all sidecars.
+// randomWithCapacity is a random server that admits the request, for where the picked one does not. A random one, since all
+// instances would crowd the best.
 func (b *Balancer) randomWithCapacity(r *request) *server {
-	old := maxPoolAge
+	maxAge := maxPoolAge
 	if b.reportsSparse {
-		old = b.maxEntryAge()
+		maxAge = b.maxEntryAge()
 	}
-	return b.drawOne(func(s *server) int {
-		if (b.now-s.reportedAt <= old || !b.cfg.Probes) && b.isEligible(s, r) && b.acceptsTenant(s, r) && b.admits(s, r) {
-			return 1
-		}
-		return 0
+	return b.drawOne(func(s *server) bool {
+		isKnown := b.now-s.reportedAt <= maxAge || !b.cfg.Probes
+		return isKnown && b.isEligible(s, r) && b.acceptsTenant(s, r) && b.admits(s, r)
 	})
 }
+
+// updateGauge lets overload control look at the answers of late, against the objective that leaves the least time for a
+// usual request.
+func (b *Balancer) updateGauge() {
+	tightest := math.Inf(1)
+	for i, c := range b.cfg.Classes {
+		if !c.Retired {
+			tightest = min(tightest, c.LatencyObjective/b.loadModel.ClassFactor(i))
+		}
+	}
+	b.gauge.Update(b.now, tightest)
+}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -19,9 +19,14 @@
 	"slices"
 )
 
-const tickInterval = 50.0 // ms between looks at what moves without traffic
+const (
+	tickInterval       = 50.0 // ms between looks at what moves without traffic
+	refusalLogInterval = 2000 // ms between two log lines that count refusals
+	randomStream       = 0x9e3779b97f4a7c15
+)
 
-var never = math.Inf(-1) // when nothing has happened yet
+// never is the time of what has not happened yet; -never is that of what has no end.
+var never = math.Inf(-1)
 
 // Timer handles: a request's deadline uses the request's number, the others lie above.
 const (
@@ -32,40 +37,50 @@
 
 // Balancer is one sidecar's decisions. It is not safe for concurrent use.
 type Balancer struct {
-	cfg                        Config
-	rng                        *rand.Rand
-	actions                    []Action
-	now                        Ms
-	minObjective, answerMargin Ms // answers are given margin before the client stops waiting
-
-	servers                []*server // by rank
-	byID                   map[ServerID]*server
-	readyCount, localCount int // servers listed as ready; of those, in the preferred zone
-	inFlight               int // attempts out
-	resubscribeWait        Ms
-
-	pool                          probepool.Pool[*server]
-	recentRIFs                    []float64 // ring of recently reported RIF
-	hotRIF                        float64
-	probeCredit, probesPerRequest float64           // probesPerRequest: probes, at the present rate of requests
-	roomElsewhere                 stats.SuccessRate // of probes in other zones: servers with room
-	latencyReported               bool              // told: servers report their service times
-	reportsSparse                 bool              // most servers' news is older than maxPoolAge
-	waitingForProbes              []*request        // for answers of probes, in order of arrival
-	lastProbeAt                   Ms
-
-	loadModel                                          overload.Model
-	probeTimes                                         overload.ProbeTimes
-	gauge                                              overload.Gauge // where nobody reports
-	medianFailureRate                                  float64
-	fleetLatency                                       Ms      // median service time
-	ownInFlightSum, totalInFlightSum, totalQuota       float64 // own requests, and all, that servers held; of all tenants
-	tenantBuckets                                      []tokenbucket.Bucket
-	sendRate, arrivalRate                              stats.Rate
-	retryBudget                                        float64
-	requests                                           map[RequestID]*request
-	refusedSinceLog                                    int // refused since loggedAt
-	loggedAt, startedAt, listValidUntil, probeAnyUntil Ms  // listValidUntil: the list is all that counts; probeAnyUntil: see Sure
+	cfg          Config
+	rng          *rand.Rand
+	actions      []Action // of the event in hand
+	now          Ms       // of the event in hand
+	startedAt    Ms
+	minObjective Ms // tightest latency objective of all classes
+	answerMargin Ms // before the client gives up, by which a request is answered
+	loggedAt     Ms // when refusals were logged last
+
+	servers         []*server // by rank
+	byID            map[ServerID]*server
+	readyCount      int // servers listed as ready
+	localCount      int // of those, in the preferred zone
+	resubscribeWait Ms
+	listValidUntil  Ms // the list is complete until then
+	probeAnyUntil   Ms // until then a probe of any server may stand for a stale list
+
+	pool             probepool.Pool[*server]
+	recentRIFs       []float64 // of the newest reports
+	hotRIF           float64   // servers with more in flight are hot
+	probeCredit      float64   // probes that requests have saved up
+	probesPerRequest float64   // at the present rate of requests
+	roomElsewhere    stats.SuccessRate
+	reportsSparse    bool       // most servers' reports are older than maxPoolAge
+	waitingForProbes []*request // in order of arrival
+	lastProbeAt      Ms
+
+	latencyReported   bool // servers report their service times
+	loadModel         overload.Model
+	probeTimes        overload.ProbeTimes
+	gauge             overload.Gauge // used where no server reports its service time
+	medianFailureRate float64
+	fleetLatency      Ms // median service time
+
+	ownInFlightSum   float64 // fading sum of own requests at servers, and
+	totalInFlightSum float64 // of all requests there, as reported
+	totalQuota       float64 // requests a second of all tenants
+	tenantBuckets    []tokenbucket.Bucket
+	sendRate         stats.Rate
+	arrivalRate      stats.Rate
+	retryBudget      float64
+	requests         map[RequestID]*request
+	inFlight         int // attempts
+	refusedSinceLog  int
 }
 
 // New returns a Balancer for cfg whose random choices come from seed.
@@ -74,40 +89,53 @@
 		return nil, err
 	}
 	b := &Balancer{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), minObjective: -never,
-		byID: map[ServerID]*server{}, requests: map[RequestID]*request{}, hotRIF: -never, listValidUntil: -never,
+		cfg:              cfg,
+		rng:              rand.New(rand.NewPCG(seed, randomStream)),
+		minObjective:     -never,
+		answerMargin:     2*cfg.Round + 1,
+		byID:             map[ServerID]*server{},
+		listValidUntil:   -never,
+		hotRIF:           -never,
+		probesPerRequest: probing.MaxPerRequest,
+		roomElsewhere:    1,
+		tenantBuckets:    slices.Repeat([]tokenbucket.Bucket{{At: never}}, len(cfg.Tenants)),
+		requests:         map[RequestID]*request{},
+	}
+	b.cfg.Instances = max(1, cfg.Instances)
+	b.cfg.Classes = slices.Clone(cfg.Classes)
+	b.setUpClasses()
+	for _, t := range cfg.Tenants {
+		b.totalQuota += t.Quota
 	}
-	meanObjective, objectives := 0.0, []Ms(nil)
-	for _, c := range cfg.Classes {
+	return b, nil
+}
+
+// setUpClasses derives from the classes what is needed for every request.
+func (b *Balancer) setUpClasses() {
+	classes := b.cfg.Classes
+	meanObjective := 0.0
+	var objectives []Ms
+	for _, c := range classes {
 		objectives = append(objectives, c.LatencyObjective)
-		if meanObjective += c.LatencyObjective / float64(len(cfg.Classes)); !c.Retired {
+		meanObjective += c.LatencyObjective / float64(len(classes))
+		if !c.Retired {
 			b.minObjective = min(b.minObjective, c.LatencyObjective)
 		}
 	}
-	b.cfg.Instances, b.cfg.Classes = max(1, cfg.Instances), slices.Clone(cfg.Classes)
 	b.gauge = overload.NewGauge(objectives)
-	b.answerMargin, b.probesPerRequest, b.roomElsewhere = 2*cfg.Round+1, probing.MaxPerRequest, 1
-	for i, c := range cfg.Classes { // who is to be answered sooner takes less time
+	for i, c := range classes { // what is to be answered sooner is taken to need less time
 		b.loadModel.Classes = append(b.loadModel.Classes, overload.Mean{Prior: c.LatencyObjective / meanObjective})
-		b.cfg.Classes[i].Attempts = max(1, cmp.Or(c.Attempts, cfg.MaxAttempts))
-	}
-	for _, t := range cfg.Tenants {
-		b.totalQuota += t.Quota
+		classes[i].Attempts = max(1, cmp.Or(c.Attempts, b.cfg.MaxAttempts))
 	}
-	b.tenantBuckets = slices.Repeat([]tokenbucket.Bucket{{At: math.Inf(-1)}}, len(cfg.Tenants))
-	return b, nil
 }
 
 // Handle takes one event at time now and appends to out what is to be done about it.
 func (b *Balancer) Handle(now Ms, e *Event, out []Action) []Action {
-	b.now, b.actions = now, out
+	b.now = now
+	b.actions = out
 	switch e.Kind {
 	case Started:
-		b.startedAt = now
-		b.setTimer(tickTimer, tickInterval)
-		if b.cfg.SubscribeToList {
-			b.actions = append(b.actions, Action{Kind: Subscribe})
-		}
+		b.onStarted()
 	case EndpointsUpdated:
 		b.onEndpointsUpdated(e)
 	case SubscriptionFailed:
@@ -121,76 +149,76 @@
 			b.endRequest(r)
 		}
 	case TimerFired:
-		b.onTimer(e)
+		b.onTimer(e.Timer)
 	case ProbeEnded:
 		b.onProbeEnded(e)
 	case ListValidityChanged:
-		b.listValidUntil, b.probeAnyUntil = b.now+e.TimeLeft, b.now+e.Elapsed
+		b.listValidUntil = b.now + e.TimeLeft
+		b.probeAnyUntil = b.now + e.Elapsed
 	case BodyProgressed:
 		b.byID[e.Server].silentSince = b.now
 	}
 	return b.actions
 }
 
-func (b *Balancer) onTimer(e *Event) {
-	switch e.Timer {
-	case resubscribeTimer:
-		b.actions = append(b.actions, Action{Kind: Subscribe})
-	case tickTimer:
+func (b *Balancer) onStarted() {
+	b.startedAt = b.now
+	b.setTimer(tickTimer, tickInterval)
+	if b.cfg.SubscribeToList {
+		b.act(Action{Kind: Subscribe})
+	}
+}
+
+func (b *Balancer) onTimer(timer uint64) {
+	switch {
+	case timer == resubscribeTimer:
+		b.act(Action{Kind: Subscribe})
+	case timer == tickTimer:
 		b.tick()
+	case timer >= probeWaitTimer:
+		r := b.requests[RequestID(timer&^probeWaitTimer)]
+		if r != nil && b.now >= r.waitUntil && slices.Contains(b.waitingForProbes, r) {
+			b.resume(r)
+		}
 	default:
-		r := b.requests[RequestID(e.Timer&^probeWaitTimer)]
-		if e.Timer >= probeWaitTimer {
-			if r != nil && b.now >= r.waitUntil && slices.Contains(b.waitingForProbes, r) {
-				b.resume(r)
-			}
-		} else if r != nil && !r.done {
+		if r := b.requests[RequestID(timer)]; r != nil && !r.done {
 			b.refuseOrFail(r, DeadlineReached)
 		}
 	}
 }
 
+// tick looks at what moves without traffic.
 func (b *Balancer) tick() {
 	b.setTimer(tickTimer, tickInterval)
 	b.pool.Expire(b.now, b.maxEntryAge())
 	b.loadModel.Fade(b.now)
 	b.updateMedians()
-	left := math.Inf(1)
-	for i, c := range b.cfg.Classes {
-		if !c.Retired {
-			left = min(left, c.LatencyObjective/b.loadModel.ClassFactor(i))
-		}
-	}
-	b.gauge.Update(b.now, left)
+	b.updateGauge()
 	if b.now-b.lastProbeAt >= idleProbeInterval {
 		b.probeRandom(1, b.subsetSize())
 	}
-	for i := 0; i < recoveryProbesPerTick && !probing.AreCostly(b.cfg.ProbeCost); i++ { // random ones: none waits for ever
-		b.probe(b.drawOne(func(s *server) int {
-			if b.cfg.Probes && s.consecutiveFailures > 0 && !s.probeInFlight && b.now >= s.nextProbeAt && s.info.Health == Ready {
-				return 1
-			}
-			return 0
-		}))
-	}
-	for _, s := range b.servers {
-		if out := b.failureRateAboveMedian(s) >= ejectionThreshold; out != s.ejected {
-			s.ejected = out
-			b.logf("server %d ejected=%t silent=%t miss=%.2f", s.info.ID, out, b.isSilent(s), b.failureRate(s))
-		}
-	}
-	if b.refusedSinceLog > 0 && b.now-b.loggedAt >= 2000 {
-		b.logf("refused %d; part %.2f; pool %d/%d; service %.0f ms; classes %.2f; side by side %.1f; %s",
-			b.refusedSinceLog, b.trafficShare(), b.pool.Len(), b.readyCount, b.fleetLatency, b.loadModel.Classes, b.loadModel.Concurrency(),
-			&b.gauge)
-		b.refusedSinceLog, b.loggedAt = 0, b.now
+	b.probeFailedServers()
+	b.updateEjections()
+	b.logRefusals()
+}
+
+func (b *Balancer) logRefusals() {
+	if b.refusedSinceLog == 0 || b.now-b.loggedAt < refusalLogInterval {
+		return
 	}
+	b.logf("refused=%d traffic_share=%.2f pool=%d ready=%d service_ms=%.0f class_factors=%.2f concurrency=%.1f; %s",
+		b.refusedSinceLog, b.trafficShare(), b.pool.Len(), b.readyCount, b.fleetLatency, b.loadModel.Classes,
+		b.loadModel.Concurrency(), &b.gauge)
+	b.refusedSinceLog = 0
+	b.loggedAt = b.now
 }
 
+func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
+
 func (b *Balancer) logf(format string, args ...any) {
-	b.actions = append(b.actions, Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
+	b.act(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
 func (b *Balancer) setTimer(id uint64, after Ms) {
-	b.actions = append(b.actions, Action{Kind: SetTimer, Timer: id, After: max(after, 0)})
+	b.act(Action{Kind: SetTimer, Timer: id, After: max(after, 0)})
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,7 +1,5 @@
 package policy
 
-// Events: what a Balancer is told.
-
 // ServerID and RequestID are opaque names that the owner of a Balancer chooses.
 type (
 	ServerID  uint32
@@ -14,21 +12,21 @@
 // The events. The comments name the fields of Event that each one uses.
 const (
 	Started             EventKind = iota // the first event of an instance
-	EndpointsUpdated                     // Servers, Full: the list of servers, or changes to it
+	EndpointsUpdated                     // Servers, Complete: the list of servers, or changes to it
 	SubscriptionFailed                   // a subscription or its request has failed
-	RequestArrived                       // Request, Class, Tenant, Left, Again
-	AttemptEnded                         // Request, Attempt, Server, Status, Took, Final, Spent, Report
+	RequestArrived                       // Request, Class, Tenant, TimeLeft, ClientRetry
+	AttemptEnded                         // Request, Attempt, Server, Status, Elapsed, Final, BodyConsumed, Report
 	ClientGone                           // Request
 	TimerFired                           // Timer
-	ProbeEnded                           // Server, Status, Took, Dialed, Seen, Report
-	ListValidityChanged                  // Left: for how long; Took: for how long any server may be asked for proof
+	ProbeEnded                           // Server, Status, Elapsed, ConnectTime, ProbeSentAt, Report
+	ListValidityChanged                  // TimeLeft: for how long the list is valid; Elapsed: for how long a probe of any server may stand for it
 	BodyProgressed                       // Server: a long request is still on its way there
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint8
 
-// The outcomes. Full, ConnectFailed and NotSent prove that the attempt never ran.
+// The outcomes. Declined, ConnectFailed and NotSent prove that the attempt never ran.
 const (
 	OK Status = iota
 	Failed
@@ -88,8 +86,8 @@
 	Tenant       int
 	TimeLeft     Ms // until the client gives up
 	Elapsed      Ms
-	ConnectTime  Ms // part of Took in which a new connection came up
-	ProbeSentAt  Ms // when the probe was sent, if who answered is the process that the list names; else 0
+	ConnectTime  Ms // part of Elapsed in which a new connection came up
+	ProbeSentAt  Ms // when the probe was sent, if the process that the list names has answered it; else 0
 	Timer        uint64
 	Report       Report
 	Servers      []ServerInfo
--- a/policy/internal/overload/baseline.go
+++ b/policy/internal/overload/baseline.go
@@ -2,15 +2,23 @@
 
 import "math"
 
-// baseline is what answers of one kind take unhindered, learned from the newest of them, however old they are.
+const (
+	minBaselineAnswers = 16    // answers from which the baseline is known,
+	maxBaselineAnswers = 64    // and how many of the newest are remembered for it
+	baselineDownStep   = 0.02  // part of the way down to the newest answers' median that the baseline goes with each,
+	baselineUpStep     = 0.002 // and up
+	baselineDriftTime  = 60e3  // ms in which it grows by e while answers are slow: work and servers change
+)
+
+// baseline is what answers of one kind take while servers are free, learned from the newest of them, however old they are.
 type baseline struct {
-	target     float64 // latency target in ms
+	target     float64 // latency target in ms; 0 = none
+	median     float64 // the baseline in ms; 0 = not known yet
 	durations  [maxBaselineAnswers]float64
-	next       int
-	count      int // of them
-	median     float64
-	answeredAt float64 // of the last answer
-	sorted     []float64
+	next       int // place in durations
+	count      int // of durations that are known
+	answeredAt float64
+	sorted     []float64 // room for add
 }
 
 // add takes an answer at now. The median follows the answers while they are not slow: down quickly, up slowly.
@@ -19,22 +27,23 @@
 	b.next = (b.next + 1) % maxBaselineAnswers
 	b.count = min(b.count+1, maxBaselineAnswers)
 	passed := now - b.answeredAt
-	if b.answeredAt = now; b.count < minBaselineAnswers {
+	b.answeredAt = now
+	if b.count < minBaselineAnswers {
 		return
 	}
 	b.sorted = append(b.sorted[:0], b.durations[:b.count]...)
-	usual := quantile(0.5, b.sorted)
+	recent := quantile(0.5, b.sorted)
 	switch {
 	case b.median == 0:
-		b.median = usual
-	case usual < b.median:
-		b.median += baselineDownStep * (usual - b.median)
-	case usual < slowMultiple*b.median:
-		b.median += baselineUpStep * (usual - b.median)
+		b.median = recent
+	case recent < b.median:
+		b.median += baselineDownStep * (recent - b.median)
+	case recent < slowMultiple*b.median:
+		b.median += baselineUpStep * (recent - b.median)
 	default:
 		b.median *= math.Exp(passed / baselineDriftTime)
 	}
-	if b.target > 0 { // who starts in the middle of an overload has seen nothing else
+	if b.target > 0 { // an instance that starts in the middle of an overload has seen nothing else
 		b.median = min(b.median, b.target/slowMultiple)
 	}
 }
--- a/policy/internal/overload/model.go
+++ b/policy/internal/overload/model.go
@@ -7,55 +7,68 @@
 import "math"
 
 const (
-	priorConcurrency = 6.0 // requests side by side before any sample: waiting must be shown, not feared
+	priorConcurrency = 6.0 // of a server before any sample: servers count as free until they are seen to wait
 	priorWeight      = 2.0 // samples that a prior weighs
 	fadeTime         = 5e3 // ms in which samples of response times fade by e
 )
 
 // Model rebuilds the response time at a load from service times, which leave out waiting, and loads.
 type Model struct {
-	SumLoadSquared, SumLoadLatency float64 // of the least-squares line through the origin: waiting over load
-	FadedAt                        float64 // when it was aged last
-	Classes                        []Mean
+	SumLoadSquared float64 // of the least-squares line through the origin: waiting over load
+	SumLoadLatency float64
+	FadedAt        float64
+	Classes        []Mean
 }
 
-// Mean is that of one class of requests, as a part of the service time. N weighs its samples.
+// Mean is that of one class of requests, as a part of the service time. Count weighs its samples.
 type Mean struct{ Count, Sum, Prior float64 }
 
-// Fade lets old samples fade: an instance that refuses for want of room gets none and must not believe its last.
+// Fade lets old samples fade: an instance that refuses for want of capacity gets no new ones and must not rely on its last.
 func (m *Model) Fade(now float64) {
 	factor := math.Exp((m.FadedAt - now) / fadeTime)
-	m.SumLoadSquared, m.SumLoadLatency, m.FadedAt = m.SumLoadSquared*factor, m.SumLoadLatency*factor, now
+	m.SumLoadSquared *= factor
+	m.SumLoadLatency *= factor
+	m.FadedAt = now
 	for i := range m.Classes {
-		m.Classes[i].Count, m.Classes[i].Sum = m.Classes[i].Count*factor, m.Classes[i].Sum*factor
+		m.Classes[i].Count *= factor
+		m.Classes[i].Sum *= factor
 	}
 }
 
-// Add learns from an attempt that took ratio times the service time at that load; ended is 1, or 0 if it was given up.
-func (m *Model) Add(class int, load, ratio, ended float64) {
+// Add learns from an attempt that took ratio times the service time at that load until it was answered or given up.
+func (m *Model) Add(class int, load, ratio float64, answered bool) {
+	weight := 0.0
+	if answered {
+		weight = 1
+	}
 	mean := &m.Classes[class]
-	mean.Count, mean.Sum = mean.Count+ended, mean.Sum+ratio/m.Stretch(load)
+	stretch := m.Stretch(load)
+	mean.Count += weight
+	mean.Sum += ratio / stretch
 	if 2*load >= m.Concurrency() { // a low load tells nothing of how much would fit
-		m.SumLoadSquared, m.SumLoadLatency = m.SumLoadSquared+ended*load*load, m.SumLoadLatency+load*ratio/m.ClassFactor(class)
+		m.SumLoadSquared += weight * load * load
+		m.SumLoadLatency += load * ratio / m.ClassFactor(class)
 	}
 }
 
 // Normalize makes the means of classes parts of what all requests take, by their samples. Where no server reports its service
 // time that is learned from the same answers: only the product shows, and both would wander.
 func (m *Model) Normalize() {
-	var n, sum float64
-	for _, c := range m.Classes {
-		n, sum = n+c.Count, sum+c.Sum
+	var count, sum float64
+	for _, class := range m.Classes {
+		count += class.Count
+		sum += class.Sum
 	}
 	for i := range m.Classes {
-		m.Classes[i].Sum *= (n + priorWeight) / (sum + priorWeight)
+		m.Classes[i].Sum *= (count + priorWeight) / (sum + priorWeight)
 	}
 }
 
-// AddDeclined learns from a request that was turned away at that load: the server is crowded, whatever its service time, and
+// AddDeclined learns from a request that a server declined at that load: the server is crowded, whatever its service time, and
 // counts as stretched so far.
 func (m *Model) AddDeclined(load, stretch float64) {
-	m.SumLoadSquared, m.SumLoadLatency = m.SumLoadSquared+load*load, m.SumLoadLatency+load*stretch
+	m.SumLoadSquared += load * load
+	m.SumLoadLatency += load * stretch
 }
 
 // ClassFactor is the mean of a class as a part of the service time.
@@ -69,5 +82,5 @@
 	return max(1, (m.SumLoadSquared+2*priorConcurrency*priorConcurrency)/(m.SumLoadLatency+2*priorConcurrency))
 }
 
-// Stretch is the response time over an unhindered one at a load, 1 or more.
+// Stretch is the response time at a load over that of a free server, 1 or more.
 func (m *Model) Stretch(load float64) float64 { return max(1, load/m.Concurrency()) }
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -404,8 +404,8 @@
 func TestReportedErrorsAreEvidence(t *testing.T) {
 	for _, c := range []struct {
 		errors, age float64
-		trusted     bool
-	}{{0, 0, true}, {1, 0, true}, {60, 0, false}, {60, 3 * outlier.HalfLife, true}} {
+		ejected     bool
+	}{{0, 0, false}, {1, 0, false}, {60, 0, true}, {60, 3 * outlier.HalfLife, false}} {
 		g := newRig(t, testConfig(), 6)
 		g.do(Event{Kind: ProbeEnded, Server: 4, Elapsed: 1, Report: Report{
 			HasRIF: true, HasLatency: true,
@@ -413,8 +413,8 @@
 		}})
 		g.now += c.age
 		g.do(Event{Kind: TimerFired, Timer: tickTimer})
-		if got := g.b.trusted(g.b.byID[4]); got != c.trusted {
-			t.Errorf("%v errors a second, %v ms ago: trusted %t", c.errors, c.age, got)
+		if got := g.b.isEjected(g.b.byID[4]); got != c.ejected {
+			t.Errorf("%v errors a second, %v ms ago: ejected %t", c.errors, c.age, got)
 		}
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -4,86 +4,111 @@
 	"plankrouter/internal/backoff"
 	"plankrouter/policy/internal/outlier"
 	"plankrouter/policy/internal/stats"
-	"slices"
 )
 
-// Outlier detection: own outcomes and missing answers, whatever the reports and the list say of a server.
-
+// Outlier detection goes by own outcomes and missing answers, whatever the reports and the list say of a server.
 const (
 	failedProbeWeight = 0.5  // of a failed probe, in failures
-	ejectionThreshold = 0.5  // probability of failure, beyond the fleet's median, that takes a server out
-	silentMultiple    = 6.0  // expected answers of a server that are missing before it counts as silent
-	minAnswerFraction = 0.25 // of the tightest aim: no shorter answer is expected there
+	ejectionThreshold = 0.5  // failure rate above the fleet's median from which a server is ejected
+	silentMultiple    = 6.0  // expected answers that are missing before a server counts as silent, over all its attempts
+	minSilentMultiple = 2    // the same for one of them, however many there are
+	minAnswerFraction = 0.25 // of the tightest latency objective: no shorter answer is expected
 )
 
-// probeBackoff is when a server whose probe or connection failed is asked again, in ms. What is down costs
-// nothing then, and what is back is found within the bound.
+// allTenants is the place of the outcomes of all requests among a server's, and the tenant of a request that has none.
+const allTenants = 0
+
+// probeBackoff is when a server whose probe or connection failed is probed again, in ms: so a server that is down costs
+// next to nothing, and one that is back is found within the bound.
 var probeBackoff = backoff.Policy{First: 50, Most: 1000, Factor: 2, Jitter: 0.5}
 
-// recordOutcome adds a failure of that weight, or a success if it is 0, to the evidence at all and to the tenant's.
-func (b *Balancer) recordOutcome(s *server, tenant int, weight float64) {
-	for _, i := range slices.Compact([]int{0, tenant}) {
-		s.outcomesByTenant[i].Add(b.now, weight)
+func (b *Balancer) recordSuccess(s *server, tenant int) {
+	s.outcomesByTenant[allTenants].AddSuccess(b.now)
+	if tenant != allTenants {
+		s.outcomesByTenant[tenant].AddSuccess(b.now)
+	}
+}
+
+func (b *Balancer) recordFailure(s *server, tenant int, weight float64) {
+	s.outcomesByTenant[allTenants].AddFailure(b.now, weight)
+	if tenant != allTenants {
+		s.outcomesByTenant[tenant].AddFailure(b.now, weight)
 	}
 }
 
-// markUnreachable notes that the server was not there for a probe or a connection.
+// markUnreachable notes that a probe or a connection has failed. Those that were under way together count as one.
 func (b *Balancer) markUnreachable(s *server) {
-	if s.unreachable = true; b.now >= s.nextProbeAt { // else it is one of many that were under way together
+	s.unreachable = true
+	if b.now >= s.nextProbeAt {
 		s.consecutiveFailures++
 		s.nextProbeAt = b.now + probeBackoff.Wait(s.consecutiveFailures, b.rng.Float64())
 	}
 }
 
-// isUnreachable: without probes a server is left alone for the wait only, and then a request is its trial.
+// isUnreachable reports whether the server is no first choice because it could not be reached. Without probes that
+// ends with the wait, since only a request can find it back then.
 func (b *Balancer) isUnreachable(s *server) bool {
 	return s.unreachable && (b.cfg.Probes || b.now < s.nextProbeAt)
 }
 
-// isSilent: work is in hand and no answer came for far longer than expected.
+// isSilent reports whether the server has owed answers for far longer than expected.
 func (b *Balancer) isSilent(s *server) bool {
 	answer := max(s.expectedLatency, minAnswerFraction*b.minObjective)
-	return s.inFlight > 0 && b.now-s.silentSince > answer*max(2, silentMultiple/float64(s.inFlight))
+	return s.inFlight > 0 && b.now-s.silentSince > answer*max(minSilentMultiple, silentMultiple/float64(s.inFlight))
 }
 
-// failureRate is the probability that the server fails a request, on own evidence or by its own report.
+// failureRate is the probability that the server fails a request, by own outcomes or by its own report.
 func (b *Balancer) failureRate(s *server) float64 {
 	if b.isSilent(s) {
 		return 1
 	}
-	return max(s.outcomesByTenant[0].FailureRate(b.now), s.reportedErrorRate*outlier.Decay(b.now-s.reportedAt))
+	return max(s.outcomesByTenant[allTenants].FailureRate(b.now), s.reportedErrorRate*outlier.Decay(b.now-s.reportedAt))
 }
 
-// failureRateAboveMedian is how much likelier than the median a server fails: trouble that most share excludes none.
+// failureRateAboveMedian is how much likelier a server fails than the median one: trouble that most servers share
+// ejects none.
 func (b *Balancer) failureRateAboveMedian(s *server) float64 {
 	return max(0, b.failureRate(s)-b.medianFailureRate)
 }
 
+// isEjected reports whether outlier detection keeps requests from the server. An idle one gets a trial as soon as its
+// own failure rate has faded.
+func (b *Balancer) isEjected(s *server) bool {
+	return b.failureRateAboveMedian(s) >= ejectionThreshold && (s.inFlight > 0 || b.failureRate(s) >= ejectionThreshold)
+}
+
+// acceptsTenant reports whether the server is ejected neither for all requests nor for those of r's tenant.
+func (b *Balancer) acceptsTenant(s *server, r *request) bool {
+	return !b.isEjected(s) && s.outcomesByTenant[r.tenant].FailureRate(b.now) < b.medianFailureRate+ejectionThreshold
+}
+
 func (b *Balancer) updateMedians() {
 	var failureRates, latencies []float64
 	for _, s := range b.servers {
-		if s.info.Health == Ready {
-			failureRates = append(failureRates, b.failureRate(s))
-			if s.latency > 0 && b.now-s.reportedAt <= maxPoolAge {
-				latencies = append(latencies, s.latency)
-			}
+		if s.info.Health != Ready {
+			continue
+		}
+		failureRates = append(failureRates, b.failureRate(s))
+		if s.latency > 0 && b.now-s.reportedAt <= maxPoolAge {
+			latencies = append(latencies, s.latency)
 		}
 	}
 	b.medianFailureRate = stats.Quantile(0.5, failureRates, 0)
 	b.fleetLatency = stats.Quantile(0.5, latencies, b.fleetLatency)
 }
 
-// acceptsTenant: not even for its tenant alone does the evidence exclude the server.
-func (b *Balancer) acceptsTenant(s *server, r *request) bool {
-	return b.trusted(s) && s.outcomesByTenant[r.tenant].FailureRate(b.now) < b.medianFailureRate+ejectionThreshold
-}
-
-// trusted: the evidence does not exclude the server. One that is idle gets a trial once that has faded.
-func (b *Balancer) trusted(s *server) bool {
-	return b.failureRateAboveMedian(s) < ejectionThreshold || s.inFlight == 0 && b.failureRate(s) < ejectionThreshold
+// updateEjections logs which servers are ejected and which are not any more.
+func (b *Balancer) updateEjections() {
+	for _, s := range b.servers {
+		ejected := b.failureRateAboveMedian(s) >= ejectionThreshold
+		if ejected != s.ejected {
+			s.ejected = ejected
+			b.logf("server=%d ejected=%t silent=%t failure_rate=%.2f", s.info.ID, ejected, b.isSilent(s), b.failureRate(s))
+		}
+	}
 }
 
-// IsExcluded reports whether a server listed as ready is kept from picks by evidence, connections or probes.
+// IsExcluded reports whether a server listed as ready gets no requests because it is ejected or unreachable.
 func (b *Balancer) IsExcluded(id ServerID) bool {
 	s := b.byID[id]
 	return s != nil && s.info.Health == Ready && (s.ejected || b.isUnreachable(s))
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -95,7 +95,7 @@
 		g.report(3, 5, 120)
 	}
 	for range 20 {
-		g.b.recordOutcome(g.b.byID[2], 1, 1)
+		g.b.recordFailure(g.b.byID[2], 1, 1)
 	}
 	st := g.b.State()
 	miss := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,40 +1,43 @@
 package policy
 
-import (
-	"plankrouter/internal/subset"
-	"plankrouter/policy/internal/admission"
-	"slices"
-)
+import "plankrouter/policy/internal/admission"
 
-// The life of a request: its arrival, its attempts and its one final answer.
+// request is a request from its arrival to its final answer.
+type request struct {
+	id             RequestID
+	class          int
+	tenant         int // place among a server's outcomes, or allTenants
+	objectiveAt    Ms
+	answerBy       Ms   // the final answer is given by then
+	overQuota      bool // beyond its tenant's share
+	done           bool // answered, or nobody waits for it any more
+	probeWaits     int  // for this attempt, so far
+	answersMissing int  // of probes, in the present wait
+	waitUntil      Ms
 
-const timeoutMultiple = 8.0 // expected responses after which what may be repeated is tried elsewhere
+	attempts        int
+	inFlight        bool    // an attempt is
+	failedServer    *server // of the last attempt
+	sentAt          Ms
+	sentRIF         float64 // at the server, before the attempt
+	sentServiceTime Ms      // as expected then
+	expectedLatency Ms
 
-type request struct {
-	id                         RequestID
-	class, tenant              int // who: of the tenant among a server's tallies; 0 = none
-	attempts                   int
-	objectiveAt, answerBy      Ms      // the final answer is given by answerBy
-	inFlight, done             bool    // an attempt is out; all is answered
-	overQuota                  bool    // beyond its tenant's share
-	failedServer               *server // where the last attempt failed
-	sentAt                     Ms
-	sentRIF, sentServiceTime   float64
-	expectedLatency            Ms
-	mayHaveRun                 bool // an attempt may have run
-	repeatsDroppedUntil        Ms   // until then servers drop a repeat, by when the first of those was sent
-	ranZone, ranCell           int
-	probeWaits, answersMissing int // waits for probes so far; answers missing in this one
-	waitUntil                  Ms
+	mayHaveRun          bool // an attempt may have had an effect
+	repeatsDroppedUntil Ms   // by servers, counted from when the first of those attempts was sent
+	ranZone, ranCell    int
 }
 
 func (b *Balancer) onRequestArrived(e *Event) {
 	b.arrivalRate.Add(b.now)
-	b.retryBudget = min(maxRetryBudget, b.retryBudget+retriesPerRequest)
+	b.earnRetries()
 	class := min(max(0, e.Class), len(b.cfg.Classes)-1)
 	r := &request{
-		id: e.Request, class: class, tenant: 1 + max(-1, min(e.Tenant, len(b.tenantBuckets)-1)),
-		objectiveAt: b.now + b.cfg.Classes[class].LatencyObjective, answerBy: b.now + max(0, e.TimeLeft-b.answerMargin),
+		id:          e.Request,
+		class:       class,
+		tenant:      1 + max(-1, min(e.Tenant, len(b.tenantBuckets)-1)),
+		objectiveAt: b.now + b.cfg.Classes[class].LatencyObjective,
+		answerBy:    b.now + max(0, e.TimeLeft-b.answerMargin),
 	}
 	b.requests[r.id] = r
 	b.setTimer(uint64(r.id), r.answerBy-b.now)
@@ -43,151 +46,166 @@
 	b.pickOrWait(r)
 }
 
-// pickOrWait decides from the pool, or waits for answers where the pool is short.
+// pickOrWait decides from the pool, or waits for answers of probes where the pool is short.
 func (b *Balancer) pickOrWait(r *request) {
-	if _, n := b.bestInPool(r); n < min(2, b.readyCount) && b.mayRefuse(r) && b.waitForProbes(r, 0, false) {
+	_, usable := b.bestInPool(r)
+	if usable < min(minPoolChoices, b.readyCount) && b.mayRefuse(r) && b.waitForProbes(r, 0, false) {
 		return
 	}
 	if r.attempts == 0 {
-		n := max(0, int(b.probeCredit))
-		b.probeCredit -= float64(n)
-		b.probeRandom(n, b.candidateCount(b.rng.IntN(subset.FarInterval(b.reportsSparse)) == 1))
+		b.probeForRequest()
 	}
 	b.sendOrRefuse(r)
 }
 
-// sendOrRefuse sends the request, waits for news of more servers, or gives up.
+// sendOrRefuse sends the request, waits for reports of more servers, or gives up. It may have been called late, and a server
+// must not be given more time than there is.
 func (b *Balancer) sendOrRefuse(r *request) {
-	if b.now >= r.answerBy { // it was long in coming, or waited: a server would be told more time than there is
+	if b.now >= r.answerBy {
 		b.refuseOrFail(r, DeadlineReached)
 		return
 	}
-	s, reason := b.pick(r), NoEligibleServer
-	listStale := s == nil && b.isListStale()
-	if listStale {
-		reason = ListStale
+	s, reason := b.serverFor(r)
+	if s != nil {
+		b.startAttempt(r, s)
+		return
 	}
-	if s != nil && r.attempts == 0 && !b.admits(s, r) {
-		s, reason = b.randomWithCapacity(r), NoCapacity
-	} else if r.attempts > 0 && s != nil && b.expectedLatency(s, r.class, s.rif) >= r.answerBy-b.now {
-		s, reason = nil, DeadlineReached
+	urgent := reason == ListStale
+	if (r.probeWaits > 0 || urgent || b.reportsSparse && r.attempts == 0) && b.waitForProbes(r, maxProbeDebt, urgent) {
+		return
 	}
+	b.refuseOrFail(r, reason)
+}
+
+// serverFor returns the server that gets the request, or nil and why none does. A first attempt must be admitted; a further
+// one must only be answered before the client gives up.
+func (b *Balancer) serverFor(r *request) (*server, Reason) {
+	s := b.pick(r)
 	switch {
-	case s != nil:
-		b.startAttempt(r, s)
-	case (r.probeWaits > 0 || listStale || b.reportsSparse && r.attempts == 0) && b.waitForProbes(r, maxProbeDebt, listStale):
-	default:
-		b.refuseOrFail(r, reason)
-	}
+	case s == nil && b.isListStale():
+		return nil, ListStale
+	case s == nil:
+		return nil, NoEligibleServer
+	case r.attempts == 0 && !b.admits(s, r):
+		return b.randomWithCapacity(r), NoCapacity
+	case r.attempts > 0 && b.expectedLatency(s, r.class, s.rif) >= r.answerBy-b.now:
+		return nil, DeadlineReached
+	}
+	return s, NoEligibleServer
 }
 
 func (b *Balancer) startAttempt(r *request, s *server) {
-	end := r.answerBy - b.now
-	r.sentServiceTime, r.sentRIF = b.serviceTime(s), s.rif
+	class := &b.cfg.Classes[r.class]
+	r.sentServiceTime = b.serviceTime(s)
+	r.sentRIF = s.rif
 	if s.inFlight == 0 {
 		s.silentSince = b.now
 	}
 	r.expectedLatency = b.expectedLatency(s, r.class, s.rif)
 	s.expectedLatency = r.expectedLatency
-	c := &b.cfg.Classes[r.class]
-	again := c.Idempotency != NonIdempotent && r.attempts+1 < c.Attempts && b.retryBudget >= 1
-	if w := max(timeoutMultiple*r.expectedLatency, b.minObjective/2); again && w < end/2 {
-		end = w
-	}
-	if s.inFlight++; !b.latencyReported {
+	timeout := b.attemptTimeout(r)
+	s.inFlight++
+	if !b.latencyReported {
 		b.gauge.AttemptStarted(b.now, uint32(r.id), r.class, b.loadModel.ClassFactor(r.class))
 	}
 	b.inFlight++
 	s.rif++
 	s.slowStartBudget.Value--
 	b.sendRate.Add(b.now)
-	r.inFlight, r.sentAt = true, b.now
+	r.inFlight = true
+	r.sentAt = b.now
 	r.attempts++
-	action := Action{Kind: StartAttempt, Request: r.id, Server: s.info.ID, After: max(end, 1)}
-	if r.mayHaveRun && c.Idempotency == WithIdempotencyKey { // its connection may come up long after mayRetryAt has looked
+	action := Action{Kind: StartAttempt, Request: r.id, Server: s.info.ID, After: max(timeout, 1)}
+	if r.mayHaveRun && class.Idempotency == WithIdempotencyKey { // its connection may come up long after mayRetryAt has looked
 		action.Expires = r.repeatsDroppedUntil - b.now
 	}
-	b.actions = append(b.actions, action)
+	b.act(action)
 }
 
 func (b *Balancer) onAttemptEnded(e *Event) {
 	b.gauge.AttemptEnded(b.now, uint32(e.Request), e.Status == OK || e.Status == TimedOut)
 	s := b.byID[e.Server]
-	r, tenant := b.requests[e.Request], 0
-	if r != nil {
-		tenant = r.tenant
-	}
+	r := b.requests[e.Request]
 	if s != nil {
 		s.inFlight = max(0, s.inFlight-1)
 		b.inFlight--
 		s.rif = max(0, s.rif-1)
-		switch e.Status {
-		case OK:
-			s.silentSince, s.unreachable = b.now, false
-			b.recordOutcome(s, tenant, 0)
-			if b.recordDuration(s, r, e.Elapsed, 1); e.Report.HasRIF {
-				b.applyReport(s, &e.Report, e.Report.RIF)
-			}
-		case Failed, Reset, ConnectFailed, Declined:
-			s.silentSince = b.now
-			if b.recordOutcome(s, tenant, 1); e.Status == ConnectFailed {
-				b.markUnreachable(s)
-			} else if e.Status == Declined {
-				b.loadModel.AddDeclined(s.rif+1, admission.FullStretch)
-			}
-		case TimedOut:
-			if !b.isSilent(s) {
-				b.recordDuration(s, r, e.Elapsed, 0) // the survivors alone would look too fast
-			}
-			if b.isSilent(s) || r != nil && e.Elapsed+b.cfg.Round > timeoutMultiple*r.expectedLatency {
-				b.recordOutcome(s, tenant, 1)
-			}
-		}
+		b.recordOutcome(s, r, e)
 	}
 	if r == nil {
 		return
 	}
 	r.inFlight = false
 	if !e.Status.NeverRan() && e.Status != OK {
-		if !r.mayHaveRun && s != nil {
-			window := b.cfg.Classes[r.class].KeyWindow - b.answerMargin
-			r.repeatsDroppedUntil, r.ranZone, r.ranCell = r.sentAt+window, s.info.Zone, s.info.Cell
-		}
-		r.mayHaveRun = true
+		b.markMayHaveRun(r, s)
 	}
 	if e.Final || r.done {
 		b.endRequest(r)
 		return
 	}
 	r.failedServer = s
-	left := e.Status != NotSent && !e.BodyConsumed && r.attempts < b.cfg.Classes[r.class].Attempts
-	if left && b.retryBudget >= 1 && r.answerBy-b.now > b.answerMargin {
-		b.retryBudget--
-		r.probeWaits = 0
-		b.pickOrWait(r)
+	if !b.takeRetry(r, e) {
+		b.refuseOrFail(r, RetryNotAllowed)
 		return
 	}
-	b.refuseOrFail(r, RetryNotAllowed)
+	r.probeWaits = 0
+	b.pickOrWait(r)
+}
+
+// recordOutcome learns from the end of an attempt at a server; r is nil where the request has ended before.
+func (b *Balancer) recordOutcome(s *server, r *request, e *Event) {
+	tenant := allTenants
+	if r != nil {
+		tenant = r.tenant
+	}
+	switch e.Status {
+	case OK:
+		s.silentSince = b.now
+		s.unreachable = false
+		b.recordSuccess(s, tenant)
+		b.recordDuration(s, r, e.Elapsed, true)
+		if e.Report.HasRIF {
+			b.applyReport(s, &e.Report, e.Report.RIF)
+		}
+	case Failed, Reset, ConnectFailed, Declined:
+		s.silentSince = b.now
+		b.recordFailure(s, tenant, 1)
+		switch e.Status {
+		case ConnectFailed:
+			b.markUnreachable(s)
+		case Declined:
+			b.loadModel.AddDeclined(s.rif+1, admission.FullStretch)
+		}
+	case TimedOut:
+		if !b.isSilent(s) {
+			b.recordDuration(s, r, e.Elapsed, false) // the answered ones alone would look too fast
+		}
+		if b.isSilent(s) || r != nil && e.Elapsed+b.cfg.Round > timeoutMultiple*r.expectedLatency {
+			b.recordFailure(s, tenant, 1)
+		}
+	}
 }
 
-// refuseOrFail gives the final answer: a refusal where that is true, else a failure.
+// refuseOrFail gives the final answer: a refusal where the request can't have run, else a failure.
 func (b *Balancer) refuseOrFail(r *request, reason Reason) {
 	action := Action{Kind: FailRequest, Request: r.id, Reason: reason}
 	if b.mayRefuse(r) {
 		b.refusedSinceLog++
-		action.Kind, action.After = RejectRequest, b.retryAfter(r)
+		action.Kind = RejectRequest
+		action.After = b.retryAfter(r)
 	}
-	b.actions = append(b.actions, action)
+	b.act(action)
 	b.endRequest(r)
 }
 
 // endRequest stops the work on a request that nobody waits for.
 func (b *Balancer) endRequest(r *request) {
 	r.done = true
-	if !r.inFlight {
+	switch {
+	case !r.inFlight:
 		delete(b.requests, r.id)
-		b.waitingForProbes = slices.DeleteFunc(b.waitingForProbes, func(w *request) bool { return w == r })
-	} else if b.cfg.Cancel {
-		b.actions = append(b.actions, Action{Kind: CancelAttempt, Request: r.id, Attempt: r.attempts - 1})
+		b.stopWaiting(r)
+	case b.cfg.Cancel:
+		b.act(Action{Kind: CancelAttempt, Request: r.id, Attempt: r.attempts - 1})
 	}
 }
--- a/policy/retryafter.go
+++ b/policy/retryafter.go
@@ -1,8 +1,7 @@
 package policy
 
-// Advice for clients that are refused.
-
-// retryAfter advises when to try again: not soon beyond a share, else when what servers work on has left.
+// retryAfter advises a refused client when to try again: as late as it will follow beyond its tenant's share, else when
+// what servers work on now has left.
 func (b *Balancer) retryAfter(r *request) Ms {
 	if r.overQuota {
 		return b.cfg.MaxRetryAfter
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -6,68 +6,104 @@
 	"slices"
 )
 
-// The server table: what the list says and what the last report and this instance's own traffic add.
-
 const (
-	minResubscribeWait = 500.0 // ms before subscribing anew after a failure, doubled each time
+	minResubscribeWait = 500.0 // ms before subscribing again after a failure, doubled each time
 	maxResubscribeWait = 8e3   // ms
 )
 
+// server is what is known of a server: what the list says, what its last report says and what this instance's
+// own requests add.
 type server struct {
-	info                    ServerInfo
-	rank                    float64 // this sidecar's order of preference: own zone first, else at random
-	rif                     float64 // last probed, plus own sends and minus own answers since
-	latency                 Ms      // service time
-	reportedAt, probeSentAt Ms      // probeSentAt: a probe was sent then that proves the listed process to be there
-	roundTrip               Ms      // lowest probe round trip
-	latencyReported         bool    // latency is the server's own figure
-	inFlight                int
-	expectedLatency         Ms      // of the latest attempt sent
-	silentSince             Ms      // last answer, or the first send after all was answered
-	outcomesByTenant        []Tally // own outcomes: of all, then by tenant
-	reportedErrorRate       float64 // part of what it answers that its last report counts as errors
-	ejected                 bool
-	probeInFlight           bool               // a probe is under way
-	unreachable             bool               // a probe or a connection has failed since the last answer: no first choice
-	consecutiveFailures     int                // such failures in a row,
-	nextProbeAt             Ms                 // before which it is not probed again
-	slowStartBudget         tokenbucket.Bucket // cold-start budget
+	info ServerInfo
+	rank float64 // this instance's order of preference: the preferred zone below 1, else at random
+
+	rif               float64 // last reported, plus own attempts and minus own answers since
+	latency           Ms      // service time; 0 = not known
+	latencyReported   bool    // latency is the server's own figure
+	reportedErrorRate float64 // part of its answers that its last report counts as errors
+	reportedAt        Ms
+	roundTrip         Ms // shortest probe
+
+	inFlight         int     // own attempts
+	expectedLatency  Ms      // of the latest attempt
+	silentSince      Ms      // last answer, or the first attempt after all had been answered
+	outcomesByTenant []Tally // own outcomes: of allTenants, then by tenant
+	ejected          bool    // as logged last
+
+	probeInFlight       bool
+	probeSentAt         Ms   // of the last probe that shows the listed process to be there; 0 = of none
+	unreachable         bool // a probe or a connection has failed since the last answer
+	consecutiveFailures int  // of probes and connections
+	nextProbeAt         Ms   // it is not probed before
+	slowStartBudget     tokenbucket.Bucket
 }
 
+// isNew reports whether no process of the server is known yet.
+func (s *server) isNew() bool { return s.reportedAt == 0 }
+
+// isLocal reports whether the server is in the preferred zone.
+func (s *server) isLocal() bool { return s.rank < 1 }
+
 func (b *Balancer) onEndpointsUpdated(e *Event) {
 	b.resubscribeWait = 0
-	for i := 0; e.Complete && i < len(b.servers); i++ {
-		b.servers[i].info.Health = Gone
+	if e.Complete {
+		for _, s := range b.servers {
+			s.info.Health = Gone
+		}
 	}
 	for _, info := range e.Servers {
-		s := b.byID[info.ID]
-		if s == nil {
-			s = &server{rank: b.rng.Float64()}
-			if info.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 {
-				s.rank++
-			}
-			b.byID[info.ID] = s
-			b.servers = append(b.servers, s)
-		}
-		if s.reportedAt == 0 || info.StartedAt != s.info.StartedAt {
-			// A new process: what was known of the old one no longer holds.
-			*s = server{
-				rank: s.rank, roundTrip: s.roundTrip, inFlight: s.inFlight, reportedAt: never, silentSince: b.now,
-				outcomesByTenant: make([]Tally, 1+len(b.tenantBuckets)),
-				slowStartBudget:  tokenbucket.Bucket{Value: b.rng.Float64(), At: b.now},
-			} // a random part: not all send at once
-			b.pool.Remove(s)
-		}
-		if s.info = info; info.Uncordoned && b.cfg.Probes {
-			b.probe(s) // else it would be found again by chance
+		b.updateServer(info)
+	}
+	b.sortServers()
+	b.removeUnlisted()
+}
+
+func (b *Balancer) updateServer(info ServerInfo) {
+	s := b.byID[info.ID]
+	if s == nil {
+		s = &server{rank: b.rng.Float64()}
+		if info.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 {
+			s.rank++
 		}
+		b.byID[info.ID] = s
+		b.servers = append(b.servers, s)
+	}
+	if s.isNew() || info.StartedAt != s.info.StartedAt {
+		b.resetServer(s)
 	}
-	b.readyCount, b.localCount = 0, 0
+	s.info = info
+	if info.Uncordoned && b.cfg.Probes {
+		b.probe(s) // else it would be found again only by chance
+	}
+}
+
+// resetServer forgets what was known of a server's earlier process. The new one's slow start begins with a random part of
+// the budget, so that not all instances send at once.
+func (b *Balancer) resetServer(s *server) {
+	*s = server{
+		rank:             s.rank,
+		roundTrip:        s.roundTrip,
+		inFlight:         s.inFlight,
+		reportedAt:       never,
+		silentSince:      b.now,
+		outcomesByTenant: make([]Tally, 1+len(b.tenantBuckets)),
+		slowStartBudget:  tokenbucket.Bucket{Value: b.rng.Float64(), At: b.now},
+	}
+	b.pool.Remove(s)
+}
+
+func (b *Balancer) sortServers() {
 	slices.SortStableFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
+}
+
+// removeUnlisted counts the ready servers and removes those that are gone and owe no answer.
+func (b *Balancer) removeUnlisted() {
+	b.readyCount = 0
+	b.localCount = 0
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		if s.info.Health == Ready {
 			b.readyCount++
-			if s.rank < 1 {
+			if s.isLocal() {
 				b.localCount++
 			}
 			return false
@@ -81,11 +117,12 @@
 	})
 }
 
-// onSubscriptionFailed subscribes anew after a jittered, growing wait: the list is one service for all.
+// onSubscriptionFailed subscribes again after a jittered, growing wait: all instances share one discovery service.
 func (b *Balancer) onSubscriptionFailed() {
 	b.resubscribeWait = min(max(2*b.resubscribeWait, minResubscribeWait), maxResubscribeWait)
 	b.setTimer(resubscribeTimer, b.resubscribeWait*(0.5+b.rng.Float64()))
 }
 
-// isListStale: what the list does not say may count as told. Only a probe of a process known before can tell it.
+// isListStale reports whether changes may have taken effect that the list does not show yet. Then only a probe
+// that the listed process has answered shows that a server is still there.
 func (b *Balancer) isListStale() bool { return b.now >= b.listValidUntil }
