--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,16 +3,16 @@
 import (
 	"math"
 	"plankrouter/policy/internal/admission"
+	"plankrouter/policy/internal/draw"
 )
 
 // Of load beyond what servers can finish in time, requests of the least value are refused first.
 
 const (
-	maxSlowFactor   = 1.5  // times the median service time that a usual request is taken to need at most: a few costly ones raise a mean
-	peerValueFactor = 1.5  // times a request's value, from which a class keeps its room against it
-	minQuotaBurst   = 5.0  // requests of a tenant that may come at once; else a second's quota
-	shareMemory     = 0.99 // weight that each report leaves to those before it in this instance's share of the traffic
-	minIdleRIF      = 1    // requests in flight below which a server is idle
+	maxSlowFactor   = 1.5 // times the median service time that a usual request is taken to need at most: a few costly ones raise a mean
+	peerValueFactor = 1.5 // times a request's value, from which a class keeps its room against it
+	minQuotaBurst   = 5.0 // requests of a tenant that may come at once; else a second's quota
+	minIdleRIF      = 1   // requests in flight below which a server is idle
 )
 
 func (b *Balancer) withinQuota(tenant int) bool {
@@ -24,15 +24,7 @@
 }
 
 // trafficShare is this instance's part of the fleet's traffic.
-func (b *Balancer) trafficShare() float64 {
-	return admission.Traffic{
-		OwnInFlight:   b.ownInFlightSum,
-		TotalInFlight: b.totalInFlightSum,
-		PerSecond:     b.arrivalRate.PerMs(b.now) * 1000,
-		TotalQuota:    b.totalQuota,
-		Instances:     b.cfg.Instances,
-	}.Share()
-}
+func (b *Balancer) trafficShare() float64 { return b.traffic.Share(b.arrivalRate.PerMs(b.now) * 1000) }
 
 // admits reports whether the answer is likely in time and the server has capacity for a request of this value. An idle
 // server gets a request that may fail: only a sample can correct a wrong estimate.
@@ -96,7 +88,7 @@
 	if b.reportsSparse {
 		maxAge = b.maxEntryAge()
 	}
-	return b.drawOne(func(s *server) bool {
+	return draw.One(b.rng, b.servers, func(s *server) bool {
 		isKnown := b.now-s.reportedAt <= maxAge || !b.cfg.Probes
 		return isKnown && b.isEligible(s, r) && b.acceptsTenant(s, r) && b.admits(s, r)
 	})
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,19 +1,14 @@
-// Package policy decides for one load-balancing sidecar: where each request goes, when it is tried
-// again, and when it is refused. It does no input or output and reads no clock.
-//
-// config.go, events.go, actions.go and state.go are the interface; the other files hold a decision each.
-// It is asynchronous Prequal: probes sent along with requests fill a small pool of fresh loads, from which
-// the hot-cold rule picks. See docs/design.md.
 package policy
 
 import (
-	"cmp"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"plankrouter/internal/probing"
+	"plankrouter/policy/internal/admission"
 	"plankrouter/policy/internal/overload"
 	"plankrouter/policy/internal/probepool"
+	"plankrouter/policy/internal/retrybudget"
 	"plankrouter/policy/internal/stats"
 	"plankrouter/policy/internal/tokenbucket"
 	"slices"
@@ -41,9 +36,9 @@
 	rng          *rand.Rand
 	actions      []Action // of the event in hand
 	now          Ms       // of the event in hand
+	minObjective Ms       // tightest latency objective of all classes
+	answerMargin Ms       // before the client gives up, by which a request is answered
 	startedAt    Ms
-	minObjective Ms // tightest latency objective of all classes
-	answerMargin Ms // before the client gives up, by which a request is answered
 	loggedAt     Ms // when refusals were logged last
 
 	servers         []*server // by rank
@@ -55,10 +50,10 @@
 	probeAnyUntil   Ms // until then a probe of any server may stand for a stale list
 
 	pool             probepool.Pool[*server]
-	recentRIFs       []float64 // of the newest reports
-	hotRIF           float64   // servers with more in flight are hot
-	probeCredit      float64   // probes that requests have saved up
-	probesPerRequest float64   // at the present rate of requests
+	recentRIFs       stats.Window // of the newest reports
+	hotRIF           float64      // servers with more in flight are hot
+	probeCredit      float64      // probes that requests have saved up
+	probesPerRequest float64      // at the present rate of requests
 	roomElsewhere    stats.SuccessRate
 	reportsSparse    bool       // most servers' reports are older than maxPoolAge
 	waitingForProbes []*request // in order of arrival
@@ -71,16 +66,14 @@
 	medianFailureRate float64
 	fleetLatency      Ms // median service time
 
-	ownInFlightSum   float64 // fading sum of own requests at servers, and
-	totalInFlightSum float64 // of all requests there, as reported
-	totalQuota       float64 // requests a second of all tenants
-	tenantBuckets    []tokenbucket.Bucket
-	sendRate         stats.Rate
-	arrivalRate      stats.Rate
-	retryBudget      float64
-	requests         map[RequestID]*request
-	inFlight         int // attempts
-	refusedSinceLog  int
+	traffic         admission.Traffic
+	tenantBuckets   []tokenbucket.Bucket
+	sendRate        stats.Rate
+	arrivalRate     stats.Rate
+	retryBudget     retrybudget.Budget
+	requests        map[RequestID]*request
+	inFlight        int // attempts
+	refusedSinceLog int
 }
 
 // New returns a Balancer for cfg whose random choices come from seed.
@@ -88,45 +81,23 @@
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{
+	cfg = cfg.withDefaults()
+	return &Balancer{
 		cfg:              cfg,
 		rng:              rand.New(rand.NewPCG(seed, randomStream)),
-		minObjective:     -never,
+		minObjective:     cfg.minObjective(),
 		answerMargin:     2*cfg.Round + 1,
 		byID:             map[ServerID]*server{},
 		listValidUntil:   -never,
 		hotRIF:           -never,
 		probesPerRequest: probing.MaxPerRequest,
 		roomElsewhere:    1,
+		loadModel:        overload.NewModel(cfg.objectives()),
+		gauge:            overload.NewGauge(cfg.objectives()),
+		traffic:          admission.Traffic{TotalQuota: cfg.totalQuota(), Instances: cfg.Instances},
 		tenantBuckets:    slices.Repeat([]tokenbucket.Bucket{{At: never}}, len(cfg.Tenants)),
 		requests:         map[RequestID]*request{},
-	}
-	b.cfg.Instances = max(1, cfg.Instances)
-	b.cfg.Classes = slices.Clone(cfg.Classes)
-	b.setUpClasses()
-	for _, t := range cfg.Tenants {
-		b.totalQuota += t.Quota
-	}
-	return b, nil
-}
-
-// setUpClasses derives from the classes what is needed for every request.
-func (b *Balancer) setUpClasses() {
-	classes := b.cfg.Classes
-	meanObjective := 0.0
-	var objectives []Ms
-	for _, c := range classes {
-		objectives = append(objectives, c.LatencyObjective)
-		meanObjective += c.LatencyObjective / float64(len(classes))
-		if !c.Retired {
-			b.minObjective = min(b.minObjective, c.LatencyObjective)
-		}
-	}
-	b.gauge = overload.NewGauge(objectives)
-	for i, c := range classes { // what is to be answered sooner is taken to need less time
-		b.loadModel.Classes = append(b.loadModel.Classes, overload.Mean{Prior: c.LatencyObjective / meanObjective})
-		classes[i].Attempts = max(1, cmp.Or(c.Attempts, b.cfg.MaxAttempts))
-	}
+	}, nil
 }
 
 // Handle takes one event at time now and appends to out what is to be done about it.
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -12,7 +12,7 @@
 func (b *Balancer) kept() kept {
 	h := kept{
 		Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waitingForProbes),
-		Pool: b.pool.Len(), RIFs: len(b.recentRIFs), OutAll: b.inFlight,
+		Pool: b.pool.Len(), RIFs: b.recentRIFs.Len(), OutAll: b.inFlight,
 	}
 	for _, s := range b.servers {
 		h.Tallies += len(s.outcomesByTenant)
--- a/policy/config.go
+++ b/policy/config.go
@@ -1,8 +1,11 @@
 package policy
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
+	"math"
+	"slices"
 )
 
 // Ms is a time or a duration in milliseconds; times count from any fixed origin.
@@ -103,3 +106,42 @@
 func (c *Class) isValid() bool {
 	return c.LatencyObjective > 0 && c.Deadline > 0 && c.Idempotency <= NonIdempotent && c.KeyScope <= ScopeCell && !(c.KeyWindow < 0)
 }
+
+// withDefaults returns a copy in which what may be missing is filled in.
+func (c *Config) withDefaults() Config {
+	filled := *c
+	filled.Instances = max(1, c.Instances)
+	filled.Classes = slices.Clone(c.Classes)
+	for i := range filled.Classes {
+		class := &filled.Classes[i]
+		class.Attempts = max(1, cmp.Or(class.Attempts, c.MaxAttempts))
+	}
+	return filled
+}
+
+// minObjective is the tightest latency objective of the classes in use.
+func (c *Config) minObjective() Ms {
+	tightest := math.Inf(1)
+	for _, class := range c.Classes {
+		if !class.Retired {
+			tightest = min(tightest, class.LatencyObjective)
+		}
+	}
+	return tightest
+}
+
+func (c *Config) objectives() []Ms {
+	var objectives []Ms
+	for _, class := range c.Classes {
+		objectives = append(objectives, class.LatencyObjective)
+	}
+	return objectives
+}
+
+func (c *Config) totalQuota() float64 {
+	total := 0.0
+	for _, tenant := range c.Tenants {
+		total += tenant.Quota
+	}
+	return total
+}
--- a/policy/internal/admission/admission.go
+++ b/policy/internal/admission/admission.go
@@ -20,6 +20,9 @@
 	sparseWasteMargin = 15.0 // the same where reports are sparse: the server that looks best is seldom as good as it looks
 )
 
+// reportMemory is the weight that each report leaves to those before it in the traffic share.
+const reportMemory = 0.99
+
 // priorRequests stand for an unknown load in the traffic share: requests that are spread evenly over instances.
 const priorRequests = 20.0
 
@@ -45,24 +48,29 @@
 
 // Traffic is what an instance knows of its own traffic and the fleet's.
 type Traffic struct {
-	OwnInFlight   float64 // this instance's requests at the servers that report, summed over reports
+	OwnInFlight   float64 // this instance's requests at the servers that report, a fading sum over reports
 	TotalInFlight float64 // all requests there, summed likewise
-	PerSecond     float64 // requests that arrive at this instance
 	TotalQuota    float64 // requests a second of all tenants
 	Instances     int
 }
 
-// Share is this instance's part of the fleet's traffic: own requests among all that servers report, and the even part
-// (one instance's of so many) as long as they report few.
+// AddReport takes a server's report of all requests in flight there, of which own are this instance's on average.
+func (t *Traffic) AddReport(own, total float64) {
+	t.OwnInFlight = t.OwnInFlight*reportMemory + own
+	t.TotalInFlight = t.TotalInFlight*reportMemory + total
+}
+
+// Share is this instance's part of the fleet's traffic, where perSecond requests arrive at it: own requests among all that
+// servers report, and the even part (one instance's of so many) as long as they report few.
 //
 // Where no server reports, it is the part of the tenants' quotas that arrives here, or the even part where that is more. A
 // tenant is then beyond its quota where it takes more of the instance's traffic than of the quotas, and not for being at a busy
 // instance. Together the instances let pass what the quotas do, or all that comes, where that is more: whether it is too much is
 // found by overload control.
-func (t Traffic) Share() float64 {
+func (t *Traffic) Share(perSecond float64) float64 {
 	even := 1 / float64(max(1, t.Instances))
 	if t.OwnInFlight+t.TotalInFlight > 0 {
 		return min(1, (t.OwnInFlight+priorRequests*even)/(t.TotalInFlight+priorRequests))
 	}
-	return min(1, max(even, t.PerSecond/max(t.TotalQuota, math.SmallestNonzeroFloat64)))
+	return min(1, max(even, perSecond/max(t.TotalQuota, math.SmallestNonzeroFloat64)))
 }
--- /dev/null
+++ b/policy/internal/draw/draw.go
@@ -0,0 +1,54 @@
+// Package draw chooses at random.
+package draw
+
+import "math/rand/v2"
+
+// Highest returns up to count random items of the highest preference that any item has. Items of preference 0 are left out.
+func Highest[S any, P ~int](rng *rand.Rand, items []S, count int, preferenceOf func(S) P) (found []S) {
+	highest := P(1)
+	seen := 0
+	for _, item := range items {
+		preference := preferenceOf(item)
+		if preference < highest {
+			continue
+		}
+		if preference > highest {
+			highest = preference
+			seen = 0
+			found = found[:0]
+		}
+		seen++
+		place := rng.IntN(seen) // of so many, each is kept with the same chance
+		switch {
+		case len(found) < count:
+			found = append(found, item)
+		case place < count:
+			found[place] = item
+		}
+	}
+	return found
+}
+
+// One returns a random one of the suitable items, or the zero S where there is none.
+func One[S any](rng *rand.Rand, items []S, isSuitable func(S) bool) (one S) {
+	found := Highest(rng, items, 1, func(item S) int {
+		if isSuitable(item) {
+			return 1
+		}
+		return 0
+	})
+	if len(found) > 0 {
+		one = found[0]
+	}
+	return one
+}
+
+// WithoutReplacement returns up to n random items, each at most once. It changes the order of items.
+func WithoutReplacement[S any](rng *rand.Rand, items []S, n int) []S {
+	n = min(n, len(items))
+	for i := range n {
+		j := i + rng.IntN(len(items)-i)
+		items[i], items[j] = items[j], items[i]
+	}
+	return items[:max(n, 0)]
+}
--- a/policy/internal/outlier/tally.go
+++ b/policy/internal/outlier/tally.go
@@ -10,6 +10,9 @@
 const (
 	priorSuccesses = 2.0  // weight of a prior success: one failure alone ejects no server
 	successShrink  = 0.85 // what one success leaves of the weight of failures
+
+	silentMultiple    = 6.0 // expected answers that are missing before a server counts as silent, over all its attempts
+	minSilentMultiple = 2.0 // the same for each of them, however many there are
 )
 
 // Tally is fading counts of successes and failures, as they were at At.
@@ -42,5 +45,11 @@
 	t.Failures += weight
 }
 
+// IsSilent reports whether a server with so many attempts in flight has given no answer for far longer than one is expected to
+// take. The more attempts there are, the sooner.
+func IsSilent(inFlight int, silentFor, expected float64) bool {
+	return inFlight > 0 && silentFor > expected*max(minSilentMultiple, silentMultiple/float64(inFlight))
+}
+
 // Decay is what an outcome of that age still weighs.
 func Decay(age float64) float64 { return math.Exp2(-age / HalfLife) }
--- a/policy/internal/overload/model.go
+++ b/policy/internal/overload/model.go
@@ -23,6 +23,19 @@
 // Mean is that of one class of requests, as a part of the service time. Count weighs its samples.
 type Mean struct{ Count, Sum, Prior float64 }
 
+// NewModel returns one for classes with those latency targets: what is to be answered sooner is taken to need less time.
+func NewModel(targets []float64) Model {
+	mean := 0.0
+	for _, target := range targets {
+		mean += target / float64(len(targets))
+	}
+	m := Model{}
+	for _, target := range targets {
+		m.Classes = append(m.Classes, Mean{Prior: target / mean})
+	}
+	return m
+}
+
 // Fade lets old samples fade: an instance that refuses for want of capacity gets no new ones and must not rely on its last.
 func (m *Model) Fade(now float64) {
 	factor := math.Exp((m.FadedAt - now) / fadeTime)
--- a/policy/internal/stats/stats.go
+++ b/policy/internal/stats/stats.go
@@ -45,3 +45,20 @@
 	slices.Sort(values)
 	return values[int(q*float64(len(values)-1))]
 }
+
+// Window holds the newest samples, up to a number of them.
+type Window struct{ samples []float64 }
+
+// Add takes a sample, for which the oldest leaves where there are more than maxSamples.
+func (w *Window) Add(sample float64, maxSamples int) {
+	w.samples = append(w.samples, sample)
+	if len(w.samples) > maxSamples {
+		w.samples = slices.Delete(w.samples, 0, 1)
+	}
+}
+
+// Quantile is the q-th quantile of the samples, or 0 where there are none.
+func (w *Window) Quantile(q float64) float64 { return Quantile(q, slices.Clone(w.samples), 0) }
+
+// Len is the number of samples.
+func (w *Window) Len() int { return len(w.samples) }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"plankrouter/internal/probing"
+	"plankrouter/policy/internal/draw"
 	"slices"
 )
 
@@ -72,7 +73,7 @@
 		b.pool.Use(best)
 		return best
 	}
-	found := b.draw(probing.RandomChoices(b.cfg.Probes), func(s *server) preference { return b.preferenceFor(s, r) })
+	found := draw.Highest(b.rng, b.servers, probing.RandomChoices(b.cfg.Probes), func(s *server) preference { return b.preferenceFor(s, r) })
 	if len(found) == 0 {
 		return nil
 	}
@@ -94,43 +95,3 @@
 	}
 	return pickReported
 }
-
-// drawOne returns a random one of the suitable servers, or nil.
-func (b *Balancer) drawOne(isSuitable func(*server) bool) *server {
-	found := b.draw(1, func(s *server) preference {
-		if isSuitable(s) {
-			return pickReported
-		}
-		return pickForbidden
-	})
-	if len(found) == 0 {
-		return nil
-	}
-	return found[0]
-}
-
-// draw returns up to count random servers of the highest preference that is not forbidden.
-func (b *Balancer) draw(count int, preferenceOf func(*server) preference) (found []*server) {
-	highest := pickForbidden + 1
-	seen := 0
-	for _, s := range b.servers {
-		current := preferenceOf(s)
-		if current < highest {
-			continue
-		}
-		if current > highest {
-			highest = current
-			seen = 0
-			found = found[:0]
-		}
-		seen++
-		place := b.rng.IntN(seen) // of so many, each is kept with the same chance
-		switch {
-		case len(found) < count:
-			found = append(found, s)
-		case place < count:
-			found[place] = s
-		}
-	}
-	return found
-}
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -3,8 +3,9 @@
 import (
 	"plankrouter/internal/probing"
 	"plankrouter/internal/subset"
+	"plankrouter/policy/internal/draw"
+	"plankrouter/policy/internal/outlier"
 	"plankrouter/policy/internal/probepool"
-	"plankrouter/policy/internal/stats"
 	"slices"
 )
 
@@ -30,8 +31,8 @@
 		return
 	}
 	s.probeInFlight = false
-	if e.Status == NotSent { // which says nothing of the server, but would be so again at once
-		s.nextProbeAt = b.now + probeBackoff.First
+	if e.Status == NotSent {
+		s.reachability.NotProbed(b.now)
 		return
 	}
 	b.pool.Remove(s)
@@ -43,13 +44,17 @@
 		b.roomElsewhere.Add(e.Status == OK && load < b.loadModel.Concurrency())
 	}
 	if e.Status != OK {
-		b.markUnreachable(s)
+		s.reachability.Failed(b.now, b.rng)
 		if e.Status != Declined {
-			b.recordFailure(s, allTenants, failedProbeWeight)
+			s.outcomesByTenant.AddFailure(b.now, outlier.AllTenants, failedProbeWeight)
 		}
 		return
 	}
-	b.markReachable(s, e)
+	s.reachability.ProbeAnswered(b.now)
+	s.probeSentAt = e.ProbeSentAt
+	if s.roundTrip == 0 || e.Elapsed < s.roundTrip {
+		s.roundTrip = e.Elapsed
+	}
 	b.applyReport(s, &e.Report, load)
 	for _, r := range slices.Clone(b.waitingForProbes) {
 		r.answersMissing--
@@ -59,34 +64,20 @@
 	}
 }
 
-func (b *Balancer) markReachable(s *server, e *Event) {
-	s.unreachable = false
-	s.consecutiveFailures = 0
-	s.nextProbeAt = b.now
-	s.probeSentAt = e.ProbeSentAt
-	if s.roundTrip == 0 || e.Elapsed < s.roundTrip {
-		s.roundTrip = e.Elapsed
-	}
-}
-
 // applyReport takes a server's load report, from the answer to a probe or to a request.
 func (b *Balancer) applyReport(s *server, report *Report, load float64) {
 	s.rif = max(load, float64(s.inFlight)) // own requests on their way are in no report yet
 	s.reportedAt = b.now
 	if report.HasRIF {
-		b.ownInFlightSum = b.ownInFlightSum*shareMemory + float64(b.inFlight)/float64(max(1, b.readyCount))
-		b.totalInFlightSum = b.totalInFlightSum*shareMemory + report.RIF
+		b.traffic.AddReport(float64(b.inFlight)/float64(max(1, b.readyCount)), report.RIF)
 	}
 	if report.HasLatency && report.Latency > 0 {
 		s.latency = report.Latency
 		s.latencyReported = true
 		b.latencyReported = true
 	}
-	b.recentRIFs = append(b.recentRIFs, s.rif)
-	if len(b.recentRIFs) > maxRIFSamples {
-		b.recentRIFs = slices.Delete(b.recentRIFs, 0, 1)
-	}
-	b.hotRIF = stats.Quantile(hotQuantile, slices.Clone(b.recentRIFs), 0)
+	b.recentRIFs.Add(s.rif, maxRIFSamples)
+	b.hotRIF = b.recentRIFs.Quantile(hotQuantile)
 	if report.HasErrors { // against what it answers in its service time, by Little's law
 		s.reportedErrorRate = report.Errors / (report.Errors + 1000*(s.rif+1)/b.serviceTime(s))
 	}
@@ -158,20 +149,18 @@
 			among--
 		}
 	}
-	n = min(n, len(candidates))
-	for i := range n {
-		j := i + b.rng.IntN(len(candidates)-i)
-		candidates[i], candidates[j] = candidates[j], candidates[i]
-		b.probe(candidates[i])
+	drawn := draw.WithoutReplacement(b.rng, candidates, n)
+	for _, s := range drawn {
+		b.probe(s)
 		b.lastProbeAt = b.now // not by probes of failed servers: those must not keep news of the others away
 	}
-	return n
+	return len(drawn)
 }
 
 // mayProbe reports whether a probe of the server is allowed and its answer can be relied on, by the list or as a later
 // probe of a process that has answered one.
 func (b *Balancer) mayProbe(s *server) bool {
-	if !b.cfg.Probes || s.info.Health != Ready || b.now < s.nextProbeAt {
+	if !b.cfg.Probes || s.info.Health != Ready || !s.reachability.MayProbe(b.now) {
 		return false
 	}
 	return s.probeSentAt > 0 || b.now < b.probeAnyUntil || !b.isListStale()
@@ -193,8 +182,8 @@
 		return
 	}
 	for range recoveryProbesPerTick {
-		b.probe(b.drawOne(func(s *server) bool {
-			return b.cfg.Probes && s.consecutiveFailures > 0 && !s.probeInFlight && b.now >= s.nextProbeAt && s.info.Health == Ready
+		b.probe(draw.One(b.rng, b.servers, func(s *server) bool {
+			return b.cfg.Probes && s.reachability.HasFailed() && !s.probeInFlight && s.reachability.MayProbe(b.now) && s.info.Health == Ready
 		}))
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"plankrouter/policy/internal/reachability"
 	"plankrouter/policy/internal/tokenbucket"
 	"testing"
 )
@@ -53,7 +54,7 @@
 		for at := g.now; probes == 0 && g.now < at+5000; g.now += tickInterval {
 			tick()
 		}
-		if s := g.b.byID[4]; s.unreachable || s.consecutiveFailures > 0 || g.now-s.reportedAt > probeBackoff.Most {
+		if s := g.b.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Most {
 			t.Errorf("%s: still shut out %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
 		}
 	}
@@ -65,15 +66,15 @@
 	cfg.Probes = false
 	g := newRig(t, cfg, 2)
 	s := g.b.byID[2]
-	g.b.markUnreachable(s)
-	first := s.nextProbeAt
-	if g.b.markUnreachable(s); s.consecutiveFailures != 1 || s.nextProbeAt != first {
-		t.Errorf("two refusals at once count as %d", s.consecutiveFailures)
+	s.reachability.Failed(g.b.now, g.b.rng)
+	first := s.reachability.NextProbeAt
+	if s.reachability.Failed(g.b.now, g.b.rng); s.reachability.ConsecutiveFailures != 1 || s.reachability.NextProbeAt != first {
+		t.Errorf("two refusals at once count as %d", s.reachability.ConsecutiveFailures)
 	}
 	if !g.b.isUnreachable(s) {
 		t.Error("not shut out")
 	}
-	if g.b.now = s.nextProbeAt; g.b.isUnreachable(s) {
+	if g.b.now = s.reachability.NextProbeAt; g.b.isUnreachable(s) {
 		t.Error("shut out beyond the wait")
 	}
 }
@@ -95,7 +96,7 @@
 		g.report(3, 5, 120)
 	}
 	for range 20 {
-		g.b.recordFailure(g.b.byID[2], 1, 1)
+		g.b.byID[2].outcomesByTenant.AddFailure(g.b.now, 1, 1)
 	}
 	st := g.b.State()
 	miss := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,12 +1,15 @@
 package policy
 
-import "plankrouter/policy/internal/admission"
+import (
+	"plankrouter/policy/internal/admission"
+	"plankrouter/policy/internal/outlier"
+)
 
 // request is a request from its arrival to its final answer.
 type request struct {
 	id             RequestID
 	class          int
-	tenant         int // place among a server's outcomes, or allTenants
+	tenant         int // place among a server's outcomes, or outlier.AllTenants
 	objectiveAt    Ms
 	answerBy       Ms   // the final answer is given by then
 	overQuota      bool // beyond its tenant's share
@@ -30,7 +33,7 @@
 
 func (b *Balancer) onRequestArrived(e *Event) {
 	b.arrivalRate.Add(b.now)
-	b.earnRetries()
+	b.retryBudget.Earn()
 	class := min(max(0, e.Class), len(b.cfg.Classes)-1)
 	r := &request{
 		id:          e.Request,
@@ -154,25 +157,25 @@
 
 // recordOutcome learns from the end of an attempt at a server; r is nil where the request has ended before.
 func (b *Balancer) recordOutcome(s *server, r *request, e *Event) {
-	tenant := allTenants
+	tenant := outlier.AllTenants
 	if r != nil {
 		tenant = r.tenant
 	}
 	switch e.Status {
 	case OK:
 		s.silentSince = b.now
-		s.unreachable = false
-		b.recordSuccess(s, tenant)
+		s.reachability.RequestAnswered()
+		s.outcomesByTenant.AddSuccess(b.now, tenant)
 		b.recordDuration(s, r, e.Elapsed, true)
 		if e.Report.HasRIF {
 			b.applyReport(s, &e.Report, e.Report.RIF)
 		}
 	case Failed, Reset, ConnectFailed, Declined:
 		s.silentSince = b.now
-		b.recordFailure(s, tenant, 1)
+		s.outcomesByTenant.AddFailure(b.now, tenant, 1)
 		switch e.Status {
 		case ConnectFailed:
-			b.markUnreachable(s)
+			s.reachability.Failed(b.now, b.rng)
 		case Declined:
 			b.loadModel.AddDeclined(s.rif+1, admission.FullStretch)
 		}
@@ -181,7 +184,7 @@
 			b.recordDuration(s, r, e.Elapsed, false) // the answered ones alone would look too fast
 		}
 		if b.isSilent(s) || r != nil && e.Elapsed+b.cfg.Round > timeoutMultiple*r.expectedLatency {
-			b.recordFailure(s, tenant, 1)
+			s.outcomesByTenant.AddFailure(b.now, tenant, 1)
 		}
 	}
 }
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"plankrouter/policy/internal/outlier"
 	"plankrouter/policy/internal/stats"
 	"plankrouter/policy/internal/tokenbucket"
 	"slices"
@@ -10,14 +11,10 @@
 // State returns what has been learned. The present load and servers that are not ready are left out.
 func (b *Balancer) State() State {
 	state := State{
-		SumLoadSquared: b.loadModel.SumLoadSquared,
-		SumLoadLatency: b.loadModel.SumLoadLatency,
-		FittedAt:       b.loadModel.FadedAt,
-		FleetLatency:   b.fleetLatency,
-		OwnInFlight:    b.ownInFlightSum,
-		TotalInFlight:  b.totalInFlightSum,
-		Arrivals:       Level(b.arrivalRate),
-		Sends:          Level(b.sendRate),
+		SumLoadSquared: b.loadModel.SumLoadSquared, SumLoadLatency: b.loadModel.SumLoadLatency,
+		FittedAt: b.loadModel.FadedAt, FleetLatency: b.fleetLatency,
+		OwnInFlight: b.traffic.OwnInFlight, TotalInFlight: b.traffic.TotalInFlight,
+		Arrivals: Level(b.arrivalRate), Sends: Level(b.sendRate),
 	}
 	for _, class := range b.loadModel.Classes {
 		state.Classes = append(state.Classes, Mean{Count: class.Count, Sum: class.Sum})
@@ -35,13 +32,9 @@
 
 func (s *server) state() ServerState {
 	return ServerState{
-		ID:              s.info.ID,
-		StartedAt:       s.info.StartedAt,
-		Latency:         s.latency,
-		LatencyReported: s.latencyReported,
-		ReportedAt:      s.reportedAt,
-		RoundTrip:       s.roundTrip,
-		ErrorRate:       s.reportedErrorRate,
+		ID: s.info.ID, StartedAt: s.info.StartedAt,
+		Latency: s.latency, LatencyReported: s.latencyReported, ErrorRate: s.reportedErrorRate,
+		ReportedAt: s.reportedAt, RoundTrip: s.roundTrip,
 		Outcomes:        slices.Clone(s.outcomesByTenant),
 		SlowStartBudget: Level(s.slowStartBudget),
 	}
@@ -65,8 +58,8 @@
 		b.tenantBuckets[i] = tokenbucket.Bucket(tenant)
 	}
 	b.fleetLatency = state.FleetLatency
-	b.ownInFlightSum = state.OwnInFlight
-	b.totalInFlightSum = state.TotalInFlight
+	b.traffic.OwnInFlight = state.OwnInFlight
+	b.traffic.TotalInFlight = state.TotalInFlight
 	b.arrivalRate = stats.Rate(state.Arrivals)
 	b.sendRate = stats.Rate(state.Sends)
 	for i := range state.Servers {
@@ -104,15 +97,16 @@
 	b.gauge.Reconfigure(next.gauge, classes)
 	carryOver(tenants, b.tenantBuckets, next.tenantBuckets)
 	for _, s := range b.servers {
-		outcomes := make([]Tally, 1+len(next.tenantBuckets))
-		outcomes[allTenants] = s.outcomesByTenant[allTenants]
+		outcomes := make(outlier.ByTenant, 1+len(next.tenantBuckets))
+		outcomes[outlier.AllTenants] = s.outcomesByTenant[outlier.AllTenants]
 		carryOver(tenants, s.outcomesByTenant[1:], outcomes[1:])
 		s.outcomesByTenant = outcomes
 	}
 	b.cfg = next.cfg
 	b.minObjective = next.minObjective
 	b.answerMargin = next.answerMargin
-	b.totalQuota = next.totalQuota
+	b.traffic.TotalQuota = next.traffic.TotalQuota
+	b.traffic.Instances = next.traffic.Instances
 	b.tenantBuckets = next.tenantBuckets
 	b.loadModel.Classes = next.loadModel.Classes
 	return nil
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,24 +1,18 @@
 package policy
 
 const (
-	retriesPerRequest  = 0.1  // further attempts that each request earns: keeps retries from becoming the load
-	maxRetryBudget     = 10.0 // further attempts that may be saved up
-	timeoutMultiple    = 8.0  // expected responses after which a request that may be repeated is tried elsewhere
-	minTimeoutFraction = 0.5  // of the tightest latency objective: no time-out of such an attempt is shorter
-	maxTimeoutFraction = 0.5  // of the time left, past which such a time-out would leave too little for another attempt
+	timeoutMultiple    = 8.0 // expected responses after which a request that may be repeated is tried elsewhere
+	minTimeoutFraction = 0.5 // of the tightest latency objective: no time-out of such an attempt is shorter
+	maxTimeoutFraction = 0.5 // of the time left, past which such a time-out would leave too little for another attempt
 )
 
-func (b *Balancer) earnRetries() {
-	b.retryBudget = min(maxRetryBudget, b.retryBudget+retriesPerRequest)
-}
-
 // takeRetry reports whether the request may have a further attempt, and takes that from the budget.
 func (b *Balancer) takeRetry(r *request, e *Event) bool {
 	canRepeat := e.Status != NotSent && !e.BodyConsumed && r.attempts < b.cfg.Classes[r.class].Attempts
-	if !canRepeat || b.retryBudget < 1 || r.answerBy-b.now <= b.answerMargin {
+	if !canRepeat || !b.retryBudget.Allows() || r.answerBy-b.now <= b.answerMargin {
 		return false
 	}
-	b.retryBudget--
+	b.retryBudget.Take()
 	return true
 }
 
@@ -27,7 +21,7 @@
 	class := &b.cfg.Classes[r.class]
 	timeLeft := r.answerBy - b.now
 	timeout := max(timeoutMultiple*r.expectedLatency, minTimeoutFraction*b.minObjective)
-	mayRetry := class.Idempotency != NonIdempotent && r.attempts+1 < class.Attempts && b.retryBudget >= 1
+	mayRetry := class.Idempotency != NonIdempotent && r.attempts+1 < class.Attempts && b.retryBudget.Allows()
 	if mayRetry && timeout < maxTimeoutFraction*timeLeft {
 		return timeout
 	}
@@ -40,8 +34,7 @@
 	if !r.mayHaveRun && s != nil {
 		window := b.cfg.Classes[r.class].KeyWindow - b.answerMargin
 		r.repeatsDroppedUntil = r.sentAt + window
-		r.ranZone = s.info.Zone
-		r.ranCell = s.info.Cell
+		r.ranZone, r.ranCell = s.info.Zone, s.info.Cell
 	}
 	r.mayHaveRun = true
 }
@@ -57,14 +50,8 @@
 		return false
 	}
 	sameZone := s.info.Zone == r.ranZone
-	switch class.KeyScope {
-	case ScopeAll:
-		return true
-	case ScopeZone:
-		return sameZone
-	default:
-		return sameZone && s.info.Cell == r.ranCell
-	}
+	sameCell := sameZone && s.info.Cell == r.ranCell
+	return class.KeyScope == ScopeAll || class.KeyScope == ScopeZone && sameZone || sameCell
 }
 
 // mayRefuse reports whether a refusal, which says that the request may be sent again, would be true: no attempt is in
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -2,6 +2,8 @@
 
 import (
 	"cmp"
+	"plankrouter/policy/internal/outlier"
+	"plankrouter/policy/internal/reachability"
 	"plankrouter/policy/internal/tokenbucket"
 	"slices"
 )
@@ -24,18 +26,16 @@
 	reportedAt        Ms
 	roundTrip         Ms // shortest probe
 
-	inFlight         int     // own attempts
-	expectedLatency  Ms      // of the latest attempt
-	silentSince      Ms      // last answer, or the first attempt after all had been answered
-	outcomesByTenant []Tally // own outcomes: of allTenants, then by tenant
-	ejected          bool    // as logged last
+	inFlight         int // own attempts
+	expectedLatency  Ms  // of the latest attempt
+	silentSince      Ms  // last answer, or the first attempt after all had been answered
+	outcomesByTenant outlier.ByTenant
+	ejected          bool // as logged last
 
-	probeInFlight       bool
-	probeSentAt         Ms   // of the last probe that shows the listed process to be there; 0 = of none
-	unreachable         bool // a probe or a connection has failed since the last answer
-	consecutiveFailures int  // of probes and connections
-	nextProbeAt         Ms   // it is not probed before
-	slowStartBudget     tokenbucket.Bucket
+	probeInFlight   bool
+	probeSentAt     Ms // of the last probe that shows the listed process to be there; 0 = of none
+	reachability    reachability.State
+	slowStartBudget tokenbucket.Bucket
 }
 
 // isNew reports whether no process of the server is known yet.
@@ -54,7 +54,7 @@
 	for _, info := range e.Servers {
 		b.updateServer(info)
 	}
-	b.sortServers()
+	slices.SortStableFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
 	b.removeUnlisted()
 }
 
@@ -81,21 +81,14 @@
 // the budget, so that not all instances send at once.
 func (b *Balancer) resetServer(s *server) {
 	*s = server{
-		rank:             s.rank,
-		roundTrip:        s.roundTrip,
-		inFlight:         s.inFlight,
-		reportedAt:       never,
-		silentSince:      b.now,
-		outcomesByTenant: make([]Tally, 1+len(b.tenantBuckets)),
+		rank: s.rank, roundTrip: s.roundTrip, inFlight: s.inFlight,
+		reportedAt: never, silentSince: b.now,
+		outcomesByTenant: make(outlier.ByTenant, 1+len(b.tenantBuckets)),
 		slowStartBudget:  tokenbucket.Bucket{Value: b.rng.Float64(), At: b.now},
 	}
 	b.pool.Remove(s)
 }
 
-func (b *Balancer) sortServers() {
-	slices.SortStableFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
-}
-
 // removeUnlisted counts the ready servers and removes those that are gone and owe no answer.
 func (b *Balancer) removeUnlisted() {
 	b.readyCount = 0
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -103,7 +103,7 @@
 			t.Errorf("price %g: %d probes out of turn, want %d to %d", c.price, probes, c.least, c.most)
 		}
 		if s := g.b.byID[1]; c.price > 0.05 {
-			for s.consecutiveFailures = 1; s.consecutiveFailures > 0 && g.now < 1e6; {
+			for s.reachability.ConsecutiveFailures = 1; s.reachability.ConsecutiveFailures > 0 && g.now < 1e6; {
 				g.now += 60
 				for _, a := range g.do(Event{Kind: RequestArrived, Request: RequestID(g.now), TimeLeft: 900}) {
 					if a.Kind == SendProbe {
@@ -111,7 +111,7 @@
 					}
 				}
 			}
-			if s.consecutiveFailures > 0 {
+			if s.reachability.ConsecutiveFailures > 0 {
 				t.Error("a shut server is not found again")
 			}
 		}
