--- a/internal/staleness/queue_test.go
+++ b/internal/staleness/queue_test.go
@@ -6,73 +6,74 @@
 	"time"
 )
 
-// queueingSource is a directory that serves a new watch or a whole list in a turn, keeps a line of so long, and turns away what comes beyond.
-// A watch that goes on costs it nothing, and it has no news.
+// queueingSource is a source that serves a new watch or a complete list in one slot, has a queue of so long, and rejects what comes beyond.
+// A watch that goes on costs it nothing, and there are no changes.
 type queueingSource struct {
 	slotTime, maxQueue time.Duration
 	freeAt             time.Time
 
-	rejected, completeLists, timedOut int // given up by the caller: their turns are spent all the same
+	rejected, completeLists, timedOut int // those that timed out use up their slots all the same
 }
 
-// queuedInstance is one of its callers.
+// queuedInstance is one of the instances that poll it.
 type queuedInstance struct {
 	*Scheduler
 	poll        Poll
-	sentAt      time.Time // of the call; zero = it is not out yet
-	nextStep    time.Time // when the call is made, or ends
+	sentAt      time.Time // of the poll; zero = it is not sent yet
+	nextStep    time.Time // when the poll is made, or ends
 	finish      func()
-	watching    bool // the next call continues a watch
+	watching    bool // the next poll continues a watch
 	firstAnswer time.Time
-	lastAnswer  time.Time // lately
+	lastAnswer  time.Time
 	maxGap      time.Duration
 }
 
-// decide has the waiter decide on its next call.
-func (w *queuedInstance) decide(now time.Time) {
-	w.poll = w.Next(now)
-	w.sentAt, w.nextStep = time.Time{}, now.Add(w.poll.Delay)
+// decide has the instance decide on its next poll.
+func (i *queuedInstance) decide(now time.Time) {
+	i.poll = i.Next(now)
+	i.sentAt = time.Time{}
+	i.nextStep = now.Add(i.poll.Delay)
 }
 
-// step makes the call, or ends it.
-func (l *queueingSource) step(w *queuedInstance) {
-	now := w.nextStep
-	if !w.sentAt.IsZero() {
-		w.finish()
-		w.decide(now)
+// step makes the poll, or ends it.
+func (s *queueingSource) step(instance *queuedInstance) {
+	now := instance.nextStep
+	if !instance.sentAt.IsZero() {
+		instance.finish()
+		instance.decide(now)
 		return
 	}
-	w.sentAt = now
-	at := now.Add(w.poll.Wait)
-	if l.completeLists += boolToInt(w.poll.Complete); w.poll.Complete || !w.watching {
-		w.watching = false
-		served := now.Add(l.slotTime)
-		if l.freeAt.After(now) {
-			served = l.freeAt.Add(l.slotTime)
+	instance.sentAt = now
+	at := now.Add(instance.poll.Wait)
+	if s.completeLists += boolToInt(instance.poll.Complete); instance.poll.Complete || !instance.watching {
+		instance.watching = false
+		served := now.Add(s.slotTime)
+		if s.freeAt.After(now) {
+			served = s.freeAt.Add(s.slotTime)
 		}
-		if served.Sub(now) > l.maxQueue {
-			w.nextStep, w.finish = now.Add(10*ms), func() { l.rejected++; w.Rejected() }
+		if served.Sub(now) > s.maxQueue {
+			instance.nextStep, instance.finish = now.Add(10*ms), func() { s.rejected++; instance.Rejected() }
 			return
 		}
-		if l.freeAt = served; w.poll.Complete || served.After(at) {
+		if s.freeAt = served; instance.poll.Complete || served.After(at) {
 			at = served
 		}
 	}
-	if giveUp := now.Add(w.poll.Timeout); at.After(giveUp) {
-		w.nextStep, w.finish = giveUp, func() { l.timedOut++; w.watching = false; w.TimedOut() }
+	if giveUp := now.Add(instance.poll.Timeout); at.After(giveUp) {
+		instance.nextStep, instance.finish = giveUp, func() { s.timedOut++; instance.watching = false; instance.TimedOut() }
 		return
 	}
-	w.nextStep, w.finish = at, func() {
-		w.Responded(w.poll, at.Sub(now))
-		if w.poll.Complete {
-			w.ReplaceListed(listedServers(12))
+	instance.nextStep, instance.finish = at, func() {
+		instance.Responded(instance.poll, at.Sub(now))
+		if instance.poll.Complete {
+			instance.ReplaceListed(listedServers(12))
 		}
-		if w.watching = !w.poll.Complete; w.firstAnswer.IsZero() {
-			w.firstAnswer = at
+		if instance.watching = !instance.poll.Complete; instance.firstAnswer.IsZero() {
+			instance.firstAnswer = at
 		} else {
-			w.maxGap = max(w.maxGap, at.Sub(w.lastAnswer))
+			instance.maxGap = max(instance.maxGap, at.Sub(instance.lastAnswer))
 		}
-		w.lastAnswer = at
+		instance.lastAnswer = at
 	}
 }
 
@@ -83,52 +84,52 @@
 	return 0
 }
 
-// Many start at once at a directory that bears a few calls a second, and later all see the same servers refuse for ten seconds, which
-// its list goes on to name: each is heard about as soon as there are turns for all, nobody loses the watch that it has, nobody
-// asks for the whole list, and what is turned away is bounded.
+// Many instances start at once at a source that bears a few polls a second, and later all see the same servers refuse for ten seconds, which
+// its list goes on to name: each is answered about as soon as there are slots for all, nobody loses the watch that it has, nobody asks for
+// the complete list, and the rejections are bounded.
 func TestQueuedInstancesAreAllAnswered(t *testing.T) {
 	for _, c := range []struct {
-		callers, refused int
-		heard            time.Duration
+		instances, rejected int
+		answered            time.Duration
 	}{{1, 0, time.Second}, {4, 0, 1500 * ms}, {12, 6, 3 * time.Second}, {32, 85, 9 * time.Second}, {80, 330, 25 * time.Second}} {
 		for seed := range uint64(5) {
 			start := time.Unix(1e9, 0)
-			l, all := &queueingSource{slotTime: 200 * ms, maxQueue: 2 * time.Second}, []*queuedInstance{}
-			for i := range c.callers {
-				set := defaults
-				set.Instances = c.callers
-				scheduler, err := New(set, seed*1000+uint64(i), false)
+			source, all := &queueingSource{slotTime: 200 * ms, maxQueue: 2 * time.Second}, []*queuedInstance{}
+			for i := range c.instances {
+				settings := defaults
+				settings.Instances = c.instances
+				scheduler, err := New(settings, seed*1000+uint64(i), false)
 				if err != nil {
 					t.Fatal(err)
 				}
 				scheduler.ReplaceListed(listedServers(12))
-				w := &queuedInstance{Scheduler: scheduler}
-				w.decide(start)
-				all = append(all, w)
+				instance := &queuedInstance{Scheduler: scheduler}
+				instance.decide(start)
+				all = append(all, instance)
 			}
 			for now := start; now.Before(start.Add(60 * time.Second)); now = now.Add(5 * ms) {
-				for _, w := range all {
-					for !w.nextStep.After(now) {
-						l.step(w)
+				for _, instance := range all {
+					for !instance.nextStep.After(now) {
+						source.step(instance)
 					}
-					if s := now.Sub(start); c.callers > 1 && s > 45*time.Second && s < 55*time.Second && s%(100*ms) == 0 {
-						if w.Observe(now, "p1", ConnectRefused); w.Observe(now, "p2", ConnectRefused) { // it leaves the present call
-							w.watching = false
-							w.decide(now)
+					if elapsed := now.Sub(start); c.instances > 1 && elapsed > 45*time.Second && elapsed < 55*time.Second && elapsed%(100*ms) == 0 {
+						if instance.Observe(now, "p1", ConnectRefused); instance.Observe(now, "p2", ConnectRefused) { // it leaves the present poll
+							instance.watching = false
+							instance.decide(now)
 						}
 					}
 				}
 			}
 			last, gap := time.Duration(0), time.Duration(0)
-			for _, w := range all {
-				if w.firstAnswer.IsZero() {
-					w.firstAnswer = start.Add(time.Hour)
+			for _, instance := range all {
+				if instance.firstAnswer.IsZero() {
+					instance.firstAnswer = start.Add(time.Hour)
 				}
-				last, gap = max(last, w.firstAnswer.Sub(start)), max(gap, w.maxGap)
+				last, gap = max(last, instance.firstAnswer.Sub(start)), max(gap, instance.maxGap)
 			}
-			what := fmt.Sprintf("%d callers, seed %d: the last heard after %s, nothing heard for %s, %d turned away, %d given up, %d whole lists",
-				c.callers, seed, last, gap, l.rejected, l.timedOut, l.completeLists)
-			if t.Log(what); last > c.heard || gap > 1500*ms || l.rejected > c.refused || l.completeLists > 0 {
+			what := fmt.Sprintf("%d instances, seed %d: the last answered after %s, nothing for %s, %d rejected, %d timed out, %d complete lists",
+				c.instances, seed, last, gap, source.rejected, source.timedOut, source.completeLists)
+			if t.Log(what); last > c.answered || gap > 1500*ms || source.rejected > c.rejected || source.completeLists > 0 {
 				t.Error(what)
 			}
 		}
--- a/internal/staleness/scheduler_test.go
+++ b/internal/staleness/scheduler_test.go
@@ -10,22 +10,23 @@
 
 var defaults = DefaultSettings()
 
-func newScheduler(t *testing.T, providers int) *Scheduler {
+// newScheduler returns the only watch of a list of so many servers.
+func newScheduler(t *testing.T, servers int) *Scheduler {
 	t.Helper()
 	scheduler, err := New(defaults, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	scheduler.ReplaceListed(listedServers(providers))
+	scheduler.ReplaceListed(listedServers(servers))
 	return scheduler
 }
 
 // newSchedulerAmong returns a watch that is one of so many.
-func newSchedulerAmong(t *testing.T, callers int, seed uint64) *Scheduler {
+func newSchedulerAmong(t *testing.T, instances int, seed uint64) *Scheduler {
 	t.Helper()
-	set := defaults
-	set.Instances = callers
-	scheduler, err := New(set, seed, false)
+	settings := defaults
+	settings.Instances = instances
+	scheduler, err := New(settings, seed, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,87 +35,87 @@
 }
 
 func listedServers(n int) map[string]float64 {
-	l := map[string]float64{}
+	servers := map[string]float64{}
 	for i := range n {
-		l[fmt.Sprint("p", i)] = 1
+		servers[fmt.Sprint("p", i)] = 1
 	}
-	return l
+	return servers
 }
 
-func checkBetween(t *testing.T, what string, got, least, most time.Duration) {
+func checkBetween(t *testing.T, what string, got, low, high time.Duration) {
 	t.Helper()
-	if got < least || got > most {
-		t.Errorf("%s: %s, want %s to %s", what, got, least, most)
+	if got < low || got > high {
+		t.Errorf("%s: %s, want %s to %s", what, got, low, high)
 	}
 }
 
-// A call is held for a bounded wait, and how long it may be late is learned from how late answers are.
+// A poll is held for a bounded wait, and how long its answer may be late is learned from how late answers are.
 func TestTimeoutIsLearned(t *testing.T) {
 	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
-	c := scheduler.Next(now)
-	checkBetween(t, "first wait", c.Wait, 900*ms, time.Second)
-	checkBetween(t, "patience before any sample", c.Timeout-c.Wait, time.Second, time.Second)
+	poll := scheduler.Next(now)
+	checkBetween(t, "first wait", poll.Wait, 900*ms, time.Second)
+	checkBetween(t, "time-out before any sample", poll.Timeout-poll.Wait, time.Second, time.Second)
 	for range 50 {
-		c = scheduler.Next(now)
-		scheduler.Responded(c, c.Wait+2*ms)
+		poll = scheduler.Next(now)
+		scheduler.Responded(poll, poll.Wait+2*ms)
 	}
-	c = scheduler.Next(now)
-	checkBetween(t, "patience with a quick directory", c.Timeout-c.Wait, 250*ms, 250*ms)
-	scheduler.Responded(c, 10*ms) // news: how late the directory is, this does not say
+	poll = scheduler.Next(now)
+	checkBetween(t, "time-out with a quick source", poll.Timeout-poll.Wait, 250*ms, 250*ms)
+	scheduler.Responded(poll, 10*ms) // a change: how late the source is, this does not say
 	for range 50 {
-		c = scheduler.Next(now)
-		scheduler.Responded(c, c.Wait+400*ms)
+		poll = scheduler.Next(now)
+		scheduler.Responded(poll, poll.Wait+400*ms)
 	}
-	c = scheduler.Next(now)
-	checkBetween(t, "patience with a slow one", c.Timeout-c.Wait, 400*ms, 500*ms)
-	if c.Complete || c.Delay != 0 {
-		t.Errorf("after an answer: %+v", c)
+	poll = scheduler.Next(now)
+	checkBetween(t, "time-out with a slow one", poll.Timeout-poll.Wait, 400*ms, 500*ms)
+	if poll.Complete || poll.Delay != 0 {
+		t.Errorf("after an answer: %+v", poll)
 	}
 }
 
-// A directory that is down is asked less and less often, for the whole list, and given ever more time.
+// A source that is down is polled less and less often, for the complete list, and given ever more time.
 func TestFailures(t *testing.T) {
 	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
 	scheduler.Responded(Poll{Complete: true}, ms)
-	for i, most := range []time.Duration{50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
+	for i, limit := range []time.Duration{50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
 		scheduler.Failed()
-		c := scheduler.Next(now)
-		checkBetween(t, fmt.Sprint("pause ", i), c.Delay, most/2, most)
-		checkBetween(t, fmt.Sprint("time ", i), c.Timeout, min(time.Second, 250*ms<<i), time.Second)
-		if !c.Complete || c.Wait != 0 {
-			t.Errorf("after a failure: %+v", c)
+		poll := scheduler.Next(now)
+		checkBetween(t, fmt.Sprint("pause ", i), poll.Delay, limit/2, limit)
+		checkBetween(t, fmt.Sprint("time ", i), poll.Timeout, min(time.Second, 250*ms<<i), time.Second)
+		if !poll.Complete || poll.Wait != 0 {
+			t.Errorf("after a failure: %+v", poll)
 		}
 	}
 	scheduler.Responded(Poll{Complete: true}, ms)
-	if c := scheduler.Next(now); c.Complete || c.Delay != 0 {
-		t.Errorf("after the answer: %+v", c)
+	if poll := scheduler.Next(now); poll.Complete || poll.Delay != 0 {
+		t.Errorf("after the answer: %+v", poll)
 	}
 	scheduler.SourceChanged()
-	if c := scheduler.Next(now); !c.Complete || c.Delay != 0 || c.Timeout != time.Second {
-		t.Errorf("at another directory: %+v", c)
+	if poll := scheduler.Next(now); !poll.Complete || poll.Delay != 0 || poll.Timeout != time.Second {
+		t.Errorf("at another source: %+v", poll)
 	}
 }
 
-// What all callers together ask of a directory, when all start or see the same at one moment and it turns them away: the
-// most calls in any 100 ms of the first half minute, and how many there are a second at its end.
+// What all instances together ask of a source, when all start or see the same at one moment and it rejects them: the greatest number
+// of polls in any 100 ms of the first half minute, and how many there are a second at its end.
 func TestSumOverInstances(t *testing.T) {
 	for _, c := range []struct {
-		callers            int
-		most, last, doubts int // doubts: whole lists asked for in any second, for what all see while their watch is in time
+		instances                 int
+		maxPolls, last, refreshes int // refreshes: complete lists asked for in any second, for what all see while their watch is in time
 	}{{1, 2, 1, 1}, {4, 8, 4, 0}, {32, 20, 15, 0}, {80, 32, 18, 0}, {300, 110, 10, 0}, {2000, 750, 40, 0}, {5000, 1800, 90, 0}} {
-		calls, doubts := map[int]int{}, map[int]int{}
-		for i := range c.callers {
-			scheduler, at := newSchedulerAmong(t, c.callers, uint64(i)), time.Duration(0)
+		polls, refreshes := map[int]int{}, map[int]int{}
+		for i := range c.instances {
+			scheduler, at := newSchedulerAmong(t, c.instances, uint64(i)), time.Duration(0)
 			for at < 30*time.Second {
 				next := scheduler.Next(time.Unix(0, 0).Add(at))
 				if next.Complete {
-					t.Fatalf("caller %d asks for the whole list", i)
+					t.Fatalf("instance %d asks for the complete list", i)
 				}
 				at += next.Delay
-				calls[int(at/(100*ms))]++
+				polls[int(at/(100*ms))]++
 				scheduler.Rejected()
 			}
-			scheduler, at = newSchedulerAmong(t, c.callers, uint64(i)), 0
+			scheduler, at = newSchedulerAmong(t, c.instances, uint64(i)), 0
 			for end := time.Duration(0); at < 30*time.Second; at += 50 * ms {
 				now := time.Unix(1e9, 0).Add(at)
 				if at >= end {
@@ -123,102 +124,104 @@
 					end = at + next.Delay + next.Wait
 				}
 				if first := scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) || first {
-					doubts[int(at/time.Second)]++
+					refreshes[int(at/time.Second)]++
 					scheduler.Rejected()
 					scheduler.Responded(scheduler.Next(now), 0)
 					break
 				}
 			}
 		}
-		most, last, doubted := 0, 0, 0
-		for at, n := range calls {
-			if most = max(most, n); at >= 290 && at < 300 {
+		maxPolls, last, maxRefreshes := 0, 0, 0
+		for at, n := range polls {
+			maxPolls = max(maxPolls, n)
+			if at >= 290 && at < 300 {
 				last += n
 			}
 		}
-		for _, n := range doubts {
-			doubted = max(doubted, n)
+		for _, n := range refreshes {
+			maxRefreshes = max(maxRefreshes, n)
 		}
-		if most > c.most || last > c.last || doubted != c.doubts {
-			t.Errorf("%d callers: %d calls in 100 ms, %d in the last second, %d whole lists in one; want at most %d, %d, and %d",
-				c.callers, most, last, doubted, c.most, c.last, c.doubts)
+		if maxPolls > c.maxPolls || last > c.last || maxRefreshes != c.refreshes {
+			t.Errorf("%d instances: %d polls in 100 ms, %d in the last second, %d complete lists in one; want at most %d, %d, and %d",
+				c.instances, maxPolls, last, maxRefreshes, c.maxPolls, c.last, c.refreshes)
 		}
 	}
 }
 
-// Where calls wait in turn for two seconds, one that is not the only caller waits too, whatever it has learned of a quick
-// directory; and while calls are turned away no evidence makes it leave its place.
+// Where polls queue for two seconds, an instance that is not the only one queues too, whatever it has learned of a quick source; and while
+// polls are rejected no evidence makes it leave its place.
 func TestSourceFull(t *testing.T) {
 	scheduler, now := newSchedulerAmong(t, 80, 1), time.Unix(1e9, 0)
-	if c := scheduler.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay > 800*ms {
-		t.Errorf("the first call: %+v", c)
+	if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait != 1900*ms || poll.Delay > 800*ms {
+		t.Errorf("the first poll: %+v", poll)
 	}
 	for range 50 {
-		c := scheduler.Next(now)
-		scheduler.Responded(c, c.Wait+2*ms)
+		poll := scheduler.Next(now)
+		scheduler.Responded(poll, poll.Wait+2*ms)
 	}
-	if c := scheduler.Next(now); c.Timeout > 1500*ms {
-		t.Errorf("a watch that goes on: %+v", c)
+	if poll := scheduler.Next(now); poll.Timeout > 1500*ms {
+		t.Errorf("a watch that goes on: %+v", poll)
 	}
 	scheduler.Rejected()
-	if c := scheduler.Next(now); c.Complete || c.Timeout-c.Wait != 1900*ms || c.Delay < 250*ms || c.Delay > 500*ms {
-		t.Errorf("turned away: %+v", c)
+	if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait != 1900*ms || poll.Delay < 250*ms || poll.Delay > 500*ms {
+		t.Errorf("rejected: %+v", poll)
 	}
 	now = now.Add(time.Minute) // overdue
 	if scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) {
-		t.Error("the place is left")
+		t.Error("the place in the queue is left")
 	}
 	scheduler.Responded(Poll{Complete: true}, ms) // it had that at hand
-	if c := scheduler.Next(now); c.Timeout-c.Wait != 1900*ms {
-		t.Errorf("after a whole list: %+v", c)
+	if poll := scheduler.Next(now); poll.Timeout-poll.Wait != 1900*ms {
+		t.Errorf("after a complete list: %+v", poll)
 	}
-	c := scheduler.Next(now)
-	scheduler.Responded(c, c.Wait+2*ms)
+	poll := scheduler.Next(now)
+	scheduler.Responded(poll, poll.Wait+2*ms)
 	now = now.Add(time.Minute)
 	if scheduler.Observe(now, "p1", ConnectRefused); !scheduler.Observe(now, "p2", ConnectRefused) {
 		t.Error("no evidence counts any more")
 	}
-	if c := scheduler.Next(now); !c.Complete || c.Delay > 800*ms || c.Timeout != 4*time.Second {
-		t.Errorf("in doubt: %+v", c)
+	if poll := scheduler.Next(now); !poll.Complete || poll.Delay > 800*ms || poll.Timeout != 4*time.Second {
+		t.Errorf("with contradictions: %+v", poll)
 	}
 	scheduler.Rejected()
-	if c := scheduler.Next(now); c.Complete {
-		t.Errorf("a doubt that is turned away: %+v", c)
+	if poll := scheduler.Next(now); poll.Complete {
+		t.Errorf("a refresh that is rejected: %+v", poll)
 	}
 	scheduler.Failed()
 	if scheduler.Rejected(); !scheduler.Next(now).Complete {
-		t.Error("what is owed since a failure is forgotten")
+		t.Error("the complete list that a failure needs is forgotten")
 	}
 }
 
-// A call that waits in line where others have been turned away since is one that had no turn: it keeps its place among those who
-// ask for changes. Elsewhere silence may be the end of who has told the list, and the whole of it is asked for.
+// A poll that times out after others were rejected was in the queue: the next one asks for changes as before. Elsewhere silence may be the
+// end of who has sent the list, and the complete list is asked for.
 func TestTimedOut(t *testing.T) {
 	scheduler, now := newSchedulerAmong(t, 32, 1), time.Unix(1e9, 0)
 	scheduler.Next(now)
 	scheduler.Rejected()
 	for range 3 {
-		if c := scheduler.Next(now); c.Complete || c.Timeout-c.Wait < 1900*ms {
-			t.Errorf("in line: %+v", c)
+		if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait < 1900*ms {
+			t.Errorf("in the queue: %+v", poll)
 		}
 		scheduler.TimedOut()
 	}
 	scheduler.Responded(scheduler.Next(now), ms)
 	scheduler.Next(now)
 	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
-		t.Error("a watch that has fallen silent goes on")
+		t.Error("a watch that has become silent goes on")
 	}
 	scheduler.Rejected()
 	scheduler.TimedOut()
-	if c := scheduler.Next(now); !c.Complete || c.Timeout < 2*time.Second {
-		t.Errorf("what is owed since the silence is forgotten, or given up before its turn: %+v", c)
-	}
-	set := PushedSettings(750 * ms)
-	if scheduler, _ = New(set, 1, false); true {
-		scheduler.Next(now)
-		scheduler.Rejected()
-		if scheduler.TimedOut(); !scheduler.Next(now).Complete {
-			t.Error("an agent has no line")
-		}
+	if poll := scheduler.Next(now); !poll.Complete || poll.Timeout < 2*time.Second {
+		t.Errorf("the complete list that the silence needs is forgotten, or given up before its slot: %+v", poll)
+	}
+	scheduler, err := New(PushedSettings(750*ms), 1, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scheduler.Next(now)
+	scheduler.Rejected()
+	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
+		t.Error("an agent has no queue")
 	}
 }
