--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -1,20 +1,21 @@
-// Package cordon holds operators' word on which providers get nothing, and keeps it in a file that all processes of a sidecar
+// Package cordon has the servers that operators have taken out of service, and keeps them in a file that all processes of a sidecar
 // share. A Set reads no clock and touches no file.
 package cordon
 
 import (
+	"cmp"
 	"errors"
 	"maps"
 	"slices"
 )
 
-// ErrUnknownServer says that a provider is neither listed nor out.
-var ErrUnknownServer = errors.New("no such tile server is listed")
+// ErrUnknownServer says that a server is neither listed nor cordoned.
+var ErrUnknownServer = errors.New("server is not listed")
 
-// mostBack bounds the providers whose return is kept in mind; the earliest are forgotten.
-const mostBack = 2048
+// maxUncordoned bounds the servers whose return is remembered; the earliest are forgotten.
+const maxUncordoned = 2048
 
-// Set is that word. Times are Unix milliseconds. The zero value bans nobody.
+// Set is the cordons in force. Dates are Unix milliseconds. The zero value cordons no server.
 type Set struct {
 	Cordoned   map[string]float64 `json:"out"`  // since when, by id; in force whatever the list says
 	Uncordoned map[string]float64 `json:"back"` // since when it may be used again: it may have been restarted meanwhile
@@ -23,9 +24,9 @@
 // Clone returns a copy that shares nothing.
 func (s Set) Clone() Set { return Set{maps.Clone(s.Cordoned), maps.Clone(s.Uncordoned)} }
 
-// Cordon takes the provider out from at on. One that is out stays so since it was.
-func (s *Set) Cordon(id string, at float64, listed bool) error {
-	if _, out := s.Cordoned[id]; out {
+// Cordon takes the server out of service from that date on. One that is cordoned remains so since it was.
+func (s *Set) Cordon(id string, date float64, listed bool) error {
+	if _, cordoned := s.Cordoned[id]; cordoned {
 		return nil
 	}
 	if !listed {
@@ -34,14 +35,14 @@
 	if s.Cordoned == nil {
 		s.Cordoned = map[string]float64{}
 	}
-	s.Cordoned[id] = at
+	s.Cordoned[id] = date
 	delete(s.Uncordoned, id)
 	return nil
 }
 
-// Uncordon puts the provider back. One that is listed and not out stays as it is.
-func (s *Set) Uncordon(id string, at float64, listed bool) error {
-	if _, out := s.Cordoned[id]; !out {
+// Uncordon puts the server back. One that is listed and not cordoned remains as it is.
+func (s *Set) Uncordon(id string, date float64, listed bool) error {
+	if _, cordoned := s.Cordoned[id]; !cordoned {
 		if !listed {
 			return ErrUnknownServer
 		}
@@ -51,32 +52,29 @@
 	if s.Uncordoned == nil {
 		s.Uncordoned = map[string]float64{}
 	}
-	s.Uncordoned[id] = at
-	if len(s.Uncordoned) > mostBack {
-		ids := slices.SortedFunc(maps.Keys(s.Uncordoned), func(a, b string) int {
-			if s.Uncordoned[a] < s.Uncordoned[b] {
-				return -1
-			}
-			return 1
+	s.Uncordoned[id] = date
+	if len(s.Uncordoned) > maxUncordoned {
+		earliest := slices.MinFunc(slices.Collect(maps.Keys(s.Uncordoned)), func(a, b string) int {
+			return cmp.Compare(s.Uncordoned[a], s.Uncordoned[b])
 		})
-		delete(s.Uncordoned, ids[0])
+		delete(s.Uncordoned, earliest)
 	}
 	return nil
 }
 
-// ChangedIDs returns the ids of which next says something else.
+// ChangedIDs returns the ids of the servers about which next differs, in order.
 func (s Set) ChangedIDs(next Set) (ids []string) {
-	differ := func(was, is map[string]float64) {
-		for id, at := range was {
-			if is[id] != at {
+	addDifferent := func(before, after map[string]float64) {
+		for id, date := range before {
+			if after[id] != date {
 				ids = append(ids, id)
 			}
 		}
 	}
-	differ(s.Cordoned, next.Cordoned)
-	differ(next.Cordoned, s.Cordoned)
-	differ(s.Uncordoned, next.Uncordoned)
-	differ(next.Uncordoned, s.Uncordoned)
+	addDifferent(s.Cordoned, next.Cordoned)
+	addDifferent(next.Cordoned, s.Cordoned)
+	addDifferent(s.Uncordoned, next.Uncordoned)
+	addDifferent(next.Uncordoned, s.Uncordoned)
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -21,10 +21,10 @@
 		t.Error(err)
 	}
 	before := s.Clone()
-	if err := s.Uncordon("a", 9, false); err != nil { // out, and listed no more
+	if err := s.Uncordon("a", 9, false); err != nil { // cordoned, and listed no more
 		t.Error(err)
 	}
-	if err := s.Uncordon("c", 9, true); err != nil { // never out
+	if err := s.Uncordon("c", 9, true); err != nil { // never cordoned
 		t.Error(err)
 	}
 	if err := s.Uncordon("c", 9, false); !errors.Is(err, ErrUnknownServer) {
@@ -36,70 +36,71 @@
 	if diff := cmp.Diff([]string{"a"}, before.ChangedIDs(s)); diff != "" {
 		t.Error(diff)
 	}
-	for i := range 2 * mostBack {
+	for i := range 2 * maxUncordoned {
 		id := strings.Repeat("x", i+1)
-		if err := errors.Join(s.Cordon(id, float64(10+i), true), s.Uncordon(id, float64(10+i), true)); err != nil {
+		date := float64(10 + i)
+		if err := errors.Join(s.Cordon(id, date, true), s.Uncordon(id, date, true)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, early := s.Uncordoned["x"]; len(s.Uncordoned) != mostBack || early {
-		t.Errorf("%d returns are kept", len(s.Uncordoned))
+	if _, early := s.Uncordoned["x"]; len(s.Uncordoned) != maxUncordoned || early {
+		t.Errorf("%d returns are remembered", len(s.Uncordoned))
 	}
 }
 
-// The file is the truth for all processes: whole or not at all, whatever is in it.
+// The file decides for all processes: whole or not at all, whatever is in it.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans.json")
 	one, two := &Store{Path: path}, &Store{Path: path}
-	var both sync.WaitGroup
-	for i, s := range []*Store{one, two} {
-		both.Go(func() {
+	var writers sync.WaitGroup
+	for i, store := range []*Store{one, two} {
+		writers.Go(func() {
 			for n := range 50 {
 				id := string(rune('a'+i)) + strings.Repeat("x", n)
-				if _, err := s.Update(func(s *Set) error { return s.Cordon(id, 1, true) }); err != nil {
+				if _, err := store.Update(func(s *Set) error { return s.Cordon(id, 1, true) }); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
-	both.Wait()
+	writers.Wait()
 	if set, _, err := one.Read(); err != nil || len(set.Cordoned) != 100 {
-		t.Fatalf("%d out, %v", len(set.Cordoned), err)
+		t.Fatalf("%d cordoned, %v", len(set.Cordoned), err)
 	}
 	if _, changed, err := one.Read(); changed || err != nil {
 		t.Errorf("read twice: %t, %v", changed, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	told := make(chan bool, 1)
-	go one.Watch(ctx, func() { told <- true }, func(err error) { t.Error(err) })
+	changed := make(chan bool, 1)
+	go one.Watch(ctx, func() { changed <- true }, func(err error) { t.Error(err) })
 	if _, err := two.Update(func(s *Set) error { return s.Uncordon("a", 7, true) }); err != nil {
 		t.Error(err)
 	}
-	<-told
+	<-changed
 	cancel()
 	if set, _, _ := one.Read(); len(set.Cordoned) != 99 || set.Uncordoned["a"] != 7 {
-		t.Errorf("%d out, back %v", len(set.Cordoned), set.Uncordoned)
+		t.Errorf("%d cordoned, uncordoned %v", len(set.Cordoned), set.Uncordoned)
 	}
-	whole, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{"", string(whole[:len(whole)/2]), strings.Replace(string(whole), `"version":1`, `"version":2`, 1)} {
-		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
+	for _, malformed := range []string{"", string(content[:len(content)/2]), strings.Replace(string(content), `"version":1`, `"version":2`, 1)} {
+		if err := os.WriteFile(path, []byte(malformed), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		fresh := &Store{Path: path}
-		if set, changed, err := fresh.Read(); err == nil || changed || len(set.Cordoned) > 0 || !strings.Contains(err.Error(), path) {
-			t.Errorf("%.40q: %v, %v", bad, set.Cordoned, err)
+		if set, changed, err := fresh.Read(); !errors.Is(err, ErrMalformedFile) || changed || len(set.Cordoned) > 0 || !strings.Contains(err.Error(), path) {
+			t.Errorf("%.40q: %v, %v", malformed, set.Cordoned, err)
 		}
 		if set, err := fresh.Update(func(s *Set) error { return s.Cordon("z", 1, true) }); err != nil || len(set.Cordoned) != 1 {
-			t.Errorf("after %.40q: %v, %v", bad, set.Cordoned, err)
+			t.Errorf("after %.40q: %v, %v", malformed, set.Cordoned, err)
 		}
 	}
-	lost := &Store{Path: filepath.Join(t.TempDir(), "nowhere", "bans.json")}
-	if _, err := lost.Update(func(s *Set) error { return s.Cordon("a", 1, true) }); err == nil {
-		t.Error("what can't be kept is not in force")
-	} else if set, _, err := lost.Read(); len(set.Cordoned) > 0 || err != nil {
+	unwritable := &Store{Path: filepath.Join(t.TempDir(), "nowhere", "bans.json")}
+	if _, err := unwritable.Update(func(s *Set) error { return s.Cordon("a", 1, true) }); err == nil {
+		t.Error("a set that can't be kept is in force")
+	} else if set, _, err := unwritable.Read(); len(set.Cordoned) > 0 || err != nil {
 		t.Errorf("after that: %v, %v", set.Cordoned, err)
 	}
 }
--- a/internal/cordon/faults_test.go
+++ b/internal/cordon/faults_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// failing is a disk of which a step fails for the next few times.
-type failing struct {
+// failingDisk is a disk of which one step fails the next few times.
+type failingDisk struct {
 	step  Step
 	times int
 	err   error
 }
 
-func (f *failing) before(step Step, _ string) error {
+func (f *failingDisk) before(step Step, _ string) error {
 	if step != f.step || f.times == 0 {
 		return nil
 	}
@@ -24,8 +24,8 @@
 	return f.err
 }
 
-// out puts a server out, some time ago, in a file of its own.
-func out(t *testing.T, id string) (path string) {
+// cordonInNewFile returns a file, written some time ago, in which a server is cordoned.
+func cordonInNewFile(t *testing.T, id string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "bans.json")
 	if _, err := (&Store{Path: path}).Update(func(s *Set) error { return s.Cordon(id, 1, true) }); err != nil {
@@ -38,56 +38,56 @@
 	return path
 }
 
-// Operators were told that a server is out: that holds whatever the disk does meanwhile.
-func TestOrdersOutliveAFailingDisk(t *testing.T) {
-	t.Run("known once it is back", knownOnceItIsBack)
-	t.Run("an order undoes no other", anOrderUndoesNoOther)
+// A cordon that operators got an answer for remains, whatever the disk does meanwhile.
+func TestCordonsOutliveFailingDisk(t *testing.T) {
+	t.Run("read once the disk is back", testReadOnceDiskIsBack)
+	t.Run("an update undoes no other", testUpdateUndoesNoOther)
 }
 
-// A process that starts while the disk fails knows the orders as soon as the disk is back.
-func knownOnceItIsBack(t *testing.T) {
-	for _, fault := range []failing{
+// A process that starts while the disk fails knows the cordons as soon as the disk is back.
+func testReadOnceDiskIsBack(t *testing.T) {
+	for _, fault := range []failingDisk{
 		{StepOpen, 2, syscall.ENFILE}, {StepOpen, 2, syscall.EIO}, {StepRead, 2, syscall.EIO}, {StepRead, 1, syscall.EINTR},
 	} {
 		disk := fault
-		s := &Store{Path: out(t, "a"), BeforeStep: disk.before}
+		s := &Store{Path: cordonInNewFile(t, "a"), BeforeStep: disk.before}
 		for range fault.times {
 			if _, _, err := s.Read(); !errors.Is(err, fault.err) {
 				t.Errorf("%s: %v, want %v", fault.step, err, fault.err)
 			}
 		}
 		if set, changed, err := s.Read(); err != nil || !changed || set.Cordoned["a"] != 1 {
-			t.Errorf("%s failed %d times with %v: out %v, changed %t, %v", fault.step, fault.times, fault.err, set.Cordoned, changed, err)
+			t.Errorf("%s failed %d times with %v: cordoned %v, changed %t, %v", fault.step, fault.times, fault.err, set.Cordoned, changed, err)
 		}
 	}
 }
 
-// An order that comes while the file can't be read is refused: written over what another process was told, it would undo that.
-func anOrderUndoesNoOther(t *testing.T) {
+// An update while the file can't be read is refused: written over what another process has written, it would undo that.
+func testUpdateUndoesNoOther(t *testing.T) {
 	for _, step := range []Step{StepOpen, StepRead} {
-		path := out(t, "a")
-		disk := &failing{step, 1, syscall.EIO}
+		path := cordonInNewFile(t, "a")
+		disk := &failingDisk{step, 1, syscall.EIO}
 		s := &Store{Path: path, BeforeStep: disk.before}
 		if _, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); !errors.Is(err, syscall.EIO) {
 			t.Errorf("%s: %v, want an I/O error", step, err)
 		}
 		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Cordoned["a"] != 1 || set.Cordoned["b"] != 0 {
-			t.Errorf("%s: out %v, %v; want a alone", step, set.Cordoned, err)
+			t.Errorf("%s: cordoned %v, %v; want a alone", step, set.Cordoned, err)
 		}
 		if _, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); err != nil {
 			t.Errorf("%s, once the disk is back: %v", step, err)
 		}
 		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Cordoned["a"] != 1 || set.Cordoned["b"] != 2 {
-			t.Errorf("%s, once the disk is back: out %v, %v; want both", step, set.Cordoned, err)
+			t.Errorf("%s, once the disk is back: cordoned %v, %v; want both", step, set.Cordoned, err)
 		}
 	}
 }
 
-// A wait for another writer that a signal interrupts is taken up again: the order is not refused.
-func TestInterruptedLock(t *testing.T) {
-	disk := &failing{StepLock, 2, syscall.EINTR}
-	s := &Store{Path: out(t, "a"), BeforeStep: disk.before}
+// A wait for another writer that a signal interrupts is resumed: the update is not refused.
+func TestInterruptedLockIsRetried(t *testing.T) {
+	disk := &failingDisk{StepLock, 2, syscall.EINTR}
+	s := &Store{Path: cordonInNewFile(t, "a"), BeforeStep: disk.before}
 	if set, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); err != nil || set.Cordoned["b"] != 2 {
-		t.Errorf("out %v, %v", set.Cordoned, err)
+		t.Errorf("cordoned %v, %v", set.Cordoned, err)
 	}
 }
