--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -33,12 +33,12 @@
 }
 
 // Check says what makes the line one that nothing can be done with.
-func (m *Endpoint) Check() error {
-	if m.ID == "" {
+func (e *Endpoint) Check() error {
+	if e.ID == "" {
 		return errors.New("id: missing")
 	}
-	if _, _, err := net.SplitHostPort(m.Address); err != nil && m.Phase == Serving {
-		return fmt.Errorf("host_port: %q is not host:port", m.Address)
+	if _, _, err := net.SplitHostPort(e.Address); err != nil && e.Phase == Serving {
+		return fmt.Errorf("host_port: %q is not host:port", e.Address)
 	}
 	return nil
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -20,12 +20,12 @@
 	OneAttempt               // a second attempt while one is out
 	Effect                   // repeating or refusing what may have run, where its class forbids that
 	Answer                   // ending a connection without the answer to a request that was read from it
-	count
+	ruleCount
 )
 
-var names = [count]string{"client_gone", "drain_grace", "repeat_window", "deadline", "one_attempt", "effect", "answer"}
+var ruleNames = [ruleCount]string{"client_gone", "drain_grace", "repeat_window", "deadline", "one_attempt", "effect", "answer"}
 
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // What the operators allow beyond a limit, measured at the other end of the socket.
 const (
@@ -39,24 +39,24 @@
 	// Logf logs a line of key=value pairs for each act that got past its guard; nil = nothing is logged.
 	Logf func(format string, args ...any)
 
-	held, broken [count]atomic.Int64
+	prevented, violated [ruleCount]atomic.Int64
 }
 
 // Prevented counts an act that the rule's guard has held back.
-func (b *Recorder) Prevented(r Rule) {
-	if b != nil {
-		b.held[r].Add(1)
+func (r *Recorder) Prevented(rule Rule) {
+	if r != nil {
+		r.prevented[rule].Add(1)
 	}
 }
 
 // Violated counts an act that got past the rule's guard, and logs what is known of it as key=value pairs.
-func (b *Recorder) Violated(r Rule, format string, args ...any) {
-	if b == nil {
+func (r *Recorder) Violated(rule Rule, format string, args ...any) {
+	if r == nil {
 		return
 	}
-	b.broken[r].Add(1)
-	if b.Logf != nil {
-		b.Logf("rule=%s state=broken "+format, append([]any{r}, args...)...)
+	r.violated[rule].Add(1)
+	if r.Logf != nil {
+		r.Logf("rule=%s state=broken "+format, append([]any{rule}, args...)...)
 	}
 }
 
@@ -67,11 +67,11 @@
 }
 
 // Counts are those of all rules, in a fixed order.
-func (b *Recorder) Counts() (all []Count) {
-	for r := range count {
-		one := Count{Rule: r}
-		if b != nil {
-			one.Prevented, one.Violations = b.held[r].Load(), b.broken[r].Load()
+func (r *Recorder) Counts() (all []Count) {
+	for rule := range ruleCount {
+		one := Count{Rule: rule}
+		if r != nil {
+			one.Prevented, one.Violations = r.prevented[rule].Load(), r.violated[rule].Load()
 		}
 		all = append(all, one)
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -14,7 +14,7 @@
 	b.Prevented(DrainGrace)
 	b.Prevented(DrainGrace)
 	b.Violated(Effect, "request=%q", "r-1")
-	if c := b.Counts(); c[DrainGrace].Prevented != 2 || c[DrainGrace].Violations != 0 || c[Effect].Violations != 1 || len(c) != int(count) {
+	if c := b.Counts(); c[DrainGrace].Prevented != 2 || c[DrainGrace].Violations != 0 || c[Effect].Violations != 1 || len(c) != int(ruleCount) {
 		t.Errorf("%v", c)
 	}
 	if diff := cmp.Diff([]string{`rule=effect state=broken request="r-1"`}, lines); diff != "" {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -33,15 +33,15 @@
 
 // Registry is where they are counted. It is safe for concurrent use; the zero value counts.
 type Registry struct {
-	mu  sync.Mutex
-	now Values
+	mu     sync.Mutex
+	values Values
 }
 
 // Classes makes sure that these classes have counts, if only 0. Those of others stay.
-func (b *Registry) Classes(names ...string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, counts := range []*map[string]int{&b.now.Success, &b.now.Overload, &b.now.Error} {
+func (r *Registry) Classes(names ...string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, counts := range []*map[string]int{&r.values.Success, &r.values.Overload, &r.values.Error} {
 		if *counts == nil {
 			*counts = map[string]int{}
 		}
@@ -53,67 +53,67 @@
 
 // Request is one that was taken.
 type Request struct {
-	book  *Registry
-	class string
-	once  sync.Once
+	registry *Registry
+	class    string
+	once     sync.Once
 }
 
 // RequestStarted counts a request of that class, which is under way until End.
-func (b *Registry) RequestStarted(class string) *Request {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now.Concurrent++
-	return &Request{book: b, class: class}
+func (r *Registry) RequestStarted(class string) *Request {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.values.Concurrent++
+	return &Request{registry: r, class: class}
 }
 
 // End counts how the request has ended. Only the first call counts.
 func (r *Request) End(how Outcome) {
 	r.once.Do(func() {
-		b := r.book
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.now.Concurrent--
+		registry := r.registry
+		registry.mu.Lock()
+		defer registry.mu.Unlock()
+		registry.values.Concurrent--
 		switch how {
 		case Success:
-			b.now.Success[r.class]++
+			registry.values.Success[r.class]++
 		case Overload:
-			b.now.Overload[r.class]++
+			registry.values.Overload[r.class]++
 		case Error:
-			b.now.Error[r.class]++
+			registry.values.Error[r.class]++
 		}
 	})
 }
 
 // AttemptSent counts an attempt whose last byte is written.
-func (b *Registry) AttemptSent() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now.Dispatches++
+func (r *Registry) AttemptSent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.values.Dispatches++
 }
 
 // SetTargets notes how many providers the list has, and how many of those are left out.
-func (b *Registry) SetTargets(listed, disabled int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now.Targets, b.now.TargetsDisabled = listed, disabled
+func (r *Registry) SetTargets(listed, disabled int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.values.Targets, r.values.TargetsDisabled = listed, disabled
 }
 
 // ConfigReloaded counts a file that was taken, or turned down.
-func (b *Registry) ConfigReloaded(taken bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) ConfigReloaded(taken bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if taken {
-		b.now.ReloadSuccess++
+		r.values.ReloadSuccess++
 	} else {
-		b.now.ReloadFailure++
+		r.values.ReloadFailure++
 	}
 }
 
 // Read returns a copy of the figures as they are.
-func (b *Registry) Read() Values {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := b.now
+func (r *Registry) Read() Values {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := r.values
 	out.Success, out.Overload, out.Error = maps.Clone(out.Success), maps.Clone(out.Overload), maps.Clone(out.Error)
 	return out
 }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -50,10 +50,10 @@
 	TimedOut    // nothing came back in time
 	Cancelled   // the sidecar stopped waiting
 
-	count
+	kindCount
 )
 
-var table = [count]struct {
+var kinds = [kindCount]struct {
 	name   string
 	status policy.Status
 }{
@@ -87,20 +87,20 @@
 }
 
 // Status is the decision module's word for the ending of an invoker call or a probe.
-func (e Kind) Status() policy.Status { return table[e].status }
+func (k Kind) Status() policy.Status { return kinds[k].status }
 
-func (e Kind) String() string { return table[e].name }
+func (k Kind) String() string { return kinds[k].name }
 
 // Unsent turns an ending into the one that applies while the last byte has not been written: nothing that
 // the provider has not wholly received can have run.
-func (e Kind) Unsent() Kind {
-	switch e {
+func (k Kind) Unsent() Kind {
+	switch k {
 	case Cancelled:
 		return Withdrawn
 	case TimedOut, ResetByPeer, Malformed:
 		return PartlyWritten
 	}
-	return e
+	return k
 }
 
 // FromIdleError reads how the reader of an idle connection was ended; without an error it got bytes that nobody asked for.
@@ -117,7 +117,7 @@
 }
 
 // Counts counts endings.
-type Counts [count]int
+type Counts [kindCount]int
 
 // Each calls f with every ending that has been counted, in a fixed order.
 func (c *Counts) Each(f func(Kind, int)) {
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -7,13 +7,13 @@
 
 // What proves that an invoker call never ran decides whether an order may be sent again: no ending may slip over to
 // the other side.
-func TestWhatNeverRan(t *testing.T) {
+func TestKindsThatNeverRan(t *testing.T) {
 	never := map[Kind]bool{
 		Declined: true, ConnectionLimit: true, LocalError: true, ConnectRefused: true, ConnectTimeout: true, ServerDraining: true, Expired: true,
 		PartlyWritten: true, Withdrawn: true, NoLoadReport: true,
 	} // the last is of probes alone
 	names := map[string]bool{}
-	for e := Served; e < count; e++ {
+	for e := Served; e < kindCount; e++ {
 		if e.Status().NeverRan() != never[e] {
 			t.Errorf("%s: status %d", e, e.Status())
 		}
@@ -21,7 +21,7 @@
 			t.Errorf("%s: status %d", e, e.Status())
 		}
 	}
-	for e := Open; e < count; e++ {
+	for e := Open; e < kindCount; e++ {
 		if e.String() == "" || names[e.String()] {
 			t.Errorf("ending %d is called %q", e, e)
 		}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -35,33 +35,33 @@
 	// MayHaveRun is set by the core as it lets go of it: an attempt may have run, or may yet.
 	MayHaveRun bool
 
-	leftAt atomic.Pointer[time.Time] // when its consumer was found to be gone; nil = it is there
+	clientGoneAt atomic.Pointer[time.Time] // when its consumer was found to be gone; nil = it is there
 }
 
 // MarkClientGone notes that its consumer is gone. Whoever is about to write something of it sees that at once, wherever the word of it
 // has to wait.
-func (i *Request) MarkClientGone() {
+func (r *Request) MarkClientGone() {
 	now := time.Now()
-	i.leftAt.CompareAndSwap(nil, &now)
+	r.clientGoneAt.CompareAndSwap(nil, &now)
 }
 
 // IsClientGone reports whether its consumer is known to be gone.
-func (i *Request) IsClientGone() bool { return i.leftAt.Load() != nil }
+func (r *Request) IsClientGone() bool { return r.clientGoneAt.Load() != nil }
 
 // ClientGoneFor is for how long its consumer has been known to be gone at now; 0 = it is there.
-func (i *Request) ClientGoneFor(now time.Time) time.Duration {
-	if at := i.leftAt.Load(); at != nil {
+func (r *Request) ClientGoneFor(now time.Time) time.Duration {
+	if at := r.clientGoneAt.Load(); at != nil {
 		return now.Sub(*at)
 	}
 	return 0
 }
 
 // CheckClientGone is Left as of now: it asks whoever can tell, and notes what it is told.
-func (i *Request) CheckClientGone() bool {
-	if !i.IsClientGone() && i.ClientGone != nil && i.ClientGone() {
-		i.MarkClientGone()
+func (r *Request) CheckClientGone() bool {
+	if !r.IsClientGone() && r.ClientGone != nil && r.ClientGone() {
+		r.MarkClientGone()
 	}
-	return i.IsClientGone()
+	return r.IsClientGone()
 }
 
 // Stream is a body that flows.
--- a/internal/stableid/stableid_test.go
+++ b/internal/stableid/stableid_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestNumbersCarryRules(t *testing.T) {
+func TestNumbersFollowNamesAndRules(t *testing.T) {
 	var table Table[string]
 	at := time.Unix(1000, 0)
 	for _, tc := range []struct {
@@ -32,7 +32,7 @@
 }
 
 // Whatever changes, a number keeps its name and rules until its hold is over, and numbers do not grow without end.
-func TestNumbersHold(t *testing.T) {
+func TestNumbersKeepTheirMeaning(t *testing.T) {
 	rng, now, hold := rand.New(rand.NewPCG(1, 2)), time.Unix(1000, 0), 10*time.Second
 	var table Table[int]
 	type use struct {
