--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints has the words in which every source of membership speaks of providers: the platform's directory, a
-// static list, an application. What follows from them (drains, cold starts, empty lists) is enforced once, in the core.
+// Package endpoints has the endpoint list in the form in which every source gives it: discovery, a static list, an application. What
+// follows from it (drains, slow starts, empty lists) is enforced once, by the dispatcher.
 package endpoints
 
 import (
@@ -8,14 +8,14 @@
 	"net"
 )
 
-// Phases of a provider. Any other word counts as draining: it is not the one that asks for new work.
+// Phases of a server. Any other counts as draining: it is not the one that asks for new work.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED" // only among changes
 )
 
-// Endpoint is one provider, as a line of the platform's list.
+// Endpoint is one server, as a line of the list.
 type Endpoint struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"host_port"`
@@ -25,14 +25,14 @@
 	StartedAt float64 `json:"up_since_ms"` // start of its process in Unix milliseconds; 0 = long ago
 }
 
-// List is what a source has to say: the whole list, or what has changed.
+// List is the complete list, or what has changed.
 type List struct {
 	Revision  uint64     `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"`
 }
 
-// Check says what makes the line one that nothing can be done with.
+// Check returns an error that names, by its key in the list, what makes the line unusable.
 func (e *Endpoint) Check() error {
 	if e.ID == "" {
 		return errors.New("id: missing")
@@ -43,40 +43,40 @@
 	return nil
 }
 
-// RemoveInvalid takes out the lines that nothing can be done with and says what is wrong with each, by its position.
-func (l *List) RemoveInvalid() (faults []error) {
-	kept := l.Endpoints[:0]
-	for i, m := range l.Endpoints {
-		if err := m.Check(); err != nil {
-			faults = append(faults, fmt.Errorf("members[%d].%w", i, err))
+// RemoveInvalid removes the unusable lines and returns what is wrong with each, by its position.
+func (l *List) RemoveInvalid() (problems []error) {
+	valid := l.Endpoints[:0]
+	for i, endpoint := range l.Endpoints {
+		if err := endpoint.Check(); err != nil {
+			problems = append(problems, fmt.Errorf("members[%d].%w", i, err))
 		} else {
-			kept = append(kept, m)
+			valid = append(valid, endpoint)
 		}
 	}
-	l.Endpoints = kept
-	return faults
+	l.Endpoints = valid
+	return problems
 }
 
-// Normalize leaves one line of each provider that has several, and names those that contradict each other. The last one stands,
-// unless it alone asks for new work, for the same process: whom one line takes out of service gets nothing new by another.
-func (l *List) Normalize() (faults []error) {
-	at := make(map[string]int, len(l.Endpoints))
-	kept := l.Endpoints[:0]
-	for _, m := range l.Endpoints {
-		first, again := at[m.ID]
+// Normalize leaves one line of each server that has several, and returns an error for each pair that contradict each other. The last one
+// wins, unless it alone asks for new work, for the same process: a server that one line takes out of service gets nothing new by another.
+func (l *List) Normalize() (problems []error) {
+	positions := make(map[string]int, len(l.Endpoints))
+	unique := l.Endpoints[:0]
+	for _, endpoint := range l.Endpoints {
+		position, again := positions[endpoint.ID]
 		if !again {
-			at[m.ID] = len(kept)
-			kept = append(kept, m)
+			positions[endpoint.ID] = len(unique)
+			unique = append(unique, endpoint)
 			continue
 		}
-		if was := kept[first]; was != m && m.StartedAt <= was.StartedAt {
-			faults = append(faults, fmt.Errorf("members: %q is %s and %s", m.ID, was.Phase, m.Phase))
-			if m.Phase == Serving && was.Phase != Serving {
+		if earlier := unique[position]; earlier != endpoint && endpoint.StartedAt <= earlier.StartedAt {
+			problems = append(problems, fmt.Errorf("members: %q is %s and %s", endpoint.ID, earlier.Phase, endpoint.Phase))
+			if endpoint.Phase == Serving && earlier.Phase != Serving {
 				continue
 			}
 		}
-		kept[first] = m
+		unique[position] = endpoint
 	}
-	l.Endpoints = kept
-	return faults
+	l.Endpoints = unique
+	return problems
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package loadreport reads what providers say of their load.
+// Package loadreport reads the load reports of servers.
 package loadreport
 
 import (
@@ -10,7 +10,7 @@
 // Field says what one value of a load report means.
 type Field uint8
 
-// The values that the module uses; all others are Other.
+// The values that the policy uses; all others are Other.
 const (
 	Other Field = iota
 	RIF
@@ -20,7 +20,7 @@
 
 var fields = map[string]Field{"active": RIF, "avg_ms": Latency, "err_rps": Errors}
 
-// Fields returns the meaning of each value of a report that has them in the order of names.
+// Fields returns what each value means of a report that has them in the order of names.
 func Fields(names []string) []Field {
 	out := make([]Field, len(names))
 	for i, name := range names {
@@ -33,15 +33,18 @@
 func (f Field) Put(r *policy.Report, v float64) {
 	switch f {
 	case RIF:
-		r.HasRIF, r.RIF = true, v
+		r.HasRIF = true
+		r.RIF = v
 	case Latency:
-		r.HasLatency, r.Latency = true, v
+		r.HasLatency = true
+		r.Latency = v
 	case Errors:
-		r.HasErrors, r.Errors = true, v
+		r.HasErrors = true
+		r.Errors = v
 	}
 }
 
-// Parse reads a report in JSON, an object of numbers by name. What can't be read is no report, and null is no figure.
+// Parse reads a report in JSON, an object of numbers by name. What can't be read is an empty report, and null is no value.
 func Parse(raw []byte) (r policy.Report) {
 	var values map[string]*float64
 	if jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &values) != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// Outcome is how a request that was taken has ended.
+// Outcome is how an accepted request has ended.
 type Outcome uint8
 
-// The outcomes. Of one that its consumer left nothing is counted but that it is over.
+// The outcomes. Of a request whose client has gone nothing is counted but that it is over.
 const (
 	Left Outcome = iota
 	Success
@@ -23,21 +23,21 @@
 	Success         map[string]int `json:"success"`
 	Overload        map[string]int `json:"overload"`
 	Error           map[string]int `json:"error"`
-	Dispatches      int            `json:"dispatches"` // attempts written whole to providers
-	Concurrent      int            `json:"concurrent"` // requests taken and not ended
-	Targets         int            `json:"targets"`    // providers in the list
+	Dispatches      int            `json:"dispatches"` // attempts written whole to servers
+	Concurrent      int            `json:"concurrent"` // requests accepted and not ended
+	Targets         int            `json:"targets"`    // servers in the list
 	TargetsDisabled int            `json:"targets_disabled"`
 	ReloadSuccess   int            `json:"reload_success"`
 	ReloadFailure   int            `json:"reload_failure"`
 }
 
-// Registry is where they are counted. It is safe for concurrent use; the zero value counts.
+// Registry counts. It is safe for concurrent use; the zero value is ready to use.
 type Registry struct {
 	mu     sync.Mutex
 	values Values
 }
 
-// Classes makes sure that these classes have counts, if only 0. Those of others stay.
+// Classes makes sure that these classes have counts, if only 0. Those of others remain.
 func (r *Registry) Classes(names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// Request is one that was taken.
+// Request is an accepted request.
 type Request struct {
 	registry *Registry
 	class    string
@@ -91,37 +91,40 @@
 	r.values.Dispatches++
 }
 
-// SetTargets notes how many providers the list has, and how many of those are left out.
+// SetTargets notes how many servers the list has, and how many of those are ejected or cordoned.
 func (r *Registry) SetTargets(listed, disabled int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.values.Targets, r.values.TargetsDisabled = listed, disabled
+	r.values.Targets = listed
+	r.values.TargetsDisabled = disabled
 }
 
-// ConfigReloaded counts a file that was taken, or turned down.
-func (r *Registry) ConfigReloaded(taken bool) {
+// ConfigReloaded counts a file that was accepted, or rejected.
+func (r *Registry) ConfigReloaded(accepted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if taken {
+	if accepted {
 		r.values.ReloadSuccess++
 	} else {
 		r.values.ReloadFailure++
 	}
 }
 
-// Read returns a copy of the figures as they are.
+// Read returns a copy of the counts.
 func (r *Registry) Read() Values {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.values
-	out.Success, out.Overload, out.Error = maps.Clone(out.Success), maps.Clone(out.Overload), maps.Clone(out.Error)
-	return out
+	values := r.values
+	values.Success = maps.Clone(values.Success)
+	values.Overload = maps.Clone(values.Overload)
+	values.Error = maps.Clone(values.Error)
+	return values
 }
 
 // Sum adds up a count over its classes.
-func Sum(byClass map[string]int) (n int) {
-	for _, k := range byClass {
-		n += k
+func Sum(byClass map[string]int) (total int) {
+	for _, n := range byClass {
+		total += n
 	}
-	return n
+	return total
 }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package outcome names every way in which a connection, or what was under way on it, can end.
+// Package outcome names every way in which a connection, an attempt or a probe can end.
 package outcome
 
 import (
@@ -9,42 +9,42 @@
 	"plankrouter/policy"
 )
 
-// Kind is one such way.
+// Kind is one of them.
 type Kind uint8
 
-// The endings, by what had been under way.
+// The kinds, by what had been under way.
 const (
 	Open Kind = iota // not ended
 
-	// Of a connection between two invocations, on either side.
-	IdleRetired         // left idle too long, or closed to make room for another
+	// Of a connection between two requests, on either side.
+	IdleRetired         // idle for too long, or closed to make room for another
 	PeerClosed          // the other side closed it
 	UnexpectedBytes     // bytes came that nobody had asked for
-	ClosedAfterResponse // the answer that went out or came in was said to be the last
-	ShuttingDown        // the sidecar is being stopped
-	ClientGone          // the consumer left while its invocation was held
-	MalformedRequest    // what the consumer sent is malformed
-	ResponseAborted     // the provider broke off in the middle of an answer that was being passed on
-	WriteFailed         // the answer could not be written to the consumer
-	PassedToSuccessor   // a successor has it now
+	ClosedAfterResponse // the answer that was sent or received was declared to be the last
+	ShuttingDown        // the sidecar shuts down
+	ClientGone          // the client left while its request was pending
+	MalformedRequest    // what the client sent is malformed
+	ResponseAborted     // the server broke off in the middle of an answer that was being passed on
+	WriteFailed         // the answer could not be written to the client
+	PassedToSuccessor   // the next process of a hot restart has it now
 
-	// Of an invoker call or a probe: answered.
+	// Of an attempt or a probe: answered.
 	Served       // 200 and a whole body
-	ServerError  // an answer that is neither a 200 nor a provider's word that it has not run
-	Declined     // the provider's word that it has not run
-	NoLoadReport // what became of a probe without the load report that it should bring, or sent to an earlier process: it says nothing
+	ServerError  // an answer that is neither a 200 nor says that the request has not run
+	Declined     // the server says that the request has not run
+	NoLoadReport // a probe's, without the load report that it should bring, or of an earlier process: it says nothing
 
-	// Of an invoker call or a probe: never ran.
-	ConnectionLimit // the limit on sockets left none for it
+	// Of an attempt or a probe: never ran.
+	ConnectionLimit // the limit on connections left none for it
 	LocalError      // this machine could not even try: no descriptor, no port, no route
 	ConnectRefused  // the connection was refused or came to nothing
 	ConnectTimeout  // the connection did not come up in time
-	ServerDraining  // the provider was draining or gone before the first byte was written
+	ServerDraining  // the server was draining or gone before the first byte was written
 	Expired         // the time in which it could be repeated was over before the last byte was written
 	PartlyWritten   // the connection broke, or time was up, before the last byte was written
-	Withdrawn       // called off before the last byte was written
+	Withdrawn       // given up before the last byte was written
 
-	// Of an invoker call or a probe: may have run.
+	// Of an attempt or a probe: may have run.
 	ResetByPeer // the connection broke or ended before the whole answer had come
 	Malformed   // what came back is no HTTP answer, or too large a one
 	TimedOut    // nothing came back in time
@@ -86,13 +86,13 @@
 	Cancelled:           {"called_off", policy.Cancelled},
 }
 
-// Status is the decision module's word for the ending of an invoker call or a probe.
+// Status returns the policy's status of an attempt or a probe that has ended so.
 func (k Kind) Status() policy.Status { return kinds[k].status }
 
 func (k Kind) String() string { return kinds[k].name }
 
-// Unsent turns an ending into the one that applies while the last byte has not been written: nothing that
-// the provider has not wholly received can have run.
+// Unsent returns the kind that applies instead while the last byte has not been written: what the server has not received whole can't have
+// run.
 func (k Kind) Unsent() Kind {
 	switch k {
 	case Cancelled:
@@ -103,7 +103,7 @@
 	return k
 }
 
-// FromIdleError reads how the reader of an idle connection was ended; without an error it got bytes that nobody asked for.
+// FromIdleError returns how an idle connection has ended, by the error of its reader; without an error it got bytes that nobody asked for.
 func FromIdleError(err error) Kind {
 	switch {
 	case err == nil:
@@ -116,14 +116,14 @@
 	return ResetByPeer
 }
 
-// Counts counts endings.
+// Counts has the number of each kind.
 type Counts [kindCount]int
 
-// Each calls f with every ending that has been counted, in a fixed order.
+// Each calls f with every kind that was counted, in a fixed order.
 func (c *Counts) Each(f func(Kind, int)) {
-	for e, n := range c {
+	for k, n := range c {
 		if n > 0 {
-			f(Kind(e), n)
+			f(Kind(k), n)
 		}
 	}
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds what a front hands to the core and gets back from it. Nothing in it belongs to
-// one protocol: a second front, or a library inside an application, speaks to the core in the same words.
+// Package request has what a front end hands to the dispatcher and gets back from it. Nothing in it belongs to one protocol: a second front
+// end, or a library inside an application, uses the same types.
 package request
 
 import (
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Field is one named attribute that travels with an invocation or its answer.
+// Field is one named attribute that travels with a request or its answer.
 type Field = field.Field
 
-// Request is one request of a consumer.
+// Request is one request of a client.
 type Request struct {
-	ID          string // the consumer's own, passed on unchanged
+	ID          string // the client's own, passed on unchanged
 	Class       int    // position in the settings
 	Tenant      int    // position in the settings; -1 = none that they name
-	ClientRetry bool   // the consumer marked it as a repetition
+	ClientRetry bool   // the client marked it as a repetition
 	SentAt      time.Time
-	Timeout     time.Duration // how long the consumer waits, from SentAt
+	Timeout     time.Duration // how long the client waits, from SentAt
 
-	Host      string // whom it is meant for, where the protocol has that; "" = the provider that gets it
+	Host      string // whom it is meant for, where the protocol has that; "" = the server that gets it
 	Method    string // what to do
 	Target    string // to what
 	Fields    []Field
@@ -30,25 +30,26 @@
 
 	// Respond takes the one final answer. It must not block.
 	Respond func(Response)
-	// ClientGone looks whether its consumer is gone by now; nil = Leave alone tells. It must not block, and any goroutine may call it.
+	// ClientGone reports whether its client is gone by now; nil = only MarkClientGone says so. It must not block, and any goroutine may
+	// call it.
 	ClientGone func() bool
-	// MayHaveRun is set by the core as it lets go of it: an attempt may have run, or may yet.
+	// MayHaveRun is set by the dispatcher as it closes the request: an attempt may have run, or may yet.
 	MayHaveRun bool
 
-	clientGoneAt atomic.Pointer[time.Time] // when its consumer was found to be gone; nil = it is there
+	clientGoneAt atomic.Pointer[time.Time] // when its client was found to be gone; nil = it is there
 }
 
-// MarkClientGone notes that its consumer is gone. Whoever is about to write something of it sees that at once, wherever the word of it
-// has to wait.
+// MarkClientGone notes that its client is gone. Whoever is about to write something of it sees that at once, even while the dispatcher's
+// event of it waits.
 func (r *Request) MarkClientGone() {
 	now := time.Now()
 	r.clientGoneAt.CompareAndSwap(nil, &now)
 }
 
-// IsClientGone reports whether its consumer is known to be gone.
+// IsClientGone reports whether its client is known to be gone.
 func (r *Request) IsClientGone() bool { return r.clientGoneAt.Load() != nil }
 
-// ClientGoneFor is for how long its consumer has been known to be gone at now; 0 = it is there.
+// ClientGoneFor returns for how long its client has been known to be gone at now; 0 = it is there.
 func (r *Request) ClientGoneFor(now time.Time) time.Duration {
 	if at := r.clientGoneAt.Load(); at != nil {
 		return now.Sub(*at)
@@ -56,7 +57,7 @@
 	return 0
 }
 
-// CheckClientGone is Left as of now: it asks whoever can tell, and notes what it is told.
+// CheckClientGone is IsClientGone as of now: it calls ClientGone, and notes the result.
 func (r *Request) CheckClientGone() bool {
 	if !r.IsClientGone() && r.ClientGone != nil && r.ClientGone() {
 		r.MarkClientGone()
@@ -64,30 +65,30 @@
 	return r.IsClientGone()
 }
 
-// Stream is a body that flows.
+// Stream is a body that is read piece by piece.
 type Stream interface {
 	io.Reader      // io.EOF = it was whole
 	Length() int64 // of what is left; -1 = that is not known
 }
 
-// Upload is a body that the consumer still sends. One attempt at a time reads it.
+// Upload is a body that the client still sends. One attempt at a time reads it.
 type Upload interface {
 	Stream
 	Consumed() bool // something of it was read: it can't be sent again
 }
 
-// BodyStream is an answer's body that the provider still sends.
+// BodyStream is an answer's body that the server still sends.
 type BodyStream interface {
 	Stream
 	// Close ends it, whole or not; only the first call counts. Any goroutine may call it, and a Read under way ends soon.
 	Close(whole bool)
 }
 
-// Kind says what a final answer means to the consumer.
+// Kind says what a final answer means to the client.
 type Kind uint8
 
-// The kinds. Refused promises that trying again is harmless; Failed promises nothing; Conflict says that the invocation
-// was never taken, since another of the same id is open.
+// The kinds. Rejected promises that trying again is harmless; Failed promises nothing; Duplicate says that the request was never accepted,
+// since another of the same id is open.
 const (
 	Served Kind = iota
 	Rejected
@@ -97,24 +98,24 @@
 
 func (k Kind) String() string { return [...]string{"served", "refused", "failed", "conflict"}[k] }
 
-// Response is the final answer to an invocation.
+// Response is the final answer to a request.
 type Response struct {
 	Kind       Kind
-	RetryAfter time.Duration // with Refused: when to come back; 0 = no advice
-	StatusCode int           // with Served: the protocol's own word for the answer, which the core passes on unread
-	Fields     []Field       // with Served: the provider's
-	Body       []byte        // with Served: the provider's, unchanged
+	RetryAfter time.Duration // with Rejected: when to come back; 0 = no advice
+	StatusCode int           // with Served: the protocol's own status, which the dispatcher passes on unread
+	Fields     []Field       // with Served: the server's
+	Body       []byte        // with Served: the server's, unchanged
 	Remainder  BodyStream    // with Served: what follows Body; nil = that is all
 	MayHaveRun bool          // an attempt may have run, or may yet
 }
 
-// Dispatcher takes invocations from any front.
+// Dispatcher takes requests from any front end.
 type Dispatcher interface {
-	// Submit hands over an invocation; its Answer is called exactly once, unless Abandon comes first. False
-	// means that the core has stopped and will never answer.
+	// Submit hands over a request; its Respond is called exactly once, unless ClientGone comes first. False means that the dispatcher
+	// has stopped and will never answer.
 	Submit(*Request) bool
-	// ClientGone says that the consumer no longer waits.
+	// ClientGone reports that the client no longer waits.
 	ClientGone(*Request)
-	// Ready reports whether an invocation could be served now.
+	// Ready reports whether a request could be served now.
 	Ready() bool
 }
