--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// Outcome is how a request that was taken has ended.
+// Outcome is how an accepted request has ended.
 type Outcome uint8
 
-// The outcomes. Of one that its consumer left nothing is counted but that it is over.
+// The outcomes. Of a request whose client has gone nothing is counted but that it is over.
 const (
 	Left Outcome = iota
 	Success
@@ -23,25 +23,25 @@
 	Success         map[string]int `json:"success"`
 	Overload        map[string]int `json:"overload"`
 	Error           map[string]int `json:"error"`
-	Dispatches      int            `json:"dispatches"` // attempts written whole to providers
-	Concurrent      int            `json:"concurrent"` // requests taken and not ended
-	Targets         int            `json:"targets"`    // providers in the list
+	Dispatches      int            `json:"dispatches"` // attempts written whole to servers
+	Concurrent      int            `json:"concurrent"` // requests accepted and not ended
+	Targets         int            `json:"targets"`    // servers in the list
 	TargetsDisabled int            `json:"targets_disabled"`
 	ReloadSuccess   int            `json:"reload_success"`
 	ReloadFailure   int            `json:"reload_failure"`
 }
 
-// Registry is where they are counted. It is safe for concurrent use; the zero value counts.
+// Registry counts. It is safe for concurrent use; the zero value is ready to use.
 type Registry struct {
-	mu  sync.Mutex
-	now Values
+	mu     sync.Mutex
+	values Values
 }
 
-// Classes makes sure that these classes have counts, if only 0. Those of others stay.
-func (b *Registry) Classes(names ...string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, counts := range []*map[string]int{&b.now.Success, &b.now.Overload, &b.now.Error} {
+// Classes makes sure that these classes have counts, if only 0. Those of others remain.
+func (r *Registry) Classes(names ...string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, counts := range []*map[string]int{&r.values.Success, &r.values.Overload, &r.values.Error} {
 		if *counts == nil {
 			*counts = map[string]int{}
 		}
@@ -51,77 +51,80 @@
 	}
 }
 
-// Request is one that was taken.
+// Request is an accepted request.
 type Request struct {
-	book  *Registry
-	class string
-	once  sync.Once
+	registry *Registry
+	class    string
+	once     sync.Once
 }
 
 // RequestStarted counts a request of that class, which is under way until End.
-func (b *Registry) RequestStarted(class string) *Request {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now.Concurrent++
-	return &Request{book: b, class: class}
+func (r *Registry) RequestStarted(class string) *Request {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.values.Concurrent++
+	return &Request{registry: r, class: class}
 }
 
 // End counts how the request has ended. Only the first call counts.
 func (r *Request) End(how Outcome) {
 	r.once.Do(func() {
-		b := r.book
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.now.Concurrent--
+		registry := r.registry
+		registry.mu.Lock()
+		defer registry.mu.Unlock()
+		registry.values.Concurrent--
 		switch how {
 		case Success:
-			b.now.Success[r.class]++
+			registry.values.Success[r.class]++
 		case Overload:
-			b.now.Overload[r.class]++
+			registry.values.Overload[r.class]++
 		case Error:
-			b.now.Error[r.class]++
+			registry.values.Error[r.class]++
 		}
 	})
 }
 
 // AttemptSent counts an attempt whose last byte is written.
-func (b *Registry) AttemptSent() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now.Dispatches++
+func (r *Registry) AttemptSent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.values.Dispatches++
 }
 
-// SetTargets notes how many providers the list has, and how many of those are left out.
-func (b *Registry) SetTargets(listed, disabled int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now.Targets, b.now.TargetsDisabled = listed, disabled
+// SetTargets notes how many servers the list has, and how many of those are ejected or cordoned.
+func (r *Registry) SetTargets(listed, disabled int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.values.Targets = listed
+	r.values.TargetsDisabled = disabled
 }
 
-// ConfigReloaded counts a file that was taken, or turned down.
-func (b *Registry) ConfigReloaded(taken bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if taken {
-		b.now.ReloadSuccess++
+// ConfigReloaded counts a file that was accepted, or rejected.
+func (r *Registry) ConfigReloaded(accepted bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if accepted {
+		r.values.ReloadSuccess++
 	} else {
-		b.now.ReloadFailure++
+		r.values.ReloadFailure++
 	}
 }
 
-// Read returns a copy of the figures as they are.
-func (b *Registry) Read() Values {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := b.now
-	out.Success, out.Overload, out.Error = maps.Clone(out.Success), maps.Clone(out.Overload), maps.Clone(out.Error)
-	return out
+// Read returns a copy of the counts.
+func (r *Registry) Read() Values {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	values := r.values
+	values.Success = maps.Clone(values.Success)
+	values.Overload = maps.Clone(values.Overload)
+	values.Error = maps.Clone(values.Error)
+	return values
 }
 
 // Sum adds up a count over its classes.
-func Sum(byClass map[string]int) (n int) {
-	for _, k := range byClass {
-		n += k
+func Sum(byClass map[string]int) (total int) {
+	for _, n := range byClass {
+		total += n
 	}
-	return n
+	return total
 }
--- /dev/null
+++ b/internal/staleness/evidence_test.go
@@ -0,0 +1,157 @@
+package staleness
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Each step is evidence, or an answer of discovery; refreshes says whether it asks for the complete list.
+func TestEvidence(t *testing.T) {
+	type step struct {
+		at        time.Duration
+		server    int
+		evidence  Evidence
+		refreshes bool
+	}
+	again := func(from, every time.Duration, n int, refreshes ...int) (steps []step) { // two servers refuse again and again
+		for i := range n {
+			at := from + time.Duration(i)*every
+			steps = append(steps, step{at, 0, ConnectRefused, false}, step{at, 1, ConnectRefused, false})
+		}
+		for _, i := range refreshes {
+			steps[2*i+1].refreshes = true
+		}
+		return steps
+	}
+	const listed, sourceChanged = Evidence(100), Evidence(101)
+	for name, c := range map[string]struct {
+		servers int
+		steps   []step
+	}{
+		"one of many":                {15, []step{{0, 0, ConnectRefused, false}, {1, 0, ConnectRefused, false}, {2, 0, Draining, false}}},
+		"two at once":                {15, []step{{0, 0, ConnectRefused, false}, {500 * ms, 1, Draining, true}}},
+		"two, but not at once":       {15, []step{{0, 0, ConnectRefused, false}, {4 * time.Second, 1, ConnectRefused, false}}},
+		"one has answered meanwhile": {15, []step{{0, 0, ConnectRefused, false}, {1, 0, Alive, false}, {2, 1, ConnectRefused, false}}},
+		"a tenth of a large fleet": {40, []step{
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, false},
+			{2, 2, ConnectRefused, false},
+			{3, 3, ConnectRefused, true},
+		}},
+		"the only one":           {1, []step{{0, 0, ConnectRefused, true}}},
+		"not on the list":        {2, []step{{0, 7, ConnectRefused, false}, {1, 8, ConnectRefused, false}}},
+		"not before the answer":  {15, []step{{0, 0, ConnectRefused, false}, {1, 1, ConnectRefused, true}, {5 * time.Second, 2, ConnectRefused, false}, {5 * time.Second, 3, ConnectRefused, false}}},
+		"the list confirms them": {15, append([]step{{0, 0, ConnectRefused, false}, {1, 1, ConnectRefused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
+		"others after that": {15, []step{
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, true},
+			{2, 0, listed, false},
+			{5 * time.Second, 2, ConnectRefused, false},
+			{5 * time.Second, 3, ConnectRefused, true},
+		}},
+		"others too soon after that": {15, []step{
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, true},
+			{2, 0, listed, false},
+			{900 * ms, 2, ConnectRefused, false},
+			{900 * ms, 3, ConnectRefused, false},
+		}},
+		"a new source": {15, []step{
+			{0, 0, ConnectRefused, false},
+			{1, 1, ConnectRefused, true},
+			{2, 0, sourceChanged, false},
+			{5 * time.Second, 2, ConnectRefused, false},
+			{5 * time.Second, 3, ConnectRefused, true},
+		}},
+	} {
+		scheduler, start := newScheduler(t, c.servers), time.Unix(1e9, 0)
+		for i, step := range c.steps {
+			switch step.evidence {
+			case listed:
+				scheduler.ReplaceListed(listedServers(c.servers))
+			case sourceChanged:
+				scheduler.SourceChanged()
+			default:
+				if got := scheduler.Observe(start.Add(step.at), fmt.Sprint("p", step.server), step.evidence); got != step.refreshes {
+					t.Errorf("%s, step %d: refreshes %t", name, i, got)
+				}
+			}
+		}
+	}
+}
+
+// Where discovery confirms a list that is wrong, or all fails because the fault is on this side, it is asked ever more seldom: a server
+// that answers in between contradicts the list anew each time.
+func TestRefreshesAreBounded(t *testing.T) {
+	scheduler := newScheduler(t, 15)
+	now := time.Unix(1e9, 0)
+	refreshes := 0
+	for range 600 { // ten minutes
+		for p := range 15 {
+			name := fmt.Sprint("p", p)
+			scheduler.Observe(now, name, Alive)
+			if scheduler.Observe(now, name, ConnectRefused) {
+				refreshes++
+				if poll := scheduler.Next(now); !poll.Complete {
+					t.Fatalf("the next poll is %+v", poll)
+				}
+				scheduler.Responded(Poll{Complete: true}, ms)
+				scheduler.ReplaceListed(listedServers(15))
+			}
+		}
+		now = now.Add(time.Second)
+	}
+	if refreshes < 600/30 || refreshes > 600/15+6 {
+		t.Errorf("%d refreshes in ten minutes", refreshes)
+	}
+}
+
+// Evidence that comes during a poll is not forgotten with that poll's answer, nor with its failure, and contradictions shorten the wait.
+func TestEvidenceDuringAPoll(t *testing.T) {
+	scheduler, now := newScheduler(t, 15), time.Unix(1e9, 0)
+	scheduler.Next(now)
+	scheduler.Observe(now, "p0", ConnectRefused)
+	poll := scheduler.Next(now)
+	checkBetween(t, "wait with one contradiction", poll.Wait, 450*ms, 500*ms)
+	if !scheduler.Observe(now, "p1", ConnectRefused) {
+		t.Fatal("no refresh")
+	}
+	scheduler.Responded(poll, 10*ms)
+	if poll = scheduler.Next(now); !poll.Complete {
+		t.Errorf("after the answer to another poll: %+v", poll)
+	}
+	scheduler.Failed()
+	scheduler.Responded(scheduler.Next(now), 10*ms)
+	scheduler.ReplaceListed(listedServers(3))
+	scheduler.SetListed("p0", true, 2) // a new process: what contradicted the list about the old one is over
+	scheduler.Observe(now.Add(time.Minute), "p0", ConnectRefused)
+	if poll = scheduler.Next(now.Add(time.Minute)); poll.Complete || poll.Wait > 500*ms {
+		t.Errorf("after the complete list: %+v", poll)
+	}
+}
+
+// Evidence that comes just as an earlier poll is answered by a complete list is not settled by that.
+func TestEvidenceCrossesACompleteList(t *testing.T) {
+	for _, complete := range []bool{false, true} {
+		scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
+		if complete {
+			scheduler.Failed()
+		}
+		poll := scheduler.Next(now)
+		scheduler.Observe(now, "p0", ConnectRefused)
+		if poll.Complete != complete || !scheduler.Observe(now, "p1", ConnectRefused) {
+			t.Fatalf("%+v, no refresh", poll)
+		}
+		scheduler.Responded(poll, ms)
+		scheduler.ReplaceListed(listedServers(4))
+		if poll = scheduler.Next(now); !poll.Complete {
+			t.Errorf("complete %t: evidence is lost", complete)
+		}
+		scheduler.Responded(poll, ms)
+		scheduler.ReplaceListed(listedServers(4))
+		if poll = scheduler.Next(now); poll.Complete {
+			t.Errorf("complete %t: it is refreshed twice", complete)
+		}
+	}
+}
--- /dev/null
+++ b/internal/staleness/scheduler_test.go
@@ -0,0 +1,227 @@
+package staleness
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+var defaults = DefaultSettings()
+
+// newScheduler returns the only watch of a list of so many servers.
+func newScheduler(t *testing.T, servers int) *Scheduler {
+	t.Helper()
+	scheduler, err := New(defaults, 1, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scheduler.ReplaceListed(listedServers(servers))
+	return scheduler
+}
+
+// newSchedulerAmong returns a watch that is one of so many.
+func newSchedulerAmong(t *testing.T, instances int, seed uint64) *Scheduler {
+	t.Helper()
+	settings := defaults
+	settings.Instances = instances
+	scheduler, err := New(settings, seed, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scheduler.ReplaceListed(listedServers(15))
+	return scheduler
+}
+
+func listedServers(n int) map[string]float64 {
+	servers := map[string]float64{}
+	for i := range n {
+		servers[fmt.Sprint("p", i)] = 1
+	}
+	return servers
+}
+
+func checkBetween(t *testing.T, what string, got, low, high time.Duration) {
+	t.Helper()
+	if got < low || got > high {
+		t.Errorf("%s: %s, want %s to %s", what, got, low, high)
+	}
+}
+
+// A poll is held for a bounded wait, and how long its answer may be late is learned from how late answers are.
+func TestTimeoutIsLearned(t *testing.T) {
+	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
+	poll := scheduler.Next(now)
+	checkBetween(t, "first wait", poll.Wait, 900*ms, time.Second)
+	checkBetween(t, "time-out before any sample", poll.Timeout-poll.Wait, time.Second, time.Second)
+	for range 50 {
+		poll = scheduler.Next(now)
+		scheduler.Responded(poll, poll.Wait+2*ms)
+	}
+	poll = scheduler.Next(now)
+	checkBetween(t, "time-out with a quick source", poll.Timeout-poll.Wait, 250*ms, 250*ms)
+	scheduler.Responded(poll, 10*ms) // a change: how late the source is, this does not say
+	for range 50 {
+		poll = scheduler.Next(now)
+		scheduler.Responded(poll, poll.Wait+400*ms)
+	}
+	poll = scheduler.Next(now)
+	checkBetween(t, "time-out with a slow one", poll.Timeout-poll.Wait, 400*ms, 500*ms)
+	if poll.Complete || poll.Delay != 0 {
+		t.Errorf("after an answer: %+v", poll)
+	}
+}
+
+// A source that is down is polled less and less often, for the complete list, and given ever more time.
+func TestFailures(t *testing.T) {
+	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
+	scheduler.Responded(Poll{Complete: true}, ms)
+	for i, limit := range []time.Duration{50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
+		scheduler.Failed()
+		poll := scheduler.Next(now)
+		checkBetween(t, fmt.Sprint("pause ", i), poll.Delay, limit/2, limit)
+		checkBetween(t, fmt.Sprint("time ", i), poll.Timeout, min(time.Second, 250*ms<<i), time.Second)
+		if !poll.Complete || poll.Wait != 0 {
+			t.Errorf("after a failure: %+v", poll)
+		}
+	}
+	scheduler.Responded(Poll{Complete: true}, ms)
+	if poll := scheduler.Next(now); poll.Complete || poll.Delay != 0 {
+		t.Errorf("after the answer: %+v", poll)
+	}
+	scheduler.SourceChanged()
+	if poll := scheduler.Next(now); !poll.Complete || poll.Delay != 0 || poll.Timeout != time.Second {
+		t.Errorf("at another source: %+v", poll)
+	}
+}
+
+// What all instances together ask of a source, when all start or see the same at one moment and it rejects them: the greatest number
+// of polls in any 100 ms of the first half minute, and how many there are a second at its end.
+func TestSumOverInstances(t *testing.T) {
+	for _, c := range []struct {
+		instances                 int
+		maxPolls, last, refreshes int // refreshes: complete lists asked for in any second, for what all see while their watch is in time
+	}{{1, 2, 1, 1}, {4, 8, 4, 0}, {32, 20, 15, 0}, {80, 32, 18, 0}, {300, 110, 10, 0}, {2000, 750, 40, 0}, {5000, 1800, 90, 0}} {
+		polls, refreshes := map[int]int{}, map[int]int{}
+		for i := range c.instances {
+			scheduler, at := newSchedulerAmong(t, c.instances, uint64(i)), time.Duration(0)
+			for at < 30*time.Second {
+				next := scheduler.Next(time.Unix(0, 0).Add(at))
+				if next.Complete {
+					t.Fatalf("instance %d asks for the complete list", i)
+				}
+				at += next.Delay
+				polls[int(at/(100*ms))]++
+				scheduler.Rejected()
+			}
+			scheduler, at = newSchedulerAmong(t, c.instances, uint64(i)), 0
+			for end := time.Duration(0); at < 30*time.Second; at += 50 * ms {
+				now := time.Unix(1e9, 0).Add(at)
+				if at >= end {
+					next := scheduler.Next(now)
+					scheduler.Responded(next, next.Wait)
+					end = at + next.Delay + next.Wait
+				}
+				if first := scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) || first {
+					refreshes[int(at/time.Second)]++
+					scheduler.Rejected()
+					scheduler.Responded(scheduler.Next(now), 0)
+					break
+				}
+			}
+		}
+		maxPolls, last, maxRefreshes := 0, 0, 0
+		for at, n := range polls {
+			maxPolls = max(maxPolls, n)
+			if at >= 290 && at < 300 {
+				last += n
+			}
+		}
+		for _, n := range refreshes {
+			maxRefreshes = max(maxRefreshes, n)
+		}
+		if maxPolls > c.maxPolls || last > c.last || maxRefreshes != c.refreshes {
+			t.Errorf("%d instances: %d polls in 100 ms, %d in the last second, %d complete lists in one; want at most %d, %d, and %d",
+				c.instances, maxPolls, last, maxRefreshes, c.maxPolls, c.last, c.refreshes)
+		}
+	}
+}
+
+// Where polls queue for two seconds, an instance that is not the only one queues too, whatever it has learned of a quick source; and while
+// polls are rejected no evidence makes it leave its place.
+func TestSourceFull(t *testing.T) {
+	scheduler, now := newSchedulerAmong(t, 80, 1), time.Unix(1e9, 0)
+	if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait != 1900*ms || poll.Delay > 800*ms {
+		t.Errorf("the first poll: %+v", poll)
+	}
+	for range 50 {
+		poll := scheduler.Next(now)
+		scheduler.Responded(poll, poll.Wait+2*ms)
+	}
+	if poll := scheduler.Next(now); poll.Timeout > 1500*ms {
+		t.Errorf("a watch that goes on: %+v", poll)
+	}
+	scheduler.Rejected()
+	if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait != 1900*ms || poll.Delay < 250*ms || poll.Delay > 500*ms {
+		t.Errorf("rejected: %+v", poll)
+	}
+	now = now.Add(time.Minute) // overdue
+	if scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) {
+		t.Error("the place in the queue is left")
+	}
+	scheduler.Responded(Poll{Complete: true}, ms) // it had that at hand
+	if poll := scheduler.Next(now); poll.Timeout-poll.Wait != 1900*ms {
+		t.Errorf("after a complete list: %+v", poll)
+	}
+	poll := scheduler.Next(now)
+	scheduler.Responded(poll, poll.Wait+2*ms)
+	now = now.Add(time.Minute)
+	if scheduler.Observe(now, "p1", ConnectRefused); !scheduler.Observe(now, "p2", ConnectRefused) {
+		t.Error("no evidence counts any more")
+	}
+	if poll := scheduler.Next(now); !poll.Complete || poll.Delay > 800*ms || poll.Timeout != 4*time.Second {
+		t.Errorf("with contradictions: %+v", poll)
+	}
+	scheduler.Rejected()
+	if poll := scheduler.Next(now); poll.Complete {
+		t.Errorf("a refresh that is rejected: %+v", poll)
+	}
+	scheduler.Failed()
+	if scheduler.Rejected(); !scheduler.Next(now).Complete {
+		t.Error("the complete list that a failure needs is forgotten")
+	}
+}
+
+// A poll that times out after others were rejected was in the queue: the next one asks for changes as before. Elsewhere silence may be the
+// end of who has sent the list, and the complete list is asked for.
+func TestTimedOut(t *testing.T) {
+	scheduler, now := newSchedulerAmong(t, 32, 1), time.Unix(1e9, 0)
+	scheduler.Next(now)
+	scheduler.Rejected()
+	for range 3 {
+		if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait < 1900*ms {
+			t.Errorf("in the queue: %+v", poll)
+		}
+		scheduler.TimedOut()
+	}
+	scheduler.Responded(scheduler.Next(now), ms)
+	scheduler.Next(now)
+	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
+		t.Error("a watch that has become silent goes on")
+	}
+	scheduler.Rejected()
+	scheduler.TimedOut()
+	if poll := scheduler.Next(now); !poll.Complete || poll.Timeout < 2*time.Second {
+		t.Errorf("the complete list that the silence needs is forgotten, or given up before its slot: %+v", poll)
+	}
+	scheduler, err := New(PushedSettings(750*ms), 1, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scheduler.Next(now)
+	scheduler.Rejected()
+	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
+		t.Error("an agent has no queue")
+	}
+}
