--- a/cmd/plankrouter/admin.go
+++ b/cmd/plankrouter/admin.go
@@ -27,7 +27,7 @@
 }
 
 // serveAdmin answers operators until ctx ends. A process that finds their address taken has no listener before the other has
-// ended, as a successor that its predecessor has started: both are told the same address. It serves requests meanwhile.
+// ended, as a successor that its predecessor has started: both have the same address. It serves requests meanwhile.
 func (p *program) serveAdmin(ctx context.Context, l net.Listener) error {
 	for l == nil {
 		select {
@@ -35,23 +35,23 @@
 		case <-ctx.Done():
 			return nil
 		}
-		l, _ = listenAdmin(p.cfg)
+		l, _ = listenAdmin(p.cfg) // an error says that the address is still taken
 	}
 	return admin.New(p, p.shares.admin).Serve(ctx, l)
 }
 
-// Ready, Figures, Disable and Enable make the program admin.Operations.
+// Ready reports whether a request would be served. With Figures, Disable and Enable it makes the program admin.Operations.
 func (p *program) Ready() bool { return p.dispatcher.Ready() && p.frontend.Taking() }
 
-// Figures are those of this process.
+// Figures are the counters of this process.
 func (p *program) Figures() metrics.Values { return p.metrics.Read() }
 
-// Disable takes a provider out, for all processes of this sidecar.
+// Disable takes a server out, for all processes of this sidecar.
 func (p *program) Disable(id string) error {
 	return p.changeCordons("disable", id, (*cordon.Set).Cordon)
 }
 
-// Enable puts it back.
+// Enable puts a server back.
 func (p *program) Enable(id string) error {
 	return p.changeCordons("enable", id, (*cordon.Set).Uncordon)
 }
--- a/cmd/plankrouter/cordons.go
+++ b/cmd/plankrouter/cordons.go
@@ -16,7 +16,7 @@
 	cordonReadTimeout = time.Second           // which has so long: then service comes first
 )
 
-// newCordonStore returns where operators' bans are kept: in the folder that the platform gives the sidecar's processes, where there
+// newCordonStore returns where operators' cordons are kept: in the folder that the platform gives the sidecar's processes, where there
 // is one.
 func newCordonStore(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
@@ -28,14 +28,15 @@
 	return &cordon.Store{}
 }
 
-// cordonFaults are the faults that befall the steps of the bans' file in a soak.
+// cordonFaults are the faults that befall the steps of the cordons' file in a soak.
 var cordonFaults = map[cordon.Step]faultinjection.Op{
 	cordon.StepOpen: faultinjection.ReadFile, cordon.StepRead: faultinjection.ReadFile,
 	cordon.StepLock: faultinjection.WriteFile, cordon.StepWrite: faultinjection.WriteFile, cordon.StepSync: faultinjection.SyncFile,
 	cordon.StepRename: faultinjection.WriteFile,
 }
 
-// readInitialCordons are the operators' orders at the start. A process that serves without them sends to servers that they have taken out.
+// readInitialCordons returns the operators' cordons at the start: without them a process sends to servers that operators have taken out.
+// A file that can't be read holds the start up no longer than cordonReadTimeout.
 func (p *program) readInitialCordons(ctx context.Context) cordon.Set {
 	for began := time.Now(); ; {
 		set, _, err := p.cordons.Read()
@@ -43,7 +44,7 @@
 			return set
 		}
 		if errors.Is(err, cordon.ErrMalformedFile) || time.Since(began) >= cordonReadTimeout {
-			log.Printf("name=%s state=bans_not_used err=%q", p.cfg.Name, err)
+			log.Printf("name=%s state=cordons_not_used err=%q", p.cfg.Name, err)
 			return set
 		}
 		select {
@@ -54,12 +55,12 @@
 	}
 }
 
-// watchCordons obeys what another process of this sidecar has been told, until ctx ends.
+// watchCordons follows the cordons that operators set by another process of this sidecar, until ctx ends.
 func (p *program) watchCordons(ctx context.Context) {
-	p.cordons.Watch(ctx, p.applyCordons, func(err error) { log.Printf("name=%s state=bans_not_used err=%q", p.cfg.Name, err) })
+	p.cordons.Watch(ctx, p.applyCordons, func(err error) { log.Printf("name=%s state=cordons_not_used err=%q", p.cfg.Name, err) })
 }
 
-// applyCordons puts the present set in force. Only one at a time may: the later set must not be followed by the earlier one.
+// applyCordons puts the present set in force, one call at a time: an earlier set must not replace a later one.
 func (p *program) applyCordons() {
 	p.cordonMu.Lock()
 	defer p.cordonMu.Unlock()
@@ -68,15 +69,16 @@
 	}
 }
 
-// changeCordons changes the bans, and returns once the change is in force here.
+// changeCordons changes the cordons, and returns once the change is in force here.
 func (p *program) changeCordons(operation, id string, change func(*cordon.Set, string, float64, bool) error) error {
-	listed, now := p.dispatcher.IsListed(id), config.Millis(time.Duration(faultinjection.Wall().UnixNano()))
+	listed := p.dispatcher.IsListed(id)
+	now := config.Millis(time.Duration(faultinjection.Wall().UnixNano()))
 	set, err := p.cordons.Update(func(s *cordon.Set) error { return change(s, id, now, listed) })
 	if err != nil {
-		log.Printf("name=%s operators=%s target=%q state=refused err=%q", p.cfg.Name, operation, id, err)
+		log.Printf("name=%s cordon=%s server=%q state=refused err=%q", p.cfg.Name, operation, id, err)
 		return err
 	}
 	p.applyCordons()
-	log.Printf("name=%s operators=%s target=%q state=done out=%d", p.cfg.Name, operation, id, len(set.Cordoned))
+	log.Printf("name=%s cordon=%s server=%q state=done cordoned=%d", p.cfg.Name, operation, id, len(set.Cordoned))
 	return nil
 }
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -1,5 +1,5 @@
-// Command plankrouter is the sidecar: it takes the consumers' invocations, sends each to the provider that the
-// decision module picks, and answers. See README.md.
+// Command plankrouter is the sidecar: it takes the clients' requests, sends each to the server that the policy picks, and
+// answers. See README.md.
 package main
 
 import (
@@ -20,9 +20,11 @@
 )
 
 const (
-	memoryLimitShare = 0.7 // of the limit: beyond it the collector works harder
+	// memoryLimitShare is the share of limits.memory_mb beyond which the garbage collector works harder.
+	memoryLimitShare = 0.7
 
-	listenTimeout = 5 * time.Second // for a listener that can't be had for a moment: the platform waits for 10
+	// listenTimeout bounds the wait for a listener that can't be had for a moment: the platform waits for 10 s.
+	listenTimeout = 5 * time.Second
 )
 
 func main() {
@@ -35,6 +37,7 @@
 	}
 }
 
+// run starts the process, beside or after another one where there is such, and returns when it has served all.
 func run(signals signalQueues) error {
 	predecessor, err := hotrestart.Inherited(os.Getenv)
 	if err != nil {
@@ -43,7 +46,7 @@
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		if predecessor != nil {
-			predecessor.Reject(err.Error())
+			_ = predecessor.Reject(err.Error()) // which returns the reason that this process ends for anyway
 		}
 		return err
 	}
@@ -53,18 +56,27 @@
 		}
 	}
 	runtime.GOMAXPROCS(1) // one core is all there is; more threads would only wait for one another
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Limits.MemoryMB) * (1 << 20)))
-	l, err := listen(cfg, predecessor)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Limits.MemoryMB) * bytesPerMB))
+	listener, err := listen(cfg, predecessor)
 	if err != nil {
 		return err
 	}
 	adminListener, err := listenAdmin(cfg)
-	if taken := syscall.Errno(0); errors.As(err, &taken) { // a predecessor has it, or a stranger: requests come first
-		log.Printf("name=%s state=operators_wait err=%q", cfg.Name, err)
+	if errno := syscall.Errno(0); errors.As(err, &errno) { // a predecessor or another program has the address: requests come first
+		log.Printf("name=%s state=admin_waiting err=%q", cfg.Name, err)
 	} else if err != nil {
 		return err
 	}
-	return serve(cfg, os.Getenv, l, adminListener, connlimit.TCP, openDescriptors(cfg.Limits.Sockets), signals, predecessor)
+	return serve(startOptions{
+		cfg:             cfg,
+		getenv:          os.Getenv,
+		listener:        listener,
+		adminListener:   adminListener,
+		dial:            connlimit.TCP,
+		openDescriptors: openDescriptors(cfg.Limits.Sockets),
+		signals:         signals,
+		predecessor:     predecessor,
+	})
 }
 
 // listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
@@ -79,15 +91,15 @@
 	if l, err := hotrestart.Listener(os.Getenv); err != nil || l != nil {
 		return l, err
 	}
-	var plain net.Listener
+	var listener net.Listener
 	err := transient.Retry(listenTimeout, func() (err error) {
-		plain, err = listenTCP(cfg.Listen)
+		listener, err = listenTCP(cfg.Listen)
 		return err
 	})
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	return plain, nil
+	return listener, nil
 }
 
 // listenTCP is net.Listen, which a soak may fail.
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -27,123 +27,182 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// program is the running parts.
-type program struct {
-	cfg             *config.Config                // as at the start
-	activeConfig    atomic.Pointer[config.Config] // since the last reload; obey alone changes it
-	numbering       config.Numbering
+const bytesPerMB = 1 << 20
+
+// startOptions is what a process starts with.
+type startOptions struct {
+	cfg             *config.Config
 	getenv          func(string) string
 	listener        net.Listener
-	budget          *connlimit.Budget
-	shares          descriptorShares // of the descriptors, while no other process shares them
-	stopRequested   context.Context  // ends with the word to stop
-	backend         *backend.Caller
-	dispatcher      *dispatch.Dispatcher
-	watch           *discovery.Watch
-	metrics         metrics.Registry
-	invariants      invariant.Recorder
-	cordons         *cordon.Store
-	frontend        *frontend.Server
-	snapshotWriter  *snapshot.Writer       // nil = snapshots are not kept
-	coordinator     hotrestart.Coordinator // of processes that take over from one another
-	discoveryMoved  atomic.Bool            // a reload has named another directory than the environment
-	stop            context.CancelFunc
+	adminListener   net.Listener // nil = there is no address for operators, or it can't be had yet
+	dial            connlimit.Dialer
+	openDescriptors int // at the start, the listeners among them
 	signals         signalQueues
-	scheduleChanges chan scheduleChange       // for whoever ends this process
-	forwardableStop atomic.Pointer[stopTimes] // nil = there was none
-	cordonMu        sync.Mutex                // of bans
-	snapshotMu      sync.Mutex
-	stopSnapshots   func() // writes the last one; nil = none is kept, or it is written
+	predecessor     *hotrestart.Successor // nil = there is none
+}
+
+// program is the running parts.
+type program struct {
+	cfg      *config.Config // as at the start
+	getenv   func(string) string
+	listener net.Listener
+	signals  signalQueues
+
+	lifecycle     lifecycle
+	stopRequested context.Context    // ends with the signal to stop
+	requestStop   context.CancelFunc // ends it
+	stop          context.CancelFunc // ends the process's work
+
+	activeConfig   atomic.Pointer[config.Config] // since the last reload; handleSignals alone changes it
+	numbering      config.Numbering
+	discoveryMoved atomic.Bool // a reload has named another discovery service than the environment
+
+	budget     *connlimit.Budget
+	shares     descriptorShares // while no other process shares the descriptors
+	backend    *backend.Caller
+	dispatcher *dispatch.Dispatcher
+	watch      *discovery.Watch
+	frontend   *frontend.Server
+	metrics    metrics.Registry
+	invariants invariant.Recorder
+
+	cordons  *cordon.Store
+	cordonMu sync.Mutex // orders changes of the cordons in force
+
+	snapshotWriter *snapshot.Writer // nil = snapshots are not kept
+	snapshotMu     sync.Mutex
+	stopSnapshots  func() // writes the last one; nil = none is kept, or it is written
+
+	coordinator     hotrestart.Coordinator    // of processes that take over from one another
+	scheduleChanges chan scheduleChange       // for whoever shuts this process down
+	forwardableStop atomic.Pointer[stopTimes] // nil = there was no signal to stop
 }
 
 // serve runs the sidecar, for operators too if there is a listener for them, until a signal ends it and all that it has taken
-// is answered, or until a successor has it all. So many descriptors are held already, the listeners among them.
-func serve(cfg *config.Config, getenv func(string) string, l, adminListener net.Listener, dial connlimit.Dialer, openAtStart int,
-	signals signalQueues, predecessor *hotrestart.Successor,
-) error {
+// is answered, or until a successor has it all.
+func serve(options startOptions) error {
 	processCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(processCtx)
-	if cfg.AdminAddr != "" && adminListener == nil { // it comes once the other process has ended
+	p := newProgram(options)
+	p.stop = stop
+	p.stopRequested, p.requestStop = context.WithCancel(ctx)
+	defer p.requestStop()
+	if options.predecessor != nil && options.predecessor.TookOver() {
+		p.budget.Limit(p.shares.conns / standbyShare)
+	}
+	trace := startTracing(ctx, group, p.getenv)
+	listed, err := p.assemble(ctx, options, trace)
+	if err != nil {
+		return err
+	}
+	p.run(ctx, group, options)
+	log.Printf("name=%s state=started listen=%s servers=%d", p.cfg.Name, p.listener.Addr(), listed)
+	err = group.Wait()
+	p.report()
+	return err
+}
+
+// newProgram shares out the descriptors. The parts that need them are still to be assembled.
+func newProgram(options startOptions) *program {
+	cfg, openAtStart := options.cfg, options.openDescriptors
+	if cfg.AdminAddr != "" && options.adminListener == nil { // it comes once the other process has ended
 		openAtStart++
 	}
 	shares := shareDescriptors(cfg.Limits.Sockets, openAtStart, cfg.AdminAddr != "")
 	if required := shares.total(openAtStart); required > cfg.Limits.Sockets {
-		log.Printf("name=%s limits.sockets=%d held=%d err=%q", cfg.Name, cfg.Limits.Sockets, openAtStart,
+		log.Printf("name=%s limits.sockets=%d open=%d err=%q", cfg.Name, cfg.Limits.Sockets, openAtStart,
 			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", required))
 	}
-	p := program{
-		cfg: cfg, getenv: getenv, listener: l, stop: stop, signals: signals, scheduleChanges: make(chan scheduleChange), coordinator: hotrestart.Coordinator{Inherited: predecessor},
-		budget: connlimit.NewBudget(shares.conns, dial), shares: shares, cordons: newCordonStore(cfg, getenv),
+	p := &program{
+		cfg:             cfg,
+		getenv:          options.getenv,
+		listener:        options.listener,
+		signals:         options.signals,
+		budget:          connlimit.NewBudget(shares.conns, options.dial),
+		shares:          shares,
+		cordons:         newCordonStore(cfg, options.getenv),
+		coordinator:     hotrestart.Coordinator{Inherited: options.predecessor},
+		scheduleChanges: make(chan scheduleChange),
 	}
 	p.invariants.Logf = log.Printf
 	p.activeConfig.Store(cfg)
-	var requestStop context.CancelFunc
-	p.stopRequested, requestStop = context.WithCancel(ctx)
-	defer requestStop()
-	if predecessor != nil && predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns / standbyShare)
-	}
-	trace := startTracing(ctx, group, getenv)
-	deployment := snapshot.Fingerprint(&cfg.Settings)
-	if _, err := p.numbering.Apply(time.Now(), cfg); err != nil {
-		return err
+	return p
+}
+
+// assemble makes the parts that serve requests, from what an earlier process has left where there is such, and returns how
+// many servers they begin with.
+func (p *program) assemble(ctx context.Context, options startOptions, trace func(string, ...any)) (listed int, err error) {
+	deployment := snapshot.Fingerprint(&p.cfg.Settings) // of the names as they are configured, before they are numbered
+	if _, err := p.numbering.Apply(time.Now(), p.cfg); err != nil {
+		return 0, err
 	}
-	restored := p.restoreState(predecessor, faultinjection.Wall())
-	bounds := streaming.New(cfg.Limits.MemoryMB<<20, cfg.Limits.Sockets)
+	restored := p.restoreState(options.predecessor, faultinjection.Wall())
+	buffers := streaming.New(p.cfg.Limits.MemoryMB*bytesPerMB, p.cfg.Limits.Sockets)
 	cordoned := p.readInitialCordons(ctx)
-	endpointList := cfg.Known
+	initial := p.cfg.Known
 	if restored != nil {
-		endpointList = restored.List.Config()
+		initial = restored.List.Config()
 	}
-	var err error
-	if p.watch, err = discovery.New(discovery.Options{
-		Address: cfg.Discovery, Watch: cfg.Watch, Seed: cfg.Seed,
-		Initial: endpointList, IgnoreRevision: restored != nil, // the directory may count anew by now
-		MaxListBytes: discovery.MaxListBytes(int64(cfg.Limits.MemoryMB) << 20), Budget: connlimit.NewBudget(shares.watch, dial),
-		OnUpdate:   func(l endpoints.List, at time.Time) { p.dispatcher.UpdateEndpoints(l, at) },
-		OnValidity: func(t staleness.Validity) { p.dispatcher.SetListValidity(t) }, Logf: log.Printf, Trace: trace,
-	}); err != nil {
-		return err
+	p.watch, err = discovery.New(discovery.Options{
+		Address: p.cfg.Discovery, Watch: p.cfg.Watch, Seed: p.cfg.Seed,
+		Initial: initial, IgnoreRevision: restored != nil, // discovery may count anew by now
+		MaxListBytes: discovery.MaxListBytes(int64(p.cfg.Limits.MemoryMB) * bytesPerMB),
+		Budget:       connlimit.NewBudget(p.shares.watch, options.dial),
+		OnUpdate:     func(l endpoints.List, at time.Time) { p.dispatcher.UpdateEndpoints(l, at) },
+		OnValidity:   func(validity staleness.Validity) { p.dispatcher.SetListValidity(validity) },
+		Logf:         log.Printf, Trace: trace,
+	})
+	if err != nil {
+		return 0, err
 	}
-	if p.backend, err = backend.New(ctx, p.budget, backend.Settings{
-		Figures: backendFigures(cfg), Trace: trace,
-		Written: p.metrics.AttemptSent, Bounds: bounds, Rules: &p.invariants,
-	}); err != nil {
-		return err
+	p.backend, err = backend.New(ctx, p.budget, backend.Settings{
+		Figures: backendFigures(p.cfg), Trace: trace,
+		Written: p.metrics.AttemptSent, Bounds: buffers, Rules: &p.invariants,
+	})
+	if err != nil {
+		return 0, err
 	}
-	if p.dispatcher, err = dispatch.New(dispatch.Options{
-		Name: cfg.Name, Deployment: deployment,
-		Policy: cfg.Policy, Seed: cfg.Seed, Zones: cfg.Settings.Dcs, DrainGrace: cfg.DrainGrace, InitialEndpoints: cfg.Known,
-		Restored: restored, Upstream: p.backend, IsComplete: cfg.Settings.IsComplete, Logf: log.Printf, Trace: trace, OnEvidence: p.watch.Observe,
-		OnServerCounts: p.metrics.SetTargets, Cordons: cordoned, Invariants: &p.invariants, WallClock: faultinjection.Wall,
-	}); err != nil {
-		return err
+	p.dispatcher, err = dispatch.New(dispatch.Options{
+		Name: p.cfg.Name, Deployment: deployment,
+		Policy: p.cfg.Policy, Seed: p.cfg.Seed, Zones: p.cfg.Settings.Dcs, DrainGrace: p.cfg.DrainGrace,
+		InitialEndpoints: p.cfg.Known, Restored: restored, Cordons: cordoned,
+		Upstream: p.backend, IsComplete: p.cfg.Settings.IsComplete, OnEvidence: p.watch.Observe, OnServerCounts: p.metrics.SetTargets,
+		Logf: log.Printf, Trace: trace, Invariants: &p.invariants, WallClock: faultinjection.Wall,
+	})
+	if err != nil {
+		return 0, err
 	}
-	p.frontend = frontend.New(cfg, p.dispatcher, p.budget, &p.metrics, bounds)
-	p.frontend.Rules, p.frontend.Trace = &p.invariants, trace
+	p.frontend = frontend.New(p.cfg, p.dispatcher, p.budget, &p.metrics, buffers)
+	p.frontend.Rules = &p.invariants
+	p.frontend.Trace = trace
+	return len(initial.Endpoints), nil
+}
+
+// run starts the goroutines of the assembled parts. The group ends when all of them have.
+func (p *program) run(ctx context.Context, group *errgroup.Group, options startOptions) {
 	group.Go(func() error {
-		defer p.backend.Wait() // once nothing starts a call any more
+		defer p.backend.Wait() // once nothing starts an attempt any more
 		return p.dispatcher.Run(ctx)
 	})
 	group.Go(func() error { return p.watch.Run(ctx) })
-	if cfg.AdminAddr != "" {
-		group.Go(func() error { return p.serveAdmin(ctx, adminListener) })
+	if p.cfg.AdminAddr != "" {
+		group.Go(func() error { return p.serveAdmin(ctx, options.adminListener) })
 		group.Go(func() error { p.watchCordons(ctx); return nil })
 	}
-	group.Go(func() error {
-		defer stop() // the core's life ends when the front has answered all that it took
-		if err := p.takeOver(ctx, group, predecessor); err != nil {
-			return err
-		}
-		p.startSnapshots(ctx, group)
-		defer p.writeLastSnapshot() // which the core still has to give
-		return p.frontend.Serve(ctx, l)
-	})
-	group.Go(func() error { p.followStopSignals(ctx, requestStop, signals.stop); return nil })
-	group.Go(func() error { p.handleSignals(ctx, group, signals); return nil })
-	log.Printf("name=%s state=started listen=%s providers=%d", cfg.Name, l.Addr(), len(endpointList.Endpoints))
-	err = group.Wait()
-	p.report()
-	return err
+	group.Go(func() error { return p.serveClients(ctx, group, options.predecessor) })
+	group.Go(func() error { p.followStopSignals(ctx); return nil })
+	group.Go(func() error { p.handleSignals(ctx, group); return nil })
+}
+
+// serveClients takes over from the predecessor, if there is one, and serves clients until the last one is answered. All other
+// parts end then.
+func (p *program) serveClients(ctx context.Context, group *errgroup.Group, predecessor *hotrestart.Successor) error {
+	defer p.leave()
+	if err := p.takeOver(ctx, group, predecessor); err != nil {
+		return err
+	}
+	p.startSnapshots(ctx, group)
+	defer p.writeLastSnapshot() // while the dispatcher can still give it
+	return p.frontend.Serve(ctx, p.listener)
 }
--- a/cmd/plankrouter/program_test.go
+++ b/cmd/plankrouter/program_test.go
@@ -44,6 +44,10 @@
 		t.Fatal(err)
 	}
 	signals, ended := newSignalQueues(), make(chan error, 1)
-	go func() { ended <- serve(cfg, getenv, front, desk, dial, usuallyOpen, signals, nil) }()
+	options := startOptions{
+		cfg: cfg, getenv: getenv, listener: front, adminListener: desk, dial: dial, openDescriptors: usuallyOpen,
+		signals: signals,
+	}
+	go func() { ended <- serve(options) }()
 	return signals, ended
 }
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent no earlier than that.
-func (p *program) reload(ctx context.Context, now, earliest time.Time) {
+// reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent at earliestSent at the
+// earliest.
+func (p *program) reload(ctx context.Context, now, earliestSent time.Time) {
 	fixed, err := p.applyConfig(now)
 	p.metrics.ConfigReloaded(err == nil)
 	if err != nil {
@@ -23,14 +24,14 @@
 	}
 	active := p.activeConfig.Load()
 	select {
-	case p.scheduleChanges <- scheduleChange{active.ShutdownSchedule, earliest}:
+	case p.scheduleChanges <- scheduleChange{schedule: active.ShutdownSchedule, earliestSent: earliestSent}:
 	case <-ctx.Done():
 	}
 	log.Printf("name=%s state=reloaded discovery=%s classes=%v", p.cfg.Name, active.Discovery, active.Settings.ClassNames())
 }
 
-// applyConfig applies a file that has been checked whole: first what decides and calls, then the front, so that no request comes
-// in under a number that is not known yet.
+// applyConfig applies a file that has been checked whole: first the dispatcher and the backend, then the
+// frontend, so that no request comes in under a number that is not known yet.
 func (p *program) applyConfig(now time.Time) (fixed []string, err error) {
 	next, fixed, err := p.activeConfig.Load().Reload(p.getenv)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return fixed, nil
 }
 
-// backendFigures are the caller's.
+// backendFigures are the backend's times and what a lost connection costs it.
 func backendFigures(cfg *config.Config) backend.Figures {
 	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -12,8 +12,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// standbyShare: of two processes the one that does not serve has one in so many of the sockets.
-const standbyShare = 4
+const (
+	// standbyShare: of two processes the one that does not serve has one in so many of the sockets.
+	standbyShare = 4
+	// rendezvousTimeout bounds the wait for a rendezvous socket that can't be had for a moment.
+	rendezvousTimeout = 2 * time.Second
+	// acceptRetryPause is the pause after an accept that has failed.
+	acceptRetryPause = 20 * time.Millisecond
+)
 
 // rendezvousFolder is the folder in which two processes of this sidecar meet, where the platform starts the second one; "" = it does not.
 func rendezvousFolder(getenv func(string) string) string {
@@ -23,12 +29,6 @@
 	return getenv("TMPDIR")
 }
 
-// rendezvousTimeout bounds the wait for a meeting place that can't be had for a moment.
-const rendezvousTimeout = 2 * time.Second
-
-// acceptRetryPause is the pause after an accept that has failed.
-const acceptRetryPause = 20 * time.Millisecond
-
 // serveAlone makes this process the sidecar's only one, and the one that a second process finds.
 func (p *program) serveAlone(ctx context.Context, group *errgroup.Group) {
 	p.budget.Limit(p.shares.conns)
@@ -47,25 +47,28 @@
 		return
 	}
 	group.Go(func() error {
-		defer context.AfterFunc(ctx, func() { l.Close() })()
-		acceptSuccessors(ctx, l.AcceptUnix, func(c *net.UnixConn) {
-			p.handOverWith(ctx, func(own *net.TCPListener, o hotrestart.Options) (*hotrestart.Predecessor, error) {
-				live, cancel := context.WithCancel(ctx)
-				defer cancel()
-				defer context.AfterFunc(p.stopRequested, cancel)() // a word to stop calls off what is not ready
-				p.budget.Limit(p.shares.conns - p.shares.conns/standbyShare)
-				to, err := p.coordinator.Meet(live, c, own, o)
-				if err != nil {
-					p.budget.Limit(p.shares.conns)
-				}
-				return to, err
-			})
-			c.Close()
-		})
+		defer context.AfterFunc(ctx, func() { _ = l.Close() })()
+		acceptSuccessors(ctx, l.AcceptUnix, func(c *net.UnixConn) { p.handOverTo(ctx, c) })
 		return nil
 	})
 }
 
+// handOverTo gives everything to the process that has found this one, over its connection.
+func (p *program) handOverTo(ctx context.Context, c *net.UnixConn) {
+	p.handOverWith(func(own *net.TCPListener, options hotrestart.Options) (*hotrestart.Predecessor, error) {
+		ctx, cancel := context.WithCancel(ctx)
+		defer cancel()
+		defer context.AfterFunc(p.stopRequested, cancel)() // a signal to stop calls off what is not ready
+		p.budget.Limit(p.shares.conns - p.shares.conns/standbyShare)
+		successor, err := p.coordinator.Meet(ctx, c, own, options)
+		if err != nil {
+			p.budget.Limit(p.shares.conns)
+		}
+		return successor, err
+	})
+	_ = c.Close() // the handover may have closed it
+}
+
 // acceptSuccessors hands each process that has found this one to meet, until ctx ends.
 func acceptSuccessors(ctx context.Context, accept func() (*net.UnixConn, error), meet func(*net.UnixConn)) {
 	for ctx.Err() == nil {
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -13,24 +13,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// signalQueues are the signals that have come and are not obeyed yet. Each kind waits at a place of its own, so that none keeps out
+// signalQueues are the signals that have come and are not handled yet. Each kind waits at a place of its own, so that none keeps out
 // another; one that finds no room there is covered by what waits.
 type signalQueues struct {
-	stop             chan receivedSignal // two of them say more than one
-	reload           chan receivedSignal
-	report, handOver chan os.Signal
-
-	lastReload *atomic.Pointer[receivedSignal] // obeyed or not; nil in it = there was none
+	stop       chan receivedSignal // two of them say more than one
+	reload     chan receivedSignal
+	report     chan os.Signal
+	handOver   chan os.Signal
+	lastReload *atomic.Pointer[receivedSignal] // handled or not; nil in it = there was none
 }
 
-// receivedSignal is a signal with the time in which it was sent: whoever sent it counts from then, however late it is read or obeyed.
+// receivedSignal is a signal with the time in which it was sent: whoever sent it counts from then, however late it is read or handled.
 type receivedSignal struct {
 	os.Signal
 	earliestSent time.Time // that it can have been sent
 	readAt       time.Time // by which it had been
-	killAt       time.Time // that whoever passed the word to stop on has reckoned with; zero = nobody did
+	killAt       time.Time // that the predecessor goes by that has passed a signal to stop on; zero = it came directly
 }
 
+// isForwarded reports whether a predecessor has passed the signal on.
+func (s receivedSignal) isForwarded() bool { return !s.killAt.IsZero() }
+
 func newSignalQueues() signalQueues {
 	return signalQueues{
 		stop: make(chan receivedSignal, 2), reload: make(chan receivedSignal, 1), report: make(chan os.Signal, 1),
@@ -81,17 +84,17 @@
 }
 
 // handleSignals acts on all signals but those to stop until ctx ends.
-func (p *program) handleSignals(ctx context.Context, group *errgroup.Group, signals signalQueues) {
+func (p *program) handleSignals(ctx context.Context, group *errgroup.Group) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-signals.report:
+		case <-p.signals.report:
 			p.report()
-		case s := <-signals.reload:
+		case s := <-p.signals.reload:
 			p.reload(ctx, time.Now(), s.earliestSent)
-		case <-signals.handOver:
-			if p.stopRequested.Err() == nil {
+		case <-p.signals.handOver:
+			if p.lifecycle.current() < shuttingDown {
 				group.Go(func() error { p.handOver(p.stopRequested); return nil })
 			} else {
 				log.Printf("name=%s handover=refused err=%q", p.cfg.Name, "this process has been told to stop")
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -290,7 +290,7 @@
 	for _, next := range []struct {
 		sig  syscall.Signal
 		want string
-	}{{syscall.SIGUSR2, "handover=refused"}, {syscall.SIGHUP, "state=reloaded"}, {syscall.SIGINT, "state=leaving"}} { // which ends it at once
+	}{{syscall.SIGUSR2, "handover=refused"}, {syscall.SIGHUP, "state=reloaded"}, {syscall.SIGINT, "state=draining"}} { // which ends it at once
 		syscall.Kill(pid, next.sig)
 		says(next.want)
 	}
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -16,19 +16,10 @@
 // restoreState returns what this process can go by from an earlier one: the predecessor's state, or the snapshot that was
 // kept if it has handed over none. Nil says that there is nothing but the configuration.
 func (p *program) restoreState(predecessor *hotrestart.Successor, now time.Time) *snapshot.Restored {
-	cfg := p.cfg
-	if cfg.Own.Snapshot.Path != "" {
-		p.snapshotWriter = &snapshot.Writer{
-			Store: &snapshot.Store{
-				Path:   cfg.Own.Snapshot.Path,
-				Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
-			}, Take: p.takeSnapshot, Every: cfg.SnapshotEvery,
-			Seed: cfg.Seed,
-		}
-	}
+	p.snapshotWriter = p.newSnapshotWriter()
 	var taken *snapshot.Snapshot
 	var err error
-	origin := cfg.Own.Snapshot.Path
+	origin := p.cfg.Own.Snapshot.Path
 	switch {
 	case predecessor != nil && len(predecessor.State()) > 0:
 		origin = "predecessor"
@@ -38,22 +29,49 @@
 	default:
 		return nil
 	}
+	if errors.Is(err, fs.ErrNotExist) { // the first start has none
+		return nil
+	}
 	if err != nil {
-		if !errors.Is(err, fs.ErrNotExist) { // the first start has none
-			log.Printf("name=%s snapshot=%q state=not_used err=%q", cfg.Name, origin, err)
-		}
+		log.Printf("name=%s snapshot=%q state=not_used err=%q", p.cfg.Name, origin, err)
 		return nil
 	}
-	rules := snapshot.DefaultValidityRules()
-	rules.Program, rules.Deployment, rules.Directory = cfg.Name, snapshot.Fingerprint(&cfg.Settings), cfg.Discovery
-	rules.Classes, rules.Tenants = len(cfg.Settings.Classes), len(cfg.Settings.Realms)
-	restored, dropped := snapshot.Restore(taken, snapshot.FromConfig(cfg.Known, cfg.Discovery, now), now, rules)
-	log.Printf("name=%s snapshot=%q state=used age=%s providers=%d learned_of=%d left_out=%d %s", cfg.Name, origin,
+	known := snapshot.FromConfig(p.cfg.Known, p.cfg.Discovery, now)
+	restored, dropped := snapshot.Restore(taken, known, now, p.validityRules())
+	log.Printf("name=%s snapshot=%q state=used age=%s servers=%d learned_servers=%d dropped=%d %s", p.cfg.Name, origin,
 		now.Sub(taken.TakenAt).Round(time.Millisecond), len(restored.List.Members), len(restored.Learned.Servers), len(dropped),
 		snapshot.Summary(dropped))
 	return &restored
 }
 
+// newSnapshotWriter returns what keeps snapshots, nil where the configuration names no file for them.
+func (p *program) newSnapshotWriter() *snapshot.Writer {
+	path := p.cfg.Own.Snapshot.Path
+	if path == "" {
+		return nil
+	}
+	return &snapshot.Writer{
+		Store: &snapshot.Store{
+			Path:   path,
+			Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
+		},
+		Take:  p.takeSnapshot,
+		Every: p.cfg.SnapshotEvery,
+		Seed:  p.cfg.Seed,
+	}
+}
+
+// validityRules say what this process accepts of a snapshot.
+func (p *program) validityRules() snapshot.ValidityRules {
+	rules := snapshot.DefaultValidityRules()
+	rules.Program = p.cfg.Name
+	rules.Deployment = snapshot.Fingerprint(&p.cfg.Settings)
+	rules.Directory = p.cfg.Discovery
+	rules.Classes = len(p.cfg.Settings.Classes)
+	rules.Tenants = len(p.cfg.Settings.Realms)
+	return rules
+}
+
 // snapshotFaults are the faults that befall the steps of writing a snapshot in a soak.
 var snapshotFaults = map[snapshot.Step]faultinjection.Op{
 	snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
@@ -71,6 +89,7 @@
 	done := make(chan struct{})
 	group.Go(func() error {
 		defer close(done)
+		// The writer logs all other errors, and the next snapshot may succeed.
 		if err := p.snapshotWriter.Run(ctx); errors.Is(err, snapshot.ErrLate) {
 			log.Printf("name=%s snapshot=%q state=late err=%q", p.cfg.Name, p.snapshotWriter.Store.Path, err)
 		}
--- a/cmd/plankrouter/trace.go
+++ b/cmd/plankrouter/trace.go
@@ -9,9 +9,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// cpuInterval is between two lines of CPU time in a trace.
 const cpuInterval = time.Second
 
-// startTracing returns what logs a line for whatever is done to providers and the directory, where GW_TRACE is 1, and has the
+// startTracing returns what logs a line for whatever is done to servers and discovery, where GW_TRACE is 1, and has the
 // CPU time logged with it; else nil. testbench fleet counts such lines over a fleet.
 func startTracing(ctx context.Context, group *errgroup.Group, getenv func(string) string) func(string, ...any) {
 	if getenv("GW_TRACE") != "1" {
