--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -53,7 +53,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(c, half)
+				_, _ = io.WriteString(c, half)
 				time.AfterFunc(4*time.Second, func() { c.Close() })
 			}
 			s.adminCall("GET", "/ready", 200)
@@ -93,7 +93,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(c, "GET /record/left HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\n\r\n")
+			_, _ = io.WriteString(c, "GET /record/left HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\n\r\n")
 			time.Sleep(2 * time.Millisecond)
 			c.Close()
 		}
@@ -155,7 +155,9 @@
 			s.reload()
 			after(10 * sec)
 			p.Kill()
-			p.Start(p.ID())
+			if err := p.Start(p.ID()); err != nil {
+				t.Error(err)
+			}
 			restarted = p.Member()
 			fleet.Directory.Change(restarted)
 			after(12 * sec)
--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -53,15 +53,15 @@
 			w.WriteHeader(200)
 			switch {
 			case r.Method == "POST":
-				w.Write(body)
+				_, _ = w.Write(body)
 			case strings.HasSuffix(r.URL.Path, "/slow"):
 				slowly(flusher{w}, long, 9000, 90*time.Millisecond) // over 3 s, beyond its deadline
 			case strings.HasSuffix(r.URL.Path, "/broken"):
-				w.Write(long[:200<<10])
-				http.NewResponseController(w).Flush()
+				_, _ = w.Write(long[:200<<10])
+				_ = http.NewResponseController(w).Flush()
 				panic(http.ErrAbortHandler)
 			default:
-				w.Write(long)
+				_, _ = w.Write(long)
 			}
 		})
 		s := start(t, m, directory, nil)
@@ -127,11 +127,11 @@
 		m := fakes.NewMemory()
 		all, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/early") {
-				io.ReadFull(r.Body, make([]byte, 100<<10))
+				_, _ = io.ReadFull(r.Body, make([]byte, 100<<10))
 				c, _, _ := http.NewResponseController(w).Hijack() // else the server reads on before it closes
 				c.Close()
 			} else {
-				io.Copy(io.Discard, r.Body)
+				_, _ = io.Copy(io.Discard, r.Body)
 			}
 			panic(http.ErrAbortHandler)
 		})
@@ -152,7 +152,7 @@
 				t.Errorf("%s: sent %d times", path, n)
 			}
 			time.Sleep(sec)
-			io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // the connection goes on behind the body
+			_, _ = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // the connection goes on behind the body
 			if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 404 {
 				t.Errorf("after %s: %v %v", path, resp, err)
 			}
@@ -197,7 +197,7 @@
 func TestKeptBodiesAreGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
+		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
 		ask := func(path, rest string) (int, string) {
 			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+
@@ -226,13 +226,13 @@
 		m := fakes.NewMemory()
 		_, directory := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == "POST" {
-				io.CopyN(io.Discard, r.Body, 80<<10)
+				_, _ = io.CopyN(io.Discard, r.Body, 80<<10)
 				if strings.HasSuffix(r.URL.Path, "/early") {
 					c, _, _ := http.NewResponseController(w).Hijack()
 					c.Close()
 					return
 				}
-				io.Copy(io.Discard, r.Body)
+				_, _ = io.Copy(io.Discard, r.Body)
 				fmt.Fprint(w, "done")
 				return
 			}
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -42,7 +42,7 @@
 func (f *flooded) open(address, says string) {
 	c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 	if err == nil { // else its backlog is full
-		io.WriteString(c, says)
+		_, _ = io.WriteString(c, says)
 		f.conns = append(f.conns, c)
 	}
 	f.count()
@@ -141,7 +141,7 @@
 			c.Close()
 		}
 		f.cmd.Process.Kill()
-		f.cmd.Wait()
+		_ = f.cmd.Wait()
 	})
 	if err := fakes.Ready(t.Context(), fakes.Loopback(), f.front); err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 				n, release := fakes.NewMemory(), make(chan struct{})
 				_, directory := fakeServers(t, n, 4, func(w http.ResponseWriter, _ *http.Request) {
 					<-release
-					io.WriteString(w, "ok")
+					_, _ = io.WriteString(w, "ok")
 				})
 				s := start(t, n, directory, func(c *fakes.Sidecar) {
 					c.Sockets, c.NoProbes = limit, true
@@ -229,7 +229,7 @@
 					go func() {
 						if c, err := n.Dial(t.Context(), s.front); err == nil {
 							defer c.Close()
-							io.Copy(io.Discard, c)
+							_, _ = io.Copy(io.Discard, c)
 						}
 					}()
 				}
--- a/cmd/plankrouter/play_test.go
+++ b/cmd/plankrouter/play_test.go
@@ -278,7 +278,7 @@
 				break
 			}
 			e.SetWriteDeadline(time.Now().Add(time.Second))
-			io.WriteString(e, strings.ReplaceAll(strings.ReplaceAll(body+"\n", "\n", "\r\n"), "\\\r\n", ""))
+			_, _ = io.WriteString(e, strings.ReplaceAll(strings.ReplaceAll(body+"\n", "\n", "\r\n"), "\\\r\n", ""))
 		case word[1] == "gets":
 			body = strings.TrimSuffix(g.end(word[0]).take(), "\n")
 		case word[1] == "closes" && g.end(word[0]) != nil:
@@ -293,7 +293,9 @@
 		out = append(out, part)
 	}
 	signals.raise(syscall.SIGTERM)
-	<-result
+	if err := <-result; err != nil {
+		t.Error(err)
+	}
 	for _, e := range g.ends {
 		e.Close()
 	}
--- a/cmd/plankrouter/races_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -13,8 +13,8 @@
 // nothing of the request reaches a provider from then on, and what is counted comes out even.
 func TestWhatNobodyWaitsForIsNotSent(t *testing.T) {
 	leave := map[string]func(*net.TCPConn){
-		"FIN":   func(c *net.TCPConn) { c.CloseWrite() },
-		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"FIN":   func(c *net.TCPConn) { _ = c.CloseWrite() },
+		"reset": func(c *net.TCPConn) { c.SetLinger(0); _ = c.Close() },
 	}
 	cases := []struct {
 		name    string
@@ -145,7 +145,7 @@
 			c := r.client(tc.message)
 			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
 			held := wait(r, "the connection to a provider", r.dials)
-			c.CloseWrite()
+			_ = c.CloseWrite()
 			for !s.Left() {
 				time.Sleep(time.Millisecond)
 			}
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -44,9 +44,9 @@
 	return w.net.Dial(ctx, address)
 }
 
-func (w *world) all(from, to int, how func(*fakes.Provider)) func() {
+func (w *world) first(n int, how func(*fakes.Provider)) func() {
 	return func() {
-		for _, p := range w.Providers[from:to] {
+		for _, p := range w.Providers[:n] {
 			how(p)
 		}
 	}
@@ -86,7 +86,7 @@
 	"release while the directory's answers are lost": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{{At: 5 * sec, Do: w.Directory.LosePresent}, {At: 5 * sec, Do: func() {
-				w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+				_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 			}}}
 		},
 		event: 5 * sec, within: 4 * sec, worst: 0.5,
@@ -102,7 +102,7 @@
 	"a release leaves nobody warm": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{{At: 5 * sec, Do: func() {
-				w.Release(context.Background(), fakes.Release{Batch: 4, Grace: sec, Between: 2 * sec, Move: true})
+				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: sec, Between: 2 * sec, Move: true})
 			}}}
 		},
 		event: 5 * sec, within: 6 * sec, worst: 0.8, // each was at 0.41 for five seconds while nobody had anything to do
@@ -111,11 +111,11 @@
 		lasts: 42 * sec,
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 3 * sec, Do: func() { w.Directory.Down(true) }},
+				{At: 3 * sec, Do: func() { _ = w.Directory.Down(true) }},
 				{At: 4 * sec, Do: func() {
-					w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 				}},
-				{At: 33 * sec, Do: func() { w.Directory.Down(false) }},
+				{At: 33 * sec, Do: func() { _ = w.Directory.Down(false) }},
 			}
 		},
 		event: 4 * sec, within: 4 * sec, worst: 0.5,
@@ -132,7 +132,7 @@
 			return fakes.Timeline{
 				{At: 3 * sec, Do: func() { w.Directory.AnswerLate(true) }},
 				{At: 4 * sec, Do: func() {
-					w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
 				}},
 				{At: 8 * sec, Do: func() { w.Directory.AnswerLate(false) }},
 			}
@@ -146,7 +146,7 @@
 	},
 	"half of the list is wrong and the directory stands by it": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 4, (*fakes.Provider).Kill)}}
+			return fakes.Timeline{{At: 5 * sec, Do: w.first(4, (*fakes.Provider).Kill)}}
 		},
 		event: 5 * sec, within: 2 * sec, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -157,7 +157,7 @@
 	"nothing leaves the own machine": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 5 * sec, Do: func() { w.local.Store(true); w.all(0, 8, (*fakes.Provider).ResetKept)() }},
+				{At: 5 * sec, Do: func() { w.local.Store(true); w.first(8, (*fakes.Provider).ResetKept)() }},
 				{At: 8 * sec, Do: func() { w.local.Store(false) }},
 			}
 		},
@@ -170,7 +170,7 @@
 	},
 	"one turns probes away and serves requests": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 1, func(p *fakes.Provider) {
+			return fakes.Timeline{{At: 5 * sec, Do: w.first(1, func(p *fakes.Provider) {
 				p.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable })
 			})}}
 		},
@@ -181,7 +181,7 @@
 	},
 	"one answers probes and declines requests": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.all(0, 1, func(p *fakes.Provider) {
+			return fakes.Timeline{{At: 5 * sec, Do: w.first(1, func(p *fakes.Provider) {
 				p.Change(func(b *fakes.Behaviour) { b.Decline = true })
 			})}}
 		},
@@ -199,8 +199,8 @@
 	"two machines vanish and come back": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 5 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(true) })},
-				{At: 12 * sec, Do: w.all(0, 2, func(p *fakes.Provider) { p.Vanish(false) })},
+				{At: 5 * sec, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(true) })},
+				{At: 12 * sec, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(false) })},
 			}
 		},
 		event: 5 * sec, within: 3 * sec, worst: 0.5,
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -54,7 +54,7 @@
 func (logging) Write(p []byte) (int, error) {
 	logged.Lock()
 	defer logged.Unlock()
-	return logged.Buffer.Write(p)
+	return logged.Write(p)
 }
 
 // watched is a listener whose connections tell when they are closed here.
@@ -125,7 +125,7 @@
 	}
 	log.SetOutput(logging{})
 	r.signals, r.ended = launch(t, map[string]string{"GW_CONFIG": r.file}, watched{front, r, holding}, nil,
-		func(ctx context.Context, address string) (net.Conn, error) {
+		func(_ context.Context, address string) (net.Conn, error) {
 			if address != directory.Address() {
 				up := make(chan struct{})
 				r.dials <- up
@@ -206,7 +206,7 @@
 				if _, err := io.Copy(io.Discard, req.Body); err != nil {
 					return
 				}
-				io.WriteString(c, answer)
+				_, _ = io.WriteString(c, answer)
 			}
 		}()
 	}
@@ -228,8 +228,8 @@
 // served has a request answered 200, with all connections coming up from here on.
 func (r *rig) served(id string) {
 	c := r.client(get(id))
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(stepTimeout))
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(stepTimeout))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 		r.Errorf("%s: %v %v", id, resp, err)
 	}
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -101,7 +101,7 @@
 		s.Fatal(err)
 	}
 	defer c.Close()
-	go io.WriteString(c, raw)
+	go func() { _, _ = io.WriteString(c, raw) }()
 	c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	b, _ := io.ReadAll(c)
 	return string(b)
@@ -191,7 +191,7 @@
 		}
 		h := &hand{Listener: l, seen: map[string]int{}, how: how}
 		server := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
-		go server.Serve(l)
+		go func() { _ = server.Serve(l) }()
 		t.Cleanup(func() { server.Close() })
 		all = append(all, h)
 		listed = append(listed, fakes.Member{ID: fmt.Sprint("h", i), Address: l.Addr().String(), Locality: fakes.Here, Phase: fakes.Serving})
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -29,7 +29,8 @@
 	beforeKill bool
 }
 
-func afterSignal(at time.Duration) pause { return pause{at: at} }
+// justBeforeSignal holds the process up as SIGTERM comes, so that it reads it late.
+var justBeforeSignal = pause{at: -5 * time.Millisecond}
 
 func beforeKill(at time.Duration) pause { return pause{at: at, beforeKill: true} }
 
@@ -61,7 +62,7 @@
 	}
 	for name, row := range map[string]shutdownCase{
 		"undisturbed":                      {},
-		"the word is seen late":            {pauses: []pause{afterSignal(-5 * time.Millisecond)}},
+		"the word is seen late":            {pauses: []pause{justBeforeSignal}},
 		"held up 0.55 s before the kill":   {pauses: []pause{beforeKill(550 * time.Millisecond)}},
 		"held up 0.4 s before the kill":    {pauses: []pause{beforeKill(400 * time.Millisecond)}},
 		"held up 0.3 s before the kill":    {pauses: []pause{beforeKill(300 * time.Millisecond)}},
@@ -69,19 +70,19 @@
 		"held up 0.2 s before the kill":    {pauses: []pause{beforeKill(200 * time.Millisecond)}},
 		"held up over the kill":            {pauses: []pause{beforeKill(120 * time.Millisecond)}},
 		"held up until the kill":           {pauses: []pause{beforeKill(160 * time.Millisecond)}},
-		"seen late, and before the kill":   {pauses: []pause{afterSignal(-5 * time.Millisecond), beforeKill(250 * time.Millisecond)}},
+		"seen late, and before the kill":   {pauses: []pause{justBeforeSignal, beforeKill(250 * time.Millisecond)}},
 		"held up three times in a row":     {pauses: []pause{beforeKill(530 * time.Millisecond), beforeKill(360 * time.Millisecond), beforeKill(180 * time.Millisecond)}},
-		"long deadlines":                   {deadline: 1500 * time.Millisecond, service: 700 * time.Millisecond, pauses: []pause{afterSignal(-5 * time.Millisecond), beforeKill(200 * time.Millisecond)}},
-		"a crowd":                          {clients: 300, pauses: []pause{afterSignal(-5 * time.Millisecond), beforeKill(250 * time.Millisecond)}},
+		"long deadlines":                   {deadline: 1500 * time.Millisecond, service: 700 * time.Millisecond, pauses: []pause{justBeforeSignal, beforeKill(200 * time.Millisecond)}},
+		"a crowd":                          {clients: 300, pauses: []pause{justBeforeSignal, beforeKill(250 * time.Millisecond)}},
 		"halves of requests":               {halves: true},
 		"halves, held up until the kill":   {halves: true, pauses: []pause{beforeKill(160 * time.Millisecond)}},
 		"halves, held up":                  {halves: true, pauses: []pause{beforeKill(300 * time.Millisecond)}},
 		"a shorter deadline is in the way": {deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow, before: []early{{syscall.SIGHUP, time.Millisecond}}},
 		"a shorter deadline, seen late": {
 			deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow,
-			before: []early{{syscall.SIGHUP, time.Millisecond}}, pauses: []pause{afterSignal(-5 * time.Millisecond)},
+			before: []early{{syscall.SIGHUP, time.Millisecond}}, pauses: []pause{justBeforeSignal},
 		},
-		"a reload comes behind it": {after: []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2}, pauses: []pause{afterSignal(-5 * time.Millisecond)}},
+		"a reload comes behind it": {after: []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2}, pauses: []pause{justBeforeSignal}},
 		"a handover has begun":     {before: []early{{syscall.SIGUSR2, 5 * time.Millisecond}}},
 		"a reload within a handover": {
 			deadline: 1200 * time.Millisecond, service: 150 * time.Millisecond, shorter: shutdownRow, group: true, late: 900 * time.Millisecond,
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -123,8 +123,8 @@
 
 // end kills what is left of the processes.
 func (w *endingWorld) end() {
-	syscall.Kill(-w.cmd.Process.Pid, syscall.SIGKILL)
-	w.cmd.Wait()
+	_ = syscall.Kill(-w.cmd.Process.Pid, syscall.SIGKILL)
+	_ = w.cmd.Wait()
 	w.log.Close()
 	if len(w.lost) > 0 {
 		if raw, err := os.ReadFile(w.log.Name()); err == nil {
@@ -159,9 +159,9 @@
 		stopped.Go(func() {
 			time.Sleep(time.Until(at))
 			began := time.Now()
-			syscall.Kill(pid, syscall.SIGSTOP)
+			_ = syscall.Kill(pid, syscall.SIGSTOP)
 			time.Sleep(holdUp)
-			syscall.Kill(pid, syscall.SIGCONT)
+			_ = syscall.Kill(pid, syscall.SIGCONT)
 			mu.Lock()
 			defer mu.Unlock()
 			valid = valid && time.Since(began) < holdUpMost
@@ -172,14 +172,14 @@
 		if s.Signal == syscall.SIGHUP && w.row.shorter > 0 {
 			w.configure(w.row.shorter)
 		}
-		syscall.Kill(pid, s.Signal)
+		_ = syscall.Kill(pid, s.Signal)
 	}
 	time.Sleep(time.Until(word))
 	sent, to := time.Now(), pid
 	if w.row.group {
 		to = -pid
 	}
-	syscall.Kill(to, syscall.SIGTERM)
+	_ = syscall.Kill(to, syscall.SIGTERM)
 	if w.row.late > 0 {
 		for _, p := range w.servers {
 			p.Change(func(b *fakes.Behaviour) { b.Slow = float64(w.row.late) / float64(w.row.service) })
@@ -187,13 +187,13 @@
 	}
 	for _, s := range w.row.after {
 		time.Sleep(2 * time.Millisecond)
-		syscall.Kill(pid, s)
+		_ = syscall.Kill(pid, s)
 	}
 	time.Sleep(time.Until(sent.Add(kill)))
 	w.mu.Lock()
 	w.killedAt = time.Now()
 	w.mu.Unlock()
-	syscall.Kill(-pid, syscall.SIGKILL)
+	_ = syscall.Kill(-pid, syscall.SIGKILL)
 	stopped.Wait()
 	return valid
 }
@@ -269,7 +269,7 @@
 	defer c.Close()
 	id, kill := fmt.Sprint("half-", number), w.row.deadline+killMargin
 	text := w.request(id, "0.3")
-	io.WriteString(c, text[:len(text)-3])
+	_, _ = io.WriteString(c, text[:len(text)-3])
 	lead := time.Duration(20+60*number) * time.Millisecond
 	c.SetReadDeadline(time.Now().Add(70*time.Millisecond + kill - lead)) // SIGTERM comes 0.07 s from now
 	br := bufio.NewReader(c)
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -29,11 +29,11 @@
 	defer signal.Reset(all...)
 	signal.Notify(seen, all...)
 	for i := range 12 {
-		syscall.Kill(os.Getpid(), all[i%3].(syscall.Signal))
+		_ = syscall.Kill(os.Getpid(), all[i%3].(syscall.Signal))
 		<-seen // the kernel keeps one of a kind that waits
 	}
 	for _, s := range all[3:] {
-		syscall.Kill(os.Getpid(), s.(syscall.Signal))
+		_ = syscall.Kill(os.Getpid(), s.(syscall.Signal))
 		<-seen
 		select {
 		case got := <-w.stop:
@@ -132,7 +132,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				m := fakes.NewMemory()
 				_, directory := fakeServers(t, m, 2, func(_ http.ResponseWriter, r *http.Request) {
-					io.Copy(io.Discard, r.Body)
+					_, _ = io.Copy(io.Discard, r.Body)
 					<-r.Context().Done()
 				})
 				long := fakes.Order()
@@ -224,11 +224,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out.(*os.File).SetReadDeadline(time.Now().Add(time.Minute))
+	_ = out.(*os.File).SetReadDeadline(time.Now().Add(time.Minute))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL); cmd.Wait() }()
+	defer func() { _ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL); _ = cmd.Wait() }()
 	said, lines := bufio.NewScanner(out), []string(nil)
 	says := func(what string) (after string) {
 		t.Helper()
@@ -247,7 +247,7 @@
 	go func() {
 		defer close(burst)
 		for range 10000 {
-			syscall.Kill(cmd.Process.Pid, syscall.SIGHUP)
+			_ = syscall.Kill(cmd.Process.Pid, syscall.SIGHUP)
 			select {
 			case <-up:
 				return
@@ -265,11 +265,11 @@
 			set.Name = fmt.Sprint(name, i)
 			s.set.Classes = []fakes.Class{set}
 			s.write()
-			syscall.Kill(pid, syscall.SIGHUP)
+			_ = syscall.Kill(pid, syscall.SIGHUP)
 			says("classes=[" + set.Name + "]")
 		}
 		if name == "first" {
-			syscall.Kill(pid, syscall.SIGUSR2)
+			_ = syscall.Kill(pid, syscall.SIGUSR2)
 			next, _, _ := strings.Cut(says("handover=passing successor="), " ")
 			if pid, err = strconv.Atoi(next); err != nil {
 				t.Fatal(err)
@@ -285,13 +285,13 @@
 	if resp == nil || resp.StatusCode != 404 {
 		t.Errorf("operators get %v", resp)
 	}
-	syscall.Kill(pid, syscall.SIGTERM)
+	_ = syscall.Kill(pid, syscall.SIGTERM)
 	says("state=stopping")
 	for _, next := range []struct {
 		sig  syscall.Signal
 		want string
 	}{{syscall.SIGUSR2, "handover=refused"}, {syscall.SIGHUP, "state=reloaded"}, {syscall.SIGINT, "state=draining"}} { // which ends it at once
-		syscall.Kill(pid, next.sig)
+		_ = syscall.Kill(pid, next.sig)
 		says(next.want)
 	}
 }
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"plankrouter/internal/testbench/fakes"
 	"testing"
@@ -69,8 +70,9 @@
 						time.Sleep(leave - silent)
 						gone := fleet.Providers[:3]
 						gone[0].Behave(fakes.Behaviour{Drain: true})
-						gone[1].Restart(gone[1].ID())
-						gone[2].Restart("another")
+						if err := errors.Join(gone[1].Restart(gone[1].ID()), gone[2].Restart("another")); err != nil {
+							t.Error(err)
+						}
 					}()
 					tries, from, look, width := load(0, leave), leave, 5*sec, 9*sec
 					if killed {
