--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// flooded is the program as a process of its own, which starts with descriptors that are not its own doing.
-type flooded struct {
+// floodedProgram is the program as a process of its own, which starts with descriptors that are not its own doing.
+type floodedProgram struct {
 	*testing.T
 	cmd               *exec.Cmd
 	front, desk       string
@@ -28,7 +28,7 @@
 }
 
 // count looks at how many descriptors the process holds.
-func (f *flooded) count() int {
+func (f *floodedProgram) count() int {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.cmd.Process.Pid))
 	if err != nil {
 		f.Fatal(err)
@@ -39,7 +39,7 @@
 }
 
 // open connects to address and says something there, over which the kernel may let it wait.
-func (f *flooded) open(address, says string) {
+func (f *floodedProgram) open(address, says string) {
 	c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 	if err == nil { // else its backlog is full
 		_, _ = io.WriteString(c, says)
@@ -49,7 +49,7 @@
 }
 
 // fill waits until the process holds so many.
-func (f *flooded) fill(want int) {
+func (f *floodedProgram) fill(want int) {
 	for until := time.Now().Add(stepTimeout); f.count() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			f.Fatalf("%d descriptors after %s, want %d", f.last, stepTimeout, want)
@@ -91,8 +91,8 @@
 	}
 }
 
-func startFlooded(t *testing.T, limit, inherited int) *flooded {
-	f := &flooded{T: t, limit: limit}
+func startFlooded(t *testing.T, limit, inherited int) *floodedProgram {
+	f := &floodedProgram{T: t, limit: limit}
 	known := fakes.List{Revision: 1}
 	for i := range 8 { // servers that take requests and never answer
 		known.Members = append(known.Members, fakes.Member{
--- a/cmd/plankrouter/races_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -48,7 +48,7 @@
 					if tc.probes {
 						r.probes = make(chan struct{})
 					}
-					stop := r.let(tc.probes || tc.before > 0)
+					stop := r.allowDials(tc.probes || tc.before > 0)
 					for i := range tc.before {
 						r.served(fmt.Sprint(i))
 						want = append(want, fmt.Sprint(i))
@@ -69,10 +69,10 @@
 						}
 						r.pass <- nc
 					case tc.probes:
-						wait(r, "a probe", r.asked)
+						wait(r, "a probe", r.probed)
 						goes(c)
 					default:
-						held = wait(r, "the connection to a provider", r.dials)
+						held = wait(r, "the connection to a provider", r.pendingDials)
 						goes(c)
 					}
 					wait(r, "the end of a connection whose consumer has left", r.closed)
@@ -87,7 +87,7 @@
 					if backlog {
 						go func() { r.pass <- <-r.accepts }()
 					}
-					r.let(true)
+					r.allowDials(true)
 					r.served("z")
 					counts := r.end(words)
 					gone := 0
@@ -131,7 +131,7 @@
 				}
 			}()
 			want := []string{"z"}
-			stop := r.let(tc.before > 0)
+			stop := r.allowDials(tc.before > 0)
 			for i := range tc.before {
 				r.served(fmt.Sprint(i))
 				want = append(want, fmt.Sprint(i))
@@ -144,14 +144,14 @@
 			}
 			c := r.client(tc.message)
 			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
-			held := wait(r, "the connection to a provider", r.dials)
+			held := wait(r, "the connection to a provider", r.pendingDials)
 			_ = c.CloseWrite()
 			for !s.Left() {
 				time.Sleep(time.Millisecond)
 			}
 			close(held)
 			wait(r, "the end of a connection whose consumer has left", r.closed)
-			r.let(true)
+			r.allowDials(true)
 			r.served("z")
 			counts := r.end(2)
 			r.check(want, counts, 1, tc.before+1)
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// turn is a restarted process's next call.
-type turn struct {
-	at   time.Duration
-	who  int
-	call staleness.Poll
+// scheduledPoll is a restarted process's next call.
+type scheduledPoll struct {
+	at      time.Duration
+	process int
+	call    staleness.Poll
 }
 
-type turns []turn
+type pollQueue []scheduledPoll
 
-func (t turns) Len() int           { return len(t) }
-func (t turns) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t turns) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *turns) Push(x any)        { *t = append(*t, x.(turn)) }
-func (t *turns) Pop() any {
+func (t pollQueue) Len() int           { return len(t) }
+func (t pollQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t pollQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *pollQueue) Push(x any)        { *t = append(*t, x.(scheduledPoll)) }
+func (t *pollQueue) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -31,45 +31,45 @@
 
 // firstLists plays so many processes that restart within a second with no list at all, at a directory that makes perSecond whole
 // lists and lets calls wait in turn for queued before it turns them away, and returns when each has its list, sorted.
-func firstLists(t *testing.T, processes, perSecond int, queued time.Duration, seed uint64) (heard []time.Duration) {
+func firstLists(t *testing.T, processes, perSecond int, queued time.Duration, seed uint64) (listedAt []time.Duration) {
 	set := staleness.DefaultSettings()
 	set.Instances = processes
-	keepers := make([]*staleness.Scheduler, processes)
-	all := &turns{}
+	schedulers := make([]*staleness.Scheduler, processes)
+	all := &pollQueue{}
 	next := func(who int, now time.Duration) {
-		c := keepers[who].Next(time.Unix(1e9, 0).Add(now))
-		heap.Push(all, turn{now + c.Delay, who, c})
+		c := schedulers[who].Next(time.Unix(1e9, 0).Add(now))
+		heap.Push(all, scheduledPoll{now + c.Delay, who, c})
 	}
-	for i := range keepers {
+	for i := range schedulers {
 		k, err := staleness.New(set, seed<<32+uint64(i), true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		keepers[i] = k
+		schedulers[i] = k
 		next(i, time.Duration(i)*time.Second/time.Duration(processes))
 	}
 	each, free := time.Second/time.Duration(perSecond), time.Duration(0)
-	for len(heard) < processes*9/10 {
-		one := heap.Pop(all).(turn)
+	for len(listedAt) < processes*9/10 {
+		one := heap.Pop(all).(scheduledPoll)
 		if one.at > time.Minute {
-			return append(heard, one.at)
+			return append(listedAt, one.at)
 		}
-		k, begins := keepers[one.who], max(free, one.at)
+		k, begins := schedulers[one.process], max(free, one.at)
 		switch {
 		case begins-one.at > queued:
 			k.Rejected()
-			next(one.who, one.at)
+			next(one.process, one.at)
 		case begins+each-one.at > one.call.Timeout: // the directory answers nobody
 			free = begins + each
 			k.Failed()
-			next(one.who, one.at+one.call.Timeout)
+			next(one.process, one.at+one.call.Timeout)
 		default:
 			free = begins + each
-			heard = append(heard, free)
+			listedAt = append(listedAt, free)
 		}
 	}
-	slices.Sort(heard)
-	return heard
+	slices.Sort(listedAt)
+	return listedAt
 }
 
 // Nine in ten processes that restart together with no list of their own are ready within 10 s where the directory makes 20 whole
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// trouble is one that the program has to find back from: what happens to its world, and what must hold.
-type trouble struct {
+// recoveryCase is one that the program has to find back from: what happens to its world, and what must hold.
+type recoveryCase struct {
 	known  func(fakes.List) fakes.List // the list that it starts with; nil = the true one
 	steps  func(*world) fakes.Timeline
 	event  time.Duration                // from which recovery counts
@@ -82,7 +82,7 @@
 
 const sec = time.Second
 
-var troubles = map[string]trouble{
+var recoveryCases = map[string]recoveryCase{
 	"release while the directory's answers are lost": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{{At: 5 * sec, Do: w.Directory.LosePresent}, {At: 5 * sec, Do: func() {
@@ -241,7 +241,7 @@
 
 func TestFindsBack(t *testing.T) {
 	log.SetOutput(io.Discard)
-	for name, tr := range troubles {
+	for name, tr := range recoveryCases {
 		t.Run(strings.ReplaceAll(name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) { tr.play(t) })
@@ -250,7 +250,7 @@
 }
 
 // play runs the program through the trouble. Whatever it is, no request is lost, answered wrongly or run twice.
-func (tr trouble) play(t *testing.T) {
+func (tr recoveryCase) play(t *testing.T) {
 	w := &world{net: fakes.NewMemory()}
 	var err error
 	if w.Fleet, err = fakes.NewFleet(w.net, 8, fakes.ProviderOptions{
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -27,15 +27,15 @@
 // program's connections to providers come up when the test says so, whether or not the program still wants them.
 type rig struct {
 	*testing.T
-	front   string
-	dials   chan chan struct{} // one for each connection, to be closed when it is to come up
-	accepts chan net.Conn      // those of which the program may learn only when the test passes them on, if holding
-	pass    chan net.Conn
-	closed  chan struct{} // one word for each consumer's connection that the program has closed
-	asked   chan struct{} // and for each probe that a provider has got
-	signals signalQueues
-	ended   chan error
-	file    string
+	front        string
+	pendingDials chan chan struct{} // one for each connection, to be closed when it is to come up
+	accepts      chan net.Conn      // those of which the program may learn only when the test passes them on, if holding
+	pass         chan net.Conn
+	closed       chan struct{} // one word for each consumer's connection that the program has closed
+	probed       chan struct{} // and for each probe that a provider has got
+	signals      signalQueues
+	ended        chan error
+	file         string
 
 	mu     sync.Mutex
 	seen   []string         // the requests of which a provider has got the head, by their ids
@@ -49,34 +49,34 @@
 	bytes.Buffer
 }
 
-type logging struct{}
+type lockedLog struct{}
 
-func (logging) Write(p []byte) (int, error) {
+func (lockedLog) Write(p []byte) (int, error) {
 	logged.Lock()
 	defer logged.Unlock()
 	return logged.Write(p)
 }
 
-// watched is a listener whose connections tell when they are closed here.
-type watched struct {
+// heldListener is a listener whose connections tell when they are closed here.
+type heldListener struct {
 	net.Listener
 	*rig
 	holding bool
 }
 
-type telling struct {
+type closeNotifier struct {
 	*net.TCPConn
-	once *sync.Once
-	told chan struct{}
+	once   *sync.Once
+	closed chan struct{}
 }
 
-func (c telling) Close() error {
+func (c closeNotifier) Close() error {
 	err := c.TCPConn.Close()
-	c.once.Do(func() { c.told <- struct{}{} })
+	c.once.Do(func() { c.closed <- struct{}{} })
 	return err
 }
 
-func (l watched) Accept() (net.Conn, error) {
+func (l heldListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -85,13 +85,13 @@
 		l.accepts <- c
 		c = <-l.pass
 	}
-	return telling{c.(*net.TCPConn), new(sync.Once), l.closed}, nil
+	return closeNotifier{c.(*net.TCPConn), new(sync.Once), l.closed}, nil
 }
 
 func newRig(t *testing.T, providers int, holding bool, edit func(settings map[string]any)) *rig {
 	r := &rig{
-		T: t, dials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
-		closed: make(chan struct{}, 64), asked: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json"),
+		T: t, pendingDials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
+		closed: make(chan struct{}, 64), probed: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json"),
 	}
 	r.answer = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
 	known := fakes.List{Revision: 1}
@@ -123,12 +123,12 @@
 	if err != nil || os.WriteFile(r.file, raw, 0o600) != nil {
 		t.Fatal(err)
 	}
-	log.SetOutput(logging{})
-	r.signals, r.ended = launch(t, map[string]string{"GW_CONFIG": r.file}, watched{front, r, holding}, nil,
+	log.SetOutput(lockedLog{})
+	r.signals, r.ended = launch(t, map[string]string{"GW_CONFIG": r.file}, heldListener{front, r, holding}, nil,
 		func(_ context.Context, address string) (net.Conn, error) {
 			if address != directory.Address() {
 				up := make(chan struct{})
-				r.dials <- up
+				r.pendingDials <- up
 				<-up
 			}
 			return net.Dial("tcp", address)
@@ -200,7 +200,7 @@
 					r.seen = append(r.seen, id)
 					answer = r.answer(len(r.seen))
 					r.mu.Unlock()
-				} else if r.asked <- struct{}{}; probes != nil {
+				} else if r.probed <- struct{}{}; probes != nil {
 					<-probes
 				}
 				if _, err := io.Copy(io.Discard, req.Body); err != nil {
@@ -235,14 +235,14 @@
 	}
 }
 
-// let lets connections come up as they are asked for, if it is to, until stop is called.
-func (r *rig) let(they bool) (stop func()) {
+// allowDials lets connections come up as they are asked for, if it is to, until stop is called.
+func (r *rig) allowDials(they bool) (stop func()) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
 		for they {
 			select {
-			case up := <-r.dials:
+			case up := <-r.pendingDials:
 				close(up)
 			case <-done:
 				return
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -161,15 +161,15 @@
 // rand returns an id that was not used before.
 func rand() string { ids++; return fmt.Sprint("raw-", ids) }
 
-// hand is a provider that answers as a test tells it to.
-type hand struct {
+// fakeServer is a provider that answers as a test tells it to.
+type fakeServer struct {
 	net.Listener
 	mu   sync.Mutex
 	seen map[string]int
 	how  func(w http.ResponseWriter, r *http.Request)
 }
 
-func (h *hand) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/metrics/load") {
 		fmt.Fprint(w, `{"active":1,"avg_ms":5}`)
 		return
@@ -181,15 +181,15 @@
 }
 
 // fakeServers starts n of them and a directory that lists them.
-func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*hand, *fakes.Directory) {
-	var all []*hand
+func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*fakeServer, *fakes.Directory) {
+	var all []*fakeServer
 	var listed []fakes.Member
 	for i := range n {
 		l, err := m.Listen("")
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &hand{Listener: l, seen: map[string]int{}, how: how}
+		h := &fakeServer{Listener: l, seen: map[string]int{}, how: how}
 		server := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
 		go func() { _ = server.Serve(l) }()
 		t.Cleanup(func() { server.Close() })
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	holdUp      = 150 * time.Millisecond // of a process, at any step
-	holdUpMost  = 165 * time.Millisecond // a stop that the test's own machine made longer says nothing
-	shutdownRow = 400 * time.Millisecond // the longest deadline of the rows below
-	killMargin  = 700 * time.Millisecond // of SIGKILL after the longest deadline, both from when SIGTERM was sent
-	rowTries    = 5                      // of a row whose stops were not those that it asks for
+	pauseLength     = 150 * time.Millisecond // of a process, at any step
+	maxPauseLength  = 165 * time.Millisecond // a stop that the test's own machine made longer says nothing
+	defaultDeadline = 400 * time.Millisecond // the longest deadline of the rows below
+	killMargin      = 700 * time.Millisecond // of SIGKILL after the longest deadline, both from when SIGTERM was sent
+	maxRowAttempts  = 5                      // of a row whose stops were not those that it asks for
 )
 
-// pause is a moment of the shutdown at which the process is stopped for holdUp, counted from SIGTERM, or back from the kill.
+// pause is a moment of the shutdown at which the process is stopped for pauseLength, counted from SIGTERM, or back from the kill.
 type pause struct {
 	at         time.Duration
 	beforeKill bool
@@ -34,16 +34,16 @@
 
 func beforeKill(at time.Duration) pause { return pause{at: at, beforeKill: true} }
 
-// early is a signal that comes so long before SIGTERM.
-type early struct {
+// earlierSignal is a signal that comes so long before SIGTERM.
+type earlierSignal struct {
 	syscall.Signal
-	by time.Duration
+	lead time.Duration
 }
 
 // shutdownCase is a row: what befalls a process as it is told to end.
 type shutdownCase struct {
 	pauses   []pause
-	before   []early          // other signals, before SIGTERM
+	before   []earlierSignal  // other signals, before SIGTERM
 	group    bool             // SIGTERM goes to the whole group: the process may have handed over
 	shorter  time.Duration    // the longest deadline that a configuration written before them has; 0 = as it was
 	after    []syscall.Signal // sent just after SIGTERM
@@ -51,7 +51,7 @@
 	clients  int              // 0 = 24
 	service  time.Duration    // of the servers; 0 = 250 ms
 	late     time.Duration    // likewise from SIGTERM on; 0 = as before
-	deadline time.Duration    // the longest; 0 = shutdownRow
+	deadline time.Duration    // the longest; 0 = defaultDeadline
 }
 
 // TestNothingIsLostWhenAProcessEnds stops a real process at the edges of its shutdown, among clients that go on sending on their open
@@ -77,20 +77,20 @@
 		"halves of requests":               {halves: true},
 		"halves, held up until the kill":   {halves: true, pauses: []pause{beforeKill(160 * time.Millisecond)}},
 		"halves, held up":                  {halves: true, pauses: []pause{beforeKill(300 * time.Millisecond)}},
-		"a shorter deadline is in the way": {deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow, before: []early{{syscall.SIGHUP, time.Millisecond}}},
+		"a shorter deadline is in the way": {deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: defaultDeadline, before: []earlierSignal{{syscall.SIGHUP, time.Millisecond}}},
 		"a shorter deadline, seen late": {
-			deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: shutdownRow,
-			before: []early{{syscall.SIGHUP, time.Millisecond}}, pauses: []pause{justBeforeSignal},
+			deadline: 1200 * time.Millisecond, service: 700 * time.Millisecond, shorter: defaultDeadline,
+			before: []earlierSignal{{syscall.SIGHUP, time.Millisecond}}, pauses: []pause{justBeforeSignal},
 		},
 		"a reload comes behind it": {after: []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2}, pauses: []pause{justBeforeSignal}},
-		"a handover has begun":     {before: []early{{syscall.SIGUSR2, 5 * time.Millisecond}}},
+		"a handover has begun":     {before: []earlierSignal{{syscall.SIGUSR2, 5 * time.Millisecond}}},
 		"a reload within a handover": {
-			deadline: 1200 * time.Millisecond, service: 150 * time.Millisecond, shorter: shutdownRow, group: true, late: 900 * time.Millisecond,
-			before: []early{{syscall.SIGUSR2, 300 * time.Millisecond}, {syscall.SIGHUP, 280 * time.Millisecond}},
+			deadline: 1200 * time.Millisecond, service: 150 * time.Millisecond, shorter: defaultDeadline, group: true, late: 900 * time.Millisecond,
+			before: []earlierSignal{{syscall.SIGUSR2, 300 * time.Millisecond}, {syscall.SIGHUP, 280 * time.Millisecond}},
 		},
-		"a handover is passing to a crowd": {clients: 300, halves: true, before: []early{{syscall.SIGUSR2, 120 * time.Millisecond}}},
-		"a handover is passing":            {before: []early{{syscall.SIGUSR2, 120 * time.Millisecond}}},
-		"a handover, a reload, a report": {before: []early{
+		"a handover is passing to a crowd": {clients: 300, halves: true, before: []earlierSignal{{syscall.SIGUSR2, 120 * time.Millisecond}}},
+		"a handover is passing":            {before: []earlierSignal{{syscall.SIGUSR2, 120 * time.Millisecond}}},
+		"a handover, a reload, a report": {before: []earlierSignal{
 			{syscall.SIGUSR2, 120 * time.Millisecond},
 			{syscall.SIGHUP, 80 * time.Millisecond},
 			{syscall.SIGUSR1, 40 * time.Millisecond},
@@ -98,7 +98,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for range rowTries {
+			for range maxRowAttempts {
 				lost, valid := row.play(t)
 				if !valid {
 					continue
@@ -108,7 +108,7 @@
 				}
 				return
 			}
-			t.Skipf("the machine never kept a stop under %s", holdUpMost)
+			t.Skipf("the machine never kept a stop under %s", maxPauseLength)
 		})
 	}
 }
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// endingWorld is what a row plays in.
-type endingWorld struct {
+// shutdownWorld is what a row plays in.
+type shutdownWorld struct {
 	t        *testing.T
 	row      shutdownCase
 	address  string
@@ -38,8 +38,8 @@
 // play plays the row once, and returns what was lost; not valid says that the machine made a stop longer than it was to be.
 func (row shutdownCase) play(t *testing.T) (lost []string, valid bool) {
 	row.clients, row.service = cmp.Or(row.clients, 24), cmp.Or(row.service, 250*time.Millisecond)
-	row.deadline = cmp.Or(row.deadline, shutdownRow)
-	w := &endingWorld{t: t, row: row}
+	row.deadline = cmp.Or(row.deadline, defaultDeadline)
+	w := &shutdownWorld{t: t, row: row}
 	w.start()
 	defer w.end()
 	var clients sync.WaitGroup
@@ -49,7 +49,7 @@
 	time.Sleep(300 * time.Millisecond) // until all are at work
 	if row.halves {
 		for i := range 4 {
-			clients.Go(func() { w.half(i) })
+			clients.Go(func() { w.halfClient(i) })
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -60,7 +60,7 @@
 	return w.lost, valid
 }
 
-func (w *endingWorld) start() {
+func (w *shutdownWorld) start() {
 	network, t := fakes.Loopback(), w.t
 	var members []fakes.Member
 	for i := range 4 {
@@ -108,7 +108,7 @@
 }
 
 // configure writes the configuration with this deadline of its one class.
-func (w *endingWorld) configure(longest time.Duration) {
+func (w *shutdownWorld) configure(longest time.Duration) {
 	tile := fakes.Tile()
 	tile.Deadline, tile.Aim = longest, longest
 	w.sidecar.Classes = []fakes.Class{tile}
@@ -122,7 +122,7 @@
 }
 
 // end kills what is left of the processes.
-func (w *endingWorld) end() {
+func (w *shutdownWorld) end() {
 	_ = syscall.Kill(-w.cmd.Process.Pid, syscall.SIGKILL)
 	_ = w.cmd.Wait()
 	w.log.Close()
@@ -139,7 +139,7 @@
 
 // shutDown sends the row's signals, stops the process at its moments and kills it at the earliest. It reports whether the stops were as
 // long as they were to be.
-func (w *endingWorld) shutDown() (valid bool) {
+func (w *shutdownWorld) shutDown() (valid bool) {
 	pid, longest := w.cmd.Process.Pid, w.row.deadline
 	if w.row.shorter > 0 {
 		longest = w.row.shorter
@@ -149,7 +149,7 @@
 	var mu sync.Mutex
 	word := time.Now().Add(20 * time.Millisecond)
 	if len(w.row.before) > 0 {
-		word = word.Add(w.row.before[0].by)
+		word = word.Add(w.row.before[0].lead)
 	}
 	for _, p := range w.row.pauses {
 		at := word.Add(p.at)
@@ -160,15 +160,15 @@
 			time.Sleep(time.Until(at))
 			began := time.Now()
 			_ = syscall.Kill(pid, syscall.SIGSTOP)
-			time.Sleep(holdUp)
+			time.Sleep(pauseLength)
 			_ = syscall.Kill(pid, syscall.SIGCONT)
 			mu.Lock()
 			defer mu.Unlock()
-			valid = valid && time.Since(began) < holdUpMost
+			valid = valid && time.Since(began) < maxPauseLength
 		})
 	}
 	for _, s := range w.row.before {
-		time.Sleep(time.Until(word.Add(-s.by)))
+		time.Sleep(time.Until(word.Add(-s.lead)))
 		if s.Signal == syscall.SIGHUP && w.row.shorter > 0 {
 			w.configure(w.row.shorter)
 		}
@@ -198,20 +198,20 @@
 	return valid
 }
 
-func (w *endingWorld) killed() bool {
+func (w *shutdownWorld) killed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.killedAt.IsZero()
 }
 
-func (w *endingWorld) lose(format string, args ...any) {
+func (w *shutdownWorld) lose(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lost = append(w.lost, fmt.Sprintf(format, args...))
 }
 
 // client sends one request after another on a connection of its own, until there is nobody to send to.
-func (w *endingWorld) client(number int) {
+func (w *shutdownWorld) client(number int) {
 	var c net.Conn
 	var br *bufio.Reader
 	for i := 0; !w.killed(); i++ {
@@ -259,8 +259,8 @@
 	}
 }
 
-// half sends half a request before SIGTERM, and the rest as late as its number says, unless it has had an answer or an end by then.
-func (w *endingWorld) half(number int) {
+// halfClient sends half a request before SIGTERM, and the rest as late as its number says, unless it has had an answer or an end by then.
+func (w *shutdownWorld) halfClient(number int) {
 	c, err := net.Dial("tcp", w.address)
 	if err != nil {
 		w.t.Error(err)
@@ -286,7 +286,7 @@
 }
 
 // request words a request; deadline "" = the class's.
-func (w *endingWorld) request(id, deadline string) string {
+func (w *shutdownWorld) request(id, deadline string) string {
 	if deadline != "" {
 		deadline = "Req-Deadline: " + deadline + "\r\n"
 	}
@@ -294,7 +294,7 @@
 }
 
 // seen reports whether a server has had the request.
-func (w *endingWorld) seen(id string) bool {
+func (w *shutdownWorld) seen(id string) bool {
 	for _, p := range w.servers {
 		for _, r := range p.Requests() {
 			if r.ID == id {
--- a/internal/hotrestart/control.go
+++ b/internal/hotrestart/control.go
@@ -15,11 +15,11 @@
 // descriptor, or not at all. send is safe for concurrent use; receive is for one goroutine at a time.
 type control struct {
 	*net.UnixConn
-	buf [headLen + maxBody]byte
+	buffer [headerLen + maxBody]byte
 }
 
-// pair returns this process's end and the one to be inherited.
-func pair() (*control, *os.File, error) {
+// socketPair returns this process's end and the one to be inherited.
+func socketPair() (*control, *os.File, error) {
 	const how = syscall.SOCK_SEQPACKET | syscall.SOCK_CLOEXEC | syscall.SOCK_NONBLOCK
 	ends, err := syscall.Socketpair(syscall.AF_UNIX, how, 0)
 	if err != nil {
@@ -84,17 +84,17 @@
 func (c *control) receive() (message, *os.File, error) {
 	rights := make([]byte, syscall.CmsgSpace(4))
 	for {
-		n, rn, flags, _, err := c.ReadMsgUnix(c.buf[:], rights)
+		n, rn, flags, _, err := c.ReadMsgUnix(c.buffer[:], rights)
 		if errors.Is(err, syscall.ECONNRESET) {
 			continue // said once where the other end has left something unread; what it sent comes after that
 		}
 		if err != nil {
 			return message{}, nil, err
 		}
-		f := descriptor(rights[:rn])
-		m, err := decode(c.buf[:n])
+		f := firstDescriptor(rights[:rn])
+		m, err := decode(c.buffer[:n])
 		if flags&syscall.MSG_TRUNC != 0 {
-			err = fmt.Errorf("%w: longer than %d bytes", errMalformed, len(c.buf))
+			err = fmt.Errorf("%w: longer than %d bytes", errMalformed, len(c.buffer))
 		}
 		if err != nil && f != nil {
 			f.Close()
@@ -104,9 +104,9 @@
 	}
 }
 
-// descriptor returns the first descriptor in the control data and closes any more. They are close-on-exec already. None
+// firstDescriptor returns the first descriptor in the control data and closes any more. They are close-on-exec already. None
 // arrives where this process has no number left for it.
-func descriptor(rights []byte) *os.File {
+func firstDescriptor(rights []byte) *os.File {
 	var first *os.File
 	parts, _ := syscall.ParseSocketControlMessage(rights)
 	for i := range parts {
@@ -122,5 +122,7 @@
 	return first
 }
 
-// gone reports whether a write failed because the other end is closed.
-func gone(err error) bool { return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) }
+// isClosedByPeer reports whether a write failed because the other end is closed.
+func isClosedByPeer(err error) bool {
+	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
+}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -33,8 +33,8 @@
 		{kind: kindTaken, number: 17},
 		{kind: kindLeft, number: 18, body: []byte("too many open files")},
 		{kind: kindDone},
-		{kind: kindStop, body: encode(wordMessage{At: 1_234_567_890_123, Kill: 1_238_267_890_123})},
-		{kind: kindReload, body: encode(wordMessage{At: 1_234_567_890_123})},
+		{kind: kindStop, body: encode(signalMessage{At: 1_234_567_890_123, Kill: 1_238_267_890_123})},
+		{kind: kindReload, body: encode(signalMessage{At: 1_234_567_890_123})},
 	}
 }
 
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -34,9 +34,9 @@
 	// Variable names, in a successor's environment, the descriptor of its control socket.
 	Variable = "GW_HANDOVER"
 
-	readyWithin = 30 * time.Second
-	ackWithin   = 10 * time.Second
-	endWithin   = time.Second // for a successor that failed to end by itself and say why in its log
+	defaultReadyTimeout = 30 * time.Second
+	defaultAckTimeout   = 10 * time.Second
+	terminateTimeout    = time.Second // for a successor that failed to end by itself and say why in its log
 )
 
 // What ends a handover. They come wrapped.
@@ -57,18 +57,18 @@
 	busy bool
 }
 
-func (h *Coordinator) claim() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.busy || h.Inherited != nil && !h.Inherited.alone.Load() {
+func (c *Coordinator) claim() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.busy || c.Inherited != nil && !c.Inherited.hasAll.Load() {
 		return false
 	}
-	h.busy = true
+	c.busy = true
 	return true
 }
 
-func (h *Coordinator) release() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.busy = false
+func (c *Coordinator) release() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.busy = false
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -54,7 +54,7 @@
 	return c
 }
 
-// ask sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
+// request sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
 func ask(c net.Conn, line string) (pid, number int) {
 	fmt.Fprint(c, line)
 	if _, err := fmt.Fscanln(c, &pid, &number); err != nil {
@@ -208,7 +208,7 @@
 
 // pipe is the control socket of a successor in this process.
 func pipe() (old *control, getenv func(string) string) {
-	old, theirs, err := pair()
+	old, theirs, err := socketPair()
 	must(0, err)
 	defer theirs.Close()
 	old.SetReadDeadline(time.Now().Add(time.Minute))
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -14,7 +14,7 @@
 	MaxNote   = 4 << 10  // the note that goes with a connection
 	maxReason = 1 << 10
 	maxBody   = 32 << 10 // far below any usual send buffer: a larger packet would be refused, not split
-	headLen   = 1 + 8
+	headerLen = 1 + 8
 )
 
 // kind says what a message is. P is the predecessor, S the successor.
@@ -45,16 +45,16 @@
 }
 
 func (m message) encode() []byte {
-	b := append(make([]byte, 0, headLen+len(m.body)), byte(m.kind))
+	b := append(make([]byte, 0, headerLen+len(m.body)), byte(m.kind))
 	return append(binary.BigEndian.AppendUint64(b, m.number), m.body...)
 }
 
 // decode reads a packet. The body is part of b, not a copy.
 func decode(b []byte) (message, error) {
-	if len(b) < headLen {
+	if len(b) < headerLen {
 		return message{}, fmt.Errorf("%w: %d bytes", errMalformed, len(b))
 	}
-	m := message{kind: kind(b[0]), number: binary.BigEndian.Uint64(b[1:]), body: b[headLen:]}
+	m := message{kind: kind(b[0]), number: binary.BigEndian.Uint64(b[1:]), body: b[headerLen:]}
 	if most := m.kind.maxBody(); len(m.body) > most {
 		return message{}, fmt.Errorf("%w: kind %q with %d bytes", errMalformed, b[0], len(m.body))
 	}
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -33,22 +33,22 @@
 
 // Predecessor is the running process's side of a handover whose successor is ready.
 type Predecessor struct {
-	handover *Coordinator
-	control  *control
-	cmd      *exec.Cmd // nil = the platform has started it: it can't be ended from here
-	pid      int
-	exited   chan struct{} // the successor has been reaped
-	lost     chan struct{}
-	passes   sync.WaitGroup // calls of Pass
+	coordinator *Coordinator
+	control     *control
+	cmd         *exec.Cmd // nil = the platform has started it: it can't be ended from here
+	pid         int
+	exited      chan struct{} // the successor has been reaped
+	lost        chan struct{}
+	transfers   sync.WaitGroup // calls of Pass
 
-	mu       sync.Mutex
-	number   uint64
-	waiting  map[uint64]chan error // for the answers to what has been sent, by number
-	within   time.Duration
-	patience *time.Timer // runs while an answer is due; kills
-	finished bool        // Done has been called
-	last     uint64      // the number of its message
-	over     error       // ErrLost once the successor is
+	mu         sync.Mutex
+	lastNumber uint64
+	answers    map[uint64]chan error // for the answers to what has been sent, by number
+	ackTimeout time.Duration
+	ackTimer   *time.Timer // runs while an answer is due; kills
+	finished   bool        // Done has been called
+	doneNumber uint64      // the number of its message
+	lostErr    error       // ErrLost once the successor is
 }
 
 // Start starts the successor, hands it the listener and the state, and returns when it is ready to serve: from then on
@@ -59,41 +59,41 @@
 // On success the caller stops accepting (with a deadline, since it may need the listener again), calls Pass for its
 // connections as they become idle, and then Done. The program must be Path itself or be put in place by exec, and this
 // process must not be process 1, whose end would end the successor too.
-func (h *Coordinator) Start(ctx context.Context, l *net.TCPListener, o Options) (*Predecessor, error) {
+func (c *Coordinator) Start(ctx context.Context, l *net.TCPListener, o Options) (*Predecessor, error) {
 	switch {
 	case len(o.State) > MaxState:
 		return nil, fmt.Errorf("handover: state of %d bytes, at most %d", len(o.State), MaxState)
 	case os.Getpid() == 1:
 		return nil, errors.New("handover: process 1 can't hand over: its end ends all others; run it under an init")
-	case !h.claim():
+	case !c.claim():
 		return nil, fmt.Errorf("handover: %w", ErrUnderWay)
 	}
-	p, err := launch(o)
+	p, err := startSuccessor(o)
 	if err != nil {
-		h.release()
+		c.release()
 		return nil, fmt.Errorf("handover: start the successor: %w", err)
 	}
-	return h.begin(ctx, p, l, o)
+	return c.prepare(ctx, p, l, o)
 }
 
-// begin takes the successor to where it serves.
-func (h *Coordinator) begin(ctx context.Context, p *Predecessor, l *net.TCPListener, o Options) (*Predecessor, error) {
-	p.handover = h
+// prepare takes the successor to where it serves.
+func (c *Coordinator) prepare(ctx context.Context, p *Predecessor, l *net.TCPListener, o Options) (*Predecessor, error) {
+	p.coordinator = c
 	if err := p.prepare(ctx, l, o); err != nil {
-		p.end()
-		h.release()
+		p.terminate()
+		c.release()
 		if p.cmd != nil {
 			err = fmt.Errorf("(%v): %w", p.cmd.ProcessState, err)
 		}
 		return nil, fmt.Errorf("handover: successor %d: %w", p.Pid(), err)
 	}
-	go p.listen()
+	go p.readAnswers()
 	return p, nil
 }
 
-// launch starts the program with its end of the control socket.
-func launch(o Options) (*Predecessor, error) {
-	mine, theirs, err := pair()
+// startSuccessor starts the program with its end of the control socket.
+func startSuccessor(o Options) (*Predecessor, error) {
+	mine, theirs, err := socketPair()
 	if err != nil {
 		return nil, err
 	}
@@ -114,11 +114,11 @@
 		return nil, err
 	}
 	p := &Predecessor{
-		control: mine, cmd: cmd, pid: cmd.Process.Pid, within: cmp.Or(o.AckWithin, ackWithin), exited: make(chan struct{}),
-		lost: make(chan struct{}), waiting: map[uint64]chan error{},
+		control: mine, cmd: cmd, pid: cmd.Process.Pid, ackTimeout: cmp.Or(o.AckWithin, defaultAckTimeout), exited: make(chan struct{}),
+		lost: make(chan struct{}), answers: map[uint64]chan error{},
 	}
-	p.patience = time.AfterFunc(p.within, p.kill)
-	p.patience.Stop()
+	p.ackTimer = time.AfterFunc(p.ackTimeout, p.abort)
+	p.ackTimer.Stop()
 	go func() {
 		cmd.Wait() // how it ended is in ProcessState
 		close(p.exited)
@@ -128,7 +128,7 @@
 
 // prepare takes the successor to the point where it serves, or returns an error before that.
 func (p *Predecessor) prepare(ctx context.Context, l *net.TCPListener, o Options) error {
-	within := cmp.Or(o.ReadyWithin, readyWithin)
+	within := cmp.Or(o.ReadyWithin, defaultReadyTimeout)
 	ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("not ready within %v", within))
 	defer cancel()
 	inTime := context.AfterFunc(ctx, func() { p.control.SetDeadline(longAgo) })
@@ -149,8 +149,8 @@
 	return p.control.send(message{kind: kindServe}, -1)
 }
 
-// kill ends a successor that hangs, or at least the handover to it.
-func (p *Predecessor) kill() {
+// abort ends a successor that hangs, or at least the handover to it.
+func (p *Predecessor) abort() {
 	if p.cmd != nil {
 		p.cmd.Process.Kill()
 	} else {
@@ -160,7 +160,7 @@
 
 func (p *Predecessor) awaitReady(l *net.TCPListener, o Options) error {
 	// A successor that refuses may have read only a part of it.
-	if err := p.introduce(l, o); err != nil && !gone(err) {
+	if err := p.sendHello(l, o); err != nil && !isClosedByPeer(err) {
 		return err
 	}
 	m, _, err := p.control.receive()
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// introduce sends the hello, the listener and the state.
-func (p *Predecessor) introduce(l *net.TCPListener, o Options) error {
+// sendHello sends the hello, the listener and the state.
+func (p *Predecessor) sendHello(l *net.TCPListener, o Options) error {
 	b, err := cbor.Marshal(Hello{Version: Version, Name: o.Name, Address: o.Address, State: len(o.State)})
 	if err != nil {
 		return err
@@ -193,15 +193,15 @@
 	return err
 }
 
-// end ends a successor that must not serve: it learns that from its control socket, and is killed if it hangs.
-func (p *Predecessor) end() {
+// terminate ends a successor that must not serve: it learns that from its control socket, and is killed if it hangs.
+func (p *Predecessor) terminate() {
 	p.control.Close()
 	if p.cmd == nil {
 		return
 	}
 	select {
 	case <-p.exited:
-	case <-time.After(endWithin):
+	case <-time.After(terminateTimeout):
 		p.cmd.Process.Kill()
 		<-p.exited
 	}
@@ -228,10 +228,10 @@
 		p.mu.Unlock()
 		return fmt.Errorf("handover: pass: %w", ErrFinished)
 	}
-	p.passes.Add(1)
+	p.transfers.Add(1)
 	p.mu.Unlock()
-	defer p.passes.Done()
-	err := p.ask(message{kind: kindConn, body: note}, func(m message) error { return p.control.sendConn(m, c) })
+	defer p.transfers.Done()
+	err := p.request(message{kind: kindConn, body: note}, func(m message) error { return p.control.sendConn(m, c) })
 	if err != nil {
 		return fmt.Errorf("handover: pass: %w", err)
 	}
@@ -249,10 +249,10 @@
 	if before {
 		return fmt.Errorf("handover: done: %w", ErrFinished)
 	}
-	p.passes.Wait()
-	err := p.ask(message{kind: kindDone}, func(m message) error {
+	p.transfers.Wait()
+	err := p.request(message{kind: kindDone}, func(m message) error {
 		p.mu.Lock()
-		p.last = m.number
+		p.doneNumber = m.number
 		p.mu.Unlock()
 		return p.control.send(m, -1)
 	})
@@ -266,82 +266,82 @@
 	return nil
 }
 
-// ask sends a message under a number of its own and waits for its answer. A successor that hangs is killed: only when
+// request sends a message under a number of its own and waits for its answer. A successor that hangs is killed: only when
 // it has ended is it certain what it has taken. One that is slow is not, as long as it answers one message or another.
-func (p *Predecessor) ask(m message, send func(message) error) error {
+func (p *Predecessor) request(m message, send func(message) error) error {
 	answer := make(chan error, 1)
 	p.mu.Lock()
-	if p.over != nil {
+	if p.lostErr != nil {
 		p.mu.Unlock()
-		return p.over
+		return p.lostErr
 	}
-	p.number++
-	m.number = p.number
-	p.waiting[m.number] = answer
-	if len(p.waiting) == 1 {
-		p.patience.Reset(p.within)
+	p.lastNumber++
+	m.number = p.lastNumber
+	p.answers[m.number] = answer
+	if len(p.answers) == 1 {
+		p.ackTimer.Reset(p.ackTimeout)
 	}
 	p.mu.Unlock()
-	if err := send(m); err != nil && !gone(err) { // if it is gone, listen is about to see that too
-		p.answer(m.number, err)
+	if err := send(m); err != nil && !isClosedByPeer(err) { // if it is gone, listen is about to see that too
+		p.resolve(m.number, err)
 	}
 	return <-answer
 }
 
-// answer gives the asker of that number its answer.
-func (p *Predecessor) answer(number uint64, err error) {
+// resolve gives the asker of that number its answer.
+func (p *Predecessor) resolve(number uint64, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if to := p.waiting[number]; to != nil {
-		delete(p.waiting, number)
+	if to := p.answers[number]; to != nil {
+		delete(p.answers, number)
 		to <- err
 	}
-	if p.patience.Stop(); len(p.waiting) > 0 {
-		p.patience.Reset(p.within)
+	if p.ackTimer.Stop(); len(p.answers) > 0 {
+		p.ackTimer.Reset(p.ackTimeout)
 	}
 }
 
-// listen reads the successor's answers until it has everything or its end of the socket is closed.
-func (p *Predecessor) listen() {
+// readAnswers reads the successor's answers until it has everything or its end of the socket is closed.
+func (p *Predecessor) readAnswers() {
 	defer p.control.Close()
 	for {
 		m, _, err := p.control.receive()
 		switch {
 		case errors.Is(err, io.EOF):
-			p.fail()
+			p.markLost()
 			return
 		case err != nil && p.cmd == nil:
-			p.fail()
+			p.markLost()
 			return
 		case err != nil:
-			p.kill() // what it holds can't be told; what it had acknowledged and its end follow
+			p.abort() // what it holds can't be told; what it had acknowledged and its end follow
 		case m.kind == kindTaken:
-			p.answer(m.number, nil)
+			p.resolve(m.number, nil)
 		case m.kind == kindLeft:
-			p.answer(m.number, fmt.Errorf("the successor did not get it: %s", m.body))
+			p.resolve(m.number, fmt.Errorf("the successor did not get it: %s", m.body))
 		case m.kind == kindDone:
-			p.answer(m.number, nil)
+			p.resolve(m.number, nil)
 			return
 		default:
-			p.kill()
+			p.abort()
 		}
 	}
 }
 
-// fail says that the successor is lost. Whatever it had taken it has acknowledged before.
-func (p *Predecessor) fail() {
+// markLost says that the successor is lost. Whatever it had taken it has acknowledged before.
+func (p *Predecessor) markLost() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = ErrLost
-	p.patience.Stop()
-	for number, to := range p.waiting {
-		delete(p.waiting, number)
-		if p.cmd == nil && number != p.last {
+	p.lostErr = ErrLost
+	p.ackTimer.Stop()
+	for number, to := range p.answers {
+		delete(p.answers, number)
+		if p.cmd == nil && number != p.doneNumber {
 			to <- nil // it may have the connection and live: nobody here may read that any more
 		} else {
 			to <- ErrLost
 		}
 	}
-	p.handover.release()
+	p.coordinator.release()
 	close(p.lost)
 }
--- a/internal/hotrestart/signals.go
+++ b/internal/hotrestart/signals.go
@@ -20,9 +20,9 @@
 	At time.Time // that the word was sent, at the earliest
 }
 
-// wordMessage is a Stop or a Reload as it goes over the control socket, in nanoseconds of the machine's monotonic clock, which all processes
+// signalMessage is a Stop or a Reload as it goes over the control socket, in nanoseconds of the machine's monotonic clock, which all processes
 // share.
-type wordMessage struct {
+type signalMessage struct {
 	At   int64 `cbor:"1,keyasint"`
 	Kill int64 `cbor:"2,keyasint,omitempty"`
 }
@@ -52,8 +52,8 @@
 
 func (c clock) decode(nanos int64) time.Time { return c.now.Add(time.Duration(nanos - c.nanos)) }
 
-func decodeWord(b []byte) (at, kill time.Time, err error) {
-	var m wordMessage
+func decodeSignal(b []byte) (at, kill time.Time, err error) {
+	var m signalMessage
 	if err := cbor.Unmarshal(b, &m); err != nil {
 		return at, kill, fmt.Errorf("%w: a word passed on: %v", errMalformed, err)
 	}
@@ -63,22 +63,22 @@
 
 // Stop passes a word to stop on to the successor, which has begun to serve. An error says that it has not got it.
 func (p *Predecessor) Stop(s Stop) error {
-	return p.passOn(kindStop, func(c clock) wordMessage { return wordMessage{c.encode(s.At), c.encode(s.Kill)} })
+	return p.sendSignal(kindStop, func(c clock) signalMessage { return signalMessage{c.encode(s.At), c.encode(s.Kill)} })
 }
 
 // Reload is Stop for a word to read the configuration anew.
 func (p *Predecessor) Reload(r Reload) error {
-	return p.passOn(kindReload, func(c clock) wordMessage { return wordMessage{At: c.encode(r.At)} })
+	return p.sendSignal(kindReload, func(c clock) signalMessage { return signalMessage{At: c.encode(r.At)} })
 }
 
-func (p *Predecessor) passOn(k kind, word func(clock) wordMessage) error {
+func (p *Predecessor) sendSignal(kind kind, encode func(clock) signalMessage) error {
 	c, err := readClock()
 	var body []byte
 	if err == nil {
-		body, err = cbor.Marshal(word(c))
+		body, err = cbor.Marshal(encode(c))
 	}
 	if err == nil {
-		err = p.control.send(message{kind: k, body: body}, -1)
+		err = p.control.send(message{kind: kind, body: body}, -1)
 	}
 	if err != nil {
 		return fmt.Errorf("handover: a word passed on: %w", err)
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// hear tells whoever asked for it of a word that the predecessor has passed on.
-func (s *Successor) hear(m message) error {
-	at, kill, err := decodeWord(m.body)
+// receiveSignal tells whoever asked for it of a word that the predecessor has passed on.
+func (s *Successor) receiveSignal(m message) error {
+	at, kill, err := decodeSignal(m.body)
 	switch {
 	case err != nil:
 		return err
--- a/internal/hotrestart/signals_test.go
+++ b/internal/hotrestart/signals_test.go
@@ -18,13 +18,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for kind, word := range map[kind]wordMessage{kindStop: {c.encode(given), c.encode(given.Add(time.Minute))}, kindReload: {At: c.encode(given)}} {
+	for kind, word := range map[kind]signalMessage{kindStop: {c.encode(given), c.encode(given.Add(time.Minute))}, kindReload: {At: c.encode(given)}} {
 		body, err := cbor.Marshal(word)
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Millisecond) // it is held up on its way
-		if err := s.hear(message{kind: kind, body: body}); err != nil {
+		if err := s.receiveSignal(message{kind: kind, body: body}); err != nil {
 			t.Error(err)
 		}
 	}
@@ -33,7 +33,7 @@
 			t.Errorf("%s: moved by %s", what, off)
 		}
 	}
-	if err := s.hear(message{kind: kindStop, body: []byte("x")}); !errors.Is(err, errMalformed) {
+	if err := s.receiveSignal(message{kind: kindStop, body: []byte("x")}); !errors.Is(err, errMalformed) {
 		t.Errorf("a word of garbage: %v", err)
 	}
 }
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -21,44 +21,44 @@
 	Stopped  func(Stop)
 	Reloaded func(Reload)
 
-	control   *control
-	hello     Hello
-	listener  *net.TCPListener
-	state     []byte
-	cancelled chan struct{}
-	decided   chan struct{} // closed when it is known whether this process may serve
-	verdict   error         // whether it may not; from then on
-	alone     atomic.Bool   // all is this process's own
-	met       bool          // the platform has started this process, which can do without the other
-	open      []string      // ids of requests that the predecessor has open
+	control          *control
+	hello            Hello
+	listener         *net.TCPListener
+	state            []byte
+	cancelled        chan struct{}
+	decided          chan struct{} // closed when it is known whether this process may serve
+	refusal          error         // whether it may not; from then on
+	hasAll           atomic.Bool   // all is this process's own
+	foundPredecessor bool          // the platform has started this process, which can do without the other
+	open             []string      // ids of requests that the predecessor has open
 }
 
 // Inherited returns the successor's side if this process was started by a predecessor, nil and nil if not. It waits for
 // the predecessor's hello, listener and state. A hello that it can't work with is refused, and the error says why; so
 // does one for a variable that names no control socket.
 func Inherited(getenv func(string) string) (*Successor, error) {
-	name := getenv(Variable)
-	if name == "" {
+	value := getenv(Variable)
+	if value == "" {
 		return nil, nil
 	}
-	fd, err := strconv.Atoi(name)
+	fd, err := strconv.Atoi(value)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %s=%q: not a descriptor's number", Variable, name)
+		return nil, fmt.Errorf("handover: %s=%q: not a descriptor's number", Variable, value)
 	}
 	c, err := openControl(fd)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %s=%s: %w; unset it to start without a predecessor", Variable, name, err)
+		return nil, fmt.Errorf("handover: %s=%s: %w; unset it to start without a predecessor", Variable, value, err)
 	}
 	s := &Successor{control: c, cancelled: make(chan struct{}), decided: make(chan struct{})}
-	if err := s.greet(); err != nil {
+	if err := s.readHello(); err != nil {
 		return nil, s.Reject(err.Error())
 	}
-	go s.await()
+	go s.awaitServe()
 	return s, nil
 }
 
-// greet reads the hello and the state.
-func (s *Successor) greet() error {
+// readHello reads the hello and the state.
+func (s *Successor) readHello() error {
 	m, f, err := s.control.receive()
 	if err != nil {
 		return err
@@ -85,19 +85,19 @@
 	return err
 }
 
-// await learns whether this process may serve.
-func (s *Successor) await() {
+// awaitServe learns whether this process may serve.
+func (s *Successor) awaitServe() {
 	m, _, err := s.control.receive()
 	for ; err == nil && m.kind == kindOpen; m, _, err = s.control.receive() {
 		s.open = append(s.open, strings.Split(strings.TrimSuffix(string(m.body), "\n"), "\n")...)
 	}
 	switch {
 	case err != nil:
-		s.verdict = ErrCancelled
+		s.refusal = ErrCancelled
 	case m.kind != kindServe:
-		s.verdict = fmt.Errorf("%w: kind %q before this process was ready", errMalformed, m.kind)
+		s.refusal = fmt.Errorf("%w: kind %q before this process was ready", errMalformed, m.kind)
 	}
-	if s.verdict != nil {
+	if s.refusal != nil {
 		close(s.cancelled)
 	}
 	close(s.decided)
@@ -111,7 +111,7 @@
 func (s *Successor) Listener() *net.TCPListener { return s.listener }
 
 // TookOver reports whether the platform has started this process beside the other: if that one fails, this one serves alone.
-func (s *Successor) TookOver() bool { return s.met }
+func (s *Successor) TookOver() bool { return s.foundPredecessor }
 
 // Open are the ids of requests that the predecessor had open when it let this process serve.
 func (s *Successor) Open() []string { return s.open }
@@ -145,13 +145,13 @@
 // connections from then on. After an error, ErrCancelled for one, it must not serve and should exit.
 func (s *Successor) Ready() error {
 	err := s.control.send(message{kind: kindReady, number: uint64(os.Getpid())}, -1)
-	if err == nil || gone(err) {
-		if s.met {
-			defer time.AfterFunc(metWithin, func() { s.control.SetReadDeadline(longAgo) }).Stop()
+	if err == nil || isClosedByPeer(err) {
+		if s.foundPredecessor {
+			defer time.AfterFunc(rendezvousTimeout, func() { s.control.SetReadDeadline(longAgo) }).Stop()
 		}
 		<-s.decided
-		if err = s.verdict; err != nil && s.met {
-			s.alone.Store(true)
+		if err = s.refusal; err != nil && s.foundPredecessor {
+			s.hasAll.Store(true)
 			s.Close()
 		}
 	}
@@ -169,8 +169,8 @@
 // again as soon as Close has been called or this process has ended: it should stop accepting first, and end.
 func (s *Successor) ReceiveConns(ctx context.Context, take func(c *net.TCPConn, note []byte)) error {
 	defer context.AfterFunc(ctx, func() { s.control.SetDeadline(longAgo) })()
-	if <-s.decided; s.verdict != nil {
-		return fmt.Errorf("handover: %w", s.verdict)
+	if <-s.decided; s.refusal != nil {
+		return fmt.Errorf("handover: %w", s.refusal)
 	}
 	for {
 		m, f, err := s.control.receive()
@@ -180,11 +180,11 @@
 		case errors.Is(err, io.EOF):
 			err = ErrGone
 		case err == nil && m.kind == kindConn:
-			if err = s.takeOver(m, f, take); err == nil {
+			if err = s.acceptConn(m, f, take); err == nil {
 				continue
 			}
 		case err == nil && (m.kind == kindStop || m.kind == kindReload):
-			if err = s.hear(m); err == nil {
+			if err = s.receiveSignal(m); err == nil {
 				continue
 			}
 		case err == nil && m.kind == kindDone:
@@ -193,7 +193,7 @@
 			err = fmt.Errorf("%w: kind %q among the connections", errMalformed, m.kind)
 		}
 		if err == nil || err == ErrGone {
-			s.alone.Store(true)
+			s.hasAll.Store(true)
 			s.Close()
 		}
 		if err != nil {
@@ -203,8 +203,8 @@
 	}
 }
 
-// takeOver acknowledges a connection before it can be used: without an acknowledgement the predecessor keeps it.
-func (s *Successor) takeOver(m message, f *os.File, take func(*net.TCPConn, []byte)) error {
+// acceptConn acknowledges a connection before it can be used: without an acknowledgement the predecessor keeps it.
+func (s *Successor) acceptConn(m message, f *os.File, take func(*net.TCPConn, []byte)) error {
 	note := bytes.Clone(m.body)
 	c, err := tcpConn(f)
 	if err != nil {
@@ -223,9 +223,9 @@
 	return nil
 }
 
-// answer sends an answer, which a predecessor that is gone needs no more.
+// resolve sends an answer, which a predecessor that is gone needs no more.
 func (s *Successor) answer(m message) error {
-	if err := s.control.send(m, -1); err != nil && !gone(err) {
+	if err := s.control.send(m, -1); err != nil && !isClosedByPeer(err) {
 		return err
 	}
 	return nil
