--- a/balancer_test.go
+++ b/balancer_test.go
@@ -103,7 +103,9 @@
 		if got.Load() > 0 {
 			t.Error("it was sent")
 		}
-		b.Close(t.Context())
+		if err := b.Close(t.Context()); err != nil {
+			t.Error(err)
+		}
 	})
 }
 
@@ -112,7 +114,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, b := fleet(t, 1, func(o *plankrouter.Options) { o.Probes = false })
 		defer f.Close()
-		defer b.Close(t.Context())
+		defer func() {
+			if err := b.Close(t.Context()); err != nil {
+				t.Error(err)
+			}
+		}()
 		f.Providers[0].Change(func(b *fakes.Behaviour) { b.Slow = 10 })
 		for _, after := range []time.Duration{0, 50 * ms} {
 			ctx, cancel := context.WithCancel(t.Context())
--- a/bench_test.go
+++ b/bench_test.go
@@ -43,7 +43,11 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				defer lib.Close(context.Background())
+				defer func() {
+					if err := lib.Close(context.Background()); err != nil {
+						b.Error(err)
+					}
+				}()
 				measure(b, callers, func() error {
 					_, err := lib.Do(context.Background(), &plankrouter.Request{Target: "/tile/roma?z=3"})
 					return err
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -17,12 +17,12 @@
 	"time"
 )
 
-// servers starts providers that end with the test.
-func servers(t *testing.T, names ...string) (all []*provider) {
+// servers starts servers that end with the test.
+func servers(t *testing.T, names ...string) (all []*scriptedServer) {
 	t.Helper()
 	network := fakes.Loopback()
 	for _, name := range names {
-		p := newProvider(network, name, new(queue))
+		p := newScriptedServer(network, name, new(queue))
 		if err := p.up(false); err != nil {
 			t.Fatal(err)
 		}
@@ -32,9 +32,9 @@
 	return all
 }
 
-// usual are options that most tests start from: two classes, a long wait for connections, and the providers by their
+// usual are options that most tests start from: two classes, a long wait for connections, and the servers by their
 // names.
-func usual(all ...*provider) plankrouter.Options {
+func usual(all ...*scriptedServer) plankrouter.Options {
 	o := plankrouter.Options{Name: "n1", Seed: 1, ConnectTimeout: 10 * time.Second, Classes: []plankrouter.Class{
 		{Name: "tile", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second},
 		{Name: "order", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, Idempotency: plankrouter.NonIdempotent},
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { b.Close(ended()) })
+	t.Cleanup(func() { _ = b.Close(ended()) }) // its error is that of the context that has ended
 	return b
 }
 
@@ -70,11 +70,11 @@
 	}
 }
 
-// sees waits until the provider has seen n requests whole.
-func (p *provider) sees(t *testing.T, n int) {
+// sees waits until the server has seen n requests whole.
+func (s *scriptedServer) sees(t *testing.T, n int) {
 	t.Helper()
 	must(t, await(t.Context(), func() bool {
-		return len(slices.DeleteFunc(p.seen(), func(s sight) bool { return s.did == "part" })) >= n
+		return len(slices.DeleteFunc(s.seen(), func(a seenAttempt) bool { return a.action == "part" })) >= n
 	}))
 }
 
@@ -86,41 +86,41 @@
 		t.Helper()
 		select {
 		case v = <-done:
-		case <-time.After(patience):
+		case <-time.After(waitLimit):
 			t.Fatal("it did not return")
 		}
 		return v
 	}
 }
 
-// lines are what a logger was told.
-type lines struct {
+// logLines are what a logger was told.
+type logLines struct {
 	slog.Handler
-	mu  sync.Mutex
-	all []string
-	on  func() // called with each
+	mu     sync.Mutex
+	all    []string
+	onLine func() // called with each
 }
 
-func (l *lines) Enabled(context.Context, slog.Level) bool { return true }
-func (l *lines) WithAttrs([]slog.Attr) slog.Handler       { return l }
+func (l *logLines) Enabled(context.Context, slog.Level) bool { return true }
+func (l *logLines) WithAttrs([]slog.Attr) slog.Handler       { return l }
 
-func (l *lines) Handle(_ context.Context, r slog.Record) error {
+func (l *logLines) Handle(_ context.Context, r slog.Record) error {
 	l.mu.Lock()
 	l.all = append(l.all, r.Message)
 	l.mu.Unlock()
-	if l.on != nil {
-		l.on()
+	if l.onLine != nil {
+		l.onLine()
 	}
 	return nil
 }
 
-func (l *lines) count() int {
+func (l *logLines) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.all)
 }
 
-// Two balancers of one name, with members and requests of the same ids, settings and fleets of their own, started and
+// Two balancers of one name, with endpoints and requests of the same ids, settings and fleets of their own, started and
 // closed in every order: each counts and answers what is its own.
 func TestTwoBalancers(t *testing.T) {
 	for _, order := range []string{
@@ -129,21 +129,21 @@
 	} {
 		t.Run(order, func(t *testing.T) {
 			all := servers(t, "s-1", "s-1")
-			sides := map[string]*half{"a": {p: all[0]}, "b": {p: all[1]}}
+			sides := map[string]*balancerWithServer{"a": {server: all[0]}, "b": {server: all[1]}}
 			for word := range strings.FieldsSeq(order) {
 				h := sides[word[1:]]
 				if word[0] == '+' {
-					o := usual(h.p)
+					o := usual(h.server)
 					if word == "+a" {
 						o.MaxAttempts, o.Classes = 1, o.Classes[:1]
 					}
-					h.b = balancer(t, o)
+					h.balancer = balancer(t, o)
 				} else {
-					must(t, h.b.Close(t.Context()))
+					must(t, h.balancer.Close(t.Context()))
 					h.closed = true
 				}
 				for _, h := range sides {
-					h.use(t)
+					h.sendOne(t)
 				}
 				if a, b := sides["a"], sides["b"]; a.open() && b.open() {
 					a.hold(t)
@@ -153,55 +153,55 @@
 				}
 			}
 			for name, h := range sides {
-				s := h.b.Stats()
-				if s.Accepted != h.asked || s.Served != h.asked || s.Attempts != h.asked || s.Connections != 0 ||
-					len(h.p.seen()) != h.asked {
-					t.Errorf("%s was asked %d times, its server %d: %+v", name, h.asked, len(h.p.seen()), s)
+				s := h.balancer.Stats()
+				if s.Accepted != h.sent || s.Served != h.sent || s.Attempts != h.sent || s.Connections != 0 ||
+					len(h.server.seen()) != h.sent {
+					t.Errorf("%s was asked %d times, its server %d: %+v", name, h.sent, len(h.server.seen()), s)
 				}
 			}
 		})
 	}
 }
 
-// half is one of two balancers, with its server.
-type half struct {
-	p      *provider
-	b      *plankrouter.Balancer
-	closed bool
-	asked  int
-	answer func() error
+// balancerWithServer is one of two balancers, with its server.
+type balancerWithServer struct {
+	server   *scriptedServer
+	balancer *plankrouter.Balancer
+	closed   bool
+	sent     int
+	answer   func() error
 }
 
-func (h *half) open() bool { return h.b != nil && !h.closed }
+func (h *balancerWithServer) open() bool { return h.balancer != nil && !h.closed }
 
-func (h *half) ask(id string) error {
-	_, err := h.b.Do(context.Background(), &plankrouter.Request{Class: "tile", ID: id})
+func (h *balancerWithServer) send(id string) error {
+	_, err := h.balancer.Do(context.Background(), &plankrouter.Request{Class: "tile", ID: id})
 	return err
 }
 
-func (h *half) use(t *testing.T) {
+func (h *balancerWithServer) sendOne(t *testing.T) {
 	t.Helper()
 	switch {
 	case h.open():
-		h.asked++
-		must(t, h.ask("1"))
+		h.sent++
+		must(t, h.send("1"))
 	case h.closed:
-		if err := h.ask("1"); !errors.Is(err, plankrouter.ErrClosed) {
+		if err := h.send("1"); !errors.Is(err, plankrouter.ErrClosed) {
 			t.Errorf("after its close: %v", err)
 		}
 	}
 }
 
-func (h *half) hold(t *testing.T) {
-	h.p.own.add(deed{word: "answer", hold: true}, 1)
-	h.asked++
-	h.answer = later(t, func() error { return h.ask("2") })
-	h.p.sees(t, h.asked)
+func (h *balancerWithServer) hold(t *testing.T) {
+	h.server.ownDeeds.add(deed{name: "answer", hold: true}, 1)
+	h.sent++
+	h.answer = later(t, func() error { return h.send("2") })
+	h.server.sees(t, h.sent)
 }
 
-func (h *half) release(t *testing.T) {
+func (h *balancerWithServer) release(t *testing.T) {
 	t.Helper()
-	must(t, h.p.letGo(t.Context(), ""))
+	must(t, h.server.release(t.Context(), ""))
 	must(t, h.answer())
 }
 
@@ -250,19 +250,19 @@
 // What one logs, and the limit on its connections, is not the other's.
 func TestLogsAndLimitsOfTheirOwn(t *testing.T) {
 	all := servers(t, "s-1", "s-1")
-	quiet, loud := new(lines), new(lines)
+	quiet, loud := new(logLines), new(logLines)
 	a, b := usual(all[0]), usual(all[1])
 	a.Logger, b.Logger = slog.New(quiet), slog.New(loud)
 	b.ConnectionLimit = plankrouter.NewConnectionLimit(1, nil)
-	one, two := half{b: balancer(t, a), p: all[0]}, half{b: balancer(t, b), p: all[1]}
+	one, two := balancerWithServer{balancer: balancer(t, a), server: all[0]}, balancerWithServer{balancer: balancer(t, b), server: all[1]}
 	two.hold(t)
 	var refused *plankrouter.RejectedError
-	if err := two.ask("other"); !errors.As(err, &refused) {
+	if err := two.send("other"); !errors.As(err, &refused) {
 		t.Errorf("beyond its limit of one connection: %v", err)
 	}
 	must(t, await(t.Context(), func() bool { return loud.count() > 0 })) // of the refusal
 	for range 20 {
-		one.use(t)
+		one.sendOne(t)
 	}
 	two.release(t)
 	if quiet.count() > 0 {
@@ -272,31 +272,31 @@
 
 // Close waits for what is out, however often and from however many goroutines it is called.
 func TestCloseTwice(t *testing.T) {
-	h := half{p: servers(t, "s-1")[0]}
-	h.b = balancer(t, usual(h.p))
+	h := balancerWithServer{server: servers(t, "s-1")[0]}
+	h.balancer = balancer(t, usual(h.server))
 	h.hold(t)
 	var closes []func() error
 	for range 8 {
-		closes = append(closes, later(t, func() error { return h.b.Close(context.Background()) }))
+		closes = append(closes, later(t, func() error { return h.balancer.Close(context.Background()) }))
 	}
-	closed := func() bool { return errors.Is(h.ask("2"), plankrouter.ErrClosed) } // before, it is a duplicate
+	closed := func() bool { return errors.Is(h.send("2"), plankrouter.ErrClosed) } // before, it is a duplicate
 	must(t, await(t.Context(), closed))
 	h.release(t)
 	for _, wait := range closes {
 		must(t, wait())
 	}
-	must(t, h.b.Close(context.Background()))
-	h.b.Close(ended()) // which may say that its context has ended, but returns
+	must(t, h.balancer.Close(context.Background()))
+	_ = h.balancer.Close(ended()) // which may say that its context has ended, but returns
 }
 
 // With a context that has ended Close waits for nothing: what is out has its outcome at once, and its connection is
 // gone.
 func TestCloseAtOnce(t *testing.T) {
-	h := half{p: servers(t, "s-1")[0]}
-	h.b = balancer(t, usual(h.p))
+	h := balancerWithServer{server: servers(t, "s-1")[0]}
+	h.balancer = balancer(t, usual(h.server))
 	h.hold(t)
-	waiting := later(t, func() error { return h.b.Close(context.Background()) }) // one that waits is no hindrance
-	if err := h.b.Close(ended()); !errors.Is(err, context.Canceled) {
+	waiting := later(t, func() error { return h.balancer.Close(context.Background()) }) // one that waits is no hindrance
+	if err := h.balancer.Close(ended()); !errors.Is(err, context.Canceled) {
 		t.Errorf("Close: %v", err)
 	}
 	var failed *plankrouter.FailedError
@@ -304,8 +304,8 @@
 		t.Errorf("the call that was out: %v", err)
 	}
 	must(t, waiting())
-	must(t, await(t.Context(), func() bool { return h.p.seen()[0].left }))
-	if n := h.b.Stats().Connections; n != 0 {
+	must(t, await(t.Context(), func() bool { return h.server.seen()[0].clientLeft }))
+	if n := h.balancer.Stats().Connections; n != 0 {
 		t.Errorf("%d connections are left", n)
 	}
 }
@@ -346,12 +346,16 @@
 func TestCloseFromLogger(t *testing.T) {
 	var b atomic.Pointer[plankrouter.Balancer]
 	closed := make(chan error, 100)
-	log := new(lines)
-	log.on = func() { closed <- b.Load().Close(context.Background()) }
+	log := new(logLines)
+	log.onLine = func() { closed <- b.Load().Close(context.Background()) }
 	o := usual()
 	o.Logger = slog.New(log)
 	b.Store(balancer(t, o))
-	b.Load().Do(t.Context(), &plankrouter.Request{}) // refused, which is logged
+	_, err := b.Load().Do(t.Context(), &plankrouter.Request{})
+	var rejected *plankrouter.RejectedError // which is logged
+	if !errors.As(err, &rejected) {
+		t.Errorf("without a server: %v", err)
+	}
 	must(t, later(t, func() error { return <-closed })())
 	if _, err := b.Load().Do(t.Context(), &plankrouter.Request{}); !errors.Is(err, plankrouter.ErrClosed) {
 		t.Errorf("after the close: %v", err)
@@ -367,7 +371,7 @@
 	set := func(s string) { how.Store(&s) }
 	set("well")
 	late := make(chan net.Conn, 1)
-	o := dials(usual(all[:1]...), func(ctx context.Context, address string) (net.Conn, error) {
+	o := dials(usual(all[:1]...), func(_ context.Context, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", address)
 		if err != nil || *how.Load() == "well" {
 			return c, err
@@ -384,12 +388,12 @@
 		panic("in the dial function")
 	})
 	o.ConnectTimeout = 2 * time.Second // only what is late has to pass it
-	h := half{p: all[0], b: balancer(t, o)}
+	h := balancerWithServer{server: all[0], balancer: balancer(t, o)}
 	h.hold(t) // a call of its own connection, which must not notice
 	var refused *plankrouter.RejectedError
 	for _, s := range []string{"panics", "exits", "late"} {
 		set(s)
-		if err := h.ask(s); !errors.As(err, &refused) {
+		if err := h.send(s); !errors.As(err, &refused) {
 			t.Errorf("a dial function that %s: %v", s, err)
 		}
 	}
@@ -403,7 +407,7 @@
 	}
 	set("well")
 	h.release(t)
-	must(t, h.ask("again"))
+	must(t, h.send("again"))
 }
 
 // A logger that panics, or ends its goroutine, loses its line alone.
@@ -412,16 +416,16 @@
 	for name, end := range map[string]func(){"panics": func() { panic("in the logger") }, "exits": runtime.Goexit} {
 		t.Run(name, func(t *testing.T) {
 			p := servers(t, "s-1")[0]
-			log := &lines{on: end}
+			log := &logLines{onLine: end}
 			o := usual()
 			o.Logger = slog.New(log)
 			b := balancer(t, o)
-			first := func() bool { // a refusal is logged at once, and the next one some seconds later
-				b.Do(t.Context(), &plankrouter.Request{})
+			first := func() bool { // a rejection is logged at once, and the next one some seconds later
+				_, _ = b.Do(t.Context(), &plankrouter.Request{})
 				return log.count() > 0
 			}
 			must(t, await(t.Context(), first))
-			must(t, await(t.Context(), func() bool { return first() && log.count() > 1 })) // and goes on being told
+			must(t, await(t.Context(), func() bool { return first() && log.count() > 1 })) // and goes on getting lines
 			must(t, b.Update(plankrouter.Endpoint{Address: p.address}))
 			if _, err := b.Do(t.Context(), &plankrouter.Request{}); err != nil {
 				t.Error(err)
@@ -435,7 +439,7 @@
 func TestCancelledTogether(t *testing.T) {
 	all := servers(t, "s-1", "s-2", "s-3", "s-4")
 	for _, p := range all {
-		p.own.add(deed{word: "silent"}, 5000)
+		p.ownDeeds.add(deed{name: "silent"}, 5000)
 	}
 	o := usual(all...)
 	o.Probes, o.ConnectionLimit = true, plankrouter.NewConnectionLimit(2000, nil)
@@ -465,7 +469,7 @@
 	}
 	must(t, await(t.Context(), func() bool { // no connection is left that carried one of them
 		for _, p := range all {
-			if slices.ContainsFunc(p.seen(), func(s sight) bool { return !s.left }) {
+			if slices.ContainsFunc(p.seen(), func(s seenAttempt) bool { return !s.clientLeft }) {
 				return false
 			}
 		}
@@ -477,7 +481,7 @@
 func TestEverythingAtOnce(t *testing.T) {
 	all := servers(t, "s-1", "s-2", "s-3")
 	o := usual(all...)
-	o.Probes, o.Logger = true, slog.New(new(lines))
+	o.Probes, o.Logger = true, slog.New(new(logLines))
 	b := balancer(t, o)
 	var wait sync.WaitGroup
 	for i := range 12 {
@@ -485,9 +489,9 @@
 			for n := range 100 {
 				switch i % 6 {
 				case 0:
-					b.Update(plankrouter.Endpoint{ID: "s-1", Address: all[0].address, Phase: plankrouter.Phase(n % 3)})
+					_ = b.Update(plankrouter.Endpoint{ID: "s-1", Address: all[0].address, Phase: plankrouter.Phase(n % 3)})
 				case 1:
-					b.Replace(o.Endpoints...)
+					_ = b.Replace(o.Endpoints...)
 				case 2:
 					b.Stats()
 					b.Ready()
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -19,16 +19,20 @@
 
 var update = flag.Bool("update", false, "record what the sides do as what they should do")
 
-// sideBySide is how many scenarios are played at a time: they wait for their gates and for the daemon's end, and hardly
+// maxParallel is how many scenarios are played at a time: they wait for their gates and for the daemon's end, and hardly
 // ever for the processor.
-const sideBySide = 8
+const maxParallel = 8
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("test.parallel", strconv.Itoa(sideBySide))
+	if err := flag.Set("test.parallel", strconv.Itoa(maxParallel)); err != nil {
+		panic(err)
+	}
 	code := m.Run()
 	if programDir != "" {
-		os.RemoveAll(programDir)
+		if err := os.RemoveAll(programDir); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+		}
 	}
 	if err := goleak.Find(); err != nil && code == 0 {
 		fmt.Fprintln(os.Stderr, err)
@@ -108,7 +112,7 @@
 	if r.verdict != "same" {
 		return
 	}
-	if *update && len(r.scenario.known) == 0 && !r.scenario.made { // what is right of these is written by hand
+	if *update && len(r.scenario.known) == 0 && !r.scenario.generated { // what is right of these is written by hand
 		r.scenario.want = merge(r.got["daemon"], r.got["library"])
 	}
 	for _, side := range sides {
@@ -218,7 +222,9 @@
 		n[r.verdict]++
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", r.name, brief(r.got["daemon"]), brief(r.got["library"]), r.verdict)
 	}
-	w.Flush()
+	if err := w.Flush(); err != nil {
+		return err.Error()
+	}
 	fmt.Fprintf(&b, "scenarios: %v\n", n)
 	return b.String()
 }
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -40,7 +40,7 @@
 // daemon is the real program, as a process.
 type daemon struct {
 	ctx      context.Context
-	set      *settings
+	settings *settings
 	cmd      *exec.Cmd
 	address  string
 	ended    chan error
@@ -53,30 +53,30 @@
 
 var (
 	startedLine  = regexp.MustCompile(`state=started listen=(\S+)`)
-	stoppingLine = regexp.MustCompile(`state=(stopping)`)
-	takenLine    = regexp.MustCompile(`counters=core taken=(\d+)`)
+	shutdownLine = regexp.MustCompile(`state=(stopping)`)
+	acceptedLine = regexp.MustCompile(`counters=core taken=(\d+)`)
 )
 
 func (d *daemon) config() ([]byte, error) {
 	var classes []fakes.Class
-	for _, c := range d.set.classes {
+	for _, c := range d.settings.classes {
 		classes = append(classes, fakes.Class{
 			Name: c.Name, Safe: c.Idempotency == plankrouter.Idempotent, Aim: c.LatencyObjective,
 			Deadline: c.Deadline, Worth: c.PriorityWeight,
 		})
 	}
-	s, ms := d.set, func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+	s, ms := d.settings, func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	return fakes.Config(fakes.Sidecar{
-		Name: "n1", Listen: "127.0.0.1:0", Directory: s.directory.Address(), Seed: 1,
-		Known: fakes.List{Revision: 1, Members: s.members}, Classes: classes, Sockets: s.sockets, NoProbes: !s.probes,
-		MaxAttempts: s.attempts, ConnIdle: s.connIdle, Connect: s.connect, DrainGrace: s.grace,
+		Name: "n1", Listen: "127.0.0.1:0", Directory: s.discovery.Address(), Seed: 1,
+		Known: fakes.List{Revision: 1, Members: s.endpoints}, Classes: classes, Sockets: s.connections, NoProbes: !s.probes,
+		MaxAttempts: s.maxAttempts, ConnIdle: s.connIdle, Connect: s.connect, DrainGrace: s.drainGrace,
 		Edit: func(document map[string]any) {
 			set := document["settings"].(map[string]any)
-			set["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.advice)
-			set["OverShareWorth"] = s.over
+			set["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.maxRetryAfter)
+			set["OverShareWorth"] = s.overQuotaWeight
 			set["Safety"] = map[string]any{
-				"StartCapacity": s.cold.StartCapacity, "WarmWithinMs": ms(s.cold.WarmUpTime),
-				"TipMultiple": s.cold.OverloadMultiple, "FallMs": ms(s.cold.OverloadWindow), "DrainGraceMs": ms(s.grace),
+				"StartCapacity": s.slowStart.StartCapacity, "WarmWithinMs": ms(s.slowStart.WarmUpTime),
+				"TipMultiple": s.slowStart.OverloadMultiple, "FallMs": ms(s.slowStart.OverloadWindow), "DrainGraceMs": ms(s.drainGrace),
 			}
 			realms := []any{}
 			for _, t := range s.tenants {
@@ -88,7 +88,7 @@
 }
 
 func (d *daemon) Start(s *settings) error {
-	d.set, d.ended = s, make(chan error, 1)
+	d.settings, d.ended = s, make(chan error, 1)
 	path, err := program()
 	if err != nil {
 		return err
@@ -118,19 +118,19 @@
 		}
 		d.ended <- d.cmd.Wait()
 	}()
-	if err := await(d.ctx, func() bool { return len(d.said(startedLine)) > 0 }); err != nil {
+	if err := await(d.ctx, func() bool { return len(d.logMatches(startedLine)) > 0 }); err != nil {
 		return fmt.Errorf("the daemon did not start: %w", err)
 	}
-	d.address = d.said(startedLine)[0]
-	if err := told(d.ctx, s.directory); err != nil {
+	d.address = d.logMatches(startedLine)[0]
+	if err := awaitRevision(d.ctx, s.discovery); err != nil {
 		return err
 	}
 	d.sockets, err = d.descriptors()
 	return err
 }
 
-// said returns what a pattern finds in the log, line by line.
-func (d *daemon) said(pattern *regexp.Regexp) (found []string) {
+// logMatches returns what a pattern finds in the log, line by line.
+func (d *daemon) logMatches(pattern *regexp.Regexp) (found []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, line := range d.log {
@@ -147,7 +147,7 @@
 }
 
 func (d *daemon) Update(changed []fakes.Member, all bool) error {
-	return change(d.ctx, d.set.directory, changed, all)
+	return updateDiscovery(d.ctx, d.settings.discovery, changed, all)
 }
 
 func (d *daemon) Taken() (n int, err error) {
@@ -155,10 +155,10 @@
 	if err := d.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		return 0, err
 	}
-	if err := await(d.ctx, func() bool { return len(d.said(takenLine)) >= d.reported }); err != nil {
+	if err := await(d.ctx, func() bool { return len(d.logMatches(acceptedLine)) >= d.reported }); err != nil {
 		return 0, fmt.Errorf("no counters: %w", err)
 	}
-	return strconv.Atoi(d.said(takenLine)[d.reported-1])
+	return strconv.Atoi(d.logMatches(acceptedLine)[d.reported-1])
 }
 
 func (d *daemon) Left() (int, error) {
@@ -171,7 +171,7 @@
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil || !soon {
 		return err
 	}
-	if err := await(d.ctx, func() bool { return len(d.said(stoppingLine)) > 0 }); err != nil {
+	if err := await(d.ctx, func() bool { return len(d.logMatches(shutdownLine)) > 0 }); err != nil {
 		return fmt.Errorf("the daemon does not heed SIGTERM: %w", err)
 	}
 	return d.cmd.Process.Signal(syscall.SIGTERM)
@@ -189,8 +189,8 @@
 	select {
 	case err := <-d.ended:
 		return err
-	case <-time.After(patience):
-		return fmt.Errorf("it has not ended within %s", patience)
+	case <-time.After(waitLimit):
+		return fmt.Errorf("it has not ended within %s", waitLimit)
 	}
 }
 
@@ -203,11 +203,11 @@
 // message words the request as a client of the platform does.
 func (r *request) message() []byte {
 	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: api.internal\r\n", r.method, r.target)
-	if !r.nameless {
+	if !r.withoutID {
 		b = fmt.Appendf(b, "Req-Id: %s\r\n", r.id)
 	}
 	switch {
-	case r.past:
+	case r.deadlinePassed:
 		b = append(b, "Req-Deadline: 0\r\n"...)
 	case r.deadline > 0:
 		b = fmt.Appendf(b, "Req-Deadline: %.3f\r\n", r.deadline.Seconds())
@@ -228,20 +228,20 @@
 func (d *daemon) Do(ctx context.Context, r *request) outcome {
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
-		return outcome{word: "closed"}
+		return outcome{kind: "closed"}
 	}
 	defer c.Close()
 	// Who gives a request up closes the connection. Its other half stays open here, to see that the daemon has noticed.
-	leave := func() { c.(*net.TCPConn).CloseWrite() }
+	leave := func() { _ = c.(*net.TCPConn).CloseWrite() } // fails where the daemon has ended the connection before
 	defer context.AfterFunc(ctx, leave)()
 	message := r.message()
-	if r.early {
-		c.Write(message[:len(message)/2])
+	if r.cancelledEarly {
+		_, _ = c.Write(message[:len(message)/2])
 		leave()
-		io.Copy(io.Discard, c)
-		return outcome{word: "cancelled"}
+		_, _ = io.Copy(io.Discard, c) // until the daemon ends the connection, by whatever error
+		return outcome{kind: "cancelled"}
 	}
-	c.Write(message) // what is wrong with it shows in the answer, which may come before the end
+	_, _ = c.Write(message) // what is wrong with it shows in the answer, which may come before the end
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: r.method})
 	var body []byte
 	if err == nil {
@@ -249,9 +249,9 @@
 	}
 	switch {
 	case ctx.Err() != nil && err != nil:
-		return outcome{word: "cancelled"}
+		return outcome{kind: "cancelled"}
 	case err != nil:
-		return outcome{word: fmt.Sprintf("lost: %v", err)}
+		return outcome{kind: fmt.Sprintf("lost: %v", err)}
 	}
 	return daemonOutcome(r, resp, body)
 }
@@ -273,15 +273,15 @@
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		return refused(r, time.Duration(s*float64(time.Second)))
 	case 502:
-		return outcome{word: "failed"}
+		return outcome{kind: "failed"}
 	case 409:
-		return outcome{word: "conflict"}
+		return outcome{kind: "conflict"}
 	case 413:
-		return outcome{word: "too large"}
+		return outcome{kind: "too large"}
 	case 400, 404, 405:
-		return outcome{word: "turned away"}
+		return outcome{kind: "turned away"}
 	}
-	return outcome{word: "status " + strconv.Itoa(resp.StatusCode)}
+	return outcome{kind: "status " + strconv.Itoa(resp.StatusCode)}
 }
 
 // tail is the end of the log, for the report of a failure.
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -15,7 +15,7 @@
 	Start(*settings) error
 	// Do sends a request and returns its outcome. The end of ctx is that of the caller's interest.
 	Do(ctx context.Context, r *request) outcome
-	// Update tells of members that have changed, or of all. What is sent from its return on is decided by that.
+	// Update tells of endpoints that have changed, or of all. What is sent from its return on is decided by that.
 	Update(changed []fakes.Member, all bool) error
 	// Taken returns how many requests have been taken so far.
 	Taken() (int, error)
@@ -32,25 +32,25 @@
 
 // settings are what a scenario says of a side.
 type settings struct {
-	classes   []plankrouter.Class
-	tenants   []plankrouter.Tenant
-	members   []fakes.Member
-	directory *fakes.Directory // the same members; the daemon asks it, and the library if fed is "directory"
-	fed       string
-	probes    bool
-	attempts  int
-	sockets   int
-	connect   time.Duration
-	connIdle  time.Duration
-	grace     time.Duration
-	advice    time.Duration // longest
-	over      float64       // worth of a request beyond its tenant's share
-	cold      plankrouter.SlowStart
-	dir       string // for files
+	classes         []plankrouter.Class
+	tenants         []plankrouter.Tenant
+	endpoints       []fakes.Member
+	discovery       *fakes.Directory // the same endpoints; the daemon asks it, and the library if fed is "directory"
+	endpointSource  string
+	probes          bool
+	maxAttempts     int
+	connections     int
+	connect         time.Duration
+	connIdle        time.Duration
+	drainGrace      time.Duration
+	maxRetryAfter   time.Duration // longest
+	overQuotaWeight float64       // worth of a request beyond its tenant's share
+	slowStart       plankrouter.SlowStart
+	dir             string // for files
 }
 
-// once reports whether requests of the class must not run twice.
-func (s *settings) once(class string) bool {
+// isNonIdempotent reports whether requests of the class must not run twice.
+func (s *settings) isNonIdempotent(class string) bool {
 	return slices.ContainsFunc(s.classes, func(c plankrouter.Class) bool {
 		return c.Name == class && c.Idempotency == plankrouter.NonIdempotent
 	})
@@ -63,21 +63,21 @@
 	fields            [][2]string
 	body              []byte
 	deadline          time.Duration // 0 = none of its own
-	past              bool          // the deadline has passed
-	early             bool          // given up before it is whole
-	nameless          bool          // without an id
+	deadlinePassed    bool          // the deadline has passed
+	cancelledEarly    bool          // given up before it is whole
+	withoutID         bool          // without an id
 }
 
 // outcome is what became of a request. The word and the detail are compared between the sides; whether it may have run
 // is for one side to know, the other is told nothing of it.
 type outcome struct {
-	word   string // served, refused, failed, cancelled, conflict, too large, turned away, closed
+	kind   string // served, refused, failed, cancelled, conflict, too large, turned away, closed
 	detail string
 	ran    string // "may have run" or "not run"; "" = it can't tell
 }
 
 func (o outcome) String() string {
-	s := o.word + o.detail
+	s := o.kind + o.detail
 	if o.ran != "" {
 		s += " (" + o.ran + ")"
 	}
@@ -93,7 +93,7 @@
 
 // served words an answer: its status, its fields but for those of framing, and its body.
 func served(status int, fields []string, body []byte) outcome {
-	o := outcome{word: "served", detail: fmt.Sprintf(" %d", status)}
+	o := outcome{kind: "served", detail: fmt.Sprintf(" %d", status)}
 	for _, f := range fields {
 		o.detail += " " + f
 	}
@@ -104,16 +104,16 @@
 // refused words a refusal. The advice is left out where the request's own deadline decided, which each side may be the
 // first to notice.
 func refused(r *request, after time.Duration) outcome {
-	o := outcome{word: "refused"}
+	o := outcome{kind: "refused"}
 	if after > 0 && r.deadline == 0 {
 		o.detail = fmt.Sprintf(", back in %s", after.Round(time.Millisecond))
 	}
 	return o
 }
 
-// told waits until the daemon, or a library that watches it, has taken the directory's present revision: it has asked
+// awaitRevision waits until the daemon, or a library that watches it, has taken discovery's present revision: it has asked
 // for what is newer. What asks is the only one that does.
-func told(ctx context.Context, d *fakes.Directory) error {
+func awaitRevision(ctx context.Context, d *fakes.Directory) error {
 	now := d.Revision()
 	return await(ctx, func() bool {
 		calls := d.Calls()
@@ -121,12 +121,12 @@
 	})
 }
 
-// change tells the directory, and waits until that is known.
-func change(ctx context.Context, d *fakes.Directory, changed []fakes.Member, all bool) error {
+// updateDiscovery changes the list of the fake discovery service, and waits until the side has taken it.
+func updateDiscovery(ctx context.Context, d *fakes.Directory, changed []fakes.Member, all bool) error {
 	if all {
 		d.Set(changed...)
 	} else {
 		d.Change(changed...)
 	}
-	return told(ctx, d)
+	return awaitRevision(ctx, d)
 }
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -13,30 +13,30 @@
 
 // library is a Balancer in this process.
 type library struct {
-	ctx  context.Context
-	set  *settings
-	b    *plankrouter.Balancer
-	ends chan error
+	ctx      context.Context
+	settings *settings
+	balancer *plankrouter.Balancer
+	ends     chan error
 }
 
 func (l *library) Start(s *settings) (err error) {
-	l.set, l.ends = s, make(chan error, 1)
-	members := libraryMembers(s.members)
+	l.settings, l.ends = s, make(chan error, 1)
+	members := toEndpoints(s.endpoints)
 	o := plankrouter.Options{
 		Name: "n1", Classes: s.classes, Tenants: s.tenants, Endpoints: members, Probes: s.probes,
-		MaxAttempts: s.attempts, ConnectionLimit: plankrouter.NewConnectionLimit(s.sockets, nil), ConnectTimeout: s.connect, ServerIdleTimeout: s.connIdle,
-		DrainGrace: s.grace, SlowStart: s.cold, MaxRetryAfter: s.advice, OverQuotaWeight: s.over, Seed: 1,
+		MaxAttempts: s.maxAttempts, ConnectionLimit: plankrouter.NewConnectionLimit(s.connections, nil), ConnectTimeout: s.connect, ServerIdleTimeout: s.connIdle,
+		DrainGrace: s.drainGrace, SlowStart: s.slowStart, MaxRetryAfter: s.maxRetryAfter, OverQuotaWeight: s.overQuotaWeight, Seed: 1,
 	}
-	if s.fed == "directory" {
-		o.Discovery = s.directory.Address()
+	if s.endpointSource == "directory" {
+		o.Discovery = s.discovery.Address()
 	}
-	if l.b, err = plankrouter.New(o); err == nil && s.fed == "directory" {
-		err = told(l.ctx, s.directory)
+	if l.balancer, err = plankrouter.New(o); err == nil && s.endpointSource == "directory" {
+		err = awaitRevision(l.ctx, s.discovery)
 	}
 	return err
 }
 
-func libraryMembers(in []fakes.Member) (out []plankrouter.Endpoint) {
+func toEndpoints(in []fakes.Member) (out []plankrouter.Endpoint) {
 	phases := map[string]plankrouter.Phase{
 		fakes.Serving: plankrouter.Serving, fakes.Draining: plankrouter.Draining,
 		fakes.Deleted: plankrouter.Gone,
@@ -52,27 +52,27 @@
 }
 
 func (l *library) Update(changed []fakes.Member, all bool) error {
-	if l.set.fed == "directory" {
-		return change(l.ctx, l.set.directory, changed, all)
+	if l.settings.endpointSource == "directory" {
+		return updateDiscovery(l.ctx, l.settings.discovery, changed, all)
 	}
-	members := libraryMembers(changed)
+	members := toEndpoints(changed)
 	if all {
-		return l.b.Replace(members...)
+		return l.balancer.Replace(members...)
 	}
-	return l.b.Update(members...)
+	return l.balancer.Update(members...)
 }
 
 func (l *library) Do(ctx context.Context, r *request) outcome {
 	if r.deadline > 0 {
 		until := time.Now().Add(r.deadline)
-		if r.past {
+		if r.deadlinePassed {
 			until = time.Now().Add(-r.deadline)
 		}
 		var stop context.CancelFunc
 		ctx, stop = context.WithDeadline(ctx, until)
 		defer stop()
 	}
-	if r.early {
+	if r.cancelledEarly {
 		var stop context.CancelFunc
 		ctx, stop = context.WithCancel(ctx)
 		stop()
@@ -85,10 +85,10 @@
 		Class: r.class, Tenant: r.tenant, ID: r.id, Method: r.method, Target: r.target,
 		Header: header, Body: r.body,
 	}
-	if r.nameless {
+	if r.withoutID {
 		req.ID = ""
 	}
-	answer, err := l.b.Do(ctx, &req)
+	answer, err := l.balancer.Do(ctx, &req)
 	if err != nil {
 		return l.outcome(r, err)
 	}
@@ -115,60 +115,60 @@
 	case errors.As(err, &refusal):
 		return refused(r, refusal.RetryAfter)
 	case errors.As(err, &failure):
-		return outcome{word: "failed", ran: mayRun(failure.MayHaveRun)}
+		return outcome{kind: "failed", ran: mayRun(failure.MayHaveRun)}
 	case errors.As(err, &given) && errors.Is(err, context.Canceled):
-		return outcome{word: "cancelled", ran: mayRun(given.MayHaveRun)}
-	case errors.As(err, &given) && given.MayHaveRun && l.set.once(r.class):
-		return outcome{word: "failed", ran: mayRun(true)}
+		return outcome{kind: "cancelled", ran: mayRun(given.MayHaveRun)}
+	case errors.As(err, &given) && given.MayHaveRun && l.settings.isNonIdempotent(r.class):
+		return outcome{kind: "failed", ran: mayRun(true)}
 	case errors.As(err, &given):
 		return refused(r, 0)
 	case errors.As(err, &request):
-		return outcome{word: "turned away"}
+		return outcome{kind: "turned away"}
 	case errors.Is(err, plankrouter.ErrClosed):
-		return outcome{word: "closed"}
+		return outcome{kind: "closed"}
 	case errors.Is(err, plankrouter.ErrDuplicate):
-		return outcome{word: "conflict"}
+		return outcome{kind: "conflict"}
 	case errors.Is(err, plankrouter.ErrTooLarge):
-		return outcome{word: "too large"}
+		return outcome{kind: "too large"}
 	}
-	return outcome{word: fmt.Sprintf("an error of no kind: %v", err)}
+	return outcome{kind: fmt.Sprintf("an error of no kind: %v", err)}
 }
 
-func (l *library) Taken() (int, error) { return l.b.Stats().Accepted, nil }
+func (l *library) Taken() (int, error) { return l.balancer.Stats().Accepted, nil }
 
 func (l *library) Left() (int, error) {
-	n := l.b.Stats().Connections
-	if l.set.fed == "directory" {
+	n := l.balancer.Stats().Connections
+	if l.settings.endpointSource == "directory" {
 		n--
 	}
 	return n, nil
 }
 
 func (l *library) Stop(bool) error {
-	go func() { l.ends <- l.b.Close(context.Background()) }()
+	go func() { l.ends <- l.balancer.Close(context.Background()) }()
 	return await(l.ctx, l.Closed)
 }
 
 // Closed asks with a request that can't be sent: nothing comes of it before the close.
 func (l *library) Closed() bool {
-	_, err := l.b.Do(l.ctx, &plankrouter.Request{Method: "?"})
+	_, err := l.balancer.Do(l.ctx, &plankrouter.Request{Method: "?"})
 	return errors.Is(err, plankrouter.ErrClosed)
 }
 
 func (l *library) Wait() error {
 	select {
 	case err := <-l.ends:
-		if n := l.b.Stats().Connections; n != 0 && err == nil {
+		if n := l.balancer.Stats().Connections; n != 0 && err == nil {
 			err = fmt.Errorf("%d connections are left", n)
 		}
 		return err
-	case <-time.After(patience):
-		return fmt.Errorf("it has not ended within %s", patience)
+	case <-time.After(waitLimit):
+		return fmt.Errorf("it has not ended within %s", waitLimit)
 	}
 }
 
 func (l *library) Kill() {
-	if l.b != nil {
-		l.b.Close(ended())
+	if l.balancer != nil {
+		_ = l.balancer.Close(ended()) // its error is that of the context that has ended
 	}
 }
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -34,28 +34,28 @@
 
 // player plays a scenario against one side.
 type player struct {
-	ctx       context.Context
-	scenario  *scenario
-	side      driver
-	network   fakes.Network
-	set       settings
-	providers map[string]*provider
-	order     []string // of the providers, as in the file
-	any       *queue
-	members   map[string]fakes.Member // as they were last told, by id
-	calls     []*call
-	running   sync.WaitGroup
-	closed    bool
-	told      []string // what the steps found out, for the outcome
+	ctx         context.Context
+	scenario    *scenario
+	side        driver
+	network     fakes.Network
+	settings    settings
+	servers     map[string]*scriptedServer
+	order       []string // of the servers, as in the file
+	sharedDeeds *queue
+	endpoints   map[string]fakes.Member // as they were last told, by id
+	calls       []*call
+	running     sync.WaitGroup
+	closed      bool
+	findings    []string // what the steps found out, for the outcome
 }
 
 func newPlayer(ctx context.Context, s *scenario, side driver, n fakes.Network, dir string) *player {
 	ms := time.Millisecond
 	return &player{
-		ctx: ctx, scenario: s, side: side, network: n, providers: map[string]*provider{}, any: new(queue),
-		members: map[string]fakes.Member{}, set: settings{
-			dir: dir, attempts: 3, sockets: 512, connect: time.Minute,
-			connIdle: time.Minute, grace: 750 * ms, advice: 1200 * ms,
+		ctx: ctx, scenario: s, side: side, network: n, servers: map[string]*scriptedServer{}, sharedDeeds: new(queue),
+		endpoints: map[string]fakes.Member{}, settings: settings{
+			dir: dir, maxAttempts: 3, connections: 512, connect: time.Minute,
+			connIdle: time.Minute, drainGrace: 750 * ms, maxRetryAfter: 1200 * ms,
 		},
 	}
 }
@@ -69,31 +69,31 @@
 		if err != nil {
 			p.side.Kill()
 		}
-		for _, one := range p.providers {
+		for _, one := range p.servers {
 			one.close()
 		}
-		if p.set.directory != nil {
-			p.set.directory.Close()
+		if p.settings.discovery != nil {
+			p.settings.discovery.Close()
 		}
 		p.running.Wait()
 	}()
 	for _, words := range p.scenario.setup {
-		if err := p.setup(words); err != nil {
+		if err := p.applySetup(words); err != nil {
 			return nil, fmt.Errorf("%s: %w", strings.Join(words, " "), err)
 		}
 	}
-	if p.set.classes == nil {
+	if p.settings.classes == nil {
 		for i, name := range []string{"tile", "order"} {
-			p.set.classes = append(p.set.classes, plankrouter.Class{
+			p.settings.classes = append(p.settings.classes, plankrouter.Class{
 				Name: name, LatencyObjective: time.Minute,
 				Deadline: 2 * time.Minute, PriorityWeight: 1, Idempotency: plankrouter.Idempotency(i),
 			})
 		}
 	}
-	if p.set.directory, err = fakes.NewDirectory(p.network, "", p.set.members...); err != nil {
+	if p.settings.discovery, err = fakes.NewDirectory(p.network, "", p.settings.endpoints...); err != nil {
 		return nil, err
 	}
-	if err := p.side.Start(&p.set); err != nil {
+	if err := p.side.Start(&p.settings); err != nil {
 		return nil, err
 	}
 	for _, s := range p.scenario.steps {
@@ -109,25 +109,25 @@
 			return nil, fmt.Errorf("end: %w", err)
 		}
 	}
-	for _, one := range p.providers {
+	for _, one := range p.servers {
 		one.close()
 	}
 	return p.outcome()
 }
 
-// setup takes a line that says what there is before the first step.
-func (p *player) setup(words []string) error {
-	plain, o := sift(words)
+// applySetup takes a line that says what there is before the first step.
+func (p *player) applySetup(words []string) error {
+	plain, o := splitOptions(words)
 	switch plain[0] {
 	case "provider":
 		name := plain[1]
-		one := newProvider(p.network, name, p.any)
-		p.providers[name] = one
+		one := newScriptedServer(p.network, name, p.sharedDeeds)
+		p.servers[name] = one
 		p.order = append(p.order, name)
 		if err := one.up(slices.Contains(plain, "narrow")); err != nil {
 			return err
 		}
-		m, err := p.member(name, name, o)
+		m, err := p.endpoint(name, name, o)
 		if err != nil {
 			return err
 		}
@@ -135,8 +135,8 @@
 			m.Phase = fakes.Draining
 		}
 		if !slices.Contains(plain, "unlisted") {
-			p.members[name] = m
-			p.set.members = append(p.set.members, m)
+			p.endpoints[name] = m
+			p.settings.endpoints = append(p.settings.endpoints, m)
 		}
 		if slices.Contains(plain, "down") {
 			one.down()
@@ -148,15 +148,15 @@
 		}
 		worth, err := strconv.ParseFloat(cmp.Or(o.get("worth"), "1"), 64)
 		c.PriorityWeight = worth
-		p.set.classes = append(p.set.classes, c)
-		return errors.Join(err, duration(o, "aim", &p.set.classes[len(p.set.classes)-1].LatencyObjective),
-			duration(o, "deadline", &p.set.classes[len(p.set.classes)-1].Deadline))
+		p.settings.classes = append(p.settings.classes, c)
+		return errors.Join(err, duration(o, "aim", &p.settings.classes[len(p.settings.classes)-1].LatencyObjective),
+			duration(o, "deadline", &p.settings.classes[len(p.settings.classes)-1].Deadline))
 	case "tenant":
 		rate, err := strconv.ParseFloat(plain[2], 64)
-		p.set.tenants = append(p.set.tenants, plankrouter.Tenant{Name: plain[1], QuotaPerSecond: rate})
+		p.settings.tenants = append(p.settings.tenants, plankrouter.Tenant{Name: plain[1], QuotaPerSecond: rate})
 		return err
 	case "set":
-		return p.settings(o)
+		return p.applySettings(o)
 	}
 	return nil
 }
@@ -169,11 +169,11 @@
 	return err
 }
 
-func (p *player) settings(o options) error {
-	s := &p.set
+func (p *player) applySettings(o options) error {
+	s := &p.settings
 	errs := []error{
 		duration(o, "connect", &s.connect), duration(o, "idle", &s.connIdle),
-		duration(o, "grace", &s.grace), duration(o, "advice", &s.advice),
+		duration(o, "grace", &s.drainGrace), duration(o, "advice", &s.maxRetryAfter),
 	}
 	for _, one := range o {
 		var err error
@@ -182,16 +182,16 @@
 		case "probes":
 			s.probes = one.value == "yes"
 		case "fed":
-			s.fed = one.value
+			s.endpointSource = one.value
 		case "attempts":
-			s.attempts, err = strconv.Atoi(one.value)
+			s.maxAttempts, err = strconv.Atoi(one.value)
 		case "sockets":
-			s.sockets, err = strconv.Atoi(one.value)
+			s.connections, err = strconv.Atoi(one.value)
 		case "over":
-			s.over, err = strconv.ParseFloat(one.value, 64)
+			s.overQuotaWeight, err = strconv.ParseFloat(one.value, 64)
 		case "cold":
-			s.cold = plankrouter.SlowStart{WarmUpTime: time.Hour, OverloadMultiple: 4, OverloadWindow: 3 * time.Second}
-			s.cold.StartCapacity, err = strconv.ParseFloat(one.value, 64)
+			s.slowStart = plankrouter.SlowStart{WarmUpTime: time.Hour, OverloadMultiple: 4, OverloadWindow: 3 * time.Second}
+			s.slowStart.StartCapacity, err = strconv.ParseFloat(one.value, 64)
 		default:
 			err = fmt.Errorf("there is no setting %q", one.key)
 		}
@@ -200,9 +200,9 @@
 	return errors.Join(errs...)
 }
 
-// member words a provider for the list: it serves, and has for long or for the time that since says.
-func (p *player) member(id, at string, o options) (m fakes.Member, err error) {
-	one := p.providers[at]
+// endpoint words a server for the list: it serves, and has for long or for the time that since says.
+func (p *player) endpoint(id, at string, o options) (m fakes.Member, err error) {
+	one := p.servers[at]
 	if one == nil {
 		return m, fmt.Errorf("there is no provider %q", at)
 	}
@@ -215,8 +215,8 @@
 	return m, err
 }
 
-// least is how many words a line has at least, by its first one, or by that of what a provider does.
-var least = map[string]int{
+// minWords is how many words a line has at least, by its first one, or by that of what a server does.
+var minWords = map[string]int{
 	"any": 2, "tell": 3, "send": 3, "ask": 3, "ask-kept": 3, "cancel-half": 3, "cancel": 2,
 	"await": 2, "elsewhere": 2, "taken": 2, "at-most": 4, "probes": 2, "sees": 2, "begins": 2, "loses": 2, "fresh": 2,
 	"dialled": 2,
@@ -224,20 +224,20 @@
 
 // step takes one line.
 func (p *player) step(words []string) error {
-	plain, o := sift(words)
-	if one := p.providers[plain[0]]; one != nil && len(plain) > 1 {
-		return p.provider(one, plain[1:], words[1:])
+	plain, o := splitOptions(words)
+	if one := p.servers[plain[0]]; one != nil && len(plain) > 1 {
+		return p.serverStep(one, plain[1:], words[1:])
 	}
-	if len(plain) < least[plain[0]] {
+	if len(plain) < minWords[plain[0]] {
 		return errors.New("there are words missing")
 	}
 	switch plain[0] {
 	case "any":
-		return p.anyProvider(plain[1:], words[1:])
+		return p.anyServerStep(plain[1:], words[1:])
 	case "tell":
-		return p.tell(plain[1:], o)
+		return p.changeEndpoint(plain[1:], o)
 	case "list":
-		return p.list(plain[1:])
+		return p.replaceEndpoints(plain[1:])
 	case "send":
 		return p.send(plain[1:], o)
 	case "ask":
@@ -246,11 +246,11 @@
 		}
 		return p.await(strings.Split(plain[1], "*")[0], 0)
 	case "ask-kept":
-		return p.askKept(plain[1:], o)
+		return p.sendOnKept(plain[1:], o)
 	case "cancel-half":
 		return p.cancelHalf(plain[1:], o)
 	case "cancel":
-		for _, c := range p.of(plain[1]) {
+		for _, c := range p.callsNamed(plain[1]) {
 			c.cancel()
 		}
 		return p.await(plain[1], 0)
@@ -261,8 +261,8 @@
 		}
 		return p.await(plain[1], n)
 	case "elsewhere":
-		for _, one := range p.providers {
-			if n := len(slices.DeleteFunc(one.seen(), func(s sight) bool { return s.id != plain[1] })); n != 1 {
+		for _, one := range p.servers {
+			if n := len(slices.DeleteFunc(one.seen(), func(s seenAttempt) bool { return s.id != plain[1] })); n != 1 {
 				return fmt.Errorf("%s has seen it %d times", one.name, n)
 			}
 		}
@@ -273,7 +273,7 @@
 			return err == nil && strconv.Itoa(n) == plain[1]
 		})
 	case "at-most":
-		return p.atMost(plain[1], plain[2], plain[3:])
+		return p.boundAttempts(plain[1], plain[2], plain[3:])
 	case "nothing-left":
 		n := 0
 		err := p.until(func() bool {
@@ -298,9 +298,9 @@
 
 func (p *player) until(come func() bool) error { return await(p.ctx, come) }
 
-// provider takes a line about one provider.
-func (p *player) provider(one *provider, plain, words []string) error {
-	count := func(enough func(sight) bool) func() bool {
+// serverStep takes a line about one server.
+func (p *player) serverStep(one *scriptedServer, plain, words []string) error {
+	count := func(enough func(seenAttempt) bool) func() bool {
 		want, err := strconv.Atoi(plain[len(plain)-1])
 		return func() bool {
 			n := 0
@@ -314,39 +314,39 @@
 	}
 	switch strings.Join(plain[:min(2, len(plain))], " ") {
 	case "lets go":
-		return one.letGo(p.ctx, strings.Join(plain[2:], ""))
+		return one.release(p.ctx, strings.Join(plain[2:], ""))
 	case "closes kept", "resets kept":
 		one.drop(plain[0] == "resets")
 		return p.until(func() bool { return one.sockets(established) == 0 }) // what is sent now does not cross it
 	}
-	if len(plain) < least[plain[0]] {
+	if len(plain) < minWords[plain[0]] {
 		return errors.New("there are words missing")
 	}
 	switch plain[0] {
 	case "does":
-		return p.does(one.own, words[1:])
+		return p.does(one.ownDeeds, words[1:])
 	case "down":
 		one.down()
 		return p.until(func() bool { return one.sockets(established) == 0 })
 	case "up":
 		return one.up(false)
 	case "hangs":
-		return one.hang(true)
+		return one.freeze(true)
 	case "thaws":
-		return one.hang(false)
+		return one.freeze(false)
 	case "probes":
 		one.mu.Lock()
 		defer one.mu.Unlock()
 		one.probing, one.probes = plain[1], 0
 		return nil
 	case "probed": // since it was told what becomes of probes
-		return p.until(func() bool { return one.asked() > 0 })
+		return p.until(func() bool { return one.probeCount() > 0 })
 	case "sees": // N, or the request of that name
-		return p.until(count(func(s sight) bool { return s.did != "part" }))
+		return p.until(count(func(s seenAttempt) bool { return s.action != "part" }))
 	case "begins":
-		return p.until(count(func(sight) bool { return true }))
+		return p.until(count(func(seenAttempt) bool { return true }))
 	case "loses":
-		return p.until(count(func(s sight) bool { return s.left }))
+		return p.until(count(func(s seenAttempt) bool { return s.clientLeft }))
 	case "fresh":
 		for _, s := range one.seen() {
 			if s.id == plain[1] && s.carried > 0 {
@@ -363,23 +363,23 @@
 	return errors.New("there is no such step of a provider")
 }
 
-// anyProvider takes a line about whichever provider it is.
-func (p *player) anyProvider(plain, words []string) error {
+// anyServerStep takes a line about whichever server it is.
+func (p *player) anyServerStep(plain, words []string) error {
 	switch plain[0] {
 	case "does":
-		return p.does(p.any, words[1:])
+		return p.does(p.sharedDeeds, words[1:])
 	case "sees":
 		return p.until(func() bool {
-			for _, one := range p.providers {
-				if slices.ContainsFunc(one.seen(), func(s sight) bool { return s.id == plain[1] && s.did != "part" }) {
+			for _, one := range p.servers {
+				if slices.ContainsFunc(one.seen(), func(s seenAttempt) bool { return s.id == plain[1] && s.action != "part" }) {
 					return true
 				}
 			}
 			return false
 		})
 	case "lets": // go
-		for _, one := range p.providers {
-			if one.letGo(p.ctx, "") == nil {
+		for _, one := range p.servers {
+			if one.release(p.ctx, "") == nil {
 				return nil
 			}
 		}
@@ -399,17 +399,17 @@
 	return nil
 }
 
-// tell tells a change of one member: "ID serving|draining|gone [at PROVIDER] [since=AGE]".
-func (p *player) tell(plain []string, o options) error {
+// changeEndpoint tells a change of one member: "ID serving|draining|gone [at PROVIDER] [since=AGE]".
+func (p *player) changeEndpoint(plain []string, o options) error {
 	id, at := plain[0], plain[0]
 	if len(plain) > 3 {
 		at = plain[3]
 	}
-	m := p.members[id]
+	m := p.endpoints[id]
 	var err error
 	switch plain[1] {
 	case "serving":
-		if m, err = p.member(id, at, o); err != nil {
+		if m, err = p.endpoint(id, at, o); err != nil {
 			return err
 		}
 	case "draining":
@@ -419,21 +419,21 @@
 	default:
 		return errors.New("there is no such phase")
 	}
-	p.members[id] = m
+	p.endpoints[id] = m
 	return p.side.Update([]fakes.Member{m}, false)
 }
 
-// list tells the whole list: these ids, as they were last told, and no others.
-func (p *player) list(ids []string) error {
+// replaceEndpoints makes the whole list: these ids, as they were last listed, and no others.
+func (p *player) replaceEndpoints(ids []string) error {
 	var all []fakes.Member
 	for _, id := range ids {
-		m, known := p.members[id]
+		m, known := p.endpoints[id]
 		if !known {
 			var err error
-			if m, err = p.member(id, id, nil); err != nil {
+			if m, err = p.endpoint(id, id, nil); err != nil {
 				return err
 			}
-			p.members[id] = m
+			p.endpoints[id] = m
 		}
 		all = append(all, m)
 	}
@@ -443,8 +443,9 @@
 // send sends one request, "NAME CLASS", or many together, "NAME*N CLASS".
 func (p *player) send(plain []string, o options) error {
 	name, many, isMany := strings.Cut(plain[0], "*")
-	n, err := 1, error(nil)
+	n := 1
 	if isMany {
+		var err error
 		if n, err = strconv.Atoi(many); err != nil {
 			return err
 		}
@@ -453,7 +454,7 @@
 	if err != nil {
 		return err
 	}
-	r.early = slices.Contains(plain[2:], "early")
+	r.cancelledEarly = slices.Contains(plain[2:], "early")
 	for i := range n {
 		c := &call{request: r, group: name, ended: make(chan struct{})}
 		if isMany {
@@ -478,13 +479,13 @@
 // body.
 func (p *player) request(name, class string, o options) (request, error) {
 	r := request{id: name, class: class, method: "GET", target: "/" + class + "/" + name}
-	if p.set.once(class) {
+	if p.settings.isNonIdempotent(class) {
 		r.method = "POST"
 	}
 	for _, one := range o {
 		switch one.key {
 		case "id":
-			r.id, r.nameless = one.value, one.value == ""
+			r.id, r.withoutID = one.value, one.value == ""
 		case "method":
 			r.method = one.value
 		case "target":
@@ -495,9 +496,9 @@
 			key, value, _ := strings.Cut(one.value, ": ")
 			r.fields = append(r.fields, [2]string{key, value})
 		case "body":
-			r.body = size(one.value)
+			r.body = parseBody(one.value)
 		case "deadline":
-			if r.past = one.value == "past"; r.past {
+			if r.deadlinePassed = one.value == "past"; r.deadlinePassed {
 				r.deadline = time.Second
 			} else if err := duration(o, "deadline", &r.deadline); err != nil {
 				return r, err
@@ -509,8 +510,8 @@
 	return r, nil
 }
 
-// of returns the calls of that name; "" = all.
-func (p *player) of(name string) (all []*call) {
+// callsNamed returns the calls of that name; "" = all.
+func (p *player) callsNamed(name string) (all []*call) {
 	for _, c := range p.calls {
 		if name == "" || c.group == name {
 			all = append(all, c)
@@ -521,7 +522,7 @@
 
 // await waits until n of the calls of that name have ended; 0 = all.
 func (p *player) await(name string, n int) error {
-	all := p.of(name)
+	all := p.callsNamed(name)
 	if n == 0 {
 		n = len(all)
 	}
@@ -536,12 +537,12 @@
 	})
 }
 
-// askKept asks until the request has gone out on a connection that had carried others. A side keeps a connection a
+// sendOnKept asks until the request has gone out on a connection that had carried others. A side keeps a connection a
 // moment after it has given the answer, and nobody can see when.
-func (p *player) askKept(plain []string, o options) error {
+func (p *player) sendOnKept(plain []string, o options) error {
 	return p.again(plain[0], func() error {
 		return errors.Join(p.send(plain, o), p.await(plain[0], 0))
-	}, func(s sight) bool { return s.carried > 0 })
+	}, func(s seenAttempt) bool { return s.carried > 0 })
 }
 
 // cancelHalf sends a request, has half of the answer sent and gives the request up then, until that is in time: an
@@ -549,25 +550,25 @@
 func (p *player) cancelHalf(plain []string, o options) error {
 	name := plain[0]
 	return p.again(name, func() error {
-		p.any.add(deed{word: "halve", hold: true}, 1)
-		if err := errors.Join(p.send(plain, o), p.anyProvider([]string{"sees", name}, nil)); err != nil {
+		p.sharedDeeds.add(deed{name: "halve", hold: true}, 1)
+		if err := errors.Join(p.send(plain, o), p.anyServerStep([]string{"sees", name}, nil)); err != nil {
 			return err
 		}
-		err := p.anyProvider([]string{"lets", "go"}, nil)
-		for _, c := range p.of(name) {
+		err := p.anyServerStep([]string{"lets", "go"}, nil)
+		for _, c := range p.callsNamed(name) {
 			c.cancel()
 		}
 		return errors.Join(err, p.await(name, 0))
-	}, func(sight) bool { return p.of(name)[0].out.word == "cancelled" })
+	}, func(seenAttempt) bool { return p.callsNamed(name)[0].out.kind == "cancelled" })
 }
 
 // again sends a request until an attempt was such as the scenario is about; what came of the others is forgotten.
-func (p *player) again(name string, try func() error, such func(sight) bool) error {
+func (p *player) again(name string, try func() error, such func(seenAttempt) bool) error {
 	for range 1000 {
 		if err := try(); err != nil {
 			return err
 		}
-		for _, one := range p.providers {
+		for _, one := range p.servers {
 			for _, s := range one.seen() {
 				if s.id == name && such(s) {
 					return nil
@@ -580,37 +581,37 @@
 	return errors.New("it never came to that")
 }
 
-// atMost bounds the attempts of all requests and says which outcomes those of one name may have: how many have which
+// boundAttempts bounds the attempts of all requests and says which outcomes those of one name may have: how many have which
 // depends on who was quicker, so the counts are left out of the outcome.
-func (p *player) atMost(most, name string, words []string) error {
+func (p *player) boundAttempts(limit, name string, words []string) error {
 	if err := p.await(name, 0); err != nil {
 		return err
 	}
 	n := 0
-	for _, one := range p.providers {
+	for _, one := range p.servers {
 		n += len(one.seen())
 	}
-	if bound, err := strconv.Atoi(most); err != nil || n > bound {
+	if bound, err := strconv.Atoi(limit); err != nil || n > bound {
 		return fmt.Errorf("there were %d attempts", n)
 	}
-	for _, c := range p.of(name) {
-		if !slices.Contains(words, c.out.word) {
+	for _, c := range p.callsNamed(name) {
+		if !slices.Contains(words, c.out.kind) {
 			return fmt.Errorf("%s was %s", c.id, c.out)
 		}
 	}
-	p.told = append(p.told, fmt.Sprintf("%s %s, in at most %s attempts", name, strings.Join(words, " or "), most))
+	p.findings = append(p.findings, fmt.Sprintf("%s %s, in at most %s attempts", name, strings.Join(words, " or "), limit))
 	return nil
 }
 
-// outcome words what became of the requests, what each provider saw, and which orders have run.
+// outcome words what became of the requests, what each server saw, and which orders have run.
 func (p *player) outcome() (lines []string, err error) {
 	var all, orders []string
 	runs := map[string]int{}
 	for _, name := range p.order {
 		var saw []string
-		for _, s := range p.providers[name].seen() {
-			saw = append(saw, p.group(s.id)+" "+s.did)
-			if s.ran && p.set.once(s.class) {
+		for _, s := range p.servers[name].seen() {
+			saw = append(saw, p.group(s.id)+" "+s.action)
+			if s.ran && p.settings.isNonIdempotent(s.class) {
 				orders = append(orders, p.group(s.id))
 				if runs[s.id]++; runs[s.id] > 1 {
 					err = errors.Join(err, fmt.Errorf("order %s has run %d times", s.id, runs[s.id]))
@@ -618,19 +619,19 @@
 			}
 		}
 		if all = append(all, saw...); !p.scenario.has("merged") {
-			lines = append(lines, name+" saw "+list(fold(saw)))
+			lines = append(lines, name+" saw "+joinOrNothing(fold(saw)))
 		}
 	}
-	if p.told != nil {
-		return p.told, err
+	if p.findings != nil {
+		return p.findings, err
 	}
 	if p.scenario.has("merged") {
 		slices.Sort(all)
-		lines = []string{"all saw " + list(fold(all))}
+		lines = []string{"all saw " + joinOrNothing(fold(all))}
 	}
-	if slices.ContainsFunc(p.set.classes, func(c plankrouter.Class) bool { return c.Idempotency == plankrouter.NonIdempotent }) {
+	if slices.ContainsFunc(p.settings.classes, func(c plankrouter.Class) bool { return c.Idempotency == plankrouter.NonIdempotent }) {
 		slices.Sort(orders)
-		lines = append(lines, "orders run "+list(fold(orders)))
+		lines = append(lines, "orders run "+joinOrNothing(fold(orders)))
 	}
 	return append(p.outcomes(), lines...), err
 }
@@ -640,7 +641,7 @@
 	done := map[string]bool{}
 	for _, c := range p.calls {
 		var group []string
-		for _, one := range p.of(c.group) {
+		for _, one := range p.callsNamed(c.group) {
 			group = append(group, one.group+" "+one.out.String())
 		}
 		if !done[c.group] {
@@ -655,14 +656,14 @@
 // group is the name by which the script knows a request's id.
 func (p *player) group(id string) string {
 	for _, c := range p.calls {
-		if c.id == id && !c.nameless {
+		if c.id == id && !c.withoutID {
 			return c.group
 		}
 	}
 	return "one"
 }
 
-func list(words []string) string {
+func joinOrNothing(words []string) string {
 	if len(words) == 0 {
 		return "nothing"
 	}
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -13,21 +13,21 @@
 	path      string
 	head      string // what stands before the first scenario
 	scenarios []*scenario
-	faults    [][]string // words of the lines in front that begin with it: name, deed, and what the provider then says it did
+	faults    [][]string // words of the lines in front that begin with it: name, deed, and what the server then says it did
 }
 
 // scenario is one of them. Its text is kept, so that -update replaces the outcome alone.
 type scenario struct {
-	name  string
-	text  string // from its first line up to and with the line "outcome"
-	tail  string // behind the outcome
-	told  bool   // there is a comment
-	setup [][]string
-	steps []step
-	want  []string
-	known map[string]string // by side, the defect because of which it is not as the file says
-	line  int
-	made  bool // of one that stands for many
+	name       string
+	text       string // from its first line up to and with the line "outcome"
+	tail       string // behind the outcome
+	hasComment bool   // there is a comment
+	setup      [][]string
+	steps      []step
+	want       []string
+	known      map[string]string // by side, the defect because of which it is not as the file says
+	line       int
+	generated  bool // of one that stands for many
 }
 
 // step is one line.
@@ -62,7 +62,7 @@
 	return all, err
 }
 
-func (f *script) parse(text string) error {
+func (s *script) parse(text string) error {
 	var now *scenario
 	inOutcome := false // it goes on
 	for i, line := range strings.SplitAfter(text, "\n") {
@@ -73,12 +73,12 @@
 		switch {
 		case len(words) > 0 && words[0] == "scenario":
 			now = &scenario{name: strings.Join(words[1:], " "), text: line, known: map[string]string{}, line: i}
-			f.scenarios, inOutcome = append(f.scenarios, now), false
+			s.scenarios, inOutcome = append(s.scenarios, now), false
 			continue
 		case now == nil:
-			f.head += line
+			s.head += line
 			if len(words) == 4 && words[0] == "fault" {
-				f.faults = append(f.faults, words[1:])
+				s.faults = append(s.faults, words[1:])
 			} else if len(words) > 0 {
 				return fmt.Errorf("line %d: want \"fault NAME DEED SAW\" or a scenario", i+1)
 			}
@@ -93,7 +93,7 @@
 		now.text += line
 		switch {
 		case len(words) == 0:
-			now.told = now.told || strings.HasPrefix(line, "#")
+			now.hasComment = now.hasComment || strings.HasPrefix(line, "#")
 		case words[0] == "outcome":
 			inOutcome = true
 		case words[0] == "known" && len(words) > 2:
@@ -104,37 +104,37 @@
 			now.steps = append(now.steps, step{i + 1, words})
 		}
 	}
-	for _, s := range f.scenarios {
+	for _, scen := range s.scenarios {
 		switch {
-		case s.name == "" || !s.told:
-			return fmt.Errorf("scenario %q: it needs a name, and a comment that says what it guards against", s.name)
-		case !strings.HasSuffix(s.text, "\noutcome\n"):
-			return fmt.Errorf("scenario %q: it does not end in a line \"outcome\"", s.name)
+		case scen.name == "" || !scen.hasComment:
+			return fmt.Errorf("scenario %q: it needs a name, and a comment that says what it guards against", scen.name)
+		case !strings.HasSuffix(scen.text, "\noutcome\n"):
+			return fmt.Errorf("scenario %q: it does not end in a line \"outcome\"", scen.name)
 		}
 	}
 	return nil
 }
 
 // plays returns the scenarios that are to be played: one with $fault in its name once for each fault.
-func (f *script) plays() (all []*scenario, err error) {
-	for _, s := range f.scenarios {
-		if !strings.Contains(s.name, "$fault") {
-			all = append(all, s)
+func (s *script) plays() (all []*scenario, err error) {
+	for _, scen := range s.scenarios {
+		if !strings.Contains(scen.name, "$fault") {
+			all = append(all, scen)
 			continue
 		}
-		text := s.text + "  " + strings.Join(s.want, "\n  ") + "\n"
-		if len(f.faults) == 0 {
-			return nil, fmt.Errorf("%s: scenario %q: there is no line \"fault NAME DEED SAW\"", f.path, s.name)
+		text := scen.text + "  " + strings.Join(scen.want, "\n  ") + "\n"
+		if len(s.faults) == 0 {
+			return nil, fmt.Errorf("%s: scenario %q: there is no line \"fault NAME DEED SAW\"", s.path, scen.name)
 		}
-		for _, w := range f.faults {
+		for _, w := range s.faults {
 			var one script
 			if err := one.parse(strings.NewReplacer("$fault", w[0], "$deed", w[1], "$saw", w[2]).Replace(text)); err != nil {
-				return nil, fmt.Errorf("%s: %s: %w", f.path, w[0], err)
+				return nil, fmt.Errorf("%s: %s: %w", s.path, w[0], err)
 			}
 			made := one.scenarios[0]
-			made.made = true
+			made.generated = true
 			for i := range made.steps {
-				made.steps[i].line += s.line
+				made.steps[i].line += scen.line
 			}
 			all = append(all, made)
 		}
@@ -143,17 +143,17 @@
 }
 
 // write replaces the outcomes.
-func (f *script) write() error {
+func (s *script) write() error {
 	var b strings.Builder
-	b.WriteString(f.head)
-	for _, s := range f.scenarios {
-		b.WriteString(s.text)
-		for _, line := range s.want {
+	b.WriteString(s.head)
+	for _, scen := range s.scenarios {
+		b.WriteString(scen.text)
+		for _, line := range scen.want {
 			fmt.Fprintf(&b, "  %s\n", line)
 		}
-		b.WriteString(s.tail)
+		b.WriteString(scen.tail)
 	}
-	return os.WriteFile(f.path, []byte(b.String()), 0o644)
+	return os.WriteFile(s.path, []byte(b.String()), 0o644)
 }
 
 // has reports whether the setup has a line of that one word.
@@ -199,8 +199,8 @@
 // options are what is said by key, in order.
 type options []option
 
-// sift takes the options out of words.
-func sift(words []string) (plain []string, o options) {
+// splitOptions takes the options out of words.
+func splitOptions(words []string) (plain []string, o options) {
 	for _, w := range words {
 		if key, value, is := strings.Cut(w, "="); is {
 			o = append(o, option{key, value})
@@ -231,8 +231,8 @@
 	return values
 }
 
-// size reads a body: a number asks for so many bytes that look like nothing else, any other word is the body itself.
-func size(word string) []byte {
+// parseBody reads a body: a number asks for so many bytes that look like nothing else, any other word is the body itself.
+func parseBody(word string) []byte {
 	n, err := strconv.Atoi(word)
 	if err != nil {
 		return []byte(word)
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -42,7 +42,7 @@
 	closed := balancer(t, usual(p))
 	must(t, closed.Close(t.Context()))
 	empty := balancer(t, usual())
-	p.own.add(deed{word: "reset"}, 1) // of the first that comes
+	p.ownDeeds.add(deed{name: "reset"}, 1) // of the first that comes
 	for _, c := range []struct {
 		name   string
 		tr     plankrouter.Transport
@@ -83,7 +83,7 @@
 			edit: func(r *http.Request) { *r = *r.WithContext(ended()) }, want: "canceled",
 		},
 		{name: "closed", tr: plankrouter.Transport{Balancer: closed}, want: "closed"},
-		{name: "refused", tr: plankrouter.Transport{Balancer: empty}, want: "refused"},
+		{name: "rejected", tr: plankrouter.Transport{Balancer: empty}, want: "rejected"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.reader == nil {
@@ -127,7 +127,7 @@
 	b := balancer(t, usual(servers(t, "s-1")...))
 	ctx, cancel := context.WithCancel(t.Context())
 	read, write := io.Pipe()
-	defer write.Close()
+	defer func() { _ = write.Close() }()           // of a pipe: it never fails
 	var deaf io.Reader = struct{ io.Reader }{read} // closing it ends nothing
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://orders.internal/", deaf)
 	must(t, err)
@@ -168,7 +168,9 @@
 			case 1:
 				resp.Body.Close()
 			case 2:
-				resp.Body.Read(make([]byte, 3))
+				if _, err := resp.Body.Read(make([]byte, 3)); err != nil {
+					t.Error(err)
+				}
 			case 3: // left as it is
 			}
 		})
@@ -205,7 +207,7 @@
 		t.Run(fmt.Sprint(c.class, c.status), func(t *testing.T) {
 			p := servers(t, "s-1")[0]
 			b := balancer(t, usual(p))
-			p.own.add(readDeed([]string{"answer", fmt.Sprint("status=", c.status), "header=Location: /order/again"}), 1)
+			p.ownDeeds.add(readDeed([]string{"answer", fmt.Sprint("status=", c.status), "header=Location: /order/again"}), 1)
 			client := &http.Client{Transport: &plankrouter.Transport{Balancer: b, Class: c.class}}
 			resp, err := client.Post("http://orders.internal/order/7", "text/plain", strings.NewReader("print"))
 			var failed *plankrouter.FailedError
@@ -244,7 +246,7 @@
 	for range n { // further attempts are saved up
 		must(t, post())
 	}
-	p.own.add(deed{word: "reset", kept: true}, 1)
+	p.ownDeeds.add(deed{name: "reset", kept: true}, 1)
 	var failed *plankrouter.FailedError
 	must(t, await(t.Context(), func() bool { // the first that goes out on a connection which had carried others
 		n++
@@ -262,7 +264,7 @@
 	o := usual(p)
 	o.Classes[1].Deadline, o.Classes[1].LatencyObjective = time.Second, time.Second
 	b := balancer(t, o)
-	p.own.add(deed{word: "silent"}, 1)
+	p.ownDeeds.add(deed{name: "silent"}, 1)
 	ctx := plankrouter.WithTenant(plankrouter.WithClass(t.Context(), "order"), "acme")
 	to := &url.URL{Scheme: "http", Host: "orders.internal", Path: "/order/7"}
 	req := (&http.Request{Method: "POST", URL: to}).WithContext(ctx)
--- a/example_test.go
+++ b/example_test.go
@@ -16,7 +16,7 @@
 func server(name string) (address string, stop func()) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		io.WriteString(w, strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", name, r.Method, r.URL, body)))
+		fmt.Fprint(w, strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", name, r.Method, r.URL, body)))
 	}))
 	return s.Listener.Addr().String(), s.Close
 }
@@ -37,7 +37,7 @@
 		fmt.Println(err)
 		return
 	}
-	defer b.Close(context.Background())
+	defer func() { _ = b.Close(context.Background()) }()
 
 	response, err := b.Do(context.Background(), &plankrouter.Request{Class: "tile", Target: "/tile/roma?z=3"})
 	if err != nil {
@@ -64,7 +64,7 @@
 
 // Every call ends in a response or in an error that says what the application must know.
 func ExampleBalancer_Do() {
-	failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	defer failing.Close()
@@ -106,7 +106,7 @@
 	cancel()
 	order(gone, "order")
 	order(context.Background(), "ordre")
-	b.Close(context.Background())
+	_ = b.Close(context.Background())
 	order(context.Background(), "order")
 	// Output:
 	// failed; may have run: true
@@ -124,7 +124,7 @@
 		fmt.Println(err)
 		return
 	}
-	defer b.Close(context.Background())
+	defer func() { _ = b.Close(context.Background()) }()
 
 	client := &http.Client{Transport: &plankrouter.Transport{Balancer: b}}
 	resp, err := client.Post("http://orders.internal/order/7", "text/plain", strings.NewReader("print"))
@@ -158,7 +158,7 @@
 		fmt.Println(err)
 		return
 	}
-	defer b.Close(context.Background())
+	defer func() { _ = b.Close(context.Background()) }()
 	send := func() {
 		response, err := b.Do(context.Background(), &plankrouter.Request{Target: "/tile/roma"})
 		if err != nil {
@@ -195,7 +195,7 @@
 			fmt.Println(err)
 			return
 		}
-		defer b.Close(context.Background())
+		defer func() { _ = b.Close(context.Background()) }()
 		if _, err := b.Do(context.Background(), &plankrouter.Request{}); err != nil {
 			fmt.Println(err)
 		}
--- a/middleware/errors.go
+++ b/middleware/errors.go
@@ -21,16 +21,16 @@
 //	500  a function in Options panicked
 //	501  CONNECT
 //	502  it failed, by its class's deadline, say, and may have run; or err is none of these
-//	503  it was refused: trying again is harmless; or the Balancer is closed
+//	503  it was rejected: sending it again is harmless; or the Balancer is closed
 //	504  its context's deadline has passed
 func Status(err error) int {
-	var refused *plankrouter.RejectedError
+	var rejected *plankrouter.RejectedError
 	var request *plankrouter.RequestError
 	var panicked *PanicError
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return http.StatusGatewayTimeout
-	case errors.As(err, &refused), errors.Is(err, plankrouter.ErrClosed):
+	case errors.As(err, &rejected), errors.Is(err, plankrouter.ErrClosed):
 		return http.StatusServiceUnavailable
 	case errors.Is(err, plankrouter.ErrDuplicate):
 		return http.StatusConflict
@@ -52,52 +52,52 @@
 	return http.StatusBadRequest
 }
 
-// WriteError answers with err's Status, in plain words, and after a refusal with Retry-After: whole seconds, rounded
+// WriteError answers with err's Status, in plain words, and after a RejectedError with Retry-After: whole seconds, rounded
 // up.
 func WriteError(w http.ResponseWriter, _ *http.Request, err error) {
-	var refused *plankrouter.RejectedError
+	var rejected *plankrouter.RejectedError
 	status := Status(err)
-	if status == http.StatusServiceUnavailable && errors.As(err, &refused) && refused.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(refused.RetryAfter.Seconds()))))
+	if status == http.StatusServiceUnavailable && errors.As(err, &rejected) && rejected.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(rejected.RetryAfter.Seconds()))))
 	}
 	http.Error(w, http.StatusText(status), status)
 }
 
-// fail ends the request by err.
-func (o *Options) fail(w http.ResponseWriter, r *http.Request, err error) {
+// respondError answers the request for err, or aborts it where its client has gone.
+func (o *Options) respondError(w http.ResponseWriter, r *http.Request, err error) {
 	var cancelled *plankrouter.CancelledError
 	if errors.As(err, &cancelled) && !errors.Is(err, context.DeadlineExceeded) {
 		panic(http.ErrAbortHandler)
 	}
 	var panicked *PanicError
 	if errors.As(err, &panicked) {
-		report(r, panicked)
+		logPanic(r, panicked)
 	}
 	if o.Error == nil {
 		WriteError(w, r, err)
 		return
 	}
-	watched := &watched{ResponseWriter: w}
-	if err = o.tell(watched, r, err); err == nil {
+	tracked := &trackingWriter{ResponseWriter: w}
+	if err = o.callErrorFunc(tracked, r, err); err == nil {
 		return
 	}
-	errors.As(err, &panicked)
-	report(r, panicked)
-	if watched.written { // a part of an answer must not pass for the whole
+	_ = errors.As(err, &panicked) // callErrorFunc returns nothing else
+	logPanic(r, panicked)
+	if tracked.written { // a part of an answer must not pass for the whole
 		panic(http.ErrAbortHandler)
 	}
 	WriteError(w, r, err)
 }
 
-// tell calls the application's function; the error is a *PanicError.
-func (o *Options) tell(w http.ResponseWriter, r *http.Request, about error) (err error) {
-	defer func() { err = caught(recover(), nil) }()
-	o.Error(w, r, about)
+// callErrorFunc calls the application's function; the error is a *PanicError.
+func (o *Options) callErrorFunc(w http.ResponseWriter, r *http.Request, cause error) (err error) {
+	defer func() { err = panicError(recover(), nil) }()
+	o.Error(w, r, cause)
 	return nil
 }
 
-// report logs where net/http logs the panics that it recovers itself.
-func report(r *http.Request, p *PanicError) {
+// logPanic logs where net/http logs the panics that it recovers itself.
+func logPanic(r *http.Request, p *PanicError) {
 	to := log.Default()
 	if s, _ := r.Context().Value(http.ServerContextKey).(*http.Server); s != nil && s.ErrorLog != nil {
 		to = s.ErrorLog
@@ -105,21 +105,21 @@
 	to.Printf("%v, serving %s\n%s", p, r.RemoteAddr, p.Stack)
 }
 
-// watched notes whether anything has been written.
-type watched struct {
+// trackingWriter notes whether anything has been written.
+type trackingWriter struct {
 	http.ResponseWriter
 	written bool
 }
 
-func (w *watched) WriteHeader(status int) {
+func (w *trackingWriter) WriteHeader(status int) {
 	w.written = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
-func (w *watched) Write(b []byte) (int, error) {
+func (w *trackingWriter) Write(b []byte) (int, error) {
 	w.written = true
 	return w.ResponseWriter.Write(b)
 }
 
 // Unwrap is for http.ResponseController.
-func (w *watched) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *trackingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -27,7 +27,7 @@
 		panic(err)
 	}
 	return b, func() {
-		b.Close(context.Background())
+		_ = b.Close(context.Background())
 		s.Close()
 	}
 }
@@ -56,8 +56,8 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /maps/", http.StripPrefix("/maps", tiles))
-	mux.HandleFunc("/about", func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, "served by the application")
+	mux.HandleFunc("/about", func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprint(w, "served by the application")
 	})
 	app := httptest.NewServer(mux)
 	defer app.Close()
@@ -87,7 +87,9 @@
 		_, ends := ctx.Deadline()
 		fmt.Fprintf(w, "class %s, tenant %s, a deadline: %t; got ",
 			plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), ends)
-		io.Copy(w, resp.Body)
+		if _, err := io.Copy(w, resp.Body); err != nil {
+			panic(http.ErrAbortHandler) // a part of the body must not pass for the whole
+		}
 	})
 	with, err := middleware.Middleware(middleware.Options{
 		Class:          middleware.Always("tile"),
--- a/middleware/gin/example_test.go
+++ b/middleware/gin/example_test.go
@@ -27,7 +27,7 @@
 		fmt.Println(err)
 		return
 	}
-	defer b.Close(context.Background())
+	defer func() { _ = b.Close(context.Background()) }()
 
 	tiles, err := plankroutergin.Handler(b, middleware.Options{Class: middleware.Always("default")})
 	if err != nil {
--- a/middleware/gin/plankroutergin.go
+++ b/middleware/gin/plankroutergin.go
@@ -1,5 +1,5 @@
-// Package plankroutergin is package middleware for applications that serve HTTP by Gin. It adds nothing to it but Gin's
-// manners, and is a module of its own, so that nobody else carries Gin's dependencies.
+// Package plankroutergin is package middleware for applications that serve HTTP by Gin. It adds
+// nothing but what Gin needs, and is a module of its own, so that nobody else carries Gin's dependencies.
 package plankroutergin
 
 import (
@@ -18,14 +18,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return func(c *gin.Context) { serve(c, h) }, nil
+	return func(c *gin.Context) { serveOrAbort(c, h) }, nil
 }
 
-func serve(c *gin.Context, h http.Handler) {
+func serveOrAbort(c *gin.Context, h http.Handler) {
 	defer func() {
 		switch p := recover(); {
 		case p == nil:
-		case p == http.ErrAbortHandler && !c.Writer.Written(): // gin.Recovery would log it, and send a 200
+		case p == any(http.ErrAbortHandler) && !c.Writer.Written(): // gin.Recovery would log it, and send a 200
 			c.AbortWithStatus(http.StatusBadGateway)
 		default:
 			panic(p)
@@ -42,12 +42,12 @@
 		return nil, err
 	}
 	return func(c *gin.Context) {
-		came, passed := c.Request, false
+		incoming, passed := c.Request, false
 		m(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			c.Request, passed = r, true
 			c.Next()
-		})).ServeHTTP(c.Writer, came)
-		if c.Request = came; !passed {
+		})).ServeHTTP(c.Writer, incoming)
+		if c.Request = incoming; !passed {
 			c.Abort()
 		}
 	}, nil
--- a/middleware/gin/plankroutergin_test.go
+++ b/middleware/gin/plankroutergin_test.go
@@ -47,7 +47,7 @@
 				return e
 			}
 			middlewaretest.Run(t, middlewaretest.Adapter{
-				Recovers: c.recovers, Ended: http.StatusBadGateway,
+				RecoversPanics: c.recovers, AbortedStatus: http.StatusBadGateway,
 				Handler: func(b *plankrouter.Balancer, o middleware.Options) (http.Handler, error) {
 					h, err := plankroutergin.Handler(b, o)
 					return serve(h), err
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -9,23 +9,23 @@
 // context: calls that it makes under that context through a plankrouter.Transport carry them, and all others made under
 // it end by that deadline. An error is a *plankrouter.OptionError.
 func Middleware(o Options) (func(http.Handler) http.Handler, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			said, err := o.read(r)
+			claimed, err := o.parseClaims(r)
 			if err != nil {
-				o.fail(w, r, err)
+				o.respondError(w, r, err)
 				return
 			}
-			ctx, cancel := said.under(r.Context())
+			ctx, cancel := claimed.withTimeout(r.Context())
 			defer cancel()
-			if said.class != "" {
-				ctx = plankrouter.WithClass(ctx, said.class)
+			if claimed.class != "" {
+				ctx = plankrouter.WithClass(ctx, claimed.class)
 			}
-			if said.tenant != "" {
-				ctx = plankrouter.WithTenant(ctx, said.tenant)
+			if claimed.tenant != "" {
+				ctx = plankrouter.WithTenant(ctx, claimed.tenant)
 			}
 			next.ServeHTTP(w, r.WithContext(ctx))
 		})
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -38,18 +38,18 @@
 	Handler func(*plankrouter.Balancer, middleware.Options) (http.Handler, error)
 	// Middleware serves every method and path by next, behind the middleware.
 	Middleware func(o middleware.Options, next http.Handler) (http.Handler, error)
-	// Ended is the status of a request that was cancelled, or aborted by a function in Options; 0 = its connection ends
+	// AbortedStatus is the status of a request that was cancelled, or aborted by a function in Options; 0 = its connection ends
 	// without an answer, as it does by net/http.
-	Ended int
-	// Recovers says that no panic gets as far as net/http: an answer that one has broken off then passes for a whole
+	AbortedStatus int
+	// RecoversPanics says that no panic gets as far as net/http: an answer that one has broken off then passes for a whole
 	// one.
-	Recovers bool
+	RecoversPanics bool
 }
 
 // Run plays all rows, as subtests.
 func Run(t *testing.T, a Adapter) {
 	for _, r := range append(handlerRows, middlewareRows...) {
-		if r.midway && a.Recovers {
+		if r.breaksOff && a.RecoversPanics {
 			continue
 		}
 		t.Run(r.name, func(t *testing.T) {
@@ -59,58 +59,77 @@
 }
 
 const (
-	ms    = time.Millisecond
-	ended = 0 // in place of a status: the connection ends without a whole answer
+	ms             = time.Millisecond
+	connectionEnds = 0 // in place of a status: the connection ends without a whole answer
 )
 
 // row is one request and what must come of it.
 type row struct {
-	name     string
-	options  middleware.Options
-	balancer func(*plankrouter.Options)
-	through  bool // the middleware, whose next handler answers with what it finds; else the handler
+	name              string
+	options           middleware.Options
+	balancer          func(*plankrouter.Options)
+	throughMiddleware bool // the middleware, whose next handler answers with what it finds; else the handler
 
-	around func(http.Handler) http.Handler // a wrapper of the application's own
-	serve  http.HandlerFunc                // the server's; nil = 200, "made by the server"
-	closed bool                            // the balancer
-	before int                             // so many of its like have gone out 10 ms before
-	midway bool                            // the answer breaks off in the middle
-	leave  time.Duration                   // the client does, so long after it has asked; 0 = it does not
+	wrap              func(http.Handler) http.Handler // a wrapper of the application's own
+	serverHandler     http.HandlerFunc                // the server's; nil = 200, "made by the server"
+	balancerClosed    bool                            // the balancer
+	requestsBefore    int                             // so many of its like have gone out 10 ms before
+	breaksOff         bool                            // the answer breaks off in the middle
+	clientLeavesAfter time.Duration                   // the client does, so long after it has asked; 0 = it does not
 
 	request string // without Host and Content-Length
 
-	status int
-	head   map[string]string // of the answer; "" = there is no such line
-	body   string            // of the answer; "" = any
-	sent   map[string]string // to the server, likewise; "" under the name "line" or "body" = any
-	logged string            // by the http.Server
-	stats  func(plankrouter.Stats) bool
+	status         int
+	responseHeader map[string]string // of the answer; "" = there is no such line
+	body           string            // of the answer; "" = any
+	serverRequest  map[string]string // to the server, likewise; "" under the name "line" or "body" = any
+	logged         string            // by the http.Server
+	stats          func(plankrouter.Stats) bool
 }
 
 func (r *row) play(t *testing.T, a Adapter) {
 	defer time.Sleep(time.Second) // in which an http.Server ends a connection that it has not read to its end
 	net := fakes.NewMemory()
-	var mu sync.Mutex
-	sent := map[string]string{}
-	server, address := listen(t, net, nil, http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
-		body, _ := io.ReadAll(in.Body)
-		mu.Lock()
-		sent["line"], sent["body"], sent["Host"] = in.Method+" "+in.RequestURI, string(body), in.Host
-		for name, values := range in.Header {
-			sent[name] = strings.Join(values, "|")
-		}
-		if s, err := strconv.ParseFloat(sent["Req-Deadline"], 64); err == nil { // some ms are the balancer's
-			sent["Req-Deadline"] = fmt.Sprintf("%.2f", s)
-		}
-		mu.Unlock()
-		if r.serve == nil {
-			io.WriteString(w, "made by the server")
-			return
-		}
-		r.serve(w, in)
-	}))
-	defer server.Close()
+	server := &recordingServer{respond: r.serverHandler, request: map[string]string{}}
+	listening, address := listen(t, net, nil, server)
+	defer listening.Close()
+	b := r.newBalancer(t, net, address)
+	defer closeBalancer(t, b)
 
+	app, err := r.adapt(a, b)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if r.wrap != nil {
+		app = r.wrap(app)
+	}
+	var logged bytes.Buffer
+	front, at := listen(t, net, &logged, app)
+	defer front.Close()
+	if r.balancerClosed {
+		closeBalancer(t, b)
+	}
+	for range r.requestsBefore {
+		go r.send(t, net, at)
+	}
+	time.Sleep(10 * ms)
+	status, header, body := r.send(t, net, at)
+	time.Sleep(10 * ms) // until what has ended is known to have
+
+	r.checkResponse(t, a, status, header, body)
+	server.check(t, r.serverRequest)
+	front.Close()
+	if log := logged.String(); !strings.Contains(log, r.logged) || r.logged == "" && log != "" {
+		t.Errorf("logged %q, want %q", log, r.logged)
+	}
+	if s := b.Stats(); r.stats != nil && !r.stats(s) {
+		t.Errorf("%+v", s)
+	}
+}
+
+// newBalancer returns a balancer of two classes over the server at address.
+func (r *row) newBalancer(t *testing.T, net *fakes.Memory, address string) *plankrouter.Balancer {
+	t.Helper()
 	o := plankrouter.Options{
 		Seed: 1, ConnectionLimit: plankrouter.NewConnectionLimit(16, net.Dial),
 		Classes: []plankrouter.Class{
@@ -126,65 +145,88 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close(t.Context())
+	return b
+}
 
-	app, err := r.adapt(a, b)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if r.around != nil {
-		app = r.around(app)
-	}
-	var logged bytes.Buffer
-	front, at := listen(t, net, &logged, app)
-	defer front.Close()
-	if r.closed {
-		b.Close(t.Context())
-	}
-	for range r.before {
-		go r.ask(t, net, at)
+// closeBalancer may be called twice.
+func closeBalancer(t *testing.T, b *plankrouter.Balancer) {
+	t.Helper()
+	if err := b.Close(t.Context()); err != nil {
+		t.Error(err)
 	}
-	time.Sleep(10 * ms)
-	status, head, body := r.ask(t, net, at)
-	time.Sleep(10 * ms) // until what has ended is known to have
+}
 
-	if r.status == ended && !r.midway && r.leave == 0 {
-		r.status = a.Ended
+// checkResponse compares what came back with what the row wants.
+func (r *row) checkResponse(t *testing.T, a Adapter, status int, header http.Header, body string) {
+	t.Helper()
+	wantStatus := r.status
+	if wantStatus == connectionEnds && !r.breaksOff && r.clientLeavesAfter == 0 {
+		wantStatus = a.AbortedStatus
 	}
-	if status != r.status || r.body != "" && body != r.body {
-		t.Errorf("%d %q, want %d %q", status, body, r.status, r.body)
+	if status != wantStatus || r.body != "" && body != r.body {
+		t.Errorf("%d %q, want %d %q", status, body, wantStatus, r.body)
 	}
-	for name, want := range r.head {
-		if got := strings.Join(head.Values(name), "|"); got != want {
+	for name, want := range r.responseHeader {
+		if got := strings.Join(header.Values(name), "|"); got != want {
 			t.Errorf("%s: %q came back, want %q", name, got, want)
 		}
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	for name, want := range r.sent {
-		if got := sent[name]; got != want {
-			t.Errorf("%s: %q went to the server, want %q", name, got, want)
-		}
+}
+
+// recordingServer is the server behind the balancer.
+type recordingServer struct {
+	respond http.HandlerFunc // nil = 200, "made by the server"
+
+	mu      sync.Mutex
+	request map[string]string // the last one's headers, and its "line" and "body"
+}
+
+func (s *recordingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	s.record(r, string(body))
+	if s.respond == nil {
+		fmt.Fprint(w, "made by the server")
+		return
 	}
-	front.Close()
-	if log := logged.String(); !strings.Contains(log, r.logged) || r.logged == "" && log != "" {
-		t.Errorf("logged %q, want %q", log, r.logged)
+	s.respond(w, r)
+}
+
+func (s *recordingServer) record(r *http.Request, body string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.request["line"] = r.Method + " " + r.RequestURI
+	s.request["body"] = body
+	s.request["Host"] = r.Host
+	for name, values := range r.Header {
+		s.request[name] = strings.Join(values, "|")
 	}
-	if s := b.Stats(); r.stats != nil && !r.stats(s) {
-		t.Errorf("%+v", s)
+	if seconds, err := strconv.ParseFloat(s.request["Req-Deadline"], 64); err == nil { // some ms are the balancer's
+		s.request["Req-Deadline"] = fmt.Sprintf("%.2f", seconds)
+	}
+}
+
+// check compares what went to the server with want.
+func (s *recordingServer) check(t *testing.T, want map[string]string) {
+	t.Helper()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name, value := range want {
+		if got := s.request[name]; got != value {
+			t.Errorf("%s: %q went to the server, want %q", name, got, value)
+		}
 	}
 }
 
 func (r *row) adapt(a Adapter, b *plankrouter.Balancer) (http.Handler, error) {
-	if !r.through {
+	if !r.throughMiddleware {
 		return a.Handler(b, r.options)
 	}
-	return a.Middleware(r.options, found(b))
+	return a.Middleware(r.options, echoContext(b))
 }
 
-// found answers with the class, the tenant and the time left that it finds in the request's context, and with what an
+// echoContext answers with the class, the tenant and the time left that it finds in the request's context, and with what an
 // http.Client gets under it.
-func found(b *plankrouter.Balancer) http.Handler {
+func echoContext(b *plankrouter.Balancer) http.Handler {
 	client := &http.Client{Transport: &plankrouter.Transport{Balancer: b}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, left := r.Context(), "no end"
@@ -203,7 +245,7 @@
 			return
 		}
 		w.WriteHeader(http.StatusOK)
-		io.WriteString(w, strings.Join([]string{plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), left}, ","))
+		fmt.Fprint(w, strings.Join([]string{plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), left}, ","))
 	})
 }
 
@@ -218,31 +260,31 @@
 	if logs != nil {
 		s.ErrorLog = log.New(logs, "", 0)
 	}
-	go s.Serve(l)
+	go func() { _ = s.Serve(l) }() // until it is closed, which is its error
 	return s, l.Addr().String()
 }
 
-// ask sends the request as it stands, on a connection of its own.
-func (r *row) ask(t *testing.T, n *fakes.Memory, at string) (status int, head http.Header, body string) {
+// send sends the request as it stands, on a connection of its own.
+func (r *row) send(t *testing.T, n *fakes.Memory, at string) (status int, head http.Header, body string) {
 	c, err := n.Dial(context.Background(), at)
 	if err != nil {
 		t.Error(err)
-		return ended, nil, ""
+		return connectionEnds, nil, ""
 	}
 	defer c.Close()
-	io.WriteString(c, wire(r.request))
-	if r.leave > 0 {
-		time.Sleep(r.leave)
-		return ended, nil, ""
+	fmt.Fprint(c, wire(r.request))
+	if r.clientLeavesAfter > 0 {
+		time.Sleep(r.clientLeavesAfter)
+		return connectionEnds, nil, ""
 	}
 	method, _, _ := strings.Cut(r.request, " ")
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: method})
 	if err != nil {
-		return ended, nil, ""
+		return connectionEnds, nil, ""
 	}
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return ended, nil, ""
+		return connectionEnds, nil, ""
 	}
 	return resp.StatusCode, resp.Header, string(raw)
 }
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -26,7 +26,7 @@
 	"time"
 )
 
-// Options say what is read from a request that comes in, and what is made of it. The zero value trusts no header. The
+// Options say what is read from a request that comes in, and what is made of it. The zero value reads no header. The
 // functions are called by many requests at once. A panic of one of them is answered by 500 and goes to the log of the
 // http.Server; http.ErrAbortHandler is passed on.
 type Options struct {
@@ -42,7 +42,7 @@
 	TenantHeader string
 
 	// DeadlineHeader is the header that says for how long the client waits, in seconds with decimals: from when the
-	// head of the request has been read. "" = nobody's word is taken, and the class's deadline counts alone. What is
+	// head of the request has been read. "" = the class's deadline counts alone. What is
 	// not a number, not above 0 or infinite is answered by 400; more than a day counts as one.
 	DeadlineHeader string
 
@@ -57,13 +57,13 @@
 	IDHeader string
 
 	// Forwarded writes X-Forwarded-For, X-Forwarded-Host and X-Forwarded-Proto anew, for clients that connect directly:
-	// what they say of themselves in these and in Forwarded does not count. Else all four are passed on as they came,
+	// what they send in these and in Forwarded is dropped. Else all four are passed on as they came,
 	// as is right behind a proxy.
 	Forwarded bool
 }
 
-// longest is how long a client may say that it waits.
-const longest = 24 * time.Hour
+// maxClientTimeout bounds how long a client may say that it waits.
+const maxClientTimeout = 24 * time.Hour
 
 // ErrBody is in the chain of the error by which the request's body could not be read.
 var ErrBody = errors.New("plankrouter: request: its body could not be read")
@@ -89,9 +89,12 @@
 	return func(*http.Request) string { return class }
 }
 
-// check names the option that makes no sense.
-func (o *Options) check() error {
-	bad := func(option, why string) error { return &plankrouter.OptionError{Option: option, Reason: why} }
+func invalidOption(option, reason string) error {
+	return &plankrouter.OptionError{Option: option, Reason: reason}
+}
+
+// validate returns a *plankrouter.OptionError for the first option that makes no sense.
+func (o *Options) validate() error {
 	seen := map[string]bool{}
 	for _, h := range []struct{ option, name string }{
 		{"TenantHeader", o.TenantHeader}, {"DeadlineHeader", o.DeadlineHeader}, {"IDHeader", o.IDHeader},
@@ -101,73 +104,83 @@
 		case h.name == "":
 			continue
 		case !http1.ValidField(h.name, ""):
-			return bad(h.option, fmt.Sprintf("%q is not the name of a header", h.name))
+			return invalidOption(h.option, fmt.Sprintf("%q is not the name of a header", h.name))
 		case key == "Host":
-			return bad(h.option, "net/http keeps Host elsewhere; a function can read it from there")
+			return invalidOption(h.option, "net/http keeps Host elsewhere; a function can read it from there")
 		case seen[key]:
-			return bad(h.option, fmt.Sprintf("%q has another meaning already", h.name))
+			return invalidOption(h.option, fmt.Sprintf("%q has another meaning already", h.name))
 		}
 		seen[key] = true
 	}
 	if o.Tenant != nil && o.TenantHeader != "" {
-		return bad("TenantHeader", "there is a Tenant too; give one of them")
+		return invalidOption("TenantHeader", "there is a Tenant too; give one of them")
 	}
 	return nil
 }
 
-// word is what a request says of itself.
-type word struct {
+// claims is what a request says of itself, as far as the options let it.
+type claims struct {
 	class, tenant, id string
-	within            time.Duration // 0 = it does not say
+	timeout           time.Duration // 0 = it does not say
 }
 
-// read reads the request. The error is a *plankrouter.RequestError or a *PanicError.
-func (o *Options) read(r *http.Request) (said word, err error) {
-	defer func() { err = caught(recover(), err) }()
+// parseClaims reads what the request says of itself. The error is a *plankrouter.RequestError or a *PanicError.
+func (o *Options) parseClaims(r *http.Request) (claimed claims, err error) {
+	defer func() { err = panicError(recover(), err) }()
 	if o.Class != nil {
-		said.class = o.Class(r)
+		claimed.class = o.Class(r)
 	}
 	if o.Tenant != nil {
-		said.tenant = o.Tenant(r)
+		claimed.tenant = o.Tenant(r)
 	}
-	var within string
-	for _, h := range []struct {
-		name string
-		to   *string
-	}{{o.TenantHeader, &said.tenant}, {o.IDHeader, &said.id}, {o.DeadlineHeader, &within}} {
-		if h.name == "" {
+	var timeout string
+	for _, header := range []struct {
+		name  string
+		value *string
+	}{{o.TenantHeader, &claimed.tenant}, {o.IDHeader, &claimed.id}, {o.DeadlineHeader, &timeout}} {
+		if header.name == "" {
 			continue
 		}
-		for i, v := range r.Header.Values(h.name) {
-			if i > 0 && v != *h.to {
-				return said, &plankrouter.RequestError{Field: h.name, Reason: "given twice, with different values"}
-			}
-			*h.to = v
+		if err := readHeader(r, header.name, header.value); err != nil {
+			return claimed, err
 		}
 	}
 	if o.DeadlineHeader != "" && len(r.Header.Values(o.DeadlineHeader)) > 0 {
-		s, bad := strconv.ParseFloat(within, 64)
-		if bad != nil || !(s > 0) || math.IsInf(s, 0) {
-			return said, &plankrouter.RequestError{
-				Field:  o.DeadlineHeader,
-				Reason: fmt.Sprintf("%q is not a number of seconds above 0", within),
-			}
+		claimed.timeout, err = parseTimeout(o.DeadlineHeader, timeout)
+	}
+	return claimed, err
+}
+
+// readHeader stores the header's one value in value, which it leaves alone where there is none.
+func readHeader(r *http.Request, name string, value *string) error {
+	for i, v := range r.Header.Values(name) {
+		if i > 0 && v != *value {
+			return &plankrouter.RequestError{Field: name, Reason: "given twice, with different values"}
 		}
-		said.within = max(1, time.Duration(min(s, longest.Seconds())*float64(time.Second)))
+		*value = v
+	}
+	return nil
+}
+
+// parseTimeout reads the seconds that the header of that name says.
+func parseTimeout(header, value string) (time.Duration, error) {
+	seconds, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
+		return 0, &plankrouter.RequestError{Field: header, Reason: fmt.Sprintf("%q is not a number of seconds above 0", value)}
 	}
-	return said, nil
+	return max(1, time.Duration(min(seconds, maxClientTimeout.Seconds())*float64(time.Second))), nil
 }
 
-// under returns ctx with the deadline that the request has named.
-func (w *word) under(ctx context.Context) (context.Context, context.CancelFunc) {
-	if w.within == 0 {
+// withTimeout returns ctx with the deadline that the request has named.
+func (c *claims) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	if c.timeout == 0 {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, w.within)
+	return context.WithTimeout(ctx, c.timeout)
 }
 
-// caught turns a recovered panic into an error.
-func caught(p any, err error) error {
+// panicError turns a recovered panic into an error.
+func panicError(p any, err error) error {
 	switch p {
 	case nil:
 		return err
