--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -65,52 +65,52 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Caller{ctx: ctx, budget: budget, settings: set, estimator: book}
-	v.Reconfigure(set.Figures)
-	return v, nil
+	c := &Caller{ctx: ctx, budget: budget, settings: set, estimator: book}
+	c.Reconfigure(set.Figures)
+	return c, nil
 }
 
 // Reconfigure goes by other figures from the next call on.
-func (v *Caller) Reconfigure(f Figures) { v.figures.Store(&f) }
+func (c *Caller) Reconfigure(f Figures) { c.figures.Store(&f) }
 
 // Wait returns when the last goroutine has ended, which it does soon after the context's end.
-func (v *Caller) Wait() { v.wg.Wait() }
+func (c *Caller) Wait() { c.wg.Wait() }
 
 // Idle counts how kept connections have ended so far.
-func (v *Caller) Idle() outcome.Counts {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.idleOutcomes
+func (c *Caller) Idle() outcome.Counts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.idleOutcomes
 }
 
 // Forget drops a provider that is gone for good, as a upstream.Caller does.
-func (v *Caller) Forget(server string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.estimator.Forget(server)
+func (c *Caller) Forget(server string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.estimator.Forget(server)
 }
 
 // State returns what was learned of how connections break.
-func (v *Caller) State(now time.Time) ([]byte, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.estimator.State(now)
+func (c *Caller) State(now time.Time) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.estimator.State(now)
 }
 
 // Restore takes what State returned.
-func (v *Caller) Restore(now time.Time, state []byte, age time.Duration) error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.estimator.Restore(now, state, age)
+func (c *Caller) Restore(now time.Time, state []byte, age time.Duration) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.estimator.Restore(now, state, age)
 }
 
 // Endpoint returns a provider's process at address.
-func (v *Caller) Endpoint(server, address string) upstream.Endpoint {
-	return &endpoint{client: v, name: server, address: address}
+func (c *Caller) Endpoint(server, address string) upstream.Endpoint {
+	return &endpoint{client: c, name: server, address: address}
 }
 
-func (v *Caller) trace(format string, args ...any) {
-	if v.settings.Trace != nil {
-		v.settings.Trace(format, args...)
+func (c *Caller) trace(format string, args ...any) {
+	if c.settings.Trace != nil {
+		c.settings.Trace(format, args...)
 	}
 }
--- a/internal/backend/reuse.go
+++ b/internal/backend/reuse.go
@@ -50,28 +50,28 @@
 }
 
 // learn takes note of how the connections did on which a call was.
-func (v *Caller) learn(a *attempt, r *result) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (c *Caller) learn(a *attempt, r *result) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now, name := time.Now(), a.endpoint.name
 	if d := a.deadConn; d != nil {
 		fate := keepalive.Broken
 		if d.early {
 			fate = keepalive.Early
 		}
-		v.estimator.Learn(now, d.keepaliveUse(name), fate, d.pause, d.tookUntilBreak)
+		c.estimator.Learn(now, d.keepaliveUse(name), fate, d.pause, d.tookUntilBreak)
 	}
 	if a.dialTime > 0 {
-		v.estimator.Dialed(name, a.dialTime)
+		c.estimator.Dialed(name, a.dialTime)
 	}
 	switch r.Outcome {
 	case outcome.Served, outcome.ServerError, outcome.Declined, outcome.Malformed:
-		v.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Answered, a.pause, 0)
+		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Answered, a.pause, 0)
 	case outcome.ResetByPeer:
-		v.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Broken, a.pause, r.tookUntilBreak)
+		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Broken, a.pause, r.tookUntilBreak)
 	case outcome.PartlyWritten:
 		if r.early {
-			v.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Early, a.pause, r.tookUntilBreak)
+			c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Early, a.pause, r.tookUntilBreak)
 		}
 	}
 }
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -15,39 +15,39 @@
 
 // dialAndServe opens a connection for the call and stays with it until it ends. A call that finds it dead when it was to be
 // carried, before the last byte was sent, gets another one: it can't have run.
-func (v *Caller) dialAndServe(a *attempt) {
+func (c *Caller) dialAndServe(a *attempt) {
 	for a != nil {
 		a.pause = a.pauseOnNew
 		began := time.Now()
-		dial := v.budget.Dial
+		dial := c.budget.Dial
 		if a.isProbe {
-			dial = v.budget.DialOptional
+			dial = c.budget.DialOptional
 		}
-		socket, err := dial(a.ctx, a.endpoint.address, v.figures.Load().Connect)
+		socket, err := dial(a.ctx, a.endpoint.address, c.figures.Load().Connect)
 		if err != nil {
 			how := dialOutcome(err)
-			v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, how, time.Since(began).Seconds()*1e3)
-			v.end(a, result{Result: upstream.Result{Outcome: how}})
+			c.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, how, time.Since(began).Seconds()*1e3)
+			c.end(a, result{Result: upstream.Result{Outcome: how}})
 			return
 		}
 		name := a.endpoint.name
-		v.trace("trace=dial provider=%s ending=%s took_ms=%.1f", name, outcome.Open, time.Since(began).Seconds()*1e3)
+		c.trace("trace=dial provider=%s ending=%s took_ms=%.1f", name, outcome.Open, time.Since(began).Seconds()*1e3)
 		conn := newConn(socket, a.endpoint)
 		conn.connectedAt = time.Now()
 		conn.dialTime = conn.connectedAt.Sub(began)
-		stop := context.AfterFunc(v.ctx, conn.close)
-		a = v.serve(conn, a)
+		stop := context.AfterFunc(c.ctx, conn.close)
+		a = c.serve(conn, a)
 		stop()
-		v.trace("trace=closed provider=%s", name)
+		c.trace("trace=closed provider=%s", name)
 		http1.Free(conn.reader)
 	}
 }
 
 // serve carries calls on the connection until it ends, and returns the one that it could not begin.
-func (v *Caller) serve(conn *conn, a *attempt) *attempt {
+func (c *Caller) serve(conn *conn, a *attempt) *attempt {
 	if !conn.socket.Quiet() { // a provider that speaks first is no HTTP server
 		conn.close()
-		v.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
+		c.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
 	}
 	for {
@@ -63,11 +63,11 @@
 			conn.use.attempts++
 			// The call ends before its connection is kept for another: once it has ended, Stop can't close that. It is told
 			// after that, unless a long answer still holds the connection: a call that follows from it is to find that.
-			ended := v.finish(a, &r)
+			ended := c.finish(a, &r)
 			switch {
 			case ended && r.download != nil:
 				a.onEnd(r.Result)
-				again = r.download.wait(v.ctx) && again
+				again = r.download.wait(c.ctx) && again
 			case ended && !again:
 				a.onEnd(r.Result)
 			default:
@@ -78,16 +78,16 @@
 				return nil
 			}
 		default: // nobody waits for it, or it is too late: another call may use the connection
-			v.end(a, result{Result: upstream.Result{Outcome: e}})
+			c.end(a, result{Result: upstream.Result{Outcome: e}})
 		}
-		v.keepIdle(conn)
+		c.keepIdle(conn)
 		if untold != nil {
 			a.onEnd(untold.Result)
 		}
 		next, how := conn.waitForAttempt()
 		if how != outcome.Open {
 			conn.close()
-			v.removeIdle(conn, how)
+			c.removeIdle(conn, how)
 			return next
 		}
 		a = next
@@ -108,14 +108,14 @@
 }
 
 // end reports the result unless the call has ended before.
-func (v *Caller) end(a *attempt, r result) {
-	if v.finish(a, &r) {
+func (c *Caller) end(a *attempt, r result) {
+	if c.finish(a, &r) {
 		a.onEnd(r.Result)
 	}
 }
 
 // finish ends the call with a result that is still to be told, unless it has ended before.
-func (v *Caller) finish(a *attempt, r *result) bool {
+func (c *Caller) finish(a *attempt, r *result) bool {
 	a.mu.Lock()
 	if a.stage == stageEnded {
 		a.mu.Unlock()
@@ -124,6 +124,6 @@
 	a.stage = stageEnded
 	a.cancel()
 	a.mu.Unlock()
-	v.learn(a, r)
+	c.learn(a, r)
 	return true
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -35,14 +35,14 @@
 	return a
 }
 
-func (v *Caller) start(a *attempt, chooser reuseChooser) {
-	a.ctx, a.cancel = context.WithCancel(v.ctx)
-	v.mu.Lock()
+func (c *Caller) start(a *attempt, chooser reuseChooser) {
+	a.ctx, a.cancel = context.WithCancel(c.ctx)
+	c.mu.Lock()
 	a.pauseOnNew = chooser.pauseBeforeLastByte(connUse{})
 	kept := a.endpoint.offer(a, chooser)
-	v.mu.Unlock()
+	c.mu.Unlock()
 	if !kept {
-		v.wg.Go(func() { v.dialAndServe(a) })
+		c.wg.Go(func() { c.dialAndServe(a) })
 	}
 }
 
@@ -68,11 +68,11 @@
 // keepIdle lets the connection's endpoint use it again, for as long as a call with the least at stake would take it, which must
 // end well before the provider closes it: a call that crosses that is reset, and may not be sent again if it may not run
 // twice.
-func (v *Caller) keepIdle(conn *conn) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (c *Caller) keepIdle(conn *conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	retire := v.estimator.Limit(now, conn.endpoint.name, probeCost, time.Duration(idleTimeoutFraction*float64(v.figures.Load().ConnIdle)))
+	retire := c.estimator.Limit(now, conn.endpoint.name, probeCost, time.Duration(idleTimeoutFraction*float64(c.figures.Load().ConnIdle)))
 	if conn.endpoint.closed || conn.socket.SetReadDeadline(now.Add(retire)) != nil {
 		conn.close()
 		return
@@ -83,10 +83,10 @@
 }
 
 // removeIdle forgets a connection that has ended while it was kept.
-func (v *Caller) removeIdle(conn *conn, how outcome.Kind) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.idleOutcomes[how]++
+func (c *Caller) removeIdle(conn *conn, how outcome.Kind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idleOutcomes[how]++
 	if at := slices.Index(conn.endpoint.idle, conn); at >= 0 {
 		conn.endpoint.idle = slices.Delete(conn.endpoint.idle, at, at+1)
 	}
