--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,5 +1,4 @@
-// Package backend is the HTTP caller: it makes invoker calls and probes to the providers and keeps each provider's
-// connections.
+// Package backend sends attempts and probes to the servers over HTTP/1.1, and keeps each server's idle connections.
 package backend
 
 import (
@@ -16,33 +15,33 @@
 	"time"
 )
 
-// Figures are those of the deployment that may change while a Caller works.
+// Figures are the settings that may change while a Caller works.
 type Figures struct {
-	Connect  time.Duration      // within which a connection has to come up
-	ConnIdle time.Duration      // after which a provider closes an idle one
-	Stakes   []keepalive.Stakes // by class of invocations
+	Connect  time.Duration      // for a connection to come up
+	ConnIdle time.Duration      // after which a server closes an idle one
+	Stakes   []keepalive.Stakes // by class of requests
 }
 
-// Settings are what a Caller is told.
+// Settings are what a Caller works by.
 type Settings struct {
 	Figures
-	Trace   func(format string, args ...any) // logs a line for every connection, as it comes up or not and as it ends; nil = none
-	Written func()                           // told of each attempt at an invocation whose last byte is written; nil = nobody is
-	Bounds  *streaming.Bounds                // of bodies that flow; nil = none does: those beyond 64 KiB are malformed
-	Answers func(status int) bool            // which statuses are a served request's; nil = 200 alone
-	Rules   *invariant.Recorder              // of what was held back and what got past; nil = nobody counts
+	Trace   func(format string, args ...any) // logs a line for every dial and for the end of every connection; nil = none
+	Written func()                           // called for each attempt at a request, not a probe, once its last byte is written; nil = nothing is
+	Bounds  *streaming.Bounds                // of bodies that are streamed; nil = none is: an answer beyond 64 KiB is malformed
+	Answers func(status int) bool            // whether an answer with the status serves the request; nil = 200 alone does
+	Rules   *invariant.Recorder              // counts what was prevented and what got past; nil = nothing is counted
 }
 
-// Stakes are what the requests of the module's classes put at risk.
+// Stakes are the costs of a broken connection to a request, by the policy's classes.
 func Stakes(classes []policy.Class) (out []keepalive.Stakes) {
 	for _, c := range classes {
-		aim := time.Duration(c.LatencyObjective * float64(time.Millisecond))
-		out = append(out, keepalive.Stakes{Once: c.Idempotency == policy.NonIdempotent, Aim: aim, Worth: c.PriorityWeight})
+		objective := time.Duration(c.LatencyObjective * float64(time.Millisecond))
+		out = append(out, keepalive.Stakes{Once: c.Idempotency == policy.NonIdempotent, Aim: objective, Worth: c.PriorityWeight})
 	}
 	return out
 }
 
-// Caller is the upstream.Caller of HTTP/1.1. Beside what that says, its endpoints may belong to any goroutine.
+// Caller is the upstream.Upstream of HTTP/1.1. Its methods and its endpoints may be used by any goroutine.
 type Caller struct {
 	ctx      context.Context
 	budget   *connlimit.Budget
@@ -50,40 +49,41 @@
 	figures  atomic.Pointer[Figures]
 	wg       sync.WaitGroup
 
-	mu           sync.Mutex      // of all that follows, and of what endpoints keep
+	mu           sync.Mutex      // guards what follows, and the endpoints' idle connections
 	estimator    *keepalive.Book // of how connections break
-	idleOutcomes outcome.Counts  // how kept connections have ended
+	idleOutcomes outcome.Counts  // how idle connections have ended
 }
 
 // New returns a Caller whose connections end with ctx.
-func New(ctx context.Context, budget *connlimit.Budget, set Settings) (*Caller, error) {
-	// A retry draws on a budget of one in ten requests, so that where connections break often there is none left for it; a
-	// handshake is a small part of a request's work.
-	prices := keepalive.Default()
-	prices.Handshake, prices.Retry = 0.01, 0.3
-	book, err := keepalive.New(prices)
+func New(ctx context.Context, budget *connlimit.Budget, settings Settings) (*Caller, error) {
+	// A retry draws on a budget of one in ten requests, which is used up where connections break often; a handshake is a small
+	// part of a request's work.
+	costs := keepalive.Default()
+	costs.Handshake = 0.01
+	costs.Retry = 0.3
+	estimator, err := keepalive.New(costs)
 	if err != nil {
 		return nil, err
 	}
-	c := &Caller{ctx: ctx, budget: budget, settings: set, estimator: book}
-	c.Reconfigure(set.Figures)
+	c := &Caller{ctx: ctx, budget: budget, settings: settings, estimator: estimator}
+	c.Reconfigure(settings.Figures)
 	return c, nil
 }
 
-// Reconfigure goes by other figures from the next call on.
+// Reconfigure replaces the reloadable settings from the next attempt on.
 func (c *Caller) Reconfigure(f Figures) { c.figures.Store(&f) }
 
-// Wait returns when the last goroutine has ended, which it does soon after the context's end.
+// Wait returns when the last goroutine has ended, soon after the context.
 func (c *Caller) Wait() { c.wg.Wait() }
 
-// Idle counts how kept connections have ended so far.
+// Idle counts how idle connections have ended so far.
 func (c *Caller) Idle() outcome.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleOutcomes
 }
 
-// Forget drops a provider that is gone for good, as a upstream.Caller does.
+// Forget drops what was learned of a server that is gone for good.
 func (c *Caller) Forget(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	return c.estimator.Restore(now, state, age)
 }
 
-// Endpoint returns a provider's process at address.
+// Endpoint returns a server's process at address.
 func (c *Caller) Endpoint(server, address string) upstream.Endpoint {
 	return &endpoint{client: c, name: server, address: address}
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// conn is one connection to a provider. One goroutine carries its calls, one after another, and watches it between
-// them: whatever comes while there is no call on it belongs to nobody, and so does what comes before a call's last
+// conn is one connection to a server. One goroutine makes its attempts, one after another, and watches it between
+// them: whatever comes in while there is no attempt on it belongs to nobody, and so does what comes in before an attempt's last
 // byte is written.
 type conn struct {
-	endpoint    *endpoint // that it was opened to
-	idleSince   time.Time // when it was last put there,
-	idleUntil   time.Time // and until when it may be used from there
+	endpoint    *endpoint
+	idleSince   time.Time // when it last became idle,
+	idleUntil   time.Time // and until when it may be reused; both guarded by the Caller's lock while it is on the endpoint's list
 	socket      *connlimit.Socket
 	reader      *bufio.Reader
-	dialTime    time.Duration // until it was up,
-	connectedAt time.Time     // which it was then
-	use         connUse       // by its present call
+	dialTime    time.Duration
+	connectedAt time.Time
+	use         connUse // before its present attempt
 
 	mu   sync.Mutex
-	next *attempt // to carry, once the goroutine has seen that nothing had come in
-	over bool     // no further call may use it
+	next *attempt // offered, and begun once the goroutine has seen that nothing had come in
+	over bool     // no further attempt may use it
 
-	answering bool // an answer is being judged; of the goroutine that reads
+	answering bool // an answer has begun and is not read yet; only the goroutine that reads uses it
 }
 
-func newConn(s *connlimit.Socket, at *endpoint) *conn {
-	c := &conn{endpoint: at, socket: s}
+func newConn(socket *connlimit.Socket, endpoint *endpoint) *conn {
+	c := &conn{endpoint: endpoint, socket: socket}
 	c.reader = http1.NewReader(c)
 	return c
 }
 
-// Read reads from the socket, and gives an answer that goes on its time.
+// Read reads from the socket, and extends the time of an answer that makes progress.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.socket.Read(p)
 	if n > 0 && c.answering {
@@ -46,7 +46,7 @@
 	return n, err
 }
 
-// offer gives the idle connection its next call, unless it has ended.
+// offer gives the idle connection its next attempt, unless it has ended.
 func (c *conn) offer(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,24 +58,26 @@
 	return true
 }
 
-// close ends the connection; a call on it is lost.
+// close ends the connection; an attempt on it is lost.
 func (c *conn) close() {
 	c.mu.Lock()
 	c.over = true
 	c.mu.Unlock()
-	c.socket.Close()
+	_ = c.socket.Close()
 }
 
-// idleOutcomes waits for the next call. How says why the connection can't carry it, or has ended without one; Open = it can.
+// waitForAttempt waits for the next attempt. How says why the connection can't be used for it, or has ended without one; Open = it
+// can.
 func (c *conn) waitForAttempt() (next *attempt, how outcome.Kind) {
 	began := time.Now()
 	_, err := c.reader.Peek(1)
 	c.use.idle = time.Since(began)
 	c.mu.Lock()
-	next, c.next = c.next, nil
+	next = c.next
+	c.next = nil
 	c.over = c.over || next == nil
 	c.mu.Unlock()
-	// This goroutine may have been woken late, and the provider may be about to close the connection.
+	// This goroutine may have been woken late, and the server may be about to close the connection.
 	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.idleUntil) {
 		err = c.socket.SetReadDeadline(time.Time{})
 		if err == nil && c.socket.Quiet() {
@@ -85,7 +87,7 @@
 	return next, outcome.FromIdleError(err)
 }
 
-// staysQuiet waits, with the last byte still to be written, and reports whether nothing has come in, an end included.
+// staysQuiet waits for the pause before the last byte, and reports whether nothing has come in, the connection's end included.
 func (c *conn) staysQuiet(pause time.Duration) bool {
 	if pause <= 0 {
 		return c.socket.Quiet()
@@ -95,9 +97,10 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) && c.socket.SetReadDeadline(time.Time{}) == nil
 }
 
-// setAnswering starts the time of an answer, or ends it.
-func (c *conn) setAnswering(begun bool) {
-	if c.answering = begun; begun {
+// setAnswering starts or ends the bound on pauses within an answer.
+func (c *conn) setAnswering(answering bool) {
+	c.answering = answering
+	if answering {
 		c.socket.SetReadDeadline(time.Now().Add(maxResponsePause))
 	} else {
 		c.socket.SetReadDeadline(time.Time{})
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -9,54 +9,61 @@
 	"time"
 )
 
-// chunkSize is what a kernel takes at once. Only a larger message takes so long to write that an answer could come before
+// chunkSize is what the kernel takes at once, in bytes. Only a larger message takes so long to write that an answer could come before
 // its end.
 const chunkSize = 8 << 10
 
 const (
-	// maxResponsePause is how long an answer that has begun may pause while it is judged. Its work is done by then: what is still
-	// missing after that, as behind a head that does not end or a length that is too large, will not come.
+	// maxResponsePause is how long an answer that has begun may pause until its head and the beginning of its body are read. The
+	// server has done its work by then: what is still missing, as behind a head that does not end or a length that is too
+	// large, will not come.
 	maxResponsePause = 400 * time.Millisecond
-	// maxStreamStall is the same for a body that flows, either way.
+	// maxStreamStall is how long a streamed body may pause, in either direction.
 	maxStreamStall = 5 * time.Second
 )
 
-// exchange makes the call, on a connection that is quiet, and reports how it ended, with the answer if there was one, and
-// whether the connection may be used again.
-func (c *conn) exchange(a *attempt) (r result, again bool) {
-	sent := time.Now()
-	early := func() (result, bool) { // a part of a request can't have run
-		return result{Result: upstream.Result{Outcome: outcome.PartlyWritten}, early: true, tookUntilBreak: time.Since(sent)}, false
+// exchange sends the attempt on a connection that is quiet, and reads the answer. It reports how that ended, and whether the
+// connection may be used again.
+func (c *conn) exchange(a *attempt) (r result, reusable bool) {
+	failed, sent := c.writeRequest(a)
+	if !sent {
+		return failed, false
 	}
-	unsent := func(e outcome.Kind) (result, bool) { // nobody waits for it, or it is too late, and its last byte is not written
-		return result{Result: upstream.Result{Outcome: e}}, false
+	sentAt := time.Now()
+	response, err := c.readResponse(a)
+	switch {
+	case errors.Is(err, http1.ErrMalformed), errors.Is(err, os.ErrDeadlineExceeded):
+		return result{Result: upstream.Result{Outcome: outcome.Malformed}}, false
+	case err != nil: // the kernel has taken the last byte: whether the request has run is not known
+		return result{Result: upstream.Result{Outcome: outcome.ResetByPeer}, tookUntilBreak: time.Since(sentAt)}, false
 	}
-	rest := a.message
-	if a.upload != nil {
-		var consumer error
-		if rest, consumer = c.streamBody(a); rest == nil && consumer != nil { // who sends it has ended: so has the attempt, unsent
-			return unsent(outcome.Withdrawn)
-		}
-		if rest == nil {
-			return early()
-		}
-	} else if a.lastByteApart() {
-		_, err := c.socket.Write(rest[:len(rest)-1])
-		if err == nil {
-			a.recordViolations(true)
-		}
-		if err != nil || !c.staysQuiet(a.pause) {
-			return early()
-		}
-		rest = rest[len(rest)-1:]
+	r = result{Result: a.resultOf(response)}
+	if response.Rest == nil {
+		return r, !response.Close && c.reader.Buffered() == 0
 	}
-	if a.lastByteApart() {
-		if e := a.releaseLastByte(); e != outcome.Open {
-			return unsent(e)
-		}
+	if r.Outcome != outcome.Served { // nobody reads the rest
+		return r, false
+	}
+	r.download = &download{Stream: response.Rest, conn: c, done: make(chan struct{})}
+	r.Remainder = r.download
+	return r, !response.Close
+}
+
+// writeRequest writes the whole request. If it is not sent, failed says why, or is empty if the attempt has ended meanwhile.
+func (c *conn) writeRequest(a *attempt) (failed result, sent bool) {
+	began := time.Now()
+	lastPart, how := c.writeUpToLastByte(a)
+	if how == outcome.PartlyWritten {
+		return brokenEarly(began), false
 	}
-	if _, err := c.socket.Write(rest); err != nil {
-		return early()
+	if how == outcome.Open && a.lastByteApart() {
+		how = a.releaseLastByte()
+	}
+	if how != outcome.Open { // nobody waits for it, or it is too late, and its last byte is not written
+		return result{Result: upstream.Result{Outcome: how}}, false
+	}
+	if _, err := c.socket.Write(lastPart); err != nil {
+		return brokenEarly(began), false
 	}
 	a.recordViolations(!a.lastByteApart())
 	if !a.markSent() {
@@ -65,27 +72,42 @@
 	if a.upload != nil {
 		a.onBodySent()
 	}
-	sent = time.Now()
-	resp, err := c.readResponse(a)
-	switch {
-	case errors.Is(err, http1.ErrMalformed), errors.Is(err, os.ErrDeadlineExceeded):
-		return result{Result: upstream.Result{Outcome: outcome.Malformed}}, false
-	case err != nil: // the kernel has taken the last byte, and nobody knows
-		return result{Result: upstream.Result{Outcome: outcome.ResetByPeer}, tookUntilBreak: time.Since(sent)}, false
+	return result{}, true
+}
+
+// writeUpToLastByte writes what precedes the last byte, if that is written apart, and returns what is left to write. PartlyWritten
+// says that the connection has broken, or that something has come in.
+func (c *conn) writeUpToLastByte(a *attempt) (lastPart []byte, how outcome.Kind) {
+	if a.upload != nil {
+		lastPart, clientErr := c.streamBody(a)
+		switch {
+		case lastPart == nil && clientErr != nil: // the client has stopped sending
+			return nil, outcome.Withdrawn
+		case lastPart == nil:
+			return nil, outcome.PartlyWritten
+		}
+		return lastPart, outcome.Open
 	}
-	out := result{Result: a.resultOf(resp)}
-	if resp.Rest == nil {
-		return out, !resp.Close && c.reader.Buffered() == 0
+	if !a.lastByteApart() {
+		return a.message, outcome.Open
 	}
-	if out.Outcome != outcome.Served { // nobody reads the rest
-		return out, false
+	last := len(a.message) - 1
+	if _, err := c.socket.Write(a.message[:last]); err != nil {
+		return nil, outcome.PartlyWritten
 	}
-	out.download = &download{Stream: resp.Rest, conn: c, done: make(chan struct{})}
-	out.Remainder = out.download
-	return out, !resp.Close
+	a.recordViolations(true)
+	if !c.staysQuiet(a.pause) {
+		return nil, outcome.PartlyWritten
+	}
+	return a.message[last:], outcome.Open
+}
+
+// brokenEarly is the result of an attempt whose connection broke before the last byte was written: a part of a request can't have run.
+func brokenEarly(began time.Time) result {
+	return result{Result: upstream.Result{Outcome: outcome.PartlyWritten}, early: true, tookUntilBreak: time.Since(began)}
 }
 
-// readResponse reads the call's answer, or the beginning of a long one.
+// readResponse reads the answer, or the beginning of a long one.
 func (c *conn) readResponse(a *attempt) (*http1.Response, error) {
 	bounds := a.endpoint.client.settings.Bounds
 	if bounds == nil || a.isProbe {
@@ -101,8 +123,8 @@
 	})
 }
 
-// foundDead reports whether the call has learned nothing but that the kept connection was dead. What is not a probe must
-// not have been sent whole: whether to send that again is not decided here.
+// foundDead reports whether the attempt has learned nothing but that its reused connection was dead, so that it may go on a new one. A
+// request must not have been sent whole: whether to send that again is the policy's decision.
 func (c *conn) foundDead(a *attempt, r *result) bool {
 	return c.use.attempts > 0 && (r.early || a.isProbe && r.Outcome == outcome.ResetByPeer)
 }
--- a/internal/backend/message.go
+++ b/internal/backend/message.go
@@ -10,56 +10,64 @@
 	"time"
 )
 
-// maxDeadlineDrift is the time after which a message that tells a deadline is worded anew.
+// maxDeadlineDrift is how far the deadline in a message may be out of date before the message is encoded again.
 const maxDeadlineDrift = 10 * time.Millisecond
 
-// encode words the task for the endpoint.
+// encode makes an attempt with its message.
 func (e *endpoint) encode(options upstream.AttemptOptions) *attempt {
 	a := &attempt{
 		endpoint: e, onEnd: options.OnEnd, request: options.Request, startBy: firstByteLimit(options.StartBy),
 		expires: invariant.NewLimit(options.Expires, invariant.SocketSlack),
 	}
-	inv := options.Request
-	if inv == nil {
-		a.isProbe, a.message = true, http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
+	if a.request == nil {
+		a.isProbe = true
+		a.message = http1.AppendRequest(nil, "GET", http1.PathLoad, e.address, nil, nil)
 		return a
 	}
-	a.bodiless = inv.Method == "HEAD"
-	wait := options.Timeout
-	if a.upload, a.onBodySent = inv.Remainder, options.OnBodySent; a.upload == nil { // else its client's time has not begun
+	a.bodiless = a.request.Method == "HEAD"
+	a.upload = a.request.Remainder
+	a.onBodySent = options.OnBodySent
+	timeout := options.Timeout
+	if a.upload == nil { // a client that still sends does not wait yet
 		now := time.Now()
-		if a.deadline = options.Deadline; a.deadline.IsZero() {
-			a.deadline = now.Add(wait)
+		a.deadline = options.Deadline
+		if a.deadline.IsZero() {
+			a.deadline = now.Add(timeout)
 		}
-		wait = a.deadline.Sub(now)
+		timeout = a.deadline.Sub(now)
 	}
-	a.encodeMessage(wait)
+	a.encodeMessage(timeout)
 	return a
 }
 
-// encodeMessage words the message, which tells the server how long this process waits.
-func (a *attempt) encodeMessage(wait time.Duration) {
-	inv := a.request
-	a.timeoutSent = max(wait, time.Millisecond)
+// minTimeoutSent is the shortest time that a server is given.
+const minTimeoutSent = time.Millisecond
+
+// encodeMessage encodes the request with the time that the server has for it.
+func (a *attempt) encodeMessage(timeout time.Duration) {
+	r := a.request
+	a.timeoutSent = max(timeout, minTimeoutSent)
 	fields := append([]request.Field{
-		{Name: http1.HeaderID, Value: inv.ID},
+		{Name: http1.HeaderID, Value: r.ID},
 		{Name: http1.HeaderDeadline, Value: strconv.FormatFloat(a.timeoutSent.Seconds(), 'f', 3, 64)},
-	}, inv.Fields...)
-	length := int64(len(inv.Body))
+	}, r.Fields...)
+	length := int64(len(r.Body))
 	if a.upload != nil {
-		if length += a.upload.Length(); a.upload.Length() < 0 {
+		length += a.upload.Length()
+		if a.upload.Length() < 0 {
 			length = -1
 		}
 	}
-	a.message = http1.AppendLongRequest(nil, inv.Method, inv.Target, cmp.Or(inv.Host, a.endpoint.address), fields, inv.Body, length)
+	a.message = http1.AppendLongRequest(nil, r.Method, r.Target, cmp.Or(r.Host, a.endpoint.address), fields, r.Body, length)
 }
 
-// refreshDeadline words the message anew if the deadline in it is out of date, as after a connection that was long in coming up.
+// refreshDeadline encodes the message again if the deadline in it is out of date, as after a slow dial.
 func (a *attempt) refreshDeadline(now time.Time) {
 	if a.deadline.IsZero() {
 		return
 	}
-	if left := a.deadline.Sub(now); a.timeoutSent-left > maxDeadlineDrift {
+	left := a.deadline.Sub(now)
+	if a.timeoutSent-left > maxDeadlineDrift {
 		a.encodeMessage(left)
 	}
 }
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// result is how a carried call ended.
+// result is how an attempt ended.
 type result struct {
 	upstream.Result
 	download       *download     // the rest of its answer; nil = there is none
-	early          bool          // with Unwritten: the connection broke before the call's last byte was written
+	early          bool          // with PartlyWritten: the connection broke before the last byte was written
 	tookUntilBreak time.Duration // with early, from the first byte until it broke; with ResetByPeer, from the last
 }
 
-// resultOf reads an answer for what it says to the decision module.
+// resultOf reads from an answer what the policy needs, and what is passed on to the client.
 func (a *attempt) resultOf(r *http1.Response) upstream.Result {
 	out := upstream.Result{Outcome: outcome.ServerError, Body: r.Body}
 	switch {
 	case r.Status == 200, !a.isProbe && a.endpoint.client.settings.Answers != nil && a.endpoint.client.settings.Answers(r.Status):
 		out.Outcome, out.StatusCode = outcome.Served, r.Status
 		out.Fields = r.Header.EndToEnd(isHopHeader)
-		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" { // it says what a body would have had
+		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" { // of the body that HEAD leaves out
 			out.Fields = append(out.Fields, http1.Field{Name: "Content-Length", Value: length})
 		}
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get(http1.HeaderDeclined) == "1":
@@ -32,11 +32,11 @@
 	if load := r.Header.Get(http1.HeaderLoad); load != "" {
 		out.Report = loadreport.Parse([]byte(load))
 	}
-	if a.isProbe && out.Outcome == outcome.Served { // without it the module would judge by its own durations alone
+	if a.isProbe && out.Outcome == outcome.Served { // the answer to a probe is the load itself
 		out.Report = loadreport.Parse(r.Body)
 	}
 	return out
 }
 
-// isHopHeader: between sidecar and provider only.
+// isHopHeader reports whether the header is only between sidecar and server.
 func isHopHeader(name string) bool { return name == http1.HeaderLoad || name == http1.HeaderDeclined }
--- a/internal/backend/reuse.go
+++ b/internal/backend/reuse.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// probeCost are those of a probe: it may run again, and it is not worth much.
+// probeCost is that of a probe: it may be sent again, and little depends on it.
 var probeCost = keepalive.Stakes{Worth: 0.05}
 
-// reuseChooser decides on which connection a call goes and how it is written. It is asked with the Caller's lock held.
+// reuseChooser picks the connection for an attempt, and how it is written. It is called with the Caller's lock held.
 type reuseChooser interface {
-	mayReuse(connUse) bool                     // this kept connection, rather than another or a new one
-	pauseBeforeLastByte(connUse) time.Duration // for which the last byte is held back, to see whether the connection is dead
+	mayReuse(connUse) bool                     // whether to take this idle connection, rather than another or a new one
+	pauseBeforeLastByte(connUse) time.Duration // how long the last byte is held back to see whether the connection is dead; 0 = not at all
 }
 
-// connUse is a connection as a call found it.
+// connUse is what a connection has behind it as an attempt gets it.
 type connUse struct {
-	idle     time.Duration // before the call
-	attempts int           // calls before that
+	idle     time.Duration // before the attempt
+	attempts int           // before this one
 }
 
 func (u connUse) isKept() bool { return u.attempts > 0 || u.idle > 0 }
@@ -27,14 +27,14 @@
 	return keepalive.Use{Provider: server, Idle: u.idle, Carried: u.attempts}
 }
 
-// deadConn is how a kept connection was found dead.
+// deadConn is how a reused connection was found dead.
 type deadConn struct {
 	connUse
-	pause, tookUntilBreak time.Duration // as in call and result
+	pause, tookUntilBreak time.Duration // as in attempt and result
 	early                 bool
 }
 
-// estimatorChooser is the bet of the book.
+// estimatorChooser chooses by what the estimator has learned.
 type estimatorChooser struct {
 	estimator *keepalive.Book
 	now       time.Time
@@ -45,21 +45,23 @@
 func (c estimatorChooser) mayReuse(u connUse) bool {
 	return c.estimator.Take(c.now, u.keepaliveUse(c.server), c.cost)
 }
+
 func (c estimatorChooser) pauseBeforeLastByte(u connUse) time.Duration {
 	return c.estimator.Hold(c.now, u.keepaliveUse(c.server), c.cost)
 }
 
-// learn takes note of how the connections did on which a call was.
+// learn tells the estimator how the connections of an attempt did.
 func (c *Caller) learn(a *attempt, r *result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now, name := time.Now(), a.endpoint.name
+	now := time.Now()
+	name := a.endpoint.name
 	if d := a.deadConn; d != nil {
-		fate := keepalive.Broken
+		how := keepalive.Broken
 		if d.early {
-			fate = keepalive.Early
+			how = keepalive.Early
 		}
-		c.estimator.Learn(now, d.keepaliveUse(name), fate, d.pause, d.tookUntilBreak)
+		c.estimator.Learn(now, d.keepaliveUse(name), how, d.pause, d.tookUntilBreak)
 	}
 	if a.dialTime > 0 {
 		c.estimator.Dialed(name, a.dialTime)
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// dialAndServe opens a connection for the call and stays with it until it ends. A call that finds it dead when it was to be
-// carried, before the last byte was sent, gets another one: it can't have run.
+// dialAndServe opens a connection for the attempt and serves it until it ends. An attempt that was offered to the connection but finds
+// it dead before the last byte is written can't have run, and gets another one.
 func (c *Caller) dialAndServe(a *attempt) {
 	for a != nil {
 		a.pause = a.pauseOnNew
@@ -43,46 +43,37 @@
 	}
 }
 
-// serve carries calls on the connection until it ends, and returns the one that it could not begin.
+// serve makes attempts on the connection, one after another, until it ends, and returns the one that it could not begin.
 func (c *Caller) serve(conn *conn, a *attempt) *attempt {
-	if !conn.socket.Quiet() { // a provider that speaks first is no HTTP server
+	if !conn.socket.Quiet() { // a server that speaks first is no HTTP server
 		conn.close()
 		c.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
 	}
 	for {
-		var untold *result
-		switch e := a.begin(conn); e {
-		case outcome.Open:
-			r, again := conn.exchange(a)
+		var r result
+		reported := true
+		if how := a.begin(conn); how != outcome.Open { // another attempt may use the connection
+			c.end(a, result{Result: upstream.Result{Outcome: how}})
+		} else {
+			var reusable bool
+			r, reusable = conn.exchange(a)
 			r.ConnectedAt = conn.connectedAt
-			if !again && conn.foundDead(a, &r) && a.rewind(deadConn{conn.use, a.pause, r.tookUntilBreak, r.early}) {
+			if !reusable && conn.foundDead(a, &r) && a.rewind(deadConn{conn.use, a.pause, r.tookUntilBreak, r.early}) {
 				conn.close()
 				return a
 			}
 			conn.use.attempts++
-			// The call ends before its connection is kept for another: once it has ended, Stop can't close that. It is told
-			// after that, unless a long answer still holds the connection: a call that follows from it is to find that.
-			ended := c.finish(a, &r)
-			switch {
-			case ended && r.download != nil:
-				a.onEnd(r.Result)
-				again = r.download.wait(c.ctx) && again
-			case ended && !again:
-				a.onEnd(r.Result)
-			default:
-				untold = &r
-			}
-			if !ended || !again {
+			var keep bool
+			reported, keep = c.endExchange(a, &r, reusable)
+			if !keep {
 				conn.close()
 				return nil
 			}
-		default: // nobody waits for it, or it is too late: another call may use the connection
-			c.end(a, result{Result: upstream.Result{Outcome: e}})
 		}
 		c.keepIdle(conn)
-		if untold != nil {
-			a.onEnd(untold.Result)
+		if !reported {
+			a.onEnd(r.Result)
 		}
 		next, how := conn.waitForAttempt()
 		if how != outcome.Open {
@@ -94,12 +85,30 @@
 	}
 }
 
+// endExchange ends an attempt, and says whether the connection is to be kept and whether the result has been reported. The attempt
+// ends before its connection is kept for others, so that a late Cancel can't close that. But it is reported after that, so that an
+// attempt that follows from the report finds the connection; unless a streamed answer still occupies it.
+func (c *Caller) endExchange(a *attempt, r *result, reusable bool) (reported, keep bool) {
+	if !c.finish(a, r) {
+		return true, false
+	}
+	switch {
+	case r.download != nil:
+		a.onEnd(r.Result)
+		return true, r.download.wait(c.ctx) && reusable
+	case !reusable:
+		a.onEnd(r.Result)
+		return true, false
+	}
+	return false, true
+}
+
 func dialOutcome(err error) outcome.Kind {
 	is := func(target error) bool { return errors.Is(err, target) }
 	switch {
 	case is(connlimit.ErrLimitReached):
 		return outcome.ConnectionLimit
-	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the provider
+	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the server
 		return outcome.LocalError
 	case is(os.ErrDeadlineExceeded), is(context.DeadlineExceeded):
 		return outcome.ConnectTimeout
@@ -107,14 +116,14 @@
 	return outcome.ConnectRefused
 }
 
-// end reports the result unless the call has ended before.
+// end ends the attempt and reports the result, unless it has ended before.
 func (c *Caller) end(a *attempt, r result) {
 	if c.finish(a, &r) {
 		a.onEnd(r.Result)
 	}
 }
 
-// finish ends the call with a result that is still to be told, unless it has ended before.
+// finish ends the attempt with a result that is still to be reported. False means that it has ended before.
 func (c *Caller) finish(a *attempt, r *result) bool {
 	a.mu.Lock()
 	if a.stage == stageEnded {
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	idleTimeoutFraction = 0.8 // of the time after which a provider closes an idle connection
-	maxSkippedConns     = 4   // kept connections that a call may pass over before it gets a new one: the others are older still
+	idleTimeoutFraction = 0.8 // of the time after which a server closes an idle connection
+	maxSkippedConns     = 4   // idle connections that an attempt may pass over before it gets a new one: the others are older still
 )
 
-// endpoint is one provider's process at one address, with its kept connections.
+// endpoint is one server's process at one address, with its idle connections.
 type endpoint struct {
 	client        *Caller
 	name, address string
 
-	idle   []*conn // most lately used last; guarded by of.mu, like what follows
+	idle   []*conn // the most recently used last; guarded by client.mu, like closed
 	closed bool
 }
 
 func (e *endpoint) Address() string { return e.address }
 
-// Start sends the task on a kept connection or on a new one, as the book decides.
+// Start sends the attempt on an idle connection or on a new one, as the estimator decides.
 func (e *endpoint) Start(options upstream.AttemptOptions) upstream.Attempt {
-	stakes := probeCost
+	cost := probeCost
 	if options.Request != nil {
-		stakes = e.client.figures.Load().Stakes[options.Request.Class]
+		cost = e.client.figures.Load().Stakes[options.Request.Class]
 	}
 	a := e.encode(options)
-	e.client.start(a, estimatorChooser{e.client.estimator, time.Now(), e.name, stakes})
+	e.client.start(a, estimatorChooser{e.client.estimator, time.Now(), e.name, cost})
 	return a
 }
 
@@ -39,24 +39,26 @@
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
 	c.mu.Lock()
 	a.pauseOnNew = chooser.pauseBeforeLastByte(connUse{})
-	kept := a.endpoint.offer(a, chooser)
+	taken := a.endpoint.offer(a, chooser)
 	c.mu.Unlock()
-	if !kept {
+	if !taken {
 		c.wg.Go(func() { c.dialAndServe(a) })
 	}
 }
 
-// offer gives the call to the connection most lately used that the bet takes: the others grow idle and are retired.
+// offer gives the attempt to the most recently used idle connection that the chooser permits, and reports whether one has taken it.
+// The connections that are passed over grow older and are closed. It is called with client.mu held.
 func (e *endpoint) offer(a *attempt, chooser reuseChooser) bool {
-	for at, passed := len(e.idle)-1, 0; at >= 0 && passed < maxSkippedConns; at-- {
-		candidate := e.idle[at]
-		connUse := connUse{idle: time.Since(candidate.idleSince), attempts: candidate.use.attempts}
-		if !chooser.mayReuse(connUse) { // it may do for another call
-			passed++
+	skipped := 0
+	for i := len(e.idle) - 1; i >= 0 && skipped < maxSkippedConns; i-- {
+		candidate := e.idle[i]
+		use := connUse{idle: time.Since(candidate.idleSince), attempts: candidate.use.attempts}
+		if !chooser.mayReuse(use) { // another attempt may use it
+			skipped++
 			continue
 		}
-		e.idle = slices.Delete(e.idle, at, at+1)
-		a.pause = chooser.pauseBeforeLastByte(connUse)
+		e.idle = slices.Delete(e.idle, i, i+1)
+		a.pause = chooser.pauseBeforeLastByte(use)
 		if candidate.socket.MarkBusy() && !candidate.socket.IsEvicted() && candidate.offer(a) {
 			return true
 		}
@@ -65,39 +67,42 @@
 	return false
 }
 
-// keepIdle lets the connection's endpoint use it again, for as long as a call with the least at stake would take it, which must
-// end well before the provider closes it: a call that crosses that is reset, and may not be sent again if it may not run
-// twice.
+// keepIdle lets the connection's endpoint use it again, for as long as the attempt with the lowest cost would. That time ends well
+// before the server closes the connection: an attempt that crosses the close is reset, and must not be sent again if it is not
+// idempotent.
 func (c *Caller) keepIdle(conn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	retire := c.estimator.Limit(now, conn.endpoint.name, probeCost, time.Duration(idleTimeoutFraction*float64(c.figures.Load().ConnIdle)))
-	if conn.endpoint.closed || conn.socket.SetReadDeadline(now.Add(retire)) != nil {
+	maxIdle := time.Duration(idleTimeoutFraction * float64(c.figures.Load().ConnIdle))
+	idleTimeout := c.estimator.Limit(now, conn.endpoint.name, probeCost, maxIdle)
+	if conn.endpoint.closed || conn.socket.SetReadDeadline(now.Add(idleTimeout)) != nil {
 		conn.close()
 		return
 	}
 	conn.socket.MarkIdle(0)
-	conn.idleSince, conn.idleUntil = now, now.Add(retire)
+	conn.idleSince = now
+	conn.idleUntil = now.Add(idleTimeout)
 	conn.endpoint.idle = append(conn.endpoint.idle, conn)
 }
 
-// removeIdle forgets a connection that has ended while it was kept.
+// removeIdle removes a connection that has ended while it was idle.
 func (c *Caller) removeIdle(conn *conn, how outcome.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleOutcomes[how]++
-	if at := slices.Index(conn.endpoint.idle, conn); at >= 0 {
-		conn.endpoint.idle = slices.Delete(conn.endpoint.idle, at, at+1)
+	if i := slices.Index(conn.endpoint.idle, conn); i >= 0 {
+		conn.endpoint.idle = slices.Delete(conn.endpoint.idle, i, i+1)
 	}
 }
 
-// Close closes all kept connections, and those to come: who answers at the address from now on is somebody else.
+// Close closes all idle connections, and those under way as they become idle: another server may have the address from now on.
 func (e *endpoint) Close() {
 	e.client.mu.Lock()
 	defer e.client.mu.Unlock()
 	for _, conn := range e.idle {
 		conn.close()
 	}
-	e.idle, e.closed = nil, true
+	e.idle = nil
+	e.closed = true
 }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// streamBody writes the request up to its last byte, which it returns: that may not be written before the call is released. Without
-// it the connection has failed, or the consumer has, with an error.
-func (c *conn) streamBody(a *attempt) (last []byte, consumer error) {
+// streamBody writes the request up to its last byte, which it returns: releaseLastByte decides whether that may be written. A nil last
+// says that the connection has failed or, with an error, that the client has.
+func (c *conn) streamBody(a *attempt) (last []byte, clientErr error) {
 	buf, free := a.endpoint.client.settings.Bounds.Buffer()
 	defer free()
 	write := func(p []byte) bool {
@@ -25,12 +25,12 @@
 		return nil, nil
 	}
 	a.recordViolations(true)
-	allBut := func(piece []byte) (last []byte, consumer error) {
-		at := max(0, len(piece)-1)
-		if at > 0 && !write(piece[:at]) {
+	allButLast := func(piece []byte) (last []byte, clientErr error) {
+		lastAt := max(0, len(piece)-1)
+		if lastAt > 0 && !write(piece[:lastAt]) {
 			return nil, nil
 		}
-		return append([]byte{}, piece[at:]...), nil
+		return append([]byte{}, piece[lastAt:]...), nil
 	}
 	chunked := a.upload.Length() < 0
 	for {
@@ -40,10 +40,10 @@
 		case chunked:
 			piece = http1.AppendChunk(nil, piece)
 			if err == io.EOF {
-				return allBut(append(piece, http1.LastChunk...))
+				return allButLast(append(piece, http1.LastChunk...))
 			}
 		case a.upload.Length() == 0 && (err == nil || err == io.EOF):
-			return allBut(piece)
+			return allButLast(piece)
 		}
 		if err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 	}
 }
 
-// download is the rest of a long answer. Who has it reads it straight from the connection, whose goroutine waits meanwhile.
+// download is the rest of a long answer. Its reader reads straight from the connection, whose goroutine waits meanwhile.
 type download struct {
 	request.Stream
 	conn  *conn
@@ -62,11 +62,11 @@
 	whole bool
 	done  chan struct{}
 
-	mu   sync.Mutex // held by who reads
+	mu   sync.Mutex // held during a Read
 	over bool       // the connection belongs to its goroutine again
 }
 
-// Read reads what is there, and waits for it for a while.
+// Read reads what has arrived, and waits for at most maxStreamStall.
 func (d *download) Read(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,24 +77,25 @@
 	return d.Stream.Read(p)
 }
 
-// Close makes it an request.Flow.
+// Close ends the reading; whole says that the body was read to its end, so that the connection may be used again.
 func (d *download) Close(whole bool) {
 	d.once.Do(func() {
-		if d.whole = whole; !whole {
+		d.whole = whole
+		if !whole {
 			d.conn.close() // wakes a Read
 		}
 		close(d.done)
 	})
 }
 
-// wait returns once nobody reads the connection any more, and whether it may be used again.
+// wait returns once nobody reads the connection any more, and reports whether it may be used again.
 func (d *download) wait(ctx context.Context) bool {
 	select {
 	case <-d.done:
 	case <-ctx.Done(): // which closes the connection
 		d.Close(false)
 	}
-	d.mu.Lock() // a Read that was under way when it was closed ends first
+	d.mu.Lock() // a Read under way ends first
 	defer d.mu.Unlock()
 	d.over = true
 	return d.whole && d.conn.reader.Buffered() == 0 && d.conn.socket.SetReadDeadline(time.Time{}) == nil
