--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// BenchmarkAttempt measures an attempt on a kept loopback connection, with its message in one piece or in two, whose consumer is
-// looked for or not.
+// BenchmarkAttempt measures an attempt on a reused loopback connection, with its message in one piece or in two, with and without
+// looks whether its client has left.
 func BenchmarkAttempt(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,8 +37,12 @@
 					if err != nil {
 						return
 					}
-					io.Copy(io.Discard, req.Body)
-					io.WriteString(c, answer)
+					if _, err := io.Copy(io.Discard, req.Body); err != nil {
+						return
+					}
+					if _, err := io.WriteString(c, answer); err != nil {
+						return
+					}
 				}
 			}()
 		}
@@ -48,26 +52,28 @@
 		b.Fatal(err)
 	}
 	defer theirs.Close()
-	consumer := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
+	requester := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
 	for _, size := range []int{1, 2 * chunkSize} {
-		for _, gone := range []func() bool{nil, consumer.Left} {
+		for _, gone := range []func() bool{nil, requester.Left} {
 			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/chunkSize/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
-				v, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{Figures: Figures{Connect: time.Minute, ConnIdle: time.Hour}})
+				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{Figures: Figures{Connect: time.Minute, ConnIdle: time.Hour}})
 				if err != nil {
 					b.Fatal(err)
 				}
-				at, ended, body := v.Endpoint("p", l.Addr().String()).(*endpoint), make(chan upstream.Result), []byte(strings.Repeat("x", size))
+				server := client.Endpoint("s", l.Addr().String()).(*endpoint)
+				ended := make(chan upstream.Result)
+				body := []byte(strings.Repeat("x", size))
 				b.ReportAllocs()
 				for b.Loop() {
-					inv := &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: body, ClientGone: gone}
-					v.start(at.encode(upstream.AttemptOptions{Request: inv, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixed(0))
-					if r := <-ended; r.Outcome != outcome.Served {
-						b.Fatal(r.Outcome)
+					r := &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: body, ClientGone: gone}
+					client.start(server.encode(upstream.AttemptOptions{Request: r, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixed(0))
+					if result := <-ended; result.Outcome != outcome.Served {
+						b.Fatal(result.Outcome)
 					}
 				}
 				cancel()
-				v.Wait()
+				client.Wait()
 			})
 		}
 	}
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -18,14 +18,14 @@
 func TestCaller(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Harness{
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
-			v, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{
+			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{
 				Connect: time.Second, ConnIdle: time.Hour,
 				Stakes: []keepalive.Stakes{{Once: true, Worth: 1}},
 			}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			return v, v.Wait
+			return client, client.Wait
 		},
 		Read: func(c net.Conn) (string, error) {
 			r, err := http.ReadRequest(bufio.NewReader(c))
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -87,8 +87,8 @@
 	return next, outcome.FromIdleError(err)
 }
 
-// staysQuiet waits for the pause before the last byte, and reports whether nothing has come in, the connection's end included.
-func (c *conn) staysQuiet(pause time.Duration) bool {
+// remainsQuiet waits for the pause before the last byte, and reports whether nothing has come in, the connection's end included.
+func (c *conn) remainsQuiet(pause time.Duration) bool {
 	if pause <= 0 {
 		return c.socket.Quiet()
 	}
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// What the provider sent before a call's last byte was written belongs to nobody: the call fails as one that never ran,
-// and nothing of it is served. Found while the connection is idle, it sends the call elsewhere.
+// What the server sent before an attempt's last byte was written belongs to nobody: the attempt fails as one that never ran,
+// and nothing of it is served. Found while the connection is idle, it makes the attempt go elsewhere.
 func TestUnreadBytesAreNoAnswer(t *testing.T) {
-	l, err := net.Listen("unix", filepath.Join(t.TempDir(), "provider"))
+	l, err := net.Listen("unix", filepath.Join(t.TempDir(), "server"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,46 +40,48 @@
 	}
 	conn.idleUntil = time.Now().Add(time.Hour)
 	if !conn.offer(at.encode(upstream.AttemptOptions{})) {
-		t.Fatal("an idle connection takes no call")
+		t.Fatal("an idle connection takes no attempt")
 	}
-	call, how := conn.waitForAttempt()
-	if call == nil || how != outcome.UnexpectedBytes {
-		t.Errorf("taken from idle: call %v, %s", call, how)
+	next, how := conn.waitForAttempt()
+	if next == nil || how != outcome.UnexpectedBytes {
+		t.Errorf("taken from idle: attempt %v, %s", next, how)
 	}
 	c := at.encode(upstream.AttemptOptions{Request: &request.Request{ID: "a", Method: "POST", Body: make([]byte, chunkSize)}, Timeout: time.Second})
-	go io.Copy(io.Discard, in)
-	if r, again := conn.exchange(c); r.Outcome != outcome.PartlyWritten || again || r.Body != nil {
-		t.Errorf("carried: %s, %q, again %t", r.Outcome, r.Body, again)
+	go func() { _, _ = io.Copy(io.Discard, in) }()
+	if r, reusable := conn.exchange(c); r.Outcome != outcome.PartlyWritten || reusable || r.Body != nil {
+		t.Errorf("exchanged: %s, %q, reusable %t", r.Outcome, r.Body, reusable)
 	}
 }
 
-// A call that follows from the end of another, as a further attempt does, finds the connection that this one leaves.
-func TestNextCallFindsTheConnection(t *testing.T) {
+// An attempt that follows from the end of another finds the connection that this one leaves.
+func TestNextAttemptFindsTheConnection(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	opened := make(chan net.Conn, 2)
 	budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
-		mine, theirs := net.Pipe()
-		opened <- theirs
-		return mine, nil
+		clientConn, serverConn := net.Pipe()
+		opened <- serverConn
+		return clientConn, nil
 	})
-	v, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+	client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer v.Wait()
+	defer client.Wait()
 	defer cancel()
-	at, ends := v.Endpoint("p1", "p1:1").(*endpoint), make(chan outcome.Kind, 2)
+	at, ends := client.Endpoint("p1", "p1:1").(*endpoint), make(chan outcome.Kind, 2)
 	next := at.encode(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome }})
-	first := at.encode(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome; v.start(next, fixed(0)) }})
-	v.start(first, fixed(0))
+	first := at.encode(upstream.AttemptOptions{OnEnd: func(r upstream.Result) { ends <- r.Outcome; client.start(next, fixed(0)) }})
+	client.start(first, fixed(0))
 	for kept, i := <-opened, 0; i < 2; i++ {
 		kept.SetDeadline(time.Now().Add(5 * time.Second)) // on a connection of its own the next never comes here
 		if _, err := io.ReadFull(kept, make([]byte, len(first.message))); err != nil {
-			t.Fatalf("call %d: %v", i, err)
+			t.Fatalf("attempt %d: %v", i, err)
+		}
+		if _, err := io.WriteString(kept, answer); err != nil {
+			t.Fatal(err)
 		}
-		io.WriteString(kept, answer)
 		if how := <-ends; how != outcome.Served {
-			t.Errorf("call %d: %s", i, how)
+			t.Errorf("attempt %d: %s", i, how)
 		}
 	}
 }
--- a/internal/backend/reuse.go
+++ b/internal/backend/connchooser.go
@@ -9,8 +9,8 @@
 // probeCost is that of a probe: it may be sent again, and little depends on it.
 var probeCost = keepalive.Stakes{Worth: 0.05}
 
-// reuseChooser picks the connection for an attempt, and how it is written. It is called with the Caller's lock held.
-type reuseChooser interface {
+// connChooser picks the connection for an attempt, and how it is written. It is called with the Caller's lock held.
+type connChooser interface {
 	mayReuse(connUse) bool                     // whether to take this idle connection, rather than another or a new one
 	pauseBeforeLastByte(connUse) time.Duration // how long the last byte is held back to see whether the connection is dead; 0 = not at all
 }
--- a/internal/backend/deadconn_test.go
+++ b/internal/backend/deadconn_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// fixed is a bet that takes any kept connection and holds the last byte back there for so long.
+// fixed chooses any idle connection, and pauses there for so long before the last byte.
 type fixed time.Duration
 
 func (fixed) mayReuse(connUse) bool { return true }
@@ -28,48 +28,48 @@
 
 const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A call that finds its kept connection dead before its last byte is out can't have run, and goes on a new one, once. After
-// the last byte that holds for a probe alone: whether to send a request again is not decided here.
+// An attempt that finds its reused connection dead before its last byte is written can't have run, and goes on a new one, once. After
+// the last byte only a probe does: whether to send a request again is the policy's decision.
 func TestDeadConnections(t *testing.T) {
 	const hold = 5 * time.Millisecond
 	type seen struct {
-		Ending outcome.Kind
-		Dead   bool
-		Whole  int // messages that the provider got with their last byte, the first one included
+		Outcome  outcome.Kind
+		Dead     bool
+		Complete int // messages that the server got with their last byte, the first one included
 	}
 	for name, c := range map[string]struct {
 		hold     time.Duration
 		probe    bool
-		early    bool // the provider ends the connection, before the last byte if that is held back
+		early    bool // the server ends the connection, before the last byte if that is held back
 		stop     time.Duration
-		leave    bool // what happens then is that the consumer leaves, or, if the call is withdrawn, that it is
-		withdraw bool
-		gone     bool          // likewise, that the consumer leaves and nobody is told
+		leave    bool          // what happens at stop is that the client leaves,
+		withdraw bool          // or that the attempt is withdrawn,
+		gone     bool          // or that the client leaves and nobody reports it
 		expires  time.Duration // after its start; 0 = never
 		late     bool          // a new connection takes a second to come up
 		want     seen
 	}{
-		"alive":                     {hold: hold, want: seen{Ending: outcome.Served, Whole: 2}},
-		"dead before the last":      {hold: hold, early: true, want: seen{Ending: outcome.Served, Dead: true, Whole: 2}},
-		"dead after it":             {hold: 0, early: true, want: seen{Ending: outcome.ResetByPeer, Whole: 2}},
-		"a probe, dead after it":    {probe: true, early: true, want: seen{Ending: outcome.Served, Dead: true, Whole: 3}},
-		"stopped while held back":   {hold: hold, stop: hold / 2, want: seen{Ending: outcome.PartlyWritten, Whole: 1}},
-		"left while held back":      {hold: hold, stop: hold / 2, leave: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
-		"withdrawn while held back": {hold: hold, stop: hold / 2, withdraw: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
-		"gone while held back":      {hold: hold, stop: hold / 2, gone: true, want: seen{Ending: outcome.Withdrawn, Whole: 1}},
-		"dead, gone on the new": {
+		"alive":                         {hold: hold, want: seen{Outcome: outcome.Served, Complete: 2}},
+		"dead before the last":          {hold: hold, early: true, want: seen{Outcome: outcome.Served, Dead: true, Complete: 2}},
+		"dead after it":                 {hold: 0, early: true, want: seen{Outcome: outcome.ResetByPeer, Complete: 2}},
+		"a probe, dead after it":        {probe: true, early: true, want: seen{Outcome: outcome.Served, Dead: true, Complete: 3}},
+		"stopped while held back":       {hold: hold, stop: hold / 2, want: seen{Outcome: outcome.PartlyWritten, Complete: 1}},
+		"client leaves while held back": {hold: hold, stop: hold / 2, leave: true, want: seen{Outcome: outcome.Withdrawn, Complete: 1}},
+		"withdrawn while held back":     {hold: hold, stop: hold / 2, withdraw: true, want: seen{Outcome: outcome.Withdrawn, Complete: 1}},
+		"client gone while held back":   {hold: hold, stop: hold / 2, gone: true, want: seen{Outcome: outcome.Withdrawn, Complete: 1}},
+		"dead, client gone on the new": {
 			hold: hold, early: true, stop: time.Second / 2, gone: true, late: true,
-			want: seen{Ending: outcome.Withdrawn, Dead: true, Whole: 1},
+			want: seen{Outcome: outcome.Withdrawn, Dead: true, Complete: 1},
 		},
-		"expired while held back": {hold: hold, expires: hold / 2, want: seen{Ending: outcome.Expired, Whole: 1}},
-		"expired after that":      {hold: hold, expires: 2 * hold, want: seen{Ending: outcome.Served, Whole: 2}},
+		"expired while held back": {hold: hold, expires: hold / 2, want: seen{Outcome: outcome.Expired, Complete: 1}},
+		"expired after that":      {hold: hold, expires: 2 * hold, want: seen{Outcome: outcome.Served, Complete: 2}},
 		"dead, expired on the new": {
 			hold: hold, early: true, expires: time.Second / 2, late: true,
-			want: seen{Ending: outcome.Expired, Dead: true, Whole: 1},
+			want: seen{Outcome: outcome.Expired, Dead: true, Complete: 1},
 		},
-		"stopped after that":       {hold: hold, stop: 2 * hold, want: seen{Ending: outcome.TimedOut, Whole: 2}},
-		"stopped, not held back":   {stop: hold / 2, want: seen{Ending: outcome.TimedOut, Whole: 2}},
-		"dead, stopped on the new": {hold: hold, early: true, stop: 2 * hold, want: seen{Ending: outcome.TimedOut, Dead: true, Whole: 2}},
+		"stopped after that":       {hold: hold, stop: 2 * hold, want: seen{Outcome: outcome.TimedOut, Complete: 2}},
+		"stopped, not held back":   {stop: hold / 2, want: seen{Outcome: outcome.TimedOut, Complete: 2}},
+		"dead, stopped on the new": {hold: hold, early: true, stop: 2 * hold, want: seen{Outcome: outcome.TimedOut, Dead: true, Complete: 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -78,17 +78,17 @@
 				opened, opens := make(chan net.Conn, 4), atomic.Int32{}
 				var gone atomic.Bool
 				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
-					mine, theirs := net.Pipe()
-					if opened <- theirs; opens.Add(1) > 1 && c.late {
+					clientConn, serverConn := net.Pipe()
+					if opened <- serverConn; opens.Add(1) > 1 && c.late {
 						time.Sleep(time.Second)
 					}
-					return mine, nil
+					return clientConn, nil
 				})
-				v, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+				client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
 				if err != nil {
 					t.Fatal(err)
 				}
-				at := v.Endpoint("p1", "p1:1").(*endpoint)
+				at := client.Endpoint("p1", "p1:1").(*endpoint)
 				results := make(chan upstream.Result, 1)
 				got := seen{}
 				read := func(nc net.Conn, n int) bool {
@@ -96,9 +96,12 @@
 					_, err := io.ReadFull(nc, make([]byte, n))
 					return err == nil
 				}
-				whole := func(nc net.Conn, message []byte) {
+				write := func(nc net.Conn, text string) { // fails where the client has closed the connection
+					_, _ = nc.Write([]byte(text))
+				}
+				readComplete := func(nc net.Conn, message []byte) {
 					if read(nc, len(message)) {
-						got.Whole++
+						got.Complete++
 					}
 				}
 				start := func() *attempt {
@@ -114,7 +117,7 @@
 						task.Expires = time.Now().Add(c.expires)
 					}
 					one := at.encode(task)
-					v.start(one, fixed(c.hold))
+					client.start(one, fixed(c.hold))
 					return one
 				}
 				expires := c.expires
@@ -122,8 +125,8 @@
 				first := start()
 				c.expires = expires
 				kept := <-opened
-				whole(kept, first.message)
-				kept.Write([]byte(answer))
+				readComplete(kept, first.message)
+				write(kept, answer)
 				<-results
 				time.Sleep(time.Second)
 
@@ -150,7 +153,7 @@
 				if c.early && c.hold > 0 {
 					read(kept, len(second.message)-1)
 				} else {
-					whole(kept, second.message)
+					readComplete(kept, second.message)
 				}
 				if c.early {
 					kept.Close()
@@ -160,22 +163,22 @@
 						if c.late {
 							time.Sleep(time.Second)
 						}
-						whole(again, second.message)
+						readComplete(again, second.message)
 						if c.stop == 0 || c.gone {
-							again.Write([]byte(answer))
+							write(again, answer)
 						}
 					default:
 					}
 				} else if c.stop == 0 || c.gone {
-					kept.Write([]byte(answer))
+					write(kept, answer)
 				}
 				r := <-results
-				got.Ending, got.Dead = r.Outcome, second.deadConn != nil
+				got.Outcome, got.Dead = r.Outcome, second.deadConn != nil
 				if got != c.want {
 					t.Errorf("%+v, want %+v", got, c.want)
 				}
 				cancel()
-				v.Wait()
+				client.Wait()
 			})
 		})
 	}
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -96,7 +96,7 @@
 		return nil, outcome.PartlyWritten
 	}
 	a.recordViolations(true)
-	if !c.staysQuiet(a.pause) {
+	if !c.remainsQuiet(a.pause) {
 		return nil, outcome.PartlyWritten
 	}
 	return a.message[last:], outcome.Open
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// body is what a consumer still sends.
+// body is a request's body that a client still sends.
 type body struct{ *strings.Reader }
 
 func (b body) Length() int64  { return int64(b.Len()) }
@@ -30,72 +30,76 @@
 	return n, err
 }
 
-// A provider reads a long request so slowly that something has come by the time at which all but its last byte is written: that
-// byte is not written, and what the provider has got can't run.
+// A server reads a long request so slowly that something has come by the time at which all but its last byte is written: that
+// byte is not written, and what the server has got can't run.
 func TestLastByteOfLongRequest(t *testing.T) {
 	const size = 20 << 10
 	for name, c := range map[string]struct {
-		flows   bool          // the consumer still sends it
-		expires time.Duration // after its start; 0 = never
-		gone    time.Duration // after that its consumer is gone, and nobody is told; 0 = never
-		want    outcome.Kind
+		streamed bool          // the client still sends it
+		expires  time.Duration // after its start; 0 = never
+		gone     time.Duration // after that its client is gone, and nobody reports it; 0 = never
+		want     outcome.Kind
 	}{
-		"here, in time":    {want: outcome.Served, expires: 2 * time.Second},
-		"here, expired":    {want: outcome.Expired, expires: time.Second / 2},
-		"flowing, in time": {want: outcome.Served, flows: true, expires: 2 * time.Second},
-		"flowing, expired": {want: outcome.Expired, flows: true, expires: time.Second / 2},
-		"here, gone":       {want: outcome.Withdrawn, gone: time.Second / 2},
-		"flowing, gone":    {want: outcome.Withdrawn, flows: true, gone: time.Second / 2},
+		"here, in time":     {want: outcome.Served, expires: 2 * time.Second},
+		"here, expired":     {want: outcome.Expired, expires: time.Second / 2},
+		"streamed, in time": {want: outcome.Served, streamed: true, expires: 2 * time.Second},
+		"streamed, expired": {want: outcome.Expired, streamed: true, expires: time.Second / 2},
+		"here, gone":        {want: outcome.Withdrawn, gone: time.Second / 2},
+		"streamed, gone":    {want: outcome.Withdrawn, streamed: true, gone: time.Second / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				mine, theirs := net.Pipe()
-				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) { return mine, nil })
-				v, err := New(ctx, budget, Settings{
+				clientConn, serverConn := net.Pipe()
+				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) { return clientConn, nil })
+				client, err := New(ctx, budget, Settings{
 					Figures: Figures{Connect: time.Second, ConnIdle: time.Hour},
 					Bounds:  streaming.New(1<<20, 8),
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				inv := &request.Request{ID: "a", Method: "POST", Target: "/order/1"}
-				if content := strings.Repeat("x", size); c.flows {
-					inv.Remainder = body{strings.NewReader(content)}
+				sent := &request.Request{ID: "a", Method: "POST", Target: "/order/1"}
+				if content := strings.Repeat("x", size); c.streamed {
+					sent.Remainder = body{strings.NewReader(content)}
 				} else {
-					inv.Body = []byte(content)
+					sent.Body = []byte(content)
 				}
 				if began := time.Now(); c.gone > 0 {
-					inv.ClientGone = func() bool { return time.Since(began) > c.gone }
+					sent.ClientGone = func() bool { return time.Since(began) > c.gone }
 				}
 				results := make(chan upstream.Result, 1)
 				task := upstream.AttemptOptions{
-					Request: inv, Timeout: time.Minute, OnBodySent: func() {},
+					Request: sent, Timeout: time.Minute, OnBodySent: func() {},
 					OnEnd: func(r upstream.Result) { results <- r },
 				}
 				if c.expires > 0 {
 					task.Expires = time.Now().Add(c.expires)
 				}
-				one := v.Endpoint("p1", "p1:1").(*endpoint).encode(task)
-				v.start(one, fixed(0))
-				head := len(one.message) - len(inv.Body)
-				whole := sync.OnceValue(func() bool {
-					io.ReadFull(theirs, make([]byte, head+size/2))
+				one := client.Endpoint("p1", "p1:1").(*endpoint).encode(task)
+				client.start(one, fixed(0))
+				head := len(one.message) - len(sent.Body)
+				complete := sync.OnceValue(func() bool {
+					if _, err := io.ReadFull(serverConn, make([]byte, head+size/2)); err != nil {
+						t.Error(err)
+					}
 					time.Sleep(time.Second)
-					io.ReadFull(theirs, make([]byte, size-size/2-1))
-					theirs.SetReadDeadline(time.Now().Add(time.Second))
-					_, err := io.ReadFull(theirs, make([]byte, 1))
+					_, _ = io.ReadFull(serverConn, make([]byte, size-size/2-1)) // it fails where the attempt is given up meanwhile
+					serverConn.SetReadDeadline(time.Now().Add(time.Second))
+					_, err := io.ReadFull(serverConn, make([]byte, 1))
 					return err == nil
 				})()
-				if whole {
-					theirs.Write([]byte(answer))
+				if complete {
+					if _, err := serverConn.Write([]byte(answer)); err != nil {
+						t.Error(err)
+					}
 				}
-				if r := <-results; r.Outcome != c.want || whole != (c.want == outcome.Served) {
-					t.Errorf("%s, whole=%t, want %s", r.Outcome, whole, c.want)
+				if r := <-results; r.Outcome != c.want || complete != (c.want == outcome.Served) {
+					t.Errorf("%s, complete=%t, want %s", r.Outcome, complete, c.want)
 				}
 				cancel()
-				v.Wait()
+				client.Wait()
 			})
 		})
 	}
--- a/internal/backend/run_test.go
+++ b/internal/backend/run_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// What this machine could not even try says nothing of the provider.
-func TestLocalFaultsAreNobodysElse(t *testing.T) {
+// An error in which nothing has left this machine says nothing of the server.
+func TestLocalErrorsAreNotBlamedOnServer(t *testing.T) {
 	for err, want := range map[error]outcome.Kind{
 		syscall.EMFILE: outcome.LocalError, syscall.ENETUNREACH: outcome.LocalError, syscall.EADDRNOTAVAIL: outcome.LocalError,
 		syscall.ECONNREFUSED: outcome.ConnectRefused, syscall.EHOSTUNREACH: outcome.ConnectRefused, syscall.ECONNRESET: outcome.ConnectRefused,
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -35,7 +35,7 @@
 	return a
 }
 
-func (c *Caller) start(a *attempt, chooser reuseChooser) {
+func (c *Caller) start(a *attempt, chooser connChooser) {
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
 	c.mu.Lock()
 	a.pauseOnNew = chooser.pauseBeforeLastByte(connUse{})
@@ -48,7 +48,7 @@
 
 // offer gives the attempt to the most recently used idle connection that the chooser permits, and reports whether one has taken it.
 // The connections that are passed over grow older and are closed. It is called with client.mu held.
-func (e *endpoint) offer(a *attempt, chooser reuseChooser) bool {
+func (e *endpoint) offer(a *attempt, chooser connChooser) bool {
 	skipped := 0
 	for i := len(e.idle) - 1; i >= 0 && skipped < maxSkippedConns; i-- {
 		candidate := e.idle[i]
--- a/internal/backend/server_test.go
+++ b/internal/backend/server_test.go
@@ -11,37 +11,39 @@
 	"time"
 )
 
-// A kept connection is offered a call when its time is over and its goroutine, woken late, has not seen to that: its provider may
-// be closing it just then, so that the call goes on a new one.
-func TestOfferedWhenItsTimeIsOver(t *testing.T) {
+// An idle connection is offered an attempt when its time is over and its goroutine, woken late, has not ended it yet: its server may
+// be closing it just then, so that the attempt goes on a new one.
+func TestIdleConnectionOfferedPastItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var peers []net.Conn
+		var serverConns []net.Conn
 		budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) {
-			mine, theirs := net.Pipe()
-			peers = append(peers, theirs)
-			return mine, nil
+			clientConn, serverConn := net.Pipe()
+			serverConns = append(serverConns, serverConn)
+			return clientConn, nil
 		})
-		v, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+		client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		at, results := v.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
+		at, results := client.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
 		for n := range 2 {
 			one := at.encode(upstream.AttemptOptions{
 				Timeout: time.Second, OnEnd: func(r upstream.Result) { results <- r },
 				Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
 			})
-			v.start(one, fixed(0))
+			client.start(one, fixed(0))
 			synctest.Wait()
-			if len(peers) != n+1 {
-				t.Fatalf("call %d: %d connections", n, len(peers))
+			if len(serverConns) != n+1 {
+				t.Fatalf("attempt %d: %d connections", n, len(serverConns))
 			}
-			if _, err := peers[n].Read(make([]byte, len(one.message))); err != nil {
-				t.Fatalf("call %d: %v", n, err)
+			if _, err := serverConns[n].Read(make([]byte, len(one.message))); err != nil {
+				t.Fatalf("attempt %d: %v", n, err)
+			}
+			if _, err := serverConns[n].Write([]byte(answer)); err != nil {
+				t.Fatal(err)
 			}
-			peers[n].Write([]byte(answer))
 			<-results
 			synctest.Wait()
 			if n == 0 {
@@ -49,6 +51,6 @@
 			}
 		}
 		cancel()
-		v.Wait()
+		client.Wait()
 	})
 }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"plankrouter/internal/http1"
@@ -39,10 +40,10 @@
 		switch {
 		case chunked:
 			piece = http1.AppendChunk(nil, piece)
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				return allButLast(append(piece, http1.LastChunk...))
 			}
-		case a.upload.Length() == 0 && (err == nil || err == io.EOF):
+		case a.upload.Length() == 0 && (err == nil || errors.Is(err, io.EOF)):
 			return allButLast(piece)
 		}
 		if err != nil {
@@ -57,10 +58,10 @@
 // download is the rest of a long answer. Its reader reads straight from the connection, whose goroutine waits meanwhile.
 type download struct {
 	request.Stream
-	conn  *conn
-	once  sync.Once
-	whole bool
-	done  chan struct{}
+	conn     *conn
+	once     sync.Once
+	complete bool
+	done     chan struct{}
 
 	mu   sync.Mutex // held during a Read
 	over bool       // the connection belongs to its goroutine again
@@ -78,10 +79,10 @@
 }
 
 // Close ends the reading; whole says that the body was read to its end, so that the connection may be used again.
-func (d *download) Close(whole bool) {
+func (d *download) Close(complete bool) {
 	d.once.Do(func() {
-		d.whole = whole
-		if !whole {
+		d.complete = complete
+		if !complete {
 			d.conn.close() // wakes a Read
 		}
 		close(d.done)
@@ -98,5 +99,5 @@
 	d.mu.Lock() // a Read under way ends first
 	defer d.mu.Unlock()
 	d.over = true
-	return d.whole && d.conn.reader.Buffered() == 0 && d.conn.socket.SetReadDeadline(time.Time{}) == nil
+	return d.complete && d.conn.reader.Buffered() == 0 && d.conn.socket.SetReadDeadline(time.Time{}) == nil
 }
