--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -1,7 +1,5 @@
 package frontend
 
-// Accepting connections, up to the last that lie in the listener's backlog as the front is closed.
-
 import (
 	"context"
 	"errors"
@@ -10,7 +8,6 @@
 	"os"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/sockopt"
 	"time"
 )
 
@@ -75,77 +72,6 @@
 	return nil
 }
 
-// acceptLast takes in what lies in the listener's backlog and closes it, then the connections that are idle: a client whose connection
-// is closed may knock at once, and would be lost between the last look at the backlog and the close. Where accepts fail or places are
-// short, idle connections make room first.
-func (s *Server) acceptLast(ctx context.Context, l net.Listener) {
-	defer s.closeIdle()
-	defer l.Close()
-	for !s.pastLast(acceptAgain) && ctx.Err() == nil {
-		if s.acceptRest(l) {
-			return
-		}
-		s.closeIdle()
-		select {
-		case <-s.budget.Freed():
-		case <-time.After(lastLook):
-		case <-ctx.Done():
-		}
-	}
-}
-
-// acceptRest accepts until nothing is left, and reports whether that was so; false = it is to be tried again.
-func (s *Server) acceptRest(l net.Listener) (empty bool) {
-	for !s.pastLast(acceptAgain) {
-		closed, err := sockopt.CloseIfBacklogEmpty(l)
-		if closed {
-			return true
-		}
-		if !s.budget.Reserve(connlimit.Inward) {
-			if (s.pastLast(crowdedAfter) || s.isCrowded()) && s.turnAway(l) {
-				continue
-			}
-			return false
-		}
-		if d, ok := l.(deadliner); ok {
-			d.SetDeadline(time.Now().Add(lastLook))
-		}
-		nc, failed := accept(l)
-		if failed != nil {
-			s.budget.Release(connlimit.Inward)
-			return errors.Is(failed, net.ErrClosed) || errors.Is(err, errors.ErrUnsupported) && errors.Is(failed, os.ErrDeadlineExceeded)
-		}
-		s.admitNew(nc)
-	}
-	return false
-}
-
-// isCrowded reports whether connections that find no place are refused at once.
-func (s *Server) isCrowded() bool { return time.Now().Before(s.crowdedUntil) }
-
-// turnAway accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
-// something to do it with.
-func (s *Server) turnAway(l net.Listener) bool {
-	waiting, err := sockopt.HasBacklog(l)
-	if err != nil || !waiting || !s.budget.ReserveForRejection() {
-		return false
-	}
-	nc, err := accept(l)
-	if err != nil {
-		s.budget.ReleaseForRejection()
-		return false
-	}
-	s.Connections.Add(1)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := &conn{server: s, socket: s.budget.AdoptForRejection(nc), began: time.Now(), last: true, crowded: true}
-	c.idleAt = c.began
-	s.conns[c] = false
-	c.wind(crowdedFor)
-	s.running.Go(func() error { c.run(); return nil })
-	return true
-}
-
 // admitNew serves a connection that has just been accepted. Where it has waited for long in the backlog, others do, too: for a while those
 // that find no place are refused at once.
 func (s *Server) admitNew(nc net.Conn) {
@@ -158,14 +84,6 @@
 	}
 }
 
-// accept is l.Accept, which a soak may fail.
-func accept(l net.Listener) (net.Conn, error) {
-	if err := faultinjection.Inject(faultinjection.Accept); err != nil {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
-	}
-	return l.Accept()
-}
-
 // admit serves a connection, with the note of the process that had it before. It is called with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
 	c := &conn{
@@ -193,15 +111,22 @@
 	return c
 }
 
-// deadliner is a listener that can be told until when it accepts.
-type deadliner interface{ SetDeadline(time.Time) error }
-
-// isLast reports whether what lies in the backlog by now is the last that is accepted.
-func (s *Server) isLast() bool { return s.pastLast(0) }
+// accept is l.Accept, which a soak may fail.
+func accept(l net.Listener) (net.Conn, error) {
+	if err := faultinjection.Inject(faultinjection.Accept); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.Accept()
+}
 
-// pastLast reports whether that has been so for a while.
-func (s *Server) pastLast(while time.Duration) bool {
+// pause notes that no connection comes in any more, and returns a channel that is closed by Resume; nil without HandOver.
+func (s *Server) pause() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing && !time.Now().Before(s.closeAt.Add(while))
+	if s.pass == nil {
+		return nil
+	}
+	s.paused = true
+	s.leftEmpty()
+	return s.resumed
 }
--- a/internal/frontend/closing.go
+++ b/internal/frontend/drain.go
@@ -1,7 +1,5 @@
 package frontend
 
-// The end of the front: what is idle is closed, what is under way is answered.
-
 import (
 	"net"
 	"time"
@@ -57,8 +55,10 @@
 	}
 }
 
-func (s *Server) isClosing() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.closing
+// readUntil bounds the time for a message by the end of the front. It is called with mu held.
+func (s *Server) readUntil(t time.Time) time.Time {
+	if s.closing && s.halfAt.Before(t) {
+		return s.halfAt
+	}
+	return t
 }
--- a/internal/frontend/succession.go
+++ b/internal/frontend/handover.go
@@ -1,13 +1,19 @@
 package frontend
 
-// Connections that go from one process to the next.
-
 import (
+	"errors"
+	"log"
 	"net"
 	"plankrouter/internal/connlimit"
 	"sync"
 )
 
+// The notes that go with a connection to a successor: what it has brought so far. A new one has none.
+const (
+	noteBrought = "brought" // a message
+	noteKnown   = "known"   // an invocation
+)
+
 // Stay keeps the connections that are open, however long they are idle, until Drain.
 func (s *Server) Stay() {
 	s.mu.Lock()
@@ -63,18 +69,6 @@
 	return s.pass != nil
 }
 
-// pause notes that no connection comes in any more, and returns a channel that is closed by Resume; nil without HandOver.
-func (s *Server) pause() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.pass == nil {
-		return nil
-	}
-	s.paused = true
-	s.leftEmpty()
-	return s.resumed
-}
-
 // leftEmpty tells the one who hands over that no connection is left nor to come. It is called with mu held.
 func (s *Server) leftEmpty() {
 	if s.empty != nil && s.paused && len(s.conns) == 0 {
@@ -82,3 +76,29 @@
 		s.empty = nil
 	}
 }
+
+// errHandedOver is why the reader of a connection that has been handed over ends.
+var errHandedOver = errors.New("handed over")
+
+// handOver gives the connection to a successor, if there is one. All that was read of it has been dealt with, and its
+// reader is here: nobody touches it until the successor has it or has not got it.
+func (c *conn) handOver() bool {
+	c.server.mu.Lock()
+	pass, busy := c.server.pass, c.server.conns[c]
+	c.server.mu.Unlock()
+	if pass == nil || busy || c.br.Buffered() > 0 || c.socket.IsEvicted() {
+		return false
+	}
+	note := ""
+	switch {
+	case c.known:
+		note = noteKnown
+	case c.brought:
+		note = noteBrought
+	}
+	if err := pass(c.socket.Conn, []byte(note)); err != nil {
+		log.Printf("consumer=%s state=not_handed_over err=%q", c.socket.RemoteAddr(), err)
+		return false
+	}
+	return true
+}
