--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -13,7 +13,7 @@
 
 // Serve accepts connections until Drain or the end of ctx, and returns when the last one has ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	defer context.AfterFunc(ctx, func() { s.hangUp(l) })()
+	defer context.AfterFunc(ctx, func() { s.closeAll(l) })()
 	defer s.running.Wait()
 	defer l.Close()
 	s.mu.Lock()
@@ -21,14 +21,14 @@
 	s.mu.Unlock()
 	failures := 0      // of accept, in a row
 	room := time.Now() // when there was a place last
-	for !s.isLast() {
+	for !s.isDraining() {
 		if !s.budget.Reserve(connlimit.Inward) { // the kernel's backlog holds the client until there is room, or it has waited for long
-			if (time.Since(room) > crowdedAfter || s.isCrowded()) && s.turnAway(l) {
+			if (time.Since(room) > maxBacklogWait || s.rejectsAtOnce()) && s.rejectConnection(l) {
 				continue
 			}
 			select {
 			case <-s.budget.Freed():
-			case <-time.After(acceptPause): // some connection may have been idle for long enough now
+			case <-time.After(acceptRetryInterval): // some connection may have been idle for long enough now
 			case <-ctx.Done():
 				return nil
 			}
@@ -45,11 +45,11 @@
 			continue
 		}
 		s.budget.Release(connlimit.Inward)
-		if resumed := s.pause(); resumed != nil {
+		if resumed := s.pauseAccepting(); resumed != nil {
 			select {
 			case <-resumed:
 				continue
-			case <-s.closed:
+			case <-s.drainStarted:
 			case <-ctx.Done():
 			}
 			return nil
@@ -57,14 +57,14 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && s.isClosing():
+		case errors.Is(err, os.ErrDeadlineExceeded) && s.isStopping():
 			continue
 		}
 		if failures++; failures == 1 {
 			log.Printf("listen=%s state=accept_failed err=%q", l.Addr(), err)
 		}
 		select {
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -79,33 +79,33 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.admit(nc, "")
-	if waited, known := c.socket.SinceArrival(); known && waited > crowdedAfter {
-		s.crowdedUntil = time.Now().Add(crowdedStays)
+	if waited, known := c.socket.SinceArrival(); known && waited > maxBacklogWait {
+		s.rejectUntil = time.Now().Add(rejectionPeriod)
 	}
 }
 
 // admit serves a connection, with the note of the process that had it before. It is called with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
 	c := &conn{
-		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), began: time.Now(), brought: note != "",
-		known: note == noteKnown,
+		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), acceptedAt: time.Now(), hasSentMessage: note != "",
+		hasSentRequest: note == noteHasSentRequest,
 	}
-	if c.known {
-		c.socket.MarkIdle(spareAfter)
+	if c.hasSentRequest {
+		c.socket.MarkIdle(minIdleAge)
 	} else {
-		c.socket.MarkUnused(strangerAfter)
+		c.socket.MarkUnused(minUnusedAge)
 	}
 	s.conns[c] = false
-	switch c.idleAt = c.began; {
-	case s.closing && note != "": // between two messages, as those that Drain closes
-		c.wind(0)
-	case s.closing: // accepted at the last moment: it may still bring one request
-		c.last = true
-		c.wind(time.Until(s.closeAt) + closingFor)
-	case s.pass != nil:
-		c.wind(0)
+	switch c.idleSince = c.acceptedAt; {
+	case s.draining && note != "": // between two messages, as those that Drain closes
+		c.shortenIdle(0)
+	case s.draining: // accepted at the last moment: it may still bring one request
+		c.acceptedLast = true
+		c.shortenIdle(time.Until(s.drainStartedAt) + drainLinger)
+	case s.handOver != nil:
+		c.shortenIdle(0)
 	default:
-		c.socket.ExtendReadDeadline(c.began.Add(lookEvery))
+		c.socket.ExtendReadDeadline(c.acceptedAt.Add(idleCheckInterval))
 	}
 	s.running.Go(func() error { c.run(); return nil })
 	return c
@@ -119,14 +119,14 @@
 	return l.Accept()
 }
 
-// pause notes that no connection comes in any more, and returns a channel that is closed by Resume; nil without HandOver.
-func (s *Server) pause() <-chan struct{} {
+// pauseAccepting notes that no connection comes in any more, and returns a channel that is closed by Resume; nil without HandOver.
+func (s *Server) pauseAccepting() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pass == nil {
+	if s.handOver == nil {
 		return nil
 	}
-	s.paused = true
-	s.leftEmpty()
+	s.acceptPaused = true
+	s.notifyIfAllHandedOver()
 	return s.resumed
 }
--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -36,7 +36,7 @@
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			book := new(invariant.Recorder)
-			h := &house{
+			h := &testServer{
 				Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16)),
 				l:      newPipes(), done: make(chan error, 1),
 			}
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -143,7 +143,7 @@
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
 			l := &until{pipes: newPipes()}
 			budget := connlimit.NewBudget(4, nil) // two of them are for consumers
-			h := &house{Server: New(cfg, new(quick), budget, new(metrics.Registry), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
+			h := &testServer{Server: New(cfg, new(quick), budget, new(metrics.Registry), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
 			for range held {
 				budget.ReserveBeyondLimit(connlimit.Inward)
 			}
--- a/internal/frontend/crowd_test.go
+++ b/internal/frontend/crowd_test.go
@@ -83,7 +83,7 @@
 	var all []net.Conn
 	for i := range places/2 + 1 {
 		if i == places/2-1 {
-			time.Sleep(2 * crowdedAfter) // nobody comes
+			time.Sleep(2 * maxBacklogWait) // nobody comes
 		}
 		c := ask(t, l, i)
 		defer c.Close()
@@ -97,7 +97,7 @@
 	began := time.Now()
 	last := all[len(all)-1]
 	last.SetReadDeadline(began.Add(10 * time.Second))
-	if _, err := http.ReadResponse(bufio.NewReader(last), nil); err != nil || time.Since(began) < crowdedAfter/2 {
+	if _, err := http.ReadResponse(bufio.NewReader(last), nil); err != nil || time.Since(began) < maxBacklogWait/2 {
 		t.Errorf("the one without a place is told so after %s: %v", time.Since(began), err)
 	}
 	s.Drain(l)
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -11,43 +11,43 @@
 func (s *Server) Drain(l net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); !s.closing {
-		s.closing, s.closeAt, s.halfAt = true, now, now.Add(halfFor)
+	if now := time.Now(); !s.draining {
+		s.draining, s.drainStartedAt, s.partialUntil = true, now, now.Add(partialRequestTimeout)
 		s.budget.FavorBacklog() // others wait in a backlog that is about to be closed
-		close(s.closed)
+		close(s.drainStarted)
 	}
-	if d, ok := l.(deadliner); s.serving && ok && s.pass == nil && d.SetDeadline(s.closeAt) == nil {
+	if d, ok := l.(deadlineListener); s.serving && ok && s.handOver == nil && d.SetDeadline(s.drainStartedAt) == nil {
 		return // Serve closes the listener, and then what is idle
 	}
 	l.Close()
-	s.windIdle()
+	s.closeIdle()
 }
 
-// closeIdle is windIdle for who does not hold mu.
-func (s *Server) closeIdle() {
+// lockAndCloseIdle is lockAndCloseIdle for who does not hold mu.
+func (s *Server) lockAndCloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.windIdle()
+	s.closeIdle()
 }
 
-// windIdle ends the connections that are between two messages, and has half a message be the last that is read of its connection. One that
+// lockAndCloseIdle ends the connections that are between two messages, and has half a message be the last that is read of its connection. One that
 // has been accepted since has a moment for its one request: see admit. It is called with mu held.
-func (s *Server) windIdle() {
+func (s *Server) closeIdle() {
 	for c, busy := range s.conns {
 		switch {
-		case !busy && !c.last:
-			c.wind(0)
-		case c.reading:
-			c.socket.SetReadDeadline(s.halfAt)
+		case !busy && !c.acceptedLast:
+			c.shortenIdle(0)
+		case c.readingMessage:
+			c.socket.SetReadDeadline(s.partialUntil)
 		}
 	}
 }
 
-// hangUp ends all at once: the core has stopped and answers no more.
-func (s *Server) hangUp(l net.Listener) {
+// closeAll ends all at once: the core has stopped and answers no more.
+func (s *Server) closeAll(l net.Listener) {
 	l.Close()
 	s.Drain(l)
-	close(s.hung)
+	close(s.stopped)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -55,10 +55,10 @@
 	}
 }
 
-// readUntil bounds the time for a message by the end of the front. It is called with mu held.
-func (s *Server) readUntil(t time.Time) time.Time {
-	if s.closing && s.halfAt.Before(t) {
-		return s.halfAt
+// boundByDrain bounds the time for a message by the end of the front. It is called with mu held.
+func (s *Server) boundByDrain(t time.Time) time.Time {
+	if s.draining && s.partialUntil.Before(t) {
+		return s.partialUntil
 	}
 	return t
 }
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -10,15 +10,15 @@
 
 // The notes that go with a connection to a successor: what it has brought so far. A new one has none.
 const (
-	noteBrought = "brought" // a message
-	noteKnown   = "known"   // an invocation
+	noteHasSentMessage = "brought" // a message
+	noteHasSentRequest = "known"   // an invocation
 )
 
 // Stay keeps the connections that are open, however long they are idle, until Drain.
 func (s *Server) Stay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.staying = true
+	s.keepIdle = true
 }
 
 // Expect keeps Serve from returning until done is called: a predecessor may still pass connections to Adopt.
@@ -45,10 +45,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	empty := make(chan struct{})
-	s.pass, s.empty, s.resumed = pass, empty, make(chan struct{})
+	s.handOver, s.allHandedOver, s.resumed = pass, empty, make(chan struct{})
 	for c, busy := range s.conns {
 		if !busy {
-			c.wind(0)
+			c.shortenIdle(0)
 		}
 	}
 	return empty
@@ -58,7 +58,7 @@
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pass, s.empty, s.paused = nil, nil, false
+	s.handOver, s.allHandedOver, s.acceptPaused = nil, nil, false
 	close(s.resumed)
 }
 
@@ -66,14 +66,14 @@
 func (s *Server) Passing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pass != nil
+	return s.handOver != nil
 }
 
-// leftEmpty tells the one who hands over that no connection is left nor to come. It is called with mu held.
-func (s *Server) leftEmpty() {
-	if s.empty != nil && s.paused && len(s.conns) == 0 {
-		close(s.empty)
-		s.empty = nil
+// notifyIfAllHandedOver tells the one who hands over that no connection is left nor to come. It is called with mu held.
+func (s *Server) notifyIfAllHandedOver() {
+	if s.allHandedOver != nil && s.acceptPaused && len(s.conns) == 0 {
+		close(s.allHandedOver)
+		s.allHandedOver = nil
 	}
 }
 
@@ -84,17 +84,17 @@
 // reader is here: nobody touches it until the successor has it or has not got it.
 func (c *conn) handOver() bool {
 	c.server.mu.Lock()
-	pass, busy := c.server.pass, c.server.conns[c]
+	pass, busy := c.server.handOver, c.server.conns[c]
 	c.server.mu.Unlock()
-	if pass == nil || busy || c.br.Buffered() > 0 || c.socket.IsEvicted() {
+	if pass == nil || busy || c.reader.Buffered() > 0 || c.socket.IsEvicted() {
 		return false
 	}
 	note := ""
 	switch {
-	case c.known:
-		note = noteKnown
-	case c.brought:
-		note = noteBrought
+	case c.hasSentRequest:
+		note = noteHasSentRequest
+	case c.hasSentMessage:
+		note = noteHasSentMessage
 	}
 	if err := pass(c.socket.Conn, []byte(note)); err != nil {
 		log.Printf("consumer=%s state=not_handed_over err=%q", c.socket.RemoteAddr(), err)
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -89,19 +89,19 @@
 func (p *pipes) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// house is a front with its listener and core.
-type house struct {
+// testServer is a front with its listener and core.
+type testServer struct {
 	*Server
 	core *holding
 	l    *pipes
 	done chan error
 }
 
-func newHouse(t *testing.T, ctx context.Context) *house {
+func newTestServer(t *testing.T, ctx context.Context) *testServer {
 	t.Helper()
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	h := &house{core: new(holding), l: newPipes(), done: make(chan error, 1)}
+	h := &testServer{core: new(holding), l: newPipes(), done: make(chan error, 1)}
 	h.Server = New(cfg, h.core, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
 	go func() { h.done <- h.Serve(ctx, h.l) }()
 	return h
@@ -126,7 +126,7 @@
 	br *bufio.Reader
 }
 
-func (h *house) connect() *client {
+func (h *testServer) connect() *client {
 	mine, theirs := net.Pipe()
 	one := &shared{Conn: mine}
 	one.copies.Store(1)
@@ -167,7 +167,7 @@
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		old, next := newHouse(t, ctx), newHouse(t, ctx)
+		old, next := newTestServer(t, ctx), newTestServer(t, ctx)
 		fresh, idle, busy := old.connect(), old.connect(), old.connect()
 		idle.ask("a")
 		old.core.answer()
@@ -200,7 +200,7 @@
 				t.Errorf("one that brings nothing: %s", got)
 			}
 		}
-		if !old.Passing() || notes[""] != 2 || notes[noteKnown] != 1 || len(notes) != 2 {
+		if !old.Passing() || notes[""] != 2 || notes[noteHasSentRequest] != 1 || len(notes) != 2 {
 			t.Errorf("passing %t, with notes %v", old.Passing(), notes)
 		}
 		idle.ask("c")
@@ -220,7 +220,7 @@
 		}
 		busy.ask("e")
 		next.core.answer()
-		if got := busy.gets(); got != "200" || notes[noteKnown] != 2 || next.Adopted.Load() != 4 {
+		if got := busy.gets(); got != "200" || notes[noteHasSentRequest] != 2 || next.Adopted.Load() != 4 {
 			t.Errorf("after its answer: %s, with notes %v", got, notes)
 		}
 		// Told to stop, the successor ends what it has adopted with its last answer, and waits for what may still come.
@@ -232,7 +232,7 @@
 		c := &client{theirs, bufio.NewReader(theirs)}
 		go c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: f\r\n\r\n"))
 		synctest.Wait()
-		next.Adopt(mine, []byte(noteKnown))
+		next.Adopt(mine, []byte(noteHasSentRequest))
 		synctest.Wait()
 		next.core.answer()
 		if got := c.gets(); got != "200 last" && got != "closed" {
@@ -257,7 +257,7 @@
 func TestHandOverLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		h := newHouse(t, ctx)
+		h := newTestServer(t, ctx)
 		fresh, idle := h.connect(), h.connect()
 		idle.ask("a")
 		h.core.answer()
@@ -294,7 +294,7 @@
 	for stay, want := range map[bool]string{true: "200", false: "closed"} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			h := newHouse(t, ctx)
+			h := newTestServer(t, ctx)
 			for range 9 { // more than half of the places
 				h.budget.Reserve(connlimit.Outward)
 			}
@@ -305,7 +305,7 @@
 			if stay {
 				h.Stay()
 			}
-			time.Sleep(3 * lookEvery)
+			time.Sleep(3 * idleCheckInterval)
 			c.ask("b")
 			h.core.answer()
 			if got := c.gets(); got != want {
@@ -319,7 +319,7 @@
 
 func TestDrainEndsAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHouse(t, t.Context())
+		h := newTestServer(t, t.Context())
 		left := h.HandOver(func(net.Conn, []byte) error { return nil })
 		synctest.Wait()
 		select {
--- a/internal/frontend/lastaccept.go
+++ b/internal/frontend/lastaccept.go
@@ -14,16 +14,16 @@
 // is closed may knock at once, and would be lost between the last look at the backlog and the close. Where accepts fail or places are
 // short, idle connections make room first.
 func (s *Server) acceptLast(ctx context.Context, l net.Listener) {
-	defer s.closeIdle()
+	defer s.lockAndCloseIdle()
 	defer l.Close()
-	for !s.pastLast(acceptAgain) && ctx.Err() == nil {
+	for !s.isDrainingFor(maxLastAccept) && ctx.Err() == nil {
 		if s.acceptRest(l) {
 			return
 		}
-		s.closeIdle()
+		s.lockAndCloseIdle()
 		select {
 		case <-s.budget.Freed():
-		case <-time.After(lastLook):
+		case <-time.After(lastAcceptTimeout):
 		case <-ctx.Done():
 		}
 	}
@@ -31,19 +31,19 @@
 
 // acceptRest accepts until nothing is left, and reports whether that was so; false = it is to be tried again.
 func (s *Server) acceptRest(l net.Listener) (empty bool) {
-	for !s.pastLast(acceptAgain) {
+	for !s.isDrainingFor(maxLastAccept) {
 		closed, err := sockopt.CloseIfBacklogEmpty(l)
 		if closed {
 			return true
 		}
 		if !s.budget.Reserve(connlimit.Inward) {
-			if (s.pastLast(crowdedAfter) || s.isCrowded()) && s.turnAway(l) {
+			if (s.isDrainingFor(maxBacklogWait) || s.rejectsAtOnce()) && s.rejectConnection(l) {
 				continue
 			}
 			return false
 		}
-		if d, ok := l.(deadliner); ok {
-			d.SetDeadline(time.Now().Add(lastLook))
+		if d, ok := l.(deadlineListener); ok {
+			d.SetDeadline(time.Now().Add(lastAcceptTimeout))
 		}
 		nc, failed := accept(l)
 		if failed != nil {
@@ -55,15 +55,15 @@
 	return false
 }
 
-// deadliner is a listener that can be told until when it accepts.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener that can be told until when it accepts.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// isLast reports whether what lies in the backlog by now is the last that is accepted.
-func (s *Server) isLast() bool { return s.pastLast(0) }
+// isDraining reports whether what lies in the backlog by now is the last that is accepted.
+func (s *Server) isDraining() bool { return s.isDrainingFor(0) }
 
-// pastLast reports whether that has been so for a while.
-func (s *Server) pastLast(while time.Duration) bool {
+// isDrainingFor reports whether that has been so for a while.
+func (s *Server) isDrainingFor(while time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing && !time.Now().Before(s.closeAt.Add(while))
+	return s.draining && !time.Now().Before(s.drainStartedAt.Add(while))
 }
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -10,74 +10,74 @@
 	"time"
 )
 
-// message reads one message: an invocation, or what turns it away. Another ending than Open says that there is neither.
-func (c *conn) message() (*request.Request, *http1.Response, outcome.Kind) {
+// readMessage reads one message: an invocation, or what turns it away. Another ending than Open says that there is neither.
+func (c *conn) readMessage() (*request.Request, *http1.Response, outcome.Kind) {
 	began := time.Now()
-	until := began.Add(headWithin)
-	if !c.known {
-		c.socket.MarkUnused(partAfter)
+	until := began.Add(headTimeout)
+	if !c.hasSentRequest {
+		c.socket.MarkUnused(minPartialAge)
 	}
-	if !c.brought {
-		if first := c.began.Add(firstWithin); first.Before(until) {
+	if !c.hasSentMessage {
+		if first := c.acceptedAt.Add(firstHeadTimeout); first.Before(until) {
 			until = first
 		}
 	}
 	c.setReading(true)
-	if !c.extend(until) {
-		within := lingerFor
-		if c.crowded {
-			within = crowdedPart
+	if !c.extendDeadline(until) {
+		within := lingerTimeout
+		if c.rejected {
+			within = rejectionReadTimeout
 		}
-		c.extendLeaving(began.Add(within))
+		c.extendEvicted(began.Add(within))
 	}
-	c.upload, c.paced = nil, nil
-	c.letGo() // of a message that was turned away
-	req, err := http1.ReadRequest(c.br)
+	c.upload, c.pace = nil, nil
+	c.releaseMemory() // of a message that was turned away
+	req, err := http1.ReadRequest(c.reader)
 	if err == nil && req.WantsContinue() {
 		_, err = c.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	if err == nil && !c.keep(req) {
-		return nil, c.turn(503, true), outcome.Open
+	if err == nil && !c.reserveMemory(req) {
+		return nil, c.rejection(503, true), outcome.Open
 	}
 	if err == nil {
 		err = c.readBody(req)
 	}
 	switch {
 	case errors.Is(err, http1.ErrTooLarge):
-		return nil, c.turn(413, true), outcome.Open
+		return nil, c.rejection(413, true), outcome.Open
 	case errors.Is(err, http1.ErrMalformed):
-		return nil, c.turn(400, true), outcome.Open
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isClosing(): // it was never sent to a server
-		return nil, c.turn(503, true), outcome.Open
+		return nil, c.rejection(400, true), outcome.Open
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isStopping(): // it was never sent to a server
+		return nil, c.rejection(503, true), outcome.Open
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, c.turn(408, true), outcome.Open
-	case err != nil || !c.socket.MarkBusy() || c.endReading() != nil:
+		return nil, c.rejection(408, true), outcome.Open
+	case err != nil || !c.socket.MarkBusy() || c.finishReading() != nil:
 		return nil, nil, outcome.MalformedRequest
 	}
-	c.brought = true
+	c.hasSentMessage = true
 	if req.Method == "GET" && req.Target == http1.PathUp {
 		status := 503
-		if c.server.core.Ready() {
+		if c.server.dispatcher.Ready() {
 			status = 200
 		}
 		return nil, &http1.Response{Status: status, Close: req.Close}, outcome.Open
 	}
-	words := c.server.dialect.Load()
+	words := c.server.translator.Load()
 	now := time.Now()
 	since, _ := c.socket.SinceArrival()
-	inv, status := words.invocation(req, now.Add(-since))
+	inv, status := words.request(req, now.Add(-since))
 	if status != 0 {
-		return nil, c.turn(status, req.Close || status == 400), outcome.Open
+		return nil, c.rejection(status, req.Close || status == 400), outcome.Open
 	}
-	c.owed.Store(&inv.ID)
-	c.known, c.class, inv.ClientGone = true, words.names[inv.Class], c.socket.Left
+	c.unansweredID.Store(&inv.ID)
+	c.hasSentRequest, c.class, inv.ClientGone = true, words.names[inv.Class], c.socket.Left
 	if c.upload = nil; req.Rest != nil {
-		c.upload = &upload{conn: c, body: req.Rest, pace: c.paced, leave: inv.MarkClientGone, done: make(chan struct{})}
+		c.upload = &upload{conn: c, body: req.Rest, pace: c.pace, clientGone: inv.MarkClientGone, done: make(chan struct{})}
 		inv.Remainder = c.upload
 	}
-	c.paced = nil
+	c.pace = nil
 	inv.Respond = func(a request.Response) { // never blocks: there is room for the one answer that is owed
-		r := response(a)
+		r := encodeResponse(a)
 		r.Bodiless = a.Kind == request.Served && req.Method == "HEAD"
 		r.Close = req.Close || a.Remainder != nil && a.Remainder.Length() < 0 && req.Old
 		c.deliver(r, a.Remainder, req.Old)
@@ -88,76 +88,76 @@
 // Read reads from the socket, and gives a body that goes on its time.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.socket.Read(p)
-	if c.paced != nil && n > 0 {
-		c.paced.Got += int64(n)
-		c.extendBody(c.paced.Until(time.Now()))
+	if c.pace != nil && n > 0 {
+		c.pace.Got += int64(n)
+		c.extendBodyDeadline(c.pace.Until(time.Now()))
 	}
 	return n, err
 }
 
 // readBody reads the body, or the beginning of a long one.
 func (c *conn) readBody(req *http1.Request) error {
-	if req.Length() < 0 || req.Length() > int64(c.br.Buffered()) {
+	if req.Length() < 0 || req.Length() > int64(c.reader.Buffered()) {
 		now := time.Now()
-		c.paced = &streaming.Pace{Began: now}
-		c.extend(c.paced.Until(now))
+		c.pace = &streaming.Pace{Began: now}
+		c.extendDeadline(c.pace.Until(now))
 	}
-	return req.ReadFirst(c.br)
+	return req.ReadFirst(c.reader)
 }
 
-// keep reserves the memory for the part of the body that is kept, unless that is here already, and reports whether there is
+// reserveMemory reserves the memory for the part of the body that is kept, unless that is here already, and reports whether there is
 // any left.
-func (c *conn) keep(req *http1.Request) bool {
+func (c *conn) reserveMemory(req *http1.Request) bool {
 	n := req.Length()
 	if n < 0 || n > http1.MaxBody {
 		n = http1.MaxBody
 	}
-	if req.Length() >= 0 && int(n) <= c.br.Buffered() {
+	if req.Length() >= 0 && int(n) <= c.reader.Buffered() {
 		return true
 	}
-	c.letGo()
+	c.releaseMemory()
 	if !c.server.bounds.Take(int(n)) {
 		return false
 	}
-	c.kept = int(n)
+	c.reservedBytes = int(n)
 	return true
 }
 
-func (c *conn) letGo() {
-	c.server.bounds.Give(c.kept)
-	c.kept = 0
+func (c *conn) releaseMemory() {
+	c.server.bounds.Give(c.reservedBytes)
+	c.reservedBytes = 0
 }
 
-// extend gives the message that is being read until t, or less once the front is being closed. False means that the connection is to make
+// extendDeadline gives the message that is being read until t, or less once the front is being closed. False means that the connection is to make
 // room.
-func (c *conn) extend(t time.Time) bool {
+func (c *conn) extendDeadline(t time.Time) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.socket.ExtendReadDeadline(c.server.readUntil(t))
+	return c.socket.ExtendReadDeadline(c.server.boundByDrain(t))
 }
 
-// extendLeaving is extend for a connection whose place has been given away.
-func (c *conn) extendLeaving(t time.Time) {
+// extendEvicted is extend for a connection whose place has been given away.
+func (c *conn) extendEvicted(t time.Time) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	c.socket.SetReadDeadline(c.server.readUntil(t))
+	c.socket.SetReadDeadline(c.server.boundByDrain(t))
 }
 
-// extendBody gives a body until t. Once the front is being closed, one that belongs to no request yet gets less: see extend. One that flows to a
+// extendBodyDeadline gives a body until t. Once the front is being closed, one that belongs to no request yet gets less: see extend. One that flows to a
 // server goes on until its request is answered.
-func (c *conn) extendBody(t time.Time) {
+func (c *conn) extendBodyDeadline(t time.Time) {
 	if c.upload == nil {
-		c.extend(t)
+		c.extendDeadline(t)
 	} else {
 		c.socket.ExtendReadDeadline(t)
 	}
 }
 
-// endReading notes that the message is there, and takes its deadline back. Both at once: see Drain.
-func (c *conn) endReading() error {
+// finishReading notes that the message is there, and takes its deadline back. Both at once: see Drain.
+func (c *conn) finishReading() error {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	c.reading = false
+	c.readingMessage = false
 	return c.socket.SetReadDeadline(time.Time{})
 }
 
@@ -165,5 +165,5 @@
 func (c *conn) setReading(reading bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	c.reading = reading
+	c.readingMessage = reading
 }
--- a/internal/frontend/reject.go
+++ b/internal/frontend/reject.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// isCrowded reports whether connections that find no place are refused at once.
-func (s *Server) isCrowded() bool { return time.Now().Before(s.crowdedUntil) }
+// rejectsAtOnce reports whether connections that find no place are refused at once.
+func (s *Server) rejectsAtOnce() bool { return time.Now().Before(s.rejectUntil) }
 
-// turnAway accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
+// rejectConnection accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
 // something to do it with.
-func (s *Server) turnAway(l net.Listener) bool {
+func (s *Server) rejectConnection(l net.Listener) bool {
 	waiting, err := sockopt.HasBacklog(l)
 	if err != nil || !waiting || !s.budget.ReserveForRejection() {
 		return false
@@ -26,37 +26,37 @@
 	s.Connections.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &conn{server: s, socket: s.budget.AdoptForRejection(nc), began: time.Now(), last: true, crowded: true}
-	c.idleAt = c.began
+	c := &conn{server: s, socket: s.budget.AdoptForRejection(nc), acceptedAt: time.Now(), acceptedLast: true, rejected: true}
+	c.idleSince = c.acceptedAt
 	s.conns[c] = false
-	c.wind(crowdedFor)
+	c.shortenIdle(rejectionRequestTimeout)
 	s.running.Go(func() error { c.run(); return nil })
 	return true
 }
 
-// turn words an answer that turns a message away before it is taken.
-func (c *conn) turn(status int, last bool) *http1.Response {
+// rejection words an answer that turns a message away before it is taken.
+func (c *conn) rejection(status int, last bool) *http1.Response {
 	c.server.NotTaken.Add(1)
 	return &http1.Response{Status: status, Close: last}
 }
 
-// linger waits a little for the consumer's close, and makes room before any other meanwhile. What it has sent beyond its
+// lingerForClose waits a little for the consumer's close, and makes room before any other meanwhile. What it has sent beyond its
 // request would turn a plain close into a reset, and that could overtake the answer. A flood is not read to its end: it
 // gets a moment for the answer to arrive.
-func (c *conn) linger() {
+func (c *conn) lingerForClose() {
 	c.socket.MarkUnused(0)
-	if n, _ := io.CopyN(io.Discard, c.br, lingerMost); n == lingerMost {
-		time.Sleep(floodFor)
+	if n, _ := io.CopyN(io.Discard, c.reader, maxLingerBytes); n == maxLingerBytes {
+		time.Sleep(floodDelay)
 	}
 }
 
-// lingering is for how long the connection waits for its client's close.
-func (c *conn) lingering() time.Duration {
+// lingerTime is for how long the connection waits for its client's close.
+func (c *conn) lingerTime() time.Duration {
 	switch {
-	case c.crowded:
-		return crowdedLinger
-	case c.server.isClosing():
-		return closingFor
+	case c.rejected:
+		return rejectionLinger
+	case c.server.isStopping():
+		return drainLinger
 	}
-	return lingerFor
+	return lingerTimeout
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -20,11 +20,11 @@
 
 // Server is the front.
 type Server struct {
-	core    request.Dispatcher
-	budget  *connlimit.Budget
-	book    *metrics.Registry
-	bounds  *streaming.Bounds
-	dialect atomic.Pointer[dialect]
+	dispatcher request.Dispatcher
+	budget     *connlimit.Budget
+	metrics    *metrics.Registry
+	bounds     *streaming.Bounds
+	translator atomic.Pointer[translator]
 
 	// Rules counts the requests whose connection was ended without their answer; nil = nobody does. Set it before Serve.
 	Rules *invariant.Recorder
@@ -33,30 +33,30 @@
 
 	Connections, Adopted, NotTaken atomic.Int64
 
-	mu      sync.Mutex
-	conns   map[*conn]bool               // true = a message is under way
-	staying bool                         // idle connections are kept: who loses one finds nobody to open another to
-	pass    func(net.Conn, []byte) error // hands an idle connection to a successor; nil = there is none
-	empty   chan struct{}                // closed when the last connection has ended, once there is a successor
-	resumed chan struct{}                // closed when there is none any more
-	paused  bool                         // none comes in meanwhile
-	closed  chan struct{}                // by Drain
-	hung    chan struct{}                // by hangUp
-	running errgroup.Group               // the connections' goroutines
-	serving bool                         // Serve has been called
-	closing bool
-	closeAt time.Time // since then the listener is about to be closed, once nothing lies in its backlog
-	halfAt  time.Time // then half a request is read no further
-	endings outcome.Counts
+	mu             sync.Mutex
+	conns          map[*conn]bool               // true = a message is under way
+	keepIdle       bool                         // idle connections are kept: who loses one finds nobody to open another to
+	handOver       func(net.Conn, []byte) error // hands an idle connection to a successor; nil = there is none
+	allHandedOver  chan struct{}                // closed when the last connection has ended, once there is a successor
+	resumed        chan struct{}                // closed when there is none any more
+	acceptPaused   bool                         // none comes in meanwhile
+	drainStarted   chan struct{}                // by Drain
+	stopped        chan struct{}                // by closeAll
+	running        errgroup.Group               // the connections' goroutines
+	serving        bool                         // Serve has been called
+	draining       bool
+	drainStartedAt time.Time // since then the listener is about to be closed, once nothing lies in its backlog
+	partialUntil   time.Time // then half a request is read no further
+	outcomes       outcome.Counts
 
-	crowdedUntil time.Time // those that find no place are refused at once; of the goroutine that accepts
+	rejectUntil time.Time // those that find no place are refused at once; of the goroutine that accepts
 }
 
 // New returns a front for core that counts in book what becomes of the requests it takes.
-func New(cfg *config.Config, core request.Dispatcher, budget *connlimit.Budget, book *metrics.Registry, bounds *streaming.Bounds) *Server {
+func New(cfg *config.Config, dispatcher request.Dispatcher, budget *connlimit.Budget, registry *metrics.Registry, bounds *streaming.Bounds) *Server {
 	s := &Server{
-		core: core, budget: budget, book: book, bounds: bounds, conns: map[*conn]bool{}, closed: make(chan struct{}),
-		hung: make(chan struct{}),
+		dispatcher: dispatcher, budget: budget, metrics: registry, bounds: bounds, conns: map[*conn]bool{}, drainStarted: make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	s.Reconfigure(&cfg.Settings)
 	return s
@@ -64,15 +64,15 @@
 
 // Reconfigure goes by other classes and tenants from the next request on.
 func (s *Server) Reconfigure(set *config.Settings) {
-	s.book.Classes(set.ClassNames()...)
-	s.dialect.Store(newDialect(set))
+	s.metrics.Classes(set.ClassNames()...)
+	s.translator.Store(newTranslator(set))
 }
 
 // Endings returns how the connections have ended so far.
 func (s *Server) Endings() outcome.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endings
+	return s.outcomes
 }
 
 // Open is the number of clients' connections.
@@ -86,25 +86,25 @@
 func (s *Server) Taking() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serving && !s.closing && s.pass == nil
+	return s.serving && !s.draining && s.handOver == nil
 }
 
-func (s *Server) ended(c *conn, e outcome.Kind) {
+func (s *Server) removeConn(c *conn, e outcome.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	s.leftEmpty()
-	if s.closing && e == outcome.IdleRetired {
+	s.notifyIfAllHandedOver()
+	if s.draining && e == outcome.IdleRetired {
 		e = outcome.ShuttingDown
 	}
-	s.endings[e]++
+	s.outcomes[e]++
 	if s.Trace != nil {
-		s.Trace("trace=consumer remote=%s ending=%s lived_ms=%d", c.socket.RemoteAddr(), e, time.Since(c.began).Milliseconds())
+		s.Trace("trace=consumer remote=%s ending=%s lived_ms=%d", c.socket.RemoteAddr(), e, time.Since(c.acceptedAt).Milliseconds())
 	}
 }
 
-func (s *Server) isClosing() bool {
+func (s *Server) isStopping() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing
+	return s.draining
 }
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// dialect translates between the platform's HTTP and invocations.
-type dialect struct {
-	classes map[string]int
-	names   []string        // by class
-	limits  []time.Duration // the longest that a consumer waits, by class
-	verbs   []string        // the one that a class goes with
-	tenants map[string]int
+// translator translates between the platform's HTTP and invocations.
+type translator struct {
+	classes     map[string]int
+	names       []string        // by class
+	maxTimeouts []time.Duration // the longest that a consumer waits, by class
+	methods     []string        // the one that a class goes with
+	tenants     map[string]int
 }
 
-func newDialect(s *config.Settings) *dialect {
-	d := &dialect{classes: map[string]int{}, tenants: map[string]int{}}
+func newTranslator(s *config.Settings) *translator {
+	d := &translator{classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range s.Classes {
 		if !c.Dropped {
 			d.classes[c.Name] = i
 		}
 		d.names = append(d.names, c.Name)
-		d.limits = append(d.limits, config.Duration(c.HardLimitMs))
-		d.verbs = append(d.verbs, map[bool]string{true: "GET", false: "POST"}[c.Repeat == config.Pure])
+		d.maxTimeouts = append(d.maxTimeouts, config.Duration(c.HardLimitMs))
+		d.methods = append(d.methods, map[bool]string{true: "GET", false: "POST"}[c.Repeat == config.Pure])
 	}
 	for i, r := range s.Realms {
 		if !r.Dropped {
@@ -38,8 +38,8 @@
 	return d
 }
 
-// invocation words the request for the core, or returns the status that turns it away.
-func (d *dialect) invocation(r *http1.Request, sentAt time.Time) (*request.Request, int) {
+// request words the request for the core, or returns the status that turns it away.
+func (d *translator) request(r *http1.Request, sentAt time.Time) (*request.Request, int) {
 	target := r.Target
 	if u, err := url.Parse(target); err == nil && u.Scheme == "http" && u.Host != "" { // the absolute form
 		target = u.RequestURI()
@@ -50,7 +50,7 @@
 	switch {
 	case !known || path == "" || path[0] != '/':
 		return nil, 404
-	case r.Method != d.verbs[class] && (r.Method != "HEAD" || d.verbs[class] != "GET"):
+	case r.Method != d.methods[class] && (r.Method != "HEAD" || d.methods[class] != "GET"):
 		return nil, 405
 	case r.Method != "POST" && (len(r.Body) > 0 || r.Rest != nil):
 		return nil, 400
@@ -59,7 +59,7 @@
 	if id == "" || err != nil {
 		return nil, 400
 	}
-	patience := d.limits[class]
+	patience := d.maxTimeouts[class]
 	if v, given, err := r.Header.Only(http1.HeaderDeadline); given {
 		s, bad := strconv.ParseFloat(v, 64)
 		if err != nil || bad != nil || !(s > 0) || math.IsInf(s, 0) {
@@ -78,8 +78,8 @@
 	}, 0
 }
 
-// response words the core's answer.
-func response(a request.Response) *http1.Response {
+// encodeResponse words the core's answer.
+func encodeResponse(a request.Response) *http1.Response {
 	switch a.Kind {
 	case request.Served:
 		r := &http1.Response{Status: 200, Header: a.Fields, Body: a.Body}
