--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -14,8 +14,8 @@
 	took chan *request.Request
 }
 
-func (c *taking) Submit(inv *request.Request) bool {
-	c.took <- inv
+func (c *taking) Submit(r *request.Request) bool {
+	c.took <- r
 	return true
 }
 
@@ -36,9 +36,9 @@
 	after := time.Now()
 	time.Sleep(unread)
 	close(l.gate)
-	inv := <-core.took
-	if inv.SentAt.Before(before.Add(-blurred)) || inv.SentAt.After(after.Add(blurred)) {
-		t.Errorf("sent %s before it was read; its time runs from %s before that", time.Since(after), time.Since(inv.SentAt))
+	r := <-core.took
+	if r.SentAt.Before(before.Add(-blurred)) || r.SentAt.After(after.Add(blurred)) {
+		t.Errorf("sent %s before it was read; its time runs from %s before that", time.Since(after), time.Since(r.SentAt))
 	}
 	c.Close()
 	s.Drain(l)
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -23,8 +23,8 @@
 // quick is a core that answers at once.
 type quick struct{ holding }
 
-func (c *quick) Submit(inv *request.Request) bool {
-	c.holding.Submit(inv)
+func (c *quick) Submit(r *request.Request) bool {
+	c.holding.Submit(r)
 	go c.answer()
 	return true
 }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -19,131 +19,135 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// conn is one consumer's connection. Its reader looks for the next message or the consumer's end all the time and answers
-// what it turns away; once there is an invocation, its writer writes each answer when the core gives it.
+// conn is one client's connection. Its reader goroutine reads messages, answers those that it rejects, and watches for the client's
+// end while a request is under way; its writer goroutine, started with the first request, writes the dispatcher's answers.
 type conn struct {
 	server         *Server
 	socket         *connlimit.Socket
 	reader         *bufio.Reader
 	acceptedAt     time.Time
-	hasSentMessage bool                   // a whole message has come
-	hasSentRequest bool                   // an invocation has come: it is no stranger
-	class          string                 // of the present invocation,
+	hasSentMessage bool                   // the client has sent a whole message
+	hasSentRequest bool                   // and a message that was a request
+	class          string                 // of the present request,
 	metric         *metrics.Request       // its count,
-	reservedBytes  int                    // and the bytes that it holds of the bounds
+	reservedBytes  int                    // and the memory reserved for its body
 	unansweredID   atomic.Pointer[string] // the id of the request whose answer is not written yet; nil = there is none
-	upload         *upload                // the rest of its body; nil = it is there
-	pace           *streaming.Pace        // of the body that is being read; nil = none is
+	upload         *upload                // the rest of its body; nil = the body is complete
+	pace           *streaming.Pace        // of the body that is being read; nil = no body is
 	idleSince      time.Time              // since when no message is under way; guarded by server.mu
-	acceptedLast   bool                   // accepted as the front was being closed; likewise
+	acceptedLast   bool                   // accepted while draining; likewise
 	rejected       bool                   // there was no place for it
-	readingMessage bool                   // a message has begun and is not there yet; likewise
-	responses      chan pendingResponse   // at most one is under way; nil = no writer yet
+	readingMessage bool                   // a part of a message has come; likewise
+	responses      chan pendingResponse   // at most one is under way; nil = the writer is not started
 	written        chan outcome.Kind      // how writing it ended; Open = the connection goes on
 	done           chan struct{}
 	writer         errgroup.Group
 
 	mu         sync.Mutex
-	writerGone bool               // nobody writes answers any more
+	writerGone bool               // no answer can be written any more
 	download   request.BodyStream // the rest of the present answer; nil = there is none
 }
 
 func (c *conn) run() {
-	c.reader, c.done = http1.NewReader(c), make(chan struct{})
-	e := c.serveMessages()
-	c.checkAnswered(e)
+	c.reader = http1.NewReader(c)
+	c.done = make(chan struct{})
+	how := c.serveMessages()
+	c.checkAnswered(how)
 	c.releaseMemory()
-	close(c.done) // not answers: the core may just be giving one to a consumer that is gone
-	c.socket.Close()
+	close(c.done) // not responses: the dispatcher may just be giving an answer to a client that is gone
+	_ = c.socket.Close()
 	c.closeDownload()
-	c.writer.Wait()
+	_ = c.writer.Wait() // the writer returns no errors
 	if c.metric != nil {
-		c.metric.End(metrics.Left) // unless it was answered, which may have been at the last moment
+		c.metric.End(metrics.Left) // no effect if it was answered, perhaps at the last moment
 	}
 	http1.Free(c.reader)
-	c.server.removeConn(c, e)
+	c.server.removeConn(c, how)
 }
 
-// checkAnswered looks, as the connection is about to be closed, whether an answer is still owed to a consumer that is there.
-func (c *conn) checkAnswered(e outcome.Kind) {
+// checkAnswered records, as the connection is about to be closed, a request without answer whose client is still there.
+func (c *conn) checkAnswered(how outcome.Kind) {
 	id := c.unansweredID.Load()
-	if id == nil || e == outcome.ClientGone || e == outcome.WriteFailed || c.socket.Left() {
+	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.Left() {
 		return
 	}
-	c.server.Rules.Violated(invariant.Answer, "request=%q consumer=%s ending=%s", *id, c.socket.RemoteAddr(), e)
+	c.server.Rules.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
 }
 
+// serveMessages serves one message after another, and returns how the connection has ended.
 func (c *conn) serveMessages() outcome.Kind {
 	for {
 		switch err := c.waitForMessage(); {
-		case err == errHandedOver:
+		case errors.Is(err, errHandedOver):
 			return outcome.PassedToSuccessor
 		case err != nil:
 			return outcome.FromIdleError(err)
 		}
 		c.setBusy(true)
-		inv, turned, e := c.readMessage()
+		r, direct, how := c.readMessage()
 		c.setReading(false)
 		switch {
-		case e != outcome.Open:
-			return e
-		case turned != nil:
-			e = c.writeDirectly(turned)
+		case how != outcome.Open:
+			return how
+		case direct != nil:
+			how = c.writeDirectly(direct)
 		case c.rejected:
 			c.releaseMemory()
-			e = c.writeDirectly(c.rejection(http.StatusServiceUnavailable, true))
+			how = c.writeDirectly(c.rejection(http.StatusServiceUnavailable, true))
 		default:
-			if e = c.handleRequest(inv); e == outcome.ClientGone || e == outcome.ShuttingDown {
-				return e
+			how = c.handleRequest(r)
+			if how == outcome.ClientGone || how == outcome.ShuttingDown {
+				return how
 			}
 		}
-		if e != outcome.Open {
+		if how != outcome.Open {
 			c.lingerForClose()
-			return e
+			return how
 		}
 	}
 }
 
-// handleRequest has the core answer the invocation, and returns how writing that has ended; or how the connection has.
-func (c *conn) handleRequest(inv *request.Request) outcome.Kind {
+// handleRequest submits the request, and returns how writing its answer has ended; or how the connection has.
+func (c *conn) handleRequest(r *request.Request) outcome.Kind {
 	c.startWriter()
 	c.metric = c.server.metrics.RequestStarted(c.class)
 	defer c.releaseMemory()
-	if (c.reader.Buffered() > 0 || !c.socket.Quiet()) && c.socket.Left() { // while its request waited to be read
+	if (c.reader.Buffered() > 0 || !c.socket.Quiet()) && c.socket.Left() { // it left while its request waited to be read
 		return outcome.ClientGone
 	}
-	if !c.server.dispatcher.Submit(inv) {
+	if !c.server.dispatcher.Submit(r) {
 		return outcome.ShuttingDown
 	}
 	if c.upload != nil {
-		if e := c.awaitUpload(inv); e != outcome.Open {
-			return e
+		if how := c.awaitUpload(r); how != outcome.Open {
+			return how
 		}
-		if c.upload == nil { // it was answered before its body was there
+		if c.upload == nil { // it was answered before its body was complete
 			return outcome.Open
 		}
 	}
-	return c.awaitResponse(inv)
+	return c.awaitResponse(r)
 }
 
-// awaitResponse returns how writing the answer has ended; or, if the consumer leaves before, how the connection has.
-func (c *conn) awaitResponse(inv *request.Request) outcome.Kind {
-	_, err := c.reader.Peek(1) // the next message, or the consumer's end
+// awaitResponse returns how writing the answer has ended; or, if the client leaves before, how the connection has.
+func (c *conn) awaitResponse(r *request.Request) outcome.Kind {
+	_, err := c.reader.Peek(1) // the next message, or the client's end
 	select {
-	case e := <-c.written:
-		return e
+	case how := <-c.written:
+		return how
 	default:
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) { // none but the reader of an answered one is woken: the word of that is about to come
+	if errors.Is(err, os.ErrDeadlineExceeded) { // only the writer ends the wait in this way: its outcome is about to come
 		return <-c.written
 	}
-	for look := time.Tick(clientCheckInterval); err == nil && !c.socket.Left(); { // behind what has come its end can't be read
+	check := time.Tick(clientCheckInterval)
+	for err == nil && !c.socket.Left() { // the client's end can't be read behind bytes that are still unread
 		select {
-		case e := <-c.written:
-			return e
+		case how := <-c.written:
+			return how
 		case <-c.server.stopped:
 			return outcome.ShuttingDown
-		case <-look:
+		case <-check:
 		}
 	}
 	select {
@@ -151,6 +155,6 @@
 		return outcome.ShuttingDown
 	default:
 	}
-	c.server.dispatcher.ClientGone(inv)
+	c.server.dispatcher.ClientGone(r)
 	return outcome.ClientGone
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -5,15 +5,18 @@
 	"time"
 )
 
-// Drain closes the listener and the connections that are between two messages. The others end with their answer; of half a request that
-// is a refusal, since its rest may come at any time up to the kill. What the kernel has accepted by then would be lost with the listener, with requests that count as taken: Serve takes that in first,
-// and closes the listener. During a handover the successor holds the backlog too.
+// Drain closes the listener and the connections that are between two messages. The others end with their answer, which to a part of a
+// request is a refusal, since the rest may come at any time up to the kill. What waits in the backlog would be lost with the listener,
+// along with requests that count as accepted: Serve accepts that first, and closes the listener. During a handover the successor has
+// the backlog too.
 func (s *Server) Drain(l net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); !s.draining {
-		s.draining, s.drainStartedAt, s.partialUntil = true, now, now.Add(partialRequestTimeout)
-		s.budget.FavorBacklog() // others wait in a backlog that is about to be closed
+	if !s.draining {
+		s.draining = true
+		s.drainStartedAt = time.Now()
+		s.partialUntil = s.drainStartedAt.Add(partialRequestTimeout)
+		s.budget.FavorBacklog() // it is about to be closed
 		close(s.drainStarted)
 	}
 	if d, ok := l.(deadlineListener); s.serving && ok && s.handOver == nil && d.SetDeadline(s.drainStartedAt) == nil {
@@ -23,15 +26,15 @@
 	s.closeIdle()
 }
 
-// lockAndCloseIdle is lockAndCloseIdle for who does not hold mu.
+// lockAndCloseIdle is closeIdle for callers that do not hold mu.
 func (s *Server) lockAndCloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeIdle()
 }
 
-// lockAndCloseIdle ends the connections that are between two messages, and has half a message be the last that is read of its connection. One that
-// has been accepted since has a moment for its one request: see admit. It is called with mu held.
+// closeIdle ends the connections that are between two messages, and bounds the time for messages of which a part has come. A connection
+// that was accepted since draining started has a moment for its one request: see admit. It is called with mu held.
 func (s *Server) closeIdle() {
 	for c, busy := range s.conns {
 		switch {
@@ -43,7 +46,7 @@
 	}
 }
 
-// closeAll ends all at once: the core has stopped and answers no more.
+// closeAll ends all connections at once: the dispatcher has stopped and answers no more.
 func (s *Server) closeAll(l net.Listener) {
 	l.Close()
 	s.Drain(l)
@@ -51,11 +54,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.socket.Close()
+		_ = c.socket.Close()
 	}
 }
 
-// boundByDrain bounds the time for a message by the end of the front. It is called with mu held.
+// boundByDrain bounds the time for a message while draining. It is called with mu held.
 func (s *Server) boundByDrain(t time.Time) time.Time {
 	if s.draining && s.partialUntil.Before(t) {
 		return s.partialUntil
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -8,10 +8,10 @@
 	"sync"
 )
 
-// The notes that go with a connection to a successor: what it has brought so far. A new one has none.
+// The notes that go with a connection to a successor say what its client has sent so far. A new connection has none.
 const (
-	noteHasSentMessage = "brought" // a message
-	noteHasSentRequest = "known"   // an invocation
+	noteHasSentMessage = "brought" // a whole message
+	noteHasSentRequest = "known"   // a request
 )
 
 // Stay keeps the connections that are open, however long they are idle, until Drain.
@@ -28,8 +28,8 @@
 	return sync.OnceFunc(func() { close(wait) })
 }
 
-// Adopt serves a connection that a predecessor had, whether or not the limit on sockets leaves room: it is there already,
-// and may have brought a request. It is called between Expect and its done.
+// Adopt serves a connection that a predecessor had, even beyond the limit on sockets: it is there already, and may bring a
+// request. It is called between Expect and its done.
 func (s *Server) Adopt(nc net.Conn, note []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,37 +39,41 @@
 }
 
 // HandOver passes every connection on as soon as it is between two messages, with a note for the successor's Adopt, and
-// returns a channel that is closed when none is left. What pass fails for stays. The caller then stops the listener by a
-// deadline, which Resume's caller takes back.
+// returns a channel that is closed when none is left. Connections for which pass fails stay. The caller then stops the listener by
+// a deadline, which Resume's caller removes.
 func (s *Server) HandOver(pass func(c net.Conn, note []byte) error) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	empty := make(chan struct{})
-	s.handOver, s.allHandedOver, s.resumed = pass, empty, make(chan struct{})
+	allHandedOver := make(chan struct{})
+	s.handOver = pass
+	s.allHandedOver = allHandedOver
+	s.resumed = make(chan struct{})
 	for c, busy := range s.conns {
 		if !busy {
 			c.shortenIdle(0)
 		}
 	}
-	return empty
+	return allHandedOver
 }
 
 // Resume ends HandOver: the successor is gone, and this process serves on.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOver, s.allHandedOver, s.acceptPaused = nil, nil, false
+	s.handOver = nil
+	s.allHandedOver = nil
+	s.acceptPaused = false
 	close(s.resumed)
 }
 
-// Passing reports whether a successor is being given the connections.
+// Passing reports whether a handover is under way.
 func (s *Server) Passing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOver != nil
 }
 
-// notifyIfAllHandedOver tells the one who hands over that no connection is left nor to come. It is called with mu held.
+// notifyIfAllHandedOver closes allHandedOver once no connection is left and none can be accepted. It is called with mu held.
 func (s *Server) notifyIfAllHandedOver() {
 	if s.allHandedOver != nil && s.acceptPaused && len(s.conns) == 0 {
 		close(s.allHandedOver)
@@ -77,14 +81,15 @@
 	}
 }
 
-// errHandedOver is why the reader of a connection that has been handed over ends.
+// errHandedOver ends the reader of a connection that a successor has.
 var errHandedOver = errors.New("handed over")
 
-// handOver gives the connection to a successor, if there is one. All that was read of it has been dealt with, and its
-// reader is here: nobody touches it until the successor has it or has not got it.
+// handOver gives the connection to a successor, if there is one. It is called by the connection's reader, between two messages, so that
+// nothing touches the connection until the successor has it or pass has failed.
 func (c *conn) handOver() bool {
 	c.server.mu.Lock()
-	pass, busy := c.server.handOver, c.server.conns[c]
+	pass := c.server.handOver
+	busy := c.server.conns[c]
 	c.server.mu.Unlock()
 	if pass == nil || busy || c.reader.Buffered() > 0 || c.socket.IsEvicted() {
 		return false
@@ -97,7 +102,7 @@
 		note = noteHasSentMessage
 	}
 	if err := pass(c.socket.Conn, []byte(note)); err != nil {
-		log.Printf("consumer=%s state=not_handed_over err=%q", c.socket.RemoteAddr(), err)
+		log.Printf("client=%s state=not_handed_over err=%q", c.socket.RemoteAddr(), err)
 		return false
 	}
 	return true
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -24,10 +24,10 @@
 	held []*request.Request
 }
 
-func (c *holding) Submit(inv *request.Request) bool {
+func (c *holding) Submit(r *request.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held = append(c.held, inv)
+	c.held = append(c.held, r)
 	return true
 }
 func (c *holding) ClientGone(*request.Request) {}
@@ -36,8 +36,8 @@
 func (c *holding) answer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, inv := range c.held {
-		inv.Respond(request.Response{Kind: request.Served, Body: []byte("ok")})
+	for _, r := range c.held {
+		r.Respond(request.Response{Kind: request.Served, Body: []byte("ok")})
 	}
 	c.held = nil
 }
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// waitForMessage waits for the first byte of a message. Its deadline passes when the connection is to end while idle, or when it
-// is time to see whether it is: what has come in just before that is still taken, and its answer is the last.
+// waitForMessage waits for the first byte of a message. The read deadline passes when the idle connection has to end, or when it is
+// time for a look whether it has to. A message that has come in just before that is still served, as the last one.
 func (c *conn) waitForMessage() error {
 	for {
 		_, err := c.reader.Peek(1)
@@ -28,23 +28,22 @@
 	}
 }
 
-// keepAlive reports whether the idle connection may stay until the next look. It may not for long once sockets are scarce: a
-// consumer that has asked nothing for so long opens another just as well.
+// keepAlive reports whether the idle connection may stay until the next look. Once sockets are scarce it may not for long: a client
+// that has sent no request for a while can open another connection.
 func (c *conn) keepAlive() bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	idle := time.Since(c.idleSince)
-	stays := idle < maxIdle && (idle < idleCheckInterval || !s.budget.IsScarce())
-	if !c.hasSentMessage { // it was woken before its time by a handover that came to nothing
-		stays = idle < idleCheckInterval
-		return stays && !s.draining && c.socket.ExtendReadDeadline(c.idleSince.Add(idleCheckInterval))
+	if !c.hasSentMessage { // it is here before its time only if a handover has failed
+		return idle < idleCheckInterval && !s.draining && c.socket.ExtendReadDeadline(c.idleSince.Add(idleCheckInterval))
 	}
-	return !s.draining && (stays || s.keepIdle) && c.socket.ExtendReadDeadline(time.Now().Add(idleCheckInterval))
+	mayStay := idle < maxIdle && (idle < idleCheckInterval || !s.budget.IsScarce())
+	return !s.draining && (mayStay || s.keepIdle) && c.socket.ExtendReadDeadline(time.Now().Add(idleCheckInterval))
 }
 
-// shortenIdle ends the connection as soon as it is idle. Its reader does that, not the caller: a request that the reader has
-// just got would be lost.
+// shortenIdle ends the connection once it has been idle for so long from now. Its reader closes it, not the caller: a request that
+// the reader has just got would be lost.
 func (c *conn) shortenIdle(after time.Duration) { c.socket.SetReadDeadline(time.Now().Add(after)) }
 
 // markIdle marks the connection as one between two messages.
@@ -57,7 +56,7 @@
 	c.setBusy(false)
 }
 
-// setBusy notes whether a message is under way. One that is not ends when the front is being closed.
+// setBusy notes whether a message is under way. A connection without one ends while draining or handing over.
 func (c *conn) setBusy(busy bool) {
 	s := c.server
 	s.mu.Lock()
@@ -66,7 +65,8 @@
 	if busy {
 		return
 	}
-	if c.idleSince = time.Now(); s.draining || s.handOver != nil {
+	c.idleSince = time.Now()
+	if s.draining || s.handOver != nil {
 		c.shortenIdle(0)
 	} else {
 		c.socket.ExtendReadDeadline(c.idleSince.Add(idleCheckInterval))
--- a/internal/frontend/lastaccept.go
+++ b/internal/frontend/lastaccept.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// acceptLast takes in what lies in the listener's backlog and closes it, then the connections that are idle: a client whose connection
-// is closed may knock at once, and would be lost between the last look at the backlog and the close. Where accepts fail or places are
-// short, idle connections make room first.
+// acceptLast accepts what waits in the listener's backlog and closes the listener, then the connections that are idle: a client whose
+// connection is closed may connect again at once, and would be lost between the last look at the backlog and the close. If accepting
+// fails or places are short, idle connections make room first.
 func (s *Server) acceptLast(ctx context.Context, l net.Listener) {
 	defer s.lockAndCloseIdle()
 	defer l.Close()
@@ -29,7 +29,7 @@
 	}
 }
 
-// acceptRest accepts until nothing is left, and reports whether that was so; false = it is to be tried again.
+// acceptRest accepts until the backlog is empty; false = it has to be tried again.
 func (s *Server) acceptRest(l net.Listener) (empty bool) {
 	for !s.isDrainingFor(maxLastAccept) {
 		closed, err := sockopt.CloseIfBacklogEmpty(l)
@@ -43,27 +43,26 @@
 			return false
 		}
 		if d, ok := l.(deadlineListener); ok {
-			d.SetDeadline(time.Now().Add(lastAcceptTimeout))
+			_ = d.SetDeadline(time.Now().Add(lastAcceptTimeout)) // it fails on a closed listener, which accept reports
 		}
-		nc, failed := accept(l)
-		if failed != nil {
+		c, acceptErr := accept(l)
+		if acceptErr != nil {
 			s.budget.Release(connlimit.Inward)
-			return errors.Is(failed, net.ErrClosed) || errors.Is(err, errors.ErrUnsupported) && errors.Is(failed, os.ErrDeadlineExceeded)
+			// Where the backlog can't be looked at, a time-out is what says that it is empty.
+			return errors.Is(acceptErr, net.ErrClosed) ||
+				errors.Is(err, errors.ErrUnsupported) && errors.Is(acceptErr, os.ErrDeadlineExceeded)
 		}
-		s.admitNew(nc)
+		s.admitNew(c)
 	}
 	return false
 }
 
-// deadlineListener is a listener that can be told until when it accepts.
+// deadlineListener is a listener whose Accept can time out.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// isDraining reports whether what lies in the backlog by now is the last that is accepted.
-func (s *Server) isDraining() bool { return s.isDrainingFor(0) }
-
-// isDrainingFor reports whether that has been so for a while.
-func (s *Server) isDrainingFor(while time.Duration) bool {
+// isDrainingFor reports whether draining started at least so long ago.
+func (s *Server) isDrainingFor(duration time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.draining && !time.Now().Before(s.drainStartedAt.Add(while))
+	return s.draining && !time.Now().Before(s.drainStartedAt.Add(duration))
 }
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 	"os"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
@@ -10,8 +11,33 @@
 	"time"
 )
 
-// readMessage reads one message: an invocation, or what turns it away. Another ending than Open says that there is neither.
+// errNoMemory says that the bounds leave no memory for a body.
+var errNoMemory = errors.New("no memory left for the body")
+
+// readMessage reads one message: a request, or an answer to it that needs no server. Another outcome than Open says that there is
+// neither.
 func (c *conn) readMessage() (*request.Request, *http1.Response, outcome.Kind) {
+	c.startReading()
+	message, err := c.readHTTP()
+	if status := c.rejectionStatus(err); status != 0 {
+		return nil, c.rejection(status, true), outcome.Open
+	}
+	if err != nil || !c.socket.MarkBusy() || c.finishReading() != nil {
+		return nil, nil, outcome.MalformedRequest
+	}
+	c.hasSentMessage = true
+	if message.Method == http.MethodGet && message.Target == http1.PathUp {
+		return nil, c.healthResponse(message), outcome.Open
+	}
+	r, status := c.newRequest(message)
+	if r == nil {
+		return nil, c.rejection(status, message.Close || status == http.StatusBadRequest), outcome.Open
+	}
+	return r, nil, outcome.Open
+}
+
+// startReading sets the time for a message whose first byte has come.
+func (c *conn) startReading() {
 	began := time.Now()
 	until := began.Add(headTimeout)
 	if !c.hasSentRequest {
@@ -24,68 +50,93 @@
 	}
 	c.setReading(true)
 	if !c.extendDeadline(until) {
-		within := lingerTimeout
+		timeout := lingerTimeout
 		if c.rejected {
-			within = rejectionReadTimeout
+			timeout = rejectionReadTimeout
 		}
-		c.extendEvicted(began.Add(within))
-	}
-	c.upload, c.pace = nil, nil
-	c.releaseMemory() // of a message that was turned away
-	req, err := http1.ReadRequest(c.reader)
-	if err == nil && req.WantsContinue() {
-		_, err = c.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		c.extendEvicted(began.Add(timeout))
 	}
-	if err == nil && !c.reserveMemory(req) {
-		return nil, c.rejection(503, true), outcome.Open
+	c.upload = nil
+	c.pace = nil
+	c.releaseMemory() // of a message that was rejected
+}
+
+// readHTTP reads a message with its body, or with the beginning of a long one.
+func (c *conn) readHTTP() (*http1.Request, error) {
+	message, err := http1.ReadRequest(c.reader)
+	if err != nil {
+		return nil, err
+	}
+	if message.WantsContinue() {
+		if _, err := c.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+			return nil, err
+		}
 	}
-	if err == nil {
-		err = c.readBody(req)
+	if !c.reserveMemory(message) {
+		return nil, errNoMemory
 	}
+	return message, c.readBody(message)
+}
+
+// rejectionStatus is the status that says to the client why its message could not be read; 0 = the client is gone, or err is nil.
+func (c *conn) rejectionStatus(err error) int {
 	switch {
+	case err == nil:
+		return 0
+	case errors.Is(err, errNoMemory):
+		return http.StatusServiceUnavailable
 	case errors.Is(err, http1.ErrTooLarge):
-		return nil, c.rejection(413, true), outcome.Open
+		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, http1.ErrMalformed):
-		return nil, c.rejection(400, true), outcome.Open
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isStopping(): // it was never sent to a server
-		return nil, c.rejection(503, true), outcome.Open
+		return http.StatusBadRequest
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isDraining(): // it was never sent to a server
+		return http.StatusServiceUnavailable
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, c.rejection(408, true), outcome.Open
-	case err != nil || !c.socket.MarkBusy() || c.finishReading() != nil:
-		return nil, nil, outcome.MalformedRequest
+		return http.StatusRequestTimeout
 	}
-	c.hasSentMessage = true
-	if req.Method == "GET" && req.Target == http1.PathUp {
-		status := 503
-		if c.server.dispatcher.Ready() {
-			status = 200
-		}
-		return nil, &http1.Response{Status: status, Close: req.Close}, outcome.Open
+	return 0
+}
+
+// healthResponse says whether this instance is ready.
+func (c *conn) healthResponse(message *http1.Request) *http1.Response {
+	status := http.StatusServiceUnavailable
+	if c.server.dispatcher.Ready() {
+		status = http.StatusOK
 	}
-	words := c.server.translator.Load()
+	return &http1.Response{Status: status, Close: message.Close}
+}
+
+// newRequest makes the message a request for the dispatcher, or returns nil and the status with which it is rejected.
+func (c *conn) newRequest(message *http1.Request) (*request.Request, int) {
+	translator := c.server.translator.Load()
 	now := time.Now()
 	since, _ := c.socket.SinceArrival()
-	inv, status := words.request(req, now.Add(-since))
-	if status != 0 {
-		return nil, c.rejection(status, req.Close || status == 400), outcome.Open
-	}
-	c.unansweredID.Store(&inv.ID)
-	c.hasSentRequest, c.class, inv.ClientGone = true, words.names[inv.Class], c.socket.Left
-	if c.upload = nil; req.Rest != nil {
-		c.upload = &upload{conn: c, body: req.Rest, pace: c.pace, clientGone: inv.MarkClientGone, done: make(chan struct{})}
-		inv.Remainder = c.upload
+	r, status := translator.request(message, now.Add(-since))
+	if r == nil {
+		return nil, status
+	}
+	c.unansweredID.Store(&r.ID)
+	c.hasSentRequest = true
+	c.class = translator.names[r.Class]
+	r.ClientGone = c.socket.Left
+	c.upload = nil
+	if message.Rest != nil {
+		c.upload = &upload{
+			conn: c, body: message.Rest, pace: c.pace, markClientGone: r.MarkClientGone, done: make(chan struct{}),
+		}
+		r.Remainder = c.upload
 	}
 	c.pace = nil
-	inv.Respond = func(a request.Response) { // never blocks: there is room for the one answer that is owed
-		r := encodeResponse(a)
-		r.Bodiless = a.Kind == request.Served && req.Method == "HEAD"
-		r.Close = req.Close || a.Remainder != nil && a.Remainder.Length() < 0 && req.Old
-		c.deliver(r, a.Remainder, req.Old)
+	r.Respond = func(a request.Response) { // never blocks: the channel has room for the one answer
+		response := encodeResponse(a)
+		response.Bodiless = a.Kind == request.Served && message.Method == http.MethodHead
+		response.Close = message.Close || a.Remainder != nil && a.Remainder.Length() < 0 && message.Old
+		c.deliver(response, a.Remainder, message.Old)
 	}
-	return inv, nil, outcome.Open
+	return r, 0
 }
 
-// Read reads from the socket, and gives a body that goes on its time.
+// Read reads from the socket, and extends the time of a body that makes progress.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.socket.Read(p)
 	if c.pace != nil && n > 0 {
@@ -96,23 +147,23 @@
 }
 
 // readBody reads the body, or the beginning of a long one.
-func (c *conn) readBody(req *http1.Request) error {
-	if req.Length() < 0 || req.Length() > int64(c.reader.Buffered()) {
+func (c *conn) readBody(message *http1.Request) error {
+	if message.Length() < 0 || message.Length() > int64(c.reader.Buffered()) {
 		now := time.Now()
 		c.pace = &streaming.Pace{Began: now}
 		c.extendDeadline(c.pace.Until(now))
 	}
-	return req.ReadFirst(c.reader)
+	return message.ReadFirst(c.reader)
 }
 
-// reserveMemory reserves the memory for the part of the body that is kept, unless that is here already, and reports whether there is
-// any left.
-func (c *conn) reserveMemory(req *http1.Request) bool {
-	n := req.Length()
+// reserveMemory reserves the memory for the part of the body that is kept, unless that is in the reader's buffer, and reports whether
+// the bounds leave it.
+func (c *conn) reserveMemory(message *http1.Request) bool {
+	n := message.Length()
 	if n < 0 || n > http1.MaxBody {
 		n = http1.MaxBody
 	}
-	if req.Length() >= 0 && int(n) <= c.reader.Buffered() {
+	if message.Length() >= 0 && int(n) <= c.reader.Buffered() {
 		return true
 	}
 	c.releaseMemory()
@@ -128,23 +179,22 @@
 	c.reservedBytes = 0
 }
 
-// extendDeadline gives the message that is being read until t, or less once the front is being closed. False means that the connection is to make
-// room.
+// extendDeadline gives the message that is being read until t, or less while draining. False means that the connection is evicted.
 func (c *conn) extendDeadline(t time.Time) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.socket.ExtendReadDeadline(c.server.boundByDrain(t))
 }
 
-// extendEvicted is extend for a connection whose place has been given away.
+// extendEvicted is extendDeadline for an evicted connection.
 func (c *conn) extendEvicted(t time.Time) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.socket.SetReadDeadline(c.server.boundByDrain(t))
 }
 
-// extendBodyDeadline gives a body until t. Once the front is being closed, one that belongs to no request yet gets less: see extend. One that flows to a
-// server goes on until its request is answered.
+// extendBodyDeadline gives a body until t. While draining a body that belongs to no request yet gets less, see extendDeadline; one that
+// is streamed to a server goes on until its request is answered.
 func (c *conn) extendBodyDeadline(t time.Time) {
 	if c.upload == nil {
 		c.extendDeadline(t)
@@ -153,7 +203,8 @@
 	}
 }
 
-// finishReading notes that the message is there, and takes its deadline back. Both at once: see Drain.
+// finishReading notes that the message is complete, and removes its deadline. Both under one lock, so that closeIdle sets no deadline
+// in between.
 func (c *conn) finishReading() error {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -161,7 +212,7 @@
 	return c.socket.SetReadDeadline(time.Time{})
 }
 
-// setReading notes whether a message has begun and is not there yet.
+// setReading notes whether a part of a message has come.
 func (c *conn) setReading(reading bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
--- a/internal/frontend/reject.go
+++ b/internal/frontend/reject.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// rejectsAtOnce reports whether connections that find no place are refused at once.
+// rejectsAtOnce reports whether connections that find no place are rejected at once.
 func (s *Server) rejectsAtOnce() bool { return time.Now().Before(s.rejectUntil) }
 
-// rejectConnection accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
-// something to do it with.
+// rejectConnection accepts a connection for which there is no place, to refuse the request that it sends. False means that none waits in
+// the backlog, or that there is no place for a rejection either.
 func (s *Server) rejectConnection(l net.Listener) bool {
 	waiting, err := sockopt.HasBacklog(l)
 	if err != nil || !waiting || !s.budget.ReserveForRejection() {
 		return false
 	}
-	nc, err := accept(l)
+	accepted, err := accept(l)
 	if err != nil {
 		s.budget.ReleaseForRejection()
 		return false
@@ -26,7 +26,9 @@
 	s.Connections.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &conn{server: s, socket: s.budget.AdoptForRejection(nc), acceptedAt: time.Now(), acceptedLast: true, rejected: true}
+	c := &conn{
+		server: s, socket: s.budget.AdoptForRejection(accepted), acceptedAt: time.Now(), acceptedLast: true, rejected: true,
+	}
 	c.idleSince = c.acceptedAt
 	s.conns[c] = false
 	c.shortenIdle(rejectionRequestTimeout)
@@ -34,15 +36,15 @@
 	return true
 }
 
-// rejection words an answer that turns a message away before it is taken.
-func (c *conn) rejection(status int, last bool) *http1.Response {
+// rejection is the answer to a message that is not submitted as a request.
+func (c *conn) rejection(status int, closeConn bool) *http1.Response {
 	c.server.NotTaken.Add(1)
-	return &http1.Response{Status: status, Close: last}
+	return &http1.Response{Status: status, Close: closeConn}
 }
 
-// lingerForClose waits a little for the consumer's close, and makes room before any other meanwhile. What it has sent beyond its
-// request would turn a plain close into a reset, and that could overtake the answer. A flood is not read to its end: it
-// gets a moment for the answer to arrive.
+// lingerForClose waits a little for the client's close; meanwhile the connection makes room before any other. Bytes that the client has
+// sent beyond its request would turn a plain close into a reset, which could overtake the answer. A flood is not read to its end: the
+// answer gets a moment to arrive.
 func (c *conn) lingerForClose() {
 	c.socket.MarkUnused(0)
 	if n, _ := io.CopyN(io.Discard, c.reader, maxLingerBytes); n == maxLingerBytes {
@@ -50,12 +52,12 @@
 	}
 }
 
-// lingerTime is for how long the connection waits for its client's close.
+// lingerTime is how long the connection waits for its client's close.
 func (c *conn) lingerTime() time.Duration {
 	switch {
 	case c.rejected:
 		return rejectionLinger
-	case c.server.isStopping():
+	case c.server.isDraining():
 		return drainLinger
 	}
 	return lingerTimeout
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,5 +1,5 @@
-// Package frontend is the HTTP front: it listens for the consumers and turns what they send into
-// invocations for the core, and the core's answers into HTTP.
+// Package frontend serves the clients' connections: it turns what they send over HTTP/1.1 into requests for the dispatcher, and
+// the dispatcher's answers into HTTP.
 package frontend
 
 import (
@@ -18,7 +18,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Server is the front.
+// Server accepts and serves the clients' connections.
 type Server struct {
 	dispatcher request.Dispatcher
 	budget     *connlimit.Budget
@@ -26,46 +26,46 @@
 	bounds     *streaming.Bounds
 	translator atomic.Pointer[translator]
 
-	// Rules counts the requests whose connection was ended without their answer; nil = nobody does. Set it before Serve.
+	// Rules counts the requests whose connection was ended without their answer; nil = nothing does. Set it before Serve.
 	Rules *invariant.Recorder
-	// Trace logs a line for each connection as it ends; nil = none does. Set it before Serve.
+	// Trace logs a line for each connection as it ends; nil = nothing does. Set it before Serve.
 	Trace func(format string, args ...any)
 
 	Connections, Adopted, NotTaken atomic.Int64
 
 	mu             sync.Mutex
 	conns          map[*conn]bool               // true = a message is under way
-	keepIdle       bool                         // idle connections are kept: who loses one finds nobody to open another to
-	handOver       func(net.Conn, []byte) error // hands an idle connection to a successor; nil = there is none
+	keepIdle       bool                         // idle connections stay open: a client that lost one could not open another
+	handOver       func(net.Conn, []byte) error // passes an idle connection to a successor; nil = there is no successor
 	allHandedOver  chan struct{}                // closed when the last connection has ended, once there is a successor
-	resumed        chan struct{}                // closed when there is none any more
-	acceptPaused   bool                         // none comes in meanwhile
-	drainStarted   chan struct{}                // by Drain
-	stopped        chan struct{}                // by closeAll
+	resumed        chan struct{}                // closed when there is no successor any more
+	acceptPaused   bool                         // no connection is accepted during the handover
+	drainStarted   chan struct{}                // closed by Drain
+	stopped        chan struct{}                // closed by closeAll
 	running        errgroup.Group               // the connections' goroutines
 	serving        bool                         // Serve has been called
 	draining       bool
-	drainStartedAt time.Time // since then the listener is about to be closed, once nothing lies in its backlog
-	partialUntil   time.Time // then half a request is read no further
+	drainStartedAt time.Time
+	partialUntil   time.Time // while draining, requests of which a part has come are read until then
 	outcomes       outcome.Counts
 
-	rejectUntil time.Time // those that find no place are refused at once; of the goroutine that accepts
+	rejectUntil time.Time // until then connections that find no place are rejected at once; only the accepting goroutine uses it
 }
 
-// New returns a front for core that counts in book what becomes of the requests it takes.
+// New returns a Server that submits requests to the dispatcher, and counts in registry how they end.
 func New(cfg *config.Config, dispatcher request.Dispatcher, budget *connlimit.Budget, registry *metrics.Registry, bounds *streaming.Bounds) *Server {
 	s := &Server{
-		dispatcher: dispatcher, budget: budget, metrics: registry, bounds: bounds, conns: map[*conn]bool{}, drainStarted: make(chan struct{}),
-		stopped: make(chan struct{}),
+		dispatcher: dispatcher, budget: budget, metrics: registry, bounds: bounds, conns: map[*conn]bool{},
+		drainStarted: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	s.Reconfigure(&cfg.Settings)
 	return s
 }
 
-// Reconfigure goes by other classes and tenants from the next request on.
-func (s *Server) Reconfigure(set *config.Settings) {
-	s.metrics.Classes(set.ClassNames()...)
-	s.translator.Store(newTranslator(set))
+// Reconfigure replaces the classes and tenants from the next request on.
+func (s *Server) Reconfigure(settings *config.Settings) {
+	s.metrics.Classes(settings.ClassNames()...)
+	s.translator.Store(newTranslator(settings))
 }
 
 // Endings returns how the connections have ended so far.
@@ -82,28 +82,30 @@
 	return len(s.conns)
 }
 
-// Taking reports whether connections are still accepted here.
+// Taking reports whether this process still accepts connections.
 func (s *Server) Taking() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serving && !s.draining && s.handOver == nil
 }
 
-func (s *Server) removeConn(c *conn, e outcome.Kind) {
+// removeConn forgets a connection that has ended, and counts how.
+func (s *Server) removeConn(c *conn, how outcome.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	s.notifyIfAllHandedOver()
-	if s.draining && e == outcome.IdleRetired {
-		e = outcome.ShuttingDown
+	if s.draining && how == outcome.IdleRetired {
+		how = outcome.ShuttingDown
 	}
-	s.outcomes[e]++
+	s.outcomes[how]++
 	if s.Trace != nil {
-		s.Trace("trace=consumer remote=%s ending=%s lived_ms=%d", c.socket.RemoteAddr(), e, time.Since(c.acceptedAt).Milliseconds())
+		s.Trace("trace=client remote=%s ending=%s lived_ms=%d", c.socket.RemoteAddr(), how, time.Since(c.acceptedAt).Milliseconds())
 	}
 }
 
-func (s *Server) isStopping() bool {
+// isDraining reports whether Drain has been called.
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"net/http"
 	"net/url"
 	"plankrouter/internal/config"
 	"plankrouter/internal/http1"
@@ -11,94 +12,131 @@
 	"time"
 )
 
-// translator translates between the platform's HTTP and invocations.
+const (
+	noTenant           = -1   // the Tenant of a request that names none that is known
+	maxDeadlineSeconds = 3600 // that a client may ask for; it keeps a larger number from overflowing
+)
+
+// translator translates between the platform's HTTP and requests of the dispatcher.
 type translator struct {
-	classes     map[string]int
+	classes     map[string]int  // by the first part of the path
 	names       []string        // by class
-	maxTimeouts []time.Duration // the longest that a consumer waits, by class
-	methods     []string        // the one that a class goes with
+	maxTimeouts []time.Duration // how long a client waits at most, by class
+	methods     []string        // the one that a class goes with, by class
 	tenants     map[string]int
 }
 
-func newTranslator(s *config.Settings) *translator {
-	d := &translator{classes: map[string]int{}, tenants: map[string]int{}}
-	for i, c := range s.Classes {
+func newTranslator(settings *config.Settings) *translator {
+	t := &translator{classes: map[string]int{}, tenants: map[string]int{}}
+	for i, c := range settings.Classes {
 		if !c.Dropped {
-			d.classes[c.Name] = i
+			t.classes[c.Name] = i
+		}
+		t.names = append(t.names, c.Name)
+		t.maxTimeouts = append(t.maxTimeouts, config.Duration(c.HardLimitMs))
+		method := http.MethodPost
+		if c.Repeat == config.Pure {
+			method = http.MethodGet
 		}
-		d.names = append(d.names, c.Name)
-		d.maxTimeouts = append(d.maxTimeouts, config.Duration(c.HardLimitMs))
-		d.methods = append(d.methods, map[bool]string{true: "GET", false: "POST"}[c.Repeat == config.Pure])
+		t.methods = append(t.methods, method)
 	}
-	for i, r := range s.Realms {
-		if !r.Dropped {
-			d.tenants[r.Name] = i
+	for i, realm := range settings.Realms {
+		if !realm.Dropped {
+			t.tenants[realm.Name] = i
 		}
 	}
-	return d
+	return t
 }
 
-// request words the request for the core, or returns the status that turns it away.
-func (d *translator) request(r *http1.Request, sentAt time.Time) (*request.Request, int) {
-	target := r.Target
-	if u, err := url.Parse(target); err == nil && u.Scheme == "http" && u.Host != "" { // the absolute form
-		target = u.RequestURI()
+// request makes a message a request for the dispatcher, or returns nil and the status with which it is rejected.
+func (t *translator) request(message *http1.Request, sentAt time.Time) (*request.Request, int) {
+	target := originForm(message.Target)
+	class, status := t.class(message, target)
+	if status != 0 {
+		return nil, status
 	}
-	path, _, _ := strings.Cut(target, "?")
-	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	class, known := d.classes[first]
-	switch {
-	case !known || path == "" || path[0] != '/':
-		return nil, 404
-	case r.Method != d.methods[class] && (r.Method != "HEAD" || d.methods[class] != "GET"):
-		return nil, 405
-	case r.Method != "POST" && (len(r.Body) > 0 || r.Rest != nil):
-		return nil, 400
-	}
-	id, _, err := r.Header.Only(http1.HeaderID)
+	id, _, err := message.Header.Only(http1.HeaderID)
 	if id == "" || err != nil {
-		return nil, 400
+		return nil, http.StatusBadRequest
 	}
-	patience := d.maxTimeouts[class]
-	if v, given, err := r.Header.Only(http1.HeaderDeadline); given {
-		s, bad := strconv.ParseFloat(v, 64)
-		if err != nil || bad != nil || !(s > 0) || math.IsInf(s, 0) {
-			return nil, 400
-		}
-		patience = min(patience, time.Duration(min(s, 3600)*float64(time.Second)))
+	timeout, ok := t.timeout(class, message.Header)
+	if !ok {
+		return nil, http.StatusBadRequest
 	}
-	tenant, known := d.tenants[r.Header.Get(http1.HeaderOwner)]
+	tenant, known := t.tenants[message.Header.Get(http1.HeaderOwner)]
 	if !known {
-		tenant = -1
+		tenant = noTenant
 	}
 	return &request.Request{
 		ID: id, Class: class, Tenant: tenant,
-		ClientRetry: r.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Timeout: patience,
-		Method: r.Method, Target: target, Fields: r.Header.EndToEnd(http1.Reworded), Body: r.Body,
+		ClientRetry: message.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Timeout: timeout,
+		Method: message.Method, Target: target, Fields: message.Header.EndToEnd(http1.Reworded), Body: message.Body,
 	}, 0
 }
 
-// encodeResponse words the core's answer.
-func encodeResponse(a request.Response) *http1.Response {
-	switch a.Kind {
+// originForm turns the absolute form of a request target, as sent to proxies, into a path with its query.
+func originForm(target string) string {
+	if u, err := url.Parse(target); err == nil && u.Scheme == "http" && u.Host != "" {
+		return u.RequestURI()
+	}
+	return target
+}
+
+// class finds the class by the first part of the path, and checks the method; status 0 = they fit.
+func (t *translator) class(message *http1.Request, target string) (class, status int) {
+	path, _, _ := strings.Cut(target, "?")
+	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	class, known := t.classes[name]
+	if !known || !strings.HasPrefix(path, "/") {
+		return 0, http.StatusNotFound
+	}
+	method := message.Method
+	if method == http.MethodHead {
+		method = http.MethodGet
+	}
+	if method != t.methods[class] {
+		return 0, http.StatusMethodNotAllowed
+	}
+	if method != http.MethodPost && (len(message.Body) > 0 || message.Rest != nil) {
+		return 0, http.StatusBadRequest
+	}
+	return class, 0
+}
+
+// timeout is how long the client waits: what its header says, up to the class's limit. False means that the header is malformed.
+func (t *translator) timeout(class int, header http1.Header) (time.Duration, bool) {
+	limit := t.maxTimeouts[class]
+	value, given, err := header.Only(http1.HeaderDeadline)
+	if !given {
+		return limit, true
+	}
+	seconds, parseErr := strconv.ParseFloat(value, 64)
+	if err != nil || parseErr != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
+		return 0, false
+	}
+	return min(limit, time.Duration(min(seconds, maxDeadlineSeconds)*float64(time.Second))), true
+}
+
+// encodeResponse makes the dispatcher's answer one of HTTP.
+func encodeResponse(r request.Response) *http1.Response {
+	switch r.Kind {
 	case request.Served:
-		r := &http1.Response{Status: 200, Header: a.Fields, Body: a.Body}
-		if a.Remainder != nil {
-			r.Rest = a.Remainder
+		response := &http1.Response{Status: http.StatusOK, Header: r.Fields, Body: r.Body}
+		if r.Remainder != nil { // a nil BodyStream in Rest would not be a nil Stream
+			response.Rest = r.Remainder
 		}
-		return r
+		return response
 	case request.Rejected:
-		r := &http1.Response{Status: 503}
-		if a.RetryAfter > 0 {
-			r.Header = http1.Header{{
+		response := &http1.Response{Status: http.StatusServiceUnavailable}
+		if r.RetryAfter > 0 {
+			response.Header = http1.Header{{
 				Name:  http1.HeaderRetryAfter,
-				Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64),
+				Value: strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64),
 			}}
 		}
-		return r
-	}
-	if a.Kind == request.Duplicate {
-		return &http1.Response{Status: 409}
+		return response
+	case request.Duplicate:
+		return &http1.Response{Status: http.StatusConflict}
 	}
-	return &http1.Response{Status: 502}
+	return &http1.Response{Status: http.StatusBadGateway}
 }
--- a/internal/frontend/upload.go
+++ b/internal/frontend/upload.go
@@ -13,32 +13,36 @@
 	"time"
 )
 
-var errAnsweredEarly = errors.New("answered before the body was there")
+// errAnsweredEarly says that the body is not needed any more.
+var errAnsweredEarly = errors.New("answered before the body was complete")
 
-// upload is the rest of a long request. The attempt that is out reads it straight from the consumer's connection, whose reader
-// waits meanwhile.
+// upload is the rest of a long request, a request.Upload. The attempt under way reads it straight from the client's connection, whose
+// reader goroutine waits meanwhile.
 type upload struct {
-	conn       *conn
-	body       *http1.Body
-	pace       *streaming.Pace
-	clientGone func() // told as soon as it is known that the body will never be whole
+	conn           *conn
+	body           *http1.Body
+	pace           *streaming.Pace
+	markClientGone func() // called as soon as it is known that the body will never be complete
 
 	consumed atomic.Bool
-	taken    atomic.Bool
-	mu       sync.Mutex // held by who reads
-	err      error      // why nothing more comes; io.EOF = that was all
+	taken    atomic.Bool // takeBody has been called
+	mu       sync.Mutex  // held during a Read
+	err      error       // why nothing more comes; io.EOF = the body is complete
 	done     chan struct{}
 
-	state         sync.Mutex
-	complete      bool // the body was read to its end
-	answered      bool // the answer was written
-	completedLate bool // before the body was read to its end
+	state         sync.Mutex // guards what follows
+	complete      bool       // the body was read to its end
+	answered      bool       // the answer was written
+	completedLate bool       // the answer was written first
 }
 
-func (u *upload) Length() int64  { return u.body.Length() }
+// Length is what is left of the body in bytes; -1 = not known.
+func (u *upload) Length() int64 { return u.body.Length() }
+
+// Consumed reports whether any of the body has been read.
 func (u *upload) Consumed() bool { return u.consumed.Load() }
 
-// Read makes it an request.Source.
+// Read reads what has come of the body.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -67,17 +71,20 @@
 
 // finish notes why nothing more comes. It is called with mu held.
 func (u *upload) finish(err error) {
-	if u.err == nil {
-		if u.err = err; err != io.EOF && err != errAnsweredEarly {
-			u.clientGone()
-		}
-		u.state.Lock()
-		u.complete = err == io.EOF
-		u.completedLate = u.answered
-		u.state.Unlock()
-		u.conn.socket.SetReadDeadline(time.Time{})
-		close(u.done)
+	if u.err != nil {
+		return
+	}
+	u.err = err
+	complete := errors.Is(err, io.EOF)
+	if !complete && !errors.Is(err, errAnsweredEarly) {
+		u.markClientGone()
 	}
+	u.state.Lock()
+	u.complete = complete
+	u.completedLate = u.answered
+	u.state.Unlock()
+	u.conn.socket.SetReadDeadline(time.Time{})
+	close(u.done)
 }
 
 // markAnswered notes that the answer is written, and reports whether the body had been read to its end.
@@ -88,7 +95,7 @@
 	return u.complete
 }
 
-// takeBody takes the body from whoever reads it.
+// takeBody ends the reading by attempts.
 func (u *upload) takeBody() {
 	u.taken.Store(true)
 	u.conn.socket.SetReadDeadline(time.Unix(1, 0))
@@ -98,52 +105,64 @@
 	u.finish(errAnsweredEarly)
 }
 
-// awaitUpload waits until the rest of the body has been read. Another ending than Open says that the connection is at its end. If the
+// awaitUpload waits until the rest of the body has been read. Another outcome than Open says that the connection has ended. If the
 // answer came first, what is left of the body is read and dropped, and c.upload is nil then.
-func (c *conn) awaitUpload(inv *request.Request) outcome.Kind {
-	u, look := c.upload, time.Tick(clientCheckInterval) // where no attempt reads, nobody sees the consumer's end
-	for waiting := true; waiting; {
+func (c *conn) awaitUpload(r *request.Request) outcome.Kind {
+	u := c.upload
+	check := time.Tick(clientCheckInterval) // while no attempt reads, nothing else notices the client's end
+	for {
 		select {
-		case <-look:
+		case <-check:
 			if c.socket.Left() {
-				c.server.dispatcher.ClientGone(inv)
+				c.server.dispatcher.ClientGone(r)
 				u.takeBody()
 				return outcome.ClientGone
 			}
-			continue
 		case <-u.done:
-			switch {
-			case u.err == io.EOF && !u.completedLate:
-				return outcome.Open
-			case u.err == io.EOF:
-				if e := <-c.written; e != outcome.Open {
-					return e
-				}
-				c.upload = nil
-				c.markIdle()
-				return outcome.Open
-			}
-			c.server.dispatcher.ClientGone(inv)
-			if errors.Is(u.err, os.ErrDeadlineExceeded) || errors.Is(u.err, http1.ErrMalformed) {
-				return outcome.MalformedRequest
-			}
-			return outcome.ClientGone
-		case e := <-c.written:
-			u.takeBody() // before anything else: who still reads must not do so beyond the connection's end
-			if e != outcome.Open {
-				return e
+			return c.endUpload(r)
+		case how := <-c.written:
+			u.takeBody() // first of all, since an attempt must not read beyond the connection's end
+			if how != outcome.Open {
+				return how
 			}
+			return c.dropUpload()
 		case <-c.server.stopped:
 			u.takeBody()
 			return outcome.ShuttingDown
 		}
-		waiting = false
 	}
-	if u.err == errAnsweredEarly {
+}
+
+// endUpload deals with a body that was read to its end, or that has broken off.
+func (c *conn) endUpload(r *request.Request) outcome.Kind {
+	u := c.upload
+	switch {
+	case errors.Is(u.err, io.EOF) && !u.completedLate:
+		return outcome.Open
+	case errors.Is(u.err, io.EOF):
+		if how := <-c.written; how != outcome.Open {
+			return how
+		}
+		c.upload = nil
+		c.markIdle()
+		return outcome.Open
+	}
+	c.server.dispatcher.ClientGone(r)
+	if errors.Is(u.err, os.ErrDeadlineExceeded) || errors.Is(u.err, http1.ErrMalformed) {
+		return outcome.MalformedRequest
+	}
+	return outcome.ClientGone
+}
+
+// dropUpload reads and drops what is left of a body whose request has been answered.
+func (c *conn) dropUpload() outcome.Kind {
+	u := c.upload
+	if errors.Is(u.err, errAnsweredEarly) {
 		c.pace = u.pace
 		c.socket.ExtendReadDeadline(u.pace.Until(time.Now()))
 		_, err := io.Copy(io.Discard, u.body)
-		if c.pace = nil; err != nil || !c.socket.MarkBusy() || c.socket.SetReadDeadline(time.Time{}) != nil {
+		c.pace = nil
+		if err != nil || !c.socket.MarkBusy() || c.socket.SetReadDeadline(time.Time{}) != nil {
 			return outcome.MalformedRequest
 		}
 	}
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -1,7 +1,9 @@
 package frontend
 
 import (
+	"errors"
 	"io"
+	"net/http"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
@@ -12,32 +14,36 @@
 // pendingResponse is what the writer is to write.
 type pendingResponse struct {
 	*http1.Response
-	download  request.BodyStream // its rest; nil = there is none
-	oldClient bool               // the consumer can't read chunks
+	download  request.BodyStream // the rest of its body; nil = there is none
+	oldClient bool               // HTTP/1.0: the client can't read chunks
 }
 
-// metricOutcomes are what the statuses of the core's answers count as. One of a request that was never taken is no outcome.
-var metricOutcomes = map[int]metrics.Outcome{200: metrics.Success, 503: metrics.Overload, 502: metrics.Error, 409: metrics.Left}
+// metricOutcomes are what the statuses of the dispatcher's answers count as. Rejections of messages that were not submitted are not counted.
+var metricOutcomes = map[int]metrics.Outcome{
+	http.StatusOK: metrics.Success, http.StatusServiceUnavailable: metrics.Overload,
+	http.StatusBadGateway: metrics.Error, http.StatusConflict: metrics.Left,
+}
 
-// startWriter starts the writer.
+// startWriter starts the writer, once.
 func (c *conn) startWriter() {
 	if c.responses != nil {
 		return
 	}
-	c.responses, c.written = make(chan pendingResponse, 1), make(chan outcome.Kind, 1)
+	c.responses = make(chan pendingResponse, 1)
+	c.written = make(chan outcome.Kind, 1)
 	c.writer.Go(func() error {
 		for {
 			select {
-			case a := <-c.responses:
-				e := c.writeResponse(a)
-				switch e {
+			case p := <-c.responses:
+				how := c.writeResponse(p)
+				switch how {
 				case outcome.WriteFailed:
 				case outcome.ResponseAborted:
 					c.metric.End(metrics.Error)
 				default:
-					c.metric.End(metricOutcomes[a.Status])
+					c.metric.End(metricOutcomes[p.Status])
 				}
-				c.written <- e
+				c.written <- how
 			case <-c.done:
 				return nil
 			}
@@ -45,7 +51,7 @@
 	})
 }
 
-// deliver hands the core's answer to the writer, unless the consumer is gone.
+// deliver gives the dispatcher's answer to the writer. If the client is gone, nothing reads the rest of it.
 func (c *conn) deliver(r *http1.Response, rest request.BodyStream, old bool) {
 	c.mu.Lock()
 	gone := c.writerGone
@@ -57,49 +63,50 @@
 	c.responses <- pendingResponse{r, rest, old}
 }
 
-// closeDownload ends an answer that is being passed on: its consumer is gone.
+// closeDownload ends an answer that is being streamed: its client is gone.
 func (c *conn) closeDownload() {
 	c.mu.Lock()
 	c.writerGone = true
-	long := c.download
+	download := c.download
 	c.mu.Unlock()
-	if long != nil {
-		long.Close(false)
+	if download != nil {
+		download.Close(false)
 	}
 }
 
+// writeDirectly writes an answer that the reader itself gives.
 func (c *conn) writeDirectly(r *http1.Response) outcome.Kind {
 	return c.writeResponse(pendingResponse{Response: r})
 }
 
-// writeResponse writes an answer, with the rest of a long one as it comes.
+// writeResponse writes an answer, and streams the rest of a long one.
 func (c *conn) writeResponse(a pendingResponse) outcome.Kind {
 	r := a.Response
-	r.Close = r.Close || c.server.isStopping() || c.socket.IsEvicted()
-	e := c.writePiece(http1.AppendResponse(nil, r, a.oldClient))
-	c.unansweredID.Store(nil) // what could not be written went to nobody
+	r.Close = r.Close || c.server.isDraining() || c.socket.IsEvicted()
+	how := c.writePiece(http1.AppendResponse(nil, r, a.oldClient))
+	c.unansweredID.Store(nil) // even if the write failed: nobody is left to answer
 	if a.download != nil {
-		if e == outcome.Open {
-			e = c.streamDownload(a)
+		if how == outcome.Open {
+			how = c.streamDownload(a)
 		}
-		a.download.Close(e == outcome.Open)
+		a.download.Close(how == outcome.Open)
 	}
-	if e != outcome.Open {
-		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && e == outcome.ResponseAborted && a.oldClient {
-			abrupt.SetLinger(0) // an end in order would look like the body's
+	if how != outcome.Open {
+		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && how == outcome.ResponseAborted && a.oldClient {
+			_ = abrupt.SetLinger(0) // a reset: to an old client an orderly close would end the body
 		}
-		c.socket.Close()
-		return e
+		_ = c.socket.Close()
+		return how
 	}
 	if r.Close {
-		c.socket.CloseWrite()
+		_ = c.socket.CloseWrite()
 		c.shortenIdle(c.lingerTime())
-		if r.Status == 400 || r.Status == 408 || r.Status == 413 {
+		if r.Status == http.StatusBadRequest || r.Status == http.StatusRequestTimeout || r.Status == http.StatusRequestEntityTooLarge {
 			return outcome.MalformedRequest
 		}
 		return outcome.ClosedAfterResponse
 	}
-	if c.upload == nil || c.upload.markAnswered() { // else its body is still to be read
+	if c.upload == nil || c.upload.markAnswered() { // otherwise its body is still to be read
 		c.markIdle()
 	}
 	return outcome.Open
@@ -114,8 +121,8 @@
 	return outcome.Open
 }
 
-// streamDownload writes what follows the beginning of a long answer, as it comes. One that breaks off is not ended as its framing says, so
-// that the consumer can tell.
+// streamDownload writes what follows the beginning of a long answer, as it comes. If that breaks off, the end that the framing asks for
+// is not written, so that the client can tell.
 func (c *conn) streamDownload(a pendingResponse) outcome.Kind {
 	buf, free := c.server.bounds.Buffer()
 	defer free()
@@ -127,14 +134,14 @@
 			if chunked {
 				piece = http1.AppendChunk(nil, piece)
 			}
-			if e := c.writePiece(piece); e != outcome.Open {
-				return e
+			if how := c.writePiece(piece); how != outcome.Open {
+				return how
 			}
 		}
 		switch {
-		case err == io.EOF && chunked:
+		case errors.Is(err, io.EOF) && chunked:
 			return c.writePiece([]byte(http1.LastChunk))
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return outcome.Open
 		case err != nil:
 			return outcome.ResponseAborted
