--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -1,7 +1,5 @@
 package frontend
 
-// Accepting connections, up to the last that lie in the listener's backlog as the front is closed.
-
 import (
 	"context"
 	"errors"
@@ -10,198 +8,154 @@
 	"os"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/sockopt"
 	"time"
 )
 
 // Serve accepts connections until Drain or the end of ctx, and returns when the last one has ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	defer context.AfterFunc(ctx, func() { s.hangUp(l) })()
-	defer s.running.Wait()
+	defer context.AfterFunc(ctx, func() { s.closeAll(l) })()
+	defer func() { _ = s.running.Wait() }() // the connections' goroutines return no errors
 	defer l.Close()
 	s.mu.Lock()
 	s.serving = true
 	s.mu.Unlock()
-	failures := 0      // of accept, in a row
-	room := time.Now() // when there was a place last
-	for !s.isLast() {
-		if !s.budget.Reserve(connlimit.Inward) { // the kernel's backlog holds the client until there is room, or it has waited for long
-			if (time.Since(room) > crowdedAfter || s.isCrowded()) && s.turnAway(l) {
-				continue
-			}
-			select {
-			case <-s.budget.Freed():
-			case <-time.After(acceptPause): // some connection may have been idle for long enough now
-			case <-ctx.Done():
-				return nil
-			}
-			continue
-		}
-		nc, err := accept(l)
-		room = time.Now()
-		if err == nil {
-			if failures > 0 {
-				log.Printf("listen=%s state=accepts_again failures=%d", l.Addr(), failures)
-				failures = 0
-			}
-			s.admitNew(nc)
-			continue
-		}
-		s.budget.Release(connlimit.Inward)
-		if resumed := s.pause(); resumed != nil {
-			select {
-			case <-resumed:
-				continue
-			case <-s.closed:
-			case <-ctx.Done():
-			}
-			return nil
+	a := acceptor{server: s, listener: l, lastPlaceAt: time.Now()}
+	for !s.isDraining() {
+		var goOn bool
+		if s.budget.Reserve(connlimit.Inward) {
+			goOn = a.accept(ctx)
+		} else {
+			goOn = a.waitForPlace(ctx)
 		}
-		switch {
-		case errors.Is(err, net.ErrClosed):
+		if !goOn {
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && s.isClosing():
-			continue
-		}
-		if failures++; failures == 1 {
-			log.Printf("listen=%s state=accept_failed err=%q", l.Addr(), err)
-		}
-		select {
-		case <-time.After(acceptPause):
-		case <-ctx.Done():
 		}
 	}
 	s.acceptLast(ctx, l)
 	return nil
 }
 
-// acceptLast takes in what lies in the listener's backlog and closes it, then the connections that are idle: a client whose connection
-// is closed may knock at once, and would be lost between the last look at the backlog and the close. Where accepts fail or places are
-// short, idle connections make room first.
-func (s *Server) acceptLast(ctx context.Context, l net.Listener) {
-	defer s.closeIdle()
-	defer l.Close()
-	for !s.pastLast(acceptAgain) && ctx.Err() == nil {
-		if s.acceptRest(l) {
-			return
-		}
-		s.closeIdle()
-		select {
-		case <-s.budget.Freed():
-		case <-time.After(lastLook):
-		case <-ctx.Done():
-		}
-	}
+// acceptor is the state of the goroutine that accepts connections.
+type acceptor struct {
+	server      *Server
+	listener    net.Listener
+	failures    int       // of accept, in a row
+	lastPlaceAt time.Time // when there was a place last
 }
 
-// acceptRest accepts until nothing is left, and reports whether that was so; false = it is to be tried again.
-func (s *Server) acceptRest(l net.Listener) (empty bool) {
-	for !s.pastLast(acceptAgain) {
-		closed, err := sockopt.CloseIfBacklogEmpty(l)
-		if closed {
-			return true
-		}
-		if !s.budget.Reserve(connlimit.Inward) {
-			if (s.pastLast(crowdedAfter) || s.isCrowded()) && s.turnAway(l) {
-				continue
-			}
-			return false
-		}
-		if d, ok := l.(deadliner); ok {
-			d.SetDeadline(time.Now().Add(lastLook))
-		}
-		nc, failed := accept(l)
-		if failed != nil {
-			s.budget.Release(connlimit.Inward)
-			return errors.Is(failed, net.ErrClosed) || errors.Is(err, errors.ErrUnsupported) && errors.Is(failed, os.ErrDeadlineExceeded)
-		}
-		s.admitNew(nc)
+// waitForPlace waits until there may be a place again; false = accepting is over. The kernel's backlog holds the clients meanwhile,
+// and those that wait there for long are rejected.
+func (a *acceptor) waitForPlace(ctx context.Context) (goOn bool) {
+	s := a.server
+	if (time.Since(a.lastPlaceAt) > maxBacklogWait || s.rejectsAtOnce()) && s.rejectConnection(a.listener) {
+		return true
 	}
-	return false
+	select {
+	case <-s.budget.Freed():
+	case <-time.After(acceptRetryInterval): // some connection may have been idle for long enough now
+	case <-ctx.Done():
+		return false
+	}
+	return true
 }
 
-// isCrowded reports whether connections that find no place are refused at once.
-func (s *Server) isCrowded() bool { return time.Now().Before(s.crowdedUntil) }
-
-// turnAway accepts a connection for which there is no place, to refuse the request that it has brought, and reports whether there was one and
-// something to do it with.
-func (s *Server) turnAway(l net.Listener) bool {
-	waiting, err := sockopt.HasBacklog(l)
-	if err != nil || !waiting || !s.budget.ReserveForRejection() {
+// accept accepts one connection in the place that has been reserved; false = accepting is over.
+func (a *acceptor) accept(ctx context.Context) (goOn bool) {
+	s := a.server
+	c, err := accept(a.listener)
+	a.lastPlaceAt = time.Now()
+	if err == nil {
+		if a.failures > 0 {
+			log.Printf("listen=%s state=accepts_again failures=%d", a.listener.Addr(), a.failures)
+			a.failures = 0
+		}
+		s.admitNew(c)
+		return true
+	}
+	s.budget.Release(connlimit.Inward)
+	if resumed := s.pauseAccepting(); resumed != nil {
+		select {
+		case <-resumed:
+			return true
+		case <-s.drainStarted:
+		case <-ctx.Done():
+		}
 		return false
 	}
-	nc, err := accept(l)
-	if err != nil {
-		s.budget.ReleaseForRejection()
+	switch {
+	case errors.Is(err, net.ErrClosed):
 		return false
+	case errors.Is(err, os.ErrDeadlineExceeded) && s.isDraining():
+		return true
+	}
+	a.failures++
+	if a.failures == 1 {
+		log.Printf("listen=%s state=accept_failed err=%q", a.listener.Addr(), err)
+	}
+	select {
+	case <-time.After(acceptRetryInterval):
+	case <-ctx.Done():
 	}
-	s.Connections.Add(1)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := &conn{server: s, socket: s.budget.AdoptForRejection(nc), began: time.Now(), last: true, crowded: true}
-	c.idleAt = c.began
-	s.conns[c] = false
-	c.wind(crowdedFor)
-	s.running.Go(func() error { c.run(); return nil })
 	return true
 }
 
-// admitNew serves a connection that has just been accepted. Where it has waited for long in the backlog, others do, too: for a while those
-// that find no place are refused at once.
+// admitNew serves a connection that has just been accepted. If it has waited for long in the backlog, so do others: for a while those
+// that find no place are rejected at once.
 func (s *Server) admitNew(nc net.Conn) {
 	s.Connections.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.admit(nc, "")
-	if waited, known := c.socket.SinceArrival(); known && waited > crowdedAfter {
-		s.crowdedUntil = time.Now().Add(crowdedStays)
+	if waited, known := c.socket.SinceArrival(); known && waited > maxBacklogWait {
+		s.rejectUntil = time.Now().Add(rejectionPeriod)
 	}
 }
 
-// accept is l.Accept, which a soak may fail.
-func accept(l net.Listener) (net.Conn, error) {
-	if err := faultinjection.Inject(faultinjection.Accept); err != nil {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
-	}
-	return l.Accept()
-}
-
-// admit serves a connection, with the note of the process that had it before. It is called with mu held.
+// admit serves a connection, with the note of the predecessor that had it before. It is called with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
 	c := &conn{
-		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), began: time.Now(), brought: note != "",
-		known: note == noteKnown,
+		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), acceptedAt: time.Now(), hasSentMessage: note != "",
+		hasSentRequest: note == noteHasSentRequest,
 	}
-	if c.known {
-		c.socket.MarkIdle(spareAfter)
+	if c.hasSentRequest {
+		c.socket.MarkIdle(minIdleAge)
 	} else {
-		c.socket.MarkUnused(strangerAfter)
+		c.socket.MarkUnused(minUnusedAge)
 	}
 	s.conns[c] = false
-	switch c.idleAt = c.began; {
-	case s.closing && note != "": // between two messages, as those that Drain closes
-		c.wind(0)
-	case s.closing: // accepted at the last moment: it may still bring one request
-		c.last = true
-		c.wind(time.Until(s.closeAt) + closingFor)
-	case s.pass != nil:
-		c.wind(0)
+	c.idleSince = c.acceptedAt
+	switch {
+	case s.draining && note != "": // it is between two messages, like those that Drain closes
+		c.shortenIdle(0)
+	case s.draining: // accepted at the last moment: it may still send one request
+		c.acceptedLast = true
+		c.shortenIdle(time.Until(s.drainStartedAt) + drainLinger)
+	case s.handOver != nil:
+		c.shortenIdle(0)
 	default:
-		c.socket.ExtendReadDeadline(c.began.Add(lookEvery))
+		c.socket.ExtendReadDeadline(c.acceptedAt.Add(idleCheckInterval))
 	}
 	s.running.Go(func() error { c.run(); return nil })
 	return c
 }
 
-// deadliner is a listener that can be told until when it accepts.
-type deadliner interface{ SetDeadline(time.Time) error }
-
-// isLast reports whether what lies in the backlog by now is the last that is accepted.
-func (s *Server) isLast() bool { return s.pastLast(0) }
+// accept is l.Accept, in which a soak may inject failures.
+func accept(l net.Listener) (net.Conn, error) {
+	if err := faultinjection.Inject(faultinjection.Accept); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.Accept()
+}
 
-// pastLast reports whether that has been so for a while.
-func (s *Server) pastLast(while time.Duration) bool {
+// pauseAccepting notes during a handover that no connection is accepted any more, and returns the channel that Resume closes; nil = there
+// is no handover.
+func (s *Server) pauseAccepting() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing && !time.Now().Before(s.closeAt.Add(while))
+	if s.handOver == nil {
+		return nil
+	}
+	s.acceptPaused = true
+	s.notifyIfAllHandedOver()
+	return s.resumed
 }
