--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -12,7 +12,7 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	sized(b, func(g *rig, _ int) { g.do(Event{Kind: TimerFired, Timer: tickTimer}) })
+	sized(b, func(g *rig, _ int) { g.tick() })
 }
 
 func sized(b *testing.B, once func(g *rig, n int)) {
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -64,7 +64,7 @@
 			}
 			g.do(Event{Kind: TimerFired, Timer: probeWaitTimer + uint64(id)})
 			g.do(Event{Kind: TimerFired, Timer: uint64(id)})
-			g.do(Event{Kind: TimerFired, Timer: tickTimer})
+			g.tick()
 		}
 		g.now += 5000
 		var list []ServerInfo
@@ -72,7 +72,7 @@
 			list = append(list, ServerInfo{ID: ServerID(1e6 + i), Health: Ready})
 		}
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-		g.do(Event{Kind: TimerFired, Timer: tickTimer})
+		g.tick()
 	}
 	turn(0)
 	before := g.b.kept()
--- /dev/null
+++ b/policy/config_test.go
@@ -0,0 +1,21 @@
+package policy
+
+import (
+	"testing"
+)
+
+func TestNewRejectsBadConfig(t *testing.T) {
+	for name, spoil := range map[string]func(*Config){
+		"no classes":    func(c *Config) { c.Classes = nil },
+		"negative aim":  func(c *Config) { c.Classes[0].LatencyObjective = -1 },
+		"bad repeat":    func(c *Config) { c.Classes[0].Idempotency = 9 },
+		"bad scope":     func(c *Config) { c.Classes[1].KeyScope = 9 },
+		"negative time": func(c *Config) { c.WarmUpTime = -1 },
+	} {
+		cfg := testConfig()
+		spoil(&cfg)
+		if _, err := New(cfg, 1); err == nil {
+			t.Errorf("%s: no error", name)
+		}
+	}
+}
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -54,7 +54,7 @@
 
 // What one of many sees by itself tells an overload that all servers share, so that no server stands out; a part of the
 // servers that is gone doesn't look like one.
-func TestGaugeTellsOverloadFromOwnAnswers(t *testing.T) {
+func TestGaugeSeesOverloadInOwnAnswers(t *testing.T) {
 	for _, perMs := range []float64{0.008, 0.04, 1} { // of one in 6,000 and of one in 4 at the same traffic, about
 		w := newWorld(500)
 		if part := w.run(60e3, perMs, 200, 1, 0); part > 0.001 {
@@ -76,7 +76,7 @@
 }
 
 // Answers that hang are seen without waiting for them.
-func TestGaugeDoesNotWaitForAnswersThatHang(t *testing.T) {
+func TestGaugeDoesNotWaitForSlowAnswers(t *testing.T) {
 	w := newWorld(500)
 	w.run(10e3, 0.02, 200, 1, 0)
 	for w.g.refusedFraction < 0.5 && w.now < 20e3 {
@@ -132,7 +132,7 @@
 }
 
 // Attempts that hang at servers which are choked do not hide that others answer as usual: each counts once, by its start.
-func TestGaugeForgetsAttemptsThatHang(t *testing.T) {
+func TestGaugeForgetsUnansweredAttempts(t *testing.T) {
 	w := newWorld(500)
 	w.run(10e3, 0.02, 200, 1, 0)
 	for w.now < 11e3 { // all of one second hang for 20 s
--- a/policy/internal/overload/probes_test.go
+++ b/policy/internal/overload/probes_test.go
@@ -28,7 +28,7 @@
 }
 
 // What was the least long ago is not believed for ever.
-func TestLeastProbeIsForgotten(t *testing.T) {
+func TestShortestProbeFades(t *testing.T) {
 	var p ProbeTimes
 	p.Load(0, 0, 1)
 	for now := 1e3; now <= 120e3; now += 1e3 {
--- a/policy/internal/probepool/probepool_test.go
+++ b/policy/internal/probepool/probepool_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestTrimTakesTheOldestAndTheWorstInTurn(t *testing.T) {
+func TestTrimAlternatesOldestAndWorst(t *testing.T) {
 	p := filled(5, 1, 9, 3, 2)
 	p.Trim(0.5, less)
 	if p.Len() != 5 {
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -41,7 +41,7 @@
 	}
 	g.b.byID[2].inFlight = 0
 	g.now += 300
-	g.do(Event{Kind: TimerFired, Timer: tickTimer})
+	g.tick()
 	r := &request{objectiveAt: g.now + 400, answerBy: g.now + 900}
 	if got := g.b.pickCost(g.b.byID[1], r); got < 300 {
 		t.Errorf("a cost of %.0f ms by a server that has owed an answer for 300 ms", got)
@@ -62,7 +62,7 @@
 }
 
 // A request that the drawn servers have no room for goes to one that has, also where no probe says which.
-func TestRoomIsFoundWithoutProbes(t *testing.T) {
+func TestCapacityIsFoundWithoutProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 20)
 	g.b.cfg.Probes = false
 	g.b.pool = probepool.Pool[*server]{}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -46,10 +46,7 @@
 
 // list has it hear of that many servers and no others.
 func (f *fleetOfOthers) list(servers int) {
-	list := make([]ServerInfo, servers)
-	for i := range list {
-		list[i] = ServerInfo{ID: ServerID(i + 1), Health: Ready}
-	}
+	list := readyServers(servers)
 	f.act(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
 }
 
@@ -158,7 +155,7 @@
 }
 
 // Where servers report no load, the time of a probe in their queue tells which of them is crowded.
-func TestProbeTimesTellTheLoad(t *testing.T) {
+func TestProbeTimesShowTheLoad(t *testing.T) {
 	f := newFleetOfOthers(t, 2, 300, true)
 	f.run(3e3)
 	crowded, free := f.b.byID[1], f.b.byID[2]
@@ -189,7 +186,7 @@
 		g.now += 380
 		g.done(id, 0, s.Server, OK)
 		g.do(Event{Kind: ProbeEnded, Server: s.Server, Elapsed: 100, Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})
-		g.do(Event{Kind: TimerFired, Timer: tickTimer})
+		g.tick()
 		if rif := g.b.byID[s.Server].rif; rif > 2 {
 			t.Fatalf("a load of %.1f where 1 is reported", rif)
 		}
@@ -198,28 +195,3 @@
 		t.Errorf("stretched by %.2f", got)
 	}
 }
-
-// Where nobody tells what all send, a busy sidecar's tenants are within their shares as long as its own traffic is shared so.
-func TestSharesOfABusySidecar(t *testing.T) {
-	cfg := testConfig()
-	cfg.Instances, cfg.Tenants = 300, []Tenant{{Quota: 300}, {Quota: 100}}
-	b, err := New(cfg, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	over := [2]int{}
-	for n := range 4000 { // 40 a second: 30 times the mean, nine in ten of the second tenant, whose share is a quarter
-		b.now += 25
-		b.arrivalRate.Add(b.now)
-		tenant := 1
-		if n%10 == 0 {
-			tenant = 0
-		}
-		if !b.withinQuota(tenant) {
-			over[tenant]++
-		}
-	}
-	if over[0] > 0 || over[1] < 2000 {
-		t.Errorf("%v requests are beyond their tenants' shares", over)
-	}
-}
--- /dev/null
+++ b/policy/probing_test.go
@@ -0,0 +1,336 @@
+package policy
+
+import (
+	"plankrouter/internal/probing"
+	"plankrouter/internal/subset"
+	"plankrouter/policy/internal/probepool"
+	"plankrouter/policy/internal/reachability"
+	"testing"
+)
+
+// A sidecar with little traffic has no fresh loads: its requests wait for their own probes instead of going to a
+// random server, and go anyway when the probes stay unanswered.
+func TestShortPoolWaitsForItsProbes(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		answers int // probes that are answered; idle servers but for the first
+		best    bool
+	}{{"answered", 3, true}, {"silent probes", 0, false}} {
+		g := newRig(t, testConfig(), 8)
+		g.now += 5000                           // what was known is old
+		g.b.probeCredit = probing.MaxPerRequest // an earlier request has needed none
+		acts := g.do(Event{Kind: RequestArrived, Request: 1, Class: 0, TimeLeft: 900})
+		var targets []ServerID
+		for _, a := range acts {
+			if a.Kind == SendProbe {
+				targets = append(targets, a.Server)
+			}
+		}
+		if find(acts, StartAttempt) != nil || len(targets) != probing.PerWait {
+			t.Fatalf("%s: did not wait for %d probes: %v", c.name, probing.PerWait, acts)
+		}
+		g.now += 5
+		var sent *Action
+		for i, s := range targets[:c.answers] {
+			rif := 9.0
+			if i == 1 {
+				rif = 0
+			}
+			sent = find(g.do(probeAnswer(s, rif, 40)), StartAttempt)
+		}
+		g.now += probeWaitFraction*g.b.minObjective + 5
+		for i := range 2*maxProbeWaits + 1 {
+			if acts := g.do(Event{Kind: TimerFired, Timer: probeWaitTimer + 1}); sent == nil {
+				sent = find(acts, StartAttempt)
+			}
+			g.now += 20 * float64(i+1)
+		}
+		if sent == nil || c.best && sent.Server != targets[1] {
+			t.Errorf("%s: sent %v, want server %v", c.name, sent, targets)
+		}
+		if len(g.b.waitingForProbes) != 0 {
+			t.Errorf("%s: %d requests still wait", c.name, len(g.b.waitingForProbes))
+		}
+	}
+}
+
+// A thousand sidecars that connect to every server fill the servers' tables: each keeps to a few, own zone first.
+// Few sidecars choose among all.
+func TestSubsetFollowsTheNumberOfInstances(t *testing.T) {
+	for _, c := range []struct{ sidecars, servers, want int }{
+		{1, 64, 64},
+		{5, 12, 12},
+		{1000, 1, 1},
+		{1000, 2, 2},
+		{1000, 64, 8},
+		{1000, 65, 8},
+		{1000, 1000, 128},
+		{100000, 1000, subset.MinSize},
+	} {
+		cfg := testConfig()
+		cfg.Instances, cfg.CrossZoneCost = c.sidecars, 0.01
+		b, err := New(cfg, 3)
+		if err != nil {
+			t.Fatal(err)
+		}
+		g := &rig{t: t, b: b, now: 1000}
+		var list []ServerInfo
+		for i := range c.servers {
+			list = append(list, ServerInfo{ID: ServerID(i + 1), Zone: i % 2, Health: Ready})
+		}
+		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
+		met := map[ServerID]bool{}
+		for range 40 * c.servers {
+			g.b.probeRandom(probing.MaxPerRequest, g.b.subsetSize())
+		}
+		for _, a := range g.b.actions {
+			if a.Kind == SendProbe {
+				met[a.Server] = true
+			}
+		}
+		if len(met) != c.want {
+			t.Errorf("%d sidecars, %d servers: %d servers probed, want %d", c.sidecars, c.servers, len(met), c.want)
+		}
+		for id := range met {
+			if c.want < c.servers/2 && id%2 == 0 {
+				t.Errorf("%d sidecars: server %d is not in the own zone", c.sidecars, id)
+			}
+		}
+	}
+}
+
+// A server whose probes fail is asked less and less often, however many requests wait for news, and is found again within a
+// bounded time even when nobody asks for anything. Requests go elsewhere meanwhile.
+func TestFailedProbesBackOff(t *testing.T) {
+	for name, status := range map[string]Status{
+		"refused": ConnectFailed, "draining": Failed, "turned away": Declined,
+		"silent": TimedOut,
+	} {
+		g := newRig(t, testConfig(), 4)
+		down, probes, sends := true, 0, 0
+		settle := func(acts []Action) {
+			for ; len(acts) > 0; acts = acts[1:] {
+				switch a := acts[0]; {
+				case a.Kind == StartAttempt && a.Server == 4:
+					sends++
+					fallthrough
+				case a.Kind == StartAttempt:
+					acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
+				case a.Kind == SendProbe && a.Server == 4 && down:
+					probes++
+					acts = append(acts, g.do(Event{Kind: ProbeEnded, Server: 4, Status: status, Elapsed: 1})...)
+				case a.Kind == SendProbe:
+					if a.Server == 4 {
+						probes++
+					}
+					acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+				}
+			}
+		}
+		tick := func() { settle(g.tick()) }
+		for id := range RequestID(2000) { // ten seconds of one every 5 ms
+			if g.now += 5; id%10 == 0 {
+				tick()
+			}
+			settle(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900}))
+		}
+		if probes < 9 || probes > 25 {
+			t.Errorf("%s: %d probes in 10 s", name, probes)
+		}
+		if sends > 5 {
+			t.Errorf("%s: %d requests", name, sends)
+		}
+		down, probes = false, 0
+		for at := g.now; probes == 0 && g.now < at+5000; g.now += tickInterval {
+			tick()
+		}
+		if s := g.b.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Most {
+			t.Errorf("%s: still shut out %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
+		}
+	}
+}
+
+// Where probes are not allowed a request is the trial of a server that refused a connection, after the same wait.
+func TestUnreachableWithoutProbes(t *testing.T) {
+	cfg := testConfig()
+	cfg.Probes = false
+	g := newRig(t, cfg, 2)
+	s := g.b.byID[2]
+	s.reachability.Failed(g.b.now, g.b.rng)
+	first := s.reachability.NextProbeAt
+	if s.reachability.Failed(g.b.now, g.b.rng); s.reachability.ConsecutiveFailures != 1 || s.reachability.NextProbeAt != first {
+		t.Errorf("two refusals at once count as %d", s.reachability.ConsecutiveFailures)
+	}
+	if !g.b.isUnreachable(s) {
+		t.Error("not shut out")
+	}
+	if g.b.now = s.reachability.NextProbeAt; g.b.isUnreachable(s) {
+		t.Error("shut out beyond the wait")
+	}
+}
+
+// Many servers are down, some of them for longer than their probes take: those that are back are found all the same, without a
+// request, and the others' news is not kept away by them.
+func TestEveryServerIsFoundAgain(t *testing.T) {
+	cfg := testConfig()
+	cfg.Instances = 1
+	g := newRig(t, cfg, 60)
+	down := func(s ServerID) bool { return s > 50 || s%2 == 0 }
+	found, healthy := map[ServerID]Ms{}, 0
+	start := g.now
+	silent := map[ServerID]Ms{} // probes out, until when
+	for ; g.now < start+60e3; g.now += tickInterval {
+		for id := range ServerID(61) {
+			if until, out := silent[id]; out && g.now >= until {
+				delete(silent, id)
+				g.do(Event{Kind: ProbeEnded, Server: id, Status: TimedOut, Elapsed: 200})
+			}
+		}
+		for _, a := range g.tick() {
+			switch {
+			case a.Kind != SendProbe:
+			case down(a.Server) && (g.now < start+30e3 || a.Server > 50):
+				silent[a.Server] = g.now + 200
+			default:
+				if _, before := found[a.Server]; down(a.Server) && !before {
+					found[a.Server] = g.now - start - 30e3
+				} else if !down(a.Server) {
+					healthy++
+				}
+				g.report(a.Server, 1, 40)
+			}
+		}
+		if g.now == start {
+			for id := range ServerID(60) { // what is down has been found out
+				if down(id + 1) {
+					g.do(Event{Kind: ProbeEnded, Server: id + 1, Status: ConnectFailed, Elapsed: 1})
+				}
+			}
+		}
+	}
+	if len(found) != 25 {
+		t.Errorf("%d of 25 were found again", len(found))
+	}
+	for id, after := range found {
+		if after > 5000 {
+			t.Errorf("server %d was found %.0f ms after its return", id, after)
+		}
+	}
+	if healthy < 20 {
+		t.Errorf("%d probes of the others in a minute of idleness", healthy)
+	}
+}
+
+// A probe that could not even be tried is not tried again the next moment, whoever waits for news.
+func TestUnsentProbesDoNotBurst(t *testing.T) {
+	g := newRig(t, testConfig(), 4)
+	probes := 0
+	for id := range RequestID(400) { // two seconds
+		g.now += 5
+		acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
+		for ; len(acts) > 0; acts = acts[1:] {
+			if acts[0].Kind == SendProbe {
+				probes++
+				acts = append(acts, g.do(Event{Kind: ProbeEnded, Server: acts[0].Server, Status: NotSent})...)
+			}
+		}
+	}
+	if most := 4 * 2000 / 50; probes > most {
+		t.Errorf("%d probes in 2 s, at most %d", probes, most)
+	}
+}
+
+// A probe that is under way will answer for all: in a sidecar short of time, more of them only make the answers later.
+// And a busy sidecar, which sees each server many times a second, needs fewer for each request.
+func TestProbesAreBounded(t *testing.T) {
+	g := newRig(t, testConfig(), 4)
+	out := map[ServerID]int{}
+	count := func(acts []Action) {
+		for _, a := range acts {
+			if a.Kind == SendProbe {
+				out[a.Server]++
+			}
+		}
+	}
+	for id := range RequestID(20) {
+		count(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900}))
+	}
+	for s, n := range out {
+		if n != 1 {
+			t.Errorf("%d probes of server %d under way", n, s)
+		}
+	}
+	clear(out)
+	for id := range RequestID(1000) { // a second of one a millisecond, each answered at once
+		g.now++
+		acts := g.do(Event{Kind: RequestArrived, Request: 100 + id, TimeLeft: 900})
+		for count(acts); len(acts) > 0; acts = acts[1:] {
+			if acts[0].Kind == SendProbe {
+				g.report(acts[0].Server, 1, 40)
+			}
+		}
+	}
+	for s, n := range out {
+		if n > 1000/probing.MinInterval*2 {
+			t.Errorf("%d probes of server %d in a second", n, s)
+		}
+	}
+}
+
+// A busy sidecar has few probes for each request. An entry of its pool must then do for as many requests as come until the next
+// probe's answer, or most of them would find the pool empty and wait for probes of their own.
+func TestUsesFollowTheRateOfProbes(t *testing.T) {
+	g := newRig(t, testConfig(), 40)
+	if n := probing.Uses(probepool.Size, g.b.readyCount, g.b.probesPerRequest, removalFraction); n < 1 || n > 4 {
+		t.Errorf("%.1f uses before any request", n)
+	}
+	waited := 0
+	for id := range RequestID(10000) { // half a second of 20,000 a second, and a probe of each server in 40 ms
+		g.now += 0.05
+		acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
+		if find(acts, StartAttempt) == nil {
+			waited++
+		}
+		for ; len(acts) > 0; acts = acts[1:] {
+			switch a := acts[0]; a.Kind {
+			case StartAttempt:
+				acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
+			case SendProbe:
+				acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+			}
+		}
+	}
+	if waited > 70 { // 119 where uses do not follow
+		t.Errorf("%d of 10,000 requests waited for probes of their own", waited)
+	}
+}
+
+// A quiet sidecar's pool is nearly always short, so that every request would wait for probes of its own. All that a request
+// causes, those it waits for included, come out of what requests have saved up.
+func TestProbesOfAQuietSidecarAreBudgeted(t *testing.T) {
+	for _, c := range []struct{ price, most, least float64 }{{0, 2, 1.9}, {0.0046, 2, 1.9}, {0.08, 0.5, 0.4}, {1, 0.15, 0.1}} {
+		cfg := testConfig()
+		cfg.ProbeCost = c.price
+		g := newRig(t, cfg, 60)
+		probes, asked := 0, 0
+		for id := range RequestID(400) { // each long after the last one, whose news are old
+			g.now += 1500
+			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
+			for ; len(acts) > 0; acts = acts[1:] {
+				switch a := acts[0]; a.Kind {
+				case SendProbe:
+					probes++
+					acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+				case StartAttempt:
+					asked++
+					acts = append(acts, g.done(id, 0, a.Server, OK)...)
+				case RejectRequest, FailRequest:
+					t.Fatalf("request %d is not sent", id)
+				}
+			}
+		}
+		if each := float64(probes) / 400; each > c.most || each < c.least || asked != 400 {
+			t.Errorf("price %g: %.2f probes a request, want %g to %g; %d sent", c.price, each, c.least, c.most, asked)
+		}
+	}
+}
--- /dev/null
+++ b/policy/restore_test.go
@@ -0,0 +1,72 @@
+package policy
+
+import (
+	"testing"
+)
+
+// What one life has learned is known to the next, but for what concerns a process that has ended, and no load is taken for a
+// present one.
+func TestRestoredState(t *testing.T) {
+	cfg := testConfig()
+	cfg.Tenants = []Tenant{{Quota: 100}}
+	g := newRig(t, cfg, 3)
+	for id := range RequestID(60) {
+		g.now += 20
+		a := find(g.arrive(id, 0), StartAttempt)
+		if a == nil {
+			t.Fatalf("request %d not sent", id)
+		}
+		g.done(id, 0, a.Server, OK)
+		g.report(1, 5, 80)
+		g.report(3, 5, 120)
+	}
+	for range 20 {
+		g.b.byID[2].outcomesByTenant.AddFailure(g.b.now, 1, 1)
+	}
+	st := g.b.State()
+	miss := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
+	if miss < ejectionThreshold {
+		t.Fatalf("the failing server misses %.2f", miss)
+	}
+	next, err := New(cfg, 8)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := &rig{t: t, b: next, now: g.now + 1000}
+	h.do(Event{Kind: Started})
+	h.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: []ServerInfo{
+		{ID: 1, Health: Ready},
+		{ID: 2, Health: Ready},
+		{ID: 3, Health: Ready, StartedAt: h.now - 500},
+		{ID: 4, Health: Ready},
+	}})
+	if err := h.b.Restore(&st); err != nil {
+		t.Fatal(err)
+	}
+	one, two, three := h.b.byID[1], h.b.byID[2], h.b.byID[3]
+	if one.latency != 80 || !one.latencyReported || one.roundTrip != 1 {
+		t.Errorf("what was known of a server is lost: %+v", one)
+	}
+	if got := two.outcomesByTenant[0].FailureRate(h.now); got >= miss || got < miss/2 {
+		t.Errorf("evidence of %.2f is %.2f a second later", miss, got)
+	}
+	if three.latency != 0 || len(three.outcomesByTenant) != 2 || three.outcomesByTenant[0].Failures != 0 {
+		t.Errorf("another process inherits: %+v", three)
+	}
+	if one.rif != 0 || h.b.pool.Len() != 0 || one.inFlight != 0 {
+		t.Errorf("an old load is taken for a present one: %+v", one)
+	}
+	h.do(Event{Kind: TimerFired, Timer: tickTimer})
+	g.b.now, g.b.loadModel.FadedAt = h.now, st.FittedAt
+	g.b.loadModel.Fade(h.now)
+	if got, want := h.b.loadModel.ClassFactor(0), g.b.loadModel.ClassFactor(0); got != want {
+		t.Errorf("fit %g, want %g", got, want)
+	}
+	if b := h.b.tenantBuckets[0]; b.At != st.Tenants[0].At || b.Value != st.Tenants[0].Value {
+		t.Errorf("the tenant's share is %+v", b)
+	}
+	st.Classes = st.Classes[:1]
+	if h.b.Restore(&st) == nil {
+		t.Error("a state of other classes is taken")
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,51 @@
+package policy
+
+import (
+	"testing"
+)
+
+func TestRetriesFollowTheClass(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		class  int
+		status Status
+		again  bool
+		final  ActionKind // where no attempt follows
+	}{
+		{"safe after error", 0, Failed, true, 0},
+		{"keyed after error", 1, Failed, true, 0},
+		{"unsafe after error", 2, Failed, false, FailRequest},
+		{"unsafe after reset", 2, Reset, false, FailRequest},
+		{"unsafe after full", 2, Declined, true, 0},
+		{"unsafe after no connection", 2, ConnectFailed, true, 0},
+	} {
+		g := newRig(t, testConfig(), 6)
+		g.b.retryBudget = 5
+		first := find(g.arrive(1, c.class), StartAttempt)
+		if first == nil {
+			t.Fatalf("%s: not sent", c.name)
+		}
+		acts := g.done(1, 0, first.Server, c.status)
+		next := find(acts, StartAttempt)
+		if (next != nil) != c.again {
+			t.Errorf("%s: next attempt %v", c.name, next)
+		}
+		if next != nil && c.class == 1 && (next.Server-1)/2 != (first.Server-1)/2 {
+			t.Errorf("%s: left the cell: %d then %d", c.name, first.Server, next.Server)
+		}
+		if !c.again && find(acts, c.final) == nil {
+			t.Errorf("%s: final answer missing in %v", c.name, acts)
+		}
+	}
+}
+
+func TestRetryEndsWithTheKeyWindow(t *testing.T) {
+	g := newRig(t, testConfig(), 6)
+	g.b.retryBudget = 5
+	first := find(g.arrive(1, 1), StartAttempt)
+	g.now += 595
+	acts := g.done(1, 0, first.Server, Failed)
+	if find(acts, StartAttempt) != nil || find(acts, FailRequest) == nil {
+		t.Errorf("after the window: %v", acts)
+	}
+}
--- a/policy/advice_test.go
+++ b/policy/retryafter_test.go
@@ -7,7 +7,7 @@
 )
 
 // A refusal without advice, or with one beyond what clients follow, would bring them all back at once.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	got := map[string]Ms{}
 	for name, c := range map[string]struct {
 		service Ms
--- /dev/null
+++ b/policy/rig_test.go
@@ -0,0 +1,125 @@
+package policy
+
+import (
+	"testing"
+)
+
+// testConfig has one class of each kind and ten servers' worth of room.
+func testConfig() Config {
+	return Config{
+		Classes: []Class{
+			{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateWeight: 0.5, Idempotency: Idempotent},
+			{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 2, LateWeight: 0.5, Idempotency: WithIdempotencyKey, KeyScope: ScopeCell, KeyWindow: 600},
+			{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 3, LateWeight: 0.5, Idempotency: NonIdempotent},
+		},
+		Instances: 2, Probes: true, Cancel: true, MaxAttempts: 3, Round: 5,
+		StartCapacity: 0.3, WarmUpTime: 9000, OverloadMultiple: 2.5, OverloadWindow: 2000,
+	}
+}
+
+// rig drives one Balancer by hand.
+type rig struct {
+	t   testing.TB
+	b   *Balancer
+	now Ms
+}
+
+func newRig(t testing.TB, cfg Config, servers int) *rig {
+	t.Helper()
+	b, err := New(cfg, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &rig{t: t, b: b, now: 1000}
+	g.do(Event{Kind: Started})
+	list := make([]ServerInfo, servers)
+	for i := range list {
+		list[i] = ServerInfo{ID: ServerID(i + 1), Health: Ready, Cell: i / 2}
+	}
+	g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
+	for i := range list {
+		g.report(ServerID(i+1), 1, 40)
+	}
+	return g
+}
+
+func (g *rig) do(e Event) []Action { return g.b.Handle(g.now, &e, nil) }
+
+func (g *rig) report(s ServerID, rif, latency float64) {
+	g.do(probeAnswer(s, rif, latency))
+}
+
+func (g *rig) arrive(id RequestID, class int) []Action {
+	return g.answer(g.do(Event{Kind: RequestArrived, Request: id, Class: class, TimeLeft: 900}))
+}
+
+func (g *rig) done(id RequestID, attempt int, s ServerID, st Status) []Action {
+	return g.answer(g.do(Event{
+		Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Status: st, Elapsed: 40,
+		Final: st == OK,
+	}))
+}
+
+// answer answers the probes that a request waits for at once, with the loads known already.
+func (g *rig) answer(acts []Action) []Action {
+	for i := 0; i < len(acts) && len(g.b.waitingForProbes) > 0; i++ {
+		if s := g.b.byID[acts[i].Server]; acts[i].Kind == SendProbe {
+			acts = append(acts, g.do(probeAnswer(acts[i].Server, s.rif, g.b.serviceTime(s)))...)
+		}
+	}
+	return acts
+}
+
+// pass has a request arrive and all probes and attempts that follow on it answered at once, and returns where it was sent.
+func (g *rig) pass(id RequestID) (to ServerID) {
+	acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
+	for ; len(acts) > 0; acts = acts[1:] {
+		switch a := acts[0]; a.Kind {
+		case SendProbe:
+			acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+		case StartAttempt:
+			to = a.Server
+			acts = append(acts, g.done(id, 0, a.Server, OK)...)
+		}
+	}
+	return to
+}
+
+func find(acts []Action, k ActionKind) *Action {
+	for i := range acts {
+		if acts[i].Kind == k {
+			return &acts[i]
+		}
+	}
+	return nil
+}
+
+// reportAll has servers 1 to count report three requests in flight, but for an idle one.
+func (g *rig) reportAll(count, idle ServerID) {
+	for s := ServerID(1); s <= count; s++ {
+		rif := 3.0
+		if s == idle {
+			rif = 0
+		}
+		g.report(s, rif, 40)
+	}
+}
+
+func (g *rig) tick() []Action { return g.do(Event{Kind: TimerFired, Timer: tickTimer}) }
+
+// probeAnswer is the answer to a probe after a millisecond.
+func probeAnswer(s ServerID, rif, latency float64) Event {
+	return Event{
+		Kind: ProbeEnded, Server: s, Elapsed: 1,
+		Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: latency},
+	}
+}
+
+// readyServers is a list of servers 1 to count.
+func readyServers(count int) []ServerInfo {
+	list := make([]ServerInfo, count)
+	for i := range list {
+		list[i] = ServerInfo{ID: ServerID(i + 1), Health: Ready}
+	}
+	return list
+}
--- a/policy/cold_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -26,10 +26,7 @@
 			t.Fatal(err)
 		}
 		fleet[i] = &rig{t: t, b: b, now: 1000}
-		list := make([]ServerInfo, c.servers)
-		for j := range list {
-			list[j] = ServerInfo{ID: ServerID(j + 1), Health: Ready}
-		}
+		list := readyServers(c.servers)
 		fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		part := 1.0
 		if c.skewed {
@@ -86,7 +83,7 @@
 
 // What all sidecars together send to a cold server stays below what fells it: N and two roots of N and 2, N being OverloadMultiple times
 // what it must bear by then; whether they are few or many, equal or not, quiet or busy, and under a burst.
-func TestColdServerIsNotFelledByTheSum(t *testing.T) {
+func TestColdServerIsNotOverloadedByAllInstances(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbeCost, cfg.OverloadWindow, cfg.Round, cfg.WarmUpTime = 0.08, 3000, 1, 8000
 	for _, each := range []float64{2, 15} {
--- a/policy/sparse_test.go
+++ b/policy/sparsereports_test.go
@@ -1,9 +1,11 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+)
 
 // News is sparse for who meets most servers seldom, however many there are of either.
-func TestWhoseNewsIsSparse(t *testing.T) {
+func TestReportsAreSparse(t *testing.T) {
 	for _, c := range []struct {
 		servers int
 		every   Ms // between two requests
@@ -24,7 +26,7 @@
 }
 
 // Where news is sparse a server must show more room, and one whose report is older than a pool's entry shows none.
-func TestSparseNewsAsksForMoreRoom(t *testing.T) {
+func TestSparseReportsNeedMoreCapacity(t *testing.T) {
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
 	for _, c := range []struct {
@@ -79,7 +81,7 @@
 }
 
 // Where probes are dear none is sent out of turn to servers that were shut: the random ones of requests find them again.
-func TestDearProbesOfShutServers(t *testing.T) {
+func TestCostlyProbesOfUnreachableServers(t *testing.T) {
 	for _, c := range []struct {
 		price       float64
 		least, most int
@@ -90,7 +92,7 @@
 		probes := 0
 		for range 100 { // five seconds in which all are down
 			g.now += tickInterval
-			for _, a := range g.do(Event{Kind: TimerFired, Timer: tickTimer}) {
+			for _, a := range g.tick() {
 				if a.Kind == SendProbe && g.b.lastProbeAt != g.now { // not one of those that an idle sidecar sends
 					probes++
 				}
@@ -120,7 +122,7 @@
 
 // Before a sidecar whose news is sparse refuses, it asks: probes borrowed from later requests, so that all together stay
 // within what they may cost.
-func TestSparseNewsIsSoughtBeforeARefusal(t *testing.T) {
+func TestSparseReportsAreProbedForBeforeARefusal(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbeCost, cfg.WastedWorkCost = 0.08, 0.1
 	for _, room := range []bool{true, false} {
@@ -137,10 +139,7 @@
 					if room && a.Server%2 == 0 {
 						rif = 1
 					}
-					acts = append(acts, g.do(Event{
-						Kind: ProbeEnded, Server: a.Server, Elapsed: 1,
-						Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: 40},
-					})...)
+					acts = append(acts, g.do(probeAnswer(a.Server, rif, 40))...)
 				case SetTimer:
 					if a.Timer >= probeWaitTimer {
 						g.now += a.After
@@ -164,7 +163,7 @@
 }
 
 // Sparse news is of the own zone, but for one probe in ten.
-func TestSparseNewsIsOfTheOwnZone(t *testing.T) {
+func TestSparseReportsAreOfTheOwnZone(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.ProbeCost = 0.01, 0.08
 	for sparse, want := range map[bool][2]int{false: {380, 620}, true: {720, 950}} {
--- a/policy/unsure_test.go
+++ b/policy/stalelist_test.go
@@ -1,10 +1,12 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+)
 
 // While the directory can't be heard a server may begin to drain at any time and the word of it count. A quiet sidecar among
 // many servers must still serve, and send only where a probe has been answered lately: one that drains turns it away.
-func TestUnsureListIsVouchedForByProbes(t *testing.T) {
+func TestProbesStandForAStaleList(t *testing.T) {
 	const holds = 550
 	for name, price := range map[string]float64{"dear": 0.08, "cheap": 0} {
 		cfg := testConfig()
@@ -41,7 +43,7 @@
 			if g.now += 350; id%10 == 0 {
 				drains[ServerID(1+id/10)] = true // half of them in the end
 			}
-			handle(g.do(Event{Kind: TimerFired, Timer: tickTimer}))
+			handle(g.tick())
 			if !handle(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})) {
 				refused++
 			}
@@ -66,7 +68,7 @@
 }
 
 // While any answer is proof, servers that were never heard of are probed, and serve; after that they are not asked for nothing.
-func TestUnheardServersAreProbedWhileThatProves(t *testing.T) {
+func TestNewServersAreProbedWhileAnyProbeCounts(t *testing.T) {
 	for proves, want := range map[Ms]bool{5000: true, 0: false} {
 		cfg := testConfig()
 		cfg.ProbeValidity = 550
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -4,7 +4,7 @@
 
 // All instances of a zone are crowded together. Then their probes, and with them their requests, must find the servers of
 // other zones, but only where there is room: not if those are full as well, or can't be reached.
-func TestCrowdedZoneLooksElsewhere(t *testing.T) {
+func TestFullZoneProbesOtherZones(t *testing.T) {
 	const servers, local = 60, 20
 	for _, c := range []struct {
 		name              string
@@ -34,7 +34,7 @@
 		probes, far, sent, out := 0.0, 0.0, 0.0, 0.0
 		for id := range RequestID(600) {
 			g.now += 70
-			g.do(Event{Kind: TimerFired, Timer: tickTimer})
+			g.tick()
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				a := acts[0]
@@ -83,7 +83,7 @@
 
 // Whatever the number of instances, one probes no more servers than its zone's in reach and as many again in others. Without
 // zones there is nothing beyond what is in reach.
-func TestHowFarProbesGo(t *testing.T) {
+func TestCandidateCount(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, local, home, far int }{
 		{300, 200, 40, 40, 40 + 85},
 		{300, 200, 200, 85, 85},
