--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,32 +1,33 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
-// A class with a long aim must not fill the servers until a worthier one with a tight aim finds no room.
+// A class with a long latency objective must not fill the servers until one of more value with a tight objective finds none.
 func TestLongObjectivesLeaveCapacityForTighterOnes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
 		{LatencyObjective: 2000, Deadline: 4000, PriorityWeight: 1, Idempotency: Idempotent},
 		{LatencyObjective: 200, Deadline: 2000, PriorityWeight: 5, Idempotency: Idempotent},
 	}
-	for _, c := range []struct {
+	for name, c := range map[string]struct {
 		rif  float64
 		sent bool
-	}{{1, true}, {40, false}} {
+	}{
+		"servers with capacity": {1, true},
+		"full servers":          {40, false},
+	} {
 		g := newRig(t, cfg, 4)
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, c.rif, 40)
 		}
 		if got := find(g.arrive(1, 0), StartAttempt) != nil; got != c.sent {
-			t.Errorf("at %v in flight: sent %t", c.rif, got)
+			t.Errorf("%s: sent %t", name, got)
 		}
 	}
 }
 
-// Attempts with few in flight must not teach that servers take only few: a burst after a quiet time would
-// be refused.
+// Attempts at servers with few in flight must not lower what servers count as able to run: a burst after a quiet time would be
+// refused.
 func TestQuietTimesDoNotLowerConcurrency(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id := RequestID(1); id <= 500; id++ {
@@ -44,7 +45,7 @@
 	}
 }
 
-// Being turned away as full must lower what is let in.
+// Requests that servers decline must lower what is admitted.
 func TestDeclinedRequestsLowerConcurrency(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	before := g.b.loadModel.Concurrency()
@@ -57,12 +58,12 @@
 		}
 	}
 	if after := g.b.loadModel.Concurrency(); after >= before {
-		t.Errorf("side by side %.1f, then %.1f", before, after)
+		t.Errorf("concurrency %.1f, then %.1f", before, after)
 	}
 }
 
-// An answer after the aim earns nothing, but given up at the aim the client asks again: the work was in vain, and more
-// of it follows. So an attempt is given as long as the client waits.
+// An answer after the latency objective earns nothing, but if the attempt ended there the client would send again: the work was
+// wasted, and more of it follows. So an attempt is given as long as the client waits.
 func TestLateAnswersAreWaitedFor(t *testing.T) {
 	cfg := testConfig()
 	for i := range cfg.Classes {
@@ -87,45 +88,44 @@
 		g.now += 40
 		g.done(id, 0, s.Server, OK)
 		if got := g.b.loadModel.Classes[0].Count > 0; got != want {
-			t.Errorf("%.0f ms after the start: taught %t, want %t", g.now-1000, got, want)
+			t.Errorf("%.0f ms after the start: sampled %t, want %t", g.now-1000, got, want)
 		}
 		g.b.loadModel.Classes[0].Count = 0
 	}
 }
 
-// Where wasted work costs, the mean response must leave much of the aim at a server that is full: many take far longer than
-// the mean, and take a place from others. At one with places left a request is worth a try that may well be in vain. And one
+// Where wasted work costs, the mean response must leave much of the latency objective at a server that is full: many take far
+// longer than the mean, and take a place from others. At one with places left an attempt may fail at little cost. And one
 // server's mean, which a few costly requests raise, counts up to 1.5 times the median of all.
 func TestAdmissionLeavesMarginForLongResponses(t *testing.T) {
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
 	g := newRig(t, cfg, 1)
 	s, r := g.b.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
-	for _, c := range []struct {
-		rif          float64
-		latency, all Ms
-		want         bool
+	for name, c := range map[string]struct {
+		rif             float64
+		latency, median Ms
+		want            bool
 	}{
-		{4, 200, 0, true},
-		{4, 250, 0, false},
-		{1, 250, 0, true},
-		{1, 460, 0, true},
-		{1, 500, 0, false},
-		{4, 900, 120, true},
-		{4, 900, 170, false},
+		"full, half of the objective":              {4, 200, 200, true},
+		"full, more than half of it":               {4, 250, 250, false},
+		"places left, more than half of it":        {1, 250, 250, true},
+		"places left, somewhat beyond it":          {1, 460, 460, true},
+		"places left, far beyond it":               {1, 500, 500, false},
+		"full, raised mean of a fast fleet":        {4, 900, 120, true},
+		"full, raised mean of a fleet not so fast": {4, 900, 170, false},
 	} {
-		s.rif, s.latency = c.rif, c.latency
-		if g.b.fleetLatency = c.all; c.all == 0 {
-			g.b.fleetLatency = c.latency
-		}
+		s.rif = c.rif
+		s.latency = c.latency
+		g.b.fleetLatency = c.median
 		if got := g.b.admits(s, r); got != c.want {
-			t.Errorf("%g in flight, a response of about %.0f ms for an aim of 400, %.0f ms usual: admitted %t", c.rif,
-				g.b.expectedLatency(s, 0, s.rif), g.b.fleetLatency, got)
+			t.Errorf("%s: a response of about %.0f ms for an objective of 400: admitted %t", name, g.b.expectedLatency(s, 0, s.rif), got)
 		}
 	}
 }
 
-// Where nobody tells what all send, a busy sidecar's tenants are within their shares as long as its own traffic is shared so.
+// Where no server reports the load of all instances, a busy instance's tenants are within their quotas as long as its own traffic
+// is shared by them.
 func TestQuotasAtABusyInstance(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.Tenants = 300, []Tenant{{Quota: 300}, {Quota: 100}}
@@ -146,6 +146,6 @@
 		}
 	}
 	if over[0] > 0 || over[1] < 2000 {
-		t.Errorf("%v requests are beyond their tenants' shares", over)
+		t.Errorf("%v requests are beyond their tenants' quotas", over)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkRequest measures what a request costs the module, from its arrival to its answer with the probes that it brings,
+// BenchmarkRequest measures what a request costs the policy, from its arrival to its answer with the probes that it brings,
 // and BenchmarkTick the look every 50 ms at what moves without traffic, at one of many instances with so many servers.
 func BenchmarkRequest(b *testing.B) {
 	sized(b, func(g *rig, n int) { g.pass(RequestID(n)) })
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -20,13 +20,13 @@
 	return h
 }
 
-// Twenty thousand servers come and go, and as many requests end in every way there is, some after their server has gone: what
-// is held in the end is what the same servers needed at the start.
+// Twenty thousand servers come and go, and as many requests end in every way there is, some after their server has gone: in the end
+// the Balancer keeps what the same servers needed at the start.
 func TestNothingGrows(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.ProbeCost, cfg.Instances = []Tenant{{Quota: 10}, {Quota: 10}}, 0.08, 300
 	g := newRig(t, cfg, 12)
-	turn := func(from int) {
+	playFrom := func(from int) {
 		for i := from; i < from+2000; i++ {
 			g.now += 70
 			list := []ServerInfo{{ID: ServerID(i%12 + 1 + i/12*12), Health: Ready, StartedAt: g.now}}
@@ -74,10 +74,10 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		g.tick()
 	}
-	turn(0)
+	playFrom(0)
 	before := g.b.kept()
 	for k := range 9 {
-		turn(2000 * (k + 1))
+		playFrom(2000 * (k + 1))
 	}
 	if diff := cmp.Diff(before, g.b.kept()); diff != "" {
 		t.Error(diff)
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -6,11 +6,11 @@
 
 func TestNewRejectsBadConfig(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"no classes":    func(c *Config) { c.Classes = nil },
-		"negative aim":  func(c *Config) { c.Classes[0].LatencyObjective = -1 },
-		"bad repeat":    func(c *Config) { c.Classes[0].Idempotency = 9 },
-		"bad scope":     func(c *Config) { c.Classes[1].KeyScope = 9 },
-		"negative time": func(c *Config) { c.WarmUpTime = -1 },
+		"no classes":                 func(c *Config) { c.Classes = nil },
+		"negative latency objective": func(c *Config) { c.Classes[0].LatencyObjective = -1 },
+		"unknown idempotency":        func(c *Config) { c.Classes[0].Idempotency = 9 },
+		"unknown key scope":          func(c *Config) { c.Classes[1].KeyScope = 9 },
+		"negative warm-up time":      func(c *Config) { c.WarmUpTime = -1 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,10 +1,10 @@
 package policy
 
-// ServerID and RequestID are opaque names that the owner of a Balancer chooses.
-type (
-	ServerID  uint32
-	RequestID uint32
-)
+// ServerID is an opaque name of a server that the owner of a Balancer chooses.
+type ServerID uint32
+
+// RequestID is an opaque name of a request that the owner of a Balancer chooses.
+type RequestID uint32
 
 // EventKind names what has happened.
 type EventKind uint8
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -10,55 +10,55 @@
 
 // world plays the answers of one instance.
 type world struct {
-	g    Gauge
-	rng  *rand.Rand
-	now  float64
-	id   uint32
-	ends map[uint32]float64 // of the attempts that are out
-	left float64
+	gauge Gauge
+	rng   *rand.Rand
+	now   float64
+	id    uint32
+	ends  map[uint32]float64 // of the attempts that are out
+	left  float64
 }
 
 func newWorld(left float64) *world {
-	return &world{g: NewGauge([]float64{left}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, left: left}
+	return &world{gauge: NewGauge([]float64{left}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, left: left}
 }
 
 // run plays until that time; hung is the part of the attempts that are given up after 5 s. It returns the part that the gauge
 // would refuse, on average.
-func (w *world) run(until, perMs, unhindered, stretch, hung float64) (part float64) {
+func (w *world) run(until, perMs, baseline, stretch, hung float64) (part float64) {
 	looks := 0.0
 	for ; w.now < until; w.now += 50 {
 		for n := perMs * 50; n > 0; n-- {
 			if n < 1 && w.rng.Float64() > n {
 				break
 			}
-			took := unhindered * stretch * math.Exp(0.6*w.rng.NormFloat64())
+			took := baseline * stretch * math.Exp(0.6*w.rng.NormFloat64())
 			if w.rng.Float64() < hung {
 				took = 5000
 			}
 			w.id++
-			w.g.AttemptStarted(w.now, w.id, 0, 1)
+			w.gauge.AttemptStarted(w.now, w.id, 0, 1)
 			w.ends[w.id] = w.now + took
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.ends)) {
 			if at := w.ends[id]; at <= w.now {
-				w.g.AttemptEnded(at, id, true)
+				w.gauge.AttemptEnded(at, id, true)
 				delete(w.ends, id)
 			}
 		}
-		w.g.Update(w.now, w.left)
+		w.gauge.Update(w.now, w.left)
 		looks++
-		part += w.g.refusedFraction
+		part += w.gauge.refusedFraction
 	}
 	return part / looks
 }
 
-// What one of many sees by itself tells an overload that all servers share, so that no server stands out; a part of the
-// servers that is gone doesn't look like one.
+// One instance of many sees by itself an overload that all servers share, so that no server stands out; it takes a part of the
+// servers that is gone for none.
 func TestGaugeSeesOverloadInOwnAnswers(t *testing.T) {
 	for _, perMs := range []float64{0.008, 0.04, 1} { // of one in 6,000 and of one in 4 at the same traffic, about
 		w := newWorld(500)
 		if part := w.run(60e3, perMs, 200, 1, 0); part > 0.001 {
-			t.Errorf("%g a ms: %.3f are refused, unhindered", perMs, part)
+			t.Errorf("%g a ms: %.3f are refused while servers are free", perMs, part)
 		}
 		if part := w.run(120e3, perMs, 200, 1, 0.12); part > 0.01 {
 			t.Errorf("%g a ms: %.3f are refused, a part of the servers gone", perMs, part)
@@ -79,7 +79,7 @@
 func TestGaugeDoesNotWaitForSlowAnswers(t *testing.T) {
 	w := newWorld(500)
 	w.run(10e3, 0.02, 200, 1, 0)
-	for w.g.refusedFraction < 0.5 && w.now < 20e3 {
+	for w.gauge.refusedFraction < 0.5 && w.now < 20e3 {
 		w.run(w.now+50, 0.02, 200, 1, 1)
 	}
 	if w.now > 13e3 {
@@ -87,7 +87,7 @@
 	}
 }
 
-// A process that starts in the middle of an overload has seen nothing else: its aim says that this is none.
+// A process that starts in the middle of an overload has seen nothing else: only its latency target shows what this is.
 func TestGaugeThatStartsInAnOverload(t *testing.T) {
 	w := newWorld(500)
 	w.run(3e3, 0.04, 200, 12, 0)
@@ -97,16 +97,19 @@
 }
 
 // A quiet instance refuses next to nothing while answers are as usual. With three in five seconds it takes part in what all have to
-// refuse, since many quiet ones together would keep servers crowded; with fewer it knows nothing, and neither does one that
+// refuse, since many quiet ones together would keep servers overloaded; with fewer it knows nothing, and neither does one that
 // has been quiet for some seconds.
 func TestGaugeOfAQuietInstance(t *testing.T) {
-	for _, c := range []struct{ perMs, stretch, least, most float64 }{
-		{0.0005, 1, 0, 0.1}, {0.001, 1, 0, 0.03}, {0.001, 4, 0.6, 1}, {0.0001, 4, 0, 0},
+	for name, c := range map[string]struct{ perMs, stretch, minPart, maxPart float64 }{
+		"one in two seconds, free":       {0.0005, 1, 0, 0.1},
+		"one a second, free":             {0.001, 1, 0, 0.03},
+		"one a second, overloaded":       {0.001, 4, 0.6, 1},
+		"one in ten seconds, overloaded": {0.0001, 4, 0, 0},
 	} {
 		w := newWorld(500)
 		w.run(10e3, c.perMs, 200, 1, 0)
-		if part := w.run(60e3, c.perMs, 200, c.stretch, 0); part < c.least || part > c.most {
-			t.Errorf("%.3f are refused by %g requests a second, answers taking %g times as long", part, c.perMs*1000, c.stretch)
+		if part := w.run(60e3, c.perMs, 200, c.stretch, 0); part < c.minPart || part > c.maxPart {
+			t.Errorf("%s: %.3f are refused", name, part)
 		}
 	}
 	w := newWorld(500)
@@ -118,12 +121,12 @@
 	}
 }
 
-// A latency target that leaves little more than the unhindered answers take is no overload.
+// A latency target that leaves little more than answers take at free servers is no overload.
 func TestGaugeWithATightTarget(t *testing.T) {
 	w := newWorld(300)
 	w.run(5e3, 0.04, 200, 1, 0)
 	if part := w.run(60e3, 0.04, 200, 1, 0); part > 0.005 {
-		t.Errorf("%.3f are refused, unhindered", part)
+		t.Errorf("%.3f are refused while servers are free", part)
 	}
 	w.run(62e3, 0.04, 200, 4, 0)
 	if part := w.run(70e3, 0.04, 200, 4, 0); part < 0.85 {
@@ -131,19 +134,19 @@
 	}
 }
 
-// Attempts that hang at servers which are choked do not hide that others answer as usual: each counts once, by its start.
+// Attempts that wait at overloaded servers do not hide that others answer as usual: each counts once, by its start.
 func TestGaugeForgetsUnansweredAttempts(t *testing.T) {
 	w := newWorld(500)
 	w.run(10e3, 0.02, 200, 1, 0)
 	for w.now < 11e3 { // all of one second hang for 20 s
 		w.run(w.now+50, 0, 200, 1, 0)
 		w.id++
-		w.g.AttemptStarted(w.now, w.id, 0, 1)
+		w.gauge.AttemptStarted(w.now, w.id, 0, 1)
 		w.ends[w.id] = w.now + 20e3
 	}
 	w.run(15e3, 0.02, 200, 1, 0)
 	if part := w.run(20e3, 0.02, 200, 1, 0); part > 0.02 {
-		t.Errorf("%.3f are refused for attempts that hang since ten seconds", part)
+		t.Errorf("%.3f are refused for attempts without an answer for ten seconds", part)
 	}
 }
 
@@ -165,7 +168,7 @@
 		w := newWorld(20e3)
 		w.run(60e3, perMs, 5000, 1, 0)
 		if part := w.run(200e3, perMs, 5000, 1, 0); part > 0.03 {
-			t.Errorf("%g a ms: %.3f are refused, unhindered", perMs, part)
+			t.Errorf("%g a ms: %.3f are refused while servers are free", perMs, part)
 		}
 		w.run(230e3, perMs, 5000, 4, 0)
 		if part := w.run(280e3, perMs, 5000, 4, 0); part < 0.85 {
--- a/policy/internal/overload/probes_test.go
+++ b/policy/internal/overload/probes_test.go
@@ -2,32 +2,33 @@
 
 import "testing"
 
-// A probe's time tells the load where it queues with requests, whoever has sent them, and none where it doesn't.
+// A probe's time shows the load where it queues with requests, whichever instance has sent them, and none where it doesn't.
 func TestLoadByProbes(t *testing.T) {
 	var p ProbeTimes
-	for _, c := range []struct {
-		zone       int
-		took, want float64 // want: waiting over the least time, which Model takes for the stretch
+	for _, c := range []struct { // in this order
+		name           string
+		zone           int
+		duration, want float64 // want: waiting over the shortest time, which Model takes for the stretch
 	}{
-		{0, 1, 0},   // all that is known is its own time
-		{0, 11, 10}, // in units of the least
-		{3, 6, 0},   // far away: the least of its zone is the way there
-		{3, 16, 10},
-		{0, 1.2, 0.2}, // the network's jitter
-		{0, 0.5, 0},
-		{0, 1, 1}, // in units of the new least
-		{3, 5, 0},
-		{-1, 2, 0}, // a zone that nobody knows
-		{-1, 3, 2},
-		{3, 10, 10},
+		{"first probe of all", 0, 1, 0},
+		{"waiting in units of the shortest", 0, 11, 10},
+		{"far zone: its shortest is the round trip", 3, 6, 0},
+		{"waiting in the far zone", 3, 16, 10},
+		{"the network's jitter", 0, 1.2, 0.2},
+		{"a shorter one", 0, 0.5, 0},
+		{"waiting in units of the new shortest", 0, 1, 1},
+		{"a shorter one from the far zone", 3, 5, 0},
+		{"zone not known", -1, 2, 0},
+		{"waiting, zone not known", -1, 3, 2},
+		{"waiting in the far zone, in new units", 3, 10, 10},
 	} {
-		if got := p.Load(1000, c.zone, c.took) / priorConcurrency; got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("zone %d, %g ms: %g, want %g", c.zone, c.took, got, c.want)
+		if got := p.Load(1000, c.zone, c.duration) / priorConcurrency; got < c.want-1e-9 || got > c.want+1e-9 {
+			t.Errorf("%s: %g, want %g", c.name, got, c.want)
 		}
 	}
 }
 
-// What was the least long ago is not believed for ever.
+// What was the shortest time long ago does not count for ever.
 func TestShortestProbeFades(t *testing.T) {
 	var p ProbeTimes
 	p.Load(0, 0, 1)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// A server that turns requests away as full answers fast and looks idle.
+// A server that declines requests answers fast and looks idle.
 func TestDecliningServerGetsFewRequests(t *testing.T) {
 	g := newRig(t, testConfig(), 6)
 	full := 0
@@ -72,16 +72,21 @@
 		}
 	}
 	if full == 0 || full > 25 {
-		t.Errorf("%d of 100 requests went to the full server", full)
+		t.Errorf("%d of 100 requests went to the declining server", full)
 	}
 }
 
 // A sidecar that has sent nothing to a server must learn from its report that it fails quickly; an old report fades.
 func TestReportedErrorsEject(t *testing.T) {
-	for _, c := range []struct {
+	for name, c := range map[string]struct {
 		errors, age float64
 		ejected     bool
-	}{{0, 0, false}, {1, 0, false}, {60, 0, true}, {60, 3 * outlier.HalfLife, false}} {
+	}{
+		"no errors":             {0, 0, false},
+		"few errors":            {1, 0, false},
+		"many errors":           {60, 0, true},
+		"many errors, long ago": {60, 3 * outlier.HalfLife, false},
+	} {
 		g := newRig(t, testConfig(), 6)
 		g.do(Event{Kind: ProbeEnded, Server: 4, Elapsed: 1, Report: Report{
 			HasRIF: true, HasLatency: true,
@@ -90,12 +95,12 @@
 		g.now += c.age
 		g.tick()
 		if got := g.b.isEjected(g.b.byID[4]); got != c.ejected {
-			t.Errorf("%v errors a second, %v ms ago: ejected %t", c.errors, c.age, got)
+			t.Errorf("%s: ejected %t", name, got)
 		}
 	}
 }
 
-// A server that turns one tenant's requests away serves the others: it is left out for that tenant alone.
+// A server that declines one tenant's requests serves the others: it is ejected for that tenant alone.
 func TestServerEjectedForOneTenant(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverQuotaWeight = make([]Tenant, 2), 1
@@ -111,7 +116,7 @@
 	}
 	for tenant, want := range []bool{true, false} {
 		if got := g.b.acceptsTenant(s, &request{tenant: 1 + tenant}); got != want {
-			t.Errorf("tenant %d: suits %t, want %t", tenant, got, want)
+			t.Errorf("tenant %d: accepted %t, want %t", tenant, got, want)
 		}
 	}
 	var to []ServerID
--- a/policy/overload_cases_test.go
+++ b/policy/overload_cases_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The cases that make an overload look like none, or the other way round, to one of many before servers that report nothing.
+// Cases that make an overload look like none, or the other way round, to one instance of many whose servers report nothing.
 func TestWhatIsNoOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		set    func(f *fleetOfOthers) // before the start
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleetOfOthers plays one sidecar of many before servers that report nothing, all as slow as the others make them.
+// fleetOfOthers plays one instance of many, with servers that report nothing and are all as slow as the others make them.
 type fleetOfOthers struct {
 	*rig
 	rng     *rand.Rand
@@ -28,9 +28,9 @@
 	e  Event
 }
 
-func newFleetOfOthers(t *testing.T, servers, told int, queues bool) *fleetOfOthers {
+func newFleetOfOthers(t *testing.T, servers, instances int, queues bool) *fleetOfOthers {
 	cfg := testConfig()
-	cfg.Instances, cfg.ProbeCost, cfg.WastedWorkCost = told, 0.01, 0.05
+	cfg.Instances, cfg.ProbeCost, cfg.WastedWorkCost = instances, 0.01, 0.05
 	b, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	return f
 }
 
-// list has it hear of that many servers and no others.
+// list gives it a list of that many servers and no others.
 func (f *fleetOfOthers) list(servers int) {
 	list := readyServers(servers)
 	f.act(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
@@ -126,17 +126,19 @@
 	return float64(f.sent-was) / float64(arrived)
 }
 
-// One of many is a small part of each server's load and knows none of it by its own count. It sees by its own answers and by
-// its probes that all are crowded, turns most away then, and finds back within 5 s of the end.
+// One instance of many is a small part of each server's load and can't count the rest. It sees by its own answers and by its probes
+// that all servers are overloaded, refuses most requests then, and admits all again within 5 s of the end.
 func TestOverloadIsSeenByOneOfMany(t *testing.T) {
 	for name, c := range map[string]struct {
-		queues bool
-		told   int // of 300 sidecars
+		queues    bool
+		instances int // by the settings, where there are 300
 	}{
-		"probes queue": {true, 300}, "probes don't": {false, 300}, "four times too many told": {false, 1200},
-		"a quarter told": {false, 75},
+		"probes queue":                            {true, 300},
+		"probes don't":                            {false, 300},
+		"settings say four times as many":         {false, 1200},
+		"settings say a quarter of the instances": {false, 75},
 	} {
-		f := newFleetOfOthers(t, 40, c.told, c.queues)
+		f := newFleetOfOthers(t, 40, c.instances, c.queues)
 		f.run(10e3)
 		if part := f.run(20e3); part < 0.97 {
 			t.Errorf("%s: %.2f are admitted while all is well", name, part)
@@ -154,27 +156,27 @@
 	}
 }
 
-// Where servers report no load, the time of a probe in their queue tells which of them is crowded.
+// Where servers report no load, the time of a probe in their queue shows which of them is overloaded.
 func TestProbeTimesShowTheLoad(t *testing.T) {
 	f := newFleetOfOthers(t, 2, 300, true)
 	f.run(3e3)
-	crowded, free := f.b.byID[1], f.b.byID[2]
-	crowded.inFlight, free.inFlight = 0, 0 // own requests count as well
+	overloaded, free := f.b.byID[1], f.b.byID[2]
+	overloaded.inFlight, free.inFlight = 0, 0 // own requests count as well
 	f.do(Event{Kind: ProbeEnded, Server: 1, Elapsed: 30})
 	f.do(Event{Kind: ProbeEnded, Server: 2, Elapsed: 1.1})
-	if crowded.rif < 20 || free.rif > 1 {
-		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", crowded.rif, free.rif)
+	if overloaded.rif < 20 || free.rif > 1 {
+		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", overloaded.rif, free.rif)
 	}
 	r := &request{class: 2, objectiveAt: f.b.now + 400, answerBy: f.b.now + 900}
 	if s := f.b.pick(r); s != free {
-		t.Errorf("the crowded server is picked")
+		t.Errorf("the overloaded server is picked")
 	}
-	if f.b.admits(crowded, r) || !f.b.admits(free, r) {
-		t.Errorf("admitted: %t at the crowded server, %t at the free one", f.b.admits(crowded, r), f.b.admits(free, r))
+	if f.b.admits(overloaded, r) || !f.b.admits(free, r) {
+		t.Errorf("admitted: %t at the overloaded server, %t at the free one", f.b.admits(overloaded, r), f.b.admits(free, r))
 	}
 }
 
-// What servers report goes before all that: neither the probes' times nor the own answers change anything there.
+// What servers report goes before all that: neither probes' times nor own answers change anything there.
 func TestReportsGoBeforeOwnAnswers(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id := range RequestID(200) {
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A sidecar with little traffic has no fresh loads: its requests wait for their own probes instead of going to a
+// An instance with little traffic has no fresh loads: its requests wait for their own probes instead of going to a
 // random server, and go anyway when the probes stay unanswered.
 func TestShortPoolWaitsForItsProbes(t *testing.T) {
 	for _, c := range []struct {
@@ -54,21 +54,21 @@
 	}
 }
 
-// A thousand sidecars that connect to every server fill the servers' tables: each keeps to a few, own zone first.
-// Few sidecars choose among all.
+// A thousand instances that connect to every server fill the servers' tables: each keeps to a few, own zone first.
+// Few instances choose among all.
 func TestSubsetFollowsTheNumberOfInstances(t *testing.T) {
-	for _, c := range []struct{ sidecars, servers, want int }{
-		{1, 64, 64},
-		{5, 12, 12},
-		{1000, 1, 1},
-		{1000, 2, 2},
-		{1000, 64, 8},
-		{1000, 65, 8},
-		{1000, 1000, 128},
-		{100000, 1000, subset.MinSize},
+	for name, c := range map[string]struct{ instances, servers, want int }{
+		"one instance":                    {1, 64, 64},
+		"few instances":                   {5, 12, 12},
+		"one server":                      {1000, 1, 1},
+		"two servers":                     {1000, 2, 2},
+		"many instances":                  {1000, 64, 8},
+		"many instances, an odd number":   {1000, 65, 8},
+		"as many servers as instances":    {1000, 1000, 128},
+		"far more instances than servers": {100000, 1000, subset.MinSize},
 	} {
 		cfg := testConfig()
-		cfg.Instances, cfg.CrossZoneCost = c.sidecars, 0.01
+		cfg.Instances, cfg.CrossZoneCost = c.instances, 0.01
 		b, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -89,21 +89,21 @@
 			}
 		}
 		if len(met) != c.want {
-			t.Errorf("%d sidecars, %d servers: %d servers probed, want %d", c.sidecars, c.servers, len(met), c.want)
+			t.Errorf("%s: %d of %d servers probed, want %d", name, len(met), c.servers, c.want)
 		}
 		for id := range met {
 			if c.want < c.servers/2 && id%2 == 0 {
-				t.Errorf("%d sidecars: server %d is not in the own zone", c.sidecars, id)
+				t.Errorf("%s: server %d is not in the own zone", name, id)
 			}
 		}
 	}
 }
 
-// A server whose probes fail is asked less and less often, however many requests wait for news, and is found again within a
-// bounded time even when nobody asks for anything. Requests go elsewhere meanwhile.
+// A server whose probes fail is probed less and less often, however many requests wait for reports, and is found again within a
+// bounded time even when no requests come. Requests go elsewhere meanwhile.
 func TestFailedProbesBackOff(t *testing.T) {
 	for name, status := range map[string]Status{
-		"refused": ConnectFailed, "draining": Failed, "turned away": Declined,
+		"refused": ConnectFailed, "draining": Failed, "declined": Declined,
 		"silent": TimedOut,
 	} {
 		g := newRig(t, testConfig(), 4)
@@ -145,12 +145,12 @@
 			tick()
 		}
 		if s := g.b.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Most {
-			t.Errorf("%s: still shut out %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
+			t.Errorf("%s: still unreachable %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
 		}
 	}
 }
 
-// Where probes are not allowed a request is the trial of a server that refused a connection, after the same wait.
+// Where probes are not allowed a request finds out whether a server that refused a connection is back, after the same wait.
 func TestUnreachableWithoutProbes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes = false
@@ -162,15 +162,15 @@
 		t.Errorf("two refusals at once count as %d", s.reachability.ConsecutiveFailures)
 	}
 	if !g.b.isUnreachable(s) {
-		t.Error("not shut out")
+		t.Error("reachable after a refusal")
 	}
 	if g.b.now = s.reachability.NextProbeAt; g.b.isUnreachable(s) {
-		t.Error("shut out beyond the wait")
+		t.Error("unreachable beyond the wait")
 	}
 }
 
 // Many servers are down, some of them for longer than their probes take: those that are back are found all the same, without a
-// request, and the others' news is not kept away by them.
+// request, and they do not keep away the reports of the others.
 func TestEveryServerIsFoundAgain(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 1
@@ -221,7 +221,7 @@
 	}
 }
 
-// A probe that could not even be tried is not tried again the next moment, whoever waits for news.
+// A probe that was not even sent is not sent again the next moment, however many requests wait for reports.
 func TestUnsentProbesDoNotBurst(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	probes := 0
@@ -235,8 +235,8 @@
 			}
 		}
 	}
-	if most := 4 * 2000 / 50; probes > most {
-		t.Errorf("%d probes in 2 s, at most %d", probes, most)
+	if maxProbes := 4 * 2000 / 50; probes > maxProbes {
+		t.Errorf("%d probes in 2 s, at most %d", probes, maxProbes)
 	}
 }
 
@@ -300,7 +300,7 @@
 			}
 		}
 	}
-	if waited > 70 { // 119 where uses do not follow
+	if waited > 70 { // many more where uses do not follow
 		t.Errorf("%d of 10,000 requests waited for probes of their own", waited)
 	}
 }
@@ -308,11 +308,16 @@
 // A quiet sidecar's pool is nearly always short, so that every request would wait for probes of its own. All that a request
 // causes, those it waits for included, come out of what requests have saved up.
 func TestProbesOfAQuietSidecarAreBudgeted(t *testing.T) {
-	for _, c := range []struct{ price, most, least float64 }{{0, 2, 1.9}, {0.0046, 2, 1.9}, {0.08, 0.5, 0.4}, {1, 0.15, 0.1}} {
+	for name, c := range map[string]struct{ price, maxEach, minEach float64 }{
+		"free":        {0, 2, 1.9},
+		"cheap":       {0.0046, 2, 1.9},
+		"costly":      {0.08, 0.5, 0.4},
+		"very costly": {1, 0.15, 0.1},
+	} {
 		cfg := testConfig()
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 60)
-		probes, asked := 0, 0
+		probes, sent := 0, 0
 		for id := range RequestID(400) { // each long after the last one, whose news are old
 			g.now += 1500
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
@@ -322,15 +327,15 @@
 					probes++
 					acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
 				case StartAttempt:
-					asked++
+					sent++
 					acts = append(acts, g.done(id, 0, a.Server, OK)...)
 				case RejectRequest, FailRequest:
 					t.Fatalf("request %d is not sent", id)
 				}
 			}
 		}
-		if each := float64(probes) / 400; each > c.most || each < c.least || asked != 400 {
-			t.Errorf("price %g: %.2f probes a request, want %g to %g; %d sent", c.price, each, c.least, c.most, asked)
+		if each := float64(probes) / 400; each > c.maxEach || each < c.minEach || sent != 400 {
+			t.Errorf("%s: %.2f probes a request, want %g to %g; %d sent", name, each, c.minEach, c.maxEach, sent)
 		}
 	}
 }
--- a/policy/restore_test.go
+++ b/policy/restore_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// What one life has learned is known to the next, but for what concerns a process that has ended, and no load is taken for a
-// present one.
+// What one process has learned is known to the next, but for what concerns a server's process that has ended, and no old load is
+// taken for a present one.
 func TestRestoredState(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 100}}
@@ -23,10 +23,10 @@
 	for range 20 {
 		g.b.byID[2].outcomesByTenant.AddFailure(g.b.now, 1, 1)
 	}
-	st := g.b.State()
-	miss := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
-	if miss < ejectionThreshold {
-		t.Fatalf("the failing server misses %.2f", miss)
+	state := g.b.State()
+	failureRate := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
+	if failureRate < ejectionThreshold {
+		t.Fatalf("the failing server's failure rate is %.2f", failureRate)
 	}
 	next, err := New(cfg, 8)
 	if err != nil {
@@ -40,15 +40,15 @@
 		{ID: 3, Health: Ready, StartedAt: h.now - 500},
 		{ID: 4, Health: Ready},
 	}})
-	if err := h.b.Restore(&st); err != nil {
+	if err := h.b.Restore(&state); err != nil {
 		t.Fatal(err)
 	}
 	one, two, three := h.b.byID[1], h.b.byID[2], h.b.byID[3]
 	if one.latency != 80 || !one.latencyReported || one.roundTrip != 1 {
 		t.Errorf("what was known of a server is lost: %+v", one)
 	}
-	if got := two.outcomesByTenant[0].FailureRate(h.now); got >= miss || got < miss/2 {
-		t.Errorf("evidence of %.2f is %.2f a second later", miss, got)
+	if got := two.outcomesByTenant[0].FailureRate(h.now); got >= failureRate || got < failureRate/2 {
+		t.Errorf("a failure rate of %.2f is %.2f a second later", failureRate, got)
 	}
 	if three.latency != 0 || len(three.outcomesByTenant) != 2 || three.outcomesByTenant[0].Failures != 0 {
 		t.Errorf("another process inherits: %+v", three)
@@ -57,16 +57,16 @@
 		t.Errorf("an old load is taken for a present one: %+v", one)
 	}
 	h.do(Event{Kind: TimerFired, Timer: tickTimer})
-	g.b.now, g.b.loadModel.FadedAt = h.now, st.FittedAt
+	g.b.now, g.b.loadModel.FadedAt = h.now, state.FittedAt
 	g.b.loadModel.Fade(h.now)
 	if got, want := h.b.loadModel.ClassFactor(0), g.b.loadModel.ClassFactor(0); got != want {
 		t.Errorf("fit %g, want %g", got, want)
 	}
-	if b := h.b.tenantBuckets[0]; b.At != st.Tenants[0].At || b.Value != st.Tenants[0].Value {
-		t.Errorf("the tenant's share is %+v", b)
+	if b := h.b.tenantBuckets[0]; b.At != state.Tenants[0].At || b.Value != state.Tenants[0].Value {
+		t.Errorf("the tenant's bucket is %+v", b)
 	}
-	st.Classes = st.Classes[:1]
-	if h.b.Restore(&st) == nil {
+	state.Classes = state.Classes[:1]
+	if h.b.Restore(&state) == nil {
 		t.Error("a state of other classes is taken")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -12,12 +12,12 @@
 		again  bool
 		final  ActionKind // where no attempt follows
 	}{
-		{"safe after error", 0, Failed, true, 0},
-		{"keyed after error", 1, Failed, true, 0},
-		{"unsafe after error", 2, Failed, false, FailRequest},
-		{"unsafe after reset", 2, Reset, false, FailRequest},
-		{"unsafe after full", 2, Declined, true, 0},
-		{"unsafe after no connection", 2, ConnectFailed, true, 0},
+		{"idempotent after error", 0, Failed, true, 0},
+		{"with a key after error", 1, Failed, true, 0},
+		{"non-idempotent after error", 2, Failed, false, FailRequest},
+		{"non-idempotent after reset", 2, Reset, false, FailRequest},
+		{"non-idempotent after declined", 2, Declined, true, 0},
+		{"non-idempotent after no connection", 2, ConnectFailed, true, 0},
 	} {
 		g := newRig(t, testConfig(), 6)
 		g.b.retryBudget = 5
--- a/policy/retryafter_test.go
+++ b/policy/retryafter_test.go
@@ -1,31 +1,22 @@
 package policy
 
-import (
-	"testing"
+import "testing"
 
-	"github.com/google/go-cmp/cmp"
-)
-
-// A refusal without advice, or with one beyond what clients follow, would bring them all back at once.
+// A refusal without advice, or with one beyond what clients follow, would bring all clients back at once.
 func TestRetryAfter(t *testing.T) {
-	got := map[string]Ms{}
 	for name, c := range map[string]struct {
-		service Ms
-		over    bool
+		fleetLatency Ms
+		overQuota    bool
+		want         Ms
 	}{
-		"by the time the work in hand has left": {service: 300},
-		"nothing is known yet":                  {service: 0},
-		"slower than clients follow":            {service: 9000},
-		"beyond the tenant's share":             {service: 300, over: true},
+		"by the time the work in hand has left": {300, false, 300},
+		"no service time known yet":             {0, false, priorServiceTime},
+		"slower than clients follow":            {9000, false, 1200},
+		"beyond the tenant's quota":             {300, true, 1200},
 	} {
-		b := Balancer{cfg: Config{MaxRetryAfter: 1200}, fleetLatency: c.service}
-		got[name] = b.retryAfter(&request{overQuota: c.over})
-	}
-	want := map[string]Ms{
-		"by the time the work in hand has left": 300, "nothing is known yet": priorServiceTime,
-		"slower than clients follow": 1200, "beyond the tenant's share": 1200,
-	}
-	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		b := Balancer{cfg: Config{MaxRetryAfter: 1200}, fleetLatency: c.fleetLatency}
+		if got := b.retryAfter(&request{overQuota: c.overQuota}); got != c.want {
+			t.Errorf("%s: %g ms, want %g", name, got, c.want)
+		}
 	}
 }
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// testConfig has one class of each kind and ten servers' worth of room.
+// testConfig has one class of each kind.
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// held is what the walk knows of one request: enough to judge rules 1 and 2.
-type held struct {
+// walkedRequest is what the walk knows of one request: enough to check rules 1 and 2.
+type walkedRequest struct {
 	class            int
 	end              Ms
 	answered         bool
@@ -28,7 +28,7 @@
 	cfg     Config
 	b       *Balancer
 	now     Ms
-	reqs    map[RequestID]*held
+	reqs    map[RequestID]*walkedRequest
 	order   []RequestID
 	servers map[ServerID]*ServerInfo
 	sends   map[ServerID][]Ms
@@ -36,7 +36,7 @@
 	dues    []Ms
 	next    RequestID
 	log     []string
-	spoil   func(*Balancer, []Action) []Action // deliberately breaks the module under test
+	spoil   func(*Balancer, []Action) []Action // breaks the rules on purpose
 }
 
 func (w *walk) check(e Event) error {
@@ -64,11 +64,11 @@
 			}
 			c := w.cfg.Classes[r.class]
 			if r.mayRan && c.Idempotency == NonIdempotent {
-				return fmt.Errorf("rule 2: unsafe request sent again: %+v", a)
+				return fmt.Errorf("rule 2: non-idempotent request sent again: %+v", a)
 			}
 			if r.mayRan && c.Idempotency == WithIdempotencyKey {
 				if w.now-r.firstRan >= c.KeyWindow || s.Zone != r.ranZone || s.Cell != r.ranCell {
-					return fmt.Errorf("rule 2: keyed request left its group or window: %+v", a)
+					return fmt.Errorf("rule 2: request with a key left its scope or window: %+v", a)
 				}
 			}
 			r.out[r.attempts] = a.Server
@@ -176,7 +176,7 @@
 	case 3, 4, 5, 6:
 		w.next++
 		left := w.rng.Float64() * 1000
-		w.reqs[w.next] = &held{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
+		w.reqs[w.next] = &walkedRequest{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
 		w.order = append(w.order, w.next)
 		return w.check(Event{
 			Kind: RequestArrived, Request: w.next, Class: w.reqs[w.next].class, TimeLeft: left,
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	w := &walk{
-		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, b: b, now: 5000, reqs: map[RequestID]*held{},
+		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, b: b, now: 5000, reqs: map[RequestID]*walkedRequest{},
 		servers: map[ServerID]*ServerInfo{}, sends: map[ServerID][]Ms{},
 	}
 	for id := ServerID(1); id <= 8; id++ {
@@ -269,7 +269,7 @@
 	}
 }
 
-// TestWalkFindsBrokenRules breaks the module's actions on purpose: each must be noticed.
+// TestWalkFindsBrokenRules breaks the actions on purpose: each must be noticed.
 func TestWalkFindsBrokenRules(t *testing.T) {
 	drop := func(k ActionKind) func(*Balancer, []Action) []Action {
 		return func(_ *Balancer, acts []Action) []Action {
@@ -285,7 +285,7 @@
 	for name, spoil := range map[string]func(*Balancer, []Action) []Action{
 		"failures swallowed": drop(FailRequest),
 		"refusals swallowed": drop(RejectRequest),
-		"failures told as refusals": func(_ *Balancer, acts []Action) []Action {
+		"failures answered as refusals": func(_ *Balancer, acts []Action) []Action {
 			for i := range acts {
 				if acts[i].Kind == FailRequest {
 					acts[i].Kind = RejectRequest
@@ -293,11 +293,11 @@
 			}
 			return acts
 		},
-		"unsafe as safe": func(b *Balancer, acts []Action) []Action {
+		"non-idempotent as idempotent": func(b *Balancer, acts []Action) []Action {
 			b.cfg.Classes[2].Idempotency = Idempotent
 			return acts
 		},
-		"keyed in any cell": func(b *Balancer, acts []Action) []Action {
+		"key valid in any cell": func(b *Balancer, acts []Action) []Action {
 			b.cfg.Classes[1].KeyScope = ScopeAll
 			return acts
 		},
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// coldFleet is sidecars that share requests, all of which hear of a cold server in the same moment.
+// coldFleet is instances that share requests and all learn of a cold server in the same moment.
 type coldFleet struct {
 	sidecars, servers int
 	skewed            bool    // sidecars' parts of the requests are log-normal, else equal
@@ -16,7 +16,7 @@
 	quiet             Ms      // until so long after the cold server's start there is a tenth of the requests
 }
 
-// play returns when the cold server got its requests, from its start on, and the most in a OverloadWindow over what fells it.
+// play returns when the cold server got its requests, from its start on, and the most in an OverloadWindow over what overloads it.
 func (c coldFleet) play(t *testing.T, cfg Config, seed uint64) (sent []Ms, worst float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f6c64))
 	fleet, parts, sum := make([]*rig, c.sidecars), make([]float64, c.sidecars), 0.0
@@ -74,15 +74,15 @@
 				in++
 			}
 		}
-		warmth := cfg.StartCapacity + (1-cfg.StartCapacity)*(at-born)/cfg.WarmUpTime
-		bears := cfg.OverloadMultiple * warmth * c.eachPerS / 1000 * cfg.OverloadWindow
+		fraction := cfg.StartCapacity + (1-cfg.StartCapacity)*(at-born)/cfg.WarmUpTime
+		bears := cfg.OverloadMultiple * fraction * c.eachPerS / 1000 * cfg.OverloadWindow
 		worst = max(worst, float64(in)/(bears+2*math.Sqrt(bears)+2))
 	}
 	return sent, worst
 }
 
-// What all sidecars together send to a cold server stays below what fells it: N and two roots of N and 2, N being OverloadMultiple times
-// what it must bear by then; whether they are few or many, equal or not, quiet or busy, and under a burst.
+// What all instances together send to a cold server stays below what overloads it: N and two roots of N and 2, N being
+// OverloadMultiple times what it must bear by then; whether they are few or many, equal or not, quiet or busy, and under a burst.
 func TestColdServerIsNotOverloadedByAllInstances(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbeCost, cfg.OverloadWindow, cfg.Round, cfg.WarmUpTime = 0.08, 3000, 1, 8000
@@ -92,30 +92,30 @@
 				for _, way := range []struct {
 					burst    float64
 					quiet    Ms
-					tip      float64
-					sidecars int // at most
+					overload float64 // multiple of what the server bears
+					sidecars int     // at most
 				}{{1, 0, 4, 6000}, {2, 0, 4, 6000}, {2, 1000, 4, 2000}, {2, 4000, 4, 2000}, {1.5, 0, 2, 2000}, {1.5, 4000, 2, 300}} {
 					if size[0] > way.sidecars || size[0] > 300 && each > 2 { // busy fleets of that size take long
 						continue
 					}
 					name := fmt.Sprintf("%d sidecars, skewed %t, %g a second, burst %g after %g ms, %g times", size[0], skewed, each,
-						way.burst, way.quiet, way.tip)
+						way.burst, way.quiet, way.overload)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						cfg := cfg
-						cfg.Instances, cfg.OverloadMultiple = size[0], way.tip
-						seeds, most, got := uint64(3), 0.0, 0
+						cfg.Instances, cfg.OverloadMultiple = size[0], way.overload
+						seeds, worstOfAll, got := uint64(3), 0.0, 0
 						if size[0] > 300 { // these take longer, and their sum varies less
 							seeds = 1
 						}
 						for seed := range seeds {
 							sent, worst := coldFleet{size[0], size[1], skewed, way.burst, each, way.quiet}.play(t, cfg, seed)
-							most, got = max(most, worst), got+len(sent)
+							worstOfAll, got = max(worstOfAll, worst), got+len(sent)
 						}
 						part := each * (way.burst*(8-way.quiet/1000) + way.quiet/10000)
-						t.Logf("%.2f of what fells it, %.2f of a warm one's part", most, float64(got)/float64(seeds)/part)
-						if most > 1 {
-							t.Errorf("%.2f of what fells it", most)
+						t.Logf("%.2f of what overloads it, %.2f of a warm one's part", worstOfAll, float64(got)/float64(seeds)/part)
+						if worstOfAll > 1 {
+							t.Errorf("%.2f of what overloads it", worstOfAll)
 						}
 					})
 				}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,13 +6,17 @@
 	"testing"
 )
 
-// A cold server gets more than its budget by the clock only where it has just said that it has room.
+// A cold server gets more than its budget by the clock only where it has just reported that it has capacity.
 func TestReportedRoomRaisesSlowStartBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		rif  float64
 		age  Ms
 		want bool
-	}{"has room": {0, 0, true}, "is busy": {5, 0, false}, "said so long ago": {0, maxSlowStartReportAge + 1, false}} {
+	}{
+		"has capacity":           {0, 0, true},
+		"is busy":                {5, 0, false},
+		"had capacity, long ago": {0, maxSlowStartReportAge + 1, false},
+	} {
 		g := newRig(t, testConfig(), 2)
 		s := g.b.byID[1]
 		s.info.StartedAt, s.rif, s.reportedAt = g.now, c.rif, g.now-c.age
@@ -27,7 +31,7 @@
 	}
 }
 
-// A server that started lately gets, over any tip window, no more than its share of what a warm one gets.
+// A cold server gets, over any overload window, no more than its share of what a warm one gets.
 func TestColdServerIsNotOverloaded(t *testing.T) {
 	for _, perStep := range []int{1, 4} {
 		g := newRig(t, testConfig(), 4)
@@ -79,7 +83,7 @@
 	}
 }
 
-// A sidecar born into a fleet that has just started must neither starve nor rush it.
+// An instance that starts with a fleet that has just started must neither starve nor overload it.
 func TestFleetOfColdServers(t *testing.T) {
 	b, err := New(testConfig(), 5)
 	if err != nil {
@@ -108,13 +112,13 @@
 	}
 }
 
-// When a server returns, a thousand sidecars learn of it within moments. Together they must not send it a burst:
-// each starts with a random part of one request, and the sum over any second stays near what a warm server gets.
+// When a server returns, many instances learn of it within moments. Together they must not send it a burst: each starts with a
+// random part of one request, and the sum over any second stays near what a warm server gets.
 func TestManyInstancesDoNotBurstToAColdServer(t *testing.T) {
 	const sidecars, servers = 400, 40
 	for seed := range uint64(3) {
 		cold := 0
-		asked := 0
+		sent := 0
 		for i := range uint64(sidecars) {
 			cfg := testConfig()
 			cfg.Instances = sidecars
@@ -145,7 +149,7 @@
 				}
 				if a := find(g.arrive(id, 0), StartAttempt); a != nil {
 					if count {
-						asked++
+						sent++
 						if a.Server == 1 {
 							cold++
 						}
@@ -161,16 +165,16 @@
 				step(true)
 			}
 		}
-		limit := 2.5 * 0.3 * float64(asked) / servers // multiple x cold share x a warm server's part of 2 s
+		limit := 2.5 * 0.3 * float64(sent) / servers // multiple x cold share x a warm server's part of 2 s
 		if float64(cold) > limit || cold == 0 {
-			t.Errorf("seed %d: %d of %d requests to the cold server in 2 s, limit %.0f", seed, cold, asked, limit)
+			t.Errorf("seed %d: %d of %d requests to the cold server in 2 s, limit %.0f", seed, cold, sent, limit)
 		}
 	}
 }
 
-// Whatever the number of sidecars that share the same traffic, all of which hear of a cold server in the same moment: what
-// they send it together, in any OverloadWindow, stays under three quarters of OverloadMultiple times what it must bear when the window
-// begins, where the fleet's servers are used to the full; and it gets half of a warm server's part at least.
+// Any number of instances share the same traffic, and all learn of a cold server in the same moment. What they send it together,
+// in any OverloadWindow, stays under three quarters of OverloadMultiple times what it must bear when the window begins, where the
+// fleet's servers are used to the full; and it gets half of a warm server's part at least.
 func TestColdServerGetsItsShareFromAllInstances(t *testing.T) {
 	const lasts = 8000
 	for _, c := range [][2]int{{1, 30}, {4, 30}, {80, 30}, {300, 200}, {2000, 30}, {5000, 200}} {
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -4,14 +4,20 @@
 	"testing"
 )
 
-// News is sparse for who meets most servers seldom, however many there are of either.
+// Reports are sparse for an instance that probes most servers seldom, however many requests or servers there are.
 func TestReportsAreSparse(t *testing.T) {
-	for _, c := range []struct {
+	for name, c := range map[string]struct {
 		servers int
 		every   Ms // between two requests
 		price   float64
 		want    bool
-	}{{60, 60, 0.08, true}, {16, 4, 0.0046, false}, {60, 1, 0.08, false}, {60, 60, 0, true}, {3, 60, 0.0046, false}} {
+	}{
+		"few requests, costly probes":  {60, 60, 0.08, true},
+		"many requests, few servers":   {16, 4, 0.0046, false},
+		"many requests, costly probes": {60, 1, 0.08, false},
+		"few requests, free probes":    {60, 60, 0, true},
+		"few requests, three servers":  {3, 60, 0.0046, false},
+	} {
 		cfg := testConfig()
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, c.servers)
@@ -20,30 +26,35 @@
 			g.arrive(id, 0)
 		}
 		if g.b.reportsSparse != c.want {
-			t.Errorf("%d servers, a request in %.0f ms, price %g: sparse %t", c.servers, c.every, c.price, g.b.reportsSparse)
+			t.Errorf("%s: sparse %t", name, g.b.reportsSparse)
 		}
 	}
 }
 
-// Where news is sparse a server must show more room, and one whose report is older than a pool's entry shows none.
+// Where reports are sparse a server must show more capacity, and one whose report is older than a pool's entry shows none.
 func TestSparseReportsNeedMoreCapacity(t *testing.T) {
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
-	for _, c := range []struct {
-		rif                    float64
-		latency                Ms
-		informed, whenIsSparse bool
-	}{{2, 40, true, true}, {17, 40, true, false}, {5, 200, true, false}, {30, 40, false, false}} {
+	for name, c := range map[string]struct {
+		rif              float64
+		latency          Ms
+		frequent, sparse bool // admitted where reports are
+	}{
+		"few in flight, fast":       {2, 40, true, true},
+		"many in flight, fast":      {17, 40, true, false},
+		"some in flight, slow":      {5, 200, true, false},
+		"too many in flight for it": {30, 40, false, false},
+	} {
 		g := newRig(t, cfg, 2)
 		s, r := g.b.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
 		s.rif, s.latency, g.b.fleetLatency = c.rif, c.latency, c.latency
 		g.b.byID[2].rif = 50
-		for sparse, want := range map[bool]bool{false: c.informed, true: c.whenIsSparse} {
+		for sparse, want := range map[bool]bool{false: c.frequent, true: c.sparse} {
 			if g.b.reportsSparse = sparse; g.b.admits(s, r) != want {
-				t.Errorf("%g in flight, %.0f ms, sparse %t: admitted %t", c.rif, c.latency, sparse, !want)
+				t.Errorf("%s, sparse %t: admitted %t", name, sparse, !want)
 			}
 			if got := g.b.randomWithCapacity(r) == s; got != want {
-				t.Errorf("%g in flight, %.0f ms, sparse %t: has room %t", c.rif, c.latency, sparse, got)
+				t.Errorf("%s, sparse %t: has capacity %t", name, sparse, got)
 			}
 		}
 	}
@@ -53,7 +64,7 @@
 		t.Error("a report of 800 ms ago counts for nothing")
 	}
 	if g.b.reportsSparse = true; g.b.randomWithCapacity(r) != nil {
-		t.Error("a report of 800 ms ago counts as news")
+		t.Error("a report of 800 ms ago counts as recent")
 	}
 }
 
@@ -80,12 +91,15 @@
 	}
 }
 
-// Where probes are dear none is sent out of turn to servers that were shut: the random ones of requests find them again.
+// Where probes are costly none is sent only to find unreachable servers: the random ones of requests find them again.
 func TestCostlyProbesOfUnreachableServers(t *testing.T) {
-	for _, c := range []struct {
-		price       float64
-		least, most int
-	}{{0.0046, 20, 60}, {0.08, 0, 0}} {
+	for name, c := range map[string]struct {
+		price                float64
+		minProbes, maxProbes int
+	}{
+		"cheap":  {0.0046, 20, 60},
+		"costly": {0.08, 0, 0},
+	} {
 		cfg := testConfig()
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 20)
@@ -93,7 +107,7 @@
 		for range 100 { // five seconds in which all are down
 			g.now += tickInterval
 			for _, a := range g.tick() {
-				if a.Kind == SendProbe && g.b.lastProbeAt != g.now { // not one of those that an idle sidecar sends
+				if a.Kind == SendProbe && g.b.lastProbeAt != g.now { // not one of those that an idle instance sends
 					probes++
 				}
 				if a.Kind == SendProbe {
@@ -101,8 +115,8 @@
 				}
 			}
 		}
-		if probes < c.least || probes > c.most {
-			t.Errorf("price %g: %d probes out of turn, want %d to %d", c.price, probes, c.least, c.most)
+		if probes < c.minProbes || probes > c.maxProbes {
+			t.Errorf("%s: %d recovery probes, want %d to %d", name, probes, c.minProbes, c.maxProbes)
 		}
 		if s := g.b.byID[1]; c.price > 0.05 {
 			for s.reachability.ConsecutiveFailures = 1; s.reachability.ConsecutiveFailures > 0 && g.now < 1e6; {
@@ -114,18 +128,18 @@
 				}
 			}
 			if s.reachability.ConsecutiveFailures > 0 {
-				t.Error("a shut server is not found again")
+				t.Error("an unreachable server is not found again")
 			}
 		}
 	}
 }
 
-// Before a sidecar whose news is sparse refuses, it asks: probes borrowed from later requests, so that all together stay
-// within what they may cost.
+// Before an instance whose reports are sparse refuses, it probes: with probes borrowed from later requests, so that all together
+// stay within what they may cost.
 func TestSparseReportsAreProbedForBeforeARefusal(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbeCost, cfg.WastedWorkCost = 0.08, 0.1
-	for _, room := range []bool{true, false} {
+	for _, hasCapacity := range []bool{true, false} {
 		g := newRig(t, cfg, 60)
 		probes, sent, refused := 0, 0, 0
 		for id := range RequestID(400) {
@@ -133,10 +147,10 @@
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case SendProbe: // half of them have room, if any
+				case SendProbe: // half of them have capacity, if any
 					probes++
 					rif := 40.0
-					if room && a.Server%2 == 0 {
+					if hasCapacity && a.Server%2 == 0 {
 						rif = 1
 					}
 					acts = append(acts, g.do(probeAnswer(a.Server, rif, 40))...)
@@ -154,15 +168,15 @@
 			}
 		}
 		if each := float64(probes) / 400; each > 0.55 || each < 0.4 {
-			t.Errorf("room %t: %.2f probes a request", room, each)
+			t.Errorf("capacity %t: %.2f probes a request", hasCapacity, each)
 		}
-		if sent+refused != 400 || room && sent < 230 || !room && refused < 300 {
-			t.Errorf("room %t: %d sent, %d refused", room, sent, refused)
+		if sent+refused != 400 || hasCapacity && sent < 230 || !hasCapacity && refused < 300 {
+			t.Errorf("capacity %t: %d sent, %d refused", hasCapacity, sent, refused)
 		}
 	}
 }
 
-// Sparse news is of the own zone, but for one probe in ten.
+// Sparse reports are of the own zone, but for those of one request in ten.
 func TestSparseReportsAreOfTheOwnZone(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.ProbeCost = 0.01, 0.08
--- a/policy/stalelist_test.go
+++ b/policy/stalelist_test.go
@@ -4,11 +4,11 @@
 	"testing"
 )
 
-// While the directory can't be heard a server may begin to drain at any time and the word of it count. A quiet sidecar among
-// many servers must still serve, and send only where a probe has been answered lately: one that drains turns it away.
+// While discovery can't be reached a server may begin to drain at any time. A quiet instance among many servers must still serve,
+// and send only where a probe has been answered lately: a draining server declines it.
 func TestProbesStandForAStaleList(t *testing.T) {
 	const holds = 550
-	for name, price := range map[string]float64{"dear": 0.08, "cheap": 0} {
+	for name, price := range map[string]float64{"costly": 0.08, "cheap": 0} {
 		cfg := testConfig()
 		cfg.ProbeCost, cfg.ProbeValidity, cfg.Instances = price, holds, 300
 		g := newRig(t, cfg, 40)
@@ -28,7 +28,7 @@
 					probes++
 					e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Status: Failed}
 					if !drains[a.Server] {
-						if a.Server <= 30 || g.now < 1000+3650 { // else by whom is not known
+						if a.Server <= 30 || g.now < 1000+3650 { // else the process that answers is not known
 							answered[a.Server], e.ProbeSentAt = g.now, g.now
 						}
 						e.Status, e.Report = OK, Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}
@@ -53,34 +53,35 @@
 		}
 		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3000})
 		if g.b.isListStale() {
-			t.Errorf("%s: heard again, and not believed", name)
+			t.Errorf("%s: still stale after a new list", name)
 		}
 	}
 	cfg := testConfig()
 	cfg.Probes = false
 	g := newRig(t, cfg, 4)
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: -1}); find(g.arrive(1, 0), RejectRequest) == nil {
-		t.Error("without probes nothing stands for an old list")
+		t.Error("without probes a stale list is relied on")
 	}
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: 1}); find(g.arrive(2, 0), StartAttempt) == nil {
-		t.Error("heard again, and not believed")
+		t.Error("refused after a new list")
 	}
 }
 
-// While any answer is proof, servers that were never heard of are probed, and serve; after that they are not asked for nothing.
+// While a probe of any server may stand for the list, servers that have answered none yet are probed, and serve; after that their
+// probes would be wasted.
 func TestNewServersAreProbedWhileAnyProbeCounts(t *testing.T) {
-	for proves, want := range map[Ms]bool{5000: true, 0: false} {
+	for counts, want := range map[Ms]bool{5000: true, 0: false} {
 		cfg := testConfig()
 		cfg.ProbeValidity = 550
 		g := newRig(t, cfg, 8)
-		g.do(Event{Kind: ListValidityChanged, TimeLeft: -1, Elapsed: proves})
+		g.do(Event{Kind: ListValidityChanged, TimeLeft: -1, Elapsed: counts})
 		probe := find(g.arrive(1, 0), SendProbe)
 		if (probe != nil) != want {
-			t.Errorf("%.0f ms of proof: probed %t", proves, probe != nil)
+			t.Errorf("any probe counts for %.0f ms: probed %t", counts, probe != nil)
 		}
 		g.now += 6000
 		if find(g.arrive(2, 0), SendProbe) != nil {
-			t.Errorf("%.0f ms of proof: probed after that", proves)
+			t.Errorf("any probe counts for %.0f ms: probed after that", counts)
 		}
 	}
 }
