--- a/internal/probing/probing.go
+++ b/internal/probing/probing.go
@@ -8,25 +8,25 @@
 // Bounds on the number of probes.
 const (
 	MaxPerRequest = 2.0  // probes a request on average; Prequal's r_probe, "above 1 is quite safe"
-	MinInterval   = 40.0 // ms between two probes of a server by one instance on average: more tell nothing new
+	MinInterval   = 40.0 // ms between two probes of a server by one instance on average: more show nothing new
 	PerWait       = 4    // probes of a request that waits for their answers; Prequal's d
 	minPerWait    = 2    // of one that can't be sent without an answer
 )
 
 const (
-	missingNewsCost = 0.02 // part of a request's value lost for want of news at one probe a request; at r probes the r-th part of it
-	poolGrowth      = 1.0  // net growth of the pool with each request; Prequal's delta
-	maxUses         = 3.0  // uses of an entry where Prequal's formula has no positive divisor
+	oldReportCost = 0.02 // part of a request's value lost to old reports at one probe a request; at r probes the r-th part of it
+	poolGrowth    = 1.0  // net growth of the pool with each request; Prequal's delta
+	maxUses       = 3.0  // uses of an entry where Prequal's formula has no positive divisor
 )
 
 // PerRequest is the number of probes that a request brings along, on average, where a probe costs the part price of a
 // request's value and the instance has so many servers and so many requests a millisecond.
 //
-// More probes lose less for want of news, as missingNewsCost/r, and cost r times the price: the sum is least at
-// sqrt(missingNewsCost/price). At one server all instances together send that many for each request that it gets, and no more
+// More probes lose less to old reports, as oldReportCost/r, and cost r times the price: the sum is least at
+// sqrt(oldReportCost/price). At one server all instances together send that many for each request that it gets, and no more
 // than one each in MinInterval.
 func PerRequest(price float64, servers int, requestsPerMs float64) float64 {
-	return min(MaxPerRequest, math.Sqrt(missingNewsCost/max(price, math.SmallestNonzeroFloat64)),
+	return min(MaxPerRequest, math.Sqrt(oldReportCost/max(price, math.SmallestNonzeroFloat64)),
 		float64(servers)/(MinInterval*requestsPerMs))
 }
 
@@ -41,8 +41,8 @@
 	return uses
 }
 
-// AreCostly reports whether the price alone keeps probes below MaxPerRequest: then none is sent out of turn.
-func AreCostly(price float64) bool { return price*MaxPerRequest*MaxPerRequest > missingNewsCost }
+// AreCostly reports whether the price alone keeps probes below MaxPerRequest: then none is sent only to find servers again.
+func AreCostly(price float64) bool { return price*MaxPerRequest*MaxPerRequest > oldReportCost }
 
 // ToAwait is how many probes a request may send whose answers it waits for. Where probes are limited it may send those that
 // requests have saved up or may borrow. An urgent request, which may go nowhere without an answer because the list is stale,
--- a/internal/probing/probing_test.go
+++ b/internal/probing/probing_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A busy instance probes no server more often than news of it is worth, whatever a probe costs.
+// A busy instance probes no server more often than its reports change, whatever a probe costs.
 func TestProbesOfABusyInstance(t *testing.T) {
 	for _, perMs := range []float64{0.1, 1, 100} {
 		for _, price := range []float64{0, 0.0046, 0.08} {
@@ -53,7 +53,7 @@
 		if AreCostly(price) != (each < MaxPerRequest) {
 			t.Errorf("price %g: %g probes a request, costly %t", price, each, AreCostly(price))
 		}
-		if each*price > math.Sqrt(missingNewsCost*price)+1e-9 {
+		if each*price > math.Sqrt(oldReportCost*price)+1e-9 {
 			t.Errorf("price %g: %g is paid for each request's probes", price, each*price)
 		}
 		previous = each
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,5 +1,5 @@
 // Package subset says among how many servers one instance of many chooses. Connections of every instance to every server
-// would fill the servers' tables, and news of few servers is fresher than news of many. It does no input or output.
+// would fill the servers' tables, and reports of few servers are fresher than those of many. It does no input or output.
 package subset
 
 // MinSize is the number of servers among which an instance chooses at least, where there are that many.
@@ -21,8 +21,8 @@
 }
 
 // FarInterval is in how many requests one sends its probes to the whole subset, the others to the servers of the preferred
-// zone. Where reports are sparse fewer do: news of few servers is fresher than news of many, and fewer connections are needed
-// for it. The caller makes up for a crowded zone: while its servers hold more than they run concurrently, more probes leave it.
+// zone. Where reports are sparse fewer do: reports of few servers are fresher, and fewer connections are needed
+// for it. The caller makes up for a full zone: while its servers have more in flight than they run concurrently, more probes leave it.
 func FarInterval(sparse bool) int {
 	if sparse {
 		return sparseFarInterval
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -15,7 +15,7 @@
 	Log                             // Text
 )
 
-// Action is one thing to do; Kind tells which of the fields count.
+// Action is one thing to do; Kind says which of the fields count.
 type Action struct {
 	Kind    ActionKind
 	Attempt int
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,7 +10,7 @@
 
 const (
 	maxSlowFactor   = 1.5 // times the median service time that a usual request is taken to need at most: a few costly ones raise a mean
-	peerValueFactor = 1.5 // times a request's value, from which a class keeps its room against it
+	peerValueFactor = 1.5 // times a request's value, from which a class keeps its capacity against it
 	minQuotaBurst   = 5.0 // requests of a tenant that may come at once; else a second's quota
 	minIdleRIF      = 1   // requests in flight below which a server is idle
 )
@@ -48,7 +48,7 @@
 }
 
 // meetsObjectives reports whether the server would answer in time not only this request but also one of each class that is
-// worth more: only where none of those would be too late is this one out of nobody's way.
+// worth more: else it would take the place of one of those.
 func (b *Balancer) meetsObjectives(s *server, r *request, value float64, timeLeft Ms) bool {
 	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
 	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s))
@@ -82,7 +82,7 @@
 }
 
 // randomWithCapacity is a random server that admits the request, for where the picked one does not. A random one, since all
-// instances would crowd the best.
+// instances would overload the best.
 func (b *Balancer) randomWithCapacity(r *request) *server {
 	maxAge := maxPoolAge
 	if b.reportsSparse {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -48,7 +48,7 @@
 // Requests that servers decline must lower what is admitted.
 func TestDeclinedRequestsLowerConcurrency(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
-	before := g.b.loadModel.Concurrency()
+	before := g.balancer.loadModel.Concurrency()
 	for id := RequestID(1); id <= 10; id++ {
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 3, 40)
@@ -57,7 +57,7 @@
 			g.done(id, 0, a.Server, Declined)
 		}
 	}
-	if after := g.b.loadModel.Concurrency(); after >= before {
+	if after := g.balancer.loadModel.Concurrency(); after >= before {
 		t.Errorf("concurrency %.1f, then %.1f", before, after)
 	}
 }
@@ -70,7 +70,7 @@
 		cfg.Classes[i].LateWeight = 0
 	}
 	g := newRig(t, cfg, 4)
-	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.b.answerMargin {
+	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.balancer.answerMargin {
 		t.Errorf("an attempt for a client that waits 900 ms: %+v", s)
 	}
 }
@@ -81,16 +81,16 @@
 	g := newRig(t, testConfig(), 4)
 	for id, want := range map[RequestID]bool{1: false, 2: true} {
 		g.now = 1000 + float64(id-1)*startupPeriod
-		for s := range g.b.byID {
+		for s := range g.balancer.byID {
 			g.report(s, 1, 40)
 		}
 		s := find(g.arrive(id, 0), StartAttempt)
 		g.now += 40
 		g.done(id, 0, s.Server, OK)
-		if got := g.b.loadModel.Classes[0].Count > 0; got != want {
+		if got := g.balancer.loadModel.Classes[0].Count > 0; got != want {
 			t.Errorf("%.0f ms after the start: sampled %t, want %t", g.now-1000, got, want)
 		}
-		g.b.loadModel.Classes[0].Count = 0
+		g.balancer.loadModel.Classes[0].Count = 0
 	}
 }
 
@@ -101,7 +101,7 @@
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
 	g := newRig(t, cfg, 1)
-	s, r := g.b.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
+	s, r := g.balancer.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
 	for name, c := range map[string]struct {
 		rif             float64
 		latency, median Ms
@@ -117,9 +117,9 @@
 	} {
 		s.rif = c.rif
 		s.latency = c.latency
-		g.b.fleetLatency = c.median
-		if got := g.b.admits(s, r); got != c.want {
-			t.Errorf("%s: a response of about %.0f ms for an objective of 400: admitted %t", name, g.b.expectedLatency(s, 0, s.rif), got)
+		g.balancer.fleetLatency = c.median
+		if got := g.balancer.admits(s, r); got != c.want {
+			t.Errorf("%s: a response of about %.0f ms for an objective of 400: admitted %t", name, g.balancer.expectedLatency(s, 0, s.rif), got)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	over := [2]int{}
-	for n := range 4000 { // 40 a second: 30 times the mean, nine in ten of the second tenant, whose share is a quarter
+	for n := range 4000 { // 40 a second: 30 times the mean, nine in ten of the second tenant, which has a quarter of the quotas
 		b.now += 25
 		b.arrivalRate.Add(b.now)
 		tenant := 1
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -49,15 +49,15 @@
 	listValidUntil  Ms // the list is complete until then
 	probeAnyUntil   Ms // until then a probe of any server may stand for a stale list
 
-	pool             probepool.Pool[*server]
-	recentRIFs       stats.Window // of the newest reports
-	hotRIF           float64      // servers with more in flight are hot
-	probeCredit      float64      // probes that requests have saved up
-	probesPerRequest float64      // at the present rate of requests
-	roomElsewhere    stats.SuccessRate
-	reportsSparse    bool       // most servers' reports are older than maxPoolAge
-	waitingForProbes []*request // in order of arrival
-	lastProbeAt      Ms
+	pool              probepool.Pool[*server]
+	recentRIFs        stats.Window // of the newest reports
+	hotRIF            float64      // servers with more in flight are hot
+	probeCredit       float64      // probes that requests have saved up
+	probesPerRequest  float64      // at the present rate of requests
+	capacityElsewhere stats.SuccessRate
+	reportsSparse     bool       // most servers' reports are older than maxPoolAge
+	waitingForProbes  []*request // in order of arrival
+	lastProbeAt       Ms
 
 	latencyReported   bool // servers report their service times
 	loadModel         overload.Model
@@ -83,20 +83,20 @@
 	}
 	cfg = cfg.withDefaults()
 	return &Balancer{
-		cfg:              cfg,
-		rng:              rand.New(rand.NewPCG(seed, randomStream)),
-		minObjective:     cfg.minObjective(),
-		answerMargin:     2*cfg.Round + 1,
-		byID:             map[ServerID]*server{},
-		listValidUntil:   -never,
-		hotRIF:           -never,
-		probesPerRequest: probing.MaxPerRequest,
-		roomElsewhere:    1,
-		loadModel:        overload.NewModel(cfg.objectives()),
-		gauge:            overload.NewGauge(cfg.objectives()),
-		traffic:          admission.Traffic{TotalQuota: cfg.totalQuota(), Instances: cfg.Instances},
-		tenantBuckets:    slices.Repeat([]tokenbucket.Bucket{{At: never}}, len(cfg.Tenants)),
-		requests:         map[RequestID]*request{},
+		cfg:               cfg,
+		rng:               rand.New(rand.NewPCG(seed, randomStream)),
+		minObjective:      cfg.minObjective(),
+		answerMargin:      2*cfg.Round + 1,
+		byID:              map[ServerID]*server{},
+		listValidUntil:    -never,
+		hotRIF:            -never,
+		probesPerRequest:  probing.MaxPerRequest,
+		capacityElsewhere: 1,
+		loadModel:         overload.NewModel(cfg.objectives()),
+		gauge:             overload.NewGauge(cfg.objectives()),
+		traffic:           admission.Traffic{TotalQuota: cfg.totalQuota(), Instances: cfg.Instances},
+		tenantBuckets:     slices.Repeat([]tokenbucket.Bucket{{At: never}}, len(cfg.Tenants)),
+		requests:          map[RequestID]*request{},
 	}, nil
 }
 
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -75,11 +75,11 @@
 		g.tick()
 	}
 	playFrom(0)
-	before := g.b.kept()
+	before := g.balancer.kept()
 	for k := range 9 {
 		playFrom(2000 * (k + 1))
 	}
-	if diff := cmp.Diff(before, g.b.kept()); diff != "" {
+	if diff := cmp.Diff(before, g.balancer.kept()); diff != "" {
 		t.Error(diff)
 	}
 	if before.Servers != 12 || before.Requests != 0 || before.OutAll != 0 {
--- a/policy/config.go
+++ b/policy/config.go
@@ -47,7 +47,7 @@
 
 // Tenant is one sharer of the fleet.
 type Tenant struct {
-	Quota float64 // requests a second over all sidecars that are within its share
+	Quota float64 // requests a second over all sidecars that are within its quota
 }
 
 // Config is the settings of a Balancer.
--- a/policy/events.go
+++ b/policy/events.go
@@ -71,7 +71,7 @@
 	Errors             float64 // a second
 }
 
-// Event is one thing that has happened; Kind tells which of the fields count.
+// Event is one thing that has happened; Kind says which of the fields count.
 type Event struct {
 	Kind         EventKind
 	Status       Status
--- a/policy/internal/overload/baseline.go
+++ b/policy/internal/overload/baseline.go
@@ -18,7 +18,7 @@
 	next       int // place in durations
 	count      int // of durations that are known
 	answeredAt float64
-	sorted     []float64 // room for add
+	sorted     []float64 // scratch space of add
 }
 
 // add takes an answer at now. The median follows the answers while they are not slow: down quickly, up slowly.
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -16,7 +16,7 @@
 	memoryMultiple        = 2.0  // times the time after which it is slow, for which it does so in any case
 	maxRecent             = 20   // newest attempts that count at most
 	minRecent             = 3    // attempts without which nothing is known
-	fullRateRecent        = 8    // attempts for the full rate of shedding: the same few tell nothing new with each look
+	fullRateRecent        = 8    // attempts for the full rate of shedding: the same few show nothing new with each update
 	medianErrorFactor     = 0.4  // 0.8 of the median's standard error in ranks, as a part of their number, times its root
 )
 
@@ -26,7 +26,7 @@
 	maxUpdateSeconds    = 1     // that an update counts for, however long ago the last one was
 	sheddingRate        = 4.0   // e-folds a second by which less is admitted, for each time too long that answers take
 	recoveryRate        = 0.4   // part a second that is admitted again once they don't
-	blindRecoveryRate   = 0.125 // the same while there are too few attempts to tell
+	blindRecoveryRate   = 0.125 // the same while there are too few attempts to judge by
 	valueExponent       = 0.4   // how the refused part grows as a request's value falls
 	minValue            = 0.01  // value below which it grows no more
 	minAdmittedFraction = 0.02  // part that is always admitted: only answers show that the overload is over
@@ -40,7 +40,7 @@
 	allClasses      baseline             // of durations over their class's factor
 	classes         []baseline           // by number
 	updatedAt       float64
-	recent          []float64 // room for Update: durations over their baselines
+	recent          []float64 // scratch space of Update: durations over their baselines
 	stretch         float64   // as of the last update
 	refusedFraction float64   // of the requests of the highest value
 }
@@ -48,7 +48,7 @@
 // attempt is one that is followed.
 type attempt struct {
 	request     uint32
-	startedAt   float64 // 0 = there is none, or it tells nothing
+	startedAt   float64 // 0 = there is none, or it does not count
 	class       int
 	classFactor float64 // usual duration of the class over that of all
 	duration    float64 // until its answer; 0 = it is in flight
@@ -92,7 +92,7 @@
 	g.next = (g.next + 1) % maxFollowed
 }
 
-// AttemptEnded takes note of an attempt's end. One that was neither answered nor given all its time tells nothing.
+// AttemptEnded takes note of an attempt's end. One that was neither answered nor given all its time does not count.
 func (g *Gauge) AttemptEnded(now float64, request uint32, completed bool) {
 	for i := range g.followed {
 		a := &g.followed[i]
@@ -136,7 +136,7 @@
 // Update judges at now. target is the time in which a usual request has to be done for the tightest latency target.
 //
 // While answers are slow the part that is refused grows, the quicker the slower they are; once they are not it shrinks
-// steadily, and more slowly while there are too few to tell. So it goes on growing as long as servers are crowded, however
+// steadily, and more slowly while there are too few to judge by. So it goes on growing as long as servers are overloaded, however
 // little they get, and ends by itself.
 func (g *Gauge) Update(now, target float64) {
 	g.allClasses.target = target
@@ -161,7 +161,7 @@
 
 // collectRecent puts the durations of the newest attempts over their baselines into g.recent; for those in flight it takes their
 // age. Only attempts count that have had the time to be slow: of younger ones the quick answers alone have come. It returns
-// the longest time in ms after which one of them counts as slow: what is refused changes no quicker than answers can tell.
+// the longest time in ms after which one of them counts as slow: what is refused changes no quicker than answers can show.
 func (g *Gauge) collectRecent(now float64) (longestSlow float64) {
 	g.recent = g.recent[:0]
 	for i := 0; i < maxFollowed && len(g.recent) < maxRecent; i++ {
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -10,12 +10,12 @@
 
 // world plays the answers of one instance.
 type world struct {
-	gauge Gauge
-	rng   *rand.Rand
-	now   float64
-	id    uint32
-	ends  map[uint32]float64 // of the attempts that are out
-	left  float64
+	gauge       Gauge
+	rng         *rand.Rand
+	now         float64
+	lastRequest uint32
+	ends        map[uint32]float64 // of the attempts that are out
+	left        float64
 }
 
 func newWorld(left float64) *world {
@@ -35,9 +35,9 @@
 			if w.rng.Float64() < hung {
 				took = 5000
 			}
-			w.id++
-			w.gauge.AttemptStarted(w.now, w.id, 0, 1)
-			w.ends[w.id] = w.now + took
+			w.lastRequest++
+			w.gauge.AttemptStarted(w.now, w.lastRequest, 0, 1)
+			w.ends[w.lastRequest] = w.now + took
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.ends)) {
 			if at := w.ends[id]; at <= w.now {
@@ -140,9 +140,9 @@
 	w.run(10e3, 0.02, 200, 1, 0)
 	for w.now < 11e3 { // all of one second hang for 20 s
 		w.run(w.now+50, 0, 200, 1, 0)
-		w.id++
-		w.gauge.AttemptStarted(w.now, w.id, 0, 1)
-		w.ends[w.id] = w.now + 20e3
+		w.lastRequest++
+		w.gauge.AttemptStarted(w.now, w.lastRequest, 0, 1)
+		w.ends[w.lastRequest] = w.now + 20e3
 	}
 	w.run(15e3, 0.02, 200, 1, 0)
 	if part := w.run(20e3, 0.02, 200, 1, 0); part > 0.02 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// After a reload with fewer classes, an attempt of a class that is gone tells nothing and does no harm.
+// After a reload with fewer classes, an attempt of a class that is gone does not count and does no harm.
 func TestGaugeReconfigured(t *testing.T) {
 	g := NewGauge([]float64{500, 300})
 	g.AttemptStarted(100, 1, 1, 1)
--- a/policy/internal/overload/model.go
+++ b/policy/internal/overload/model.go
@@ -1,4 +1,4 @@
-// Package overload judges how crowded servers are: from load that they report, from the time that probes take where they
+// Package overload judges how loaded servers are: from load that they report, from the time that probes take where they
 // queue with requests, and from the answers to own requests of late, over all servers. One instance of many sees each
 // server seldom, so that nothing here rests on counting at a single server what this instance has sent there. It does no
 // input or output and reads no clock; times are in milliseconds from any fixed origin.
@@ -58,7 +58,7 @@
 	stretch := m.Stretch(load)
 	mean.Count += weight
 	mean.Sum += ratio / stretch
-	if 2*load >= m.Concurrency() { // a low load tells nothing of how much would fit
+	if 2*load >= m.Concurrency() { // a low load does not show how much would fit
 		m.SumLoadSquared += weight * load * load
 		m.SumLoadLatency += load * ratio / m.ClassFactor(class)
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-// AddDeclined learns from a request that a server declined at that load: the server is crowded, whatever its service time, and
+// AddDeclined learns from a request that a server declined at that load: the server is full, whatever its service time, and
 // counts as stretched so far.
 func (m *Model) AddDeclined(load, stretch float64) {
 	m.SumLoadSquared += load * load
--- a/policy/internal/overload/probes.go
+++ b/policy/internal/overload/probes.go
@@ -16,7 +16,7 @@
 
 type minTime struct{ duration, updatedAt float64 }
 
-// Load is how crowded a server of that zone is by a probe that was answered at now and took duration on a connection that
+// Load is how loaded a server of that zone is by a probe that was answered at now and took duration on a connection that
 // was up. It counts as requests in flight do in reports, in units in which a Model that has learned nothing takes a request to
 // be stretched by the probe's waiting over the shortest time of any zone. It is about 0 where probes don't queue with requests.
 func (p *ProbeTimes) Load(now float64, zone int, duration float64) float64 {
--- a/policy/internal/slowstart/slowstart.go
+++ b/policy/internal/slowstart/slowstart.go
@@ -4,7 +4,7 @@
 
 const (
 	unreportedFraction  = 0.375 // of what overloads a cold server that may be sent without a report of its load: it bears more than it must
-	reportedFraction    = 0.5   // of what overloads it that may be sent where it has reported room
+	reportedFraction    = 0.5   // of what overloads it that may be sent where it has reported free capacity
 	allStartingFraction = 0.5   // of the arriving requests, taken for what a fleet of cold servers alone bears when warm
 )
 
@@ -22,11 +22,11 @@
 // of requests that are sent on and that come. All instances together send that to it, give or take chance: their buckets start
 // as full as they are at any moment.
 //
-// A server that has just reported room gets more: reportedFraction of what overloads it is safe, and no more reaches it than
+// A server that has just reported free capacity gets more: reportedFraction of what overloads it is safe, and no more reaches it than
 // it can do.
-func Rate(fraction, overloadMultiple float64, hasRoom bool, sent, arriving float64) float64 {
+func Rate(fraction, overloadMultiple float64, hasCapacity bool, sent, arriving float64) float64 {
 	safe, rate := unreportedFraction, max(sent, allStartingFraction*arriving) // a fleet of cold servers alone gets some
-	if hasRoom {
+	if hasCapacity {
 		safe, rate = reportedFraction, max(rate, arriving)
 	}
 	return max(fraction, min(1, fraction*overloadMultiple*safe)) * rate
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -23,7 +23,7 @@
 	return b.serviceTime(s)*b.loadModel.ClassFactor(class)*b.loadModel.Stretch(rif+1) + s.roundTrip
 }
 
-// overdueFor is for how long at least a server has owed an answer, where answers alone tell service times.
+// overdueFor is for how long at least a server has owed an answer, where only answers show service times.
 func (b *Balancer) overdueFor(s *server) Ms {
 	if s.inFlight == 0 || b.latencyReported && b.cfg.Probes {
 		return 0
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// newFleetWithoutProbes is newFleetOfOthers where no probes are allowed: answers alone tell of servers.
+// newFleetWithoutProbes is newFleetOfOthers where no probes are allowed: only answers show how servers are.
 func newFleetWithoutProbes(t *testing.T, servers int) *fleetOfOthers {
 	f := newFleetOfOthers(t, servers, 300, false)
-	f.b.cfg.Probes = false
+	f.balancer.cfg.Probes = false
 	return f
 }
 
-// Where answers alone tell of servers, requests keep away from those that are known to be slow, though at random half of them
+// Where only answers show how servers are, requests keep away from those that are known to be slow, though at random half of them
 // would go there.
 func TestSlowServersGetLessWithoutProbes(t *testing.T) {
 	f := newFleetWithoutProbes(t, 20)
@@ -35,64 +35,64 @@
 // alone for that only where the request would wait past its latency target as well.
 func TestOverdueAnswersCount(t *testing.T) {
 	g := newRig(t, testConfig(), 2)
-	g.b.cfg.Probes = false
-	for id := RequestID(1); g.b.byID[1].inFlight == 0; id++ {
+	g.balancer.cfg.Probes = false
+	for id := RequestID(1); g.balancer.byID[1].inFlight == 0; id++ {
 		g.arrive(id, 0)
 	}
-	g.b.byID[2].inFlight = 0
+	g.balancer.byID[2].inFlight = 0
 	g.now += 300
 	g.tick()
 	r := &request{objectiveAt: g.now + 400, answerBy: g.now + 900}
-	if got := g.b.pickCost(g.b.byID[1], r); got < 300 {
+	if got := g.balancer.pickCost(g.balancer.byID[1], r); got < 300 {
 		t.Errorf("a cost of %.0f ms by a server that has owed an answer for 300 ms", got)
 	}
-	if got := g.b.pickCost(g.b.byID[2], r); got > 150 {
+	if got := g.balancer.pickCost(g.balancer.byID[2], r); got > 150 {
 		t.Errorf("a cost of %.0f ms by one that owes none", got)
 	}
-	if !g.b.admits(g.b.byID[1], r) {
+	if !g.balancer.admits(g.balancer.byID[1], r) {
 		t.Error("not admitted where 300 ms are overdue and 400 ms are left")
 	}
-	if r.objectiveAt = g.now + 200; g.b.admits(g.b.byID[1], r) {
+	if r.objectiveAt = g.now + 200; g.balancer.admits(g.balancer.byID[1], r) {
 		t.Error("admitted where 300 ms are overdue and 200 ms are left")
 	}
-	g.b.cfg.Probes = true // then its reports tell
-	if got := g.b.pickCost(g.b.byID[1], r); got > 150 || !g.b.admits(g.b.byID[1], r) {
-		t.Errorf("a cost of %.0f ms where probes tell service times, or not admitted", got)
+	g.balancer.cfg.Probes = true // then its reports count
+	if got := g.balancer.pickCost(g.balancer.byID[1], r); got > 150 || !g.balancer.admits(g.balancer.byID[1], r) {
+		t.Errorf("a cost of %.0f ms where probes report service times, or not admitted", got)
 	}
 }
 
-// A request that the drawn servers have no room for goes to one that has, also where no probe says which.
+// A request that the drawn servers have no capacity for goes to one that has, also where no probe shows which.
 func TestCapacityIsFoundWithoutProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 20)
-	g.b.cfg.Probes = false
-	g.b.pool = probepool.Pool[*server]{}
-	for id, s := range g.b.byID {
+	g.balancer.cfg.Probes = false
+	g.balancer.pool = probepool.Pool[*server]{}
+	for id, s := range g.balancer.byID {
 		if s.reportedAt = never; id < 20 {
 			s.rif, s.inFlight, s.silentSince = 60, 60, g.now
 		}
 	}
 	for id := range RequestID(20) {
 		if s := find(g.arrive(id, 0), StartAttempt); s == nil || s.Server != 20 {
-			t.Fatalf("request %d: %+v, where server 20 alone has room", id, s)
+			t.Fatalf("request %d: %+v, where server 20 alone has capacity", id, s)
 		}
 		g.done(id, 0, 20, OK)
 	}
 }
 
-// What an answer tells of its server's load counts as a probe's answer does.
+// A load report in an answer counts as a probe's answer does.
 func TestReportsInAnswersAreUsed(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
-	g.b.cfg.Probes, g.b.pool = false, probepool.Pool[*server]{}
+	g.balancer.cfg.Probes, g.balancer.pool = false, probepool.Pool[*server]{}
 	s := find(g.arrive(1, 0), StartAttempt)
 	g.now += 50
 	g.do(Event{
 		Kind: AttemptEnded, Request: 1, Server: s.Server, Status: OK, Elapsed: 50, Final: true,
 		Report: Report{HasRIF: true, HasLatency: true, RIF: 30, Latency: 70},
 	})
-	of := g.b.byID[s.Server]
-	if of.rif != 30 || of.latency != 70 || of.reportedAt != g.now || g.b.pool.Len() != 1 {
+	of := g.balancer.byID[s.Server]
+	if of.rif != 30 || of.latency != 70 || of.reportedAt != g.now || g.balancer.pool.Len() != 1 {
 		t.Errorf("30 in flight and 70 ms were reported; the server is taken to have %g and %g, the pool holds %d", of.rif,
-			of.latency, g.b.pool.Len())
+			of.latency, g.balancer.pool.Len())
 	}
 }
 
@@ -100,22 +100,22 @@
 func TestTightTargetsAreAdmitted(t *testing.T) {
 	for name, probes := range map[string]bool{"probes": true, "no probes": false} {
 		f := newFleetOfOthers(t, 40, 300, false)
-		f.b.cfg.Probes = probes
-		cfg := f.b.cfg
+		f.balancer.cfg.Probes = probes
+		cfg := f.balancer.cfg
 		for i := range cfg.Classes {
-			cfg.Classes[i].LatencyObjective = 90 // 60 ms unhindered
+			cfg.Classes[i].LatencyObjective = 90 // 60 ms at free servers
 		}
-		if err := f.b.Reconfigure(cfg, []int{0, 1, 2}, nil); err != nil {
+		if err := f.balancer.Reconfigure(cfg, []int{0, 1, 2}, nil); err != nil {
 			t.Fatal(err)
 		}
 		f.run(10e3)
 		if part := f.run(40e3); part < 0.95 {
-			t.Errorf("%s: %.2f are admitted; %s", name, part, &f.b.gauge)
+			t.Errorf("%s: %.2f are admitted; %s", name, part, &f.balancer.gauge)
 		}
 		f.stretch = 6
 		f.run(43e3)
 		if part := f.run(50e3); part > 0.4 {
-			t.Errorf("%s: %.2f are admitted while answers take 6 times as long; %s", name, part, &f.b.gauge)
+			t.Errorf("%s: %.2f are admitted while answers take 6 times as long; %s", name, part, &f.balancer.gauge)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -94,7 +94,7 @@
 		}})
 		g.now += c.age
 		g.tick()
-		if got := g.b.isEjected(g.b.byID[4]); got != c.ejected {
+		if got := g.balancer.isEjected(g.balancer.byID[4]); got != c.ejected {
 			t.Errorf("%s: ejected %t", name, got)
 		}
 	}
@@ -108,20 +108,20 @@
 		cfg.Tenants[i].Quota = 1e3
 	}
 	g := newRig(t, cfg, 4)
-	s := g.b.byID[1]
+	s := g.balancer.byID[1]
 	for i := range 12 {
 		r := &request{id: RequestID(i + 1), tenant: 1 + i%4/3, inFlight: true, answerBy: g.now + 900} // the second's is every fourth
-		g.b.requests[r.id] = r
+		g.balancer.requests[r.id] = r
 		g.do(Event{Kind: AttemptEnded, Request: r.id, Server: 1, Status: []Status{OK, Declined}[r.tenant-1], Elapsed: 40, Final: true})
 	}
 	for tenant, want := range []bool{true, false} {
-		if got := g.b.acceptsTenant(s, &request{tenant: 1 + tenant}); got != want {
+		if got := g.balancer.acceptsTenant(s, &request{tenant: 1 + tenant}); got != want {
 			t.Errorf("tenant %d: accepted %t, want %t", tenant, got, want)
 		}
 	}
 	var to []ServerID
 	for id := range RequestID(40) {
-		for s := range g.b.byID {
+		for s := range g.balancer.byID {
 			g.report(s, map[bool]float64{true: 0, false: 2}[s == 1], 40) // the least loaded of all
 		}
 		if a := find(g.answer(g.do(Event{Kind: RequestArrived, Request: 100 + id, Tenant: 1, TimeLeft: 900})), StartAttempt); a != nil {
--- a/policy/overload_cases_test.go
+++ b/policy/overload_cases_test.go
@@ -33,7 +33,7 @@
 			f.run(12e3)
 			c.change(f)
 			if part := f.run(30e3); part < 0.9 {
-				t.Errorf("%s, probes queue %t: %.2f are admitted; %s", name, queues, part, &f.b.gauge)
+				t.Errorf("%s, probes queue %t: %.2f are admitted; %s", name, queues, part, &f.balancer.gauge)
 			}
 		}
 	}
@@ -46,6 +46,6 @@
 	f.run(12e3)
 	f.long = 0.9
 	if part := f.run(30e3); part < 0.9 {
-		t.Errorf("%.2f are admitted; %s", part, &f.b.gauge)
+		t.Errorf("%.2f are admitted; %s", part, &f.balancer.gauge)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -24,8 +24,8 @@
 }
 
 type due struct {
-	at Ms
-	e  Event
+	dueAt Ms
+	event Event
 }
 
 func newFleetOfOthers(t *testing.T, servers, instances int, queues bool) *fleetOfOthers {
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	f := &fleetOfOthers{
-		rig: &rig{t: t, b: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, queues: queues,
+		rig: &rig{test: t, balancer: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, queues: queues,
 		every: 50,
 	}
 	f.act(f.do(Event{Kind: Started}))
@@ -65,14 +65,14 @@
 			}
 			f.due = append(f.due, due{f.now + took, Event{Kind: ProbeEnded, Server: a.Server, Status: status, Elapsed: took}})
 		case StartAttempt:
-			if f.b.requests[a.Request].attempts == 1 {
+			if f.balancer.requests[a.Request].attempts == 1 {
 				f.sent++
 				if f.sentTo != nil {
 					f.sentTo[a.Server]++
 				}
 			}
 			took, status := 60*f.stretch*f.times(a.Server)*math.Exp(0.5*f.rng.NormFloat64()), OK
-			if f.b.requests[a.Request].class == 0 {
+			if f.balancer.requests[a.Request].class == 0 {
 				took *= 4
 			}
 			if took > a.After || a.Server <= f.gone {
@@ -102,11 +102,11 @@
 	for f.now < until {
 		next := -1
 		for i := range f.due {
-			if next < 0 || f.due[i].at < f.due[next].at {
+			if next < 0 || f.due[i].dueAt < f.due[next].dueAt {
 				next = i
 			}
 		}
-		if next < 0 || f.due[next].at >= arrive {
+		if next < 0 || f.due[next].dueAt >= arrive {
 			f.now, arrive = arrive, arrive+f.every
 			f.last++
 			arrived++
@@ -120,8 +120,8 @@
 		d := f.due[next]
 		f.due[next] = f.due[len(f.due)-1]
 		f.due = f.due[:len(f.due)-1]
-		f.now = d.at
-		f.act(f.do(d.e))
+		f.now = d.dueAt
+		f.act(f.do(d.event))
 	}
 	return float64(f.sent-was) / float64(arrived)
 }
@@ -160,19 +160,19 @@
 func TestProbeTimesShowTheLoad(t *testing.T) {
 	f := newFleetOfOthers(t, 2, 300, true)
 	f.run(3e3)
-	overloaded, free := f.b.byID[1], f.b.byID[2]
+	overloaded, free := f.balancer.byID[1], f.balancer.byID[2]
 	overloaded.inFlight, free.inFlight = 0, 0 // own requests count as well
 	f.do(Event{Kind: ProbeEnded, Server: 1, Elapsed: 30})
 	f.do(Event{Kind: ProbeEnded, Server: 2, Elapsed: 1.1})
 	if overloaded.rif < 20 || free.rif > 1 {
 		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", overloaded.rif, free.rif)
 	}
-	r := &request{class: 2, objectiveAt: f.b.now + 400, answerBy: f.b.now + 900}
-	if s := f.b.pick(r); s != free {
+	r := &request{class: 2, objectiveAt: f.balancer.now + 400, answerBy: f.balancer.now + 900}
+	if s := f.balancer.pick(r); s != free {
 		t.Errorf("the overloaded server is picked")
 	}
-	if f.b.admits(overloaded, r) || !f.b.admits(free, r) {
-		t.Errorf("admitted: %t at the overloaded server, %t at the free one", f.b.admits(overloaded, r), f.b.admits(free, r))
+	if f.balancer.admits(overloaded, r) || !f.balancer.admits(free, r) {
+		t.Errorf("admitted: %t at the overloaded server, %t at the free one", f.balancer.admits(overloaded, r), f.balancer.admits(free, r))
 	}
 }
 
@@ -189,11 +189,11 @@
 		g.done(id, 0, s.Server, OK)
 		g.do(Event{Kind: ProbeEnded, Server: s.Server, Elapsed: 100, Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})
 		g.tick()
-		if rif := g.b.byID[s.Server].rif; rif > 2 {
+		if rif := g.balancer.byID[s.Server].rif; rif > 2 {
 			t.Fatalf("a load of %.1f where 1 is reported", rif)
 		}
 	}
-	if got := g.b.gauge.Stretch(); got != 1 {
+	if got := g.balancer.gauge.Stretch(); got != 1 {
 		t.Errorf("stretched by %.2f", got)
 	}
 }
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -16,7 +16,7 @@
 	removalFraction       = 0.25   // of the rate of probes, at which entries are removed: the pool must not run dry
 	hotQuantile           = 0.6    // of RIF, past which servers are hot; low in Prequal's range, since reported latency lags
 	maxRIFSamples         = 64     // newest reports behind that quantile
-	idleProbeInterval     = 1000   // ms without any probe after which one is sent: an idle instance has no other news
+	idleProbeInterval     = 1000   // ms without any probe after which one is sent: an idle instance learns nothing else
 	recoveryProbesPerTick = 2      // probes of servers that failed to answer one: no request is needed to find them back
 	maxProbeDebt          = 10.0   // probes that may be borrowed, where they are limited, before a refusal
 	maxProbeWaits         = 2      // waits for probes for each attempt
@@ -41,7 +41,7 @@
 		load = b.probeTimes.Load(b.now, s.info.Zone, e.Elapsed-e.ConnectTime)
 	}
 	if !s.isLocal() {
-		b.roomElsewhere.Add(e.Status == OK && load < b.loadModel.Concurrency())
+		b.capacityElsewhere.Add(e.Status == OK && load < b.loadModel.Concurrency())
 	}
 	if e.Status != OK {
 		s.reachability.Failed(b.now, b.rng)
@@ -130,7 +130,7 @@
 // the preferred one is full and others are not.
 func (b *Balancer) candidateCount(allZones bool) int {
 	local := min(b.subsetSize(), max(subset.MinSize, b.localCount))
-	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.roomElsewhere) {
+	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.capacityElsewhere) {
 		return min(b.readyCount, local+min(b.subsetSize(), b.readyCount-b.localCount))
 	}
 	return local
@@ -152,7 +152,7 @@
 	drawn := draw.WithoutReplacement(b.rng, candidates, n)
 	for _, s := range drawn {
 		b.probe(s)
-		b.lastProbeAt = b.now // not by probes of failed servers: those must not keep news of the others away
+		b.lastProbeAt = b.now // not by probes of failed servers: those must not take the place of reports of the others
 	}
 	return len(drawn)
 }
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -17,8 +17,8 @@
 		best    bool
 	}{{"answered", 3, true}, {"silent probes", 0, false}} {
 		g := newRig(t, testConfig(), 8)
-		g.now += 5000                           // what was known is old
-		g.b.probeCredit = probing.MaxPerRequest // an earlier request has needed none
+		g.now += 5000                                  // what was known is old
+		g.balancer.probeCredit = probing.MaxPerRequest // an earlier request has needed none
 		acts := g.do(Event{Kind: RequestArrived, Request: 1, Class: 0, TimeLeft: 900})
 		var targets []ServerID
 		for _, a := range acts {
@@ -38,7 +38,7 @@
 			}
 			sent = find(g.do(probeAnswer(s, rif, 40)), StartAttempt)
 		}
-		g.now += probeWaitFraction*g.b.minObjective + 5
+		g.now += probeWaitFraction*g.balancer.minObjective + 5
 		for i := range 2*maxProbeWaits + 1 {
 			if acts := g.do(Event{Kind: TimerFired, Timer: probeWaitTimer + 1}); sent == nil {
 				sent = find(acts, StartAttempt)
@@ -48,8 +48,8 @@
 		if sent == nil || c.best && sent.Server != targets[1] {
 			t.Errorf("%s: sent %v, want server %v", c.name, sent, targets)
 		}
-		if len(g.b.waitingForProbes) != 0 {
-			t.Errorf("%s: %d requests still wait", c.name, len(g.b.waitingForProbes))
+		if len(g.balancer.waitingForProbes) != 0 {
+			t.Errorf("%s: %d requests still wait", c.name, len(g.balancer.waitingForProbes))
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, b: b, now: 1000}
+		g := &rig{test: t, balancer: b, now: 1000}
 		var list []ServerInfo
 		for i := range c.servers {
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Zone: i % 2, Health: Ready})
@@ -81,9 +81,9 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		met := map[ServerID]bool{}
 		for range 40 * c.servers {
-			g.b.probeRandom(probing.MaxPerRequest, g.b.subsetSize())
+			g.balancer.probeRandom(probing.MaxPerRequest, g.balancer.subsetSize())
 		}
-		for _, a := range g.b.actions {
+		for _, a := range g.balancer.actions {
 			if a.Kind == SendProbe {
 				met[a.Server] = true
 			}
@@ -144,7 +144,7 @@
 		for at := g.now; probes == 0 && g.now < at+5000; g.now += tickInterval {
 			tick()
 		}
-		if s := g.b.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Most {
+		if s := g.balancer.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Most {
 			t.Errorf("%s: still unreachable %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
 		}
 	}
@@ -155,16 +155,16 @@
 	cfg := testConfig()
 	cfg.Probes = false
 	g := newRig(t, cfg, 2)
-	s := g.b.byID[2]
-	s.reachability.Failed(g.b.now, g.b.rng)
+	s := g.balancer.byID[2]
+	s.reachability.Failed(g.balancer.now, g.balancer.rng)
 	first := s.reachability.NextProbeAt
-	if s.reachability.Failed(g.b.now, g.b.rng); s.reachability.ConsecutiveFailures != 1 || s.reachability.NextProbeAt != first {
+	if s.reachability.Failed(g.balancer.now, g.balancer.rng); s.reachability.ConsecutiveFailures != 1 || s.reachability.NextProbeAt != first {
 		t.Errorf("two refusals at once count as %d", s.reachability.ConsecutiveFailures)
 	}
-	if !g.b.isUnreachable(s) {
+	if !g.balancer.isUnreachable(s) {
 		t.Error("reachable after a refusal")
 	}
-	if g.b.now = s.reachability.NextProbeAt; g.b.isUnreachable(s) {
+	if g.balancer.now = s.reachability.NextProbeAt; g.balancer.isUnreachable(s) {
 		t.Error("unreachable beyond the wait")
 	}
 }
@@ -281,7 +281,7 @@
 // probe's answer, or most of them would find the pool empty and wait for probes of their own.
 func TestUsesFollowTheRateOfProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 40)
-	if n := probing.Uses(probepool.Size, g.b.readyCount, g.b.probesPerRequest, removalFraction); n < 1 || n > 4 {
+	if n := probing.Uses(probepool.Size, g.balancer.readyCount, g.balancer.probesPerRequest, removalFraction); n < 1 || n > 4 {
 		t.Errorf("%.1f uses before any request", n)
 	}
 	waited := 0
@@ -318,7 +318,7 @@
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 60)
 		probes, sent := 0, 0
-		for id := range RequestID(400) { // each long after the last one, whose news are old
+		for id := range RequestID(400) { // each long after the last one, whose reports are old
 			g.now += 1500
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
--- a/policy/request.go
+++ b/policy/request.go
@@ -12,7 +12,7 @@
 	tenant         int // place among a server's outcomes, or outlier.AllTenants
 	objectiveAt    Ms
 	answerBy       Ms   // the final answer is given by then
-	overQuota      bool // beyond its tenant's share
+	overQuota      bool // beyond its tenant's quota
 	done           bool // answered, or nobody waits for it any more
 	probeWaits     int  // for this attempt, so far
 	answersMissing int  // of probes, in the present wait
--- a/policy/restore_test.go
+++ b/policy/restore_test.go
@@ -21,10 +21,10 @@
 		g.report(3, 5, 120)
 	}
 	for range 20 {
-		g.b.byID[2].outcomesByTenant.AddFailure(g.b.now, 1, 1)
+		g.balancer.byID[2].outcomesByTenant.AddFailure(g.balancer.now, 1, 1)
 	}
-	state := g.b.State()
-	failureRate := g.b.byID[2].outcomesByTenant[0].FailureRate(g.now)
+	state := g.balancer.State()
+	failureRate := g.balancer.byID[2].outcomesByTenant[0].FailureRate(g.now)
 	if failureRate < ejectionThreshold {
 		t.Fatalf("the failing server's failure rate is %.2f", failureRate)
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &rig{t: t, b: next, now: g.now + 1000}
+	h := &rig{test: t, balancer: next, now: g.now + 1000}
 	h.do(Event{Kind: Started})
 	h.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: []ServerInfo{
 		{ID: 1, Health: Ready},
@@ -40,10 +40,10 @@
 		{ID: 3, Health: Ready, StartedAt: h.now - 500},
 		{ID: 4, Health: Ready},
 	}})
-	if err := h.b.Restore(&state); err != nil {
+	if err := h.balancer.Restore(&state); err != nil {
 		t.Fatal(err)
 	}
-	one, two, three := h.b.byID[1], h.b.byID[2], h.b.byID[3]
+	one, two, three := h.balancer.byID[1], h.balancer.byID[2], h.balancer.byID[3]
 	if one.latency != 80 || !one.latencyReported || one.roundTrip != 1 {
 		t.Errorf("what was known of a server is lost: %+v", one)
 	}
@@ -53,20 +53,20 @@
 	if three.latency != 0 || len(three.outcomesByTenant) != 2 || three.outcomesByTenant[0].Failures != 0 {
 		t.Errorf("another process inherits: %+v", three)
 	}
-	if one.rif != 0 || h.b.pool.Len() != 0 || one.inFlight != 0 {
+	if one.rif != 0 || h.balancer.pool.Len() != 0 || one.inFlight != 0 {
 		t.Errorf("an old load is taken for a present one: %+v", one)
 	}
 	h.do(Event{Kind: TimerFired, Timer: tickTimer})
-	g.b.now, g.b.loadModel.FadedAt = h.now, state.FittedAt
-	g.b.loadModel.Fade(h.now)
-	if got, want := h.b.loadModel.ClassFactor(0), g.b.loadModel.ClassFactor(0); got != want {
+	g.balancer.now, g.balancer.loadModel.FadedAt = h.now, state.FittedAt
+	g.balancer.loadModel.Fade(h.now)
+	if got, want := h.balancer.loadModel.ClassFactor(0), g.balancer.loadModel.ClassFactor(0); got != want {
 		t.Errorf("fit %g, want %g", got, want)
 	}
-	if b := h.b.tenantBuckets[0]; b.At != state.Tenants[0].At || b.Value != state.Tenants[0].Value {
+	if b := h.balancer.tenantBuckets[0]; b.At != state.Tenants[0].At || b.Value != state.Tenants[0].Value {
 		t.Errorf("the tenant's bucket is %+v", b)
 	}
 	state.Classes = state.Classes[:1]
-	if h.b.Restore(&state) == nil {
+	if h.balancer.Restore(&state) == nil {
 		t.Error("a state of other classes is taken")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -20,7 +20,7 @@
 		{"non-idempotent after no connection", 2, ConnectFailed, true, 0},
 	} {
 		g := newRig(t, testConfig(), 6)
-		g.b.retryBudget = 5
+		g.balancer.retryBudget = 5
 		first := find(g.arrive(1, c.class), StartAttempt)
 		if first == nil {
 			t.Fatalf("%s: not sent", c.name)
@@ -41,7 +41,7 @@
 
 func TestRetryEndsWithTheKeyWindow(t *testing.T) {
 	g := newRig(t, testConfig(), 6)
-	g.b.retryBudget = 5
+	g.balancer.retryBudget = 5
 	first := find(g.arrive(1, 1), StartAttempt)
 	g.now += 595
 	acts := g.done(1, 0, first.Server, Failed)
--- a/policy/retryafter.go
+++ b/policy/retryafter.go
@@ -1,6 +1,6 @@
 package policy
 
-// retryAfter advises a refused client when to try again: as late as it will follow beyond its tenant's share, else when
+// retryAfter advises a refused client when to try again: as late as it will follow beyond its tenant's quota, else when
 // what servers work on now has left.
 func (b *Balancer) retryAfter(r *request) Ms {
 	if r.overQuota {
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -19,9 +19,9 @@
 
 // rig drives one Balancer by hand.
 type rig struct {
-	t   testing.TB
-	b   *Balancer
-	now Ms
+	test     testing.TB
+	balancer *Balancer
+	now      Ms
 }
 
 func newRig(t testing.TB, cfg Config, servers int) *rig {
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, b: b, now: 1000}
+	g := &rig{test: t, balancer: b, now: 1000}
 	g.do(Event{Kind: Started})
 	list := make([]ServerInfo, servers)
 	for i := range list {
@@ -43,43 +43,43 @@
 	return g
 }
 
-func (g *rig) do(e Event) []Action { return g.b.Handle(g.now, &e, nil) }
+func (r *rig) do(e Event) []Action { return r.balancer.Handle(r.now, &e, nil) }
 
-func (g *rig) report(s ServerID, rif, latency float64) {
-	g.do(probeAnswer(s, rif, latency))
+func (r *rig) report(s ServerID, rif, latency float64) {
+	r.do(probeAnswer(s, rif, latency))
 }
 
-func (g *rig) arrive(id RequestID, class int) []Action {
-	return g.answer(g.do(Event{Kind: RequestArrived, Request: id, Class: class, TimeLeft: 900}))
+func (r *rig) arrive(id RequestID, class int) []Action {
+	return r.answer(r.do(Event{Kind: RequestArrived, Request: id, Class: class, TimeLeft: 900}))
 }
 
-func (g *rig) done(id RequestID, attempt int, s ServerID, st Status) []Action {
-	return g.answer(g.do(Event{
+func (r *rig) done(id RequestID, attempt int, s ServerID, st Status) []Action {
+	return r.answer(r.do(Event{
 		Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Status: st, Elapsed: 40,
 		Final: st == OK,
 	}))
 }
 
 // answer answers the probes that a request waits for at once, with the loads known already.
-func (g *rig) answer(acts []Action) []Action {
-	for i := 0; i < len(acts) && len(g.b.waitingForProbes) > 0; i++ {
-		if s := g.b.byID[acts[i].Server]; acts[i].Kind == SendProbe {
-			acts = append(acts, g.do(probeAnswer(acts[i].Server, s.rif, g.b.serviceTime(s)))...)
+func (r *rig) answer(acts []Action) []Action {
+	for i := 0; i < len(acts) && len(r.balancer.waitingForProbes) > 0; i++ {
+		if s := r.balancer.byID[acts[i].Server]; acts[i].Kind == SendProbe {
+			acts = append(acts, r.do(probeAnswer(acts[i].Server, s.rif, r.balancer.serviceTime(s)))...)
 		}
 	}
 	return acts
 }
 
 // pass has a request arrive and all probes and attempts that follow on it answered at once, and returns where it was sent.
-func (g *rig) pass(id RequestID) (to ServerID) {
-	acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
+func (r *rig) pass(id RequestID) (to ServerID) {
+	acts := r.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 	for ; len(acts) > 0; acts = acts[1:] {
 		switch a := acts[0]; a.Kind {
 		case SendProbe:
-			acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+			acts = append(acts, r.do(probeAnswer(a.Server, 1, 40))...)
 		case StartAttempt:
 			to = a.Server
-			acts = append(acts, g.done(id, 0, a.Server, OK)...)
+			acts = append(acts, r.done(id, 0, a.Server, OK)...)
 		}
 	}
 	return to
@@ -95,17 +95,17 @@
 }
 
 // reportAll has servers 1 to count report three requests in flight, but for an idle one.
-func (g *rig) reportAll(count, idle ServerID) {
+func (r *rig) reportAll(count, idle ServerID) {
 	for s := ServerID(1); s <= count; s++ {
 		rif := 3.0
 		if s == idle {
 			rif = 0
 		}
-		g.report(s, rif, 40)
+		r.report(s, rif, 40)
 	}
 }
 
-func (g *rig) tick() []Action { return g.do(Event{Kind: TimerFired, Timer: tickTimer}) }
+func (r *rig) tick() []Action { return r.do(Event{Kind: TimerFired, Timer: tickTimer}) }
 
 // probeAnswer is the answer to a probe after a millisecond.
 func probeAnswer(s ServerID, rif, latency float64) Event {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -24,25 +24,25 @@
 // walk feeds legal, seeded events to a Balancer and checks the rules after each. It is an event generator
 // with assertions, not a model of servers. It returns all actions, and the first broken rule if any.
 type walk struct {
-	rng     *rand.Rand
-	cfg     Config
-	b       *Balancer
-	now     Ms
-	reqs    map[RequestID]*walkedRequest
-	order   []RequestID
-	servers map[ServerID]*ServerInfo
-	sends   map[ServerID][]Ms
-	timers  []Event
-	dues    []Ms
-	next    RequestID
-	log     []string
-	spoil   func(*Balancer, []Action) []Action // breaks the rules on purpose
+	rng      *rand.Rand
+	cfg      Config
+	balancer *Balancer
+	now      Ms
+	reqs     map[RequestID]*walkedRequest
+	order    []RequestID
+	servers  map[ServerID]*ServerInfo
+	sends    map[ServerID][]Ms
+	timers   []Event
+	dues     []Ms
+	next     RequestID
+	log      []string
+	spoil    func(*Balancer, []Action) []Action // breaks the rules on purpose
 }
 
 func (w *walk) check(e Event) error {
-	acts := w.b.Handle(w.now, &e, nil)
+	acts := w.balancer.Handle(w.now, &e, nil)
 	if w.spoil != nil {
-		acts = w.spoil(w.b, acts)
+		acts = w.spoil(w.balancer, acts)
 	}
 	for _, a := range acts {
 		w.log = append(w.log, fmt.Sprintf("%.1f %+v", w.now, a))
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	w := &walk{
-		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, b: b, now: 5000, reqs: map[RequestID]*walkedRequest{},
+		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, balancer: b, now: 5000, reqs: map[RequestID]*walkedRequest{},
 		servers: map[ServerID]*ServerInfo{}, sends: map[ServerID][]Ms{},
 	}
 	for id := ServerID(1); id <= 8; id++ {
@@ -241,11 +241,11 @@
 		if err := w.run(4000); err != nil {
 			t.Fatalf("seed %d at %.0f: %v", seed, w.now, err)
 		}
-		if n := len(w.b.requests); n > len(w.order) {
+		if n := len(w.balancer.requests); n > len(w.order) {
 			t.Errorf("seed %d: %d requests kept, %d open", seed, n, len(w.order))
 		}
-		if w.b.pool.Len() > probepool.Size || len(w.b.servers) > 8 {
-			t.Errorf("seed %d: pool %d, servers %d", seed, w.b.pool.Len(), len(w.b.servers))
+		if w.balancer.pool.Len() > probepool.Size || len(w.balancer.servers) > 8 {
+			t.Errorf("seed %d: pool %d, servers %d", seed, w.balancer.pool.Len(), len(w.balancer.servers))
 		}
 		for _, r := range w.reqs {
 			sent += r.attempts
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,8 +3,8 @@
 import "plankrouter/policy/internal/slowstart"
 
 const (
-	maxSlowStartReportAge = 1000.0 // ms for which a cold server's report of room counts
-	slowStartRoomFraction = 0.5    // of what it runs concurrently by now: with less in flight it has room
+	maxSlowStartReportAge   = 1000.0 // ms for which a cold server's report of free capacity counts
+	freeConcurrencyFraction = 0.5    // of what it runs concurrently by now: with less in flight it has capacity
 )
 
 // slowStartFraction is the part of its capacity that a server bears by now: 1 unless it has started a short while ago.
@@ -20,7 +20,7 @@
 	if fraction >= 1 {
 		return true
 	}
-	hasRoom := b.now-s.reportedAt <= maxSlowStartReportAge && s.rif < slowStartRoomFraction*fraction*b.loadModel.Concurrency()
-	rate := slowstart.Rate(fraction, b.cfg.OverloadMultiple, hasRoom, b.sendRate.PerMs(b.now), b.arrivalRate.PerMs(b.now))
+	hasCapacity := b.now-s.reportedAt <= maxSlowStartReportAge && s.rif < freeConcurrencyFraction*fraction*b.loadModel.Concurrency()
+	rate := slowstart.Rate(fraction, b.cfg.OverloadMultiple, hasCapacity, b.sendRate.PerMs(b.now), b.arrivalRate.PerMs(b.now))
 	return s.slowStartBudget.Fill(b.now, rate/float64(max(1, b.readyCount)), 1)
 }
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet[i] = &rig{t: t, b: b, now: 1000}
+		fleet[i] = &rig{test: t, balancer: b, now: 1000}
 		list := readyServers(c.servers)
 		fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		part := 1.0
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,7 @@
 )
 
 // A cold server gets more than its budget by the clock only where it has just reported that it has capacity.
-func TestReportedRoomRaisesSlowStartBudget(t *testing.T) {
+func TestReportedCapacityRaisesSlowStartBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		rif  float64
 		age  Ms
@@ -18,14 +18,14 @@
 		"had capacity, long ago": {0, maxSlowStartReportAge + 1, false},
 	} {
 		g := newRig(t, testConfig(), 2)
-		s := g.b.byID[1]
+		s := g.balancer.byID[1]
 		s.info.StartedAt, s.rif, s.reportedAt = g.now, c.rif, g.now-c.age
 		for range 200 { // 100 a second, of which next to none are sent
-			g.b.arrivalRate.Add(g.now)
+			g.balancer.arrivalRate.Add(g.now)
 		}
 		s.slowStartBudget = tokenbucket.Bucket{Value: 0, At: g.now - 60}
-		g.b.now = g.now
-		if got := g.b.hasSlowStartBudget(s); got != c.want {
+		g.balancer.now = g.now
+		if got := g.balancer.hasSlowStartBudget(s); got != c.want {
 			t.Errorf("%s: %t, with %.2f requests left", name, got, s.slowStartBudget.Value)
 		}
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, b: b, now: 10000}
+	g := &rig{test: t, balancer: b, now: 10000}
 	g.do(Event{Kind: Started})
 	var list []ServerInfo
 	for id := ServerID(1); id <= 4; id++ {
@@ -126,7 +126,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &rig{t: t, b: b, now: 1e6}
+			g := &rig{test: t, balancer: b, now: 1e6}
 			var list []ServerInfo
 			for id := ServerID(1); id <= servers; id++ {
 				list = append(list, ServerInfo{ID: id, Health: Ready})
@@ -189,7 +189,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				fleet[i] = &rig{t: t, b: b, now: 1000}
+				fleet[i] = &rig{test: t, balancer: b, now: 1000}
 				list := readyServers(servers)
 				fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 			}
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -25,8 +25,8 @@
 			g.now += c.every
 			g.arrive(id, 0)
 		}
-		if g.b.reportsSparse != c.want {
-			t.Errorf("%s: sparse %t", name, g.b.reportsSparse)
+		if g.balancer.reportsSparse != c.want {
+			t.Errorf("%s: sparse %t", name, g.balancer.reportsSparse)
 		}
 	}
 }
@@ -46,24 +46,24 @@
 		"too many in flight for it": {30, 40, false, false},
 	} {
 		g := newRig(t, cfg, 2)
-		s, r := g.b.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
-		s.rif, s.latency, g.b.fleetLatency = c.rif, c.latency, c.latency
-		g.b.byID[2].rif = 50
+		s, r := g.balancer.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
+		s.rif, s.latency, g.balancer.fleetLatency = c.rif, c.latency, c.latency
+		g.balancer.byID[2].rif = 50
 		for sparse, want := range map[bool]bool{false: c.frequent, true: c.sparse} {
-			if g.b.reportsSparse = sparse; g.b.admits(s, r) != want {
+			if g.balancer.reportsSparse = sparse; g.balancer.admits(s, r) != want {
 				t.Errorf("%s, sparse %t: admitted %t", name, sparse, !want)
 			}
-			if got := g.b.randomWithCapacity(r) == s; got != want {
+			if got := g.balancer.randomWithCapacity(r) == s; got != want {
 				t.Errorf("%s, sparse %t: has capacity %t", name, sparse, got)
 			}
 		}
 	}
 	g := newRig(t, cfg, 1)
 	r := &request{class: 0, objectiveAt: g.now + 1200, answerBy: g.now + 1700}
-	if g.b.now += 800; g.b.randomWithCapacity(r) == nil {
+	if g.balancer.now += 800; g.balancer.randomWithCapacity(r) == nil {
 		t.Error("a report of 800 ms ago counts for nothing")
 	}
-	if g.b.reportsSparse = true; g.b.randomWithCapacity(r) != nil {
+	if g.balancer.reportsSparse = true; g.balancer.randomWithCapacity(r) != nil {
 		t.Error("a report of 800 ms ago counts as recent")
 	}
 }
@@ -71,22 +71,22 @@
 // A random pick goes to a server that has reported in the last seconds while there is one.
 func TestRandomPickPrefersKnownServers(t *testing.T) {
 	g := newRig(t, testConfig(), 30)
-	g.b.now += 2500
-	g.now = g.b.now
+	g.balancer.now += 2500
+	g.now = g.balancer.now
 	for _, id := range []ServerID{3, 14} {
 		g.report(id, 1, 40)
 	}
-	g.b.now += 2000 // the pool's entries are too old
-	g.b.pool.Expire(g.b.now, g.b.maxEntryAge())
-	r := &request{class: 0, objectiveAt: g.b.now + 400, answerBy: g.b.now + 900}
+	g.balancer.now += 2000 // the pool's entries are too old
+	g.balancer.pool.Expire(g.balancer.now, g.balancer.maxEntryAge())
+	r := &request{class: 0, objectiveAt: g.balancer.now + 400, answerBy: g.balancer.now + 900}
 	met := map[ServerID]bool{}
 	for range 100 {
-		met[g.b.pick(r).info.ID] = true
+		met[g.balancer.pick(r).info.ID] = true
 	}
 	if len(met) != 2 || !met[3] || !met[14] {
 		t.Errorf("it goes to %v", met)
 	}
-	if g.b.now += 2000; g.b.pick(r) == nil {
+	if g.balancer.now += 2000; g.balancer.pick(r) == nil {
 		t.Error("it goes nowhere once all is old")
 	}
 }
@@ -107,7 +107,7 @@
 		for range 100 { // five seconds in which all are down
 			g.now += tickInterval
 			for _, a := range g.tick() {
-				if a.Kind == SendProbe && g.b.lastProbeAt != g.now { // not one of those that an idle instance sends
+				if a.Kind == SendProbe && g.balancer.lastProbeAt != g.now { // not one of those that an idle instance sends
 					probes++
 				}
 				if a.Kind == SendProbe {
@@ -118,7 +118,7 @@
 		if probes < c.minProbes || probes > c.maxProbes {
 			t.Errorf("%s: %d recovery probes, want %d to %d", name, probes, c.minProbes, c.maxProbes)
 		}
-		if s := g.b.byID[1]; c.price > 0.05 {
+		if s := g.balancer.byID[1]; c.price > 0.05 {
 			for s.reachability.ConsecutiveFailures = 1; s.reachability.ConsecutiveFailures > 0 && g.now < 1e6; {
 				g.now += 60
 				for _, a := range g.do(Event{Kind: RequestArrived, Request: RequestID(g.now), TimeLeft: 900}) {
@@ -189,18 +189,18 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		near, all := 0, 0
 		for id := RequestID(0); all < 1000; id++ {
-			g.b.reportsSparse = sparse
+			g.balancer.reportsSparse = sparse
 			r := &request{id: id, objectiveAt: g.now + 400, answerBy: g.now + 900, probeWaits: maxProbeWaits}
-			g.b.probeCredit, g.b.actions = 1, nil
-			g.b.pickOrWait(r)
-			for _, a := range g.b.actions {
+			g.balancer.probeCredit, g.balancer.actions = 1, nil
+			g.balancer.pickOrWait(r)
+			for _, a := range g.balancer.actions {
 				if a.Kind != SendProbe {
 					continue
 				}
 				if all++; (a.Server-1)%5 == 0 {
 					near++
 				}
-				g.b.byID[a.Server].probeInFlight = false
+				g.balancer.byID[a.Server].probeInFlight = false
 			}
 		}
 		if near < want[0] || near > want[1] {
--- a/policy/stalelist_test.go
+++ b/policy/stalelist_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("%s: %d of 200 were not sent, %d probes", name, refused, probes)
 		}
 		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3000})
-		if g.b.isListStale() {
+		if g.balancer.isListStale() {
 			t.Errorf("%s: still stale after a new list", name)
 		}
 	}
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, b: b, now: 1000}
+		g := &rig{test: t, balancer: b, now: 1000}
 		g.do(Event{Kind: Started})
 		var list []ServerInfo
 		for i := range servers {
@@ -100,8 +100,8 @@
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Health: Ready, Zone: min(1, i/c.local)})
 		}
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-		ownZone := g.b.candidateCount(false)
-		allZones := g.b.candidateCount(true)
+		ownZone := g.balancer.candidateCount(false)
+		allZones := g.balancer.candidateCount(true)
 		if ownZone != c.ownZone || allZones != c.allZones {
 			t.Errorf("%s: %d in the own zone and %d in all, want %d and %d", name, ownZone, allZones, c.ownZone, c.allZones)
 		}
