--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -20,3 +20,9 @@
 		}
 	}
 }
+
+func TestFarInterval(t *testing.T) {
+	if FarInterval(true) <= FarInterval(false) {
+		t.Errorf("one request in %d probes all zones where reports are sparse, one in %d else", FarInterval(true), FarInterval(false))
+	}
+}
--- a/policy/internal/admission/admission_test.go
+++ b/policy/internal/admission/admission_test.go
@@ -24,3 +24,33 @@
 		}
 	}
 }
+
+func TestLatencyMargin(t *testing.T) {
+	for name, c := range map[string]struct {
+		sparse      bool
+		price, load float64
+		want        float64
+	}{
+		"idle server":                         {false, 0.1, 0, idleMargin},
+		"full server, wasted work is free":    {false, 0, 1, 1},
+		"full server, wasted work costs":      {false, 0.1, 1, 1.85},
+		"full server, sparse reports":         {true, 0.1, 1, 2.5},
+		"half full server, wasted work costs": {false, 1, 0.5, idleMargin + fullMargin/2},
+	} {
+		if got := LatencyMargin(c.sparse, c.price, c.load); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("%s: %g, want %g", name, got, c.want)
+		}
+	}
+}
+
+func TestMaxStretch(t *testing.T) {
+	if got := MaxStretch(false, 1); got != FullStretch {
+		t.Errorf("%g for the highest value, want %g", got, FullStretch)
+	}
+	if got := MaxStretch(true, 1); got != sparseFullStretch {
+		t.Errorf("%g for the highest value where reports are sparse, want %g", got, sparseFullStretch)
+	}
+	if MaxStretch(false, 0.1) >= MaxStretch(false, 0.5) {
+		t.Error("a request of less value may be stretched as much")
+	}
+}
