--- a/policy/events.go
+++ b/policy/events.go
@@ -1,10 +1,10 @@
 package policy
 
-// ServerID and RequestID are opaque names that the owner of a Balancer chooses.
-type (
-	ServerID  uint32
-	RequestID uint32
-)
+// ServerID is an opaque name of a server that the owner of a Balancer chooses.
+type ServerID uint32
+
+// RequestID is an opaque name of a request that the owner of a Balancer chooses.
+type RequestID uint32
 
 // EventKind names what has happened.
 type EventKind uint8
@@ -71,7 +71,7 @@
 	Errors             float64 // a second
 }
 
-// Event is one thing that has happened; Kind tells which of the fields count.
+// Event is one thing that has happened; Kind says which of the fields count.
 type Event struct {
 	Kind         EventKind
 	Status       Status
