--- a/internal/stableid/stableid.go
+++ b/internal/stableid/stableid.go
@@ -3,36 +3,35 @@
 
 import "time"
 
+// none stands for no number.
+const none = -1
+
 // Table gives out numbers to things with rules of type R. The zero value has given out none.
 type Table[R comparable] struct{ entries []entry[R] }
 
+// entry is what a number stands for.
 type entry[R comparable] struct {
 	name          string
 	rules         R
-	live          bool
+	live          bool      // named at present
 	reservedUntil time.Time // when it may get another meaning, once it is not live
 }
 
-// Mapping is what a change comes to.
+// Mapping is the result of a change.
 type Mapping struct {
 	ByPosition    []int // the numbers of what is named, in the order of the names
 	PredecessorOf []int // by number: whose past is also this one's; its own where nothing changed; -1 = nobody's
 }
 
-// Apply names things anew. What keeps its name and rules keeps its number, or has it again. What has new rules gets another
-// number and the past of its name. A number whose name or rules are gone stands for them for another hold: who has
-// it may still use it.
+// Apply names things anew. What keeps its name and rules keeps its number, or has it again. What has new rules gets another number and the
+// past of its name. A number whose name or rules are gone stands for them for another keepFor: whoever has it may still use it.
 func (t *Table[R]) Apply(now time.Time, keepFor time.Duration, names []string, rules []R) Mapping {
 	mapping := Mapping{ByPosition: make([]int, len(names)), PredecessorOf: make([]int, len(t.entries))}
 	named := map[int]bool{}
 	for i, name := range names {
-		mapping.ByPosition[i] = -1
-		for n := range t.entries {
-			if t.entries[n].name == name && t.entries[n].rules == rules[i] {
-				mapping.ByPosition[i], named[n] = n, true
-				break
-			}
-		}
+		n := t.numberOf(name, rules[i])
+		mapping.ByPosition[i] = n
+		named[n] = true
 	}
 	for n := range t.entries {
 		mapping.PredecessorOf[n] = n
@@ -43,39 +42,58 @@
 	}
 	before := len(t.entries)
 	for i, name := range names {
-		if mapping.ByPosition[i] < 0 {
-			from := -1
-			for n, s := range t.entries[:before] { // the one that it had last, if it had several
-				if s.name == name && (from < 0 || s.reservedUntil.After(t.entries[from].reservedUntil)) {
-					from = n
-				}
-			}
-			n := t.freeNumber(now)
-			if n == len(t.entries) {
-				t.entries, mapping.PredecessorOf = append(t.entries, entry[R]{}), append(mapping.PredecessorOf, -1)
-			}
-			t.entries[n] = entry[R]{name: name, rules: rules[i], live: true}
-			mapping.ByPosition[i], mapping.PredecessorOf[n] = n, from
+		if mapping.ByPosition[i] != none {
+			continue
+		}
+		predecessor := t.lastNumberOf(name, before)
+		n := t.freeNumber(now)
+		if n == len(t.entries) {
+			t.entries = append(t.entries, entry[R]{})
+			mapping.PredecessorOf = append(mapping.PredecessorOf, none)
 		}
+		t.entries[n] = entry[R]{name: name, rules: rules[i], live: true}
+		mapping.ByPosition[i] = n
+		mapping.PredecessorOf[n] = predecessor
 	}
 	return mapping
 }
 
+// numberOf returns the number of that name and those rules, or none.
+func (t *Table[R]) numberOf(name string, rules R) int {
+	for n, e := range t.entries {
+		if e.name == name && e.rules == rules {
+			return n
+		}
+	}
+	return none
+}
+
+// lastNumberOf returns the number below limit that the name had last, if it had several, or none.
+func (t *Table[R]) lastNumberOf(name string, limit int) int {
+	last := none
+	for n, e := range t.entries[:limit] {
+		if e.name == name && (last == none || e.reservedUntil.After(t.entries[last].reservedUntil)) {
+			last = n
+		}
+	}
+	return last
+}
+
 // freeNumber returns a number that nobody can have any more, or the next new one.
 func (t *Table[R]) freeNumber(now time.Time) int {
-	for n, s := range t.entries {
-		if !s.live && !s.reservedUntil.IsZero() && !now.Before(s.reservedUntil) {
+	for n, e := range t.entries {
+		if !e.live && !e.reservedUntil.IsZero() && !now.Before(e.reservedUntil) {
 			return n
 		}
 	}
 	return len(t.entries)
 }
 
-// Len is how many numbers are given out.
+// Len returns how many numbers are given out.
 func (t *Table[R]) Len() int { return len(t.entries) }
 
 // Rules returns what the number stands for, and whether it is named at present.
 func (t *Table[R]) Rules(n int) (name string, rules R, live bool) {
-	s := t.entries[n]
-	return s.name, s.rules, s.live
+	e := t.entries[n]
+	return e.name, e.rules, e.live
 }
--- a/internal/stableid/stableid_test.go
+++ b/internal/stableid/stableid_test.go
@@ -21,7 +21,7 @@
 		{1, []string{"b", "a"}, []string{"2", "1"}, Mapping{[]int{2, 0}, []int{0, 1, 1}}},     // other rules, the same past
 		{2, []string{"b", "c"}, []string{"1", "1"}, Mapping{[]int{1, 3}, []int{0, 1, 2, -1}}}, // back, one dropped, one added
 		{5, []string{"d", "c"}, []string{"1", "1"}, Mapping{[]int{4, 3}, []int{0, 1, 2, 3, -1}}},
-		{12, []string{"a", "c"}, []string{"2", "1"}, Mapping{[]int{0, 3}, []int{0, 1, 2, 3, 4}}}, // 0 is free by now, and had a's past
+		{12, []string{"a", "c"}, []string{"2", "1"}, Mapping{[]int{0, 3}, []int{0, 1, 2, 3, 4}}}, // 0 is free by now, and had the past of a
 		{30, []string{"e", "c"}, []string{"1", "1"}, Mapping{[]int{1, 3}, []int{0, -1, 2, 3, 4}}},
 	} {
 		got := table.Apply(at.Add(tc.after*time.Second), 10*time.Second, tc.names, tc.rules)
@@ -31,34 +31,37 @@
 	}
 }
 
-// Whatever changes, a number keeps its name and rules until its hold is over, and numbers do not grow without end.
+// Whatever changes, a number keeps its name and rules until its time is over, and the table does not grow without end.
 func TestNumbersKeepTheirMeaning(t *testing.T) {
-	rng, now, hold := rand.New(rand.NewPCG(1, 2)), time.Unix(1000, 0), 10*time.Second
+	const keepFor = 10 * time.Second
+	rng := rand.New(rand.NewPCG(1, 2))
+	now := time.Unix(1000, 0)
 	var table Table[int]
 	type use struct {
 		name  string
 		rules int
 		until time.Time
 	}
-	held := map[int]use{}
+	inUse := map[int]use{}
 	for range 2000 {
 		now = now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
 		var names []string
 		var rules []int
 		for _, i := range rng.Perm(6)[:1+rng.IntN(5)] {
-			names, rules = append(names, string(rune('a'+i))), append(rules, rng.IntN(3))
+			names = append(names, string(rune('a'+i)))
+			rules = append(rules, rng.IntN(3))
 		}
-		p := table.Apply(now, hold, names, rules)
-		for n, u := range held {
+		mapping := table.Apply(now, keepFor, names, rules)
+		for n, u := range inUse {
 			if name, r, _ := table.Rules(n); now.Before(u.until) && (name != u.name || r != u.rules) {
-				t.Fatalf("%d became %s %d while it was held as %v", n, name, r, u)
+				t.Fatalf("%d became %s %d while it was in use as %v", n, name, r, u)
 			}
 		}
-		for i, n := range p.ByPosition {
+		for i, n := range mapping.ByPosition {
 			if name, r, live := table.Rules(n); !live || name != names[i] || r != rules[i] {
 				t.Fatalf("%d is %s %d, live %t, want %s %d", n, name, r, live, names[i], rules[i])
 			}
-			held[n] = use{names[i], rules[i], now.Add(hold)}
+			inUse[n] = use{names[i], rules[i], now.Add(keepFor)}
 		}
 	}
 	if table.Len() > 60 {
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,12 +1,14 @@
-// Package upstreamtest is the suite that every upstream.Caller has to pass, whatever its protocol. It plays providers that answer,
-// refuse, hang, break off and drain, in simulated time, and looks at what reaches them and at what is reported.
+// Package upstreamtest is the suite that every upstream.Upstream has to pass, whatever its protocol. It plays servers that answer, refuse,
+// hang, break off and drain, in simulated time, and checks what reaches them and what is reported.
 package upstreamtest
 
 import (
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net"
+	"os"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
@@ -20,85 +22,99 @@
 
 // Harness is what the suite has to know of a protocol.
 type Harness struct {
-	// New returns a Caller whose connections are opened by dial and end with ctx. wait returns when its last goroutine has.
-	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (c upstream.Upstream, wait func())
-	// Read reads one whole request and returns the invocation's id, or "" for a probe.
+	// New returns an Upstream whose connections are opened by dial and end with ctx. wait returns when its last goroutine has.
+	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (u upstream.Upstream, wait func())
+	// Read reads one whole request and returns its id, or "" for a probe.
 	Read func(net.Conn) (id string, err error)
-	// What a provider answers to a request: that it is served with the body "ok", has failed, is turned away unseen, or
-	// something that is no answer; and, to a probe, that it has 3 in flight.
+	// What a server answers to a request: that it is served with the body "ok", has failed, is declined, or something that is no answer;
+	// and, to a probe, that it has 3 requests in flight.
 	Served, Failed, Declined, Garbage, Load []byte
 }
 
-// seen is what came of a scenario: how each attempt ended, and what each connection got, in the order in which they were
-// opened. Attempts that were never reported are missing.
-type seen struct {
+// result is how each attempt of a scenario ended, and what each connection got, in the order in which they were opened. Attempts that were
+// never reported are missing.
+type result struct {
 	Ends  []string
 	Conns []string
 }
 
-// stage is the world of one scenario.
-type stage struct {
-	t       *testing.T
-	h       Harness
-	at      upstream.Endpoint
-	dialed  string // what becomes of connections: "" = they come up, else "refused", or "late": after 100 ms
-	peers   []net.Conn
-	reports chan report
-	got     seen
-	ended   map[int]bool
-	last    *request.Request // that was begun
-	gone    atomic.Bool      // its consumer is gone, and nobody has been told
+// scenario is the state of one scenario.
+type scenario struct {
+	t           *testing.T
+	harness     Harness
+	endpoint    upstream.Endpoint
+	connections connectMode // how connections come up
+	serverConns []net.Conn
+	reports     chan report
+	got         result
+	ended       map[int]bool
+	lastRequest *request.Request // that was started
+	clientGone  atomic.Bool      // its client is, and nobody has reported it
 }
 
+// connectMode is how connections come up.
+type connectMode uint8
+
+const (
+	atOnce connectMode = iota
+	refused
+	late // after connectDelay
+)
+
+const connectDelay = 100 * time.Millisecond
+
 type report struct {
 	number int
 	upstream.Result
 }
 
-func (s *stage) dial(ctx context.Context, address string) (net.Conn, error) {
-	switch s.dialed {
-	case "refused":
+func (s *scenario) dial(ctx context.Context, _ string) (net.Conn, error) {
+	switch s.connections {
+	case refused:
 		return nil, errors.New("refused")
-	case "late":
+	case late:
 		select {
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(connectDelay):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	mine, theirs := net.Pipe()
-	s.peers = append(s.peers, theirs)
+	clientEnd, serverEnd := net.Pipe()
+	s.serverConns = append(s.serverConns, serverEnd)
 	s.got.Conns = append(s.got.Conns, "")
-	return mine, nil
+	return clientEnd, nil
 }
 
 // start begins an attempt by its number; 0 is a probe.
-func (s *stage) start(number int, notAfter time.Time) upstream.Attempt {
-	return s.begin(number, notAfter, time.Time{})
+func (s *scenario) start(number int, startBy time.Time) upstream.Attempt {
+	return s.startExpiring(number, startBy, time.Time{})
 }
 
-// begin is start for an attempt that expires.
-func (s *stage) begin(number int, notAfter, expires time.Time) upstream.Attempt {
-	task := upstream.AttemptOptions{Timeout: time.Second, StartBy: notAfter, Expires: expires, OnEnd: func(r upstream.Result) { s.reports <- report{number, r} }}
+// startExpiring is start for an attempt that expires.
+func (s *scenario) startExpiring(number int, startBy, expires time.Time) upstream.Attempt {
+	options := upstream.AttemptOptions{
+		Timeout: time.Second, StartBy: startBy, Expires: expires,
+		OnEnd: func(r upstream.Result) { s.reports <- report{number, r} },
+	}
 	if number > 0 {
-		s.last = &request.Request{
+		s.lastRequest = &request.Request{
 			ID: fmt.Sprint("id", number), Method: "POST", Target: "/order/1", Body: []byte("x"),
-			ClientGone: s.gone.Load,
+			ClientGone: s.clientGone.Load,
 		}
-		task.Request = s.last
+		options.Request = s.lastRequest
 	}
-	return s.at.Start(task)
+	return s.endpoint.Start(options)
 }
 
-// read takes a request on the n-th connection, as the provider.
-func (s *stage) read(n int) {
+// read reads a request on the n-th connection, as the server.
+func (s *scenario) read(n int) {
 	synctest.Wait()
-	if n >= len(s.peers) {
+	if n >= len(s.serverConns) {
 		s.t.Errorf("connection %d was not opened", n)
 		return
 	}
-	s.peers[n].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	id, err := s.h.Read(s.peers[n])
+	s.serverConns[n].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	id, err := s.harness.Read(s.serverConns[n])
 	if err != nil {
 		id = "nothing"
 	} else if id == "" {
@@ -107,283 +123,285 @@
 	s.got.Conns[n] += id + " "
 }
 
-func (s *stage) write(n int, b []byte) {
-	if n >= len(s.peers) {
-		return // read has said so
+func (s *scenario) write(n int, b []byte) {
+	if n >= len(s.serverConns) {
+		return // read has reported it
+	}
+	s.serverConns[n].SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
+	if _, err := s.serverConns[n].Write(b); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, io.ErrClosedPipe) {
+		s.t.Errorf("connection %d: %v", n, err) // else nobody reads any more
 	}
-	s.peers[n].SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
-	s.peers[n].Write(b)
 	synctest.Wait()
 }
 
-// settle takes note of what has been reported.
-func (s *stage) settle() {
+// recordReports records what has been reported.
+func (s *scenario) recordReports() {
 	synctest.Wait()
 	for len(s.reports) > 0 {
 		r := <-s.reports
-		s.note(r.number, r.Outcome, r.Result)
+		s.record(r.number, r.Outcome, r.Result)
 	}
 }
 
-func (s *stage) note(number int, e outcome.Kind, r upstream.Result) {
+func (s *scenario) record(number int, how outcome.Kind, r upstream.Result) {
 	if s.ended[number] {
-		s.t.Errorf("attempt %d has ended twice, as %s", number, e)
+		s.t.Errorf("attempt %d has ended twice, as %s", number, how)
 	}
 	s.ended[number] = true
-	word := fmt.Sprintf("%d %s", number, e)
-	if e == outcome.Served && number > 0 {
-		word += " " + string(r.Body)
+	end := fmt.Sprintf("%d %s", number, how)
+	if how == outcome.Served && number > 0 {
+		end += " " + string(r.Body)
 	}
 	if r.Report.HasRIF {
-		word += fmt.Sprintf(" load %g", r.Report.RIF)
+		end += fmt.Sprintf(" load %g", r.Report.RIF)
 	}
-	s.got.Ends = append(s.got.Ends, word)
+	s.got.Ends = append(s.got.Ends, end)
 }
 
-// stop gives an attempt up.
-func (s *stage) stop(number int, c upstream.Attempt, why outcome.Kind) {
-	if how, stopped := c.Cancel(why); stopped {
-		s.note(number, how, upstream.Result{})
+// cancel cancels the first attempt.
+func (s *scenario) cancel(attempt upstream.Attempt, why outcome.Kind) {
+	if how, cancelled := attempt.Cancel(why); cancelled {
+		s.record(1, how, upstream.Result{})
 	}
-	if _, again := c.Cancel(why); again {
-		s.t.Errorf("attempt %d was stopped twice", number)
+	if _, again := attempt.Cancel(why); again {
+		s.t.Error("the attempt was cancelled twice")
 	}
 }
 
-// withdraw gives an attempt up, if it has not been sent.
-func (s *stage) withdraw(number int, c upstream.Attempt) {
-	if how, withdrawn := c.Withdraw(outcome.Cancelled); withdrawn {
-		s.note(number, how, upstream.Result{})
+// withdraw withdraws the first attempt.
+func (s *scenario) withdraw(attempt upstream.Attempt) {
+	if how, withdrawn := attempt.Withdraw(outcome.Cancelled); withdrawn {
+		s.record(1, how, upstream.Result{})
 	}
-	if _, again := c.Withdraw(outcome.Cancelled); again {
-		s.t.Errorf("attempt %d was withdrawn twice", number)
+	if _, again := attempt.Withdraw(outcome.Cancelled); again {
+		s.t.Error("the attempt was withdrawn twice")
 	}
 }
 
 var scenarios = map[string]struct {
-	play func(*stage)
-	want seen
+	play func(*scenario)
+	want result
 }{
-	"answers": {func(s *stage) {
-		for i, answer := range [][]byte{s.h.Served, s.h.Failed, s.h.Declined} {
+	"answers": {func(s *scenario) {
+		for i, answer := range [][]byte{s.harness.Served, s.harness.Failed, s.harness.Declined} {
 			s.start(i+1, time.Time{})
 			s.read(0)
 			s.write(0, answer)
-			s.settle()
+			s.recordReports()
 		}
-	}, seen{[]string{"1 served ok", "2 server_error", "3 declined"}, []string{"id1 id2 id3 "}}},
-	"two at once": {func(s *stage) {
+	}, result{[]string{"1 served ok", "2 server_error", "3 declined"}, []string{"id1 id2 id3 "}}},
+	"two at once": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
 		s.start(2, time.Time{})
 		s.read(1)
-		s.write(1, s.h.Served)
-		s.settle()
-		s.write(0, s.h.Served)
-		s.settle()
-	}, seen{[]string{"2 served ok", "1 served ok"}, []string{"id1 ", "id2 "}}},
-	"probe": {func(s *stage) {
+		s.write(1, s.harness.Served)
+		s.recordReports()
+		s.write(0, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"2 served ok", "1 served ok"}, []string{"id1 ", "id2 "}}},
+	"probe": {func(s *scenario) {
 		s.start(0, time.Time{})
 		s.read(0)
-		s.write(0, s.h.Load)
-		s.settle()
-	}, seen{[]string{"0 served load 3"}, []string{"probe "}}},
-	"refused": {func(s *stage) {
-		s.dialed = "refused"
+		s.write(0, s.harness.Load)
+		s.recordReports()
+	}, result{[]string{"0 served load 3"}, []string{"probe "}}},
+	"refused": {func(s *scenario) {
+		s.connections = refused
 		s.start(1, time.Time{})
-		s.settle()
-	}, seen{[]string{"1 refused"}, nil}},
-	"stopped while connecting": {func(s *stage) {
-		s.dialed = "late"
-		c := s.start(1, time.Time{})
+		s.recordReports()
+	}, result{[]string{"1 refused"}, nil}},
+	"cancelled while connecting": {func(s *scenario) {
+		s.connections = late
+		attempt := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.stop(1, c, outcome.Cancelled)
+		s.cancel(attempt, outcome.Cancelled)
 		time.Sleep(time.Second)
-		s.settle()
-	}, seen{[]string{"1 withdrawn"}, nil}},
-	"withdrawn while connecting": {func(s *stage) {
-		s.dialed = "late"
-		c := s.start(1, time.Time{})
+		s.recordReports()
+	}, result{[]string{"1 withdrawn"}, nil}},
+	"withdrawn while connecting": {func(s *scenario) {
+		s.connections = late
+		attempt := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.withdraw(1, c)
+		s.withdraw(attempt)
 		time.Sleep(time.Second)
-		s.settle()
-	}, seen{[]string{"1 withdrawn"}, nil}},
-	"withdrawn when it may have run": {func(s *stage) {
-		c := s.start(1, time.Time{})
+		s.recordReports()
+	}, result{[]string{"1 withdrawn"}, nil}},
+	"withdrawn when it may have run": {func(s *scenario) {
+		attempt := s.start(1, time.Time{})
 		s.read(0)
-		s.withdraw(1, c)
-		s.write(0, s.h.Served)
-		s.settle()
-		s.withdraw(1, c)
-	}, seen{[]string{"1 served ok"}, []string{"id1 "}}},
-	"the consumer has left while connecting, and the word of it waits": {func(s *stage) {
-		s.dialed = "late"
+		s.withdraw(attempt)
+		s.write(0, s.harness.Served)
+		s.recordReports()
+		s.withdraw(attempt)
+	}, result{[]string{"1 served ok"}, []string{"id1 "}}},
+	"the client has left while connecting, and the event of it waits": {func(s *scenario) {
+		s.connections = late
 		s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.last.MarkClientGone()
+		s.lastRequest.MarkClientGone()
 		time.Sleep(time.Second)
-		s.settle()
+		s.recordReports()
 		s.read(0)
-	}, seen{[]string{"1 withdrawn"}, []string{"nothing "}}},
-	"the consumer has left while connecting, and nobody knows": {func(s *stage) {
-		s.dialed = "late"
+	}, result{[]string{"1 withdrawn"}, []string{"nothing "}}},
+	"the client has left while connecting, and nobody knows": {func(s *scenario) {
+		s.connections = late
 		s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.gone.Store(true)
+		s.clientGone.Store(true)
 		time.Sleep(time.Second)
-		s.settle()
+		s.recordReports()
 		s.read(0)
-		if !s.last.IsClientGone() {
-			s.t.Error("it has not been noted that it left")
+		if !s.lastRequest.IsClientGone() {
+			s.t.Error("it was not noted that the client left")
 		}
-	}, seen{[]string{"1 withdrawn"}, []string{"nothing "}}},
-	"timed out while connecting": {func(s *stage) {
-		s.dialed = "late"
-		c := s.start(1, time.Time{})
+	}, result{[]string{"1 withdrawn"}, []string{"nothing "}}},
+	"timed out while connecting": {func(s *scenario) {
+		s.connections = late
+		attempt := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
-		s.stop(1, c, outcome.TimedOut)
+		s.cancel(attempt, outcome.TimedOut)
 		time.Sleep(time.Second)
-		s.settle()
-	}, seen{[]string{"1 unwritten"}, nil}},
-	"too late for a drain": {func(s *stage) {
-		s.dialed = "late"
+		s.recordReports()
+	}, result{[]string{"1 unwritten"}, nil}},
+	"too late for a drain": {func(s *scenario) {
+		s.connections = late
 		s.start(1, time.Now().Add(50*time.Millisecond))
 		time.Sleep(time.Second)
-		s.settle()
+		s.recordReports()
 		s.read(0)
-	}, seen{[]string{"1 drained"}, []string{"nothing "}}},
-	"a drain told while connecting": {func(s *stage) {
-		s.dialed = "late"
-		c := s.start(1, time.Time{})
-		c.StartBy(time.Now().Add(time.Hour))
-		c.StartBy(time.Now().Add(50 * time.Millisecond)) // what forbids more counts, whatever came first
-		c.StartBy(time.Now().Add(time.Hour))
+	}, result{[]string{"1 drained"}, []string{"nothing "}}},
+	"a drain while connecting": {func(s *scenario) {
+		s.connections = late
+		attempt := s.start(1, time.Time{})
+		attempt.StartBy(time.Now().Add(time.Hour))
+		attempt.StartBy(time.Now().Add(50 * time.Millisecond)) // the earliest counts, in whatever order
+		attempt.StartBy(time.Now().Add(time.Hour))
 		time.Sleep(time.Second)
-		s.settle()
+		s.recordReports()
 		s.read(0)
-	}, seen{[]string{"1 drained"}, []string{"nothing "}}},
-	"expired while connecting": {func(s *stage) {
-		s.dialed = "late"
-		s.begin(1, time.Time{}, time.Now().Add(50*time.Millisecond))
+	}, result{[]string{"1 drained"}, []string{"nothing "}}},
+	"expired while connecting": {func(s *scenario) {
+		s.connections = late
+		s.startExpiring(1, time.Time{}, time.Now().Add(50*time.Millisecond))
 		time.Sleep(time.Second)
-		s.settle()
+		s.recordReports()
 		s.read(0)
-	}, seen{[]string{"1 expired"}, []string{"nothing "}}},
-	"sent before it expires": {func(s *stage) {
-		s.dialed = "late"
-		s.begin(1, time.Time{}, time.Now().Add(150*time.Millisecond))
+	}, result{[]string{"1 expired"}, []string{"nothing "}}},
+	"sent before it expires": {func(s *scenario) {
+		s.connections = late
+		s.startExpiring(1, time.Time{}, time.Now().Add(150*time.Millisecond))
 		time.Sleep(time.Second)
 		s.read(0)
-		s.write(0, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 served ok"}, []string{"id1 "}}},
-	"silence": {func(s *stage) {
-		c := s.start(1, time.Time{})
+		s.write(0, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 served ok"}, []string{"id1 "}}},
+	"silence": {func(s *scenario) {
+		attempt := s.start(1, time.Time{})
 		s.read(0)
 		time.Sleep(time.Second)
-		s.stop(1, c, outcome.TimedOut)
-		s.settle()
-		s.write(0, s.h.Served) // nobody listens any more
+		s.cancel(attempt, outcome.TimedOut)
+		s.recordReports()
+		s.write(0, s.harness.Served) // nobody listens any more
 		s.start(2, time.Time{})
 		s.read(1)
-		s.write(1, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 timed_out", "2 served ok"}, []string{"id1 ", "id2 "}}},
-	"called off": {func(s *stage) {
-		c := s.start(1, time.Time{})
+		s.write(1, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 timed_out", "2 served ok"}, []string{"id1 ", "id2 "}}},
+	"cancelled": {func(s *scenario) {
+		attempt := s.start(1, time.Time{})
 		s.read(0)
-		s.stop(1, c, outcome.Cancelled)
-		s.settle()
-	}, seen{[]string{"1 called_off"}, []string{"id1 "}}},
-	"stopped after its end": {func(s *stage) {
-		c := s.start(1, time.Time{})
+		s.cancel(attempt, outcome.Cancelled)
+		s.recordReports()
+	}, result{[]string{"1 called_off"}, []string{"id1 "}}},
+	"cancelled after its end": {func(s *scenario) {
+		attempt := s.start(1, time.Time{})
 		s.read(0)
-		s.write(0, s.h.Served)
-		s.stop(1, c, outcome.TimedOut)
-		s.settle()
+		s.write(0, s.harness.Served)
+		s.cancel(attempt, outcome.TimedOut)
+		s.recordReports()
 		s.start(2, time.Time{}) // and the connection is still good
 		s.read(0)
-		s.write(0, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 served ok", "2 served ok"}, []string{"id1 id2 "}}},
-	"broken after the request": {func(s *stage) {
+		s.write(0, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 served ok", "2 served ok"}, []string{"id1 id2 "}}},
+	"broken after the request": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.peers[0].Close()
-		s.settle()
-	}, seen{[]string{"1 reset"}, []string{"id1 "}}},
-	"broken in the answer": {func(s *stage) {
+		s.serverConns[0].Close()
+		s.recordReports()
+	}, result{[]string{"1 reset"}, []string{"id1 "}}},
+	"broken in the answer": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.write(0, s.h.Served[:len(s.h.Served)-1])
-		s.peers[0].Close()
-		s.settle()
-	}, seen{[]string{"1 reset"}, []string{"id1 "}}},
-	"no answer at all": {func(s *stage) {
+		s.write(0, s.harness.Served[:len(s.harness.Served)-1])
+		s.serverConns[0].Close()
+		s.recordReports()
+	}, result{[]string{"1 reset"}, []string{"id1 "}}},
+	"no answer at all": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.write(0, s.h.Garbage)
-		s.settle()
+		s.write(0, s.harness.Garbage)
+		s.recordReports()
 		s.start(2, time.Time{}) // the connection is of no further use
 		s.read(1)
-		s.write(1, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 malformed", "2 served ok"}, []string{"id1 ", "id2 "}}},
-	"closed while idle": {func(s *stage) {
+		s.write(1, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 malformed", "2 served ok"}, []string{"id1 ", "id2 "}}},
+	"closed while idle": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.write(0, s.h.Served)
-		s.settle()
-		s.peers[0].Close()
+		s.write(0, s.harness.Served)
+		s.recordReports()
+		s.serverConns[0].Close()
 		s.start(2, time.Time{})
 		s.read(1)
-		s.write(1, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 served ok", "2 served ok"}, []string{"id1 ", "id2 "}}},
-	"bytes while idle": {func(s *stage) {
+		s.write(1, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 served ok", "2 served ok"}, []string{"id1 ", "id2 "}}},
+	"bytes while idle": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.write(0, s.h.Served)
-		s.settle()
-		s.write(0, s.h.Served) // an answer to nothing must not be taken for the next one
+		s.write(0, s.harness.Served)
+		s.recordReports()
+		s.write(0, s.harness.Served) // an answer to nothing must not be taken for the next one
 		s.start(2, time.Time{})
 		s.read(1)
-		s.write(1, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 served ok", "2 served ok"}, []string{"id1 ", "id2 "}}},
-	"endpoint closed": {func(s *stage) {
+		s.write(1, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 served ok", "2 served ok"}, []string{"id1 ", "id2 "}}},
+	"endpoint closed": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.at.Close() // what is under way goes on, and its connection carries nothing else
-		s.write(0, s.h.Served)
-		s.settle()
+		s.endpoint.Close() // what is under way goes on, and its connection carries nothing else
+		s.write(0, s.harness.Served)
+		s.recordReports()
 		s.start(2, time.Time{})
 		s.read(1)
-		s.write(1, s.h.Served)
-		s.settle()
-	}, seen{[]string{"1 served ok", "2 served ok"}, []string{"id1 ", "id2 "}}},
+		s.write(1, s.harness.Served)
+		s.recordReports()
+	}, result{[]string{"1 served ok", "2 served ok"}, []string{"id1 ", "id2 "}}},
 }
 
 // Test plays the suite.
 func Test(t *testing.T, h Harness) {
-	for name, sc := range scenarios {
+	for name, tc := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				s := &stage{t: t, h: h, reports: make(chan report, 16), ended: map[int]bool{}}
-				c, wait := h.New(ctx, s.dial)
-				if s.at = c.Endpoint("p1", "p1:1"); s.at.Address() != "p1:1" {
-					t.Errorf("address %q", s.at.Address())
+				s := &scenario{t: t, harness: h, reports: make(chan report, 16), ended: map[int]bool{}}
+				u, wait := h.New(ctx, s.dial)
+				if s.endpoint = u.Endpoint("p1", "p1:1"); s.endpoint.Address() != "p1:1" {
+					t.Errorf("address %q", s.endpoint.Address())
 				}
-				sc.play(s)
-				if diff := cmp.Diff(sc.want, s.got); diff != "" {
+				tc.play(s)
+				if diff := cmp.Diff(tc.want, s.got); diff != "" {
 					t.Error(diff)
 				}
 				cancel()
 				wait()
-				for _, p := range s.peers {
-					p.Close()
+				for _, conn := range s.serverConns {
+					conn.Close()
 				}
 			})
 		})
@@ -391,20 +409,20 @@
 	t.Run("state", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			c, wait := h.New(ctx, func(context.Context, string) (net.Conn, error) { return nil, errors.New("refused") })
-			state, err := c.State(time.Now())
+			u, wait := h.New(ctx, func(context.Context, string) (net.Conn, error) { return nil, errors.New("refused") })
+			state, err := u.State(time.Now())
 			if err != nil || len(state) > 64<<10 {
 				t.Errorf("state of %d bytes: %v", len(state), err)
 			}
 			if state != nil {
-				if err := c.Restore(time.Now(), state, time.Second); err != nil {
+				if err := u.Restore(time.Now(), state, time.Second); err != nil {
 					t.Errorf("its own state: %v", err)
 				}
-				if c.Restore(time.Now(), state[:len(state)/2], time.Second) == nil {
-					t.Error("half a state is taken")
+				if u.Restore(time.Now(), state[:len(state)/2], time.Second) == nil {
+					t.Error("half a state is accepted")
 				}
 			}
-			c.Forget("nobody")
+			u.Forget("nobody")
 			cancel()
 			wait()
 		})
