--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// slowReader is a connection of a process that is held up each time before it sees what has come.
-type slowReader struct {
+// stallingConn is a connection of a process that is held up each time before it sees what has come.
+type stallingConn struct {
 	*net.TCPConn
-	by time.Duration
+	delay time.Duration
 }
 
-func (s slowReader) Read(p []byte) (int, error) {
+func (s stallingConn) Read(p []byte) (int, error) {
 	n, err := s.TCPConn.Read(p)
-	time.Sleep(s.by)
+	time.Sleep(s.delay)
 	return n, err
 }
 
 // A list counts as told from when it came in, not from when this process came to read it: a drain's grace runs from there.
-func TestToldFromArrival(t *testing.T) {
+func TestUpdateIsDatedByArrival(t *testing.T) {
 	const (
 		heldUp  = 200 * time.Millisecond
 		blurred = 30 * time.Millisecond // by the kernel's ticks
@@ -43,7 +43,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return slowReader{c.(*net.TCPConn), heldUp}, nil
+			return stallingConn{c.(*net.TCPConn), heldUp}, nil
 		}),
 		OnUpdate: func(_ endpoints.List, at time.Time) {
 			select {
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -9,7 +9,7 @@
 // What it costs to read a whole list, indented.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{200, 350, 1024, 2000} {
-		raw, err := json.MarshalIndent(map[string]any{"revision": 7, "complete": true, "members": many(n)}, "", "    ")
+		raw, err := json.MarshalIndent(map[string]any{"revision": 7, "complete": true, "members": manyMembers(n)}, "", "    ")
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// rig is a watch of a directory that knows a and b, in simulated time.
-type rig struct {
+// fixture is a watch of a directory that knows a and b, in simulated time.
+type fixture struct {
 	t       *testing.T
 	network *fakes.Memory
-	at      *fakes.Directory
+	source  *fakes.Directory
 	watch   *Watch
 	phases  map[string]string // as told
-	lines   []string
+	logged  []string
 }
 
-func (r *rig) directory(address string) *fakes.Directory {
+func (r *fixture) newSource(address string) *fakes.Directory {
 	d, err := fakes.NewDirectory(r.network, address, fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Serving},
 		fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
 	if err != nil {
@@ -34,17 +34,17 @@
 	return d
 }
 
-// play runs f in a bubble, with a watch that has not begun. It knows the list, as of a revision.
-func play(t *testing.T, revision uint64, f func(*rig)) {
+// withWatch runs f in a bubble, with a watch that has not begun. It knows the list, as of a revision.
+func withWatch(t *testing.T, revision uint64, f func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{t: t, network: fakes.NewMemory(), phases: map[string]string{}}
-		r.at = r.directory("d:1")
-		defer r.at.Close()
+		r := &fixture{t: t, network: fakes.NewMemory(), phases: map[string]string{}}
+		r.source = r.newSource("d:1")
+		defer r.source.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
 		w, err := New(Options{
 			Address: "d:1", Watch: staleness.DefaultSettings(), Seed: 1, Initial: endpoints.List{Revision: revision},
-			Budget: connlimit.NewBudget(8, dial), OnUpdate: r.told, Logf: func(format string, args ...any) {
-				r.lines = append(r.lines, fmt.Sprintf(format, args...))
+			Budget: connlimit.NewBudget(8, dial), OnUpdate: r.onUpdate, Logf: func(format string, args ...any) {
+				r.logged = append(r.logged, fmt.Sprintf(format, args...))
 			},
 		})
 		if err != nil {
@@ -55,7 +55,7 @@
 	})
 }
 
-func (r *rig) told(l endpoints.List, _ time.Time) {
+func (r *fixture) onUpdate(l endpoints.List, _ time.Time) {
 	if l.Complete {
 		clear(r.phases)
 	}
@@ -65,13 +65,13 @@
 }
 
 // wait lets time pass, and all that is due by then be done.
-func (r *rig) wait(d time.Duration) {
+func (r *fixture) wait(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 // run starts the watch and returns a function that ends it.
-func (r *rig) run() (end func()) {
+func (r *fixture) run() (end func()) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.watch.Run(ctx) }()
@@ -85,7 +85,7 @@
 
 // Whatever the directory does with its answers, it is asked again, and what it says once it is well is known soon: after
 // the longest pause between tries, and a call. Nothing is taken from answers that are wrong.
-func TestNewsAfterTrouble(t *testing.T) {
+func TestUpdatesAfterFaults(t *testing.T) {
 	const within = 2*time.Second + 3*time.Second
 	for name, c := range map[string]struct {
 		on  func(*fakes.Directory) error
@@ -125,23 +125,23 @@
 		"anew at 9": {func(d *fakes.Directory) error { return d.RestartAt(9) }, nil, "state=failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 0, func(r *rig) {
+			withWatch(t, 0, func(r *fixture) {
 				defer r.run()()
 				<-r.watch.FirstUpdate()
 				for range 3 { // so that it counts from a revision above 1
-					r.at.Change(fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
+					r.source.Change(fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
 				}
-				if err := c.on(r.at); err != nil {
+				if err := c.on(r.source); err != nil {
 					t.Fatal(err)
 				}
-				r.at.Change(fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Draining})
+				r.source.Change(fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Draining})
 				if c.off != nil {
 					r.wait(10 * time.Second)
 					if got := r.phases["a"]; got != fakes.Serving {
 						t.Errorf("in the trouble a is %q", got)
 					}
-					if err := c.off(r.at); err != nil {
+					if err := c.off(r.source); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -149,7 +149,7 @@
 				if r.phases["a"] != fakes.Draining || r.phases["b"] != fakes.Serving {
 					t.Errorf("afterwards: %v", r.phases)
 				}
-				if said := strings.Join(r.lines, "\n"); c.say == "" && said != "" || !strings.Contains(said, c.say) {
+				if said := strings.Join(r.logged, "\n"); c.say == "" && said != "" || !strings.Contains(said, c.say) {
 					t.Errorf("it logs %q, want %q", said, c.say)
 				}
 			})
@@ -158,11 +158,11 @@
 }
 
 // Wherever a watch is moved, also before it has begun, it asks for the whole list first, and tells its source.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before the first call %t", before), func(t *testing.T) {
-			play(t, 50, func(r *rig) {
-				other := r.directory("e:1")
+			withWatch(t, 50, func(r *fixture) {
+				other := r.newSource("e:1")
 				defer other.Close()
 				if before {
 					r.watch.SetAddress("e:1")
@@ -186,20 +186,20 @@
 }
 
 // What an agent has while nobody asks counts at once: each pause is told of before it begins.
-func TestPausesAreToldOf(t *testing.T) {
-	play(t, 0, func(r *rig) {
-		set := r.watch.set
+func TestValidityIsReportedBeforePauses(t *testing.T) {
+	withWatch(t, 0, func(r *fixture) {
+		set := r.watch.options
 		set.Watch = staleness.PushedSettings(750 * time.Millisecond)
 		var err error
 		if r.watch, err = New(set); err != nil {
 			t.Fatal(err)
 		}
 		var left []time.Duration // for which the list is sure, as each call or pause begins
-		r.watch.set.OnValidity = func(t staleness.Validity) { left = append(left, time.Until(t.ListUntil)) }
+		r.watch.options.OnValidity = func(t staleness.Validity) { left = append(left, time.Until(t.ListUntil)) }
 		end := r.run()
 		r.wait(1500 * time.Millisecond)
 		before := len(left)
-		r.at.Close() // each call fails at once
+		r.source.Close() // each call fails at once
 		r.wait(100 * time.Millisecond)
 		if len(left) <= before || left[before-1] < time.Second || left[before] != 0 {
 			t.Errorf("before %d: %s", before, left)
@@ -210,9 +210,9 @@
 
 // What each call asks for, by how those before ended, where 32 ask one directory: who is turned away, or given up in the line where
 // calls are turned away, asks for changes again; after any other silence, and after the end of the connection, for the whole list.
-func TestWhatIsAskedInLine(t *testing.T) {
+func TestPollsWhileRejected(t *testing.T) {
 	const full, part, whole = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "?index=7&wait=", ""
-	news := answer(wording(7, false))
+	news := okResponse(listJSON(7, false))
 	for name, c := range map[string]struct{ says, want []string }{ // "" = nothing, until the call is given up
 		"turned away":                     {[]string{full, full, full}, []string{part, part, part, part}},
 		"in line":                         {[]string{full, "", "", full}, []string{part, part, part, part, part}},
@@ -223,18 +223,18 @@
 		"in line, an answer of something": {[]string{full, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, []string{part, part, whole}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 0, func(r *rig) {
-				d, set := scripted(t, r.network), r.watch.set
+			withWatch(t, 0, func(r *fixture) {
+				d, set := newScriptedSource(t, r.network), r.watch.options
 				set.Address, set.Watch.Instances = d.Addr().String(), 32
 				set.Initial = endpoints.List{Revision: 7, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
 				r.watch, _ = New(set)
 				defer r.run()()
-				var at *turn
+				var at *scriptedConn
 				for i, want := range c.want {
 					if at == nil {
-						at = d.turn()
+						at = d.accept()
 					}
-					if got := at.asked(); (want == whole) != (got == whole) || !strings.HasPrefix(got, want) {
+					if got := at.nextTarget(); (want == whole) != (got == whole) || !strings.HasPrefix(got, want) {
 						t.Errorf("call %d asks for %q, want %q", i, got, want)
 					}
 					switch {
@@ -243,10 +243,10 @@
 						at.Close()
 						at = nil
 					case c.says[i] == news:
-						at.say(news)
+						at.write(news)
 					default:
-						at.say(c.says[i])
-						if got := at.asked(); got != "ended" {
+						at.write(c.says[i])
+						if got := at.nextTarget(); got != "ended" {
 							t.Errorf("after call %d: %q", i, got)
 						}
 						at = nil
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	lineMost  = 4 << 10         // of a line of the list, indented and with the longest names: what is usual takes 150 to 400 bytes
-	leastList = 1100 * lineMost // of an answer, where less memory, or none, is told
-	listPart  = 8               // of the memory: one in so many may go into an answer, beside the list in force and the new one
+	maxLineBytes  = 4 << 10             // of a line of the list, indented and with the longest names: what is usual takes 150 to 400 bytes
+	minListBytes  = 1100 * maxLineBytes // of an answer, where less memory, or none, is told
+	memoryDivisor = 8                   // of the memory: one in so many may go into an answer, beside the list in force and the new one
 )
 
 var (
@@ -22,10 +22,10 @@
 )
 
 // MaxListBytes is the longest answer, in bytes, that a process takes which may use so much memory.
-func MaxListBytes(memory int64) int64 { return max(leastList, memory/listPart) }
+func MaxListBytes(memory int64) int64 { return max(minListBytes, memory/memoryDivisor) }
 
-// body reads the whole of an answer, in a buffer that grows by need and is nobody's afterwards.
-func body(r *http1.Response, most int64) ([]byte, error) {
+// readBody reads the whole of an answer, in a buffer that grows by need and is nobody's afterwards.
+func readBody(r *http1.Response, most int64) ([]byte, error) {
 	if r.Rest == nil {
 		return nil, nil
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func many(n int) (all []fakes.Member) {
+func manyMembers(n int) (all []fakes.Member) {
 	for i := range n {
 		all = append(all, fakes.Member{
 			ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
@@ -25,20 +25,20 @@
 		for way := range 8 {
 			indented, chunked, whole := way&1 > 0, way&2 > 0, way&4 > 0
 			t.Run(fmt.Sprintf("%d indented %t chunked %t whole %t", n, indented, chunked, whole), func(t *testing.T) {
-				play(t, 0, func(r *rig) {
-					r.at.Word(indented, chunked)
-					r.at.WholeForWatch(whole)
-					all := many(n)
-					r.at.Set(all...)
+				withWatch(t, 0, func(r *fixture) {
+					r.source.Word(indented, chunked)
+					r.source.WholeForWatch(whole)
+					all := manyMembers(n)
+					r.source.Set(all...)
 					defer r.run()()
 					r.wait(100 * time.Millisecond)
 					for i := range all {
 						all[i].Phase = fakes.Draining
 					}
-					r.at.Change(all...)
+					r.source.Change(all...)
 					r.wait(100 * time.Millisecond)
 					if len(r.phases) != n || r.phases[all[n-1].ID] != fakes.Draining || r.watch.Failures.Load() > 0 {
-						t.Errorf("%d told, the last as %q: %.200q", len(r.phases), r.phases[all[n-1].ID], r.lines)
+						t.Errorf("%d told, the last as %q: %.200q", len(r.phases), r.phases[all[n-1].ID], r.logged)
 					}
 				})
 			})
@@ -49,22 +49,22 @@
 // A list beyond the bound changes nothing, is named with its size and the bound, and is asked for at the pace of failures.
 func TestListTooLong(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
-		play(t, 0, func(r *rig) {
-			r.watch.set.MaxListBytes = 200_000
-			r.at.Word(true, chunked)
+		withWatch(t, 0, func(r *fixture) {
+			r.watch.options.MaxListBytes = 200_000
+			r.source.Word(true, chunked)
 			defer r.run()()
 			r.wait(100 * time.Millisecond)
-			r.at.WholeForWatch(true)
-			r.at.Set(many(2000)...)
+			r.source.WholeForWatch(true)
+			r.source.Set(manyMembers(2000)...)
 			r.wait(10 * time.Second)
-			if said := strings.Join(r.lines, "\n"); len(r.phases) != 2 || !strings.Contains(said, "list too long") ||
+			if said := strings.Join(r.logged, "\n"); len(r.phases) != 2 || !strings.Contains(said, "list too long") ||
 				!strings.Contains(said, "200000 ") {
 				t.Errorf("chunked %t: %d told: %.300q", chunked, len(r.phases), said)
 			}
 			if n := r.watch.Failures.Load(); n < 4 || n > 20 {
 				t.Errorf("chunked %t: %d calls failed in 10 s", chunked, n)
 			}
-			r.at.Set(many(20)...)
+			r.source.Set(manyMembers(20)...)
 			r.wait(4 * time.Second)
 			if len(r.phases) != 20 {
 				t.Errorf("chunked %t: then %d are told", chunked, len(r.phases))
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/races_test.go
@@ -16,38 +16,38 @@
 	"time"
 )
 
-// script is a directory whose every byte the test writes.
-type script struct {
+// scriptedSource is a directory whose every byte the test writes.
+type scriptedSource struct {
 	*testing.T
 	net.Listener
 }
 
-const hung = 10 * time.Second // of real time: a step that takes so long has failed
+const stepTimeout = 10 * time.Second // of real time: a step that takes so long has failed
 
-// scripted listens in a network of simulated time, or, without one, on a real socket.
-func scripted(t *testing.T, n fakes.Network) *script {
+// newScriptedSource listens in a network of simulated time, or, without one, on a real socket.
+func newScriptedSource(t *testing.T, n fakes.Network) *scriptedSource {
 	var l net.Listener
 	var err error
 	if n != nil {
 		l, err = n.Listen("127.0.0.1")
 	} else if l, err = net.Listen("tcp", "127.0.0.1:0"); err == nil {
-		l.(*net.TCPListener).SetDeadline(time.Now().Add(hung))
+		l.(*net.TCPListener).SetDeadline(time.Now().Add(stepTimeout))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &script{t, l}
+	return &scriptedSource{t, l}
 }
 
-// turn is one connection to it.
-type turn struct {
+// accept is one connection to it.
+type scriptedConn struct {
 	*testing.T
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (s *script) turn() *turn {
+func (s *scriptedSource) accept() *scriptedConn {
 	s.Helper()
 	c, err := s.Accept()
 	if err != nil {
@@ -55,28 +55,28 @@
 	}
 	s.Cleanup(func() { c.Close() })
 	if _, real := c.(*net.TCPConn); real {
-		c.SetDeadline(time.Now().Add(hung))
+		c.SetDeadline(time.Now().Add(stepTimeout))
 	}
-	return &turn{s.T, c, bufio.NewReader(c)}
+	return &scriptedConn{s.T, c, bufio.NewReader(c)}
 }
 
-// asked is what the next call on the connection asks for; "" = the whole list.
-func (c *turn) asked() string {
-	r, err := http1.ReadRequest(c.br)
+// nextTarget is what the next call on the connection asks for; "" = the whole list.
+func (c *scriptedConn) nextTarget() string {
+	r, err := http1.ReadRequest(c.reader)
 	if err != nil {
 		return "ended"
 	}
 	return strings.TrimPrefix(r.Target, http1.PathList)
 }
 
-func (c *turn) say(pieces ...string) {
+func (c *scriptedConn) write(pieces ...string) {
 	for _, p := range pieces {
 		c.Write([]byte(p)) // who has hung up does not read it
 	}
 }
 
-// wording words a list: of a revision, whole or not, of lines like "a=SERVING".
-func wording(revision int, whole bool, lines ...string) string {
+// listJSON words a list: of a revision, whole or not, of lines like "a=SERVING".
+func listJSON(revision int, whole bool, lines ...string) string {
 	var all []string
 	for _, l := range lines {
 		id, phase, _ := strings.Cut(l, "=")
@@ -85,7 +85,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, whole, strings.Join(all, ","))
 }
 
-func answer(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -94,7 +94,7 @@
 func TestSilenceWithinAnAnswer(t *testing.T) {
 	const grace, head = 750 * time.Millisecond, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
 	const chunked, interim = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 103 Early Hints\r\n\r\n"
-	list := wording(7, true, "a=SERVING")
+	list := listJSON(7, true, "a=SERVING")
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(list), list)
 	for name, c := range map[string]struct {
 		pieces []string // 300 ms apart
@@ -112,34 +112,34 @@
 		"between chunks":     {[]string{chunked, chunk}, false},
 		"in the last chunk":  {[]string{chunked + chunk, "0\r\n"}, false},
 		"up to its close":    {[]string{"HTTP/1.1 200 OK\r\n\r\n" + list}, false},
-		"slow":               {strings.SplitAfter(answer(list), ":"), true},
+		"slow":               {strings.SplitAfter(okResponse(list), ":"), true},
 		"slow and in chunks": {[]string{chunked, chunk[:1], chunk[1:9], chunk[9:60], chunk[60:], "0\r\n", "\r\n"}, true},
-		"slow behind one":    {[]string{interim + "HTTP", answer(list)[4:50], answer(list)[50:]}, true},
+		"slow behind one":    {[]string{interim + "HTTP", okResponse(list)[4:50], okResponse(list)[50:]}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 0, func(r *rig) {
-				d := scripted(t, r.network)
-				set := r.watch.set
+			withWatch(t, 0, func(r *fixture) {
+				d := newScriptedSource(t, r.network)
+				set := r.watch.options
 				set.Address, set.Watch = d.Addr().String(), staleness.PushedSettings(grace)
 				r.watch, _ = New(set)
 				defer r.run()()
-				first := d.turn()
-				first.asked()
+				first := d.accept()
+				first.nextTarget()
 				at := time.Now()
 				for i, p := range c.pieces {
 					if i > 0 {
 						time.Sleep(300 * time.Millisecond)
 					}
-					first.say(p)
+					first.write(p)
 					at = time.Now()
 				}
 				if c.taken {
-					if asked := first.asked(); !strings.HasPrefix(asked, "?index=7&") || r.watch.Failures.Load() != 0 {
-						t.Errorf("afterwards it asks %q: %q", asked, r.lines)
+					if asked := first.nextTarget(); !strings.HasPrefix(asked, "?index=7&") || r.watch.Failures.Load() != 0 {
+						t.Errorf("afterwards it asks %q: %q", asked, r.logged)
 					}
 					return
 				}
-				if asked := d.turn().asked(); asked != "" || time.Since(at) > 460*time.Millisecond || len(r.phases) > 0 {
+				if asked := d.accept().nextTarget(); asked != "" || time.Since(at) > 460*time.Millisecond || len(r.phases) > 0 {
 					t.Errorf("it asks %q %s later, told %v", asked, time.Since(at), r.phases)
 				}
 			})
@@ -148,9 +148,9 @@
 }
 
 // Bytes that never end, and connections that never come up, hold the watch no longer than an answer and a pause may last.
-func TestNoEndAndNoBeginning(t *testing.T) {
-	play(t, 0, func(r *rig) {
-		d, set := scripted(t, r.network), r.watch.set
+func TestEndlessAnswerAndHangingDial(t *testing.T) {
+	withWatch(t, 0, func(r *fixture) {
+		d, set := newScriptedSource(t, r.network), r.watch.options
 		set.Address, set.Watch = d.Addr().String(), staleness.PushedSettings(750*time.Millisecond)
 		dials := make(chan time.Time, 100)
 		set.Budget = connlimit.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
@@ -162,15 +162,15 @@
 		})
 		r.watch, _ = New(set)
 		defer r.run()()
-		first := d.turn()
-		first.asked()
-		for first.say("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"); len(dials) == 1; r.wait(300 * time.Millisecond) {
-			first.say(" ")
+		first := d.accept()
+		first.nextTarget()
+		for first.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"); len(dials) == 1; r.wait(300 * time.Millisecond) {
+			first.write(" ")
 		}
 		r.wait(3 * time.Second)
 		began, again := <-dials, <-dials
 		<-dials
-		if given, twice := again.Sub(began), (<-dials).Sub(again); given < transferMost || given > transferMost+100*time.Millisecond ||
+		if given, twice := again.Sub(began), (<-dials).Sub(again); given < maxTransferTime || given > maxTransferTime+100*time.Millisecond ||
 			twice > 1100*time.Millisecond {
 			t.Errorf("dialled anew after %s, and twice within %s", given, twice)
 		}
@@ -178,29 +178,29 @@
 }
 
 // What a list is worth once it is heard counts from the first byte: what follows that may come slowly.
-func TestSlowNewsAreOfTheirFirstByte(t *testing.T) {
-	play(t, 0, func(r *rig) {
-		d, set := scripted(t, r.network), r.watch.set
+func TestSlowAnswerIsDatedByFirstByte(t *testing.T) {
+	withWatch(t, 0, func(r *fixture) {
+		d, set := newScriptedSource(t, r.network), r.watch.options
 		set.Address = d.Addr().String()
 		var sure time.Time
 		set.OnValidity = func(t staleness.Validity) { sure = t.ListUntil }
 		set.OnUpdate = func(l endpoints.List, at time.Time) {
-			if r.told(l, at); l.Revision == 8 {
+			if r.onUpdate(l, at); l.Revision == 8 {
 				r.watch.SetAddress("e:1")
 			}
 		}
 		r.watch, _ = New(set)
 		defer r.run()()
-		c := d.turn()
-		c.asked()
-		c.say(answer(wording(7, true, "a=SERVING")))
-		c.asked()
-		news, asked := answer(wording(8, false, "a=DRAINING")), time.Now()
+		c := d.accept()
+		c.nextTarget()
+		c.write(okResponse(listJSON(7, true, "a=SERVING")))
+		c.nextTarget()
+		news, asked := okResponse(listJSON(8, false, "a=DRAINING")), time.Now()
 		for i := range 6 { // each well within the pause, and in all well beyond the wait
 			time.Sleep(500 * time.Millisecond)
-			c.say(news[i*15 : i*15+15])
+			c.write(news[i*15 : i*15+15])
 		}
-		c.say(news[90:])
+		c.write(news[90:])
 		r.wait(time.Millisecond)
 		if left := sure.Sub(asked); left > 4*time.Second || left < 3900*time.Millisecond || r.phases["a"] != endpoints.Draining {
 			t.Errorf("sure until %s after the call that brought %v", left, r.phases)
@@ -208,21 +208,21 @@
 	})
 }
 
-// crossed is a watch on real sockets that waits for long, so that whatever happens is the test's doing.
-type crossed struct {
-	*script
+// raceFixture is a watch on real sockets that waits for long, so that whatever happens is the test's doing.
+type raceFixture struct {
+	*scriptedSource
 	*Watch
-	told  chan string      // "revision: id=phase ..." of each list, in the hands of the pool from then on
-	goOn  chan struct{}    // lets the pool give the list back
-	read  func(whole bool) // sees each read from the directory before the watch does; nil = nobody
-	end   context.CancelFunc
-	ended chan error
-	up    func() // is called as a connection has come up; nil = nothing is
-	trust func() // is called as a call begins; nil = nothing is
+	updates     chan string      // "revision: id=phase ..." of each list, in the hands of the pool from then on
+	proceed     chan struct{}    // lets the pool give the list back
+	onRead      func(whole bool) // sees each read from the directory before the watch does; nil = nobody
+	end         context.CancelFunc
+	ended       chan error
+	onConnected func() // is called as a connection has come up; nil = nothing is
+	onValidity  func() // is called as a call begins; nil = nothing is
 }
 
-func cross(t *testing.T) *crossed {
-	x := &crossed{script: scripted(t, nil), told: make(chan string), goOn: make(chan struct{}, 100)}
+func newRaceFixture(t *testing.T) *raceFixture {
+	x := &raceFixture{scriptedSource: newScriptedSource(t, nil), updates: make(chan string), proceed: make(chan struct{}, 100)}
 	set := staleness.Settings{
 		Wait: time.Minute, MinWait: time.Minute, Timeout: time.Minute, MinTimeout: time.Minute,
 		RetryBackoff: time.Millisecond, MaxRetryBackoff: time.Millisecond, RefreshInterval: time.Millisecond, MaxRefreshInterval: time.Millisecond,
@@ -232,18 +232,18 @@
 		if err != nil {
 			return nil, err
 		}
-		if x.up != nil {
-			x.up()
+		if x.onConnected != nil {
+			x.onConnected()
 		}
-		return &watched{c.(*net.TCPConn), x}, nil
+		return &observedConn{c.(*net.TCPConn), x}, nil
 	}
 	phases := map[string]string{}
 	var err error
 	x.Watch, err = New(Options{
 		Address: x.Addr().String(), Watch: set, Seed: 1, Budget: connlimit.NewBudget(8, dial),
 		OnValidity: func(staleness.Validity) {
-			if x.trust != nil {
-				x.trust()
+			if x.onValidity != nil {
+				x.onValidity()
 			}
 		},
 		OnUpdate: func(l endpoints.List, at time.Time) {
@@ -255,8 +255,8 @@
 					delete(phases, m.ID)
 				}
 			}
-			x.told <- fmt.Sprint(l.Revision, phases)
-			<-x.goOn
+			x.updates <- fmt.Sprint(l.Revision, phases)
+			<-x.proceed
 		},
 	})
 	if err != nil {
@@ -265,32 +265,32 @@
 	return x
 }
 
-// watched is the watch's end of a connection.
-type watched struct {
+// observedConn is the watch's end of a connection.
+type observedConn struct {
 	*net.TCPConn
-	of *crossed
+	fixture *raceFixture
 }
 
-func (c *watched) Read(p []byte) (int, error) {
+func (c *observedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.of.read != nil && n > 0 {
-		c.of.read(strings.HasSuffix(string(p[:n]), "]}"))
+	if c.fixture.onRead != nil && n > 0 {
+		c.fixture.onRead(strings.HasSuffix(string(p[:n]), "]}"))
 	}
 	return n, err
 }
 
 // run starts the watch.
-func (x *crossed) run() {
+func (x *raceFixture) run() {
 	var ctx context.Context
 	ctx, x.end = context.WithCancel(x.Context())
 	x.ended = make(chan error)
 	go func() { defer close(x.ended); x.ended <- x.Run(ctx) }()
 	x.Cleanup(func() {
 		x.end()
-		close(x.goOn)
+		close(x.proceed)
 		for {
 			select {
-			case <-x.told:
+			case <-x.updates:
 			case <-x.ended:
 				return
 			}
@@ -299,31 +299,31 @@
 }
 
 // start runs the watch up to the list of a and b, revision 7, and b's end, revision 8, which the pool holds.
-func (x *crossed) start() *turn {
+func (x *raceFixture) start() *scriptedConn {
 	x.run()
-	c := x.turn()
-	x.want("asked", c.asked(), "")
-	x.goOn <- struct{}{}
-	c.say(answer(wording(7, true, "a=SERVING", "b=SERVING")))
-	x.wantTold("7 map[a:SERVING b:SERVING]")
-	x.want("asked", c.asked(), "?index=7&wait=60000")
-	c.say(answer(wording(8, false, "b=DELETED")))
-	x.wantTold("8 map[a:SERVING]")
+	c := x.accept()
+	x.want("asked", c.nextTarget(), "")
+	x.proceed <- struct{}{}
+	c.write(okResponse(listJSON(7, true, "a=SERVING", "b=SERVING")))
+	x.wantUpdate("7 map[a:SERVING b:SERVING]")
+	x.want("asked", c.nextTarget(), "?index=7&wait=60000")
+	c.write(okResponse(listJSON(8, false, "b=DELETED")))
+	x.wantUpdate("8 map[a:SERVING]")
 	return c
 }
 
-// wantTold waits for the next list in the pool's hands.
-func (x *crossed) wantTold(want string) {
+// wantUpdate waits for the next list in the pool's hands.
+func (x *raceFixture) wantUpdate(want string) {
 	x.Helper()
 	select {
-	case got := <-x.told:
+	case got := <-x.updates:
 		x.want("told", got, want)
-	case <-time.After(hung):
+	case <-time.After(stepTimeout):
 		x.Fatalf("told nothing, want %q", want)
 	}
 }
 
-func (x *crossed) want(what, got, want string) {
+func (x *raceFixture) want(what, got, want string) {
 	x.Helper()
 	if got != want {
 		x.Fatalf("%s: %q, want %q", what, got, want)
@@ -332,88 +332,88 @@
 
 // Whatever comes over the connection between an answer and the next call, no such call is made on it, and nothing of it is
 // taken: the whole list is asked for on a new one.
-func TestBetweenTwoCalls(t *testing.T) {
-	for name, between := range map[string]func(*turn){
-		"the answer again":  func(c *turn) { c.say(answer(wording(8, false, "b=DELETED"))) },
-		"an older one":      func(c *turn) { c.say(answer(wording(7, true, "a=SERVING", "b=SERVING"))) },
-		"one that is newer": func(c *turn) { c.say(answer(wording(9, false, "b=SERVING"))) },
-		"the start of one":  func(c *turn) { c.say("HTTP/1.1 ") },
-		"bytes":             func(c *turn) { c.say("\r\n") },
-		"its end":           func(c *turn) { c.Close() },
-		"a reset":           func(c *turn) { fakes.Abort(c.Conn) },
+func TestBytesBetweenTwoPolls(t *testing.T) {
+	for name, between := range map[string]func(*scriptedConn){
+		"the answer again":  func(c *scriptedConn) { c.write(okResponse(listJSON(8, false, "b=DELETED"))) },
+		"an older one":      func(c *scriptedConn) { c.write(okResponse(listJSON(7, true, "a=SERVING", "b=SERVING"))) },
+		"one that is newer": func(c *scriptedConn) { c.write(okResponse(listJSON(9, false, "b=SERVING"))) },
+		"the start of one":  func(c *scriptedConn) { c.write("HTTP/1.1 ") },
+		"bytes":             func(c *scriptedConn) { c.write("\r\n") },
+		"its end":           func(c *scriptedConn) { c.Close() },
+		"a reset":           func(c *scriptedConn) { fakes.Abort(c.Conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := cross(t)
+			x := newRaceFixture(t)
 			c := x.start()
 			between(c)
 			for x.conn.Quiet() && name != "a reset" { // the kernel has it in a moment
 				time.Sleep(time.Millisecond)
 			}
-			x.goOn <- struct{}{}
-			again := x.turn()
-			x.want("then asked", again.asked(), "")
-			x.want("asked on the old connection", c.asked(), "ended")
-			x.goOn <- struct{}{}
-			again.say(answer(wording(8, true, "a=SERVING")))
-			x.wantTold("8 map[a:SERVING]")
-			x.want("asked", again.asked(), "?index=8&wait=60000")
+			x.proceed <- struct{}{}
+			again := x.accept()
+			x.want("then asked", again.nextTarget(), "")
+			x.want("asked on the old connection", c.nextTarget(), "ended")
+			x.proceed <- struct{}{}
+			again.write(okResponse(listJSON(8, true, "a=SERVING")))
+			x.wantUpdate("8 map[a:SERVING]")
+			x.want("asked", again.nextTarget(), "?index=8&wait=60000")
 		})
 	}
 }
 
 // An answer that crosses the next call on the wire is not told from that call's: it is taken where it changes nothing that is
 // newer, and else the whole list is asked for on a new connection, whose word is taken at any revision.
-func TestAnswerThatCrossesACall(t *testing.T) {
-	older, same := wording(7, true, "a=SERVING", "b=SERVING"), wording(8, false, "b=DELETED")
+func TestLateAnswerToEarlierPoll(t *testing.T) {
+	older, same := listJSON(7, true, "a=SERVING", "b=SERVING"), listJSON(8, false, "b=DELETED")
 	for name, c := range map[string]struct {
 		late, told string // "" = nothing
 		whole      bool   // is asked for, since all speaks against the list
 		refused    bool
 	}{
 		"the same":                         {same, "8 map[a:SERVING]", false, false},
-		"the same, whole":                  {wording(8, true, "a=SERVING"), "8 map[a:SERVING]", false, false},
-		"nothing new":                      {wording(8, false), "", false, false},
-		"older changes":                    {wording(7, false, "b=SERVING"), "", false, true},
-		"older, empty":                     {wording(7, false), "", false, true},
+		"the same, whole":                  {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", false, false},
+		"nothing new":                      {listJSON(8, false), "", false, false},
+		"older changes":                    {listJSON(7, false, "b=SERVING"), "", false, true},
+		"older, empty":                     {listJSON(7, false), "", false, true},
 		"an older list":                    {older, "", false, true},
 		"changes for a list":               {same, "", true, true},
 		"an older list for the present":    {older, "", true, true},
-		"the present list for the present": {wording(8, true, "a=SERVING"), "8 map[a:SERVING]", true, false},
+		"the present list for the present": {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, asked := cross(t), "?index=8&wait=60000"
+			x, asked := newRaceFixture(t), "?index=8&wait=60000"
 			conn := x.start()
 			if c.whole {
 				asked = ""
 				x.Observe("a", staleness.ConnectRefused)
 			}
-			x.goOn <- struct{}{}
-			x.want("asked", conn.asked(), asked)
-			conn.say(answer(c.late))
+			x.proceed <- struct{}{}
+			x.want("asked", conn.nextTarget(), asked)
+			conn.write(okResponse(c.late))
 			if c.told != "" {
-				x.wantTold(c.told)
-				x.goOn <- struct{}{}
+				x.wantUpdate(c.told)
+				x.proceed <- struct{}{}
 			}
 			if !c.refused {
-				x.want("then asked", conn.asked(), "?index=8&wait=60000")
-				conn.say(answer(wording(9, false, "a=DRAINING")))
-				x.wantTold("9 map[a:DRAINING]")
+				x.want("then asked", conn.nextTarget(), "?index=8&wait=60000")
+				conn.write(okResponse(listJSON(9, false, "a=DRAINING")))
+				x.wantUpdate("9 map[a:DRAINING]")
 				return
 			}
-			again := x.turn()
-			x.want("then asked", again.asked(), "")
-			again.say(answer(wording(3, true, "c=SERVING"))) // it counts anew
-			x.wantTold("3 map[c:SERVING]")
-			x.goOn <- struct{}{}
-			x.want("and", again.asked(), "?index=3&wait=60000")
+			again := x.accept()
+			x.want("then asked", again.nextTarget(), "")
+			again.write(okResponse(listJSON(3, true, "c=SERVING"))) // it counts anew
+			x.wantUpdate("3 map[c:SERVING]")
+			x.proceed <- struct{}{}
+			x.want("and", again.nextTarget(), "?index=3&wait=60000")
 		})
 	}
 }
 
 // Wherever Move comes, what the old directory has said by then is told, as its word, and nothing that it says later; the new
 // one is asked for the whole list. Of several moves the last counts, and one that leads back leads to the list that is known.
-func TestMoveCrosses(t *testing.T) {
-	news := answer(wording(9, false, "a=DRAINING"))
+func TestSetAddressRaces(t *testing.T) {
+	news := okResponse(listJSON(9, false, "a=DRAINING"))
 	for name, c := range map[string]struct {
 		at   string // what the watch is doing
 		told bool   // the old directory's answer is
@@ -430,7 +430,7 @@
 		"the call is out and no answer": {"out", false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, e, f := cross(t), scripted(t, nil), scripted(t, nil)
+			x, e, f := newRaceFixture(t), newScriptedSource(t, nil), newScriptedSource(t, nil)
 			old, moved := x.Addr().String(), make(chan bool, 1)
 			move := func() {
 				if x.SetAddress(e.Addr().String()); c.back {
@@ -442,55 +442,55 @@
 			}
 			conn := x.start()
 			var once sync.Once
-			x.read = func(whole bool) {
+			x.onRead = func(whole bool) {
 				if whole == (c.at == "whole") && (c.at == "half" || c.at == "whole") {
 					once.Do(move)
 				}
 			}
 			if c.at == "call" {
-				x.trust = func() { once.Do(move) }
+				x.onValidity = func() { once.Do(move) }
 			}
-			x.goOn <- struct{}{}
+			x.proceed <- struct{}{}
 			if c.at != "call" { // that is not made
-				conn.asked()
+				conn.nextTarget()
 			}
 			switch c.at {
 			case "call":
 			case "out":
 				move()
 			case "half":
-				conn.say(news[:60])
+				conn.write(news[:60])
 			default:
-				conn.say(news)
+				conn.write(news)
 			}
 			if c.told {
-				x.wantTold("9 map[a:DRAINING]")
+				x.wantUpdate("9 map[a:DRAINING]")
 				x.want("source", x.Address(), old)
 				if c.at == "pool" {
 					move()
 				}
-				x.goOn <- struct{}{}
+				x.proceed <- struct{}{}
 			}
 			<-moved
 			if c.at != "pool" && c.at != "call" || !c.back {
-				x.want("then, on that connection", conn.asked(), "ended")
-				conn.say(news[60:]) // too late, if it was not read
+				x.want("then, on that connection", conn.nextTarget(), "ended")
+				conn.write(news[60:]) // too late, if it was not read
 			}
 			if c.back {
 				if c.at != "pool" && c.at != "call" {
-					conn = x.turn()
+					conn = x.accept()
 				}
-				x.want("asked", conn.asked()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.told])
+				x.want("asked", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.told])
 				return
 			}
-			now := f.turn()
-			x.want("the new one is asked", now.asked(), "")
+			now := f.accept()
+			x.want("the new one is asked", now.nextTarget(), "")
 			x.want("source", x.Address(), old)
-			now.say(answer(wording(3, true, "c=SERVING")))
-			x.wantTold("3 map[c:SERVING]")
+			now.write(okResponse(listJSON(3, true, "c=SERVING")))
+			x.wantUpdate("3 map[c:SERVING]")
 			x.want("source", x.Address(), f.Addr().String())
-			x.goOn <- struct{}{}
-			x.want("the new one is asked", now.asked(), "?index=3&wait=60000")
+			x.proceed <- struct{}{}
+			x.want("the new one is asked", now.nextTarget(), "?index=3&wait=60000")
 			if x.Failures.Load() != 0 {
 				t.Errorf("%d calls have failed", x.Failures.Load())
 			}
@@ -499,11 +499,11 @@
 }
 
 // A move that comes just as a connection to the old directory is up leaves that unused, and what a failure owes is not forgotten.
-func TestMoveAsAConnectionComesUp(t *testing.T) {
+func TestSetAddressAsConnectionComesUp(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		x, e := cross(t), scripted(t, nil)
+		x, e := newRaceFixture(t), newScriptedSource(t, nil)
 		conn, to, once := x.start(), e, sync.Once{}
-		x.up = func() {
+		x.onConnected = func() {
 			once.Do(func() {
 				if x.SetAddress(e.Addr().String()); back {
 					x.SetAddress(x.Addr().String())
@@ -514,40 +514,40 @@
 		for x.conn.Quiet() {
 			time.Sleep(time.Millisecond)
 		}
-		x.goOn <- struct{}{}
-		if x.turn(); back {
-			to = x.script
+		x.proceed <- struct{}{}
+		if x.accept(); back {
+			to = x.scriptedSource
 		}
-		now := to.turn()
-		x.want("asked", now.asked(), "")
-		now.say(answer(wording(3, true, "c=SERVING")))
-		x.wantTold("3 map[c:SERVING]")
+		now := to.accept()
+		x.want("asked", now.nextTarget(), "")
+		now.write(okResponse(listJSON(3, true, "c=SERVING")))
+		x.wantUpdate("3 map[c:SERVING]")
 	}
 }
 
 // On a real socket, too, an answer that stops is given up long before its whole time is over.
 func TestSilenceOnASocket(t *testing.T) {
-	x := cross(t)
-	set := x.set
+	x := newRaceFixture(t)
+	set := x.options
 	set.Watch.Timeout, set.Watch.MinTimeout = 200*time.Millisecond, 200*time.Millisecond
 	x.Watch, _ = New(set)
 	x.run()
-	conn, at := x.turn(), time.Now()
-	conn.asked()
-	conn.say(answer(wording(7, true, "a=SERVING"))[:60])
-	x.want("asked anew", x.turn().asked(), "")
-	if took := time.Since(at); took > transferMost/2 {
+	conn, at := x.accept(), time.Now()
+	conn.nextTarget()
+	conn.write(okResponse(listJSON(7, true, "a=SERVING"))[:60])
+	x.want("asked anew", x.accept().nextTarget(), "")
+	if took := time.Since(at); took > maxTransferTime/2 {
 		t.Errorf("after %s", took)
 	}
 }
 
 // Wherever evidence against the list, or the end of the watch, comes: an answer that was read by then is told. After evidence the
 // next call is for the whole list, also where the present one was just answered by one; after the end there is none.
-func TestDoubtAndEndCross(t *testing.T) {
+func TestEvidenceAndShutdownRaces(t *testing.T) {
 	for i, at := range []string{"out", "half", "whole", "changes", "pool", "call"} {
 		for _, end := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, end %t", at, end), func(t *testing.T) {
-				x, done := cross(t), make(chan bool, 1)
+				x, done := newRaceFixture(t), make(chan bool, 1)
 				var once sync.Once
 				happen := func() {
 					once.Do(func() {
@@ -560,49 +560,49 @@
 					})
 				}
 				conn, told := x.start(), i >= 2 && at != "call"
-				news := answer(wording(9, at == "whole", "a=SERVING"))
-				x.read = func(whole bool) {
+				news := okResponse(listJSON(9, at == "whole", "a=SERVING"))
+				x.onRead = func(whole bool) {
 					if at == "half" || whole && (at == "whole" || at == "changes") {
 						happen()
 					}
 				}
 				if at == "call" {
-					x.trust = happen
+					x.onValidity = happen
 				}
-				x.goOn <- struct{}{}
+				x.proceed <- struct{}{}
 				if at != "call" {
-					x.want("asked", conn.asked(), "?index=8&wait=60000")
+					x.want("asked", conn.nextTarget(), "?index=8&wait=60000")
 				}
 				switch {
 				case at == "out":
 					happen()
 				case at == "half":
-					conn.say(news[:60])
+					conn.write(news[:60])
 				case told:
-					conn.say(news)
-					x.wantTold("9 map[a:SERVING]")
+					conn.write(news)
+					x.wantUpdate("9 map[a:SERVING]")
 					if at == "pool" {
 						happen()
 					}
-					x.goOn <- struct{}{}
+					x.proceed <- struct{}{}
 				}
 				<-done
 				if end {
 					if err := <-x.ended; err != nil || x.Failures.Load() != 0 {
 						t.Errorf("ended with %v, %d failures", err, x.Failures.Load())
 					}
-					x.want("then asked", conn.asked(), "ended")
+					x.want("then asked", conn.nextTarget(), "ended")
 					return
 				}
 				if at != "pool" && at != "call" {
-					x.want("then, on that connection", conn.asked(), "ended")
-					conn = x.turn()
+					x.want("then, on that connection", conn.nextTarget(), "ended")
+					conn = x.accept()
 				}
-				x.want("then asked", conn.asked(), "")
-				conn.say(answer(wording(9, true, "a=SERVING")))
-				x.wantTold("9 map[a:SERVING]")
-				x.goOn <- struct{}{}
-				x.want("after that", conn.asked(), "?index=9&wait=60000")
+				x.want("then asked", conn.nextTarget(), "")
+				conn.write(okResponse(listJSON(9, true, "a=SERVING")))
+				x.wantUpdate("9 map[a:SERVING]")
+				x.proceed <- struct{}{}
+				x.want("after that", conn.nextTarget(), "?index=9&wait=60000")
 			})
 		}
 	}
@@ -617,34 +617,34 @@
 		asked, said, told string
 		next              string // that it asks, on a new connection where the answer was refused
 	}{
-		"newer changes":         {false, at50, wording(51, false, "b=DRAINING"), "51 map[b:DRAINING]", "?index=51&wait=60000"},
-		"the present revision":  {false, at50, wording(50, false), "", at50},
-		"older changes":         {false, at50, wording(2, false, "b=SERVING"), "", ""},
-		"an older list":         {false, at50, wording(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
-		"an older list, anew":   {true, "", wording(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
-		"an empty list, anew":   {true, "", wording(2, true), "2 map[]", "?index=2&wait=60000"},
-		"newer changes, anew":   {true, "", wording(51, false, "b=DRAINING"), "", ""},
+		"newer changes":         {false, at50, listJSON(51, false, "b=DRAINING"), "51 map[b:DRAINING]", "?index=51&wait=60000"},
+		"the present revision":  {false, at50, listJSON(50, false), "", at50},
+		"older changes":         {false, at50, listJSON(2, false, "b=SERVING"), "", ""},
+		"an older list":         {false, at50, listJSON(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
+		"an older list, anew":   {true, "", listJSON(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
+		"an empty list, anew":   {true, "", listJSON(2, true), "2 map[]", "?index=2&wait=60000"},
+		"newer changes, anew":   {true, "", listJSON(51, false, "b=DRAINING"), "", ""},
 		"no list at all, anew":  {true, "", `{"revision":51,"complete":true}`, "", ""},
-		"a list that is cut":    {true, "", wording(51, true, "b=SERVING")[:40], "", ""},
+		"a list that is cut":    {true, "", listJSON(51, true, "b=SERVING")[:40], "", ""},
 		"nothing but a number":  {false, at50, `{"revision":50}`, "", at50},
 		"nothing but an object": {false, at50, `{}`, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := cross(t)
-			set := x.set
+			x := newRaceFixture(t)
+			set := x.options
 			set.IgnoreRevision, set.Initial = c.anew, endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
 			x.Watch, _ = New(set)
 			x.run()
-			conn := x.turn()
-			x.want("asked", conn.asked(), c.asked)
-			if conn.say(answer(c.said)); c.told != "" {
-				x.wantTold(c.told)
-				x.goOn <- struct{}{}
+			conn := x.accept()
+			x.want("asked", conn.nextTarget(), c.asked)
+			if conn.write(okResponse(c.said)); c.told != "" {
+				x.wantUpdate(c.told)
+				x.proceed <- struct{}{}
 			}
 			if c.next == "" {
-				conn = x.turn()
+				conn = x.accept()
 			}
-			x.want("then asked", conn.asked(), c.next)
+			x.want("then asked", conn.nextTarget(), c.next)
 		})
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/watch.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	dialWithin   = 1 * time.Second
-	transferMost = 5 * time.Second // of an answer, from its first byte
+	dialTimeout     = 1 * time.Second
+	maxTransferTime = 5 * time.Second // of an answer, from its first byte
 )
 
 var (
-	errFull    = errors.New("turned away") // the directory is there and has no room for the call
-	errUnasked = errors.New("the connection has ended, or brought what no call had asked for")
+	errRejected        = errors.New("turned away") // the directory is there and has no room for the call
+	errUnexpectedBytes = errors.New("the connection has ended, or brought what no call had asked for")
 )
 
 // Watch is the standing call to the directory. What to ask and how long to wait for it is decided by staleness.Keeper.
 type Watch struct {
-	set Options
+	options Options
 
 	Answers, Failures, FullRefreshes atomic.Int64 // Doubts: whole lists asked for because providers spoke against the list
 
-	mu      sync.Mutex
-	keeper  *staleness.Scheduler
-	address string             // where the next call goes
-	leave   context.CancelFunc // ends the present one; nil = none
-	source  string             // of the list that was told last
-	first   chan struct{}      // closed by the first answer
+	mu          sync.Mutex
+	scheduler   *staleness.Scheduler
+	address     string             // where the next call goes
+	cancelPoll  context.CancelFunc // ends the present one; nil = none
+	source      string             // of the list that was told last
+	firstUpdate chan struct{}      // closed by the first answer
 
-	at       string // where the present call goes
-	revision uint64
-	conn     *line
-	br       *bufio.Reader
+	polledAddress string // where the present call goes
+	revision      uint64
+	conn          *sourceConn
+	reader        *bufio.Reader
 }
 
 // Options are what a watch is told.
@@ -77,12 +77,12 @@
 		o.OnValidity = func(staleness.Validity) {}
 	}
 	w := &Watch{
-		set: o, keeper: keeper, revision: o.Initial.Revision, address: o.Address, at: o.Address,
-		source: o.Address, first: make(chan struct{}),
+		options: o, scheduler: keeper, revision: o.Initial.Revision, address: o.Address, polledAddress: o.Address,
+		source: o.Address, firstUpdate: make(chan struct{}),
 	}
 	known := o.Initial
 	known.Complete = true
-	w.note(known)
+	w.updateListed(known)
 	return w, nil
 }
 
@@ -95,13 +95,13 @@
 		return
 	}
 	w.address = address
-	if w.leave != nil {
-		w.leave()
+	if w.cancelPoll != nil {
+		w.cancelPoll()
 	}
 }
 
-// arrival is when what has just been read from the directory came, at the earliest: this process may have been held up before it read that.
-func arrival(s *connlimit.Socket) time.Time {
+// arrivalTime is when what has just been read from the directory came, at the earliest: this process may have been held up before it read that.
+func arrivalTime(s *connlimit.Socket) time.Time {
 	now := time.Now()
 	since, known := s.SinceArrival()
 	if !known {
@@ -118,124 +118,124 @@
 }
 
 // FirstUpdate is closed by the first answer.
-func (w *Watch) FirstUpdate() <-chan struct{} { return w.first }
+func (w *Watch) FirstUpdate() <-chan struct{} { return w.firstUpdate }
 
 // Observe takes a sign of a provider from whoever calls it. Where several speak against the list at once the present call is
 // given up for one that asks for the whole list. It is safe for concurrent use and does not block.
 func (w *Watch) Observe(provider string, sign staleness.Evidence) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.keeper.Observe(time.Now(), provider, sign) {
+	if !w.scheduler.Observe(time.Now(), provider, sign) {
 		return
 	}
 	w.FullRefreshes.Add(1)
-	if w.leave != nil {
-		w.leave()
+	if w.cancelPoll != nil {
+		w.cancelPoll()
 	}
 }
 
-// begin returns the next call, a context that ends when it is to be left, and what the list is worth.
-func (w *Watch) begin(ctx context.Context) (context.Context, staleness.Poll, staleness.Validity) {
+// nextPoll returns the next call, a context that ends when it is to be left, and what the list is worth.
+func (w *Watch) nextPoll(ctx context.Context) (context.Context, staleness.Poll, staleness.Validity) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ctx, w.leave = context.WithCancel(ctx)
-	if w.at != w.address {
-		w.hangUp()
-		w.keeper.SourceChanged()
-		w.at = w.address
+	ctx, w.cancelPoll = context.WithCancel(ctx)
+	if w.polledAddress != w.address {
+		w.closeConn()
+		w.scheduler.SourceChanged()
+		w.polledAddress = w.address
 	}
-	c := w.keeper.Next(time.Now())
-	return ctx, c, w.keeper.Validity()
+	c := w.scheduler.Next(time.Now())
+	return ctx, c, w.scheduler.Validity()
 }
 
 // Run watches until ctx ends.
 func (w *Watch) Run(ctx context.Context) error {
-	defer w.hangUp()
+	defer w.closeConn()
 	for ctx.Err() == nil {
-		here, c, trust := w.begin(ctx)
-		w.set.OnValidity(trust)
+		here, c, trust := w.nextPoll(ctx)
+		w.options.OnValidity(trust)
 		select {
 		case <-here.Done():
 		case <-time.After(c.Delay): // none after an answer: a watch goes on only if the next call comes within 200 ms
 			if here.Err() == nil {
-				w.once(here, c)
+				w.poll(here, c)
 			}
 		}
-		w.leave()
+		w.cancelPoll()
 	}
 	return nil
 }
 
-// once makes a call. One that is left has not failed, but its connection may still bring the answer: it is done with.
-func (w *Watch) once(ctx context.Context, c staleness.Poll) {
+// poll makes a call. One that is left has not failed, but its connection may still bring the answer: it is done with.
+func (w *Watch) poll(ctx context.Context, c staleness.Poll) {
 	began := time.Now()
-	list, heard, err := w.call(ctx, c)
-	if w.set.Trace != nil {
-		w.set.Trace("trace=list whole=%t wait_ms=%d took_ms=%.1f lines=%d ok=%t full=%t", c.Complete, c.Wait.Milliseconds(),
-			time.Since(began).Seconds()*1e3, len(list.Endpoints), err == nil, errors.Is(err, errFull))
+	list, heard, err := w.fetch(ctx, c)
+	if w.options.Trace != nil {
+		w.options.Trace("trace=list whole=%t wait_ms=%d took_ms=%.1f lines=%d ok=%t full=%t", c.Complete, c.Wait.Milliseconds(),
+			time.Since(began).Seconds()*1e3, len(list.Endpoints), err == nil, errors.Is(err, errRejected))
 	}
 	switch {
 	case err == nil:
 		w.mu.Lock()
-		w.keeper.Responded(c, max(0, heard.Sub(began))) // what follows its first byte may take long and says nothing of the directory
-		w.note(list)
-		w.source = w.at
+		w.scheduler.Responded(c, max(0, heard.Sub(began))) // what follows its first byte may take long and says nothing of the directory
+		w.updateListed(list)
+		w.source = w.polledAddress
 		w.mu.Unlock()
 		if w.Answers.Add(1) == 1 {
-			close(w.first)
+			close(w.firstUpdate)
 		}
 		if ctx.Err() != nil { // left as it answered: the connection is closed
-			w.hangUp()
+			w.closeConn()
 		}
 		w.revision = list.Revision
 		if list.Complete || len(list.Endpoints) > 0 {
-			w.set.OnUpdate(list, heard) // not under the lock: it may wait for one who wants to tell what it saw
+			w.options.OnUpdate(list, heard) // not under the lock: it may wait for one who wants to tell what it saw
 		}
 	case ctx.Err() != nil:
-		w.hangUp()
+		w.closeConn()
 	default:
 		w.Failures.Add(1)
 		silent := w.conn != nil && heard.IsZero() && errors.Is(err, os.ErrDeadlineExceeded)
-		w.hangUp()
+		w.closeConn()
 		w.mu.Lock()
 		switch {
-		case errors.Is(err, errFull):
-			w.keeper.Rejected()
+		case errors.Is(err, errRejected):
+			w.scheduler.Rejected()
 		case silent:
-			w.keeper.TimedOut()
+			w.scheduler.TimedOut()
 		default:
-			w.keeper.Failed()
+			w.scheduler.Failed()
 		}
 		w.mu.Unlock()
-		w.set.Logf("directory=%s state=failed whole=%t err=%q", w.at, c.Complete, err)
+		w.options.Logf("directory=%s state=failed whole=%t err=%q", w.polledAddress, c.Complete, err)
 	}
 }
 
-// note lets the keeper know what the list says.
-func (w *Watch) note(l endpoints.List) {
+// updateListed lets the keeper know what the list says.
+func (w *Watch) updateListed(l endpoints.List) {
 	ready := map[string]float64{}
 	for _, m := range l.Endpoints {
 		if m.Phase == endpoints.Serving {
 			ready[m.ID] = m.StartedAt
 		}
 		if !l.Complete {
-			w.keeper.SetListed(m.ID, m.Phase == endpoints.Serving, m.StartedAt)
+			w.scheduler.SetListed(m.ID, m.Phase == endpoints.Serving, m.StartedAt)
 		}
 	}
 	if l.Complete {
-		w.keeper.ReplaceListed(ready)
+		w.scheduler.ReplaceListed(ready)
 	}
 }
 
-func (w *Watch) hangUp() {
+func (w *Watch) closeConn() {
 	if w.conn != nil {
 		w.conn.Close()
 		w.conn = nil
 	}
 }
 
-// target words the call.
-func (w *Watch) target(c staleness.Poll) string {
+// requestTarget words the call.
+func (w *Watch) requestTarget(c staleness.Poll) string {
 	if c.Complete {
 		return http1.PathList
 	}
@@ -243,24 +243,24 @@
 		"&wait=" + strconv.FormatInt(c.Wait.Milliseconds(), 10)
 }
 
-// line is the connection to the directory. A read lasts until due; within an answer no longer than a pause may.
-type line struct {
+// sourceConn is the connection to the directory. A read lasts until due; within an answer no longer than a pause may.
+type sourceConn struct {
 	*connlimit.Socket
-	due   time.Time
-	pause time.Duration // 0 = no answer has begun
+	deadline time.Time
+	maxPause time.Duration // 0 = no answer has begun
 }
 
-func (l *line) Read(p []byte) (int, error) {
-	due := l.due
-	if by := time.Now().Add(l.pause); l.pause > 0 && by.Before(due) {
+func (l *sourceConn) Read(p []byte) (int, error) {
+	due := l.deadline
+	if by := time.Now().Add(l.maxPause); l.maxPause > 0 && by.Before(due) {
 		due = by
 	}
 	l.SetReadDeadline(due)
 	return l.Socket.Read(p)
 }
 
-// call makes the call and takes what it brings; heard is the first byte of that.
-func (w *Watch) call(ctx context.Context, c staleness.Poll) (list endpoints.List, heard time.Time, err error) {
+// fetch makes the call and takes what it brings; heard is the first byte of that.
+func (w *Watch) fetch(ctx context.Context, c staleness.Poll) (list endpoints.List, heard time.Time, err error) {
 	kept := w.conn != nil
 	raw, heard, err := w.exchange(ctx, c)
 	if err != nil {
@@ -271,7 +271,7 @@
 		return list, heard, err
 	}
 	for _, fault := range faults { // one bad line must not hide the others
-		w.set.Logf("directory=%s state=line_skipped err=%q", w.at, fault)
+		w.options.Logf("directory=%s state=line_skipped err=%q", w.polledAddress, fault)
 	}
 	switch {
 	case c.Complete && !list.Complete:
@@ -286,46 +286,46 @@
 
 // exchange makes the call and reads the whole of its answer.
 func (w *Watch) exchange(ctx context.Context, c staleness.Poll) (raw []byte, heard time.Time, err error) {
-	if w.conn != nil && (w.br.Buffered() > 0 || !w.conn.Quiet()) { // it would pass for the answer to this call
-		return nil, heard, errUnasked
+	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.Quiet()) { // it would pass for the answer to this call
+		return nil, heard, errUnexpectedBytes
 	}
 	if w.conn == nil {
-		socket, err := w.set.Budget.Dial(ctx, w.at, min(dialWithin, c.StallTimeout))
+		socket, err := w.options.Budget.Dial(ctx, w.polledAddress, min(dialTimeout, c.StallTimeout))
 		if err != nil {
 			return nil, heard, err
 		}
-		w.conn = &line{Socket: socket}
-		w.br = http1.NewReader(w.conn)
+		w.conn = &sourceConn{Socket: socket}
+		w.reader = http1.NewReader(w.conn)
 	}
 	conn, due := w.conn, time.Now().Add(c.Timeout)
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	if err := conn.SetWriteDeadline(due); err != nil {
 		return nil, heard, err
 	}
-	if _, err := conn.Write(http1.AppendRequest(nil, "GET", w.target(c), w.at, nil, nil)); err != nil {
+	if _, err := conn.Write(http1.AppendRequest(nil, "GET", w.requestTarget(c), w.polledAddress, nil, nil)); err != nil {
 		return nil, heard, err
 	}
-	conn.due, conn.pause = due, 0
+	conn.deadline, conn.maxPause = due, 0
 	begun := func(begun bool) { // a long list is no silence, and an interim answer none that counts
-		if conn.due, conn.pause = due, 0; begun {
-			heard = arrival(conn.Socket)
-			conn.due, conn.pause = heard.Add(transferMost), c.StallTimeout
+		if conn.deadline, conn.maxPause = due, 0; begun {
+			heard = arrivalTime(conn.Socket)
+			conn.deadline, conn.maxPause = heard.Add(maxTransferTime), c.StallTimeout
 		}
 	}
-	resp, err := http1.ReadLong(w.br, false, begun, func(int) bool { return false }) // body has it all
+	resp, err := http1.ReadLong(w.reader, false, begun, func(int) bool { return false }) // body has it all
 	if err != nil {
 		return nil, heard, err
 	}
 	switch resp.Status {
 	case 200:
 	case 429, 503:
-		return nil, heard, fmt.Errorf("%w: status %d", errFull, resp.Status)
+		return nil, heard, fmt.Errorf("%w: status %d", errRejected, resp.Status)
 	default:
 		return nil, heard, fmt.Errorf("status %d", resp.Status)
 	}
-	conn.due, conn.pause = heard.Add(transferMost), c.StallTimeout
-	if raw, err = body(resp, w.set.MaxListBytes); err == nil && resp.Close {
-		w.hangUp()
+	conn.deadline, conn.maxPause = heard.Add(maxTransferTime), c.StallTimeout
+	if raw, err = readBody(resp, w.options.MaxListBytes); err == nil && resp.Close {
+		w.closeConn()
 	}
 	return raw, heard, err
 }
