--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// An answer that has begun and falls silent is given up as soon as one that has not, wherever it stops, and the whole list
-// is asked for anew, within the grace of a drain. One that keeps coming is taken, for as long as an answer may last.
+// An answer that has begun and stops is given up as soon as one that has not begun, wherever it stops, and the complete list is asked for
+// anew, within the grace of a drain. One that keeps coming is used, for as long as an answer may last.
 func TestSilenceWithinAnAnswer(t *testing.T) {
 	const grace, head = 750 * time.Millisecond, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
 	const chunked, interim = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -21,7 +21,7 @@
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(list), list)
 	for name, c := range map[string]struct {
 		pieces []string // 300 ms apart
-		taken  bool
+		used   bool
 	}{
 		"nothing":            {nil, false},
 		"a byte":             {[]string{"H"}, false},
@@ -42,9 +42,10 @@
 		t.Run(name, func(t *testing.T) {
 			withWatch(t, 0, func(r *fixture) {
 				d := newScriptedSource(t, r.network)
-				set := r.watch.options
-				set.Address, set.Watch = d.Addr().String(), staleness.PushedSettings(grace)
-				r.watch, _ = New(set)
+				options := r.watch.options
+				options.Address = d.Addr().String()
+				options.Watch = staleness.PushedSettings(grace)
+				r.replaceWatch(options)
 				defer r.run()()
 				first := d.accept()
 				first.nextTarget()
@@ -56,34 +57,35 @@
 					first.write(p)
 					at = time.Now()
 				}
-				if c.taken {
-					if asked := first.nextTarget(); !strings.HasPrefix(asked, "?index=7&") || r.watch.Failures.Load() != 0 {
-						t.Errorf("afterwards it asks %q: %q", asked, r.logged)
+				if c.used {
+					if target := first.nextTarget(); !strings.HasPrefix(target, "?index=7&") || r.watch.Failures.Load() != 0 {
+						t.Errorf("afterwards it asks %q: %q", target, r.logged)
 					}
 					return
 				}
-				if asked := d.accept().nextTarget(); asked != "" || time.Since(at) > 460*time.Millisecond || len(r.phases) > 0 {
-					t.Errorf("it asks %q %s later, told %v", asked, time.Since(at), r.phases)
+				if target := d.accept().nextTarget(); target != "" || time.Since(at) > 460*time.Millisecond || len(r.phases) > 0 {
+					t.Errorf("it asks %q %s later, list %v", target, time.Since(at), r.phases)
 				}
 			})
 		})
 	}
 }
 
-// Bytes that never end, and connections that never come up, hold the watch no longer than an answer and a pause may last.
+// Answers that never end, and connections that never come up, delay the watch no longer than an answer and a pause may last.
 func TestEndlessAnswerAndHangingDial(t *testing.T) {
 	withWatch(t, 0, func(r *fixture) {
-		d, set := newScriptedSource(t, r.network), r.watch.options
-		set.Address, set.Watch = d.Addr().String(), staleness.PushedSettings(750*time.Millisecond)
+		d, options := newScriptedSource(t, r.network), r.watch.options
+		options.Address = d.Addr().String()
+		options.Watch = staleness.PushedSettings(750 * time.Millisecond)
 		dials := make(chan time.Time, 100)
-		set.Budget = connlimit.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
+		options.Budget = connlimit.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
 			if dials <- time.Now(); len(dials) == 1 {
 				return r.network.Dial(ctx, address)
 			}
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
-		r.watch, _ = New(set)
+		r.replaceWatch(options)
 		defer r.run()()
 		first := d.accept()
 		first.nextTarget()
@@ -93,40 +95,41 @@
 		r.wait(3 * time.Second)
 		began, again := <-dials, <-dials
 		<-dials
-		if given, twice := again.Sub(began), (<-dials).Sub(again); given < maxTransferTime || given > maxTransferTime+100*time.Millisecond ||
-			twice > 1100*time.Millisecond {
-			t.Errorf("dialled anew after %s, and twice within %s", given, twice)
+		if after, within := again.Sub(began), (<-dials).Sub(again); after < maxTransferTime || after > maxTransferTime+100*time.Millisecond ||
+			within > 1100*time.Millisecond {
+			t.Errorf("dialled anew after %s, and twice within %s", after, within)
 		}
 	})
 }
 
-// What a list is worth once it is heard counts from the first byte: what follows that may come slowly.
+// The validity of a list counts from its first byte: what follows that may come slowly.
 func TestSlowAnswerIsDatedByFirstByte(t *testing.T) {
 	withWatch(t, 0, func(r *fixture) {
-		d, set := newScriptedSource(t, r.network), r.watch.options
-		set.Address = d.Addr().String()
-		var sure time.Time
-		set.OnValidity = func(t staleness.Validity) { sure = t.ListUntil }
-		set.OnUpdate = func(l endpoints.List, at time.Time) {
-			if r.onUpdate(l, at); l.Revision == 8 {
+		d, options := newScriptedSource(t, r.network), r.watch.options
+		options.Address = d.Addr().String()
+		var listUntil time.Time
+		options.OnValidity = func(t staleness.Validity) { listUntil = t.ListUntil }
+		options.OnUpdate = func(l endpoints.List, at time.Time) {
+			r.onUpdate(l, at)
+			if l.Revision == 8 {
 				r.watch.SetAddress("e:1")
 			}
 		}
-		r.watch, _ = New(set)
+		r.replaceWatch(options)
 		defer r.run()()
 		c := d.accept()
 		c.nextTarget()
 		c.write(okResponse(listJSON(7, true, "a=SERVING")))
 		c.nextTarget()
-		news, asked := okResponse(listJSON(8, false, "a=DRAINING")), time.Now()
+		changes, polledAt := okResponse(listJSON(8, false, "a=DRAINING")), time.Now()
 		for i := range 6 { // each well within the pause, and in all well beyond the wait
 			time.Sleep(500 * time.Millisecond)
-			c.write(news[i*15 : i*15+15])
+			c.write(changes[i*15 : i*15+15])
 		}
-		c.write(news[90:])
+		c.write(changes[90:])
 		r.wait(time.Millisecond)
-		if left := sure.Sub(asked); left > 4*time.Second || left < 3900*time.Millisecond || r.phases["a"] != endpoints.Draining {
-			t.Errorf("sure until %s after the call that brought %v", left, r.phases)
+		if validFor := listUntil.Sub(polledAt); validFor > 4*time.Second || validFor < 3900*time.Millisecond || r.phases["a"] != endpoints.Draining {
+			t.Errorf("valid until %s after the poll that brought %v", validFor, r.phases)
 		}
 	})
 }
@@ -134,9 +137,13 @@
 // On a real socket, too, an answer that stops is given up long before its whole time is over.
 func TestSilenceOnASocket(t *testing.T) {
 	x := newRaceFixture(t)
-	set := x.options
-	set.Watch.Timeout, set.Watch.MinTimeout = 200*time.Millisecond, 200*time.Millisecond
-	x.Watch, _ = New(set)
+	options := x.options
+	options.Watch.Timeout = 200 * time.Millisecond
+	options.Watch.MinTimeout = 200 * time.Millisecond
+	var err error
+	if x.Watch, err = New(options); err != nil {
+		t.Fatal(err)
+	}
 	x.run()
 	conn, at := x.accept(), time.Now()
 	conn.nextTarget()
@@ -147,37 +154,41 @@
 	}
 }
 
-// A process that begins with a list of revision 50 takes the first answer at any revision if it is whole, and changes if they are
-// newer; and where nobody vouches for the list, or the changes are older, it asks for the whole list.
+// A process that begins with a list of revision 50 uses the first answer at any revision if it is complete, and changes if they are newer;
+// and where the revision is to be ignored, or the changes are older, it asks for the complete list.
 func TestFirstList(t *testing.T) {
 	const at50 = "?index=50&wait=60000"
 	for name, c := range map[string]struct {
-		anew              bool
-		asked, said, told string
-		next              string // that it asks, on a new connection where the answer was refused
+		ignoreRevision         bool
+		target, answer, update string
+		next                   string // target, on a new connection where the answer was rejected
 	}{
-		"newer changes":         {false, at50, listJSON(51, false, "b=DRAINING"), "51 map[b:DRAINING]", "?index=51&wait=60000"},
-		"the present revision":  {false, at50, listJSON(50, false), "", at50},
-		"older changes":         {false, at50, listJSON(2, false, "b=SERVING"), "", ""},
-		"an older list":         {false, at50, listJSON(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
-		"an older list, anew":   {true, "", listJSON(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
-		"an empty list, anew":   {true, "", listJSON(2, true), "2 map[]", "?index=2&wait=60000"},
-		"newer changes, anew":   {true, "", listJSON(51, false, "b=DRAINING"), "", ""},
-		"no list at all, anew":  {true, "", `{"revision":51,"complete":true}`, "", ""},
-		"a list that is cut":    {true, "", listJSON(51, true, "b=SERVING")[:40], "", ""},
-		"nothing but a number":  {false, at50, `{"revision":50}`, "", at50},
-		"nothing but an object": {false, at50, `{}`, "", ""},
+		"newer changes":                    {false, at50, listJSON(51, false, "b=DRAINING"), "51 map[b:DRAINING]", "?index=51&wait=60000"},
+		"the present revision":             {false, at50, listJSON(50, false), "", at50},
+		"older changes":                    {false, at50, listJSON(2, false, "b=SERVING"), "", ""},
+		"an older list":                    {false, at50, listJSON(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
+		"an older list, revision ignored":  {true, "", listJSON(2, true, "c=SERVING"), "2 map[c:SERVING]", "?index=2&wait=60000"},
+		"an empty list, revision ignored":  {true, "", listJSON(2, true), "2 map[]", "?index=2&wait=60000"},
+		"newer changes, revision ignored":  {true, "", listJSON(51, false, "b=DRAINING"), "", ""},
+		"no list at all, revision ignored": {true, "", `{"revision":51,"complete":true}`, "", ""},
+		"a list that is cut":               {true, "", listJSON(51, true, "b=SERVING")[:40], "", ""},
+		"nothing but a number":             {false, at50, `{"revision":50}`, "", at50},
+		"nothing but an object":            {false, at50, `{}`, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newRaceFixture(t)
-			set := x.options
-			set.IgnoreRevision, set.Initial = c.anew, endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
-			x.Watch, _ = New(set)
+			options := x.options
+			options.IgnoreRevision = c.ignoreRevision
+			options.Initial = endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
+			var err error
+			if x.Watch, err = New(options); err != nil {
+				t.Fatal(err)
+			}
 			x.run()
 			conn := x.accept()
-			x.want("asked", conn.nextTarget(), c.asked)
-			if conn.write(okResponse(c.said)); c.told != "" {
-				x.wantUpdate(c.told)
+			x.want("asked", conn.nextTarget(), c.target)
+			if conn.write(okResponse(c.answer)); c.update != "" {
+				x.wantUpdate(c.update)
 				x.proceed <- struct{}{}
 			}
 			if c.next == "" {
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// stallingConn is a connection of a process that is held up each time before it sees what has come.
+// stallingConn is a connection of a process that stalls after each read.
 type stallingConn struct {
 	*net.TCPConn
 	delay time.Duration
@@ -23,18 +23,18 @@
 	return n, err
 }
 
-// A list counts as told from when it came in, not from when this process came to read it: a drain's grace runs from there.
+// A list is dated by when it arrived, not by when this process came to read it: a drain's grace runs from there.
 func TestUpdateIsDatedByArrival(t *testing.T) {
 	const (
-		heldUp  = 200 * time.Millisecond
-		blurred = 30 * time.Millisecond // by the kernel's ticks
+		stall     = 200 * time.Millisecond
+		tolerance = 30 * time.Millisecond // the kernel's ticks
 	)
 	d, err := fakes.NewDirectory(fakes.Loopback(), "", fakes.Member{ID: "a", Address: "127.0.0.1:1", Phase: fakes.Serving})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	told := make(chan time.Time, 1)
+	updatedAt := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	w, err := New(Options{
 		Address: d.Address(), Watch: staleness.DefaultSettings(), Seed: 1,
@@ -43,11 +43,11 @@
 			if err != nil {
 				return nil, err
 			}
-			return stallingConn{c.(*net.TCPConn), heldUp}, nil
+			return stallingConn{c.(*net.TCPConn), stall}, nil
 		}),
 		OnUpdate: func(_ endpoints.List, at time.Time) {
 			select {
-			case told <- at:
+			case updatedAt <- at:
 			default:
 			}
 		},
@@ -57,13 +57,13 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- w.Run(ctx) }()
-	at := <-told
+	at := <-updatedAt
 	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	answered := d.Calls()[0].AnsweredAt
-	if late := at.Sub(answered); late > blurred || late < -blurred {
-		t.Errorf("told %s after discovery has answered", late)
+	if late := at.Sub(answered); late > tolerance || late < -tolerance {
+		t.Errorf("dated %s after discovery has answered", late)
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"plankrouter/internal/connlimit"
@@ -15,13 +16,13 @@
 	"time"
 )
 
-// fixture is a watch of a directory that knows a and b, in simulated time.
+// fixture is a watch of a source that lists a and b, in simulated time.
 type fixture struct {
 	t       *testing.T
 	network *fakes.Memory
 	source  *fakes.Directory
 	watch   *Watch
-	phases  map[string]string // as told
+	phases  map[string]string // by id, as updated
 	logged  []string
 }
 
@@ -34,7 +35,7 @@
 	return d
 }
 
-// withWatch runs f in a bubble, with a watch that has not begun. It knows the list, as of a revision.
+// withWatch runs f in a bubble, with a watch that has not begun. Its list is empty, of that revision.
 func withWatch(t *testing.T, revision uint64, f func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fixture{t: t, network: fakes.NewMemory(), phases: map[string]string{}}
@@ -70,6 +71,15 @@
 	synctest.Wait()
 }
 
+// replaceWatch replaces the watch by one of other options.
+func (r *fixture) replaceWatch(options Options) {
+	w, err := New(options)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.watch = w
+}
+
 // run starts the watch and returns a function that ends it.
 func (r *fixture) run() (end func()) {
 	ctx, cancel := context.WithCancel(r.t.Context())
@@ -83,14 +93,14 @@
 	}
 }
 
-// Whatever the directory does with its answers, it is asked again, and what it says once it is well is known soon: after
-// the longest pause between tries, and a call. Nothing is taken from answers that are wrong.
+// Whatever the source does with its answers, it is polled again, and what it answers once the fault is over is used soon: after the longest
+// pause between polls, and a poll. Nothing of answers that are wrong is used.
 func TestUpdatesAfterFaults(t *testing.T) {
 	const within = 2*time.Second + 3*time.Second
 	for name, c := range map[string]struct {
-		on  func(*fakes.Directory) error
-		off func(*fakes.Directory) error // nil = it is over at once
-		say string                       // in the log, if anything
+		begin  func(*fakes.Directory) error
+		end    func(*fakes.Directory) error // nil = it is over at once
+		logged string                       // in the log, if anything
 	}{
 		"lost answers": {
 			func(d *fakes.Directory) error { d.LoseAnswers(true); return nil },
@@ -100,16 +110,15 @@
 			func(d *fakes.Directory) error { d.Mute(true); return nil },
 			func(d *fakes.Directory) error { d.Mute(false); return nil }, "timeout",
 		},
-		"late beyond patience": {
+		"late beyond the time-out": {
 			func(d *fakes.Directory) error { d.Delay(4 * time.Second); return nil },
 			func(d *fakes.Directory) error { d.Delay(0); return nil }, "timeout",
 		},
-		"a part for the whole": {func(d *fakes.Directory) error { // after a failure the whole list is asked for
+		"a part for the complete list": {func(d *fakes.Directory) error { // which is asked for after a failure
 			d.PartForWhole(true)
-			d.Down(true)
-			return d.Down(false)
+			return errors.Join(d.Down(true), d.Down(false))
 		}, func(d *fakes.Directory) error { d.PartForWhole(false); return nil }, "got a part"},
-		"spoilt": {
+		"malformed": {
 			func(d *fakes.Directory) error {
 				d.Spoil([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
 				return nil
@@ -120,7 +129,7 @@
 			func(d *fakes.Directory) error { return d.Vanish(true) },
 			func(d *fakes.Directory) error { return d.Vanish(false) }, "timeout",
 		},
-		"whole":     {func(d *fakes.Directory) error { d.WholeForWatch(true); return nil }, nil, ""},
+		"complete":  {func(d *fakes.Directory) error { d.WholeForWatch(true); return nil }, nil, ""},
 		"anew at 1": {func(d *fakes.Directory) error { return d.RestartAt(1) }, nil, "state=failed"},
 		"anew at 9": {func(d *fakes.Directory) error { return d.RestartAt(9) }, nil, "state=failed"},
 	} {
@@ -132,16 +141,16 @@
 					r.source.Change(fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
 				}
-				if err := c.on(r.source); err != nil {
+				if err := c.begin(r.source); err != nil {
 					t.Fatal(err)
 				}
 				r.source.Change(fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Draining})
-				if c.off != nil {
+				if c.end != nil {
 					r.wait(10 * time.Second)
 					if got := r.phases["a"]; got != fakes.Serving {
-						t.Errorf("in the trouble a is %q", got)
+						t.Errorf("during the fault a is %q", got)
 					}
-					if err := c.off(r.source); err != nil {
+					if err := c.end(r.source); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -149,18 +158,18 @@
 				if r.phases["a"] != fakes.Draining || r.phases["b"] != fakes.Serving {
 					t.Errorf("afterwards: %v", r.phases)
 				}
-				if said := strings.Join(r.logged, "\n"); c.say == "" && said != "" || !strings.Contains(said, c.say) {
-					t.Errorf("it logs %q, want %q", said, c.say)
+				if logged := strings.Join(r.logged, "\n"); c.logged == "" && logged != "" || !strings.Contains(logged, c.logged) {
+					t.Errorf("it logs %q, want %q", logged, c.logged)
 				}
 			})
 		})
 	}
 }
 
-// Wherever a watch is moved, also before it has begun, it asks for the whole list first, and tells its source.
+// Whenever SetAddress is called, also before the watch has begun, it asks the new source for the complete list first.
 func TestSetAddress(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		t.Run(fmt.Sprintf("before the first call %t", before), func(t *testing.T) {
+		t.Run(fmt.Sprintf("before the first poll %t", before), func(t *testing.T) {
 			withWatch(t, 50, func(r *fixture) {
 				other := r.newSource("e:1")
 				defer other.Close()
@@ -175,81 +184,79 @@
 				r.wait(500 * time.Millisecond)
 				calls := other.Calls()
 				if len(calls) == 0 || !calls[0].Whole || slices.ContainsFunc(calls[1:], func(c fakes.DirectoryCall) bool { return c.Whole }) {
-					t.Errorf("the new directory is asked %+v", calls)
+					t.Errorf("the new source is asked %+v", calls)
 				}
 				if r.watch.Address() != "e:1" || len(r.phases) != 2 {
-					t.Errorf("source %s, told %v", r.watch.Address(), r.phases)
+					t.Errorf("source %s, list %v", r.watch.Address(), r.phases)
 				}
 			})
 		})
 	}
 }
 
-// What an agent has while nobody asks counts at once: each pause is told of before it begins.
+// Changes that an agent has take effect at once while nobody polls: the validity is reported before each pause begins.
 func TestValidityIsReportedBeforePauses(t *testing.T) {
 	withWatch(t, 0, func(r *fixture) {
-		set := r.watch.options
-		set.Watch = staleness.PushedSettings(750 * time.Millisecond)
-		var err error
-		if r.watch, err = New(set); err != nil {
-			t.Fatal(err)
-		}
-		var left []time.Duration // for which the list is sure, as each call or pause begins
-		r.watch.options.OnValidity = func(t staleness.Validity) { left = append(left, time.Until(t.ListUntil)) }
+		options := r.watch.options
+		options.Watch = staleness.PushedSettings(750 * time.Millisecond)
+		r.replaceWatch(options)
+		var validFor []time.Duration // as each poll or pause begins
+		r.watch.options.OnValidity = func(t staleness.Validity) { validFor = append(validFor, time.Until(t.ListUntil)) }
 		end := r.run()
 		r.wait(1500 * time.Millisecond)
-		before := len(left)
-		r.source.Close() // each call fails at once
+		before := len(validFor)
+		r.source.Close() // each poll fails at once
 		r.wait(100 * time.Millisecond)
-		if len(left) <= before || left[before-1] < time.Second || left[before] != 0 {
-			t.Errorf("before %d: %s", before, left)
+		if len(validFor) <= before || validFor[before-1] < time.Second || validFor[before] != 0 {
+			t.Errorf("before %d: %s", before, validFor)
 		}
 		end()
 	})
 }
 
-// What each call asks for, by how those before ended, where 32 ask one directory: who is turned away, or given up in the line where
-// calls are turned away, asks for changes again; after any other silence, and after the end of the connection, for the whole list.
+// What each poll asks for, by how those before ended, where 32 instances share one source: one that is rejected, or times out in the queue
+// where polls are rejected, asks for changes again; after any other silence, and after the end of the connection, for the complete list.
 func TestPollsWhileRejected(t *testing.T) {
-	const full, part, whole = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "?index=7&wait=", ""
-	news := okResponse(listJSON(7, false))
-	for name, c := range map[string]struct{ says, want []string }{ // "" = nothing, until the call is given up
-		"turned away":                     {[]string{full, full, full}, []string{part, part, part, part}},
-		"in line":                         {[]string{full, "", "", full}, []string{part, part, part, part, part}},
-		"heard, then silent":              {[]string{full, news, "", full, ""}, []string{part, part, part, whole, whole, whole}},
-		"silent from the start":           {[]string{"", full}, []string{part, whole, whole}},
-		"in line, then it ends":           {[]string{full, "end", full}, []string{part, part, whole, whole}},
-		"in line, an answer that stops":   {[]string{full, news[:20]}, []string{part, part, whole}},
-		"in line, an answer of something": {[]string{full, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, []string{part, part, whole}},
+	const rejected, changes, complete = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "?index=7&wait=", ""
+	noChange := okResponse(listJSON(7, false))
+	for name, c := range map[string]struct{ answers, want []string }{ // "" = nothing, until the poll is given up
+		"rejected":                           {[]string{rejected, rejected, rejected}, []string{changes, changes, changes, changes}},
+		"in the queue":                       {[]string{rejected, "", "", rejected}, []string{changes, changes, changes, changes, changes}},
+		"answered, then silent":              {[]string{rejected, noChange, "", rejected, ""}, []string{changes, changes, changes, complete, complete, complete}},
+		"silent from the start":              {[]string{"", rejected}, []string{changes, complete, complete}},
+		"in the queue, then it ends":         {[]string{rejected, "end", rejected}, []string{changes, changes, complete, complete}},
+		"in the queue, an answer that stops": {[]string{rejected, noChange[:20]}, []string{changes, changes, complete}},
+		"in the queue, another answer":       {[]string{rejected, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, []string{changes, changes, complete}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withWatch(t, 0, func(r *fixture) {
-				d, set := newScriptedSource(t, r.network), r.watch.options
-				set.Address, set.Watch.Instances = d.Addr().String(), 32
-				set.Initial = endpoints.List{Revision: 7, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
-				r.watch, _ = New(set)
+				d, options := newScriptedSource(t, r.network), r.watch.options
+				options.Address = d.Addr().String()
+				options.Watch.Instances = 32
+				options.Initial = endpoints.List{Revision: 7, Endpoints: []endpoints.Endpoint{{ID: "a", Phase: endpoints.Serving}}}
+				r.replaceWatch(options)
 				defer r.run()()
-				var at *scriptedConn
+				var conn *scriptedConn
 				for i, want := range c.want {
-					if at == nil {
-						at = d.accept()
+					if conn == nil {
+						conn = d.accept()
 					}
-					if got := at.nextTarget(); (want == whole) != (got == whole) || !strings.HasPrefix(got, want) {
-						t.Errorf("call %d asks for %q, want %q", i, got, want)
+					if got := conn.nextTarget(); (want == complete) != (got == complete) || !strings.HasPrefix(got, want) {
+						t.Errorf("poll %d asks for %q, want %q", i, got, want)
 					}
 					switch {
-					case i == len(c.says):
-					case c.says[i] == "end":
-						at.Close()
-						at = nil
-					case c.says[i] == news:
-						at.write(news)
+					case i == len(c.answers):
+					case c.answers[i] == "end":
+						conn.Close()
+						conn = nil
+					case c.answers[i] == noChange:
+						conn.write(noChange)
 					default:
-						at.write(c.says[i])
-						if got := at.nextTarget(); got != "ended" {
-							t.Errorf("after call %d: %q", i, got)
+						conn.write(c.answers[i])
+						if got := conn.nextTarget(); got != "ended" {
+							t.Errorf("after poll %d: %q", i, got)
 						}
-						at = nil
+						conn = nil
 					}
 				}
 			})
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -54,7 +54,7 @@
 
 func (w *Watch) closeConn() {
 	if w.conn != nil {
-		w.conn.Close()
+		_ = w.conn.Close()
 		w.conn = nil
 	}
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -18,16 +18,16 @@
 	return all
 }
 
-// However many servers there are and however an answer is worded, the list is taken, whole or as changes, and a drain that its
-// last line tells is known in time.
+// However many servers there are and however an answer is encoded, the list is used, complete or as changes, and a drain in its last line
+// is known in time.
 func TestListsOfAnySize(t *testing.T) {
 	for _, n := range []int{1, 200, 350, 1024, 2000} {
-		for way := range 8 {
-			indented, chunked, whole := way&1 > 0, way&2 > 0, way&4 > 0
-			t.Run(fmt.Sprintf("%d indented %t chunked %t whole %t", n, indented, chunked, whole), func(t *testing.T) {
+		for encoding := range 8 {
+			indented, chunked, complete := encoding&1 > 0, encoding&2 > 0, encoding&4 > 0
+			t.Run(fmt.Sprintf("%d indented %t chunked %t complete %t", n, indented, chunked, complete), func(t *testing.T) {
 				withWatch(t, 0, func(r *fixture) {
 					r.source.Word(indented, chunked)
-					r.source.WholeForWatch(whole)
+					r.source.WholeForWatch(complete)
 					all := manyMembers(n)
 					r.source.Set(all...)
 					defer r.run()()
@@ -38,7 +38,7 @@
 					r.source.Change(all...)
 					r.wait(100 * time.Millisecond)
 					if len(r.phases) != n || r.phases[all[n-1].ID] != fakes.Draining || r.watch.Failures.Load() > 0 {
-						t.Errorf("%d told, the last as %q: %.200q", len(r.phases), r.phases[all[n-1].ID], r.logged)
+						t.Errorf("%d listed, the last as %q: %.200q", len(r.phases), r.phases[all[n-1].ID], r.logged)
 					}
 				})
 			})
@@ -46,7 +46,7 @@
 	}
 }
 
-// A list beyond the bound changes nothing, is named with its size and the bound, and is asked for at the pace of failures.
+// A list beyond the bound changes nothing, is logged with its size and the bound, and is polled for at the pace of failures.
 func TestListTooLong(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		withWatch(t, 0, func(r *fixture) {
@@ -57,24 +57,24 @@
 			r.source.WholeForWatch(true)
 			r.source.Set(manyMembers(2000)...)
 			r.wait(10 * time.Second)
-			if said := strings.Join(r.logged, "\n"); len(r.phases) != 2 || !strings.Contains(said, "list too long") ||
-				!strings.Contains(said, "200000 ") {
-				t.Errorf("chunked %t: %d told: %.300q", chunked, len(r.phases), said)
+			if logged := strings.Join(r.logged, "\n"); len(r.phases) != 2 || !strings.Contains(logged, "list too long") ||
+				!strings.Contains(logged, "200000 ") {
+				t.Errorf("chunked %t: %d listed: %.300q", chunked, len(r.phases), logged)
 			}
 			if n := r.watch.Failures.Load(); n < 4 || n > 20 {
-				t.Errorf("chunked %t: %d calls failed in 10 s", chunked, n)
+				t.Errorf("chunked %t: %d polls failed in 10 s", chunked, n)
 			}
 			r.source.Set(manyMembers(20)...)
 			r.wait(4 * time.Second)
 			if len(r.phases) != 20 {
-				t.Errorf("chunked %t: then %d are told", chunked, len(r.phases))
+				t.Errorf("chunked %t: then %d are listed", chunked, len(r.phases))
 			}
 		})
 	}
 }
 
 func TestParse(t *testing.T) {
-	for _, c := range []struct{ raw, want, faults, err string }{
+	for _, c := range []struct{ raw, want, problems, err string }{
 		{`{"revision":3,"complete":true,"members":[]}`, "3 true", "", ""},
 		{`{"revision":3,"complete":true}`, "", "", "members: missing"},
 		{`{"revision":3,"complete":true,"members":[{"id":"a","host_port":"a:1","phase":"SERVING"}`, "", "", "Members"},
@@ -96,21 +96,21 @@
 		},
 		{`{"revision":4,"members":[{"id":"a","phase":"DELETED"},{"id":"a","phase":"DELETED"}]}`, "4 false a=DELETED", "", ""},
 	} {
-		l, faults, err := parse([]byte(c.raw))
-		got := fmt.Sprint(l.Revision, l.Complete)
-		for _, m := range l.Endpoints {
+		list, problems, err := parse([]byte(c.raw))
+		got := fmt.Sprint(list.Revision, list.Complete)
+		for _, m := range list.Endpoints {
 			got += fmt.Sprintf(" %s=%s", m.ID, m.Phase)
 		}
 		if (err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) || err == nil && got != c.want {
 			t.Errorf("%s: %s and %v, want %s and %q", c.raw, got, err, c.want, c.err)
 		}
-		for _, word := range strings.Fields(c.faults) {
-			if said := fmt.Sprint(faults); !strings.Contains(said, word) {
-				t.Errorf("%s: faults %s, want %s", c.raw, said, c.faults)
+		for _, word := range strings.Fields(c.problems) {
+			if text := fmt.Sprint(problems); !strings.Contains(text, word) {
+				t.Errorf("%s: problems %s, want %s", c.raw, text, c.problems)
 			}
 		}
-		if c.faults == "" && faults != nil {
-			t.Errorf("%s: faults %s", c.raw, faults)
+		if c.problems == "" && problems != nil {
+			t.Errorf("%s: problems %s", c.raw, problems)
 		}
 	}
 }
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -18,18 +18,18 @@
 type raceFixture struct {
 	*scriptedSource
 	*Watch
-	updates     chan string      // "revision: id=phase ..." of each list, in the hands of the pool from then on
-	proceed     chan struct{}    // lets the pool give the list back
-	onRead      func(whole bool) // sees each read from the directory before the watch does; nil = nobody
+	updates     chan string      // "revision map[id:phase ...]" of each list; OnUpdate waits from then on
+	proceed     chan struct{}    // lets OnUpdate return
+	onRead      func(toEnd bool) // is called after each read, which may be up to the end of an answer, before the watch sees it; nil = nothing is
 	end         context.CancelFunc
 	ended       chan error
 	onConnected func() // is called as a connection has come up; nil = nothing is
-	onValidity  func() // is called as a call begins; nil = nothing is
+	onValidity  func() // is called as a poll begins; nil = nothing is
 }
 
 func newRaceFixture(t *testing.T) *raceFixture {
 	x := &raceFixture{scriptedSource: newScriptedSource(t, nil), updates: make(chan string), proceed: make(chan struct{}, 100)}
-	set := staleness.Settings{
+	settings := staleness.Settings{
 		Wait: time.Minute, MinWait: time.Minute, Timeout: time.Minute, MinTimeout: time.Minute,
 		RetryBackoff: time.Millisecond, MaxRetryBackoff: time.Millisecond, RefreshInterval: time.Millisecond, MaxRefreshInterval: time.Millisecond,
 	}
@@ -46,18 +46,19 @@
 	phases := map[string]string{}
 	var err error
 	x.Watch, err = New(Options{
-		Address: x.Addr().String(), Watch: set, Seed: 1, Budget: connlimit.NewBudget(8, dial),
+		Address: x.Addr().String(), Watch: settings, Seed: 1, Budget: connlimit.NewBudget(8, dial),
 		OnValidity: func(staleness.Validity) {
 			if x.onValidity != nil {
 				x.onValidity()
 			}
 		},
-		OnUpdate: func(l endpoints.List, at time.Time) {
+		OnUpdate: func(l endpoints.List, _ time.Time) {
 			if l.Complete {
 				clear(phases)
 			}
 			for _, m := range l.Endpoints {
-				if phases[m.ID] = m.Phase; m.Phase == endpoints.Deleted {
+				phases[m.ID] = m.Phase
+				if m.Phase == endpoints.Deleted {
 					delete(phases, m.ID)
 				}
 			}
@@ -97,14 +98,19 @@
 		for {
 			select {
 			case <-x.updates:
-			case <-x.ended:
-				return
+			case err, running := <-x.ended:
+				if err != nil {
+					x.Error(err)
+				}
+				if !running {
+					return
+				}
 			}
 		}
 	})
 }
 
-// start runs the watch up to the list of a and b, revision 7, and b's end, revision 8, which the pool holds.
+// start runs the watch up to the list of a and b, revision 7, and b's end, revision 8, in whose OnUpdate it waits.
 func (x *raceFixture) start() *scriptedConn {
 	x.run()
 	c := x.accept()
@@ -118,14 +124,14 @@
 	return c
 }
 
-// wantUpdate waits for the next list in the pool's hands.
+// wantUpdate waits for the next call of OnUpdate.
 func (x *raceFixture) wantUpdate(want string) {
 	x.Helper()
 	select {
 	case got := <-x.updates:
-		x.want("told", got, want)
+		x.want("updated", got, want)
 	case <-time.After(stepTimeout):
-		x.Fatalf("told nothing, want %q", want)
+		x.Fatalf("no update, want %q", want)
 	}
 }
 
@@ -136,8 +142,8 @@
 	}
 }
 
-// Whatever comes over the connection between an answer and the next call, no such call is made on it, and nothing of it is
-// taken: the whole list is asked for on a new one.
+// Whatever comes over the connection between an answer and the next poll, no poll is made on it, and nothing of it is used: the complete
+// list is asked for on a new one.
 func TestBytesBetweenTwoPolls(t *testing.T) {
 	for name, between := range map[string]func(*scriptedConn){
 		"the answer again":  func(c *scriptedConn) { c.write(okResponse(listJSON(8, false, "b=DELETED"))) },
@@ -167,17 +173,17 @@
 	}
 }
 
-// An answer that crosses the next call on the wire is not told from that call's: it is taken where it changes nothing that is
-// newer, and else the whole list is asked for on a new connection, whose word is taken at any revision.
+// A late answer can't be distinguished from that to the next poll: it is used where it changes nothing that is newer, and else the complete
+// list is asked for on a new connection, whose answer is used at any revision.
 func TestLateAnswerToEarlierPoll(t *testing.T) {
 	older, same := listJSON(7, true, "a=SERVING", "b=SERVING"), listJSON(8, false, "b=DELETED")
 	for name, c := range map[string]struct {
-		late, told string // "" = nothing
-		whole      bool   // is asked for, since all speaks against the list
-		refused    bool
+		late, update string // "" = none
+		complete     bool   // is asked for, since all contradicts the list
+		rejected     bool
 	}{
 		"the same":                         {same, "8 map[a:SERVING]", false, false},
-		"the same, whole":                  {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", false, false},
+		"the same, complete":               {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", false, false},
 		"nothing new":                      {listJSON(8, false), "", false, false},
 		"older changes":                    {listJSON(7, false, "b=SERVING"), "", false, true},
 		"older, empty":                     {listJSON(7, false), "", false, true},
@@ -189,18 +195,18 @@
 		t.Run(name, func(t *testing.T) {
 			x, asked := newRaceFixture(t), "?index=8&wait=60000"
 			conn := x.start()
-			if c.whole {
+			if c.complete {
 				asked = ""
 				x.Observe("a", staleness.ConnectRefused)
 			}
 			x.proceed <- struct{}{}
 			x.want("asked", conn.nextTarget(), asked)
 			conn.write(okResponse(c.late))
-			if c.told != "" {
-				x.wantUpdate(c.told)
+			if c.update != "" {
+				x.wantUpdate(c.update)
 				x.proceed <- struct{}{}
 			}
-			if !c.refused {
+			if !c.rejected {
 				x.want("then asked", conn.nextTarget(), "?index=8&wait=60000")
 				conn.write(okResponse(listJSON(9, false, "a=DRAINING")))
 				x.wantUpdate("9 map[a:DRAINING]")
@@ -216,102 +222,105 @@
 	}
 }
 
-// Wherever Move comes, what the old directory has said by then is told, as its word, and nothing that it says later; the new
-// one is asked for the whole list. Of several moves the last counts, and one that leads back leads to the list that is known.
+// Whenever SetAddress is called, what the old source has answered by then is used, as its list, and nothing that it answers later; the new
+// one is asked for the complete list. Of several calls the last counts, and one that leads back leads to the list that is known.
 func TestSetAddressRaces(t *testing.T) {
-	news := okResponse(listJSON(9, false, "a=DRAINING"))
+	changes := okResponse(listJSON(9, false, "a=DRAINING"))
 	for name, c := range map[string]struct {
-		at   string // what the watch is doing
-		told bool   // the old directory's answer is
-		back bool
+		at      string // what the watch is doing
+		updated bool   // by the old source's answer
+		back    bool
 	}{
-		"half of an answer is read":     {"half", false, false},
-		"and back":                      {"half", false, true},
-		"the whole of it was read":      {"whole", true, false},
-		"that, and back":                {"whole", true, true},
-		"the pool takes it":             {"pool", true, false},
-		"the pool takes it, and back":   {"pool", true, true},
-		"a call begins":                 {"call", false, false},
-		"a call begins, and back":       {"call", false, true},
-		"the call is out and no answer": {"out", false, false},
+		"half of an answer is read":      {"half", false, false},
+		"and back":                       {"half", false, true},
+		"the whole of it is read":        {"whole", true, false},
+		"that, and back":                 {"whole", true, true},
+		"OnUpdate has it":                {"update", true, false},
+		"OnUpdate has it, and back":      {"update", true, true},
+		"a poll begins":                  {"poll", false, false},
+		"a poll begins, and back":        {"poll", false, true},
+		"the poll is sent and no answer": {"sent", false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, e, f := newRaceFixture(t), newScriptedSource(t, nil), newScriptedSource(t, nil)
+			x := newRaceFixture(t)
+			second, third := newScriptedSource(t, nil), newScriptedSource(t, nil)
 			old, moved := x.Addr().String(), make(chan bool, 1)
 			move := func() {
-				if x.SetAddress(e.Addr().String()); c.back {
+				if x.SetAddress(second.Addr().String()); c.back {
 					x.SetAddress(old)
 				} else {
-					x.SetAddress(f.Addr().String())
+					x.SetAddress(third.Addr().String())
 				}
 				moved <- true
 			}
 			conn := x.start()
 			var once sync.Once
-			x.onRead = func(whole bool) {
-				if whole == (c.at == "whole") && (c.at == "half" || c.at == "whole") {
+			x.onRead = func(toEnd bool) {
+				if toEnd == (c.at == "whole") && (c.at == "half" || c.at == "whole") {
 					once.Do(move)
 				}
 			}
-			if c.at == "call" {
+			if c.at == "poll" {
 				x.onValidity = func() { once.Do(move) }
 			}
 			x.proceed <- struct{}{}
-			if c.at != "call" { // that is not made
+			if c.at != "poll" { // whose request is not sent
 				conn.nextTarget()
 			}
 			switch c.at {
-			case "call":
-			case "out":
+			case "poll":
+			case "sent":
 				move()
 			case "half":
-				conn.write(news[:60])
+				conn.write(changes[:60])
 			default:
-				conn.write(news)
+				conn.write(changes)
 			}
-			if c.told {
+			if c.updated {
 				x.wantUpdate("9 map[a:DRAINING]")
 				x.want("source", x.Address(), old)
-				if c.at == "pool" {
+				if c.at == "update" {
 					move()
 				}
 				x.proceed <- struct{}{}
 			}
 			<-moved
-			if c.at != "pool" && c.at != "call" || !c.back {
+			if c.at != "update" && c.at != "poll" || !c.back {
 				x.want("then, on that connection", conn.nextTarget(), "ended")
-				conn.write(news[60:]) // too late, if it was not read
+				conn.write(changes[60:]) // too late, if it was not read
 			}
 			if c.back {
-				if c.at != "pool" && c.at != "call" {
+				if c.at != "update" && c.at != "poll" {
 					conn = x.accept()
 				}
-				x.want("asked", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.told])
+				x.want("asked", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.updated])
 				return
 			}
-			now := f.accept()
+			now := third.accept()
 			x.want("the new one is asked", now.nextTarget(), "")
 			x.want("source", x.Address(), old)
 			now.write(okResponse(listJSON(3, true, "c=SERVING")))
 			x.wantUpdate("3 map[c:SERVING]")
-			x.want("source", x.Address(), f.Addr().String())
+			x.want("source", x.Address(), third.Addr().String())
 			x.proceed <- struct{}{}
 			x.want("the new one is asked", now.nextTarget(), "?index=3&wait=60000")
 			if x.Failures.Load() != 0 {
-				t.Errorf("%d calls have failed", x.Failures.Load())
+				t.Errorf("%d polls have failed", x.Failures.Load())
 			}
 		})
 	}
 }
 
-// A move that comes just as a connection to the old directory is up leaves that unused, and what a failure owes is not forgotten.
+// A SetAddress just as a connection to the old source has come up leaves that unused, and that a failure needs the complete list is not
+// forgotten.
 func TestSetAddressAsConnectionComesUp(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		x, e := newRaceFixture(t), newScriptedSource(t, nil)
-		conn, to, once := x.start(), e, sync.Once{}
+		x := newRaceFixture(t)
+		second := newScriptedSource(t, nil)
+		conn, next, once := x.start(), second, sync.Once{}
 		x.onConnected = func() {
 			once.Do(func() {
-				if x.SetAddress(e.Addr().String()); back {
+				if x.SetAddress(second.Addr().String()); back {
 					x.SetAddress(x.Addr().String())
 				}
 			})
@@ -322,24 +331,24 @@
 		}
 		x.proceed <- struct{}{}
 		if x.accept(); back {
-			to = x.scriptedSource
+			next = x.scriptedSource
 		}
-		now := to.accept()
+		now := next.accept()
 		x.want("asked", now.nextTarget(), "")
 		now.write(okResponse(listJSON(3, true, "c=SERVING")))
 		x.wantUpdate("3 map[c:SERVING]")
 	}
 }
 
-// Wherever evidence against the list, or the end of the watch, comes: an answer that was read by then is told. After evidence the
-// next call is for the whole list, also where the present one was just answered by one; after the end there is none.
+// Whenever evidence against the list, or the end of the watch, comes: an answer that was read by then is used. After evidence the next poll
+// is for the complete list, also where the present one was just answered by one; after the end there is none.
 func TestEvidenceAndShutdownRaces(t *testing.T) {
-	for i, at := range []string{"out", "half", "whole", "changes", "pool", "call"} {
+	for i, at := range []string{"sent", "half", "whole", "changes", "update", "poll"} {
 		for _, end := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, end %t", at, end), func(t *testing.T) {
 				x, done := newRaceFixture(t), make(chan bool, 1)
 				var once sync.Once
-				happen := func() {
+				act := func() {
 					once.Do(func() {
 						if end {
 							x.end()
@@ -349,30 +358,31 @@
 						done <- true
 					})
 				}
-				conn, told := x.start(), i >= 2 && at != "call"
-				news := okResponse(listJSON(9, at == "whole", "a=SERVING"))
-				x.onRead = func(whole bool) {
-					if at == "half" || whole && (at == "whole" || at == "changes") {
-						happen()
+				conn := x.start()
+				updated := i >= 2 && at != "poll"
+				changes := okResponse(listJSON(9, at == "whole", "a=SERVING"))
+				x.onRead = func(toEnd bool) {
+					if at == "half" || toEnd && (at == "whole" || at == "changes") {
+						act()
 					}
 				}
-				if at == "call" {
-					x.onValidity = happen
+				if at == "poll" {
+					x.onValidity = act
 				}
 				x.proceed <- struct{}{}
-				if at != "call" {
+				if at != "poll" {
 					x.want("asked", conn.nextTarget(), "?index=8&wait=60000")
 				}
 				switch {
-				case at == "out":
-					happen()
+				case at == "sent":
+					act()
 				case at == "half":
-					conn.write(news[:60])
-				case told:
-					conn.write(news)
+					conn.write(changes[:60])
+				case updated:
+					conn.write(changes)
 					x.wantUpdate("9 map[a:SERVING]")
-					if at == "pool" {
-						happen()
+					if at == "update" {
+						act()
 					}
 					x.proceed <- struct{}{}
 				}
@@ -384,7 +394,7 @@
 					x.want("then asked", conn.nextTarget(), "ended")
 					return
 				}
-				if at != "pool" && at != "call" {
+				if at != "update" && at != "poll" {
 					x.want("then, on that connection", conn.nextTarget(), "ended")
 					conn = x.accept()
 				}
--- a/internal/discovery/script_test.go
+++ b/internal/discovery/script_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// scriptedSource is a directory whose every byte the test writes.
+// scriptedSource is a discovery service whose every byte the test writes.
 type scriptedSource struct {
 	*testing.T
 	net.Listener
@@ -35,7 +35,7 @@
 	return &scriptedSource{t, l}
 }
 
-// accept is one connection to it.
+// scriptedConn is one connection to it.
 type scriptedConn struct {
 	*testing.T
 	net.Conn
@@ -49,13 +49,13 @@
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { c.Close() })
-	if _, real := c.(*net.TCPConn); real {
+	if _, ok := c.(*net.TCPConn); ok { // in real time
 		c.SetDeadline(time.Now().Add(stepTimeout))
 	}
 	return &scriptedConn{s.T, c, bufio.NewReader(c)}
 }
 
-// nextTarget is what the next call on the connection asks for; "" = the whole list.
+// nextTarget returns what the next poll on the connection asks for: its query, "" = the complete list, or "ended".
 func (c *scriptedConn) nextTarget() string {
 	r, err := http1.ReadRequest(c.reader)
 	if err != nil {
@@ -65,19 +65,19 @@
 }
 
 func (c *scriptedConn) write(pieces ...string) {
-	for _, p := range pieces {
-		c.Write([]byte(p)) // who has hung up does not read it
+	for _, piece := range pieces {
+		_, _ = c.Write([]byte(piece)) // the watch may have closed the connection
 	}
 }
 
-// listJSON words a list: of a revision, whole or not, of lines like "a=SERVING".
-func listJSON(revision int, whole bool, lines ...string) string {
+// listJSON returns an answer's body, of lines like "a=SERVING".
+func listJSON(revision int, complete bool, lines ...string) string {
 	var all []string
 	for _, l := range lines {
 		id, phase, _ := strings.Cut(l, "=")
 		all = append(all, fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:9","phase":%q}`, id, phase))
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, whole, strings.Join(all, ","))
+	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(all, ","))
 }
 
 func okResponse(body string) string {
