--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// slowReader is a connection of a process that is held up each time before it sees what has come.
-type slowReader struct {
+// stallingConn is a connection of a process that stalls after each read.
+type stallingConn struct {
 	*net.TCPConn
-	by time.Duration
+	delay time.Duration
 }
 
-func (s slowReader) Read(p []byte) (int, error) {
+func (s stallingConn) Read(p []byte) (int, error) {
 	n, err := s.TCPConn.Read(p)
-	time.Sleep(s.by)
+	time.Sleep(s.delay)
 	return n, err
 }
 
-// A list counts as told from when it came in, not from when this process came to read it: a drain's grace runs from there.
-func TestToldFromArrival(t *testing.T) {
+// A list is dated by when it arrived, not by when this process came to read it: a drain's grace runs from there.
+func TestUpdateIsDatedByArrival(t *testing.T) {
 	const (
-		heldUp  = 200 * time.Millisecond
-		blurred = 30 * time.Millisecond // by the kernel's ticks
+		stall     = 200 * time.Millisecond
+		tolerance = 30 * time.Millisecond // the kernel's ticks
 	)
 	d, err := fakes.NewDirectory(fakes.Loopback(), "", fakes.Member{ID: "a", Address: "127.0.0.1:1", Phase: fakes.Serving})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	told := make(chan time.Time, 1)
+	updatedAt := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	w, err := New(Options{
 		Address: d.Address(), Watch: staleness.DefaultSettings(), Seed: 1,
@@ -43,11 +43,11 @@
 			if err != nil {
 				return nil, err
 			}
-			return slowReader{c.(*net.TCPConn), heldUp}, nil
+			return stallingConn{c.(*net.TCPConn), stall}, nil
 		}),
 		OnUpdate: func(_ endpoints.List, at time.Time) {
 			select {
-			case told <- at:
+			case updatedAt <- at:
 			default:
 			}
 		},
@@ -57,13 +57,13 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- w.Run(ctx) }()
-	at := <-told
+	at := <-updatedAt
 	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	answered := d.Calls()[0].AnsweredAt
-	if late := at.Sub(answered); late > blurred || late < -blurred {
-		t.Errorf("told %s after discovery has answered", late)
+	if late := at.Sub(answered); late > tolerance || late < -tolerance {
+		t.Errorf("dated %s after discovery has answered", late)
 	}
 }
