--- a/internal/hotrestart/control.go
+++ b/internal/hotrestart/control.go
@@ -9,8 +9,12 @@
 	"time"
 )
 
+// longAgo is a deadline that ends calls at once.
 var longAgo = time.Unix(1, 0)
 
+// noDescriptor says that a message goes without one.
+const noDescriptor = -1
+
 // control is one end of the socket between the two processes. It carries packets: each message arrives whole, with its
 // descriptor, or not at all. send is safe for concurrent use; receive is for one goroutine at a time.
 type control struct {
@@ -54,7 +58,7 @@
 	return &control{UnixConn: c.(*net.UnixConn)}, nil
 }
 
-// send writes a message, and with it a copy of a descriptor if fd is not negative. Without an error it lies in the
+// send writes a message, and with it a copy of a descriptor unless fd is noDescriptor. Without an error it lies in the
 // other end's queue, where only the other process can still get at it, whatever becomes of this one.
 func (c *control) send(m message, fd int) error {
 	var rights []byte
@@ -79,6 +83,21 @@
 	return sent
 }
 
+// sendLines sends lines in as many messages as they need.
+func (c *control) sendLines(k kind, lines []string) error {
+	var body []byte
+	for i, line := range lines {
+		body = append(append(body, line...), '\n')
+		if i == len(lines)-1 || len(body)+len(lines[i+1])+1 > maxBody {
+			if err := c.send(message{kind: k, body: body}, noDescriptor); err != nil {
+				return err
+			}
+			body = body[:0]
+		}
+	}
+	return nil
+}
+
 // receive waits for the next message and the descriptor that came with it, if any. The message is good until the next
 // call. io.EOF, wrapped, says that the other end is closed and that nothing it sent is left.
 func (c *control) receive() (message, *os.File, error) {
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,22 +1,22 @@
 // Package hotrestart replaces a running daemon by a new process, perhaps of a new binary, without a request lost. The
 // running process, the predecessor, starts its successor, which inherits a control socket. Over that come the listener,
 // a state blob and, once the successor is ready, the live connections one by one. Until then the predecessor serves on
-// as if nothing were, and it does so again if the successor ends before everything is its own. docs/design/hotrestart.md
+// as if nothing were, and it does so again if the successor ends before everything is its own. docs/design/handover.md
 // says who may use a connection at which step. Linux only.
 //
 // The predecessor:
 //
-//	p, err := h.Start(ctx, listener, hotrestart.Options{State: snapshot, ...}) // returns when the successor is ready
+//	p, err := c.Start(ctx, listener, hotrestart.Options{State: snapshot, ...}) // returns when the successor is ready
 //	listener.SetDeadline(past)                                               // stop accepting, but keep the listener
-//	err = p.Pass(conn, note); conn.Close()                                   // each, once it is idle
-//	err = p.Done()                                                           // then exit; on Lost: accept again
+//	err = p.TransferConn(conn, note); conn.Close()                           // each, once it is idle
+//	err = p.Complete()                                                       // then exit; on Lost: accept again
 //
 // The successor:
 //
 //	s, err := hotrestart.Inherited(os.Getenv)           // nil, nil where there is no predecessor
 //	err = s.Check(address)                            // and read s.State()
 //	err = s.Ready()                                   // then serve s.Listener()
-//	err = s.Conns(ctx, func(c *net.TCPConn, note []byte) { ... })
+//	err = s.ReceiveConns(ctx, func(c *net.TCPConn, note []byte) { ... })
 //
 // Errors of a handover never concern connections other than the one in hand: a connection is either this side's or the
 // other's, and each method says which.
@@ -34,9 +34,9 @@
 	// Variable names, in a successor's environment, the descriptor of its control socket.
 	Variable = "GW_HANDOVER"
 
-	defaultReadyTimeout = 30 * time.Second
-	defaultAckTimeout   = 10 * time.Second
-	terminateTimeout    = time.Second // for a successor that failed to end by itself and say why in its log
+	defaultReadyTimeout = 30 * time.Second // for a successor to become ready
+	defaultAckTimeout   = 10 * time.Second // without any answer that is due
+	terminateTimeout    = time.Second      // for a successor that has failed, to end by itself and say why in its log
 )
 
 // What ends a handover. They come wrapped.
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -28,9 +28,9 @@
 	cmd.Env, cmd.ExtraFiles, cmd.Stderr = append(os.Environ(), roleVar+"=node"), []*os.File{f}, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // it and its successors can be ended together
 	r := must(cmd.StdoutPipe()).(*os.File)
-	r.SetReadDeadline(time.Now().Add(time.Minute))
+	_ = r.SetReadDeadline(time.Now().Add(time.Minute))
 	must(0, cmd.Start())
-	t.Cleanup(func() { syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL); cmd.Wait() })
+	t.Cleanup(func() { _ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL); _ = cmd.Wait() })
 	return cmd.Process, l.Addr().String(), bufio.NewScanner(r)
 }
 
@@ -49,12 +49,12 @@
 // client is a connection on which nothing takes longer than a test may.
 func client(t *testing.T, address string) *net.TCPConn {
 	c := must(net.Dial("tcp", address)).(*net.TCPConn)
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(time.Minute))
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(time.Minute))
 	return c
 }
 
-// request sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
+// ask sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
 func ask(c net.Conn, line string) (pid, number int) {
 	fmt.Fprint(c, line)
 	if _, err := fmt.Fscanln(c, &pid, &number); err != nil {
@@ -162,8 +162,8 @@
 // already; another one asks all the time, on a kept connection and on new ones. systemd is told each main process.
 func TestTenGenerations(t *testing.T) {
 	supervisor := must(net.ListenUnixgram("unixgram", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "notify")}))
-	defer supervisor.Close()
-	supervisor.SetReadDeadline(time.Now().Add(time.Minute))
+	defer func() { _ = supervisor.Close() }()
+	_ = supervisor.SetReadDeadline(time.Now().Add(time.Minute))
 	t.Setenv("NOTIFY_SOCKET", supervisor.LocalAddr().String())
 	process, address, _ := start(t)
 	busy, kept := client(t, address), client(t, address)
@@ -175,7 +175,7 @@
 			if _, number := ask(kept, "a\n"); one != 1 || number != n {
 				t.Errorf("request %d: lost", n)
 			}
-			fresh.Close()
+			_ = fresh.Close()
 			select {
 			case <-over:
 				asked <- n
@@ -211,7 +211,7 @@
 	old, theirs, err := socketPair()
 	must(0, err)
 	defer theirs.Close()
-	old.SetReadDeadline(time.Now().Add(time.Minute))
+	_ = old.SetReadDeadline(time.Now().Add(time.Minute))
 	fd := must(syscall.Dup(int(theirs.Fd())))
 	return old, func(string) string { return strconv.Itoa(fd) }
 }
@@ -220,29 +220,30 @@
 	l := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	defer l.Close()
 	for _, tc := range []struct {
+		name   string
 		hello  any
 		socket syscall.Conn
 		want   string
 	}{
-		{map[int]any{1: 1, 2: "n1", 9: []int{1}}, l, "speaks handover version 1, this program version 3"},
-		{Hello{Version: Version, State: MaxState + 1}, l, "state of 16777217 bytes, at most 16777216"},
-		{Hello{Version: Version, State: -1}, l, "state of -1 bytes"},
-		{"hello", l, "malformed"},
-		{Hello{Version: Version}, client(t, l.Addr().String()), "no listening TCP socket"},
-		{Hello{Version: Version, State: 1}, l, "kind 's' with 2 bytes within the state"},
-		{Hello{Version: Version, Address: "there"}, l, `listen on "there", this one on "here"`},
+		{"another version", map[int]any{1: 1, 2: "n1", 9: []int{1}}, l, "speaks handover version 1, this program version 3"},
+		{"too long a state", Hello{Version: Version, State: MaxState + 1}, l, "state of 16777217 bytes, at most 16777216"},
+		{"a negative state", Hello{Version: Version, State: -1}, l, "state of -1 bytes"},
+		{"no CBOR map", "hello", l, "malformed"},
+		{"a connection for a listener", Hello{Version: Version}, client(t, l.Addr().String()), "no listening TCP socket"},
+		{"more state than was announced", Hello{Version: Version, State: 1}, l, "kind 's' with 2 bytes within the state"},
+		{"another address", Hello{Version: Version, Address: "there"}, l, `listen on "there", this one on "here"`},
 	} {
 		old, getenv := pipe()
-		old.sendConn(message{kind: kindHello, body: must(cbor.Marshal(tc.hello))}, tc.socket)
-		old.send(message{kind: kindState, body: []byte("ab")}, -1)
-		old.CloseWrite()
+		must(0, old.sendConn(message{kind: kindHello, body: must(cbor.Marshal(tc.hello))}, tc.socket))
+		must(0, old.send(message{kind: kindState, body: []byte("ab")}, noDescriptor))
+		_ = old.CloseWrite()
 		s, err := Inherited(getenv)
 		if err == nil {
 			err = s.Check("here")
 		}
 		m, _, _ := old.receive()
 		if err == nil || !strings.Contains(err.Error(), tc.want) || !strings.Contains(string(m.body), tc.want) {
-			t.Errorf("%v: says %v, tells %c %q", tc.hello, err, m.kind, m.body)
+			t.Errorf("%s: the error is %v, the predecessor gets %c %q", tc.name, err, m.kind, m.body)
 		}
 	}
 	for _, value := range []string{"x", "-1", "0"} {
@@ -260,19 +261,19 @@
 	old, getenv := pipe()
 	l := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	defer l.Close()
-	old.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version}))}, l)
+	must(0, old.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version}))}, l))
 	s := must(Inherited(getenv))
-	old.send(message{kind: kindServe}, -1)
+	must(0, old.send(message{kind: kindServe}, noDescriptor))
 	must(0, s.Ready())
 	for range 3 {
-		old.sendConn(message{kind: kindConn}, client(t, l.Addr().String()))
+		must(0, old.sendConn(message{kind: kindConn}, client(t, l.Addr().String())))
 	}
 	taken, next := 0, Coordinator{Inherited: s}
 	err := s.ReceiveConns(t.Context(), func(*net.TCPConn, []byte) {
 		if taken++; taken == 1 && next.claim() {
 			t.Error("it may hand over before it has everything")
 		}
-		old.Close()
+		_ = old.Close()
 	})
 	if taken != 3 || !errors.Is(err, ErrGone) || !next.claim() {
 		t.Errorf("%d taken, then %v", taken, err)
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -55,7 +55,7 @@
 		return message{}, fmt.Errorf("%w: %d bytes", errMalformed, len(b))
 	}
 	m := message{kind: kind(b[0]), number: binary.BigEndian.Uint64(b[1:]), body: b[headerLen:]}
-	if most := m.kind.maxBody(); len(m.body) > most {
+	if len(m.body) > m.kind.maxBody() {
 		return message{}, fmt.Errorf("%w: kind %q with %d bytes", errMalformed, b[0], len(m.body))
 	}
 	return m, nil
@@ -81,7 +81,7 @@
 type Hello struct {
 	Version int    `cbor:"1,keyasint"` // of this package's protocol
 	Name    string `cbor:"2,keyasint"` // of the daemon
-	Address string `cbor:"3,keyasint"` // that it was told to listen on
+	Address string `cbor:"3,keyasint"` // that it is configured to listen on
 	State   int    `cbor:"4,keyasint"` // length of the state blob in bytes
 }
 
--- a/internal/hotrestart/node_test.go
+++ b/internal/hotrestart/node_test.go
@@ -38,22 +38,22 @@
 			do()
 		}
 	}
-	hang, die := func() { time.Sleep(time.Hour) }, func() { syscall.Kill(os.Getpid(), syscall.SIGKILL) }
+	hang, die := func() { time.Sleep(time.Hour) }, func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	at("exits", func() { os.Exit(3) })
 	at("deaf", hang)
 	at("other version", func() { // one that does not even read the state
 		c := must(openControl(3))
-		c.receive()
-		c.send(message{kind: kindRefuse, body: []byte("another version")}, -1)
+		_, _, _ = c.receive()
+		_ = c.send(message{kind: kindRefuse, body: []byte("another version")}, noDescriptor)
 		os.Exit(7)
 	})
 	at("dies at the end", func() {
 		for c := must(openControl(3)); ; {
 			switch m, _, _ := c.receive(); m.kind {
 			case kindHello:
-				c.send(message{kind: kindReady, number: uint64(os.Getpid())}, -1)
+				_ = c.send(message{kind: kindReady, number: uint64(os.Getpid())}, noDescriptor)
 			case kindConn:
-				c.send(message{kind: kindTaken, number: m.number}, -1)
+				_ = c.send(message{kind: kindTaken, number: m.number}, noDescriptor)
 			case kindDone:
 				die()
 			}
@@ -156,7 +156,7 @@
 }
 
 func (n *node) serve(c *net.TCPConn, count int) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	n.conns.Store(c, nil)
 	var line string
 	for {
@@ -165,7 +165,7 @@
 		}
 		var b [1]byte // nothing beyond a line's end may be read
 		if _, err := c.Read(b[:]); errors.Is(err, os.ErrDeadlineExceeded) {
-			c.SetReadDeadline(time.Time{})
+			_ = c.SetReadDeadline(time.Time{})
 			continue
 		} else if err != nil {
 			return
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -6,19 +6,17 @@
 	"errors"
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"os"
 	"os/exec"
 	"slices"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Options says how to start the successor and what to tell it. The zero value of each field but Address has a meaning.
+// Options says how to start the successor and what it gets. The zero value of each field but Address has a meaning.
 type Options struct {
 	Path        string          // the program, looked up anew: it may be a new binary; "" = as this one was started
 	Args        []string        // without the program's name; nil = this process's
@@ -26,9 +24,9 @@
 	ReadyWithin time.Duration   // from Start on; 0 = 30 s
 	AckWithin   time.Duration   // without any answer that is due; then the successor is killed; 0 = 10 s
 	Name        string          // of the daemon, for the successor's log
-	Address     string          // that the daemon was told to listen on; a successor told another one refuses
+	Address     string          // that the daemon is configured to listen on; a successor with another one refuses
 	State       []byte          // for the successor; at most MaxState bytes
-	Open        func() []string // the ids of open requests, asked once the successor is ready; nil = none are told
+	Open        func() []string // the ids of open requests, asked for once the successor is ready; nil = none are sent
 }
 
 // Predecessor is the running process's side of a handover whose successor is ready.
@@ -39,14 +37,14 @@
 	pid         int
 	exited      chan struct{} // the successor has been reaped
 	lost        chan struct{}
-	transfers   sync.WaitGroup // calls of Pass
+	transfers   sync.WaitGroup // calls of TransferConn under way
 
 	mu         sync.Mutex
 	lastNumber uint64
-	answers    map[uint64]chan error // for the answers to what has been sent, by number
+	answers    map[uint64]chan error // what is due for each message sent, by its number
 	ackTimeout time.Duration
-	ackTimer   *time.Timer // runs while an answer is due; kills
-	finished   bool        // Done has been called
+	ackTimer   *time.Timer // runs while an answer is due; aborts
+	finished   bool        // Complete has been called
 	doneNumber uint64      // the number of its message
 	lostErr    error       // ErrLost once the successor is
 }
@@ -56,8 +54,8 @@
 // the error says why: it could not be started, ended early (its exit status; its last words are in its log), refused
 // (its reason), was not ready in time, or ctx ended. That takes up to a second more. ErrUnderWay: another handover is.
 //
-// On success the caller stops accepting (with a deadline, since it may need the listener again), calls Pass for its
-// connections as they become idle, and then Done. The program must be Path itself or be put in place by exec, and this
+// On success the caller stops accepting (with a deadline, since it may need the listener again), calls TransferConn for
+// its connections as they become idle, and then Complete. The program must be Path itself or be put in place by exec, and this
 // process must not be process 1, whose end would end the successor too.
 func (c *Coordinator) Start(ctx context.Context, l *net.TCPListener, o Options) (*Predecessor, error) {
 	switch {
@@ -110,7 +108,7 @@
 	cmd.ExtraFiles = []*os.File{theirs}
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	if err := cmd.Start(); err != nil {
-		mine.Close()
+		_ = mine.Close()
 		return nil, err
 	}
 	p := &Predecessor{
@@ -120,7 +118,7 @@
 	p.ackTimer = time.AfterFunc(p.ackTimeout, p.abort)
 	p.ackTimer.Stop()
 	go func() {
-		cmd.Wait() // how it ended is in ProcessState
+		_ = cmd.Wait() // how it ended is in ProcessState
 		close(p.exited)
 	}()
 	return p, nil
@@ -131,7 +129,7 @@
 	within := cmp.Or(o.ReadyWithin, defaultReadyTimeout)
 	ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("not ready within %v", within))
 	defer cancel()
-	inTime := context.AfterFunc(ctx, func() { p.control.SetDeadline(longAgo) })
+	inTime := context.AfterFunc(ctx, func() { _ = p.control.SetDeadline(longAgo) })
 	err := p.awaitReady(l, o)
 	switch {
 	case !inTime(): // both at once is too late: it has to be the one or the other
@@ -146,15 +144,15 @@
 			return err
 		}
 	}
-	return p.control.send(message{kind: kindServe}, -1)
+	return p.control.send(message{kind: kindServe}, noDescriptor)
 }
 
 // abort ends a successor that hangs, or at least the handover to it.
 func (p *Predecessor) abort() {
 	if p.cmd != nil {
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill() // an error says that it has ended
 	} else {
-		p.control.SetDeadline(longAgo)
+		_ = p.control.SetDeadline(longAgo)
 	}
 }
 
@@ -188,21 +186,21 @@
 	for rest := o.State; len(rest) > 0 && err == nil; {
 		part := rest[:min(len(rest), maxBody)]
 		rest = rest[len(part):]
-		err = p.control.send(message{kind: kindState, body: part}, -1)
+		err = p.control.send(message{kind: kindState, body: part}, noDescriptor)
 	}
 	return err
 }
 
 // terminate ends a successor that must not serve: it learns that from its control socket, and is killed if it hangs.
 func (p *Predecessor) terminate() {
-	p.control.Close()
+	_ = p.control.Close()
 	if p.cmd == nil {
 		return
 	}
 	select {
 	case <-p.exited:
 	case <-time.After(terminateTimeout):
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill() // an error says that it has ended
 		<-p.exited
 	}
 }
@@ -210,138 +208,6 @@
 // Pid is the successor's process id.
 func (p *Predecessor) Pid() int { return p.pid }
 
-// Lost is closed when the successor has ended, or has given the handover up, before Done. What has not been passed by
+// Lost is closed when the successor has ended, or has given the handover up, before Complete. What has not been passed by
 // then is this process's to serve, and so is the listener. A new handover may be started.
 func (p *Predecessor) Lost() <-chan struct{} { return p.lost }
-
-// TransferConn hands a connection over with a note of up to MaxNote bytes, and returns when the successor has taken it. From
-// before the call on nothing may be read from it or written to it, and all that has been read of it must have been
-// dealt with: what the kernel still holds goes along. After nil the connection is the successor's, and the caller
-// closes its own copy with nothing but Close (no CloseWrite, no linger). After an error, ErrLost for one, the successor
-// has never used it and never will: the caller serves on. It is safe for concurrent use.
-func (p *Predecessor) TransferConn(c syscall.Conn, note []byte) error {
-	if len(note) > MaxNote {
-		return fmt.Errorf("handover: note of %d bytes, at most %d", len(note), MaxNote)
-	}
-	p.mu.Lock()
-	if p.finished {
-		p.mu.Unlock()
-		return fmt.Errorf("handover: pass: %w", ErrFinished)
-	}
-	p.transfers.Add(1)
-	p.mu.Unlock()
-	defer p.transfers.Done()
-	err := p.request(message{kind: kindConn, body: note}, func(m message) error { return p.control.sendConn(m, c) })
-	if err != nil {
-		return fmt.Errorf("handover: pass: %w", err)
-	}
-	return nil
-}
-
-// Complete waits for the calls of Pass under way, tells the successor that this was all, and returns when it knows: then
-// everything is its own and this process should exit. systemd is told the successor's process id, if NOTIFY_SOCKET is
-// set. After ErrLost this process serves on; ErrFinished says that Done has been called before.
-func (p *Predecessor) Complete() error {
-	p.mu.Lock()
-	before := p.finished
-	p.finished = true
-	p.mu.Unlock()
-	if before {
-		return fmt.Errorf("handover: done: %w", ErrFinished)
-	}
-	p.transfers.Wait()
-	err := p.request(message{kind: kindDone}, func(m message) error {
-		p.mu.Lock()
-		p.doneNumber = m.number
-		p.mu.Unlock()
-		return p.control.send(m, -1)
-	})
-	if err != nil {
-		return fmt.Errorf("handover: done: %w", err)
-	}
-	// Not earlier: a main process that has ended takes the service's other processes along.
-	if err := Notify(fmt.Sprintf("MAINPID=%d", p.Pid())); err != nil {
-		log.Printf("handover=done successor=%d err=%q", p.Pid(), err)
-	}
-	return nil
-}
-
-// request sends a message under a number of its own and waits for its answer. A successor that hangs is killed: only when
-// it has ended is it certain what it has taken. One that is slow is not, as long as it answers one message or another.
-func (p *Predecessor) request(m message, send func(message) error) error {
-	answer := make(chan error, 1)
-	p.mu.Lock()
-	if p.lostErr != nil {
-		p.mu.Unlock()
-		return p.lostErr
-	}
-	p.lastNumber++
-	m.number = p.lastNumber
-	p.answers[m.number] = answer
-	if len(p.answers) == 1 {
-		p.ackTimer.Reset(p.ackTimeout)
-	}
-	p.mu.Unlock()
-	if err := send(m); err != nil && !isClosedByPeer(err) { // if it is gone, listen is about to see that too
-		p.resolve(m.number, err)
-	}
-	return <-answer
-}
-
-// resolve gives the asker of that number its answer.
-func (p *Predecessor) resolve(number uint64, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if to := p.answers[number]; to != nil {
-		delete(p.answers, number)
-		to <- err
-	}
-	if p.ackTimer.Stop(); len(p.answers) > 0 {
-		p.ackTimer.Reset(p.ackTimeout)
-	}
-}
-
-// readAnswers reads the successor's answers until it has everything or its end of the socket is closed.
-func (p *Predecessor) readAnswers() {
-	defer p.control.Close()
-	for {
-		m, _, err := p.control.receive()
-		switch {
-		case errors.Is(err, io.EOF):
-			p.markLost()
-			return
-		case err != nil && p.cmd == nil:
-			p.markLost()
-			return
-		case err != nil:
-			p.abort() // what it holds can't be told; what it had acknowledged and its end follow
-		case m.kind == kindTaken:
-			p.resolve(m.number, nil)
-		case m.kind == kindLeft:
-			p.resolve(m.number, fmt.Errorf("the successor did not get it: %s", m.body))
-		case m.kind == kindDone:
-			p.resolve(m.number, nil)
-			return
-		default:
-			p.abort()
-		}
-	}
-}
-
-// markLost says that the successor is lost. Whatever it had taken it has acknowledged before.
-func (p *Predecessor) markLost() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lostErr = ErrLost
-	p.ackTimer.Stop()
-	for number, to := range p.answers {
-		delete(p.answers, number)
-		if p.cmd == nil && number != p.doneNumber {
-			to <- nil // it may have the connection and live: nobody here may read that any more
-		} else {
-			to <- ErrLost
-		}
-	}
-	p.coordinator.release()
-	close(p.lost)
-}
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -8,7 +8,6 @@
 	"net"
 	"os"
 	"path/filepath"
-	"strconv"
 	"syscall"
 	"time"
 )
@@ -21,32 +20,6 @@
 	maxPathLen        = 100 // of a Unix socket, with something to spare
 )
 
-// ListenVariable names, in a process's environment, the descriptor of the listening socket that a platform holds for it and
-// for whoever runs beside or after it.
-const ListenVariable = "GW_LISTEN_FD"
-
-// Held returns the listener that ListenVariable names; nil and nil if there is none. It has to listen on address, which is
-// what this process is told to listen on. Closing it leaves the platform's socket open.
-func Held(getenv func(string) string, address string) (*net.TCPListener, error) {
-	value := getenv(ListenVariable)
-	if value == "" {
-		return nil, nil
-	}
-	fd, err := strconv.Atoi(value)
-	if err != nil || fd < 3 {
-		return nil, fmt.Errorf("%s=%q: not the number of an inherited descriptor", ListenVariable, value)
-	}
-	l, err := tcpListener(os.NewFile(uintptr(fd), ListenVariable))
-	if err != nil {
-		return nil, fmt.Errorf("%s=%s: %w", ListenVariable, value, err)
-	}
-	if at := l.Addr().String(); at != address {
-		l.Close()
-		return nil, fmt.Errorf("%s=%s: it listens on %s, but listen says %s", ListenVariable, value, at, address)
-	}
-	return l, nil
-}
-
 // rendezvousPath is the socket in folder, by a path that is short enough; done is to be called when it is no longer needed.
 func rendezvousPath(folder string) (path string, done func(), err error) {
 	path = filepath.Join(folder, rendezvousName)
@@ -57,7 +30,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), rendezvousName), func() { d.Close() }, nil
+	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), rendezvousName), func() { _ = d.Close() }, nil
 }
 
 // Listen makes this process the one that a second process finds in folder, in place of any earlier one.
@@ -100,35 +73,35 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	s := &Successor{control: &control{UnixConn: c}, foundPredecessor: true, cancelled: make(chan struct{}), decided: make(chan struct{})}
-	c.SetReadDeadline(time.Now().Add(rendezvousTimeout))
+	_ = c.SetReadDeadline(time.Now().Add(rendezvousTimeout)) // fails on a closed connection alone, which readHello sees
 	if err := s.readHello(); err != nil {
 		return nil, s.Reject(err.Error())
 	}
-	c.SetReadDeadline(time.Time{})
-	s.listener.Close() // this process has its own
+	_ = c.SetReadDeadline(time.Time{})
+	_ = s.listener.Close() // this process has its own
 	go s.awaitServe()
 	return s, nil
 }
 
 // Meet hands over to a process that has found this one, over its connection, as Start does to one that it starts; but a
-// successor that fails goes on living. What was passed to it without an answer is then nobody's: Pass returns nil, and the
-// caller closes its copy.
-func (h *Coordinator) Meet(ctx context.Context, c *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
-	pid, err := peerProcess(c)
-	if err == nil && !h.claim() {
+// successor that fails goes on living. What was passed to it without an answer is then nobody's: TransferConn returns
+// nil, and the caller closes its copy.
+func (c *Coordinator) Meet(ctx context.Context, conn *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
+	pid, err := peerProcess(conn)
+	if err == nil && !c.claim() {
 		err = ErrUnderWay
 	}
 	if err != nil {
-		c.Close()
+		_ = conn.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	p := &Predecessor{
-		control: &control{UnixConn: c}, pid: pid, ackTimeout: rendezvousTimeout, lost: make(chan struct{}),
+		control: &control{UnixConn: conn}, pid: pid, ackTimeout: rendezvousTimeout, lost: make(chan struct{}),
 		answers: map[uint64]chan error{},
 	}
 	p.ackTimer = time.AfterFunc(p.ackTimeout, p.abort)
 	p.ackTimer.Stop()
-	return h.prepare(ctx, p, l, o)
+	return c.prepare(ctx, p, l, o)
 }
 
 // peerProcess is the other process, which must be of the same user.
@@ -137,29 +110,14 @@
 	if err != nil {
 		return 0, err
 	}
-	var who *syscall.Ucred
+	var credentials *syscall.Ucred
 	if e := raw.Control(func(fd uintptr) {
-		who, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+		credentials, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
 	}); e != nil || err != nil {
 		return 0, errors.Join(e, err)
 	}
-	if int(who.Uid) != os.Getuid() {
-		return 0, fmt.Errorf("process %d belongs to another user", who.Pid)
-	}
-	return int(who.Pid), nil
-}
-
-// sendLines sends lines in as many messages as they need.
-func (c *control) sendLines(k kind, lines []string) error {
-	var body []byte
-	for i, line := range lines {
-		body = append(append(body, line...), '\n')
-		if i == len(lines)-1 || len(body)+len(lines[i+1])+1 > maxBody {
-			if err := c.send(message{kind: k, body: body}, -1); err != nil {
-				return err
-			}
-			body = body[:0]
-		}
+	if int(credentials.Uid) != os.Getuid() {
+		return 0, fmt.Errorf("process %d belongs to another user", credentials.Pid)
 	}
-	return nil
+	return int(credentials.Pid), nil
 }
--- a/internal/hotrestart/rendezvous_test.go
+++ b/internal/hotrestart/rendezvous_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("%d open ids, want %d", len(s.Open()), len(ids))
 		}
 		notes := ""
-		must(0, s.ReceiveConns(t.Context(), func(c *net.TCPConn, note []byte) { notes += string(note); c.Close() }))
+		must(0, s.ReceiveConns(t.Context(), func(c *net.TCPConn, note []byte) { notes += string(note); _ = c.Close() }))
 		if err := <-ended; err != nil || notes != "known" {
 			t.Errorf("%v, %q", err, notes)
 		}
@@ -82,10 +82,10 @@
 	defer place.Close()
 	for what, old := range map[string]func(c *control){
 		"another version": func(c *control) {
-			c.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version - 1}))}, own)
+			_ = c.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version - 1}))}, own)
 		},
-		"dies at once": func(c *control) { c.Close() },
-		"no hello":     func(c *control) { c.send(message{kind: kindDone}, -1) },
+		"dies at once": func(c *control) { _ = c.Close() },
+		"no hello":     func(c *control) { _ = c.send(message{kind: kindDone}, noDescriptor) },
 	} {
 		go func() { old(&control{UnixConn: must(place.AcceptUnix())}) }()
 		if s, err := Find(folder); s != nil || err == nil {
@@ -94,9 +94,9 @@
 	}
 	go func() { // dies before it lets the other serve
 		c := &control{UnixConn: must(place.AcceptUnix())}
-		c.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version}))}, own)
-		c.receive()
-		c.Close()
+		_ = c.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version}))}, own)
+		_, _, _ = c.receive()
+		_ = c.Close()
 	}()
 	s := must(Find(folder))
 	alone := Coordinator{Inherited: s}
@@ -106,8 +106,8 @@
 
 	var line Coordinator
 	for what, young := range map[string]func(s *Successor){
-		"refuses":      func(s *Successor) { s.Reject("bad configuration") },
-		"ends at once": func(s *Successor) { s.Close() },
+		"refuses":      func(s *Successor) { _ = s.Reject("bad configuration") },
+		"ends at once": func(s *Successor) { _ = s.Close() },
 	} {
 		go func() { young(must(Find(folder))) }()
 		if p, err := line.Meet(t.Context(), must(place.AcceptUnix()), own, Options{}); p != nil || err == nil {
@@ -137,7 +137,7 @@
 	if err := p.Complete(); !errors.Is(err, ErrLost) || !line.claim() {
 		t.Errorf("it is to serve on: %v", err)
 	}
-	silent.Close()
+	_ = silent.Close()
 }
 
 // The platform's listener is checked for what it is, and outlives its copies.
--- a/internal/hotrestart/signals.go
+++ b/internal/hotrestart/signals.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stop is a word to stop that a predecessor has got and that is meant for its successor, too. Both moments are those of whoever gave it: a
-// successor that counted from when it hears of it would reckon with a later kill.
+// Stop is a signal to stop that a predecessor has got and that is meant for its successor, too. Both moments are those of whoever sent it:
+// a successor that counted from when the message comes would reckon with a later kill.
 type Stop struct {
-	At   time.Time // that the word was sent, at the earliest
+	At   time.Time // that the signal was sent, at the earliest
 	Kill time.Time // by which the processes may be killed
 }
 
-// Reload is a word to read the configuration anew that a predecessor has got after its successor may have read it.
+// Reload is a signal to read the configuration anew that a predecessor has got after its successor may have read it.
 type Reload struct {
-	At time.Time // that the word was sent, at the earliest
+	At time.Time // that the signal was sent, at the earliest
 }
 
 // signalMessage is a Stop or a Reload as it goes over the control socket, in nanoseconds of the machine's monotonic clock, which all processes
@@ -40,7 +40,7 @@
 	nanos int64
 }
 
-// readClock reads both clocks. The process's own comes first: one that is held up between the two must not take a word for later than it was.
+// readClock reads both clocks. The process's own comes first: one that is held up between the two must not take a signal for later than it was.
 func readClock() (clock, error) {
 	c := clock{now: time.Now()}
 	var err error
@@ -55,22 +55,23 @@
 func decodeSignal(b []byte) (at, kill time.Time, err error) {
 	var m signalMessage
 	if err := cbor.Unmarshal(b, &m); err != nil {
-		return at, kill, fmt.Errorf("%w: a word passed on: %v", errMalformed, err)
+		return at, kill, fmt.Errorf("%w: signal: %w", errMalformed, err)
 	}
 	c, err := readClock()
 	return c.decode(m.At), c.decode(m.Kill), err
 }
 
-// Stop passes a word to stop on to the successor, which has begun to serve. An error says that it has not got it.
+// Stop sends a signal to stop to the successor, which has begun to serve. An error says that it has not got it.
 func (p *Predecessor) Stop(s Stop) error {
 	return p.sendSignal(kindStop, func(c clock) signalMessage { return signalMessage{c.encode(s.At), c.encode(s.Kill)} })
 }
 
-// Reload is Stop for a word to read the configuration anew.
+// Reload is Stop for a signal to read the configuration anew.
 func (p *Predecessor) Reload(r Reload) error {
 	return p.sendSignal(kindReload, func(c clock) signalMessage { return signalMessage{At: c.encode(r.At)} })
 }
 
+// sendSignal sends the message that encode makes by the machine's clock.
 func (p *Predecessor) sendSignal(kind kind, encode func(clock) signalMessage) error {
 	c, err := readClock()
 	var body []byte
@@ -78,15 +79,15 @@
 		body, err = cbor.Marshal(encode(c))
 	}
 	if err == nil {
-		err = p.control.send(message{kind: kind, body: body}, -1)
+		err = p.control.send(message{kind: kind, body: body}, noDescriptor)
 	}
 	if err != nil {
-		return fmt.Errorf("handover: a word passed on: %w", err)
+		return fmt.Errorf("handover: send a signal to the successor: %w", err)
 	}
 	return nil
 }
 
-// receiveSignal tells whoever asked for it of a word that the predecessor has passed on.
+// receiveSignal calls Stopped or Reloaded with a signal that the predecessor has sent.
 func (s *Successor) receiveSignal(m message) error {
 	at, kill, err := decodeSignal(m.body)
 	switch {
--- a/internal/hotrestart/signals_test.go
+++ b/internal/hotrestart/signals_test.go
@@ -8,9 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A word that is passed on keeps the moments at which it was given and by which the kill may come, however late it is read.
-func TestWordsKeepTheirMoments(t *testing.T) {
-	given := time.Now().Add(-2 * time.Second)
+// A signal that is passed on keeps the moments at which it was sent and by which the kill may come, however late it is read.
+func TestSignalsKeepTheirMoments(t *testing.T) {
+	sent := time.Now().Add(-2 * time.Second)
 	var stop Stop
 	var reload Reload
 	s := &Successor{Stopped: func(w Stop) { stop = w }, Reloaded: func(w Reload) { reload = w }}
@@ -18,8 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for kind, word := range map[kind]signalMessage{kindStop: {c.encode(given), c.encode(given.Add(time.Minute))}, kindReload: {At: c.encode(given)}} {
-		body, err := cbor.Marshal(word)
+	for kind, signal := range map[kind]signalMessage{kindStop: {c.encode(sent), c.encode(sent.Add(time.Minute))}, kindReload: {At: c.encode(sent)}} {
+		body, err := cbor.Marshal(signal)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,12 +28,12 @@
 			t.Error(err)
 		}
 	}
-	for what, off := range map[string]time.Duration{"stop": stop.At.Sub(given), "reload": reload.At.Sub(given), "kill": stop.Kill.Sub(given) - time.Minute} {
+	for what, off := range map[string]time.Duration{"stop": stop.At.Sub(sent), "reload": reload.At.Sub(sent), "kill": stop.Kill.Sub(sent) - time.Minute} {
 		if off.Abs() > 10*time.Millisecond {
 			t.Errorf("%s: moved by %s", what, off)
 		}
 	}
 	if err := s.receiveSignal(message{kind: kindStop, body: []byte("x")}); !errors.Is(err, errMalformed) {
-		t.Errorf("a word of garbage: %v", err)
+		t.Errorf("a garbled signal: %v", err)
 	}
 }
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -2,22 +2,19 @@
 
 import (
 	"bytes"
-	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"strconv"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
 // Successor is the new process's side of a handover.
 type Successor struct {
-	// Stopped and Reloaded are told of words that the predecessor has got, from within Conns; nil = nobody is. Set them before Conns.
+	// Stopped and Reloaded are called with signals that the predecessor has got, from within ReceiveConns; nil = nobody is. Set them
+	// before ReceiveConns.
 	Stopped  func(Stop)
 	Reloaded func(Reload)
 
@@ -27,8 +24,8 @@
 	state            []byte
 	cancelled        chan struct{}
 	decided          chan struct{} // closed when it is known whether this process may serve
-	refusal          error         // whether it may not; from then on
-	hasAll           atomic.Bool   // all is this process's own
+	refusal          error         // why it may not, once decided is closed; nil = it may
+	hasAll           atomic.Bool   // the handover is over, and all is this process's own
 	foundPredecessor bool          // the platform has started this process, which can do without the other
 	open             []string      // ids of requests that the predecessor has open
 }
@@ -116,43 +113,44 @@
 // Open are the ids of requests that the predecessor had open when it let this process serve.
 func (s *Successor) Open() []string { return s.open }
 
-// State is the predecessor's state blob. It is let go when Ready returns.
+// State is the predecessor's state blob. It is released when Ready returns.
 func (s *Successor) State() []byte { return s.state }
 
 // Cancelled is closed when the predecessor ends or calls the handover off before this process serves. It should exit
 // then, whatever it is about: its copy of the listener keeps the address taken.
 func (s *Successor) Cancelled() <-chan struct{} { return s.cancelled }
 
-// Check refuses the handover, with an error that says so, unless this process is told to listen on the address that the
-// predecessor was told.
+// Check refuses the handover, with an error that says so, unless this process is configured to listen on the address that
+// the predecessor is.
 func (s *Successor) Check(address string) error {
 	if address == s.hello.Address {
 		return nil
 	}
-	return s.Reject(fmt.Sprintf("the running process was told to listen on %q, this one on %q: restart instead",
+	return s.Reject(fmt.Sprintf("the running process is configured to listen on %q, this one on %q: restart instead",
 		s.hello.Address, address))
 }
 
 // Reject tells the predecessor why this process can't take over, of which it gets up to 1 KiB, and returns that as an
 // error. This process should exit then.
 func (s *Successor) Reject(reason string) error {
-	s.control.send(message{kind: kindRefuse, body: []byte(reason[:min(len(reason), maxReason)])}, -1)
-	s.Close()
+	// A predecessor that does not get the reason sees this process end.
+	_ = s.control.send(message{kind: kindRefuse, body: []byte(reason[:min(len(reason), maxReason)])}, noDescriptor)
+	_ = s.Close()
 	return fmt.Errorf("handover refused: %s", reason)
 }
 
 // Ready tells the predecessor that this process can serve, and returns nil when it may: the predecessor accepts no more
 // connections from then on. After an error, ErrCancelled for one, it must not serve and should exit.
 func (s *Successor) Ready() error {
-	err := s.control.send(message{kind: kindReady, number: uint64(os.Getpid())}, -1)
+	err := s.control.send(message{kind: kindReady, number: uint64(os.Getpid())}, noDescriptor)
 	if err == nil || isClosedByPeer(err) {
 		if s.foundPredecessor {
-			defer time.AfterFunc(rendezvousTimeout, func() { s.control.SetReadDeadline(longAgo) }).Stop()
+			defer time.AfterFunc(rendezvousTimeout, func() { _ = s.control.SetReadDeadline(longAgo) }).Stop()
 		}
 		<-s.decided
 		if err = s.refusal; err != nil && s.foundPredecessor {
 			s.hasAll.Store(true)
-			s.Close()
+			_ = s.Close()
 		}
 	}
 	s.state = nil
@@ -162,116 +160,5 @@
 	return nil
 }
 
-// ReceiveConns calls take, one at a time, with each connection that the predecessor passes and a note of the caller's own;
-// take should return soon: nothing is answered meanwhile, and a successor that does not answer is killed. Call it once,
-// after Ready. It returns nil when the predecessor has passed all and exits, and ErrGone when it has ended without a
-// word: in both cases all is this process's own. After any other error, ctx's for one, the predecessor lives and serves
-// again as soon as Close has been called or this process has ended: it should stop accepting first, and end.
-func (s *Successor) ReceiveConns(ctx context.Context, take func(c *net.TCPConn, note []byte)) error {
-	defer context.AfterFunc(ctx, func() { s.control.SetDeadline(longAgo) })()
-	if <-s.decided; s.refusal != nil {
-		return fmt.Errorf("handover: %w", s.refusal)
-	}
-	for {
-		m, f, err := s.control.receive()
-		switch {
-		case ctx.Err() != nil:
-			err = ctx.Err() // what may have come just now is not acknowledged: it stays the predecessor's
-		case errors.Is(err, io.EOF):
-			err = ErrGone
-		case err == nil && m.kind == kindConn:
-			if err = s.acceptConn(m, f, take); err == nil {
-				continue
-			}
-		case err == nil && (m.kind == kindStop || m.kind == kindReload):
-			if err = s.receiveSignal(m); err == nil {
-				continue
-			}
-		case err == nil && m.kind == kindDone:
-			err = s.answer(message{kind: kindDone, number: m.number})
-		case err == nil:
-			err = fmt.Errorf("%w: kind %q among the connections", errMalformed, m.kind)
-		}
-		if err == nil || err == ErrGone {
-			s.hasAll.Store(true)
-			s.Close()
-		}
-		if err != nil {
-			return fmt.Errorf("handover: %w", err)
-		}
-		return nil
-	}
-}
-
-// acceptConn acknowledges a connection before it can be used: without an acknowledgement the predecessor keeps it.
-func (s *Successor) acceptConn(m message, f *os.File, take func(*net.TCPConn, []byte)) error {
-	note := bytes.Clone(m.body)
-	c, err := tcpConn(f)
-	if err != nil {
-		reason := err.Error()
-		return s.answer(message{kind: kindLeft, number: m.number, body: []byte(reason[:min(len(reason), maxReason)])})
-	}
-	if err := s.answer(message{kind: kindTaken, number: m.number}); err != nil {
-		c.Close()
-		return err
-	}
-	if c.RemoteAddr() == nil { // reset by its client meanwhile
-		c.Close()
-		return nil
-	}
-	take(c, note)
-	return nil
-}
-
-// resolve sends an answer, which a predecessor that is gone needs no more.
-func (s *Successor) answer(m message) error {
-	if err := s.control.send(m, -1); err != nil && !isClosedByPeer(err) {
-		return err
-	}
-	return nil
-}
-
 // Close gives the handover up if it is under way: what the predecessor has not passed stays its own, and it serves on.
 func (s *Successor) Close() error { return s.control.Close() }
-
-var errNoDescriptor = errors.New("no descriptor came with it: this process may have none left under its limit")
-
-// tcpConn makes a connection of its own of what was passed.
-func tcpConn(f *os.File) (*net.TCPConn, error) {
-	if f == nil {
-		return nil, errNoDescriptor
-	}
-	defer f.Close()
-	c, err := net.FileConn(f)
-	if err != nil {
-		return nil, err
-	}
-	t, ok := c.(*net.TCPConn)
-	if !ok {
-		c.Close()
-		return nil, errors.New("it is no TCP connection")
-	}
-	return t, nil
-}
-
-// tcpListener is tcpConn for a listener.
-func tcpListener(f *os.File) (*net.TCPListener, error) {
-	if f == nil {
-		return nil, errNoDescriptor
-	}
-	defer f.Close()
-	listens, err := syscall.GetsockoptInt(int(f.Fd()), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
-	if err != nil {
-		return nil, os.NewSyscallError("getsockopt", err)
-	}
-	l, err := net.FileListener(f)
-	if err != nil {
-		return nil, err
-	}
-	t, ok := l.(*net.TCPListener)
-	if !ok || listens == 0 {
-		l.Close()
-		return nil, errors.New("it is no listening TCP socket")
-	}
-	return t, nil
-}
--- a/internal/hotrestart/systemd.go
+++ b/internal/hotrestart/systemd.go
@@ -26,8 +26,8 @@
 	return l, nil
 }
 
-// Notify tells the supervisor a state by systemd's protocol (sd_notify(3)): READY=1 once a first process serves,
-// STOPPING=1 when it is told to end. Done tells MAINPID by itself. Where NOTIFY_SOCKET is not set it does nothing.
+// Notify reports a state to the supervisor by systemd's protocol (sd_notify(3)): READY=1 once a first process serves,
+// STOPPING=1 when its shutdown begins. Complete reports MAINPID by itself. Where NOTIFY_SOCKET is not set it does nothing.
 func Notify(state string) error {
 	_, err := daemon.SdNotify(false, state)
 	return err
