--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -52,8 +52,8 @@
 	}
 	return &snapshot.Writer{
 		Store: &snapshot.Store{
-			Path:   path,
-			Before: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
+			Path:       path,
+			BeforeStep: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
 		},
 		Take:  p.takeSnapshot,
 		Every: p.cfg.SnapshotEvery,
--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -26,13 +26,13 @@
 // The header: magic, major and minor version, length of the payload, wall time in Unix ms, checksum of all that is
 // before it and of the payload. Numbers are big-endian.
 const (
-	magic      = "\x89PRSNAP\n" // no text begins like this, and a transfer as text would alter it
-	atMajor    = len(magic)
-	atMinor    = atMajor + 2
-	atLength   = atMinor + 2
-	atTaken    = atLength + 4
-	atSum      = atTaken + 8
-	headerSize = atSum + 4
+	magic          = "\x89PRSNAP\n" // no text begins like this, and a transfer as text would alter it
+	majorOffset    = len(magic)
+	minorOffset    = majorOffset + 2
+	lengthOffset   = minorOffset + 2
+	takenAtOffset  = lengthOffset + 4
+	checksumOffset = takenAtOffset + 8
+	headerSize     = checksumOffset + 4
 )
 
 // What Decode and Encode may complain of, to be told apart by errors.Is. A field at fault is an errors.As *FieldError.
@@ -46,19 +46,19 @@
 
 // FieldError names a field that is malformed.
 type FieldError struct {
-	Field string // as in Members[3].Address
-	Why   string
+	Field   string // as in Members[3].Address
+	Problem string
 }
 
-func (e *FieldError) Error() string { return "snapshot: " + e.Field + ": " + e.Why }
+func (e *FieldError) Error() string { return "snapshot: " + e.Field + ": " + e.Problem }
 
 // Limits of the decoder, before those of each list: even an array of the smallest elements stays a small multiple of
 // its input in memory.
 const (
-	mostElements = 16384
-	mostPairs    = 1024
-	mostNested   = 16
-	leastTally   = 5 // bytes: the head of an array and four numbers
+	maxElements   = 16384
+	maxPairs      = 1024
+	maxNesting    = 16
+	minTallyBytes = 5 // bytes: the head of an array and four numbers
 )
 
 var (
@@ -70,8 +70,8 @@
 	}.UserBufferEncMode())
 	decoder = must(cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxNestedLevels: mostNested, MaxArrayElements: mostElements,
-		MaxMapPairs: mostPairs,
+		TagsMd: cbor.TagsForbidden, MaxNestedLevels: maxNesting, MaxArrayElements: maxElements,
+		MaxMapPairs: maxPairs,
 	}.DecMode())
 )
 
@@ -89,19 +89,19 @@
 		return nil, err
 	}
 	most = orDefault(most)
-	b := bytes.NewBuffer(make([]byte, headerSize, min(most, s.room())))
+	b := bytes.NewBuffer(make([]byte, headerSize, min(most, s.usualSize())))
 	if err := encoder.MarshalToBuffer(s, b); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if b.Len() > most {
 		return nil, fmt.Errorf("snapshot: %w: %d bytes, the limit is %d", ErrTooLarge, b.Len(), most)
 	}
-	seal(b.Bytes(), Major, Minor, s.TakenAt.UnixMilli())
+	writeHeader(b.Bytes(), Major, Minor, s.TakenAt.UnixMilli())
 	return b.Bytes(), nil
 }
 
-// room is what a snapshot usually takes: a large one must not be copied again and again as it grows.
-func (s *Snapshot) room() int {
+// usualSize is what a snapshot usually takes: a large one must not be copied again and again as it grows.
+func (s *Snapshot) usualSize() int {
 	n := 1024 + len(s.Reuse) + 96*len(s.Members) + 20*len(s.Learned.Tenants)
 	for i := range s.Learned.Servers {
 		n += 80 + 32*len(s.Learned.Servers[i].By)
@@ -116,55 +116,55 @@
 	return most
 }
 
-// seal fills in the header of b, whose payload is in place.
-func seal(b []byte, major, minor uint16, taken int64) {
+// writeHeader fills in the header of b, whose payload is in place.
+func writeHeader(b []byte, major, minor uint16, taken int64) {
 	copy(b, magic)
-	binary.BigEndian.PutUint16(b[atMajor:], major)
-	binary.BigEndian.PutUint16(b[atMinor:], minor)
-	binary.BigEndian.PutUint32(b[atLength:], uint32(len(b)-headerSize))
-	binary.BigEndian.PutUint64(b[atTaken:], uint64(taken))
-	binary.BigEndian.PutUint32(b[atSum:], checksum(b))
+	binary.BigEndian.PutUint16(b[majorOffset:], major)
+	binary.BigEndian.PutUint16(b[minorOffset:], minor)
+	binary.BigEndian.PutUint32(b[lengthOffset:], uint32(len(b)-headerSize))
+	binary.BigEndian.PutUint64(b[takenAtOffset:], uint64(taken))
+	binary.BigEndian.PutUint32(b[checksumOffset:], checksum(b))
 }
 
 // checksum is that of all but itself. CRC-32C finds every change of up to 32 bits in a row.
 func checksum(b []byte) uint32 {
-	return crc32.Update(crc32.Checksum(b[:atSum], castagnoli), castagnoli, b[headerSize:])
+	return crc32.Update(crc32.Checksum(b[:checksumOffset], castagnoli), castagnoli, b[headerSize:])
 }
 
 // Decode reads what Encode made. It holds nothing of b, never panics, and takes no more memory than a small multiple of
 // b's length; to bound that is up to the caller.
 func Decode(b []byte) (*Snapshot, error) {
-	payload, err := open(b)
+	payload, err := openPayload(b)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	s := new(Snapshot)
 	if err := decoder.Unmarshal(payload, s); err != nil {
-		return nil, misread(err)
+		return nil, fieldError(err)
 	}
-	s.TakenAt = time.UnixMilli(int64(binary.BigEndian.Uint64(b[atTaken:])))
+	s.TakenAt = time.UnixMilli(int64(binary.BigEndian.Uint64(b[takenAtOffset:])))
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// open checks the header and returns the payload.
-func open(b []byte) ([]byte, error) {
+// openPayload checks the header and returns the payload.
+func openPayload(b []byte) ([]byte, error) {
 	if n := min(len(b), len(magic)); string(b[:n]) != magic[:n] {
 		return nil, ErrNotSnapshot
 	}
 	if len(b) < headerSize {
 		return nil, fmt.Errorf("%w: %d bytes, the header has %d", ErrCutShort, len(b), headerSize)
 	}
-	if major := binary.BigEndian.Uint16(b[atMajor:]); major != Major {
+	if major := binary.BigEndian.Uint16(b[majorOffset:]); major != Major {
 		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, major, Major)
 	}
-	payload, length := b[headerSize:], int64(binary.BigEndian.Uint32(b[atLength:]))
+	payload, length := b[headerSize:], int64(binary.BigEndian.Uint32(b[lengthOffset:]))
 	if int64(len(payload)) < length {
 		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCutShort, len(payload), length)
 	}
-	if checksum(b) != binary.BigEndian.Uint32(b[atSum:]) { // of all that follows the header, were it too long
+	if checksum(b) != binary.BigEndian.Uint32(b[checksumOffset:]) { // of all that follows the header, were it too long
 		return nil, ErrChecksum
 	}
 	return payload, nil
@@ -173,7 +173,7 @@
 // UnmarshalCBOR refuses a list that claims more elements than its bytes can hold, before there is room made for them:
 // the decoder looks at what each one is only afterwards, and a list for every provider adds up.
 func (t *Tallies) UnmarshalCBOR(b []byte) error {
-	if n := elements(b); n > uint64(len(b)/leastTally) {
+	if n := arrayLength(b); n > uint64(len(b)/minTallyBytes) {
 		return &FieldError{"Learned.Servers.By", fmt.Sprintf("%d of them in %d bytes", n, len(b))}
 	}
 	if err := decoder.Unmarshal(b, (*[]Tally)(t)); err != nil {
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// elements reads the head of a well-formed array (RFC 8949, section 3); what is no array has none.
-func elements(b []byte) (n uint64) {
+// arrayLength reads the head of a well-formed array (RFC 8949, section 3); what is no array has none.
+func arrayLength(b []byte) (n uint64) {
 	if b[0]>>5 != 4 {
 		return 0
 	}
@@ -198,8 +198,8 @@
 	return n
 }
 
-// misread names the field of Snapshot that the decoder stumbled over, where it tells: it does so by the key.
-func misread(err error) error {
+// fieldError names the field of Snapshot that the decoder stumbled over, where it tells: it does so by the key.
+func fieldError(err error) error {
 	var f *FieldError
 	if errors.As(err, &f) {
 		return f
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -53,7 +53,7 @@
 // sealed puts a header before a payload.
 func sealed(major, minor uint16, at time.Time, payload string) []byte {
 	b := append(make([]byte, headerSize), payload...)
-	seal(b, major, minor, at.UnixMilli())
+	writeHeader(b, major, minor, at.UnixMilli())
 	return b
 }
 
@@ -76,7 +76,7 @@
 		}
 	}
 	want := map[int]error{
-		0: ErrNotSnapshot, 8 * atMajor: ErrVersion, 8 * atTaken: ErrChecksum,
+		0: ErrNotSnapshot, 8 * majorOffset: ErrVersion, 8 * takenAtOffset: ErrChecksum,
 		8*len(b) - 1: ErrChecksum,
 	}
 	for i := range 8 * len(b) {
@@ -98,14 +98,14 @@
 	for want, spoil := range map[string]func(s *Snapshot, l *Learned){
 		"TakenAt":                         func(s *Snapshot, l *Learned) { s.TakenAt = time.Time{} },
 		"Directory":                       func(s *Snapshot, l *Learned) { s.Directory = strings.Repeat("x", 513) },
-		"Reuse":                           func(s *Snapshot, l *Learned) { s.Reuse = make([]byte, mostReuse+1) },
+		"Reuse":                           func(s *Snapshot, l *Learned) { s.Reuse = make([]byte, maxReuseBytes+1) },
 		"Members[1].ID":                   func(s *Snapshot, l *Learned) { s.Members[1].ID = s.Members[0].ID },
 		"Members[0].Address":              func(s *Snapshot, l *Learned) { s.Members[0].Address = "nowhere" },
 		"Members[1].UpSince":              func(s *Snapshot, l *Learned) { s.Members[1].UpSince = math.Inf(1) },
 		"Learned.Sends.At":                func(s *Snapshot, l *Learned) { l.Sends.At = math.NaN() },
 		"Learned.Fit.XY":                  func(s *Snapshot, l *Learned) { l.Fit.XY = math.MaxFloat64 },
 		"Learned.Fit.Classes[0].Sum":      func(s *Snapshot, l *Learned) { l.Fit.Classes[0].Sum = -0.5 },
-		"Learned.Tenants":                 func(s *Snapshot, l *Learned) { l.Tenants = make([]Bucket, mostTenants+1) },
+		"Learned.Tenants":                 func(s *Snapshot, l *Learned) { l.Tenants = make([]Bucket, maxTenants+1) },
 		"Learned.Tenants[0].Tokens":       func(s *Snapshot, l *Learned) { l.Tenants[0].Tokens = math.Inf(-1) },
 		"Learned.Servers[1].Name":         func(s *Snapshot, l *Learned) { l.Servers[1].Name = "" },
 		"Learned.Servers[0].Failing":      func(s *Snapshot, l *Learned) { l.Servers[0].Failing = 1.1 },
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -9,7 +9,7 @@
 func Merge(snap, known List) (List, []Dropped) {
 	same := snap.Directory == known.Directory
 	if same && (snap.Revision >= known.Revision || len(known.Members) == 0) {
-		return snap.clone(), missing(known, snap)
+		return snap.clone(), dropMissing(known, snap)
 	}
 	out := List{Directory: known.Directory, Revision: known.Revision}
 	had, told := snap.byID(), true
@@ -40,21 +40,21 @@
 	if !told {
 		out.Revision = 0
 	}
-	why := missing(snap, out)
+	why := dropMissing(snap, out)
 	for i := range why {
 		if !same {
-			why[i].Why = OtherDirectory
+			why[i].Reason = OtherDirectory
 		}
 	}
 	return out, why
 }
 
-// missing says which providers that take new work in one list are not in the one that is believed.
-func missing(from, believed List) (out []Dropped) {
+// dropMissing says which providers that take new work in one list are not in the one that is believed.
+func dropMissing(from, believed List) (out []Dropped) {
 	listed := believed.byID()
 	for _, m := range from.Members {
 		if _, have := listed[m.ID]; !have && m.leaving() == 0 {
-			out = append(out, Dropped{ofMember, m.ID, 1, NewerList})
+			out = append(out, Dropped{droppedMember, m.ID, 1, NewerList})
 		}
 	}
 	return out
--- a/internal/snapshot/still_test.go
+++ b/internal/snapshot/restore_test.go
@@ -152,7 +152,7 @@
 	} {
 		got, lost := Merge(list(c.snap), list(c.known))
 		same(t, c.what, list(c.want), got)
-		if len(lost) != min(len(c.lost), 1) || len(lost) > 0 && lost[0].Why != Reason(c.lost) {
+		if len(lost) != min(len(c.lost), 1) || len(lost) > 0 && lost[0].Reason != Reason(c.lost) {
 			t.Errorf("%s: %v", c.what, lost)
 		}
 	}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -90,7 +90,7 @@
 // Tallies are in the order of Who.
 type Tallies []Tally
 
-// Fit is the fit of the response time to the load, as it was at At.
+// MaxFitAge is the fit of the response time to the load, as it was at At.
 type Fit struct {
 	XX      float64    `cbor:"1,keyasint,omitempty"`
 	XY      float64    `cbor:"2,keyasint,omitempty"`
@@ -135,14 +135,14 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// List is a directory's list of providers.
+// MaxListAge is a directory's list of providers.
 type List struct {
 	Directory string
 	Revision  uint64 // 0 = not as that directory told it: ask it for the whole list
 	Members   []Member
 }
 
-// List returns the snapshot's list.
+// MaxListAge returns the snapshot's list.
 func (s *Snapshot) List() List { return List{s.Directory, s.Revision, s.Members} }
 
 // FromConfig is the list that the configuration knows of, whose phases count as told at that moment.
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -32,16 +32,16 @@
 type Store struct {
 	Path     string
 	MaxBytes int // of the file; 0 = DefaultMaxBytes
-	// Before, if set, is called before each step on a file, and its error is the step's: a test's way to a disk that is
+	// BeforeStep, if set, is called before each step on a file, and its error is the step's: a test's way to a disk that is
 	// full or hangs, and to a process that is killed.
-	Before func(step Step, path string) error
+	BeforeStep func(step Step, path string) error
 }
 
-// do is one step.
-func (s *Store) do(step Step, path string, how func() error) error {
+// runStep is one step.
+func (s *Store) runStep(step Step, path string, how func() error) error {
 	var err error
-	if s.Before != nil {
-		err = s.Before(step, path)
+	if s.BeforeStep != nil {
+		err = s.BeforeStep(step, path)
 	}
 	if err == nil {
 		err = how()
@@ -66,22 +66,22 @@
 	}
 	defer lock.Close()
 	dir, prefix := filepath.Dir(s.Path), filepath.Base(s.Path)+".tmp-"
-	s.sweep(dir, prefix)
+	s.removeLeftovers(dir, prefix)
 	var f *os.File
-	err = s.do(StepCreate, s.Path, func() error {
+	err = s.runStep(StepCreate, s.Path, func() error {
 		f, err = os.CreateTemp(dir, prefix+"*") // with mode 0600
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if err = s.fill(f, b); err == nil {
-		err = s.do(StepRename, f.Name(), func() error { return os.Rename(f.Name(), s.Path) })
+	if err = s.writeAndSync(f, b); err == nil {
+		err = s.runStep(StepRename, f.Name(), func() error { return os.Rename(f.Name(), s.Path) })
 	}
 	if err != nil {
-		return errors.Join(err, s.do(StepSweep, f.Name(), func() error { return os.Remove(f.Name()) }))
+		return errors.Join(err, s.runStep(StepSweep, f.Name(), func() error { return os.Remove(f.Name()) }))
 	}
-	return s.do(StepSyncDir, dir, func() error {
+	return s.runStep(StepSyncDir, dir, func() error {
 		d, err := os.Open(dir)
 		if err != nil {
 			return err
@@ -94,7 +94,7 @@
 // outlive a killed one. The file stays: to remove it could part two writers that both think they hold it.
 func (s *Store) lock() (f *os.File, err error) {
 	path := s.Path + ".lock"
-	err = s.do(StepLock, path, func() error {
+	err = s.runStep(StepLock, path, func() error {
 		if f, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 			return err
 		}
@@ -109,10 +109,10 @@
 	return f, err
 }
 
-// sweep removes what killed writers have left; the lock says that nobody else is writing.
-func (s *Store) sweep(dir, prefix string) {
+// removeLeftovers removes what killed writers have left; the lock says that nobody else is writing.
+func (s *Store) removeLeftovers(dir, prefix string) {
 	var all []os.DirEntry
-	_ = s.do(StepList, dir, func() (err error) {
+	_ = s.runStep(StepList, dir, func() (err error) {
 		all, err = os.ReadDir(dir)
 		return err
 	})
@@ -120,20 +120,20 @@
 		number, ours := strings.CutPrefix(e.Name(), prefix)
 		if ours && number != "" && strings.Trim(number, "0123456789") == "" && e.Type().IsRegular() {
 			path := filepath.Join(dir, e.Name())
-			_ = s.do(StepSweep, path, func() error { return os.Remove(path) })
+			_ = s.runStep(StepSweep, path, func() error { return os.Remove(path) })
 		}
 	}
 }
 
-// fill writes, syncs and closes. The sync must come before the rename: else a crash may leave the new name with no
+// writeAndSync writes, syncs and closes. The sync must come before the rename: else a crash may leave the new name with no
 // content.
-func (s *Store) fill(f *os.File, b []byte) error {
-	err := s.do(StepFill, f.Name(), func() error {
+func (s *Store) writeAndSync(f *os.File, b []byte) error {
+	err := s.runStep(StepFill, f.Name(), func() error {
 		_, err := f.Write(b)
 		return err
 	})
 	if err == nil {
-		err = s.do(StepSync, f.Name(), f.Sync)
+		err = s.runStep(StepSync, f.Name(), f.Sync)
 	}
 	return errors.Join(err, f.Close())
 }
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -76,7 +76,7 @@
 				same(t, what, nil, err)
 			}
 			d := &disaster{left: k, err: c.err, crash: c.crash, unsynced: map[string]bool{}}
-			s.Before = d.before(s.Path)
+			s.BeforeStep = d.before(s.Path)
 			err := s.Write(after)
 			if (d.left == 0) != (k == 8) || err != nil && !errors.Is(err, c.err) { // the last run is one without fault
 				t.Fatalf("%s: %d steps left, %v", what, d.left, err)
@@ -92,7 +92,7 @@
 				want = after
 			}
 			same(t, what, want, must(s.Read()))
-			if s.Before = nil; s.Write(after) != nil {
+			if s.BeforeStep = nil; s.Write(after) != nil {
 				t.Errorf("%s: no write after it", what)
 			}
 			same(t, what, []string{s.Path, s.Path + ".lock", s.Path + ".tmp-mine"}, must(filepath.Glob(s.Path+"*")))
@@ -138,7 +138,7 @@
 			},
 			Logf: func(format string, args ...any) { logged = append(logged, fmt.Sprintf(format, args...)) },
 		}
-		w.Store.Before = func(s Step, _ string) error {
+		w.Store.BeforeStep = func(s Step, _ string) error {
 			if s != StepLock {
 				return nil
 			}
@@ -174,7 +174,7 @@
 		for i, c := range []struct {
 			hangs, ends time.Duration // the first write, and Run
 			err         error
-		}{{endWithin / 2, endWithin / 2, nil}, {time.Hour, endWithin, ErrLate}} {
+		}{{lastWriteTimeout / 2, lastWriteTimeout / 2, nil}, {time.Hour, lastWriteTimeout, ErrLate}} {
 			hang := make(chan struct{})
 			disk.Store(func() error { <-hang; return nil })
 			stop = run()
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	jitterPart  = 0.1 // of an interval, by which it may be longer or shorter: sidecars must not all write at once
-	backoffMost = 16  // intervals between two tries while the disk fails
-	endWithin   = time.Second
+	jitterShare      = 0.1 // of an interval, by which it may be longer or shorter: sidecars must not all write at once
+	maxBackoff       = 16  // intervals between two tries while the disk fails
+	lastWriteTimeout = time.Second
 )
 
-// errNothing is what write says when there was nothing to write.
-var errNothing = errors.New("nothing to write")
+// errNothingToWrite is what write says when there was nothing to write.
+var errNothingToWrite = errors.New("nothing to write")
 
 // ErrLate means that the last snapshot was not written in time. The disk may still be at it.
 var ErrLate = errors.New("snapshot: the last one was not written in time")
@@ -49,31 +49,31 @@
 		busy = true
 		go func() { done <- w.write() }()
 	}
-	alarm := time.NewTimer(w.pause())
+	alarm := time.NewTimer(w.nextInterval())
 	defer alarm.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case err := <-done:
 			busy = false
-			if w.note(err) != nil {
-				alarm.Reset(w.pause())
+			if w.record(err) != nil {
+				alarm.Reset(w.nextInterval())
 			}
 		case <-alarm.C:
-			if alarm.Reset(w.pause()); busy {
+			if alarm.Reset(w.nextInterval()); busy {
 				w.Skipped.Add(1)
 				continue
 			}
 			write()
 		}
 	}
-	limit := time.NewTimer(endWithin)
+	limit := time.NewTimer(lastWriteTimeout)
 	defer limit.Stop()
 	for last := false; ; last = true {
 		if busy {
 			select {
 			case err := <-done:
-				if err = w.note(err); last {
+				if err = w.record(err); last {
 					return err
 				}
 			case <-limit.C:
@@ -84,16 +84,16 @@
 	}
 }
 
-// pause is the time to the next snapshot, twice as long after each failure.
-func (w *Writer) pause() time.Duration {
-	every := float64(w.Every) * float64(min(backoffMost, 1<<min(w.failures, 10)))
-	return time.Duration(every * (1 + jitterPart*(2*w.rng.Float64()-1)))
+// nextInterval is the time to the next snapshot, twice as long after each failure.
+func (w *Writer) nextInterval() time.Duration {
+	every := float64(w.Every) * float64(min(maxBackoff, 1<<min(w.failures, 10)))
+	return time.Duration(every * (1 + jitterShare*(2*w.rng.Float64()-1)))
 }
 
 func (w *Writer) write() error {
 	s := w.Take()
 	if s == nil {
-		return errNothing
+		return errNothingToWrite
 	}
 	if err := w.Store.Write(s); err != nil {
 		return err
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// note counts an outcome, logs it if it is a change, and returns it if it is an error.
-func (w *Writer) note(err error) error {
-	if errors.Is(err, errNothing) {
+// record counts an outcome, logs it if it is a change, and returns it if it is an error.
+func (w *Writer) record(err error) error {
+	if errors.Is(err, errNothingToWrite) {
 		return nil
 	}
 	logf := w.Logf
