--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// resolve sends an answer, which a predecessor that is gone needs no more.
+// answer sends an answer, which a predecessor that is gone needs no more.
 func (s *Successor) answer(m message) error {
 	if err := s.control.send(m, -1); err != nil && !isClosedByPeer(err) {
 		return err
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -19,7 +19,7 @@
 	maxUnixMs     = 253402300799999
 )
 
-// check says which field holds what no sidecar has learned.
+// check returns a *FieldError for a field with a value that no sidecar can have learned.
 func (s *Snapshot) check() error {
 	if t := s.TakenAt.UnixMilli(); t < 0 || t > maxUnixMs {
 		return &FieldError{"TakenAt", fmt.Sprintf("%d Unix ms is no time", t)}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// The checks return a *FieldError, nil if all is well; in tells where the field lies.
+// in puts the field of the error into an outer one. The checks below return a *FieldError, nil if all is well.
 func (e *FieldError) in(format string, args ...any) *FieldError {
 	return &FieldError{fmt.Sprintf(format, args...) + e.Field, e.Problem}
 }
@@ -123,16 +123,17 @@
 	return nil
 }
 
-// checkNumbers checks values whose names are given in their order, with spaces between.
+// checkNumbers checks that values are finite and not negative. Their names are given in their order, with spaces between.
 func checkNumbers(names string, values ...float64) *FieldError {
 	for i, v := range values {
 		if !(v >= 0 && v <= maxNumber) { // which NaN is not either
-			return &FieldError{strings.Fields(names)[i], fmt.Sprintf("%g is negative, endless or no number", v)}
+			return &FieldError{strings.Fields(names)[i], fmt.Sprintf("%g is negative, infinite or no number", v)}
 		}
 	}
 	return nil
 }
 
+// checkFractions checks that values lie within 0 and 1.
 func checkFractions(names string, values ...float64) *FieldError {
 	for i, v := range values {
 		if !(v >= 0 && v <= 1) {
@@ -142,6 +143,7 @@
 	return nil
 }
 
+// checkTexts checks that values are of a moderate length and UTF-8.
 func checkTexts(names string, values ...string) *FieldError {
 	for i, v := range values {
 		if len(v) > maxTextBytes || !utf8.ValidString(v) {
@@ -151,6 +153,7 @@
 	return nil
 }
 
+// checkName checks that a name is there and was not seen before.
 func checkName(field, v string, seen map[string]bool) *FieldError {
 	if v == "" || seen[v] {
 		return &FieldError{field, fmt.Sprintf("%.64q is empty or given twice", v)}
@@ -159,6 +162,7 @@
 	return checkTexts(field, v)
 }
 
+// checkCount checks that a list is not too long.
 func checkCount(field string, n, limit int) *FieldError {
 	if n > limit {
 		return &FieldError{field, fmt.Sprintf("%d of them, the limit is %d", n, limit)}
--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -35,7 +35,7 @@
 	headerSize     = checksumOffset + 4
 )
 
-// What Decode and Encode may complain of, to be told apart by errors.Is. A field at fault is an errors.As *FieldError.
+// Errors of Decode and Encode, wrapped. A field at fault is a *FieldError.
 var (
 	ErrNotSnapshot = errors.New("not a snapshot")
 	ErrVersion     = errors.New("another major version")
@@ -82,19 +82,19 @@
 	return v
 }
 
-// Encode returns the snapshot's file, which holds at most most bytes (0 = DefaultMaxBytes); a larger one is
+// Encode returns the snapshot's file, which has at most maxBytes (0 = DefaultMaxBytes); a larger one is
 // ErrTooLarge. What Decode would refuse is refused here. It is safe for concurrent use, like Decode.
-func Encode(s *Snapshot, most int) ([]byte, error) {
+func Encode(s *Snapshot, maxBytes int) ([]byte, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	most = orDefault(most)
-	b := bytes.NewBuffer(make([]byte, headerSize, min(most, s.usualSize())))
+	maxBytes = orDefault(maxBytes)
+	b := bytes.NewBuffer(make([]byte, headerSize, min(maxBytes, s.usualSize())))
 	if err := encoder.MarshalToBuffer(s, b); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if b.Len() > most {
-		return nil, fmt.Errorf("snapshot: %w: %d bytes, the limit is %d", ErrTooLarge, b.Len(), most)
+	if b.Len() > maxBytes {
+		return nil, fmt.Errorf("snapshot: %w: %d bytes, the limit is %d", ErrTooLarge, b.Len(), maxBytes)
 	}
 	writeHeader(b.Bytes(), Major, Minor, s.TakenAt.UnixMilli())
 	return b.Bytes(), nil
@@ -109,11 +109,11 @@
 	return n
 }
 
-func orDefault(most int) int {
-	if most <= 0 {
+func orDefault(maxBytes int) int {
+	if maxBytes <= 0 {
 		return DefaultMaxBytes
 	}
-	return most
+	return maxBytes
 }
 
 // writeHeader fills in the header of b, whose payload is in place.
@@ -171,7 +171,7 @@
 }
 
 // UnmarshalCBOR refuses a list that claims more elements than its bytes can hold, before there is room made for them:
-// the decoder looks at what each one is only afterwards, and a list for every provider adds up.
+// the decoder looks at what each one is only afterwards, and a list for every server adds up.
 func (t *Tallies) UnmarshalCBOR(b []byte) error {
 	if n := arrayLength(b); n > uint64(len(b)/minTallyBytes) {
 		return &FieldError{"Learned.Servers.By", fmt.Sprintf("%d of them in %d bytes", n, len(b))}
@@ -200,13 +200,13 @@
 
 // fieldError names the field of Snapshot that the decoder stumbled over, where it tells: it does so by the key.
 func fieldError(err error) error {
-	var f *FieldError
-	if errors.As(err, &f) {
-		return f
+	var field *FieldError
+	if errors.As(err, &field) {
+		return field
 	}
-	var t *cbor.UnmarshalTypeError
-	if errors.As(err, &t) {
-		key := t.StructFieldName[strings.LastIndexByte(t.StructFieldName, '.')+1:]
+	var mismatch *cbor.UnmarshalTypeError
+	if errors.As(err, &mismatch) {
+		key := mismatch.StructFieldName[strings.LastIndexByte(mismatch.StructFieldName, '.')+1:]
 		for _, f := range reflect.VisibleFields(reflect.TypeFor[Snapshot]()) {
 			if k, _, _ := strings.Cut(f.Tag.Get("cbor"), ","); k == key {
 				return &FieldError{f.Name, err.Error()}
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -51,9 +51,9 @@
 }
 
 // sealed puts a header before a payload.
-func sealed(major, minor uint16, at time.Time, payload string) []byte {
+func sealed(minor uint16, at time.Time, payload string) []byte {
 	b := append(make([]byte, headerSize), payload...)
-	writeHeader(b, major, minor, at.UnixMilli())
+	writeHeader(b, Major, minor, at.UnixMilli())
 	return b
 }
 
@@ -88,7 +88,7 @@
 		}
 	}
 	b = must(cbor.Marshal(map[int]any{1: "n1", 99: map[string][]int{"of a later version": {1, 2}}}))
-	same(t, "a later minor version", "n1", must(Decode(sealed(Major, Minor+1, taken, string(b)))).Program)
+	same(t, "a later minor version", "n1", must(Decode(sealed(Minor+1, taken, string(b)))).Program)
 	if _, err := Encode(fleet(4, 1), 100); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("larger than the limit: %v", err)
 	}
@@ -96,27 +96,27 @@
 
 func TestFaultyFieldIsNamed(t *testing.T) {
 	for want, spoil := range map[string]func(s *Snapshot, l *Learned){
-		"TakenAt":                         func(s *Snapshot, l *Learned) { s.TakenAt = time.Time{} },
-		"Directory":                       func(s *Snapshot, l *Learned) { s.Directory = strings.Repeat("x", 513) },
-		"Reuse":                           func(s *Snapshot, l *Learned) { s.Reuse = make([]byte, maxReuseBytes+1) },
-		"Members[1].ID":                   func(s *Snapshot, l *Learned) { s.Members[1].ID = s.Members[0].ID },
-		"Members[0].Address":              func(s *Snapshot, l *Learned) { s.Members[0].Address = "nowhere" },
-		"Members[1].UpSince":              func(s *Snapshot, l *Learned) { s.Members[1].UpSince = math.Inf(1) },
-		"Learned.Sends.At":                func(s *Snapshot, l *Learned) { l.Sends.At = math.NaN() },
-		"Learned.Fit.XY":                  func(s *Snapshot, l *Learned) { l.Fit.XY = math.MaxFloat64 },
-		"Learned.Fit.Classes[0].Sum":      func(s *Snapshot, l *Learned) { l.Fit.Classes[0].Sum = -0.5 },
-		"Learned.Tenants":                 func(s *Snapshot, l *Learned) { l.Tenants = make([]Bucket, maxTenants+1) },
-		"Learned.Tenants[0].Tokens":       func(s *Snapshot, l *Learned) { l.Tenants[0].Tokens = math.Inf(-1) },
-		"Learned.Servers[1].Name":         func(s *Snapshot, l *Learned) { l.Servers[1].Name = "" },
-		"Learned.Servers[0].Failing":      func(s *Snapshot, l *Learned) { l.Servers[0].Failing = 1.1 },
-		"Learned.Servers[1].By[1].Misses": func(s *Snapshot, l *Learned) { l.Servers[1].By[1].Misses = -1 },
-		"Learned.Servers[1].By[1].Who":    func(s *Snapshot, l *Learned) { l.Servers[1].By[1].Who = 0 },
+		"TakenAt":                         func(s *Snapshot, _ *Learned) { s.TakenAt = time.Time{} },
+		"Directory":                       func(s *Snapshot, _ *Learned) { s.Directory = strings.Repeat("x", 513) },
+		"Reuse":                           func(s *Snapshot, _ *Learned) { s.Reuse = make([]byte, maxReuseBytes+1) },
+		"Members[1].ID":                   func(s *Snapshot, _ *Learned) { s.Members[1].ID = s.Members[0].ID },
+		"Members[0].Address":              func(s *Snapshot, _ *Learned) { s.Members[0].Address = "nowhere" },
+		"Members[1].UpSince":              func(s *Snapshot, _ *Learned) { s.Members[1].UpSince = math.Inf(1) },
+		"Learned.Sends.At":                func(_ *Snapshot, l *Learned) { l.Sends.At = math.NaN() },
+		"Learned.Fit.XY":                  func(_ *Snapshot, l *Learned) { l.Fit.XY = math.MaxFloat64 },
+		"Learned.Fit.Classes[0].Sum":      func(_ *Snapshot, l *Learned) { l.Fit.Classes[0].Sum = -0.5 },
+		"Learned.Tenants":                 func(_ *Snapshot, l *Learned) { l.Tenants = make([]Bucket, maxTenants+1) },
+		"Learned.Tenants[0].Tokens":       func(_ *Snapshot, l *Learned) { l.Tenants[0].Tokens = math.Inf(-1) },
+		"Learned.Servers[1].Name":         func(_ *Snapshot, l *Learned) { l.Servers[1].Name = "" },
+		"Learned.Servers[0].Failing":      func(_ *Snapshot, l *Learned) { l.Servers[0].Failing = 1.1 },
+		"Learned.Servers[1].By[1].Misses": func(_ *Snapshot, l *Learned) { l.Servers[1].By[1].Misses = -1 },
+		"Learned.Servers[1].By[1].Who":    func(_ *Snapshot, l *Learned) { l.Servers[1].By[1].Who = 0 },
 	} {
 		s := fleet(2, 1)
 		spoil(s, &s.Learned)
 		b := must(cbor.Marshal(s))
 		_, encoding := Encode(s, 0)
-		_, decoding := Decode(sealed(Major, Minor, s.TakenAt, string(b)))
+		_, decoding := Decode(sealed(Minor, s.TakenAt, string(b)))
 		for _, err := range []error{encoding, decoding} {
 			if e := new(FieldError); !errors.As(err, &e) || e.Field != want {
 				t.Errorf("%s: %v", want, err)
@@ -131,7 +131,7 @@
 		"\xa1\x06\x01": "Learned", "\xa1\x06\xa1\x02\x81\xa1\x08\x81\x84\x61x000": "Learned.Servers.By",
 		"\xa1\x06\xa1\x01\x61x": "Learned",
 	} {
-		_, err := Decode(sealed(Major, Minor, taken, payload))
+		_, err := Decode(sealed(Minor, taken, payload))
 		if e := new(FieldError); !errors.As(err, &e) || e.Field != want {
 			t.Errorf("%q: %v, want %s", payload, err, want)
 		}
@@ -153,7 +153,7 @@
 		"a text without end":   {"\xa1\x01\x7a\xff\xff\xff\xff", "x", 9},
 		"a map without bounds": {"\xa1\x18\x63\xba\x00\x10\x00\x00", "\x01\x01", 1 << 20},
 	} {
-		b := sealed(Major, Minor, taken, at.before+strings.Repeat(at.each, at.n))
+		b := sealed(Minor, taken, at.before+strings.Repeat(at.each, at.n))
 		var from, to runtime.MemStats
 		runtime.ReadMemStats(&from)
 		_, err := Decode(b)
@@ -173,7 +173,7 @@
 		if _, err := Decode(b); err == nil && !strings.HasPrefix(string(b), magic) {
 			t.Fatal("read what is no snapshot")
 		}
-		s, err := Decode(sealed(Major, Minor, taken, string(b))) // past the checksum, which no guess would pass
+		s, err := Decode(sealed(Minor, taken, string(b))) // past the checksum, which no guess would pass
 		if err != nil {
 			if e := new(FieldError); !errors.As(err, &e) {
 				t.Fatalf("%T: %v", err, err)
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -1,81 +1,72 @@
 package snapshot
 
-import "time"
-
-// Merge returns the list that a start believes in: of two lists of one directory the one with the higher revision, of
-// lists of different directories the known one, which the configuration names. What the snapshot told of a provider
-// that drains or is gone survives in a newer list too, unless it shows a new process there: a later start time, or
-// another id. Where that leaves a list that the directory never told, its Revision is 0.
+// Merge returns the list that a start goes by: of two lists of one discovery service the one with the higher revision, of
+// lists of different services the known one, which the configuration names. What the snapshot says of a server that
+// drains or is gone survives in a newer list too, unless that shows a new process there: a later start time, or
+// another id. Where that leaves a list that discovery never sent, its Revision is 0.
 func Merge(snap, known List) (List, []Dropped) {
-	same := snap.Directory == known.Directory
-	if same && (snap.Revision >= known.Revision || len(known.Members) == 0) {
+	sameDirectory := snap.Directory == known.Directory
+	if sameDirectory && (snap.Revision >= known.Revision || len(known.Members) == 0) {
 		return snap.clone(), dropMissing(known, snap)
 	}
-	out := List{Directory: known.Directory, Revision: known.Revision}
-	had, told := snap.byID(), true
+	merged := List{Directory: known.Directory, Revision: known.Revision}
+	asListed := true
+	earlier := snap.byID()
 	for _, m := range known.Members {
-		if was, have := had[m.ID]; have && m.UpSince <= was.UpSince {
-			if was.leaving() > m.leaving() {
-				m.Phase, told = was.Phase, false
-			}
-			if was.UpSince > m.UpSince { // all clocks are one: a later start was seen, and the provider may be cold
-				m.UpSince, told = was.UpSince, false
-			}
-			if was.Phase == m.Phase {
-				m.ToldAt = was.ToldAt
-			}
-			if was.UpSince == m.UpSince {
-				m.Age = was.Age
-			}
+		if was, have := earlier[m.ID]; have && m.UpSince <= was.UpSince {
+			var altered bool
+			m, altered = m.withEarlier(was)
+			asListed = asListed && !altered
 		}
-		out.Members = append(out.Members, m)
+		merged.Members = append(merged.Members, m)
 	}
 	listed := known.byID()
 	for _, m := range snap.Members {
-		if _, have := listed[m.ID]; !have && m.leaving() > 0 {
-			out.Members = append(out.Members, m)
-			told = told && m.leaving() == 2 // that one is in no list anyway
+		if _, have := listed[m.ID]; have || m.availability() == available {
+			continue
 		}
+		merged.Members = append(merged.Members, m)
+		asListed = asListed && m.availability() == deleted // that one is in no list anyway
 	}
-	if !told {
-		out.Revision = 0
+	if !asListed {
+		merged.Revision = 0
 	}
-	why := dropMissing(snap, out)
-	for i := range why {
-		if !same {
-			why[i].Reason = OtherDirectory
+	dropped := dropMissing(snap, merged)
+	if !sameDirectory {
+		for i := range dropped {
+			dropped[i].Reason = OtherDirectory
 		}
 	}
-	return out, why
+	return merged, dropped
 }
 
-// dropMissing says which providers that take new work in one list are not in the one that is believed.
-func dropMissing(from, believed List) (out []Dropped) {
-	listed := believed.byID()
-	for _, m := range from.Members {
-		if _, have := listed[m.ID]; !have && m.leaving() == 0 {
-			out = append(out, Dropped{droppedMember, m.ID, 1, NewerList})
-		}
+// withEarlier adds to a server of the known list what the snapshot has of the same process, and reports whether it is altered by
+// that.
+func (m Member) withEarlier(was Member) (out Member, altered bool) {
+	if was.availability() > m.availability() {
+		m.Phase = was.Phase
+		altered = true
 	}
-	return out
-}
-
-// Restored is what a start has to go by.
-type Restored struct {
-	List    List
-	Learned Learned
-	Reuse   []byte
+	if was.UpSince > m.UpSince { // all clocks are one: a later start was seen, and the server may be cold
+		m.UpSince = was.UpSince
+		altered = true
+	}
+	if was.Phase == m.Phase {
+		m.ToldAt = was.ToldAt
+	}
+	if was.UpSince == m.UpSince {
+		m.Age = was.Age
+	}
+	return m, altered
 }
 
-// Restore puts Still, Merge and Match together: what a start at now takes of a snapshot, nil for none, beside the list
-// that its configuration knows. known.Directory is the directory that will be asked.
-func Restore(s *Snapshot, known List, now time.Time, r ValidityRules) (Restored, []Dropped) {
-	if s == nil {
-		return Restored{List: known.clone()}, nil
+// dropMissing returns the servers that take new work in one list and are not in the one that is gone by.
+func dropMissing(from, merged List) (dropped []Dropped) {
+	listed := merged.byID()
+	for _, m := range from.Members {
+		if _, have := listed[m.ID]; !have && m.availability() == available {
+			dropped = append(dropped, Dropped{What: droppedMember, Server: m.ID, Count: 1, Reason: NewerList})
+		}
 	}
-	s, out := DropStale(s, now, r)
-	list, more := Merge(s.List(), known)
-	out = append(out, more...)
-	s.Learned.Servers, more = Match(s.Learned.Servers, list.Members)
-	return Restored{list, s.Learned, s.Reuse}, append(out, more...)
+	return dropped
 }
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// four is a snapshot of a small fleet: a provider that serves, one that warms up, one that drains and one that is gone.
-// The module's clock lags 10 s behind the wall clock.
+// four is a snapshot of a small fleet: a server that serves, one in slow start, one that drains and one that is gone.
+// The policy's clock lags 10 s behind the wall clock.
 func four() *Snapshot {
 	at, s := unixMs(taken), fleet(3, 1)
 	s.Members = append(s.Members, Member{ID: "gone", Phase: endpoints.Deleted, ToldAt: at - 3600e3})
@@ -33,7 +33,7 @@
 	return r
 }
 
-// has tells what of four is left: its members, its parts, and of each provider the latency, what it said of its
+// has tells what of four is left: its members, its parts, and of each server the latency, what it said of its
 // failures and the number of tallies.
 func has(s *Snapshot) (out string) {
 	for _, m := range s.Members {
@@ -54,7 +54,7 @@
 	return strings.NewReplacer("true,", "+", "false,", "-").Replace(strings.TrimSpace(out))
 }
 
-func TestStill(t *testing.T) {
+func TestDropStale(t *testing.T) {
 	const all, learned = "serves warms drains gone list", " fleet fit tenants rates reuse"
 	for _, c := range []struct {
 		what string
@@ -65,7 +65,7 @@
 	}{
 		{"at once", 0, nil, all + learned + " s:++2 w:++2 d:++2", ""},
 		{"a clock a bit back", -time.Second, nil, all + learned + " s:++2 w:++2 d:++2", ""},
-		{"evidence", 10 * time.Second, nil, all + learned + " s:++1 w:++1 d:++1", `evidence=3 why="faded away"`},
+		{"outcomes fade", 10 * time.Second, nil, all + learned + " s:++1 w:++1 d:++1", `outcomes=3 why="faded away"`},
 		{"seconds", 20 * time.Second, nil, all + " fleet fit reuse s:+-0 w:+-0 d:+-0", `tenants=1 why="too old"`},
 		{"minutes", 3 * time.Minute, nil, all + " fleet reuse s:+-0 w:+-0 d:+-0", `dropped_fit=1 why="too old"`},
 		{"more minutes", 6 * time.Minute, nil, all, `dropped_service_time=3 why="too old"`},
@@ -73,25 +73,25 @@
 		{"a week", 8 * 24 * time.Hour, nil, "", `dropped_drain=2 why="too old"`},
 		{"the future", -time.Minute, nil, "drains gone", `dropped_learned=1 why="from the future"`},
 		{
-			"another program", 0, func(s *Snapshot, r *ValidityRules) { r.Program = "" }, "drains gone",
+			"another program", 0, func(_ *Snapshot, r *ValidityRules) { r.Program = "" }, "drains gone",
 			`dropped_member=2 why="another program"`,
 		},
-		{"another deployment", 0, func(s *Snapshot, r *ValidityRules) { r.Deployment = "" }, "drains gone", ""},
+		{"another deployment", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment = "" }, "drains gone", ""},
 		{
-			"another fleet", 0, func(s *Snapshot, r *ValidityRules) { r.Deployment, r.Directory = "", "" }, "",
+			"another fleet", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment, r.Directory = "", "" }, "",
 			`dropped_drain=2 why="another deployment"`,
 		},
 		{
-			"another directory", 0, func(s *Snapshot, r *ValidityRules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
-			`dropped_provider=3 why="another directory"`,
+			"another directory", 0, func(_ *Snapshot, r *ValidityRules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
+			`dropped_server=3 why="another directory"`,
 		},
 		{
-			"fewer positions", 0, func(s *Snapshot, r *ValidityRules) { r.Tenants, r.Classes = 0, 1 },
-			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_evidence=3 why="no such position"`,
+			"fewer positions", 0, func(_ *Snapshot, r *ValidityRules) { r.Tenants, r.Classes = 0, 1 },
+			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_outcomes=3 why="no such position"`,
 		},
 		{
-			"started anew", 0, func(s *Snapshot, r *ValidityRules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
-			all + learned + " w:++2", `dropped_provider=1 why="another process" dropped_provider=1 why="not listed"`,
+			"started anew", 0, func(s *Snapshot, _ *ValidityRules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
+			all + learned + " w:++2", `dropped_server=1 why="another process" dropped_server=1 why="not listed"`,
 		},
 	} {
 		s, r := four(), rules()
@@ -119,7 +119,7 @@
 	}
 }
 
-// list reads "a7 1+52": of directory a in revision 7, provider 1 serving (~ draining, x gone), started at 5, told at 2.
+// list reads "a7 1+52": of discovery service a in revision 7, server 1 serving (~ draining, x gone), started at 5, listed at 2.
 func list(text string) (l List) {
 	phases := map[byte]string{'+': endpoints.Serving, '~': endpoints.Draining, 'x': endpoints.Deleted}
 	for i, w := range strings.Fields(text) {
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestBegin(t *testing.T) {
+func TestRestore(t *testing.T) {
 	known := FromConfig(endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{
 		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, StartedAt: unixMs(taken) + 1},
 		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving},
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -37,14 +37,14 @@
 	BeforeStep func(step Step, path string) error
 }
 
-// runStep is one step.
-func (s *Store) runStep(step Step, path string, how func() error) error {
+// runStep runs one step of a write.
+func (s *Store) runStep(step Step, path string, run func() error) error {
 	var err error
 	if s.BeforeStep != nil {
 		err = s.BeforeStep(step, path)
 	}
 	if err == nil {
-		err = how()
+		err = run()
 	}
 	if err != nil {
 		return fmt.Errorf("snapshot: %s: %s: %w", path, step, err)
@@ -146,13 +146,13 @@
 		return nil, err
 	}
 	defer f.Close()
-	most := orDefault(s.MaxBytes)
-	b, err := io.ReadAll(io.LimitReader(f, int64(most)+1))
+	maxBytes := orDefault(s.MaxBytes)
+	b, err := io.ReadAll(io.LimitReader(f, int64(maxBytes)+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if len(b) > most {
-		return nil, fmt.Errorf("snapshot: %s: %w: the limit is %d bytes", s.Path, ErrTooLarge, most)
+	if len(b) > maxBytes {
+		return nil, fmt.Errorf("snapshot: %s: %w: the limit is %d bytes", s.Path, ErrTooLarge, maxBytes)
 	}
 	out, err := Decode(b)
 	if err != nil {
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -12,7 +12,7 @@
 
 const (
 	jitterShare      = 0.1 // of an interval, by which it may be longer or shorter: sidecars must not all write at once
-	maxBackoff       = 16  // intervals between two tries while the disk fails
+	maxBackoff       = 16  // intervals between two attempts while the disk fails
 	lastWriteTimeout = time.Second
 )
 
