--- a/balancer_test.go
+++ b/balancer_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-// A call whose context ends in the moment in which its connection comes up is not sent, wherever the word of that end waits.
+// A call whose context ends in the moment in which its connection comes up is not sent, even if the dispatcher has not seen that end yet.
 func TestCancelledJustBeforeTheFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// logLines are what a logger was told.
+// logLines are the lines that a logger was given.
 type logLines struct {
 	slog.Handler
 	mu     sync.Mutex
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -166,7 +166,7 @@
 	return n - d.sockets, err
 }
 
-// Stop sends SIGTERM, after which it serves on for some seconds; told twice, it does so for half a second.
+// Stop sends SIGTERM, after which it serves on for some seconds; after a second SIGTERM for half a second.
 func (d *daemon) Stop(soon bool) error {
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil || !soon {
 		return err
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -44,7 +44,7 @@
 	connIdle        time.Duration
 	drainGrace      time.Duration
 	maxRetryAfter   time.Duration // longest
-	overQuotaWeight float64       // worth of a request beyond its tenant's share
+	overQuotaWeight float64       // value of a request beyond its tenant's quota
 	slowStart       plankrouter.SlowStart
 	dir             string // for files
 }
@@ -68,8 +68,8 @@
 	withoutID         bool          // without an id
 }
 
-// outcome is what became of a request. The word and the detail are compared between the sides; whether it may have run
-// is for one side to know, the other is told nothing of it.
+// outcome is what became of a request. Kind and detail are compared between the sides; whether it may have run only the library
+// knows.
 type outcome struct {
 	kind   string // served, refused, failed, cancelled, conflict, too large, turned away, closed
 	detail string
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -21,9 +21,9 @@
 
 func (l *library) Start(s *settings) (err error) {
 	l.settings, l.ends = s, make(chan error, 1)
-	members := toEndpoints(s.endpoints)
+	initial := toEndpoints(s.endpoints)
 	o := plankrouter.Options{
-		Name: "n1", Classes: s.classes, Tenants: s.tenants, Endpoints: members, Probes: s.probes,
+		Name: "n1", Classes: s.classes, Tenants: s.tenants, Endpoints: initial, Probes: s.probes,
 		MaxAttempts: s.maxAttempts, ConnectionLimit: plankrouter.NewConnectionLimit(s.connections, nil), ConnectTimeout: s.connect, ServerIdleTimeout: s.connIdle,
 		DrainGrace: s.drainGrace, SlowStart: s.slowStart, MaxRetryAfter: s.maxRetryAfter, OverQuotaWeight: s.overQuotaWeight, Seed: 1,
 	}
@@ -55,11 +55,11 @@
 	if l.settings.endpointSource == "directory" {
 		return updateDiscovery(l.ctx, l.settings.discovery, changed, all)
 	}
-	members := toEndpoints(changed)
+	converted := toEndpoints(changed)
 	if all {
-		return l.balancer.Replace(members...)
+		return l.balancer.Replace(converted...)
 	}
-	return l.balancer.Update(members...)
+	return l.balancer.Update(converted...)
 }
 
 func (l *library) Do(ctx context.Context, r *request) outcome {
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -42,7 +42,7 @@
 	servers     map[string]*scriptedServer
 	order       []string // of the servers, as in the file
 	sharedDeeds *queue
-	endpoints   map[string]fakes.Member // as they were last told, by id
+	endpoints   map[string]fakes.Member // as they were last listed, by id
 	calls       []*call
 	running     sync.WaitGroup
 	closed      bool
@@ -146,8 +146,8 @@
 		if plain[2] == "once" {
 			c.Idempotency = plankrouter.NonIdempotent
 		}
-		worth, err := strconv.ParseFloat(cmp.Or(o.get("worth"), "1"), 64)
-		c.PriorityWeight = worth
+		weight, err := strconv.ParseFloat(cmp.Or(o.get("worth"), "1"), 64)
+		c.PriorityWeight = weight
 		p.settings.classes = append(p.settings.classes, c)
 		return errors.Join(err, duration(o, "aim", &p.settings.classes[len(p.settings.classes)-1].LatencyObjective),
 			duration(o, "deadline", &p.settings.classes[len(p.settings.classes)-1].Deadline))
@@ -339,7 +339,7 @@
 		defer one.mu.Unlock()
 		one.probing, one.probes = plain[1], 0
 		return nil
-	case "probed": // since it was told what becomes of probes
+	case "probed": // since the line that says what becomes of probes
 		return p.until(func() bool { return one.probeCount() > 0 })
 	case "sees": // N, or the request of that name
 		return p.until(count(func(s seenAttempt) bool { return s.action != "part" }))
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -156,10 +156,10 @@
 	return os.WriteFile(s.path, []byte(b.String()), 0o644)
 }
 
-// has reports whether the setup has a line of that one word.
-func (s *scenario) has(word string) bool {
+// has reports whether the setup has a line that begins with the keyword.
+func (s *scenario) has(keyword string) bool {
 	for _, w := range s.setup {
-		if w[0] == word {
+		if w[0] == keyword {
 			return true
 		}
 	}
--- a/conformance/server_test.go
+++ b/conformance/server_test.go
@@ -275,8 +275,8 @@
 
 // request does with a request what the script says, and reports whether the connection may carry another.
 func (s *scriptedServer) request(c *clientConn, req *http.Request) bool {
-	d, told := s.ownDeeds.next(c.carried)
-	if !told {
+	d, scripted := s.ownDeeds.next(c.carried)
+	if !scripted {
 		d, _ = s.sharedDeeds.next(c.carried)
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
@@ -354,11 +354,11 @@
 //	silent                 sends nothing
 //	raw RAW                sends this, and ends the connection
 func (s *scriptedServer) act(c *clientConn, a *seenAttempt, d *deed, req *http.Request, body []byte) bool {
-	head, whole := d.answer(req, body)
+	head, message := d.answer(req, body)
 	switch d.name {
 	case "answer":
 		s.record(a, strings.TrimSpace("answered "+d.options.get("status")), true)
-		more := s.write(c, []byte(d.options.get("before")), whole, []byte(d.options.get("after")))
+		more := s.write(c, []byte(d.options.get("before")), message, []byte(d.options.get("after")))
 		if more = more && !slices.Contains(d.args, "last"); !more {
 			c.end(false)
 		}
@@ -378,17 +378,17 @@
 	case "cut":
 		n, err := strconv.Atoi(d.args[0])
 		if err != nil {
-			n = len(whole) / 2
+			n = len(message) / 2
 		}
 		s.record(a, "cut", false)
-		s.write(c, whole[:min(n, len(whole)-1)])
+		s.write(c, message[:min(n, len(message)-1)])
 		c.end(slices.Contains(d.args, "reset"))
 		return false
 	case "halve":
-		s.write(c, whole[:len(whole)/2])
+		s.write(c, message[:len(message)/2])
 		return s.record(a, "halved", false)
 	case "stall":
-		s.write(c, whole[:head])
+		s.write(c, message[:head])
 		return s.record(a, "stalled", false)
 	case "silent":
 		return s.record(a, "silent", false)
@@ -408,7 +408,7 @@
 
 // answer words the answer, and says how long its head is. Its body, if the script gives none, says what came: method,
 // target, the fields that begin with X-, and the body.
-func (d *deed) answer(req *http.Request, body []byte) (head int, whole []byte) {
+func (d *deed) answer(req *http.Request, body []byte) (head int, message []byte) {
 	status, _ := strconv.Atoi(d.options.get("status"))
 	if status == 0 {
 		status = 200
@@ -432,23 +432,23 @@
 		fields = append(fields, "Connection: close")
 	}
 	if slices.Contains(d.args, "chunked") {
-		whole = fmt.Appendf(nil, "HTTP/1.1 %d -\r\nTransfer-Encoding: chunked\r\n", status)
+		message = fmt.Appendf(nil, "HTTP/1.1 %d -\r\nTransfer-Encoding: chunked\r\n", status)
 		for _, f := range fields {
-			whole = append(whole, f+"\r\n"...)
+			message = append(message, f+"\r\n"...)
 		}
-		whole = append(whole, "\r\n"...)
-		head = len(whole)
+		message = append(message, "\r\n"...)
+		head = len(message)
 		for rest := made; len(rest) > 0; rest = rest[min(1000, len(rest)):] {
 			part := rest[:min(1000, len(rest))]
-			whole = fmt.Appendf(whole, "%x\r\n%s\r\n", len(part), part)
+			message = fmt.Appendf(message, "%x\r\n%s\r\n", len(part), part)
 		}
-		return head, append(whole, "0\r\n\r\n"...)
+		return head, append(message, "0\r\n\r\n"...)
 	}
-	whole = httpResponse(status, fields, made)
-	if head = len(whole) - len(made); req.Method == "HEAD" {
-		return head, whole[:head]
+	message = httpResponse(status, fields, made)
+	if head = len(message) - len(made); req.Method == "HEAD" {
+		return head, message[:head]
 	}
-	return head, whole
+	return head, message
 }
 
 func httpResponse(status int, fields []string, body []byte) []byte {
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -43,73 +43,73 @@
 	must(t, closed.Close(t.Context()))
 	empty := balancer(t, usual())
 	p.ownDeeds.add(deed{name: "reset"}, 1) // of the first that comes
-	for _, c := range []struct {
-		name   string
-		tr     plankrouter.Transport
-		reader io.Reader
-		edit   func(*http.Request)
-		want   string // in the error; "" = none
+	for _, row := range []struct {
+		name      string
+		transport plankrouter.Transport
+		reader    io.Reader
+		edit      func(*http.Request)
+		want      string // in the error; "" = none
 	}{
-		{name: "reset", tr: plankrouter.Transport{Balancer: b, Class: "order"}, want: "failed"},
-		{name: "served", tr: plankrouter.Transport{Balancer: b, Class: "order"}},
-		{name: "unknown class", tr: plankrouter.Transport{Balancer: b, Class: "fax"}, want: "fax"},
+		{name: "reset", transport: plankrouter.Transport{Balancer: b, Class: "order"}, want: "failed"},
+		{name: "served", transport: plankrouter.Transport{Balancer: b, Class: "order"}},
+		{name: "unknown class", transport: plankrouter.Transport{Balancer: b, Class: "fax"}, want: "fax"},
 		{
-			name: "too large", tr: plankrouter.Transport{Balancer: b}, reader: bytes.NewReader(pattern(65537)),
+			name: "too large", transport: plankrouter.Transport{Balancer: b}, reader: bytes.NewReader(pattern(65537)),
 			want: "larger",
 		},
 		{
-			name: "too large of unknown length", tr: plankrouter.Transport{Balancer: b},
+			name: "too large of unknown length", transport: plankrouter.Transport{Balancer: b},
 			reader: io.MultiReader(bytes.NewReader(pattern(65537))), want: "larger",
 		},
-		{name: "unreadable", tr: plankrouter.Transport{Balancer: b}, reader: failing{}, want: "can't be read"},
+		{name: "unreadable", transport: plankrouter.Transport{Balancer: b}, reader: failing{}, want: "can't be read"},
 		{
-			name: "no URL", tr: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL = nil },
+			name: "no URL", transport: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL = nil },
 			want: "URL",
 		},
 		{
-			name: "https", tr: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL.Scheme = "https" },
+			name: "https", transport: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL.Scheme = "https" },
 			want: "https",
 		},
 		{
-			name: "a field that can't be sent", tr: plankrouter.Transport{Balancer: b},
+			name: "a field that can't be sent", transport: plankrouter.Transport{Balancer: b},
 			edit: func(r *http.Request) { r.Header.Set("X-A", "1\r\nX-B: 2") }, want: "X-A",
 		},
 		{
-			name: "a method that can't be sent", tr: plankrouter.Transport{Balancer: b},
+			name: "a method that can't be sent", transport: plankrouter.Transport{Balancer: b},
 			edit: func(r *http.Request) { r.Method = "GET /x HTTP/1.1\r\n" }, want: "Method",
 		},
 		{
-			name: "given up", tr: plankrouter.Transport{Balancer: b},
+			name: "given up", transport: plankrouter.Transport{Balancer: b},
 			edit: func(r *http.Request) { *r = *r.WithContext(ended()) }, want: "canceled",
 		},
-		{name: "closed", tr: plankrouter.Transport{Balancer: closed}, want: "closed"},
-		{name: "rejected", tr: plankrouter.Transport{Balancer: empty}, want: "rejected"},
+		{name: "closed", transport: plankrouter.Transport{Balancer: closed}, want: "closed"},
+		{name: "rejected", transport: plankrouter.Transport{Balancer: empty}, want: "rejected"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if c.reader == nil {
-				c.reader = strings.NewReader("a body")
+		t.Run(row.name, func(t *testing.T) {
+			if row.reader == nil {
+				row.reader = strings.NewReader("a body")
 			}
-			sent := &body{Reader: c.reader}
+			sent := &body{Reader: row.reader}
 			req, err := http.NewRequest("POST", "http://orders.internal/order/7?x=1#y", sent)
 			must(t, err)
-			if c.name == "too large" {
+			if row.name == "too large" {
 				req.ContentLength = 65537
 			}
 			req.Header.Set("X-A", "1")
-			if c.edit != nil {
-				c.edit(req)
+			if row.edit != nil {
+				row.edit(req)
 			}
 			before := req.Clone(req.Context())
 			seen := len(p.seen())
-			resp, err := c.tr.RoundTrip(req)
-			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) ||
+			resp, err := row.transport.RoundTrip(req)
+			if (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) ||
 				(resp == nil) != (err != nil) {
 				t.Errorf("%v, %v", resp, err)
 			}
 			if sent.closed.Load() == 0 {
 				t.Error("its body is open")
 			}
-			if c.want != "" && c.want != "failed" && len(p.seen()) > seen {
+			if row.want != "" && row.want != "failed" && len(p.seen()) > seen {
 				t.Error("it was sent all the same")
 			}
 			after := req.Clone(req.Context())
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -2,7 +2,7 @@
 //
 // Handler serves routes of the application by the servers of a Balancer; Middleware tells the calls that the
 // application makes for a request, through a plankrouter.Transport, what class, tenant and deadline that request has.
-// What either of them takes from the client's word is named in Options, and nothing is unless it is named there.
+// Of what the client says of itself they take only what Options name.
 //
 //	tiles, err := middleware.Handler(b, middleware.Options{Class: middleware.Always("tile")})
 //	...
