--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -13,40 +13,40 @@
 	"testing/synctest"
 )
 
-// over is a core that has stopped.
-type over struct{ holding }
+// stoppedDispatcher is a dispatcher that has stopped.
+type stoppedDispatcher struct{ manualDispatcher }
 
-func (*over) Submit(*request.Request) bool { return false }
+func (*stoppedDispatcher) Submit(*request.Request) bool { return false }
 
-// A connection that ends without the answer to a request that was read from it is counted, unless its consumer has gone.
+// A connection that ends without the answer to a request that was read from it is counted, unless its client has gone.
 func TestMissingAnswersAreCounted(t *testing.T) {
 	for name, row := range map[string]struct {
-		core  request.Dispatcher
-		reads bool // the answer, before the front ends
-		leave bool
-		want  int64
+		dispatcher request.Dispatcher
+		reads      bool // whether the client reads the answer before all is closed
+		leave      bool // whether the client leaves
+		want       int64
 	}{
-		"answered":            {new(quick), true, false, 0},
-		"core has stopped":    {new(over), false, false, 1},
-		"consumer has gone":   {new(holding), false, true, 0},
-		"front is hung up on": {new(holding), false, false, 1},
+		"answered":               {new(immediateDispatcher), true, false, 0},
+		"dispatcher has stopped": {new(stoppedDispatcher), false, false, 1},
+		"client has gone":        {new(manualDispatcher), false, true, 0},
+		"all is closed":          {new(manualDispatcher), false, false, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-			book := new(invariant.Recorder)
-			h := &testServer{
-				Server: New(cfg, row.core, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16)),
-				l:      newPipes(), done: make(chan error, 1),
+			recorder := new(invariant.Recorder)
+			s := &testServer{
+				Server:   New(cfg, row.dispatcher, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16)),
+				listener: newPipeListener(), done: make(chan error, 1),
 			}
-			h.Rules = book
-			go func() { h.done <- h.Serve(ctx, h.l) }()
-			c := h.connect()
-			c.ask("a")
+			s.Rules = recorder
+			go func() { s.done <- s.Serve(ctx, s.listener) }()
+			c := s.connect()
+			c.sendRequest("a")
 			synctest.Wait()
 			if row.reads {
-				if got := c.gets(); got != "200" {
+				if got := c.readStatus(); got != "200" {
 					t.Errorf("%s: %s", name, got)
 				}
 			}
@@ -55,11 +55,11 @@
 				synctest.Wait()
 			}
 			cancel()
-			go io.Copy(io.Discard, c)
-			if err := <-h.done; err != nil {
+			go func() { _, _ = io.Copy(io.Discard, c) }()
+			if err := <-s.done; err != nil {
 				t.Error(err)
 			}
-			if got := book.Counts()[invariant.Answer].Violations; got != row.want {
+			if got := recorder.Counts()[invariant.Answer].Violations; got != row.want {
 				t.Errorf("%s: %d counted, want %d", name, got, row.want)
 			}
 		})
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// taking is a core that shows what it takes.
-type taking struct {
-	holding
-	took chan *request.Request
+// recordingDispatcher is a dispatcher that passes on the requests it gets.
+type recordingDispatcher struct {
+	manualDispatcher
+	requests chan *request.Request
 }
 
-func (c *taking) Submit(r *request.Request) bool {
-	c.took <- r
+func (d *recordingDispatcher) Submit(r *request.Request) bool {
+	d.requests <- r
 	return true
 }
 
-// A client's time runs from when its request arrived, not from when this process came to accept its connection or to read it.
+// A client's time runs from when its request arrived, not from when this process accepted its connection or read it.
 func TestTimeRunsFromArrival(t *testing.T) {
 	const (
-		unread  = 300 * time.Millisecond // for which the request lies in the kernel
-		blurred = 30 * time.Millisecond  // by the kernel's ticks
+		unread    = 300 * time.Millisecond // how long the request lies in the kernel
+		tolerance = 30 * time.Millisecond  // for the kernel's ticks
 	)
-	core := &taking{took: make(chan *request.Request, 1)}
-	s, l, done := behindGate(t, core, 16)
+	dispatcher := &recordingDispatcher{requests: make(chan *request.Request, 1)}
+	s, l, done := serveBehindGate(t, dispatcher, 16)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	after := time.Now()
 	time.Sleep(unread)
 	close(l.gate)
-	r := <-core.took
-	if r.SentAt.Before(before.Add(-blurred)) || r.SentAt.After(after.Add(blurred)) {
+	r := <-dispatcher.requests
+	if r.SentAt.Before(before.Add(-tolerance)) || r.SentAt.After(after.Add(tolerance)) {
 		t.Errorf("sent %s before it was read; its time runs from %s before that", time.Since(after), time.Since(r.SentAt))
 	}
 	c.Close()
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -20,60 +20,60 @@
 	"time"
 )
 
-// quick is a core that answers at once.
-type quick struct{ holding }
+// immediateDispatcher is a dispatcher that answers at once.
+type immediateDispatcher struct{ manualDispatcher }
 
-func (c *quick) Submit(r *request.Request) bool {
-	c.holding.Submit(r)
-	go c.answer()
+func (i *immediateDispatcher) Submit(r *request.Request) bool {
+	i.manualDispatcher.Submit(r)
+	go i.answerAll()
 	return true
 }
 
-// gated is a listener whose Accept is held until the gate opens.
-type gated struct {
+// gatedListener is a listener whose Accept waits until the gate opens.
+type gatedListener struct {
 	*net.TCPListener
-	at, gate chan struct{}
-	once     sync.Once
+	reached, gate chan struct{}
+	once          sync.Once
 }
 
-func (g *gated) Accept() (net.Conn, error) {
-	g.once.Do(func() { close(g.at) })
+func (g *gatedListener) Accept() (net.Conn, error) {
+	g.once.Do(func() { close(g.reached) })
 	<-g.gate
 	return g.TCPListener.Accept()
 }
 
-// behindGate returns a front with so many places that is about to accept, as soon as the gate opens, and where its end is told.
-func behindGate(t *testing.T, core request.Dispatcher, places int) (*Server, *gated, <-chan error) {
+// serveBehindGate returns a server with so many places that accepts as soon as the gate opens, its listener, and what Serve returns.
+func serveBehindGate(t *testing.T, dispatcher request.Dispatcher, places int) (*Server, *gatedListener, <-chan error) {
 	t.Helper()
 	plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
+	l := &gatedListener{TCPListener: plain, reached: make(chan struct{}), gate: make(chan struct{})}
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	s := New(cfg, core, connlimit.NewBudget(places, nil), new(metrics.Registry), streaming.New(1<<20, places))
+	s := New(cfg, dispatcher, connlimit.NewBudget(places, nil), new(metrics.Registry), streaming.New(1<<20, places))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(t.Context(), l) }()
-	<-l.at
+	<-l.reached
 	return s, l, done
 }
 
-// What the kernel has accepted when the front is closed is answered, however late Serve comes to it; what knocks after that
-// finds nobody.
-func TestDrainTakesTheBacklog(t *testing.T) {
+// What the kernel has accepted when Drain is called is answered, however late Serve accepts it; connections that come after that are
+// refused.
+func TestDrainServesTheBacklog(t *testing.T) {
 	for _, late := range []time.Duration{0, 15 * time.Millisecond} {
 		plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}
+		l := &gatedListener{TCPListener: plain, reached: make(chan struct{}), gate: make(chan struct{})}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
+		s := New(cfg, new(immediateDispatcher), connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
-		<-l.at
+		<-l.reached
 		var clients []net.Conn
 		for i := range 3 {
 			c, err := net.Dial("tcp", plain.Addr().String())
@@ -105,114 +105,114 @@
 	}
 }
 
-// until is pipes with a deadline, past which even what is there is not accepted, as of a TCP listener.
-type until struct {
-	*pipes
-	mu sync.Mutex
-	at time.Time
+// deadlinePipes is a pipeListener with a deadline, past which nothing is accepted, as with a TCP listener.
+type deadlinePipes struct {
+	*pipeListener
+	mu       sync.Mutex
+	deadline time.Time
 }
 
-func (u *until) SetDeadline(at time.Time) error {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.at = at
-	time.AfterFunc(time.Until(at), func() { u.pipes.conns <- nil }) // wakes who waits
+func (d *deadlinePipes) SetDeadline(at time.Time) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.deadline = at
+	time.AfterFunc(time.Until(at), func() { d.conns <- nil }) // wakes an Accept that waits
 	return nil
 }
 
-func (u *until) Accept() (net.Conn, error) {
+func (d *deadlinePipes) Accept() (net.Conn, error) {
 	for {
-		u.mu.Lock()
-		over := !u.at.IsZero() && !time.Now().Before(u.at)
-		u.mu.Unlock()
+		d.mu.Lock()
+		over := !d.deadline.IsZero() && !time.Now().Before(d.deadline)
+		d.mu.Unlock()
 		if over {
 			return nil, os.ErrDeadlineExceeded
 		}
-		if c, err := u.pipes.Accept(); c != nil || err != nil {
+		if c, err := d.pipeListener.Accept(); c != nil || err != nil {
 			return c, err
 		}
 	}
 }
 
-// A connection that waits for room is taken when Drain's own closes make it, and no later than that; never over the limit.
-func TestDrainWaitsForRoom(t *testing.T) {
-	for held, want := range map[int]int{0: 200, 1: 0} {
+// A connection that waits for a place is accepted when the connections that Drain closes make room, and never beyond the limit.
+func TestDrainWaitsForAPlace(t *testing.T) {
+	for occupied, want := range map[int]int{0: 200, 1: 0} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cfg := &config.Config{}
 			cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-			l := &until{pipes: newPipes()}
-			budget := connlimit.NewBudget(4, nil) // two of them are for consumers
-			h := &testServer{Server: New(cfg, new(quick), budget, new(metrics.Registry), streaming.New(1<<20, 16)), l: l.pipes, done: make(chan error, 1)}
-			for range held {
+			l := &deadlinePipes{pipeListener: newPipeListener()}
+			budget := connlimit.NewBudget(4, nil) // two of them are for clients
+			s := &testServer{Server: New(cfg, new(immediateDispatcher), budget, new(metrics.Registry), streaming.New(1<<20, 16)), listener: l.pipeListener, done: make(chan error, 1)}
+			for range occupied {
 				budget.ReserveBeyondLimit(connlimit.Inward)
 			}
-			go func() { h.done <- h.Serve(ctx, l) }()
-			for range 2 - held {
-				c := h.connect()
-				c.ask("a")
-				if got := c.gets(); got != "200" {
+			go func() { s.done <- s.Serve(ctx, l) }()
+			for range 2 - occupied {
+				c := s.connect()
+				c.sendRequest("a")
+				if got := c.readStatus(); got != "200" {
 					t.Fatal(got)
 				}
 			}
-			if held > 0 {
-				budget.ReserveBeyondLimit(connlimit.Inward) // which nothing makes room for
+			if occupied > 0 {
+				budget.ReserveBeyondLimit(connlimit.Inward) // for which nothing makes room
 			}
-			mine, theirs := net.Pipe()
-			l.conns <- mine
-			go fmt.Fprint(theirs, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: b\r\n\r\n")
+			serverEnd, clientEnd := net.Pipe()
+			l.conns <- serverEnd
+			go fmt.Fprint(clientEnd, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: b\r\n\r\n")
 			began := time.Now()
-			h.Drain(l)
-			theirs.SetReadDeadline(time.Now().Add(time.Second))
+			s.Drain(l)
+			clientEnd.SetReadDeadline(time.Now().Add(time.Second))
 			got := 0
-			if resp, err := http.ReadResponse(bufio.NewReader(theirs), nil); err == nil {
+			if resp, err := http.ReadResponse(bufio.NewReader(clientEnd), nil); err == nil {
 				got = resp.StatusCode
 			} else if !errors.Is(err, os.ErrDeadlineExceeded) && want > 0 {
 				t.Error(err)
 			}
 			if got != want {
-				t.Errorf("%d held: %d, want %d", held, got, want)
+				t.Errorf("%d occupied: %d, want %d", occupied, got, want)
 			}
-			theirs.Close()
-			if err := <-h.done; err != nil || time.Since(began) > 2*time.Second {
+			clientEnd.Close()
+			if err := <-s.done; err != nil || time.Since(began) > 2*time.Second {
 				t.Errorf("ended after %s: %v", time.Since(began), err)
 			}
-			mine.Close()
+			serverEnd.Close()
 			cancel()
 		})
 	}
 }
 
-// faulty is a listener whose Accept fails so many times once its gate is open.
-type faulty struct {
-	*gated
-	err   error
-	times int
+// failingListener is a listener whose Accept fails so many times once its gate is open.
+type failingListener struct {
+	*gatedListener
+	err          error
+	failuresLeft int
 }
 
-func (f *faulty) Accept() (net.Conn, error) {
-	f.once.Do(func() { close(f.at) })
+func (f *failingListener) Accept() (net.Conn, error) {
+	f.once.Do(func() { close(f.reached) })
 	<-f.gate
-	if f.times--; f.times >= 0 {
+	if f.failuresLeft--; f.failuresLeft >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", f.err)}
 	}
 	return f.TCPListener.Accept()
 }
 
-// An accept that fails for a moment as the front is closed does not end what lies in the backlog.
-func TestDrainOutlastsAFailingAccept(t *testing.T) {
+// An accept that fails for a moment while draining does not lose what waits in the backlog.
+func TestDrainRetriesAFailingAccept(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS} {
 		plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &faulty{&gated{TCPListener: plain, at: make(chan struct{}), gate: make(chan struct{})}, errno, 2}
+		l := &failingListener{&gatedListener{TCPListener: plain, reached: make(chan struct{}), gate: make(chan struct{})}, errno, 2}
 		cfg := &config.Config{}
 		cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-		s := New(cfg, new(quick), connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
+		s := New(cfg, new(immediateDispatcher), connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(t.Context(), l) }()
-		<-l.at
+		<-l.reached
 		c, err := net.Dial("tcp", plain.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -232,22 +232,22 @@
 	}
 }
 
-// A crowd that says nothing, or half of something, does not keep a request in the backlog from its answer as the front is closed.
-func TestDrainOutlastsACrowd(t *testing.T) {
-	for name, says := range map[string]string{"silent": "", "half a request": "POST /order/1 HTTP/1.1\r\nHost: x\r\nContent-Le"} {
-		t.Run(name, func(t *testing.T) { drainBehind(t, says) })
+// Many connections that send nothing, or a part of a request, do not keep a request in the backlog from its answer while draining.
+func TestDrainServesBacklogBehindUnusedConnections(t *testing.T) {
+	for name, sent := range map[string]string{"silent": "", "part of a request": "POST /order/1 HTTP/1.1\r\nHost: x\r\nContent-Le"} {
+		t.Run(name, func(t *testing.T) { testDrainBehindOthers(t, sent) })
 	}
 }
 
-func drainBehind(t *testing.T, says string) {
-	s, l, done := behindGate(t, new(quick), 48) // 12 of them for strangers
+func testDrainBehindOthers(t *testing.T, sent string) {
+	s, l, done := serveBehindGate(t, new(immediateDispatcher), 48) // 12 of them for unused connections
 	for range 24 {
 		one, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer one.Close()
-		fmt.Fprint(one, says)
+		fmt.Fprint(one, sent)
 	}
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -259,7 +259,7 @@
 	close(l.gate)
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("behind a crowd: %v, %v", resp, err)
+		t.Errorf("behind unused connections: %v, %v", resp, err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"errors"
+	"io"
 	"net"
 	"net/http"
 	"plankrouter/internal/config"
@@ -18,32 +19,32 @@
 	"time"
 )
 
-// holding is a core that answers when it is told to.
-type holding struct {
-	mu   sync.Mutex
-	held []*request.Request
+// manualDispatcher is a dispatcher that answers when the test says so.
+type manualDispatcher struct {
+	mu      sync.Mutex
+	pending []*request.Request
 }
 
-func (c *holding) Submit(r *request.Request) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.held = append(c.held, r)
+func (m *manualDispatcher) Submit(r *request.Request) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.pending = append(m.pending, r)
 	return true
 }
-func (c *holding) ClientGone(*request.Request) {}
-func (c *holding) Ready() bool                 { return true }
+func (m *manualDispatcher) ClientGone(*request.Request) {}
+func (m *manualDispatcher) Ready() bool                 { return true }
 
-func (c *holding) answer() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, r := range c.held {
+func (m *manualDispatcher) answerAll() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, r := range m.pending {
 		r.Respond(request.Response{Kind: request.Served, Body: []byte("ok")})
 	}
-	c.held = nil
+	m.pending = nil
 }
 
-// pipes is a listener that can be paused by a deadline, as a TCP listener.
-type pipes struct {
+// pipeListener is a listener of pipes that can be paused, like a TCP listener by a deadline.
+type pipeListener struct {
 	conns  chan net.Conn
 	mu     sync.Mutex
 	paused chan struct{} // closed while accepting must fail
@@ -51,11 +52,11 @@
 	once   sync.Once
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn, 8), paused: make(chan struct{}), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn, 8), paused: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (p *pipes) pause(on bool) {
+func (p *pipeListener) pause(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on {
@@ -65,7 +66,7 @@
 	}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	p.mu.Lock()
 	paused := p.paused
 	p.mu.Unlock()
@@ -86,95 +87,96 @@
 	}
 }
 
-func (p *pipes) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// testServer is a front with its listener and core.
+// testServer is a server with its listener and dispatcher.
 type testServer struct {
 	*Server
-	core *holding
-	l    *pipes
-	done chan error
+	manual   *manualDispatcher
+	listener *pipeListener
+	done     chan error
 }
 
-func newTestServer(t *testing.T, ctx context.Context) *testServer {
+func newTestServer(ctx context.Context, t *testing.T) *testServer {
 	t.Helper()
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	h := &testServer{core: new(holding), l: newPipes(), done: make(chan error, 1)}
-	h.Server = New(cfg, h.core, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
-	go func() { h.done <- h.Serve(ctx, h.l) }()
-	return h
+	s := &testServer{manual: new(manualDispatcher), listener: newPipeListener(), done: make(chan error, 1)}
+	s.Server = New(cfg, s.manual, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16))
+	go func() { s.done <- s.Serve(ctx, s.listener) }()
+	return s
 }
 
-// shared is a connection of which two processes may have a copy: it is closed when both are.
-type shared struct {
+// sharedConn is a connection of which two processes may have a copy: it is closed when both are.
+type sharedConn struct {
 	net.Conn
 	copies atomic.Int32
 }
 
-func (s *shared) Close() error {
+func (s *sharedConn) Close() error {
 	if s.copies.Add(-1) == 0 {
 		return s.Conn.Close()
 	}
 	return nil
 }
 
-// client is a consumer's end.
-type client struct {
+// testClient is a client's end of a connection.
+type testClient struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (h *testServer) connect() *client {
-	mine, theirs := net.Pipe()
-	one := &shared{Conn: mine}
+func (s *testServer) connect() *testClient {
+	serverEnd, clientEnd := net.Pipe()
+	one := &sharedConn{Conn: serverEnd}
 	one.copies.Store(1)
-	h.l.conns <- one
+	s.listener.conns <- one
 	synctest.Wait()
-	return &client{theirs, bufio.NewReader(theirs)}
+	return &testClient{clientEnd, bufio.NewReader(clientEnd)}
 }
 
-func (c *client) ask(id string) {
+func (c *testClient) sendRequest(id string) {
 	c.SetDeadline(time.Now().Add(time.Second))
-	c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n\r\n"))
+	_, _ = c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n\r\n")) // readStatus says whether it is closed
 	synctest.Wait()
 }
 
-// gets is what the consumer gets: an answer's status, "closed", or "nothing".
-func (c *client) gets() string {
+// readStatus is what the client gets: an answer's status, "closed", or "nothing".
+func (c *testClient) readStatus() string {
 	synctest.Wait()
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
-	r, err := http.ReadResponse(c.br, nil)
+	r, err := http.ReadResponse(c.reader, nil)
 	var late net.Error
 	switch {
 	case err == nil:
-		word := r.Status[:3]
+		status := r.Status[:3]
 		if r.Close {
-			word += " last"
+			status += " last"
 		}
-		b := make([]byte, r.ContentLength)
-		r.Body.Read(b)
-		return word
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return err.Error()
+		}
+		return status
 	case errors.As(err, &late) && late.Timeout():
 		return "nothing"
 	}
 	return "closed"
 }
 
-// Connections go to a successor one by one, between two messages, with what they have brought so far, and serve on there;
-// one whose request is under way goes with its answer, and no more comes in here.
+// Connections go to a successor one by one, between two messages, with a note of what their clients have sent, and are served there;
+// one whose request is under way goes after its answer, and no connection is accepted here any more.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		old, next := newTestServer(t, ctx), newTestServer(t, ctx)
+		old, next := newTestServer(ctx, t), newTestServer(ctx, t)
 		fresh, idle, busy := old.connect(), old.connect(), old.connect()
-		idle.ask("a")
-		old.core.answer()
-		if got := idle.gets(); got != "200" {
+		idle.sendRequest("a")
+		old.manual.answerAll()
+		if got := idle.readStatus(); got != "200" {
 			t.Fatalf("before: %s", got)
 		}
-		busy.ask("b")
+		busy.sendRequest("b")
 		done := next.Expect()
 		var mu sync.Mutex
 		notes := map[string]int{}
@@ -182,34 +184,34 @@
 			mu.Lock()
 			defer mu.Unlock()
 			notes[string(note)]++
-			c.(*shared).copies.Add(1)
+			c.(*sharedConn).copies.Add(1)
 			next.Adopt(c, note)
 			return nil
 		})
-		late := old.connect() // it had knocked before the listener was stopped
-		old.l.pause(true)
+		late := old.connect() // it came before the listener was stopped
+		old.listener.pause(true)
 		synctest.Wait()
 		select {
 		case <-left:
 			t.Error("nothing is left, with a request under way")
 		default:
 		}
-		time.Sleep(3 * time.Second) // one that had brought something may be idle for longer than one that has not
-		for _, c := range []*client{fresh, late} {
-			if got := c.gets(); got != "closed" {
-				t.Errorf("one that brings nothing: %s", got)
+		time.Sleep(3 * time.Second) // one that has sent a message may be idle for longer than one that has not
+		for _, c := range []*testClient{fresh, late} {
+			if got := c.readStatus(); got != "closed" {
+				t.Errorf("one that sends nothing: %s", got)
 			}
 		}
 		if !old.Passing() || notes[""] != 2 || notes[noteHasSentRequest] != 1 || len(notes) != 2 {
 			t.Errorf("passing %t, with notes %v", old.Passing(), notes)
 		}
-		idle.ask("c")
-		next.core.answer()
-		if got := idle.gets(); got != "200" {
-			t.Errorf("one that had brought something, at the successor: %s", got)
+		idle.sendRequest("c")
+		next.manual.answerAll()
+		if got := idle.readStatus(); got != "200" {
+			t.Errorf("one that had sent a message, at the successor: %s", got)
 		}
-		old.core.answer()
-		if got := busy.gets(); got != "200" {
+		old.manual.answerAll()
+		if got := busy.readStatus(); got != "200" {
 			t.Errorf("the request under way: %s", got)
 		}
 		synctest.Wait()
@@ -218,29 +220,29 @@
 		default:
 			t.Error("connections are left")
 		}
-		busy.ask("e")
-		next.core.answer()
-		if got := busy.gets(); got != "200" || notes[noteHasSentRequest] != 2 || next.Adopted.Load() != 4 {
+		busy.sendRequest("e")
+		next.manual.answerAll()
+		if got := busy.readStatus(); got != "200" || notes[noteHasSentRequest] != 2 || next.Adopted.Load() != 4 {
 			t.Errorf("after its answer: %s, with notes %v", got, notes)
 		}
-		// Told to stop, the successor ends what it has adopted with its last answer, and waits for what may still come.
-		next.Drain(next.l)
-		if got := idle.gets(); got != "closed" {
+		// Draining, the successor ends the adopted connections with their last answer, and waits for those that may still come.
+		next.Drain(next.listener)
+		if got := idle.readStatus(); got != "closed" {
 			t.Errorf("an idle one: %s", got)
 		}
-		mine, theirs := net.Pipe()
-		c := &client{theirs, bufio.NewReader(theirs)}
-		go c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: f\r\n\r\n"))
+		serverEnd, clientEnd := net.Pipe()
+		c := &testClient{clientEnd, bufio.NewReader(clientEnd)}
+		go func() { _, _ = c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: f\r\n\r\n")) }()
 		synctest.Wait()
-		next.Adopt(mine, []byte(noteHasSentRequest))
+		next.Adopt(serverEnd, []byte(noteHasSentRequest))
 		synctest.Wait()
-		next.core.answer()
-		if got := c.gets(); got != "200 last" && got != "closed" {
+		next.manual.answerAll()
+		if got := c.readStatus(); got != "200 last" && got != "closed" {
 			t.Errorf("one that came late: %s", got)
 		}
 		select {
-		case <-next.done:
-			t.Error("the successor's front has ended while more may come")
+		case err := <-next.done:
+			t.Error("the successor's Serve has returned while more may come", err)
 		default:
 		}
 		done()
@@ -249,7 +251,9 @@
 			t.Error(err)
 		}
 		cancel()
-		<-old.done
+		if err := <-old.done; err != nil {
+			t.Error(err)
+		}
 	})
 }
 
@@ -257,80 +261,84 @@
 func TestHandOverLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		h := newTestServer(t, ctx)
-		fresh, idle := h.connect(), h.connect()
-		idle.ask("a")
-		h.core.answer()
-		idle.gets()
-		var tried atomic.Int32
-		left := h.HandOver(func(net.Conn, []byte) error { tried.Add(1); return errors.New("lost") })
-		h.l.pause(true)
+		s := newTestServer(ctx, t)
+		fresh, idle := s.connect(), s.connect()
+		idle.sendRequest("a")
+		s.manual.answerAll()
+		idle.readStatus()
+		var attempts atomic.Int32
+		left := s.HandOver(func(net.Conn, []byte) error { attempts.Add(1); return errors.New("lost") })
+		s.listener.pause(true)
 		synctest.Wait()
-		h.l.pause(false)
-		h.Resume()
-		if synctest.Wait(); tried.Load() != 2 || h.Passing() {
-			t.Errorf("%d tries, passing %t", tried.Load(), h.Passing())
+		s.listener.pause(false)
+		s.Resume()
+		if synctest.Wait(); attempts.Load() != 2 || s.Passing() {
+			t.Errorf("%d tries, passing %t", attempts.Load(), s.Passing())
 		}
 		select {
 		case <-left:
 			t.Error("nothing is left")
 		default:
 		}
-		for i, c := range []*client{idle, fresh, h.connect()} {
-			c.ask([]string{"b", "c", "d"}[i])
-			h.core.answer()
-			if got := c.gets(); got != "200" {
+		for i, c := range []*testClient{idle, fresh, s.connect()} {
+			c.sendRequest([]string{"b", "c", "d"}[i])
+			s.manual.answerAll()
+			if got := c.readStatus(); got != "200" {
 				t.Errorf("connection %d: %s", i, got)
 			}
 		}
 		cancel()
-		<-h.done
+		if err := <-s.done; err != nil {
+			t.Error(err)
+		}
 	})
 }
 
-// While the process waits for its end, connections that are kept stay, however long they are idle and however scarce
-// sockets are.
-func TestStay(t *testing.T) {
+// After Stay connections remain open, however long they are idle and however scarce sockets are.
+func TestStayKeepsIdleConnections(t *testing.T) {
 	for stay, want := range map[bool]string{true: "200", false: "closed"} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			h := newTestServer(t, ctx)
+			s := newTestServer(ctx, t)
 			for range 9 { // more than half of the places
-				h.budget.Reserve(connlimit.Outward)
+				s.budget.Reserve(connlimit.Outward)
 			}
-			c := h.connect()
-			c.ask("a")
-			h.core.answer()
-			c.gets()
+			c := s.connect()
+			c.sendRequest("a")
+			s.manual.answerAll()
+			c.readStatus()
 			if stay {
-				h.Stay()
+				s.Stay()
 			}
 			time.Sleep(3 * idleCheckInterval)
-			c.ask("b")
-			h.core.answer()
-			if got := c.gets(); got != want {
+			c.sendRequest("b")
+			s.manual.answerAll()
+			if got := c.readStatus(); got != want {
 				t.Errorf("stay %t: %s, want %s", stay, got, want)
 			}
 			cancel()
-			<-h.done
+			if err := <-s.done; err != nil {
+				t.Error(err)
+			}
 		})
 	}
 }
 
-func TestDrainEndsAPause(t *testing.T) {
+// Drain ends Serve during a handover, too.
+func TestDrainEndsAPausedServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newTestServer(t, t.Context())
-		left := h.HandOver(func(net.Conn, []byte) error { return nil })
+		s := newTestServer(t.Context(), t)
+		left := s.HandOver(func(net.Conn, []byte) error { return nil })
 		synctest.Wait()
 		select {
 		case <-left:
 			t.Error("nothing is left, while connections may still come in")
 		default:
 		}
-		h.l.pause(true)
+		s.listener.pause(true)
 		<-left
-		h.Drain(h.l)
-		if err := <-h.done; err != nil {
+		s.Drain(s.listener)
+		if err := <-s.done; err != nil {
 			t.Error(err)
 		}
 	})
