--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -92,7 +92,7 @@
 		"settings.RequestClasses[0].Repeat:": {"pure", "perhaps"},
 		"settings.RequestClasses[0].AimMs:":  {`"AimMs":750`, `"AimMs":0`},
 		"settings.RequestClasses: missing":   {`"RequestClasses"`, `"Others"`},
-		"settings: policy: negative":          {`"RoundMs":5`, `"RoundMs":-5`},
+		"settings: policy: negative":         {`"RoundMs":5`, `"RoundMs":-5`},
 
 		"plankrouter.watch.wait_ms:":           own(`"watch":{"wait_ms":70000}`),
 		"plankrouter.watch.patience_ms:":       own(`"watch":{"patience_ms":-1}`),
