--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -135,7 +135,7 @@
 }
 
 // On a real socket, too, an answer that stops is given up long before its whole time is over.
-func TestSilenceOnASocket(t *testing.T) {
+func TestSilenceOnSocket(t *testing.T) {
 	x := newRaceFixture(t)
 	options := x.options
 	options.Watch.Timeout = 200 * time.Millisecond
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -91,15 +91,15 @@
 	// The policy often gives an attempt until its request's own deadline, for which it has set a timer too. The time-out must win that
 	// race: cancelled by the deadline instead, the attempt would teach the policy nothing, and it would judge the servers by the
 	// answers that came in time alone.
-	attempt.timeout = &timer{kind: attemptTimeout, at: d.eventTime.Add(timeout - timeoutLead), attempt: id, index: notQueued}
+	attempt.timeout = &timer{kind: attemptTimeout, fireAt: d.eventTime.Add(timeout - timeoutLead), attempt: id, index: notQueued}
 	if req == nil || req.Remainder == nil {
 		heap.Push(&d.timers, attempt.timeout)
 	} else { // its time begins when its last byte is written
 		d.uploads[id] = attempt
 		timeout = d.waitLimit(req)
 	}
-	if !attempt.expires.IsZero() && attempt.expires.Before(attempt.timeout.at) { // else the client would wait for what will not be sent
-		heap.Push(&d.timers, &timer{kind: attemptExpiry, at: attempt.expires, attempt: id})
+	if !attempt.expires.IsZero() && attempt.expires.Before(attempt.timeout.fireAt) { // else the client would wait for what will not be sent
+		heap.Push(&d.timers, &timer{kind: attemptExpiry, fireAt: attempt.expires, attempt: id})
 	}
 	return timeout
 }
@@ -118,7 +118,7 @@
 	now := time.Now() // the client waits from now on, and so the attempt's time counts
 	attempt.startedAt = now
 	pending.request.SentAt = now
-	attempt.timeout = &timer{kind: attemptTimeout, at: now.Add(d.waitLimit(pending.request) - uploadResponseMargin), attempt: e.attempt}
+	attempt.timeout = &timer{kind: attemptTimeout, fireAt: now.Add(d.waitLimit(pending.request) - uploadResponseMargin), attempt: e.attempt}
 	heap.Push(&d.timers, attempt.timeout)
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -171,8 +171,8 @@
 	defer alarm.Stop()
 	for {
 		// An alarm that is too early does no harm: most timers are removed before they are due.
-		if len(d.timers) > 0 && d.timers[0].at.Before(armed) {
-			armed = d.timers[0].at
+		if len(d.timers) > 0 && d.timers[0].fireAt.Before(armed) {
+			armed = d.timers[0].fireAt
 			alarm.Reset(time.Until(armed))
 		}
 		select {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -66,7 +66,7 @@
 
 // Servers are replaced by new ones under new ids all day long, and each attempt ends long before its time: nothing may be kept of
 // those that are gone.
-func TestNothingIsKeptOfDeletedServers(t *testing.T) {
+func TestDeletedServersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
 		before := d.sizes()
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -27,7 +27,7 @@
 	bodySent         struct{ attempt attemptID }
 	endpointsUpdated struct {
 		endpoints.List
-		at time.Time
+		arrivedAt time.Time
 	}
 	listValidityChanged staleness.Validity
 	cordonsChanged      struct {
@@ -39,8 +39,8 @@
 		done chan<- error
 	}
 	shutdownScheduled struct {
-		schedule shutdown.Schedule
-		at       time.Time
+		schedule    shutdown.Schedule
+		signalledAt time.Time
 	}
 	predecessorRequestsListed struct{ ids []string }
 	serverLookup              struct {
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -53,7 +53,7 @@
 			d.launch(server, nil, &attemptRecord{isProbe: true, server: action.Server}, probeTimeout)
 		}
 	case policy.SetTimer:
-		heap.Push(&d.timers, &timer{at: d.eventTime.Add(duration(action.After)), handle: action.Timer})
+		heap.Push(&d.timers, &timer{fireAt: d.eventTime.Add(duration(action.After)), handle: action.Timer})
 	case policy.Subscribe: // the list is watched all the time
 	case policy.Log:
 		d.options.Logf("decision=%q", action.Text)
--- a/internal/dispatch/races_test.go
+++ b/internal/dispatch/races_test.go
@@ -83,7 +83,7 @@
 		"a shutdown that leaves less time than the attempt has": {
 			[]endpoints.Endpoint{serving("s", "p:1", 0)},
 			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
-				shutdownScheduled{schedule: shutdown.NewSchedule(time.Minute, time.Second), at: time.Now()}.apply(d)
+				shutdownScheduled{schedule: shutdown.NewSchedule(time.Minute, time.Second), signalledAt: time.Now()}.apply(d)
 				time.Sleep(time.Second)
 				d.fireTimers()
 			},
--- a/internal/dispatch/servers.go
+++ b/internal/dispatch/servers.go
@@ -36,7 +36,7 @@
 
 func (e endpointsUpdated) apply(d *Dispatcher) {
 	d.counts.EndpointUpdates++
-	d.applyEndpointsAt(e.List, e.at)
+	d.applyEndpointsAt(e.List, e.arrivedAt)
 }
 
 // SetListValidity takes until when the list may be relied on from now on.
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -18,7 +18,7 @@
 }
 
 func (e shutdownScheduled) apply(d *Dispatcher) {
-	d.shutdownAt = e.at
+	d.shutdownAt = e.signalledAt
 	d.shutdownSchedule = e.schedule
 	for id, pending := range d.requests {
 		req := pending.request
@@ -28,7 +28,7 @@
 			end = d.shutdownAt.Add(e.schedule.LastAnswer)
 		}
 		if !pending.answered && (uploading || end.Before(req.SentAt.Add(req.Timeout))) {
-			heap.Push(&d.timers, &timer{at: end, handle: uint64(id)}) // the policy ends the request as at its own deadline
+			heap.Push(&d.timers, &timer{fireAt: end, handle: uint64(id)}) // the policy ends the request as at its own deadline
 		}
 	}
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -21,7 +21,7 @@
 
 type timer struct {
 	kind    timerKind
-	at      time.Time
+	fireAt  time.Time
 	handle  uint64    // the policy's, of a policyTimer
 	attempt attemptID // of the others
 	index   int       // in timers, or notQueued
@@ -29,7 +29,7 @@
 
 // fireTimers handles the timers whose time has come.
 func (d *Dispatcher) fireTimers() {
-	for len(d.timers) > 0 && !time.Now().Before(d.timers[0].at) {
+	for len(d.timers) > 0 && !time.Now().Before(d.timers[0].fireAt) {
 		t := heap.Pop(&d.timers).(*timer)
 		switch t.kind {
 		case policyTimer:
@@ -46,7 +46,7 @@
 type timers []*timer
 
 func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
+func (t timers) Less(i, j int) bool { return t[i].fireAt.Before(t[j].fireAt) }
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
 	t[i].index, t[j].index = i, j
