--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,14 +23,14 @@
 
 // Defaults for what the platform may leave out.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	defaultIdle     = 60 * time.Second
-	defaultConnect  = 150 * time.Millisecond
-	defaultGrace    = 750 * time.Millisecond
-	settingsMost    = 9e12            // ms; a Duration can't hold more than this
-	leastSockets    = 32              // below this nothing useful can be served
-	readWithin      = 2 * time.Second // for a file that can't be opened for a moment: a SIGHUP comes once
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	defaultConnIdle       = 60 * time.Second
+	defaultConnectTimeout = 150 * time.Millisecond
+	defaultDrainGrace     = 750 * time.Millisecond
+	maxSettingMs          = 9e12            // ms; a Duration can't hold more than this
+	minSockets            = 32              // below this nothing useful can be served
+	readTimeout           = 2 * time.Second // for a file that can't be opened for a moment: a SIGHUP comes once
 )
 
 // Config is all that a sidecar is told.
@@ -59,7 +59,7 @@
 	DrainGrace       time.Duration      `json:"-"`
 	PollInterval     time.Duration      `json:"-"` // without a subscription all counts as told that was listed so long ago; 0 = not said
 
-	shape map[string]any // of the file
+	fileKeys map[string]any // of the file
 }
 
 // Load reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR go before what it says.
@@ -69,7 +69,7 @@
 		return nil, errors.New("GW_CONFIG: missing")
 	}
 	var raw []byte
-	err := transient.Retry(readWithin, func() (err error) {
+	err := transient.Retry(readTimeout, func() (err error) {
 		raw, err = readFile(path)
 		return err
 	})
@@ -80,7 +80,7 @@
 	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	if err := json.Unmarshal(raw, &c.shape); err != nil {
+	if err := json.Unmarshal(raw, &c.fileKeys); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	for key, field := range map[string]*string{
@@ -116,7 +116,7 @@
 		err = fmt.Errorf("settings.Limits.MaxAttempts: %d is not a positive number", next.Settings.Limits.MaxAttempts)
 	}
 	if err == nil {
-		err = lacks("", c.shape, next.shape)
+		err = checkNoKeyMissing("", c.fileKeys, next.fileKeys)
 	}
 	if err != nil {
 		return nil, nil, err
@@ -154,26 +154,26 @@
 	return next, fixed, next.check()
 }
 
-// lacks returns an error that names a key which one has and the other has not. Of lists, see model.
-func lacks(path string, one, other any) error {
+// checkNoKeyMissing returns an error that names a key which one has and the other has not. Of lists, see model.
+func checkNoKeyMissing(path string, one, other any) error {
 	switch was := one.(type) {
 	case map[string]any:
 		is, _ := other.(map[string]any)
 		for _, key := range slices.Sorted(maps.Keys(was)) {
-			if path == "" && mayGo[key] {
+			if path == "" && optionalKeys[key] {
 				continue
 			}
 			if _, have := is[key]; !have {
 				return fmt.Errorf("%s%s: missing, and it was there before: write the whole file", path, key)
 			}
-			if err := lacks(path+key+".", was[key], is[key]); err != nil {
+			if err := checkNoKeyMissing(path+key+".", was[key], is[key]); err != nil {
 				return err
 			}
 		}
 	case []any:
 		is, _ := other.([]any)
 		for i := 0; len(was) > 0 && path != "known.members." && i < len(is); i++ {
-			if err := lacks(fmt.Sprintf("%s[%d].", strings.TrimSuffix(path, "."), i), model(was, is[i]), is[i]); err != nil {
+			if err := checkNoKeyMissing(fmt.Sprintf("%s[%d].", strings.TrimSuffix(path, "."), i), requiredKeys(was, is[i]), is[i]); err != nil {
 				return err
 			}
 		}
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// model has the keys that an entry of a list can't be without: those that the entry of its name had or, where there was none,
+// requiredKeys has the keys that an entry of a list can't be without: those that the entry of its name had or, where there was none,
 // those that all had. The order of the entries says nothing.
-func model(was []any, entry any) map[string]any {
+func requiredKeys(was []any, entry any) map[string]any {
 	is, _ := entry.(map[string]any)
 	name, _ := is["Name"].(string)
 	first, _ := was[0].(map[string]any)
@@ -198,8 +198,8 @@
 	return common
 }
 
-// mayGo are the keys that a file may leave out though it had them.
-var mayGo = map[string]bool{"plankrouter": true, "admin_addr": true}
+// optionalKeys are the keys that a file may leave out though it had them.
+var optionalKeys = map[string]bool{"plankrouter": true, "admin_addr": true}
 
 // check fills in defaults and rejects what the program can't work with.
 func (c *Config) check() error {
@@ -219,15 +219,15 @@
 	if c.Limits.MemoryMB < 0 {
 		return fmt.Errorf("limits.memory_mb: %d is negative", c.Limits.MemoryMB)
 	}
-	if c.Limits.Sockets < leastSockets {
-		return fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, leastSockets)
+	if c.Limits.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, minSockets)
 	}
 	s := &c.Settings
-	if err := read("settings.", 1, settingsMost,
-		figure{"Limits.ConnIdleMs", s.Limits.ConnIdleMs, &c.ConnIdle, defaultIdle},
-		figure{"Limits.ConnectTimeoutMs", s.Limits.ConnectTimeoutMs, &c.ConnectTimeout, defaultConnect},
-		figure{"Safety.DrainGraceMs", s.Safety.DrainGraceMs, &c.DrainGrace, defaultGrace},
-		figure{"Safety.AskEveryMs", s.Safety.AskEveryMs, &c.PollInterval, 0},
+	if err := readDurations("settings.", 1, maxSettingMs,
+		durationKey{"Limits.ConnIdleMs", s.Limits.ConnIdleMs, &c.ConnIdle, defaultConnIdle},
+		durationKey{"Limits.ConnectTimeoutMs", s.Limits.ConnectTimeoutMs, &c.ConnectTimeout, defaultConnectTimeout},
+		durationKey{"Safety.DrainGraceMs", s.Safety.DrainGraceMs, &c.DrainGrace, defaultDrainGrace},
+		durationKey{"Safety.AskEveryMs", s.Safety.AskEveryMs, &c.PollInterval, 0},
 	); err != nil {
 		return err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshot {
+	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshotEvery {
 		t.Errorf("an installation that says nothing: %+v, %+v", c.ShutdownSchedule, c.Watch)
 	}
 	c, err = load(t, strings.Replace(good, own("")[0], own(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
@@ -64,7 +64,7 @@
 		t.Errorf("an installation's own: %+v, %+v, %v", c.ShutdownSchedule, c.Watch, err)
 	}
 	c, err = load(t, strings.NewReplacer(`"memory_mb":100,"sockets":512`, "", `"cores":1.0,`, "", `"ConnIdleMs":60000,`, "").Replace(good), nil)
-	if err != nil || c.Limits.MemoryMB != defaultMemoryMB || c.Limits.Sockets != defaultSockets || c.ConnIdle != defaultIdle {
+	if err != nil || c.Limits.MemoryMB != defaultMemoryMB || c.Limits.Sockets != defaultSockets || c.ConnIdle != defaultConnIdle {
 		t.Errorf("defaults: %+v, %v", c.Limits, err)
 	}
 }
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// numberHold is how long a number keeps its meaning for those who came under it, after the class or tenant is dropped: longer
+// numberHoldTime is how long a number keeps its meaning for those who came under it, after the class or tenant is dropped: longer
 // than any deadline.
-const numberHold = 2 * time.Minute
+const numberHoldTime = 2 * time.Minute
 
 // Numbering gives classes and tenants the numbers by which the program's parts know them. A class's rules belong to its number:
 // a request keeps those it was taken under, whatever a reload says.
@@ -31,8 +31,8 @@
 		names, quotas[r.Name] = append(names, r.Name), r.QuotaPerS
 	}
 	out := Numbered{
-		n.classes.Apply(now, numberHold, s.ClassNames(), s.Classes),
-		n.tenants.Apply(now, numberHold, names, make([]struct{}, len(names))),
+		n.classes.Apply(now, numberHoldTime, s.ClassNames(), s.Classes),
+		n.tenants.Apply(now, numberHoldTime, names, make([]struct{}, len(names))),
 	}
 	s.Classes, s.Realms = nil, nil
 	for k := range n.classes.Len() {
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -10,9 +10,9 @@
 
 // Defaults of Own: those of the platform, on which none of its keys is given.
 const (
-	defaultSnapshot = 10 * time.Second
-	defaultReady    = 10 * time.Second
-	mostMs          = 24 * 3600 * 1000
+	defaultSnapshotEvery = 10 * time.Second
+	defaultReadyWithin   = 10 * time.Second
+	maxOwnMs             = 24 * 3600 * 1000
 )
 
 // Own is what an installation may say beyond the platform's keys, under one key of its own so that the two never meet.
@@ -44,33 +44,33 @@
 	MaxRefresh float64 `json:"ask_most_ms"`
 }
 
-// figure is a time in the file: its key, its value there, where it goes and what stands for 0.
-type figure struct {
-	key  string
-	ms   float64
-	to   *time.Duration
-	none time.Duration
+// durationKey is a time in the file: its key, its value there, where it goes and what stands for 0.
+type durationKey struct {
+	key      string
+	ms       float64
+	target   *time.Duration
+	fallback time.Duration
 }
 
-// read takes times in milliseconds, each of which is 0 or lies between least and most.
-func read(prefix string, least, most float64, figures ...figure) error {
-	for _, f := range figures {
-		if !(f.ms >= 0) || f.ms > 0 && f.ms < least || f.ms > most {
-			return fmt.Errorf("%s%s: %g ms does not lie between %g and %g", prefix, f.key, f.ms, least, most)
+// readDurations takes times in milliseconds, each of which is 0 or lies between least and most.
+func readDurations(prefix string, minMs, maxMs float64, keys ...durationKey) error {
+	for _, f := range keys {
+		if !(f.ms >= 0) || f.ms > 0 && f.ms < minMs || f.ms > maxMs {
+			return fmt.Errorf("%s%s: %g ms does not lie between %g and %g", prefix, f.key, f.ms, minMs, maxMs)
 		}
-		*f.to = cmp.Or(Duration(f.ms), f.none)
+		*f.target = cmp.Or(Duration(f.ms), f.fallback)
 	}
 	return nil
 }
 
 // checkOwn fills in what follows from Own, and names the key of what makes no sense. longest is the longest deadline of a class.
 func (c *Config) checkOwn(longest time.Duration) error {
-	o := &c.Own
+	own := &c.Own
 	var kill time.Duration
-	if err := read("plankrouter.", 100, mostMs,
-		figure{"snapshot.every_ms", o.Snapshot.EveryMs, &c.SnapshotEvery, defaultSnapshot},
-		figure{"handover.ready_within_ms", o.Handover.ReadyWithinMs, &c.ReadyWithin, defaultReady},
-		figure{"stop.kill_after_ms", o.Stop.KillAfterMs, &kill, 0},
+	if err := readDurations("plankrouter.", 100, maxOwnMs,
+		durationKey{"snapshot.every_ms", own.Snapshot.EveryMs, &c.SnapshotEvery, defaultSnapshotEvery},
+		durationKey{"handover.ready_within_ms", own.Handover.ReadyWithinMs, &c.ReadyWithin, defaultReadyWithin},
+		durationKey{"stop.kill_after_ms", own.Stop.KillAfterMs, &kill, 0},
 	); err != nil {
 		return err
 	}
@@ -79,31 +79,31 @@
 		return fmt.Errorf("plankrouter.stop.%w", err)
 	}
 	var err error
-	usual := staleness.DefaultSettings()
-	if usual.Instances = c.Settings.Balancers; c.Settings.Discovery == pushed { // to an agent on the own machine
-		usual = staleness.PushedSettings(c.DrainGrace)
+	defaults := staleness.DefaultSettings()
+	if defaults.Instances = c.Settings.Balancers; c.Settings.Discovery == discoveryPushed { // to an agent on the own machine
+		defaults = staleness.PushedSettings(c.DrainGrace)
 	}
-	usual.EffectiveBy, usual.DrainGrace = c.PollInterval, c.DrainGrace
-	c.Watch, err = o.Watch.settings(usual)
+	defaults.EffectiveBy, defaults.DrainGrace = c.PollInterval, c.DrainGrace
+	c.Watch, err = own.Watch.toSettings(defaults)
 	return err
 }
 
-// settings fills in defaults, which stay on the right side of what is given, and checks.
-func (w *WatchMs) settings(usual staleness.Settings) (s staleness.Settings, err error) {
-	s.Instances, s.EffectiveBy, s.DrainGrace, s.Pushed = usual.Instances, usual.EffectiveBy, usual.DrainGrace, usual.Pushed
-	if err := read("plankrouter.watch.", 1, mostMs,
-		figure{"wait_ms", w.Wait, &s.Wait, usual.Wait},
-		figure{"patience_ms", w.Timeout, &s.Timeout, usual.Timeout},
-		figure{"retry_ms", w.Retry, &s.RetryBackoff, usual.RetryBackoff},
-		figure{"ask_ms", w.Refresh, &s.RefreshInterval, usual.RefreshInterval},
+// toSettings fills in defaults, which stay on the right side of what is given, and checks.
+func (w *WatchMs) toSettings(defaults staleness.Settings) (s staleness.Settings, err error) {
+	s.Instances, s.EffectiveBy, s.DrainGrace, s.Pushed = defaults.Instances, defaults.EffectiveBy, defaults.DrainGrace, defaults.Pushed
+	if err := readDurations("plankrouter.watch.", 1, maxOwnMs,
+		durationKey{"wait_ms", w.Wait, &s.Wait, defaults.Wait},
+		durationKey{"patience_ms", w.Timeout, &s.Timeout, defaults.Timeout},
+		durationKey{"retry_ms", w.Retry, &s.RetryBackoff, defaults.RetryBackoff},
+		durationKey{"ask_ms", w.Refresh, &s.RefreshInterval, defaults.RefreshInterval},
 	); err != nil {
 		return s, err
 	}
-	if err := read("plankrouter.watch.", 1, mostMs,
-		figure{"least_wait_ms", w.MinWait, &s.MinWait, min(usual.MinWait, s.Wait)},
-		figure{"least_patience_ms", w.MinTimeout, &s.MinTimeout, min(usual.MinTimeout, s.Timeout)},
-		figure{"retry_most_ms", w.MaxRetry, &s.MaxRetryBackoff, max(usual.MaxRetryBackoff, s.RetryBackoff)},
-		figure{"ask_most_ms", w.MaxRefresh, &s.MaxRefreshInterval, max(usual.MaxRefreshInterval, s.RefreshInterval)},
+	if err := readDurations("plankrouter.watch.", 1, maxOwnMs,
+		durationKey{"least_wait_ms", w.MinWait, &s.MinWait, min(defaults.MinWait, s.Wait)},
+		durationKey{"least_patience_ms", w.MinTimeout, &s.MinTimeout, min(defaults.MinTimeout, s.Timeout)},
+		durationKey{"retry_most_ms", w.MaxRetry, &s.MaxRetryBackoff, max(defaults.MaxRetryBackoff, s.RetryBackoff)},
+		durationKey{"ask_most_ms", w.MaxRefresh, &s.MaxRefreshInterval, max(defaults.MaxRefreshInterval, s.RefreshInterval)},
 	); err != nil {
 		return s, err
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -49,15 +49,15 @@
 	Dropped                                             bool `json:"-"` // no further request is of it; see Numbering
 }
 
-// pushed is what Discovery says of a list that is sent to an agent on the own machine.
-const pushed = "pushed"
+// discoveryPushed is what Discovery says of a list that is sent to an agent on the own machine.
+const discoveryPushed = "pushed"
 
 // Pure is what Repeat says of a class that is safe to repeat.
 const Pure = "pure"
 
-var repeats = map[string]policy.Idempotency{Pure: policy.Idempotent, "token": policy.WithIdempotencyKey, "side_effect": policy.NonIdempotent}
+var idempotencies = map[string]policy.Idempotency{Pure: policy.Idempotent, "token": policy.WithIdempotencyKey, "side_effect": policy.NonIdempotent}
 
-var scopes = map[string]policy.KeyScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+var keyScopes = map[string]policy.KeyScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
 // ParseSettings reads the settings; Logic says whether the module can work with them.
 func ParseSettings(raw []byte) (*Settings, error) {
@@ -92,27 +92,27 @@
 	switch s.Discovery {
 	case "on_request":
 		cfg.SubscribeToList = true
-	case pushed:
+	case discoveryPushed:
 	default:
 		//lint:ignore ST1005 the message begins with a key of the settings file, which is spelled so
 		return cfg, fmt.Errorf("Discovery: unknown word %q", s.Discovery) //nolint:staticcheck // the message begins with the settings' key, which is capitalized
 	}
 	for i, c := range s.Classes {
-		k := policy.Class{
+		class := policy.Class{
 			LatencyObjective: c.AimMs, Deadline: c.HardLimitMs, PriorityWeight: c.Credit, LateWeight: c.LateWorth,
 			KeyWindow: c.MemorySpanMs, Attempts: c.Attempts, Retired: c.Dropped,
 		}
 		var known bool
-		if k.Idempotency, known = repeats[c.Repeat]; !known {
+		if class.Idempotency, known = idempotencies[c.Repeat]; !known {
 			return cfg, fmt.Errorf("RequestClasses[%d].Repeat: unknown word %q", i, c.Repeat)
 		}
-		if k.KeyScope, known = scopes[c.KeyScope]; !known && k.Idempotency == policy.WithIdempotencyKey {
+		if class.KeyScope, known = keyScopes[c.KeyScope]; !known && class.Idempotency == policy.WithIdempotencyKey {
 			return cfg, fmt.Errorf("RequestClasses[%d].KeyScope: unknown word %q", i, c.KeyScope)
 		}
-		cfg.Classes = append(cfg.Classes, k)
+		cfg.Classes = append(cfg.Classes, class)
 	}
-	for _, t := range s.Realms {
-		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Quota: t.QuotaPerS})
+	for _, tenant := range s.Realms {
+		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Quota: tenant.QuotaPerS})
 	}
 	return cfg, nil
 }
--- a/internal/faultinjection/control.go
+++ b/internal/faultinjection/control.go
@@ -11,23 +11,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// words are the shared file.
-type words [1 + ops]atomic.Uint64
+// sharedWords are the shared file.
+type sharedWords [1 + opCount]atomic.Uint64
 
-func wordsOf(raw []byte) *words { return (*words)(unsafe.Pointer(unsafe.SliceData(raw))) }
+func sharedWordsOf(raw []byte) *sharedWords {
+	return (*sharedWords)(unsafe.Pointer(unsafe.SliceData(raw)))
+}
 
 // wallOffset is that of the wall clock.
-func (w *words) wallOffset() time.Duration { return time.Duration(w[0].Load()) }
+func (w *sharedWords) wallOffset() time.Duration { return time.Duration(w[0].Load()) }
 
-// take uses up one failure of the operation and returns its error number; 0 = none is left.
-func (w *words) take(o Op) uint32 {
+// consume uses up one failure of the operation and returns its error number; 0 = none is left.
+func (w *sharedWords) consume(o Op) uint32 {
 	for cell := &w[1+o]; ; {
-		now := cell.Load()
-		times, errno := now>>timesShift, uint32(now)
+		value := cell.Load()
+		times, errno := value>>timesShift, uint32(value)
 		switch {
 		case times == 0:
 			return 0
-		case times == always || cell.CompareAndSwap(now, (times-1)<<timesShift|uint64(errno)):
+		case times == untilHealed || cell.CompareAndSwap(value, (times-1)<<timesShift|uint64(errno)):
 			return errno
 		}
 	}
@@ -36,7 +38,7 @@
 // Control is a soak's side of the file. It is safe for concurrent use.
 type Control struct {
 	raw   []byte
-	words *words
+	words *sharedWords
 }
 
 // NewControl makes the file and returns its control, by which nothing fails yet.
@@ -53,7 +55,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("faults: %s: %w", path, err)
 	}
-	return &Control{raw, wordsOf(raw)}, nil
+	return &Control{raw, sharedWordsOf(raw)}, nil
 }
 
 // Close lets go of the file.
@@ -64,7 +66,7 @@
 
 // Fail lets the next calls of the operation fail, so many times; below 0 until Heal.
 func (c *Control) Fail(o Op, errno syscall.Errno, times int) {
-	n := uint64(always)
+	n := uint64(untilHealed)
 	if times >= 0 {
 		n = uint64(times)
 	}
@@ -73,7 +75,7 @@
 
 // Hold lets each call of an operation that may be held take so much longer, in whole milliseconds, until Heal.
 func (c *Control) Hold(o Op, long time.Duration) {
-	c.words[1+o].Store(uint64(always)<<timesShift | uint64(long.Milliseconds()))
+	c.words[1+o].Store(uint64(untilHealed)<<timesShift | uint64(long.Milliseconds()))
 }
 
 // Heal lets the operation fail no more, nor hold.
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -23,10 +23,10 @@
 	WriteFile // likewise, also creating and renaming
 	SyncFile
 	SlowConnect // not failed but held: see Control.Hold
-	ops
+	opCount
 )
 
-var names = [ops]string{
+var names = [opCount]string{
 	"accept", "listen", "connect", "poll", "peek", "read_config", "read_file", "write_file",
 	"sync_file", "slow_connect",
 }
@@ -34,10 +34,10 @@
 func (o Op) String() string { return names[o] }
 
 const (
-	word       = 8 // bytes of the offset, and of what an operation is told
-	timesShift = 32
-	always     = 1<<timesShift - 1 // times, until told otherwise
+	wordBytes   = 8 // bytes of the offset, and of what an operation is told
+	timesShift  = 32
+	untilHealed = 1<<timesShift - 1 // times, until told otherwise
 )
 
 // Size is the length of the file.
-const Size = word * (1 + int(ops))
+const Size = wordBytes * (1 + int(opCount))
--- a/internal/faultinjection/on.go
+++ b/internal/faultinjection/on.go
@@ -12,9 +12,9 @@
 )
 
 // shared is what the soak says; nil = the environment names no file.
-var shared = open(os.Getenv(File))
+var shared = openShared(os.Getenv(File))
 
-func open(path string) *words {
+func openShared(path string) *sharedWords {
 	if path == "" {
 		return nil
 	}
@@ -27,7 +27,7 @@
 	if err != nil {
 		panic("faults: " + path + ": " + err.Error())
 	}
-	return wordsOf(raw)
+	return sharedWordsOf(raw)
 }
 
 // Inject returns the error with which the operation is to fail now; nil = it is not to.
@@ -35,7 +35,7 @@
 	if shared == nil {
 		return nil
 	}
-	if errno := shared.take(o); errno != 0 {
+	if errno := shared.consume(o); errno != 0 {
 		return syscall.Errno(errno)
 	}
 	return nil
@@ -46,12 +46,12 @@
 	if shared == nil {
 		return nil
 	}
-	held := time.Duration(shared.take(o)) * time.Millisecond
-	if held == 0 {
+	delay := time.Duration(shared.consume(o)) * time.Millisecond
+	if delay == 0 {
 		return nil
 	}
 	select {
-	case <-time.After(held):
+	case <-time.After(delay):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	stepLeast = 50.0   // ms by which the offset must change to count as a step: less is a clock that is being adjusted
-	aheadMost = 1000.0 // ms by which a date may lie ahead, as other machines' clocks do; it counts as of now then
-	mostSteps = 64     // offsets that are kept, the latest ones
+	minStep  = 50.0   // ms by which the offset must change to count as a step: less is a clock that is being adjusted
+	maxAhead = 1000.0 // ms by which a date may lie ahead, as other machines' clocks do; it counts as of now then
+	maxSteps = 64     // offsets that are kept, the latest ones
 )
 
 // Line is a line of real time and the offsets of the wall clock from it that have been seen. Times are in milliseconds. The zero
@@ -26,15 +26,15 @@
 
 // Observe takes what the wall clock shows at now, and returns by how much it has been stepped since the last call; 0 = it has not.
 func (l *Line) Observe(now, wall float64) (step float64) {
-	is := wall - now
-	step = is - l.offset
-	if math.Abs(step) < stepLeast {
+	offset := wall - now
+	step = offset - l.offset
+	if math.Abs(step) < minStep {
 		step = 0
 	} else {
 		l.earlier = append(l.earlier, l.offset)
-		l.earlier = slices.Delete(l.earlier, 0, max(0, len(l.earlier)-mostSteps))
+		l.earlier = slices.Delete(l.earlier, 0, max(0, len(l.earlier)-maxSteps))
 	}
-	l.offset = is
+	l.offset = offset
 	return step
 }
 
@@ -45,7 +45,7 @@
 	}
 	placed := math.Inf(-1)
 	for _, offset := range append([]float64{l.offset}, l.earlier...) {
-		if at := date - offset; at <= now+aheadMost {
+		if at := date - offset; at <= now+maxAhead {
 			placed = max(placed, at)
 		}
 	}
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -65,10 +65,10 @@
 // A clock that is stepped all day long costs no more memory.
 func TestStepsAreBounded(t *testing.T) {
 	var l Line
-	for i := range 10 * mostSteps {
+	for i := range 10 * maxSteps {
 		l.Observe(start, start+float64(i)*1000)
 	}
-	if len(l.earlier) > mostSteps {
+	if len(l.earlier) > maxSteps {
 		t.Errorf("%d offsets are kept", len(l.earlier))
 	}
 }
