--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// numberHoldTime is how long a number keeps its meaning for those who came under it, after the class or tenant is dropped: longer
-// than any deadline.
+// numberHoldTime is how long a number keeps its meaning for requests that came under it, after the class or tenant is dropped:
+// longer than any deadline.
 const numberHoldTime = 2 * time.Minute
 
 // Numbering gives classes and tenants the numbers by which the program's parts know them. A class's rules belong to its number:
@@ -16,7 +16,7 @@
 	tenants stableid.Table[struct{}]
 }
 
-// Numbered is what a numbering came to.
+// Numbered has the numbers that the classes and tenants of one configuration have got.
 type Numbered struct{ Classes, Tenants stableid.Mapping }
 
 // Apply puts the classes and tenants of c, which has been checked, in the order of their numbers, those that were dropped
@@ -26,25 +26,28 @@
 	for i := range s.Classes {
 		s.Classes[i].Attempts = s.Limits.MaxAttempts
 	}
-	quotas, names := map[string]float64{}, make([]string, 0, len(s.Realms))
+	quotas := map[string]float64{}
+	tenants := make([]string, 0, len(s.Realms))
 	for _, r := range s.Realms {
-		names, quotas[r.Name] = append(names, r.Name), r.QuotaPerS
+		tenants = append(tenants, r.Name)
+		quotas[r.Name] = r.QuotaPerS
 	}
-	out := Numbered{
-		n.classes.Apply(now, numberHoldTime, s.ClassNames(), s.Classes),
-		n.tenants.Apply(now, numberHoldTime, names, make([]struct{}, len(names))),
+	numbered := Numbered{
+		Classes: n.classes.Apply(now, numberHoldTime, s.ClassNames(), s.Classes),
+		Tenants: n.tenants.Apply(now, numberHoldTime, tenants, make([]struct{}, len(tenants))),
 	}
-	s.Classes, s.Realms = nil, nil
-	for k := range n.classes.Len() {
-		_, class, live := n.classes.Rules(k)
+	s.Classes = nil
+	for number := range n.classes.Len() {
+		_, class, live := n.classes.Rules(number)
 		class.Dropped = !live
 		s.Classes = append(s.Classes, class)
 	}
-	for k := range n.tenants.Len() {
-		name, _, live := n.tenants.Rules(k)
-		s.Realms = append(s.Realms, Realm{name, quotas[name], !live})
+	s.Realms = nil
+	for number := range n.tenants.Len() {
+		name, _, live := n.tenants.Rules(number)
+		s.Realms = append(s.Realms, Realm{Name: name, QuotaPerS: quotas[name], Dropped: !live})
 	}
 	var err error
 	c.Policy, err = s.PolicyConfig()
-	return out, err
+	return numbered, err
 }
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -15,7 +15,7 @@
 	maxOwnMs             = 24 * 3600 * 1000
 )
 
-// Own is what an installation may say beyond the platform's keys, under one key of its own so that the two never meet.
+// Own has the keys that an installation may add to the platform's, under one key of its own so that the two never clash.
 // Times are in milliseconds; 0 or missing stands for the default.
 type Own struct {
 	Watch    WatchMs  `json:"watch"`
@@ -31,8 +31,8 @@
 	} `json:"stop"`
 }
 
-// WatchMs says, in milliseconds, what the directory may be asked; see staleness.Settings. The defaults are those for a
-// directory on the own machine, which costs nothing to ask.
+// WatchMs has the times of the watch in milliseconds; see staleness.Settings. The defaults are those for a discovery service
+// on the own machine, which costs nothing to ask.
 type WatchMs struct {
 	Wait       float64 `json:"wait_ms"`
 	MinWait    float64 `json:"least_wait_ms"`
@@ -44,15 +44,15 @@
 	MaxRefresh float64 `json:"ask_most_ms"`
 }
 
-// durationKey is a time in the file: its key, its value there, where it goes and what stands for 0.
+// durationKey is a time in the file.
 type durationKey struct {
 	key      string
-	ms       float64
-	target   *time.Duration
-	fallback time.Duration
+	ms       float64        // in the file
+	target   *time.Duration // where it goes
+	fallback time.Duration  // what stands for 0
 }
 
-// readDurations takes times in milliseconds, each of which is 0 or lies between least and most.
+// readDurations takes times in milliseconds, each of which is 0 or lies between minMs and maxMs.
 func readDurations(prefix string, minMs, maxMs float64, keys ...durationKey) error {
 	for _, f := range keys {
 		if !(f.ms >= 0) || f.ms > 0 && f.ms < minMs || f.ms > maxMs {
@@ -80,17 +80,22 @@
 	}
 	var err error
 	defaults := staleness.DefaultSettings()
-	if defaults.Instances = c.Settings.Balancers; c.Settings.Discovery == discoveryPushed { // to an agent on the own machine
+	defaults.Instances = c.Settings.Balancers
+	if c.Settings.Discovery == discoveryPushed { // to an agent on the own machine
 		defaults = staleness.PushedSettings(c.DrainGrace)
 	}
-	defaults.EffectiveBy, defaults.DrainGrace = c.PollInterval, c.DrainGrace
+	defaults.EffectiveBy = c.PollInterval
+	defaults.DrainGrace = c.DrainGrace
 	c.Watch, err = own.Watch.toSettings(defaults)
 	return err
 }
 
 // toSettings fills in defaults, which stay on the right side of what is given, and checks.
 func (w *WatchMs) toSettings(defaults staleness.Settings) (s staleness.Settings, err error) {
-	s.Instances, s.EffectiveBy, s.DrainGrace, s.Pushed = defaults.Instances, defaults.EffectiveBy, defaults.DrainGrace, defaults.Pushed
+	s.Instances = defaults.Instances
+	s.EffectiveBy = defaults.EffectiveBy
+	s.DrainGrace = defaults.DrainGrace
+	s.Pushed = defaults.Pushed
 	if err := readDurations("plankrouter.watch.", 1, maxOwnMs,
 		durationKey{"wait_ms", w.Wait, &s.Wait, defaults.Wait},
 		durationKey{"patience_ms", w.Timeout, &s.Timeout, defaults.Timeout},
@@ -108,7 +113,7 @@
 		return s, err
 	}
 	if s.Wait > time.Minute {
-		return s, fmt.Errorf("plankrouter.watch.wait_ms: the directory holds no call for longer than a minute, not for %s", s.Wait)
+		return s, fmt.Errorf("plankrouter.watch.wait_ms: discovery holds no call for longer than a minute, not for %s", s.Wait)
 	}
 	if err := s.Check(); err != nil {
 		return s, fmt.Errorf("plankrouter.watch.%w", err)
--- /dev/null
+++ b/internal/config/reload_test.go
@@ -0,0 +1,103 @@
+package config
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The environment is that of the start: what the file says of discovery since then goes before it.
+func TestReload(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1", "GW_NAME": "n7"}
+	getenv := func(key string) string { return env[key] }
+	write := func(text string) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(good)
+	old, err := Load(getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	write(strings.Replace(good, `"sockets":512`, `"sockets":600`, 1))
+	next, fixed, err := old.Reload(getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff([]string{"127.0.0.9:1", "127.0.0.1:8500", "n7"}, []string{old.Discovery, next.Discovery, next.Name}); diff != "" {
+		t.Error(diff)
+	}
+	if diff := cmp.Diff([]string{"limits"}, fixed); diff != "" || next.Limits != old.Limits {
+		t.Error(diff)
+	}
+
+	// A file that is cut anywhere, or has lost any one of its keys, is rejected with the key's name.
+	whole := strings.TrimRight(good, " \n")
+	for at := range len(whole) {
+		write(whole[:at])
+		if _, _, err := old.Reload(getenv); err == nil {
+			t.Fatalf("cut at byte %d of %d, it was taken", at, len(whole))
+		}
+	}
+	for key := range map[string]bool{
+		"discovery": true, "seed": true, "limits": true, "memory_mb": true, "settings": true,
+		"RequestClasses": true, "Name": true, "AimMs": true, "HardLimitMs": true, "Repeat": true, "MaxAttempts": true,
+		"DrainGraceMs": true, "known": true,
+	} {
+		if text := strings.ReplaceAll(good, `"`+key+`"`, `"was`+key+`"`); text == good {
+			t.Errorf("%s is not in the file of this test", key)
+		} else if write(text); true {
+			if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), key) {
+				t.Errorf("without %s: %v", key, err)
+			}
+		}
+	}
+	for _, bad := range []string{"0", "-1", "1e999", `"many"`, "null", "2.5"} {
+		write(strings.Replace(good, `"MaxAttempts":3`, `"MaxAttempts":`+bad, 1))
+		if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), "MaxAttempts") {
+			t.Errorf("attempts %s: %v", bad, err)
+		}
+		if bad == "2.5" {
+			continue
+		}
+		write(strings.Replace(good, `"HardLimitMs":2500`, `"HardLimitMs":`+bad, 1))
+		if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), "HardLimitMs") {
+			t.Errorf("deadline %s: %v", bad, err)
+		}
+	}
+}
+
+// Classes need not have the same keys, in whatever order they stand; each must keep its own.
+func TestReloadOfUnlikeClasses(t *testing.T) {
+	const tile = `{"Name":"tile","AimMs":750,"HardLimitMs":2500,"Repeat":"pure"}`
+	const search = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all","MemorySpanMs":4000}`
+	const short = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all"}`
+	const fresh = `{"Name":"fresh","AimMs":500,"HardLimitMs":1500,"Repeat":"side_effect"}`
+	with := func(classes ...string) string { return strings.Replace(good, tile, strings.Join(classes, ","), 1) }
+	for _, tc := range []struct{ name, before, after, fault string }{
+		{"unchanged", with(search, tile), with(search, tile), ""},
+		{"in another order", with(search, tile), with(tile, search), ""},
+		{"one replaced by another", with(tile, search), with(fresh, search), ""},
+		{"one has lost a key", with(search, tile), with(tile, short), "RequestClasses[1].MemorySpanMs"},
+		{"one has lost a key and moved", with(tile, search), with(short, tile), "RequestClasses[0].MemorySpanMs"},
+		{"a new one lacks a key that all had", with(search), with(search, fresh), "RequestClasses[1].KeyScope"},
+	} {
+		old, err := load(t, tc.before, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(t.TempDir(), "config.json")
+		if err := os.WriteFile(path, []byte(tc.after), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, _, err = old.Reload(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
+		if (err == nil) != (tc.fault == "") || err != nil && !strings.Contains(err.Error(), tc.fault) {
+			t.Errorf("%s: from %s\nto %s: %v, want %q", tc.name, tc.before, tc.after, err, tc.fault)
+		}
+	}
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,17 +2,14 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/loadreport"
-	"plankrouter/policy"
-	"slices"
 
 	jsoniter "github.com/json-iterator/go"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Settings are the figures of a deployment, under the names by which the platform hands them out. Keys
-// that do not matter here are skipped.
+// Settings are the settings of a deployment. Its fields without a tag, and those of Realm and Class, are named as the platform's
+// keys: to rename one is to rename a key. Keys that do not matter here are skipped.
 type Settings struct {
 	Balancers      int
 	Dcs            []string
@@ -33,14 +30,14 @@
 	Classes []Class `json:"RequestClasses"`
 }
 
-// Realm is one partner library.
+// Realm is one tenant: a partner library.
 type Realm struct {
 	Name      string
 	QuotaPerS float64
 	Dropped   bool `json:"-"` // as of a class
 }
 
-// Class is one class of invocations.
+// Class is one class of requests.
 type Class struct {
 	Name                                                string
 	AimMs, HardLimitMs, Credit, LateWorth, MemorySpanMs float64
@@ -49,17 +46,10 @@
 	Dropped                                             bool `json:"-"` // no further request is of it; see Numbering
 }
 
-// discoveryPushed is what Discovery says of a list that is sent to an agent on the own machine.
-const discoveryPushed = "pushed"
-
-// Pure is what Repeat says of a class that is safe to repeat.
+// Pure is the value of Repeat for a class that is safe to repeat.
 const Pure = "pure"
 
-var idempotencies = map[string]policy.Idempotency{Pure: policy.Idempotent, "token": policy.WithIdempotencyKey, "side_effect": policy.NonIdempotent}
-
-var keyScopes = map[string]policy.KeyScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
-
-// ParseSettings reads the settings; Logic says whether the module can work with them.
+// ParseSettings reads the settings; PolicyConfig says whether the policy can work with them.
 func ParseSettings(raw []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -77,48 +67,3 @@
 	}
 	return names
 }
-
-// PolicyConfig converts the settings to those of the decision module.
-func (s *Settings) PolicyConfig() (policy.Config, error) {
-	cfg := policy.Config{
-		OverQuotaWeight: s.OverShareWorth, Instances: s.Balancers, Zone: s.Locality,
-		Probes: s.Limits.Probes, Cancel: s.Limits.MayCancel, MaxAttempts: s.Limits.MaxAttempts,
-		Round:         s.RoundMs,
-		StartCapacity: s.Safety.StartCapacity, WarmUpTime: s.Safety.WarmWithinMs,
-		OverloadMultiple: s.Safety.TipMultiple, OverloadWindow: s.Safety.FallMs,
-		CrossZoneCost: s.Prices.CrossZone, WastedWorkCost: s.Prices.Waste, ProbeCost: s.Prices.Probe,
-	}
-	cfg.MaxRetryAfter = s.Limits.MaxRetryAfterMs // always: where clients are not handed the advice it does no harm
-	switch s.Discovery {
-	case "on_request":
-		cfg.SubscribeToList = true
-	case discoveryPushed:
-	default:
-		//lint:ignore ST1005 the message begins with a key of the settings file, which is spelled so
-		return cfg, fmt.Errorf("Discovery: unknown word %q", s.Discovery) //nolint:staticcheck // the message begins with the settings' key, which is capitalized
-	}
-	for i, c := range s.Classes {
-		class := policy.Class{
-			LatencyObjective: c.AimMs, Deadline: c.HardLimitMs, PriorityWeight: c.Credit, LateWeight: c.LateWorth,
-			KeyWindow: c.MemorySpanMs, Attempts: c.Attempts, Retired: c.Dropped,
-		}
-		var known bool
-		if class.Idempotency, known = idempotencies[c.Repeat]; !known {
-			return cfg, fmt.Errorf("RequestClasses[%d].Repeat: unknown word %q", i, c.Repeat)
-		}
-		if class.KeyScope, known = keyScopes[c.KeyScope]; !known && class.Idempotency == policy.WithIdempotencyKey {
-			return cfg, fmt.Errorf("RequestClasses[%d].KeyScope: unknown word %q", i, c.KeyScope)
-		}
-		cfg.Classes = append(cfg.Classes, class)
-	}
-	for _, tenant := range s.Realms {
-		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Quota: tenant.QuotaPerS})
-	}
-	return cfg, nil
-}
-
-// IsComplete says whether a report has what the module can't do without, where the deployment's reports hold it: a provider
-// that has just started may have no service time to tell, but it knows what it holds.
-func (s *Settings) IsComplete(r policy.Report) bool {
-	return r.HasRIF || !slices.Contains(loadreport.Fields(s.Report.Names), loadreport.RIF)
-}
