--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,73 +6,51 @@
 	"testing"
 )
 
-func TestFastFailingServerIsEjected(t *testing.T) {
+// sendPastIdleServer plays so many requests with six servers, of which server 4 always looks idle, and returns how many went
+// there first. endAtIdle ends an attempt there, if it is to end; the others are answered.
+func sendPastIdleServer(t *testing.T, requests int, endAtIdle func(g *rig, id RequestID)) (toIdle int) {
+	t.Helper()
+	const idle = 4
 	g := newRig(t, testConfig(), 6)
-	id, bad := RequestID(0), 0
-	for range 300 {
+	for id := RequestID(1); id <= RequestID(requests); id++ {
 		g.now += 20
-		g.reportAll(6, 4)
-		id++
-		a := find(g.arrive(id, 2), StartAttempt)
-		if a == nil {
-			continue
-		}
-		st := OK
-		if a.Server == 4 {
-			st, bad = Failed, bad+1
+		g.reportAll(6, idle)
+		attempt := find(g.arrive(id, 2), StartAttempt)
+		switch {
+		case attempt == nil:
+		case attempt.Server == idle:
+			toIdle++
+			endAtIdle(g, id)
+		default:
+			g.done(id, 0, attempt.Server, OK)
 		}
-		g.done(id, 0, a.Server, st)
 	}
-	if bad > 30 {
-		t.Errorf("%d of 300 requests went to the failing server", bad)
+	return toIdle
+}
+
+func TestFastFailingServerIsEjected(t *testing.T) {
+	failed := sendPastIdleServer(t, 300, func(g *rig, id RequestID) { g.done(id, 0, 4, Failed) })
+	if failed > 30 {
+		t.Errorf("%d of 300 requests went to the failing server", failed)
 	}
 }
 
 func TestSilentServerIsEjected(t *testing.T) {
-	g := newRig(t, testConfig(), 6)
-	id, hung := RequestID(0), 0
-	for range 200 {
-		g.now += 20
-		g.reportAll(6, 4)
-		id++
-		a := find(g.arrive(id, 2), StartAttempt)
-		if a == nil {
-			continue
-		}
-		if a.Server == 4 {
-			hung++ // never answers
-			continue
-		}
-		g.done(id, 0, a.Server, OK)
-	}
-	if hung > 40 {
-		t.Errorf("%d of 200 requests went to the silent server", hung)
+	unanswered := sendPastIdleServer(t, 200, func(*rig, RequestID) {})
+	if unanswered > 40 {
+		t.Errorf("%d of 200 requests went to the silent server", unanswered)
 	}
 }
 
 // A server that declines requests answers fast and looks idle.
 func TestDecliningServerGetsFewRequests(t *testing.T) {
-	g := newRig(t, testConfig(), 6)
-	full := 0
-	for id := RequestID(1); id <= 100; id++ {
-		g.now += 20
-		g.reportAll(6, 4)
-		a := find(g.arrive(id, 2), StartAttempt)
-		if a == nil {
-			continue
+	declined := sendPastIdleServer(t, 100, func(g *rig, id RequestID) {
+		if next := find(g.done(id, 0, 4, Declined), StartAttempt); next != nil {
+			g.done(id, 1, next.Server, OK)
 		}
-		st := OK
-		if a.Server == 4 {
-			st, full = Declined, full+1
-		}
-		for _, n := range g.done(id, 0, a.Server, st) {
-			if n.Kind == StartAttempt {
-				g.done(id, 1, n.Server, OK)
-			}
-		}
-	}
-	if full == 0 || full > 25 {
-		t.Errorf("%d of 100 requests went to the declining server", full)
+	})
+	if declined == 0 || declined > 25 {
+		t.Errorf("%d of 100 requests went to the declining server", declined)
 	}
 }
 
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -9,17 +9,17 @@
 
 // coldFleet is instances that share requests and all learn of a cold server in the same moment.
 type coldFleet struct {
-	sidecars, servers int
-	skewed            bool    // sidecars' parts of the requests are log-normal, else equal
-	burst             float64 // times as many requests, from the cold server's start on
-	eachPerS          float64 // requests a second for each server, as many as it bears when warm
-	quiet             Ms      // until so long after the cold server's start there is a tenth of the requests
+	instances, servers int
+	skewed             bool    // instances' parts of the requests are log-normal, else equal
+	burst              float64 // times as many requests, from the cold server's start on
+	eachPerS           float64 // requests a second for each server, as many as it bears when warm
+	quiet              Ms      // until so long after the cold server's start there is a tenth of the requests
 }
 
 // play returns when the cold server got its requests, from its start on, and the most in an OverloadWindow over what overloads it.
 func (c coldFleet) play(t *testing.T, cfg Config, seed uint64) (sent []Ms, worst float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f6c64))
-	fleet, parts, sum := make([]*rig, c.sidecars), make([]float64, c.sidecars), 0.0
+	fleet, parts, sum := make([]*rig, c.instances), make([]float64, c.instances), 0.0
 	for i := range fleet {
 		b, err := New(cfg, seed<<32+uint64(i))
 		if err != nil {
@@ -54,7 +54,7 @@
 			}
 		}
 		i, at := 0, rng.Float64()*sum
-		for lo, hi := 0, c.sidecars-1; lo <= hi; {
+		for lo, hi := 0, c.instances-1; lo <= hi; {
 			if mid := (lo + hi) / 2; parts[mid] > at {
 				i, hi = mid, mid-1
 			} else {
@@ -90,15 +90,15 @@
 		for _, size := range [][2]int{{4, 30}, {20, 13}, {30, 20}, {300, 60}, {2000, 60}, {6000, 60}} {
 			for _, skewed := range []bool{false, true} {
 				for _, way := range []struct {
-					burst    float64
-					quiet    Ms
-					overload float64 // multiple of what the server bears
-					sidecars int     // at most
+					burst     float64
+					quiet     Ms
+					overload  float64 // multiple of what the server bears
+					instances int     // at most
 				}{{1, 0, 4, 6000}, {2, 0, 4, 6000}, {2, 1000, 4, 2000}, {2, 4000, 4, 2000}, {1.5, 0, 2, 2000}, {1.5, 4000, 2, 300}} {
-					if size[0] > way.sidecars || size[0] > 300 && each > 2 { // busy fleets of that size take long
+					if size[0] > way.instances || size[0] > 300 && each > 2 { // busy fleets of that size take long
 						continue
 					}
-					name := fmt.Sprintf("%d sidecars, skewed %t, %g a second, burst %g after %g ms, %g times", size[0], skewed, each,
+					name := fmt.Sprintf("%d instances, skewed %t, %g a second, burst %g after %g ms, %g times", size[0], skewed, each,
 						way.burst, way.quiet, way.overload)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -115,13 +115,13 @@
 // When a server returns, many instances learn of it within moments. Together they must not send it a burst: each starts with a
 // random part of one request, and the sum over any second stays near what a warm server gets.
 func TestManyInstancesDoNotBurstToAColdServer(t *testing.T) {
-	const sidecars, servers = 400, 40
+	const instances, servers = 400, 40
 	for seed := range uint64(3) {
 		cold := 0
 		sent := 0
-		for i := range uint64(sidecars) {
+		for i := range uint64(instances) {
 			cfg := testConfig()
-			cfg.Instances = sidecars
+			cfg.Instances = instances
 			b, err := New(cfg, seed*1000+i)
 			if err != nil {
 				t.Fatal(err)
@@ -132,7 +132,7 @@
 				list = append(list, ServerInfo{ID: id, Health: Ready})
 			}
 			g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-			every := 500.0 // ms between requests; a few sidecars carry far more
+			every := 500.0 // ms between requests; a few instances carry far more
 			if i%20 == 0 {
 				every = 50
 			}
@@ -178,12 +178,12 @@
 func TestColdServerGetsItsShareFromAllInstances(t *testing.T) {
 	const lasts = 8000
 	for _, c := range [][2]int{{1, 30}, {4, 30}, {80, 30}, {300, 200}, {2000, 30}, {5000, 200}} {
-		sidecars, servers := c[0], c[1]
+		instances, servers := c[0], c[1]
 		perMs := 0.015 * float64(servers)
-		t.Run(fmt.Sprint(sidecars), func(t *testing.T) {
+		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Instances, cfg.ProbeCost, cfg.OverloadMultiple, cfg.OverloadWindow, cfg.Round = sidecars, 0.08, 4, 3000, 1
-			fleet := make([]*rig, sidecars)
+			cfg.Instances, cfg.ProbeCost, cfg.OverloadMultiple, cfg.OverloadWindow, cfg.Round = instances, 0.08, 4, 3000, 1
+			fleet := make([]*rig, instances)
 			for i := range fleet {
 				b, err := New(cfg, uint64(i))
 				if err != nil {
@@ -203,7 +203,7 @@
 						g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
 					}
 				}
-				g := fleet[n*7919%sidecars]
+				g := fleet[n*7919%instances]
 				g.now = now
 				if g.pass(RequestID(n)) == 1 && now >= born {
 					sent = append(sent, now)
