--- a/internal/faultinjection/control.go
+++ b/internal/faultinjection/control.go
@@ -11,19 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// sharedWords are the shared file.
-type sharedWords [1 + opCount]atomic.Uint64
+// sharedFile is the file in memory: the offset of the wall clock, then a cell for each operation, which has the number of times in its
+// upper half and the error number, or the delay in ms, in its lower one.
+type sharedFile [1 + opCount]atomic.Uint64
 
-func sharedWordsOf(raw []byte) *sharedWords {
-	return (*sharedWords)(unsafe.Pointer(unsafe.SliceData(raw)))
+// sharedFileOf is the mapped file.
+func sharedFileOf(raw []byte) *sharedFile {
+	return (*sharedFile)(unsafe.Pointer(unsafe.SliceData(raw)))
 }
 
-// wallOffset is that of the wall clock.
-func (w *sharedWords) wallOffset() time.Duration { return time.Duration(w[0].Load()) }
+// wallOffset is by how much the wall clock is put off.
+func (f *sharedFile) wallOffset() time.Duration { return time.Duration(f[0].Load()) }
 
 // consume uses up one failure of the operation and returns its error number; 0 = none is left.
-func (w *sharedWords) consume(o Op) uint32 {
-	for cell := &w[1+o]; ; {
+func (f *sharedFile) consume(o Op) uint32 {
+	for cell := &f[1+o]; ; {
 		value := cell.Load()
 		times, errno := value>>timesShift, uint32(value)
 		switch {
@@ -37,32 +39,32 @@
 
 // Control is a soak's side of the file. It is safe for concurrent use.
 type Control struct {
-	raw   []byte
-	words *sharedWords
+	raw  []byte
+	file *sharedFile
 }
 
 // NewControl makes the file and returns its control, by which nothing fails yet.
 func NewControl(path string) (*Control, error) {
 	if err := os.WriteFile(path, make([]byte, Size), 0o600); err != nil {
-		return nil, fmt.Errorf("faults: %w", err)
+		return nil, fmt.Errorf("faultinjection: %w", err)
 	}
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
-		return nil, fmt.Errorf("faults: %w", err)
+		return nil, fmt.Errorf("faultinjection: %w", err)
 	}
 	defer f.Close()
 	raw, err := unix.Mmap(int(f.Fd()), 0, Size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
-		return nil, fmt.Errorf("faults: %s: %w", path, err)
+		return nil, fmt.Errorf("faultinjection: %s: %w", path, err)
 	}
-	return &Control{raw, sharedWordsOf(raw)}, nil
+	return &Control{raw, sharedFileOf(raw)}, nil
 }
 
-// Close lets go of the file.
+// Close releases the file.
 func (c *Control) Close() error { return unix.Munmap(c.raw) }
 
 // Step puts the process's wall clock off by so much.
-func (c *Control) Step(offset time.Duration) { c.words[0].Store(uint64(offset)) }
+func (c *Control) Step(offset time.Duration) { c.file[0].Store(uint64(offset)) }
 
 // Fail lets the next calls of the operation fail, so many times; below 0 until Heal.
 func (c *Control) Fail(o Op, errno syscall.Errno, times int) {
@@ -70,13 +72,13 @@
 	if times >= 0 {
 		n = uint64(times)
 	}
-	c.words[1+o].Store(n<<timesShift | uint64(errno))
+	c.file[1+o].Store(n<<timesShift | uint64(errno))
 }
 
-// Hold lets each call of an operation that may be held take so much longer, in whole milliseconds, until Heal.
+// Hold lets each call of an operation that may be delayed take so much longer, in whole milliseconds, until Heal.
 func (c *Control) Hold(o Op, long time.Duration) {
-	c.words[1+o].Store(uint64(untilHealed)<<timesShift | uint64(long.Milliseconds()))
+	c.file[1+o].Store(uint64(untilHealed)<<timesShift | uint64(long.Milliseconds()))
 }
 
-// Heal lets the operation fail no more, nor hold.
-func (c *Control) Heal(o Op) { c.words[1+o].Store(0) }
+// Heal ends the failures and the delay of an operation.
+func (c *Control) Heal(o Op) { c.file[1+o].Store(0) }
--- a/internal/faultinjection/control_test.go
+++ b/internal/faultinjection/control_test.go
@@ -17,27 +17,27 @@
 	c.Fail(Accept, syscall.ENFILE, 2)
 	c.Fail(Poll, syscall.EINTR, -1)
 	for i, want := range []syscall.Errno{syscall.ENFILE, syscall.ENFILE, 0, 0} {
-		if got := syscall.Errno(c.words.consume(Accept)); got != want {
+		if got := syscall.Errno(c.file.consume(Accept)); got != want {
 			t.Errorf("accept %d: %v, want %v", i, got, want)
 		}
-		if got := syscall.Errno(c.words.consume(Poll)); got != syscall.EINTR {
+		if got := syscall.Errno(c.file.consume(Poll)); got != syscall.EINTR {
 			t.Errorf("poll %d: %v", i, got)
 		}
 	}
-	if c.Heal(Poll); c.words.consume(Poll) != 0 || c.words.consume(SyncFile) != 0 {
+	if c.Heal(Poll); c.file.consume(Poll) != 0 || c.file.consume(SyncFile) != 0 {
 		t.Error("what is healed, or was never told to fail, fails")
 	}
 	for _, held := range []time.Duration{120 * time.Millisecond, 300 * time.Millisecond} {
-		if c.Hold(SlowConnect, held); time.Duration(c.words.consume(SlowConnect))*time.Millisecond != held {
+		if c.Hold(SlowConnect, held); time.Duration(c.file.consume(SlowConnect))*time.Millisecond != held {
 			t.Errorf("%s: not held for so long", held)
 		}
 	}
-	if c.Heal(SlowConnect); c.words.consume(SlowConnect) != 0 {
+	if c.Heal(SlowConnect); c.file.consume(SlowConnect) != 0 {
 		t.Error("what is healed is held")
 	}
 	for _, d := range []time.Duration{-time.Hour, time.Hour} {
-		if c.Step(d); c.words.wallOffset() != d {
-			t.Errorf("stepped by %s, read %s", d, c.words.wallOffset())
+		if c.Step(d); c.file.wallOffset() != d {
+			t.Errorf("stepped by %s, read %s", d, c.file.wallOffset())
 		}
 	}
 }
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -2,7 +2,7 @@
 // the tag faultinjection does so: elsewhere Inject never fails, Wall is time.Now, and both cost nothing.
 //
 // The two processes share a file of Size bytes, which the environment variable File names: the offset of the wall clock, then a
-// word for each operation. Whoever writes it uses Control.
+// cell for each operation. Whoever writes it uses Control.
 package faultinjection
 
 // File names, in the environment of a program with the tag, the file that says what is to fail.
@@ -19,10 +19,10 @@
 	Poll
 	Peek
 	ReadConfig
-	ReadFile  // of state that lasts: operators' orders, snapshots
+	ReadFile  // of state that lasts: operators' cordons, snapshots
 	WriteFile // likewise, also creating and renaming
 	SyncFile
-	SlowConnect // not failed but held: see Control.Hold
+	SlowConnect // not failed but delayed: see Control.Hold
 	opCount
 )
 
@@ -34,10 +34,10 @@
 func (o Op) String() string { return names[o] }
 
 const (
-	wordBytes   = 8 // bytes of the offset, and of what an operation is told
+	cellBytes   = 8 // bytes of the offset, and of the cell of an operation
 	timesShift  = 32
-	untilHealed = 1<<timesShift - 1 // times, until told otherwise
+	untilHealed = 1<<timesShift - 1 // as a number of times
 )
 
 // Size is the length of the file.
-const Size = wordBytes * (1 + int(opCount))
+const Size = cellBytes * (1 + int(opCount))
--- a/internal/faultinjection/off.go
+++ b/internal/faultinjection/off.go
@@ -10,7 +10,7 @@
 // Inject returns the error with which the operation is to fail now; nil = it is not to.
 func Inject(Op) error { return nil }
 
-// Wait holds an operation for as long as it is to take more; an error is that of ctx, which has ended before.
+// Wait delays an operation for as long as the soak says; an error is that of ctx, which has ended before.
 func Wait(context.Context, Op) error { return nil }
 
 // Wall reads the wall clock.
--- a/internal/faultinjection/on.go
+++ b/internal/faultinjection/on.go
@@ -11,23 +11,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// shared is what the soak says; nil = the environment names no file.
+// shared is the soak's file; nil = the environment names none.
 var shared = openShared(os.Getenv(File))
 
-func openShared(path string) *sharedWords {
+// openShared maps the file, which the program can't do without once it is named.
+func openShared(path string) *sharedFile {
 	if path == "" {
 		return nil
 	}
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
-		panic("faults: " + err.Error())
+		panic("faultinjection: " + err.Error())
 	}
 	defer f.Close()
 	raw, err := unix.Mmap(int(f.Fd()), 0, Size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
-		panic("faults: " + path + ": " + err.Error())
+		panic("faultinjection: " + path + ": " + err.Error())
 	}
-	return sharedWordsOf(raw)
+	return sharedFileOf(raw)
 }
 
 // Inject returns the error with which the operation is to fail now; nil = it is not to.
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// Wait holds an operation for as long as it is to take more; an error is that of ctx, which has ended before.
+// Wait delays an operation for as long as the soak says; an error is that of ctx, which has ended before.
 func Wait(ctx context.Context, o Op) error {
 	if shared == nil {
 		return nil
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,4 +1,4 @@
-// Package transient tells system calls that fail for a moment from those that fail for good, and tries the former again.
+// Package transient tells system calls that fail for a moment from those that fail for good, and retries the former.
 package transient
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// retryPause is between two tries.
+// retryPause is between two calls.
 const retryPause = 20 * time.Millisecond
 
 // localErrors are the errors in which nothing has left this machine: it lacks something that it may have again soon.
@@ -17,7 +17,7 @@
 	syscall.ENETDOWN,
 }
 
-// interruptedErrors are those of files and calls that were interrupted.
+// interruptedErrors are those of calls that were interrupted, and of files that can't be reached for a moment.
 var interruptedErrors = []error{syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ESTALE}
 
 // IsLocal reports whether this machine lacks what the call needs: that says nothing of anybody else.
@@ -30,19 +30,19 @@
 	return IsLocal(err) || slices.ContainsFunc(interruptedErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
-// Retry calls f until it succeeds or fails for good, but no later than within from now. It returns f's last error.
+// Retry makes the call until it succeeds or fails for good, but not after timeout. It returns the last error.
 func Retry(timeout time.Duration, call func() error) error {
-	began := time.Now()
+	start := time.Now()
 	for {
 		err := call()
-		if err == nil || !Is(err) || time.Since(began) >= timeout {
+		if err == nil || !Is(err) || time.Since(start) >= timeout {
 			return err
 		}
 		time.Sleep(retryPause)
 	}
 }
 
-// Interrupted calls f for as long as a signal interrupts it.
+// Interrupted repeats the call for as long as a signal interrupts it.
 func Interrupted[T any](call func() (T, error)) (T, error) {
 	for {
 		v, err := call()
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	minStep  = 50.0   // ms by which the offset must change to count as a step: less is a clock that is being adjusted
-	maxAhead = 1000.0 // ms by which a date may lie ahead, as other machines' clocks do; it counts as of now then
-	maxSteps = 64     // offsets that are kept, the latest ones
+	minStepMs  = 50.0   // by which the offset must change to count as a step: less is a clock that is being adjusted
+	maxAheadMs = 1000.0 // by which a date may lie ahead, as other machines' clocks do; it counts as of now then
+	maxSteps   = 64     // earlier offsets that are kept, the latest ones
 )
 
 // Line is a line of real time and the offsets of the wall clock from it that have been seen. Times are in milliseconds. The zero
 // value is a line that started as the wall clock, whatever that showed.
 type Line struct {
-	offset  float64 // in force
-	earlier []float64
+	offset  float64   // in force
+	earlier []float64 // offsets that were in force before, in their order
 }
 
-// Observe takes what the wall clock shows at now, and returns by how much it has been stepped since the last call; 0 = it has not.
+// Observe takes what the wall clock shows at now, and returns by how many ms it has been stepped since the last call; 0 = it has not.
 func (l *Line) Observe(now, wall float64) (step float64) {
 	offset := wall - now
 	step = offset - l.offset
-	if math.Abs(step) < minStep {
+	if math.Abs(step) < minStepMs {
 		step = 0
 	} else {
 		l.earlier = append(l.earlier, l.offset)
@@ -45,7 +45,7 @@
 	}
 	placed := math.Inf(-1)
 	for _, offset := range append([]float64{l.offset}, l.earlier...) {
-		if at := date - offset; at <= now+maxAhead {
+		if at := date - offset; at <= now+maxAheadMs {
 			placed = max(placed, at)
 		}
 	}
