--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -42,7 +42,7 @@
 func TestLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+		_, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			if err != nil {
 				panic(http.ErrAbortHandler)
@@ -64,7 +64,7 @@
 				_, _ = w.Write(long)
 			}
 		})
-		s := start(t, m, directory, nil)
+		s := start(t, m, discovery, nil)
 		ask := func(head string, body []byte, piece int, pause time.Duration) (int, []byte, error) {
 			c, err := m.Dial(t.Context(), s.front)
 			if err != nil {
@@ -125,7 +125,7 @@
 func TestLongRequestLosesItsProvider(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		all, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+		all, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/early") {
 				_, _ = io.ReadFull(r.Body, make([]byte, 100<<10))
 				c, _, _ := http.NewResponseController(w).Hijack() // else the server reads on before it closes
@@ -135,7 +135,7 @@
 			}
 			panic(http.ErrAbortHandler)
 		})
-		s := start(t, m, directory, nil)
+		s := start(t, m, discovery, nil)
 		for path, want := range map[string]int{"early": 503, "late": 502} {
 			c, err := m.Dial(t.Context(), s.front)
 			if err != nil {
@@ -166,7 +166,7 @@
 func TestEndlessBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
+		_, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "3221225472")
 			for context.Cause(r.Context()) == nil {
 				if _, err := w.Write(long); err != nil {
@@ -174,7 +174,7 @@
 				}
 			}
 		})
-		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MaxAttempts = 1 })
+		s := start(t, m, discovery, func(p *fakes.Sidecar) { p.MaxAttempts = 1 })
 		for what, tc := range map[string]struct {
 			raw  string
 			want int
@@ -197,8 +197,8 @@
 func TestKeptBodiesAreGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
-		s := start(t, m, directory, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
+		_, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
+		s := start(t, m, discovery, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
 		ask := func(path, rest string) (int, string) {
 			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+
 				"\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"+rest))
@@ -224,7 +224,7 @@
 func TestLeavingLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
-		_, directory := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
+		_, discovery := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == "POST" {
 				_, _ = io.CopyN(io.Discard, r.Body, 80<<10)
 				if strings.HasSuffix(r.URL.Path, "/early") {
@@ -238,7 +238,7 @@
 			}
 			slowly(flusher{w}, long, 4000, 2*time.Millisecond)
 		})
-		s := start(t, m, directory, nil)
+		s := start(t, m, discovery, nil)
 		var all sync.WaitGroup
 		for i := range 90 {
 			all.Go(func() {
--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -15,7 +15,7 @@
 	transientDescriptors = 1 + 6 + 2 + 2 + 1
 
 	watchConns    = 1 // the watch has one connection at a time
-	adminShare    = 4 // of what is left then, at most one in so many is for operators,
+	adminDivisor  = 4 // of what is left then, at most one in so many is for operators,
 	minAdminConns = 2 // but this many in any case
 	minConns      = 4 // for clients and servers, whatever the limit is: without them nothing is served
 )
@@ -33,7 +33,7 @@
 	s.watch = watchConns
 	left := limit - open - transientDescriptors - s.watch
 	if withAdmin {
-		s.admin = max(minAdminConns, min(admin.MostConns, left/adminShare))
+		s.admin = max(minAdminConns, min(admin.MostConns, left/adminDivisor))
 	}
 	s.conns = max(minConns, connlimit.Within(left-s.admin))
 	return s
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -21,10 +21,10 @@
 // floodedProgram is the program as a process of its own, which starts with descriptors that are not its own doing.
 type floodedProgram struct {
 	*testing.T
-	cmd               *exec.Cmd
-	front, desk       string
-	limit, most, last int
-	conns             []net.Conn
+	cmd                  *exec.Cmd
+	front, desk          string
+	limit, maxOpen, last int
+	conns                []net.Conn
 }
 
 // count looks at how many descriptors the process holds.
@@ -34,7 +34,7 @@
 		f.Fatal(err)
 	}
 	f.last = len(all)
-	f.most = max(f.most, f.last)
+	f.maxOpen = max(f.maxOpen, f.last)
 	return f.last
 }
 
@@ -83,9 +83,9 @@
 			for range c.limit {
 				f.open(f.front, "")
 			}
-			t.Logf("%d idle, %d at most", idle, f.most)
-			if f.most > c.limit {
-				t.Errorf("%d descriptors where %d are allowed", f.most, c.limit)
+			t.Logf("%d idle, %d at most", idle, f.maxOpen)
+			if f.maxOpen > c.limit {
+				t.Errorf("%d descriptors where %d are allowed", f.maxOpen, c.limit)
 			}
 		})
 	}
@@ -179,11 +179,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				const limit, left = 95, 8
 				n, release := fakes.NewMemory(), make(chan struct{})
-				_, directory := fakeServers(t, n, 4, func(w http.ResponseWriter, _ *http.Request) {
+				_, discovery := fakeServers(t, n, 4, func(w http.ResponseWriter, _ *http.Request) {
 					<-release
 					_, _ = io.WriteString(w, "ok")
 				})
-				s := start(t, n, directory, func(c *fakes.Sidecar) {
+				s := start(t, n, discovery, func(c *fakes.Sidecar) {
 					c.Sockets, c.NoProbes = limit, true
 					c.Classes = []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}}
 					c.Edit = func(d map[string]any) {
@@ -192,8 +192,8 @@
 				})
 				down := func(on bool) {
 					if hangs {
-						directory.Mute(on)
-					} else if err := directory.Down(on); err != nil {
+						discovery.Mute(on)
+					} else if err := discovery.Down(on); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -243,7 +243,7 @@
 				time.Sleep(3 * time.Second)
 				synctest.Wait()
 				heard := 0
-				for _, call := range directory.Calls() {
+				for _, call := range discovery.Calls() {
 					if call.At.After(back) {
 						heard++
 					}
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -46,7 +46,7 @@
 	p.lifecycle.on(mayServe)
 	p.dispatcher.SetOpenInPredecessor(predecessor.Open())
 	if predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns - p.shares.conns/standbyShare)
+		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
 	}
 	predecessor.Stopped = func(stop hotrestart.Stop) {
 		enqueue(p.signals.stop, receivedSignal{Signal: syscall.SIGTERM, earliestSent: stop.At, readAt: time.Now(), killAt: stop.Kill})
@@ -122,7 +122,7 @@
 	}
 	log.Printf("name=%s handover=passing successor=%d", p.cfg.Name, successor.Pid())
 	if rendezvousFolder(p.getenv) != "" {
-		p.budget.Limit(p.shares.conns / standbyShare)
+		p.budget.Limit(p.shares.conns / standbyDivisor)
 		defer p.budget.Limit(p.shares.conns) // if it serves on
 	}
 	transferred := p.beginTransfer(successor, listener)
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// memoryLimitShare is the share of limits.memory_mb beyond which the garbage collector works harder.
-	memoryLimitShare = 0.7
+	// memoryLimitFraction is the share of limits.memory_mb beyond which the garbage collector works harder.
+	memoryLimitFraction = 0.7
 
 	// listenTimeout bounds the wait for a listener that can't be had for a moment: the platform waits for 10 s.
 	listenTimeout = 5 * time.Second
@@ -56,7 +56,7 @@
 		}
 	}
 	runtime.GOMAXPROCS(1) // one core is all there is; more threads would only wait for one another
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Limits.MemoryMB) * bytesPerMB))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(cfg.Limits.MemoryMB) * bytesPerMB))
 	listener, err := listen(cfg, predecessor)
 	if err != nil {
 		return err
--- a/cmd/plankrouter/play_test.go
+++ b/cmd/plankrouter/play_test.go
@@ -98,13 +98,13 @@
 
 // stage is the world around the program.
 type stage struct {
-	mu    sync.Mutex
-	ends  map[string]*end
-	opens map[string]int
-	dials map[string]string
-	conns chan net.Conn
-	shut  chan struct{}
-	once  sync.Once
+	mu     sync.Mutex
+	ends   map[string]*end
+	opens  map[string]int
+	dials  map[string]string
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
 func (g *stage) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -155,12 +155,12 @@
 	select {
 	case c := <-g.conns:
 		return c, nil
-	case <-g.shut:
+	case <-g.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (g *stage) Close() error   { g.once.Do(func() { close(g.shut) }); return nil }
+func (g *stage) Close() error   { g.once.Do(func() { close(g.closed) }); return nil }
 func (g *stage) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (g *stage) end(name string) *end {
@@ -200,7 +200,7 @@
 	out := []string{parts[0]}
 	g := &stage{
 		ends: map[string]*end{}, opens: map[string]int{}, dials: map[string]string{},
-		conns: make(chan net.Conn), shut: make(chan struct{}),
+		conns: make(chan net.Conn), closed: make(chan struct{}),
 	}
 	set := map[string]string{
 		"sockets": "64", "probes": "false", "quota": "1000", "providers": "p1", "connect": "150",
@@ -269,7 +269,7 @@
 				g.mu.Unlock()
 				select {
 				case g.conns <- mine:
-				case <-g.shut:
+				case <-g.closed:
 					theirs.Close()
 				}
 			}
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -89,7 +89,7 @@
 	p.stopRequested, p.requestStop = context.WithCancel(ctx)
 	defer p.requestStop()
 	if options.predecessor != nil && options.predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns / standbyShare)
+		p.budget.Limit(p.shares.conns / standbyDivisor)
 	}
 	trace := startTracing(ctx, group, p.getenv)
 	listed, err := p.assemble(ctx, options, trace)
@@ -157,7 +157,7 @@
 		return 0, err
 	}
 	p.backend, err = backend.New(ctx, p.budget, backend.Settings{
-		Figures: backendFigures(p.cfg), Trace: trace,
+		Figures: backendTimes(p.cfg), Trace: trace,
 		Written: p.metrics.AttemptSent, Bounds: buffers, Rules: &p.invariants,
 	})
 	if err != nil {
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -73,10 +73,10 @@
 	return n, whole
 }
 
-func between(t *testing.T, what string, got, least, most int) {
+func between(t *testing.T, what string, got, minimum, maximum int) {
 	t.Helper()
-	if got < least || got > most {
-		t.Errorf("%s: %d, want %d to %d", what, got, least, most)
+	if got < minimum || got > maximum {
+		t.Errorf("%s: %d, want %d to %d", what, got, minimum, maximum)
 	}
 }
 
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -48,7 +48,7 @@
 	}); err != nil {
 		return nil, err
 	}
-	p.backend.Reconfigure(backendFigures(next))
+	p.backend.Reconfigure(backendTimes(next))
 	p.frontend.Reconfigure(&next.Settings)
 	p.watch.SetAddress(next.Discovery)
 	p.discoveryMoved.Store(true)
@@ -56,7 +56,7 @@
 	return fixed, nil
 }
 
-// backendFigures are the backend's times and what a lost connection costs it.
-func backendFigures(cfg *config.Config) backend.Figures {
+// backendTimes are the backend's times and what a lost connection costs it.
+func backendTimes(cfg *config.Config) backend.Figures {
 	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/reload_test.go
+++ b/cmd/plankrouter/reload_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
 		release := make(chan bool)
-		all, directory := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
+		all, discovery := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
 			first := strings.HasSuffix(r.URL.Path, "/first")
 			if first {
 				<-release
@@ -24,7 +24,7 @@
 			}
 			fmt.Fprint(w, "done")
 		})
-		s := start(t, m, directory, nil)
+		s := start(t, m, discovery, nil)
 		for i := range 60 { // earns attempts
 			s.send(s.front, fmt.Sprintf("GET /tile/%d HTTP/1.1\r\nHost: x\r\nReq-Id: warm-%d\r\nConnection: close\r\n\r\n", i, i))
 		}
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// standbyShare: of two processes the one that does not serve has one in so many of the sockets.
-	standbyShare = 4
+	// standbyDivisor: of two processes the one that does not serve has one in so many of the sockets.
+	standbyDivisor = 4
 	// rendezvousTimeout bounds the wait for a rendezvous socket that can't be had for a moment.
 	rendezvousTimeout = 2 * time.Second
 	// acceptRetryPause is the pause after an accept that has failed.
@@ -59,7 +59,7 @@
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(p.stopRequested, cancel)() // a signal to stop calls off what is not ready
-		p.budget.Limit(p.shares.conns - p.shares.conns/standbyShare)
+		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
 		successor, err := p.coordinator.Meet(ctx, c, own, options)
 		if err != nil {
 			p.budget.Limit(p.shares.conns)
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -88,14 +88,14 @@
 	return closeNotifier{c.(*net.TCPConn), new(sync.Once), l.closed}, nil
 }
 
-func newRig(t *testing.T, providers int, holding bool, edit func(settings map[string]any)) *rig {
+func newRig(t *testing.T, servers int, holding bool, edit func(settings map[string]any)) *rig {
 	r := &rig{
 		T: t, pendingDials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
 		closed: make(chan struct{}, 64), probed: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json"),
 	}
 	r.answer = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
 	known := fakes.List{Revision: 1}
-	for i := range providers {
+	for i := range servers {
 		l := listenHere(t)
 		go r.serveRequests(l)
 		known.Members = append(known.Members, fakes.Member{
@@ -103,16 +103,16 @@
 			Phase: fakes.Serving,
 		})
 	}
-	directory, err := fakes.NewDirectory(fakes.Loopback(), "", known.Members...)
+	discovery, err := fakes.NewDirectory(fakes.Loopback(), "", known.Members...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(directory.Close)
+	t.Cleanup(discovery.Close)
 	front := listenHere(t)
 	r.front = front.Addr().String()
 	name := strings.ReplaceAll(t.Name(), " ", "_")
 	raw, err := fakes.Config(fakes.Sidecar{
-		Name: name, Listen: r.front, Directory: directory.Address(), Known: known, Seed: 1,
+		Name: name, Listen: r.front, Directory: discovery.Address(), Known: known, Seed: 1,
 		NoProbes: true, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
 		Classes: []fakes.Class{
 			{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
@@ -126,7 +126,7 @@
 	log.SetOutput(lockedLog{})
 	r.signals, r.ended = launch(t, map[string]string{"GW_CONFIG": r.file}, heldListener{front, r, holding}, nil,
 		func(_ context.Context, address string) (net.Conn, error) {
-			if address != directory.Address() {
+			if address != discovery.Address() {
 				up := make(chan struct{})
 				r.pendingDials <- up
 				<-up
@@ -255,8 +255,8 @@
 }
 
 // end stops the program, and returns what it has counted. All that was under way has ended by then.
-func (r *rig) end(words int) string {
-	for range words {
+func (r *rig) end(signals int) string {
+	for range signals {
 		r.signals.raise(syscall.SIGTERM)
 	}
 	if err := wait(r, "the end", r.ended); err != nil {
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -33,12 +33,12 @@
 }
 
 // start runs the program against the directory of fleet, or one of its own with these members.
-func start(t *testing.T, n *fakes.Memory, directory *fakes.Directory, edit func(*fakes.Sidecar)) *service {
-	return startIn(t, n, directory, "", edit)
+func start(t *testing.T, n *fakes.Memory, discovery *fakes.Directory, edit func(*fakes.Sidecar)) *service {
+	return startIn(t, n, discovery, "", edit)
 }
 
 // startIn is start with the TMPDIR of an earlier process, "" for one of its own.
-func startIn(t *testing.T, n *fakes.Memory, directory *fakes.Directory, folder string, edit func(*fakes.Sidecar)) *service {
+func startIn(t *testing.T, n *fakes.Memory, discovery *fakes.Directory, folder string, edit func(*fakes.Sidecar)) *service {
 	log.SetOutput(io.Discard)
 	front, err := n.Listen("")
 	if err != nil {
@@ -53,9 +53,9 @@
 		file: filepath.Join(t.TempDir(), "config.json"),
 	}
 	s.set = fakes.Sidecar{
-		Name: "n1", Listen: s.front, Seed: 1, Directory: directory.Address(), ConnIdle: time.Minute,
+		Name: "n1", Listen: s.front, Seed: 1, Directory: discovery.Address(), ConnIdle: time.Minute,
 		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
-		Known: fakes.List{Revision: 1, Members: directory.Members()},
+		Known: fakes.List{Revision: 1, Members: discovery.Members()},
 	}
 	if edit != nil {
 		edit(&s.set)
@@ -141,10 +141,10 @@
 	return resp.StatusCode, string(body)
 }
 
-func withFleet(t *testing.T, providers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
+func withFleet(t *testing.T, servers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
-		fleet, err := fakes.NewFleet(n, providers, fakes.ProviderOptions{
+		fleet, err := fakes.NewFleet(n, servers, fakes.ProviderOptions{
 			Cores: 4, Queue: 16, Seed: 1,
 			Default: fakes.Service{Mean: 20 * time.Millisecond},
 		})
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -21,7 +21,7 @@
 
 // shutdownWorld is what a row plays in.
 type shutdownWorld struct {
-	t        *testing.T
+	test     *testing.T
 	row      shutdownCase
 	address  string
 	file     string
@@ -39,7 +39,7 @@
 func (row shutdownCase) play(t *testing.T) (lost []string, valid bool) {
 	row.clients, row.service = cmp.Or(row.clients, 24), cmp.Or(row.service, 250*time.Millisecond)
 	row.deadline = cmp.Or(row.deadline, defaultDeadline)
-	w := &shutdownWorld{t: t, row: row}
+	w := &shutdownWorld{test: t, row: row}
 	w.start()
 	defer w.end()
 	var clients sync.WaitGroup
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	valid = w.shutDown()
+	valid = w.endProcess()
 	clients.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,7 +61,7 @@
 }
 
 func (w *shutdownWorld) start() {
-	network, t := fakes.Loopback(), w.t
+	network, t := fakes.Loopback(), w.test
 	var members []fakes.Member
 	for i := range 4 {
 		p, err := fakes.NewProvider(network, fakes.ProviderOptions{
@@ -74,11 +74,11 @@
 		t.Cleanup(p.Close)
 		w.servers, members = append(w.servers, p), append(members, p.Member())
 	}
-	directory, err := fakes.NewDirectory(network, "", members...)
+	discovery, err := fakes.NewDirectory(network, "", members...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(directory.Close)
+	t.Cleanup(discovery.Close)
 	l, err := network.Listen("")
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 	folder := t.TempDir()
 	w.file = filepath.Join(folder, "config.json")
 	w.sidecar = fakes.Sidecar{
-		Name: "n1", Listen: w.address, Seed: 1, Directory: directory.Address(), Sockets: 4096, MemoryMB: 256,
+		Name: "n1", Listen: w.address, Seed: 1, Directory: discovery.Address(), Sockets: 4096, MemoryMB: 256,
 		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Members: members},
 	}
 	w.configure(w.row.deadline)
@@ -117,7 +117,7 @@
 		err = errors.Join(os.WriteFile(w.file+".next", raw, 0o600), os.Rename(w.file+".next", w.file))
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		w.test.Fatal(err)
 	}
 }
 
@@ -130,16 +130,16 @@
 		if raw, err := os.ReadFile(w.log.Name()); err == nil {
 			for _, line := range strings.Split(string(raw), "\n") {
 				if (strings.Contains(line, "state=") || strings.Contains(line, "handover=")) && !strings.Contains(line, "trace=") {
-					w.t.Log(line)
+					w.test.Log(line)
 				}
 			}
 		}
 	}
 }
 
-// shutDown sends the row's signals, stops the process at its moments and kills it at the earliest. It reports whether the stops were as
+// endProcess sends the row's signals, stops the process at its moments and kills it at the earliest. It reports whether the stops were as
 // long as they were to be.
-func (w *shutdownWorld) shutDown() (valid bool) {
+func (w *shutdownWorld) endProcess() (valid bool) {
 	pid, longest := w.cmd.Process.Pid, w.row.deadline
 	if w.row.shorter > 0 {
 		longest = w.row.shorter
@@ -263,7 +263,7 @@
 func (w *shutdownWorld) halfClient(number int) {
 	c, err := net.Dial("tcp", w.address)
 	if err != nil {
-		w.t.Error(err)
+		w.test.Error(err)
 		return
 	}
 	defer c.Close()
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -56,7 +56,7 @@
 		t.Run(key, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := fakes.NewMemory()
-				_, directory := fakeServers(t, m, 1, nil)
+				_, discovery := fakeServers(t, m, 1, nil)
 				front, err := m.Listen("")
 				if err != nil {
 					t.Fatal(err)
@@ -67,7 +67,7 @@
 				}
 				s := service{
 					T: t, file: filepath.Join(t.TempDir(), "config.json"),
-					set: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: directory.Address()},
+					set: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: discovery.Address()},
 				}
 				s.write()
 				var loaded atomic.Bool
@@ -131,13 +131,13 @@
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := fakes.NewMemory()
-				_, directory := fakeServers(t, m, 2, func(_ http.ResponseWriter, r *http.Request) {
+				_, discovery := fakeServers(t, m, 2, func(_ http.ResponseWriter, r *http.Request) {
 					_, _ = io.Copy(io.Discard, r.Body)
 					<-r.Context().Done()
 				})
 				long := fakes.Order()
 				long.Deadline = 8 * sec
-				s := start(t, m, directory, func(c *fakes.Sidecar) { c.Classes = []fakes.Class{long} })
+				s := start(t, m, discovery, func(c *fakes.Sidecar) { c.Classes = []fakes.Class{long} })
 				at := time.Now().Add(3 * sec)
 				got := make(chan time.Duration, 1)
 				time.AfterFunc(time.Until(at.Add(tc.after)), func() {
@@ -190,11 +190,11 @@
 	if run == nil {
 		t.Fatal("the deploy file has no run")
 	}
-	directory, err := fakes.NewDirectory(fakes.Loopback(), "")
+	discovery, err := fakes.NewDirectory(fakes.Loopback(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer directory.Close()
+	defer discovery.Close()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 	defer desk.Close()
 	s := service{
 		T: t, file: filepath.Join(t.TempDir(), "config.json"),
-		set: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: directory.Address()},
+		set: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: discovery.Address()},
 	}
 	s.write()
 	line := "LISTEN_FDS=1 LISTEN_PID=$$; export LISTEN_FDS LISTEN_PID; " +
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -66,7 +66,7 @@
 	rules := snapshot.DefaultValidityRules()
 	rules.Program = p.cfg.Name
 	rules.Deployment = snapshot.Fingerprint(&p.cfg.Settings)
-	rules.Directory = p.cfg.Discovery
+	rules.Discovery = p.cfg.Discovery
 	rules.Classes = len(p.cfg.Settings.Classes)
 	rules.Tenants = len(p.cfg.Settings.Realms)
 	return rules
@@ -115,9 +115,9 @@
 	if p.frontend.Passing() {
 		return nil
 	}
-	snap := p.dispatcher.Snapshot()
-	if snap != nil {
-		snap.Directory = p.watch.Address()
+	taken := p.dispatcher.Snapshot()
+	if taken != nil {
+		taken.Discovery = p.watch.Address()
 	}
-	return snap
+	return taken
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -36,7 +36,7 @@
 		cfg.SubscribeToList = true
 	case discoveryPushed:
 	default:
-		return cfg, unknownWord("Discovery", s.Discovery)
+		return cfg, unknownValue("Discovery", s.Discovery)
 	}
 	for i, c := range s.Classes {
 		class, err := c.policyClass(fmt.Sprintf("RequestClasses[%d].", i))
@@ -59,16 +59,16 @@
 	}
 	var known bool
 	if class.Idempotency, known = idempotencies[c.Repeat]; !known {
-		return class, unknownWord(prefix+"Repeat", c.Repeat)
+		return class, unknownValue(prefix+"Repeat", c.Repeat)
 	}
 	if class.KeyScope, known = keyScopes[c.KeyScope]; !known && class.Idempotency == policy.WithIdempotencyKey {
-		return class, unknownWord(prefix+"KeyScope", c.KeyScope)
+		return class, unknownValue(prefix+"KeyScope", c.KeyScope)
 	}
 	return class, nil
 }
 
-// unknownWord is the error for a key whose value is none of its words.
-func unknownWord(key, value string) error { return fmt.Errorf("%s: unknown word %q", key, value) }
+// unknownValue is the error for a key whose value is none of its words.
+func unknownValue(key, value string) error { return fmt.Errorf("%s: unknown word %q", key, value) }
 
 // IsComplete reports whether a load report has what the policy can't do without, where the deployment's reports have it: a server
 // that has just started may have no latency to report, but it knows what it has in flight.
--- a/internal/faultinjection/control_test.go
+++ b/internal/faultinjection/control_test.go
@@ -13,7 +13,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() {
+		if err := c.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	c.Fail(Accept, syscall.ENFILE, 2)
 	c.Fail(Poll, syscall.EINTR, -1)
 	for i, want := range []syscall.Errno{syscall.ENFILE, syscall.ENFILE, 0, 0} {
--- a/internal/hotrestart/node_test.go
+++ b/internal/hotrestart/node_test.go
@@ -63,14 +63,14 @@
 	if err != nil {
 		return err
 	}
-	n := &node{h: Coordinator{Inherited: s}, settled: make(chan struct{})}
+	n := &node{coordinator: Coordinator{Inherited: s}, settled: make(chan struct{})}
 	if s == nil {
 		close(n.settled)
-		n.l = must(Listener(os.Getenv))
+		n.listener = must(Listener(os.Getenv))
 		n.run()
 		return nil
 	}
-	n.l = s.Listener()
+	n.listener = s.Listener()
 	if role == "refuses" || !bytes.Equal(s.State(), state) {
 		return s.Reject("no room")
 	}
@@ -95,12 +95,12 @@
 // node is a daemon that answers each line with its process id and how many lines that makes on the connection.
 // "next ROLE" lets it hand over before it answers, "hold" is never answered, "end" ends it.
 type node struct {
-	h       Coordinator
-	l       *net.TCPListener
-	settled chan struct{} // all is its own
-	serving sync.WaitGroup
-	conns   sync.Map
-	next    atomic.Pointer[Predecessor]
+	coordinator Coordinator
+	listener    *net.TCPListener
+	settled     chan struct{} // all is its own
+	serving     sync.WaitGroup
+	conns       sync.Map
+	next        atomic.Pointer[Predecessor]
 }
 
 func (n *node) handOver(role string) error {
@@ -118,7 +118,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	p, err := n.h.Start(ctx, n.l, o)
+	p, err := n.coordinator.Start(ctx, n.listener, o)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		panic("what is no connection counts as passed")
 	}
 	n.next.Store(p)
-	n.l.SetDeadline(longAgo)
+	n.listener.SetDeadline(longAgo)
 	n.conns.Range(func(c, _ any) bool { return c.(*net.TCPConn).SetReadDeadline(longAgo) != nil || true })
 	return nil
 }
@@ -134,7 +134,7 @@
 // run accepts until all has been handed over.
 func (n *node) run() {
 	for {
-		if c, err := n.l.AcceptTCP(); err == nil {
+		if c, err := n.listener.AcceptTCP(); err == nil {
 			n.serving.Go(func() { n.serve(c, 0) })
 			continue
 		}
@@ -149,7 +149,7 @@
 			return
 		case <-p.Lost():
 			n.next.Store(nil)
-			n.l.SetDeadline(time.Time{})
+			n.listener.SetDeadline(time.Time{})
 			fmt.Println("lost")
 		}
 	}
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -37,8 +37,8 @@
 	// then, refuses it and writes that.
 	forwardLead = 4*MaxStall + workMargin
 
-	minAnswerShare  = 2 // one part in so many of the time to the kill is left before LastAnswer where that is short,
-	minForwardShare = 4 // and before LastForward
+	answerDivisor  = 2 // one part in so many of the time to the kill is left before LastAnswer where that is short,
+	forwardDivisor = 4 // and before LastForward
 
 	// CloseTimePerConnection is the time that the end of a client's connection takes, with an answer on it, on a tenth of a core.
 	CloseTimePerConnection = 250 * time.Microsecond
@@ -58,8 +58,8 @@
 		kill = min(longest, maxCountedDeadline) + killGrace
 	}
 	return Schedule{
-		LastForward: max(kill-forwardLead, kill/minForwardShare),
-		LastAnswer:  max(kill-answerLead, kill/minAnswerShare),
+		LastForward: max(kill-forwardLead, kill/forwardDivisor),
+		LastAnswer:  max(kill-answerLead, kill/answerDivisor),
 		Kill:        kill,
 	}
 }
@@ -68,7 +68,7 @@
 // kill.
 func (s Schedule) ForConnections(connections int) Schedule {
 	work := time.Duration(connections) * CloseTimePerConnection
-	s.LastForward = max(s.LastForward-work, min(s.LastForward, s.Kill/minForwardShare))
+	s.LastForward = max(s.LastForward-work, min(s.LastForward, s.Kill/forwardDivisor))
 	s.LastAnswer = max(s.LastAnswer-work, s.LastForward)
 	return s
 }
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -24,7 +24,7 @@
 	if t := s.TakenAt.UnixMilli(); t < 0 || t > maxUnixMs {
 		return &FieldError{"TakenAt", fmt.Sprintf("%d Unix ms is no time", t)}
 	}
-	if err := checkTexts("Program Deployment Directory", s.Program, s.Deployment, s.Directory); err != nil {
+	if err := checkTexts("Program Deployment Discovery", s.Program, s.Deployment, s.Discovery); err != nil {
 		return err
 	}
 	if err := checkCount("Members", len(s.Members), maxServers); err != nil {
@@ -68,7 +68,7 @@
 		checkNumbers("Now FleetLatency FracOwn FracAll Arrivals.V Arrivals.At Sends.V Sends.At Fit.XX Fit.XY Fit.At", l.Now,
 			l.FleetLatency, l.FracOwn, l.FracAll, l.Arrivals.V, l.Arrivals.At, l.Sends.V, l.Sends.At, l.Fit.XX,
 			l.Fit.XY, l.Fit.At),
-		checkFractions("MedianMiss", l.MedianMiss),
+		checkFractions("MedianErrorRate", l.MedianErrorRate),
 		checkCount("Servers", len(l.Servers), maxServers),
 		checkCount("Tenants", len(l.Tenants), maxTenants),
 		checkCount("Fit.Classes", len(l.Fit.Classes), maxClasses),
--- a/internal/snapshot/dropped.go
+++ b/internal/snapshot/dropped.go
@@ -14,7 +14,7 @@
 const (
 	OtherProgram    Reason = "another program"
 	OtherDeployment Reason = "another deployment"
-	OtherDirectory  Reason = "another directory"
+	OtherDiscovery  Reason = "another discovery service"
 	FromTheFuture   Reason = "from the future"
 	TooOld          Reason = "too old"
 	FadedAway       Reason = "faded away"
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -22,9 +22,9 @@
 	rng, now := rand.New(rand.NewPCG(1, 2)), unixMs(taken)
 	at := func() float64 { return now - 5000*rng.Float64() }
 	s := &Snapshot{
-		TakenAt: taken, Program: "n1", Deployment: "d", Directory: "127.0.0.1:8500", Revision: 41,
+		TakenAt: taken, Program: "n1", Deployment: "d", Discovery: "127.0.0.1:8500", Revision: 41,
 		Learned: Learned{
-			Now: now, FleetLatency: 31.5, MedianMiss: 0.01, FracOwn: 3.25, FracAll: 90,
+			Now: now, FleetLatency: 31.5, MedianErrorRate: 0.01, FracOwn: 3.25, FracAll: 90,
 			Arrivals: Rate{V: 17.5, At: at()}, Sends: Rate{V: 17, At: at()},
 			Fit: Fit{71.25, 11.5, at(), []ClassFit{{N: 3, Sum: 2.5}, {N: 1, Sum: 1.5}}},
 		},
@@ -97,7 +97,7 @@
 func TestFaultyFieldIsNamed(t *testing.T) {
 	for want, spoil := range map[string]func(s *Snapshot, l *Learned){
 		"TakenAt":                         func(s *Snapshot, _ *Learned) { s.TakenAt = time.Time{} },
-		"Directory":                       func(s *Snapshot, _ *Learned) { s.Directory = strings.Repeat("x", 513) },
+		"Discovery":                       func(s *Snapshot, _ *Learned) { s.Discovery = strings.Repeat("x", 513) },
 		"Reuse":                           func(s *Snapshot, _ *Learned) { s.Reuse = make([]byte, maxReuseBytes+1) },
 		"Members[1].ID":                   func(s *Snapshot, _ *Learned) { s.Members[1].ID = s.Members[0].ID },
 		"Members[0].Address":              func(s *Snapshot, _ *Learned) { s.Members[0].Address = "nowhere" },
@@ -182,7 +182,7 @@
 		}
 		same(t, "encoded again", s, must(Decode(must(Encode(s, 0)))))
 		r := DefaultValidityRules()
-		r.Program, r.Deployment, r.Directory = s.Program, s.Deployment, s.Directory
+		r.Program, r.Deployment, r.Discovery = s.Program, s.Deployment, s.Discovery
 		r.Classes, r.Tenants = len(s.Learned.Fit.Classes), len(s.Learned.Tenants)
 		left, _ := DropStale(s, taken.Add(3*time.Second), r)
 		must(Encode(left, 0))
--- a/internal/snapshot/list.go
+++ b/internal/snapshot/list.go
@@ -8,17 +8,17 @@
 
 // List is discovery's list of servers.
 type List struct {
-	Directory string // address of the discovery service that it is from
+	Discovery string // address of the discovery service that it is from
 	Revision  uint64 // 0 = not as it was sent: ask for the whole list
 	Members   []Member
 }
 
 // List returns the snapshot's list.
-func (s *Snapshot) List() List { return List{s.Directory, s.Revision, s.Members} }
+func (s *Snapshot) List() List { return List{s.Discovery, s.Revision, s.Members} }
 
 // FromConfig is the list that the configuration knows of, whose phases count as listed at that moment.
-func FromConfig(l endpoints.List, directory string, listedAt time.Time) List {
-	out := List{Directory: directory, Revision: l.Revision}
+func FromConfig(l endpoints.List, discovery string, listedAt time.Time) List {
+	out := List{Discovery: discovery, Revision: l.Revision}
 	for _, m := range l.Endpoints {
 		out.Members = append(out.Members, Member{
 			ID: m.ID, Address: m.Address, Locality: m.Zone, Cell: m.Cell, Phase: m.Phase,
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -5,11 +5,11 @@
 // drains or is gone survives in a newer list too, unless that shows a new process there: a later start time, or
 // another id. Where that leaves a list that discovery never sent, its Revision is 0.
 func Merge(snap, known List) (List, []Dropped) {
-	sameDirectory := snap.Directory == known.Directory
-	if sameDirectory && (snap.Revision >= known.Revision || len(known.Members) == 0) {
+	sameDiscovery := snap.Discovery == known.Discovery
+	if sameDiscovery && (snap.Revision >= known.Revision || len(known.Members) == 0) {
 		return snap.clone(), dropMissing(known, snap)
 	}
-	merged := List{Directory: known.Directory, Revision: known.Revision}
+	merged := List{Discovery: known.Discovery, Revision: known.Revision}
 	asListed := true
 	earlier := snap.byID()
 	for _, m := range known.Members {
@@ -32,9 +32,9 @@
 		merged.Revision = 0
 	}
 	dropped := dropMissing(snap, merged)
-	if !sameDirectory {
+	if !sameDiscovery {
 		for i := range dropped {
-			dropped[i].Reason = OtherDirectory
+			dropped[i].Reason = OtherDiscovery
 		}
 	}
 	return merged, dropped
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -35,24 +35,24 @@
 	if s.Learned.Now > 0 {
 		v.clockOffset = v.takenAt - s.Learned.Now
 	}
-	out := &Snapshot{TakenAt: s.TakenAt, Program: s.Program, Deployment: s.Deployment, Directory: s.Directory}
-	var foreign, directory, future Reason
+	out := &Snapshot{TakenAt: s.TakenAt, Program: s.Program, Deployment: s.Deployment, Discovery: s.Discovery}
+	var foreign, otherDiscovery, future Reason
 	foreign = s.foreignReason(rules)
-	if s.Directory != rules.Directory {
-		directory = OtherDirectory
+	if s.Discovery != rules.Discovery {
+		otherDiscovery = OtherDiscovery
 	}
 	if s.TakenAt.Sub(now) > rules.MaxClockSkew {
 		future = FromTheFuture
 	}
-	v.keepMembers(s, out, cmp.Or(foreign, directory, future), foreign != "" && directory != "")
+	v.keepMembers(s, out, cmp.Or(foreign, otherDiscovery, future), foreign != "" && otherDiscovery != "")
 	if reason := cmp.Or(foreign, future); reason != "" {
 		v.drop(droppedLearned, "", 1, reason)
 		v.drop(droppedReuse, "", min(1, len(s.Reuse)), reason)
 		return out, v.dropped
 	}
-	v.keepLearned(s, out, directory)
-	if directory != "" { // it is of single servers, too
-		v.drop(droppedReuse, "", min(1, len(s.Reuse)), directory)
+	v.keepLearned(s, out, otherDiscovery)
+	if otherDiscovery != "" { // it is of single servers, too
+		v.drop(droppedReuse, "", min(1, len(s.Reuse)), otherDiscovery)
 	} else if v.keepFresh(v.takenAt, rules.MaxReuseAge, droppedReuse, "", min(1, len(s.Reuse))) {
 		out.Reuse = slices.Clone(s.Reuse)
 	}
@@ -102,7 +102,7 @@
 }
 
 // keepLearned keeps what the policy has learned; what concerns single servers only if directory, the reason against that, is empty.
-func (v *validator) keepLearned(s, out *Snapshot, directory Reason) {
+func (v *validator) keepLearned(s, out *Snapshot, otherDiscovery Reason) {
 	learned, kept := &s.Learned, &out.Learned
 	kept.Now = v.clampToPast(v.takenAt)
 	if len(learned.Fit.Classes) != v.rules.Classes {
@@ -114,7 +114,7 @@
 		kept.FleetLatency = learned.FleetLatency
 		kept.FracOwn = learned.FracOwn
 		kept.FracAll = learned.FracAll
-		kept.MedianMiss = learned.MedianMiss * v.remainingWeight(v.clampToPast(v.takenAt))
+		kept.MedianErrorRate = learned.MedianErrorRate * v.remainingWeight(v.clampToPast(v.takenAt))
 	}
 	if len(learned.Tenants) != v.rules.Tenants {
 		v.drop(droppedTenants, "", len(learned.Tenants), NoSuchPosition)
@@ -127,8 +127,8 @@
 		kept.Arrivals = Rate{V: learned.Arrivals.V, At: v.toWallClock(learned.Arrivals.At)}
 		kept.Sends = Rate{V: learned.Sends.V, At: v.toWallClock(learned.Sends.At)}
 	}
-	if directory != "" {
-		v.drop(droppedServer, "", len(learned.Servers), directory)
+	if otherDiscovery != "" {
+		v.drop(droppedServer, "", len(learned.Servers), otherDiscovery)
 		return
 	}
 	matching, gone := Match(learned.Servers, s.Members)
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -29,7 +29,7 @@
 
 func rules() ValidityRules {
 	r := DefaultValidityRules()
-	r.Program, r.Deployment, r.Directory, r.Classes, r.Tenants = "n1", "d", "127.0.0.1:8500", 2, 1
+	r.Program, r.Deployment, r.Discovery, r.Classes, r.Tenants = "n1", "d", "127.0.0.1:8500", 2, 1
 	return r
 }
 
@@ -78,12 +78,12 @@
 		},
 		{"another deployment", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment = "" }, "drains gone", ""},
 		{
-			"another fleet", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment, r.Directory = "", "" }, "",
+			"another fleet", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment, r.Discovery = "", "" }, "",
 			`dropped_drain=2 why="another deployment"`,
 		},
 		{
-			"another directory", 0, func(_ *Snapshot, r *ValidityRules) { r.Directory = "" }, "drains gone fleet fit tenants rates",
-			`dropped_server=3 why="another directory"`,
+			"another discovery service", 0, func(_ *Snapshot, r *ValidityRules) { r.Discovery = "" }, "drains gone fleet fit tenants rates",
+			`dropped_server=3 why="another discovery service"`,
 		},
 		{
 			"fewer positions", 0, func(_ *Snapshot, r *ValidityRules) { r.Tenants, r.Classes = 0, 1 },
@@ -124,7 +124,7 @@
 	phases := map[byte]string{'+': endpoints.Serving, '~': endpoints.Draining, 'x': endpoints.Deleted}
 	for i, w := range strings.Fields(text) {
 		if i == 0 {
-			l.Directory, l.Revision = w[:1], uint64(w[1]-'0')
+			l.Discovery, l.Revision = w[:1], uint64(w[1]-'0')
 			continue
 		}
 		l.Members = append(l.Members, Member{
@@ -147,8 +147,8 @@
 		{"nor a new id", "a7 1x59", "a8 2+51", "a8 2+51 1x59", ""},
 		{"of one not listed", "a7 1~59", "a8 2+51", "a0 2+51 1~59", ""},
 		{"the newer one knows more", "a7 1~59", "a8 1x51", "a8 1x51", ""},
-		{"another directory", "a9 1~59 2+59 3+59", "b2 1+51 2+01", "b0 1~59 2+59", "another directory"},
-		{"that knows nothing", "a9 1~59 2+59", "b0", "b0 1~59", "another directory"},
+		{"another discovery service", "a9 1~59 2+59 3+59", "b2 1+51 2+01", "b0 1~59 2+59", "another discovery service"},
+		{"that knows nothing", "a9 1~59 2+59", "b0", "b0 1~59", "another discovery service"},
 	} {
 		got, lost := Merge(list(c.snap), list(c.known))
 		same(t, c.what, list(c.want), got)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -17,7 +17,7 @@
 	TakenAt    time.Time `cbor:"-"`          // wall clock, to the millisecond; kept in the header
 	Program    string    `cbor:"1,keyasint"` // name of the sidecar
 	Deployment string    `cbor:"2,keyasint"` // Fingerprint of the settings
-	Directory  string    `cbor:"3,keyasint"` // where the list comes from
+	Discovery  string    `cbor:"3,keyasint"` // where the list comes from
 	Revision   uint64    `cbor:"4,keyasint"` // of the list there; 0 = not the whole list as it was sent
 	Members    []Member  `cbor:"5,keyasint,omitempty"`
 	Learned    Learned   `cbor:"6,keyasint"`
@@ -60,16 +60,16 @@
 // Learned is what the policy knows of the fleet. Times are Unix milliseconds of the policy's clock, which may
 // have come to differ from the wall clock: Now ties the two. A time of 0 means never.
 type Learned struct {
-	Now          float64         `cbor:"1,keyasint"` // the policy's clock at TakenAt; 0 = it is the wall clock
-	Servers      []LearnedServer `cbor:"2,keyasint,omitempty"`
-	Fit          Fit             `cbor:"3,keyasint"`
-	FleetLatency float64         `cbor:"4,keyasint,omitempty"` // ms, the median service time
-	MedianMiss   float64         `cbor:"5,keyasint,omitempty"` // probability of failure at the median server
-	FracOwn      float64         `cbor:"6,keyasint,omitempty"` // own requests, and all, in flight at probed servers
-	FracAll      float64         `cbor:"7,keyasint,omitempty"`
-	Tenants      []Bucket        `cbor:"8,keyasint,omitempty"` // by position in the settings
-	Arrivals     Rate            `cbor:"9,keyasint"`
-	Sends        Rate            `cbor:"10,keyasint"`
+	Now             float64         `cbor:"1,keyasint"` // the policy's clock at TakenAt; 0 = it is the wall clock
+	Servers         []LearnedServer `cbor:"2,keyasint,omitempty"`
+	Fit             Fit             `cbor:"3,keyasint"`
+	FleetLatency    float64         `cbor:"4,keyasint,omitempty"` // ms, the median service time
+	MedianErrorRate float64         `cbor:"5,keyasint,omitempty"` // probability of failure at the median server
+	FracOwn         float64         `cbor:"6,keyasint,omitempty"` // own requests, and all, in flight at probed servers
+	FracAll         float64         `cbor:"7,keyasint,omitempty"`
+	Tenants         []Bucket        `cbor:"8,keyasint,omitempty"` // by position in the settings
+	Arrivals        Rate            `cbor:"9,keyasint"`
+	Sends           Rate            `cbor:"10,keyasint"`
 }
 
 // LearnedServer is what is known of one server's process.
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -10,7 +10,7 @@
 type ValidityRules struct {
 	Program    string // of this start, like Deployment and Directory
 	Deployment string
-	Directory  string
+	Discovery  string
 	Classes    int // positions that the settings have
 	Tenants    int
 
