--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// What the program tells is what its peers have counted, through a reload and abandoned requests.
-func TestFiguresAreTrue(t *testing.T) {
+// What the program reports is what its clients and servers have counted, through a reload and abandoned requests.
+func TestMetricsAreTrue(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		record := fakes.Tile()
@@ -125,9 +125,9 @@
 	})
 }
 
-// A provider that operators take out gets nothing after the grace, whatever the list says; put back it is used at once,
+// A server that operators take out gets nothing after the grace, whatever the list says; put back it is used at once,
 // within what a cold one may get.
-func TestOutByHand(t *testing.T) {
+func TestCordonedServerGetsNothing(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Directory, nil)
 		p, began := fleet.Providers[0], time.Now()
--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -38,7 +38,7 @@
 	return n, errors.Join(err, http.NewResponseController(f.ResponseWriter).Flush())
 }
 
-// Long bodies arrive whole in each of HTTP's forms, whatever the pace of their peers.
+// Long bodies arrive whole in each of HTTP's forms, whatever the pace of clients and servers.
 func TestLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
@@ -120,9 +120,9 @@
 	})
 }
 
-// A long request whose provider is lost before its last byte was written has not run: it is refused, though it is an order;
+// A long request whose server is lost before its last byte was written has not run: it is refused, though it is an order;
 // after that it has failed. Nothing of it is sent twice.
-func TestLongRequestLosesItsProvider(t *testing.T) {
+func TestLongRequestLosesItsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
 		all, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Whatever comes, and whatever it was started with, a process holds no more descriptors than it is told: requests that hang at
-// their servers, clients that say nothing and make room for one another, operators that say nothing, a directory that hangs,
-// snapshots, bans, the platform's listening socket and the place where a second process would find it.
+// Whatever comes, and whatever it was started with, a process has no more descriptors open than its limit: requests that hang at
+// their servers, clients that send nothing and make room for one another, operators that send nothing, a discovery service that hangs,
+// snapshots, cordons, the platform's listening socket and the rendezvous where a second process would find it.
 func TestDescriptorsStayWithinTheLimit(t *testing.T) {
 	for _, c := range []struct{ limit, inherited int }{{40, 0}, {48, 8}, {96, 20}, {160, 3}} {
 		t.Run(fmt.Sprintf("%d of which %d are inherited", c.limit, c.inherited), func(t *testing.T) {
@@ -170,8 +170,8 @@
 	}
 }
 
-// Clients that say nothing and requests that hang fill the places while the directory refuses calls or says nothing. The operators'
-// front answers all the same, and as soon as the directory is back the watch is, and the requests under way get their answers.
+// Clients that send nothing and requests that hang fill the places while discovery refuses calls or does not answer. The operators'
+// listener answers all the same, and as soon as discovery is back the watch is, and the requests under way get their answers.
 func TestIdleClientsLeaveTheOthersTheirPlaces(t *testing.T) {
 	for way := range 4 {
 		hangs, flood := way&1 > 0, way&2 > 0
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -171,7 +171,7 @@
 // closed it then.
 func setDeadline(listener *net.TCPListener, deadline time.Time) { _ = listener.SetDeadline(deadline) }
 
-// forwardStop has the successor told of a signal to stop that comes when it is too late to call the handover off: the service is meant.
+// forwardStop sends the successor a signal to stop that comes when it is too late to cancel the handover: the service is meant.
 // The listener is the successor's alone from then on: as long as this process kept a copy, what came after the successor has closed its
 // own would be accepted by the kernel, and by nobody else. What forwardStop returns is called once the handover is done, and sees to it
 // that a signal that has come by then has got through.
--- a/cmd/plankrouter/lifecycle.go
+++ b/cmd/plankrouter/lifecycle.go
@@ -11,7 +11,7 @@
 	serving                   // accepts connections
 	handingOver               // a successor is ready, and is given the listener and the connections
 	retiring                  // its predecessor serves on after a broken handover: it answers what it has and accepts nothing
-	shuttingDown              // has been told to stop: it serves on until its schedule's last forward
+	shuttingDown              // has got a signal to stop: it serves on until its schedule's last forward
 	draining                  // has closed its listener, and answers what it has taken
 	left                      // serves nothing any more: the process ends
 )
--- a/cmd/plankrouter/play_test.go
+++ b/cmd/plankrouter/play_test.go
@@ -26,10 +26,10 @@
 // The exchanges in testdata/ are played against the whole program, in a bubble where time passes only when a
 // step says so. A line that starts with "--- " is a step; what follows up to the next one are its bytes, with
 // CRLF for each line's end, or none where a line ends with \. A comment before the first step says what the
-// exchange guards against. Connections are named by who they belong to: c1 is the first that a consumer opens,
-// p1#2 the second that the program opens to provider p1, dir#1 the first to the directory.
+// exchange guards against. Connections are named by who they belong to: c1 is the first that a client opens,
+// p1#2 the second that the program opens to server p1, dir#1 the first to discovery.
 //
-//	c1 sends | p1#1 sends | dir#1 sends    write the bytes, opening a consumer's connection if need be
+//	c1 sends | p1#1 sends | dir#1 sends    write the bytes, opening a client's connection if need be
 //	c1 gets | p1#1 gets | dir#1 gets       all that has come since the last look is just these bytes
 //	c1 closes                              the party closes its connection
 //	wait 150ms                             time passes
@@ -37,7 +37,7 @@
 //	signal                                 SIGTERM
 //	reload key=value ...                   the configuration file is replaced, as by settings, and SIGHUP comes
 //	exits                                  the program has ended without an error
-//	settings key=value ...                 before the program starts: see base; quiet=true has the directory say by itself,
+//	settings key=value ...                 before the program starts: see base; quiet=true has discovery say by itself,
 //	                                       after each wait, that nothing has changed
 var update = flag.Bool("update", false, "record what the program sends as what it should send")
 
@@ -193,7 +193,7 @@
 	}
 }
 
-// play returns the exchange as it went: the same text, but for what the program sent. worded has the last word on what the
+// play returns the exchange as it went: the same text, but for what the program sent. worded may change what the
 // configuration file says.
 func play(t *testing.T, text string, worded func([]byte) []byte) string {
 	parts := strings.Split(text, "\n--- ")
@@ -302,7 +302,7 @@
 	return strings.Join(out, "\n--- ")
 }
 
-// lines words the list of providers: each name is an id too, at port 1.
+// lines writes the list of servers: each name is an id too, at port 1.
 func lines(names string) string {
 	var all []string
 	for name := range strings.SplitSeq(names, ",") {
--- a/cmd/plankrouter/races_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A consumer leaves while its request waits, wherever that is, whether or not attempts may be called off and however it goes:
-// nothing of the request reaches a provider from then on, and what is counted comes out even.
+// A client leaves while its request waits, wherever that is, whether or not attempts may be cancelled and however it goes:
+// nothing of the request reaches a server from then on, and what is counted comes out even.
 func TestWhatNobodyWaitsForIsNotSent(t *testing.T) {
 	leave := map[string]func(*net.TCPConn){
 		"FIN":   func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -101,7 +101,7 @@
 	}
 }
 
-// A consumer leaves with something unread behind its request, so that its end can't be read, in the very moment before its attempt's
+// A client leaves with something unread behind its request, so that its end can't be read, in the very moment before its attempt's
 // connection comes up: the attempt looks once more, and nothing of it is written, however long ago anybody else has looked.
 func TestLeftJustBeforeTheFirstByte(t *testing.T) {
 	long := "POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 120000\r\n\r\n"
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -29,7 +29,7 @@
 	return last
 }
 
-// firstLists plays so many processes that restart within a second with no list at all, at a directory that makes perSecond whole
+// firstLists plays so many processes that restart within a second with no list at all, at a discovery service that makes perSecond whole
 // lists and lets calls wait in turn for queued before it turns them away, and returns when each has its list, sorted.
 func firstLists(t *testing.T, processes, perSecond int, queued time.Duration, seed uint64) (listedAt []time.Duration) {
 	set := staleness.DefaultSettings()
@@ -59,7 +59,7 @@
 		case begins-one.at > queued:
 			k.Rejected()
 			next(one.process, one.at)
-		case begins+each-one.at > one.call.Timeout: // the directory answers nobody
+		case begins+each-one.at > one.call.Timeout: // discovery answers nobody
 			free = begins + each
 			k.Failed()
 			next(one.process, one.at+one.call.Timeout)
@@ -72,7 +72,7 @@
 	return listedAt
 }
 
-// Nine in ten processes that restart together with no list of their own are ready within 10 s where the directory makes 20 whole
+// Nine in ten processes that restart together with no list of their own are ready within 10 s where discovery makes 20 whole
 // lists a second and for a third of them, whether or not it lets calls wait in turn.
 func TestRestartedTogetherAreReady(t *testing.T) {
 	const within = 10 * time.Second
@@ -92,8 +92,8 @@
 	}
 }
 
-// A process that is told a list at its start waits for no directory, whatever that does: it is ready at once.
-func TestReadyWithoutTheDirectory(t *testing.T) {
+// A process whose configuration has a list does not wait for discovery, whatever that does: it is ready at once.
+func TestReadyWithoutDiscovery(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		if err := fleet.Directory.Vanish(true); err != nil {
 			t.Fatal(err)
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -28,7 +28,7 @@
 	lasts  time.Duration                // of the load; 0 = 20 s
 }
 
-// world is the program with the peers around it, in a bubble.
+// world is the program with the fakes around it, in a bubble.
 type world struct {
 	*fakes.Fleet
 	start time.Time
@@ -52,7 +52,7 @@
 	}
 }
 
-// probes of a provider, and calls to the directory, from a moment on.
+// probes of a server, and calls to discovery, from a moment on.
 func (w *world) probes(p *fakes.Provider, from, to time.Duration) (n int) {
 	for _, one := range p.Probes() {
 		if at := one.At.Sub(w.start); at >= from && at < to {
--- a/cmd/plankrouter/rendezvous_test.go
+++ b/cmd/plankrouter/rendezvous_test.go
@@ -10,7 +10,7 @@
 )
 
 // A second process finds this one also after an accept at the meeting place has failed for a moment; a closed one is the end.
-func TestMeetingsOutlastAFailingAccept(t *testing.T) {
+func TestRendezvousOutlastsAFailingAccept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := []error{syscall.ENFILE, syscall.ECONNABORTED, nil, syscall.ENOBUFS, nil, net.ErrClosed}
 		met := 0
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -23,22 +23,22 @@
 
 const stepTimeout = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
 
-// rig is the whole program on loopback sockets between a consumer and providers that a test holds up at the very point. The
-// program's connections to providers come up when the test says so, whether or not the program still wants them.
+// rig is the whole program on loopback sockets between a client and servers that a test holds up at the very point. The
+// program's connections to servers come up when the test says so, whether or not the program still wants them.
 type rig struct {
 	*testing.T
 	front        string
 	pendingDials chan chan struct{} // one for each connection, to be closed when it is to come up
 	accepts      chan net.Conn      // those of which the program may learn only when the test passes them on, if holding
 	pass         chan net.Conn
-	closed       chan struct{} // one word for each consumer's connection that the program has closed
-	probed       chan struct{} // and for each probe that a provider has got
+	closed       chan struct{} // one signal for each client's connection that the program has closed
+	probed       chan struct{} // and for each probe that a server has got
 	signals      signalQueues
 	ended        chan error
 	file         string
 
 	mu     sync.Mutex
-	seen   []string         // the requests of which a provider has got the head, by their ids
+	seen   []string         // the requests of which a server has got the head, by their ids
 	answer func(int) string // to the n-th request; "" = none
 	probes chan struct{}    // closed when probes are answered; nil = at once
 }
@@ -159,7 +159,7 @@
 	}
 }
 
-// check sees that providers got just those requests, and that the book says so of as many that were served and whose consumers had
+// check sees that servers got just those requests, and that the counters have as many that were served and whose clients had
 // gone.
 func (r *rig) check(want []string, counts string, gone, served int) {
 	r.Helper()
@@ -180,7 +180,7 @@
 	}
 }
 
-// serveRequests is a provider, which takes note of a request as soon as its head is there.
+// serveRequests is a server, which takes note of a request as soon as its head is there.
 func (r *rig) serveRequests(l net.Listener) {
 	for {
 		c, err := l.Accept()
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -32,7 +32,7 @@
 	ended            chan error
 }
 
-// start runs the program against the directory of fleet, or one of its own with these members.
+// start runs the program against the fleet's discovery service.
 func start(t *testing.T, n *fakes.Memory, discovery *fakes.Directory, edit func(*fakes.Sidecar)) *service {
 	return startIn(t, n, discovery, "", edit)
 }
@@ -161,7 +161,7 @@
 // rand returns an id that was not used before.
 func rand() string { ids++; return fmt.Sprint("raw-", ids) }
 
-// fakeServer is a provider that answers as a test tells it to.
+// fakeServer answers as a test has it.
 type fakeServer struct {
 	net.Listener
 	mu   sync.Mutex
@@ -180,7 +180,7 @@
 	h.how(w, r)
 }
 
-// fakeServers starts n of them and a directory that lists them.
+// fakeServers starts n of them and a discovery service that lists them.
 func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*fakeServer, *fakes.Directory) {
 	var all []*fakeServer
 	var listed []fakes.Member
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// hastenedLastForward is when a process that has been told to stop twice accepts nothing more: clients are still arriving before.
+	// hastenedLastForward is when a process that has got two signals to stop accepts nothing more: clients are still arriving before.
 	hastenedLastForward = 500 * time.Millisecond
 	// advanceInterval is between two looks at the clock and at how many clients there are, during a shutdown.
 	advanceInterval = 10 * time.Millisecond
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -1,12 +1,12 @@
 package main
 
-// Users saw dozens of requests without an answer whenever a process of theirs was told to end while the machine was busy: they had been
+// Users saw dozens of requests without an answer whenever a process of theirs was stopped while the machine was busy: they had been
 // accepted late in the shutdown, forwarded to servers that took their time, and were still open when the process was killed.
 //
 // The order of events: SIGTERM is sent; the process does not run for 0.15 s and then counts its time from when it reads the signal; 0.1 s
-// before the end that it reckons with it gives up what is open, in several steps, each of which may be held up again; by then it has been
+// before the end that it reckons with it gives up what is open, in several steps, each of which may stall again; by then it has been
 // killed. The evidence are the rows below, each of which stops a real process at one edge of its shutdown: on the code before, every stop
-// that touches the word or the last 0.15 s leaves requests that servers have seen without an answer, and no other does.
+// that touches the signal or the last 0.15 s leaves requests that servers have seen without an answer, and no other does.
 
 import (
 	"strings"
@@ -40,7 +40,7 @@
 	lead time.Duration
 }
 
-// shutdownCase is a row: what befalls a process as it is told to end.
+// shutdownCase is a row: what befalls a process as it is stopped.
 type shutdownCase struct {
 	pauses   []pause
 	before   []earlierSignal  // other signals, before SIGTERM
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -285,7 +285,7 @@
 	}
 }
 
-// request words a request; deadline "" = the class's.
+// request returns a request's bytes; deadline "" = the class's.
 func (w *shutdownWorld) request(id, deadline string) string {
 	if deadline != "" {
 		deadline = "Req-Deadline: " + deadline + "\r\n"
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A word to stop counts from when it came: while the program starts, and during a reload that does not end. Others that come
+// A signal to stop counts from when it came: while the program starts, and during a reload that does not end. Others that come
 // after it do not keep it.
 func TestStopWaitsForNothing(t *testing.T) {
 	for _, key := range []string{"TMPDIR", "GW_CONFIG"} { // read at the start, and by a reload
@@ -115,10 +115,10 @@
 // of it, where a reload has made it shorter, and a body that flows on.
 func TestStopAnswersAllBeforeTheKill(t *testing.T) {
 	for what, tc := range map[string]struct {
-		reload time.Duration // of a shorter deadline, after the word; 0 = none
-		after  time.Duration // of the word, that the request comes
+		reload time.Duration // of a shorter deadline, after the signal; 0 = none
+		after  time.Duration // the signal, that the request comes
 		rest   bool
-		want   time.Duration // after the word
+		want   time.Duration // after the signal
 	}{
 		"before":               {0, -2 * sec, false, 3200 * time.Millisecond},
 		"soon after":           {0, 500 * time.Millisecond, false, 3200 * time.Millisecond},
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// One of 300 instances starts with a list that names a provider which the directory no longer does, and which is there all
-// the same, as a machine is that has come back before the directory says so. Its word counts from the start, though unheard.
+// One of 300 instances starts with a list that names a server which discovery no longer does, and which is there all
+// the same, as a machine is that has come back before discovery says so. What discovery says counts from the start, though unheard.
 func TestFirstListIsAskedForWithinTheGrace(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		known := fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
@@ -39,7 +39,7 @@
 	})
 }
 
-// Servers leave while the directory is silent, and the word counts unheard: one drains, one drains and is back under its id
+// Servers leave while discovery does not answer, and that counts unheard: one drains, one drains and is back under its id
 // before the list says so, and at the address of one there is another by now. One of 300 instances, whether it has been
 // running or has just been killed and started, sends nothing new to them once the grace is over, by the rule's own clock.
 func TestUnheardDrainsAreKept(t *testing.T) {
@@ -103,8 +103,8 @@
 }
 
 // One server goes and is back under its id and at its address, while discovery turns away or does not answer whoever asks it on
-// request: first the one word counts unheard, seconds later the other. In between nothing new goes there, whether the sidecar
-// had a list or has just started, though the server answers probes, and was met by new connections before the list was in doubt.
+// request: first the one change counts unheard, seconds later the other. In between nothing new goes there, whether the sidecar
+// had a list or has just started, though the server answers probes, and was met by new connections before the list was stale.
 func TestServerIsBackUnheard(t *testing.T) {
 	const grace, down, noticed = 750 * time.Millisecond, 1200 * time.Millisecond, 3500 * time.Millisecond
 	for _, c := range []struct {
@@ -161,7 +161,7 @@
 	}
 }
 
-// 2,000 servers and 1,024 sidecars, told in the configuration and by the directory, whose answers are indented and in chunks:
+// 2,000 servers and 1,024 sidecars, in the configuration and in discovery's list, whose answers are indented and in chunks:
 // the program starts, serves, and when half of the servers leave at once, the last in the list among them, nothing new goes there.
 func TestLargeFleetIsObeyed(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -159,7 +159,7 @@
 }
 
 // One client has a request under way whenever the listener and its connection move on, and its next ones are sent
-// already; another one asks all the time, on a kept connection and on new ones. systemd is told each main process.
+// already; another one asks all the time, on a kept connection and on new ones. systemd gets the id of each main process.
 func TestTenGenerations(t *testing.T) {
 	supervisor := must(net.ListenUnixgram("unixgram", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "notify")}))
 	defer func() { _ = supervisor.Close() }()
--- a/internal/hotrestart/rendezvous_test.go
+++ b/internal/hotrestart/rendezvous_test.go
@@ -116,7 +116,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var found atomic.Pointer[Successor]
-	go func() { found.Store(must(Find(folder))); cancel() }() // told to stop before the other is ready
+	go func() { found.Store(must(Find(folder))); cancel() }() // cancelled before the other is ready
 	if p, err := line.Meet(ctx, must(place.AcceptUnix()), own, Options{}); p != nil || !errors.Is(err, context.Canceled) {
 		t.Errorf("told to stop: %v", err)
 	}
--- a/internal/hotrestart/signals.go
+++ b/internal/hotrestart/signals.go
@@ -40,7 +40,7 @@
 	nanos int64
 }
 
-// readClock reads both clocks. The process's own comes first: one that is held up between the two must not take a signal for later than it was.
+// readClock reads both clocks. The process's own comes first: one that stalls between the two must not take a signal for later than it was.
 func readClock() (clock, error) {
 	c := clock{now: time.Now()}
 	var err error
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -17,7 +17,7 @@
 
 var taken = time.UnixMilli(1_800_000_000_123)
 
-// fleet is a snapshot with evidence of every tenant about every provider: the largest that so many can make.
+// fleet is a snapshot with outcomes of every tenant at every server: the largest that so many can make.
 func fleet(providers, tenants int) *Snapshot {
 	rng, now := rand.New(rand.NewPCG(1, 2)), unixMs(taken)
 	at := func() float64 { return now - 5000*rng.Float64() }
@@ -140,7 +140,7 @@
 
 // An array may say that it is long, and be of elements that are far smaller on the wire than in memory.
 func TestMemoryIsBoundedByTheInput(t *testing.T) {
-	long := "\xa1\x08\x99\x3f\xff" // a provider with 0x3fff tallies
+	long := "\xa1\x08\x99\x3f\xff" // a server with 0x3fff tallies
 	for what, at := range map[string]struct {
 		before, each string
 		n            int
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// keepLearned keeps what the policy has learned; what concerns single servers only if directory, the reason against that, is empty.
+// keepLearned keeps what the policy has learned; what concerns single servers only if otherDiscovery, the reason against that, is empty.
 func (v *validator) keepLearned(s, out *Snapshot, otherDiscovery Reason) {
 	learned, kept := &s.Learned, &out.Learned
 	kept.Now = v.clampToPast(v.takenAt)
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -8,7 +8,7 @@
 	hour   = 60 * minute
 )
 
-// A date is placed where it was written, whichever side of a step that was; where that can't be told, no earlier.
+// A date is placed where it was written, whichever side of a step that was; where that can't be known, no earlier.
 func TestPlace(t *testing.T) {
 	for name, row := range map[string]struct {
 		steps   []float64 // of the wall clock, a minute apart
