--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -46,7 +46,7 @@
 	p.lifecycle.on(mayServe)
 	p.dispatcher.SetOpenInPredecessor(predecessor.Open())
 	if predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns - p.shares.conns/standbyShare)
+		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
 	}
 	predecessor.Stopped = func(stop hotrestart.Stop) {
 		enqueue(p.signals.stop, receivedSignal{Signal: syscall.SIGTERM, earliestSent: stop.At, readAt: time.Now(), killAt: stop.Kill})
@@ -122,7 +122,7 @@
 	}
 	log.Printf("name=%s handover=passing successor=%d", p.cfg.Name, successor.Pid())
 	if rendezvousFolder(p.getenv) != "" {
-		p.budget.Limit(p.shares.conns / standbyShare)
+		p.budget.Limit(p.shares.conns / standbyDivisor)
 		defer p.budget.Limit(p.shares.conns) // if it serves on
 	}
 	transferred := p.beginTransfer(successor, listener)
@@ -171,7 +171,7 @@
 // closed it then.
 func setDeadline(listener *net.TCPListener, deadline time.Time) { _ = listener.SetDeadline(deadline) }
 
-// forwardStop has the successor told of a signal to stop that comes when it is too late to call the handover off: the service is meant.
+// forwardStop sends the successor a signal to stop that comes when it is too late to cancel the handover: the service is meant.
 // The listener is the successor's alone from then on: as long as this process kept a copy, what came after the successor has closed its
 // own would be accepted by the kernel, and by nobody else. What forwardStop returns is called once the handover is done, and sees to it
 // that a signal that has come by then has got through.
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -28,7 +28,7 @@
 	lasts  time.Duration                // of the load; 0 = 20 s
 }
 
-// world is the program with the peers around it, in a bubble.
+// world is the program with the fakes around it, in a bubble.
 type world struct {
 	*fakes.Fleet
 	start time.Time
@@ -52,7 +52,7 @@
 	}
 }
 
-// probes of a provider, and calls to the directory, from a moment on.
+// probes of a server, and calls to discovery, from a moment on.
 func (w *world) probes(p *fakes.Provider, from, to time.Duration) (n int) {
 	for _, one := range p.Probes() {
 		if at := one.At.Sub(w.start); at >= from && at < to {
@@ -73,10 +73,10 @@
 	return n, whole
 }
 
-func between(t *testing.T, what string, got, least, most int) {
+func between(t *testing.T, what string, got, minimum, maximum int) {
 	t.Helper()
-	if got < least || got > most {
-		t.Errorf("%s: %d, want %d to %d", what, got, least, most)
+	if got < minimum || got > maximum {
+		t.Errorf("%s: %d, want %d to %d", what, got, minimum, maximum)
 	}
 }
 
