--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -73,14 +73,14 @@
 		record := fakes.Tile()
 		record.Name = "record"
 		load := func(flows ...fakes.Flow) []fakes.Try {
-			return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 6 * sec, Flows: flows}).Run(t.Context())
+			return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 6 * second, Flows: flows}).Run(t.Context())
 		}
 		if f := s.counters(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
 			t.Errorf("before anything: %+v", f)
 		}
 		fleet.Providers[0].Change(func(b *fakes.Behaviour) { b.Decline = true })
 		tries := load(fakes.Flow{Class: fakes.Tile(), Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})
-		s.set.Classes = []fakes.Class{record, fakes.Order()}
+		s.sidecar.Classes = []fakes.Class{record, fakes.Order()}
 		s.write()
 		s.reload()
 		tries = append(tries, load(fakes.Flow{Class: record, Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})...)
@@ -93,11 +93,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = io.WriteString(c, "GET /record/left HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\n\r\n")
+			_, _ = io.WriteString(c, "GET /record/left HTTP/1.1\r\nHost: x\r\nReq-Id: "+nextID()+"\r\n\r\n")
 			time.Sleep(2 * time.Millisecond)
 			c.Close()
 		}
-		time.Sleep(sec)
+		time.Sleep(second)
 		f, want := s.counters(), map[fakes.Result]map[string]int{}
 		for _, try := range tries {
 			if want[try.Result] == nil {
@@ -135,66 +135,66 @@
 		member := p.Member()
 		restarted := member
 		go func() {
-			after(3 * sec)
+			after(3 * second)
 			s.adminCall("PUT", "/tile-servers/disable?target="+p.ID(), 200)
-			after(4 * sec)
+			after(4 * second)
 			s.adminCall("PUT", "/tile-servers/disable?target="+p.ID(), 200)
 			if f := s.counters(); f.TargetsDisabled != 1 || f.Targets != 6 {
 				t.Errorf("while one is out: %+v", f)
 			}
 			for i, phase := range []string{fakes.Draining, fakes.Serving, "DELETED", fakes.Serving} {
-				after(time.Duration(5+i) * sec)
+				after(time.Duration(5+i) * second)
 				m := member
 				m.Phase = phase
 				fleet.Directory.Change(m)
 			}
-			after(9 * sec)
+			after(9 * second)
 			fleet.Directory.WholeForWatch(true)
 			fleet.Directory.Change(fleet.Providers[1].Member())
 			s.write()
 			s.reload()
-			after(10 * sec)
+			after(10 * second)
 			p.Kill()
 			if err := p.Start(p.ID()); err != nil {
 				t.Error(err)
 			}
 			restarted = p.Member()
 			fleet.Directory.Change(restarted)
-			after(12 * sec)
+			after(12 * second)
 			s.adminCall("PUT", "/tile-servers/enable?target="+p.ID(), 200)
 		}()
 		fakes.NewConsumers(fakes.Load{
-			Network: n, Address: s.front, Seed: 1, For: 20 * sec,
+			Network: n, Address: s.front, Seed: 1, For: 20 * second,
 			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 100}, {Class: fakes.Order(), Rate: 20}},
 		}).Run(t.Context())
 		before, back, soon := 0, time.Duration(0), 0
 		for _, r := range p.Requests() {
 			switch at := r.FirstByte.Sub(began); {
-			case at < 3*sec:
+			case at < 3*second:
 				before++
-			case at > 3750*time.Millisecond && at < 12*sec:
-				t.Errorf("it got a request %s after the call", at-3*sec)
-			case at >= 12*sec && at < 13*sec:
+			case at > 3750*time.Millisecond && at < 12*second:
+				t.Errorf("it got a request %s after the call", at-3*second)
+			case at >= 12*second && at < 13*second:
 				if soon++; back == 0 {
-					back = at - 12*sec
+					back = at - 12*second
 				}
 			}
 		}
-		if before == 0 || back == 0 || back > sec || soon > 30 {
+		if before == 0 || back == 0 || back > second || soon > 30 {
 			t.Errorf("%d requests before; used %s after the call back, %d within a second", before, back, soon)
 		}
 		for _, probe := range p.Probes() {
-			if at := probe.At.Sub(began); at > 3750*time.Millisecond && at < 12*sec {
-				t.Errorf("it was probed %s after the call", at-3*sec)
+			if at := probe.At.Sub(began); at > 3750*time.Millisecond && at < 12*second {
+				t.Errorf("it was probed %s after the call", at-3*second)
 			}
 		}
 		for i, last := range fleet.Providers { // all out: refused, not sent there
 			s.adminCall("PUT", "/tile-servers/disable?target="+last.ID(), 200)
 			if i == len(fleet.Providers)-1 {
-				time.Sleep(sec)
+				time.Sleep(second)
 			}
 		}
-		if status, _ := parse(t, s.send(s.front, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+"\r\nConnection: close\r\n\r\n")); status != 503 {
+		if status, _ := parse(t, s.send(s.front, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: "+nextID()+"\r\nConnection: close\r\n\r\n")); status != 503 {
 			t.Errorf("with all out: %d", status)
 		}
 		s.adminCall("GET", "/ready", 503)
--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// slowly writes p in pieces, with a pause before each.
-func slowly(w io.Writer, p []byte, piece int, pause time.Duration) {
+// writeSlowly writes p in pieces, with a pause before each.
+func writeSlowly(w io.Writer, p []byte, piece int, pause time.Duration) {
 	for len(p) > 0 {
 		time.Sleep(pause)
 		n, err := w.Write(p[:min(piece, len(p))])
@@ -28,7 +28,7 @@
 	}
 }
 
-var long = bytes.Repeat([]byte("0123456789abcdef"), 20<<10) // 320 KiB
+var longBody = bytes.Repeat([]byte("0123456789abcdef"), 20<<10) // 320 KiB
 
 // flusher writes each piece at once.
 type flusher struct{ http.ResponseWriter }
@@ -48,20 +48,20 @@
 				panic(http.ErrAbortHandler)
 			}
 			if strings.HasSuffix(r.URL.Path, "/sized") {
-				w.Header().Set("Content-Length", fmt.Sprint(len(long)))
+				w.Header().Set("Content-Length", fmt.Sprint(len(longBody)))
 			}
 			w.WriteHeader(200)
 			switch {
 			case r.Method == "POST":
 				_, _ = w.Write(body)
 			case strings.HasSuffix(r.URL.Path, "/slow"):
-				slowly(flusher{w}, long, 9000, 90*time.Millisecond) // over 3 s, beyond its deadline
+				writeSlowly(flusher{w}, longBody, 9000, 90*time.Millisecond) // over 3 s, beyond its deadline
 			case strings.HasSuffix(r.URL.Path, "/broken"):
-				_, _ = w.Write(long[:200<<10])
+				_, _ = w.Write(longBody[:200<<10])
 				_ = http.NewResponseController(w).Flush()
 				panic(http.ErrAbortHandler)
 			default:
-				_, _ = w.Write(long)
+				_, _ = w.Write(longBody)
 			}
 		})
 		s := start(t, m, discovery, nil)
@@ -72,8 +72,8 @@
 			}
 			defer c.Close()
 			go func() {
-				slowly(c, []byte(head+"Host: x\r\nReq-Id: "+rand()+"\r\nReq-Deadline: 1.0\r\n\r\n"), 40, pause/10)
-				slowly(c, body, piece, pause)
+				writeSlowly(c, []byte(head+"Host: x\r\nReq-Id: "+nextID()+"\r\nReq-Deadline: 1.0\r\n\r\n"), 40, pause/10)
+				writeSlowly(c, body, piece, pause)
 			}()
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
@@ -84,31 +84,31 @@
 		}
 		for _, path := range []string{"sized", "chunked", "slow"} {
 			status, got, err := ask("GET /tile/"+path+" HTTP/1.1\r\n", nil, 1, 0)
-			if status != 200 || err != nil || !bytes.Equal(got, long) {
+			if status != 200 || err != nil || !bytes.Equal(got, longBody) {
 				t.Errorf("%s: %d, %d bytes, %v", path, status, len(got), err)
 			}
 		}
 		if _, got, err := ask("GET /tile/broken HTTP/1.1\r\n", nil, 1, 0); err == nil || len(got) == 0 {
 			t.Errorf("an answer that breaks off: %d bytes, %v", len(got), err)
 		}
-		if _, got, err := ask("GET /tile/broken HTTP/1.0\r\n", nil, 1, 0); err == nil && len(got) >= len(long) {
+		if _, got, err := ask("GET /tile/broken HTTP/1.0\r\n", nil, 1, 0); err == nil && len(got) >= len(longBody) {
 			t.Errorf("an answer that breaks off, to an old consumer: %d bytes", len(got))
 		}
-		chunks := fmt.Appendf(nil, "%x;ext=1\r\n%s\r\n%x\r\n%s\r\n0\r\nX-Trailer: y\r\n\r\n", 200<<10, long[:200<<10],
-			len(long)-200<<10, long[200<<10:])
+		chunks := fmt.Appendf(nil, "%x;ext=1\r\n%s\r\n%x\r\n%s\r\n0\r\nX-Trailer: y\r\n\r\n", 200<<10, longBody[:200<<10],
+			len(longBody)-200<<10, longBody[200<<10:])
 		for what, tc := range map[string]struct {
 			head  string
 			body  []byte
 			piece int
 			pause time.Duration
 		}{
-			"at once":         {fmt.Sprintf("Content-Length: %d\r\n", len(long)), long, len(long), 0},
+			"at once":         {fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody, len(longBody), 0},
 			"in chunks":       {"Transfer-Encoding: chunked\r\n", chunks, 30000, 0},
-			"at 64 kB/s":      {fmt.Sprintf("Content-Length: %d\r\n", len(long)), long, 32 << 10, 500 * time.Millisecond},
-			"small, and slow": {"Content-Length: 3000\r\n", long[:3000], 1000, 400 * time.Millisecond},
+			"at 64 kB/s":      {fmt.Sprintf("Content-Length: %d\r\n", len(longBody)), longBody, 32 << 10, 500 * time.Millisecond},
+			"small, and slow": {"Content-Length: 3000\r\n", longBody[:3000], 1000, 400 * time.Millisecond},
 		} {
 			status, got, err := ask("POST /order/1 HTTP/1.1\r\n"+tc.head, tc.body, tc.piece, tc.pause)
-			if want := long[:min(len(long), len(got))]; status != 200 || err != nil || len(got) < 3000 || !bytes.Equal(got, want) {
+			if want := longBody[:min(len(longBody), len(got))]; status != 200 || err != nil || len(got) < 3000 || !bytes.Equal(got, want) {
 				t.Errorf("sent %s: %d, %d bytes, %v", what, status, len(got), err)
 			}
 		}
@@ -141,8 +141,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			go slowly(c, fmt.Appendf(nil, "POST /order/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s", path, path,
-				len(long), long), 20000, 10*time.Millisecond)
+			go writeSlowly(c, fmt.Appendf(nil, "POST /order/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s", path, path,
+				len(longBody), longBody), 20000, 10*time.Millisecond)
 			br := bufio.NewReader(c)
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil || resp.StatusCode != want {
@@ -151,7 +151,7 @@
 			if n := all[0].seen[path] + all[1].seen[path]; n != 1 {
 				t.Errorf("%s: sent %d times", path, n)
 			}
-			time.Sleep(sec)
+			time.Sleep(second)
 			_, _ = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // the connection goes on behind the body
 			if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 404 {
 				t.Errorf("after %s: %v %v", path, resp, err)
@@ -169,7 +169,7 @@
 		_, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "3221225472")
 			for context.Cause(r.Context()) == nil {
-				if _, err := w.Write(long); err != nil {
+				if _, err := w.Write(longBody); err != nil {
 					return
 				}
 			}
@@ -185,7 +185,7 @@
 			"endless answers": {"GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: b\r\nConnection: close\r\n\r\n", 503},
 		} {
 			began := time.Now()
-			if status, _ := parse(t, s.send(s.front, tc.raw)); status != tc.want || time.Since(began) > 3*sec {
+			if status, _ := parse(t, s.send(s.front, tc.raw)); status != tc.want || time.Since(began) > 3*second {
 				t.Errorf("%s: %d, want %d, after %s", what, status, tc.want, time.Since(began))
 			}
 		}
@@ -200,7 +200,7 @@
 		_, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		s := start(t, m, discovery, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
 		ask := func(path, rest string) (int, string) {
-			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+rand()+
+			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+nextID()+
 				"\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"+rest))
 		}
 		for i := range 40 {
@@ -236,7 +236,7 @@
 				fmt.Fprint(w, "done")
 				return
 			}
-			slowly(flusher{w}, long, 4000, 2*time.Millisecond)
+			writeSlowly(flusher{w}, longBody, 4000, 2*time.Millisecond)
 		})
 		s := start(t, m, discovery, nil)
 		var all sync.WaitGroup
@@ -252,12 +252,12 @@
 				if leave > 0 {
 					time.AfterFunc(leave, func() { c.Close() })
 				}
-				path, body := []string{"early", "late", "down"}[i%3], long
+				path, body := []string{"early", "late", "down"}[i%3], longBody
 				head := "POST /order/"
 				if path == "down" {
 					head, body = "GET /tile/", nil
 				}
-				go slowly(c, fmt.Appendf(nil, "%s%s HTTP/1.1\r\nHost: x\r\nReq-Id: l%d\r\nContent-Length: %d\r\n\r\n%s", head, path, i,
+				go writeSlowly(c, fmt.Appendf(nil, "%s%s HTTP/1.1\r\nHost: x\r\nReq-Id: l%d\r\nContent-Length: %d\r\n\r\n%s", head, path, i,
 					len(body), body), 9000, 3*time.Millisecond)
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
@@ -267,7 +267,7 @@
 					return
 				}
 				got, err := io.ReadAll(resp.Body)
-				want := map[string]string{"early": "", "late": "done", "down": string(long)}[path]
+				want := map[string]string{"early": "", "late": "done", "down": string(longBody)}[path]
 				if leave == 0 && resp.StatusCode == 200 && (err != nil || string(got) != want) || err == nil && resp.StatusCode == 200 &&
 					string(got) != want {
 					t.Errorf("%s: %d bytes that are not its own, %v", path, len(got), err)
@@ -275,7 +275,7 @@
 			})
 		}
 		all.Wait()
-		time.Sleep(10 * sec)
+		time.Sleep(10 * second)
 		if f := s.counters(); f.Concurrent != 0 || f.Success["tile"] == 0 || f.Success["order"] == 0 {
 			t.Errorf("%+v", f)
 		}
--- a/cmd/plankrouter/play_test.go
+++ b/cmd/plankrouter/play_test.go
@@ -52,16 +52,16 @@
 {"Name":"order","AimMs":300,"HardLimitMs":1000,"Credit":5,"Repeat":"side_effect"},
 {"Name":"search","AimMs":525,"HardLimitMs":1500,"Credit":1,"Repeat":"token","KeyScope":"all","MemorySpanMs":4000}]}}`
 
-// end is one end of a connection that the test holds; what arrives is collected as it comes.
-type end struct {
+// testConn is one end of a connection that the test holds; what arrives is collected as it comes.
+type testConn struct {
 	net.Conn
 	mu   sync.Mutex
 	got  bytes.Buffer
 	over bool
 }
 
-func hold(c net.Conn) *end {
-	e := &end{Conn: c}
+func holdConn(c net.Conn) *testConn {
+	e := &testConn{Conn: c}
 	go func() {
 		b := make([]byte, 4096)
 		for {
@@ -79,7 +79,7 @@
 }
 
 // take returns what has come since the last call, in the form of the exchange files.
-func (e *end) take() string {
+func (e *testConn) take() string {
 	if e == nil {
 		return "(no connection)\n"
 	}
@@ -99,7 +99,7 @@
 // stage is the world around the program.
 type stage struct {
 	mu     sync.Mutex
-	ends   map[string]*end
+	ends   map[string]*testConn
 	opens  map[string]int
 	dials  map[string]string
 	conns  chan net.Conn
@@ -133,7 +133,7 @@
 		return mine, nil
 	}
 	g.opens[name]++
-	g.ends[fmt.Sprintf("%s#%d", name, g.opens[name])] = hold(theirs)
+	g.ends[fmt.Sprintf("%s#%d", name, g.opens[name])] = holdConn(theirs)
 	return mine, nil
 }
 
@@ -163,7 +163,7 @@
 func (g *stage) Close() error   { g.once.Do(func() { close(g.closed) }); return nil }
 func (g *stage) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (g *stage) end(name string) *end {
+func (g *stage) end(name string) *testConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ends[name]
@@ -199,7 +199,7 @@
 	parts := strings.Split(text, "\n--- ")
 	out := []string{parts[0]}
 	g := &stage{
-		ends: map[string]*end{}, opens: map[string]int{}, dials: map[string]string{},
+		ends: map[string]*testConn{}, opens: map[string]int{}, dials: map[string]string{},
 		conns: make(chan net.Conn), closed: make(chan struct{}),
 	}
 	set := map[string]string{
@@ -263,7 +263,7 @@
 			e := g.end(word[0])
 			if e == nil && word[0][0] == 'c' {
 				mine, theirs := net.Pipe()
-				e = hold(theirs)
+				e = holdConn(theirs)
 				g.mu.Lock()
 				g.ends[word[0]] = e
 				g.mu.Unlock()
--- a/cmd/plankrouter/races_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -24,15 +24,15 @@
 		decline bool // the first attempt comes to nothing
 		taken   bool
 	}{
-		{name: "in the module", message: get("a"), probes: true, taken: true},
-		{name: "in the backlog", message: get("a")},
-		{name: "while its connection comes up", message: get("a"), taken: true},
-		{name: "between two attempts", message: get("a"), before: 12, decline: true, taken: true},
+		{name: "in the module", message: getRequest("a"), probes: true, taken: true},
+		{name: "in the backlog", message: getRequest("a")},
+		{name: "while its connection comes up", message: getRequest("a"), taken: true},
+		{name: "between two attempts", message: getRequest("a"), before: 12, decline: true, taken: true},
 		{name: "with its body half sent", message: "POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 200000\r\n\r\n" +
 			strings.Repeat("x", 120000), taken: true},
-		{name: "with a blank line behind it", message: get("a") + "\r\n", taken: true},
-		{name: "with another request behind it", message: get("a") + get("b"), taken: true},
-		{name: "with much behind it", message: get("a") + strings.Repeat(get("b"), 300), taken: true},
+		{name: "with a blank line behind it", message: getRequest("a") + "\r\n", taken: true},
+		{name: "with another request behind it", message: getRequest("a") + getRequest("b"), taken: true},
+		{name: "with much behind it", message: getRequest("a") + strings.Repeat(getRequest("b"), 300), taken: true},
 	}
 	for _, tc := range cases {
 		for how, goes := range leave {
@@ -50,7 +50,7 @@
 					}
 					stop := r.allowDials(tc.probes || tc.before > 0)
 					for i := range tc.before {
-						r.served(fmt.Sprint(i))
+						r.expectServed(fmt.Sprint(i))
 						want = append(want, fmt.Sprint(i))
 						wait(r, "the end of a connection", r.closed)
 					}
@@ -88,13 +88,13 @@
 						go func() { r.pass <- <-r.accepts }()
 					}
 					r.allowDials(true)
-					r.served("z")
+					r.expectServed("z")
 					counts := r.end(words)
 					gone := 0
 					if tc.taken {
 						gone = 1
 					}
-					r.check(want, counts, gone, tc.before+1)
+					r.checkCounts(want, counts, gone, tc.before+1)
 				})
 			}
 		}
@@ -109,9 +109,9 @@
 		message string
 		before  int // requests that are served before; then its first attempt comes to nothing
 	}{
-		"with a blank line behind it":      {get("a") + "\r\n", 0},
-		"with another request behind it":   {get("a") + get("b"), 0},
-		"between two attempts":             {get("a") + "\r\n", 12},
+		"with a blank line behind it":      {getRequest("a") + "\r\n", 0},
+		"with another request behind it":   {getRequest("a") + getRequest("b"), 0},
+		"between two attempts":             {getRequest("a") + "\r\n", 12},
 		"with its long body half sent":     {long + strings.Repeat("x", 90000), 0},
 		"with its long body sent and more": {long + strings.Repeat("x", 120002), 0},
 	} {
@@ -133,7 +133,7 @@
 			want := []string{"z"}
 			stop := r.allowDials(tc.before > 0)
 			for i := range tc.before {
-				r.served(fmt.Sprint(i))
+				r.expectServed(fmt.Sprint(i))
 				want = append(want, fmt.Sprint(i))
 				<-accepted
 				wait(r, "the end of a connection", r.closed)
@@ -152,9 +152,9 @@
 			close(held)
 			wait(r, "the end of a connection whose consumer has left", r.closed)
 			r.allowDials(true)
-			r.served("z")
+			r.expectServed("z")
 			counts := r.end(2)
-			r.check(want, counts, 1, tc.before+1)
+			r.checkCounts(want, counts, 1, tc.before+1)
 		})
 	}
 }
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -80,116 +80,116 @@
 	}
 }
 
-const sec = time.Second
+const second = time.Second
 
 var recoveryCases = map[string]recoveryCase{
 	"release while the directory's answers are lost": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.Directory.LosePresent}, {At: 5 * sec, Do: func() {
-				_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+			return fakes.Timeline{{At: 5 * second, Do: w.Directory.LosePresent}, {At: 5 * second, Do: func() {
+				_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: second, Move: true})
 			}}}
 		},
-		event: 5 * sec, within: 4 * sec, worst: 0.5,
+		event: 5 * second, within: 4 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
 			for _, p := range w.Providers {
-				between(t, "probes of "+p.ID(), w.probes(p, 5*sec, 15*sec), 20, 700)
+				between(t, "probes of "+p.ID(), w.probes(p, 5*second, 15*second), 20, 700)
 			}
-			n, whole := w.calls(5*sec, 15*sec)
+			n, whole := w.calls(5*second, 15*second)
 			between(t, "calls", n, 8, 40) // one every 0.3 s: an agent is asked for nothing
 			between(t, "whole lists", whole, 1, 4)
 		},
 	},
 	"a release leaves nobody warm": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: func() {
-				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: sec, Between: 2 * sec, Move: true})
+			return fakes.Timeline{{At: 5 * second, Do: func() {
+				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: second, Between: 2 * second, Move: true})
 			}}}
 		},
-		event: 5 * sec, within: 6 * sec, worst: 0.8, // each was at 0.41 for five seconds while nobody had anything to do
+		event: 5 * second, within: 6 * second, worst: 0.8, // each was at 0.41 for five seconds while nobody had anything to do
 	},
 	"directory down for 30 s, then it tells all": {
-		lasts: 42 * sec,
+		lasts: 42 * second,
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 3 * sec, Do: func() { _ = w.Directory.Down(true) }},
-				{At: 4 * sec, Do: func() {
-					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+				{At: 3 * second, Do: func() { _ = w.Directory.Down(true) }},
+				{At: 4 * second, Do: func() {
+					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: second, Move: true})
 				}},
-				{At: 33 * sec, Do: func() { _ = w.Directory.Down(false) }},
+				{At: 33 * second, Do: func() { _ = w.Directory.Down(false) }},
 			}
 		},
-		event: 4 * sec, within: 4 * sec, worst: 0.5,
+		event: 4 * second, within: 4 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
 			for _, p := range w.Providers[:4] {
-				between(t, "probes of the new "+p.ID(), w.probes(p, 36*sec, 40*sec), 5, 400)
+				between(t, "probes of the new "+p.ID(), w.probes(p, 36*second, 40*second), 5, 400)
 			}
-			n, _ := w.calls(33*sec, 36*sec)
+			n, _ := w.calls(33*second, 36*second)
 			between(t, "calls once it is back", n, 8, 20)
 		},
 	},
 	"directory mute, and the answer comes when the call was given up": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 3 * sec, Do: func() { w.Directory.AnswerLate(true) }},
-				{At: 4 * sec, Do: func() {
-					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: sec, Move: true})
+				{At: 3 * second, Do: func() { w.Directory.AnswerLate(true) }},
+				{At: 4 * second, Do: func() {
+					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: second, Move: true})
 				}},
-				{At: 8 * sec, Do: func() { w.Directory.AnswerLate(false) }},
+				{At: 8 * second, Do: func() { w.Directory.AnswerLate(false) }},
 			}
 		},
-		event: 4 * sec, within: 4 * sec, worst: 0.5,
+		event: 4 * second, within: 4 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
 			for _, p := range w.Providers[:4] {
-				between(t, "probes of the new "+p.ID(), w.probes(p, 12*sec, 16*sec), 5, 400)
+				between(t, "probes of the new "+p.ID(), w.probes(p, 12*second, 16*second), 5, 400)
 			}
 		},
 	},
 	"half of the list is wrong and the directory stands by it": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.first(4, (*fakes.Provider).Kill)}}
+			return fakes.Timeline{{At: 5 * second, Do: w.first(4, (*fakes.Provider).Kill)}}
 		},
-		event: 5 * sec, within: 2 * sec, worst: 0.5,
+		event: 5 * second, within: 2 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
-			_, whole := w.calls(5*sec, 20*sec)
+			_, whole := w.calls(5*second, 20*second)
 			between(t, "whole lists", whole, 1, 6)
 		},
 	},
 	"nothing leaves the own machine": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 5 * sec, Do: func() { w.local.Store(true); w.first(8, (*fakes.Provider).ResetKept)() }},
-				{At: 8 * sec, Do: func() { w.local.Store(false) }},
+				{At: 5 * second, Do: func() { w.local.Store(true); w.first(8, (*fakes.Provider).ResetKept)() }},
+				{At: 8 * second, Do: func() { w.local.Store(false) }},
 			}
 		},
-		event: 8 * sec, within: 2 * sec,
+		event: 8 * second, within: 2 * second,
 		check: func(t *testing.T, w *world) {
 			for _, p := range w.Providers {
-				between(t, "probes of "+p.ID(), w.probes(p, 10*sec, 15*sec), 20, 400)
+				between(t, "probes of "+p.ID(), w.probes(p, 10*second, 15*second), 20, 400)
 			}
 		},
 	},
 	"one turns probes away and serves requests": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.first(1, func(p *fakes.Provider) {
+			return fakes.Timeline{{At: 5 * second, Do: w.first(1, func(p *fakes.Provider) {
 				p.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable })
 			})}}
 		},
-		event: 5 * sec, worst: 0.9,
+		event: 5 * second, worst: 0.9,
 		check: func(t *testing.T, w *world) {
-			between(t, "probes", w.probes(w.Providers[0], 6*sec, 16*sec), 8, 60)
+			between(t, "probes", w.probes(w.Providers[0], 6*second, 16*second), 8, 60)
 		},
 	},
 	"one answers probes and declines requests": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: w.first(1, func(p *fakes.Provider) {
+			return fakes.Timeline{{At: 5 * second, Do: w.first(1, func(p *fakes.Provider) {
 				p.Change(func(b *fakes.Behaviour) { b.Decline = true })
 			})}}
 		},
-		event: 5 * sec, within: 2 * sec, worst: 0.8,
+		event: 5 * second, within: 2 * second, worst: 0.8,
 		check: func(t *testing.T, w *world) {
 			n := 0
 			for _, r := range w.Providers[0].Requests() {
-				if r.FirstByte.Sub(w.start) > 6*sec {
+				if r.FirstByte.Sub(w.start) > 6*second {
 					n++
 				}
 			}
@@ -199,15 +199,15 @@
 	"two machines vanish and come back": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 5 * sec, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(true) })},
-				{At: 12 * sec, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(false) })},
+				{At: 5 * second, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(true) })},
+				{At: 12 * second, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(false) })},
 			}
 		},
-		event: 5 * sec, within: 3 * sec, worst: 0.5,
+		event: 5 * second, within: 3 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
 			for _, p := range w.Providers[:2] {
-				between(t, "probes while it is away", w.probes(p, 7*sec, 12*sec), 0, 15)
-				between(t, "probes within 2 s of its return", w.probes(p, 12*sec, 14*sec), 3, 200)
+				between(t, "probes while it is away", w.probes(p, 7*second, 12*second), 0, 15)
+				between(t, "probes within 2 s of its return", w.probes(p, 12*second, 14*second), 3, 200)
 			}
 		},
 	},
@@ -218,21 +218,21 @@
 			}
 			return l
 		},
-		event: 0, within: 2 * sec,
+		event: 0, within: 2 * second,
 	},
 	"a drain is told": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * sec, Do: func() {
+			return fakes.Timeline{{At: 5 * second, Do: func() {
 				m := w.Providers[0].Member()
 				m.Phase = fakes.Draining
 				w.Directory.Change(m)
 			}}}
 		},
-		event: 5 * sec, worst: 0.9,
+		event: 5 * second, worst: 0.9,
 		check: func(t *testing.T, w *world) {
 			for _, r := range w.Providers[0].Requests() {
 				if at := r.FirstByte.Sub(w.start); at > 5750*time.Millisecond {
-					t.Errorf("a request was sent %s after the drain was told", at-5*sec)
+					t.Errorf("a request was sent %s after the drain was told", at-5*second)
 				}
 			}
 		},
@@ -285,7 +285,7 @@
 	if tr.steps != nil {
 		go tr.steps(w).Run(ctx, w.start)
 	}
-	lasts := max(tr.lasts, 20*sec)
+	lasts := max(tr.lasts, 20*second)
 	w.tries = fakes.NewConsumers(fakes.Load{
 		Network: w.net, Address: front.Addr().String(), Seed: 1, For: lasts,
 		Retry: fakes.Retry{Wait: 50 * time.Millisecond, Most: 2},
@@ -307,8 +307,8 @@
 	if took, ok := fakes.Recovered(w.tries, w.start.Add(tr.event), 1, 500*time.Millisecond); !ok || took > tr.within {
 		t.Errorf("recovered: %t, after %s, want %s", ok, took, tr.within)
 	}
-	for _, win := range fakes.Tally(w.tries, w.start, sec) {
-		if win.From.Sub(w.start) < lasts-sec && win.Share() < tr.worst {
+	for _, win := range fakes.Tally(w.tries, w.start, second) {
+		if win.From.Sub(w.start) < lasts-second && win.Share() < tr.worst {
 			t.Errorf("%s: %s", win.From.Sub(w.start), win)
 		}
 	}
--- a/cmd/plankrouter/reload_test.go
+++ b/cmd/plankrouter/reload_test.go
@@ -43,12 +43,12 @@
 		nowUnsafe.Safe, nowPure.Safe = false, true
 		extra := fakes.Tile()
 		extra.Name = "extra"
-		s.set.Classes = []fakes.Class{nowPure, nowUnsafe, extra}
-		s.set.MaxAttempts = 1
+		s.sidecar.Classes = []fakes.Class{nowPure, nowUnsafe, extra}
+		s.sidecar.MaxAttempts = 1
 		s.write()
 		s.reload()
 		tileNew, orderNew, added := ask("POST", "tile", "t2"), ask("GET", "order", "o2"), ask("GET", "extra", "e1")
-		s.set.Classes = []fakes.Class{extra}
+		s.sidecar.Classes = []fakes.Class{extra}
 		s.write()
 		s.reload()
 		if status := <-ask("GET", "tile", "t3"); status != 404 {
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// check sees that servers got just those requests, and that the counters have as many that were served and whose clients had
+// checkCounts sees that servers got just those requests, and that the counters have as many that were served and whose clients had
 // gone.
-func (r *rig) check(want []string, counts string, gone, served int) {
+func (r *rig) checkCounts(want []string, counts string, gone, served int) {
 	r.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,9 +225,9 @@
 	return c.(*net.TCPConn)
 }
 
-// served has a request answered 200, with all connections coming up from here on.
-func (r *rig) served(id string) {
-	c := r.client(get(id))
+// expectServed has a request answered 200, with all connections coming up from here on.
+func (r *rig) expectServed(id string) {
+	c := r.client(getRequest(id))
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(stepTimeout))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
@@ -279,6 +279,6 @@
 	return got
 }
 
-func get(id string) string {
+func getRequest(id string) string {
 	return "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Deadline: 60\r\n\r\n"
 }
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -27,7 +27,7 @@
 	net              *fakes.Memory
 	front, adminAddr string
 	file             string
-	set              fakes.Sidecar
+	sidecar          fakes.Sidecar
 	signals          signalQueues
 	ended            chan error
 }
@@ -52,13 +52,13 @@
 		T: t, net: n, front: front.Addr().String(), adminAddr: desk.Addr().String(),
 		file: filepath.Join(t.TempDir(), "config.json"),
 	}
-	s.set = fakes.Sidecar{
+	s.sidecar = fakes.Sidecar{
 		Name: "n1", Listen: s.front, Seed: 1, Directory: discovery.Address(), ConnIdle: time.Minute,
 		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
 		Known: fakes.List{Revision: 1, Members: discovery.Members()},
 	}
 	if edit != nil {
-		edit(&s.set)
+		edit(&s.sidecar)
 	}
 	s.write()
 	s.signals, s.ended = launch(t, map[string]string{
@@ -75,7 +75,7 @@
 }
 
 func (s *service) write() {
-	raw, err := fakes.Config(s.set)
+	raw, err := fakes.Config(s.sidecar)
 	if err != nil || os.WriteFile(s.file, raw, 0o600) != nil {
 		s.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func withFleet(t *testing.T, servers int, play func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
+func withFleet(t *testing.T, servers int, run func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		fleet, err := fakes.NewFleet(n, servers, fakes.ProviderOptions{
@@ -152,14 +152,14 @@
 			t.Fatal(err)
 		}
 		defer fleet.Close()
-		play(t, n, fleet)
+		run(t, n, fleet)
 	})
 }
 
-var ids int
+var lastID int
 
-// rand returns an id that was not used before.
-func rand() string { ids++; return fmt.Sprint("raw-", ids) }
+// nextID returns an id that was not used before.
+func nextID() string { lastID++; return fmt.Sprint("raw-", lastID) }
 
 // fakeServer answers as a test has it.
 type fakeServer struct {
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -37,7 +37,7 @@
 // earlierSignal is a signal that comes so long before SIGTERM.
 type earlierSignal struct {
 	syscall.Signal
-	lead time.Duration
+	before time.Duration
 }
 
 // shutdownCase is a row: what befalls a process as it is stopped.
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -149,7 +149,7 @@
 	var mu sync.Mutex
 	word := time.Now().Add(20 * time.Millisecond)
 	if len(w.row.before) > 0 {
-		word = word.Add(w.row.before[0].lead)
+		word = word.Add(w.row.before[0].before)
 	}
 	for _, p := range w.row.pauses {
 		at := word.Add(p.at)
@@ -168,7 +168,7 @@
 		})
 	}
 	for _, s := range w.row.before {
-		time.Sleep(time.Until(word.Add(-s.lead)))
+		time.Sleep(time.Until(word.Add(-s.before)))
 		if s.Signal == syscall.SIGHUP && w.row.shorter > 0 {
 			w.configure(w.row.shorter)
 		}
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -67,7 +67,7 @@
 				}
 				s := service{
 					T: t, file: filepath.Join(t.TempDir(), "config.json"),
-					set: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: discovery.Address()},
+					sidecar: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: discovery.Address()},
 				}
 				s.write()
 				var loaded atomic.Bool
@@ -90,13 +90,13 @@
 					close(hold)
 				}
 				time.Sleep(time.Second + 539*time.Millisecond) // the longest deadline is 2.5 s: 0.65 s before the kill
-				c, err := m.Dial(t.Context(), s.set.Listen)
+				c, err := m.Dial(t.Context(), s.sidecar.Listen)
 				if err != nil {
 					t.Fatalf("%s after the word: %v", time.Since(began), err)
 				}
 				c.Close()
 				time.Sleep(25 * time.Millisecond)
-				if c, err := m.Dial(t.Context(), s.set.Listen); err == nil {
+				if c, err := m.Dial(t.Context(), s.sidecar.Listen); err == nil {
 					c.Close()
 					t.Errorf("it still listens %s after the word", time.Since(began))
 				}
@@ -120,12 +120,12 @@
 		rest   bool
 		want   time.Duration // after the signal
 	}{
-		"before":               {0, -2 * sec, false, 3200 * time.Millisecond},
+		"before":               {0, -2 * second, false, 3200 * time.Millisecond},
 		"soon after":           {0, 500 * time.Millisecond, false, 3200 * time.Millisecond},
-		"later":                {0, sec, false, 3200 * time.Millisecond},
-		"before a reload":      {-sec, -2 * sec, false, 1200 * time.Millisecond},
-		"a reload comes later": {sec, -2 * sec, false, 3200 * time.Millisecond},
-		"a body, before":       {0, -2 * sec, true, 3200 * time.Millisecond},
+		"later":                {0, second, false, 3200 * time.Millisecond},
+		"before a reload":      {-second, -2 * second, false, 1200 * time.Millisecond},
+		"a reload comes later": {second, -2 * second, false, 3200 * time.Millisecond},
+		"a body, before":       {0, -2 * second, true, 3200 * time.Millisecond},
 		"a body, soon after":   {0, 500 * time.Millisecond, true, 3200 * time.Millisecond},
 	} {
 		t.Run(what, func(t *testing.T) {
@@ -136,9 +136,9 @@
 					<-r.Context().Done()
 				})
 				long := fakes.Order()
-				long.Deadline = 8 * sec
+				long.Deadline = 8 * second
 				s := start(t, m, discovery, func(c *fakes.Sidecar) { c.Classes = []fakes.Class{long} })
-				at := time.Now().Add(3 * sec)
+				at := time.Now().Add(3 * second)
 				got := make(chan time.Duration, 1)
 				time.AfterFunc(time.Until(at.Add(tc.after)), func() {
 					c, err := m.Dial(t.Context(), s.front)
@@ -150,7 +150,7 @@
 					length := 0
 					if tc.rest {
 						length = 300000
-						go slowly(c, make([]byte, length), 8000, 200*time.Millisecond)
+						go writeSlowly(c, make([]byte, length), 8000, 200*time.Millisecond)
 					}
 					fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: %d\r\n\r\n", length)
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -161,14 +161,14 @@
 				})
 				if tc.reload != 0 {
 					time.AfterFunc(time.Until(at.Add(tc.reload)), func() {
-						s.set.Classes[0].Deadline = sec
+						s.sidecar.Classes[0].Deadline = second
 						s.write()
 						s.signals.raise(syscall.SIGHUP)
 					})
 				}
 				time.Sleep(time.Until(at))
 				s.stop()
-				time.Sleep(sec) // for the rest of a body
+				time.Sleep(second) // for the rest of a body
 				if took := <-got; took < tc.want-20*time.Millisecond || took > tc.want+20*time.Millisecond {
 					t.Errorf("answered after %s, want %s", took, tc.want)
 				}
@@ -212,7 +212,7 @@
 	defer desk.Close()
 	s := service{
 		T: t, file: filepath.Join(t.TempDir(), "config.json"),
-		set: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: discovery.Address()},
+		sidecar: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: discovery.Address()},
 	}
 	s.write()
 	line := "LISTEN_FDS=1 LISTEN_PID=$$; export LISTEN_FDS LISTEN_PID; " +
@@ -263,7 +263,7 @@
 		for i := range 2 { // one that waits covers those that come after it
 			set := fakes.Tile()
 			set.Name = fmt.Sprint(name, i)
-			s.set.Classes = []fakes.Class{set}
+			s.sidecar.Classes = []fakes.Class{set}
 			s.write()
 			_ = syscall.Kill(pid, syscall.SIGHUP)
 			says("classes=[" + set.Name + "]")
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -22,7 +22,7 @@
 		})
 		began := time.Now()
 		tries := fakes.NewConsumers(fakes.Load{
-			Network: n, Address: s.front, Seed: 1, For: 5 * sec,
+			Network: n, Address: s.front, Seed: 1, For: 5 * second,
 			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 30}, {Class: fakes.Order(), Rate: 10}},
 		}).Run(t.Context())
 		for _, one := range fleet.Providers[0].Requests() {
@@ -43,8 +43,8 @@
 // before the list says so, and at the address of one there is another by now. One of 300 instances, whether it has been
 // running or has just been killed and started, sends nothing new to them once the grace is over, by the rule's own clock.
 func TestUnheardDrainsAreKept(t *testing.T) {
-	const silent, leave, over = 3 * sec, 8 * sec, 14 * sec
-	for _, grace := range []time.Duration{200 * time.Millisecond, 750 * time.Millisecond, 2 * sec} {
+	const silent, leave, over = 3 * second, 8 * second, 14 * second
+	for _, grace := range []time.Duration{200 * time.Millisecond, 750 * time.Millisecond, 2 * second} {
 		for way := range 8 {
 			discovery, noProbes, killed := []string{"pushed", "on_request"}[way&1], way&2 > 0, way&4 > 0
 			t.Run(fmt.Sprintf("%s %s noProbes=%t killed=%t", grace, discovery, noProbes, killed), func(t *testing.T) {
@@ -74,11 +74,11 @@
 							t.Error(err)
 						}
 					}()
-					tries, from, look, width := load(0, leave), leave, 5*sec, 9*sec
+					tries, from, look, width := load(0, leave), leave, 5*second, 9*second
 					if killed {
 						s.stop()
 						from = time.Since(began)
-						s, look, width = start(t, n, fleet.Directory, edit), from+sec, 4*sec
+						s, look, width = start(t, n, fleet.Directory, edit), from+second, 4*second
 					}
 					served := fakes.Tally(append(tries, load(from, over)...), began.Add(look), width)[0].Share()
 					if proof := !killed || way&1 > 0; proof && !noProbes && grace > 500*time.Millisecond && served < 0.5 {
@@ -110,7 +110,7 @@
 	for _, c := range []struct {
 		name           string
 		silent, leaves time.Duration // after the start
-	}{{"heard", 3 * sec, 3200 * time.Millisecond}, {"never heard", 0, 1 * sec}} {
+	}{{"heard", 3 * second, 3200 * time.Millisecond}, {"never heard", 0, 1 * second}} {
 		t.Run(c.name, func(t *testing.T) {
 			withFleet(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 				if c.silent == 0 {
@@ -139,7 +139,7 @@
 						}
 					}
 				}()
-				from, until := began.Add(c.leaves+6*sec+grace+50*time.Millisecond), began.Add(c.leaves+noticed+6*sec)
+				from, until := began.Add(c.leaves+6*second+grace+50*time.Millisecond), began.Add(c.leaves+noticed+6*second)
 				tries := fakes.NewConsumers(fakes.Load{
 					Network: n, Address: s.front, Seed: 1, For: until.Sub(began),
 					Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 60}, {Class: fakes.Order(), Rate: 20}},
@@ -182,16 +182,16 @@
 			c.Known, c.Balancers = fakes.List{Revision: fleet.Directory.Revision(), Members: all}, 1024
 		})
 		began := time.Now()
-		told := began.Add(2 * sec)
+		told := began.Add(2 * second)
 		go func() {
-			time.Sleep(2 * sec)
+			time.Sleep(2 * second)
 			fleet.Directory.Change(leaving...)
 		}()
 		tries := fakes.NewConsumers(fakes.Load{
-			Network: n, Address: s.front, Seed: 1, For: 5 * sec,
+			Network: n, Address: s.front, Seed: 1, For: 5 * second,
 			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 10}},
 		}).Run(t.Context())
-		served, before := fakes.Tally(tries, began, 5*sec)[0].Share(), 0
+		served, before := fakes.Tally(tries, began, 5*second)[0].Share(), 0
 		for _, one := range fleet.Providers[1].Requests() {
 			if late := one.FirstByte.Sub(told); late > 750*time.Millisecond {
 				t.Errorf("%s was sent to one that leaves %s after its word", one.ID, late)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validFile = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":100,"sockets":512},"unknown":[{"x":1}],
 "known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:1","phase":"SERVING"}]},
 "settings":{"Discovery":"pushed","RoundMs":5,"Limits":{"ConnIdleMs":60000,"ConnectTimeoutMs":150,"MaxRetryAfterMs":1200,"MaxAttempts":3},
@@ -33,7 +33,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, good, map[string]string{"GW_LISTEN": "127.0.0.2:1"})
+	c, err := load(t, validFile, map[string]string{"GW_LISTEN": "127.0.0.2:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,18 +59,18 @@
 	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshotEvery {
 		t.Errorf("an installation without keys of its own: %+v, %+v", c.ShutdownSchedule, c.Watch)
 	}
-	c, err = load(t, strings.Replace(good, own("")[0], own(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
+	c, err = load(t, strings.Replace(validFile, withOwnKeys("")[0], withOwnKeys(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
 	if err != nil || c.ShutdownSchedule.Kill != 9*time.Second || c.Watch.Wait != 100*time.Millisecond || c.Watch.MinWait != c.Watch.Wait {
 		t.Errorf("an installation with keys of its own: %+v, %+v, %v", c.ShutdownSchedule, c.Watch, err)
 	}
-	c, err = load(t, strings.NewReplacer(`"memory_mb":100,"sockets":512`, "", `"cores":1.0,`, "", `"ConnIdleMs":60000,`, "").Replace(good), nil)
+	c, err = load(t, strings.NewReplacer(`"memory_mb":100,"sockets":512`, "", `"cores":1.0,`, "", `"ConnIdleMs":60000,`, "").Replace(validFile), nil)
 	if err != nil || c.Limits.MemoryMB != defaultMemoryMB || c.Limits.Sockets != defaultSockets || c.ConnIdle != defaultConnIdle {
 		t.Errorf("defaults: %+v, %v", c.Limits, err)
 	}
 }
 
-// own adds an installation's keys.
-func own(keys string) [2]string {
+// withOwnKeys adds an installation's keys.
+func withOwnKeys(keys string) [2]string {
 	return [2]string{`"unknown"`, `"plankrouter":{` + keys + `},"unknown"`}
 }
 
@@ -94,18 +94,18 @@
 		"settings.RequestClasses: missing":   {`"RequestClasses"`, `"Others"`},
 		"settings: logic: negative":          {`"RoundMs":5`, `"RoundMs":-5`},
 
-		"plankrouter.watch.wait_ms:":           own(`"watch":{"wait_ms":70000}`),
-		"plankrouter.watch.patience_ms:":       own(`"watch":{"patience_ms":-1}`),
-		"plankrouter.watch.least_wait_ms:":     own(`"watch":{"wait_ms":100,"least_wait_ms":200}`),
-		"plankrouter.watch.retry_ms:":          own(`"watch":{"retry_ms":500,"retry_most_ms":200}`),
-		"plankrouter.watch.ask_ms:":            own(`"watch":{"ask_ms":0.5}`),
-		"plankrouter.snapshot.every_ms:":       own(`"snapshot":{"every_ms":1}`),
-		"plankrouter.handover.ready_within_ms": own(`"handover":{"ready_within_ms":1e12}`),
-		"plankrouter.stop.kill_after_ms: 300":  own(`"stop":{"kill_after_ms":300}`),
-		"plankrouter.stop.kill_after_ms: -1":   own(`"stop":{"kill_after_ms":-1}`),
+		"plankrouter.watch.wait_ms:":           withOwnKeys(`"watch":{"wait_ms":70000}`),
+		"plankrouter.watch.patience_ms:":       withOwnKeys(`"watch":{"patience_ms":-1}`),
+		"plankrouter.watch.least_wait_ms:":     withOwnKeys(`"watch":{"wait_ms":100,"least_wait_ms":200}`),
+		"plankrouter.watch.retry_ms:":          withOwnKeys(`"watch":{"retry_ms":500,"retry_most_ms":200}`),
+		"plankrouter.watch.ask_ms:":            withOwnKeys(`"watch":{"ask_ms":0.5}`),
+		"plankrouter.snapshot.every_ms:":       withOwnKeys(`"snapshot":{"every_ms":1}`),
+		"plankrouter.handover.ready_within_ms": withOwnKeys(`"handover":{"ready_within_ms":1e12}`),
+		"plankrouter.stop.kill_after_ms: 300":  withOwnKeys(`"stop":{"kill_after_ms":300}`),
+		"plankrouter.stop.kill_after_ms: -1":   withOwnKeys(`"stop":{"kill_after_ms":-1}`),
 	} {
-		text := strings.Replace(good, swap[0], swap[1], 1)
-		if _, err := load(t, text, nil); text == good || err == nil || !strings.Contains(err.Error(), want) {
+		text := strings.Replace(validFile, swap[0], swap[1], 1)
+		if _, err := load(t, text, nil); text == validFile || err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v", want, err)
 		}
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -19,12 +19,12 @@
 			t.Fatal(err)
 		}
 	}
-	write(good)
+	write(validFile)
 	old, err := Load(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(strings.Replace(good, `"sockets":512`, `"sockets":600`, 1))
+	write(strings.Replace(validFile, `"sockets":512`, `"sockets":600`, 1))
 	next, fixed, err := old.Reload(getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 
 	// A file that is cut anywhere, or has lost any one of its keys, is rejected with the key's name.
-	whole := strings.TrimRight(good, " \n")
+	whole := strings.TrimRight(validFile, " \n")
 	for at := range len(whole) {
 		write(whole[:at])
 		if _, _, err := old.Reload(getenv); err == nil {
@@ -49,7 +49,7 @@
 		"RequestClasses": true, "Name": true, "AimMs": true, "HardLimitMs": true, "Repeat": true, "MaxAttempts": true,
 		"DrainGraceMs": true, "known": true,
 	} {
-		if text := strings.ReplaceAll(good, `"`+key+`"`, `"was`+key+`"`); text == good {
+		if text := strings.ReplaceAll(validFile, `"`+key+`"`, `"was`+key+`"`); text == validFile {
 			t.Errorf("%s is not in the file of this test", key)
 		} else if write(text); true {
 			if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), key) {
@@ -58,14 +58,14 @@
 		}
 	}
 	for _, bad := range []string{"0", "-1", "1e999", `"many"`, "null", "2.5"} {
-		write(strings.Replace(good, `"MaxAttempts":3`, `"MaxAttempts":`+bad, 1))
+		write(strings.Replace(validFile, `"MaxAttempts":3`, `"MaxAttempts":`+bad, 1))
 		if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), "MaxAttempts") {
 			t.Errorf("attempts %s: %v", bad, err)
 		}
 		if bad == "2.5" {
 			continue
 		}
-		write(strings.Replace(good, `"HardLimitMs":2500`, `"HardLimitMs":`+bad, 1))
+		write(strings.Replace(validFile, `"HardLimitMs":2500`, `"HardLimitMs":`+bad, 1))
 		if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), "HardLimitMs") {
 			t.Errorf("deadline %s: %v", bad, err)
 		}
@@ -78,7 +78,7 @@
 	const search = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all","MemorySpanMs":4000}`
 	const short = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all"}`
 	const fresh = `{"Name":"fresh","AimMs":500,"HardLimitMs":1500,"Repeat":"side_effect"}`
-	with := func(classes ...string) string { return strings.Replace(good, tile, strings.Join(classes, ","), 1) }
+	with := func(classes ...string) string { return strings.Replace(validFile, tile, strings.Join(classes, ","), 1) }
 	for _, tc := range []struct{ name, before, after, fault string }{
 		{"unchanged", with(search, tile), with(search, tile), ""},
 		{"in another order", with(search, tile), with(tile, search), ""},
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -34,8 +34,8 @@
 	return cmd.Process, l.Addr().String(), bufio.NewScanner(r)
 }
 
-// expect reads on to a line with that.
-func expect(t *testing.T, out *bufio.Scanner, want string) {
+// waitForLine reads on to a line with that.
+func waitForLine(t *testing.T, out *bufio.Scanner, want string) {
 	t.Helper()
 	var lines []string
 	for out.Scan() {
@@ -54,8 +54,8 @@
 	return c
 }
 
-// ask sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
-func ask(c net.Conn, line string) (pid, number int) {
+// askPid sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
+func askPid(c net.Conn, line string) (pid, number int) {
 	fmt.Fprint(c, line)
 	if _, err := fmt.Fscanln(c, &pid, &number); err != nil {
 		return 0, 0
@@ -65,7 +65,7 @@
 
 func servedBy(t *testing.T, pid int, c net.Conn, line string) {
 	t.Helper()
-	if got, _ := ask(c, line); got != pid {
+	if got, _ := askPid(c, line); got != pid {
 		t.Errorf("answered by %d, not by %d", got, pid)
 	}
 }
@@ -88,19 +88,19 @@
 		t.Run(role, func(t *testing.T) {
 			old, address, out := start(t)
 			a, b := client(t, address), client(t, address)
-			ask(b, "a\n")
+			askPid(b, "a\n")
 			fmt.Fprintf(a, "next %s\n", role)
 			if role == "late" {
-				expect(t, out, "waiting")
-				ask(b, "next node\n")
-				expect(t, out, ErrUnderWay.Error())
+				waitForLine(t, out, "waiting")
+				askPid(b, "next node\n")
+				waitForLine(t, out, ErrUnderWay.Error())
 				old.Signal(syscall.SIGTERM)
 			}
-			expect(t, out, says)
+			waitForLine(t, out, says)
 			servedBy(t, old.Pid, a, "")
 			left := []net.Conn{client(t, address)}
 			for _, c := range []net.Conn{a, b} {
-				if pid, _ := ask(c, "b\n"); pid != 0 {
+				if pid, _ := askPid(c, "b\n"); pid != 0 {
 					left = append(left, c)
 				}
 			}
@@ -109,8 +109,8 @@
 				t.Errorf("%d connections lost", lost)
 			}
 			servedBy(t, old.Pid, left[0], "next node\n")
-			expect(t, out, "all is mine: <nil>")
-			successor, _ := ask(client(t, address), "c\n")
+			waitForLine(t, out, "all is mine: <nil>")
+			successor, _ := askPid(client(t, address), "c\n")
 			for _, c := range left {
 				servedBy(t, successor, c, "c\n")
 			}
@@ -125,9 +125,9 @@
 func TestPredecessorKilledBeforeReady(t *testing.T) {
 	old, address, out := start(t)
 	fmt.Fprintln(client(t, address), "next late")
-	expect(t, out, "waiting")
+	waitForLine(t, out, "waiting")
 	old.Kill()
-	expect(t, out, ErrCancelled.Error())
+	waitForLine(t, out, ErrCancelled.Error())
 	for out.Scan() {
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
@@ -140,18 +140,18 @@
 	old, address, out := start(t)
 	a, b, held := client(t, address), client(t, address), client(t, address)
 	fmt.Fprintln(held, "hold") // keeps the predecessor from being done
-	expect(t, out, "holding")
-	ask(a, "a\n")
+	waitForLine(t, out, "holding")
+	askPid(a, "a\n")
 	servedBy(t, old.Pid, b, "next node\n")
 	var successor int
 	for _, c := range []net.Conn{a, b} {
 		for successor = old.Pid; successor == old.Pid; { // until it has been passed: a read under way comes first
-			successor, _ = ask(c, "a\n")
+			successor, _ = askPid(c, "a\n")
 		}
 	}
 	old.Kill()
 	servedBy(t, 0, held, "")
-	expect(t, out, ErrGone.Error())
+	waitForLine(t, out, ErrGone.Error())
 	for _, c := range []net.Conn{a, b, client(t, address)} {
 		servedBy(t, successor, c, "a\n")
 	}
@@ -171,8 +171,8 @@
 	go func() {
 		for n := 1; ; n++ {
 			fresh := client(t, address)
-			_, one := ask(fresh, "a\n")
-			if _, number := ask(kept, "a\n"); one != 1 || number != n {
+			_, one := askPid(fresh, "a\n")
+			if _, number := askPid(kept, "a\n"); one != 1 || number != n {
 				t.Errorf("request %d: lost", n)
 			}
 			_ = fresh.Close()
@@ -187,7 +187,7 @@
 	fmt.Fprint(busy, strings.Repeat("next node\n", 10))
 	told := fmt.Sprintf("MAINPID=%d", process.Pid)
 	for i := 1; i <= 11; i++ {
-		pid, number := ask(busy, "")
+		pid, number := askPid(busy, "")
 		if number != i || told != fmt.Sprintf("MAINPID=%d", pid) {
 			t.Fatalf("answer %d comes from %d, number %d, and systemd was told %s", i, pid, number, told)
 		}
@@ -206,8 +206,8 @@
 	fmt.Fprintln(busy, "end")
 }
 
-// pipe is the control socket of a successor in this process.
-func pipe() (old *control, getenv func(string) string) {
+// successorPipe is the control socket of a successor in this process.
+func successorPipe() (old *control, getenv func(string) string) {
 	old, theirs, err := socketPair()
 	must(0, err)
 	defer theirs.Close()
@@ -233,7 +233,7 @@
 		{"more state than was announced", Hello{Version: Version, State: 1}, l, "kind 's' with 2 bytes within the state"},
 		{"another address", Hello{Version: Version, Address: "there"}, l, `listen on "there", this one on "here"`},
 	} {
-		old, getenv := pipe()
+		old, getenv := successorPipe()
 		must(0, old.sendConn(message{kind: kindHello, body: must(cbor.Marshal(tc.hello))}, tc.socket))
 		must(0, old.send(message{kind: kindState, body: []byte("ab")}, noDescriptor))
 		_ = old.CloseWrite()
@@ -258,7 +258,7 @@
 
 // What a predecessor has sent is taken after its end too, even where that end has left answers unread.
 func TestQueueOutlivesPredecessor(t *testing.T) {
-	old, getenv := pipe()
+	old, getenv := successorPipe()
 	l := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	defer l.Close()
 	must(0, old.sendConn(message{kind: kindHello, body: must(cbor.Marshal(Hello{Version: Version}))}, l))
--- a/internal/hotrestart/rendezvous_test.go
+++ b/internal/hotrestart/rendezvous_test.go
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// held is a listener on loopback.
-func held(t *testing.T) *net.TCPListener {
+// testListener is a listener on loopback.
+func testListener(t *testing.T) *net.TCPListener {
 	l := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	t.Cleanup(func() { l.Close() })
 	return l
@@ -37,7 +37,7 @@
 		for i := range 9000 { // more than one message holds
 			ids = append(ids, "request-"+strconv.Itoa(i))
 		}
-		place, own := must(Listen(folder)), held(t)
+		place, own := must(Listen(folder)), testListener(t)
 		ended := make(chan error, 1)
 		go func() {
 			p, err := first.Meet(t.Context(), must(place.AcceptUnix()), own,
@@ -78,7 +78,7 @@
 // A process that finds no sound predecessor goes on alone, and one whose successor fails serves on.
 func TestMeetingThatFails(t *testing.T) {
 	folder := t.TempDir()
-	place, own := must(Listen(folder)), held(t)
+	place, own := must(Listen(folder)), testListener(t)
 	defer place.Close()
 	for what, old := range map[string]func(c *control){
 		"another version": func(c *control) {
@@ -142,7 +142,7 @@
 
 // The platform's listener is checked for what it is, and outlives its copies.
 func TestHeldListener(t *testing.T) {
-	l := held(t)
+	l := testListener(t)
 	f := must(l.File())
 	defer f.Close()
 	env := func(fd string) func(string) string { return func(string) string { return fd } }
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkEncoding(b *testing.B) {
 	json := jsoniter.ConfigCompatibleWithStandardLibrary
 	for _, size := range [][2]int{{23, 8}, {2000, 50}} {
-		s := fleet(size[0], size[1])
+		s := largeFleet(size[0], size[1])
 		for _, l := range []struct {
 			name   string
 			encode func() ([]byte, error)
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -15,14 +15,14 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-var taken = time.UnixMilli(1_800_000_000_123)
+var testTakenAt = time.UnixMilli(1_800_000_000_123)
 
-// fleet is a snapshot with outcomes of every tenant at every server: the largest that so many can make.
-func fleet(providers, tenants int) *Snapshot {
-	rng, now := rand.New(rand.NewPCG(1, 2)), unixMs(taken)
+// largeFleet is a snapshot with outcomes of every tenant at every server: the largest that so many can make.
+func largeFleet(providers, tenants int) *Snapshot {
+	rng, now := rand.New(rand.NewPCG(1, 2)), unixMs(testTakenAt)
 	at := func() float64 { return now - 5000*rng.Float64() }
 	s := &Snapshot{
-		TakenAt: taken, Program: "n1", Deployment: "d", Discovery: "127.0.0.1:8500", Revision: 41,
+		TakenAt: testTakenAt, Program: "n1", Deployment: "d", Discovery: "127.0.0.1:8500", Revision: 41,
 		Learned: Learned{
 			Now: now, FleetLatency: 31.5, MedianErrorRate: 0.01, FracOwn: 3.25, FracAll: 90,
 			Arrivals: Rate{V: 17.5, At: at()}, Sends: Rate{V: 17, At: at()},
@@ -57,7 +57,7 @@
 	return b
 }
 
-func same(t testing.TB, what string, want, got any) {
+func checkEqual(t testing.TB, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("%s: %s", what, diff)
@@ -66,9 +66,9 @@
 
 func TestEveryBitCounts(t *testing.T) {
 	var b []byte
-	for _, s := range []*Snapshot{{TakenAt: taken}, fleet(23, 8), fleet(6, 3)} {
+	for _, s := range []*Snapshot{{TakenAt: testTakenAt}, largeFleet(23, 8), largeFleet(6, 3)} {
 		b = must(Encode(s, 0))
-		same(t, "decoded", s, must(Decode(b)))
+		checkEqual(t, "decoded", s, must(Decode(b)))
 	}
 	for n := range b {
 		if _, err := Decode(b[:n]); !errors.Is(err, ErrCutShort) {
@@ -88,8 +88,8 @@
 		}
 	}
 	b = must(cbor.Marshal(map[int]any{1: "n1", 99: map[string][]int{"of a later version": {1, 2}}}))
-	same(t, "a later minor version", "n1", must(Decode(sealed(Minor+1, taken, string(b)))).Program)
-	if _, err := Encode(fleet(4, 1), 100); !errors.Is(err, ErrTooLarge) {
+	checkEqual(t, "a later minor version", "n1", must(Decode(sealed(Minor+1, testTakenAt, string(b)))).Program)
+	if _, err := Encode(largeFleet(4, 1), 100); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("larger than the limit: %v", err)
 	}
 }
@@ -112,7 +112,7 @@
 		"Learned.Servers[1].By[1].Misses": func(_ *Snapshot, l *Learned) { l.Servers[1].By[1].Misses = -1 },
 		"Learned.Servers[1].By[1].Who":    func(_ *Snapshot, l *Learned) { l.Servers[1].By[1].Who = 0 },
 	} {
-		s := fleet(2, 1)
+		s := largeFleet(2, 1)
 		spoil(s, &s.Learned)
 		b := must(cbor.Marshal(s))
 		_, encoding := Encode(s, 0)
@@ -131,7 +131,7 @@
 		"\xa1\x06\x01": "Learned", "\xa1\x06\xa1\x02\x81\xa1\x08\x81\x84\x61x000": "Learned.Servers.By",
 		"\xa1\x06\xa1\x01\x61x": "Learned",
 	} {
-		_, err := Decode(sealed(Minor, taken, payload))
+		_, err := Decode(sealed(Minor, testTakenAt, payload))
 		if e := new(FieldError); !errors.As(err, &e) || e.Field != want {
 			t.Errorf("%q: %v, want %s", payload, err, want)
 		}
@@ -153,7 +153,7 @@
 		"a text without end":   {"\xa1\x01\x7a\xff\xff\xff\xff", "x", 9},
 		"a map without bounds": {"\xa1\x18\x63\xba\x00\x10\x00\x00", "\x01\x01", 1 << 20},
 	} {
-		b := sealed(Minor, taken, at.before+strings.Repeat(at.each, at.n))
+		b := sealed(Minor, testTakenAt, at.before+strings.Repeat(at.each, at.n))
 		var from, to runtime.MemStats
 		runtime.ReadMemStats(&from)
 		_, err := Decode(b)
@@ -165,7 +165,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b := must(Encode(fleet(2, 2), 0))
+	b := must(Encode(largeFleet(2, 2), 0))
 	f.Add(b)
 	f.Add(b[headerSize:])
 	f.Add(b[headerSize : len(b)-9])
@@ -173,18 +173,18 @@
 		if _, err := Decode(b); err == nil && !strings.HasPrefix(string(b), magic) {
 			t.Fatal("read what is no snapshot")
 		}
-		s, err := Decode(sealed(Minor, taken, string(b))) // past the checksum, which no guess would pass
+		s, err := Decode(sealed(Minor, testTakenAt, string(b))) // past the checksum, which no guess would pass
 		if err != nil {
 			if e := new(FieldError); !errors.As(err, &e) {
 				t.Fatalf("%T: %v", err, err)
 			}
 			return
 		}
-		same(t, "encoded again", s, must(Decode(must(Encode(s, 0)))))
+		checkEqual(t, "encoded again", s, must(Decode(must(Encode(s, 0)))))
 		r := DefaultValidityRules()
 		r.Program, r.Deployment, r.Discovery = s.Program, s.Deployment, s.Discovery
 		r.Classes, r.Tenants = len(s.Learned.Fit.Classes), len(s.Learned.Tenants)
-		left, _ := DropStale(s, taken.Add(3*time.Second), r)
+		left, _ := DropStale(s, testTakenAt.Add(3*time.Second), r)
 		must(Encode(left, 0))
 	})
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, "decoded", fleet(3, 2), decoded)
+	checkEqual(t, "decoded", largeFleet(3, 2), decoded)
 	written, err := Encode(decoded, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// four is a snapshot of a small fleet: a server that serves, one in slow start, one that drains and one that is gone.
+// smallFleet is a snapshot of a small fleet: a server that serves, one in slow start, one that drains and one that is gone.
 // The policy's clock lags 10 s behind the wall clock.
-func four() *Snapshot {
-	at, s := unixMs(taken), fleet(3, 1)
+func smallFleet() *Snapshot {
+	at, s := unixMs(testTakenAt), largeFleet(3, 1)
 	s.Members = append(s.Members, Member{ID: "gone", Phase: endpoints.Deleted, ToldAt: at - 3600e3})
 	s.Members[0].ID, s.Members[1].ID, s.Members[2].ID = "serves", "warms", "drains"
 	s.Members[1].UpSince, s.Members[2].Phase, s.Members[2].ToldAt = at-500, endpoints.Draining, at-1000
@@ -27,15 +27,15 @@
 	return s
 }
 
-func rules() ValidityRules {
+func testRules() ValidityRules {
 	r := DefaultValidityRules()
 	r.Program, r.Deployment, r.Discovery, r.Classes, r.Tenants = "n1", "d", "127.0.0.1:8500", 2, 1
 	return r
 }
 
-// has tells what of four is left: its members, its parts, and of each server the latency, what it said of its
+// describe says what of smallFleet is left: its members, its parts, and of each server the latency, what it said of its
 // failures and the number of tallies.
-func has(s *Snapshot) (out string) {
+func describe(s *Snapshot) (out string) {
 	for _, m := range s.Members {
 		out += m.ID + " "
 	}
@@ -94,33 +94,33 @@
 			all + learned + " w:++2", `dropped_server=1 why="another process" dropped_server=1 why="not listed"`,
 		},
 	} {
-		s, r := four(), rules()
+		s, r := smallFleet(), testRules()
 		if c.set != nil {
 			c.set(s, &r)
 		}
-		before, now := must(Encode(s, 0)), taken.Add(c.age)
+		before, now := must(Encode(s, 0)), testTakenAt.Add(c.age)
 		got, why := DropStale(s, now, r)
-		same(t, c.what, c.want, has(got))
+		checkEqual(t, c.what, c.want, describe(got))
 		if text := Summary(why); !strings.Contains(text, c.why) {
 			t.Errorf("%s: %s", c.what, text)
 		}
-		same(t, c.what+": the argument", before, must(Encode(s, 0)))
+		checkEqual(t, c.what+": the argument", before, must(Encode(s, 0)))
 		for _, m := range got.Members {
 			if was := s.List().byID()[m.ID]; m.UpSince != was.UpSince || m.ToldAt > min(was.ToldAt, unixMs(now)) {
 				t.Errorf("%s: %+v was %+v", c.what, m, was)
 			}
 		}
 		for _, p := range got.Learned.Servers { // on the wall clock, as old as it was, and no younger than now
-			same(t, c.what, min(unixMs(taken)-100, unixMs(now)), p.ReportAt)
+			checkEqual(t, c.what, min(unixMs(testTakenAt)-100, unixMs(now)), p.ReportAt)
 			for _, e := range p.By {
-				same(t, c.what, min(unixMs(taken)-8e3*float64(e.Who), unixMs(now)), e.At)
+				checkEqual(t, c.what, min(unixMs(testTakenAt)-8e3*float64(e.Who), unixMs(now)), e.At)
 			}
 		}
 	}
 }
 
-// list reads "a7 1+52": of discovery service a in revision 7, server 1 serving (~ draining, x gone), started at 5, listed at 2.
-func list(text string) (l List) {
+// parseList reads "a7 1+52": of discovery service a in revision 7, server 1 serving (~ draining, x gone), started at 5, listed at 2.
+func parseList(text string) (l List) {
 	phases := map[byte]string{'+': endpoints.Serving, '~': endpoints.Draining, 'x': endpoints.Deleted}
 	for i, w := range strings.Fields(text) {
 		if i == 0 {
@@ -150,8 +150,8 @@
 		{"another discovery service", "a9 1~59 2+59 3+59", "b2 1+51 2+01", "b0 1~59 2+59", "another discovery service"},
 		{"that knows nothing", "a9 1~59 2+59", "b0", "b0 1~59", "another discovery service"},
 	} {
-		got, lost := Merge(list(c.snap), list(c.known))
-		same(t, c.what, list(c.want), got)
+		got, lost := Merge(parseList(c.snap), parseList(c.known))
+		checkEqual(t, c.what, parseList(c.want), got)
 		if len(lost) != min(len(c.lost), 1) || len(lost) > 0 && lost[0].Reason != Reason(c.lost) {
 			t.Errorf("%s: %v", c.what, lost)
 		}
@@ -160,15 +160,15 @@
 
 func TestRestore(t *testing.T) {
 	known := FromConfig(endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{
-		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, StartedAt: unixMs(taken) + 1},
+		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, StartedAt: unixMs(testTakenAt) + 1},
 		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving},
-	}}, "127.0.0.1:8500", taken)
-	none, _ := Restore(nil, known, taken, rules())
-	same(t, "without a snapshot", known, none.List)
-	got, _ := Restore(four(), known, taken.Add(time.Second), rules())
-	same(t, "learned", "d:++2", has(&Snapshot{Learned: Learned{Servers: got.Learned.Servers}}))
+	}}, "127.0.0.1:8500", testTakenAt)
+	none, _ := Restore(nil, known, testTakenAt, testRules())
+	checkEqual(t, "without a snapshot", known, none.List)
+	got, _ := Restore(smallFleet(), known, testTakenAt.Add(time.Second), testRules())
+	checkEqual(t, "learned", "d:++2", describe(&Snapshot{Learned: Learned{Servers: got.Learned.Servers}}))
 	l := got.List.Config()
-	same(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{
+	checkEqual(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{
 		l.Endpoints[0].Phase,
 		l.Endpoints[1].Phase, l.Endpoints[2].Phase, fmt.Sprint(l.Revision),
 	})
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -56,7 +56,7 @@
 
 // At each step of a write in turn something happens. The file is whole all the time, and the next write clears up.
 func TestStoreIsOldOrNew(t *testing.T) {
-	before, after := fleet(3, 1), fleet(5, 2)
+	before, after := largeFleet(3, 1), largeFleet(5, 2)
 	for _, c := range []struct {
 		err          error
 		crash, power bool
@@ -73,7 +73,7 @@
 				s.Write(before), os.WriteFile(s.Path+".tmp-123", nil, 0o600),
 				os.WriteFile(s.Path+".tmp-mine", nil, 0o600),
 			} {
-				same(t, what, nil, err)
+				checkEqual(t, what, nil, err)
 			}
 			d := &disaster{left: k, err: c.err, crash: c.crash, unsynced: map[string]bool{}}
 			s.BeforeStep = d.before(s.Path)
@@ -91,11 +91,11 @@
 			if err == nil || k == 7 && !c.power { // renamed, but the folder not synced
 				want = after
 			}
-			same(t, what, want, must(s.Read()))
+			checkEqual(t, what, want, must(s.Read()))
 			if s.BeforeStep = nil; s.Write(after) != nil {
 				t.Errorf("%s: no write after it", what)
 			}
-			same(t, what, []string{s.Path, s.Path + ".lock", s.Path + ".tmp-mine"}, must(filepath.Glob(s.Path+"*")))
+			checkEqual(t, what, []string{s.Path, s.Path + ".lock", s.Path + ".tmp-mine"}, must(filepath.Glob(s.Path+"*")))
 		}
 	}
 }
@@ -111,14 +111,14 @@
 	read := func() error { _, err := s.Read(); return err }
 	check("without a file", os.ErrNotExist, read())
 	lock := must(s.lock())
-	check("beside another writer", ErrBusy, s.Write(fleet(1, 0)))
+	check("beside another writer", ErrBusy, s.Write(largeFleet(1, 0)))
 	lock.Close()
-	check("after it", nil, s.Write(fleet(1, 0)))
-	same(t, "mode", os.FileMode(0o600), must(os.Stat(s.Path)).Mode())
+	check("after it", nil, s.Write(largeFleet(1, 0)))
+	checkEqual(t, "mode", os.FileMode(0o600), must(os.Stat(s.Path)).Mode())
 	s.MaxBytes = 100
 	check("reading too much", ErrTooLarge, read())
-	check("writing too much", ErrTooLarge, s.Write(fleet(1, 0)))
-	check("in no folder", syscall.ENOTDIR, (&Store{Path: s.Path + "/below a file"}).Write(fleet(1, 0)))
+	check("writing too much", ErrTooLarge, s.Write(largeFleet(1, 0)))
+	check("in no folder", syscall.ENOTDIR, (&Store{Path: s.Path + "/below a file"}).Write(largeFleet(1, 0)))
 }
 
 func TestWriter(t *testing.T) {
@@ -134,7 +134,7 @@
 				if takes.Add(1) == 2 {
 					return nil
 				}
-				return fleet(2, 1)
+				return largeFleet(2, 1)
 			},
 			Logf: func(format string, args ...any) { logged = append(logged, fmt.Sprintf(format, args...)) },
 		}
@@ -147,7 +147,7 @@
 		counts := func(what string, written, failed, skipped int64, lines ...string) {
 			t.Helper()
 			synctest.Wait()
-			same(t, what, []int64{written, failed, skipped},
+			checkEqual(t, what, []int64{written, failed, skipped},
 				[]int64{w.Written.Load(), w.Failed.Load(), w.Skipped.Load()})
 			if !slices.EqualFunc(logged, lines, strings.Contains) {
 				t.Errorf("%s: logged %q", what, logged)
@@ -167,7 +167,7 @@
 		counts("the disk fails", 2, 6, 0, "state=failed")
 		disk.Store(func() error { return nil })
 		time.Sleep(165 * time.Second)
-		same(t, "at the end", nil, stop())
+		checkEqual(t, "at the end", nil, stop())
 		n := w.Written.Load()
 		counts("it recovers", max(n, 4), 6, 0, "state=failed", "state=written_again")
 
