--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -27,9 +27,9 @@
 	readers sync.WaitGroup
 
 	mu      sync.Mutex
-	idle    []*callerConn // most lately used last
+	idle    []*clientConn // most lately used last
 	open    int           // or coming up
-	waiters []chan *callerConn
+	waiters []chan *clientConn
 	usage   Usage
 }
 
@@ -55,7 +55,7 @@
 // closed without reading it is sent once more, on a new one; message words it each time.
 func (c *Client) Send(message func() []byte, until time.Time) (x Exchange) {
 	for {
-		k, err := c.connect(until, x.Resent)
+		conn, err := c.connect(until, x.Resent)
 		if err != nil {
 			if x.Err, x.Result = err, Unreachable; errors.Is(err, errBusy) {
 				x.Result = TimedOut
@@ -65,17 +65,17 @@
 		if !x.Resent {
 			x.SentAt = time.Now()
 		}
-		x.Conn = k.number
-		r := k.ask(message(), until)
-		if r.resp != nil {
-			k.free(!r.resp.Close)
-			x.Answer, x.Body, x.Result = r.resp, r.body, r.result()
+		x.Conn = conn.number
+		got := conn.exchange(message(), until)
+		if got.response != nil {
+			conn.finish(!got.response.Close)
+			x.Answer, x.Body, x.Result = got.response, got.body, got.result()
 			return x
 		}
-		again := k.carried > 0 && !x.Resent && k.crossed(&r)
-		k.hangUp()
+		again := conn.carried > 0 && !x.Resent && conn.closedUnread(&got)
+		conn.close()
 		if !again {
-			x.Err, x.Result = r.err, r.result()
+			x.Err, x.Result = got.err, got.result()
 			return x
 		}
 		x.Resent = true
@@ -88,7 +88,7 @@
 	idle := slices.Clone(c.idle)
 	c.mu.Unlock()
 	for _, k := range idle {
-		k.hangUp()
+		k.close()
 	}
 	c.readers.Wait()
 	return c.usage
@@ -97,7 +97,7 @@
 var errBusy = errors.New("every connection that the consumers may have is busy")
 
 // connect takes an idle connection, or opens one, or waits for its turn until a moment.
-func (c *Client) connect(until time.Time, fresh bool) (*callerConn, error) {
+func (c *Client) connect(until time.Time, fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
 		k := c.idle[n-1]
@@ -110,29 +110,29 @@
 		c.mu.Unlock()
 		return c.dial(until)
 	}
-	turn := make(chan *callerConn, 1)
-	c.waiters = append(c.waiters, turn)
+	connReady := make(chan *clientConn, 1)
+	c.waiters = append(c.waiters, connReady)
 	c.mu.Unlock()
-	k, err := c.wait(turn, until)
+	k, err := c.waitForConn(connReady, until)
 	switch {
 	case err != nil:
 		return nil, err
 	case k == nil:
 		return c.dial(until)
 	case fresh:
-		k.hangUp()
+		k.close()
 		return c.connect(until, fresh)
 	}
 	return k, nil
 }
 
-// wait waits for a turn: a connection, or nil for a place to open one.
-func (c *Client) wait(turn chan *callerConn, until time.Time) (k *callerConn, err error) {
+// waitForConn waits for a turn: a connection, or nil for a place to open one.
+func (c *Client) waitForConn(connReady chan *clientConn, until time.Time) (k *clientConn, err error) {
 	start := time.Now()
 	late := time.NewTimer(time.Until(until))
 	defer late.Stop()
 	select {
-	case k = <-turn:
+	case k = <-connReady:
 	case <-late.C:
 		err = errBusy
 	}
@@ -143,18 +143,18 @@
 	if err == nil {
 		return k, nil
 	}
-	if i := slices.Index(c.waiters, turn); i >= 0 {
+	if i := slices.Index(c.waiters, connReady); i >= 0 {
 		c.waiters = slices.Delete(c.waiters, i, i+1)
-	} else if k := <-turn; k == nil {
-		c.leave()
+	} else if k := <-connReady; k == nil {
+		c.releaseSlot()
 	} else {
 		c.offer(k)
 	}
 	return nil, err
 }
 
-// leave gives a place to the next who waits. Its caller holds the mutex, as that of offer does.
-func (c *Client) leave() {
+// releaseSlot gives a place to the next who waits. Its caller holds the mutex, as that of offer does.
+func (c *Client) releaseSlot() {
 	if len(c.waiters) == 0 {
 		c.open--
 		return
@@ -164,9 +164,9 @@
 }
 
 // offer gives a connection to the next who waits.
-func (c *Client) offer(k *callerConn) {
+func (c *Client) offer(k *clientConn) {
 	switch {
-	case k.gone:
+	case k.closed:
 	case len(c.waiters) == 0:
 		c.idle = append(c.idle, k)
 	default:
@@ -175,41 +175,41 @@
 	}
 }
 
-func (c *Client) dial(until time.Time) (*callerConn, error) {
+func (c *Client) dial(until time.Time) (*clientConn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	nc, err := c.Dial(ctx, c.Address)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.leave()
+		c.releaseSlot()
 		return nil, err
 	}
 	c.usage.Opened++
-	k := &callerConn{Conn: nc, of: c, number: c.usage.Opened, replies: make(chan reply), done: make(chan struct{})}
-	c.readers.Go(k.read)
+	k := &clientConn{Conn: nc, client: c, number: c.usage.Opened, replies: make(chan reply), done: make(chan struct{})}
+	c.readers.Go(k.readLoop)
 	return k, nil
 }
 
-// callerConn is one connection.
-type callerConn struct {
+// clientConn is one connection.
+type clientConn struct {
 	net.Conn
-	of      *Client
+	client  *Client
 	number  int
 	carried int // requests answered
 	replies chan reply
 	done    chan struct{} // closed when nobody asks any more
 
-	gone bool // guarded by of.mu
+	closed bool // guarded by of.mu
 }
 
 // reply is an answer, or how the connection ended without one.
 type reply struct {
-	resp   *http.Response // nil = none
-	body   []byte
-	begun  bool // its first byte came
-	unsent bool // the request could not be written
-	err    error
+	response *http.Response // nil = none
+	body     []byte
+	begun    bool // its first byte came
+	unsent   bool // the request could not be written
+	err      error
 }
 
 func (r *reply) timedOut() bool { return errors.Is(r.err, context.DeadlineExceeded) }
@@ -220,10 +220,10 @@
 		return TimedOut
 	case !r.begun:
 		return Lost
-	case r.resp == nil:
+	case r.response == nil:
 		return Failed
 	}
-	switch r.resp.StatusCode {
+	switch r.response.StatusCode {
 	case http.StatusOK:
 		return Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -232,22 +232,22 @@
 	return Failed
 }
 
-// read reads answers until the connection ends. Whatever comes while nobody asks is the end of it.
-func (k *callerConn) read() {
+// readLoop reads answers until the connection ends. Whatever comes while nobody asks is the end of it.
+func (k *clientConn) readLoop() {
 	br := bufio.NewReader(k)
 	for {
 		var r reply
 		_, r.err = br.Peek(1)
-		k.forget()
+		k.closeIfIdle()
 		if r.err == nil {
 			r.begun = true
-			r.resp, r.body, r.err = k.of.Read(br)
+			r.response, r.body, r.err = k.client.Read(br)
 		}
 		switch {
 		case errors.Is(r.err, os.ErrDeadlineExceeded):
-			r.resp, r.err = nil, context.DeadlineExceeded
+			r.response, r.err = nil, context.DeadlineExceeded
 		case r.err != nil:
-			r.resp = nil
+			r.response = nil
 		}
 		k.SetReadDeadline(time.Time{}) // it was this request's
 		select {
@@ -258,47 +258,47 @@
 	}
 }
 
-// forget ends the connection if it is idle.
-func (k *callerConn) forget() {
-	c := k.of
+// closeIfIdle ends the connection if it is idle.
+func (k *clientConn) closeIfIdle() {
+	c := k.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if i := slices.Index(c.idle, k); i >= 0 {
 		c.idle = slices.Delete(c.idle, i, i+1)
-		k.end()
+		k.closeLocked()
 	}
 }
 
-// end closes the connection and leaves its place. Its caller holds the mutex.
-func (k *callerConn) end() {
-	if k.gone {
+// closeLocked closes the connection and leaves its place. Its caller holds the mutex.
+func (k *clientConn) closeLocked() {
+	if k.closed {
 		return
 	}
-	k.gone = true
+	k.closed = true
 	close(k.done)
 	k.Conn.Close()
-	k.of.leave()
+	k.client.releaseSlot()
 }
 
-func (k *callerConn) hangUp() {
-	k.of.mu.Lock()
-	defer k.of.mu.Unlock()
-	k.end()
+func (k *clientConn) close() {
+	k.client.mu.Lock()
+	defer k.client.mu.Unlock()
+	k.closeLocked()
 }
 
-// free ends the connection's request; it may carry another if it is to be kept.
-func (k *callerConn) free(keep bool) {
-	k.of.mu.Lock()
-	defer k.of.mu.Unlock()
+// finish ends the connection's request; it may carry another if it is to be kept.
+func (k *clientConn) finish(keep bool) {
+	k.client.mu.Lock()
+	defer k.client.mu.Unlock()
 	if k.carried++; keep {
-		k.of.offer(k)
+		k.client.offer(k)
 	} else {
-		k.end()
+		k.closeLocked()
 	}
 }
 
-// ask sends a request and waits for what comes, until a moment.
-func (k *callerConn) ask(message []byte, until time.Time) reply {
+// exchange sends a request and waits for what comes, until a moment.
+func (k *clientConn) exchange(message []byte, until time.Time) reply {
 	k.SetDeadline(until)
 	_, err := k.Write(message)
 	r := <-k.replies
@@ -306,9 +306,9 @@
 	return r
 }
 
-// crossed reports whether the other side had closed the connection before it read the request: then the request was
+// closedUnread reports whether the other side had closed the connection before it read the request: then the request was
 // answered with a reset, and so is what is written next. Else the other side has read it, and may have run it.
-func (k *callerConn) crossed(r *reply) bool {
+func (k *clientConn) closedUnread(r *reply) bool {
 	if r.begun || r.timedOut() {
 		return false
 	}
--- a/internal/testbench/fakes/consumers.go
+++ b/internal/testbench/fakes/clients.go
@@ -115,7 +115,7 @@
 func NewConsumers(l Load) *Consumers {
 	return &Consumers{
 		load:   l,
-		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: whole},
+		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readWhole},
 	}
 }
 
@@ -126,7 +126,7 @@
 	id    string
 }
 
-func (l *Load) plan() (all []arrival) {
+func (l *Load) arrivals() (all []arrival) {
 	for i, f := range l.Flows {
 		draw := rand.New(rand.NewPCG(l.Seed, uint64(i)))
 		for at := 0.0; f.Rate > 0; {
@@ -147,13 +147,13 @@
 func (c *Consumers) Run(ctx context.Context) []Try {
 	start := time.Now()
 	var requests sync.WaitGroup
-	for _, a := range c.load.plan() {
+	for _, a := range c.load.arrivals() {
 		at := start.Add(a.after)
 		if Pause(ctx, time.Until(at)) != nil {
 			break
 		}
 		requests.Go(func() {
-			c.request(Try{ID: a.id, First: a.id, Class: a.flow.Class, Owner: a.flow.Owner, AskedAt: at, At: at})
+			c.sendRequest(Try{ID: a.id, First: a.id, Class: a.flow.Class, Owner: a.flow.Owner, AskedAt: at, At: at})
 		})
 	}
 	requests.Wait()
@@ -170,11 +170,11 @@
 	return tries
 }
 
-// request makes its first try and those that follow.
-func (c *Consumers) request(t Try) {
+// sendRequest makes its first try and those that follow.
+func (c *Consumers) sendRequest(t Try) {
 	until := t.AskedAt.Add(t.Class.Deadline)
 	for {
-		c.try(&t, until)
+		c.sendTry(&t, until)
 		t.EndedAt = time.Now()
 		c.mu.Lock()
 		c.tries = append(c.tries, t)
@@ -202,9 +202,9 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// try sends the request and says how that ended.
-func (c *Consumers) try(t *Try, until time.Time) {
-	x := c.client.Send(func() []byte { return t.message(until) }, until)
+// sendTry sends the request and says how that ended.
+func (c *Consumers) sendTry(t *Try, until time.Time) {
+	x := c.client.Send(func() []byte { return t.encode(until) }, until)
 	t.SentAt, t.Conn, t.Resent, t.Err, t.Result = x.SentAt, x.Conn, x.Resent, x.Err, x.Result
 	if x.Answer != nil {
 		t.Status = x.Answer.StatusCode
@@ -214,14 +214,14 @@
 	}
 }
 
-// message words the request.
-func (t *Try) message(until time.Time) []byte {
-	verb, body := "GET", ""
+// encode words the request.
+func (t *Try) encode(until time.Time) []byte {
+	method, body := "GET", ""
 	if !t.Class.Safe {
-		verb, body = "POST", "take "+t.First
+		method, body = "POST", "take "+t.First
 	}
 	b := fmt.Appendf(nil, "%s /%s/%s HTTP/1.1\r\nHost: api.internal\r\n%s: %s\r\nReq-Deadline: %.3f\r\n",
-		verb, t.Class.Name, t.First[:4], headerID, t.ID, max(0.001, time.Until(until).Seconds()))
+		method, t.Class.Name, t.First[:4], headerID, t.ID, max(0.001, time.Until(until).Seconds()))
 	if t.Owner != "" {
 		b = fmt.Appendf(b, "Req-Owner: %s\r\n", t.Owner)
 	}
@@ -234,8 +234,8 @@
 	return fmt.Appendf(b, "\r\n%s", body)
 }
 
-// whole reads an answer and keeps its body.
-func whole(br *bufio.Reader) (*http.Response, []byte, error) {
+// readWhole reads an answer and keeps its body.
+func readWhole(br *bufio.Reader) (*http.Response, []byte, error) {
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		return nil, nil, err
@@ -247,7 +247,7 @@
 // Ready waits until the sidecar at address answers GET /up with 200, or for the end of ctx.
 func Ready(ctx context.Context, n Network, address string) error {
 	for {
-		err := up(ctx, n, address)
+		err := checkUp(ctx, n, address)
 		if err == nil {
 			return nil
 		}
@@ -257,7 +257,7 @@
 	}
 }
 
-func up(ctx context.Context, n Network, address string) error {
+func checkUp(ctx context.Context, n Network, address string) error {
 	c, err := n.Dial(ctx, address)
 	if err != nil {
 		return err
--- a/internal/testbench/fakes/consumers_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -42,7 +42,7 @@
 		"failed tiles":    {Behaviour{FailShare: 1}, tile, Retry{Most: 2}, "0, failed 123"},
 		"cut short":       {broken(20), order, Retry{}, "0, failed 41"},
 		"lost":            {broken(0), order, Retry{}, "0, lost 41"},
-		"wrong":           {Behaviour{Spoilt: answer(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
+		"wrong":           {Behaviour{Spoilt: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
@@ -112,7 +112,7 @@
 					send(t, a, "order")
 				}
 				_, err := a.Read(make([]byte, 1))
-				if k := (&callerConn{Conn: a}); k.crossed(&reply{err: err}) == read {
+				if k := (&clientConn{Conn: a}); k.closedUnread(&reply{err: err}) == read {
 					t.Errorf("the connection ended with %v, and the request counts as read: %t", err, !read)
 				}
 			})
--- a/internal/testbench/fakes/count.go
+++ b/internal/testbench/fakes/count.go
@@ -15,7 +15,7 @@
 
 type counted struct {
 	Network
-	c *Counter
+	counter *Counter
 }
 
 func (n counted) Listen(address string) (Listener, error) {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedListener{l, n.c}, nil
+	return countedListener{l, n.counter}, nil
 }
 
 func (n counted) Dial(ctx context.Context, address string) (net.Conn, error) {
@@ -31,12 +31,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, n.c}, nil
+	return countedConn{c, n.counter}, nil
 }
 
 type countedListener struct {
 	Listener
-	c *Counter
+	counter *Counter
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
@@ -44,22 +44,22 @@
 	if err != nil {
 		return nil, err
 	}
-	l.c.Accepted.Add(1)
-	return countedConn{c, l.c}, nil
+	l.counter.Accepted.Add(1)
+	return countedConn{c, l.counter}, nil
 }
 
 type countedConn struct {
 	net.Conn
-	c *Counter
+	counter *Counter
 }
 
 func (c countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.c.In.Add(int64(n))
+	c.counter.In.Add(int64(n))
 	return n, err
 }
 
 func (c countedConn) Write(p []byte) (int, error) {
-	c.c.Out.Add(int64(len(p))) // before the other side can have answered
+	c.counter.Out.Add(int64(len(p))) // before the other side can have answered
 	return c.Conn.Write(p)
 }
--- a/internal/testbench/fakes/directory.go
+++ b/internal/testbench/fakes/discovery.go
@@ -33,9 +33,9 @@
 }
 
 const (
-	pathList = "/discovery/hosts"
-	waitMost = 60 * time.Second
-	lateBy   = time.Millisecond // after the caller has hung up
+	listPath        = "/discovery/hosts"
+	maxWait         = 60 * time.Second
+	lateAnswerDelay = time.Millisecond // after the caller has hung up
 )
 
 // DirectoryCall is one call as the directory has seen it.
@@ -57,44 +57,44 @@
 	revision uint64
 }
 
-// directoryFaults are those that act on an answer.
-type directoryFaults struct {
-	lose, late, whole, part bool
-	indented, chunked       bool
-	delay                   time.Duration
-	spoilt                  []byte
-	mute                    chan struct{} // closed when it ends; nil = none
+// discoveryFaults are those that act on an answer.
+type discoveryFaults struct {
+	loseAnswers, answerLate, wholeForWatch, partForWhole bool
+	indented, chunked                                    bool
+	delay                                                time.Duration
+	replacement                                          []byte
+	muted                                                chan struct{} // closed when it ends; nil = none
 }
 
 // Directory serves the list of providers, in whole and by a watch, and misbehaves when told to. It is safe for
 // concurrent use; each method acts at once.
 type Directory struct {
-	server
+	host
 
 	state    sync.Mutex
 	revision uint64
 	since    uint64 // the oldest revision from which changes are known
 	entries  []entry
 	changed  chan struct{} // closed with the next revision
-	faults   directoryFaults
+	faults   discoveryFaults
 	calls    []DirectoryCall
 }
 
 // NewDirectory starts a directory at address (see Network.Listen) whose first revision holds the members.
 func NewDirectory(n Network, address string, members ...Member) (*Directory, error) {
-	d := &Directory{server: newServer(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
-	d.server.handle = d.answer
+	d := &Directory{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
+	d.host.handle = d.serveCall
 	for _, m := range members {
 		d.put(m)
 	}
-	return d, d.up()
+	return d, d.startListening()
 }
 
 // Close ends it and waits for all that it has under way.
-func (d *Directory) Close() { d.close() }
+func (d *Directory) Close() { d.shutDown() }
 
 // Address is host:port.
-func (d *Directory) Address() string { return d.where() }
+func (d *Directory) Address() string { return d.currentAddress() }
 
 // Set replaces the whole list in a new revision, which it returns.
 func (d *Directory) Set(members ...Member) uint64 {
@@ -110,7 +110,7 @@
 	for _, m := range members {
 		d.put(m)
 	}
-	return d.tell()
+	return d.publish()
 }
 
 // Change replaces or adds members in a new revision, which it returns. Those with phase Deleted are gone.
@@ -121,7 +121,7 @@
 	for _, m := range members {
 		d.put(m)
 	}
-	return d.tell()
+	return d.publish()
 }
 
 // put notes what is new of a member in the present revision.
@@ -136,7 +136,7 @@
 	}
 }
 
-func (d *Directory) tell() uint64 {
+func (d *Directory) publish() uint64 {
 	close(d.changed)
 	d.changed = make(chan struct{})
 	return d.revision
@@ -157,10 +157,10 @@
 }
 
 // list words the whole list or the changes after a revision.
-func (d *Directory) list(whole bool, after uint64) List {
-	l := List{Revision: d.revision, Complete: whole, Members: []Member{}}
+func (d *Directory) list(complete bool, after uint64) List {
+	l := List{Revision: d.revision, Complete: complete, Members: []Member{}}
 	for _, e := range d.entries {
-		if whole && e.Phase != Deleted || !whole && e.revision > after {
+		if complete && e.Phase != Deleted || !complete && e.revision > after {
 			l.Members = append(l.Members, e.Member)
 		}
 	}
@@ -169,20 +169,20 @@
 
 // LoseAnswers takes calls and never answers them, those under way included; their connections stay open and silent.
 // Calls that come after it has been switched off are answered.
-func (d *Directory) LoseAnswers(on bool) { d.fault(func(f *directoryFaults) { f.lose = on }) }
+func (d *Directory) LoseAnswers(on bool) { d.setFault(func(f *discoveryFaults) { f.loseAnswers = on }) }
 
 // LosePresent loses the answers to all calls on connections that are open now, for good. New connections are fine.
-func (d *Directory) LosePresent() { d.mark() }
+func (d *Directory) LosePresent() { d.markOpenConns() }
 
 // Mute takes connections and calls and says nothing until it is switched off. Then it tells all who still wait.
 func (d *Directory) Mute(on bool) {
-	d.fault(func(f *directoryFaults) {
-		if f.mute != nil {
-			close(f.mute)
-			f.mute = nil
+	d.setFault(func(f *discoveryFaults) {
+		if f.muted != nil {
+			close(f.muted)
+			f.muted = nil
 		}
 		if on {
-			f.mute = make(chan struct{})
+			f.muted = make(chan struct{})
 		}
 	})
 }
@@ -190,39 +190,43 @@
 // Down refuses connections, after resetting those that are open, until it is switched off.
 func (d *Directory) Down(on bool) error {
 	if on {
-		d.down()
+		d.resetAll()
 		return nil
 	}
-	return d.up()
+	return d.startListening()
 }
 
 // Vanish is the end of its machine, or its return: nothing is answered, refused or reset, and connections hang.
-func (d *Directory) Vanish(on bool) error { return d.hush(on) }
+func (d *Directory) Vanish(on bool) error { return d.setSilent(on) }
 
 // Delay sends each answer so much later than it is made.
-func (d *Directory) Delay(by time.Duration) { d.fault(func(f *directoryFaults) { f.delay = by }) }
+func (d *Directory) Delay(by time.Duration) { d.setFault(func(f *discoveryFaults) { f.delay = by }) }
 
 // AnswerLate answers a call only a moment after its caller has hung up, or has ended its sending.
-func (d *Directory) AnswerLate(on bool) { d.fault(func(f *directoryFaults) { f.late = on }) }
+func (d *Directory) AnswerLate(on bool) { d.setFault(func(f *discoveryFaults) { f.answerLate = on }) }
 
 // WholeForWatch answers watches with the whole list.
-func (d *Directory) WholeForWatch(on bool) { d.fault(func(f *directoryFaults) { f.whole = on }) }
+func (d *Directory) WholeForWatch(on bool) {
+	d.setFault(func(f *discoveryFaults) { f.wholeForWatch = on })
+}
 
 // PartForWhole answers calls for the whole list with the first half of it, as changes.
-func (d *Directory) PartForWhole(on bool) { d.fault(func(f *directoryFaults) { f.part = on }) }
+func (d *Directory) PartForWhole(on bool) {
+	d.setFault(func(f *discoveryFaults) { f.partForWhole = on })
+}
 
 // Word words answers indented, and in chunks.
 func (d *Directory) Word(indented, chunked bool) {
-	d.fault(func(f *directoryFaults) { f.indented, f.chunked = indented, chunked })
+	d.setFault(func(f *discoveryFaults) { f.indented, f.chunked = indented, chunked })
 }
 
 // Spoil sends these bytes in place of each answer; nil = no longer.
-func (d *Directory) Spoil(with []byte) { d.fault(func(f *directoryFaults) { f.spoilt = with }) }
+func (d *Directory) Spoil(with []byte) { d.setFault(func(f *discoveryFaults) { f.replacement = with }) }
 
 // RestartAt ends all connections with a reset and starts anew, at the same address, with the list at another revision,
 // which may be lower. It no longer knows what was deleted or changed before.
 func (d *Directory) RestartAt(revision uint64) error {
-	d.down()
+	d.resetAll()
 	d.state.Lock()
 	d.revision, d.since = revision, revision
 	d.entries = slices.DeleteFunc(d.entries, func(e entry) bool { return e.Phase == Deleted })
@@ -230,16 +234,16 @@
 		d.entries[i].revision = revision
 	}
 	d.state.Unlock()
-	return d.up()
+	return d.startListening()
 }
 
 // Move ends all connections with a reset and goes on at another address, which it returns.
 func (d *Directory) Move() (string, error) {
-	d.down()
+	d.resetAll()
 	d.mu.Lock()
 	d.address = ""
 	d.mu.Unlock()
-	err := d.up()
+	err := d.startListening()
 	return d.Address(), err
 }
 
@@ -250,69 +254,69 @@
 	return slices.Clone(d.calls)
 }
 
-func (d *Directory) fault(set func(*directoryFaults)) {
+func (d *Directory) setFault(set func(*discoveryFaults)) {
 	d.state.Lock()
 	defer d.state.Unlock()
 	set(&d.faults)
 }
 
-func (d *Directory) present() directoryFaults {
+func (d *Directory) currentFaults() discoveryFaults {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return d.faults
 }
 
-// answer serves one call.
-func (d *Directory) answer(c *peerConn, m *message) bool {
-	if m.URL.Path != pathList || m.Method != "GET" {
-		return c.say(answer(404, "", nil))
+// serveCall serves one call.
+func (d *Directory) serveCall(c *hostConn, m *message) bool {
+	if m.URL.Path != listPath || m.Method != "GET" {
+		return c.write(encodeResponse(404, "", nil))
 	}
-	q := m.URL.Query()
-	call := DirectoryCall{At: m.last, Conn: c.number, Whole: !q.Has("index")}
-	call.Index, _ = strconv.ParseUint(q.Get("index"), 10, 64)
-	ms, _ := strconv.ParseUint(q.Get("wait"), 10, 32)
-	call.Wait = min(waitMost, time.Duration(ms)*time.Millisecond)
+	query := m.URL.Query()
+	call := DirectoryCall{At: m.last, Conn: c.number, Whole: !query.Has("index")}
+	call.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
+	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
+	call.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
 	d.state.Lock()
 	d.calls = append(d.calls, call)
-	nth, lost := len(d.calls)-1, d.faults.lose
+	index, lost := len(d.calls)-1, d.faults.loseAnswers
 	d.state.Unlock()
 
-	list, ok := d.news(c, &call)
+	list, ok := d.awaitList(c, &call)
 	if !ok {
 		return false
 	}
-	f := d.present()
-	if f.delay > 0 && !c.wait(f.delay) {
+	faults := d.currentFaults()
+	if faults.delay > 0 && !c.wait(faults.delay) {
 		return false
 	}
-	if lost || d.present().lose || d.isMarked(c) {
-		return c.forever()
+	if lost || d.currentFaults().loseAnswers || d.isMarked(c) {
+		return c.waitForClose()
 	}
-	raw := f.spoilt
+	raw := faults.replacement
 	if raw == nil {
-		raw = f.word(list)
+		raw = faults.encode(list)
 	}
-	if f.late {
-		c.forever()
-		c.wait(lateBy)
+	if faults.answerLate {
+		c.waitForClose()
+		c.wait(lateAnswerDelay)
 	}
-	c.heard()
+	c.waitWhileSilent()
 	d.state.Lock()
-	r := &d.calls[nth]
-	r.Answered, r.AnsweredAt, r.Revision, r.Members = true, time.Now(), list.Revision, len(list.Members)
+	record := &d.calls[index]
+	record.Answered, record.AnsweredAt, record.Revision, record.Members = true, time.Now(), list.Revision, len(list.Members)
 	d.state.Unlock()
-	return c.say(raw)
+	return c.write(raw)
 }
 
-// word words the answer.
-func (f *directoryFaults) word(l List) []byte {
+// encode words the answer.
+func (f *discoveryFaults) encode(l List) []byte {
 	const kind = "Content-Type: application/json\r\n"
 	body, _ := json.Marshal(l)
 	if f.indented {
 		body, _ = json.MarshalIndent(l, "", "    ")
 	}
 	if !f.chunked {
-		return answer(200, kind, body)
+		return encodeResponse(200, kind, body)
 	}
 	raw := []byte("HTTP/1.1 200 OK\r\n" + kind + "Transfer-Encoding: chunked\r\n\r\n")
 	for piece := range slices.Chunk(body, 1000) {
@@ -321,32 +325,32 @@
 	return append(raw, "0\r\n\r\n"...)
 }
 
-// news waits for what the call asks for. False means that its connection has ended.
-func (d *Directory) news(c *peerConn, call *DirectoryCall) (List, bool) {
+// awaitList waits for what the call asks for. False means that its connection has ended.
+func (d *Directory) awaitList(c *hostConn, call *DirectoryCall) (List, bool) {
 	until := time.NewTimer(call.Wait)
 	defer until.Stop()
-	for late := call.Whole; ; {
+	for pollExpired := call.Whole; ; {
 		d.state.Lock()
-		f, changed := d.faults, d.changed
+		faults, changed := d.faults, d.changed
 		forgot := call.Index > d.revision || call.Index < d.since // it can't say what has changed since then
-		l := d.list(call.Whole || forgot || f.whole, call.Index)
-		if call.Whole && f.part {
+		l := d.list(call.Whole || forgot || faults.wholeForWatch, call.Index)
+		if call.Whole && faults.partForWhole {
 			l.Complete, l.Members = false, l.Members[:len(l.Members)/2]
 		}
-		news := late || forgot || d.revision > call.Index
+		changedSinceIndex := pollExpired || forgot || d.revision > call.Index
 		d.state.Unlock()
-		if f.mute != nil {
-			changed = f.mute
-		} else if news {
+		if faults.muted != nil {
+			changed = faults.muted
+		} else if changedSinceIndex {
 			return l, true
 		}
 		select {
 		case <-changed:
 		case <-until.C:
-			late = true
-		case <-c.gone:
-			return l, f.late
-		case <-c.over:
+			pollExpired = true
+		case <-c.clientDone:
+			return l, faults.answerLate
+		case <-c.closed:
 			return l, false
 		}
 	}
--- a/internal/testbench/fakes/directory_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -90,7 +90,7 @@
 func TestDirectory(t *testing.T) {
 	a, b := Member{ID: "a", Phase: Serving}, Member{ID: "b", Phase: Serving}
 	gone := Member{ID: "a", Phase: Deleted}
-	const whole, watch, short = pathList, pathList + "?index=1&wait=10000", pathList + "?index=1&wait=50"
+	const whole, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
 	then := func(d *Directory, do func()) { // once there is a call
 		go func() {
 			for len(d.Calls()) == 0 {
@@ -141,10 +141,10 @@
 		"late":              {func(d *Directory) { d.AnswerLate(true) }, whole, "silence"},
 		"whole for a watch": {func(d *Directory) { d.WholeForWatch(true); d.Change(gone) }, watch, "2=bS"},
 		"part for whole":    {func(d *Directory) { d.PartForWhole(true) }, whole, "1+aS"},
-		"spoilt":            {func(d *Directory) { d.Spoil(answer(200, "", []byte("{"))) }, whole, "{"},
+		"spoilt":            {func(d *Directory) { d.Spoil(encodeResponse(200, "", []byte("{"))) }, whole, "{"},
 		"lower revision": {
 			func(d *Directory) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
-			"new " + pathList + "?index=3&wait=50", "1=aSbS",
+			"new " + listPath + "?index=3&wait=50", "1=aSbS",
 		},
 		"forgotten changes": {func(d *Directory) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
 		"moved":             {func(d *Directory) { _, _ = d.Move() }, whole + " new " + whole, "reset 1=aSbS"},
@@ -180,16 +180,16 @@
 		ok(t, err)
 		defer d.Close()
 		c := call(t, n, d.Address())
-		c.ask(pathList, "")
+		c.ask(listPath, "")
 		d.AnswerLate(true)
-		c.ask(pathList+"?index=1&wait=100000", "")
+		c.ask(listPath+"?index=1&wait=100000", "")
 		calls := d.Calls()
 		for i := range calls {
 			calls[i].At, calls[i].AnsweredAt = time.Time{}, time.Time{}
 		}
 		want := []DirectoryCall{
 			{Conn: 1, Whole: true, Answered: true, Revision: 1, Members: 1},
-			{Conn: 1, Index: 1, Wait: waitMost},
+			{Conn: 1, Index: 1, Wait: maxWait},
 		}
 		if !slices.Equal(calls, want) {
 			t.Errorf("%+v, want %+v", calls, want)
@@ -197,7 +197,7 @@
 		hungUp := time.Now()
 		ok(t, c.Conn.(interface{ CloseWrite() error }).CloseWrite())
 		c.SetDeadline(time.Now().Add(patience))
-		if got := words(c.hear()); got != "1+" || d.Calls()[1].AnsweredAt.Sub(hungUp) < lateBy {
+		if got := words(c.hear()); got != "1+" || d.Calls()[1].AnsweredAt.Sub(hungUp) < lateAnswerDelay {
 			t.Errorf("after the caller's end: %q", got)
 		}
 	})
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -10,13 +10,13 @@
 type Fleet struct {
 	Directory *Directory
 	Providers []*Provider
-	lives     []int // processes so far, by provider
+	lifetimes []int // processes so far, by provider
 }
 
 // NewFleet starts n providers of one nature; o's ID, if any, goes before the number in their names, and each gets a
 // seed of its own.
 func NewFleet(net Network, n int, o ProviderOptions) (*Fleet, error) {
-	f := &Fleet{lives: make([]int, n)}
+	f := &Fleet{lifetimes: make([]int, n)}
 	prefix, seed := o.ID, o.Seed
 	if prefix == "" {
 		prefix = "s"
@@ -89,20 +89,20 @@
 }
 
 func (f *Fleet) replace(ctx context.Context, from, to int, r Release) error {
-	var news []Member
+	var changes []Member
 	for _, p := range f.Providers[from:to] {
 		m := p.Member()
 		m.Phase = Draining
-		news = append(news, m)
+		changes = append(changes, m)
 		p.Change(func(b *Behaviour) { b.Drain = true })
 	}
-	f.Directory.Change(news...)
+	f.Directory.Change(changes...)
 	if err := Pause(ctx, r.Grace); err != nil {
 		return err
 	}
 	for i, p := range f.Providers[from:to] {
 		p.Kill()
-		news[i].Phase = Deleted
+		changes[i].Phase = Deleted
 	}
 	if err := Pause(ctx, r.Down); err != nil {
 		return err
@@ -115,14 +115,14 @@
 		if err := p.Restart(f.nextID(i)); err != nil {
 			return err
 		}
-		news = append(news, p.Member())
+		changes = append(changes, p.Member())
 	}
-	f.Directory.Change(news...)
+	f.Directory.Change(changes...)
 	return nil
 }
 
 // nextID names the next process of the i-th provider.
 func (f *Fleet) nextID(i int) string {
-	f.lives[i]++
-	return fmt.Sprintf("%s.%d", f.Providers[i].options.ID, f.lives[i]+1)
+	f.lifetimes[i]++
+	return fmt.Sprintf("%s.%d", f.Providers[i].options.ID, f.lifetimes[i]+1)
 }
--- a/internal/testbench/fakes/memory.go
+++ b/internal/testbench/fakes/memory.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -13,7 +14,7 @@
 	"time"
 )
 
-const window = 256 << 10 // bytes that a direction of a Memory connection takes before its writer waits
+const maxBuffered = 256 << 10 // bytes that a direction of a Memory connection takes before its writer waits
 
 // Memory is a network within one process. Whoever waits in it is durably blocked in the sense of testing/synctest, so
 // that time in a bubble can go on.
@@ -137,21 +138,21 @@
 	cond   sync.Cond
 	queue  []*memConn
 	closed bool
-	thaw   chan struct{} // nil = not frozen
+	thawed chan struct{} // nil = not frozen
 }
 
 // connect queues a connection for Accept and returns the other end of it, or else what to wait for before trying again.
 func (l *memListener) connect(from memAddr, delay time.Duration) (net.Conn, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.thaw != nil {
-		return nil, l.thaw
+	if l.thawed != nil {
+		return nil, l.thawed
 	}
 	k := &link{delay: delay}
 	k.cond.L = &k.mu
 	a, b := &stream{}, &stream{}
-	mine := &memConn{link: k, in: a, out: b, local: from, remote: l.addr}
-	theirs := &memConn{link: k, in: b, out: a, local: l.addr, remote: from}
+	mine := &memConn{link: k, incoming: a, outgoing: b, local: from, remote: l.addr}
+	theirs := &memConn{link: k, incoming: b, outgoing: a, local: l.addr, remote: from}
 	if l.closed {
 		theirs.Abort()
 	} else {
@@ -164,7 +165,7 @@
 func (l *memListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for (len(l.queue) == 0 || l.thaw != nil) && !l.closed {
+	for (len(l.queue) == 0 || l.thawed != nil) && !l.closed {
 		l.cond.Wait()
 	}
 	if l.closed {
@@ -201,11 +202,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case on && l.thaw == nil:
-		l.thaw = make(chan struct{})
-	case !on && l.thaw != nil:
-		close(l.thaw)
-		l.thaw = nil
+	case on && l.thawed == nil:
+		l.thawed = make(chan struct{})
+	case !on && l.thawed != nil:
+		close(l.thawed)
+		l.thawed = nil
 		l.cond.Broadcast()
 	}
 	return nil
@@ -226,12 +227,12 @@
 
 // stream is one direction.
 type stream struct {
-	queue   []segment // under way or unread, in order
-	size    int       // of all bytes in it
-	shut    bool      // its writer sends no more
-	deaf    bool      // its reader is closed: what is still written is answered with a reset
-	broken  bool      // and that has been: writes fail
-	resetAt time.Time // when the writer learns that its reader has aborted; zero = it has not
+	queue        []segment // under way or unread, in order
+	size         int       // of all bytes in it
+	writeClosed  bool      // its writer sends no more
+	readerClosed bool      // its reader is closed: what is still written is answered with a reset
+	broken       bool      // and that has been: writes fail
+	resetAt      time.Time // when the writer learns that its reader has aborted; zero = it has not
 }
 
 // segment is bytes, or the end, that arrive at a time.
@@ -245,11 +246,11 @@
 	at := time.Now().Add(k.delay)
 	s.queue = append(s.queue, segment{at: at, data: data, end: end})
 	s.size += len(data)
-	k.later(at)
+	k.wakeAt(at)
 }
 
-// later wakes all who wait, now and at t.
-func (k *link) later(t time.Time) *time.Timer {
+// wakeAt wakes all who wait, now and at t.
+func (k *link) wakeAt(t time.Time) *time.Timer {
 	k.cond.Broadcast()
 	if d := time.Until(t); d > 0 {
 		return time.AfterFunc(d, k.wake)
@@ -270,7 +271,7 @@
 	}
 	d.at = t
 	if k.cond.Broadcast(); !t.IsZero() {
-		d.alarm = k.later(t)
+		d.alarm = k.wakeAt(t)
 	}
 }
 
@@ -279,14 +280,14 @@
 // memConn is one end.
 type memConn struct {
 	*link
-	in, out       *stream
-	local, remote memAddr
-	readBy        deadline
-	writeBy       deadline
-	closed        bool
+	incoming, outgoing *stream
+	local, remote      memAddr
+	readBy             deadline
+	writeBy            deadline
+	closed             bool
 }
 
-func (c *memConn) fail(op string, err error) error {
+func (c *memConn) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Source: c.local, Addr: c.remote, Err: err}
 }
 
@@ -297,24 +298,24 @@
 	for {
 		switch {
 		case c.closed:
-			return 0, c.fail("read", net.ErrClosed)
+			return 0, c.opError("read", net.ErrClosed)
 		case c.readBy.passed():
-			return 0, c.fail("read", os.ErrDeadlineExceeded)
-		case len(c.in.queue) > 0 && !c.in.queue[0].at.After(time.Now()):
-			return c.take(b)
+			return 0, c.opError("read", os.ErrDeadlineExceeded)
+		case len(c.incoming.queue) > 0 && !c.incoming.queue[0].at.After(time.Now()):
+			return c.readArrived(b)
 		}
 		c.cond.Wait()
 	}
 }
 
-func (c *memConn) take(b []byte) (int, error) {
-	s := c.in
+func (c *memConn) readArrived(b []byte) (int, error) {
+	s := c.incoming
 	first := &s.queue[0]
 	switch {
-	case first.end == io.EOF:
+	case errors.Is(first.end, io.EOF):
 		return 0, io.EOF
 	case first.end != nil:
-		return 0, c.fail("read", first.end)
+		return 0, c.opError("read", first.end)
 	}
 	n := copy(b, first.data)
 	s.size -= n
@@ -329,22 +330,22 @@
 func (c *memConn) Write(b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.out
+	s := c.outgoing
 	for {
 		switch {
 		case c.closed:
-			return n, c.fail("write", net.ErrClosed)
+			return n, c.opError("write", net.ErrClosed)
 		case !s.resetAt.IsZero() && !s.resetAt.After(time.Now()):
-			return n, c.fail("write", os.NewSyscallError("write", syscall.ECONNRESET))
-		case s.shut, s.broken:
-			return n, c.fail("write", os.NewSyscallError("write", syscall.EPIPE))
+			return n, c.opError("write", os.NewSyscallError("write", syscall.ECONNRESET))
+		case s.writeClosed, s.broken:
+			return n, c.opError("write", os.NewSyscallError("write", syscall.EPIPE))
 		case c.writeBy.passed():
-			return n, c.fail("write", os.ErrDeadlineExceeded)
-		case s.deaf: // the kernel takes it, and the answer is a reset, if none is under way
+			return n, c.opError("write", os.ErrDeadlineExceeded)
+		case s.readerClosed: // the kernel takes it, and the answer is a reset, if none is under way
 			s.broken = s.resetAt.IsZero()
 			return len(b), nil
 		}
-		part := b[n:min(len(b), n+max(0, window-s.size))]
+		part := b[n:min(len(b), n+max(0, maxBuffered-s.size))]
 		if len(part) > 0 {
 			s.add(c.link, append([]byte(nil), part...), nil)
 			n += len(part)
@@ -357,34 +358,34 @@
 }
 
 // Close ends both directions in order; but with bytes unread, or still coming, the other side's writes are reset.
-func (c *memConn) Close() error { return c.end(false) }
+func (c *memConn) Close() error { return c.closeBoth(false) }
 
 // Abort resets the connection.
-func (c *memConn) Abort() { _ = c.end(true) }
+func (c *memConn) Abort() { _ = c.closeBoth(true) }
 
-func (c *memConn) end(reset bool) error {
+func (c *memConn) closeBoth(reset bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return c.fail("close", net.ErrClosed)
+		return c.opError("close", net.ErrClosed)
 	}
 	c.closed = true
 	now := time.Now()
-	for _, s := range c.in.queue {
+	for _, s := range c.incoming.queue {
 		if s.end == nil && s.at.After(now) {
-			c.in.broken = true
+			c.incoming.broken = true
 		}
 		reset = reset || s.end == nil && !s.at.After(now)
 	}
-	c.in.queue, c.in.size, c.in.deaf = nil, 0, true
+	c.incoming.queue, c.incoming.size, c.incoming.readerClosed = nil, 0, true
 	switch {
 	case reset:
-		c.in.resetAt = now.Add(c.delay)
-		c.out.add(c.link, nil, os.NewSyscallError("read", syscall.ECONNRESET))
-	case !c.out.shut:
-		c.out.add(c.link, nil, io.EOF)
+		c.incoming.resetAt = now.Add(c.delay)
+		c.outgoing.add(c.link, nil, os.NewSyscallError("read", syscall.ECONNRESET))
+	case !c.outgoing.writeClosed:
+		c.outgoing.add(c.link, nil, io.EOF)
 	}
-	c.out.shut = true
+	c.outgoing.writeClosed = true
 	c.readBy.set(c.link, time.Time{})
 	c.writeBy.set(c.link, time.Time{})
 	return nil
@@ -396,10 +397,10 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.closed:
-		return c.fail("close", net.ErrClosed)
-	case !c.out.shut:
-		c.out.add(c.link, nil, io.EOF)
-		c.out.shut = true
+		return c.opError("close", net.ErrClosed)
+	case !c.outgoing.writeClosed:
+		c.outgoing.add(c.link, nil, io.EOF)
+		c.outgoing.writeClosed = true
 	}
 	return nil
 }
@@ -407,17 +408,17 @@
 func (c *memConn) LocalAddr() net.Addr  { return c.local }
 func (c *memConn) RemoteAddr() net.Addr { return c.remote }
 
-func (c *memConn) SetDeadline(t time.Time) error { return c.set(t, &c.readBy, &c.writeBy) }
+func (c *memConn) SetDeadline(t time.Time) error { return c.setDeadlines(t, &c.readBy, &c.writeBy) }
 
-func (c *memConn) SetReadDeadline(t time.Time) error { return c.set(t, &c.readBy) }
+func (c *memConn) SetReadDeadline(t time.Time) error { return c.setDeadlines(t, &c.readBy) }
 
-func (c *memConn) SetWriteDeadline(t time.Time) error { return c.set(t, &c.writeBy) }
+func (c *memConn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(t, &c.writeBy) }
 
-func (c *memConn) set(t time.Time, ds ...*deadline) error {
+func (c *memConn) setDeadlines(t time.Time, ds ...*deadline) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return c.fail("set", net.ErrClosed)
+		return c.opError("set", net.ErrClosed)
 	}
 	for _, d := range ds {
 		d.set(c.link, t)
--- a/internal/testbench/fakes/network_test.go
+++ b/internal/testbench/fakes/network_test.go
@@ -139,11 +139,11 @@
 			ok(t, b.Close())
 			gets(t, a, "ab", nil)
 		},
-		"a deadline ends a read": func(t *testing.T, a, b net.Conn) {
+		"a deadline ends a read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.SetReadDeadline(time.Unix(1, 0)) })
 			gets(t, a, "", os.ErrDeadlineExceeded)
 		},
-		"write deadline": func(t *testing.T, a, b net.Conn) {
+		"write deadline": func(t *testing.T, a, _ net.Conn) {
 			much := make([]byte, 32<<20)
 			ok(t, a.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
 			n, err := a.Write(much)
@@ -159,7 +159,7 @@
 				t.Error(n)
 			}
 		},
-		"a close ends the own read": func(t *testing.T, a, b net.Conn) {
+		"a close ends the own read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.Close() })
 			gets(t, a, "", net.ErrClosed)
 			if a.Close() == nil {
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -1,292 +1,489 @@
 package fakes
 
 import (
-	"bufio"
+	"cmp"
+	"encoding/json"
 	"fmt"
-	"io"
-	"maps"
-	"net"
-	"net/http"
+	"hash/fnv"
+	"math/rand/v2"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 )
 
-// server is what a directory and a provider have in common: a listener that can go and come back, connections that
-// carry one request at a time, and a machine that can fall silent.
-type server struct {
-	network Network
-	handle  func(*peerConn, *message) bool // answers; false = the connection is to end
-	idle    time.Duration                  // after which a connection is closed; 0 = never
-
-	mu       sync.Mutex
-	address  string
-	listener Listener
-	conns    map[*peerConn]struct{}
-	accepted int
-	silence  chan struct{} // closed when it ends; nil = none
-	wg       sync.WaitGroup
+const (
+	headerID                = "Req-Id"
+	headerDeadline          = "Req-Deadline"
+	headerDeclined          = "Srv-Declined: 1\r\n"
+	loadPath                = "/metrics/load"
+	alivePath               = "/alive"
+	newestServiceTimeWeight = 0.1 // weight of the newest service time in the report's mean
+)
+
+// Here is the one locality that a sidecar knows by Config.
+const Here = "here"
+
+// Service is the work of one class.
+type Service struct {
+	Mean  time.Duration // of the time on a core
+	Fixed bool          // each takes just Mean; else they are exponential
+	Body  int           // bytes of an answer, at least the request's id and a newline
 }
 
-// message is one request, read to its end.
-type message struct {
-	*http.Request
-	body        []byte
-	first, last time.Time     // when its first and last byte came
-	sent        time.Time     // when the first byte was there to be read, also where the machine had vanished
-	idle        time.Duration // of its connection before it
+// ProviderOptions are a provider's nature, which faults don't change.
+type ProviderOptions struct {
+	ID       string
+	Address  string // see Network.Listen
+	Locality string // "" = Here
+	Seed     uint64 // of service times and of failures
+
+	Cores    int                // requests that run side by side; 0 = 1
+	Queue    int                // requests that may wait; one more is declined. 0 = none may
+	Service  map[string]Service // by class, the first part of the path
+	Default  Service            // of any other class
+	Connect  time.Duration      // that the first request on a connection takes longer, as after a TLS handshake
+	ColdBy   float64            // a process that has just started takes so many times as long; up to 1 = no longer
+	WarmIn   time.Duration      // and is warm after so long, getting there evenly
+	IdleMost time.Duration      // a connection idle for so long is closed; 0 = never
 }
 
-// peerConn is one accepted connection.
-type peerConn struct {
-	net.Conn
-	server  *server
-	number  int
-	reqs    chan *message
-	gone    chan struct{} // closed when the caller sends no more
-	over    chan struct{} // closed when this side has ended it
-	once    sync.Once
-	freeAt  time.Time // when it was last answered or accepted
-	carried int       // requests before the present one
-	marked  bool      // for a fault that is to befall it; guarded by server.mu
+// Probing says what becomes of probes.
+type Probing uint8
+
+// How probes are answered, apart from draining.
+const (
+	ProbesAnswered Probing = iota
+	ProbesUnavailable
+	ProbesCutOff // the connection is reset
+)
+
+// BreakOff ends an answer early.
+type BreakOff struct {
+	After int  // bytes of it, the head included; 0 = before the first
+	Reset bool // else the connection is ended in order
 }
 
-func newServer(n Network, address string, idle time.Duration) server {
-	return server{network: n, address: address, idle: idle, conns: map[*peerConn]struct{}{}}
+// Behaviour is how a provider misbehaves; the zero value is good behaviour. Requests that BreakOff, Stall, FailShare
+// and Spoilt befall are run; those that are declined or reset are not.
+type Behaviour struct {
+	Drain       bool          // probes get 503, requests are declined
+	Decline     bool          // requests are declined while probes are answered
+	Probes      Probing       // while requests are served
+	ResetAll    bool          // each request is reset, probes included
+	ForgetIdle  time.Duration // a request on a connection idle for longer is reset; 0 = none
+	ForgetAfter int           // a request on a connection that has carried so many is reset; 0 = none
+	BreakOff    *BreakOff     // of each answer
+	Stall       bool          // after an answer's head nothing more comes
+	Hang        bool          // nothing is answered, probes included, and no connection is ended
+	FailShare   float64       // part of requests that are answered 500 after their run
+	Spoilt      []byte        // sent in place of each answer
+	Slow        float64       // service takes so many times as long; 0 = 1
 }
 
-// up listens, where it did before if it did.
-func (s *server) up() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.listener != nil {
-		return nil
-	}
-	l, err := s.network.Listen(s.address)
-	if err != nil {
-		return fmt.Errorf("listen on %q: %w", s.address, err)
-	}
-	s.listener, s.address = l, l.Addr().String()
-	s.wg.Go(func() { s.accept(l) })
-	return nil
+// Outcome says what a provider did with a request.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Pending   Outcome = iota // waiting or running
+	Answered                 // 200 and its whole body
+	Errored                  // 500
+	Declined                 // declined: never ran
+	Nameless                 // 404: it had no id
+	Reset                    // the connection was reset: never ran
+	Left                     // the caller had gone before it began: never ran
+	Unsent                   // the caller had gone before it was answered, or the process hangs
+	Killed                   // the process ended first
+	BrokenOff                // an answer that did not end, or never began
+	Stalled                  // an answer's head
+	Spoilt                   // bytes that are no answer
+)
+
+var outcomes = [...]string{
+	"pending", "answered", "errored", "declined", "nameless", "reset", "left", "unsent",
+	"killed", "broken off", "stalled", "spoilt",
 }
 
-// down refuses new connections and resets all others. A silence ends with it, but only once nobody can say anything.
-func (s *server) down() {
-	s.mu.Lock()
-	l := s.listener
-	s.listener = nil
-	conns := slices.Collect(maps.Keys(s.conns))
-	s.mu.Unlock()
-	if l != nil {
-		l.Close()
-	}
-	for _, c := range conns {
-		c.drop(true)
-	}
-	_ = s.hush(false)
+func (o Outcome) String() string { return outcomes[o] }
+
+// Request is one request as a provider has seen it.
+type Request struct {
+	ID, Class, Method, Path string
+	Body                    string
+	Server                  string // id of the process
+	FirstByte, LastByte     time.Time
+	Sent                    time.Time     // its first byte, by the clock of whoever wrote it: a machine that has vanished hears of it later
+	Deadline                string        // as the sidecar has told it
+	Conn                    int           // the connection's number, from 1
+	Carried                 int           // requests on it before, probes included
+	Idle                    time.Duration // of it before, since it was accepted or last answered
+	Started, Finished       bool          // its run
+	Outcome                 Outcome
 }
 
-// close is down for good.
-func (s *server) close() {
-	s.down()
-	s.wg.Wait()
+// Probe is one probe as a provider has seen it.
+type Probe struct {
+	At     time.Time
+	Conn   int
+	Path   string
+	Status int // 0 = it was reset
 }
 
-// mark marks the connections that are open now.
-func (s *server) mark() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.marked = true
-	}
+// lifetime is one life of a provider.
+type lifetime struct {
+	id            string
+	startedAt     time.Time
+	warm          bool // started long ago
+	busy          int
+	waiting       []chan struct{}
+	meanServiceMs float64 // service time of late, in milliseconds; 0 = none yet
 }
 
-func (s *server) isMarked(c *peerConn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return c.marked
+// Provider is one tile server: one place where one process after another may live. It is safe for concurrent use;
+// each method acts at once.
+type Provider struct {
+	host
+	options ProviderOptions
+
+	state     sync.Mutex
+	current   *lifetime
+	behaviour Behaviour
+	requests  []Request
+	probes    []Probe
+	runs      map[string]int
 }
 
-// hush makes the machine vanish, or come back with its process and connections as they were.
-func (s *server) hush(on bool) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch {
-	case on == (s.silence != nil):
-		return nil
-	case on && s.listener == nil:
-		return fmt.Errorf("vanish: nobody listens at %q: start it first", s.address)
-	case on:
-		s.silence = make(chan struct{})
-	default:
-		close(s.silence)
-		s.silence = nil
-	}
-	if s.listener == nil {
-		return nil
-	}
-	return s.listener.Freeze(on)
+// NewProvider starts a provider whose process is long warm.
+func NewProvider(n Network, o ProviderOptions) (*Provider, error) {
+	o.Cores, o.Locality = max(1, o.Cores), cmp.Or(o.Locality, Here)
+	p := &Provider{host: newHost(n, o.Address, o.IdleMost), options: o, runs: map[string]int{}}
+	p.host.handle = p.serveMessage
+	p.current = &lifetime{id: o.ID, startedAt: time.Now(), warm: true}
+	return p, p.startListening()
 }
 
-func (s *server) accept(l Listener) {
-	for {
-		nc, err := l.Accept()
-		if err != nil {
-			return
-		}
-		c := &peerConn{
-			Conn: nc, server: s, reqs: make(chan *message), gone: make(chan struct{}),
-			over: make(chan struct{}), freeAt: time.Now(),
-		}
-		s.mu.Lock()
-		s.accepted++
-		c.number = s.accepted
-		s.conns[c] = struct{}{}
-		stale := s.listener != l // down has not seen it
-		s.mu.Unlock()
-		if stale {
-			c.drop(true)
-		}
-		s.wg.Go(c.read)
-		s.wg.Go(c.serve)
+// Close ends it and waits for all that it has under way.
+func (p *Provider) Close() { p.shutDown() }
+
+// Address is host:port, of the present process or the last one.
+func (p *Provider) Address() string { return p.currentAddress() }
+
+// ID is the present process's, or the last one's.
+func (p *Provider) ID() string { return p.currentLifetime().id }
+
+func (p *Provider) currentLifetime() *lifetime {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.current
+}
+
+// Member is its line in the directory while it serves.
+func (p *Provider) Member() Member {
+	now := p.currentLifetime()
+	m := Member{ID: now.id, Address: p.Address(), Locality: p.options.Locality, Phase: Serving}
+	if !now.warm {
+		m.UpSince = now.startedAt.UnixMilli()
 	}
+	return m
 }
 
-// where is host:port, also while nobody listens there.
-func (s *server) where() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.address
+// Change changes its behaviour from now on; requests that run are met by it when they end.
+func (p *Provider) Change(how func(*Behaviour)) {
+	p.state.Lock()
+	defer p.state.Unlock()
+	how(&p.behaviour)
 }
 
-// counts returns how many connections have been accepted and how many are open.
-func (s *server) counts() (accepted, open int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.accepted, len(s.conns)
+// Behave is Change to one that is given whole.
+func (p *Provider) Behave(b Behaviour) { p.Change(func(old *Behaviour) { *old = b }) }
+
+func (p *Provider) currentBehaviour() Behaviour {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.behaviour
 }
 
-// heard waits until the machine is not silent: what was sent to it, ends included, arrives only then.
-func (c *peerConn) heard() {
-	for {
-		c.server.mu.Lock()
-		silence := c.server.silence
-		c.server.mu.Unlock()
-		if silence == nil {
-			return
-		}
-		select {
-		case <-silence:
-		case <-c.over:
-			return
-		}
+// Vanish is the end of the machine's connection to the world: nothing sent to it is answered, nothing is reset, new
+// connections hang. With false it is back, with the process as it was; with Kill or Restart the process is another.
+func (p *Provider) Vanish(on bool) error { return p.setSilent(on) }
+
+// ResetKept resets the next request, and any later one, on each connection that is open now.
+func (p *Provider) ResetKept() { p.markOpenConns() }
+
+// Kill ends the process: connections are reset, new ones refused, and what runs is lost.
+func (p *Provider) Kill() { p.resetAll() }
+
+// Start starts a process that is cold where the last one was killed. An empty id is the last one's.
+func (p *Provider) Start(id string) error {
+	p.state.Lock()
+	if id == "" {
+		id = p.current.id
 	}
+	p.current = &lifetime{id: id, startedAt: time.Now()}
+	p.state.Unlock()
+	return p.startListening()
 }
 
-// read reads one request after another, and the caller's end while one is being answered.
-func (c *peerConn) read() {
-	defer close(c.gone)
-	br := bufio.NewReader(c)
-	for {
-		_, err := br.Peek(1)
-		sent := time.Now()
-		c.heard()
-		m := &message{first: time.Now(), sent: sent}
-		if err == nil {
-			m.Request, err = http.ReadRequest(br)
-		}
-		if err == nil {
-			m.body, err = io.ReadAll(m.Body)
-			c.heard()
-		}
-		if err != nil {
-			return
-		}
-		m.last = time.Now()
-		select {
-		case c.reqs <- m:
-		case <-c.over:
-			return
-		}
-	}
+// Restart is Kill, good behaviour and Start under a new id, at the same address.
+func (p *Provider) Restart(id string) error {
+	p.Kill()
+	p.Behave(Behaviour{})
+	return p.Start(id)
 }
 
-func (c *peerConn) serve() {
-	defer c.end()
-	for {
-		var tooLong <-chan time.Time
-		if c.server.idle > 0 {
-			tooLong = time.After(c.server.idle)
-		}
-		select {
-		case m := <-c.reqs:
-			m.idle = max(0, m.first.Sub(c.freeAt))
-			if !c.server.handle(c, m) || m.Close {
-				return
-			}
-			c.carried++
-			c.freeAt = time.Now()
-		case <-tooLong:
-			c.heard()
-			return
-		case <-c.gone:
-			return
-		case <-c.over:
-			return
-		}
-	}
+// Move lets the next Start choose another address. The process must have been killed.
+func (p *Provider) Move() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.address = ""
 }
 
-func (c *peerConn) end() {
-	c.drop(false)
-	c.server.mu.Lock()
-	defer c.server.mu.Unlock()
-	delete(c.server.conns, c)
+// Requests returns all requests so far, in the order of their last bytes.
+func (p *Provider) Requests() []Request {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return slices.Clone(p.requests)
 }
 
-// drop ends the connection, with a reset or in order. Only the first call counts.
-func (c *peerConn) drop(reset bool) {
-	c.once.Do(func() {
-		close(c.over)
-		if reset {
-			Abort(c.Conn)
-		} else {
-			c.Conn.Close()
-		}
+// Probes returns all probes so far.
+func (p *Provider) Probes() []Probe {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return slices.Clone(p.probes)
+}
+
+// Connections returns how many it has accepted and how many are open.
+func (p *Provider) Connections() (accepted, open int) { return p.connectionCounts() }
+
+// Runs returns how often a request of that id was begun.
+func (p *Provider) Runs(id string) int {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.runs[id]
+}
+
+// serveMessage serves one message.
+func (p *Provider) serveMessage(c *hostConn, m *message) bool {
+	how := p.currentBehaviour()
+	reset := how.ResetAll || how.ForgetIdle > 0 && m.idle > how.ForgetIdle ||
+		how.ForgetAfter > 0 && c.carried >= how.ForgetAfter || p.isMarked(c)
+	if m.URL.Path == loadPath || m.URL.Path == alivePath {
+		return p.serveProbe(c, m, how, reset)
+	}
+	id := m.Header.Get(headerID)
+	class, _, _ := strings.Cut(strings.TrimPrefix(m.URL.Path, "/"), "/")
+	p.state.Lock()
+	now := p.current
+	nth := len(p.requests)
+	p.requests = append(p.requests, Request{
+		ID: id, Class: class, Method: m.Method, Path: m.URL.RequestURI(),
+		Body: string(m.body), Server: now.id, FirstByte: m.first, LastByte: m.last, Sent: m.sent, Deadline: m.Header.Get(headerDeadline), Conn: c.number, Carried: c.carried,
+		Idle: m.idle,
 	})
+	p.state.Unlock()
+	switch {
+	case reset:
+		p.recordOutcome(nth, Reset)
+		c.drop(true)
+		return false
+	case id == "":
+		return p.recordAndSend(c, nth, Nameless, encodeResponse(404, "", nil))
+	case how.Drain || how.Decline:
+		return p.decline(c, nth)
+	case how.Hang:
+		p.recordOutcome(nth, Unsent)
+		return c.waitForClose()
+	}
+	switch got := p.waitForCore(c, now); got {
+	case Declined:
+		return p.decline(c, nth)
+	case Pending:
+	default:
+		return p.recordOutcome(nth, got)
+	}
+	body, failed, ended := p.run(c, m, now, nth, class)
+	if !ended {
+		return p.recordOutcome(nth, Killed)
+	}
+	return p.respond(c, nth, body, failed)
 }
 
-// wait waits for d and reports whether the connection has not been ended from this side meanwhile.
-func (c *peerConn) wait(d time.Duration) bool {
-	t := time.NewTimer(max(0, d))
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-c.over:
+func (p *Provider) decline(c *hostConn, index int) bool {
+	return p.recordAndSend(c, index, Declined, encodeResponse(503, headerDeclined, nil))
+}
+
+// recordOutcome writes down how a request ended. It is the end of its connection too, unless it is answered.
+func (p *Provider) recordOutcome(index int, o Outcome) bool {
+	p.state.Lock()
+	defer p.state.Unlock()
+	p.requests[index].Outcome = o
+	return false
+}
+
+// recordAndSend answers a request, having written that down: who has the answer may look it up.
+func (p *Provider) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
+	c.waitWhileSilent()
+	p.recordOutcome(index, o)
+	return c.write(raw) || p.recordOutcome(index, Unsent)
+}
+
+// serveProbe answers with the load.
+func (p *Provider) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
+	p.state.Lock()
+	now := p.current
+	load := map[string]any{"active": now.busy + len(now.waiting)}
+	if now.meanServiceMs > 0 {
+		load["avg_ms"] = now.meanServiceMs
+	}
+	status := 200
+	switch {
+	case reset || how.Probes == ProbesCutOff:
+		status = 0
+	case how.Drain || how.Probes == ProbesUnavailable:
+		status = 503
+	}
+	p.probes = append(p.probes, Probe{At: m.last, Conn: c.number, Path: m.URL.Path, Status: status})
+	p.state.Unlock()
+	if how.Hang {
+		return c.waitForClose()
+	}
+	switch status {
+	case 0:
+		c.drop(true)
 		return false
+	case 503:
+		return c.write(encodeResponse(503, "", nil))
 	}
+	body, _ := json.Marshal(load)
+	return c.write(encodeResponse(200, "Content-Type: application/json\r\n", body))
 }
 
-// forever waits until either side has ended the connection.
-func (c *peerConn) forever() bool {
+// waitForCore waits for a core. Pending says that the request has one; any other outcome is its last.
+func (p *Provider) waitForCore(c *hostConn, now *lifetime) Outcome {
+	p.state.Lock()
+	if now.busy < p.options.Cores {
+		now.busy++
+		p.state.Unlock()
+		return Pending
+	}
+	if len(now.waiting) >= p.options.Queue {
+		p.state.Unlock()
+		return Declined
+	}
+	coreFree := make(chan struct{})
+	now.waiting = append(now.waiting, coreFree)
+	p.state.Unlock()
+	outcome := Pending
 	select {
-	case <-c.gone:
-	case <-c.over:
+	case <-coreFree:
+		return outcome
+	case <-c.clientDone:
+		outcome = Left
+	case <-c.closed:
+		outcome = Killed
 	}
-	return false
+	p.state.Lock()
+	defer p.state.Unlock()
+	if i := slices.Index(now.waiting, coreFree); i >= 0 {
+		now.waiting = slices.Delete(now.waiting, i, i+1)
+	} else {
+		now.releaseCore()
+	}
+	return outcome
+}
+
+// releaseCore gives the core to the next.
+func (l *lifetime) releaseCore() {
+	if len(l.waiting) == 0 {
+		l.busy--
+		return
+	}
+	close(l.waiting[0])
+	l.waiting = l.waiting[1:]
 }
 
-// say writes once the machine may speak, and reports whether that went well.
-func (c *peerConn) say(b []byte) bool {
-	c.heard()
-	_, err := c.Write(b)
-	return err == nil
+// run holds a core for the time of the service and returns the answer's body and whether the request is to fail. Nobody
+// can call it off but the end of the process.
+func (p *Provider) run(c *hostConn, m *message, now *lifetime, index int, class string) (body []byte, failed, ended bool) {
+	id := m.Header.Get(headerID)
+	p.state.Lock()
+	p.requests[index].Started = true
+	p.runs[id]++
+	how := p.behaviour
+	h := fnv.New64a()
+	fmt.Fprintf(h, "%s %s %d", now.id, id, p.runs[id])
+	p.state.Unlock()
+	// From what is run and not from one sequence: requests of the same moment would get theirs by chance.
+	draw := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
+	service, known := p.options.Service[class]
+	if !known {
+		service = p.options.Default
+	}
+	work := float64(service.Mean)
+	if !service.Fixed {
+		work *= draw.ExpFloat64()
+	}
+	if how.Slow > 0 {
+		work *= how.Slow
+	}
+	took := time.Duration(work * p.slowStartFactor(now))
+	if c.carried == 0 {
+		took += p.options.Connect
+	}
+	ended = c.wait(took)
+	p.state.Lock()
+	defer p.state.Unlock()
+	now.releaseCore()
+	if !ended {
+		return nil, false, false
+	}
+	p.requests[index].Finished = true
+	if ms := float64(took) / float64(time.Millisecond); now.meanServiceMs == 0 {
+		now.meanServiceMs = ms
+	} else {
+		now.meanServiceMs += newestServiceTimeWeight * (ms - now.meanServiceMs)
+	}
+	body = []byte(id + "\n")
+	body = append(body, make([]byte, max(0, service.Body-len(body)))...)
+	return body, draw.Float64() < p.behaviour.FailShare, true
 }
 
-// answer words an answer.
-func answer(status int, head string, body []byte) []byte {
-	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, http.StatusText(status), head, len(body), body)
+// slowStartFactor is how many times as long service takes.
+func (p *Provider) slowStartFactor(now *lifetime) float64 {
+	age := time.Since(now.startedAt)
+	if now.warm || p.options.ColdBy <= 1 || age >= p.options.WarmIn {
+		return 1
+	}
+	return 1 + (p.options.ColdBy-1)*(1-float64(age)/float64(p.options.WarmIn))
+}
+
+// respond sends the answer to a request that has run, or what comes in its place.
+func (p *Provider) respond(c *hostConn, index int, body []byte, failed bool) bool {
+	select {
+	case <-c.clientDone:
+		return p.recordOutcome(index, Unsent)
+	default:
+	}
+	how := p.currentBehaviour()
+	outcome, full := Answered, encodeResponse(200, "", body)
+	if failed {
+		outcome, full = Errored, encodeResponse(500, "", nil)
+	}
+	switch {
+	case how.BreakOff != nil:
+		p.recordOutcome(index, BrokenOff)
+		if n := min(how.BreakOff.After, len(full)); n > 0 {
+			c.write(full[:n])
+		}
+		c.drop(how.BreakOff.Reset)
+		return false
+	case how.Stall:
+		p.recordOutcome(index, Stalled)
+		c.write(full[:len(full)-len(body)])
+		return c.waitForClose()
+	case how.Spoilt != nil:
+		return p.recordAndSend(c, index, Spoilt, how.Spoilt)
+	}
+	return p.recordAndSend(c, index, outcome, full)
 }
--- a/internal/testbench/fakes/provider_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -15,7 +15,7 @@
 func TestProvider(t *testing.T) {
 	behave := func(b Behaviour) func(*Provider) { return func(p *Provider) { p.Behave(b) } }
 	forgetIdle := func(d time.Duration) func(*Provider) { return behave(Behaviour{ForgetIdle: d}) }
-	found := answer(302, "", nil)
+	found := encodeResponse(302, "", nil)
 	for name, test := range map[string]struct {
 		do    func(p *Provider)
 		calls string // "load" or "alive" for a probe, "new" and "dial" for a connection, "pause"; else a request's id
@@ -56,7 +56,7 @@
 			time.AfterFunc(20*time.Millisecond, func() { _ = p.Vanish(false) })
 		}, "x new y", "200 x|200 y", "answered!+ answered!+"},
 		"vanished, then another": {
-			func(p *Provider) { _ = p.Vanish(true); p.Restart("s-2") }, "x new y",
+			func(p *Provider) { _ = p.Vanish(true); _ = p.Restart("s-2") }, "x new y",
 			"nothing reset|200 y", "answered!+",
 		},
 		"killed": {(*Provider).Kill, "x", "nothing reset", ""},
@@ -80,7 +80,7 @@
 				ok(t, err)
 				defer p.Close()
 				c := call(t, n, p.Address())
-				c.ask(pathAlive, "")
+				c.ask(alivePath, "")
 				test.do(p)
 				var got []string
 				for word := range strings.FieldsSeq(test.calls) {
@@ -97,9 +97,9 @@
 					case "pause":
 						time.Sleep(5 * time.Millisecond)
 					case "load":
-						got = append(got, c.ask(pathLoad, ""))
+						got = append(got, c.ask(loadPath, ""))
 					case "alive":
-						got = append(got, c.ask(pathAlive, ""))
+						got = append(got, c.ask(alivePath, ""))
 					case "-":
 						got = append(got, c.ask("/tile/1", ""))
 					default:
