--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -276,7 +276,7 @@
 	}
 	k.closed = true
 	close(k.done)
-	k.Conn.Close()
+	k.Close()
 	k.client.releaseSlot()
 }
 
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -83,7 +83,7 @@
 // NewDirectory starts a directory at address (see Network.Listen) whose first revision holds the members.
 func NewDirectory(n Network, address string, members ...Member) (*Directory, error) {
 	d := &Directory{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
-	d.host.handle = d.serveCall
+	d.handle = d.serveCall
 	for _, m := range members {
 		d.put(m)
 	}
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -252,7 +252,7 @@
 		if reset {
 			Abort(c.Conn)
 		} else {
-			c.Conn.Close()
+			c.Close()
 		}
 	})
 }
--- /dev/null
+++ b/internal/testbench/fakes/server_serve.go
@@ -0,0 +1,250 @@
+package fakes
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+)
+
+// serveMessage serves one message.
+func (p *Provider) serveMessage(c *hostConn, m *message) bool {
+	how := p.currentBehaviour()
+	reset := how.resets(c, m) || p.isMarked(c)
+	if m.URL.Path == loadPath || m.URL.Path == alivePath {
+		return p.serveProbe(c, m, how, reset)
+	}
+	index, now := p.recordRequest(c, m)
+	switch {
+	case reset:
+		p.recordOutcome(index, Reset)
+		c.drop(true)
+		return false
+	case m.Header.Get(headerID) == "":
+		return p.recordAndSend(c, index, Nameless, encodeResponse(404, "", nil))
+	case how.Drain || how.Decline:
+		return p.decline(c, index)
+	case how.Hang:
+		p.recordOutcome(index, Unsent)
+		return c.waitForClose()
+	}
+	switch outcome := p.waitForCore(c, now); outcome {
+	case Declined:
+		return p.decline(c, index)
+	case Pending:
+	default:
+		return p.recordOutcome(index, outcome)
+	}
+	body, failed, ended := p.run(c, m, now, index)
+	if !ended {
+		return p.recordOutcome(index, Killed)
+	}
+	return p.respond(c, index, body, failed)
+}
+
+// resets reports whether a message is answered by a reset of its connection.
+func (b *Behaviour) resets(c *hostConn, m *message) bool {
+	idleTooLong := b.ForgetIdle > 0 && m.idle > b.ForgetIdle
+	carriedTooMany := b.ForgetAfter > 0 && c.carried >= b.ForgetAfter
+	return b.ResetAll || idleTooLong || carriedTooMany
+}
+
+// recordRequest adds a request to the record and returns its index there and the process that has it.
+func (p *Provider) recordRequest(c *hostConn, m *message) (int, *lifetime) {
+	p.state.Lock()
+	defer p.state.Unlock()
+	p.requests = append(p.requests, Request{
+		ID: m.Header.Get(headerID), Class: m.class(), Method: m.Method, Path: m.URL.RequestURI(), Body: string(m.body),
+		Server: p.current.id, FirstByte: m.first, LastByte: m.last, Sent: m.sent, Deadline: m.Header.Get(headerDeadline),
+		Conn: c.number, Carried: c.carried, Idle: m.idle,
+	})
+	return len(p.requests) - 1, p.current
+}
+
+// class is the first part of the path.
+func (m *message) class() string {
+	class, _, _ := strings.Cut(strings.TrimPrefix(m.URL.Path, "/"), "/")
+	return class
+}
+
+func (p *Provider) decline(c *hostConn, index int) bool {
+	return p.recordAndSend(c, index, Declined, encodeResponse(503, headerDeclined, nil))
+}
+
+// recordOutcome records how a request ended. It returns false, so that the connection ends with it.
+func (p *Provider) recordOutcome(index int, o Outcome) bool {
+	p.state.Lock()
+	defer p.state.Unlock()
+	p.requests[index].Outcome = o
+	return false
+}
+
+// recordAndSend records the outcome before it sends the response, since whoever has the response may look it up.
+func (p *Provider) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
+	c.waitWhileSilent()
+	p.recordOutcome(index, o)
+	return c.write(raw) || p.recordOutcome(index, Unsent)
+}
+
+// serveProbe answers with the load.
+func (p *Provider) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
+	p.state.Lock()
+	now := p.current
+	load := map[string]any{"active": now.busy + len(now.waiting)}
+	if now.meanServiceMs > 0 {
+		load["avg_ms"] = now.meanServiceMs
+	}
+	status := 200
+	switch {
+	case reset || how.Probes == ProbesCutOff:
+		status = 0
+	case how.Drain || how.Probes == ProbesUnavailable:
+		status = 503
+	}
+	p.probes = append(p.probes, Probe{At: m.last, Conn: c.number, Path: m.URL.Path, Status: status})
+	p.state.Unlock()
+	if how.Hang {
+		return c.waitForClose()
+	}
+	switch status {
+	case 0:
+		c.drop(true)
+		return false
+	case 503:
+		return c.write(encodeResponse(503, "", nil))
+	}
+	body, _ := json.Marshal(load)
+	return c.write(encodeResponse(200, "Content-Type: application/json\r\n", body))
+}
+
+// waitForCore waits for a core. Pending says that the request has got one; any other outcome is final.
+func (p *Provider) waitForCore(c *hostConn, now *lifetime) Outcome {
+	p.state.Lock()
+	if now.busy < p.options.Cores {
+		now.busy++
+		p.state.Unlock()
+		return Pending
+	}
+	if len(now.waiting) >= p.options.Queue {
+		p.state.Unlock()
+		return Declined
+	}
+	coreFree := make(chan struct{})
+	now.waiting = append(now.waiting, coreFree)
+	p.state.Unlock()
+	outcome := Pending
+	select {
+	case <-coreFree:
+		return outcome
+	case <-c.clientDone:
+		outcome = Left
+	case <-c.closed:
+		outcome = Killed
+	}
+	p.state.Lock()
+	defer p.state.Unlock()
+	if i := slices.Index(now.waiting, coreFree); i >= 0 {
+		now.waiting = slices.Delete(now.waiting, i, i+1)
+	} else {
+		now.releaseCore()
+	}
+	return outcome
+}
+
+// releaseCore gives the core to the next.
+func (l *lifetime) releaseCore() {
+	if len(l.waiting) == 0 {
+		l.busy--
+		return
+	}
+	close(l.waiting[0])
+	l.waiting = l.waiting[1:]
+}
+
+// run occupies a core for the service time and returns the response's body and whether the request is to fail. Only the
+// end of the process interrupts it: ended is false then.
+func (p *Provider) run(c *hostConn, m *message, now *lifetime, index int) (body []byte, failed, ended bool) {
+	id := m.Header.Get(headerID)
+	p.state.Lock()
+	p.requests[index].Started = true
+	p.runs[id]++
+	how := p.behaviour
+	h := fnv.New64a()
+	fmt.Fprintf(h, "%s %s %d", now.id, id, p.runs[id])
+	p.state.Unlock()
+	// Seeded by the request and not drawn from one sequence: the order of requests at the same instant is left to chance.
+	draw := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
+	service, known := p.options.Service[m.class()]
+	if !known {
+		service = p.options.Default
+	}
+	work := float64(service.Mean)
+	if !service.Fixed {
+		work *= draw.ExpFloat64()
+	}
+	if how.Slow > 0 {
+		work *= how.Slow
+	}
+	took := time.Duration(work * p.slowStartFactor(now))
+	if c.carried == 0 {
+		took += p.options.Connect
+	}
+	ended = c.wait(took)
+	p.state.Lock()
+	defer p.state.Unlock()
+	now.releaseCore()
+	if !ended {
+		return nil, false, false
+	}
+	p.requests[index].Finished = true
+	if ms := float64(took) / float64(time.Millisecond); now.meanServiceMs == 0 {
+		now.meanServiceMs = ms
+	} else {
+		now.meanServiceMs += newestServiceTimeWeight * (ms - now.meanServiceMs)
+	}
+	body = []byte(id + "\n")
+	body = append(body, make([]byte, max(0, service.Body-len(body)))...)
+	return body, draw.Float64() < p.behaviour.FailShare, true
+}
+
+// slowStartFactor is by how much service takes longer while the process is in slow start.
+func (p *Provider) slowStartFactor(now *lifetime) float64 {
+	age := time.Since(now.startedAt)
+	if now.warm || p.options.ColdBy <= 1 || age >= p.options.WarmIn {
+		return 1
+	}
+	return 1 + (p.options.ColdBy-1)*(1-float64(age)/float64(p.options.WarmIn))
+}
+
+// respond sends the response to a request that has run, or what the behaviour sends instead.
+func (p *Provider) respond(c *hostConn, index int, body []byte, failed bool) bool {
+	select {
+	case <-c.clientDone:
+		return p.recordOutcome(index, Unsent)
+	default:
+	}
+	how := p.currentBehaviour()
+	outcome, full := Answered, encodeResponse(200, "", body)
+	if failed {
+		outcome, full = Errored, encodeResponse(500, "", nil)
+	}
+	switch {
+	case how.BreakOff != nil:
+		p.recordOutcome(index, BrokenOff)
+		if n := min(how.BreakOff.After, len(full)); n > 0 {
+			c.write(full[:n])
+		}
+		c.drop(how.BreakOff.Reset)
+		return false
+	case how.Stall:
+		p.recordOutcome(index, Stalled)
+		c.write(full[:len(full)-len(body)])
+		return c.waitForClose()
+	case how.Spoilt != nil:
+		return p.recordAndSend(c, index, Spoilt, how.Spoilt)
+	}
+	return p.recordAndSend(c, index, outcome, full)
+}
--- /dev/null
+++ b/internal/testbench/fakes/server_types.go
@@ -0,0 +1,123 @@
+package fakes
+
+import (
+	"time"
+)
+
+const (
+	headerID                = "Req-Id"
+	headerDeadline          = "Req-Deadline"
+	headerDeclined          = "Srv-Declined: 1\r\n"
+	loadPath                = "/metrics/load"
+	alivePath               = "/alive"
+	newestServiceTimeWeight = 0.1 // weight of the newest service time in the report's mean
+)
+
+// Here is the one locality that a sidecar knows by Config.
+const Here = "here"
+
+// Service is the work of one class.
+type Service struct {
+	Mean  time.Duration // of the time on a core
+	Fixed bool          // each takes just Mean; else they are exponential
+	Body  int           // bytes of an answer, at least the request's id and a newline
+}
+
+// ProviderOptions are a provider's nature, which faults don't change.
+type ProviderOptions struct {
+	ID       string
+	Address  string // see Network.Listen
+	Locality string // "" = Here
+	Seed     uint64 // of service times and of failures
+
+	Cores    int                // requests that run side by side; 0 = 1
+	Queue    int                // requests that may wait; one more is declined. 0 = none may
+	Service  map[string]Service // by class, the first part of the path
+	Default  Service            // of any other class
+	Connect  time.Duration      // that the first request on a connection takes longer, as after a TLS handshake
+	ColdBy   float64            // a process that has just started takes so many times as long; up to 1 = no longer
+	WarmIn   time.Duration      // and is warm after so long, getting there evenly
+	IdleMost time.Duration      // a connection idle for so long is closed; 0 = never
+}
+
+// Probing says what becomes of probes.
+type Probing uint8
+
+// How probes are answered, apart from draining.
+const (
+	ProbesAnswered Probing = iota
+	ProbesUnavailable
+	ProbesCutOff // the connection is reset
+)
+
+// BreakOff ends an answer early.
+type BreakOff struct {
+	After int  // bytes of it, the head included; 0 = before the first
+	Reset bool // else the connection is ended in order
+}
+
+// Behaviour is how a provider misbehaves; the zero value is good behaviour. Requests that BreakOff, Stall, FailShare
+// and Spoilt befall are run; those that are declined or reset are not.
+type Behaviour struct {
+	Drain       bool          // probes get 503, requests are declined
+	Decline     bool          // requests are declined while probes are answered
+	Probes      Probing       // while requests are served
+	ResetAll    bool          // each request is reset, probes included
+	ForgetIdle  time.Duration // a request on a connection idle for longer is reset; 0 = none
+	ForgetAfter int           // a request on a connection that has carried so many is reset; 0 = none
+	BreakOff    *BreakOff     // of each answer
+	Stall       bool          // after an answer's head nothing more comes
+	Hang        bool          // nothing is answered, probes included, and no connection is ended
+	FailShare   float64       // part of requests that are answered 500 after their run
+	Spoilt      []byte        // sent in place of each answer
+	Slow        float64       // service takes so many times as long; 0 = 1
+}
+
+// Outcome says what a provider did with a request.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Pending   Outcome = iota // waiting or running
+	Answered                 // 200 and its whole body
+	Errored                  // 500
+	Declined                 // declined: never ran
+	Nameless                 // 404: it had no id
+	Reset                    // the connection was reset: never ran
+	Left                     // the caller had gone before it began: never ran
+	Unsent                   // the caller had gone before it was answered, or the process hangs
+	Killed                   // the process ended first
+	BrokenOff                // an answer that did not end, or never began
+	Stalled                  // an answer's head
+	Spoilt                   // bytes that are no answer
+)
+
+var outcomes = [...]string{
+	"pending", "answered", "errored", "declined", "nameless", "reset", "left", "unsent",
+	"killed", "broken off", "stalled", "spoilt",
+}
+
+func (o Outcome) String() string { return outcomes[o] }
+
+// Request is one request as a provider has seen it.
+type Request struct {
+	ID, Class, Method, Path string
+	Body                    string
+	Server                  string // id of the process
+	FirstByte, LastByte     time.Time
+	Sent                    time.Time     // its first byte, by the clock of whoever wrote it: a machine that has vanished hears of it later
+	Deadline                string        // as the sidecar has told it
+	Conn                    int           // the connection's number, from 1
+	Carried                 int           // requests on it before, probes included
+	Idle                    time.Duration // of it before, since it was accepted or last answered
+	Started, Finished       bool          // its run
+	Outcome                 Outcome
+}
+
+// Probe is one probe as a provider has seen it.
+type Probe struct {
+	At     time.Time
+	Conn   int
+	Path   string
+	Status int // 0 = it was reset
+}
