--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -58,6 +58,19 @@
 	if c.Serve || c.Work {
 		return nil
 	}
+	if err := c.validateFlags(); err != nil {
+		return err
+	}
+	if err := c.validateOutputs(); err != nil {
+		return err
+	}
+	if err := c.makePlan(); err != nil {
+		return err
+	}
+	return c.protectInputs()
+}
+
+func (c *loadCommand) validateFlags() error {
 	switch {
 	case (c.Plan == "") == (c.Rate == 0):
 		return errors.New("want a plan, or --rate and --for")
@@ -75,6 +88,11 @@
 	if _, _, err := net.SplitHostPort(c.To); err != nil && c.To != "" {
 		return fmt.Errorf("--to: %w; want HOST:PORT, as in 127.0.0.1:3000", err)
 	}
+	return nil
+}
+
+// validateOutputs checks the forms of the files to write, by their names.
+func (c *loadCommand) validateOutputs() error {
 	if c.Trace != "" {
 		if _, err := loadgen.TraceForm(c.Trace); err != nil {
 			return fmt.Errorf("--trace: %w", err)
@@ -85,14 +103,11 @@
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
-	if err := c.makePlan(); err != nil {
-		return err
-	}
-	return c.spare()
+	return nil
 }
 
-// spare refuses to write over what is to be read.
-func (c *loadCommand) spare() error {
+// protectInputs refuses to write over a file that the run reads.
+func (c *loadCommand) protectInputs() error {
 	sources := []string{c.Plan}
 	if c.plan.Trace != nil {
 		sources = append(sources, c.plan.Trace.File)
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -177,14 +177,10 @@
 		return err
 	}
 	w := &world{told: *point, network: fakes.Loopback()}
-	if w.tiles, err = newFakeServers(w.network, point.Servers); err != nil {
+	defer w.closeFakes()
+	if err := w.startFakes(); err != nil {
 		return err
 	}
-	defer w.tiles.close()
-	if w.directory, err = newFakeDiscovery(w.network, w.tiles.members()); err != nil {
-		return err
-	}
-	defer w.directory.Close()
 	log, err := os.Create(filepath.Join(dir, "sidecar.log"))
 	if err != nil {
 		return err
@@ -206,10 +202,7 @@
 		return err
 	}
 	m := &point.Measured
-	m.ReadyMs, m.StartCPU = ms(time.Since(began)), ms(ready.cpu)
-	m.StartLists, m.StartBytes, m.StartWhole = ready.lists.Messages, ready.lists.Bytes, ready.whole
-	m.StartProbes, m.StartConnects = ready.probes.Messages, ready.accepted
-
+	m.recordStart(time.Since(began), ready)
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -218,11 +211,7 @@
 	if err := w.connect(ctx, point.Clients); err != nil {
 		return err
 	}
-	long := p.Settle + p.Window
-	load := fakes.NewConsumers(fakes.Load{
-		Network: w.network, Address: w.sidecar.address, Seed: 1,
-		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: point.Rate}}, For: long + 2*time.Second,
-	})
+	load := w.newLoad(p.Settle + p.Window)
 	loaded, endLoad := context.WithCancel(ctx)
 	defer endLoad()
 	var tries []fakes.Try
@@ -231,41 +220,85 @@
 	w.every(ctx, &running, point.Changes, func(n int) error { w.change(n); return nil })
 	w.every(ctx, &running, point.Reloads, w.reload)
 
-	if err := fakes.Pause(ctx, p.Settle); err != nil {
+	from, to, err := w.readWindow(ctx, p, m)
+	if err != nil {
 		return err
 	}
-	from, err := w.readAll(ctx)
-	if err != nil {
+	endLoad()
+	calling.Wait()
+	cancel()
+	running.Wait()
+	m.between(from, to)
+	m.judge(tries, &w.tiles.took, from.at, to.at)
+	m.Load, _ = strconv.ParseFloat(strings.Fields(loadAverage())[0], 64)
+	return nil
+}
+
+// startFakes starts the point's servers and the discovery that lists them.
+func (w *world) startFakes() (err error) {
+	if w.tiles, err = newFakeServers(w.network, w.told.Servers); err != nil {
 		return err
 	}
+	w.directory, err = newFakeDiscovery(w.network, w.tiles.members())
+	return err
+}
+
+func (w *world) closeFakes() {
+	if w.directory != nil {
+		w.directory.Close()
+	}
+	if w.tiles != nil {
+		w.tiles.close()
+	}
+}
+
+// recordStart records what the start of the sidecar took.
+func (m *Measured) recordStart(took time.Duration, ready reading) {
+	m.ReadyMs = ms(took)
+	m.StartCPU = ms(ready.cpu)
+	m.StartLists = ready.lists.Messages
+	m.StartBytes = ready.lists.Bytes
+	m.StartWhole = ready.whole
+	m.StartProbes = ready.probes.Messages
+	m.StartConnects = ready.accepted
+}
+
+// newLoad returns the point's clients, whose load lasts a little longer than the measurement.
+func (w *world) newLoad(measured time.Duration) *fakes.Consumers {
+	return fakes.NewConsumers(fakes.Load{
+		Network: w.network, Address: w.sidecar.address, Seed: 1,
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: w.told.Rate}}, For: measured + 2*time.Second,
+	})
+}
+
+// readWindow waits until the point has settled and returns the readings at the start and at the end of its window.
+func (w *world) readWindow(ctx context.Context, p Plan, m *Measured) (from, to reading, err error) {
+	if err := fakes.Pause(ctx, p.Settle); err != nil {
+		return from, to, err
+	}
+	if from, err = w.readAll(ctx); err != nil {
+		return from, to, err
+	}
 	busy := process.Watch()
 	err = fakes.Pause(ctx, p.Window)
 	late, _ := busy.Look()
 	busy.Close()
 	if m.StallMs = ms(late); err != nil {
-		return err
+		return from, to, err
 	}
-	to, err := w.read()
-	if err != nil {
-		return err
+	if to, err = w.read(); err != nil {
+		return from, to, err
 	}
-	m.Open, m.Met, m.ClientsOpen = w.tiles.open.Load(), w.tiles.met.Load(), int(w.open.Load())
+	m.Open = w.tiles.open.Load()
+	m.Met = w.tiles.met.Load()
+	m.ClientsOpen = int(w.open.Load())
 	last, err := w.readAll(ctx)
 	if err != nil {
-		return err
+		return from, to, err
 	}
 	to.reloaded = last.reloaded
-	if m.ScrapeBytes, _, err = w.sidecar.scrape(ctx, w.network); err != nil {
-		return err
-	}
-	endLoad()
-	calling.Wait()
-	cancel()
-	running.Wait()
-	m.between(from, to)
-	m.judge(tries, &w.tiles.took, from.at, to.at)
-	m.Load, _ = strconv.ParseFloat(strings.Fields(loadAverage())[0], 64)
-	return nil
+	m.ScrapeBytes, _, err = w.sidecar.scrape(ctx, w.network)
+	return from, to, err
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/testbench/capacity/sweep.go
+++ b/internal/testbench/capacity/sweep.go
@@ -125,70 +125,114 @@
 func plan(settle, window time.Duration, sizes []int, usual int, part, moduleSeconds float64, alone []int) Plan {
 	p := Plan{Settle: settle, Window: window, ModuleSeconds: moduleSeconds}
 	base := Point{Servers: usual, Instances: fleetSize, Price: cheap}
-	over := func(s Sweep, n int, set func(p *Point, i int)) {
-		for i := range n {
-			one := base
-			set(&one, i)
-			s.Points = append(s.Points, one)
-		}
-		p.Sweeps = append(p.Sweeps, s)
+	p.addServerSweeps(base, sizes)
+	p.addRequestSweeps(base)
+	p.addClientSweep(base, part)
+	p.addChangeSweeps(base, []int{usual, sizes[len(sizes)-1]})
+	p.add(Sweep{
+		Name: "servers, idle, on request, started without a list", Unit: "server", X: serverCount,
+		Figure: []Figure{cpu, rss, lists, listBytes, startCPU, startBytes},
+	}, base, len(sizes), func(p *Point, i int) {
+		p.Servers = sizes[i]
+		p.OnRequest = true
+		p.Unknown = true
+	})
+	for _, n := range alone {
+		p.Module = append(p.Module, Point{Servers: n, Instances: fleetSize, Rate: usualCalls, Price: cheap})
+	}
+	return p
+}
+
+// add adds a sweep of n points, each of which set makes of the base.
+func (p *Plan) add(s Sweep, base Point, n int, set func(p *Point, i int)) {
+	for i := range n {
+		point := base
+		set(&point, i)
+		s.Points = append(s.Points, point)
 	}
-	servers := func(p *Point) float64 { return float64(p.Servers) }
-	over(Sweep{Name: "servers, idle", Unit: "server", X: servers, Figure: []Figure{
-		cpu, rss, probes, lists, listBytes, open, scrape,
-		startCPU, startBytes,
-	}}, len(sizes), func(p *Point, i int) { p.Servers = sizes[i] })
-	over(Sweep{Name: "servers, 40 calls/s, price 0.0046", Unit: "server", X: servers, Figure: []Figure{
-		cpu, rss, probes, probeBytes,
-		open, scrape,
-	}}, len(sizes), func(p *Point, i int) { p.Servers, p.Rate = sizes[i], usualCalls })
-	over(Sweep{Name: "servers, 40 calls/s, price 0.08", Unit: "server", X: servers, Figure: []Figure{
-		cpu, rss, probes, probeBytes,
-		open,
-	}}, len(sizes), func(p *Point, i int) { p.Servers, p.Rate, p.Price = sizes[i], usualCalls, dear })
+	p.Sweeps = append(p.Sweeps, s)
+}
+
+func serverCount(p *Point) float64 { return float64(p.Servers) }
+
+// addServerSweeps adds those over the number of servers: idle, and at the usual rate with a cheap and a dear probe.
+func (p *Plan) addServerSweeps(base Point, sizes []int) {
+	p.add(Sweep{
+		Name: "servers, idle", Unit: "server", X: serverCount,
+		Figure: []Figure{cpu, rss, probes, lists, listBytes, open, scrape, startCPU, startBytes},
+	}, base, len(sizes), func(p *Point, i int) { p.Servers = sizes[i] })
+	p.add(Sweep{
+		Name: "servers, 40 calls/s, price 0.0046", Unit: "server", X: serverCount,
+		Figure: []Figure{cpu, rss, probes, probeBytes, open, scrape},
+	}, base, len(sizes), func(p *Point, i int) {
+		p.Servers = sizes[i]
+		p.Rate = usualCalls
+	})
+	p.add(Sweep{
+		Name: "servers, 40 calls/s, price 0.08", Unit: "server", X: serverCount,
+		Figure: []Figure{cpu, rss, probes, probeBytes, open},
+	}, base, len(sizes), func(p *Point, i int) {
+		p.Servers = sizes[i]
+		p.Rate = usualCalls
+		p.Price = dear
+	})
+}
+
+// addRequestSweeps adds those over the rate of requests, and one over the price of a probe at the highest rate, at
+// which the probes show.
+func (p *Plan) addRequestSweeps(base Point) {
 	rates := []float64{0, 10, 40, 160}
 	for _, price := range []float64{cheap, dear} {
 		name := "calls, price 0.0046"
 		if price == dear {
 			name = "calls, price 0.08"
 		}
-		over(Sweep{Name: name, Unit: "call/s", X: func(p *Point) float64 { return p.Rate }, Figure: []Figure{
-			cpu, rss, probes,
-			probeBytes, attempts, connects, logBytes,
-		}}, len(rates), func(p *Point, i int) { p.Rate, p.Price = rates[i], price })
+		p.add(Sweep{
+			Name: name, Unit: "call/s", X: func(p *Point) float64 { return p.Rate },
+			Figure: []Figure{cpu, rss, probes, probeBytes, attempts, connects, logBytes},
+		}, base, len(rates), func(p *Point, i int) {
+			p.Rate = rates[i]
+			p.Price = price
+		})
 	}
 	prices := []float64{cheap, 0.02, dear, 0.32}
-	over(Sweep{
+	p.add(Sweep{
 		Name: "probes, by price 0.0046 to 0.32, 160 calls/s", Unit: "probe/s", X: func(p *Point) float64 { return p.Measured.Probes },
 		Figure: []Figure{cpu, probeBytes},
-	}, len(prices), func(p *Point, i int) { p.Rate, p.Price = rates[len(rates)-1], prices[i] }) // many, so that they show
+	}, base, len(prices), func(p *Point, i int) {
+		p.Rate = rates[len(rates)-1]
+		p.Price = prices[i]
+	})
+}
+
+// addClientSweep adds the one over clients' idle connections; part shrinks their number.
+func (p *Plan) addClientSweep(base Point, part float64) {
 	clients := []float64{0, 100, 400, 1600}
-	over(Sweep{
+	p.add(Sweep{
 		Name: "client connections", Unit: "connection", X: func(p *Point) float64 { return float64(p.Measured.ClientsOpen) },
 		Figure: []Figure{cpu, rss},
-	}, len(clients), func(p *Point, i int) { p.Clients = int(part * clients[i]) })
+	}, base, len(clients), func(p *Point, i int) { p.Clients = int(part * clients[i]) })
+}
+
+// addChangeSweeps adds those over changes of an endpoint list of each size, the usual one first, and of the configuration.
+func (p *Plan) addChangeSweeps(base Point, sizes []int) {
 	changes := []float64{0, 1, 4, 16}
-	for _, size := range []int{usual, sizes[len(sizes)-1]} {
+	for _, size := range sizes {
 		name := "changes of the list, usual size"
-		if size != usual {
+		if size != base.Servers {
 			name = "changes of the list, largest"
 		}
-		over(Sweep{Name: name, Unit: "change/s", X: func(p *Point) float64 { return p.Measured.Changed }, Figure: []Figure{
-			cpu, rss,
-			lists, listBytes, probes, logBytes,
-		}}, len(changes), func(p *Point, i int) { p.Servers, p.Changes = size, changes[i] })
+		p.add(Sweep{
+			Name: name, Unit: "change/s", X: func(p *Point) float64 { return p.Measured.Changed },
+			Figure: []Figure{cpu, rss, lists, listBytes, probes, logBytes},
+		}, base, len(changes), func(p *Point, i int) {
+			p.Servers = size
+			p.Changes = changes[i]
+		})
 	}
 	reloads := []float64{0, 1, 4, 16}
-	over(Sweep{
+	p.add(Sweep{
 		Name: "changes of configuration", Unit: "reload/s", X: func(p *Point) float64 { return p.Measured.Reloaded },
 		Figure: []Figure{cpu, rss, logBytes},
-	}, len(reloads), func(p *Point, i int) { p.Reloads = reloads[i] })
-	over(Sweep{Name: "servers, idle, on request, started without a list", Unit: "server", X: servers, Figure: []Figure{
-		cpu, rss, lists,
-		listBytes, startCPU, startBytes,
-	}}, len(sizes), func(p *Point, i int) { p.Servers, p.OnRequest, p.Unknown = sizes[i], true, true })
-	for _, n := range alone {
-		p.Module = append(p.Module, Point{Servers: n, Instances: fleetSize, Rate: usualCalls, Price: cheap})
-	}
-	return p
+	}, base, len(reloads), func(p *Point, i int) { p.Reloads = reloads[i] })
 }
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -297,7 +297,7 @@
 	var rows []Overload
 	for _, r := range results {
 		sizes = append(sizes, r.Sidecars)
-		if row := r.Overload.row(); !slices.Contains(rows, row) {
+		if row := r.row(); !slices.Contains(rows, row) {
 			rows = append(rows, row)
 		}
 	}
@@ -317,7 +317,7 @@
 		for _, n := range sizes {
 			var before, runs float64
 			for _, r := range results {
-				if r.Sidecars == n && r.Overload.row() == row {
+				if r.Sidecars == n && r.row() == row {
 					before, runs = before+r.Before, runs+1
 				}
 			}
@@ -327,7 +327,7 @@
 			var after, share, runs float64
 			soon := 0
 			for _, r := range results {
-				if r.Sidecars != n || r.Overload.row() != row {
+				if r.Sidecars != n || r.row() != row {
 					continue
 				}
 				after, share, runs = after+r.After, share+r.Share, runs+1
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -352,7 +352,8 @@
 			p.Classes = []Class{test.class}
 			ok(t, p.Check())
 			tries := map[string]int{} // by id
-			for q := range p.Requests() {
+			for q, err := range p.Requests() {
+				ok(t, err)
 				for n := range 3 {
 					tries[q.id(p.Seed, n)] = n
 				}
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -157,6 +157,34 @@
 // Check fills in what was left out and returns what is wrong with the plan. A trace is read to its end. Errors name the
 // key and what to do.
 func (p *Plan) Check() error {
+	if err := p.checkOwnKeys(); err != nil {
+		return err
+	}
+	p.fill()
+	if err := p.checkClasses(); err != nil {
+		return err
+	}
+	for i, t := range p.Tenants {
+		if !token(t) {
+			return fmt.Errorf("tenants[%d]: %q; want 1 to 200 printable characters without blanks", i, t)
+		}
+	}
+	if p.Trace != nil {
+		return p.Trace.check(p)
+	}
+	if p.ForS == 0 {
+		return errors.New("for_s: 0; say for how many seconds requests are due")
+	}
+	for i := range p.Streams {
+		if err := p.Streams[i].check(p, fmt.Sprintf("streams[%d]", i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkOwnKeys checks the plan's own keys, before the defaults are filled in.
+func (p *Plan) checkOwnKeys() error {
 	switch {
 	case len(p.Classes) == 0:
 		return errors.New("classes: none; name one or more")
@@ -171,7 +199,10 @@
 	case (p.Trace == nil) == (len(p.Streams) == 0):
 		return errors.New("streams, trace: want one of the two")
 	}
-	p.fill()
+	return nil
+}
+
+func (p *Plan) checkClasses() error {
 	for i := range p.Classes {
 		if err := p.Classes[i].check(fmt.Sprintf("classes[%d]", i)); err != nil {
 			return err
@@ -180,22 +211,6 @@
 			return fmt.Errorf("classes[%d].name: %q is there twice; rename one", i, p.Classes[i].Name)
 		}
 	}
-	for i, t := range p.Tenants {
-		if !token(t) {
-			return fmt.Errorf("tenants[%d]: %q; want 1 to 200 printable characters without blanks", i, t)
-		}
-	}
-	if p.Trace != nil {
-		return p.Trace.check(p)
-	}
-	if p.ForS == 0 {
-		return errors.New("for_s: 0; say for how many seconds requests are due")
-	}
-	for i := range p.Streams {
-		if err := p.Streams[i].check(p, fmt.Sprintf("streams[%d]", i)); err != nil {
-			return err
-		}
-	}
 	return nil
 }
 
@@ -240,20 +255,8 @@
 var methods = []string{"GET", "POST", "PUT", "PATCH", "DELETE"}
 
 func (c *Class) check(key string) error {
-	for _, n := range []struct {
-		key   string
-		value float64
-		least float64
-	}{
-		{"aim_ms", c.LatencyObjectiveMs, 1},
-		{"deadline_ms", c.DeadlineMs, 1},
-		{"patience_ms", c.TimeoutMs, 0},
-		{"retry.wait_ms", c.Retry.WaitMs, 0},
-		{"retry.advice_ms", c.Retry.MaxRetryAfterMs, 0},
-	} {
-		if most := maxDeadline.Seconds() * 1000; !(n.value >= n.least && n.value <= most) {
-			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, n.key, n.value, n.least, most)
-		}
+	if err := c.checkTimes(key); err != nil {
+		return err
 	}
 	switch {
 	case !token(c.Name) || strings.ContainsAny(c.Name, "/,\""):
@@ -276,6 +279,25 @@
 	return checkMessage(key, c.Method, c.Path, c.BodyBytes)
 }
 
+func (c *Class) checkTimes(key string) error {
+	for _, n := range []struct {
+		key      string
+		value    float64
+		minValue float64
+	}{
+		{"aim_ms", c.LatencyObjectiveMs, 1},
+		{"deadline_ms", c.DeadlineMs, 1},
+		{"patience_ms", c.TimeoutMs, 0},
+		{"retry.wait_ms", c.Retry.WaitMs, 0},
+		{"retry.advice_ms", c.Retry.MaxRetryAfterMs, 0},
+	} {
+		if maxValue := maxDeadline.Seconds() * 1000; !(n.value >= n.minValue && n.value <= maxValue) {
+			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, n.key, n.value, n.minValue, maxValue)
+		}
+	}
+	return nil
+}
+
 // checkMessage says what is wrong with a message of a class or of a trace.
 func checkMessage(key, method, path string, size int) error {
 	switch {
--- a/internal/testbench/loadgen/shape.go
+++ b/internal/testbench/loadgen/shape.go
@@ -61,7 +61,7 @@
 
 // check returns what is wrong with the shape under key; inner tells that it is one of a sequence that must end.
 func (s *Shape) check(key string, inner bool, depth int) error {
-	kind, known := kinds[s.Kind]
+	_, known := kinds[s.Kind]
 	switch {
 	case !known:
 		return fmt.Errorf("%s.kind: there is no %q; want %s", key, s.Kind,
@@ -72,7 +72,21 @@
 		return fmt.Errorf("%s.for_s: %v; a sequence must know how long each but the last lasts: want more than 0", key,
 			s.ForS)
 	}
-	numbers := s.numbers()
+	if err := s.checkNumbers(key, inner); err != nil {
+		return err
+	}
+	switch {
+	case max(s.Rate, s.To, s.Rate*s.Times) > maxRate:
+		return fmt.Errorf("%s: more than %v requests a second; lower rate, to or times", key, maxRate)
+	case s.Swing > 1:
+		return fmt.Errorf("%s.swing: %v; want at most 1, or the rate would fall below 0", key, s.Swing)
+	}
+	return s.checkInner(key, depth)
+}
+
+// checkNumbers checks each number against what its kind of shape takes and needs.
+func (s *Shape) checkNumbers(key string, inner bool) error {
+	kind, numbers := kinds[s.Kind], s.numbers()
 	for _, name := range slices.Sorted(maps.Keys(numbers)) {
 		v := numbers[name]
 		switch {
@@ -86,13 +100,7 @@
 			return fmt.Errorf("%s.%s: a %s needs it; want more than 0", key, name, s.Kind)
 		}
 	}
-	switch {
-	case max(s.Rate, s.To, s.Rate*s.Times) > maxRate:
-		return fmt.Errorf("%s: more than %v requests a second; lower rate, to or times", key, maxRate)
-	case s.Swing > 1:
-		return fmt.Errorf("%s.swing: %v; want at most 1, or the rate would fall below 0", key, s.Swing)
-	}
-	return s.checkInner(key, depth)
+	return nil
 }
 
 func (s *Shape) checkInner(key string, depth int) error {
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"errors"
 	"fmt"
 	"os/exec"
 	"runtime"
@@ -64,8 +65,7 @@
 		case <-again.C:
 		case <-late:
 			p.cmd.Process.Kill()
-			_ = <-p.exited
-			return fmt.Errorf("process %d has not ended within %s of SIGTERM", p.Pid(), endWithin)
+			return errors.Join(fmt.Errorf("process %d has not ended within %s of SIGTERM", p.Pid(), endWithin), <-p.exited)
 		}
 	}
 }
--- a/internal/testbench/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -122,18 +122,18 @@
 		return err
 	}
 	next.watch(l.log)
-	_, err := l.log.await(ctx, from, next, "handover=complete")
-	if err != nil && next.running() {
+	completion, err := l.log.await(ctx, from, next, "handover=complete")
+	switch {
+	case completion != "":
+		l.take(next)
+		k.met = whilePassing
+		if _, done := l.log.look(from, "handover=done"); done {
+			k.met = afterDone
+		}
+	case next.running():
 		return err
-	}
-	if err != nil {
+	default: // it has ended without its predecessor, which it needed until it was ready
 		k.met, k.afresh = beforeReady, true
-		return nil
-	}
-	l.take(next)
-	k.met = whilePassing
-	if _, done := l.log.look(from, "handover=done"); done {
-		k.met = afterDone
 	}
 	return nil
 }
--- a/internal/testbench/recovery/process.go
+++ b/internal/testbench/recovery/process.go
@@ -49,7 +49,7 @@
 func (p *process) kill() {
 	if p.running() {
 		p.killed.Store(true)
-		p.Process.Kill()
+		p.Kill()
 	}
 }
 
--- a/internal/testbench/recovery/program_test.go
+++ b/internal/testbench/recovery/program_test.go
@@ -58,7 +58,7 @@
 	}
 	t.Run("crash", func(t *testing.T) {
 		t.Parallel()
-		die := func(_ context.Context, r *rig) error { return r.line.main.Process.Kill() }
+		die := func(_ context.Context, r *rig) error { return r.line.main.Kill() }
 		got, err := Run(t.Context(), Scenario{Name: "crash", event: die, after: time.Second}, setup(t))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -152,27 +152,17 @@
 	case "start":
 		r.Times, err = h.start(len(h.sidecars), o)
 	case "restart":
-		count := min(o.Count, len(h.sidecars))
-		if err = h.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err == nil {
-			r.Times, err = h.start(count, o)
-		}
+		r.Times, err = h.restart(o)
 	case "await":
 		r.Times = h.await(o.Revision, o.Within)
 	case "reload":
-		r.Times = make([]float64, len(h.sidecars))
-		err = h.each(len(h.sidecars), func(i int, s *sidecar) error {
-			err := s.reload()
-			r.Times[i] = unixMs(time.Now())
-			return err
-		})
+		r.Times, err = h.reload()
 	case "calls":
 		for _, s := range h.sidecars {
 			s.rate.Store(uint64(o.PerS * 1e3))
 		}
 	case "down":
-		for _, address := range o.At {
-			h.servers.at(address).down.Store(o.Down)
-		}
+		h.setDown(o.At, o.Down)
 	case "count":
 		r.Counts, err = h.counts()
 	case "sent":
@@ -183,6 +173,33 @@
 	return r, err
 }
 
+// restart ends the first so many and starts them all at once.
+func (h *worker) restart(o *order) ([]float64, error) {
+	count := min(o.Count, len(h.sidecars))
+	if err := h.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err != nil {
+		return nil, err
+	}
+	return h.start(count, o)
+}
+
+// reload has all read their configuration again, and returns when each had.
+func (h *worker) reload() ([]float64, error) {
+	times := make([]float64, len(h.sidecars))
+	err := h.each(len(h.sidecars), func(i int, s *sidecar) error {
+		err := s.reload()
+		times[i] = unixMs(time.Now())
+		return err
+	})
+	return times, err
+}
+
+// setDown has servers refuse connections, or take them again.
+func (h *worker) setDown(addresses []string, down bool) {
+	for _, address := range addresses {
+		h.servers.at(address).down.Store(down)
+	}
+}
+
 func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1e3 }
 
 // build makes the sidecars' configurations.
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -111,20 +111,30 @@
 	c.ListCalls, c.ListIn, c.ListOut, c.CompleteLists = float64(t.Calls)/s, float64(t.BytesIn)/s, float64(t.BytesOut)/s, t.Complete
 }
 
-func measureReal(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
-	network := fakes.Loopback()
-	fleet, err := fakes.NewFleet(network, set.Servers, fakes.ProviderOptions{
+// startWarmFleet starts servers that are past slow start, as those of simulated sidecars are, in all zones by turns.
+func startWarmFleet(network fakes.Network, servers int) (*fakes.Fleet, []fakes.Member, error) {
+	fleet, err := fakes.NewFleet(network, servers, fakes.ProviderOptions{
 		ID: "t", Seed: 1, Cores: 64, Queue: 64,
 		IdleMost: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64},
 	})
 	if err != nil {
-		return c, err
+		return nil, nil, err
 	}
-	defer fleet.Close()
 	endpoints := fleet.Members()
 	for i := range endpoints {
-		endpoints[i].Locality, endpoints[i].UpSince = zone(i%zones), 0 // warm, as the hollow one's
+		endpoints[i].Locality = zone(i % zones)
+		endpoints[i].UpSince = 0
 	}
+	return fleet, endpoints, nil
+}
+
+func measureReal(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
+	network := fakes.Loopback()
+	fleet, endpoints, err := startWarmFleet(network, set.Servers)
+	if err != nil {
+		return c, err
+	}
+	defer fleet.Close()
 	w, agent, template, err := one(ctx, set, endpoints)
 	defer func() {
 		if ended := w.close(); err == nil {
@@ -134,46 +144,22 @@
 	if err != nil {
 		return c, err
 	}
-	front, err := network.Listen("")
-	if err != nil {
-		return c, err
-	}
-	address := front.Addr().String()
-	front.Close()
-	dir, err := os.MkdirTemp("", "testbench-real-")
-	if err != nil {
-		return c, err
-	}
-	defer func() { _ = os.RemoveAll(dir) }()
-	s := sidecar{discovery: agent, file: filepath.Join(dir, "config.json")}
-	if err := s.write(template); err != nil {
-		return c, err
-	}
-	cmd := exec.Command(program)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.file, "GW_LISTEN="+address)
-	var log bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &log, &log
-	running, err := process.Start(cmd, -1)
+	sidecar, err := startReal(ctx, network, program, agent, template)
 	if err != nil {
 		return c, err
 	}
 	defer func() {
-		if ended := running.Stop(); err == nil && ended != nil {
-			err = fmt.Errorf("the program: %w: %s", ended, log.String())
+		if ended := sidecar.stop(); err == nil {
+			err = ended
 		}
 	}()
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
-	defer cancel()
-	if err := fakes.Ready(ready, network, address); err != nil {
-		return c, err
-	}
 	calling, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if rate > 0 {
 			fakes.NewConsumers(fakes.Load{
-				Network: network, Address: address, Seed: 1,
+				Network: network, Address: sidecar.address, Seed: 1,
 				Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: rate}}, For: warmUp + window + time.Second,
 			}).Run(calling)
 		}
@@ -181,7 +167,7 @@
 	defer func() { stop(); <-done }()
 	time.Sleep(warmUp)
 	calls, probes := reached(fleet)
-	before, err := process.CPU(running.Pid())
+	before, err := process.CPU(sidecar.program.Pid())
 	if err != nil {
 		return c, err
 	}
@@ -191,7 +177,7 @@
 	if err != nil {
 		return c, err
 	}
-	after, err := process.CPU(running.Pid())
+	after, err := process.CPU(sidecar.program.Pid())
 	if err != nil {
 		return c, err
 	}
@@ -201,10 +187,61 @@
 		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds(),
 	}
 	c.list(u, long, busy)
-	c.MemoryMB, err = resident(running.Pid())
+	c.MemoryMB, err = resident(sidecar.program.Pid())
 	return c, err
 }
 
+// realSidecar is the program, running as a process.
+type realSidecar struct {
+	address string
+	dir     string // of its configuration
+	program *process.Program
+	log     bytes.Buffer
+}
+
+// startReal starts the program and waits until it is ready.
+func startReal(ctx context.Context, network fakes.Network, program, agent string, template []byte) (_ *realSidecar, err error) {
+	front, err := network.Listen("")
+	if err != nil {
+		return nil, err
+	}
+	r := &realSidecar{address: front.Addr().String()}
+	front.Close()
+	if r.dir, err = os.MkdirTemp("", "testbench-real-"); err != nil {
+		return nil, err
+	}
+	defer func() {
+		if err != nil {
+			_ = r.stop() // the error that ended the start says more
+		}
+	}()
+	s := sidecar{discovery: agent, file: filepath.Join(r.dir, "config.json")}
+	if err := s.write(template); err != nil {
+		return nil, err
+	}
+	cmd := exec.Command(program)
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.file, "GW_LISTEN="+r.address)
+	cmd.Stdout, cmd.Stderr = &r.log, &r.log
+	if r.program, err = process.Start(cmd, -1); err != nil {
+		return nil, err
+	}
+	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	defer cancel()
+	return r, fakes.Ready(ready, network, r.address)
+}
+
+// stop ends the process, if it was started, and removes its files.
+func (r *realSidecar) stop() error {
+	defer func() { _ = os.RemoveAll(r.dir) }()
+	if r.program == nil {
+		return nil
+	}
+	if err := r.program.Stop(); err != nil {
+		return fmt.Errorf("the program: %w: %s", err, r.log.String())
+	}
+	return nil
+}
+
 // reached counts the requests and probes that the servers got.
 func reached(f *fakes.Fleet) (calls, probes int) {
 	for _, p := range f.Providers {
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -323,6 +323,11 @@
 		{"unreached", float64(u.Hollow.Unreached)},
 	},
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
+	return p.returnZone(lost)
+}
+
+// returnZone brings a lost zone back as new processes, which start cold, and ends the calls.
+func (p *play) returnZone(lost []fakes.Member) error {
 	back := slices.Clone(lost)
 	for i := range back {
 		back[i].Phase, back[i].UpSince = fakes.Serving, time.Now().UnixMilli()
@@ -332,30 +337,34 @@
 	if err != nil {
 		return err
 	}
-	if u, long, err = p.during(func() (err error) {
+	var times []float64
+	u, long, err := p.during(func() (err error) {
 		times, err = p.change(back, p.plan.Within)
 		time.Sleep(p.plan.Zone)
 		return err
-	}); err != nil {
+	})
+	if err != nil {
 		return err
 	}
 	after, err := p.sent()
 	if err != nil {
 		return err
 	}
-	cold, coldMost, warm := 0.0, 0.0, 0.0
+	var coldCalls, maxColdCalls, warmCalls float64
 	for _, m := range p.endpoints {
-		n := float64(after[m.Address] - before[m.Address])
+		calls := float64(after[m.Address] - before[m.Address])
 		if m.Locality == zone(zones-1) {
-			cold, coldMost = cold+n, max(coldMost, n)
+			coldCalls += calls
+			maxColdCalls = max(maxColdCalls, calls)
 		} else {
-			warm += n
+			warmCalls += calls
 		}
 	}
+	warmMean := max(1e-9, warmCalls/float64(len(p.endpoints)-len(lost)))
 	p.row("zone back", slices.Concat(spreadFigures(times), []Figure{
 		{"lines", float64(len(lost))},
-		{"cold_of_warm", cold / float64(len(lost)) / max(1e-9, warm/float64(len(p.endpoints)-len(lost)))},
-		{"coldest_most_of_warm", coldMost / max(1e-9, warm/float64(len(p.endpoints)-len(lost)))},
+		{"cold_of_warm", coldCalls / float64(len(lost)) / warmMean},
+		{"coldest_most_of_warm", maxColdCalls / warmMean},
 		{"served", float64(u.Hollow.Served)},
 		{"refused", float64(u.Hollow.Refused)},
 		{"failed", float64(u.Hollow.Failed)},
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -1,6 +1,6 @@
 package soak
 
-// How each kind of trouble is played; the ends of processes that are aimed at stand in outcome.go.
+// How each kind of fault is played; drawn ends of processes stand in shutdownfaults.go.
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// begin plays a trouble, in its own time.
+// begin plays a fault and returns when it is over.
 func (w *world) begin(ctx context.Context, t Fault) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
 	pause := func() { _ = fakes.Pause(ctx, t.For) }
@@ -23,8 +23,10 @@
 		}
 		defer s.release()
 		w.process(ctx, t, s)
-	case Reload, ReloadBurst, ConfigFails: // whatever else befalls the process
+	case Reload, ReloadBurst, ConfigFails: // these may coincide with any other fault of the process
 		w.process(ctx, t, s)
+	case AcceptFails, ConnectFails, Interrupted, DiskFails:
+		w.failSystemCalls(ctx, t, s, pause)
 	case SlowConnects:
 		w.slowConnects(t, s, pause)
 	case LeaveHeld:
@@ -36,25 +38,8 @@
 		p.Signal(syscall.SIGCONT)
 	case OperatorsOrder:
 		w.order(ctx, t, n, s, v)
-	case AcceptFails:
-		w.fail(s, faultinjection.Accept, pick(t.Draw, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.EPROTO), pause)
-	case ConnectFails:
-		w.fail(s, faultinjection.Connect, pick(t.Draw, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.ENFILE), pause)
-	case Interrupted:
-		w.interrupt(ctx, s, t.For)
-	case DiskFails:
-		errno := pick(t.Draw, syscall.EIO, syscall.ENOSPC)
-		s.control.Fail(faultinjection.SyncFile, errno, -1)
-		s.control.Fail(faultinjection.ReadFile, syscall.EIO, -1)
-		w.fail(s, faultinjection.WriteFile, errno, pause)
-		s.control.Heal(faultinjection.SyncFile)
-		s.control.Heal(faultinjection.ReadFile)
 	case ClockStep:
-		step := pick(t.Draw, -time.Hour, -5*time.Second, 5*time.Second, time.Hour)
-		total := w.offset.Add(int64(step))
-		for _, s := range w.sidecars {
-			s.control.Step(time.Duration(total))
-		}
+		w.stepClocks(pick(t.Draw, -time.Hour, -5*time.Second, 5*time.Second, time.Hour))
 	case Silent, Down, Late:
 		w.outage(t.Kind, pause)
 	case CutAnswers, Dribble:
@@ -67,7 +52,34 @@
 		owed := w.clients[n].flood(ctx, int(t.Draw*maxFlood), badClientWithin)
 		w.note(func(r *record) { r.unansweredPartial += owed })
 	default:
-		w.server(ctx, t, v, pause)
+		w.server(t, v, pause)
+	}
+}
+
+// failSystemCalls has system calls of a sidecar fail, or be interrupted, for the time of the fault.
+func (w *world) failSystemCalls(ctx context.Context, t Fault, s *sidecar, pause func()) {
+	switch t.Kind {
+	case AcceptFails:
+		w.fail(s, faultinjection.Accept, pick(t.Draw, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.EPROTO), pause)
+	case ConnectFails:
+		w.fail(s, faultinjection.Connect, pick(t.Draw, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.ENFILE), pause)
+	case Interrupted:
+		w.interrupt(ctx, s, t.For)
+	case DiskFails:
+		errno := pick(t.Draw, syscall.EIO, syscall.ENOSPC)
+		s.control.Fail(faultinjection.SyncFile, errno, -1)
+		s.control.Fail(faultinjection.ReadFile, syscall.EIO, -1)
+		w.fail(s, faultinjection.WriteFile, errno, pause)
+		s.control.Heal(faultinjection.SyncFile)
+		s.control.Heal(faultinjection.ReadFile)
+	}
+}
+
+// stepClocks steps the wall clock of all sidecars.
+func (w *world) stepClocks(step time.Duration) {
+	total := w.offset.Add(int64(step))
+	for _, s := range w.sidecars {
+		s.control.Step(time.Duration(total))
 	}
 }
 
@@ -222,8 +234,8 @@
 	set(false)
 }
 
-// server plays a server's trouble. One at a time befalls a server.
-func (w *world) server(ctx context.Context, t Fault, v *stand, pause func()) {
+// server plays a server's fault. A server has one at a time.
+func (w *world) server(t Fault, v *stand, pause func()) {
 	if !v.busy.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// addAttempt adds an attempt that was sent at that moment.
-func (r *record) addAttempt(server string, at int, outcome fakes.Outcome) {
-	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: server, Sent: after(at), Deadline: "0.1", Outcome: outcome}, 0})
+// addAttemptAtS2 adds an answered attempt at a second server, sent so many milliseconds after the record's start.
+func (r *record) addAttemptAtS2(at int) {
+	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: "s2", Sent: after(at), Deadline: "0.1", Outcome: fakes.Answered}, 0})
 }
 
 // The judge sees each rule broken, and nothing where it is kept.
@@ -66,18 +66,18 @@
 			r.stalls = []span{{after(-1000), after(-900)}}
 		}, Deadline},
 		"another's":       {func(r *record) { r.requests[0].err = "an answer of another request" }, WrongResponse},
-		"sent twice":      {func(r *record) { r.addAttempt("s2", 120, fakes.Answered) }, RunTwice},
-		"declined before": {func(r *record) { r.attempts[0].Outcome = fakes.Declined; r.addAttempt("s2", 120, fakes.Answered) }, ""},
+		"sent twice":      {func(r *record) { r.addAttemptAtS2(120) }, RunTwice},
+		"declined before": {func(r *record) { r.attempts[0].Outcome = fakes.Declined; r.addAttemptAtS2(120) }, ""},
 		"refused after":   {func(r *record) { r.requests[0].status = 503; r.attempts[0].Outcome = fakes.Reset }, FalseRejection},
 		"refused, unsent": {func(r *record) { r.requests[0].status = 503; r.attempts = nil }, ""},
 		"failed after":    {func(r *record) { r.requests[0].status = 502; r.attempts[0].Outcome = fakes.Reset }, ""},
 		"within a window": {func(r *record) {
 			r.requests[0].class = classesFor(1500 * time.Millisecond)[1]
-			r.addAttempt("s2", 900, fakes.Answered)
+			r.addAttemptAtS2(900)
 		}, ""},
 		"past a window": {func(r *record) {
 			r.requests[0].class = classesFor(1500 * time.Millisecond)[1]
-			r.addAttempt("s2", 1100, fakes.Answered)
+			r.addAttemptAtS2(1100)
 		}, RetryWindow},
 		"for one gone":   {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(205) }, ClientGone},
 		"just gone":      {func(r *record) { r.requests[0].leftAt = after(90); r.attempts[0].Sent = after(195) }, ""},
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -40,15 +40,15 @@
 	groupGone       = 2 * time.Second
 )
 
-// signalAt is a signal that comes so long after the word to end, or before it.
-type signalAt struct {
+// signalAfter is a signal that comes so long after the word to end, or before it.
+type signalAfter struct {
 	signal syscall.Signal
 	at     time.Duration
 }
 
 // shutdownFault is how the end of a process is aimed at.
 type shutdownFault struct {
-	series      []signalAt
+	series      []signalAfter
 	holds       []time.Duration // after the word, at which the process is stopped for holdFor
 	failAccepts time.Duration   // for so long around the last accept; 0 = none does
 	failFrom    time.Duration
@@ -69,13 +69,13 @@
 	}
 	if e.shorter {
 		longest /= shorterPart
-		e.series = append(e.series, signalAt{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(seriesWithin))})
+		e.series = append(e.series, signalAfter{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(seriesWithin))})
 	}
 	plan := shutdown.NewSchedule(longest, 0)
 	e.kill = killAfter(longest)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2} {
 		if rng.IntN(5) < 2 {
-			e.series = append(e.series, signalAt{s, nearby(rng)})
+			e.series = append(e.series, signalAfter{s, nearby(rng)})
 		}
 	}
 	if rng.IntN(2) == 0 { // across the word
@@ -124,7 +124,8 @@
 	e.holds = append(e.holds, at)
 }
 
-// aimedEnd tells a process to end among dense clients, with what was drawn on the edges, kills it at the earliest and starts another.
+// aimedEnd sends a process SIGTERM among many clients while the drawn faults happen, kills it as early as operators may
+// and starts another.
 func (w *world) aimedEnd(ctx context.Context, t Fault, s *sidecar) {
 	rng := rand.New(rand.NewPCG(w.options.Seed, uint64(t.At)))
 	e := drawShutdownFault(rng, w.variant.longest, w.variant.crowd)
@@ -138,20 +139,39 @@
 	p.signalled = true
 	s.mu.Unlock()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
-	word := time.Now().Add(denseBefore)
+	signalAt := time.Now().Add(denseBefore)
 	var all sync.WaitGroup
-	at := func(after time.Duration, do func()) {
+	all.Go(func() { w.clients[s.number].sendSteadily(e.clients, e.pause, signalAt.Add(e.kill)) })
+	for range e.lateRests {
 		all.Go(func() {
-			time.Sleep(time.Until(word.Add(after)))
-			do()
+			w.clients[s.number].sendLastBytesAt(signalAt.Add(e.kill - time.Duration(rand.Float64()*float64(lateWithin))))
 		})
 	}
-	all.Go(func() { w.clients[s.number].sendSteadily(e.clients, e.pause, word.Add(e.kill)) })
-	for range e.lateRests {
+	w.playAround(ctx, &all, signalAt, e, t, s, p)
+	time.Sleep(time.Until(signalAt))
+	sent := time.Now()
+	_ = p.Signal(syscall.SIGTERM)
+	if slices.ContainsFunc(e.series, func(one signalAfter) bool { return one.signal == syscall.SIGUSR2 }) {
+		sent = s.followHandover(p, offset, sent)
+	}
+	time.Sleep(time.Until(sent.Add(e.kill)))
+	s.killGroup(p, group, sent)
+	all.Wait()
+	if e.shorter {
+		w.reconfigure(s, t, w.classes)
+	}
+	_ = s.start(ctx)
+}
+
+// playAround starts what was drawn to happen around the time of SIGTERM.
+func (w *world) playAround(ctx context.Context, all *sync.WaitGroup, signalAt time.Time, e shutdownFault, t Fault, s *sidecar, p *process) {
+	at := func(after time.Duration, do func()) {
 		all.Go(func() {
-			w.clients[s.number].sendLastBytesAt(word.Add(e.kill - time.Duration(rand.Float64()*float64(lateWithin))))
+			time.Sleep(time.Until(signalAt.Add(after)))
+			do()
 		})
 	}
+	lastForward := shutdown.NewSchedule(w.variant.longest, 0).LastForward
 	for i, one := range e.series {
 		at(one.at, func() {
 			if i == 0 && e.shorter {
@@ -172,27 +192,14 @@
 		})
 	}
 	if e.interrupted {
-		at(shutdown.NewSchedule(w.variant.longest, 0).LastForward-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
+		at(lastForward-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
 	}
 	if e.hanging {
-		at(shutdown.NewSchedule(w.variant.longest, 0).LastForward-hangFrom, func() { w.hang(word.Add(e.kill)) })
-	}
-	time.Sleep(time.Until(word))
-	sent := time.Now()
-	_ = p.Signal(syscall.SIGTERM)
-	if slices.ContainsFunc(e.series, func(one signalAt) bool { return one.signal == syscall.SIGUSR2 }) {
-		sent = s.followHandover(p, offset, sent)
+		at(lastForward-hangFrom, func() { w.hang(signalAt.Add(e.kill)) })
 	}
-	time.Sleep(time.Until(sent.Add(e.kill)))
-	s.killGroup(p, group, sent)
-	all.Wait()
-	if e.shorter {
-		w.reconfigure(s, t, w.classes)
-	}
-	_ = s.start(ctx)
 }
 
-// hang has half of the servers hang in the middle of their work until then, but for those that something else befalls.
+// hang has half of the servers stop answering until then, except those that have another fault.
 func (w *world) hang(until time.Time) {
 	var hung []*stand
 	for _, v := range w.servers[:len(w.servers)/2] {
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -136,8 +136,8 @@
 	return s.ready(ctx)
 }
 
-// watch notes the end of a process, which is this one's child or has become so.
-func (s *sidecar) watch(p *os.Process) *process {
+// watch makes a process, which must be a child of this one, the sidecar's current one and records its end.
+func (s *sidecar) watch(p *os.Process) {
 	one := &process{Process: p, exited: make(chan struct{})}
 	s.mu.Lock()
 	s.current = one
@@ -151,7 +151,6 @@
 		s.mu.Unlock()
 		close(one.exited)
 	}()
-	return one
 }
 
 func (s *sidecar) ready(ctx context.Context) error {
