--- /dev/null
+++ b/internal/testbench/capacity/measure.go
@@ -0,0 +1,240 @@
+package capacity
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// world is what surrounds the sidecar of one point.
+type world struct {
+	told      Point // as before anything is measured
+	network   fakes.Network
+	tiles     *fakeServers
+	directory *fakeDiscovery
+	sidecar   *sidecar
+	clients   []net.Conn
+	open      atomic.Int64 // of clients
+
+	changed atomic.Int64
+}
+
+// reading is all counters at one moment.
+type reading struct {
+	at                       time.Time
+	cpu                      time.Duration
+	probes, calls, lists     Traffic
+	whole, accepted, logged  int64
+	changed, reloaded, rssKB int64
+}
+
+func (w *world) read() (r reading, err error) {
+	r.at = time.Now()
+	if r.cpu, err = w.sidecar.cpu(); err != nil {
+		return r, err
+	}
+	r.probes, r.calls, r.accepted = w.tiles.probes.read(), w.tiles.calls.read(), w.tiles.accepted.Load()
+	r.lists, r.whole = w.directory.lists()
+	r.logged, r.changed = w.sidecar.log.bytes.Load(), w.changed.Load()
+	rss, err := w.sidecar.resident()
+	r.rssKB = rss >> 10
+	return r, err
+}
+
+// measure runs one point.
+func measure(ctx context.Context, s Setup, p Plan, point *Point) (err error) {
+	dir, err := os.MkdirTemp(s.Dir, "point-")
+	if err != nil {
+		return err
+	}
+	w := &world{told: *point, network: fakes.Loopback()}
+	defer w.closeFakes()
+	if err := w.startFakes(); err != nil {
+		return err
+	}
+	log, err := os.Create(filepath.Join(dir, "sidecar.log"))
+	if err != nil {
+		return err
+	}
+	defer log.Close()
+	if w.sidecar, err = prepare(w.network, dir); err != nil {
+		return err
+	}
+	if err := w.configure(0); err != nil {
+		return err
+	}
+	began := time.Now()
+	defer func() { err = errors.Join(err, w.sidecar.stop()) }()
+	if err := w.sidecar.start(ctx, w.network, s.Program, s.Core, log); err != nil {
+		return err
+	}
+	ready, err := w.read()
+	if err != nil {
+		return err
+	}
+	m := &point.Measured
+	m.recordStart(time.Since(began), ready)
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer cancel()
+	defer w.hangUp()
+	if err := w.connect(ctx, point.Clients); err != nil {
+		return err
+	}
+	load := w.newLoad(p.Settle + p.Window)
+	loaded, endLoad := context.WithCancel(ctx)
+	defer endLoad()
+	var tries []fakes.Try
+	var calling sync.WaitGroup
+	calling.Go(func() { tries = load.Run(loaded) })
+	w.every(ctx, &running, point.Changes, func(n int) error { w.change(n); return nil })
+	w.every(ctx, &running, point.Reloads, w.reload)
+
+	from, to, err := w.readWindow(ctx, p, m)
+	if err != nil {
+		return err
+	}
+	endLoad()
+	calling.Wait()
+	cancel()
+	running.Wait()
+	m.between(from, to)
+	m.judge(tries, &w.tiles.took, from.at, to.at)
+	m.Load, _ = strconv.ParseFloat(strings.Fields(loadAverage())[0], 64)
+	return nil
+}
+
+// startFakes starts the point's servers and the discovery that lists them.
+func (w *world) startFakes() (err error) {
+	if w.tiles, err = newFakeServers(w.network, w.told.Servers); err != nil {
+		return err
+	}
+	w.directory, err = newFakeDiscovery(w.network, w.tiles.members())
+	return err
+}
+
+func (w *world) closeFakes() {
+	if w.directory != nil {
+		w.directory.Close()
+	}
+	if w.tiles != nil {
+		w.tiles.close()
+	}
+}
+
+// recordStart records what the start of the sidecar took.
+func (m *Measured) recordStart(took time.Duration, ready reading) {
+	m.ReadyMs = ms(took)
+	m.StartCPU = ms(ready.cpu)
+	m.StartLists = ready.lists.Messages
+	m.StartBytes = ready.lists.Bytes
+	m.StartWhole = ready.whole
+	m.StartProbes = ready.probes.Messages
+	m.StartConnects = ready.accepted
+}
+
+// newLoad returns the point's clients, whose load lasts a little longer than the measurement.
+func (w *world) newLoad(measured time.Duration) *fakes.Consumers {
+	return fakes.NewConsumers(fakes.Load{
+		Network: w.network, Address: w.sidecar.address, Seed: 1,
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: w.told.Rate}}, For: measured + 2*time.Second,
+	})
+}
+
+// readWindow waits until the point has settled and returns the readings at the start and at the end of its window.
+func (w *world) readWindow(ctx context.Context, p Plan, m *Measured) (from, to reading, err error) {
+	if err := fakes.Pause(ctx, p.Settle); err != nil {
+		return from, to, err
+	}
+	if from, err = w.readAll(ctx); err != nil {
+		return from, to, err
+	}
+	busy := process.Watch()
+	err = fakes.Pause(ctx, p.Window)
+	late, _ := busy.Look()
+	busy.Close()
+	if m.StallMs = ms(late); err != nil {
+		return from, to, err
+	}
+	if to, err = w.read(); err != nil {
+		return from, to, err
+	}
+	m.Open = w.tiles.open.Load()
+	m.Met = w.tiles.met.Load()
+	m.ClientsOpen = int(w.open.Load())
+	last, err := w.readAll(ctx)
+	if err != nil {
+		return from, to, err
+	}
+	to.reloaded = last.reloaded
+	m.ScrapeBytes, _, err = w.sidecar.scrape(ctx, w.network)
+	return from, to, err
+}
+
+func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// readAll reads what the sidecar has to say, too.
+func (w *world) readAll(ctx context.Context) (reading, error) {
+	_, body, err := w.sidecar.scrape(ctx, w.network)
+	if err != nil {
+		return reading{}, err
+	}
+	var told struct {
+		Success int64 `json:"reload_success"`
+	}
+	if err := json.Unmarshal(body, &told); err != nil {
+		return reading{}, fmt.Errorf("/metrics: %w", err)
+	}
+	r, err := w.read()
+	r.reloaded = told.Success
+	return r, err
+}
+
+// between notes what happened between two readings.
+func (m *Measured) between(from, to reading) {
+	m.Seconds = to.at.Sub(from.at).Seconds()
+	each := func(n int64) float64 { return float64(n) / m.Seconds }
+	m.CPU = ms(to.cpu-from.cpu) / m.Seconds
+	m.RSS = float64(to.rssKB)
+	probes, calls, lists := to.probes.since(from.probes), to.calls.since(from.calls), to.lists.since(from.lists)
+	m.Probes, m.ProbeBytes = each(probes.Messages), each(probes.Bytes)
+	m.Attempts, m.AttemptBytes = each(calls.Messages), each(calls.Bytes)
+	m.Lists, m.ListBytes = each(lists.Messages), each(lists.Bytes)
+	m.Connects, m.LogBytes = each(to.accepted-from.accepted), each(to.logged-from.logged)
+	m.Changed, m.Reloaded = each(to.changed-from.changed), each(to.reloaded-from.reloaded)
+}
+
+// judge counts the requests due in the window, and what was added to each that was served.
+func (m *Measured) judge(tries []fakes.Try, atTile *sync.Map, from, to time.Time) {
+	var added []float64
+	for _, t := range tries {
+		if t.At.Before(from) || !t.At.Before(to) {
+			continue
+		}
+		m.Requests++
+		if t.Result != fakes.Served {
+			continue
+		}
+		m.Served++
+		if took, ok := atTile.Load(t.ID); ok {
+			added = append(added, ms(t.EndedAt.Sub(t.SentAt)-took.(time.Duration)))
+		}
+	}
+	if n := len(added); n > 0 {
+		slices.Sort(added)
+		m.AddedP50, m.AddedP99 = added[(n-1)/2], added[(n-1)*99/100]
+	}
+}
--- /dev/null
+++ b/internal/testbench/capacity/world.go
@@ -0,0 +1,91 @@
+package capacity
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"plankrouter/internal/testbench/fakes"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// configure writes the sidecar's configuration, whose n-th version differs from the one before.
+func (w *world) configure(n int) error {
+	known := fakes.List{}
+	if !w.told.Unknown {
+		known = fakes.List{Revision: 1, Members: w.tiles.members()}
+	}
+	aim := fakes.Tile().Aim + time.Duration(n%2)*time.Millisecond
+	return w.sidecar.configure(w.told, w.directory.Address(), known, aim)
+}
+
+// reload gives the sidecar its next configuration.
+func (w *world) reload(n int) error {
+	if err := w.configure(n); err != nil {
+		return err
+	}
+	return w.sidecar.process.Signal(syscall.SIGHUP)
+}
+
+// change has the directory tell that one server has started anew.
+func (w *world) change(n int) {
+	all := w.tiles.members()
+	one := all[n%len(all)]
+	one.UpSince = time.Now().UnixMilli()
+	w.directory.Change(one)
+	w.changed.Add(1)
+}
+
+// every does something so often a second until ctx ends.
+func (w *world) every(ctx context.Context, running *sync.WaitGroup, rate float64, do func(n int) error) {
+	if rate <= 0 {
+		return
+	}
+	running.Go(func() {
+		next := time.Now()
+		for n := 1; ; n++ {
+			next = next.Add(time.Duration(float64(time.Second) / rate))
+			if fakes.Pause(ctx, time.Until(next)) != nil || do(n) != nil {
+				return
+			}
+		}
+	})
+}
+
+// connect opens client connections, each of which asks once and stays.
+func (w *world) connect(ctx context.Context, n int) error {
+	for i := range n {
+		c, err := w.network.Dial(ctx, w.sidecar.address)
+		if err != nil {
+			return err
+		}
+		w.clients = append(w.clients, c)
+		if _, err := fmt.Fprintf(c, "GET /tile/idle HTTP/1.1\r\nHost: api.internal\r\nReq-Id: idle-%d\r\nReq-Deadline: 2.500\r\n\r\n",
+			i); err != nil {
+			return err
+		}
+		br := bufio.NewReader(c)
+		resp, err := http.ReadResponse(br, nil)
+		if err != nil {
+			return fmt.Errorf("client %d: %w", i+1, err)
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			return fmt.Errorf("client %d: %w", i+1, err)
+		}
+		w.open.Add(1)
+		go func() {
+			_, _ = br.ReadByte() // until the sidecar, or hangUp, closes it
+			w.open.Add(-1)
+		}()
+	}
+	return nil
+}
+
+func (w *world) hangUp() {
+	for _, c := range w.clients {
+		c.Close()
+	}
+}
--- /dev/null
+++ b/internal/testbench/emulator/discovery_test.go
@@ -0,0 +1,43 @@
+package emulator
+
+import (
+	"plankrouter/policy"
+	"testing"
+)
+
+func TestDiscoveryThatIsDownLosesUpdates(t *testing.T) {
+	cfg := Default(2, 3)
+	cfg.Rate, cfg.Discovery = 0, Discovery{Late: [2]float64{100, 100}, Repair: 1}
+	w, err := newWorld(cfg, Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	until := func(t policy.Ms) {
+		for w.heap[0].at <= t {
+			w.next()()
+		}
+	}
+	until(1500)
+	m := w.machines[1]
+	w.discovery.change(m, policy.Draining)
+	until(1550)
+	w.discovery.stop() // with that still on its way
+	until(3000)
+	w.discovery.change(m, policy.Gone)
+	until(4000)
+	if h := w.sidecars[0].known[m.id].health; h != policy.Ready {
+		t.Errorf("a directory that is down has told %v", h)
+	}
+	w.sidecars[1].kill()
+	w.sidecars[1].start()
+	if k := w.sidecars[1].known[m.id]; k == nil || k.health != policy.Draining {
+		t.Errorf("a sidecar that starts meanwhile knows %+v", k)
+	}
+	w.discovery.restart()
+	until(4200)
+	for _, sc := range w.sidecars {
+		if h := sc.known[m.id].health; h != policy.Gone {
+			t.Errorf("after its restart sidecar %d has %v", sc.number, h)
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbench/loadgen/run_test.go
@@ -0,0 +1,221 @@
+package loadgen
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"maps"
+	"math"
+	"net/http"
+	"plankrouter/internal/testbench/fakes"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/wcharczuk/go-chart/v2"
+)
+
+// near reports whether a duration is the one wanted, as exactly as the histogram holds it.
+func near(t *testing.T, what string, ms *float64, want float64) {
+	t.Helper()
+	if ms == nil || math.Abs(*ms-want) > 0.001+want/1000 {
+		t.Errorf("%s: %s ms, want %v", what, text(ms), want)
+	}
+}
+
+// A server that pauses for 2 s, from 5 ms before a request on, in a run of 10 s with 100 requests a second, evenly
+// spaced. By hand: the i-th longest of the 1000 waits is 1995 - 10(i-1) ms for i up to 200, and the others are nothing;
+// the quantile q is the one of rank 1000q from below, i = 1001 - 1000q. Counted from when requests were due that is
+// what is reported, whether each went out at once or one connection made them wait for each other, as a tool does that
+// waits for answers. Such a tool counts from the send, and sees one slow request.
+func TestPause(t *testing.T) {
+	for name, test := range map[string]struct {
+		connections int
+		held        uint64
+		sent        [5]float64
+	}{
+		"open":   {10000, 0, [5]float64{0, 995, 1895, 1985, 1995}},
+		"closed": {1, 199, [5]float64{0, 0, 0, 0, 1995}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := tiles(t, constant(100), Even, 10)
+			p.Connections = test.connections
+			r := inBubble(t, p, Options{}, func(start time.Time, _ http.ResponseWriter, _ *http.Request) {
+				if at := time.Since(start) - 3995*time.Millisecond; at >= 0 && at < 2*time.Second {
+					time.Sleep(2*time.Second - at)
+				}
+			})
+			report := NewReport(p, r, "", 1)
+			row := report.Classes[0]
+			if row.Requests != 1000 || row.Ends["served"] != 1000 || row.InObjective != 850 || row.Goodput != 85 ||
+				!report.Valid {
+				t.Errorf("%+v", row)
+			}
+			if report.Held != test.held {
+				t.Errorf("%d waited for a connection", report.Held)
+			}
+			for i, q := range quantiles {
+				byHand := 0.0
+				if i := 1001 - 1000*q; i <= 200 {
+					byHand = 1995 - 10*(i-1)
+				}
+				near(t, fmt.Sprint("from due, ", q), row.Due[i], byHand)
+				near(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
+			}
+			if s := report.Seconds; s[4].Requests != 100 || math.Abs(*s[4].Due[4]-1995) > 20 || *s[3].Due[4] != 0 {
+				t.Errorf("seconds 3 and 4: %+v", s[3:5])
+			}
+		})
+	}
+}
+
+// A generator that is held up for 300 ms says so: it makes the run invalid, and does not blame the server. What is due
+// then goes out late, but all of it goes out. That second tries are on time makes no difference.
+func TestHeldUp(t *testing.T) {
+	p := tiles(t, constant(100), Even, 3)
+	p.Classes[0].Retry.MaxRetries = 1
+	calls := 0
+	r := inBubble(t, p, Options{Pause: func(d time.Duration) {
+		if calls++; calls == 100 { // 2 ms before the request of second 1 is due
+			d = 300 * time.Millisecond
+		}
+		time.Sleep(d)
+	}}, func(_ time.Time, w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("Req-Retry") == "" {
+			w.WriteHeader(503)
+		}
+	})
+	report := NewReport(p, r, "", 1)
+	if report.Valid || len(report.Invalid) != 2 || report.Classes[0].Ends["served"] != 300 {
+		t.Errorf("%+v", report)
+	}
+	near(t, "late at most", report.LateMs[4], 298)
+	near(t, "late, p99", report.LateMs[2], 298-3*10)
+	near(t, "from due", report.Classes[0].Due[4], 298)
+	near(t, "from send", report.Classes[0].Sent[4], 0)
+
+	r = newResult(1)
+	r.Stall = 51 * time.Millisecond // with nothing due
+	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "held up") {
+		t.Errorf("%+v", report)
+	}
+}
+
+// Each request counts once, with all its tries, from when it was first due.
+func TestRetries(t *testing.T) {
+	get := Class{Name: "tile", LatencyObjectiveMs: 150, DeadlineMs: 1000, Retry: Retry{MaxRetries: 2, WaitMs: 100}}
+	post := get
+	post.Method = "POST"
+	hasty, advised, impatient, short := get, get, get, get
+	hasty.Retry.WaitMs = 0
+	advised.Retry.MaxRetryAfterMs = 400
+	impatient.TimeoutMs, impatient.Retry.On = 50, []string{"timed_out"}
+	short.DeadlineMs = 150
+	answer := func(code int) func(http.ResponseWriter, int) {
+		return func(w http.ResponseWriter, try int) {
+			if try < 2 {
+				w.Header().Set("Retry-After", "0.3")
+				w.WriteHeader(code)
+			}
+		}
+	}
+	late := func(_ http.ResponseWriter, try int) { time.Sleep([]time.Duration{200, 30, 0}[try] * time.Millisecond) }
+	lost := func(http.ResponseWriter, int) { panic(http.ErrAbortHandler) }
+	nobody := "10.9.9.9:9"
+	for name, test := range map[string]struct {
+		class    Class
+		answer   func(http.ResponseWriter, int)
+		address  string
+		want     string // asked, tries, in aim, ends, ends of tries
+		due, end float64
+	}{
+		"refused":       {get, answer(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 200, 0},
+		"at once":       {hasty, answer(429), "", "10 30 10 map[served:10] map[refused:20 served:10]", 0, 0},
+		"advised":       {advised, answer(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 600, 0},
+		"no time":       {short, answer(503), "", "10 20 0 map[refused:10] map[refused:20]", -1, -1},
+		"failed":        {get, answer(500), "", "10 30 0 map[served:10] map[failed:20 served:10]", 200, 0},
+		"failed orders": {post, answer(500), "", "10 10 0 map[failed:10] map[failed:10]", -1, -1},
+		"timed out":     {impatient, late, "", "10 20 0 map[served:10] map[served:10 timed_out:10]", 180, 30},
+		"lost":          {get, lost, "", "10 30 0 map[lost:10] map[lost:30]", -1, -1},
+		"unreachable":   {post, lost, nobody, "10 30 0 map[unreachable:10] map[unreachable:30]", -1, -1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := tiles(t, constant(10), Even, 1)
+			p.Classes = []Class{test.class}
+			ok(t, p.Check())
+			tries := map[string]int{} // by id
+			for q, err := range p.Requests() {
+				ok(t, err)
+				for n := range 3 {
+					tries[q.id(p.Seed, n)] = n
+				}
+			}
+			o := Options{Address: test.address}
+			r := inBubble(t, p, o, func(_ time.Time, w http.ResponseWriter, r *http.Request) {
+				id := r.Header.Get("Req-Id")
+				n, known := tries[id]
+				if again := r.Header.Get("Req-Retry") == "1"; !known || again != (n > 0) {
+					t.Errorf("id %q, again: %t", id, again)
+				}
+				test.answer(w, n)
+			})
+			row := NewReport(p, r, "", 1).Classes[0]
+			maps.DeleteFunc(row.Ends, func(_ string, n uint64) bool { return n == 0 })
+			maps.DeleteFunc(row.AttemptEnds, func(_ string, n uint64) bool { return n == 0 })
+			if got := fmt.Sprint(row.Requests, row.Attempts, row.InObjective, row.Ends, row.AttemptEnds); got != test.want {
+				t.Errorf("%s, want %s", got, test.want)
+			}
+			if test.due >= 0 {
+				near(t, "from due", row.Due[0], test.due)
+				near(t, "from send", row.Sent[0], test.end)
+			} else if row.Due[0] != nil {
+				t.Errorf("served after %v ms", *row.Due[0])
+			}
+		})
+	}
+}
+
+// Interrupted, a run keeps what it has; with nothing due, it is over at once.
+func TestShortRuns(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
+		defer cancel()
+		r, err := Run(ctx, tiles(t, constant(10), Even, 100), Options{
+			Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
+			Pause: time.Sleep,
+		})
+		if err != nil || !r.Partial || r.Classes[0].Ends[Unreachable] != 15 {
+			t.Errorf("%+v, %v", r, err)
+		}
+		p := tiles(t, constant(0), Poisson, 100)
+		r, err = Run(t.Context(), p, Options{Dialer: fakes.NewMemory(), Address: "10.0.0.1:1"})
+		var out bytes.Buffer
+		report := NewReport(p, r, "", 1)
+		if err != nil || r.Partial || r.Ran != 0 || !report.Valid || report.Write(&out) != nil {
+			t.Errorf("%+v, %v: %s", r, err, out.String())
+		}
+		if report.Plot(&out, chart.SVG) == nil {
+			t.Error("nothing was drawn without a word")
+		}
+	})
+}
+
+// A request that crosses the close of a kept connection goes out once more, at once.
+func TestRequestMeetsClosingConnection(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := fakes.NewMemory()
+		n.SetDelay(20*time.Millisecond, 0)
+		provider, err := fakes.NewProvider(n, fakes.ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
+		ok(t, err)
+		defer provider.Close()
+		p := tiles(t, constant(5), Poisson, 60)
+		r, err := Run(t.Context(), p, Options{Dialer: n, Address: provider.Address(), Pause: time.Sleep})
+		ok(t, err)
+		c := r.Classes[0]
+		if seen := uint64(len(provider.Requests())); c.Ends[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
+			seen != c.Requests {
+			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Ends, c.Resent, seen)
+		}
+	})
+}
--- /dev/null
+++ b/internal/testbench/loadgen/spread_test.go
@@ -0,0 +1,83 @@
+package loadgen
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"os"
+	"os/exec"
+	"plankrouter/internal/testbench/fakes"
+	"testing"
+	"time"
+)
+
+// Three processes send the plan between them, each request once; what they report is the same as that of one.
+func TestParts(t *testing.T) {
+	p := mixed(t)
+	p.ForS = 2
+	sum := func(r *Result) string {
+		report := NewReport(p, r, "", 1)
+		rows, err := json.Marshal([]any{report.Classes, report.Seconds, r.Late.Count()})
+		ok(t, err)
+		return string(rows)
+	}
+	answer := func(_ time.Time, w http.ResponseWriter, r *http.Request) {
+		switch id := r.Header.Get("Req-Id"); {
+		case id[0] == '0':
+			w.WriteHeader(500)
+		case id[0] < '4':
+			time.Sleep(time.Duration(id[1]) * time.Millisecond)
+		}
+	}
+	whole := inBubble(t, p, Options{}, answer)
+	var parts []*Result
+	for i := range 3 {
+		raw, err := json.Marshal(inBubble(t, p, Options{Part: i, Parts: 3}, answer))
+		ok(t, err)
+		parts = append(parts, &Result{})
+		ok(t, json.Unmarshal(raw, parts[i]))
+	}
+	merged, err := Merge(parts...)
+	ok(t, err)
+	if a, b := sum(whole), sum(merged); a != b {
+		t.Errorf("one process: %s\nthree: %s", a, b)
+	}
+}
+
+// Real processes on loopback, from the job to the merged result.
+func TestSpread(t *testing.T) {
+	n := fakes.Loopback()
+	provider, err := fakes.NewProvider(n, fakes.ProviderOptions{
+		Cores:   100,
+		Default: fakes.Service{Mean: time.Millisecond, Fixed: true},
+	})
+	ok(t, err)
+	defer provider.Close()
+	self, err := os.Executable()
+	ok(t, err)
+	p := tiles(t, constant(100), Even, 0.5)
+	workers := func() (all []*exec.Cmd) {
+		for range 2 {
+			cmd := exec.Command(self)
+			cmd.Env = append(os.Environ(), workVariable+"=1")
+			all = append(all, cmd)
+		}
+		return all
+	}
+	r, err := Spread(t.Context(), p, provider.Address(), workers())
+	ok(t, err)
+	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(provider.Requests()) != 50 {
+		t.Errorf("%+v", r)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	p.ForS = 1000 // none of which is waited for
+	if r, err := Spread(ctx, p, provider.Address(), workers()); err != nil || !r.Partial {
+		t.Errorf("interrupted: %+v, %v", r, err)
+	}
+	for _, name := range []string{"/bin/true", "/bin/cat", "/nowhere"} {
+		if _, err := Spread(t.Context(), p, "", []*exec.Cmd{exec.Command(name)}); err == nil {
+			t.Errorf("%s got ready", name)
+		}
+	}
+}
