--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -39,7 +39,7 @@
 func (c *capacityCommand) Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Most)
 	defer cancel()
-	kept := lab{Keep: c.Keep, JSON: c.JSON}
+	kept := experiment{Keep: c.Keep, JSON: c.JSON}
 	dir, done, err := kept.folder()
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 	}
 	report, err := capacity.Run(ctx, capacity.Setup{
 		Program: c.Program, Dir: dir, Core: c.Core, Only: c.Only,
-		Said: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
+		Progress: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
 	}, plan)
 	if report == nil {
 		return err
--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// fleetFigures is what goes into the file.
-type fleetFigures struct {
+// fleetResults is what goes into the file.
+type fleetResults struct {
 	SideBySide []simulated.Comparison `json:"side_by_side,omitempty"`
 	Rows       []simulated.Row        `json:"rows"`
 }
@@ -87,7 +87,7 @@
 	}
 	plan := simulated.Usual()
 	plan.Window, plan.CallsAll, plan.Restart, plan.Only = c.Window, c.CallsAll, c.Restart, c.Scene
-	var f fleetFigures
+	var f fleetResults
 	if c.Program != "" {
 		for _, rate := range []float64{0, plan.CallsOne} {
 			both, err := simulated.Compare(ctx, c.Program, set, rate, c.Window)
@@ -123,7 +123,7 @@
 	return c.save(f)
 }
 
-func (c *fleetScenesCommand) save(f fleetFigures) error { return (&lab{JSON: c.JSON}).save(f) }
+func (c *fleetScenesCommand) save(f fleetResults) error { return (&experiment{JSON: c.JSON}).save(f) }
 
 // readWatch reads plankrouter.watch of a configuration.
 func readWatch(path string) (*config.WatchMs, error) {
--- a/cmd/testbench/handover.go
+++ b/cmd/testbench/handover.go
@@ -9,7 +9,7 @@
 
 // handoverCommand runs a line of processes.
 type handoverCommand struct {
-	lab
+	experiment
 	Program  string        `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program."`
 	Restarts int           `default:"200" help:"Handovers, one after another."`
 	Pause    time.Duration `default:"100ms" help:"Between two of them."`
@@ -22,7 +22,7 @@
 func (c *handoverCommand) plan() recovery.HandoverPlan {
 	return recovery.HandoverPlan{
 		Setup: c.setup(c.Program, c.Seed), Restarts: c.Restarts, Pause: c.Pause,
-		Kill: recovery.Victim(c.Kill), At: recovery.Moment(c.At), Nth: c.Nth,
+		Kill: recovery.Victim(c.Kill), At: recovery.KillPhase(c.At), Nth: c.Nth,
 	}
 }
 
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -13,20 +13,20 @@
 	"strings"
 )
 
-// lab is what all experiments are told.
-type lab struct {
+// experiment is what all experiments are told.
+type experiment struct {
 	Providers int     `default:"8" help:"Providers in the fleet."`
 	Rate      float64 `default:"400" help:"Requests a second."`
 	Keep      string  `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
 	JSON      string  `name:"json" placeholder:"FILE" help:"Write the figures to this file, too."`
 }
 
-func (l *lab) setup(program string, seed uint64) recovery.Setup {
+func (l *experiment) setup(program string, seed uint64) recovery.Setup {
 	return recovery.Setup{Program: program, Servers: l.Providers, Rate: l.Rate, Seed: seed}
 }
 
 // folder returns the folder for what is kept, and what to do with it at the end.
-func (l *lab) folder() (string, func(), error) {
+func (l *experiment) folder() (string, func(), error) {
 	if l.Keep != "" {
 		return l.Keep, func() {}, os.MkdirAll(l.Keep, 0o755)
 	}
@@ -35,7 +35,7 @@
 }
 
 // save writes the figures where they are asked for.
-func (l *lab) save(figures any) error {
+func (l *experiment) save(figures any) error {
 	if l.JSON == "" {
 		return nil
 	}
@@ -48,7 +48,7 @@
 
 // recoverCommand runs scenarios.
 type recoverCommand struct {
-	lab
+	experiment
 	Program  []string `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program, or several."`
 	Scenario []string `placeholder:"NAME" help:"Only this one, of those that are listed below; may be given again."`
 	Seeds    int      `default:"3" help:"Runs of each scenario."`
--- a/internal/testbench/capacity/capacity_test.go
+++ b/internal/testbench/capacity/capacity_test.go
@@ -81,7 +81,7 @@
 			if m.CPU <= 0 || m.RSS <= 0 || m.ScrapeBytes == 0 || m.ClientsOpen != p.Clients {
 				t.Errorf("%s, %d: %+v", s.Name, i, p)
 			}
-			if p.Unknown && m.StartWhole == 0 {
+			if p.Unknown && m.StartCompleteLists == 0 {
 				t.Errorf("%s, %d: ready without a list", s.Name, i)
 			}
 			if m.Served > m.Requests || p.Rate == 0 && m.Requests > 0 {
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -39,13 +39,13 @@
 
 // fakeServers are many tile servers in this process, each at an address of its own.
 type fakeServers struct {
-	listeners           []net.Listener
-	probes, calls       tally
-	accepted, open, met atomic.Int64 // connections; met = servers that ever had one
-	took                sync.Map     // string to time.Duration: of calls, by id, from their last byte to their answer
-	mu                  sync.Mutex
-	conns               map[net.Conn]struct{}
-	running             sync.WaitGroup
+	listeners                 []net.Listener
+	probes, calls             tally
+	accepted, open, contacted atomic.Int64 // connections; met = servers that ever had one
+	serviceTimes              sync.Map     // string to time.Duration: of calls, by id, from their last byte to their answer
+	mutex                     sync.Mutex
+	conns                     map[net.Conn]struct{}
+	running                   sync.WaitGroup
 }
 
 func newFakeServers(n fakes.Network, servers int) (*fakeServers, error) {
@@ -62,8 +62,8 @@
 	return t, nil
 }
 
-// members are the lines of the list.
-func (t *fakeServers) members() (all []fakes.Member) {
+// endpoints are the lines of the list.
+func (t *fakeServers) endpoints() (all []fakes.Member) {
 	for i, l := range t.listeners {
 		all = append(all, fakes.Member{
 			ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
@@ -77,11 +77,11 @@
 	for _, l := range t.listeners {
 		l.Close()
 	}
-	t.mu.Lock()
+	t.mutex.Lock()
 	for c := range t.conns {
 		c.Close()
 	}
-	t.mu.Unlock()
+	t.mutex.Unlock()
 	t.running.Wait()
 }
 
@@ -95,19 +95,19 @@
 		}
 		if !met {
 			met = true
-			t.met.Add(1)
+			t.contacted.Add(1)
 		}
 		t.accepted.Add(1)
 		t.open.Add(1)
-		t.mu.Lock()
+		t.mutex.Lock()
 		t.conns[c] = struct{}{}
-		t.mu.Unlock()
+		t.mutex.Unlock()
 		t.running.Go(func() {
 			defer func() {
 				c.Close()
-				t.mu.Lock()
+				t.mutex.Lock()
 				delete(t.conns, c)
-				t.mu.Unlock()
+				t.mutex.Unlock()
 				t.open.Add(-1)
 			}()
 			t.serve(c, &active)
@@ -139,7 +139,7 @@
 		body := id + "\n" + strings.Repeat("x", max(0, responseBody-len(id)-1))
 		raw := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		t.calls.add(size + len(raw))
-		t.took.Store(id, time.Since(start))
+		t.serviceTimes.Store(id, time.Since(start))
 		if _, err := c.Write([]byte(raw)); err != nil {
 			return
 		}
@@ -158,8 +158,8 @@
 		case line == "" && n > 0:
 			return target, id, size, nil
 		case n == 0:
-			if words := strings.Fields(line); len(words) == 3 {
-				target = words[1]
+			if parts := strings.Fields(line); len(parts) == 3 {
+				target = parts[1]
 			}
 		case len(line) > len(headerID) && strings.EqualFold(line[:len(headerID)], headerID):
 			id = strings.TrimSpace(line[len(headerID):])
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -20,10 +20,10 @@
 
 // world is what surrounds the sidecar of one point.
 type world struct {
-	told      Point // as before anything is measured
+	point     Point // as before anything is measured
 	network   fakes.Network
-	tiles     *fakeServers
-	directory *fakeDiscovery
+	servers   *fakeServers
+	discovery *fakeDiscovery
 	sidecar   *sidecar
 	clients   []net.Conn
 	open      atomic.Int64 // of clients
@@ -33,20 +33,20 @@
 
 // reading is all counters at one moment.
 type reading struct {
-	at                       time.Time
-	cpu                      time.Duration
-	probes, calls, lists     Traffic
-	whole, accepted, logged  int64
-	changed, reloaded, rssKB int64
+	time                            time.Time
+	cpu                             time.Duration
+	probes, calls, lists            Traffic
+	completeLists, accepted, logged int64
+	changed, reloaded, rssKB        int64
 }
 
 func (w *world) read() (r reading, err error) {
-	r.at = time.Now()
+	r.time = time.Now()
 	if r.cpu, err = w.sidecar.cpu(); err != nil {
 		return r, err
 	}
-	r.probes, r.calls, r.accepted = w.tiles.probes.read(), w.tiles.calls.read(), w.tiles.accepted.Load()
-	r.lists, r.whole = w.directory.lists()
+	r.probes, r.calls, r.accepted = w.servers.probes.read(), w.servers.calls.read(), w.servers.accepted.Load()
+	r.lists, r.completeLists = w.discovery.lists()
 	r.logged, r.changed = w.sidecar.log.bytes.Load(), w.changed.Load()
 	rss, err := w.sidecar.resident()
 	r.rssKB = rss >> 10
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	w := &world{told: *point, network: fakes.Loopback()}
+	w := &world{point: *point, network: fakes.Loopback()}
 	defer w.closeFakes()
 	if err := w.startFakes(); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	defer w.hangUp()
+	defer w.closeClients()
 	if err := w.connect(ctx, point.Clients); err != nil {
 		return err
 	}
@@ -111,27 +111,27 @@
 	calling.Wait()
 	cancel()
 	running.Wait()
-	m.between(from, to)
-	m.judge(tries, &w.tiles.took, from.at, to.at)
+	m.recordBetween(from, to)
+	m.countRequests(tries, &w.servers.serviceTimes, from.time, to.time)
 	m.Load, _ = strconv.ParseFloat(strings.Fields(loadAverage())[0], 64)
 	return nil
 }
 
 // startFakes starts the point's servers and the discovery that lists them.
 func (w *world) startFakes() (err error) {
-	if w.tiles, err = newFakeServers(w.network, w.told.Servers); err != nil {
+	if w.servers, err = newFakeServers(w.network, w.point.Servers); err != nil {
 		return err
 	}
-	w.directory, err = newFakeDiscovery(w.network, w.tiles.members())
+	w.discovery, err = newFakeDiscovery(w.network, w.servers.endpoints())
 	return err
 }
 
 func (w *world) closeFakes() {
-	if w.directory != nil {
-		w.directory.Close()
+	if w.discovery != nil {
+		w.discovery.Close()
 	}
-	if w.tiles != nil {
-		w.tiles.close()
+	if w.servers != nil {
+		w.servers.close()
 	}
 }
 
@@ -141,7 +141,7 @@
 	m.StartCPU = ms(ready.cpu)
 	m.StartLists = ready.lists.Messages
 	m.StartBytes = ready.lists.Bytes
-	m.StartWhole = ready.whole
+	m.StartCompleteLists = ready.completeLists
 	m.StartProbes = ready.probes.Messages
 	m.StartConnects = ready.accepted
 }
@@ -150,7 +150,7 @@
 func (w *world) newLoad(measured time.Duration) *fakes.Consumers {
 	return fakes.NewConsumers(fakes.Load{
 		Network: w.network, Address: w.sidecar.address, Seed: 1,
-		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: w.told.Rate}}, For: measured + 2*time.Second,
+		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: w.point.Rate}}, For: measured + 2*time.Second,
 	})
 }
 
@@ -162,7 +162,7 @@
 	if from, err = w.readAll(ctx); err != nil {
 		return from, to, err
 	}
-	busy := process.Watch()
+	busy := process.WatchBusy()
 	err = fakes.Pause(ctx, p.Window)
 	late, _ := busy.Look()
 	busy.Close()
@@ -172,8 +172,8 @@
 	if to, err = w.read(); err != nil {
 		return from, to, err
 	}
-	m.Open = w.tiles.open.Load()
-	m.Met = w.tiles.met.Load()
+	m.Open = w.servers.open.Load()
+	m.Contacted = w.servers.contacted.Load()
 	m.ClientsOpen = int(w.open.Load())
 	last, err := w.readAll(ctx)
 	if err != nil {
@@ -192,20 +192,20 @@
 	if err != nil {
 		return reading{}, err
 	}
-	var told struct {
+	var metrics struct {
 		Success int64 `json:"reload_success"`
 	}
-	if err := json.Unmarshal(body, &told); err != nil {
+	if err := json.Unmarshal(body, &metrics); err != nil {
 		return reading{}, fmt.Errorf("/metrics: %w", err)
 	}
 	r, err := w.read()
-	r.reloaded = told.Success
+	r.reloaded = metrics.Success
 	return r, err
 }
 
-// between notes what happened between two readings.
-func (m *Measured) between(from, to reading) {
-	m.Seconds = to.at.Sub(from.at).Seconds()
+// recordBetween notes what happened between two readings.
+func (m *Measured) recordBetween(from, to reading) {
+	m.Seconds = to.time.Sub(from.time).Seconds()
 	each := func(n int64) float64 { return float64(n) / m.Seconds }
 	m.CPU = ms(to.cpu-from.cpu) / m.Seconds
 	m.RSS = float64(to.rssKB)
@@ -217,8 +217,8 @@
 	m.Changed, m.Reloaded = each(to.changed-from.changed), each(to.reloaded-from.reloaded)
 }
 
-// judge counts the requests due in the window, and what was added to each that was served.
-func (m *Measured) judge(tries []fakes.Try, atTile *sync.Map, from, to time.Time) {
+// countRequests counts the requests due in the window, and what was added to each that was served.
+func (m *Measured) countRequests(tries []fakes.Try, serviceTimes *sync.Map, from, to time.Time) {
 	var added []float64
 	for _, t := range tries {
 		if t.At.Before(from) || !t.At.Before(to) {
@@ -229,7 +229,7 @@
 			continue
 		}
 		m.Served++
-		if took, ok := atTile.Load(t.ID); ok {
+		if took, ok := serviceTimes.Load(t.ID); ok {
 			added = append(added, ms(t.EndedAt.Sub(t.SentAt)-took.(time.Duration)))
 		}
 	}
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -46,11 +46,11 @@
 	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // addresses differ in length
 	near("whole lists of a start that knows one", w.firstWhole(t), 0)
 	near("answers that tell of a change", w.tellings(t), 0)
-	for i := 0; w.tiles.probes.read().Messages == 0; i++ { // a request that is refused brings no probe
+	for i := 0; w.servers.probes.read().Messages == 0; i++ { // a request that is refused brings no probe
 		w.ask(t, i)
 	}
-	w.await(t, func() bool { return w.tiles.probes.read().Messages > 0 })
-	sent := w.tiles.probes.read()
+	w.await(t, func() bool { return w.servers.probes.read().Messages > 0 })
+	sent := w.servers.probes.read()
 	near("bytes of a probe and its answer", float64(sent.Bytes)/float64(sent.Messages), address)
 	_, body, err := w.sidecar.scrape(t.Context(), w.network)
 	if err != nil {
@@ -60,7 +60,7 @@
 
 	w = start(t, Point{Servers: 100, Instances: fleetSize, Price: cheap, OnRequest: true, Unknown: true})
 	near("whole lists of a start that knows none", w.firstWhole(t), 0)
-	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Members: w.tiles.members()}, "", "    ")
+	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Members: w.servers.endpoints()}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,16 +98,16 @@
 func start(t *testing.T, point Point) *world {
 	t.Helper()
 	dir := t.TempDir()
-	w := &world{told: point, network: fakes.Loopback()}
+	w := &world{point: point, network: fakes.Loopback()}
 	var err error
-	if w.tiles, err = newFakeServers(w.network, point.Servers); err != nil {
+	if w.servers, err = newFakeServers(w.network, point.Servers); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.tiles.close)
-	if w.directory, err = newFakeDiscovery(w.network, w.tiles.members()); err != nil {
+	t.Cleanup(w.servers.close)
+	if w.discovery, err = newFakeDiscovery(w.network, w.servers.endpoints()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.directory.Close)
+	t.Cleanup(w.discovery.Close)
 	if w.sidecar, err = prepare(w.network, dir); err != nil {
 		t.Fatal(err)
 	}
@@ -155,8 +155,8 @@
 // call be given up.
 func (w *world) firstWhole(t *testing.T) float64 {
 	t.Helper()
-	w.await(t, func() bool { return len(w.directory.Calls()) > 0 }) // one that knows a list is ready before that
-	if w.directory.Calls()[0].Whole {
+	w.await(t, func() bool { return len(w.discovery.Calls()) > 0 }) // one that knows a list is ready before that
+	if w.discovery.Calls()[0].Whole {
 		return 1
 	}
 	return 0
@@ -167,14 +167,14 @@
 func (w *world) tellings(t *testing.T) float64 {
 	t.Helper()
 	for n := range 20 {
-		from := len(w.directory.Calls()) - 1 // the call that is held, unless it has just been answered
-		one := w.tiles.members()[n%len(w.tiles.listeners)]
+		from := len(w.discovery.Calls()) - 1 // the call that is held, unless it has just been answered
+		one := w.servers.endpoints()[n%len(w.servers.listeners)]
 		one.UpSince = time.Now().UnixMilli()
-		revision := w.directory.Change(one)
+		revision := w.discovery.Change(one)
 		known := func(c fakes.DirectoryCall) bool { return c.Index >= revision }
-		w.await(t, func() bool { return slices.ContainsFunc(w.directory.Calls(), known) })
+		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Calls(), known) })
 		told, complete := 0, false
-		for _, c := range w.directory.Calls()[from:] {
+		for _, c := range w.discovery.Calls()[from:] {
 			if complete = complete || c.Whole; c.Members > 0 && c.Revision == revision {
 				told++
 			}
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -15,11 +15,11 @@
 
 // Setup is what a run needs to know.
 type Setup struct {
-	Program string // path of the sidecar's program
-	Dir     string // an existing folder for configurations and logs
-	Core    int    // of the machine, for the sidecar alone to use; below 0 = it may use all
-	Only    string // sweeps whose name holds this; "" = all
-	Said    func(format string, args ...any)
+	Program  string // path of the sidecar's program
+	Dir      string // an existing folder for configurations and logs
+	Core     int    // of the machine, for the sidecar alone to use; below 0 = it may use all
+	Only     string // sweeps whose name holds this; "" = all
+	Progress func(format string, args ...any)
 }
 
 // SweepReport is a sweep with its points measured.
@@ -47,8 +47,8 @@
 
 // Run runs the plan. It returns what it has if ctx ends, with an error.
 func Run(ctx context.Context, s Setup, p Plan) (*Report, error) {
-	if s.Said == nil {
-		s.Said = func(string, ...any) {}
+	if s.Progress == nil {
+		s.Progress = func(string, ...any) {}
 	}
 	var err error
 	if s.Program, err = filepath.Abs(s.Program); err != nil {
@@ -61,13 +61,13 @@
 		}
 		got := SweepReport{Name: sweep.Name, Unit: sweep.Unit, Lines: map[string]Line{}, order: sweep.Figure}
 		for i, point := range sweep.Points {
-			if err := steady(ctx, s, p, &point); err != nil {
+			if err := measureUntilCalm(ctx, s, p, &point); err != nil {
 				return r, fmt.Errorf("%s, point %d of %d: %w", sweep.Name, i+1, len(sweep.Points), err)
 			}
 			got.Points = append(got.Points, point)
 			got.Sizes = append(got.Sizes, sweep.X(&point))
 			m := &point.Measured
-			s.Said("%s: %g %s: cpu %.2f ms/s, rss %.1f MB, probes %.1f/s, served %d of %d, load %.1f, stall %.0f ms, tries %d", sweep.Name, sweep.X(&point),
+			s.Progress("%s: %g %s: cpu %.2f ms/s, rss %.1f MB, probes %.1f/s, served %d of %d, load %.1f, stall %.0f ms, tries %d", sweep.Name, sweep.X(&point),
 				sweep.Unit, m.CPU, m.RSS/1024, m.Probes, m.Served, m.Requests, m.Load, m.StallMs, m.Tries)
 		}
 		for _, f := range sweep.Figure {
@@ -103,9 +103,9 @@
 	return strings.Join(strings.Fields(string(raw))[:min(3, len(strings.Fields(string(raw))))], " ")
 }
 
-// steady measures a point, again where the machine has held up the lab, and so the sidecar, for too long: of those runs the one
+// measureUntilCalm measures a point, again where the machine has held up the lab, and so the sidecar, for too long: of those runs the one
 // that was held up least.
-func steady(ctx context.Context, s Setup, p Plan, point *Point) error {
+func measureUntilCalm(ctx context.Context, s Setup, p Plan, point *Point) error {
 	for tries := 1; ; tries++ {
 		once := *point
 		once.Measured = Measured{}
@@ -116,7 +116,7 @@
 			*point = once
 		}
 		point.Measured.Tries = tries
-		if time.Duration(point.Measured.StallMs*float64(time.Millisecond)) <= maxStall || tries > p.Again {
+		if time.Duration(point.Measured.StallMs*float64(time.Millisecond)) <= maxStall || tries > p.MaxRepeats {
 			return nil
 		}
 	}
--- a/internal/testbench/capacity/sweep.go
+++ b/internal/testbench/capacity/sweep.go
@@ -25,37 +25,37 @@
 
 // Measured is what a point cost. Rates are a second's, over the window.
 type Measured struct {
-	Seconds       float64 `json:"seconds"`  // of the window
-	CPU           float64 `json:"cpu_ms_s"` // ms of the sidecar's processor time a second: 10 = 1% of a core
-	RSS           float64 `json:"rss_kb"`   // at the window's end
-	Probes        float64 `json:"probes_s"`
-	ProbeBytes    float64 `json:"probe_bytes_s"` // both ways, without TCP's, as all bytes here
-	Attempts      float64 `json:"attempts_s"`
-	AttemptBytes  float64 `json:"attempt_bytes_s"`
-	Connects      float64 `json:"connects_s"` // to tile servers
-	Open          int64   `json:"open"`       // connections to tile servers, at the window's end
-	Met           int64   `json:"met"`        // tile servers that ever had one
-	Lists         float64 `json:"lists_s"`
-	ListBytes     float64 `json:"list_bytes_s"`
-	LogBytes      float64 `json:"log_bytes_s"`
-	ScrapeBytes   int64   `json:"scrape_bytes"` // of one reading of /metrics
-	Changed       float64 `json:"changed_s"`    // changes that were made
-	Reloaded      float64 `json:"reloaded_s"`   // reloads that were in force
-	ClientsOpen   int     `json:"clients_open"` // of Clients, at the window's end
-	Requests      int     `json:"requests"`     // due in the window
-	Served        int     `json:"served"`       // of those
-	AddedP50      float64 `json:"added_p50_ms"` // what the sidecar and the paths to and from it add to a call, by the clock
-	AddedP99      float64 `json:"added_p99_ms"`
-	ReadyMs       float64 `json:"ready_ms"` // from the start until ready, by the clock
-	StartCPU      float64 `json:"start_cpu_ms"`
-	StartLists    int64   `json:"start_lists"` // until ready, as the next
-	StartWhole    int64   `json:"start_whole_lists"`
-	StartBytes    int64   `json:"start_list_bytes"`
-	StartProbes   int64   `json:"start_probes"`
-	StartConnects int64   `json:"start_connects"`
-	Load          float64 `json:"load1"`    // the machine's load average of the last minute, after it
-	StallMs       float64 `json:"stall_ms"` // the longest time in the window by which a timer of the lab came late
-	Tries         int     `json:"tries"`    // runs of the point, of which this was held up least
+	Seconds            float64 `json:"seconds"`  // of the window
+	CPU                float64 `json:"cpu_ms_s"` // ms of the sidecar's processor time a second: 10 = 1% of a core
+	RSS                float64 `json:"rss_kb"`   // at the window's end
+	Probes             float64 `json:"probes_s"`
+	ProbeBytes         float64 `json:"probe_bytes_s"` // both ways, without TCP's, as all bytes here
+	Attempts           float64 `json:"attempts_s"`
+	AttemptBytes       float64 `json:"attempt_bytes_s"`
+	Connects           float64 `json:"connects_s"` // to tile servers
+	Open               int64   `json:"open"`       // connections to tile servers, at the window's end
+	Contacted          int64   `json:"met"`        // tile servers that ever had one
+	Lists              float64 `json:"lists_s"`
+	ListBytes          float64 `json:"list_bytes_s"`
+	LogBytes           float64 `json:"log_bytes_s"`
+	ScrapeBytes        int64   `json:"scrape_bytes"` // of one reading of /metrics
+	Changed            float64 `json:"changed_s"`    // changes that were made
+	Reloaded           float64 `json:"reloaded_s"`   // reloads that were in force
+	ClientsOpen        int     `json:"clients_open"` // of Clients, at the window's end
+	Requests           int     `json:"requests"`     // due in the window
+	Served             int     `json:"served"`       // of those
+	AddedP50           float64 `json:"added_p50_ms"` // what the sidecar and the paths to and from it add to a call, by the clock
+	AddedP99           float64 `json:"added_p99_ms"`
+	ReadyMs            float64 `json:"ready_ms"` // from the start until ready, by the clock
+	StartCPU           float64 `json:"start_cpu_ms"`
+	StartLists         int64   `json:"start_lists"` // until ready, as the next
+	StartCompleteLists int64   `json:"start_whole_lists"`
+	StartBytes         int64   `json:"start_list_bytes"`
+	StartProbes        int64   `json:"start_probes"`
+	StartConnects      int64   `json:"start_connects"`
+	Load               float64 `json:"load1"`    // the machine's load average of the last minute, after it
+	StallMs            float64 `json:"stall_ms"` // the longest time in the window by which a timer of the lab came late
+	Tries              int     `json:"tries"`    // runs of the point, of which this was held up least
 }
 
 // Sweep changes one size of a sidecar's world.
@@ -93,7 +93,7 @@
 // Plan is what is run.
 type Plan struct {
 	Settle, Window time.Duration // of each point: before the window, and the window
-	Again          int           // further runs of a point for which the machine was held up, at most
+	MaxRepeats     int           // further runs of a point for which the machine was held up, at most
 	Sweeps         []Sweep
 	Module         []Point // of the module alone
 	ModuleSeconds  float64 // of its virtual time
@@ -111,7 +111,7 @@
 // Full returns the plan of the page's figures: some eight minutes.
 func Full() Plan {
 	p := plan(2*time.Second, 5*time.Second, []int{13, 600, 2000, 6000}, usualList, 1, 60, []int{60, 200, 600, 2000, 6000})
-	p.Again = 1
+	p.MaxRepeats = 1
 	return p
 }
 
--- a/internal/testbench/capacity/table.go
+++ b/internal/testbench/capacity/table.go
@@ -21,8 +21,8 @@
 		for i := range s.Points {
 			m := &s.Points[i].Measured
 			fmt.Fprintf(t, "%.4g\t%.2f\t%.1f\t%.1f\t%.0f\t%.1f\t%.1f\t%d\t%d\t%.1f\t%.0f\t%.0f\t%d/%d\t%.2f\t%.2f\t%.0f\t%.1f\t%d\t%d\t%d\t%.1f\t%.0f\t%d\t\n",
-				s.Sizes[i], m.CPU, m.RSS/1024, m.Probes, m.ProbeBytes, m.Attempts, m.Connects, m.Open, m.Met, m.Lists, m.ListBytes,
-				m.LogBytes, m.Served, m.Requests, m.AddedP50, m.AddedP99, m.ReadyMs, m.StartCPU, m.StartLists, m.StartWhole, m.StartBytes, m.Load,
+				s.Sizes[i], m.CPU, m.RSS/1024, m.Probes, m.ProbeBytes, m.Attempts, m.Connects, m.Open, m.Contacted, m.Lists, m.ListBytes,
+				m.LogBytes, m.Served, m.Requests, m.AddedP50, m.AddedP99, m.ReadyMs, m.StartCPU, m.StartLists, m.StartCompleteLists, m.StartBytes, m.Load,
 				m.StallMs, m.Tries)
 		}
 		if err := t.Flush(); err != nil {
--- a/internal/testbench/capacity/world.go
+++ b/internal/testbench/capacity/world.go
@@ -15,11 +15,11 @@
 // configure writes the sidecar's configuration, whose n-th version differs from the one before.
 func (w *world) configure(n int) error {
 	known := fakes.List{}
-	if !w.told.Unknown {
-		known = fakes.List{Revision: 1, Members: w.tiles.members()}
+	if !w.point.Unknown {
+		known = fakes.List{Revision: 1, Members: w.servers.endpoints()}
 	}
 	aim := fakes.Tile().Aim + time.Duration(n%2)*time.Millisecond
-	return w.sidecar.configure(w.told, w.directory.Address(), known, aim)
+	return w.sidecar.configure(w.point, w.discovery.Address(), known, aim)
 }
 
 // reload gives the sidecar its next configuration.
@@ -32,10 +32,10 @@
 
 // change has the directory tell that one server has started anew.
 func (w *world) change(n int) {
-	all := w.tiles.members()
+	all := w.servers.endpoints()
 	one := all[n%len(all)]
 	one.UpSince = time.Now().UnixMilli()
-	w.directory.Change(one)
+	w.discovery.Change(one)
 	w.changed.Add(1)
 }
 
@@ -77,14 +77,14 @@
 		}
 		w.open.Add(1)
 		go func() {
-			_, _ = br.ReadByte() // until the sidecar, or hangUp, closes it
+			_, _ = br.ReadByte() // until the sidecar, or closeClients, closes it
 			w.open.Add(-1)
 		}()
 	}
 	return nil
 }
 
-func (w *world) hangUp() {
+func (w *world) closeClients() {
 	for _, c := range w.clients {
 		c.Close()
 	}
--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -35,8 +35,8 @@
 	Discernible bool       `json:"discernible"` // a sign test rejects, at 5%, that either is as likely
 }
 
-// figures are what is compared.
-var figures = []struct {
+// comparedMetrics are what is compared.
+var comparedMetrics = []struct {
 	name string
 	of   func(*Report) float64
 }{
@@ -80,7 +80,7 @@
 			c.BrokenB++
 		}
 	}
-	for _, f := range figures {
+	for _, f := range comparedMetrics {
 		var as, bs []float64
 		for _, r := range reports {
 			as, bs = append(as, f.of(r[0])), append(bs, f.of(r[1]))
--- a/internal/testbench/emulator/compare_test.go
+++ b/internal/testbench/emulator/compare_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCompareIsPaired(t *testing.T) {
-	a := day("least", Fault{Name: "neighbour"})
+	a := dayWith("least", Fault{Name: "neighbour"})
 	a.Seconds = 6
 	c, err := Compare(context.Background(), a, a, 3, 2)
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	worlds := map[string][]float64{} // what a policy must leave as it is
 	for _, policy := range []string{"module", "random"} {
-		cfg := day(policy, Fault{Name: "deploy", For: 3, Part: 0.3, Size: 0.1, Every: 1},
+		cfg := dayWith(policy, Fault{Name: "deploy", For: 3, Part: 0.3, Size: 0.1, Every: 1},
 			Fault{Name: "silence", For: 4})
 		w, err := newWorld(cfg, Options{})
 		if err == nil {
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -51,7 +51,7 @@
 	incarnation := sc.incarnation
 	d.world.at(sc.notifiedUntil, func() {
 		switch {
-		case !sc.up || sc.incarnation != incarnation || d.down:
+		case !sc.running || sc.incarnation != incarnation || d.down:
 		case changes == nil:
 			sc.endpointsUpdated(d.endpoints, true)
 		default:
--- a/internal/testbench/emulator/discovery_test.go
+++ b/internal/testbench/emulator/discovery_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	until := func(t policy.Ms) {
-		for w.heap[0].at <= t {
+		for w.heap[0].time <= t {
 			w.next()()
 		}
 	}
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -95,23 +95,23 @@
 	}
 }
 
-// day is a world for troubles and mutants: the calm part, the trouble from 3 s on.
-func day(policy string, troubles ...Fault) Config {
+// dayWith is a world for troubles and mutants: the calm part, the trouble from 3 s on.
+func dayWith(policy string, faults ...Fault) Config {
 	c := Default(4, 10)
-	c.Policy, c.Seconds, c.Faults = policy, 12, troubles
-	for i := range troubles {
-		troubles[i].At = 3
+	c.Policy, c.Seconds, c.Faults = policy, 12, faults
+	for i := range faults {
+		faults[i].At = 3
 	}
 	return c
 }
 
 func TestEmptyDays(t *testing.T) {
-	none := day("module")
+	none := dayWith("module")
 	none.Rate = 0
 	if r := play(t, none, nil); r.Requests != 0 || r.Service != 1 || !r.Ok() || strings.Contains(text(t, r), "NaN") {
 		t.Errorf("no arrivals: %s", brief(r))
 	}
-	all := day("module", Fault{Name: "silence", For: 20, Part: 1})
+	all := dayWith("module", Fault{Name: "silence", For: 20, Part: 1})
 	if r := play(t, all, nil); r.Rows[8].Service != 0 || !r.Ok() {
 		t.Errorf("all servers silent: %s", brief(r))
 	}
--- a/internal/testbench/emulator/fault.go
+++ b/internal/testbench/emulator/fault.go
@@ -74,7 +74,7 @@
 			[2]float64{0.05, 0.2},
 			[2]float64{0.4, 1},
 			[2]float64{},
-			failures,
+			failRequests,
 		},
 		{
 			"neighbour", "another program takes a part (size) of the machine of a part of the servers, on and off (every)",
@@ -90,7 +90,7 @@
 			[2]float64{0.01, 0.03},
 			[2]float64{5, 30},
 			[2]float64{},
-			dear,
+			costlyRequests,
 		},
 		{
 			"deploy", "a part of the servers is replaced, a batch (size, of all) at a time, each after a drain (every)",
@@ -138,7 +138,7 @@
 			[2]float64{0.1, 0.4},
 			[2]float64{},
 			[2]float64{},
-			pause,
+			pauseServers,
 		},
 		{
 			"resets", "a part of what is sent ends in a reset",
@@ -154,7 +154,7 @@
 			[2]float64{},
 			[2]float64{},
 			[2]float64{},
-			directoryDown,
+			discoveryDown,
 		},
 		{
 			"surge", "a multiple (size) of the usual arrivals",
--- a/internal/testbench/emulator/fault_fleet.go
+++ b/internal/testbench/emulator/fault_fleet.go
@@ -20,7 +20,7 @@
 	w.note("restart: %d sidecars are killed", n)
 	for _, i := range rng.Perm(len(w.sidecars))[:n] {
 		sc := w.sidecars[i]
-		if sc.up {
+		if sc.running {
 			sc.kill()
 			w.after(t.For*1000*(0.5+rng.Float64()/2), sc.start)
 		}
@@ -36,7 +36,7 @@
 	})
 }
 
-func directoryDown(w *world, t Fault, _ *rand.Rand) {
+func discoveryDown(w *world, t Fault, _ *rand.Rand) {
 	w.discovery.stop()
 	w.note("the directory is down")
 	w.after(t.For*1000, func() {
--- a/internal/testbench/emulator/fault_servers.go
+++ b/internal/testbench/emulator/fault_servers.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// some are a part of the servers, one at least, and their numbers.
-func (w *world) some(part float64, rng *rand.Rand) ([]*machine, string) {
+// someServers are a part of the servers, one at least, and their numbers.
+func (w *world) someServers(part float64, rng *rand.Rand) ([]*machine, string) {
 	all := w.alive()
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	all = all[:min(len(all), max(1, int(math.Round(part*float64(len(all))))))]
@@ -21,9 +21,9 @@
 	return all, strings.Join(ids, " ")
 }
 
-// upon does something to a part of the servers, and undoes it when the trouble is over, where the process is the same.
-func upon(w *world, t Fault, rng *rand.Rand, do, undo func(*machine)) {
-	some, ids := w.some(t.Part, rng)
+// forSomeServers does something to a part of the servers, and undoes it when the trouble is over, where the process is the same.
+func forSomeServers(w *world, t Fault, rng *rand.Rand, do, undo func(*machine)) {
+	some, ids := w.someServers(t.Part, rng)
 	w.note("%s begins at servers %s", t.Name, ids)
 	for _, m := range some {
 		do(m)
@@ -43,7 +43,7 @@
 		silentZone(w, t)
 		return
 	}
-	upon(w, t, rng, func(m *machine) { m.phase = silent }, func(m *machine) {
+	forSomeServers(w, t, rng, func(m *machine) { m.phase = silent }, func(m *machine) {
 		if m.phase == silent {
 			m.start()
 		}
@@ -67,17 +67,17 @@
 	w.after(t.For*1000, func() { w.note("silence ends") })
 }
 
-func failures(w *world, t Fault, rng *rand.Rand) {
-	upon(w, t, rng, func(m *machine) { m.failing = t.Size }, func(m *machine) { m.failing = 0 })
+func failRequests(w *world, t Fault, rng *rand.Rand) {
+	forSomeServers(w, t, rng, func(m *machine) { m.failing = t.Size }, func(m *machine) { m.failing = 0 })
 }
 
-func pause(w *world, t Fault, rng *rand.Rand) {
-	upon(w, t, rng, func(m *machine) { m.settle(); m.paused = true }, func(m *machine) { m.settle(); m.paused = false })
+func pauseServers(w *world, t Fault, rng *rand.Rand) {
+	forSomeServers(w, t, rng, func(m *machine) { m.settle(); m.paused = true }, func(m *machine) { m.settle(); m.paused = false })
 }
 
 func neighbour(w *world, t Fault, rng *rand.Rand) {
 	until := w.now + t.For*1000
-	upon(w, t, rng, func(m *machine) {
+	forSomeServers(w, t, rng, func(m *machine) {
 		h, place := m.host, len(m.host.taken) // the process may be replaced meanwhile: the neighbour stays
 		h.taken = append(h.taken, 0)
 		set := func(part float64) {
@@ -97,7 +97,7 @@
 	}, func(*machine) {})
 }
 
-func dear(w *world, t Fault, _ *rand.Rand) {
+func costlyRequests(w *world, t Fault, _ *rand.Rand) {
 	class := slices.IndexFunc(w.cfg.Classes, func(k Class) bool { return k.Name == t.Class })
 	w.costly = append(w.costly, costly{class, t.Part, t.Size})
 	w.note("costly begins: %.1f%% of %s need %.1f times the work", 100*t.Part, t.Class, t.Size)
@@ -119,7 +119,7 @@
 
 // replace drains servers in batches, ends each after its drain and starts one with a new id in its place.
 func replace(w *world, t Fault, rng *rand.Rand, batch float64, change func(*machine)) {
-	some, ids := w.some(t.Part, rng)
+	some, ids := w.someServers(t.Part, rng)
 	n := max(1, int(math.Round(batch*float64(len(w.alive())))))
 	batches := float64((len(some) + n - 1) / n)
 	w.note("%s begins: %d at a time of servers %s", t.Name, n, ids)
--- a/internal/testbench/emulator/fault_test.go
+++ b/internal/testbench/emulator/fault_test.go
@@ -7,7 +7,7 @@
 func TestEachFaultChangesWhatItShould(t *testing.T) {
 	calm := map[string]*Report{}
 	for _, p := range []string{"random", "module"} {
-		calm[p] = play(t, day(p), nil)
+		calm[p] = play(t, dayWith(p), nil)
 	}
 	for _, c := range []struct {
 		policy string
@@ -45,19 +45,19 @@
 			return r.Rows[4].Requests > 2*c.Rows[4].Requests && r.Rows[4].Service < c.Rows[4].Service
 		}},
 	} {
-		if r := play(t, day(c.policy, c.t), nil); !c.shows(r, calm[c.policy]) || !r.Ok() {
+		if r := play(t, dayWith(c.policy, c.t), nil); !c.shows(r, calm[c.policy]) || !r.Ok() {
 			t.Errorf("%s does not show, or a rule is broken: %s", c.t.Name, brief(r))
 		}
 	}
 	deploy := Fault{Name: "deploy", For: 3, Part: 0.5, Size: 0.1, Every: 1}
-	told := play(t, day("module", deploy), nil)
-	slow := play(t, day("module", Fault{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
-	mute := play(t, day("module", Fault{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
+	told := play(t, dayWith("module", deploy), nil)
+	slow := play(t, dayWith("module", Fault{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
+	mute := play(t, dayWith("module", Fault{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
 	if slow.MeanMs < told.MeanMs+10 || slow.Requests != told.Requests || mute.Probes < told.Probes+0.1 {
 		t.Errorf("a deploy: %s, %.3f probes; a slow one: %s; a mute one: %.3f probes", brief(told), told.Probes,
 			brief(slow), mute.Probes)
 	}
-	hidden := play(t, day("module", deploy, Fault{Name: "directory", For: 8}), nil)
+	hidden := play(t, dayWith("module", deploy, Fault{Name: "directory", For: 8}), nil)
 	if hidden.Service >= told.Service-0.02 {
 		t.Errorf("a deploy that the directory hides: %.3f are served, one that it tells: %.3f", hidden.Service,
 			told.Service)
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -38,7 +38,7 @@
 
 // step is a line of a request's story.
 type step struct {
-	at     policy.Ms
+	time   policy.Ms
 	what   string
 	server policy.ServerID
 	status policy.Status
@@ -47,7 +47,7 @@
 var statusNames = [...]string{"ok", "failed", "full", "timed out", "no connection", "reset", "cancelled", "not sent"}
 
 func (s step) String() string {
-	line := fmt.Sprintf("%.4f s %s", (s.at-lead)/1000, s.what)
+	line := fmt.Sprintf("%.4f s %s", (s.time-lead)/1000, s.what)
 	if s.server != 0 {
 		line += fmt.Sprintf(" server %d", s.server)
 	}
@@ -65,10 +65,10 @@
 	return out
 }
 
-// outcomeShare is worth: how much was asked for and how much of that was answered in time.
-type outcomeShare struct{ requested, served float64 }
+// servedFraction is worth: how much was asked for and how much of that was answered in time.
+type servedFraction struct{ requested, served float64 }
 
-func (p outcomeShare) ratio() float64 {
+func (p servedFraction) ratio() float64 {
 	if p.requested == 0 {
 		return 1
 	}
@@ -82,11 +82,11 @@
 	broken   map[Rule]int
 	timeline []string
 
-	all           outcomeShare
-	seconds       []outcomeShare // by the second of the arrival
-	inTime        []outcomeShare // the same, each request counting for one
-	classes       []outcomeShare
-	tenants       []outcomeShare // within their shares
+	all           servedFraction
+	seconds       []servedFraction // by the second of the arrival
+	inTime        []servedFraction // the same, each request counting for one
+	classes       []servedFraction
+	tenants       []servedFraction // within their shares
 	quota         []bucket
 	rows          []Row
 	tally         Row // of the second that runs
@@ -108,16 +108,16 @@
 
 // bucket is a tenant's share: a second's quota may come at once.
 type bucket struct {
-	tokens float64
-	at     policy.Ms
+	tokens     float64
+	refilledAt policy.Ms
 }
 
 func newJudge(w *world) *judge {
 	j := &judge{
-		world: w, broken: map[Rule]int{}, classes: make([]outcomeShare, len(w.cfg.Classes)),
-		tenants: make([]outcomeShare, len(w.cfg.Tenants)), quota: make([]bucket, len(w.cfg.Tenants)),
-		seconds: make([]outcomeShare, int(math.Ceil(w.cfg.Seconds))),
-		inTime:  make([]outcomeShare, int(math.Ceil(w.cfg.Seconds))),
+		world: w, broken: map[Rule]int{}, classes: make([]servedFraction, len(w.cfg.Classes)),
+		tenants: make([]servedFraction, len(w.cfg.Tenants)), quota: make([]bucket, len(w.cfg.Tenants)),
+		seconds: make([]servedFraction, int(math.Ceil(w.cfg.Seconds))),
+		inTime:  make([]servedFraction, int(math.Ceil(w.cfg.Seconds))),
 	}
 	for t := range j.quota {
 		j.quota[t] = bucket{max(5, w.cfg.quota(t)), lead}
@@ -147,35 +147,35 @@
 // ---- What is asked for and served.
 
 // requestArrived notes a first try and says whether it is within its tenant's share.
-func (j *judge) requestArrived(a *clientRequest) (inShare bool) {
-	inShare = true
+func (j *judge) requestArrived(a *clientRequest) (withinQuota bool) {
+	withinQuota = true
 	if a.tenant >= 0 {
 		q, k := j.world.cfg.quota(a.tenant), &j.quota[a.tenant]
-		k.tokens, k.at = min(max(5, q), k.tokens+q*(j.world.now-k.at)/1000), j.world.now
-		if inShare = k.tokens >= 1; inShare {
+		k.tokens, k.refilledAt = min(max(5, q), k.tokens+q*(j.world.now-k.refilledAt)/1000), j.world.now
+		if withinQuota = k.tokens >= 1; withinQuota {
 			k.tokens--
 		}
 	}
-	a.withinQuota = inShare
+	a.withinQuota = withinQuota
 	j.requestCount++
 	j.tally.Requests++
 	j.workRequested += a.work
 	j.inTime[int((a.arrivedAt-lead)/1000)].requested++
-	j.each(a, func(p *outcomeShare, worth float64) { p.requested += worth })
-	return inShare
+	j.addOutcome(a, func(p *servedFraction, worth float64) { p.requested += worth })
+	return withinQuota
 }
 
-// each does do for all that a request counts to.
-func (j *judge) each(a *clientRequest, do func(p *outcomeShare, worth float64)) {
-	worth := j.world.cfg.Classes[a.class].PriorityWeight
+// addOutcome does do for all that a request counts to.
+func (j *judge) addOutcome(a *clientRequest, do func(p *servedFraction, weight float64)) {
+	weight := j.world.cfg.Classes[a.class].PriorityWeight
 	if !a.withinQuota {
-		worth *= j.world.cfg.Rules.OverQuotaWeight
+		weight *= j.world.cfg.Rules.OverQuotaWeight
 	}
-	do(&j.all, worth)
-	do(&j.classes[a.class], worth)
-	do(&j.seconds[int((a.arrivedAt-lead)/1000)], worth)
+	do(&j.all, weight)
+	do(&j.classes[a.class], weight)
+	do(&j.seconds[int((a.arrivedAt-lead)/1000)], weight)
 	if a.tenant >= 0 && a.withinQuota {
-		do(&j.tenants[a.tenant], worth)
+		do(&j.tenants[a.tenant], weight)
 	}
 }
 
@@ -190,17 +190,17 @@
 	j.servedCount++
 	j.took += took
 	j.workUsed += r.work
-	share := 1.0
+	fraction := 1.0
 	if took > class.LatencyObjectiveMs {
 		j.late++
 		j.tally.Late++
-		share = class.LateWeight
+		fraction = class.LateWeight
 	} else {
 		j.inObjective++
 		j.tally.InObjective++
 		j.inTime[int((a.arrivedAt-lead)/1000)].served++
 	}
-	j.each(a, func(p *outcomeShare, worth float64) { p.served += worth * share })
+	j.addOutcome(a, func(p *servedFraction, worth float64) { p.served += worth * fraction })
 }
 
 func (j *judge) waited(ms float64) {
@@ -222,7 +222,7 @@
 }
 
 func (j *judge) log(r *request, s step) {
-	s.at = j.world.now
+	s.time = j.world.now
 	r.log = append(r.log, s)
 }
 
@@ -254,8 +254,8 @@
 // drained looks at a send, both when it is decided and when its first byte goes out.
 func (j *judge) drained(sc *sidecar, r *request, k *knownServer, what string) {
 	if late := j.world.now - k.notifiedAt - j.world.cfg.Rules.DrainGrace; k.health != policy.Ready && late > slackMs {
-		told := step{at: k.notifiedAt, what: "told to leave", server: k.machine.id}
-		j.breach(Drained, sc, r, k.machine.id, append([]string{told.String()}, j.steps(r)...),
+		notified := step{time: k.notifiedAt, what: "told to leave", server: k.machine.id}
+		j.breach(Drained, sc, r, k.machine.id, append([]string{notified.String()}, j.steps(r)...),
 			"%s %.0f ms after the grace", what, late)
 	}
 }
@@ -301,20 +301,20 @@
 // told of its start.
 func (j *judge) fallen(m *machine) {
 	j.falls++
-	told := 0.0
+	notifiedWork := 0.0
 	for _, p := range m.arrivals {
 		if p.notified {
-			told += p.work
+			notifiedWork += p.work
 		}
 	}
 	j.world.note("server %d is pushed over: %.0f ms of work in %.1f s at %.2f of its capacity", m.id, m.arrivedWork,
 		j.world.cfg.Rules.OverloadWindow/1000, m.slowStartFraction())
-	if told < notifiedPart*m.arrivedWork {
+	if notifiedWork < notifiedPart*m.arrivedWork {
 		return
 	}
 	var lines []string
 	for _, p := range m.arrivals[max(0, len(m.arrivals)-pushesShown):] {
-		lines = append(lines, fmt.Sprintf("%.4f s sidecar %d brings %.1f ms of work", (p.at-lead)/1000, p.from.number,
+		lines = append(lines, fmt.Sprintf("%.4f s sidecar %d brings %.1f ms of work", (p.time-lead)/1000, p.from.number,
 			p.work))
 	}
 	j.breach(ColdServer, nil, nil, m.id, lines,
--- a/internal/testbench/emulator/network.go
+++ b/internal/testbench/emulator/network.go
@@ -64,7 +64,7 @@
 			a.conn = &conn{machine: m, index: len(m.conns), attempt: a}
 			m.conns = append(m.conns, a.conn)
 			m.maxConns = max(m.maxConns, len(m.conns))
-			m.busy(w.cfg.Server.Handshake)
+			m.addOverhead(w.cfg.Server.Handshake)
 			w.judge.handshakes++
 			w.after(w.delay(m.zone, sc.zone), func() { sc.connected(a) })
 		}
@@ -83,7 +83,7 @@
 		case a.request == nil:
 			m.probe(a)
 		default:
-			m.take(a)
+			m.acceptRequest(a)
 		}
 	})
 }
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -38,27 +38,27 @@
 func OverloadReports() []string { return []string{"none", "queued", "full"} }
 
 const (
-	overloadLength = 30.0 // s
-	overloadFrom   = 4.0  // s from which the calm part counts,
-	overloadAt     = 10.0 // to the event, also where there is none
-	overloadBack   = 5.0  // s after the event's end from which the part after it counts
-	overloadStep   = 2    // s over which a share is averaged to say when it is back
-	overloadStream = 2000 // of the day's streams
-	overloadNear   = 0.05 // of the calm part's share, at which it is
-	overloadBears  = 0.88 // of what the cores can do: more, and even a policy that sees all chokes servers or turns away
+	overloadSeconds         = 30.0 // s
+	overloadCalmStart       = 4.0  // s from which the calm part counts,
+	overloadEventStart      = 10.0 // to the event, also where there is none
+	overloadRecoverySeconds = 5.0  // s after the event's end from which the part after it counts
+	overloadAverageSeconds  = 2    // s over which a share is averaged to say when it is back
+	overloadStream          = 2000 // of the day's streams
+	overloadRecoveredMargin = 0.05 // of the calm part's share, at which it is
+	overloadUsableCapacity  = 0.88 // of what the cores can do: more, and even a policy that sees all chokes servers or turns away
 )
 
 // overloadEvent is the trouble of an event, and how long it lasts in s.
-func overloadEvent(name string) (troubles []Fault, long float64, err error) {
+func overloadEvent(name string) (faults []Fault, duration float64, err error) {
 	switch name {
 	case "none":
 		return nil, 0, nil
 	case "burst":
-		return []Fault{{Name: "surge", At: overloadAt, For: 2, Size: 3}}, 2, nil
+		return []Fault{{Name: "surge", At: overloadEventStart, For: 2, Size: 3}}, 2, nil
 	case "swell":
-		return []Fault{{Name: "surge", At: overloadAt, For: 5, Size: 1.5}}, 5, nil
+		return []Fault{{Name: "surge", At: overloadEventStart, For: 5, Size: 1.5}}, 5, nil
 	case "zone":
-		return []Fault{{Name: "silence", At: overloadAt, For: 5, Zone: 1}}, 5, nil
+		return []Fault{{Name: "silence", At: overloadEventStart, For: 5, Zone: 1}}, 5, nil
 	}
 	return nil, 0, fmt.Errorf("event: there is no %q; there are %v", name, OverloadEvents())
 }
@@ -67,7 +67,7 @@
 // that may not be repeated, half of whose time is a wait for others, and clients that come again after a refusal.
 func (o Overload) Config() (Config, error) {
 	c := Default(o.Sidecars, o.Servers)
-	c.Seconds, c.Seed, c.Policy, c.ZoneSkew = overloadLength, o.Seed, o.Policy, o.ZoneSkew
+	c.Seconds, c.Seed, c.Policy, c.ZoneSkew = overloadSeconds, o.Seed, o.Policy, o.ZoneSkew
 	c.Kinds = []Kind{
 		{Fraction: 0.44, Cores: 2, Speed: [2]float64{1.5, 2.1}},
 		{Fraction: 0.56, Cores: 2, Speed: [2]float64{0.77, 1}},
@@ -83,7 +83,7 @@
 		backoff = float64(rng.IntN(2)) * between(rng, [2]float64{50, 400})
 	}
 	bear := c.capacity() / work * 1000 // requests a second
-	c.Rate = o.Load * overloadBears * bear
+	c.Rate = o.Load * overloadUsableCapacity * bear
 	c.Classes = []Class{{
 		Name: "hold", Fraction: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, LatencyObjectiveMs: 1000,
 		DeadlineMs: 5000, PriorityWeight: 1, NonIdempotent: true,
@@ -95,8 +95,8 @@
 		c.Classes = append(c.Classes, worthy)
 	}
 	c.Tenants = nil
-	for i, share := range []float64{0.24, 0.22, 0.22, 0.1, 0.08, 0.05, 0.05, 0.04} {
-		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Fraction: share, Quota: 0.785 * bear * share})
+	for i, fraction := range []float64{0.24, 0.22, 0.22, 0.1, 0.08, 0.05, 0.05, 0.04} {
+		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Fraction: fraction, Quota: 0.785 * bear * fraction})
 	}
 	s := &c.Server
 	s.Slots, s.QueueCapacity, s.OverloadLoss = slots, 1000, 0
@@ -162,20 +162,20 @@
 		Best: report.Classes[len(report.Classes)-1].Service, Attempts: report.Attempts, Probes: report.Probes,
 		Shakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
 	}
-	asked := math.Max(1, float64(report.Requests))
-	r.Share = float64(report.InObjective) / asked
-	ends := o.ends()
-	r.Before = inTime(report.Rows, overloadFrom, overloadAt)
-	r.During = inTime(report.Rows, overloadAt, ends+overloadBack)
-	r.After = inTime(report.Rows, ends+overloadBack, overloadLength)
-	r.Back = back(report.Rows, int(ends), r.Before-overloadNear)
+	requests := math.Max(1, float64(report.Requests))
+	r.Share = float64(report.InObjective) / requests
+	ends := o.eventEnd()
+	r.Before = inTime(report.Rows, overloadCalmStart, overloadEventStart)
+	r.During = inTime(report.Rows, overloadEventStart, ends+overloadRecoverySeconds)
+	r.After = inTime(report.Rows, ends+overloadRecoverySeconds, overloadSeconds)
+	r.Back = secondsUntilRecovered(report.Rows, int(ends), r.Before-overloadRecoveredMargin)
 	for i, row := range report.Rows {
-		r.Refused += float64(row.Rejected) / asked
-		r.Failed += float64(row.Failed) / asked
-		r.Tries += float64(row.Tries) / asked
-		r.TimedOut += float64(row.TimedOut) / asked
-		if i >= overloadAt && i < overloadLength {
-			r.Choked += float64(row.Jammed) / float64(o.Servers) / (overloadLength - overloadAt)
+		r.Refused += float64(row.Rejected) / requests
+		r.Failed += float64(row.Failed) / requests
+		r.Tries += float64(row.Tries) / requests
+		r.TimedOut += float64(row.TimedOut) / requests
+		if i >= overloadEventStart && i < overloadSeconds {
+			r.Choked += float64(row.Jammed) / float64(o.Servers) / (overloadSeconds - overloadEventStart)
 		}
 	}
 	for _, n := range report.Broken {
@@ -185,25 +185,25 @@
 }
 
 // endsAt is when the event is over, in s.
-func (o Overload) ends() float64 {
+func (o Overload) eventEnd() float64 {
 	_, long, _ := overloadEvent(o.Event)
-	return overloadAt + long
+	return overloadEventStart + long
 }
 
 // inTime is the share of the first tries of those seconds that were answered within the aim.
 func inTime(rows []Row, from, to float64) float64 {
-	p := outcomeShare{}
+	p := servedFraction{}
 	for _, r := range rows[min(len(rows), int(from)):min(len(rows), int(to))] {
 		p.requested, p.served = p.requested+float64(r.Requests), p.served+r.InTime*float64(r.Requests)
 	}
 	return p.ratio()
 }
 
-// back is how long after a second the share, averaged, reaches want and stays; -1 if it doesn't.
-func back(rows []Row, from int, want float64) float64 {
-	last := int(overloadLength) - overloadStep
+// secondsUntilRecovered is how long after a second the share, averaged, reaches want and stays; -1 if it doesn't.
+func secondsUntilRecovered(rows []Row, from int, want float64) float64 {
+	last := int(overloadSeconds) - overloadAverageSeconds
 	for at := last; at >= from; at-- {
-		if inTime(rows, float64(at), float64(at+overloadStep)) >= want {
+		if inTime(rows, float64(at), float64(at+overloadAverageSeconds)) >= want {
 			continue
 		}
 		if at == last {
@@ -226,9 +226,9 @@
 	finished := make(chan *OverloadResult)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, workers))
-	told := make(chan struct{})
+	reported := make(chan struct{})
 	go func() {
-		defer close(told)
+		defer close(reported)
 		for r := range finished {
 			if done != nil {
 				done(r)
@@ -245,7 +245,7 @@
 	}
 	err := g.Wait()
 	close(finished)
-	<-told
+	<-reported
 	if err != nil {
 		return nil, err
 	}
@@ -312,7 +312,7 @@
 	fmt.Fprintln(t, "most - least\t")
 	for _, row := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%g\t", row.Event, row.Reports, row.Load)
-		least, most := math.Inf(1), math.Inf(-1)
+		lowest, highest := math.Inf(1), math.Inf(-1)
 		target := 0.0 // before the event, by any number of sidecars: what is far below it is not back
 		for _, n := range sizes {
 			var before, runs float64
@@ -324,21 +324,21 @@
 			target = max(target, before/max(1, runs))
 		}
 		for _, n := range sizes {
-			var after, share, runs float64
+			var after, wholeDay, runs float64
 			soon := 0
 			for _, r := range results {
 				if r.Sidecars != n || r.row() != row {
 					continue
 				}
-				after, share, runs = after+r.After, share+r.Share, runs+1
-				if late := back(r.Rows, int(r.ends()), target-overloadNear); late >= 0 && late <= overloadBack {
+				after, wholeDay, runs = after+r.After, wholeDay+r.Share, runs+1
+				if late := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target-overloadRecoveredMargin); late >= 0 && late <= overloadRecoverySeconds {
 					soon++
 				}
 			}
-			fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, share/runs, soon, runs)
-			least, most = min(least, after/runs), max(most, after/runs)
+			fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, wholeDay/runs, soon, runs)
+			lowest, highest = min(lowest, after/runs), max(highest, after/runs)
 		}
-		fmt.Fprintf(t, "%.3f\t\n", most-least)
+		fmt.Fprintf(t, "%.3f\t\n", highest-lowest)
 	}
 }
 
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -70,7 +70,7 @@
 
 func TestOnlyReportsAreRemoved(t *testing.T) {
 	for _, none := range []bool{false, true} {
-		cfg := day("module")
+		cfg := dayWith("module")
 		cfg.Server.NoReport, cfg.Seconds = none, 3
 		answered, told := 0, 0
 		play(t, cfg, func(_ int, p Policy) Policy {
@@ -89,7 +89,7 @@
 }
 
 func TestSilentZoneComesBackWarm(t *testing.T) {
-	cfg := day("module", Fault{Name: "silence", For: 4, Zone: 2})
+	cfg := dayWith("module", Fault{Name: "silence", For: 4, Zone: 2})
 	r := play(t, cfg, nil)
 	if r.Rows[1].Silent != 0 || r.Rows[4].Silent != 2 || r.Rows[7].Silent != 0 || !r.Ok() {
 		t.Errorf("a zone of 2 servers is silent from 3 to 7 s: %s", text(t, r))
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rate := 0.5 * overloadBears * cfg.capacity() * 1000 / cfg.Classes[0].WorkMs; math.Abs(cfg.Rate-rate) > 1e-9 {
+	if rate := 0.5 * overloadUsableCapacity * cfg.capacity() * 1000 / cfg.Classes[0].WorkMs; math.Abs(cfg.Rate-rate) > 1e-9 {
 		t.Errorf("%v requests a second, want %v", cfg.Rate, rate)
 	}
 	var out bytes.Buffer
@@ -144,22 +144,22 @@
 }
 
 func TestRecoveryTimeIsWhenTheShareIsWhatItWas(t *testing.T) {
-	rows := make([]Row, overloadLength+5)
+	rows := make([]Row, overloadSeconds+5)
 	share := func(from, to int, v float64) {
 		for i := from; i < to; i++ {
 			rows[i] = Row{Second: i, Requests: 10, InTime: v}
 		}
 	}
-	share(0, overloadLength, 0.9)
-	if got := back(rows, 12, 0.85); got != 0 {
+	share(0, overloadSeconds, 0.9)
+	if got := secondsUntilRecovered(rows, 12, 0.85); got != 0 {
 		t.Errorf("never away: back after %v s", got)
 	}
 	share(10, 15, 0.1)
-	if got := back(rows, 12, 0.85); got != 3 {
+	if got := secondsUntilRecovered(rows, 12, 0.85); got != 3 {
 		t.Errorf("low to 15 s, from 12 s on: back after %v s, want 3", got)
 	}
-	share(10, overloadLength, 0.1)
-	if got := back(rows, 12, 0.85); got != -1 {
+	share(10, overloadSeconds, 0.1)
+	if got := secondsUntilRecovered(rows, 12, 0.85); got != -1 {
 		t.Errorf("low to the end: back after %v s, want -1", got)
 	}
 	if got := inTime(rows, 8, 12); math.Abs(got-0.5) > 1e-9 {
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -107,12 +107,12 @@
 
 const window = 10 // seconds
 
-// worst is the worst window's share and where it begins.
-func (j *judge) worst() (share float64, at int) {
+// worstWindow is the worst window's share and where it begins.
+func (j *judge) worstWindow() (share float64, at int) {
 	full := j.seconds
 	share = 2
 	for from := 0; from == 0 || from+window <= len(full); from++ {
-		sum := outcomeShare{}
+		sum := servedFraction{}
 		for _, s := range full[from:min(len(full), from+window)] {
 			sum.requested, sum.served = sum.requested+s.requested, sum.served+s.served
 		}
@@ -135,7 +135,7 @@
 	for _, t := range c.Faults {
 		r.Faults = append(r.Faults, t.String())
 	}
-	worstWindow, worstWindowAt := j.worst()
+	worstWindow, worstWindowAt := j.worstWindow()
 	r.WorstWindow = worstWindow
 	r.WorstWindowAt = float64(worstWindowAt)
 	for i, p := range j.classes {
@@ -146,14 +146,14 @@
 		r.Tenants = append(r.Tenants, ServiceShare{c.Tenants[i].Name, p.ratio()})
 		r.WorstTenant = min(r.WorstTenant, p.ratio())
 	}
-	asked := max(1, float64(j.requestCount))
+	requests := max(1, float64(j.requestCount))
 	r.MeanMs = j.took / max(1, float64(j.servedCount))
 	r.WaitMs = j.waits / max(1, float64(j.begun))
 	if j.workRequested > 0 {
 		r.Waste = max(0, j.workDone-j.workUsed) / j.workRequested
 	}
-	r.Attempts, r.Probes = float64(j.attempts)/asked, float64(j.probes)/asked
-	r.CrossZone, r.Handshakes = float64(j.crossZone)/asked, float64(j.handshakes)/asked
+	r.Attempts, r.Probes = float64(j.attempts)/requests, float64(j.probes)/requests
+	r.CrossZone, r.Handshakes = float64(j.crossZone)/requests, float64(j.handshakes)/requests
 	looks := 0
 	for _, m := range w.machines {
 		r.MaxProbes = max(r.MaxProbes, float64(m.probes)/c.Seconds)
--- a/internal/testbench/emulator/schedule.go
+++ b/internal/testbench/emulator/schedule.go
@@ -4,12 +4,12 @@
 
 // event is something that is due.
 type event struct {
-	at  policy.Ms
-	seq uint64 // of two for the same moment the one entered first is due first
-	do  func()
+	time policy.Ms
+	seq  uint64 // of two for the same moment the one entered first is due first
+	act  func()
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e *event) before(o *event) bool { return e.time < o.time || e.time == o.time && e.seq < o.seq }
 
 // schedule is virtual time: what is due, in order. It is a heap of its own, since container/heap would box every event,
 // and four wide, since a world holds some 100,000 of them and most are timers that matter no more when they are due.
@@ -58,7 +58,7 @@
 		}
 		h[i], i = h[earliest], earliest
 	}
-	a.now = first.at
+	a.now = first.time
 	a.processed++
-	return first.do
+	return first.act
 }
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	tickEvery    = 50.0  // ms between looks at what moves by itself: warmth, jams, overhead
+	tickInterval = 50.0  // ms between looks at what moves by itself: warmth, jams, overhead
 	latencyStep  = 0.1   // part of the way that a reported service time moves with a request
 	overheadFade = 500.0 // ms over which the work of probes and handshakes is spread
-	failsAfter   = 2.0   // ms in which a failing server answers
+	failureTime  = 2.0   // ms in which a failing server answers
 	minPower     = 0.01  // cores that overhead never takes
 )
 
@@ -92,16 +92,16 @@
 
 // power is the work that it does in a ms with all cores busy, as things are.
 func (m *machine) power() float64 {
-	set := &m.world.cfg.Server
+	settings := &m.world.cfg.Server
 	p := m.capacity()
 	for _, taken := range m.host.taken {
 		p *= 1 - taken
 	}
-	crowd := float64(m.inFlight())/m.cores - set.OverloadFrom
-	p *= 1 - min(set.MaxOverloadLoss, max(0, set.OverloadLoss*crowd))
-	p *= 1 - set.TableLoss*float64(len(m.conns))/float64(set.Connections)
+	overload := float64(m.inFlight())/m.cores - settings.OverloadFrom
+	p *= 1 - min(settings.MaxOverloadLoss, max(0, settings.OverloadLoss*overload))
+	p *= 1 - settings.TableLoss*float64(len(m.conns))/float64(settings.Connections)
 	if m.jammed {
-		p /= set.JamSlow
+		p /= settings.JamSlow
 	}
 	return max(minPower, p-m.overhead)
 }
@@ -151,7 +151,7 @@
 func (m *machine) tick() {
 	set, now := &m.world.cfg.Server, m.world.now
 	m.settle()
-	m.overhead *= math.Exp(-tickEvery / overheadFade)
+	m.overhead *= math.Exp(-tickInterval / overheadFade)
 	switch {
 	case !m.jammed && m.overloadedSince >= 0 && now-m.overloadedSince >= set.JamAfter:
 		m.jammed, m.jammedAt = true, now
@@ -162,8 +162,8 @@
 	m.resume()
 }
 
-// busy adds work beside the queue.
-func (m *machine) busy(work float64) { m.overhead += work / overheadFade }
+// addOverhead adds work beside the queue.
+func (m *machine) addOverhead(work float64) { m.overhead += work / overheadFade }
 
 // probe answers beside the queue. What it reports is as old as the latest refresh, and noisy.
 func (m *machine) probe(a *attempt) {
@@ -180,7 +180,7 @@
 	}
 	m.probeTokens--
 	m.settle()
-	m.busy(set.ProbeWork)
+	m.addOverhead(set.ProbeWork)
 	noise := func() float64 { return max(0, 1+set.ReportNoise*m.world.rngServers.NormFloat64()) }
 	if set.NoReport {
 		wait := 0.0
--- a/internal/testbench/emulator/server_process.go
+++ b/internal/testbench/emulator/server_process.go
@@ -6,14 +6,14 @@
 
 // coldArrival is work that has reached a cold server.
 type coldArrival struct {
-	at       policy.Ms
+	time     policy.Ms
 	work     float64
 	from     *sidecar
 	notified bool // the sidecar had been told of the start
 }
 
-// press counts what reaches a cold server, and fells it when that is more than it bears within the window.
-func (m *machine) press(a *attempt) {
+// countColdArrival counts what reaches a cold server, and fells it when that is more than it bears within the window.
+func (m *machine) countColdArrival(a *attempt) {
 	if m.slowStartFraction() >= 1 {
 		m.arrivals, m.arrivedWork = nil, 0
 		return
@@ -22,7 +22,7 @@
 	p := coldArrival{m.world.now, a.request.origin.work * m.slow, a.sidecar, a.sidecar.knowsProcess(m)}
 	m.arrivals = append(m.arrivals, p)
 	m.arrivedWork += p.work
-	for m.arrivals[0].at < m.world.now-rules.OverloadWindow {
+	for m.arrivals[0].time < m.world.now-rules.OverloadWindow {
 		m.arrivedWork -= m.arrivals[0].work
 		m.arrivals = m.arrivals[1:]
 	}
@@ -36,11 +36,11 @@
 // die ends the process: what it holds is lost, connections are reset, new ones refused.
 func (m *machine) die() {
 	m.phase = dead
-	m.forget()
+	m.dropAll()
 }
 
-// forget drops all that a process has in hand.
-func (m *machine) forget() {
+// dropAll drops all that a process has in hand.
+func (m *machine) dropAll() {
 	m.settle()
 	m.incarnation++
 	m.progress, m.running, m.waiting, m.head, m.cancelled, m.resting = 0, nil, nil, 0, 0, 0
@@ -59,7 +59,7 @@
 
 // start begins a new process, cold.
 func (m *machine) start() {
-	m.forget()
+	m.dropAll()
 	m.phase, m.startedAt = serving, m.world.now
 	rules, rng := &m.world.cfg.Rules, m.world.rngStarts
 	m.startCapacity = min(1, rules.StartCapacity*(1+rng.Float64()/2))
@@ -67,8 +67,8 @@
 	m.world.discovery.change(m, policy.Ready)
 }
 
-// sweep closes what has been idle for long, and counts.
-func (m *machine) sweep() {
+// closeIdleConns closes what has been idle for long, and counts.
+func (m *machine) closeIdleConns() {
 	for i := 0; i < len(m.conns); i++ {
 		if c := m.conns[i]; c.attempt == nil && m.world.now-c.idleAt >= m.world.cfg.Server.Idle {
 			c.close()
--- a/internal/testbench/emulator/server_queue.go
+++ b/internal/testbench/emulator/server_queue.go
@@ -15,16 +15,16 @@
 	cancelled bool    // its attempt has ended while it waited for a slot
 }
 
-// take is a request's last byte at the server.
-func (m *machine) take(a *attempt) {
+// acceptRequest is a request's last byte at the server.
+func (m *machine) acceptRequest(a *attempt) {
 	set := &m.world.cfg.Server
-	m.press(a)
+	m.countColdArrival(a)
 	if m.phase == dead { // it has just fallen
 		return
 	}
 	switch {
 	case m.failing > 0 && m.world.rngServers.Float64() < m.failing:
-		m.world.after(failsAfter, func() { m.reply(a, policy.Failed, policy.Report{}) })
+		m.world.after(failureTime, func() { m.reply(a, policy.Failed, policy.Report{}) })
 		return
 	case m.phase == draining || m.inFlight() >= set.Slots+set.QueueCapacity:
 		m.world.judge.rejected++
@@ -39,7 +39,7 @@
 	}
 	a.work = j.work
 	if len(m.running)+m.resting < set.Slots {
-		m.begin(j)
+		m.startJob(j)
 	} else {
 		a.queued = j
 		m.waiting = append(m.waiting, j)
@@ -47,7 +47,7 @@
 	m.resume()
 }
 
-func (m *machine) begin(j *job) {
+func (m *machine) startJob(j *job) {
 	j.startedAt, j.endsAt = m.world.now, m.progress+j.work
 	m.world.judge.waited(j.startedAt - j.arrivedAt)
 	m.running = append(m.running, j)
@@ -58,8 +58,8 @@
 	h[i] = j
 }
 
-// drop takes a out of the waiting ones, if it is still among them.
-func (m *machine) drop(a *attempt, incarnation int) {
+// dropQueued takes a out of the waiting ones, if it is still among them.
+func (m *machine) dropQueued(a *attempt, incarnation int) {
 	if j := a.queued; j != nil && m.incarnation == incarnation {
 		a.queued, j.cancelled = nil, true
 		m.cancelled++
@@ -89,7 +89,7 @@
 	}
 	m.world.judge.worked(j.work)
 	if j.wait <= 0 {
-		m.leave(j)
+		m.finishJob(j)
 		return
 	}
 	m.resting++
@@ -100,18 +100,18 @@
 		switch {
 		case incarnation != m.incarnation:
 		case m.paused:
-			m.world.after(tickEvery, leave)
+			m.world.after(tickInterval, leave)
 		default:
 			m.settle()
 			m.resting--
-			m.leave(j)
+			m.finishJob(j)
 		}
 	}
 	m.world.after(j.wait, leave)
 }
 
-// leave answers j and gives its slot to the next.
-func (m *machine) leave(j *job) {
+// finishJob answers j and gives its slot to the next.
+func (m *machine) finishJob(j *job) {
 	took := m.world.now - j.startedAt
 	if m.latency == 0 {
 		m.latency = took
@@ -130,7 +130,7 @@
 			continue
 		}
 		next.attempt.queued, begun = nil, true
-		m.begin(next)
+		m.startJob(next)
 	}
 	m.resume()
 	m.reply(j.attempt, policy.OK, policy.Report{})
--- a/internal/testbench/emulator/server_test.go
+++ b/internal/testbench/emulator/server_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestJamLasts(t *testing.T) {
-	cfg := day("random", Fault{Name: "surge", For: 4, Size: 2.5})
+	cfg := dayWith("random", Fault{Name: "surge", For: 4, Size: 2.5})
 	cfg.Clients.Retries = 0
 	r := play(t, cfg, nil)
 	cfg.Server.JamSlow = 1 // a jam that costs nothing
@@ -57,7 +57,7 @@
 		"half table":   {func(m *machine) { m.conns = make([]*conn, 200) }, 4 * 0.9},
 		"jam":          {func(m *machine) { m.jammed = true }, 4 / 2.9},
 		"neighbour":    {func(m *machine) { m.host.taken = []float64{0.25} }, 3},
-		"probes":       {func(m *machine) { m.busy(500) }, 3},
+		"probes":       {func(m *machine) { m.addOverhead(500) }, 3},
 		"cold":         {func(m *machine) { m.startedAt, m.startCapacity, m.warmUpTime = 1000, 0.4, 3000 }, 4 * 0.6},
 		"warm again":   {func(m *machine) { m.startedAt, m.startCapacity, m.warmUpTime = 1000, 0.4, 500 }, 4},
 	} {
@@ -76,13 +76,13 @@
 }
 
 func TestServersHaveLimits(t *testing.T) {
-	cfg := day("module")
+	cfg := dayWith("module")
 	free := play(t, cfg, nil)
 	cfg.Server.Connections = 2
 	if few := play(t, cfg, nil); few.MaxConns != 2 || few.Service > free.Service-0.1 {
 		t.Errorf("two connections each: %d at most, %s", few.MaxConns, brief(few))
 	}
-	cfg = day("module")
+	cfg = dayWith("module")
 	cfg.Server.MaxProbes = 2
 	if few := play(t, cfg, nil); few.Rows[11].InFlight <= free.Rows[11].InFlight || few.CrossZone <= free.CrossZone {
 		t.Errorf("two probes a second each: held %d, crossings %.3f; all: %d, %.3f", few.Rows[11].InFlight, few.CrossZone,
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	robbed := false // a process that began beside a neighbour, or one before it came
-	for w.heap[0].at <= 20e3 {
+	for w.heap[0].time <= 20e3 {
 		w.next()()
 		for _, m := range w.machines {
 			if p := m.power(); p > m.capacity() {
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -20,7 +20,7 @@
 	number        int
 	zone          int
 	incarnation   int // of its process
-	up            bool
+	running       bool
 	policy        Policy
 	seeds         uint64
 	known         map[policy.ServerID]*knownServer
@@ -58,7 +58,7 @@
 
 // start begins a process, which knows the list as the directory has it, or had it before it went down.
 func (sc *sidecar) start() {
-	sc.up = true
+	sc.running = true
 	sc.seeds++
 	sc.known, sc.inFlight = map[policy.ServerID]*knownServer{}, map[policy.RequestID]*request{}
 	seed := mix(mix(sc.world.cfg.Seed, sc.world.cfg.PolicySeed), uint64(sc.number)<<20|sc.seeds)
@@ -69,7 +69,7 @@
 
 // kill ends the process. Servers work on at what they have.
 func (sc *sidecar) kill() {
-	sc.up = false
+	sc.running = false
 	sc.incarnation++
 	sc.pending = nil
 	for _, m := range sc.world.machines { // in an order that does not change
@@ -103,7 +103,7 @@
 	return k != nil && k.startedAt == m.startedAt
 }
 
-// notified takes the list, or changes to it.
+// endpointsUpdated takes the list, or changes to it.
 func (sc *sidecar) endpointsUpdated(changes []policy.ServerInfo, complete bool) {
 	now := sc.world.now
 	named := map[policy.ServerID]bool{}
@@ -308,7 +308,7 @@
 	sc.releaseConn(a, status)
 	if sc.world.cfg.Server.DropsCancelled && a.written && (status == policy.Cancelled || status == policy.TimedOut) {
 		m, incarnation := a.machine, a.machine.incarnation
-		sc.world.after(sc.world.delay(sc.zone, m.zone), func() { m.drop(a, incarnation) })
+		sc.world.after(sc.world.delay(sc.zone, m.zone), func() { m.dropQueued(a, incarnation) })
 	}
 	took := sc.world.now - a.startedAt
 	if a.request == nil {
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -73,7 +73,7 @@
 		longest = max(longest, c.DeadlineMs)
 	}
 	end := lead + w.cfg.Seconds*1000 + longest + sweepEvery
-	for len(w.heap) > 0 && w.heap[0].at <= end {
+	for len(w.heap) > 0 && w.heap[0].time <= end {
 		w.next()()
 		if w.processed%lookEvery == 0 && ctx.Err() != nil {
 			return ctx.Err()
@@ -140,7 +140,7 @@
 		w.sidecars = append(w.sidecars, sc)
 		w.at(w.rngClients.Float64()*lead, sc.start) // their clocks must not tick together
 	}
-	w.every(tickEvery, func() {
+	w.every(tickInterval, func() {
 		for _, m := range w.machines {
 			if m.phase != dead {
 				m.tick()
@@ -150,7 +150,7 @@
 	w.at(lead, func() {
 		w.every(sweepEvery, func() {
 			for _, m := range w.machines {
-				m.sweep()
+				m.closeIdleConns()
 			}
 			w.judge.row()
 		})
@@ -310,7 +310,7 @@
 	a.tries++
 	w.judge.tally.Tries++
 	sc := w.sidecars[a.sidecar]
-	if !sc.up {
+	if !sc.running {
 		w.retry(a, true)
 		return
 	}
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -29,7 +29,7 @@
 // request sends q, due at a moment, as often as its class wants, and takes down how that ended.
 func (c *client) request(q Request, due time.Time) {
 	class := &c.plan.Classes[q.class]
-	d := done{class: q.class, due: due, aim: milliseconds(class.LatencyObjectiveMs)}
+	d := done{class: q.class, due: due, latencyObjective: milliseconds(class.LatencyObjectiveMs)}
 	until := due.Add(milliseconds(class.DeadlineMs))
 	for try, at := 0, due; ; try++ {
 		t := c.try(&q, class, try, at, until)
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -165,7 +165,7 @@
 		return err
 	}
 	for i, t := range p.Tenants {
-		if !token(t) {
+		if !isToken(t) {
 			return fmt.Errorf("tenants[%d]: %q; want 1 to 200 printable characters without blanks", i, t)
 		}
 	}
@@ -194,8 +194,8 @@
 		return fmt.Errorf("connections: %d; want 1 or more, or 0 for the default", p.Connections)
 	case p.Lateness.P99Ms < 0 || p.Lateness.MaxMs < 0:
 		return errors.New("lateness: below 0; want p99_ms and most_ms of more than 0, or 0 for the defaults")
-	case !(p.ForS >= 0 && p.ForS <= mostAt.Seconds()):
-		return fmt.Errorf("for_s: %v; want from 0 to %v seconds", p.ForS, mostAt.Seconds())
+	case !(p.ForS >= 0 && p.ForS <= maxOffset.Seconds()):
+		return fmt.Errorf("for_s: %v; want from 0 to %v seconds", p.ForS, maxOffset.Seconds())
 	case (p.Trace == nil) == (len(p.Streams) == 0):
 		return errors.New("streams, trace: want one of the two")
 	}
@@ -215,14 +215,14 @@
 }
 
 func (p *Plan) fill() {
-	set(&p.Connections, 10000)
-	set(&p.Lateness.P99Ms, 1)
-	set(&p.Lateness.MaxMs, 50)
+	setDefault(&p.Connections, 10000)
+	setDefault(&p.Lateness.P99Ms, 1)
+	setDefault(&p.Lateness.MaxMs, 50)
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		set(&c.Method, "GET")
-		set(&c.Path, "/"+c.Name+"/{key}")
-		set(&c.Keys.Count, 1)
+		setDefault(&c.Method, "GET")
+		setDefault(&c.Path, "/"+c.Name+"/{key}")
+		setDefault(&c.Keys.Count, 1)
 		if len(c.Retry.On) == 0 {
 			c.Retry.On = []string{"refused", "unreachable"}
 			if c.Method == "GET" {
@@ -231,12 +231,12 @@
 		}
 	}
 	for i := range p.Streams {
-		set(&p.Streams[i].Spacing, Poisson)
+		setDefault(&p.Streams[i].Spacing, Poisson)
 	}
 }
 
-// set gives a value to what was left out.
-func set[T comparable](what *T, value T) {
+// setDefault gives a value to what was left out.
+func setDefault[T comparable](what *T, value T) {
 	var left T
 	if *what == left {
 		*what = value
@@ -247,8 +247,8 @@
 	return slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// token reports whether a name can stand in a header and in a path.
-func token(s string) bool {
+// isToken reports whether a name can stand in a header and in a path.
+func isToken(s string) bool {
 	return s != "" && len(s) <= 200 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
@@ -259,7 +259,7 @@
 		return err
 	}
 	switch {
-	case !token(c.Name) || strings.ContainsAny(c.Name, "/,\""):
+	case !isToken(c.Name) || strings.ContainsAny(c.Name, "/,\""):
 		return fmt.Errorf("%s.name: %q; want 1 to 200 printable characters without blanks, commas, slashes and quotes",
 			key, c.Name)
 	case c.LatencyObjectiveMs > c.DeadlineMs:
@@ -280,7 +280,7 @@
 }
 
 func (c *Class) checkTimes(key string) error {
-	for _, n := range []struct {
+	for _, check := range []struct {
 		key      string
 		value    float64
 		minValue float64
@@ -291,8 +291,8 @@
 		{"retry.wait_ms", c.Retry.WaitMs, 0},
 		{"retry.advice_ms", c.Retry.MaxRetryAfterMs, 0},
 	} {
-		if maxValue := maxDeadline.Seconds() * 1000; !(n.value >= n.minValue && n.value <= maxValue) {
-			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, n.key, n.value, n.minValue, maxValue)
+		if maxValue := maxDeadline.Seconds() * 1000; !(check.value >= check.minValue && check.value <= maxValue) {
+			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, check.key, check.value, check.minValue, maxValue)
 		}
 	}
 	return nil
@@ -350,7 +350,7 @@
 
 func (p *Plan) checkTenant(name string) error {
 	switch {
-	case !token(name) || strings.ContainsAny(name, `,"`):
+	case !isToken(name) || strings.ContainsAny(name, `,"`):
 		return fmt.Errorf("%q; want 1 to 200 printable characters without blanks, commas and quotes", name)
 	case len(p.Tenants) > 0 && !slices.Contains(p.Tenants, name):
 		return fmt.Errorf("there is no tenant %q; add it to tenants or leave it out", name)
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -20,14 +20,14 @@
 )
 
 // PlotForm returns how to draw a plot by the ending of its file's name, .svg or .png.
-func PlotForm(ending string) (chart.RendererProvider, error) {
-	switch ending {
+func PlotForm(extension string) (chart.RendererProvider, error) {
+	switch extension {
 	case ".svg":
 		return chart.SVG, nil
 	case ".png":
 		return chart.PNG, nil
 	}
-	return nil, fmt.Errorf("a plot is .svg or .png, not %q; rename it", ending)
+	return nil, fmt.Errorf("a plot is .svg or .png, not %q; rename it", extension)
 }
 
 // perSecond is one line of a plot.
@@ -37,7 +37,7 @@
 	value func(*SecondRow) *float64
 	merge func(a, b float64) float64 // of classes
 
-	xs, ys []float64
+	seconds, values []float64
 }
 
 func plotLines() (latencies, rates []perSecond) {
@@ -46,15 +46,15 @@
 	}
 	larger := func(a, b float64) float64 { return max(a, b) }
 	add := func(a, b float64) float64 { return a + b }
-	whole := func(n uint64) *float64 { f := float64(n); return &f }
+	count := func(n uint64) *float64 { f := float64(n); return &f }
 	return []perSecond{
 		line("p50 from due", "6baed6", larger, func(s *SecondRow) *float64 { return s.Due[0] }),
 		line("p99 from due", "08519c", larger, func(s *SecondRow) *float64 { return s.Due[2] }),
 		line("p99 from send", "e6550d", larger, func(s *SecondRow) *float64 { return s.Sent[2] }),
 		line("generator late", "999999", larger, func(s *SecondRow) *float64 { return &s.LateMs }),
 	}, []perSecond{
-		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return whole(s.Requests) }),
-		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return whole(s.InObjective) }),
+		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return count(s.Requests) }),
+		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return count(s.InObjective) }),
 	}
 }
 
@@ -75,30 +75,30 @@
 		YAxisSecondary: chart.YAxis{ValueFormatter: chart.IntValueFormatter},
 	}
 	latencies, rates := plotLines()
-	longest, most := minMs, 1.0
+	longestMs, highestRate := minMs, 1.0
 	for i := range latencies {
 		for _, y := range latencies[i].draw(r) {
 			if y < neverMs {
-				longest = max(longest, y)
+				longestMs = max(longestMs, y)
 			}
 		}
 	}
-	top := math.Floor(math.Log10(longest)) + 1
+	top := math.Floor(math.Log10(longestMs)) + 1
 	for i := range latencies {
-		for j, y := range latencies[i].ys { // the library's own logarithmic range is one for values above 1 only
-			latencies[i].ys[j] = min(top, math.Log10(max(minMs, y)))
+		for j, y := range latencies[i].values { // the library's own logarithmic range is one for values above 1 only
+			latencies[i].values[j] = min(top, math.Log10(max(minMs, y)))
 		}
 		c.Series = append(c.Series, latencies[i].series(chart.YAxisPrimary))
 	}
 	for i := range rates {
-		most = max(most, slices.Max(rates[i].draw(r)))
+		highestRate = max(highestRate, slices.Max(rates[i].draw(r)))
 		c.Series = append(c.Series, rates[i].series(chart.YAxisSecondary))
 	}
 	for power := math.Log10(minMs); power <= top; power++ {
 		label := fmt.Sprintf("%.4g ms", math.Pow(10, power))
 		c.YAxis.Ticks = append(c.YAxis.Ticks, chart.Tick{Value: power, Label: label})
 	}
-	c.YAxisSecondary.Range = &chart.ContinuousRange{Max: most * 1.05}
+	c.YAxisSecondary.Range = &chart.ContinuousRange{Max: highestRate * 1.05}
 	c.Elements = []chart.Renderable{chart.LegendThin(&c)}
 	return c.Render(form, w)
 }
@@ -114,7 +114,7 @@
 
 func (l *perSecond) series(axis chart.YAxisType) chart.Series {
 	return chart.ContinuousSeries{
-		Name: l.name, XValues: l.xs, YValues: l.ys, YAxis: axis,
+		Name: l.name, XValues: l.seconds, YValues: l.values, YAxis: axis,
 		Style: chart.Style{StrokeColor: l.color, StrokeWidth: 2},
 	}
 }
@@ -127,14 +127,14 @@
 		if v := l.value(s); v != nil {
 			y = *v
 		}
-		if n := len(l.xs); n > 0 && l.xs[n-1] == float64(s.Second) {
-			l.ys[n-1] = l.merge(l.ys[n-1], y)
+		if n := len(l.seconds); n > 0 && l.seconds[n-1] == float64(s.Second) {
+			l.values[n-1] = l.merge(l.values[n-1], y)
 			continue
 		}
-		l.xs, l.ys = append(l.xs, float64(s.Second)), append(l.ys, y)
+		l.seconds, l.values = append(l.seconds, float64(s.Second)), append(l.values, y)
 	}
-	if len(l.xs) == 1 { // a line needs two ends
-		l.xs, l.ys = append(l.xs, l.xs[0]+1), append(l.ys, l.ys[0])
+	if len(l.seconds) == 1 { // a line needs two ends
+		l.seconds, l.values = append(l.seconds, l.seconds[0]+1), append(l.values, l.values[0])
 	}
-	return l.ys
+	return l.values
 }
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -102,13 +102,13 @@
 
 // done is a request that has ended.
 type done struct {
-	class          int
-	due, sent, end time.Time // sent is of the last try
-	late           time.Duration
-	tries, resent  uint64
-	tryEnds        [ends]uint64
-	last           End
-	aim            time.Duration
+	class            int
+	due, sent, end   time.Time // sent is of the last try
+	late             time.Duration
+	tries, resent    uint64
+	tryEnds          [ends]uint64
+	last             End
+	latencyObjective time.Duration
 }
 
 func (t *Tally) add(d *done) {
@@ -122,7 +122,7 @@
 	if d.last != Served {
 		return
 	}
-	if d.end.Sub(d.due) <= d.aim {
+	if d.end.Sub(d.due) <= d.latencyObjective {
 		t.InObjective++
 	}
 	t.Due.record(d.end.Sub(d.due))
--- a/internal/testbench/loadgen/report_test.go
+++ b/internal/testbench/loadgen/report_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestReport(t *testing.T) {
-	p := tiles(t, constant(10), Even, 2)
+	p := planOfTiles(t, constant(10), Even, 2)
 	r := newResult(1)
 	rec := recorder{start: time.Now(), result: r}
 	for i := range 20 {
 		due := rec.start.Add(time.Duration(i) * 100 * time.Millisecond)
 		d := done{
 			due: due, sent: due.Add(10 * time.Millisecond), end: due.Add(600 * time.Millisecond), tries: 1,
-			late: 2 * time.Millisecond, aim: 500 * time.Millisecond,
+			late: 2 * time.Millisecond, latencyObjective: 500 * time.Millisecond,
 		}
 		if i >= 17 {
 			d.last = Refused
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -33,8 +33,8 @@
 // passed Check. It returns when the last has ended. The end of ctx calls off the arrivals that are still to come and
 // makes the result a partial one. An error says that the plan could not be played to its end.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
-	set(&o.Parts, 1)
-	set(&o.Dialer, Dialer(fakes.Loopback()))
+	setDefault(&o.Parts, 1)
+	setDefault(&o.Dialer, Dialer(fakes.Loopback()))
 	if o.Pause == nil {
 		a, err := newAlarm()
 		if err != nil {
--- a/internal/testbench/loadgen/shape.go
+++ b/internal/testbench/loadgen/shape.go
@@ -47,9 +47,9 @@
 }
 
 const (
-	maxRate   = 1e6 // requests a second, of one shape
-	edge      = 1.0 // seconds that a spike takes to rise and to fall, unless it says more
-	deepShape = 8   // shapes within shapes
+	maxRate          = 1e6 // requests a second, of one shape
+	defaultSpikeEdge = 1.0 // seconds that a spike takes to rise and to fall, unless it says more
+	maxShapeDepth    = 8   // shapes within shapes
 )
 
 func (s *Shape) numbers() map[string]float64 {
@@ -66,8 +66,8 @@
 	case !known:
 		return fmt.Errorf("%s.kind: there is no %q; want %s", key, s.Kind,
 			strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
-	case depth > deepShape:
-		return fmt.Errorf("%s: shapes are nested deeper than %d; write them side by side", key, deepShape)
+	case depth > maxShapeDepth:
+		return fmt.Errorf("%s: shapes are nested deeper than %d; write them side by side", key, maxShapeDepth)
 	case inner && s.ForS <= 0:
 		return fmt.Errorf("%s.for_s: %v; a sequence must know how long each but the last lasts: want more than 0", key,
 			s.ForS)
@@ -137,10 +137,10 @@
 	case "spike":
 		up, down := s.OverS, s.BackS
 		if up == 0 {
-			up = edge
+			up = defaultSpikeEdge
 		}
 		if down == 0 {
-			down = edge
+			down = defaultSpikeEdge
 		}
 		top, full := s.Rate*s.Times, s.AtS+up
 		return newLines(point{0, s.Rate}, point{s.AtS, s.Rate}, point{full, top}, point{full + s.HoldS, top},
@@ -162,7 +162,7 @@
 }
 
 // point is where a line ends and the next begins.
-type point struct{ t, rate float64 }
+type point struct{ time, rate float64 }
 
 // lines is straight lines between points, and the last point's rate from there on. Two points at one time are a jump.
 type lines struct {
@@ -174,37 +174,39 @@
 	before := make([]float64, len(points))
 	for i := 1; i < len(points); i++ {
 		a, b := points[i-1], points[i]
-		before[i] = before[i-1] + (b.t-a.t)*(a.rate+b.rate)/2
+		before[i] = before[i-1] + (b.time-a.time)*(a.rate+b.rate)/2
 	}
 	return lines{points, before}
 }
 
-// at returns the last point that is not after t.
-func (l lines) at(t float64) int {
-	return max(0, sort.Search(len(l.points), func(i int) bool { return l.points[i].t > t })-1)
+// indexAt returns the last point that is not after t.
+func (l lines) indexAt(t float64) int {
+	return max(0, sort.Search(len(l.points), func(i int) bool { return l.points[i].time > t })-1)
 }
 
 func (l lines) rate(t float64) float64 {
-	i := l.at(t)
+	i := l.indexAt(t)
 	if i == len(l.points)-1 {
 		return l.points[i].rate
 	}
 	a, b := l.points[i], l.points[i+1]
-	return a.rate + (b.rate-a.rate)*(t-a.t)/(b.t-a.t)
+	return a.rate + (b.rate-a.rate)*(t-a.time)/(b.time-a.time)
 }
 
 func (l lines) total(t float64) float64 {
-	i := l.at(t)
-	return l.before[i] + (t-l.points[i].t)*(l.points[i].rate+l.rate(t))/2
+	i := l.indexAt(t)
+	return l.before[i] + (t-l.points[i].time)*(l.points[i].rate+l.rate(t))/2
 }
 
 // sine swings around a mean; w is 2π over the period.
-type sine struct{ mean, swing, w, at float64 }
+type sine struct{ mean, swing, frequency, risesAt float64 }
 
-func (s sine) rate(t float64) float64 { return s.mean * (1 + s.swing*math.Sin(s.w*(t-s.at))) }
+func (s sine) rate(t float64) float64 {
+	return s.mean * (1 + s.swing*math.Sin(s.frequency*(t-s.risesAt)))
+}
 
 func (s sine) total(t float64) float64 {
-	return s.mean * (t + s.swing/s.w*(math.Cos(-s.w*s.at)-math.Cos(s.w*(t-s.at))))
+	return s.mean * (t + s.swing/s.frequency*(math.Cos(-s.frequency*s.risesAt)-math.Cos(s.frequency*(t-s.risesAt))))
 }
 
 // sum is several at once.
@@ -226,33 +228,33 @@
 
 // sequence is one after another.
 type sequence struct {
-	of     []curve
+	curves []curve
 	from   []float64 // when each begins
 	before []float64 // arrivals expected before that
 }
 
 func newSequence(shapes []Shape) sequence {
-	s := sequence{of: curves(shapes), from: make([]float64, len(shapes)), before: make([]float64, len(shapes))}
+	s := sequence{curves: curves(shapes), from: make([]float64, len(shapes)), before: make([]float64, len(shapes))}
 	for i := 1; i < len(shapes); i++ {
 		length := shapes[i-1].ForS
 		s.from[i] = s.from[i-1] + length
-		s.before[i] = s.before[i-1] + s.of[i-1].total(length)
+		s.before[i] = s.before[i-1] + s.curves[i-1].total(length)
 	}
 	return s
 }
 
-func (s sequence) at(t float64) int {
+func (s sequence) indexAt(t float64) int {
 	return max(0, sort.Search(len(s.from), func(i int) bool { return s.from[i] > t })-1)
 }
 
 func (s sequence) rate(t float64) float64 {
-	i := s.at(t)
-	return s.of[i].rate(t - s.from[i])
+	i := s.indexAt(t)
+	return s.curves[i].rate(t - s.from[i])
 }
 
 func (s sequence) total(t float64) float64 {
-	i := s.at(t)
-	return s.before[i] + s.of[i].total(t-s.from[i])
+	i := s.indexAt(t)
+	return s.before[i] + s.curves[i].total(t-s.from[i])
 }
 
 const (
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -55,7 +55,7 @@
 	defer provider.Close()
 	self, err := os.Executable()
 	ok(t, err)
-	p := tiles(t, constant(100), Even, 0.5)
+	p := planOfTiles(t, constant(100), Even, 0.5)
 	workers := func() (all []*exec.Cmd) {
 		for range 2 {
 			cmd := exec.Command(self)
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -87,12 +87,12 @@
 
 // check reads the trace to its end, so that nothing is played of one that is spoilt.
 func (t *TraceSource) check(p *Plan) error {
-	set(&t.Speed, 1)
-	set(&t.Repeat, 1)
+	setDefault(&t.Speed, 1)
+	setDefault(&t.Repeat, 1)
 	if _, err := TraceForm(t.File); err != nil {
 		return fmt.Errorf("trace.file: %w", err)
 	}
-	if !(t.Speed > 0 && t.Speed <= 1e6) || t.Repeat < 1 || !(t.EveryS >= 0 && t.EveryS <= mostAt.Seconds()) {
+	if !(t.Speed > 0 && t.Speed <= 1e6) || t.Repeat < 1 || !(t.EveryS >= 0 && t.EveryS <= maxOffset.Seconds()) {
 		return fmt.Errorf("trace: speed %v, repeat %d, every_s %v; want a speed above 0, 1 time or more, and 0 or "+
 			"more seconds", t.Speed, t.Repeat, t.EveryS)
 	}
@@ -212,7 +212,7 @@
 			return Request{}, fmt.Errorf("tenant: %w", err)
 		}
 	}
-	set(&rec.Method, p.Classes[i].Method)
+	setDefault(&rec.Method, p.Classes[i].Method)
 	if rec.Path == "" {
 		rec.Path = p.Classes[i].pathOf(rec.Key)
 	}
@@ -249,12 +249,12 @@
 	return r, nil
 }
 
-const mostAt = 1e6 * time.Second // more than a week; results have a row for each second
+const maxOffset = 1e6 * time.Second // more than a week; results have a row for each second
 
 // seconds reads a decimal number of seconds, to the nanosecond.
 func seconds(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text + "s")
-	if err != nil || strings.Trim(text, "0123456789.") != "" || d > mostAt {
+	if err != nil || strings.Trim(text, "0123456789.") != "" || d > maxOffset {
 		return 0, fmt.Errorf("at_s: %q; want seconds from the start, such as 12.5", text)
 	}
 	return d, nil
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -44,18 +44,18 @@
 	userTick = 10 * time.Millisecond // the unit of /proc/stat: USER_HZ is 100 on Linux
 )
 
-// Neighbours sees how busy the machine is with all that runs on it. Its methods are for one goroutine.
-type Neighbours struct {
+// BusyWatch sees how busy the machine is with all that runs on it. Its methods are for one goroutine.
+type BusyWatch struct {
 	late atomic.Int64 // by so many ns a timer has come late, at most, since the last look
 	stop chan struct{}
 
-	at   time.Time
-	busy time.Duration // of all processors, until then
+	lastLook time.Time
+	busy     time.Duration // of all processors, until then
 }
 
-// Watch begins to look, until Close.
-func Watch() *Neighbours {
-	n := &Neighbours{stop: make(chan struct{}), at: time.Now(), busy: machineBusy()}
+// WatchBusy begins to look, until Close.
+func WatchBusy() *BusyWatch {
+	n := &BusyWatch{stop: make(chan struct{}), lastLook: time.Now(), busy: machineBusy()}
 	go func() {
 		for before := time.Now(); ; before = time.Now() {
 			select {
@@ -75,14 +75,14 @@
 }
 
 // Close ends it.
-func (n *Neighbours) Close() { close(n.stop) }
+func (n *BusyWatch) Close() { close(n.stop) }
 
 // Look returns, since the last look, by how much a timer has come late at most, and how many processors were busy; 0 = not
 // known.
-func (n *Neighbours) Look() (late time.Duration, cores float64) {
+func (n *BusyWatch) Look() (late time.Duration, cores float64) {
 	now, busy := time.Now(), machineBusy()
-	cores = max(0, (busy-n.busy).Seconds()/now.Sub(n.at).Seconds())
-	n.at, n.busy = now, busy
+	cores = max(0, (busy-n.busy).Seconds()/now.Sub(n.lastLook).Seconds())
+	n.lastLook, n.busy = now, busy
 	return time.Duration(n.late.Swap(0)), cores
 }
 
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	endWithin = 10 * time.Second      // of the word to end
-	tellEvery = 50 * time.Millisecond // two signals that come at once are one
+	endWithin      = 10 * time.Second      // of the word to end
+	signalInterval = 50 * time.Millisecond // two signals that come at once are one
 )
 
 // Program is a process that this one has started.
@@ -54,7 +54,7 @@
 
 // Stop tells it to end, again and again so that it does not wait for the kill, and returns how it did. Call it once.
 func (p *Program) Stop() error {
-	again := time.NewTicker(tellEvery)
+	again := time.NewTicker(signalInterval)
 	defer again.Stop()
 	late := time.After(endWithin)
 	for {
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	perHandover   = 3 * time.Second  // of load drawn ahead
-	goesOn        = 5 * time.Second  // after a kill some request must be served
-	clientTimeout = 10 * time.Second // of clients: who gets no answer then has been forgotten
-	passSpan      = 20 * time.Millisecond
-	startSpan     = 50 * time.Millisecond // in which a kill falls, as long as nothing has been measured
+	loadPerHandover = 3 * time.Second  // of load drawn ahead
+	maxServiceGap   = 5 * time.Second  // after a kill some request must be served
+	clientTimeout   = 10 * time.Second // of clients: who gets no answer then has been forgotten
+	passSpan        = 20 * time.Millisecond
+	startSpan       = 50 * time.Millisecond // in which a kill falls, as long as nothing has been measured
 )
 
 // HandoverPlan is a line of processes that hand over to one another under load.
@@ -23,7 +23,7 @@
 	Restarts int
 	Pause    time.Duration // between a handover's end and the next
 	Kill     Victim        // one of the two is killed in the middle
-	At       Moment        // of the handover; needed with Kill
+	At       KillPhase     // of the handover; needed with Kill
 	Nth      int           // of each Nth handover; 0 = of each
 }
 
@@ -67,8 +67,8 @@
 	Broken     []string       `json:"broken,omitempty"`
 }
 
-// patient are the usual classes with clients that wait for long.
-func patient() []fakes.Class {
+// patientClasses are the usual classes with clients that wait for long.
+func patientClasses() []fakes.Class {
 	tile, order := fakes.Tile(), fakes.Order()
 	tile.Deadline, order.Deadline = clientTimeout, clientTimeout
 	return []fakes.Class{tile, order}
@@ -82,21 +82,21 @@
 		return out, err
 	}
 	if p.Classes == nil {
-		p.Classes = patient()
+		p.Classes = patientClasses()
 	}
 	r, err := build(ctx, p.Setup, nil)
 	if err != nil {
 		return out, err
 	}
 	defer r.close()
-	long := time.Duration(p.Restarts+5) * perHandover
+	long := time.Duration(p.Restarts+5) * loadPerHandover
 	r.begin(ctx, long)
 	took, kills, err := p.run(ctx, r)
 	if err != nil {
 		return out, err
 	}
 	if time.Since(r.start) > long {
-		return out, fmt.Errorf("a handover takes more than %s: the load has ended before the last", perHandover)
+		return out, fmt.Errorf("a handover takes more than %s: the load has ended before the last", loadPerHandover)
 	}
 	if err := fakes.Pause(ctx, time.Second); err != nil {
 		return out, err
@@ -115,7 +115,7 @@
 			return nil, nil, err
 		}
 		if p.Kill != Nobody && n%max(1, p.Nth) == 0 {
-			k, err := r.line.handOverKilling(ctx, p.Kill, p.At, p.moment(draw.Float64(), took))
+			k, err := r.line.handOverKilling(ctx, p.Kill, p.At, p.killDelay(draw.Float64(), took))
 			if err != nil {
 				return nil, nil, fmt.Errorf("handover %d, with a kill: %w", n, err)
 			}
@@ -131,9 +131,9 @@
 	return took, kills, nil
 }
 
-// moment is how long after the beginning of its part of a handover a kill comes: somewhere in the time that the part
+// killDelay is how long after the beginning of its part of a handover a kill comes: somewhere in the time that the part
 // usually takes.
-func (p HandoverPlan) moment(part float64, took []phases) time.Duration {
+func (p HandoverPlan) killDelay(part float64, took []phases) time.Duration {
 	usual := startSpan
 	if p.At == Passing {
 		usual = passSpan
@@ -164,11 +164,11 @@
 
 // fill counts, and says which rules are broken.
 func (o *HandoverReport) fill(r *rig, took []phases, kills []kill) {
-	complete := func(t phases) time.Duration { return t.whole }
+	complete := func(t phases) time.Duration { return t.total }
 	o.Restarts, o.Median = len(took), middle(took, complete).Seconds()
 	o.Start = middle(took, func(t phases) time.Duration { return t.start }).Seconds()
 	for _, t := range took {
-		o.Worst = max(o.Worst, t.whole.Seconds())
+		o.Worst = max(o.Worst, t.total.Seconds())
 	}
 	var all Metrics
 	var strays []fakes.Try
@@ -179,7 +179,7 @@
 		case t.Result == fakes.Served:
 			o.Served++
 		case !isLost(t):
-		case slices.ContainsFunc(kills, func(k kill) bool { return k.meets(t) }):
+		case slices.ContainsFunc(kills, func(k kill) bool { return k.affects(t) }):
 			o.LostToKill++
 		default:
 			strays = append(strays, *t)
@@ -190,27 +190,27 @@
 	o.Twice = r.extraRuns()
 	o.LongestGap, o.Stall = longestGap(r.tries).Seconds(), r.stall.Seconds()
 	for _, k := range kills {
-		o.Kills[k.met]++
-		if k.afresh {
+		o.Kills[k.phase]++
+		if k.noSurvivor {
 			o.Afresh++
 		}
 		if !servedAfter(r.tries, k.until) {
-			o.Broken = append(o.Broken, fmt.Sprintf("nothing was served in the %s after a kill", goesOn))
+			o.Broken = append(o.Broken, fmt.Sprintf("nothing was served in the %s after a kill", maxServiceGap))
 		}
 	}
 	o.Broken = append(o.Broken, noneLost(strays)...)
 	o.Broken = append(o.Broken, none(o.Twice, ruleTwice)...)
 }
 
-// meets reports whether the request was under way when the process was killed, or until another served alone: a
+// affects reports whether the request was under way when the process was killed, or until another served alone: a
 // connection that came up meanwhile may have been the killed one's, or in the queue of a listener that then had no
 // process.
-func (k kill) meets(t *fakes.Try) bool { return t.EndedAt.After(k.at) && !t.At.After(k.until) }
+func (k kill) affects(t *fakes.Try) bool { return t.EndedAt.After(k.killedAt) && !t.At.After(k.until) }
 
 // servedAfter reports whether a request that was due soon after a moment was served.
 func servedAfter(tries []fakes.Try, at time.Time) bool {
 	return slices.ContainsFunc(tries, func(t fakes.Try) bool {
-		return t.Result == fakes.Served && t.At.After(at) && t.EndedAt.Before(at.Add(goesOn))
+		return t.Result == fakes.Served && t.At.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
 	})
 }
 
--- a/internal/testbench/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -19,13 +19,13 @@
 	Predecessor Victim = "predecessor"
 )
 
-// Moment is the part of a handover in which a process is killed.
-type Moment string
+// KillPhase is the part of a handover in which a process is killed.
+type KillPhase string
 
 // The moments.
 const (
-	AtStart Moment = "start"   // while the successor gets ready
-	Passing Moment = "passing" // while it is given the connections
+	AtStart KillPhase = "start"   // while the successor gets ready
+	Passing KillPhase = "passing" // while it is given the connections
 )
 
 // What a kill turned out to have met: whoever is about to be killed goes on meanwhile.
@@ -37,15 +37,15 @@
 
 // kill is what became of a handover of which one process was killed.
 type kill struct {
-	met    string
-	afresh bool      // nobody was left, so that another process was started
-	at     time.Time // of the kill
-	until  time.Time // then one process served alone
+	phase      string
+	noSurvivor bool      // nobody was left, so that another process was started
+	killedAt   time.Time // of the kill
+	until      time.Time // then one process served alone
 }
 
 // handOverKilling starts a handover and kills one of its two processes a while after the moment's begin. It returns
 // when one process serves: the other one, or, if that does not serve, one that is started as a service manager would.
-func (l *line) handOverKilling(ctx context.Context, v Victim, m Moment, after time.Duration) (k kill, err error) {
+func (l *line) handOverKilling(ctx context.Context, v Victim, m KillPhase, after time.Duration) (k kill, err error) {
 	from, old := l.log.mark(), l.main
 	if err := old.Signal(syscall.SIGUSR2); err != nil {
 		return k, fmt.Errorf("signal process %d: %w", old.Pid, err)
@@ -65,7 +65,7 @@
 	if err := fakes.Pause(ctx, after); err != nil {
 		return k, err
 	}
-	k.at = time.Now()
+	k.killedAt = time.Now()
 	if v == Successor {
 		next.kill()
 		err = l.withoutSuccessor(ctx, from, next, &k)
@@ -73,7 +73,7 @@
 		old.kill()
 		err = l.withoutPredecessor(ctx, from, next, &k)
 	}
-	if err == nil && k.afresh {
+	if err == nil && k.noSurvivor {
 		err = l.start(ctx)
 	}
 	k.until = time.Now()
@@ -103,13 +103,13 @@
 	text, err := l.log.await(ctx, from, old, "handover=failed", "handover=lost")
 	switch {
 	case err == nil && strings.Contains(text, "handover=failed"):
-		k.met = beforeReady
+		k.phase = beforeReady
 	case err == nil:
-		k.met = whilePassing
+		k.phase = whilePassing
 	case old.running() || old.fault() != nil:
 		return err
 	default:
-		k.met, k.afresh = afterDone, true
+		k.phase, k.noSurvivor = afterDone, true
 		next.watch(l.log)
 		return ended(ctx, next)
 	}
@@ -126,14 +126,14 @@
 	switch {
 	case completion != "":
 		l.take(next)
-		k.met = whilePassing
+		k.phase = whilePassing
 		if _, done := l.log.look(from, "handover=done"); done {
-			k.met = afterDone
+			k.phase = afterDone
 		}
 	case next.running():
 		return err
 	default: // it has ended without its predecessor, which it needed until it was ready
-		k.met, k.afresh = beforeReady, true
+		k.phase, k.noSurvivor = beforeReady, true
 	}
 	return nil
 }
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -25,17 +25,17 @@
 	log     *processLog
 	main    *process
 	served  []*process // all that have been main
-	met     []*process // all, successors that never served included
+	known   []*process // all, successors that never served included
 }
 
 // start starts a process that has no predecessor, and waits until it serves.
 func (l *line) start(ctx context.Context) error {
 	cmd := exec.Command(l.program)
-	cmd.Env, cmd.Stdout, cmd.Stderr = l.env, l.log.w, l.log.w // a successor writes there, too
+	cmd.Env, cmd.Stdout, cmd.Stderr = l.env, l.log.writer, l.log.writer // a successor writes there, too
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start the program: %w", err)
 	}
-	p := l.meet(cmd.Process)
+	p := l.adopt(cmd.Process)
 	p.watch(l.log)
 	l.take(p)
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
@@ -46,10 +46,10 @@
 	return nil
 }
 
-// meet makes a process known, so that it will be ended whatever happens.
-func (l *line) meet(found *os.Process) *process {
+// adopt makes a process known, so that it will be ended whatever happens.
+func (l *line) adopt(found *os.Process) *process {
 	p := &process{Process: found, exited: make(chan struct{})}
-	l.met = append(l.met, p)
+	l.known = append(l.known, p)
 	return p
 }
 
@@ -99,7 +99,7 @@
 			_, _ = l.byPid(pid)
 		}
 	}
-	for _, p := range l.met {
+	for _, p := range l.known {
 		p.kill()
 	}
 	l.log.close()
@@ -109,7 +109,7 @@
 type phases struct {
 	start time.Duration // from the signal until the successor was ready
 	pass  time.Duration // from there until it had everything
-	whole time.Duration // from the signal until the predecessor had ended
+	total time.Duration // from the signal until the predecessor had ended
 }
 
 // handOver lets the process that serves hand over to a successor, and returns when that has everything and the other
@@ -136,7 +136,7 @@
 	if err := ended(ctx, old); err != nil {
 		return t, err
 	}
-	t.whole = old.endedAt.Sub(began)
+	t.total = old.endedAt.Sub(began)
 	next.watch(l.log)
 	l.take(next)
 	_, err = l.log.await(ctx, from, next, "handover=complete")
@@ -160,5 +160,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("process %d: %w", pid, err)
 	}
-	return l.meet(found), nil
+	return l.adopt(found), nil
 }
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -70,19 +70,19 @@
 	return max(minWidth, time.Duration(windowWith/rate*float64(time.Second)))
 }
 
-// trouble is what an event did to service.
-type trouble struct {
-	back  time.Duration // from the event until service is back; 0 = it was never away
-	ok    bool          // it came back
-	below time.Duration // in windows below 95% of normal
-	worst float64       // share of the worst window
+// degradation is what an event did to service.
+type degradation struct {
+	back      time.Duration // from the event until service is back; 0 = it was never away
+	recovered bool          // it came back
+	below     time.Duration // in windows below 95% of normal
+	worst     float64       // share of the worst window
 }
 
 // faultAfter looks for the first window after the event that is below 95% of normal: what follows a word to stop,
 // say, is well for a while. From there on it is fakes.Recovered that says when service is back. A trouble that begins
 // in the last second is only counted: how it ends can't be seen.
-func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) trouble {
-	out := trouble{ok: true, worst: 1}
+func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
+	out := degradation{recovered: true, worst: 1}
 	windows := fakes.Tally(tries, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
 	seen := len(windows) - int(fakes.WellFor/width)
@@ -98,7 +98,7 @@
 	}
 	if first >= 0 {
 		begin := time.Duration(first) * width
-		out.back, out.ok = fakes.Recovered(tries, event.Add(begin), normal, width)
+		out.back, out.recovered = fakes.Recovered(tries, event.Add(begin), normal, width)
 		out.back += begin
 	}
 	return out
@@ -120,9 +120,9 @@
 	return n
 }
 
-// toldAt returns when each drain was told, given the revisions that told them: with the first answer that holds it,
+// notifiedAt returns when each drain was told, given the revisions that told them: with the first answer that holds it,
 // whoever asked.
-func toldAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
+func notifiedAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
@@ -145,14 +145,14 @@
 	return n
 }
 
-// figures measures a run whose load has ended.
-func (r *rig) figures(event time.Time) Metrics {
+// metrics measures a run whose load has ended.
+func (r *rig) metrics(event time.Time) Metrics {
 	w := width(r.setup.Rate)
 	f := Metrics{Stall: r.stall.Seconds(), Normal: servedShare(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
 	t := faultAfter(r.tries, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
 	until := r.tries[len(r.tries)-1].At
-	if t.ok {
+	if t.recovered {
 		back := t.back.Seconds()
 		f.Back = &back
 		until = event.Add(max(minSpan, t.back))
@@ -171,7 +171,7 @@
 	}
 	f.Twice = r.extraRuns()
 	calls := r.fleet.Directory.Calls()
-	notifiedAt := toldAt(r.drains, calls)
+	notifiedAt := notifiedAt(r.drains, calls)
 	within := func(at time.Time) float64 {
 		if at.Before(event) || at.After(until) {
 			return 0
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -37,15 +37,15 @@
 	for name, test := range map[string]struct {
 		served []int
 		normal float64
-		want   trouble
+		want   degradation
 	}{
-		"none":            {well, 1, trouble{0, true, 0, 1}},
-		"at once":         {slices.Concat([]int{5, 10}, well), 1, trouble{500 * ms, true, 500 * ms, 0.25}},
-		"later":           {slices.Concat(well, []int{0}, well), 1, trouble{2250 * ms, true, 250 * ms, 0}},
-		"again too soon":  {slices.Concat([]int{10, 20, 20, 10}, well), 1, trouble{1000 * ms, true, 500 * ms, 0.5}},
-		"for ever":        {slices.Repeat([]int{18}, 9), 1, trouble{0, false, 2000 * ms, 0.9}},
-		"normal is less":  {slices.Repeat([]int{18}, 9), 0.94, trouble{0, true, 0, 0.9}},
-		"at the very end": {slices.Concat(well, []int{0, 20, 20}), 1, trouble{0, true, 250 * ms, 0}},
+		"none":            {well, 1, degradation{0, true, 0, 1}},
+		"at once":         {slices.Concat([]int{5, 10}, well), 1, degradation{500 * ms, true, 500 * ms, 0.25}},
+		"later":           {slices.Concat(well, []int{0}, well), 1, degradation{2250 * ms, true, 250 * ms, 0}},
+		"again too soon":  {slices.Concat([]int{10, 20, 20, 10}, well), 1, degradation{1000 * ms, true, 500 * ms, 0.5}},
+		"for ever":        {slices.Repeat([]int{18}, 9), 1, degradation{0, false, 2000 * ms, 0.9}},
+		"normal is less":  {slices.Repeat([]int{18}, 9), 0.94, degradation{0, true, 0, 0.9}},
+		"at the very end": {slices.Concat(well, []int{0, 20, 20}), 1, degradation{0, true, 250 * ms, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := faultAfter(windowsOf(test.served...), epoch, test.normal, 250*ms); got != test.want {
@@ -80,7 +80,7 @@
 
 // A drain counts from the first answer that told it, and only for the process that it is about.
 func TestLateSends(t *testing.T) {
-	notifiedAt := toldAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DirectoryCall{
+	notifiedAt := notifiedAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DirectoryCall{
 		{Answered: true, AnsweredAt: after(0), Revision: 2},
 		{Answered: false, AnsweredAt: after(10), Revision: 3},
 		{Answered: true, AnsweredAt: after(200), Revision: 3},
@@ -111,12 +111,12 @@
 
 // What a kill may cost was under way then; all else that is lost breaks the rule.
 func TestKillMeets(t *testing.T) {
-	k := kill{at: after(100), until: after(200)}
+	k := kill{killedAt: after(100), until: after(200)}
 	for _, test := range []struct {
 		due, ended int
 		want       bool
 	}{{0, 99, false}, {0, 101, true}, {150, 400, true}, {201, 400, false}} {
-		if got := k.meets(&fakes.Try{At: after(test.due), EndedAt: after(test.ended)}); got != test.want {
+		if got := k.affects(&fakes.Try{At: after(test.due), EndedAt: after(test.ended)}); got != test.want {
 			t.Errorf("due at %d ms, ended at %d ms: %t, want %t", test.due, test.ended, got, test.want)
 		}
 	}
--- a/internal/testbench/recovery/processlog.go
+++ b/internal/testbench/recovery/processlog.go
@@ -20,11 +20,11 @@
 // processLog keeps what processes print: in a file, and line by line for those who wait for a word. All print into one
 // pipe, and how a process has ended is written there, too, so that this comes after its last words.
 type processLog struct {
-	file io.Writer
-	r, w *os.File
-	done chan struct{} // closed when nobody writes any more
+	file           io.Writer
+	reader, writer *os.File
+	done           chan struct{} // closed when nobody writes any more
 
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	lines   []string
 	changed chan struct{} // closed with the next line
 }
@@ -32,7 +32,7 @@
 func newProcessLog(file io.Writer) (*processLog, error) {
 	b := &processLog{file: file, done: make(chan struct{}), changed: make(chan struct{})}
 	var err error
-	if b.r, b.w, err = os.Pipe(); err != nil {
+	if b.reader, b.writer, err = os.Pipe(); err != nil {
 		return nil, err
 	}
 	go b.read()
@@ -41,7 +41,7 @@
 
 func (b *processLog) read() {
 	defer close(b.done)
-	for br := bufio.NewReader(b.r); ; {
+	for br := bufio.NewReader(b.reader); ; {
 		line, err := br.ReadString('\n')
 		if line != "" {
 			b.add(strings.TrimSuffix(line, "\n"))
@@ -53,8 +53,8 @@
 }
 
 func (b *processLog) add(line string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	fmt.Fprintln(b.file, line)
 	b.lines = append(b.lines, line)
 	close(b.changed)
@@ -63,33 +63,33 @@
 
 // close returns when all that processes have printed is kept. All must have ended.
 func (b *processLog) close() {
-	b.w.Close()
-	_ = b.r.SetReadDeadline(time.Now().Add(maxClose))
+	b.writer.Close()
+	_ = b.reader.SetReadDeadline(time.Now().Add(maxClose))
 	<-b.done
-	b.r.Close()
+	b.reader.Close()
 }
 
 // mark is the place behind the last line.
 func (b *processLog) mark() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	return len(b.lines)
 }
 
 // end notes that a process has ended.
-func (b *processLog) end(p *process) { fmt.Fprintln(b.w, p.lastLine()) }
+func (b *processLog) end(p *process) { fmt.Fprintln(b.writer, p.lastLine()) }
 
 // await returns the first line from a mark on that holds one of the words. It gives up at the end of ctx, after
 // maxAwait, or when p has ended, which was to say it.
-func (b *processLog) await(ctx context.Context, from int, p *process, words ...string) (string, error) {
+func (b *processLog) await(ctx context.Context, from int, p *process, texts ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
 	last := p.lastLine()
 	for at := from; ; {
-		b.mu.Lock()
+		b.mutex.Lock()
 		lines, changed := b.lines, b.changed
-		b.mu.Unlock()
-		line, found := find(lines[at:], append(words, last))
+		b.mutex.Unlock()
+		line, found := find(lines[at:], append(texts, last))
 		if found && line != last {
 			return line, nil
 		}
@@ -100,22 +100,22 @@
 			case <-ctx.Done():
 			}
 		}
-		return "", fmt.Errorf("process %d (%s) has not logged %q; the last words: %s", p.Pid, p.fate(), words,
+		return "", fmt.Errorf("process %d (%s) has not logged %q; the last words: %s", p.Pid, p.fate(), texts,
 			strings.Join(lines[max(from, len(lines)-tailLines):], "; "))
 	}
 }
 
 // look returns the first line from a mark on that holds the word, if there is one by now.
-func (b *processLog) look(from int, word string) (string, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return find(b.lines[from:], []string{word})
+func (b *processLog) look(from int, text string) (string, bool) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return find(b.lines[from:], []string{text})
 }
 
 // find returns the first line that holds one of the words.
-func find(lines, words []string) (string, bool) {
+func find(lines, texts []string) (string, bool) {
 	for _, line := range lines {
-		for _, w := range words {
+		for _, w := range texts {
 			if strings.Contains(line, w) {
 				return line, true
 			}
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -13,20 +13,20 @@
 
 // The fleet's nature. A provider alone could serve some 170 requests a second.
 const (
-	cores      = 4
-	queue      = 32
-	tileMean   = 25 * time.Millisecond
-	orderMean  = 15 * time.Millisecond
-	answerSize = 512
-	handshake  = 2 * time.Millisecond
-	coldBy     = 2.0
-	warmIn     = 2 * time.Second
-	connIdle   = time.Minute
-	connectIn  = 150 * time.Millisecond
-	drainGrace = 750 * time.Millisecond
-	orderPart  = 0.2 // of the requests; the others are safe to repeat
-	socketsMax = 4096
-	stallTick  = 10 * time.Millisecond
+	cores            = 4
+	queue            = 32
+	tileServiceTime  = 25 * time.Millisecond
+	orderServiceTime = 15 * time.Millisecond
+	answerSize       = 512
+	handshake        = 2 * time.Millisecond
+	slowStartFactor  = 2.0
+	warmUpTime       = 2 * time.Second
+	connIdle         = time.Minute
+	connectIn        = 150 * time.Millisecond
+	drainGrace       = 750 * time.Millisecond
+	orderPart        = 0.2 // of the requests; the others are safe to repeat
+	maxSockets       = 4096
+	stallTick        = 10 * time.Millisecond
 )
 
 // Setup is what every experiment needs to know.
@@ -91,9 +91,9 @@
 		}
 	}()
 	nature := fakes.ProviderOptions{
-		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: coldBy,
-		WarmIn: warmIn, IdleMost: connIdle, Default: fakes.Service{Mean: tileMean, Body: answerSize},
-		Service: map[string]fakes.Service{"order": {Mean: orderMean, Body: answerSize}},
+		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: slowStartFactor,
+		WarmIn: warmUpTime, IdleMost: connIdle, Default: fakes.Service{Mean: tileServiceTime, Body: answerSize},
+		Service: map[string]fakes.Service{"order": {Mean: orderServiceTime, Body: answerSize}},
 	}
 	if r.fleet, err = fakes.NewFleet(network, s.Servers, nature); err != nil {
 		return r, err
@@ -109,8 +109,8 @@
 		Name: "lab", Listen: address, Seed: s.Seed,
 		Directory: r.fleet.Directory.Address(),
 		Known:     fakes.List{Revision: r.fleet.Directory.Revision(), Members: r.fleet.Members()},
-		Classes:   s.classes(), Sockets: socketsMax, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
-		WarmIn: warmIn, Edit: edit,
+		Classes:   s.classes(), Sockets: maxSockets, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
+		WarmIn: warmUpTime, Edit: edit,
 	})
 	if err != nil {
 		return r, err
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -57,7 +57,7 @@
 	if err := ctx.Err(); err != nil {
 		return out, err
 	}
-	out.Metrics = r.figures(event)
+	out.Metrics = r.metrics(event)
 	out.Broken = append(out.Broken, r.finish(ctx)...)
 	out.Broken = append(out.Broken, none(out.Twice, ruleTwice)...)
 	out.Broken = append(out.Broken, none(out.Late, ruleLate)...)
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -41,7 +41,7 @@
 			Name: "release-hidden", About: "every provider is replaced while connections to the directory go silent",
 			event: releaseHidden, after: 11 * time.Second,
 		},
-		{Name: "release-told", About: "the same, told", event: releaseTold, after: 11 * time.Second},
+		{Name: "release-told", About: "the same, told", event: releaseAnnounced, after: 11 * time.Second},
 		{
 			Name: "silence", About: "a quarter of the machines vanish for 4 s and come back cold",
 			event: silence, after: 8 * time.Second,
@@ -70,7 +70,7 @@
 	}
 }
 
-func releaseTold(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
+func releaseAnnounced(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
 
 // releaseHidden loses the answers on every connection that has been open for a moment. New ones are fine.
 func releaseHidden(ctx context.Context, r *rig) error {
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -38,18 +38,18 @@
 type discoveryServer struct {
 	rate float64 // calls a second that get a turn: those for the whole list, and the first of a connection; 0 = all at once
 
-	mu       sync.Mutex
-	revision uint64
-	lines    []line
-	at       map[string]int // in lines
-	changed  chan struct{}  // closed with the next revision
-	complete []byte         // the whole list as of now; nil = not worded yet
-	next     time.Time      // the next free turn
-
-	server                  http.Server
-	calls, wholes, rejected atomic.Int64
-	count                   fakes.Counter
-	addresses               []string
+	mutex        sync.Mutex
+	revision     uint64
+	lines        []line
+	lineIndex    map[string]int // in lines
+	changed      chan struct{}  // closed with the next revision
+	complete     []byte         // the whole list as of now; nil = not worded yet
+	nextFreeSlot time.Time      // the next free turn
+
+	server                         http.Server
+	calls, completeCalls, rejected atomic.Int64
+	count                          fakes.Counter
+	addresses                      []string
 }
 
 // line is the last that is known of a server.
@@ -60,7 +60,7 @@
 
 // newDiscovery listens at so many addresses of 127.0.0.0/8 with a first revision.
 func newDiscovery(listeners int, rate float64, endpoints []fakes.Member) (*discoveryServer, error) {
-	d := &discoveryServer{rate: rate, at: map[string]int{}, changed: make(chan struct{})}
+	d := &discoveryServer{rate: rate, lineIndex: map[string]int{}, changed: make(chan struct{})}
 	d.change(endpoints)
 	d.server.Handler = d
 	d.server.ConnContext = withFirst
@@ -81,21 +81,21 @@
 
 func (d *discoveryServer) traffic() Traffic {
 	return Traffic{
-		d.calls.Load(), d.wholes.Load(), d.rejected.Load(), d.count.Accepted.Load(), d.count.In.Load(),
+		d.calls.Load(), d.completeCalls.Load(), d.rejected.Load(), d.count.Accepted.Load(), d.count.In.Load(),
 		d.count.Out.Load(),
 	}
 }
 
 // change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
 func (d *discoveryServer) change(endpoints []fakes.Member) uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	d.revision++
 	for _, m := range endpoints {
-		i, known := d.at[m.ID]
+		i, known := d.lineIndex[m.ID]
 		if !known {
 			i = len(d.lines)
-			d.at[m.ID] = i
+			d.lineIndex[m.ID] = i
 			d.lines = append(d.lines, line{})
 		}
 		d.lines[i] = line{m, d.revision}
@@ -107,9 +107,9 @@
 }
 
 // update words what a call gets, and says whether there is any; changed tells when there is.
-func (d *discoveryServer) update(complete bool, after uint64) (raw []byte, is bool, changed <-chan struct{}) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (d *discoveryServer) update(complete bool, after uint64) (raw []byte, available bool, changed <-chan struct{}) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	if complete && d.complete != nil {
 		return d.complete, true, nil
 	}
@@ -131,26 +131,26 @@
 	if d.rate <= 0 {
 		return 0, true
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.next.Before(now) {
-		d.next = now
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.nextFreeSlot.Before(now) {
+		d.nextFreeSlot = now
 	}
-	wait := d.next.Sub(now)
+	wait := d.nextFreeSlot.Sub(now)
 	if wait > maxQueueTime {
 		return 0, false
 	}
-	d.next = d.next.Add(time.Duration(float64(time.Second) / d.rate))
+	d.nextFreeSlot = d.nextFreeSlot.Add(time.Duration(float64(time.Second) / d.rate))
 	return wait, true
 }
 
 // ServeHTTP answers a call.
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
-	q := r.URL.Query()
-	complete := !q.Has("index")
-	after, _ := strconv.ParseUint(q.Get("index"), 10, 64)
-	ms, _ := strconv.ParseUint(q.Get("wait"), 10, 32)
+	query := r.URL.Query()
+	complete := !query.Has("index")
+	after, _ := strconv.ParseUint(query.Get("index"), 10, 64)
+	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
 	if first := isFirst(r.Context()); complete || first {
 		wait, ok := d.reserveSlot(time.Now())
 		if !ok {
@@ -163,13 +163,13 @@
 		}
 	}
 	if complete {
-		d.wholes.Add(1)
+		d.completeCalls.Add(1)
 	}
 	until := time.NewTimer(min(maxPollTime, time.Duration(ms)*time.Millisecond))
 	defer until.Stop()
-	for late := ms == 0; ; {
+	for expired := ms == 0; ; {
 		raw, is, changed := d.update(complete, after)
-		if is || late {
+		if is || expired {
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 			_, _ = w.Write(raw) // who has hung up asks again
@@ -178,7 +178,7 @@
 		select {
 		case <-changed:
 		case <-until.C:
-			late = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -97,7 +97,7 @@
 	discovery *discoveryServer
 	servers   *fakeServers
 	sidecars  []*sidecar
-	busy      *process.Neighbours
+	busy      *process.BusyWatch
 }
 
 // Serve is the life of a part: it obeys the orders that it reads until they end.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	h := &worker{dir: dir, servers: newFakeServers(), busy: process.Watch()}
+	h := &worker{dir: dir, servers: newFakeServers(), busy: process.WatchBusy()}
 	defer h.close()
 	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
 	for {
@@ -116,7 +116,7 @@
 		} else if err != nil {
 			return fmt.Errorf("orders: %w", err)
 		}
-		r, err := h.obey(&o)
+		r, err := h.execute(&o)
 		if err != nil {
 			r.Error = o.Op + ": " + err.Error()
 		}
@@ -137,7 +137,7 @@
 	_ = os.RemoveAll(h.dir)
 }
 
-func (h *worker) obey(o *order) (r reply, err error) {
+func (h *worker) execute(o *order) (r reply, err error) {
 	switch o.Op {
 	case "listen":
 		if h.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Endpoints); err == nil {
@@ -291,7 +291,7 @@
 		c.Refused += s.refused.Load()
 		c.Failed += s.failed.Load()
 		c.WatchFailures += s.failures
-		c.WatchDoubts += s.doubts
+		c.WatchDoubts += s.fullRefreshes
 		if s.stop != nil {
 			c.WatchFailures += s.watch.Failures.Load()
 			c.WatchDoubts += s.watch.FullRefreshes.Load()
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -53,8 +53,8 @@
 	return []Comparison{measured, simulatedSidecar}, nil
 }
 
-// one is a world with an agent and nobody else.
-func one(ctx context.Context, set Setup, endpoints []fakes.Member) (w *world, agent string, template []byte, err error) {
+// startDiscovery is a world with an agent and nobody else.
+func startDiscovery(ctx context.Context, set Setup, endpoints []fakes.Member) (w *world, agent string, template []byte, err error) {
 	w = &world{set: set, endpoints: endpoints, latencyObjective: fakes.Tile().Aim, known: fakes.List{Revision: 1, Members: endpoints}}
 	addresses, err := w.listen(ctx, 1)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 func measureSimulated(ctx context.Context, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
-	w, agent, template, err := one(ctx, set, servers(set.Servers))
+	w, agent, template, err := startDiscovery(ctx, set, servers(set.Servers))
 	defer func() {
 		if ended := w.close(); err == nil {
 			err = ended
@@ -89,22 +89,22 @@
 		}
 	}
 	time.Sleep(warmUp)
-	busy := process.Watch()
+	busy := process.WatchBusy()
 	defer busy.Close()
 	u, long, err := w.during(func() error { time.Sleep(window); return nil })
 	if err != nil {
 		return c, err
 	}
 	c = Comparison{
-		Which: "hollow", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * u.Hollow.CPU.Seconds() / long.Seconds(),
-		MemoryMB: u.Hollow.MemoryMB, CallsS: float64(u.Hollow.Calls) / long.Seconds(),
-		ProbesS: float64(u.Hollow.Probes) / long.Seconds(),
+		Which: "hollow", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * u.Simulated.CPU.Seconds() / long.Seconds(),
+		MemoryMB: u.Simulated.MemoryMB, CallsS: float64(u.Simulated.Calls) / long.Seconds(),
+		ProbesS: float64(u.Simulated.Probes) / long.Seconds(),
 	}
-	c.list(u, long, busy)
+	c.addDiscoveryTraffic(u, long, busy)
 	return c, nil
 }
 
-func (c *Comparison) list(u used, long time.Duration, busy *process.Neighbours) {
+func (c *Comparison) addDiscoveryTraffic(u used, long time.Duration, busy *process.BusyWatch) {
 	late, cores := busy.Look()
 	c.StallMs, c.Machine = ms(late), cores
 	t, s := u.Discovery.Discovery, long.Seconds()
@@ -135,7 +135,7 @@
 		return c, err
 	}
 	defer fleet.Close()
-	w, agent, template, err := one(ctx, set, endpoints)
+	w, agent, template, err := startDiscovery(ctx, set, endpoints)
 	defer func() {
 		if ended := w.close(); err == nil {
 			err = ended
@@ -171,7 +171,7 @@
 	if err != nil {
 		return c, err
 	}
-	busy := process.Watch()
+	busy := process.WatchBusy()
 	defer busy.Close()
 	u, long, err := w.during(func() error { time.Sleep(window); return nil })
 	if err != nil {
@@ -186,7 +186,7 @@
 		Which: "real", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
 		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds(),
 	}
-	c.list(u, long, busy)
+	c.addDiscoveryTraffic(u, long, busy)
 	c.MemoryMB, err = resident(sidecar.program.Pid())
 	return c, err
 }
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -59,14 +59,14 @@
 	*world
 	plan Plan
 	rows []Row
-	busy *process.Neighbours
+	busy *process.BusyWatch
 }
 
 // Play plays all scenes with one fleet.
 func Play(ctx context.Context, set Setup, plan Plan) (rows []Row, err error) {
-	began, busy := time.Now(), process.Watch()
+	began, busy := time.Now(), process.WatchBusy()
 	defer busy.Close()
-	w, times, err := build(ctx, set)
+	w, times, err := startFleet(ctx, set)
 	defer func() {
 		if ended := w.close(); err == nil {
 			err = ended
@@ -80,11 +80,11 @@
 	if err != nil {
 		return nil, err
 	}
-	after.at = began
-	p.row("all start", slices.Concat(spreadFigures(times), p.traffic(after, 0), []Figure{
-		{"memory_mb_a_sidecar", after.Hollow.MemoryMB / float64(set.Sidecars)},
-		{"heap_mb_a_sidecar", after.Hollow.HeapMB / float64(set.Sidecars)},
-		{"memory_mb_all", after.Hollow.MemoryMB + after.Discovery.MemoryMB},
+	after.time = began
+	p.row("all start", slices.Concat(spreadMetrics(times), p.traffic(after, 0), []Figure{
+		{"memory_mb_a_sidecar", after.Simulated.MemoryMB / float64(set.Sidecars)},
+		{"heap_mb_a_sidecar", after.Simulated.HeapMB / float64(set.Sidecars)},
+		{"memory_mb_all", after.Simulated.MemoryMB + after.Discovery.MemoryMB},
 	}))
 	for _, scene := range p.scenes() {
 		if len(plan.Only) > 0 && !slices.Contains(plan.Only, scene.name) {
@@ -93,7 +93,7 @@
 		if err := ctx.Err(); err != nil {
 			return p.rows, err
 		}
-		if err := scene.do(p); err != nil {
+		if err := scene.play(p); err != nil {
 			return p.rows, fmt.Errorf("%s: %w", scene.name, err)
 		}
 	}
@@ -103,7 +103,7 @@
 // scene is one that follows the start.
 type scene struct {
 	name string
-	do   func(*play) error
+	play func(*play) error
 }
 
 func (*play) scenes() []scene {
@@ -125,7 +125,7 @@
 	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: figures})
 }
 
-func spreadFigures(times []float64) []Figure {
+func spreadMetrics(times []float64) []Figure {
 	s := spreadOf(times)
 	return []Figure{{"median_ms", s.median}, {"most99_ms", s.most99}, {"last_ms", s.last}, {"missing", float64(s.missing)}}
 }
@@ -157,9 +157,9 @@
 func (p *play) cpu(u used, long time.Duration) []Figure {
 	part := 100 / long.Seconds() / float64(p.set.Sidecars)
 	return []Figure{
-		{"cpu_sidecar_pct", u.Hollow.CPU.Seconds() * part},
+		{"cpu_sidecar_pct", u.Simulated.CPU.Seconds() * part},
 		{"cpu_discovery_pct", u.Discovery.CPU.Seconds() * part},
-		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
+		{"cores_busy", (u.Simulated.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
 	}
 }
 
@@ -185,10 +185,10 @@
 	}
 	s := long.Seconds() * float64(p.set.Sidecars)
 	p.row(scene, slices.Concat(p.cpu(u, long), []Figure{
-		{"calls_s", float64(u.Hollow.Calls) / s},
-		{"probes_s", float64(u.Hollow.Probes) / s},
-		{"refused", float64(u.Hollow.Refused)},
-		{"failed", float64(u.Hollow.Failed)},
+		{"calls_s", float64(u.Simulated.Calls) / s},
+		{"probes_s", float64(u.Simulated.Probes) / s},
+		{"refused", float64(u.Simulated.Refused)},
+		{"failed", float64(u.Simulated.Failed)},
 	},
 		p.traffic(u, long)))
 	_, err = all(p.simulatedFleet, order{Op: "calls"})
--- a/internal/testbench/simulated/scenes_changes.go
+++ b/internal/testbench/simulated/scenes_changes.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	p.row("list", slices.Concat(spreadFigures(times), p.traffic(u, 0)))
+	p.row("list", slices.Concat(spreadMetrics(times), p.traffic(u, 0)))
 	return nil
 }
 
@@ -55,13 +55,13 @@
 		return err
 	}
 	n := float64(p.set.Sidecars * p.plan.Burst)
-	extra := u.Hollow.CPU.Seconds() - quiet.Hollow.CPU.Seconds()/window.Seconds()*long.Seconds()
+	extra := u.Simulated.CPU.Seconds() - quiet.Simulated.CPU.Seconds()/window.Seconds()*long.Seconds()
 	there := u.Discovery.CPU.Seconds() - quiet.Discovery.CPU.Seconds()/window.Seconds()*long.Seconds()
-	p.row("burst", slices.Concat(spreadFigures(times), []Figure{
+	p.row("burst", slices.Concat(spreadMetrics(times), []Figure{
 		{"changes", float64(p.plan.Burst)},
 		{"cpu_us_a_change", extra * 1e6 / n},
 		{"discovery_us_a_change", there * 1e6 / n},
-		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
+		{"cores_busy", (u.Simulated.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
 	},
 		p.traffic(u, 0)))
 	return nil
@@ -87,8 +87,8 @@
 	if err != nil {
 		return err
 	}
-	p.row("configuration", slices.Concat(spreadFigures(times), []Figure{
-		{"cpu_us_a_sidecar", u.Hollow.CPU.Seconds() * 1e6 / float64(p.set.Sidecars)}, {"took_ms", ms(long)},
+	p.row("configuration", slices.Concat(spreadMetrics(times), []Figure{
+		{"cpu_us_a_sidecar", u.Simulated.CPU.Seconds() * 1e6 / float64(p.set.Sidecars)}, {"took_ms", ms(long)},
 	}))
 	return nil
 }
--- a/internal/testbench/simulated/scenes_restart.go
+++ b/internal/testbench/simulated/scenes_restart.go
@@ -39,7 +39,7 @@
 		if !known {
 			name = "restart without one"
 		}
-		p.row(name, slices.Concat([]Figure{{"restarted", float64(len(times))}}, spreadFigures(times), p.traffic(u, 0)))
+		p.row(name, slices.Concat([]Figure{{"restarted", float64(len(times))}}, spreadMetrics(times), p.traffic(u, 0)))
 	}
 	return nil
 }
--- a/internal/testbench/simulated/scenes_zone.go
+++ b/internal/testbench/simulated/scenes_zone.go
@@ -34,12 +34,12 @@
 	if err != nil {
 		return err
 	}
-	p.row("zone lost", slices.Concat(spreadFigures(times), []Figure{
+	p.row("zone lost", slices.Concat(spreadMetrics(times), []Figure{
 		{"lines", float64(len(lost))},
-		{"served", float64(u.Hollow.Served)},
-		{"refused", float64(u.Hollow.Refused)},
-		{"failed", float64(u.Hollow.Failed)},
-		{"unreached", float64(u.Hollow.Unreached)},
+		{"served", float64(u.Simulated.Served)},
+		{"refused", float64(u.Simulated.Refused)},
+		{"failed", float64(u.Simulated.Failed)},
+		{"unreached", float64(u.Simulated.Unreached)},
 	},
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
 	return p.returnZone(lost)
@@ -80,13 +80,13 @@
 		}
 	}
 	warmMean := max(1e-9, warmCalls/float64(len(p.endpoints)-len(lost)))
-	p.row("zone back", slices.Concat(spreadFigures(times), []Figure{
+	p.row("zone back", slices.Concat(spreadMetrics(times), []Figure{
 		{"lines", float64(len(lost))},
 		{"cold_of_warm", coldCalls / float64(len(lost)) / warmMean},
 		{"coldest_most_of_warm", maxColdCalls / warmMean},
-		{"served", float64(u.Hollow.Served)},
-		{"refused", float64(u.Hollow.Refused)},
-		{"failed", float64(u.Hollow.Failed)},
+		{"served", float64(u.Simulated.Served)},
+		{"refused", float64(u.Simulated.Refused)},
+		{"failed", float64(u.Simulated.Failed)},
 	},
 		p.cpu(u, long)[:2], p.traffic(u, 0)))
 	_, err = all(p.simulatedFleet, order{Op: "calls"})
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -18,8 +18,8 @@
 
 // fakeServers are the tile servers as the sidecars of one process see them: they answer in memory, and count.
 type fakeServers struct {
-	mu  sync.Mutex
-	all map[string]*fakeServer // by address
+	mutex sync.Mutex
+	all   map[string]*fakeServer // by address
 }
 
 // fakeServer is one process of a server.
@@ -31,8 +31,8 @@
 func newFakeServers() *fakeServers { return &fakeServers{all: map[string]*fakeServer{}} }
 
 func (t *fakeServers) at(address string) *fakeServer {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	one := t.all[address]
 	if one == nil {
 		one = new(fakeServer)
@@ -43,8 +43,8 @@
 
 // sent returns the calls that each address got.
 func (t *fakeServers) sent() map[string]int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	out := make(map[string]int64, len(t.all))
 	for address, one := range t.all {
 		out[address] = one.calls.Load()
@@ -54,8 +54,8 @@
 
 // counts returns the calls and probes of all, and what was refused of either.
 func (t *fakeServers) counts() (calls, probes, refused int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	for _, one := range t.all {
 		calls += one.calls.Load()
 		probes += one.probes.Load()
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -27,27 +27,27 @@
 	zone                  int
 	servers               *fakeServers
 
-	cfg     *config.Config
-	numbers config.Numbering
-	core    *dispatch.Dispatcher
-	watch   *discovery.Watch
-	stop    context.CancelFunc
-	ended   sync.WaitGroup
-	began   time.Time
-
-	mu    sync.Mutex
-	heard []hearing // in order
-	first time.Time // when the first answer was known to be in force; it may have told nothing
+	cfg        *config.Config
+	numbers    config.Numbering
+	dispatcher *dispatch.Dispatcher
+	watch      *discovery.Watch
+	stop       context.CancelFunc
+	ended      sync.WaitGroup
+	began      time.Time
+
+	mutex   sync.Mutex
+	updates []listUpdate // in order
+	first   time.Time    // when the first answer was known to be in force; it may have told nothing
 
 	rate                    atomic.Uint64 // of calls a second, in thousandths
 	served, refused, failed atomic.Int64
-	failures, doubts        int64 // of the watch, in earlier lives
+	failures, fullRefreshes int64 // of the watch, in earlier lives
 }
 
-// hearing is a revision that came into force.
-type hearing struct {
+// listUpdate is a revision that came into force.
+type listUpdate struct {
 	revision uint64
-	at       time.Time
+	time     time.Time
 }
 
 func (s *sidecar) getenv(key string) string {
@@ -84,7 +84,7 @@
 		OnUpdate: func(l endpoints.List, at time.Time) {
 			pool.UpdateEndpoints(l, at)
 			pool.Counts() // answered once the list is in force
-			s.hear(l.Revision)
+			s.recordUpdate(l.Revision)
 		},
 		OnValidity: func(t staleness.Validity) { pool.SetListValidity(t) },
 	}); err != nil {
@@ -99,13 +99,13 @@
 		stop()
 		return err
 	}
-	s.core = pool
-	s.mu.Lock()
-	s.heard, s.first = nil, time.Time{}
-	s.mu.Unlock()
+	s.dispatcher = pool
+	s.mutex.Lock()
+	s.updates, s.first = nil, time.Time{}
+	s.mutex.Unlock()
 	s.ended.Go(func() { _ = pool.Run(ctx) })
 	s.ended.Go(func() { _ = s.watch.Run(ctx) })
-	s.ended.Go(func() { s.note(ctx, s.watch.FirstUpdate()) })
+	s.ended.Go(func() { s.awaitFirstUpdate(ctx, s.watch.FirstUpdate()) })
 	s.ended.Go(func() { s.call(ctx, pool, cfg) })
 	return nil
 }
@@ -118,37 +118,37 @@
 	s.stop()
 	s.ended.Wait()
 	s.failures += s.watch.Failures.Load()
-	s.doubts += s.watch.FullRefreshes.Load()
+	s.fullRefreshes += s.watch.FullRefreshes.Load()
 	s.stop = nil
 }
 
-func (s *sidecar) hear(revision uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.heard = append(s.heard, hearing{revision, time.Now()})
+func (s *sidecar) recordUpdate(revision uint64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.updates = append(s.updates, listUpdate{revision, time.Now()})
 }
 
-// note notes when the first answer has come, which may have told nothing.
-func (s *sidecar) note(ctx context.Context, first <-chan struct{}) {
+// awaitFirstUpdate notes when the first answer has come, which may have told nothing.
+func (s *sidecar) awaitFirstUpdate(ctx context.Context, first <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-first:
-		s.mu.Lock()
+		s.mutex.Lock()
 		s.first = time.Now()
-		s.mu.Unlock()
+		s.mutex.Unlock()
 	}
 }
 
 // firstAfter is how long after its start the first answer came or, where no list was known, was in force; 0 = not yet.
 func (s *sidecar) firstAfter(known bool) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	at := s.first
 	if !known {
 		at = time.Time{}
 	}
-	if len(s.heard) > 0 {
-		at = s.heard[0].at
+	if len(s.updates) > 0 {
+		at = s.updates[0].time
 	}
 	if at.IsZero() {
 		return 0
@@ -158,11 +158,11 @@
 
 // inForce returns when a revision, or a later one, came into force; zero = it has not.
 func (s *sidecar) inForce(revision uint64) time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, h := range s.heard {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, h := range s.updates {
 		if h.revision >= revision {
-			return h.at
+			return h.time
 		}
 	}
 	return time.Time{}
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.core.Reconfigure(dispatch.Reconfiguration{
+	if err := s.dispatcher.Reconfigure(dispatch.Reconfiguration{
 		Policy: next.Policy, Classes: numbers.Classes, Tenants: numbers.Tenants,
 		Deployment: deployment, DrainGrace: next.DrainGrace,
 	}); err != nil {
@@ -195,7 +195,7 @@
 // call draws calls at the rate that was ordered.
 func (s *sidecar) call(ctx context.Context, pool *dispatch.Dispatcher, cfg *config.Config) {
 	rng := rand.New(rand.NewPCG(s.seed, 0x63616c6c))
-	patience := config.Duration(cfg.Settings.Classes[0].HardLimitMs)
+	timeout := config.Duration(cfg.Settings.Classes[0].HardLimitMs)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	next := time.Now()
@@ -214,7 +214,7 @@
 		}
 		if rate > 0 {
 			pool.Submit(&request.Request{
-				ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Timeout: patience,
+				ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Timeout: timeout,
 				Method: "GET", Target: "/tile/1", Respond: s.answered,
 			})
 		}
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	zones    = 8
-	zoneMark = `"zone-of-this-one"`
-	warmIn   = 8 * time.Second
-	places   = 1024 // sockets of a sidecar
-	memoryMB = 64   // the letter's, of a sidecar
+	zones      = 8
+	zoneMark   = `"zone-of-this-one"`
+	warmUpTime = 8 * time.Second
+	maxSockets = 1024 // sockets of a sidecar
+	memoryMB   = 64   // the letter's, of a sidecar
 )
 
 // Setup is a fleet.
@@ -137,8 +137,8 @@
 	tile.Aim = w.latencyObjective
 	return fakes.Config(fakes.Sidecar{
 		Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
-		Classes: []fakes.Class{tile}, Sockets: places, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
-		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmIn, Edit: w.edit,
+		Classes: []fakes.Class{tile}, Sockets: maxSockets, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
+		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmUpTime, Edit: w.edit,
 	})
 }
 
@@ -155,8 +155,8 @@
 	}
 }
 
-// build starts the parts and the sidecars, all at once and without a list; times is after how long each had it.
-func build(ctx context.Context, set Setup) (w *world, times []float64, err error) {
+// startFleet starts the parts and the sidecars, all at once and without a list; times is after how long each had it.
+func startFleet(ctx context.Context, set Setup) (w *world, times []float64, err error) {
 	if set.Spawn == nil {
 		set.Spawn = Here
 	}
@@ -196,7 +196,7 @@
 		return w, nil, err
 	}
 	c, err := w.count()
-	if sum := c.Hollow.MemoryMB + c.Discovery.MemoryMB; err == nil && set.MaxMemory > 0 && sum > set.MaxMemory {
+	if sum := c.Simulated.MemoryMB + c.Discovery.MemoryMB; err == nil && set.MaxMemory > 0 && sum > set.MaxMemory {
 		err = fmt.Errorf("%d sidecars take %.0f MB with their discovery, and %.0f are allowed", set.Sidecars, sum, set.MaxMemory)
 	}
 	return w, times, err
@@ -247,16 +247,16 @@
 
 // used is what both sides have used and done.
 type used struct {
-	at                time.Time
-	Hollow, Discovery Counts
+	time                 time.Time
+	Simulated, Discovery Counts
 }
 
 func (w *world) count() (u used, err error) {
-	u.at = time.Now()
+	u.time = time.Now()
 	for _, side := range []struct {
 		parts []*Part
 		sum   *Counts
-	}{{w.simulatedFleet, &u.Hollow}, {w.discovery, &u.Discovery}} {
+	}{{w.simulatedFleet, &u.Simulated}, {w.discovery, &u.Discovery}} {
 		replies, err := all(side.parts, order{Op: "count"})
 		if err != nil {
 			return u, err
@@ -270,7 +270,7 @@
 }
 
 func (u used) minus(o used) used {
-	return used{at: u.at, Hollow: u.Hollow.minus(o.Hollow), Discovery: u.Discovery.minus(o.Discovery)}
+	return used{time: u.time, Simulated: u.Simulated.minus(o.Simulated), Discovery: u.Discovery.minus(o.Discovery)}
 }
 
 // during does something and returns what was used meanwhile and how long it took.
@@ -283,7 +283,7 @@
 		return u, 0, err
 	}
 	after, err := w.count()
-	return after.minus(before), after.at.Sub(before.at), err
+	return after.minus(before), after.time.Sub(before.time), err
 }
 
 // change puts lines in force at discovery and returns after how many ms each sidecar went by it; 0 = not within the time.
--- a/internal/testbench/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -23,7 +23,7 @@
 	method      string
 	idempotency string // in the settings
 	deadline    time.Duration
-	share       float64 // of all requests
+	fraction    float64 // of all requests
 }
 
 // classesFor are the classes of a deployment whose longest deadline is that.
@@ -75,12 +75,12 @@
 	rate    float64
 	classes []class
 
-	mu       sync.Mutex
+	mutex    sync.Mutex
 	rng      *rand.Rand
 	idle     []*clientConn
 	all      []*request
 	count    int
-	wg       sync.WaitGroup
+	pending  sync.WaitGroup
 	allLeave bool // all that wait leave
 }
 
@@ -97,14 +97,14 @@
 func (c *clients) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r, pause := c.draw()
-		c.wg.Go(func() { c.send(r) })
+		c.pending.Go(func() { c.send(r) })
 		if fakes.Pause(ctx, pause) != nil {
 			break
 		}
 	}
-	c.wg.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.pending.Wait()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for _, k := range c.idle {
 		k.Close()
 	}
@@ -148,16 +148,16 @@
 
 // draw makes the next request, and the pause after it.
 func (c *clients) draw() (r *request, pause time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	c.count++
 	r = &request{id: fmt.Sprintf("%s-%d", c.sidecar.name, c.count), sidecar: c.sidecar.number, seed: c.rng.Uint64()}
 	p := c.rng.Float64()
 	for _, k := range c.classes {
-		if r.class = k; p < k.share {
+		if r.class = k; p < k.fraction {
 			break
 		}
-		p -= k.share
+		p -= k.fraction
 	}
 	switch p := c.rng.Float64(); {
 	case c.allLeave || p < 0.06:
@@ -202,8 +202,8 @@
 }
 
 func (c *clients) takeIdle() *clientConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if len(c.idle) == 0 {
 		return nil
 	}
@@ -235,8 +235,8 @@
 func (c *clients) attempt(r *request, k *clientConn, until time.Time, rng *rand.Rand) connectionEnd {
 	keep := false
 	defer func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
+		c.mutex.Lock()
+		defer c.mutex.Unlock()
 		if keep {
 			c.idle = append(c.idle, k)
 			return
@@ -354,8 +354,8 @@
 
 // setAllLeave has the clients that send from now on leave, until it is called with false.
 func (c *clients) setAllLeave(on bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	c.allLeave = on
 }
 
@@ -394,7 +394,7 @@
 
 // requests returns all so far.
 func (c *clients) requests() []*request {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	return append([]*request{}, c.all...)
 }
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// begin plays a fault and returns when it is over.
-func (w *world) begin(ctx context.Context, t Fault) {
+// playFault plays a fault and returns when it is over.
+func (w *world) playFault(ctx context.Context, t Fault) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
 	pause := func() { _ = fakes.Pause(ctx, t.For) }
 	switch t.Kind {
@@ -22,9 +22,9 @@
 			return
 		}
 		defer s.release()
-		w.process(ctx, t, s)
+		w.playProcessFault(ctx, t, s)
 	case Reload, ReloadBurst, ConfigFails: // these may coincide with any other fault of the process
-		w.process(ctx, t, s)
+		w.playProcessFault(ctx, t, s)
 	case AcceptFails, ConnectFails, Interrupted, DiskFails:
 		w.failSystemCalls(ctx, t, s, pause)
 	case SlowConnects:
@@ -37,7 +37,7 @@
 		pause()
 		p.Signal(syscall.SIGCONT)
 	case OperatorsOrder:
-		w.order(ctx, t, n, s, v)
+		w.playOperatorOrder(ctx, t, n, s, v)
 	case ClockStep:
 		w.stepClocks(pick(t.Draw, -time.Hour, -5*time.Second, 5*time.Second, time.Hour))
 	case Silent, Down, Late:
@@ -52,7 +52,7 @@
 		owed := w.clients[n].flood(ctx, int(t.Draw*maxFlood), badClientWithin)
 		w.note(func(r *record) { r.unansweredPartial += owed })
 	default:
-		w.server(t, v, pause)
+		w.playServerFault(t, v, pause)
 	}
 }
 
@@ -119,8 +119,8 @@
 	s.control.Heal(faultinjection.Peek)
 }
 
-// process plays what ends, replaces or reloads a sidecar's process.
-func (w *world) process(ctx context.Context, t Fault, s *sidecar) {
+// playProcessFault plays what ends, replaces or reloads a sidecar's process.
+func (w *world) playProcessFault(ctx context.Context, t Fault, s *sidecar) {
 	switch t.Kind {
 	case Terminate:
 		s.terminate(ctx)
@@ -156,14 +156,14 @@
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	s.edits++
-	to := w.directories[(int(t.Draw*10)+s.edits)%len(w.directories)]
+	to := w.discoveries[(int(t.Draw*10)+s.edits)%len(w.discoveries)]
 	if err := s.configure(to.Address(), w.options.Seed+uint64(s.number), w.editWith(s.edits, classes)); err != nil {
 		s.fault("configuration: %v", err)
 	}
 }
 
-// order has operators take a server out at a sidecar, and put it back.
-func (w *world) order(ctx context.Context, t Fault, n int, s *sidecar, v *stand) {
+// playOperatorOrder has operators take a server out at a sidecar, and put it back.
+func (w *world) playOperatorOrder(ctx context.Context, t Fault, n int, s *sidecar, v *serverPlace) {
 	server := v.ID()
 	of := learnedServer{n, server}
 	if _, under := w.ordered.LoadOrStore(of, true); under { // one order's end is not another's
@@ -176,13 +176,13 @@
 	var number int
 	w.note(func(r *record) {
 		number = len(r.orders)
-		r.orders = append(r.orders, order{sidecar: n, server: server, from: time.Now()})
+		r.orders = append(r.orders, order{sidecar: n, server: server, acknowledgedAt: time.Now()})
 	})
 	_ = fakes.Pause(ctx, t.For)
 	now := time.Now()
 	for range 40 { // the sidecar may be starting, or its disk may fail
 		if s.order("enable", server) == 200 {
-			w.note(func(r *record) { r.orders[number].to = now })
+			w.note(func(r *record) { r.orders[number].takenBackAt = now })
 			return
 		}
 		_ = fakes.Pause(ctx, 100*time.Millisecond)
@@ -194,7 +194,7 @@
 func (w *world) outage(kind Kind, pause func()) {
 	from := time.Now()
 	set := func(on bool) {
-		for _, d := range w.directories {
+		for _, d := range w.discoveries {
 			switch kind {
 			case Silent:
 				d.LoseAnswers(on)
@@ -216,7 +216,7 @@
 }
 
 // spoil has a server's proxy spoil answers, or all proxies where the server has none.
-func (w *world) spoil(kind Kind, v *stand, pause func()) {
+func (w *world) spoil(kind Kind, v *serverPlace, pause func()) {
 	set := func(on bool) {
 		for _, s := range w.servers {
 			if s.proxy == nil || v.proxy != nil && s != v {
@@ -234,12 +234,12 @@
 	set(false)
 }
 
-// server plays a server's fault. A server has one at a time.
-func (w *world) server(t Fault, v *stand, pause func()) {
-	if !v.busy.CompareAndSwap(false, true) {
+// playServerFault plays a server's fault. A server has one at a time.
+func (w *world) playServerFault(t Fault, v *serverPlace, pause func()) {
+	if !v.faulty.CompareAndSwap(false, true) {
 		return
 	}
-	defer v.busy.Store(false)
+	defer v.faulty.Store(false)
 	behave := func(how func(*fakes.Behaviour)) {
 		v.Change(how)
 		pause()
@@ -271,7 +271,7 @@
 }
 
 // restart ends a server's process and starts one, cold, which discovery tells at once.
-func (w *world) restart(v *stand, id string, pause func()) {
+func (w *world) restart(v *serverPlace, id string, pause func()) {
 	v.Kill()
 	pause()
 	err := v.Start(id)
@@ -287,21 +287,21 @@
 		return
 	}
 	w.note(func(r *record) { r.starts[id] = append(r.starts[id], time.Now()) })
-	w.list(w.member(v, fakes.Serving, w.wall().UnixMilli()))
+	w.updateDiscovery(w.endpoint(v, fakes.Serving, w.wall().UnixMilli()))
 }
 
 // replace has a server drain, ends it, and starts another under a new id in its place.
-func (w *world) replace(v *stand, pause func()) {
+func (w *world) replace(v *serverPlace, pause func()) {
 	v.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // as one that drains does, which serves what it gets
 	defer v.Behave(fakes.Behaviour{})
-	leave := w.member(v, fakes.Draining, 0)
+	leave := w.endpoint(v, fakes.Draining, 0)
 	w.note(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
-	w.list(leave)
+	w.updateDiscovery(leave)
 	pause()
 	v.Kill()
 	leave.Phase = fakes.Deleted
-	w.list(leave)
-	v.lives++
+	w.updateDiscovery(leave)
+	v.processes++
 	place, _, _ := strings.Cut(leave.ID, "-")
-	w.restart(v, fmt.Sprintf("%s-%d", place, v.lives), func() {})
+	w.restart(v, fmt.Sprintf("%s-%d", place, v.processes), func() {})
 }
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -66,14 +66,14 @@
 // drainingServer is a server that drains or is gone.
 type drainingServer struct {
 	server string
-	at     time.Time // discovery had it
+	since  time.Time // discovery had it
 }
 
 // order is an operator's order that a sidecar has acknowledged.
 type order struct {
-	sidecar  int
-	server   string
-	from, to time.Time // to: it was taken back; zero = it was not
+	sidecar                     int
+	server                      string
+	acknowledgedAt, takenBackAt time.Time // to: it was taken back; zero = it was not
 }
 
 // outage is a time in which discovery did not tell what it had.
@@ -220,9 +220,9 @@
 		if late := a.Sent.Sub(q.leftAt); !q.leftAt.IsZero() && late > goneSlack+r.slackAt(a.Sent) {
 			add(ClientGone, a.Sent, "%s: begun %s after its client had left", q.id, late)
 		}
-		told, err := strconv.ParseFloat(a.Deadline, 64)
+		sentDeadline, err := strconv.ParseFloat(a.Deadline, 64)
 		left := q.class.deadline - a.Sent.Sub(q.begunAt)
-		if over := time.Duration(told*float64(time.Second)) - left; err == nil && over > deadlineSlack+r.slackAt(a.Sent) {
+		if over := time.Duration(sentDeadline*float64(time.Second)) - left; err == nil && over > deadlineSlack+r.slackAt(a.Sent) {
 			add(Deadline, a.Sent, "%s: %s is told %s, %s are left", q.id, a.Server, a.Deadline, left)
 		}
 	}
@@ -231,26 +231,26 @@
 // signalled is when a change that discovery has had since at counts as told to everybody. A watch that falls silent is given its time
 // from when it did; one that has been told before that knows by itself, see heard.
 func (r *record) notifiedAt(at time.Time) time.Time {
-	told := at
+	notified := at
 	if r.onRequest {
-		told = at.Add(maxNotifyDelay)
+		notified = at.Add(maxNotifyDelay)
 	}
 	for _, o := range r.outages { // in the order of their beginnings
-		if told.Before(o.from) || !told.Before(o.to) {
+		if notified.Before(o.from) || !notified.Before(o.to) {
 			continue
 		}
 		switch o.kind {
 		case Down:
-			if told = o.to; r.onRequest {
-				told = told.Add(maxNotifyDelay)
+			if notified = o.to; r.onRequest {
+				notified = notified.Add(maxNotifyDelay)
 			}
 		case Late:
-			told = told.Add(listDelay)
+			notified = notified.Add(listDelay)
 		case Silent:
-			told = later(told, o.from.Add(maxNotifyDelay))
+			notified = later(notified, o.from.Add(maxNotifyDelay))
 		}
 	}
-	return told
+	return notified
 }
 
 // processStart is when the sidecar's process began that lived at that moment.
@@ -272,14 +272,14 @@
 
 func (r *record) judgeDraining(add adder) {
 	for _, l := range r.draining {
-		told := r.notifiedAt(l.at)
+		notified := r.notifiedAt(l.since)
 		for _, a := range r.attempts {
-			if a.Server != l.server || a.Sent.Before(l.at) {
+			if a.Server != l.server || a.Sent.Before(l.since) {
 				continue
 			}
-			since := told
+			since := notified
 			for _, heard := range r.learnedAt[learnedServer{a.sidecar, l.server}] { // by operators' orders, too, before it left
-				if !heard.Before(l.at) && heard.Before(since) {
+				if !heard.Before(l.since) && heard.Before(since) {
 					since = heard
 				}
 			}
@@ -294,17 +294,17 @@
 func (r *record) judgeOrders(add adder) {
 	for _, o := range r.orders {
 		for _, a := range r.attempts {
-			late := a.Sent.Sub(o.from) - drainGrace
-			if a.sidecar == o.sidecar && a.Server == o.server && late > drainSlack+r.slackAt(a.Sent) && (o.to.IsZero() || a.Sent.Before(o.to)) {
+			late := a.Sent.Sub(o.acknowledgedAt) - drainGrace
+			if a.sidecar == o.sidecar && a.Server == o.server && late > drainSlack+r.slackAt(a.Sent) && (o.takenBackAt.IsZero() || a.Sent.Before(o.takenBackAt)) {
 				add(Order, a.Sent, "%s: n%d sends to %s, which operators have taken out %s before", a.ID, o.sidecar, o.server,
-					a.Sent.Sub(o.from))
+					a.Sent.Sub(o.acknowledgedAt))
 			}
 		}
 	}
 }
 
-// allowance is how many requests of mean work a server in slow start may get within fallFor, from age on.
-func allowance(age time.Duration) int {
+// slowStartBudget is how many requests of mean work a server in slow start may get within fallFor, from age on.
+func slowStartBudget(age time.Duration) int {
 	steps, sum := 100, 0.0
 	for i := range steps {
 		t := age + fallFor*time.Duration(i)/time.Duration(steps)
@@ -320,7 +320,7 @@
 
 // arrival is a request that has reached a cold server, and whether its sidecar had been told of the server's start.
 type arrival struct {
-	at       time.Time
+	time     time.Time
 	notified bool
 }
 
@@ -333,17 +333,17 @@
 			if i+1 < len(starts) && starts[i+1].Before(end) {
 				end = starts[i+1]
 			}
-			told := r.notifiedAt(began)
+			notified := r.notifiedAt(began)
 			var got []arrival
 			for _, a := range r.attempts {
 				if a.Server == server && !a.Sent.Before(began) && a.Sent.Before(end) {
-					got = append(got, arrival{a.Sent, !a.Sent.Before(told)})
+					got = append(got, arrival{a.Sent, !a.Sent.Before(notified)})
 				}
 			}
-			slices.SortFunc(got, func(a, b arrival) int { return a.at.Compare(b.at) })
+			slices.SortFunc(got, func(a, b arrival) int { return a.time.Compare(b.time) })
 			if w := worstSpan(got, began); w.count > w.allowed && w.notified > w.count*2/3 {
-				add(SlowStart, w.at, "%s: %d requests within %s from %s after its start, at most %d; %d by sidecars that were told", server, w.count,
-					fallFor, w.at.Sub(began), w.allowed, w.notified)
+				add(SlowStart, w.start, "%s: %d requests within %s from %s after its start, at most %d; %d by sidecars that were told", server, w.count,
+					fallFor, w.start.Sub(began), w.allowed, w.notified)
 			}
 		}
 	}
@@ -351,7 +351,7 @@
 
 // window is what a cold server got within fallFor, and what it may get.
 type window struct {
-	at                       time.Time
+	start                    time.Time
 	count, notified, allowed int
 }
 
@@ -359,9 +359,9 @@
 func worstSpan(got []arrival, began time.Time) (worst window) {
 	over := math.MinInt
 	for i, from := range got {
-		w := window{at: from.at, allowed: allowance(from.at.Sub(began))}
+		w := window{start: from.time, allowed: slowStartBudget(from.time.Sub(began))}
 		for _, a := range got[i:] {
-			if a.at.Sub(from.at) >= fallFor {
+			if a.time.Sub(from.time) >= fallFor {
 				break
 			}
 			if w.count++; a.notified {
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -115,27 +115,27 @@
 		"a crash":        {func(r *record) { r.faults["n0"] = []string{"exit status 2"} }, Process},
 		"cold, a lot": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
-			for i := range allowance(0) + 5 {
+			for i := range slowStartBudget(0) + 5 {
 				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, SlowStart},
 		"cold, a lot, and nobody told": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			r.outages = []outage{{Silent, after(-100), after(2500)}}
-			for i := range allowance(0) + 5 {
+			for i := range slowStartBudget(0) + 5 {
 				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, ""},
 		"cold, a lot, told": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
 			r.outages = []outage{{Down, after(-100), after(20)}}
-			for i := range allowance(0) + 5 {
+			for i := range slowStartBudget(0) + 5 {
 				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, SlowStart},
 		"cold, its part": {func(r *record) {
 			r.starts["s9"] = []time.Time{after(0)}
-			for i := range allowance(0) {
+			for i := range slowStartBudget(0) {
 				r.attempts = append(r.attempts, attempt{fakes.Request{ID: fmt.Sprint("x", i), Server: "s9", Sent: after(i)}, 0})
 			}
 		}, ""},
@@ -168,7 +168,7 @@
 			}
 		}
 	}
-	for _, s := range shares {
+	for _, s := range kindWeights {
 		if !seen[s.kind] {
 			t.Errorf("%s is never drawn", s.kind)
 		}
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -45,11 +45,11 @@
 	Flood          Kind = "flood"       // many connections that say nothing, or half a request
 )
 
-// share is how often a kind is drawn, and for how long it lasts.
-type share struct {
-	kind        Kind
-	weight      float64
-	least, most time.Duration
+// kindWeight is how often a kind is drawn, and for how long it lasts.
+type kindWeight struct {
+	kind                 Kind
+	weight               float64
+	minLength, maxLength time.Duration
 }
 
 const (
@@ -61,9 +61,9 @@
 	quietStart = 1500 * time.Millisecond
 )
 
-// shares are all kinds. Accepts fail for a moment, as the operators' terms have it: what lies in the kernel until its client has long
+// kindWeights are all kinds. Accepts fail for a moment, as the operators' terms have it: what lies in the kernel until its client has long
 // stopped waiting, or until its process is killed, can't be answered by anybody.
-var shares = []share{
+var kindWeights = []kindWeight{
 	{Terminate, 2, 0, 0},
 	{AimedEnd, 5, 0, 0},
 	{SlowConnects, 3, 300 * time.Millisecond, 1500 * time.Millisecond},
@@ -108,9 +108,9 @@
 // Draw returns the troubles of a run in the order of their beginning.
 func Draw(seed uint64, long time.Duration, sidecars, servers int, only []Kind) (all []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
-	from := slices.Clone(shares)
+	from := slices.Clone(kindWeights)
 	if len(only) > 0 {
-		from = slices.DeleteFunc(from, func(s share) bool { return !slices.Contains(only, s.kind) })
+		from = slices.DeleteFunc(from, func(s kindWeight) bool { return !slices.Contains(only, s.kind) })
 	}
 	sum := 0.0
 	for _, s := range from {
@@ -126,7 +126,7 @@
 			pick -= s.weight
 		}
 		t := Fault{At: at, Kind: chosen.kind, Draw: rng.Float64(), Target: rng.IntN(sidecars * servers)}
-		t.For = chosen.least + time.Duration(rng.Float64()*float64(chosen.most-chosen.least))
+		t.For = chosen.minLength + time.Duration(rng.Float64()*float64(chosen.maxLength-chosen.minLength))
 		all = append(all, t)
 	}
 	slices.SortStableFunc(all, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -23,9 +23,9 @@
 	cut      atomic.Bool
 	dribble  atomic.Bool
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	wg    sync.WaitGroup
+	mutex       sync.Mutex
+	conns       map[net.Conn]bool
+	connections sync.WaitGroup
 }
 
 func newProxy(network fakes.Network, to func() string) (*proxy, error) {
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	p := &proxy{listener: l, to: to, conns: map[net.Conn]bool{}}
-	p.wg.Go(p.accept)
+	p.connections.Go(p.accept)
 	return p, nil
 }
 
@@ -46,7 +46,7 @@
 		if err != nil {
 			return
 		}
-		p.wg.Go(func() { p.serve(c) })
+		p.connections.Go(func() { p.serve(c) })
 	}
 }
 
@@ -120,16 +120,16 @@
 }
 
 func (p *proxy) hold(conns ...net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	for _, c := range conns {
 		p.conns[c] = true
 	}
 }
 
 func (p *proxy) drop(conns ...net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	for _, c := range conns {
 		delete(p.conns, c)
 	}
@@ -137,8 +137,8 @@
 
 // reset resets all connections.
 func (p *proxy) reset() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	for c := range p.conns {
 		fakes.Abort(c)
 	}
@@ -147,5 +147,5 @@
 func (p *proxy) close() {
 	p.listener.Close()
 	p.reset()
-	p.wg.Wait()
+	p.connections.Wait()
 }
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -21,7 +21,7 @@
 type Report struct {
 	Seed uint64
 	variant
-	Troubles                          map[Kind]int
+	Faults                            map[Kind]int
 	Requests, Served, Refused, Failed int
 	Left, Unreachable, Attempts       int
 	Stall                             time.Duration // by which this process was held up, at most: slack of the judge
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &Report{Seed: o.Seed, variant: w.variant, Troubles: map[Kind]int{}}
+	out := &Report{Seed: o.Seed, variant: w.variant, Faults: map[Kind]int{}}
 	loading, endLoad := context.WithTimeout(ctx, o.For)
 	defer endLoad()
 	w.record.start = time.Now()
@@ -54,16 +54,16 @@
 		}
 	}()
 	for _, c := range w.clients {
-		w.troubles.Go(func() { c.run(loading) })
+		w.running.Go(func() { c.run(loading) })
 	}
 	for _, t := range Draw(o.Seed, o.For, o.Sidecars, o.Servers, o.Only) {
 		if fakes.Pause(ctx, time.Until(w.record.start.Add(t.At))) != nil {
 			break
 		}
-		out.Troubles[t.Kind]++
-		w.troubles.Go(func() { w.begin(ctx, t) })
+		out.Faults[t.Kind]++
+		w.running.Go(func() { w.playFault(ctx, t) })
 	}
-	w.troubles.Wait()
+	w.running.Wait()
 	<-stalled
 	w.close()
 	r := w.finish()
@@ -95,10 +95,10 @@
 // Write words the report.
 func (p *Report) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connections within %s, repeats within %s, crowds %t: %d requests, %d served, %d refused, %d failed, %d left, %d found nobody; %d attempts; held up %s at most\n",
-		p.Seed, p.sockets, p.onRequest, p.longest, p.connect, p.window, p.crowd, p.Requests, p.Served, p.Refused, p.Failed, p.Left, p.Unreachable, p.Attempts, p.Stall.Round(time.Millisecond))
+		p.Seed, p.sockets, p.onRequest, p.longest, p.connect, p.window, p.manyClients, p.Requests, p.Served, p.Refused, p.Failed, p.Left, p.Unreachable, p.Attempts, p.Stall.Round(time.Millisecond))
 	fmt.Fprint(to, "  troubles:")
-	for _, k := range slices.Sorted(maps.Keys(p.Troubles)) {
-		fmt.Fprintf(to, " %s %d", k, p.Troubles[k])
+	for _, k := range slices.Sorted(maps.Keys(p.Faults)) {
+		fmt.Fprintf(to, " %s %d", k, p.Faults[k])
 	}
 	fmt.Fprintln(to)
 	for _, v := range p.Violations {
--- a/internal/testbench/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if report.Served == 0 || len(report.Troubles) == 0 {
+		if report.Served == 0 || len(report.Faults) == 0 {
 			t.Errorf("seed %d: nothing was played: %+v", run.seed, report)
 		}
 		for _, v := range report.Violations {
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -24,14 +24,14 @@
 	denseBefore     = 300 * time.Millisecond // of the word to end
 	lateRests       = 4
 	lateWithin      = 700 * time.Millisecond // of the kill, that the rest of a request comes
-	holdFor         = shutdown.MaxStall
-	maxHold         = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
-	holdApart       = 20 * time.Millisecond
+	stallLength     = shutdown.MaxStall
+	maxStallLength  = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
+	minStallGap     = 20 * time.Millisecond
 	endBeforeKill   = 100 * time.Millisecond // that a last hold-up ends, at the earliest,
 	endAfterKill    = 140 * time.Millisecond // and at the latest
 	minSlice        = 2 * time.Millisecond   // for which a process runs between two hold-ups in a row
 	maxSlice        = 30 * time.Millisecond
-	hangFrom        = 200 * time.Millisecond // before the last accept
+	hangLead        = 200 * time.Millisecond // before the last accept
 	seriesWithin    = 150 * time.Millisecond // of the word, before or after it, that other signals come
 	seriesClose     = 5 * time.Millisecond   // half of them so close to it
 	failAcceptMax   = 60 * time.Millisecond
@@ -43,28 +43,28 @@
 // signalAfter is a signal that comes so long after the word to end, or before it.
 type signalAfter struct {
 	signal syscall.Signal
-	at     time.Duration
+	after  time.Duration
 }
 
 // shutdownFault is how the end of a process is aimed at.
 type shutdownFault struct {
 	series      []signalAfter
-	holds       []time.Duration // after the word, at which the process is stopped for holdFor
+	stalls      []time.Duration // after the word, at which the process is stopped for stallLength
 	failAccepts time.Duration   // for so long around the last accept; 0 = none does
 	failFrom    time.Duration
 	hanging     bool // half of the servers hang from shortly before the last accept until the kill
 	interrupted bool // looks at sockets end with EINTR around the last accept
 	shorter     bool // a reload before the word makes deadlines shorter
-	kill        time.Duration
+	killAfter   time.Duration
 	clients     int           // that send until the kill
 	pause       time.Duration // of each, after an answer
 	lateRests   int           // clients that have sent half a request, and send its rest shortly before the kill
 }
 
 // drawShutdownFault draws the end of a process with that longest deadline. Its edges are the word, the last accept, the last answer and the kill.
-func drawShutdownFault(rng *rand.Rand, longest time.Duration, crowd bool) shutdownFault {
+func drawShutdownFault(rng *rand.Rand, longest time.Duration, manyClients bool) shutdownFault {
 	e := shutdownFault{clients: denseClients, pause: densePause, lateRests: lateRests, shorter: rng.IntN(6) == 0}
-	if crowd {
+	if manyClients {
 		e.clients, e.pause = overloadClients, overloadPause
 	}
 	if e.shorter {
@@ -72,23 +72,23 @@
 		e.series = append(e.series, signalAfter{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(seriesWithin))})
 	}
 	plan := shutdown.NewSchedule(longest, 0)
-	e.kill = killAfter(longest)
+	e.killAfter = killAfter(longest)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2} {
 		if rng.IntN(5) < 2 {
 			e.series = append(e.series, signalAfter{s, nearby(rng)})
 		}
 	}
 	if rng.IntN(2) == 0 { // across the word
-		e.hold(-time.Duration(rng.Float64() * float64(holdFor)))
+		e.addStall(-time.Duration(rng.Float64() * float64(stallLength)))
 	}
 	if rng.IntN(4) > 0 {
-		e.holdBeforeKill(rng)
+		e.addStallsBeforeKill(rng)
 	} else { // across the last accept or the last answer
-		e.hold(one(rng, plan.LastForward, plan.LastAnswer) - time.Duration(rng.Float64()*float64(holdFor)))
+		e.addStall(pickOne(rng, plan.LastForward, plan.LastAnswer) - time.Duration(rng.Float64()*float64(stallLength)))
 	}
 	e.hanging = rng.IntN(3) > 0
 	if rng.IntN(3) == 0 {
-		e.failFrom = plan.LastForward - time.Duration(rng.Float64()*float64(holdApart))
+		e.failFrom = plan.LastForward - time.Duration(rng.Float64()*float64(minStallGap))
 		e.failAccepts = time.Duration(rng.Float64() * float64(failAcceptMax))
 	}
 	e.interrupted = rng.IntN(4) == 0
@@ -104,47 +104,47 @@
 	return time.Duration((2*rng.Float64() - 1) * float64(within))
 }
 
-// holdBeforeKill adds one to three hold-ups with little time between them, the last of which ends around the kill: one for each step that a
+// addStallsBeforeKill adds one to three hold-ups with little time between them, the last of which ends around the kill: one for each step that a
 // last answer takes.
-func (e *shutdownFault) holdBeforeKill(rng *rand.Rand) {
-	end := e.kill + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
+func (e *shutdownFault) addStallsBeforeKill(rng *rand.Rand) {
+	end := e.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
 	for range 1 + rng.IntN(3) {
-		e.holds = append(e.holds, end-holdFor)
-		end -= holdFor + minSlice + time.Duration(rng.Float64()*float64(maxSlice-minSlice))
+		e.stalls = append(e.stalls, end-stallLength)
+		end -= stallLength + minSlice + time.Duration(rng.Float64()*float64(maxSlice-minSlice))
 	}
 }
 
-// hold adds a hold-up unless it would run into another one.
-func (e *shutdownFault) hold(at time.Duration) {
-	for _, other := range e.holds {
-		if at < other+holdFor+holdApart && other < at+holdFor+holdApart {
+// addStall adds a hold-up unless it would run into another one.
+func (e *shutdownFault) addStall(at time.Duration) {
+	for _, other := range e.stalls {
+		if at < other+stallLength+minStallGap && other < at+stallLength+minStallGap {
 			return
 		}
 	}
-	e.holds = append(e.holds, at)
+	e.stalls = append(e.stalls, at)
 }
 
 // aimedEnd sends a process SIGTERM among many clients while the drawn faults happen, kills it as early as operators may
 // and starts another.
 func (w *world) aimedEnd(ctx context.Context, t Fault, s *sidecar) {
 	rng := rand.New(rand.NewPCG(w.options.Seed, uint64(t.At)))
-	e := drawShutdownFault(rng, w.variant.longest, w.variant.crowd)
+	e := drawShutdownFault(rng, w.variant.longest, w.variant.manyClients)
 	p := s.present()
 	group, err := syscall.Getpgid(p.Pid)
 	if err != nil {
 		s.fault("process %d: %v", p.Pid, err)
 		return
 	}
-	s.mu.Lock()
+	s.mutex.Lock()
 	p.signalled = true
-	s.mu.Unlock()
+	s.mutex.Unlock()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
 	signalAt := time.Now().Add(denseBefore)
 	var all sync.WaitGroup
-	all.Go(func() { w.clients[s.number].sendSteadily(e.clients, e.pause, signalAt.Add(e.kill)) })
+	all.Go(func() { w.clients[s.number].sendSteadily(e.clients, e.pause, signalAt.Add(e.killAfter)) })
 	for range e.lateRests {
 		all.Go(func() {
-			w.clients[s.number].sendLastBytesAt(signalAt.Add(e.kill - time.Duration(rand.Float64()*float64(lateWithin))))
+			w.clients[s.number].sendLastBytesAt(signalAt.Add(e.killAfter - time.Duration(rand.Float64()*float64(lateWithin))))
 		})
 	}
 	w.playAround(ctx, &all, signalAt, e, t, s, p)
@@ -154,7 +154,7 @@
 	if slices.ContainsFunc(e.series, func(one signalAfter) bool { return one.signal == syscall.SIGUSR2 }) {
 		sent = s.followHandover(p, offset, sent)
 	}
-	time.Sleep(time.Until(sent.Add(e.kill)))
+	time.Sleep(time.Until(sent.Add(e.killAfter)))
 	s.killGroup(p, group, sent)
 	all.Wait()
 	if e.shorter {
@@ -173,7 +173,7 @@
 	}
 	lastForward := shutdown.NewSchedule(w.variant.longest, 0).LastForward
 	for i, one := range e.series {
-		at(one.at, func() {
+		at(one.after, func() {
 			if i == 0 && e.shorter {
 				w.reconfigure(s, t, classesFor(w.variant.longest/shorterPart))
 			}
@@ -183,8 +183,8 @@
 			_ = p.Signal(one.signal)
 		})
 	}
-	for _, after := range e.holds {
-		at(after, func() { w.holdUp(s, p) })
+	for _, after := range e.stalls {
+		at(after, func() { w.stallProcess(s, p) })
 	}
 	if e.failAccepts > 0 {
 		at(e.failFrom, func() {
@@ -192,18 +192,18 @@
 		})
 	}
 	if e.interrupted {
-		at(lastForward-holdApart, func() { w.interrupt(ctx, s, 4*holdApart) })
+		at(lastForward-minStallGap, func() { w.interrupt(ctx, s, 4*minStallGap) })
 	}
 	if e.hanging {
-		at(lastForward-hangFrom, func() { w.hang(signalAt.Add(e.kill)) })
+		at(lastForward-hangLead, func() { w.hangHalfOfServers(signalAt.Add(e.killAfter)) })
 	}
 }
 
-// hang has half of the servers stop answering until then, except those that have another fault.
-func (w *world) hang(until time.Time) {
-	var hung []*stand
+// hangHalfOfServers has half of the servers stop answering until then, except those that have another fault.
+func (w *world) hangHalfOfServers(until time.Time) {
+	var hung []*serverPlace
 	for _, v := range w.servers[:len(w.servers)/2] {
-		if v.busy.CompareAndSwap(false, true) {
+		if v.faulty.CompareAndSwap(false, true) {
 			v.Change(func(b *fakes.Behaviour) { b.Hang = true })
 			hung = append(hung, v)
 		}
@@ -211,20 +211,20 @@
 	time.Sleep(time.Until(until))
 	for _, v := range hung {
 		v.Behave(fakes.Behaviour{})
-		v.busy.Store(false)
+		v.faulty.Store(false)
 	}
 }
 
-// holdUp stops a process for holdFor. One that this process has made longer counts as a crash: what was lost then says nothing.
-func (w *world) holdUp(s *sidecar, p *process) {
+// stallProcess stops a process for stallLength. One that this process has made longer counts as a crash: what was lost then says nothing.
+func (w *world) stallProcess(s *sidecar, p *process) {
 	from := time.Now()
 	p.Signal(syscall.SIGSTOP)
-	time.Sleep(holdFor)
+	time.Sleep(stallLength)
 	p.Signal(syscall.SIGCONT)
-	if to := time.Now(); to.Sub(from) > maxHold {
-		s.mu.Lock()
-		s.killed = append(s.killed, span{from, to.Add(holdFor)})
-		s.mu.Unlock()
+	if to := time.Now(); to.Sub(from) > maxStallLength {
+		s.mutex.Lock()
+		s.killed = append(s.killed, span{from, to.Add(stallLength)})
+		s.mutex.Unlock()
 		w.note(func(r *record) { r.longHolds++ })
 	}
 }
@@ -255,9 +255,9 @@
 func (s *sidecar) killGroup(p *process, group int, told time.Time) {
 	now := time.Now()
 	if err := syscall.Kill(-group, syscall.SIGKILL); err == nil || err == syscall.EPERM {
-		s.mu.Lock()
+		s.mutex.Lock()
 		s.shutdownSpans = append(s.shutdownSpans, span{told, now})
-		s.mu.Unlock()
+		s.mutex.Unlock()
 	}
 	<-p.exited
 	for began := time.Now(); time.Since(began) < groupGone; time.Sleep(time.Millisecond) { // successors are this process's to reap
@@ -282,6 +282,6 @@
 	var all sync.WaitGroup
 	all.Go(func() { w.clients[n].sendAndLeaveAt(clients, began.Add(before+leaving)) })
 	_ = fakes.Pause(ctx, before)
-	w.holdUp(s, s.present())
+	w.stallProcess(s, s.present())
 	all.Wait()
 }
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -55,7 +55,7 @@
 	edits                int        // of it, so far
 	born                 func()     // told as a process is about to begin
 
-	mu            sync.Mutex
+	mutex         sync.Mutex
 	current       *process
 	busy          bool // being ended, started or handed over
 	killed        []span
@@ -139,16 +139,16 @@
 // watch makes a process, which must be a child of this one, the sidecar's current one and records its end.
 func (s *sidecar) watch(p *os.Process) {
 	one := &process{Process: p, exited: make(chan struct{})}
-	s.mu.Lock()
+	s.mutex.Lock()
 	s.current = one
-	s.mu.Unlock()
+	s.mutex.Unlock()
 	go func() {
 		one.state, _ = p.Wait()
-		s.mu.Lock()
+		s.mutex.Lock()
 		if one.state != nil && !one.state.Success() && !one.signalled {
 			s.faults = append(s.faults, fmt.Sprintf("process %d ended by itself: %s", p.Pid, one.state))
 		}
-		s.mu.Unlock()
+		s.mutex.Unlock()
 		close(one.exited)
 	}()
 }
@@ -183,15 +183,15 @@
 }
 
 func (s *sidecar) fault(format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf(format, args...))
 }
 
 // claim lets one trouble at a time have the process.
 func (s *sidecar) claim() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.busy {
 		return false
 	}
@@ -200,14 +200,14 @@
 }
 
 func (s *sidecar) release() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.busy = false
 }
 
 func (s *sidecar) present() *process {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return s.current
 }
 
@@ -217,9 +217,9 @@
 // terminate tells the process to end, kills it as early as the platform may, and starts another.
 func (s *sidecar) terminate(ctx context.Context) {
 	p := s.present()
-	s.mu.Lock()
+	s.mutex.Lock()
 	p.signalled = true
-	s.mu.Unlock()
+	s.mutex.Unlock()
 	from := time.Now()
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -228,9 +228,9 @@
 			s.fault("process %d, told to end: %s", p.Pid, p.state)
 		}
 	case <-time.After(killAfter(s.longest)):
-		s.mu.Lock()
+		s.mutex.Lock()
 		s.shutdownSpans = append(s.shutdownSpans, span{from, time.Now()})
-		s.mu.Unlock()
+		s.mutex.Unlock()
 		_ = p.Kill()
 		<-p.exited
 	}
@@ -241,34 +241,34 @@
 // crash kills the process, and starts another after a while, whose first tries to listen fail.
 func (s *sidecar) crash(ctx context.Context, pause time.Duration) {
 	p := s.present()
-	s.mu.Lock()
+	s.mutex.Lock()
 	p.signalled = true
-	s.mu.Unlock()
+	s.mutex.Unlock()
 	from := time.Now()
-	s.mu.Lock()
+	s.mutex.Lock()
 	s.killed = append(s.killed, span{from, from.Add(time.Hour)})
-	s.mu.Unlock()
+	s.mutex.Unlock()
 	_ = p.Kill()
 	<-p.exited
 	_ = fakes.Pause(ctx, pause)
 	s.control.Fail(faultinjection.Listen, syscall.ENOBUFS, listenFailures)
 	_ = s.start(ctx)
-	s.mu.Lock()
+	s.mutex.Lock()
 	s.killed[len(s.killed)-1].to = time.Now()
-	s.mu.Unlock()
+	s.mutex.Unlock()
 }
 
 // shutdowns returns the times from a word to end to the kill of a process that had not ended by itself.
 func (s *sidecar) shutdowns() []span {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return slices.Clone(s.shutdownSpans)
 }
 
 // wasKilled reports whether the process was killed between two moments, or was being started again.
 func (s *sidecar) wasKilled(from, to time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for _, k := range s.killed {
 		if k.from.Before(to) && from.Before(k.to) {
 			return true
@@ -329,9 +329,9 @@
 // close ends the process as a planned stop does, and returns what its processes did that they must not.
 func (s *sidecar) close() (faults []string) {
 	if p := s.present(); p != nil {
-		s.mu.Lock()
+		s.mutex.Lock()
 		p.signalled = true
-		s.mu.Unlock()
+		s.mutex.Unlock()
 		p.Signal(syscall.SIGCONT)
 		p.Signal(syscall.SIGTERM)
 		select {
@@ -351,8 +351,8 @@
 	if s.log != nil {
 		s.log.Close()
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return append(s.faults, s.logged()...)
 }
 
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -53,25 +53,25 @@
 
 // variant is what the seed decides of the deployment.
 type variant struct {
-	sockets   int
-	onRequest bool          // discovery is asked, and not an agent on the own machine
-	longest   time.Duration // deadline of a class
-	connect   time.Duration // within which a connection has to come up
-	crowd     bool          // many clients at a process that ends
-	window    time.Duration // of repeats with a token
+	sockets     int
+	onRequest   bool          // discovery is asked, and not an agent on the own machine
+	longest     time.Duration // deadline of a class
+	connect     time.Duration // within which a connection has to come up
+	manyClients bool          // many clients at a process that ends
+	window      time.Duration // of repeats with a token
 }
 
 func (o Options) variant() variant {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x7a))
 	return variant{
-		sockets: one(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
-		longest: one(rng, 500*time.Millisecond, 1500*time.Millisecond, 1500*time.Millisecond, 3*time.Second),
-		connect: one(rng, 150*time.Millisecond, 400*time.Millisecond, 1200*time.Millisecond), crowd: rng.IntN(3) == 0,
-		window: one(rng, 300*time.Millisecond, 900*time.Millisecond),
+		sockets: pickOne(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
+		longest: pickOne(rng, 500*time.Millisecond, 1500*time.Millisecond, 1500*time.Millisecond, 3*time.Second),
+		connect: pickOne(rng, 150*time.Millisecond, 400*time.Millisecond, 1200*time.Millisecond), manyClients: rng.IntN(3) == 0,
+		window: pickOne(rng, 300*time.Millisecond, 900*time.Millisecond),
 	}
 }
 
-func one[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
+func pickOne[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
 
 // Check says what makes no sense.
 func (o Options) Check() error {
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// stand is a server's place, where one process after another lives.
-type stand struct {
+// serverPlace is a server's place, where one process after another lives.
+type serverPlace struct {
 	*fakes.Provider
-	proxy *proxy // nil = none
-	lives int
-	busy  atomic.Bool
+	proxy     *proxy // nil = none
+	processes int
+	faulty    atomic.Bool
 }
 
-func (s *stand) address() string {
+func (s *serverPlace) address() string {
 	if s.proxy != nil {
 		return s.proxy.address()
 	}
@@ -109,15 +109,15 @@
 	variant     variant
 	classes     []class
 	network     fakes.Network
-	servers     []*stand
-	directories []*fakes.Directory
+	servers     []*serverPlace
+	discoveries []*fakes.Directory
 	sidecars    []*sidecar
 	clients     []*clients
 	offset      atomic.Int64 // of the wall clock
-	troubles    sync.WaitGroup
+	running     sync.WaitGroup
 	ordered     sync.Map // by learnedServer: operators' orders under way
 
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	record  record
 	listing sync.Mutex
 }
@@ -142,33 +142,33 @@
 		if err != nil {
 			return w, err
 		}
-		s := &stand{Provider: p}
+		s := &serverPlace{Provider: p}
 		w.servers = append(w.servers, s)
 		if i%proxied == 0 {
 			if s.proxy, err = newProxy(w.network, p.Address); err != nil {
 				return w, err
 			}
 		}
-		members = append(members, w.member(s, fakes.Serving, 0))
+		members = append(members, w.endpoint(s, fakes.Serving, 0))
 	}
 	for range 2 {
 		d, err := fakes.NewDirectory(w.network, "", members...)
 		if err != nil {
 			return w, err
 		}
-		w.directories = append(w.directories, d)
+		w.discoveries = append(w.discoveries, d)
 	}
 	for i := range o.Sidecars {
 		s, err := newSidecar(identity{
 			number: i, program: o.Program, dir: o.Dir, variant: w.variant,
 			known: fakes.List{Revision: 1, Members: members},
-		}, o.Seed+uint64(i), w.network, w.edit(0), w.directories[0].Address())
+		}, o.Seed+uint64(i), w.network, w.edit(0), w.discoveries[0].Address())
 		if err != nil {
 			return w, err
 		}
 		w.sidecars = append(w.sidecars, s)
 		w.clients = append(w.clients, newClients(s, o.Seed, o.Rate, w.classes))
-		s.born = func() { w.born(i) }
+		s.born = func() { w.recordProcessStart(i) }
 		if err := s.start(ctx); err != nil {
 			return w, fmt.Errorf("%s: %w; see %s", s.name, err, s.path("log"))
 		}
@@ -176,8 +176,8 @@
 	return w, nil
 }
 
-// member is the server's line in a list.
-func (w *world) member(s *stand, phase string, upSince int64) fakes.Member {
+// endpoint is the server's line in a list.
+func (w *world) endpoint(s *serverPlace, phase string, upSince int64) fakes.Member {
 	return fakes.Member{ID: s.ID(), Address: s.address(), Locality: fakes.Here, Phase: phase, UpSince: upSince}
 }
 
@@ -206,24 +206,24 @@
 }
 
 // processStart notes that a sidecar's process begins.
-func (w *world) born(sidecar int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (w *world) recordProcessStart(sidecar int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	w.record.processStarts[sidecar] = append(w.record.processStarts[sidecar], time.Now())
 }
 
-// list tells both directories, one of which each sidecar watches.
-func (w *world) list(members ...fakes.Member) {
+// updateDiscovery tells both directories, one of which each sidecar watches.
+func (w *world) updateDiscovery(members ...fakes.Member) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
-	for _, d := range w.directories {
+	for _, d := range w.discoveries {
 		d.Change(members...)
 	}
 }
 
 func (w *world) note(how func(*record)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	how(&w.record)
 }
 
@@ -272,7 +272,7 @@
 		}
 		v.Close()
 	}
-	for _, d := range w.directories {
+	for _, d := range w.discoveries {
 		d.Close()
 	}
 }
