--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -12,18 +12,18 @@
 // capacityCommand measures what a sidecar costs as its world grows.
 type capacityCommand struct {
 	Program string        `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program."`
-	Quick   bool          `help:"Few servers and short windows: under a minute, and no figures to go by."`
+	Quick   bool          `help:"Few servers and short windows: under a minute, and no results to go by."`
 	Only    string        `placeholder:"WORDS" help:"Only the sizes whose name holds these words, or module."`
-	Core    int           `default:"-1" help:"Keep the sidecar to this core of the machine, so that figures repeat; -1 = to none."`
+	Core    int           `default:"-1" help:"Keep the sidecar to this core of the machine, so that results repeat; -1 = to none."`
 	Most    time.Duration `default:"15m" help:"End after this time, with what there is."`
 	Keep    string        `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
-	JSON    string        `name:"json" placeholder:"FILE" help:"Write the figures to this file, too."`
+	JSON    string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
 
 // Help says what is measured.
 func (*capacityCommand) Help() string {
-	return "One real sidecar, between a directory and tile servers that count, with one size changed at a time: servers in the " +
-		"list, calls, probes by their price, client connections, changes of the list and of the configuration, and its start. " +
+	return "One real sidecar, between a fake discovery and fake servers that count, with one size changed at a time: servers in the " +
+		"list, requests, probes by their price, client connections, changes of the list and of the configuration, and its start. " +
 		"docs/CAPACITY.md works the fleet out from the lines."
 }
 
--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -23,7 +23,7 @@
 	Seed       *uint64        `placeholder:"S" help:"Of the day (1)."`
 	PolicySeed *uint64        `placeholder:"S" help:"Of the sidecars' own choices, for the same day (0)."`
 	Policy     *string        `placeholder:"NAME" help:"module, random, round-robin, least or oracle (module)."`
-	Plan       string         `type:"existingfile" placeholder:"FILE" help:"Settings and troubles; flags go first."`
+	Plan       string         `type:"existingfile" placeholder:"FILE" help:"Settings and faults; flags go first."`
 	JSON       string         `name:"json" placeholder:"FILE" help:"Write the report as JSON, too."`
 	CSV        string         `name:"csv" placeholder:"FILE" help:"Write a row for each second."`
 	Measure    bool           `help:"Say how long it took on this machine, and how much of that in the policy."`
@@ -35,11 +35,11 @@
 	Workers     int    `placeholder:"N" help:"Days of a comparison that run side by side (GOMAXPROCS)."`
 }
 
-// Help shows examples and lists the troubles.
+// Help shows examples and lists the faults.
 func (*emulateCommand) Help() string {
 	var b strings.Builder
 	b.WriteString("testbench emulate --sidecars 100 --servers 40 --trouble silence,neighbour --seed 7\n\n" +
-		"testbench emulate --trouble deploy --days 20 --against-with least\n\nTroubles:\n\n")
+		"testbench emulate --trouble deploy --days 20 --against-with least\n\nFaults:\n\n")
 	for _, k := range emulator.FaultKinds() {
 		fmt.Fprintf(&b, "%s: %s.\n\n", k.Name, k.About)
 	}
@@ -212,7 +212,7 @@
 		float64(r.Requests)/took.Seconds(), r.Events, float64(r.InPolicy.Microseconds())/float64(requests), memory)
 }
 
-// save writes a file, if one is asked for.
+// save writes a file, if it has a name.
 func save(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// fleetScenesCommand plays fleets of hollow sidecars.
+// fleetScenesCommand plays fleets of simulated sidecars.
 type fleetScenesCommand struct {
 	Kind       []string      `default:"pushed,on_request" enum:"pushed,on_request" help:"Kinds of discovery: an agent for each sidecar, one service for all."`
 	Sidecars   []int         `default:"250,500,1000,2000" help:"Fleets, by their sidecars."`
 	Servers    int           `default:"64" help:"Servers in the list."`
 	PerPart    int           `default:"250" help:"Sidecars in a process."`
 	ProbePrice float64       `default:"0.0046" help:"Prices.Probe of the settings."`
-	TurnRate   float64       `default:"200" help:"On request: calls a second that get a turn, of those for the whole list and the first of a connection; others wait up to 2 s and are turned away then."`
+	TurnRate   float64       `default:"200" help:"On request: calls a second that get a slot, of those for the complete list and the first of a connection; others wait up to 2 s and are rejected then."`
 	Watch      string        `type:"existingfile" placeholder:"FILE" help:"On request: a configuration whose plankrouter.watch is taken, such as deploy/shared-directory.json."`
 	Scene      []string      `placeholder:"NAME" help:"Only these, after the start: idle, calls, list, burst, configuration, zone, restart."`
 	Window     time.Duration `default:"10s" help:"Stretch of an ordinary minute that is looked at."`
 	CallsAll   float64       `default:"4000" help:"Calls a second of a whole fleet, while there are calls; of a sidecar at most 40."`
 	Restart    int           `default:"300" help:"Sidecars that are restarted together."`
 	MemoryMost float64       `default:"11000" help:"Memory of a fleet in MB beyond which it is not played."`
-	Program    string        `placeholder:"FILE" help:"The sidecar's program: one of it and one hollow one are measured side by side first, and no fleet where --sidecars is 0."`
-	JSON       string        `name:"json" placeholder:"FILE" help:"Write the figures to this file, too."`
+	Program    string        `placeholder:"FILE" help:"The sidecar's program: one real and one simulated sidecar are measured side by side first, and no fleet where --sidecars is 0."`
+	JSON       string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
 
 // Help says how to read it.
 func (*fleetScenesCommand) Help() string {
-	return "testbench fleet-scenes --sidecars 250,500 --json figures.json. See docs/design/capacity-fleet.md."
+	return "testbench fleet-scenes --sidecars 250,500 --json figures.json. See docs/design/simulated-fleet.md."
 }
 
 // Validate checks the arguments.
--- a/cmd/testbench/handover.go
+++ b/cmd/testbench/handover.go
@@ -11,12 +11,12 @@
 type handoverCommand struct {
 	experiment
 	Program  string        `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program."`
-	Restarts int           `default:"200" help:"Handovers, one after another."`
+	Restarts int           `default:"200" help:"Hot restarts, one after another."`
 	Pause    time.Duration `default:"100ms" help:"Between two of them."`
-	Seed     uint64        `default:"1" help:"Of the load, the providers and the moments of kills."`
+	Seed     uint64        `default:"1" help:"Of the load, the servers and the times of kills."`
 	Kill     string        `enum:",successor,predecessor" default:"" help:"Kill one of the two in the middle: ${enum}."`
 	At       string        `enum:"start,passing" default:"passing" help:"In which part: ${enum}."`
-	Nth      int           `default:"2" help:"Kill in each Nth handover."`
+	Nth      int           `default:"2" help:"Kill in each Nth hot restart."`
 }
 
 func (c *handoverCommand) plan() recovery.HandoverPlan {
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -1,5 +1,5 @@
-// Command testbench starts the sidecar's program between scripted peers and measures.
-// docs/operate/measuring.md says what its figures mean.
+// Command testbench starts the sidecar's program between scripted fakes and measures.
+// docs/operate/measuring.md explains its results.
 package main
 
 import (
@@ -27,13 +27,13 @@
 // commands are the subcommands.
 type commands struct {
 	Recover     recoverCommand     `cmd:"" help:"How long until service is back after a release, a crash and more."`
-	Handover    handoverCommand    `cmd:"" help:"What a long line of handovers to successors costs."`
+	Handover    handoverCommand    `cmd:"" help:"What a long line of hot restarts costs."`
 	Soak        soakCommand        `cmd:"" help:"Hunts rare faults: real sidecars, faults that overlap in time, and a judge."`
 	Load        loadCommand        `cmd:"" help:"Sends load that does not wait for answers, and measures it."`
-	Fleet       fleetCommand       `cmd:"" help:"Counts what a whole fleet did to servers and directory, from its sidecars' logs."`
+	Fleet       fleetCommand       `cmd:"" help:"Counts what a whole fleet sent to servers and discovery, from its sidecars' logs."`
 	Capacity    capacityCommand    `cmd:"" help:"What a sidecar costs for each server, call, probe, change and connection."`
-	Emulate     emulateCommand     `cmd:"" help:"A fleet in virtual time: troubles, a judge, and policies to compare."`
-	FleetScenes fleetScenesCommand `cmd:"" help:"Plays fleets of thousands of hollow sidecars in a few processes."`
+	Emulate     emulateCommand     `cmd:"" help:"A fleet in virtual time: faults, a judge, and policies to compare."`
+	FleetScenes fleetScenesCommand `cmd:"" help:"Plays fleets of thousands of simulated sidecars in a few processes."`
 	FleetPart   fleetPartCommand   `cmd:"" hidden:"" help:"A process of fleet-scenes, which starts it."`
 	Overload    overloadCommand    `cmd:"" help:"The scale test of overload, in virtual time: the same traffic by ever more sidecars."`
 }
--- a/cmd/testbench/overload.go
+++ b/cmd/testbench/overload.go
@@ -14,7 +14,7 @@
 	Sidecars []int     `default:"4,40,300,2000,6000" placeholder:"N,..." help:"Sidecars that share the traffic (${default})."`
 	Servers  int       `default:"50" placeholder:"M" help:"Servers; 0 = as many as sidecars (${default})."`
 	Loads    []float64 `default:"0.5,0.9,1.2,2" placeholder:"L,..." help:"First tries over what the servers bear (${default})."`
-	Reports  []string  `default:"none,full" placeholder:"R,..." help:"Whether probes tell a load: none, queued (by the time they wait), full (${default})."`
+	Reports  []string  `default:"none,full" placeholder:"R,..." help:"Whether probes report a load: none, queued (by the time they wait), full (${default})."`
 	Events   []string  `default:"burst,zone" placeholder:"E,..." help:"What happens: none, burst, swell, zone (${default})."`
 	Seeds    []uint64  `default:"1" placeholder:"S,..." help:"Of the days (${default})."`
 	Policy   string    `default:"module" placeholder:"NAME" help:"As of emulate (${default})."`
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -13,12 +13,12 @@
 	"strings"
 )
 
-// experiment is what all experiments are told.
+// experiment has the flags that all experiments share.
 type experiment struct {
-	Providers int     `default:"8" help:"Providers in the fleet."`
+	Providers int     `default:"8" help:"Servers in the fleet."`
 	Rate      float64 `default:"400" help:"Requests a second."`
 	Keep      string  `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
-	JSON      string  `name:"json" placeholder:"FILE" help:"Write the figures to this file, too."`
+	JSON      string  `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
 
 func (l *experiment) setup(program string, seed uint64) recovery.Setup {
@@ -34,7 +34,7 @@
 	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
-// save writes the figures where they are asked for.
+// save writes the results to the file of --json, if there is one.
 func (l *experiment) save(figures any) error {
 	if l.JSON == "" {
 		return nil
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -18,9 +18,9 @@
 	Seeds    int           `default:"5" help:"Runs."`
 	For      time.Duration `default:"25s" help:"Length of a run."`
 	Sidecars int           `default:"12" help:"Real sidecars."`
-	Servers  int           `default:"8" help:"Stand-in servers."`
+	Servers  int           `default:"8" help:"Fake servers."`
 	Rate     float64       `default:"25" help:"Requests a second for each sidecar."`
-	Only     []soak.Kind   `placeholder:"KIND" help:"Only these kinds of trouble; may be given again."`
+	Only     []soak.Kind   `placeholder:"KIND" help:"Only these kinds of fault; may be given again."`
 	Keep     string        `placeholder:"DIR" help:"Keep the folders of runs that broke a rule here."`
 }
 
--- a/internal/testbench/capacity/doc.go
+++ b/internal/testbench/capacity/doc.go
@@ -1,5 +1,5 @@
 // Package capacity measures what a sidecar costs as its world grows: it starts the program as it is installed, on loopback,
-// between a directory and tile servers that count every message and byte, and changes one size at a time. A least-squares line
+// between discovery and servers that count every message and byte, and changes one size at a time. A least-squares line
 // through each set of sizes gives the cost for each server in the list, call, probe, change, reload and client connection.
 //
 //	report, err := capacity.Run(ctx, capacity.Setup{Program: "bin/plankrouter", Dir: dir}, capacity.Full())
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -14,7 +14,7 @@
 const (
 	headerID        = "Req-Id:"
 	pathProbe       = "/metrics/load"
-	meanServiceTime = 20 * time.Millisecond // that a call takes at a tile server
+	meanServiceTime = 20 * time.Millisecond // that a call takes at a server
 	responseBody    = 512                   // bytes of an answer's body
 )
 
@@ -37,7 +37,7 @@
 	return Traffic{t.Messages - before.Messages, t.Bytes - before.Bytes}
 }
 
-// fakeServers are many tile servers in this process, each at an address of its own.
+// fakeServers are many servers in this process, each at an address of its own.
 type fakeServers struct {
 	listeners                 []net.Listener
 	probes, calls             tally
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ModulePoint is what the decision module alone costs, with one size of the list.
+// ModulePoint is what the policy alone costs, with one size of the list.
 type ModulePoint struct {
 	Servers    int     `json:"servers"`
 	IdleMs     float64 `json:"idle_ms_per_s"`  // CPU of a second without requests: the looks at what moves by itself
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -151,7 +151,7 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-// firstWhole is 1 where the first call to the directory is for the whole list. Later ones may be for it where a busy machine lets a
+// firstWhole is 1 where the first call to discovery is for the whole list. Later ones may be for it where a busy machine lets a
 // call be given up.
 func (w *world) firstWhole(t *testing.T) float64 {
 	t.Helper()
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -103,8 +103,8 @@
 	return strings.Join(strings.Fields(string(raw))[:min(3, len(strings.Fields(string(raw))))], " ")
 }
 
-// measureUntilCalm measures a point, again where the machine has held up the lab, and so the sidecar, for too long: of those runs the one
-// that was held up least.
+// measureUntilCalm measures a point, again where the machine has stalled the test bench, and so the sidecar, for too long: of those runs the one
+// that was stalled least.
 func measureUntilCalm(ctx context.Context, s Setup, p Plan, point *Point) error {
 	for tries := 1; ; tries++ {
 		once := *point
--- a/internal/testbench/capacity/sweep.go
+++ b/internal/testbench/capacity/sweep.go
@@ -32,9 +32,9 @@
 	ProbeBytes         float64 `json:"probe_bytes_s"` // both ways, without TCP's, as all bytes here
 	Attempts           float64 `json:"attempts_s"`
 	AttemptBytes       float64 `json:"attempt_bytes_s"`
-	Connects           float64 `json:"connects_s"` // to tile servers
-	Open               int64   `json:"open"`       // connections to tile servers, at the window's end
-	Contacted          int64   `json:"met"`        // tile servers that ever had one
+	Connects           float64 `json:"connects_s"` // to servers
+	Open               int64   `json:"open"`       // connections to servers, at the window's end
+	Contacted          int64   `json:"met"`        // servers that ever had one
 	Lists              float64 `json:"lists_s"`
 	ListBytes          float64 `json:"list_bytes_s"`
 	LogBytes           float64 `json:"log_bytes_s"`
@@ -54,8 +54,8 @@
 	StartProbes        int64   `json:"start_probes"`
 	StartConnects      int64   `json:"start_connects"`
 	Load               float64 `json:"load1"`    // the machine's load average of the last minute, after it
-	StallMs            float64 `json:"stall_ms"` // the longest time in the window by which a timer of the lab came late
-	Tries              int     `json:"tries"`    // runs of the point, of which this was held up least
+	StallMs            float64 `json:"stall_ms"` // the longest time in the window by which a timer of the test bench came late
+	Tries              int     `json:"tries"`    // runs of the point, of which this was stalled least
 }
 
 // Sweep changes one size of a sidecar's world.
@@ -93,13 +93,13 @@
 // Plan is what is run.
 type Plan struct {
 	Settle, Window time.Duration // of each point: before the window, and the window
-	MaxRepeats     int           // further runs of a point for which the machine was held up, at most
+	MaxRepeats     int           // further runs of a point for which the machine was stalled, at most
 	Sweeps         []Sweep
 	Module         []Point // of the module alone
 	ModuleSeconds  float64 // of its virtual time
 }
 
-// The fleet that a sidecar is told of, and the usual price of a probe and list of the sweeps that change another size.
+// The fleet size in a sidecar's settings, and the usual price of a probe and list of the sweeps that change another size.
 const (
 	fleetSize  = 6000
 	usualList  = 600
@@ -108,7 +108,7 @@
 	dear       = 0.08
 )
 
-// Full returns the plan of the page's figures: some eight minutes.
+// Full returns the plan behind docs/CAPACITY.md: some eight minutes.
 func Full() Plan {
 	p := plan(2*time.Second, 5*time.Second, []int{13, 600, 2000, 6000}, usualList, 1, 60, []int{60, 200, 600, 2000, 6000})
 	p.MaxRepeats = 1
@@ -116,7 +116,7 @@
 }
 
 // Quick returns a plan of the same sweeps with few servers and short windows: under a minute, for tests and as a first look. Its
-// figures are none.
+// results are not meant to be quoted.
 func Quick() Plan {
 	return plan(100*time.Millisecond, 300*time.Millisecond, []int{5, 10, 20, 40}, 20, 0.1, 1, []int{5, 10, 20, 40})
 }
--- a/internal/testbench/capacity/world.go
+++ b/internal/testbench/capacity/world.go
@@ -30,7 +30,7 @@
 	return w.sidecar.process.Signal(syscall.SIGHUP)
 }
 
-// change has the directory tell that one server has started anew.
+// change has discovery list one server as started anew.
 func (w *world) change(n int) {
 	all := w.servers.endpoints()
 	one := all[n%len(all)]
@@ -55,7 +55,7 @@
 	})
 }
 
-// connect opens client connections, each of which asks once and stays.
+// connect opens client connections, each of which sends one request and stays open.
 func (w *world) connect(ctx context.Context, n int) error {
 	for i := range n {
 		c, err := w.network.Dial(ctx, w.sidecar.address)
--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -54,7 +54,7 @@
 }
 
 // Compare plays days, whose seeds follow on a's, with the settings of a and of b, workers of them side by side. Load,
-// servers and troubles of a day are the same for both where the settings are.
+// servers and faults of a day are the same for both where the settings are.
 func Compare(ctx context.Context, a, b Config, days, workers int) (*Comparison, error) {
 	reports := make([][2]*Report, days)
 	g, ctx := errgroup.WithContext(ctx)
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -53,7 +53,7 @@
 	LatencyObjectiveMs float64 `json:"aim_ms"`
 	DeadlineMs         float64 `json:"deadline_ms"` // for all tries together
 	PriorityWeight     float64 `json:"worth"`
-	LateWeight         float64 `json:"late_worth"` // part of Worth that an answer after the aim still earns
+	LateWeight         float64 `json:"late_worth"` // part of Worth that an answer after the latency objective still earns
 	NonIdempotent      bool    `json:"unsafe"`     // must never run twice; else any number of times
 }
 
@@ -67,7 +67,7 @@
 // Server is how every server works. Lengths of time are in ms.
 type Server struct {
 	Slots           int     `json:"slots"`      // requests that share the cores
-	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; what comes beyond is turned away unseen
+	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; what comes beyond is rejected unseen
 	OverloadFrom    float64 `json:"crowd_from"` // requests held for each core from which efficiency falls
 	OverloadLoss    float64 `json:"crowd_loss"` // by so much for each further one
 	MaxOverloadLoss float64 `json:"crowd_most"` // but by no more
@@ -84,7 +84,7 @@
 	Handshake   float64 `json:"handshake_ms"`
 	Idle        float64 `json:"idle_ms"` // after which an idle connection is closed
 	ProbeWork   float64 `json:"probe_ms"`
-	MaxProbes   float64 `json:"probes_most"`  // a second, beyond which they are turned away
+	MaxProbes   float64 `json:"probes_most"`  // a second, beyond which they are rejected
 	ReportEvery float64 `json:"report_ms"`    // between two refreshes of what probes report
 	ReportNoise float64 `json:"report_noise"` // standard deviation, as a part of the figure
 	NoReport    bool    `json:"no_report"`    // probes are answered without any load report
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// index names the line of an error that has one. An unknown key has none, but its name can be searched for.
+// place names the line of an error that has one. An unknown key has none, but its name can be searched for.
 func place(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// dayWith is a world for troubles and mutants: the calm part, the trouble from 3 s on.
+// dayWith is a world for faults and mutants: the calm part, the fault from 3 s on.
 func dayWith(policy string, faults ...Fault) Config {
 	c := Default(4, 10)
 	c.Policy, c.Seconds, c.Faults = policy, 12, faults
--- a/internal/testbench/emulator/fault.go
+++ b/internal/testbench/emulator/fault.go
@@ -40,7 +40,7 @@
 	return s
 }
 
-// FaultKind is a kind of trouble, and the ranges from which it is drawn; a range of zeros is not used.
+// FaultKind is a kind of fault, and the ranges from which it is drawn; a range of zeros is not used.
 type FaultKind struct {
 	Name, About            string
 	For, Part, Size, Every [2]float64
@@ -149,7 +149,7 @@
 			resets,
 		},
 		{
-			"directory", "the directory is down, and tells all when it is back",
+			"directory", "discovery is down, and lists all changes when it is back",
 			[2]float64{8, 15},
 			[2]float64{},
 			[2]float64{},
--- a/internal/testbench/emulator/fault_servers.go
+++ b/internal/testbench/emulator/fault_servers.go
@@ -21,7 +21,7 @@
 	return all, strings.Join(ids, " ")
 }
 
-// forSomeServers does something to a part of the servers, and undoes it when the trouble is over, where the process is the same.
+// forSomeServers does something to a part of the servers, and undoes it when the fault is over, where the process is the same.
 func forSomeServers(w *world, t Fault, rng *rand.Rand, do, undo func(*machine)) {
 	some, ids := w.someServers(t.Part, rng)
 	w.note("%s begins at servers %s", t.Name, ids)
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -65,7 +65,7 @@
 	return out
 }
 
-// servedFraction is worth: how much was asked for and how much of that was answered in time.
+// servedFraction is how much was requested, by weight, and how much of that was answered in time.
 type servedFraction struct{ requested, served float64 }
 
 func (p servedFraction) ratio() float64 {
@@ -144,7 +144,7 @@
 	j.breaches = append(j.breaches, b)
 }
 
-// ---- What is asked for and served.
+// ---- What is requested and served.
 
 // requestArrived notes a first try and says whether it is within its tenant's share.
 func (j *judge) requestArrived(a *clientRequest) (withinQuota bool) {
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -48,7 +48,7 @@
 	overloadUsableCapacity  = 0.88 // of what the cores can do: more, and even a policy that sees all chokes servers or turns away
 )
 
-// overloadEvent is the trouble of an event, and how long it lasts in s.
+// overloadEvent is the fault of an event, and how long it lasts in s.
 func overloadEvent(name string) (faults []Fault, duration float64, err error) {
 	switch name {
 	case "none":
@@ -122,7 +122,7 @@
 	return c, c.Check()
 }
 
-// OverloadResult is what became of a run. Shares are of first tries, answered within the aim.
+// OverloadResult is what became of a run. Shares are of first tries, answered within the latency objective.
 type OverloadResult struct {
 	Overload
 	Share    float64 `json:"share"` // of the whole day
@@ -184,13 +184,13 @@
 	return r, nil
 }
 
-// endsAt is when the event is over, in s.
+// eventEnd is when the event is over, in s.
 func (o Overload) eventEnd() float64 {
 	_, long, _ := overloadEvent(o.Event)
 	return overloadEventStart + long
 }
 
-// inTime is the share of the first tries of those seconds that were answered within the aim.
+// inTime is the share of the first tries of those seconds that were answered within the latency objective.
 func inTime(rows []Row, from, to float64) float64 {
 	p := servedFraction{}
 	for _, r := range rows[min(len(rows), int(from)):min(len(rows), int(to))] {
@@ -214,7 +214,7 @@
 	return 0
 }
 
-// PlayOverloads plays runs, workers of them side by side, in the order given. done, if there is one, is told of each
+// PlayOverloads plays runs, workers of them side by side, in the order given. done, if there is one, is called with each
 // that has ended, one at a time.
 func PlayOverloads(ctx context.Context, runs []Overload, workers int, done func(*OverloadResult)) ([]*OverloadResult,
 	error,
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -76,7 +76,7 @@
 	rank      func(policy.ServerID) float64
 	chosen    func(policy.ServerID) // may be nil
 	nextTurn  int
-	seesTruth bool // rank is the time to an answer, so that what would come after the aim is turned away
+	seesTruth bool // rank is the time to an answer, so that what would come after the latency objective is rejected
 	ready     []policy.ServerID
 	inFlight  map[policy.ServerID]int
 	open      map[policy.RequestID]*openRequest
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -22,7 +22,7 @@
 
 	Requests      int            `json:"requests"` // first tries
 	InObjective   int            `json:"in_aim"`
-	Late          int            `json:"late"` // answered within the deadline, but after the aim
+	Late          int            `json:"late"` // answered within the deadline, but after the latency objective
 	Service       float64        `json:"service"`
 	WorstWindow   float64        `json:"worst_window"` // of 10 s, or the day if that is shorter
 	WorstWindowAt float64        `json:"worst_window_at_s"`
@@ -79,7 +79,7 @@
 	Jammed      int // servers
 	Silent      int // servers
 	Service     float64
-	InTime      float64 // part of the first tries of that second that were answered within the aim
+	InTime      float64 // part of the first tries of that second that were answered within the latency objective
 
 	Tries    int // that reached a sidecar, first ones included
 	TimedOut int // attempts
--- a/internal/testbench/emulator/schedule.go
+++ b/internal/testbench/emulator/schedule.go
@@ -20,7 +20,7 @@
 	heap      []event
 }
 
-// machine enters do for time t, or for now if that has passed.
+// at schedules act for time t, or for now if that has passed.
 func (a *schedule) at(t policy.Ms, do func()) {
 	a.seq++
 	e := event{max(t, a.now), a.seq, do}
@@ -38,7 +38,7 @@
 
 func (a *schedule) after(d policy.Ms, do func()) { a.at(a.now+d, do) }
 
-// nextID takes the event that is due first and makes its time the present.
+// next removes the event that is due first and makes its time the present.
 func (a *schedule) next() func() {
 	h := a.heap
 	first, last := h[0], h[len(h)-1]
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -48,7 +48,7 @@
 	host            *host   // what it runs on
 	failing         float64 // part of the requests that it fails
 	slow            float64 // times the work that a request needs here
-	rejectsProbes   bool    // probes are turned away
+	rejectsProbes   bool    // probes are rejected
 	paused          bool
 	jammed          bool
 	overloadedSince policy.Ms // since when too many wait; -1 = they don't
--- a/internal/testbench/emulator/server_process.go
+++ b/internal/testbench/emulator/server_process.go
@@ -9,7 +9,7 @@
 	time     policy.Ms
 	work     float64
 	from     *sidecar
-	notified bool // the sidecar had been told of the start
+	notified bool // the sidecar had been notified of the start
 }
 
 // countColdArrival counts what reaches a cold server, and fells it when that is more than it bears within the window.
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -14,7 +14,7 @@
 	graceMargin  = 100.0 // ms before the end of a grace in which the daemon begins nothing new
 )
 
-// sidecar hosts one policy, as internal/dispatch does: it carries out the actions and tells what comes of them.
+// sidecar hosts one policy, as internal/dispatch does: it carries out the actions and reports what comes of them.
 type sidecar struct {
 	world         *world
 	number        int
@@ -32,7 +32,7 @@
 	stepping      bool
 }
 
-// knownServer is what a sidecar has been told of a server, and its connections to it.
+// knownServer is what a sidecar knows of a server by the list, and its connections to it.
 type knownServer struct {
 	machine    *machine
 	health     policy.Health
@@ -56,7 +56,7 @@
 	log              []step
 }
 
-// start begins a process, which knows the list as the directory has it, or had it before it went down.
+// start begins a process, which knows the list as discovery has it, or had it before it went down.
 func (sc *sidecar) start() {
 	sc.running = true
 	sc.seeds++
@@ -97,7 +97,7 @@
 	sc.known, sc.inFlight = nil, nil
 }
 
-// knowsProcess reports whether the sidecar has been told of the process that runs now.
+// knowsProcess reports whether the sidecar has been notified of the process that runs now.
 func (sc *sidecar) knowsProcess(m *machine) bool {
 	k := sc.known[m.id]
 	return k != nil && k.startedAt == m.startedAt
@@ -153,7 +153,7 @@
 	return r
 }
 
-// cancelled says that the client has left.
+// gone ends a request whose client has left.
 func (sc *sidecar) gone(r *request) {
 	r.answered = true
 	if r.attemptsInFlight == 0 {
@@ -338,7 +338,7 @@
 	}
 }
 
-// finishAttempt tells the judge and the policy how the attempt at a request has ended.
+// finishAttempt reports to the judge and the policy how the attempt at a request has ended.
 func (sc *sidecar) finishAttempt(a *attempt, status policy.Status, report policy.Report, took policy.Ms) {
 	r := a.request
 	r.attemptsInFlight--
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -33,7 +33,7 @@
 	surge  float64       // times the usual arrivals
 	costly []costly
 
-	// Apart from each other, so that what a policy does leaves the load and the troubles as they are.
+	// Apart from each other, so that what a policy does leaves the load and the faults as they are.
 	rngLoad, rngServers, rngStarts, rngNetwork, rngDiscovery, rngClients *rand.Rand
 
 	clock    func() time.Duration
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -47,7 +47,7 @@
 	Most int           // for each request
 }
 
-// Load is what consumers ask for.
+// Load is what clients ask for.
 type Load struct {
 	Network  Network
 	Address  string // of the sidecar
@@ -58,7 +58,7 @@
 	MaxConns int           // a request waits when all are busy; 0 = no limit
 }
 
-// Result is how a try ended, as its consumer has seen it.
+// Result is how a try ended, as its client has seen it.
 type Result uint8
 
 // The results. Each try has exactly one.
@@ -98,7 +98,7 @@
 // Took is the time from the moment when the try was due.
 func (t *Try) Took() time.Duration { return t.EndedAt.Sub(t.At) }
 
-// InAim reports whether the try served its request within the aim, counted from when the request was first due.
+// InAim reports whether the try served its request within the latency objective, counted from when the request was first due.
 func (t *Try) InAim() bool { return t.Result == Served && t.EndedAt.Sub(t.AskedAt) <= t.Class.Aim }
 
 // Consumers are a sidecar's clients, which share the connections of one Client. Arrivals don't wait for answers. Its
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// Consumers that talk straight to a provider get from it what a sidecar might give them.
+// Consumers that talk straight to a server get from it what a sidecar might give them.
 func TestResults(t *testing.T) {
 	slowly := Class{Name: "slowly", Safe: true, Deadline: time.Second, Aim: 30 * time.Millisecond}
 	tile, order := Tile(), Order()
@@ -164,7 +164,7 @@
 	}
 }
 
-// A day of a fleet behind a plain relay: one provider is gone for a second, then all are replaced, which the relay does
+// A day of a fleet behind a plain relay: one server is gone for a second, then all are replaced, which the relay does
 // not notice. Played twice, it goes the same way.
 func TestDay(t *testing.T) {
 	var days [2][]Window
--- a/internal/testbench/fakes/config.go
+++ b/internal/testbench/fakes/config.go
@@ -21,7 +21,7 @@
 	ConnIdle                time.Duration
 	Connect                 time.Duration
 	DrainGrace              time.Duration
-	WarmIn                  time.Duration // in which a provider that starts gets warm
+	WarmIn                  time.Duration // in which a server that starts gets warm
 
 	// Edit changes anything else: it is given the whole document before it is written.
 	Edit func(document map[string]any)
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -16,7 +16,7 @@
 	Deleted  = "DELETED"
 )
 
-// Member is one line of the directory's list.
+// Member is one line of discovery's list.
 type Member struct {
 	ID       string `json:"id"`
 	Address  string `json:"host_port"`
@@ -25,7 +25,7 @@
 	UpSince  int64  `json:"up_since_ms"` // Unix milliseconds; 0 = long ago
 }
 
-// List is what the directory answers.
+// List is what discovery answers.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
@@ -38,7 +38,7 @@
 	lateAnswerDelay = time.Millisecond // after the caller has hung up
 )
 
-// DirectoryCall is one call as the directory has seen it.
+// DirectoryCall is one call as discovery has seen it.
 type DirectoryCall struct {
 	At         time.Time // of its last byte
 	Conn       int       // the connection's number, from 1
@@ -66,7 +66,7 @@
 	muted                                                chan struct{} // closed when it ends; nil = none
 }
 
-// Directory serves the list of providers, in whole and by a watch, and misbehaves when told to. It is safe for
+// Directory serves the list of servers, in whole and by a watch, and misbehaves when told to. It is safe for
 // concurrent use; each method acts at once.
 type Directory struct {
 	host
@@ -80,7 +80,7 @@
 	calls    []DirectoryCall
 }
 
-// NewDirectory starts a directory at address (see Network.Listen) whose first revision holds the members.
+// NewDirectory starts discovery at address (see Network.Listen) whose first revision holds the members.
 func NewDirectory(n Network, address string, members ...Member) (*Directory, error) {
 	d := &Directory{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
 	d.handle = d.serveCall
--- a/internal/testbench/fakes/doc.go
+++ b/internal/testbench/fakes/doc.go
@@ -1,11 +1,11 @@
-// Package fakes is a kit of scripted peers around a sidecar: a directory, providers and consumers that behave well and,
-// on a time line, misbehave. The same script runs on loopback, against the program as a process, and in a bubble of
+// Package fakes has scripted stand-ins for what surrounds a sidecar: discovery, servers and clients. They behave well and,
+// by a timeline, misbehave. The same script runs on loopback, against the program as a process, and in a bubble of
 // testing/synctest, where the sidecar is given the Memory network's listener and its Dial.
 //
 // It knows the platform's protocol from that protocol's own description and shares no code with the program, so that a
-// fault of one does not hide the same fault of the other. Package load sends by the same Client as its consumers do.
+// fault of one does not hide the same fault of the other. Package loadgen sends by the same Client as its clients do.
 //
-// The whole picture, as a test of the command in a bubble: half of the providers are replaced while the directory's
+// An example, as a test of the command in a bubble: half of the servers are replaced while discovery's
 // answers are lost, and the test asks for how long service stays below normal.
 //
 //	synctest.Test(t, func(t *testing.T) {
@@ -64,7 +64,7 @@
 // On loopback the network is Loopback(), and the program is started with the file's path in GW_CONFIG and a port of its
 // own choice. All else is the same.
 //
-// In a bubble a run is decided by its seeds. Arrivals are drawn ahead, what a provider draws for a request depends on
+// In a bubble a run is decided by its seeds. Arrivals are drawn ahead, what a server draws for a request depends on
 // that request alone, and the Memory network's delays differ by connection, since the order of what happens at the very
 // same instant would be left to chance. What remains of that is two connections opened to one address at one instant,
 // and whatever the sidecar itself leaves to chance.
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Fleet is some providers and the directory that lists them.
+// Fleet is some servers and discovery that lists them.
 type Fleet struct {
 	Directory *Directory
 	Providers []*Provider
-	lifetimes []int // processes so far, by provider
+	lifetimes []int // processes so far, by server
 }
 
-// NewFleet starts n providers of one nature; o's ID, if any, goes before the number in their names, and each gets a
+// NewFleet starts n servers of one nature; o's ID, if any, goes before the number in their names, and each gets a
 // seed of its own.
 func NewFleet(net Network, n int, o ProviderOptions) (*Fleet, error) {
 	f := &Fleet{lifetimes: make([]int, n)}
@@ -48,7 +48,7 @@
 	}
 }
 
-// Members are the lines of all providers as they are, whatever the directory says.
+// Members are the lines of all servers as they are, whatever discovery says.
 func (f *Fleet) Members() (members []Member) {
 	for _, p := range f.Providers {
 		members = append(members, p.Member())
@@ -58,15 +58,15 @@
 
 // Release is a rolling replacement of all processes.
 type Release struct {
-	Batch   int           // providers replaced at a time; 0 = 1
-	Most    int           // providers replaced, from the first on; 0 = all
-	Grace   time.Duration // from the word of the drain to the end of the process
+	Batch   int           // servers replaced at a time; 0 = 1
+	Most    int           // servers replaced, from the first on; 0 = all
+	Grace   time.Duration // from the notice of the drain to the end of the process
 	Down    time.Duration // from there to the next process
 	Between time.Duration // from there to the next batch
 	Move    bool          // the next process has another address
 }
 
-// Release replaces the providers' processes: the directory tells that it drains, and it declines what is new; after the
+// Release replaces the servers' processes: discovery tells that it drains, and it declines what is new; after the
 // grace it ends, and one under a new id starts and is told together with the other's end. It returns at the end of ctx,
 // with the rest as it is then.
 func (f *Fleet) Release(ctx context.Context, r Release) error {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// nextID names the next process of the i-th provider.
+// nextID names the next process of the i-th server.
 func (f *Fleet) nextID(i int) string {
 	f.lifetimes[i]++
 	return fmt.Sprintf("%s.%d", f.Providers[i].options.ID, f.lifetimes[i]+1)
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// host is what a directory and a provider have in common: a listener that can go and come back, connections that
+// host is what discovery and a server have in common: a listener that can go and come back, connections that
 // carry one request at a time, and a machine that can fall silent.
 type host struct {
 	network Network
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// lifetime is one life of a provider.
+// lifetime is one life of a server.
 type lifetime struct {
 	id            string
 	startedAt     time.Time
@@ -17,7 +17,7 @@
 	meanServiceMs float64 // service time of late, in milliseconds; 0 = none yet
 }
 
-// Provider is one tile server: one place where one process after another may live. It is safe for concurrent use;
+// Provider is one server: one place where one process after another may live. It is safe for concurrent use;
 // each method acts at once.
 type Provider struct {
 	host
@@ -31,7 +31,7 @@
 	runs      map[string]int
 }
 
-// NewProvider starts a provider whose process is long warm.
+// NewProvider starts a server whose process is long warm.
 func NewProvider(n Network, o ProviderOptions) (*Provider, error) {
 	o.Cores, o.Locality = max(1, o.Cores), cmp.Or(o.Locality, Here)
 	p := &Provider{host: newHost(n, o.Address, o.IdleMost), options: o, runs: map[string]int{}}
@@ -55,7 +55,7 @@
 	return p.current
 }
 
-// Member is its line in the directory while it serves.
+// Member is its line in discovery while it serves.
 func (p *Provider) Member() Member {
 	now := p.currentLifetime()
 	m := Member{ID: now.id, Address: p.Address(), Locality: p.options.Locality, Phase: Serving}
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// books words the provider's requests.
+// books words the server's requests.
 func books(p *Provider) string {
 	var all []string
 	for _, r := range p.Requests() {
--- a/internal/testbench/fakes/server_types.go
+++ b/internal/testbench/fakes/server_types.go
@@ -23,7 +23,7 @@
 	Body  int           // bytes of an answer, at least the request's id and a newline
 }
 
-// ProviderOptions are a provider's nature, which faults don't change.
+// ProviderOptions are a server's nature, which faults don't change.
 type ProviderOptions struct {
 	ID       string
 	Address  string // see Network.Listen
@@ -56,7 +56,7 @@
 	Reset bool // else the connection is ended in order
 }
 
-// Behaviour is how a provider misbehaves; the zero value is good behaviour. Requests that BreakOff, Stall, FailShare
+// Behaviour is how a server misbehaves; the zero value is good behaviour. Requests that BreakOff, Stall, FailShare
 // and Spoilt befall are run; those that are declined or reset are not.
 type Behaviour struct {
 	Drain       bool          // probes get 503, requests are declined
@@ -73,7 +73,7 @@
 	Slow        float64       // service takes so many times as long; 0 = 1
 }
 
-// Outcome says what a provider did with a request.
+// Outcome says what a server did with a request.
 type Outcome uint8
 
 // The outcomes.
@@ -99,7 +99,7 @@
 
 func (o Outcome) String() string { return outcomes[o] }
 
-// Request is one request as a provider has seen it.
+// Request is one request as a server has seen it.
 type Request struct {
 	ID, Class, Method, Path string
 	Body                    string
@@ -114,7 +114,7 @@
 	Outcome                 Outcome
 }
 
-// Probe is one probe as a provider has seen it.
+// Probe is one probe as a server has seen it.
 type Probe struct {
 	At     time.Time
 	Conn   int
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -11,11 +11,11 @@
 type Window struct {
 	From   time.Time
 	Asked  int          // requests
-	InAim  int          // of these, served within the aim, by whichever try
+	InAim  int          // of these, served within the latency objective, by whichever try
 	Counts [results]int // of tries, by Result
 }
 
-// Share is the part of the requests that were served within the aim; 1 where there were none.
+// Share is the part of the requests that were served within the latency objective; 1 where there were none.
 func (w Window) Share() float64 {
 	if w.Asked == 0 {
 		return 1
@@ -73,7 +73,7 @@
 	WellFor = time.Second // that it has to last
 )
 
-// Recovered returns the time from the event until the share of requests served within their aim is 95% or more of
+// Recovered returns the time from the event until the share of requests served within their latency objective is 95% or more of
 // normal in every window for at least a second; normal is a share from 0 to 1, as Window.Share gives it for a quiet
 // time. False means that the tries show no such second. The time is a multiple of the window's width, which must be
 // wide enough for some twenty requests, since one that fails by chance must not hide a recovery.
@@ -94,7 +94,7 @@
 	return 0, false
 }
 
-// RunTwice returns the ids of a class's requests that providers have begun more than once.
+// RunTwice returns the ids of a class's requests that servers have begun more than once.
 func RunTwice(class string, providers ...*Provider) (ids []string) {
 	runs := map[string]int{}
 	for _, p := range providers {
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet counts what all sidecars of a fleet did together: at each server, at the directory and in each moment, from
+// Package fleet counts what all sidecars of a fleet did together: at each server, at discovery and in each moment, from
 // the lines that they log with GW_TRACE=1. What is harmless alone shows only in the sum.
 package fleet
 
@@ -26,7 +26,7 @@
 	Attempts, Retries, Stale, Cold int // Stale: on news older than a second, or none; Cold: to processes that may be cold
 	Probes, ProbesFailed           int
 	Dials, DialsFailed, Open       int // Open: connections at its end
-	Lists, ListsFull, ListsWrong   int // Full: turned away; Wrong: failed otherwise
+	Lists, ListsFull, ListsWrong   int // Full: rejected; Wrong: failed otherwise
 }
 
 // Count is the whole count.
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -54,7 +54,7 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// wait is how long a client waits before it asks again, by its own habit and the advice that it was given.
+// wait is how long a client waits before it retries, by the plan and the Retry-After of the answer.
 func (r *Retry) wait(advice time.Duration) time.Duration {
 	return max(milliseconds(r.WaitMs), min(advice, milliseconds(r.MaxRetryAfterMs)))
 }
@@ -84,7 +84,7 @@
 	return t
 }
 
-// message words a try with the platform's headers.
+// message encodes a try with the platform's headers.
 func (c *client) message(q *Request, number int, until time.Time) []byte {
 	b := make([]byte, 0, 256+q.Size)
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\nReq-Id: %s\r\nReq-Deadline: %.3f\r\n", q.Method, q.Path,
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -42,13 +42,13 @@
 	Retry              Retry   `json:"retry,omitzero"`
 }
 
-// Keys are what requests ask for: the numbers from 1 to Count, the n-th in proportion to n to the power of -Zipf.
+// Keys are what requests name: the numbers from 1 to Count, the n-th in proportion to n to the power of -Zipf.
 type Keys struct {
 	Count int     `json:"count,omitempty"` // 0 = 1
 	Zipf  float64 `json:"zipf,omitempty"`  // 0 = all alike
 }
 
-// Retry is when a client asks again.
+// Retry says when a client sends a request again.
 type Retry struct {
 	MaxRetries      int      `json:"most,omitempty"`      // tries after the first
 	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each
@@ -137,7 +137,7 @@
 	return fmt.Errorf("1: %w", err)
 }
 
-// wanted words what a key takes by the kind of its Go type.
+// wanted describes what a key takes by the kind of its Go type.
 func wanted(kind string) string {
 	switch {
 	case strings.HasPrefix(kind, "float"):
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -90,7 +90,7 @@
 	Requests    uint64       `json:"asked"`    // requests, each with all its tries
 	Attempts    uint64       `json:"tries"`    // sendings, or attempts to
 	Resent      uint64       `json:"resent"`   // tries that crossed the close of a kept connection and went out once more
-	InObjective uint64       `json:"in_aim"`   // requests served within their aim, from when they were due
+	InObjective uint64       `json:"in_aim"`   // requests served within their latency objective, from when they were due
 	Ends        [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
 	AttemptEnds [ends]uint64 `json:"try_ends"` // of tries
 
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -40,7 +40,7 @@
 	Attempts    uint64            `json:"tries"`
 	Resent      uint64            `json:"resent"`
 	InObjective uint64            `json:"in_aim"`
-	Goodput     float64           `json:"goodput_per_s"` // requests served within their aim a second of due time
+	Goodput     float64           `json:"goodput_per_s"` // requests served within their latency objective a second of due time
 	Ends        map[string]uint64 `json:"ends"`          // of requests
 	AttemptEnds map[string]uint64 `json:"try_ends"`
 	Due         Latency           `json:"latency_from_due_ms"`
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// A generator that is held up for 300 ms says so: it makes the run invalid, and does not blame the server. What is due
+// A generator that is stalled for 300 ms says so: it makes the run invalid, and does not blame the server. What is due
 // then goes out late, but all of it goes out. That second tries are on time makes no difference.
 func TestHeldUp(t *testing.T) {
 	p := planOfTiles(t, constant(100), Even, 3)
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// job is what a process is told on its standard input, before the moment at which it starts.
+// job is what a process reads on its standard input before it starts.
 type job struct {
 	Plan    *Plan  `json:"plan"`
 	Address string `json:"address"`
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the lab knows of processes and of the machine that they run on: what one has used, how busy all
-// processors are, and how late timers come. What a figure is worth depends on the last two. Linux only.
+// Package process is what the test bench knows of processes and of the machine that they run on: what one has used, how busy all
+// processors are, and how late timers come. How far a measurement can be relied on depends on the last two. Linux only.
 package process
 
 import (
--- a/internal/testbench/process/process_test.go
+++ b/internal/testbench/process/process_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// What is told of this process is there, and of none is an error.
+// This process has figures, and one that does not exist is an error.
 func TestOfAProcess(t *testing.T) {
 	if used, err := CPU(os.Getpid()); err != nil || used <= 0 {
 		t.Errorf("CPU %s, %v", used, err)
@@ -25,7 +25,7 @@
 	}
 }
 
-// A program that does not mind the word ends by it, and one that can't be started is an error.
+// A program without a handler ends by SIGTERM, and one that can't be started is an error.
 func TestStartAndStop(t *testing.T) {
 	p, err := Start(exec.Command("sleep", "600"), -1)
 	if err != nil {
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	endWithin      = 10 * time.Second      // of the word to end
+	endWithin      = 10 * time.Second      // of SIGTERM
 	signalInterval = 50 * time.Millisecond // two signals that come at once are one
 )
 
@@ -52,7 +52,7 @@
 // Signal sends it a signal.
 func (p *Program) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Stop tells it to end, again and again so that it does not wait for the kill, and returns how it did. Call it once.
+// Stop sends SIGTERM until the process has ended, repeatedly so that it ends at once, and returns its exit error. Call it once.
 func (p *Program) Stop() error {
 	again := time.NewTicker(signalInterval)
 	defer again.Stop()
--- a/internal/testbench/recovery/doc.go
+++ b/internal/testbench/recovery/doc.go
@@ -1,9 +1,9 @@
 // Package recovery measures how long it takes until service is back. It starts the sidecar's program as a process on
-// loopback, between the scripted peers of package peers, under a load whose arrivals don't wait for answers, lets
-// something happen and counts.
+// loopback, between the fakes of package fakes, under a load whose arrivals don't wait for answers, makes an event
+// happen and counts what becomes of the requests.
 //
 //	recovery.AdoptOrphans()
-//	report, err := recovery.Run(ctx, scenario, recovery.Setup{Program: "bin/plankrouter", Providers: 8, Rate: 400,
+//	report, err := recovery.Run(ctx, scenario, recovery.Setup{Program: "bin/plankrouter", Servers: 8, Rate: 400,
 //		Seed: 1, Dir: dir}) // for each of recovery.Scenarios()
 //	report, err := recovery.Handovers(ctx, recovery.HandoverPlan{Setup: setup, Restarts: 200})
 //
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -21,10 +21,10 @@
 type HandoverPlan struct {
 	Setup
 	Restarts int
-	Pause    time.Duration // between a handover's end and the next
+	Pause    time.Duration // between a hot restart's end and the next
 	Kill     Victim        // one of the two is killed in the middle
-	At       KillPhase     // of the handover; needed with Kill
-	Nth      int           // of each Nth handover; 0 = of each
+	At       KillPhase     // of the hot restart; needed with Kill
+	Nth      int           // of each Nth hot restart; 0 = of each
 }
 
 // Check says what is wrong with the plan.
@@ -47,7 +47,7 @@
 // HandoverReport is what became of a line of processes. Times are in seconds.
 type HandoverReport struct {
 	Program     string  `json:"program"`
-	Restarts    int     `json:"restarts"` // handovers that were done
+	Restarts    int     `json:"restarts"` // hot restarts that were done
 	Requests    int     `json:"requests"`
 	Served      int     `json:"served"`
 	Lost        int     `json:"lost"` // or not answered
@@ -107,7 +107,7 @@
 	return out, nil
 }
 
-// run does all handovers and returns how long the undisturbed ones took, and the kills.
+// run does all hot restarts and returns how long the undisturbed ones took, and the kills.
 func (p HandoverPlan) run(ctx context.Context, r *rig) (took []phases, kills []kill, err error) {
 	draw := rand.New(rand.NewPCG(p.Seed, 0))
 	for n := 1; n <= p.Restarts; n++ {
@@ -131,7 +131,7 @@
 	return took, kills, nil
 }
 
-// killDelay is how long after the beginning of its part of a handover a kill comes: somewhere in the time that the part
+// killDelay is how long after the beginning of its part of a hot restart a kill comes: somewhere in the time that the part
 // usually takes.
 func (p HandoverPlan) killDelay(part float64, took []phases) time.Duration {
 	usual := startSpan
--- a/internal/testbench/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Victim is which of the two processes of a handover is killed.
+// Victim is which of the two processes of a hot restart is killed.
 type Victim string
 
 // The victims.
@@ -19,7 +19,7 @@
 	Predecessor Victim = "predecessor"
 )
 
-// KillPhase is the part of a handover in which a process is killed.
+// KillPhase is the part of a hot restart in which a process is killed.
 type KillPhase string
 
 // The moments.
@@ -35,7 +35,7 @@
 	afterDone    = "after the handover was done"
 )
 
-// kill is what became of a handover of which one process was killed.
+// kill is what became of a hot restart of which one process was killed.
 type kill struct {
 	phase      string
 	noSurvivor bool      // nobody was left, so that another process was started
@@ -43,7 +43,7 @@
 	until      time.Time // then one process served alone
 }
 
-// handOverKilling starts a handover and kills one of its two processes a while after the moment's begin. It returns
+// handOverKilling starts a hot restart and kills one of its two processes a while after the moment's begin. It returns
 // when one process serves: the other one, or, if that does not serve, one that is started as a service manager would.
 func (l *line) handOverKilling(ctx context.Context, v Victim, m KillPhase, after time.Duration) (k kill, err error) {
 	from, old := l.log.mark(), l.main
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-const endWithin = 20 * time.Second // for a process that has been told to end
+const endWithin = 20 * time.Second // of a process, after SIGTERM
 
 // line is the processes of one program at one address, of which one serves and the others have been before it. Its
 // methods are not safe for concurrent use.
@@ -71,7 +71,7 @@
 	}
 }
 
-// stop tells the process that serves to end, twice so that it does not wait for the kill, and sees that it does.
+// stop sends the serving process SIGTERM, twice so that it ends at once, and waits until it has ended.
 func (l *line) stop(ctx context.Context) error {
 	from := l.log.mark()
 	_ = l.main.Signal(syscall.SIGTERM)
@@ -105,7 +105,7 @@
 	l.log.close()
 }
 
-// phases is how long a handover took.
+// phases is how long a hot restart took.
 type phases struct {
 	start time.Duration // from the signal until the successor was ready
 	pass  time.Duration // from there until it had everything
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -11,14 +11,14 @@
 	minSpan    = 2 * time.Second        // in which probes and calls are counted
 	minWidth   = 250 * time.Millisecond // of a window, which also holds windowAsked requests
 	windowWith = 50
-	noticeIn   = 50 * time.Millisecond // in which the lab may notice what has come
+	noticeIn   = 50 * time.Millisecond // in which the test bench may notice what has come
 )
 
 // Metrics is what a run has shown. Seconds count from the event. What became of tries is counted of those that ended
 // after it, twice and late sends of the whole run.
 type Metrics struct {
 	Requests    int      `json:"requests"`   // of the whole run
-	Normal      float64  `json:"normal"`     // share served within the aim before the event
+	Normal      float64  `json:"normal"`     // share served within the latency objective before the event
 	Back        *float64 `json:"back_s"`     // until 95% of normal holds for a second; nil = never
 	Below       float64  `json:"below_s"`    // spent below that, in all
 	Worst       float64  `json:"worst"`      // share in the worst window
@@ -29,10 +29,10 @@
 	Rejected    int      `json:"refused"`
 	Unreachable int      `json:"unreachable"`      // no connection came up
 	Twice       int      `json:"twice"`            // runs of what must not run twice beyond the first
-	Late        int      `json:"late"`             // sends to a provider after the grace of its drain
-	Probes      float64  `json:"probes_per_s"`     // during the trouble
+	Late        int      `json:"late"`             // sends to a server after the grace of its drain
+	Probes      float64  `json:"probes_per_s"`     // during the fault
 	Lists       float64  `json:"list_calls_per_s"` // likewise
-	Stall       float64  `json:"stall_s"`          // the longest time for which the lab itself was held up
+	Stall       float64  `json:"stall_s"`          // the longest time for which the test bench itself was stalled
 }
 
 // isLost reports whether the sidecar had the request, or might have, and its client was left without an answer.
@@ -56,7 +56,7 @@
 	}
 }
 
-// servedShare is the part of the requests due in a span that was served within the aim.
+// servedShare is the part of the requests due in a span that was served within the latency objective.
 func servedShare(tries []fakes.Try, from, to time.Time) float64 {
 	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.AskedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
@@ -78,8 +78,8 @@
 	worst     float64       // share of the worst window
 }
 
-// faultAfter looks for the first window after the event that is below 95% of normal: what follows a word to stop,
-// say, is well for a while. From there on it is fakes.Recovered that says when service is back. A trouble that begins
+// faultAfter looks for the first window after the event that is below 95% of normal: after SIGTERM,
+// for example, service stays normal for a while. From there on it is fakes.Recovered that says when service is back. A fault that begins
 // in the last second is only counted: how it ends can't be seen.
 func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
 	out := degradation{recovered: true, worst: 1}
@@ -120,8 +120,7 @@
 	return n
 }
 
-// notifiedAt returns when each drain was told, given the revisions that told them: with the first answer that holds it,
-// whoever asked.
+// notifiedAt returns when each drain was first sent to a sidecar, given the revisions that list them.
 func notifiedAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
@@ -135,7 +134,7 @@
 	return notifiedAt
 }
 
-// lateSends counts the requests whose first byte came to a provider after the grace of its drain.
+// lateSends counts the requests whose first byte came to a server after the grace of its drain.
 func lateSends(notifiedAt map[string]time.Time, requests []fakes.Request) (n int) {
 	for _, q := range requests {
 		if at, drained := notifiedAt[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeIn)) {
--- a/internal/testbench/recovery/process.go
+++ b/internal/testbench/recovery/process.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// AdoptOrphans makes this process the parent of those whose own parent ends, as a successor's does: else how they end
-// can't be told. It concerns the whole process; call it once, at the start of the program.
+// AdoptOrphans makes this process the parent of those whose own parent ends, as a successor's does: otherwise their exit
+// status would be lost. It concerns the whole process; call it once, at the start of the program.
 func AdoptOrphans() error {
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("prctl: adopt orphans: %w", err)
@@ -43,9 +43,9 @@
 }
 
 // lastLine is what the log says when it has ended.
-func (p *process) lastLine() string { return fmt.Sprintf("lab: process %d has ended", p.Pid) }
+func (p *process) lastLine() string { return fmt.Sprintf("testbench: process %d has ended", p.Pid) }
 
-// kill ends it without a word, if it has not ended by itself.
+// kill sends SIGKILL, unless the process has ended by itself.
 func (p *process) kill() {
 	if p.running() {
 		p.killed.Store(true)
@@ -62,7 +62,7 @@
 	}
 }
 
-// fate words how it ended.
+// fate describes how it ended.
 func (p *process) fate() string {
 	switch {
 	case p.running():
--- a/internal/testbench/recovery/processlog.go
+++ b/internal/testbench/recovery/processlog.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	maxAwait  = 15 * time.Second // for a word in the log
+	maxAwait  = 15 * time.Second // for a line of the log
 	maxClose  = 2 * time.Second  // for a writer that has not ended
 	tailLines = 5
 )
 
-// processLog keeps what processes print: in a file, and line by line for those who wait for a word. All print into one
-// pipe, and how a process has ended is written there, too, so that this comes after its last words.
+// processLog keeps what processes print: in a file, and line by line for those who wait for a line. All print into one
+// pipe, and the end of a process is written there, too, so that it comes after its last line.
 type processLog struct {
 	file           io.Writer
 	reader, writer *os.File
@@ -79,8 +79,8 @@
 // end notes that a process has ended.
 func (b *processLog) end(p *process) { fmt.Fprintln(b.writer, p.lastLine()) }
 
-// await returns the first line from a mark on that holds one of the words. It gives up at the end of ctx, after
-// maxAwait, or when p has ended, which was to say it.
+// await returns the first line from a mark on that holds one of the texts. It gives up at the end of ctx, after
+// maxAwait, or when p, which should log it, has ended.
 func (b *processLog) await(ctx context.Context, from int, p *process, texts ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
@@ -105,14 +105,14 @@
 	}
 }
 
-// look returns the first line from a mark on that holds the word, if there is one by now.
+// look returns the first line from a mark on that holds the text, if there is one by now.
 func (b *processLog) look(from int, text string) (string, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return find(b.lines[from:], []string{text})
 }
 
-// find returns the first line that holds one of the words.
+// find returns the first line that holds one of the texts.
 func find(lines, texts []string) (string, bool) {
 	for _, line := range lines {
 		for _, w := range texts {
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The fleet's nature. A provider alone could serve some 170 requests a second.
+// The fleet's nature. A server alone could serve some 170 requests a second.
 const (
 	cores            = 4
 	queue            = 32
@@ -32,9 +32,9 @@
 // Setup is what every experiment needs to know.
 type Setup struct {
 	Program string // path of the sidecar's program
-	Servers int    // at least 4, so that some can be in trouble
+	Servers int    // at least 4, so that some can have a fault
 	Rate    float64
-	Seed    uint64        // of the load, the providers and the sidecar
+	Seed    uint64        // of the load, the servers and the sidecar
 	Dir     string        // an existing folder for the configuration, the snapshot and the log
 	Classes []fakes.Class // one that is safe and one that is not; nil = fakes.Tile and fakes.Order
 }
@@ -57,7 +57,7 @@
 	return s.Classes
 }
 
-// rig is the sidecar's line of processes, its peers and the load on it.
+// rig is the sidecar's line of processes, the fakes around it and the load on it.
 type rig struct {
 	setup Setup
 	fleet *fakes.Fleet
@@ -71,7 +71,7 @@
 	tries   []fakes.Try   // once the load has ended, as the next
 	stall   time.Duration // the longest time by which a timer has come late
 
-	drains map[string]uint64 // by a process's id, the directory's revision that told its drain
+	drains map[string]uint64 // by a process's id, discovery's revision that lists its drain
 	second time.Time         // when a second life was started
 }
 
@@ -156,7 +156,7 @@
 }
 
 // stall returns, at the end of ctx, the longest time by which a timer has come late: so long this process, and any
-// other of the machine, may have been held up.
+// other of the machine, may have been stalled.
 func stall(ctx context.Context) (longest time.Duration) {
 	for before := time.Now(); fakes.Pause(ctx, stallTick) == nil; before = time.Now() {
 		longest = max(longest, time.Since(before)-stallTick)
@@ -176,10 +176,10 @@
 	return r.line.start(ctx)
 }
 
-// some are the first providers of the fleet, a quarter of it.
+// some are the first servers of the fleet, a quarter of it.
 func (r *rig) some() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
 
-// release replaces the first so many providers, a quarter of the fleet at a time, by others at new addresses.
+// release replaces the first so many servers, a quarter of the fleet at a time, by others at new addresses.
 func (r *rig) release(ctx context.Context, most int) error {
 	plan := fakes.Release{
 		Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
@@ -188,7 +188,7 @@
 	notifiedAt := r.fleet.Directory.Revision()
 	for batch := range slices.Chunk(r.fleet.Providers[:most], plan.Batch) {
 		for _, p := range batch {
-			r.drains[p.ID()] = notifiedAt + 1 // and the next revision tells of its end
+			r.drains[p.ID()] = notifiedAt + 1 // and the next revision lists its end
 		}
 		notifiedAt += 2
 	}
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -11,7 +11,7 @@
 	calm = 3 * time.Second // of load before the event
 
 	// What is normal is measured in a part of that: a sidecar that has just started knows nothing yet, and what is
-	// under way at the event is a part of the trouble.
+	// under way at the event is a part of the fault.
 	calmFrom = 2500 * time.Millisecond // before the event
 	calmTo   = 500 * time.Millisecond
 
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -162,7 +162,7 @@
 	return r.fleet.Directory.Down(false)
 }
 
-// someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only who has asked knows.
+// someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only a sidecar that has sent requests knows.
 func someFail(r *rig) {
 	for _, p := range r.some() {
 		p.Behave(fakes.Behaviour{FailShare: 0.9, Slow: 0.3})
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxQueueTime = 2 * time.Second  // for which a call that needs a turn waits for it, before it is turned away
+	maxQueueTime = 2 * time.Second  // for which a call that needs a slot waits for it, before it is rejected
 	maxPollTime  = 60 * time.Second // for which a call is held
 )
 
@@ -36,15 +36,15 @@
 // discoveryServer is a stand-in: one service for all, or, with several listeners, an agent for each sidecar that the list is pushed
 // to. It speaks the platform's protocol and shares no code with the program.
 type discoveryServer struct {
-	rate float64 // calls a second that get a turn: those for the whole list, and the first of a connection; 0 = all at once
+	rate float64 // calls a second that get a slot: those for the whole list, and the first of a connection; 0 = all at once
 
 	mutex        sync.Mutex
 	revision     uint64
 	lines        []line
 	lineIndex    map[string]int // in lines
 	changed      chan struct{}  // closed with the next revision
-	complete     []byte         // the whole list as of now; nil = not worded yet
-	nextFreeSlot time.Time      // the next free turn
+	complete     []byte         // the whole list as of now; nil = not encoded yet
+	nextFreeSlot time.Time      // the next free slot
 
 	server                         http.Server
 	calls, completeCalls, rejected atomic.Int64
@@ -106,7 +106,7 @@
 	return d.revision
 }
 
-// update words what a call gets, and says whether there is any; changed tells when there is.
+// update returns what a poll gets, and whether there is anything; changed is closed when there is.
 func (d *discoveryServer) update(complete bool, after uint64) (raw []byte, available bool, changed <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -126,7 +126,7 @@
 	return raw, complete || d.revision > after, d.changed
 }
 
-// reserveSlot is how long a call waits for its turn; false = it is turned away.
+// reserveSlot returns how long a call waits for its slot; false = it is rejected.
 func (d *discoveryServer) reserveSlot(now time.Time) (time.Duration, bool) {
 	if d.rate <= 0 {
 		return 0, true
@@ -172,7 +172,7 @@
 		if is || expired {
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-			_, _ = w.Write(raw) // who has hung up asks again
+			_, _ = w.Write(raw) // a client that has closed the connection polls again
 			return
 		}
 		select {
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -33,7 +33,7 @@
 	Rate      float64
 	Endpoints []fakes.Member // change, too
 
-	// build: hollow sidecars, told by the template. One of their own, or one for all, is each one's discovery.
+	// build: simulated sidecars by the template, each with a discovery of its own or with one for all.
 	First     int
 	Count     int
 	Template  []byte // prepare, too
@@ -233,7 +233,7 @@
 	return group.Wait()
 }
 
-// start starts the first so many and returns after how long each had the directory's first answer in force.
+// start starts the first so many and returns after how long each had discovery's first answer in force.
 func (h *worker) start(count int, o *order) ([]float64, error) {
 	if err := h.each(count, func(_ int, s *sidecar) error { return s.start(o.Known) }); err != nil {
 		return nil, err
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Comparison is one real sidecar or one hollow one, alone in a process, in the same world.
+// Comparison is one real sidecar or one simulated one, alone in a process, in the same world.
 type Comparison struct {
 	Which             string  `json:"which"` // real or hollow
 	Servers           int     `json:"servers"`
@@ -35,8 +35,8 @@
 	warmUp      = 2 * time.Second // before the window
 )
 
-// Compare measures one of each side by side in time: a window of the real one, then one of the hollow one, in a world of an
-// agent, a list and, for the real one, tile servers that answer as quickly as the hollow one's do in memory.
+// Compare measures one of each side by side in time: a window of the real one, then one of the simulated one, in a world of an
+// agent, a list and, for the real one, servers that answer as quickly as the simulated one's do in memory.
 func Compare(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (out []Comparison, err error) {
 	if set.Spawn == nil {
 		set.Spawn = Here
--- a/internal/testbench/simulated/scenes_changes.go
+++ b/internal/testbench/simulated/scenes_changes.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// configuration changes a class's aim, from the word to read the file until it is in force.
+// configuration changes a class's latency objective and times it from the order to read the file until it is in force.
 func (p *play) configuration() error {
 	p.latencyObjective += 10 * time.Millisecond
 	template, err := p.template()
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// The times that a stand-in tile server takes, from an attempt's start to its end.
+// The times that a stand-in server takes, from an attempt's start to its end.
 const (
 	probeTakes  = 500 * time.Microsecond
 	callTakes   = 10 * time.Millisecond
 	refuseTakes = 200 * time.Microsecond
 )
 
-// fakeServers are the tile servers as the sidecars of one process see them: they answer in memory, and count.
+// fakeServers are the servers as the sidecars of one process see them: they answer in memory, and count.
 type fakeServers struct {
 	mutex sync.Mutex
 	all   map[string]*fakeServer // by address
@@ -78,7 +78,7 @@
 // Restore takes nothing.
 func (t *fakeServers) Restore(time.Time, []byte, time.Duration) error { return nil }
 
-// endpoint stands for one sidecar's connections to a tile server: one that comes up with the first attempt.
+// endpoint stands for one sidecar's connections to a server: one that comes up with the first attempt.
 type endpoint struct {
 	address string
 	tile    *fakeServer
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// sidecar is a hollow one. Its parts are put together as the program does it.
+// sidecar is a simulated one, assembled of the program's own parts.
 type sidecar struct {
 	name, file, discovery string
 	seed                  uint64
@@ -37,7 +37,7 @@
 
 	mutex   sync.Mutex
 	updates []listUpdate // in order
-	first   time.Time    // when the first answer was known to be in force; it may have told nothing
+	first   time.Time    // when the first answer was known to be in force; it may hold no change
 
 	rate                    atomic.Uint64 // of calls a second, in thousandths
 	served, refused, failed atomic.Int64
@@ -128,7 +128,7 @@
 	s.updates = append(s.updates, listUpdate{revision, time.Now()})
 }
 
-// awaitFirstUpdate notes when the first answer has come, which may have told nothing.
+// awaitFirstUpdate notes when the first answer has come, which may hold no change.
 func (s *sidecar) awaitFirstUpdate(ctx context.Context, first <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -168,7 +168,7 @@
 	return time.Time{}
 }
 
-// reload does what the program does on SIGHUP, as far as a hollow sidecar has the parts.
+// reload does what the program does on SIGHUP, as far as a simulated sidecar has the parts.
 func (s *sidecar) reload() error {
 	next, _, err := s.cfg.Reload(s.getenv)
 	if err != nil {
--- a/internal/testbench/simulated/simulated_test.go
+++ b/internal/testbench/simulated/simulated_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestSlotsOfDiscovery: who comes beyond a full queue is turned away, and the queue moves at the rate.
+// TestSlotsOfDiscovery: who comes beyond a full queue is rejected, and the queue moves at the rate.
 func TestSlotsOfDiscovery(t *testing.T) {
 	d, now := discoveryServer{rate: 10}, time.Now()
 	for i := range 21 { // one at once, and twenty more in the two seconds of the queue
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -27,7 +27,7 @@
 	zoneMark   = `"zone-of-this-one"`
 	warmUpTime = 8 * time.Second
 	maxSockets = 1024 // sockets of a sidecar
-	memoryMB   = 64   // the letter's, of a sidecar
+	memoryMB   = 64   // that the platform grants a sidecar
 )
 
 // Setup is a fleet.
@@ -46,7 +46,7 @@
 	Spawn func(ctx context.Context) (*Part, error)
 }
 
-// Part is a process of the fleet as the one that orders it about sees it.
+// Part is a process of the fleet as seen by the process that controls it.
 type Part struct {
 	orders  *json.Encoder
 	replies *json.Decoder
@@ -87,7 +87,7 @@
 	}
 }
 
-// ask gives an order and waits for the answer.
+// ask sends an order and waits for the reply.
 func (p *Part) ask(o order) (r reply, err error) {
 	if err := p.orders.Encode(o); err != nil {
 		return r, fmt.Errorf("part: %s: %w", o.Op, err)
@@ -106,7 +106,7 @@
 	set              Setup
 	endpoints        []fakes.Member // as discovery has them
 	latencyObjective time.Duration
-	discovery        []*Part // one, or one for each of hollow
+	discovery        []*Part // one, or one for each part of the simulated fleet
 	simulatedFleet   []*Part
 	counts           []int // of sidecars, by part
 	known            fakes.List
@@ -131,7 +131,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 200+nth, i/250, 1+i%250, 3000)
 }
 
-// template words the configuration of all.
+// template returns the configuration that all share.
 func (w *world) template() ([]byte, error) {
 	tile := fakes.Tile()
 	tile.Aim = w.latencyObjective
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -270,7 +270,7 @@
 	}
 }
 
-// restart ends a server's process and starts one, cold, which discovery tells at once.
+// restart ends a server's process and starts one, cold, and discovery lists it at once.
 func (w *world) restart(v *serverPlace, id string, pause func()) {
 	v.Kill()
 	pause()
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -18,7 +18,7 @@
 	deadlineSlack   = 150 * time.Millisecond
 	maxNotifyDelay  = 6 * time.Second // of a change, while the watch is silent
 	badClientWithin = 3 * time.Second
-	stallNear       = 300 * time.Millisecond // of a moment, in which a hold-up of this process blurs it
+	stallNear       = 300 * time.Millisecond // of a moment, in which a stall of this process blurs it
 )
 
 // Rule is one that the judge looks at.
@@ -31,7 +31,7 @@
 	FalseRejection Rule = "promise"   // a refusal of an order that may have run
 	RetryWindow    Rule = "window"    // a repeat with a token beyond its window
 	ClientGone     Rule = "gone"      // an attempt for a client that has left
-	Deadline       Rule = "deadline"  // a server is told more time than the client has
+	Deadline       Rule = "deadline"  // an attempt carries more time than its client has left
 	Drain          Rule = "drain"     // an attempt at a server that drains or is gone
 	Order          Rule = "order"     // an attempt at a server that operators have taken out
 	SlowStart      Rule = "slowstart" // too much for a cold server
@@ -76,7 +76,7 @@
 	acknowledgedAt, takenBackAt time.Time // to: it was taken back; zero = it was not
 }
 
-// outage is a time in which discovery did not tell what it had.
+// outage is a time in which discovery did not send its changes.
 type outage struct {
 	kind     Kind
 	from, to time.Time
@@ -86,9 +86,9 @@
 type record struct {
 	start             time.Time
 	window            time.Duration // of repeats with a token
-	onRequest         bool          // discovery is asked: its word counts as told later
+	onRequest         bool          // discovery is polled on request: its changes count as known later
 	slack             time.Duration // by which the machine's load blurs what is measured at the other end of a socket
-	stalls            []span        // in which this process itself was held up
+	stalls            []span        // in which this process itself was stalled
 	requests          []*request
 	attempts          []attempt
 	draining          []drainingServer
@@ -98,8 +98,8 @@
 	processStarts     map[int][]time.Time           // of sidecars' processes, by number
 	learnedAt         map[learnedServer][]time.Time // when a sidecar has logged that a server leaves
 	killed            func(sidecar int, from, to time.Time) bool
-	shutdowns         map[int][]span // from a word to end to the kill in its time, by sidecar
-	longHolds         int            // hold-ups that this process made longer than they were to be
+	shutdowns         map[int][]span // from SIGTERM to the kill in its time, by sidecar
+	longHolds         int            // stalls that this process made longer than they were to be
 	unansweredPartial int            // clients that sent half a request and had neither answer nor end
 	faults            map[string][]string
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// slackAt is what is allowed for at a moment: more where this process was held up then.
+// slackAt is what is allowed for at a moment: more where this process was stalled then.
 func (r *record) slackAt(at time.Time) time.Duration {
 	slack := r.slack
 	for _, s := range r.stalls {
@@ -214,7 +214,7 @@
 	}
 }
 
-// judgeTimes looks at each attempt's moment and the deadline that it tells.
+// judgeTimes checks when each attempt was sent, and the deadline that it carries.
 func (r *record) judgeTimes(q *request, tries []attempt, add adder) {
 	for _, a := range tries {
 		if late := a.Sent.Sub(q.leftAt); !q.leftAt.IsZero() && late > goneSlack+r.slackAt(a.Sent) {
@@ -228,8 +228,8 @@
 	}
 }
 
-// signalled is when a change that discovery has had since at counts as told to everybody. A watch that falls silent is given its time
-// from when it did; one that has been told before that knows by itself, see heard.
+// notifiedAt is when everybody counts as notified of a change that discovery has had since at. A watch that falls silent is given its time
+// from when it did; a sidecar that was notified before that has logged it, see heard.
 func (r *record) notifiedAt(at time.Time) time.Time {
 	notified := at
 	if r.onRequest {
@@ -318,13 +318,13 @@
 	return int(n + 2*math.Sqrt(n) + 2)
 }
 
-// arrival is a request that has reached a cold server, and whether its sidecar had been told of the server's start.
+// arrival is a request that has reached a cold server, and whether its sidecar had been notified of the server's start.
 type arrival struct {
 	time     time.Time
 	notified bool
 }
 
-// judgeStarts looks for what is too much for a server in slow start. Sidecars whose watch was silent have not been told of it: the
+// judgeStarts looks for what is too much for a server in slow start. Sidecars whose watch was silent have not been notified: the
 // rule is broken where over two thirds came from those that had.
 func (r *record) judgeStarts(add adder) {
 	for server, starts := range r.starts {
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// The same seed plays the same troubles, and every kind is played by some seed.
+// The same seed plays the same faults, and every kind is played by some seed.
 func TestDraw(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(20) {
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind string
 
 // The kinds: of sidecars, of their system calls and clocks, of servers, of discovery and of the proxy.
 const (
 	Terminate      Kind = "terminate"       // SIGTERM, SIGKILL at its time, and a start
-	AimedEnd       Kind = "aimed_end"       // likewise, with hold-ups, failing calls and other signals on the edges: see outcome.go
+	AimedEnd       Kind = "aimed_end"       // likewise, with stalls, failing calls and other signals on the edges: see shutdownfaults.go
 	Crash          Kind = "crash"           // SIGKILL and a start
 	Reload         Kind = "reload"          // SIGHUP, with another discovery or other targets
 	ReloadBurst    Kind = "reload_burst"    // several in a row
 	HandOver       Kind = "hand_over"       // SIGUSR2
 	Pause          Kind = "pause"           // SIGSTOP for a moment
-	OperatorsOrder Kind = "operators_order" // a server is taken out by hand and put back
+	OperatorsOrder Kind = "operators_order" // operators cordon a server and put it back
 	AcceptFails    Kind = "accept_fails"
 	ConnectFails   Kind = "connect_fails"
 	SlowConnects   Kind = "slow_connects" // connections to servers come up late
@@ -53,7 +53,7 @@
 }
 
 const (
-	// A trouble begins every so often for each five sidecars, so that two or three overlap.
+	// A fault begins every so often for each five sidecars, so that two or three overlap.
 	faultInterval = 700 * time.Millisecond
 	// Nothing begins in the last part of a run: what is under way ends.
 	quietEnd = 3 * time.Second
@@ -105,7 +105,7 @@
 	Draw    float64 // decides the rest, from 0 up to 1
 }
 
-// Draw returns the troubles of a run in the order of their beginning.
+// Draw returns the faults of a run in the order of their beginning.
 func Draw(seed uint64, long time.Duration, sidecars, servers int, only []Kind) (all []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
 	from := slices.Clone(kindWeights)
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -13,7 +13,7 @@
 
 const (
 	stallTick = 5 * time.Millisecond
-	minStall  = 3 * time.Millisecond  // below that it is no hold-up
+	minStall  = 3 * time.Millisecond  // below that it is no stall
 	baseSlack = 30 * time.Millisecond // of what is measured at the other end of a socket, on a busy machine
 )
 
@@ -24,7 +24,7 @@
 	Faults                            map[Kind]int
 	Requests, Served, Refused, Failed int
 	Left, Unreachable, Attempts       int
-	Stall                             time.Duration // by which this process was held up, at most: slack of the judge
+	Stall                             time.Duration // by which this process was stalled, at most: slack of the judge
 	Violations                        []Violation
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// Write words the report.
+// Write prints the report.
 func (p *Report) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connections within %s, repeats within %s, crowds %t: %d requests, %d served, %d refused, %d failed, %d left, %d found nobody; %d attempts; held up %s at most\n",
 		p.Seed, p.sockets, p.onRequest, p.longest, p.connect, p.window, p.manyClients, p.Requests, p.Served, p.Refused, p.Failed, p.Left, p.Unreachable, p.Attempts, p.Stall.Round(time.Millisecond))
--- a/internal/testbench/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// TestShortSoak plays some short runs, over a minute in all: two of all troubles, the others of the ends of processes alone, with deadlines
+// TestShortSoak plays some short runs, over a minute in all: two of all faults, the others of the ends of processes alone, with deadlines
 // short and long and with a crowd. The limits on time are wide, since the machine that runs a suite may be crowded; all other rules are the
 // soak's.
 func TestShortSoak(t *testing.T) {
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -21,26 +21,26 @@
 	densePause      = 20 * time.Millisecond // after each answer
 	overloadClients = 150
 	overloadPause   = 100 * time.Millisecond
-	denseBefore     = 300 * time.Millisecond // of the word to end
+	denseBefore     = 300 * time.Millisecond // of SIGTERM
 	lateRests       = 4
 	lateWithin      = 700 * time.Millisecond // of the kill, that the rest of a request comes
 	stallLength     = shutdown.MaxStall
-	maxStallLength  = 165 * time.Millisecond // what was held up for longer, by the harness's own fault, says nothing
+	maxStallLength  = 165 * time.Millisecond // what was stalled for longer, by the harness's own fault, says nothing
 	minStallGap     = 20 * time.Millisecond
-	endBeforeKill   = 100 * time.Millisecond // that a last hold-up ends, at the earliest,
+	endBeforeKill   = 100 * time.Millisecond // that a last stall ends, at the earliest,
 	endAfterKill    = 140 * time.Millisecond // and at the latest
-	minSlice        = 2 * time.Millisecond   // for which a process runs between two hold-ups in a row
+	minSlice        = 2 * time.Millisecond   // for which a process runs between two stalls in a row
 	maxSlice        = 30 * time.Millisecond
 	hangLead        = 200 * time.Millisecond // before the last accept
-	seriesWithin    = 150 * time.Millisecond // of the word, before or after it, that other signals come
+	seriesWithin    = 150 * time.Millisecond // of SIGTERM, before or after it, in which other signals come
 	seriesClose     = 5 * time.Millisecond   // half of them so close to it
 	failAcceptMax   = 60 * time.Millisecond
-	lookAfter       = 60 * time.Millisecond // of the word, whether the process has handed over meanwhile
+	lookAfter       = 60 * time.Millisecond // after SIGTERM, at which a hot restart may have happened meanwhile
 	shorterPart     = 2                     // one part in so many of the deadlines, where a reload makes them shorter
 	groupGone       = 2 * time.Second
 )
 
-// signalAfter is a signal that comes so long after the word to end, or before it.
+// signalAfter is a signal that comes so long after SIGTERM, or before it.
 type signalAfter struct {
 	signal syscall.Signal
 	after  time.Duration
@@ -49,19 +49,19 @@
 // shutdownFault is how the end of a process is aimed at.
 type shutdownFault struct {
 	series      []signalAfter
-	stalls      []time.Duration // after the word, at which the process is stopped for stallLength
+	stalls      []time.Duration // after SIGTERM, at which the process is stopped for stallLength
 	failAccepts time.Duration   // for so long around the last accept; 0 = none does
 	failFrom    time.Duration
 	hanging     bool // half of the servers hang from shortly before the last accept until the kill
 	interrupted bool // looks at sockets end with EINTR around the last accept
-	shorter     bool // a reload before the word makes deadlines shorter
+	shorter     bool // a reload before SIGTERM makes deadlines shorter
 	killAfter   time.Duration
 	clients     int           // that send until the kill
 	pause       time.Duration // of each, after an answer
 	lateRests   int           // clients that have sent half a request, and send its rest shortly before the kill
 }
 
-// drawShutdownFault draws the end of a process with that longest deadline. Its edges are the word, the last accept, the last answer and the kill.
+// drawShutdownFault draws the end of a process with that longest deadline. Its edges are SIGTERM, the last accept, the last answer and the kill.
 func drawShutdownFault(rng *rand.Rand, longest time.Duration, manyClients bool) shutdownFault {
 	e := shutdownFault{clients: denseClients, pause: densePause, lateRests: lateRests, shorter: rng.IntN(6) == 0}
 	if manyClients {
@@ -78,7 +78,7 @@
 			e.series = append(e.series, signalAfter{s, nearby(rng)})
 		}
 	}
-	if rng.IntN(2) == 0 { // across the word
+	if rng.IntN(2) == 0 { // across SIGTERM
 		e.addStall(-time.Duration(rng.Float64() * float64(stallLength)))
 	}
 	if rng.IntN(4) > 0 {
@@ -95,7 +95,7 @@
 	return e
 }
 
-// nearby is a moment around the word, half of the time very close to it.
+// nearby is a time around SIGTERM, half of the time very close to it.
 func nearby(rng *rand.Rand) time.Duration {
 	within := seriesWithin
 	if rng.IntN(2) == 0 {
@@ -104,7 +104,7 @@
 	return time.Duration((2*rng.Float64() - 1) * float64(within))
 }
 
-// addStallsBeforeKill adds one to three hold-ups with little time between them, the last of which ends around the kill: one for each step that a
+// addStallsBeforeKill adds one to three stalls with little time between them, the last of which ends around the kill: one for each step that a
 // last answer takes.
 func (e *shutdownFault) addStallsBeforeKill(rng *rand.Rand) {
 	end := e.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
@@ -114,7 +114,7 @@
 	}
 }
 
-// addStall adds a hold-up unless it would run into another one.
+// addStall adds a stall unless it would run into another one.
 func (e *shutdownFault) addStall(at time.Duration) {
 	for _, other := range e.stalls {
 		if at < other+stallLength+minStallGap && other < at+stallLength+minStallGap {
@@ -229,8 +229,8 @@
 	}
 }
 
-// followHandover returns when the process that serves was told to end. Where the one that was told has just handed over and ended, as whoever
-// told it sees, its successor is told.
+// followHandover returns when the serving process got SIGTERM. Where the signalled one has just handed over and ended, its successor
+// is signalled.
 func (s *sidecar) followHandover(p *process, offset int64, sent time.Time) time.Time {
 	select {
 	case <-p.exited:
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -53,13 +53,13 @@
 	log                  *os.File
 	writing              sync.Mutex // of the configuration
 	edits                int        // of it, so far
-	born                 func()     // told as a process is about to begin
+	born                 func()     // called before a process starts
 
 	mutex         sync.Mutex
 	current       *process
 	busy          bool // being ended, started or handed over
 	killed        []span
-	shutdownSpans []span   // from a word to end until the process was killed in its time, since it had not ended by itself
+	shutdownSpans []span   // from SIGTERM until the process was killed in its time, since it had not ended by itself
 	faults        []string // what a process did that it must not
 }
 
@@ -188,7 +188,7 @@
 	s.faults = append(s.faults, fmt.Sprintf(format, args...))
 }
 
-// claim lets one trouble at a time have the process.
+// claim reserves the process for one fault at a time.
 func (s *sidecar) claim() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -214,7 +214,7 @@
 // signal sends a signal to the present process.
 func (s *sidecar) signal(sig syscall.Signal) { s.present().Signal(sig) }
 
-// terminate tells the process to end, kills it as early as the platform may, and starts another.
+// terminate sends the process SIGTERM, kills it as early as the platform may, and starts another.
 func (s *sidecar) terminate(ctx context.Context) {
 	p := s.present()
 	s.mutex.Lock()
@@ -258,7 +258,7 @@
 	s.mutex.Unlock()
 }
 
-// shutdowns returns the times from a word to end to the kill of a process that had not ended by itself.
+// shutdowns returns the times from SIGTERM to the kill of a process that had not ended by itself.
 func (s *sidecar) shutdowns() []span {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -280,7 +280,7 @@
 var successor = regexp.MustCompile(`handover=done successor=(\d+)`)
 
 // handOver has the process hand over to a successor, and takes that for the present process if it has. A process that goes on is
-// no fault: the handover may be refused.
+// no fault: the hot restart may be refused.
 func (s *sidecar) handOver(ctx context.Context) {
 	p := s.present()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
@@ -356,10 +356,10 @@
 	return append(s.faults, s.logged()...)
 }
 
-// bad are the lines of a log that tell of a fault.
+// bad are the lines of a log that report a fault.
 var bad = regexp.MustCompile(`(?m)^.*(state=broken|panic:|fatal error:|DATA RACE|rule=\w+ state=held_back).*$`)
 
-// logged returns the lines of the log that tell of faults.
+// logged returns the lines of the log that report faults.
 func (s *sidecar) logged() (lines []string) {
 	raw, err := os.ReadFile(s.path("log"))
 	if err != nil {
@@ -374,7 +374,7 @@
 // leavingLine is the line of the log by which a server leaves.
 var leavingLine = regexp.MustCompile(`(?m)^(\S+ \S+) trace=server provider=(\S+) was=ready is=(?:draining|gone) `)
 
-// learnedAt returns when the sidecar has logged, of each server, that it leaves.
+// heard returns when the sidecar has logged, of each server, that it leaves.
 func (s *sidecar) heard() map[string][]time.Time {
 	raw, _ := os.ReadFile(s.path("log"))
 	heard := map[string][]time.Time{}
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -47,8 +47,8 @@
 	Sidecars, Servers int
 	Rate              float64 // requests a second for each sidecar
 	For               time.Duration
-	Only              []Kind        // of troubles; none = all
-	Slack             time.Duration // of the judge's time limits, beside what this process was held up; 0 = baseSlack
+	Only              []Kind        // of faults; none = all
+	Slack             time.Duration // of the judge's time limits, beside what this process was stalled; 0 = baseSlack
 }
 
 // variant is what the seed decides of the deployment.
@@ -181,7 +181,7 @@
 	return fakes.Member{ID: s.ID(), Address: s.address(), Locality: fakes.Here, Phase: phase, UpSince: upSince}
 }
 
-// edit changes what a sidecar's configuration says; times tells one configuration from another.
+// edit returns a change of a sidecar's configuration; times makes one configuration differ from another.
 func (w *world) edit(times int) func(map[string]any) { return w.editWith(times, w.classes) }
 
 // editWith is edit with other classes.
@@ -205,14 +205,14 @@
 	}
 }
 
-// processStart notes that a sidecar's process begins.
+// recordProcessStart records that a sidecar's process begins.
 func (w *world) recordProcessStart(sidecar int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.record.processStarts[sidecar] = append(w.record.processStarts[sidecar], time.Now())
 }
 
-// updateDiscovery tells both directories, one of which each sidecar watches.
+// updateDiscovery changes the lists of both discoveries, one of which each sidecar watches.
 func (w *world) updateDiscovery(members ...fakes.Member) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
