--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -20,7 +20,7 @@
 	JSON    string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
 
-// Help says what is measured.
+// Help describes the sweeps.
 func (*capacityCommand) Help() string {
 	return "One real sidecar, between a fake discovery and fake servers that count, with one size changed at a time: servers in the " +
 		"list, requests, probes by their price, client connections, changes of the list and of the configuration, and its start. " +
--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// measured writes what the day has cost here.
+// measured writes the time and memory that the day took on this machine.
 func measured(out io.Writer, r *emulator.Report, took time.Duration) {
 	var use syscall.Rusage
 	memory := "unknown"
--- a/cmd/testbench/overload.go
+++ b/cmd/testbench/overload.go
@@ -34,7 +34,7 @@
 		"testbench overload --servers 0 --sidecars 6,40,300 --loads 0.57 --events swell --reports none\n"
 }
 
-// runs lists what is to be played, the dearest first: they last longest.
+// runs lists what is to be played, the most expensive first, since they last longest.
 func (c *overloadCommand) runs() (runs []emulator.Overload, err error) {
 	for _, event := range c.Events {
 		for _, reports := range c.Reports {
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -18,7 +18,7 @@
 	responseBody    = 512                   // bytes of an answer's body
 )
 
-// tally is what has come over a stand-in's connections.
+// tally counts what has passed over a fake's connections.
 type tally struct {
 	messages, bytes atomic.Int64 // of both directions, without TCP's and below
 }
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -39,7 +39,7 @@
 	for i := range list {
 		list[i] = policy.ServerInfo{ID: policy.ServerID(i + 1), Health: policy.Ready, Cell: i / 2}
 	}
-	var due agenda
+	var due schedule
 	const origin = 1e6
 	end := origin + seconds*1000
 	due.at(origin, policy.Event{Kind: policy.Started})
@@ -118,33 +118,33 @@
 	event policy.Event
 }
 
-// agenda is what is to happen, the soonest first and what is due at once in the order in which it was noted.
-type agenda struct {
-	entries []entry
-	noted   int
+// schedule is what is to happen, the soonest first; what is due at the same time keeps the order in which it was added.
+type schedule struct {
+	entries   []entry
+	scheduled int
 }
 
-func (a *agenda) at(when float64, e policy.Event) {
-	a.noted++
-	heap.Push(a, entry{when, a.noted, e})
+func (a *schedule) at(when float64, e policy.Event) {
+	a.scheduled++
+	heap.Push(a, entry{when, a.scheduled, e})
 }
 
 // next takes the soonest, if it is due by end.
-func (a *agenda) next(end float64) (e entry, ok bool) {
+func (a *schedule) next(end float64) (e entry, ok bool) {
 	if len(a.entries) == 0 || a.entries[0].when > end {
 		return e, false
 	}
 	return heap.Pop(a).(entry), true
 }
 
-func (a *agenda) Len() int { return len(a.entries) }
-func (a *agenda) Less(i, j int) bool {
+func (a *schedule) Len() int { return len(a.entries) }
+func (a *schedule) Less(i, j int) bool {
 	x, y := &a.entries[i], &a.entries[j]
 	return x.when < y.when || x.when == y.when && x.order < y.order
 }
-func (a *agenda) Swap(i, j int) { a.entries[i], a.entries[j] = a.entries[j], a.entries[i] }
-func (a *agenda) Push(x any)    { a.entries = append(a.entries, x.(entry)) }
-func (a *agenda) Pop() any {
+func (a *schedule) Swap(i, j int) { a.entries[i], a.entries[j] = a.entries[j], a.entries[i] }
+func (a *schedule) Push(x any)    { a.entries = append(a.entries, x.(entry)) }
+func (a *schedule) Pop() any {
 	last := len(a.entries) - 1
 	e := a.entries[last]
 	a.entries = a.entries[:last]
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -44,10 +44,10 @@
 
 	w := start(t, Point{Servers: 10, Instances: fleetSize, Price: cheap})
 	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // addresses differ in length
-	near("whole lists of a start that knows one", w.firstWhole(t), 0)
-	near("answers that tell of a change", w.tellings(t), 0)
+	near("whole lists of a start that knows one", w.firstCallIsComplete(t), 0)
+	near("answers that tell of a change", w.answersPerChange(t), 0)
 	for i := 0; w.servers.probes.read().Messages == 0; i++ { // a request that is refused brings no probe
-		w.ask(t, i)
+		w.sendRequest(t, i)
 	}
 	w.await(t, func() bool { return w.servers.probes.read().Messages > 0 })
 	sent := w.servers.probes.read()
@@ -59,7 +59,7 @@
 	near("bytes of the figures", float64(len(body)), 20) // as many digits as the counts have
 
 	w = start(t, Point{Servers: 100, Instances: fleetSize, Price: cheap, OnRequest: true, Unknown: true})
-	near("whole lists of a start that knows none", w.firstWhole(t), 0)
+	near("whole lists of a start that knows none", w.firstCallIsComplete(t), 0)
 	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Members: w.servers.endpoints()}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
@@ -137,8 +137,8 @@
 	}
 }
 
-// ask sends a request; what becomes of it does not matter here.
-func (w *world) ask(t *testing.T, n int) {
+// sendRequest sends a request and ignores its answer.
+func (w *world) sendRequest(t *testing.T, n int) {
 	t.Helper()
 	c, err := w.network.Dial(t.Context(), w.sidecar.address)
 	if err != nil {
@@ -151,9 +151,9 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-// firstWhole is 1 where the first call to discovery is for the whole list. Later ones may be for it where a busy machine lets a
-// call be given up.
-func (w *world) firstWhole(t *testing.T) float64 {
+// firstCallIsComplete is 1 where the first call to discovery is for the whole list. Later ones may be for it where a busy machine makes a
+// call time out.
+func (w *world) firstCallIsComplete(t *testing.T) float64 {
 	t.Helper()
 	w.await(t, func() bool { return len(w.discovery.Calls()) > 0 }) // one that knows a list is ready before that
 	if w.discovery.Calls()[0].Whole {
@@ -162,9 +162,9 @@
 	return 0
 }
 
-// tellings is how many answers tell the sidecar of a change. Where a busy machine lets a call be given up, so that the whole list is
-// asked for, another change is looked at.
-func (w *world) tellings(t *testing.T) float64 {
+// answersPerChange is how many answers bring a change to the sidecar. Where a busy machine makes a call time out, so that the complete
+// list is requested, another change is looked at.
+func (w *world) answersPerChange(t *testing.T) float64 {
 	t.Helper()
 	for n := range 20 {
 		from := len(w.discovery.Calls()) - 1 // the call that is held, unless it has just been answered
@@ -173,14 +173,14 @@
 		revision := w.discovery.Change(one)
 		known := func(c fakes.DirectoryCall) bool { return c.Index >= revision }
 		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Calls(), known) })
-		told, complete := 0, false
+		answers, complete := 0, false
 		for _, c := range w.discovery.Calls()[from:] {
 			if complete = complete || c.Whole; c.Members > 0 && c.Revision == revision {
-				told++
+				answers++
 			}
 		}
 		if !complete {
-			return float64(told)
+			return float64(answers)
 		}
 	}
 	t.Error("the whole list was asked for again and again")
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -17,7 +17,7 @@
 
 const readyWithin = 30 * time.Second
 
-// sidecar is one process of the program, and what it is told.
+// sidecar is one process of the program, and its settings.
 type sidecar struct {
 	process        *process.Program // nil = it has not begun
 	address, admin string
@@ -27,21 +27,21 @@
 
 // logCounter counts what the program logs, and keeps it.
 type logCounter struct {
-	to    io.Writer
+	next  io.Writer
 	bytes atomic.Int64
 }
 
 func (l *logCounter) Write(p []byte) (int, error) {
 	l.bytes.Add(int64(len(p)))
-	return l.to.Write(p)
+	return l.next.Write(p)
 }
 
 // configure writes the configuration file: whole or not at all, since the sidecar may read it at any time.
-func (s *sidecar) configure(of Point, directory string, known fakes.List, aim time.Duration) error {
+func (s *sidecar) configure(of Point, discovery string, known fakes.List, latencyObjective time.Duration) error {
 	tile := fakes.Tile()
-	tile.Aim = aim
+	tile.Aim = latencyObjective
 	raw, err := fakes.Config(fakes.Sidecar{
-		Name: "lab", Listen: s.address, Seed: 1, Directory: directory, Known: known,
+		Name: "lab", Listen: s.address, Seed: 1, Directory: discovery, Known: known,
 		Classes: []fakes.Class{tile, fakes.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
 		ConnIdle: time.Minute, Connect: 150 * time.Millisecond, DrainGrace: drainGrace,
 		Edit: func(document map[string]any) {
@@ -87,7 +87,7 @@
 
 // start starts the program, on one core of the machine if that is given, and returns when it is ready.
 func (s *sidecar) start(ctx context.Context, n fakes.Network, program string, core int, log io.Writer) error {
-	s.log.to = log
+	s.log.next = log
 	cmd := exec.Command(program)
 	cmd.Env, cmd.Stdout, cmd.Stderr = []string{"GW_CONFIG=" + s.file}, &s.log, &s.log
 	var err error
@@ -113,7 +113,7 @@
 // resident is the memory that it holds, in bytes.
 func (s *sidecar) resident() (int64, error) { return process.Resident(s.process.Pid()) }
 
-// scrape reads the figures for operators, and returns how many bytes went both ways for it.
+// scrape reads /metrics and returns how many bytes that took, both ways.
 func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
 	var count fakes.Counter
 	counted := count.Of(n)
--- a/internal/testbench/capacity/sweep.go
+++ b/internal/testbench/capacity/sweep.go
@@ -11,9 +11,9 @@
 // Point is one run of a sidecar: what its world is like, and what it cost.
 type Point struct {
 	Servers   int     `json:"servers"`    // in the list
-	Instances int     `json:"instances"`  // that it is told there are
+	Instances int     `json:"instances"`  // in its settings
 	Rate      float64 `json:"calls_s"`    // a second, Poisson
-	Price     float64 `json:"price"`      // of a probe, in a request's worth
+	Price     float64 `json:"price"`      // of a probe, as a part of a request's weight
 	Clients   int     `json:"clients"`    // connections that have asked once and are idle
 	Changes   float64 `json:"changes_s"`  // lines of the list that change, each alone
 	Reloads   float64 `json:"reloads_s"`  // SIGHUP with another configuration
@@ -73,7 +73,7 @@
 	Y    func(*Measured) float64
 }
 
-// The figures.
+// What the sweeps plot.
 var (
 	cpu        = Figure{"cpu_ms_s", func(m *Measured) float64 { return m.CPU }}
 	rss        = Figure{"rss_kb", func(m *Measured) float64 { return m.RSS }}
--- a/internal/testbench/capacity/world.go
+++ b/internal/testbench/capacity/world.go
@@ -18,8 +18,8 @@
 	if !w.point.Unknown {
 		known = fakes.List{Revision: 1, Members: w.servers.endpoints()}
 	}
-	aim := fakes.Tile().Aim + time.Duration(n%2)*time.Millisecond
-	return w.sidecar.configure(w.point, w.discovery.Address(), known, aim)
+	latencyObjective := fakes.Tile().Aim + time.Duration(n%2)*time.Millisecond
+	return w.sidecar.configure(w.point, w.discovery.Address(), known, latencyObjective)
 }
 
 // reload gives the sidecar its next configuration.
--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -21,7 +21,7 @@
 	BrokenB int          `json:"broken_b"`
 }
 
-// Difference is a figure's. B's median less A's need not be the median difference, which is of the pairs.
+// Difference is that of one metric. B's median less A's need not be the median difference, which is of the pairs.
 type Difference struct {
 	Name        string     `json:"name"`
 	A           float64    `json:"a"` // median over the days, as B
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Config is a whole day: the world, its load, what goes wrong and who decides. In plans its keys are those of the tags.
+// Config is a whole day: the world, its load, what goes wrong and which policy decides. In plans its keys are those of the tags.
 type Config struct {
 	Sidecars   int     `json:"sidecars"`
 	Servers    int     `json:"servers"`
@@ -104,11 +104,11 @@
 // Discovery is how changes of the list reach the sidecars.
 type Discovery struct {
 	Late   [2]float64 `json:"late_ms"` // drawn for each change and sidecar
-	Lossy  float64    `json:"lossy"`   // part of the changes that a sidecar is not told
+	Lossy  float64    `json:"lossy"`   // part of the changes that a sidecar does not get
 	Repair float64    `json:"repair_ms"`
 }
 
-// Clients is what those who ask do.
+// Clients says how clients behave.
 type Clients struct {
 	Retries   int        `json:"retries"`
 	Wait      float64    `json:"wait_ms"`
@@ -116,7 +116,7 @@
 	Impatient float64    `json:"impatient"` // part of the tries that are given up at a random moment before
 }
 
-// Rules are the figures of the rules, and what the module is told beside.
+// Rules are the limits of the rules, and further settings of the policy.
 type Rules struct {
 	DrainGrace       float64 `json:"grace_ms"`        // of a drain
 	AnswerSlack      float64 `json:"answer_slack_ms"` // after a try's end within which an answer still counts as given
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -2,7 +2,7 @@
 
 import "plankrouter/policy"
 
-// discovery tells the sidecars which processes run, drain or are gone. It knows nothing of silence.
+// discovery sends the sidecars which processes run, drain or are gone. It does not notice servers that are silent.
 type discovery struct {
 	world           *world
 	endpoints       []policy.ServerInfo // of all that are not gone, in order of their first mention
@@ -17,7 +17,7 @@
 // change takes news of a server's process and passes it on.
 func (d *discovery) change(m *machine, h policy.Health) {
 	line := m.info(h)
-	remaining := d.endpoints[:0:0] // what has been told may still be on its way
+	remaining := d.endpoints[:0:0] // what has been sent may still be on its way
 	known := false
 	for _, l := range d.endpoints {
 		if l.ID == line.ID {
@@ -60,7 +60,7 @@
 	})
 }
 
-// stop loses all that is still on its way; restart tells everyone the whole list.
+// stop loses all that is still on its way; restart sends everyone the complete list.
 func (d *discovery) stop() { d.down, d.endpointsBefore = true, d.endpoints }
 
 // known is the list that a process begins with: it asks nobody who is down.
--- a/internal/testbench/emulator/fault_test.go
+++ b/internal/testbench/emulator/fault_test.go
@@ -50,16 +50,16 @@
 		}
 	}
 	deploy := Fault{Name: "deploy", For: 3, Part: 0.5, Size: 0.1, Every: 1}
-	told := play(t, dayWith("module", deploy), nil)
+	deployed := play(t, dayWith("module", deploy), nil)
 	slow := play(t, dayWith("module", Fault{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
 	mute := play(t, dayWith("module", Fault{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
-	if slow.MeanMs < told.MeanMs+10 || slow.Requests != told.Requests || mute.Probes < told.Probes+0.1 {
-		t.Errorf("a deploy: %s, %.3f probes; a slow one: %s; a mute one: %.3f probes", brief(told), told.Probes,
+	if slow.MeanMs < deployed.MeanMs+10 || slow.Requests != deployed.Requests || mute.Probes < deployed.Probes+0.1 {
+		t.Errorf("a deploy: %s, %.3f probes; a slow one: %s; a mute one: %.3f probes", brief(deployed), deployed.Probes,
 			brief(slow), mute.Probes)
 	}
 	hidden := play(t, dayWith("module", deploy, Fault{Name: "directory", For: 8}), nil)
-	if hidden.Service >= told.Service-0.02 {
+	if hidden.Service >= deployed.Service-0.02 {
 		t.Errorf("a deploy that the directory hides: %.3f are served, one that it tells: %.3f", hidden.Service,
-			told.Service)
+			deployed.Service)
 	}
 }
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -14,11 +14,11 @@
 )
 
 // Overload is one run of the scale test of overload: the same servers and the same traffic in all, shared by so many
-// sidecars. docs/operate/emulator.md has the figures of its world.
+// sidecars. docs/operate/emulator.md describes its world.
 type Overload struct {
 	Sidecars int     `json:"sidecars"`
 	Servers  int     `json:"servers"`
-	Load     float64 `json:"load"`    // first tries over what the servers bear, both a second
+	Load     float64 `json:"load"`    // first tries over the servers' usable capacity, both a second
 	Reports  string  `json:"reports"` // one of OverloadReports
 	Event    string  `json:"event"`   // one of OverloadEvents
 	Seed     uint64  `json:"seed"`    // of the day
@@ -33,7 +33,7 @@
 // as much again for five; a zone, of five, out of reach for five.
 func OverloadEvents() []string { return []string{"none", "burst", "swell", "zone"} }
 
-// OverloadReports are what probes can tell of a server's load: nothing; nothing, but that they wait among its requests; what
+// OverloadReports are what probes can report of a server's load: nothing; nothing, but that they wait among its requests; what
 // is in flight there.
 func OverloadReports() []string { return []string{"none", "queued", "full"} }
 
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -57,13 +57,13 @@
 	}
 }
 
-// hears sees a sidecar's events.
-type hears struct {
+// listener sees a sidecar's events.
+type listener struct {
 	Policy
 	event func(e *policy.Event)
 }
 
-func (h hears) Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action {
+func (h listener) Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action {
 	h.event(e)
 	return h.Policy.Handle(now, e, out)
 }
@@ -72,18 +72,18 @@
 	for _, none := range []bool{false, true} {
 		cfg := dayWith("module")
 		cfg.Server.NoReport, cfg.Seconds = none, 3
-		answered, told := 0, 0
+		answered, withLoad := 0, 0
 		play(t, cfg, func(_ int, p Policy) Policy {
-			return hears{p, func(e *policy.Event) {
+			return listener{p, func(e *policy.Event) {
 				if e.Kind == policy.ProbeEnded && e.Status == policy.OK {
 					if answered++; e.Report != (policy.Report{}) {
-						told++
+						withLoad++
 					}
 				}
 			}}
 		})
-		if answered < 100 || (told == 0) != none {
-			t.Errorf("no_report %t: %d probes answered, %d of them with a load", none, answered, told)
+		if answered < 100 || (withLoad == 0) != none {
+			t.Errorf("no_report %t: %d probes answered, %d of them with a load", none, answered, withLoad)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestOverloadsShareOneTraffic(t *testing.T) {
+func TestOverloadsHaveTheSameTraffic(t *testing.T) {
 	var runs []Overload
 	for _, n := range []int{4, 40} {
 		runs = append(runs, Overload{
@@ -111,14 +111,14 @@
 			Policy: "least",
 		})
 	}
-	told := 0
-	results, err := PlayOverloads(context.Background(), runs, 2, func(*OverloadResult) { told++ })
+	reported := 0
+	results, err := PlayOverloads(context.Background(), runs, 2, func(*OverloadResult) { reported++ })
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, b := results[0], results[1]
-	if told != 2 || a.Sidecars != 4 || b.Sidecars != 40 || a.Report.Requests != b.Report.Requests {
-		t.Fatalf("%d told; %d sidecars get %d requests, %d get %d", told, a.Sidecars, a.Report.Requests, b.Sidecars,
+	if reported != 2 || a.Sidecars != 4 || b.Sidecars != 40 || a.Report.Requests != b.Report.Requests {
+		t.Fatalf("%d reported; %d sidecars get %d requests, %d get %d", reported, a.Sidecars, a.Report.Requests, b.Sidecars,
 			b.Report.Requests)
 	}
 	for i, row := range a.Rows {
@@ -143,22 +143,22 @@
 	}
 }
 
-func TestRecoveryTimeIsWhenTheShareIsWhatItWas(t *testing.T) {
+func TestRecoveryTimeIsUntilServiceIsBack(t *testing.T) {
 	rows := make([]Row, overloadSeconds+5)
-	share := func(from, to int, v float64) {
+	setInTime := func(from, to int, v float64) {
 		for i := from; i < to; i++ {
 			rows[i] = Row{Second: i, Requests: 10, InTime: v}
 		}
 	}
-	share(0, overloadSeconds, 0.9)
+	setInTime(0, overloadSeconds, 0.9)
 	if got := secondsUntilRecovered(rows, 12, 0.85); got != 0 {
 		t.Errorf("never away: back after %v s", got)
 	}
-	share(10, 15, 0.1)
+	setInTime(10, 15, 0.1)
 	if got := secondsUntilRecovered(rows, 12, 0.85); got != 3 {
 		t.Errorf("low to 15 s, from 12 s on: back after %v s, want 3", got)
 	}
-	share(10, overloadSeconds, 0.1)
+	setInTime(10, overloadSeconds, 0.1)
 	if got := secondsUntilRecovered(rows, 12, 0.85); got != -1 {
 		t.Errorf("low to the end: back after %v s, want -1", got)
 	}
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -32,13 +32,13 @@
 	case "random":
 		t.rank = func(policy.ServerID) float64 { return 0 }
 	case "round-robin":
-		turn := map[policy.ServerID]int{}
-		t.rank = func(id policy.ServerID) float64 { return float64(turn[id]) }
-		t.chosen = func(id policy.ServerID) {
-			turn[id] = t.nextTurn
-			t.nextTurn++
+		lastPick := map[policy.ServerID]int{}
+		t.rank = func(id policy.ServerID) float64 { return float64(lastPick[id]) }
+		t.onPick = func(id policy.ServerID) {
+			lastPick[id] = t.picks
+			t.picks++
 		}
-		t.nextTurn = 1
+		t.picks = 1
 	case "least":
 		t.rank = func(id policy.ServerID) float64 { return float64(t.inFlight[id]) }
 	case "oracle":
@@ -67,15 +67,14 @@
 	return work/shares*max(m.cores, float64(m.inFlight()+1))/m.power() + 2*w.far[sc.zone][m.zone]
 }
 
-// textbook sends each request to the server of the lowest rank and tries again what may be tried again. But for the one
-// that knows, it turns nothing away while there is a server. It keeps the rules on answers, repeats and drains; on cold
-// servers it has none.
+// textbook sends each request to the server of the lowest rank and retries what may run again. Only the oracle rejects
+// requests while there is a server. It keeps the rules on answers, retries and drains; it has none for slow start.
 type textbook struct {
 	cfg       policy.Config
 	rng       *rand.Rand
 	rank      func(policy.ServerID) float64
-	chosen    func(policy.ServerID) // may be nil
-	nextTurn  int
+	onPick    func(policy.ServerID) // may be nil
+	picks     int
 	seesTruth bool // rank is the time to an answer, so that what would come after the latency objective is rejected
 	ready     []policy.ServerID
 	inFlight  map[policy.ServerID]int
@@ -145,8 +144,8 @@
 	if t.seesTruth && now+lowest > min(c.objectiveAt, c.deadline) {
 		return t.finish(id, c, acts)
 	}
-	if t.chosen != nil {
-		t.chosen(best)
+	if t.onPick != nil {
+		t.onPick(best)
 	}
 	c.inFlight, c.last = true, best
 	c.attempts++
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -54,7 +54,7 @@
 	Timeline []string     `json:"timeline"`
 	Rows     []Row        `json:"-"`
 
-	InPolicy time.Duration `json:"-"` // spent in policies, by Options.Clock: a figure of the machine, not of the day
+	InPolicy time.Duration `json:"-"` // spent in policies, by Options.Clock: it depends on the machine, not on the day
 }
 
 // ServiceShare is how a class or a tenant was served.
--- a/internal/testbench/emulator/server_process.go
+++ b/internal/testbench/emulator/server_process.go
@@ -12,7 +12,8 @@
 	notified bool // the sidecar had been notified of the start
 }
 
-// countColdArrival counts what reaches a cold server, and fells it when that is more than it bears within the window.
+// countColdArrival counts the work that reaches a server in slow start, and ends its process when that is more than it
+// bears within the window.
 func (m *machine) countColdArrival(a *attempt) {
 	if m.slowStartFraction() >= 1 {
 		m.arrivals, m.arrivedWork = nil, 0
--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -52,7 +52,7 @@
 }
 
 // Send sends a request and waits for its answer until a moment. A request on a kept connection that the other side has
-// closed without reading it is sent once more, on a new one; message words it each time.
+// closed without reading it is sent once more, on a new one; message encodes it each time.
 func (c *Client) Send(message func() []byte, until time.Time) (x Exchange) {
 	for {
 		conn, err := c.connect(until, x.Resent)
@@ -198,7 +198,7 @@
 	number  int
 	carried int // requests answered
 	replies chan reply
-	done    chan struct{} // closed when nobody asks any more
+	done    chan struct{} // closed when no further request is sent
 
 	closed bool // guarded by of.mu
 }
--- a/internal/testbench/fakes/client_test.go
+++ b/internal/testbench/fakes/client_test.go
@@ -16,7 +16,7 @@
 		p, err := NewProvider(n, ProviderOptions{Cores: 9, Default: Service{50 * time.Millisecond, true, 0}})
 		ok(t, err)
 		defer p.Close()
-		c := Client{Dial: n.Dial, Address: p.Address(), MaxConns: 2, Read: readWhole}
+		c := Client{Dial: n.Dial, Address: p.Address(), MaxConns: 2, Read: readResponse}
 		for _, step := range []struct {
 			name     string
 			do       func()
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -47,7 +47,7 @@
 	Most int           // for each request
 }
 
-// Load is what clients ask for.
+// Load is what clients send.
 type Load struct {
 	Network  Network
 	Address  string // of the sidecar
@@ -115,7 +115,7 @@
 func NewConsumers(l Load) *Consumers {
 	return &Consumers{
 		load:   l,
-		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readWhole},
+		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readResponse},
 	}
 }
 
@@ -214,7 +214,7 @@
 	}
 }
 
-// encode words the request.
+// encode returns the request's bytes.
 func (t *Try) encode(until time.Time) []byte {
 	method, body := "GET", ""
 	if !t.Class.Safe {
@@ -234,8 +234,8 @@
 	return fmt.Appendf(b, "\r\n%s", body)
 }
 
-// readWhole reads an answer and keeps its body.
-func readWhole(br *bufio.Reader) (*http.Response, []byte, error) {
+// readResponse reads an answer and keeps its body.
+func readResponse(br *bufio.Reader) (*http.Response, []byte, error) {
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		return nil, nil, err
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -65,7 +65,7 @@
 }
 
 // A request that crosses the close of a kept connection goes out once more and runs once.
-func TestCrossing(t *testing.T) {
+func TestRequestMeetsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
@@ -97,7 +97,7 @@
 }
 
 // The end of a connection tells whether the request had been read.
-func TestUnreadRequestsAreTold(t *testing.T) {
+func TestUnreadRequestsAreNoticed(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -66,7 +66,7 @@
 	muted                                                chan struct{} // closed when it ends; nil = none
 }
 
-// Directory serves the list of servers, in whole and by a watch, and misbehaves when told to. It is safe for
+// Directory serves the list of servers, in whole and by a watch, and misbehaves on request. It is safe for
 // concurrent use; each method acts at once.
 type Directory struct {
 	host
@@ -81,44 +81,44 @@
 }
 
 // NewDirectory starts discovery at address (see Network.Listen) whose first revision holds the members.
-func NewDirectory(n Network, address string, members ...Member) (*Directory, error) {
+func NewDirectory(n Network, address string, endpoints ...Member) (*Directory, error) {
 	d := &Directory{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
 	d.handle = d.serveCall
-	for _, m := range members {
+	for _, m := range endpoints {
 		d.put(m)
 	}
 	return d, d.startListening()
 }
 
 // Close ends it and waits for all that it has under way.
-func (d *Directory) Close() { d.shutDown() }
+func (d *Directory) Close() { d.stop() }
 
 // Address is host:port.
 func (d *Directory) Address() string { return d.currentAddress() }
 
 // Set replaces the whole list in a new revision, which it returns.
-func (d *Directory) Set(members ...Member) uint64 {
+func (d *Directory) Set(endpoints ...Member) uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
 	d.revision++
 	for _, e := range d.entries {
-		if !slices.ContainsFunc(members, func(m Member) bool { return m.ID == e.ID }) && e.Phase != Deleted {
+		if !slices.ContainsFunc(endpoints, func(m Member) bool { return m.ID == e.ID }) && e.Phase != Deleted {
 			e.Phase = Deleted
 			d.put(e.Member)
 		}
 	}
-	for _, m := range members {
+	for _, m := range endpoints {
 		d.put(m)
 	}
 	return d.publish()
 }
 
 // Change replaces or adds members in a new revision, which it returns. Those with phase Deleted are gone.
-func (d *Directory) Change(members ...Member) uint64 {
+func (d *Directory) Change(endpoints ...Member) uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
 	d.revision++
-	for _, m := range members {
+	for _, m := range endpoints {
 		d.put(m)
 	}
 	return d.publish()
@@ -156,7 +156,7 @@
 	return d.list(true, 0).Members
 }
 
-// list words the whole list or the changes after a revision.
+// list returns the complete list or the changes after a revision.
 func (d *Directory) list(complete bool, after uint64) List {
 	l := List{Revision: d.revision, Complete: complete, Members: []Member{}}
 	for _, e := range d.entries {
@@ -174,7 +174,7 @@
 // LosePresent loses the answers to all calls on connections that are open now, for good. New connections are fine.
 func (d *Directory) LosePresent() { d.markOpenConns() }
 
-// Mute takes connections and calls and says nothing until it is switched off. Then it tells all who still wait.
+// Mute takes connections and calls and says nothing until it is switched off. Then it answers all that still wait.
 func (d *Directory) Mute(on bool) {
 	d.setFault(func(f *discoveryFaults) {
 		if f.muted != nil {
@@ -215,7 +215,7 @@
 	d.setFault(func(f *discoveryFaults) { f.partForWhole = on })
 }
 
-// Word words answers indented, and in chunks.
+// Word encodes answers indented, and in chunks.
 func (d *Directory) Word(indented, chunked bool) {
 	d.setFault(func(f *discoveryFaults) { f.indented, f.chunked = indented, chunked })
 }
@@ -266,7 +266,7 @@
 	return d.faults
 }
 
-// serveCall serves one call.
+// serveCall records a call and answers it, as the faults have it.
 func (d *Directory) serveCall(c *hostConn, m *message) bool {
 	if m.URL.Path != listPath || m.Method != "GET" {
 		return c.write(encodeResponse(404, "", nil))
@@ -308,7 +308,7 @@
 	return c.write(raw)
 }
 
-// encode words the answer.
+// encode returns the answer's bytes.
 func (f *discoveryFaults) encode(l List) []byte {
 	const kind = "Content-Type: application/json\r\n"
 	body, _ := json.Marshal(l)
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -16,37 +16,37 @@
 	"time"
 )
 
-// caller is one connection to a peer, used by hand.
-type caller struct {
+// testConn is one connection to a fake, driven by the test.
+type testConn struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
-func call(t *testing.T, n Network, address string) *caller {
+func call(t *testing.T, n Network, address string) *testConn {
 	t.Helper()
 	c, err := n.Dial(t.Context(), address)
 	ok(t, err)
 	t.Cleanup(func() { c.Close() })
-	return &caller{c, bufio.NewReader(c)}
+	return &testConn{c, bufio.NewReader(c)}
 }
 
-const patience = time.Second // of a caller, before it says "silence"
+const answerTimeout = time.Second // after which get returns "silence"
 
-// ask sends a GET, with an id if there is one, and words what comes: "200 body", or else "200 reset" where the answer
+// get sends a GET, with an id if there is one, and describes what comes: "200 body", or else "200 reset" where the answer
 // did not end well, or "nothing end" where none began.
-func (c *caller) ask(target, id string) string {
+func (c *testConn) get(target, id string) string {
 	if id != "" {
 		id = "Req-Id: " + id + "\r\n"
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(answerTimeout))
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n%s\r\n", target, id); err != nil {
 		return "nothing " + ended(err)
 	}
-	return c.hear()
+	return c.readAnswer()
 }
 
-func (c *caller) hear() string {
-	r, err := http.ReadResponse(c.br, nil)
+func (c *testConn) readAnswer() string {
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return "nothing " + ended(err)
 	}
@@ -73,8 +73,8 @@
 	return err.Error()
 }
 
-// words sums up a list: revision, "=" for a whole one and "+" for changes, and the members with their phases' initials.
-func words(answer string) string {
+// summarizeList describes a list: revision, "=" for a whole one and "+" for changes, and the members with their phases' initials.
+func summarizeList(answer string) string {
 	var l List
 	status, body, _ := strings.Cut(answer, " ")
 	if status != "200" || json.Unmarshal([]byte(body), &l) != nil {
@@ -87,10 +87,10 @@
 	return s
 }
 
-func TestDirectory(t *testing.T) {
+func TestDiscovery(t *testing.T) {
 	a, b := Member{ID: "a", Phase: Serving}, Member{ID: "b", Phase: Serving}
 	gone := Member{ID: "a", Phase: Deleted}
-	const whole, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
+	const complete, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
 	then := func(d *Directory, do func()) { // once there is a call
 		go func() {
 			for len(d.Calls()) == 0 {
@@ -104,15 +104,15 @@
 		calls string // targets on one connection, or "new" for another connection
 		want  string
 	}{
-		"whole":   {func(*Directory) {}, whole, "1=aSbS"},
+		"whole":   {func(*Directory) {}, complete, "1=aSbS"},
 		"no news": {func(*Directory) {}, short, "1+"},
 		"changes": {
 			func(d *Directory) { then(d, func() { d.Change(gone) }) },
-			watch + " " + whole, "2+aD 2=bS",
+			watch + " " + complete, "2+aD 2=bS",
 		},
 		"set":            {func(d *Directory) { then(d, func() { d.Set(b) }) }, watch, "2+aD"},
 		"news of before": {func(d *Directory) { d.Change(Member{ID: "c", Phase: Draining}) }, watch, "2+cD"},
-		"lost":           {func(d *Directory) { d.LoseAnswers(true) }, whole + " new " + whole, "silence silence"},
+		"lost":           {func(d *Directory) { d.LoseAnswers(true) }, complete + " new " + complete, "silence silence"},
 		"lost in the wait": {
 			func(d *Directory) { then(d, func() { d.LoseAnswers(true); d.Set(b) }) },
 			watch, "silence",
@@ -121,33 +121,33 @@
 			d.LoseAnswers(true)
 			then(d, func() { d.LoseAnswers(false); d.Set(b) })
 		}, watch, "silence"},
-		"present lost": {func(d *Directory) { d.LosePresent() }, whole + " new " + whole, "silence 1=aSbS"},
-		"mute":         {func(d *Directory) { d.Mute(true) }, whole, "silence"},
+		"present lost": {func(d *Directory) { d.LosePresent() }, complete + " new " + complete, "silence 1=aSbS"},
+		"mute":         {func(d *Directory) { d.Mute(true) }, complete, "silence"},
 		"mute, then all": {func(d *Directory) {
 			d.Mute(true)
 			then(d, func() { d.Change(gone); d.Mute(false) })
 		}, watch, "2+aD"},
-		"vanished": {func(d *Directory) { _ = d.Vanish(true) }, whole, "silence"},
+		"vanished": {func(d *Directory) { _ = d.Vanish(true) }, complete, "silence"},
 		"vanished and back": {func(d *Directory) {
 			_ = d.Vanish(true)
 			time.AfterFunc(20*time.Millisecond, func() { _ = d.Vanish(false) })
-		}, whole, "1=aSbS"},
-		"down": {func(d *Directory) { _ = d.Down(true) }, whole, "reset"},
+		}, complete, "1=aSbS"},
+		"down": {func(d *Directory) { _ = d.Down(true) }, complete, "reset"},
 		"down and up": {func(d *Directory) {
 			_ = d.Down(true)
 			_ = d.Down(false)
-		}, whole + " new " + whole, "reset 1=aSbS"},
-		"delay":             {func(d *Directory) { d.Delay(2 * patience) }, whole, "silence"},
-		"late":              {func(d *Directory) { d.AnswerLate(true) }, whole, "silence"},
+		}, complete + " new " + complete, "reset 1=aSbS"},
+		"delay":             {func(d *Directory) { d.Delay(2 * answerTimeout) }, complete, "silence"},
+		"late":              {func(d *Directory) { d.AnswerLate(true) }, complete, "silence"},
 		"whole for a watch": {func(d *Directory) { d.WholeForWatch(true); d.Change(gone) }, watch, "2=bS"},
-		"part for whole":    {func(d *Directory) { d.PartForWhole(true) }, whole, "1+aS"},
-		"spoilt":            {func(d *Directory) { d.Spoil(encodeResponse(200, "", []byte("{"))) }, whole, "{"},
+		"part for whole":    {func(d *Directory) { d.PartForWhole(true) }, complete, "1+aS"},
+		"spoilt":            {func(d *Directory) { d.Spoil(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
 		"lower revision": {
 			func(d *Directory) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
 			"new " + listPath + "?index=3&wait=50", "1=aSbS",
 		},
 		"forgotten changes": {func(d *Directory) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
-		"moved":             {func(d *Directory) { _, _ = d.Move() }, whole + " new " + whole, "reset 1=aSbS"},
+		"moved":             {func(d *Directory) { _, _ = d.Move() }, complete + " new " + complete, "reset 1=aSbS"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
@@ -155,7 +155,7 @@
 				ok(t, err)
 				defer d.Close()
 				c := call(t, n, d.Address())
-				c.ask("/other", "") // it is accepted
+				c.get("/other", "") // it is accepted
 				test.do(d)
 				var got []string
 				for target := range strings.FieldsSeq(test.calls) {
@@ -163,7 +163,7 @@
 						c = call(t, n, d.Address())
 						continue
 					}
-					said := strings.Fields(words(c.ask(target, "")))
+					said := strings.Fields(summarizeList(c.get(target, "")))
 					got = append(got, said[len(said)-1])
 				}
 				if got := strings.Join(got, " "); got != test.want {
@@ -174,15 +174,15 @@
 	}
 }
 
-func TestDirectoryCallsAreCounted(t *testing.T) {
+func TestDiscoveryCallsAreCounted(t *testing.T) {
 	onBoth(t, func(t *testing.T, n Network) {
 		d, err := NewDirectory(n, "", Member{ID: "a", Phase: Serving})
 		ok(t, err)
 		defer d.Close()
 		c := call(t, n, d.Address())
-		c.ask(listPath, "")
+		c.get(listPath, "")
 		d.AnswerLate(true)
-		c.ask(listPath+"?index=1&wait=100000", "")
+		c.get(listPath+"?index=1&wait=100000", "")
 		calls := d.Calls()
 		for i := range calls {
 			calls[i].At, calls[i].AnsweredAt = time.Time{}, time.Time{}
@@ -196,8 +196,8 @@
 		}
 		hungUp := time.Now()
 		ok(t, c.Conn.(interface{ CloseWrite() error }).CloseWrite())
-		c.SetDeadline(time.Now().Add(patience))
-		if got := words(c.hear()); got != "1+" || d.Calls()[1].AnsweredAt.Sub(hungUp) < lateAnswerDelay {
+		c.SetDeadline(time.Now().Add(answerTimeout))
+		if got := summarizeList(c.readAnswer()); got != "1+" || d.Calls()[1].AnsweredAt.Sub(hungUp) < lateAnswerDelay {
 			t.Errorf("after the caller's end: %q", got)
 		}
 	})
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Fleet is some servers and discovery that lists them.
+// Fleet is some servers and the discovery that lists them.
 type Fleet struct {
 	Directory *Directory
 	Providers []*Provider
@@ -49,11 +49,11 @@
 }
 
 // Members are the lines of all servers as they are, whatever discovery says.
-func (f *Fleet) Members() (members []Member) {
+func (f *Fleet) Members() (endpoints []Member) {
 	for _, p := range f.Providers {
-		members = append(members, p.Member())
+		endpoints = append(endpoints, p.Member())
 	}
-	return members
+	return endpoints
 }
 
 // Release is a rolling replacement of all processes.
@@ -66,16 +66,16 @@
 	Move    bool          // the next process has another address
 }
 
-// Release replaces the servers' processes: discovery tells that it drains, and it declines what is new; after the
-// grace it ends, and one under a new id starts and is told together with the other's end. It returns at the end of ctx,
-// with the rest as it is then.
+// Release replaces the servers' processes: discovery lists one as draining, and it declines what is new; after
+// the grace it ends, and one under a new id starts and is listed together with the other's end. It returns early at the
+// end of ctx.
 func (f *Fleet) Release(ctx context.Context, r Release) error {
-	most := len(f.Providers)
+	servers := len(f.Providers)
 	if r.Most > 0 {
-		most = min(most, r.Most)
+		servers = min(servers, r.Most)
 	}
-	for from := 0; from < most; from += max(1, r.Batch) {
-		to := min(most, from+max(1, r.Batch))
+	for from := 0; from < servers; from += max(1, r.Batch) {
+		to := min(servers, from+max(1, r.Batch))
 		if from > 0 {
 			if err := Pause(ctx, r.Between); err != nil {
 				return err
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -87,8 +87,8 @@
 	_ = s.setSilent(false)
 }
 
-// shutDown is down for good.
-func (s *host) shutDown() {
+// stop is down for good.
+func (s *host) stop() {
 	s.resetAll()
 	s.wg.Wait()
 }
@@ -285,7 +285,7 @@
 	return err == nil
 }
 
-// encodeResponse words an answer.
+// encodeResponse returns a response's bytes.
 func encodeResponse(status int, head string, body []byte) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, http.StatusText(status), head, len(body), body)
--- a/internal/testbench/fakes/network.go
+++ b/internal/testbench/fakes/network.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Network is what peers and sidecars talk over. Both kinds show the same behaviour to both ends of a connection, and
+// Network is what fakes and sidecars talk over. Both kinds show the same behaviour to both ends of a connection, and
 // both are safe for concurrent use.
 type Network interface {
 	// Listen takes "" for a host and a port of the network's choice, "host" for a port of its choice, or "host:port",
@@ -26,7 +26,7 @@
 // Listener is a net.Listener on a machine that can vanish.
 type Listener interface {
 	net.Listener
-	// Freeze makes Accept wait and new connections hang, without a word to anyone, until it is called with false. What
+	// Freeze makes Accept wait and new connections hang, unanswered, until it is called with false. What
 	// has been accepted before is not its business.
 	Freeze(on bool) error
 }
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -41,7 +41,7 @@
 }
 
 // Close ends it and waits for all that it has under way.
-func (p *Provider) Close() { p.shutDown() }
+func (p *Provider) Close() { p.stop() }
 
 // Address is host:port, of the present process or the last one.
 func (p *Provider) Address() string { return p.currentAddress() }
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -203,7 +203,7 @@
 	if ms := float64(took) / float64(time.Millisecond); now.meanServiceMs == 0 {
 		now.meanServiceMs = ms
 	} else {
-		now.meanServiceMs += newestServiceTimeWeight * (ms - now.meanServiceMs)
+		now.meanServiceMs += serviceTimeWeight * (ms - now.meanServiceMs)
 	}
 	body = []byte(id + "\n")
 	body = append(body, make([]byte, max(0, service.Body-len(body)))...)
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func TestProvider(t *testing.T) {
+func TestServer(t *testing.T) {
 	behave := func(b Behaviour) func(*Provider) { return func(p *Provider) { p.Behave(b) } }
 	forgetIdle := func(d time.Duration) func(*Provider) { return behave(Behaviour{ForgetIdle: d}) }
 	found := encodeResponse(302, "", nil)
@@ -80,7 +80,7 @@
 				ok(t, err)
 				defer p.Close()
 				c := call(t, n, p.Address())
-				c.ask(alivePath, "")
+				c.get(alivePath, "")
 				test.do(p)
 				var got []string
 				for word := range strings.FieldsSeq(test.calls) {
@@ -97,20 +97,20 @@
 					case "pause":
 						time.Sleep(5 * time.Millisecond)
 					case "load":
-						got = append(got, c.ask(loadPath, ""))
+						got = append(got, c.get(loadPath, ""))
 					case "alive":
-						got = append(got, c.ask(alivePath, ""))
+						got = append(got, c.get(alivePath, ""))
 					case "-":
-						got = append(got, c.ask("/tile/1", ""))
+						got = append(got, c.get("/tile/1", ""))
 					default:
-						got = append(got, c.ask("/tile/1", word))
+						got = append(got, c.get("/tile/1", word))
 					}
 				}
 				if got := strings.Join(got, "|"); got != test.want {
 					t.Errorf("got %q, want %q", got, test.want)
 				}
 				p.Close()
-				if ran := books(p); ran != test.ran {
+				if ran := summarizeRequests(p); ran != test.ran {
 					t.Errorf("in its books: %q, want %q", ran, test.ran)
 				}
 			})
@@ -118,8 +118,8 @@
 	}
 }
 
-// books words the server's requests.
-func books(p *Provider) string {
+// summarizeRequests describes the server's requests.
+func summarizeRequests(p *Provider) string {
 	var all []string
 	for _, r := range p.Requests() {
 		s := r.Outcome.String()
@@ -145,18 +145,18 @@
 		})
 		ok(t, err)
 		defer p.Close()
-		took := func(c *caller) time.Duration {
+		took := func(c *testConn) time.Duration {
 			began := time.Now()
-			c.ask("/tile/1", "x")
+			c.get("/tile/1", "x")
 			return time.Since(began).Round(time.Millisecond)
 		}
 		a, b, c := call(t, n, p.Address()), call(t, n, p.Address()), call(t, n, p.Address())
 		got := []time.Duration{took(a), took(a)}
-		time.AfterFunc(time.Millisecond, func() { b.ask("/tile/1", "b") })
-		time.AfterFunc(2*time.Millisecond, func() { c.ask("/tile/1", "c") })
+		time.AfterFunc(time.Millisecond, func() { b.get("/tile/1", "b") })
+		time.AfterFunc(2*time.Millisecond, func() { c.get("/tile/1", "c") })
 		time.AfterFunc(3*time.Millisecond, func() { b.Close() })
 		took(a)
-		if got, want := books(p), "answered!+ answered!+ answered!+ left declined"; got != want {
+		if got, want := summarizeRequests(p), "answered!+ answered!+ answered!+ left declined"; got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 		ok(t, p.Restart("s-2"))
--- a/internal/testbench/fakes/server_types.go
+++ b/internal/testbench/fakes/server_types.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	headerID                = "Req-Id"
-	headerDeadline          = "Req-Deadline"
-	headerDeclined          = "Srv-Declined: 1\r\n"
-	loadPath                = "/metrics/load"
-	alivePath               = "/alive"
-	newestServiceTimeWeight = 0.1 // weight of the newest service time in the report's mean
+	headerID          = "Req-Id"
+	headerDeadline    = "Req-Deadline"
+	headerDeclined    = "Srv-Declined: 1\r\n"
+	loadPath          = "/metrics/load"
+	alivePath         = "/alive"
+	serviceTimeWeight = 0.1 // weight of the newest service time in the report's mean
 )
 
 // Here is the one locality that a sidecar knows by Config.
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -23,7 +23,7 @@
 	return float64(w.InAim) / float64(w.Asked)
 }
 
-// String words the counts that are not zero.
+// String lists the counts that are not zero.
 func (w Window) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "asked %d, in aim %d", w.Asked, w.InAim)
@@ -38,10 +38,10 @@
 // Tally sorts tries into windows that follow one another from a moment on. What was due before it is left out. A width
 // of 0 makes one window of all.
 func Tally(tries []Try, from time.Time, width time.Duration) (windows []Window) {
-	inAim := map[string]bool{}
+	inObjective := map[string]bool{}
 	for i := range tries {
 		if tries[i].InAim() {
-			inAim[tries[i].First] = true
+			inObjective[tries[i].First] = true
 		}
 	}
 	for i := range tries {
@@ -59,7 +59,7 @@
 		w := &windows[at]
 		if w.Counts[t.Result]++; t.Again == 0 {
 			w.Asked++
-			if inAim[t.First] {
+			if inObjective[t.First] {
 				w.InAim++
 			}
 		}
@@ -95,9 +95,9 @@
 }
 
 // RunTwice returns the ids of a class's requests that servers have begun more than once.
-func RunTwice(class string, providers ...*Provider) (ids []string) {
+func RunTwice(class string, servers ...*Provider) (ids []string) {
 	runs := map[string]int{}
-	for _, p := range providers {
+	for _, p := range servers {
 		for _, r := range p.Requests() {
 			if r.Class == class && r.Started {
 				runs[r.ID]++
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -55,7 +55,7 @@
 	field   map[string]string
 }
 
-// stamp is the standard logger's; whoever collects logs may put its own words before it.
+// stamp is the standard logger's; a log collector may put its own prefix before it.
 var stamp = regexp.MustCompile(`\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}`)
 
 // Read counts over the logs in dir, one *.log for each sidecar. warm is the time that a process is taken to be cold.
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -43,8 +43,8 @@
 
 func constant(rate float64) Shape { return Shape{Kind: "constant", Rate: rate} }
 
-// planOfTiles is a checked plan of one class and one stream.
-func planOfTiles(t *testing.T, shape Shape, spacing string, forS float64) *Plan {
+// constantPlan is a checked plan of one class and one stream.
+func constantPlan(t *testing.T, shape Shape, spacing string, forS float64) *Plan {
 	t.Helper()
 	p := &Plan{
 		Seed: 1, ForS: forS, Streams: []Stream{{Shape: shape, Spacing: spacing}},
--- a/internal/testbench/loadgen/report_test.go
+++ b/internal/testbench/loadgen/report_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestReport(t *testing.T) {
-	p := planOfTiles(t, constant(10), Even, 2)
+	p := constantPlan(t, constant(10), Even, 2)
 	r := newResult(1)
 	rec := recorder{start: time.Now(), result: r}
 	for i := range 20 {
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -39,7 +39,7 @@
 		"closed": {1, 199, [5]float64{0, 0, 0, 0, 1995}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := planOfTiles(t, constant(100), Even, 10)
+			p := constantPlan(t, constant(100), Even, 10)
 			p.Connections = test.connections
 			r := inBubble(t, p, Options{}, func(start time.Time, _ http.ResponseWriter, _ *http.Request) {
 				if at := time.Since(start) - 3995*time.Millisecond; at >= 0 && at < 2*time.Second {
@@ -73,7 +73,7 @@
 // A generator that is stalled for 300 ms says so: it makes the run invalid, and does not blame the server. What is due
 // then goes out late, but all of it goes out. That second tries are on time makes no difference.
 func TestHeldUp(t *testing.T) {
-	p := planOfTiles(t, constant(100), Even, 3)
+	p := constantPlan(t, constant(100), Even, 3)
 	p.Classes[0].Retry.MaxRetries = 1
 	calls := 0
 	r := inBubble(t, p, Options{Pause: func(d time.Duration) {
@@ -141,7 +141,7 @@
 		"unreachable":   {post, lost, nobody, "10 30 0 map[unreachable:10] map[unreachable:30]", -1, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := planOfTiles(t, constant(10), Even, 1)
+			p := constantPlan(t, constant(10), Even, 1)
 			p.Classes = []Class{test.class}
 			ok(t, p.Check())
 			tries := map[string]int{} // by id
@@ -181,14 +181,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
 		defer cancel()
-		r, err := Run(ctx, planOfTiles(t, constant(10), Even, 100), Options{
+		r, err := Run(ctx, constantPlan(t, constant(10), Even, 100), Options{
 			Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
 			Pause: time.Sleep,
 		})
 		if err != nil || !r.Partial || r.Classes[0].Ends[Unreachable] != 15 {
 			t.Errorf("%+v, %v", r, err)
 		}
-		p := planOfTiles(t, constant(0), Poisson, 100)
+		p := constantPlan(t, constant(0), Poisson, 100)
 		r, err = Run(t.Context(), p, Options{Dialer: fakes.NewMemory(), Address: "10.0.0.1:1"})
 		var out bytes.Buffer
 		report := NewReport(p, r, "", 1)
@@ -206,14 +206,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
-		provider, err := fakes.NewProvider(n, fakes.ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
+		server, err := fakes.NewProvider(n, fakes.ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
 		ok(t, err)
-		defer provider.Close()
-		p := planOfTiles(t, constant(5), Poisson, 60)
-		r, err := Run(t.Context(), p, Options{Dialer: n, Address: provider.Address(), Pause: time.Sleep})
+		defer server.Close()
+		p := constantPlan(t, constant(5), Poisson, 60)
+		r, err := Run(t.Context(), p, Options{Dialer: n, Address: server.Address(), Pause: time.Sleep})
 		ok(t, err)
 		c := r.Classes[0]
-		if seen := uint64(len(provider.Requests())); c.Ends[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
+		if seen := uint64(len(server.Requests())); c.Ends[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
 			seen != c.Requests {
 			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Ends, c.Resent, seen)
 		}
--- a/internal/testbench/loadgen/shape_test.go
+++ b/internal/testbench/loadgen/shape_test.go
@@ -52,7 +52,7 @@
 func TestSpacing(t *testing.T) {
 	for _, text := range shapes {
 		for _, spacing := range []string{Poisson, Even} {
-			p := planOfTiles(t, shaped(text), spacing, 60)
+			p := constantPlan(t, shaped(text), spacing, 60)
 			c := p.Streams[0].Shape.curve()
 			var gaps []float64
 			last := 0.0
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -29,7 +29,7 @@
 			time.Sleep(time.Duration(id[1]) * time.Millisecond)
 		}
 	}
-	whole := inBubble(t, p, Options{}, answer)
+	undivided := inBubble(t, p, Options{}, answer)
 	var parts []*Result
 	for i := range 3 {
 		raw, err := json.Marshal(inBubble(t, p, Options{Part: i, Parts: 3}, answer))
@@ -39,7 +39,7 @@
 	}
 	merged, err := Merge(parts...)
 	ok(t, err)
-	if a, b := sum(whole), sum(merged); a != b {
+	if a, b := sum(undivided), sum(merged); a != b {
 		t.Errorf("one process: %s\nthree: %s", a, b)
 	}
 }
@@ -47,15 +47,15 @@
 // Real processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
 	n := fakes.Loopback()
-	provider, err := fakes.NewProvider(n, fakes.ProviderOptions{
+	server, err := fakes.NewProvider(n, fakes.ProviderOptions{
 		Cores:   100,
 		Default: fakes.Service{Mean: time.Millisecond, Fixed: true},
 	})
 	ok(t, err)
-	defer provider.Close()
+	defer server.Close()
 	self, err := os.Executable()
 	ok(t, err)
-	p := planOfTiles(t, constant(100), Even, 0.5)
+	p := constantPlan(t, constant(100), Even, 0.5)
 	workers := func() (all []*exec.Cmd) {
 		for range 2 {
 			cmd := exec.Command(self)
@@ -64,15 +64,15 @@
 		}
 		return all
 	}
-	r, err := Spread(t.Context(), p, provider.Address(), workers())
+	r, err := Spread(t.Context(), p, server.Address(), workers())
 	ok(t, err)
-	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(provider.Requests()) != 50 {
+	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(server.Requests()) != 50 {
 		t.Errorf("%+v", r)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	p.ForS = 1000 // none of which is waited for
-	if r, err := Spread(ctx, p, provider.Address(), workers()); err != nil || !r.Partial {
+	if r, err := Spread(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
 		t.Errorf("interrupted: %+v, %v", r, err)
 	}
 	for _, name := range []string{"/bin/true", "/bin/cat", "/nowhere"} {
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// servedShare is the part of the requests due in a span that was served within the latency objective.
-func servedShare(tries []fakes.Try, from, to time.Time) float64 {
+// servedFraction is the part of the requests due in a span that was served within the latency objective.
+func servedFraction(tries []fakes.Try, from, to time.Time) float64 {
 	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.AskedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
 		return all.Share()
@@ -147,7 +147,7 @@
 // metrics measures a run whose load has ended.
 func (r *rig) metrics(event time.Time) Metrics {
 	w := width(r.setup.Rate)
-	f := Metrics{Stall: r.stall.Seconds(), Normal: servedShare(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
+	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
 	t := faultAfter(r.tries, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
 	until := r.tries[len(r.tries)-1].At
@@ -156,8 +156,8 @@
 		f.Back = &back
 		until = event.Add(max(minSpan, t.back))
 	}
-	if !r.second.IsZero() {
-		first := servedShare(r.tries, r.second, r.second.Add(firstSpan))
+	if !r.restartedAt.IsZero() {
+		first := servedFraction(r.tries, r.restartedAt, r.restartedAt.Add(firstSpan))
 		f.First = &first
 	}
 	for i := range r.tries {
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -71,8 +71,8 @@
 	tries   []fakes.Try   // once the load has ended, as the next
 	stall   time.Duration // the longest time by which a timer has come late
 
-	drains map[string]uint64 // by a process's id, discovery's revision that lists its drain
-	second time.Time         // when a second life was started
+	drains      map[string]uint64 // by a process's id, discovery's revision that lists its drain
+	restartedAt time.Time         // when a second life was started
 }
 
 // build starts the fleet and the program, which serves when it returns. The edit changes the configuration.
@@ -172,25 +172,25 @@
 
 // again starts a process in the place of one that has ended.
 func (r *rig) again(ctx context.Context) error {
-	r.second = time.Now()
+	r.restartedAt = time.Now()
 	return r.line.start(ctx)
 }
 
-// some are the first servers of the fleet, a quarter of it.
-func (r *rig) some() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
+// faultyServers are the first servers of the fleet, a quarter of it.
+func (r *rig) faultyServers() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
 
 // release replaces the first so many servers, a quarter of the fleet at a time, by others at new addresses.
-func (r *rig) release(ctx context.Context, most int) error {
+func (r *rig) release(ctx context.Context, servers int) error {
 	plan := fakes.Release{
-		Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
+		Batch: len(r.faultyServers()), Most: servers, Grace: 1200 * time.Millisecond,
 		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true,
 	}
-	notifiedAt := r.fleet.Directory.Revision()
-	for batch := range slices.Chunk(r.fleet.Providers[:most], plan.Batch) {
+	revision := r.fleet.Directory.Revision()
+	for batch := range slices.Chunk(r.fleet.Providers[:servers], plan.Batch) {
 		for _, p := range batch {
-			r.drains[p.ID()] = notifiedAt + 1 // and the next revision lists its end
+			r.drains[p.ID()] = revision + 1 // and the next revision lists its end
 		}
-		notifiedAt += 2
+		revision += 2
 	}
 	return r.fleet.Release(ctx, plan)
 }
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -87,7 +87,7 @@
 }
 
 func silence(ctx context.Context, r *rig) error {
-	for _, p := range r.some() {
+	for _, p := range r.faultyServers() {
 		if err := p.Vanish(true); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 		return err
 	}
 	var back []fakes.Member
-	for _, p := range r.some() {
+	for _, p := range r.faultyServers() {
 		p.Kill()
 		if err := p.Start(""); err != nil {
 			return err
@@ -153,7 +153,7 @@
 	if err := fakes.Pause(ctx, time.Second); err != nil {
 		return err
 	}
-	if err := r.release(ctx, len(r.some())); err != nil {
+	if err := r.release(ctx, len(r.faultyServers())); err != nil {
 		return err
 	}
 	if err := fakes.Pause(ctx, time.Until(back)); err != nil {
@@ -164,7 +164,7 @@
 
 // someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only a sidecar that has sent requests knows.
 func someFail(r *rig) {
-	for _, p := range r.some() {
+	for _, p := range r.faultyServers() {
 		p.Behave(fakes.Behaviour{FailShare: 0.9, Slow: 0.3})
 	}
 }
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -84,7 +84,7 @@
 		{Op: "start", Known: true, Within: readyWithin},
 		{Op: "calls", PerS: rate},
 	} {
-		if _, err := p.ask(o); err != nil {
+		if _, err := p.send(o); err != nil {
 			return c, err
 		}
 	}
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	after.time = began
-	p.row("all start", slices.Concat(spreadMetrics(times), p.traffic(after, 0), []Figure{
+	p.addRow("all start", slices.Concat(spreadMetrics(times), p.traffic(after, 0), []Figure{
 		{"memory_mb_a_sidecar", after.Simulated.MemoryMB / float64(set.Sidecars)},
 		{"heap_mb_a_sidecar", after.Simulated.HeapMB / float64(set.Sidecars)},
 		{"memory_mb_all", after.Simulated.MemoryMB + after.Discovery.MemoryMB},
@@ -118,11 +118,11 @@
 	}
 }
 
-func (p *play) row(scene string, figures []Figure) {
+func (p *play) addRow(scene string, metrics []Figure) {
 	late, cores := p.busy.Look()
-	figures = append(figures, Figure{"stall_ms", ms(max(late, p.late))}, Figure{"machine_cores_busy", cores})
+	metrics = append(metrics, Figure{"stall_ms", ms(max(late, p.late))}, Figure{"machine_cores_busy", cores})
 	p.late = 0
-	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: figures})
+	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: metrics})
 }
 
 func spreadMetrics(times []float64) []Figure {
@@ -184,7 +184,7 @@
 		return err
 	}
 	s := long.Seconds() * float64(p.set.Sidecars)
-	p.row(scene, slices.Concat(p.cpu(u, long), []Figure{
+	p.addRow(scene, slices.Concat(p.cpu(u, long), []Figure{
 		{"calls_s", float64(u.Simulated.Calls) / s},
 		{"probes_s", float64(u.Simulated.Probes) / s},
 		{"refused", float64(u.Simulated.Refused)},
--- a/internal/testbench/simulated/scenes_changes.go
+++ b/internal/testbench/simulated/scenes_changes.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	p.row("list", slices.Concat(spreadMetrics(times), p.traffic(u, 0)))
+	p.addRow("list", slices.Concat(spreadMetrics(times), p.traffic(u, 0)))
 	return nil
 }
 
@@ -57,7 +57,7 @@
 	n := float64(p.set.Sidecars * p.plan.Burst)
 	extra := u.Simulated.CPU.Seconds() - quiet.Simulated.CPU.Seconds()/window.Seconds()*long.Seconds()
 	there := u.Discovery.CPU.Seconds() - quiet.Discovery.CPU.Seconds()/window.Seconds()*long.Seconds()
-	p.row("burst", slices.Concat(spreadMetrics(times), []Figure{
+	p.addRow("burst", slices.Concat(spreadMetrics(times), []Figure{
 		{"changes", float64(p.plan.Burst)},
 		{"cpu_us_a_change", extra * 1e6 / n},
 		{"discovery_us_a_change", there * 1e6 / n},
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	p.row("configuration", slices.Concat(spreadMetrics(times), []Figure{
+	p.addRow("configuration", slices.Concat(spreadMetrics(times), []Figure{
 		{"cpu_us_a_sidecar", u.Simulated.CPU.Seconds() * 1e6 / float64(p.set.Sidecars)}, {"took_ms", ms(long)},
 	}))
 	return nil
--- a/internal/testbench/simulated/scenes_restart.go
+++ b/internal/testbench/simulated/scenes_restart.go
@@ -20,7 +20,7 @@
 				n := min(left, p.counts[i])
 				left -= n
 				group.Go(func() (err error) {
-					replies[i], err = part.ask(order{Op: "restart", Count: n, Known: known, Within: maxRestartTime})
+					replies[i], err = part.send(order{Op: "restart", Count: n, Known: known, Within: maxRestartTime})
 					return err
 				})
 			}
@@ -39,7 +39,7 @@
 		if !known {
 			name = "restart without one"
 		}
-		p.row(name, slices.Concat([]Figure{{"restarted", float64(len(times))}}, spreadMetrics(times), p.traffic(u, 0)))
+		p.addRow(name, slices.Concat([]Figure{{"restarted", float64(len(times))}}, spreadMetrics(times), p.traffic(u, 0)))
 	}
 	return nil
 }
--- a/internal/testbench/simulated/scenes_zone.go
+++ b/internal/testbench/simulated/scenes_zone.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	p.row("zone lost", slices.Concat(spreadMetrics(times), []Figure{
+	p.addRow("zone lost", slices.Concat(spreadMetrics(times), []Figure{
 		{"lines", float64(len(lost))},
 		{"served", float64(u.Simulated.Served)},
 		{"refused", float64(u.Simulated.Refused)},
@@ -80,7 +80,7 @@
 		}
 	}
 	warmMean := max(1e-9, warmCalls/float64(len(p.endpoints)-len(lost)))
-	p.row("zone back", slices.Concat(spreadMetrics(times), []Figure{
+	p.addRow("zone back", slices.Concat(spreadMetrics(times), []Figure{
 		{"lines", float64(len(lost))},
 		{"cold_of_warm", coldCalls / float64(len(lost)) / warmMean},
 		{"coldest_most_of_warm", maxColdCalls / warmMean},
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -64,9 +64,10 @@
 	return calls, probes, refused
 }
 
-// Endpoint, Forget, State and Restore make tiles a upstream.Caller. Package callertest does not apply: there are no connections.
+// Endpoint, Forget, State and Restore make fakeServers an upstream.Upstream. Its conformance tests do not apply: there are no
+// connections.
 func (t *fakeServers) Endpoint(_, address string) upstream.Endpoint {
-	return &endpoint{address: address, tile: t.at(address)}
+	return &endpoint{address: address, server: t.at(address)}
 }
 
 // Forget does nothing: the counts outlive the server.
@@ -78,10 +79,10 @@
 // Restore takes nothing.
 func (t *fakeServers) Restore(time.Time, []byte, time.Duration) error { return nil }
 
-// endpoint stands for one sidecar's connections to a server: one that comes up with the first attempt.
+// endpoint stands for one sidecar's connections to a server: a single one, established with the first attempt.
 type endpoint struct {
 	address string
-	tile    *fakeServer
+	server  *fakeServer
 	since   time.Time
 }
 
@@ -94,25 +95,25 @@
 	if e.since.IsZero() {
 		e.since = now
 	}
-	c := &attempt{tile: e.tile}
+	c := &attempt{server: e.server}
 	result, takes := upstream.Result{Outcome: outcome.Served, ConnectedAt: e.since}, probeTakes
-	inv := task.Request
+	request := task.Request
 	switch {
-	case inv != nil && inv.IsClientGone():
+	case request != nil && request.IsClientGone():
 		result, takes = upstream.Result{Outcome: outcome.Withdrawn}, 0
 	case !task.StartBy.IsZero() && now.After(task.StartBy):
 		result, takes = upstream.Result{Outcome: outcome.ServerDraining}, 0
-	case e.tile.down.Load():
-		e.tile.refused.Add(1)
+	case e.server.down.Load():
+		e.server.refused.Add(1)
 		result, takes = upstream.Result{Outcome: outcome.ConnectRefused}, refuseTakes
-	case inv != nil:
+	case request != nil:
 		takes = callTakes
-		e.tile.calls.Add(1)
-		e.tile.inFlight.Add(1)
+		e.server.calls.Add(1)
+		e.server.inFlight.Add(1)
 		c.counted = true
 		result.StatusCode = 200
 	default:
-		e.tile.probes.Add(1)
+		e.server.probes.Add(1)
 	}
 	time.AfterFunc(takes, func() {
 		if !c.end() {
@@ -120,7 +121,7 @@
 		}
 		if result.Outcome == outcome.Served {
 			result.Report = policy.Report{
-				HasRIF: true, HasLatency: true, RIF: float64(e.tile.inFlight.Load()),
+				HasRIF: true, HasLatency: true, RIF: float64(e.server.inFlight.Load()),
 				Latency: float64(callTakes) / float64(time.Millisecond),
 			}
 		}
@@ -131,7 +132,7 @@
 
 // attempt is one under way: it counts as written from its start.
 type attempt struct {
-	tile    *fakeServer
+	server  *fakeServer
 	ended   atomic.Bool
 	counted bool
 }
@@ -141,7 +142,7 @@
 		return false
 	}
 	if a.counted {
-		a.tile.inFlight.Add(-1)
+		a.server.inFlight.Add(-1)
 	}
 	return true
 }
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// ask sends an order and waits for the reply.
-func (p *Part) ask(o order) (r reply, err error) {
+// send sends an order and waits for the reply.
+func (p *Part) send(o order) (r reply, err error) {
 	if err := p.orders.Encode(o); err != nil {
 		return r, fmt.Errorf("part: %s: %w", o.Op, err)
 	}
@@ -187,7 +187,7 @@
 			return w, nil, err
 		}
 		w.simulatedFleet, w.counts = append(w.simulatedFleet, p), append(w.counts, count)
-		if _, err := p.ask(order{Op: "build", First: first, Count: count, Template: template, Discovery: addresses}); err != nil {
+		if _, err := p.send(order{Op: "build", First: first, Count: count, Template: template, Discovery: addresses}); err != nil {
 			return w, nil, err
 		}
 	}
@@ -213,7 +213,7 @@
 	if w.set.Kind == Pushed {
 		rate = 0
 	}
-	r, err := p.ask(order{Op: "listen", Listeners: listeners, Rate: rate, Endpoints: w.endpoints})
+	r, err := p.send(order{Op: "listen", Listeners: listeners, Rate: rate, Endpoints: w.endpoints})
 	return r.Addresses, err
 }
 
@@ -231,7 +231,7 @@
 	replies := make([]reply, len(parts))
 	var group errgroup.Group
 	for i, p := range parts {
-		group.Go(func() (err error) { replies[i], err = p.ask(o); return err })
+		group.Go(func() (err error) { replies[i], err = p.send(o); return err })
 	}
 	return replies, group.Wait()
 }
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -99,7 +99,7 @@
 	learnedAt         map[learnedServer][]time.Time // when a sidecar has logged that a server leaves
 	killed            func(sidecar int, from, to time.Time) bool
 	shutdowns         map[int][]span // from SIGTERM to the kill in its time, by sidecar
-	longHolds         int            // stalls that this process made longer than they were to be
+	longStalls        int            // stalls that this process made longer than they were to be
 	unansweredPartial int            // clients that sent half a request and had neither answer nor end
 	faults            map[string][]string
 }
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -225,7 +225,7 @@
 		s.mutex.Lock()
 		s.killed = append(s.killed, span{from, to.Add(stallLength)})
 		s.mutex.Unlock()
-		w.note(func(r *record) { r.longHolds++ })
+		w.note(func(r *record) { r.longStalls++ })
 	}
 }
 
@@ -252,11 +252,11 @@
 }
 
 // killGroup kills what is left of the process and its successors, and returns once all are gone.
-func (s *sidecar) killGroup(p *process, group int, told time.Time) {
+func (s *sidecar) killGroup(p *process, group int, signalledAt time.Time) {
 	now := time.Now()
 	if err := syscall.Kill(-group, syscall.SIGKILL); err == nil || err == syscall.EPERM {
 		s.mutex.Lock()
-		s.shutdownSpans = append(s.shutdownSpans, span{told, now})
+		s.shutdownSpans = append(s.shutdownSpans, span{signalledAt, now})
 		s.mutex.Unlock()
 	}
 	<-p.exited
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -374,8 +374,8 @@
 // leavingLine is the line of the log by which a server leaves.
 var leavingLine = regexp.MustCompile(`(?m)^(\S+ \S+) trace=server provider=(\S+) was=ready is=(?:draining|gone) `)
 
-// heard returns when the sidecar has logged, of each server, that it leaves.
-func (s *sidecar) heard() map[string][]time.Time {
+// leavesLogged returns when the sidecar has logged, of each server, that it leaves.
+func (s *sidecar) leavesLogged() map[string][]time.Time {
 	raw, _ := os.ReadFile(s.path("log"))
 	heard := map[string][]time.Time{}
 	for _, m := range leavingLine.FindAllSubmatch(raw, -1) {
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -243,7 +243,7 @@
 	}
 	r.learnedAt = map[learnedServer][]time.Time{}
 	for _, c := range w.sidecars {
-		for server, at := range c.heard() {
+		for server, at := range c.leavesLogged() {
 			r.learnedAt[learnedServer{c.number, server}] = at
 		}
 	}
