--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -21,7 +21,7 @@
 	BrokenB int          `json:"broken_b"`
 }
 
-// Difference is a figure's. B's median less A's need not be the median difference, which is of the pairs.
+// Difference is that of one metric. B's median less A's need not be the median difference, which is of the pairs.
 type Difference struct {
 	Name        string     `json:"name"`
 	A           float64    `json:"a"` // median over the days, as B
@@ -35,8 +35,8 @@
 	Discernible bool       `json:"discernible"` // a sign test rejects, at 5%, that either is as likely
 }
 
-// figures are what is compared.
-var figures = []struct {
+// comparedMetrics are what is compared.
+var comparedMetrics = []struct {
 	name string
 	of   func(*Report) float64
 }{
@@ -54,7 +54,7 @@
 }
 
 // Compare plays days, whose seeds follow on a's, with the settings of a and of b, workers of them side by side. Load,
-// servers and troubles of a day are the same for both where the settings are.
+// servers and faults of a day are the same for both where the settings are.
 func Compare(ctx context.Context, a, b Config, days, workers int) (*Comparison, error) {
 	reports := make([][2]*Report, days)
 	g, ctx := errgroup.WithContext(ctx)
@@ -80,7 +80,7 @@
 			c.BrokenB++
 		}
 	}
-	for _, f := range figures {
+	for _, f := range comparedMetrics {
 		var as, bs []float64
 		for _, r := range reports {
 			as, bs = append(as, f.of(r[0])), append(bs, f.of(r[1]))
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Config is a whole day: the world, its load, what goes wrong and who decides. In plans its keys are those of the tags.
+// Config is a whole day: the world, its load, what goes wrong and which policy decides. In plans its keys are those of the tags.
 type Config struct {
 	Sidecars   int     `json:"sidecars"`
 	Servers    int     `json:"servers"`
@@ -53,7 +53,7 @@
 	LatencyObjectiveMs float64 `json:"aim_ms"`
 	DeadlineMs         float64 `json:"deadline_ms"` // for all tries together
 	PriorityWeight     float64 `json:"worth"`
-	LateWeight         float64 `json:"late_worth"` // part of Worth that an answer after the aim still earns
+	LateWeight         float64 `json:"late_worth"` // part of Worth that an answer after the latency objective still earns
 	NonIdempotent      bool    `json:"unsafe"`     // must never run twice; else any number of times
 }
 
@@ -67,7 +67,7 @@
 // Server is how every server works. Lengths of time are in ms.
 type Server struct {
 	Slots           int     `json:"slots"`      // requests that share the cores
-	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; what comes beyond is turned away unseen
+	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; what comes beyond is rejected unseen
 	OverloadFrom    float64 `json:"crowd_from"` // requests held for each core from which efficiency falls
 	OverloadLoss    float64 `json:"crowd_loss"` // by so much for each further one
 	MaxOverloadLoss float64 `json:"crowd_most"` // but by no more
@@ -84,7 +84,7 @@
 	Handshake   float64 `json:"handshake_ms"`
 	Idle        float64 `json:"idle_ms"` // after which an idle connection is closed
 	ProbeWork   float64 `json:"probe_ms"`
-	MaxProbes   float64 `json:"probes_most"`  // a second, beyond which they are turned away
+	MaxProbes   float64 `json:"probes_most"`  // a second, beyond which they are rejected
 	ReportEvery float64 `json:"report_ms"`    // between two refreshes of what probes report
 	ReportNoise float64 `json:"report_noise"` // standard deviation, as a part of the figure
 	NoReport    bool    `json:"no_report"`    // probes are answered without any load report
@@ -104,11 +104,11 @@
 // Discovery is how changes of the list reach the sidecars.
 type Discovery struct {
 	Late   [2]float64 `json:"late_ms"` // drawn for each change and sidecar
-	Lossy  float64    `json:"lossy"`   // part of the changes that a sidecar is not told
+	Lossy  float64    `json:"lossy"`   // part of the changes that a sidecar does not get
 	Repair float64    `json:"repair_ms"`
 }
 
-// Clients is what those who ask do.
+// Clients says how clients behave.
 type Clients struct {
 	Retries   int        `json:"retries"`
 	Wait      float64    `json:"wait_ms"`
@@ -116,7 +116,7 @@
 	Impatient float64    `json:"impatient"` // part of the tries that are given up at a random moment before
 }
 
-// Rules are the figures of the rules, and what the module is told beside.
+// Rules are the limits of the rules, and further settings of the policy.
 type Rules struct {
 	DrainGrace       float64 `json:"grace_ms"`        // of a drain
 	AnswerSlack      float64 `json:"answer_slack_ms"` // after a try's end within which an answer still counts as given
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// index names the line of an error that has one. An unknown key has none, but its name can be searched for.
+// place names the line of an error that has one. An unknown key has none, but its name can be searched for.
 func place(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -14,13 +14,13 @@
 	graceMargin  = 100.0 // ms before the end of a grace in which the daemon begins nothing new
 )
 
-// sidecar hosts one policy, as internal/dispatch does: it carries out the actions and tells what comes of them.
+// sidecar hosts one policy, as internal/dispatch does: it carries out the actions and reports what comes of them.
 type sidecar struct {
 	world         *world
 	number        int
 	zone          int
 	incarnation   int // of its process
-	up            bool
+	running       bool
 	policy        Policy
 	seeds         uint64
 	known         map[policy.ServerID]*knownServer
@@ -32,7 +32,7 @@
 	stepping      bool
 }
 
-// knownServer is what a sidecar has been told of a server, and its connections to it.
+// knownServer is what a sidecar knows of a server by the list, and its connections to it.
 type knownServer struct {
 	machine    *machine
 	health     policy.Health
@@ -56,9 +56,9 @@
 	log              []step
 }
 
-// start begins a process, which knows the list as the directory has it, or had it before it went down.
+// start begins a process, which knows the list as discovery has it, or had it before it went down.
 func (sc *sidecar) start() {
-	sc.up = true
+	sc.running = true
 	sc.seeds++
 	sc.known, sc.inFlight = map[policy.ServerID]*knownServer{}, map[policy.RequestID]*request{}
 	seed := mix(mix(sc.world.cfg.Seed, sc.world.cfg.PolicySeed), uint64(sc.number)<<20|sc.seeds)
@@ -69,7 +69,7 @@
 
 // kill ends the process. Servers work on at what they have.
 func (sc *sidecar) kill() {
-	sc.up = false
+	sc.running = false
 	sc.incarnation++
 	sc.pending = nil
 	for _, m := range sc.world.machines { // in an order that does not change
@@ -97,13 +97,13 @@
 	sc.known, sc.inFlight = nil, nil
 }
 
-// knowsProcess reports whether the sidecar has been told of the process that runs now.
+// knowsProcess reports whether the sidecar has been notified of the process that runs now.
 func (sc *sidecar) knowsProcess(m *machine) bool {
 	k := sc.known[m.id]
 	return k != nil && k.startedAt == m.startedAt
 }
 
-// notified takes the list, or changes to it.
+// endpointsUpdated takes the list, or changes to it.
 func (sc *sidecar) endpointsUpdated(changes []policy.ServerInfo, complete bool) {
 	now := sc.world.now
 	named := map[policy.ServerID]bool{}
@@ -153,7 +153,7 @@
 	return r
 }
 
-// cancelled says that the client has left.
+// gone ends a request whose client has left.
 func (sc *sidecar) gone(r *request) {
 	r.answered = true
 	if r.attemptsInFlight == 0 {
@@ -308,7 +308,7 @@
 	sc.releaseConn(a, status)
 	if sc.world.cfg.Server.DropsCancelled && a.written && (status == policy.Cancelled || status == policy.TimedOut) {
 		m, incarnation := a.machine, a.machine.incarnation
-		sc.world.after(sc.world.delay(sc.zone, m.zone), func() { m.drop(a, incarnation) })
+		sc.world.after(sc.world.delay(sc.zone, m.zone), func() { m.dropQueued(a, incarnation) })
 	}
 	took := sc.world.now - a.startedAt
 	if a.request == nil {
@@ -338,7 +338,7 @@
 	}
 }
 
-// finishAttempt tells the judge and the policy how the attempt at a request has ended.
+// finishAttempt reports to the judge and the policy how the attempt at a request has ended.
 func (sc *sidecar) finishAttempt(a *attempt, status policy.Status, report policy.Report, took policy.Ms) {
 	r := a.request
 	r.attemptsInFlight--
--- a/internal/testbench/fakes/consumers_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// Consumers that talk straight to a provider get from it what a sidecar might give them.
+// Consumers that talk straight to a server get from it what a sidecar might give them.
 func TestResults(t *testing.T) {
 	slowly := Class{Name: "slowly", Safe: true, Deadline: time.Second, Aim: 30 * time.Millisecond}
 	tile, order := Tile(), Order()
@@ -42,7 +42,7 @@
 		"failed tiles":    {Behaviour{FailShare: 1}, tile, Retry{Most: 2}, "0, failed 123"},
 		"cut short":       {broken(20), order, Retry{}, "0, failed 41"},
 		"lost":            {broken(0), order, Retry{}, "0, lost 41"},
-		"wrong":           {Behaviour{Spoilt: answer(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
+		"wrong":           {Behaviour{Spoilt: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
@@ -65,7 +65,7 @@
 }
 
 // A request that crosses the close of a kept connection goes out once more and runs once.
-func TestCrossing(t *testing.T) {
+func TestRequestMeetsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
@@ -97,7 +97,7 @@
 }
 
 // The end of a connection tells whether the request had been read.
-func TestUnreadRequestsAreTold(t *testing.T) {
+func TestUnreadRequestsAreNoticed(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
@@ -112,7 +112,7 @@
 					send(t, a, "order")
 				}
 				_, err := a.Read(make([]byte, 1))
-				if k := (&callerConn{Conn: a}); k.crossed(&reply{err: err}) == read {
+				if k := (&clientConn{Conn: a}); k.closedUnread(&reply{err: err}) == read {
 					t.Errorf("the connection ended with %v, and the request counts as read: %t", err, !read)
 				}
 			})
@@ -164,7 +164,7 @@
 	}
 }
 
-// A day of a fleet behind a plain relay: one provider is gone for a second, then all are replaced, which the relay does
+// A day of a fleet behind a plain relay: one server is gone for a second, then all are replaced, which the relay does
 // not notice. Played twice, it goes the same way.
 func TestDay(t *testing.T) {
 	var days [2][]Window
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Fleet is some providers and the directory that lists them.
+// Fleet is some servers and the discovery that lists them.
 type Fleet struct {
 	Directory *Directory
 	Providers []*Provider
-	lives     []int // processes so far, by provider
+	lifetimes []int // processes so far, by server
 }
 
-// NewFleet starts n providers of one nature; o's ID, if any, goes before the number in their names, and each gets a
+// NewFleet starts n servers of one nature; o's ID, if any, goes before the number in their names, and each gets a
 // seed of its own.
 func NewFleet(net Network, n int, o ProviderOptions) (*Fleet, error) {
-	f := &Fleet{lives: make([]int, n)}
+	f := &Fleet{lifetimes: make([]int, n)}
 	prefix, seed := o.ID, o.Seed
 	if prefix == "" {
 		prefix = "s"
@@ -48,34 +48,34 @@
 	}
 }
 
-// Members are the lines of all providers as they are, whatever the directory says.
-func (f *Fleet) Members() (members []Member) {
+// Members are the lines of all servers as they are, whatever discovery says.
+func (f *Fleet) Members() (endpoints []Member) {
 	for _, p := range f.Providers {
-		members = append(members, p.Member())
+		endpoints = append(endpoints, p.Member())
 	}
-	return members
+	return endpoints
 }
 
 // Release is a rolling replacement of all processes.
 type Release struct {
-	Batch   int           // providers replaced at a time; 0 = 1
-	Most    int           // providers replaced, from the first on; 0 = all
-	Grace   time.Duration // from the word of the drain to the end of the process
+	Batch   int           // servers replaced at a time; 0 = 1
+	Most    int           // servers replaced, from the first on; 0 = all
+	Grace   time.Duration // from the notice of the drain to the end of the process
 	Down    time.Duration // from there to the next process
 	Between time.Duration // from there to the next batch
 	Move    bool          // the next process has another address
 }
 
-// Release replaces the providers' processes: the directory tells that it drains, and it declines what is new; after the
-// grace it ends, and one under a new id starts and is told together with the other's end. It returns at the end of ctx,
-// with the rest as it is then.
+// Release replaces the servers' processes: discovery lists one as draining, and it declines what is new; after
+// the grace it ends, and one under a new id starts and is listed together with the other's end. It returns early at the
+// end of ctx.
 func (f *Fleet) Release(ctx context.Context, r Release) error {
-	most := len(f.Providers)
+	servers := len(f.Providers)
 	if r.Most > 0 {
-		most = min(most, r.Most)
+		servers = min(servers, r.Most)
 	}
-	for from := 0; from < most; from += max(1, r.Batch) {
-		to := min(most, from+max(1, r.Batch))
+	for from := 0; from < servers; from += max(1, r.Batch) {
+		to := min(servers, from+max(1, r.Batch))
 		if from > 0 {
 			if err := Pause(ctx, r.Between); err != nil {
 				return err
@@ -89,20 +89,20 @@
 }
 
 func (f *Fleet) replace(ctx context.Context, from, to int, r Release) error {
-	var news []Member
+	var changes []Member
 	for _, p := range f.Providers[from:to] {
 		m := p.Member()
 		m.Phase = Draining
-		news = append(news, m)
+		changes = append(changes, m)
 		p.Change(func(b *Behaviour) { b.Drain = true })
 	}
-	f.Directory.Change(news...)
+	f.Directory.Change(changes...)
 	if err := Pause(ctx, r.Grace); err != nil {
 		return err
 	}
 	for i, p := range f.Providers[from:to] {
 		p.Kill()
-		news[i].Phase = Deleted
+		changes[i].Phase = Deleted
 	}
 	if err := Pause(ctx, r.Down); err != nil {
 		return err
@@ -115,14 +115,14 @@
 		if err := p.Restart(f.nextID(i)); err != nil {
 			return err
 		}
-		news = append(news, p.Member())
+		changes = append(changes, p.Member())
 	}
-	f.Directory.Change(news...)
+	f.Directory.Change(changes...)
 	return nil
 }
 
-// nextID names the next process of the i-th provider.
+// nextID names the next process of the i-th server.
 func (f *Fleet) nextID(i int) string {
-	f.lives[i]++
-	return fmt.Sprintf("%s.%d", f.Providers[i].options.ID, f.lives[i]+1)
+	f.lifetimes[i]++
+	return fmt.Sprintf("%s.%d", f.Providers[i].options.ID, f.lifetimes[i]+1)
 }
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -1,292 +1,141 @@
 package fakes
 
 import (
-	"bufio"
-	"fmt"
-	"io"
-	"maps"
-	"net"
-	"net/http"
+	"cmp"
 	"slices"
 	"sync"
 	"time"
 )
 
-// server is what a directory and a provider have in common: a listener that can go and come back, connections that
-// carry one request at a time, and a machine that can fall silent.
-type server struct {
-	network Network
-	handle  func(*peerConn, *message) bool // answers; false = the connection is to end
-	idle    time.Duration                  // after which a connection is closed; 0 = never
-
-	mu       sync.Mutex
-	address  string
-	listener Listener
-	conns    map[*peerConn]struct{}
-	accepted int
-	silence  chan struct{} // closed when it ends; nil = none
-	wg       sync.WaitGroup
-}
-
-// message is one request, read to its end.
-type message struct {
-	*http.Request
-	body        []byte
-	first, last time.Time     // when its first and last byte came
-	sent        time.Time     // when the first byte was there to be read, also where the machine had vanished
-	idle        time.Duration // of its connection before it
+// lifetime is one life of a server.
+type lifetime struct {
+	id            string
+	startedAt     time.Time
+	warm          bool // started long ago
+	busy          int
+	waiting       []chan struct{}
+	meanServiceMs float64 // service time of late, in milliseconds; 0 = none yet
 }
 
-// peerConn is one accepted connection.
-type peerConn struct {
-	net.Conn
-	server  *server
-	number  int
-	reqs    chan *message
-	gone    chan struct{} // closed when the caller sends no more
-	over    chan struct{} // closed when this side has ended it
-	once    sync.Once
-	freeAt  time.Time // when it was last answered or accepted
-	carried int       // requests before the present one
-	marked  bool      // for a fault that is to befall it; guarded by server.mu
-}
+// Provider is one server: one place where one process after another may live. It is safe for concurrent use;
+// each method acts at once.
+type Provider struct {
+	host
+	options ProviderOptions
 
-func newServer(n Network, address string, idle time.Duration) server {
-	return server{network: n, address: address, idle: idle, conns: map[*peerConn]struct{}{}}
+	state     sync.Mutex
+	current   *lifetime
+	behaviour Behaviour
+	requests  []Request
+	probes    []Probe
+	runs      map[string]int
 }
 
-// up listens, where it did before if it did.
-func (s *server) up() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.listener != nil {
-		return nil
-	}
-	l, err := s.network.Listen(s.address)
-	if err != nil {
-		return fmt.Errorf("listen on %q: %w", s.address, err)
-	}
-	s.listener, s.address = l, l.Addr().String()
-	s.wg.Go(func() { s.accept(l) })
-	return nil
+// NewProvider starts a server whose process is long warm.
+func NewProvider(n Network, o ProviderOptions) (*Provider, error) {
+	o.Cores, o.Locality = max(1, o.Cores), cmp.Or(o.Locality, Here)
+	p := &Provider{host: newHost(n, o.Address, o.IdleMost), options: o, runs: map[string]int{}}
+	p.handle = p.serveMessage
+	p.current = &lifetime{id: o.ID, startedAt: time.Now(), warm: true}
+	return p, p.startListening()
 }
 
-// down refuses new connections and resets all others. A silence ends with it, but only once nobody can say anything.
-func (s *server) down() {
-	s.mu.Lock()
-	l := s.listener
-	s.listener = nil
-	conns := slices.Collect(maps.Keys(s.conns))
-	s.mu.Unlock()
-	if l != nil {
-		l.Close()
-	}
-	for _, c := range conns {
-		c.drop(true)
-	}
-	_ = s.hush(false)
-}
+// Close ends it and waits for all that it has under way.
+func (p *Provider) Close() { p.stop() }
 
-// close is down for good.
-func (s *server) close() {
-	s.down()
-	s.wg.Wait()
-}
+// Address is host:port, of the present process or the last one.
+func (p *Provider) Address() string { return p.currentAddress() }
 
-// mark marks the connections that are open now.
-func (s *server) mark() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.marked = true
-	}
-}
+// ID is the present process's, or the last one's.
+func (p *Provider) ID() string { return p.currentLifetime().id }
 
-func (s *server) isMarked(c *peerConn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return c.marked
+func (p *Provider) currentLifetime() *lifetime {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.current
 }
 
-// hush makes the machine vanish, or come back with its process and connections as they were.
-func (s *server) hush(on bool) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch {
-	case on == (s.silence != nil):
-		return nil
-	case on && s.listener == nil:
-		return fmt.Errorf("vanish: nobody listens at %q: start it first", s.address)
-	case on:
-		s.silence = make(chan struct{})
-	default:
-		close(s.silence)
-		s.silence = nil
+// Member is its line in discovery while it serves.
+func (p *Provider) Member() Member {
+	now := p.currentLifetime()
+	m := Member{ID: now.id, Address: p.Address(), Locality: p.options.Locality, Phase: Serving}
+	if !now.warm {
+		m.UpSince = now.startedAt.UnixMilli()
 	}
-	if s.listener == nil {
-		return nil
-	}
-	return s.listener.Freeze(on)
+	return m
 }
 
-func (s *server) accept(l Listener) {
-	for {
-		nc, err := l.Accept()
-		if err != nil {
-			return
-		}
-		c := &peerConn{
-			Conn: nc, server: s, reqs: make(chan *message), gone: make(chan struct{}),
-			over: make(chan struct{}), freeAt: time.Now(),
-		}
-		s.mu.Lock()
-		s.accepted++
-		c.number = s.accepted
-		s.conns[c] = struct{}{}
-		stale := s.listener != l // down has not seen it
-		s.mu.Unlock()
-		if stale {
-			c.drop(true)
-		}
-		s.wg.Go(c.read)
-		s.wg.Go(c.serve)
-	}
+// Change changes its behaviour from now on; requests that run are met by it when they end.
+func (p *Provider) Change(how func(*Behaviour)) {
+	p.state.Lock()
+	defer p.state.Unlock()
+	how(&p.behaviour)
 }
 
-// where is host:port, also while nobody listens there.
-func (s *server) where() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.address
-}
+// Behave is Change to one that is given whole.
+func (p *Provider) Behave(b Behaviour) { p.Change(func(old *Behaviour) { *old = b }) }
 
-// counts returns how many connections have been accepted and how many are open.
-func (s *server) counts() (accepted, open int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.accepted, len(s.conns)
+func (p *Provider) currentBehaviour() Behaviour {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.behaviour
 }
 
-// heard waits until the machine is not silent: what was sent to it, ends included, arrives only then.
-func (c *peerConn) heard() {
-	for {
-		c.server.mu.Lock()
-		silence := c.server.silence
-		c.server.mu.Unlock()
-		if silence == nil {
-			return
-		}
-		select {
-		case <-silence:
-		case <-c.over:
-			return
-		}
-	}
-}
+// Vanish is the end of the machine's connection to the world: nothing sent to it is answered, nothing is reset, new
+// connections hang. With false it is back, with the process as it was; with Kill or Restart the process is another.
+func (p *Provider) Vanish(on bool) error { return p.setSilent(on) }
 
-// read reads one request after another, and the caller's end while one is being answered.
-func (c *peerConn) read() {
-	defer close(c.gone)
-	br := bufio.NewReader(c)
-	for {
-		_, err := br.Peek(1)
-		sent := time.Now()
-		c.heard()
-		m := &message{first: time.Now(), sent: sent}
-		if err == nil {
-			m.Request, err = http.ReadRequest(br)
-		}
-		if err == nil {
-			m.body, err = io.ReadAll(m.Body)
-			c.heard()
-		}
-		if err != nil {
-			return
-		}
-		m.last = time.Now()
-		select {
-		case c.reqs <- m:
-		case <-c.over:
-			return
-		}
-	}
-}
+// ResetKept resets the next request, and any later one, on each connection that is open now.
+func (p *Provider) ResetKept() { p.markOpenConns() }
+
+// Kill ends the process: connections are reset, new ones refused, and what runs is lost.
+func (p *Provider) Kill() { p.resetAll() }
 
-func (c *peerConn) serve() {
-	defer c.end()
-	for {
-		var tooLong <-chan time.Time
-		if c.server.idle > 0 {
-			tooLong = time.After(c.server.idle)
-		}
-		select {
-		case m := <-c.reqs:
-			m.idle = max(0, m.first.Sub(c.freeAt))
-			if !c.server.handle(c, m) || m.Close {
-				return
-			}
-			c.carried++
-			c.freeAt = time.Now()
-		case <-tooLong:
-			c.heard()
-			return
-		case <-c.gone:
-			return
-		case <-c.over:
-			return
-		}
+// Start starts a process that is cold where the last one was killed. An empty id is the last one's.
+func (p *Provider) Start(id string) error {
+	p.state.Lock()
+	if id == "" {
+		id = p.current.id
 	}
+	p.current = &lifetime{id: id, startedAt: time.Now()}
+	p.state.Unlock()
+	return p.startListening()
 }
 
-func (c *peerConn) end() {
-	c.drop(false)
-	c.server.mu.Lock()
-	defer c.server.mu.Unlock()
-	delete(c.server.conns, c)
+// Restart is Kill, good behaviour and Start under a new id, at the same address.
+func (p *Provider) Restart(id string) error {
+	p.Kill()
+	p.Behave(Behaviour{})
+	return p.Start(id)
 }
 
-// drop ends the connection, with a reset or in order. Only the first call counts.
-func (c *peerConn) drop(reset bool) {
-	c.once.Do(func() {
-		close(c.over)
-		if reset {
-			Abort(c.Conn)
-		} else {
-			c.Conn.Close()
-		}
-	})
+// Move lets the next Start choose another address. The process must have been killed.
+func (p *Provider) Move() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.address = ""
 }
 
-// wait waits for d and reports whether the connection has not been ended from this side meanwhile.
-func (c *peerConn) wait(d time.Duration) bool {
-	t := time.NewTimer(max(0, d))
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-c.over:
-		return false
-	}
+// Requests returns all requests so far, in the order of their last bytes.
+func (p *Provider) Requests() []Request {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return slices.Clone(p.requests)
 }
 
-// forever waits until either side has ended the connection.
-func (c *peerConn) forever() bool {
-	select {
-	case <-c.gone:
-	case <-c.over:
-	}
-	return false
+// Probes returns all probes so far.
+func (p *Provider) Probes() []Probe {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return slices.Clone(p.probes)
 }
 
-// say writes once the machine may speak, and reports whether that went well.
-func (c *peerConn) say(b []byte) bool {
-	c.heard()
-	_, err := c.Write(b)
-	return err == nil
-}
+// Connections returns how many it has accepted and how many are open.
+func (p *Provider) Connections() (accepted, open int) { return p.connectionCounts() }
 
-// answer words an answer.
-func answer(status int, head string, body []byte) []byte {
-	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, http.StatusText(status), head, len(body), body)
+// Runs returns how often a request of that id was begun.
+func (p *Provider) Runs(id string) int {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.runs[id]
 }
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet counts what all sidecars of a fleet did together: at each server, at the directory and in each moment, from
+// Package fleet counts what all sidecars of a fleet did together: at each server, at discovery and in each moment, from
 // the lines that they log with GW_TRACE=1. What is harmless alone shows only in the sum.
 package fleet
 
@@ -26,7 +26,7 @@
 	Attempts, Retries, Stale, Cold int // Stale: on news older than a second, or none; Cold: to processes that may be cold
 	Probes, ProbesFailed           int
 	Dials, DialsFailed, Open       int // Open: connections at its end
-	Lists, ListsFull, ListsWrong   int // Full: turned away; Wrong: failed otherwise
+	Lists, ListsFull, ListsWrong   int // Full: rejected; Wrong: failed otherwise
 }
 
 // Count is the whole count.
@@ -55,7 +55,7 @@
 	field   map[string]string
 }
 
-// stamp is the standard logger's; whoever collects logs may put its own words before it.
+// stamp is the standard logger's; a log collector may put its own prefix before it.
 var stamp = regexp.MustCompile(`\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}`)
 
 // Read counts over the logs in dir, one *.log for each sidecar. warm is the time that a process is taken to be cold.
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -42,13 +42,13 @@
 	Retry              Retry   `json:"retry,omitzero"`
 }
 
-// Keys are what requests ask for: the numbers from 1 to Count, the n-th in proportion to n to the power of -Zipf.
+// Keys are what requests name: the numbers from 1 to Count, the n-th in proportion to n to the power of -Zipf.
 type Keys struct {
 	Count int     `json:"count,omitempty"` // 0 = 1
 	Zipf  float64 `json:"zipf,omitempty"`  // 0 = all alike
 }
 
-// Retry is when a client asks again.
+// Retry says when a client sends a request again.
 type Retry struct {
 	MaxRetries      int      `json:"most,omitempty"`      // tries after the first
 	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each
@@ -137,7 +137,7 @@
 	return fmt.Errorf("1: %w", err)
 }
 
-// wanted words what a key takes by the kind of its Go type.
+// wanted describes what a key takes by the kind of its Go type.
 func wanted(kind string) string {
 	switch {
 	case strings.HasPrefix(kind, "float"):
@@ -157,6 +157,34 @@
 // Check fills in what was left out and returns what is wrong with the plan. A trace is read to its end. Errors name the
 // key and what to do.
 func (p *Plan) Check() error {
+	if err := p.checkOwnKeys(); err != nil {
+		return err
+	}
+	p.fill()
+	if err := p.checkClasses(); err != nil {
+		return err
+	}
+	for i, t := range p.Tenants {
+		if !isToken(t) {
+			return fmt.Errorf("tenants[%d]: %q; want 1 to 200 printable characters without blanks", i, t)
+		}
+	}
+	if p.Trace != nil {
+		return p.Trace.check(p)
+	}
+	if p.ForS == 0 {
+		return errors.New("for_s: 0; say for how many seconds requests are due")
+	}
+	for i := range p.Streams {
+		if err := p.Streams[i].check(p, fmt.Sprintf("streams[%d]", i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkOwnKeys checks the plan's own keys, before the defaults are filled in.
+func (p *Plan) checkOwnKeys() error {
 	switch {
 	case len(p.Classes) == 0:
 		return errors.New("classes: none; name one or more")
@@ -166,12 +194,15 @@
 		return fmt.Errorf("connections: %d; want 1 or more, or 0 for the default", p.Connections)
 	case p.Lateness.P99Ms < 0 || p.Lateness.MaxMs < 0:
 		return errors.New("lateness: below 0; want p99_ms and most_ms of more than 0, or 0 for the defaults")
-	case !(p.ForS >= 0 && p.ForS <= mostAt.Seconds()):
-		return fmt.Errorf("for_s: %v; want from 0 to %v seconds", p.ForS, mostAt.Seconds())
+	case !(p.ForS >= 0 && p.ForS <= maxOffset.Seconds()):
+		return fmt.Errorf("for_s: %v; want from 0 to %v seconds", p.ForS, maxOffset.Seconds())
 	case (p.Trace == nil) == (len(p.Streams) == 0):
 		return errors.New("streams, trace: want one of the two")
 	}
-	p.fill()
+	return nil
+}
+
+func (p *Plan) checkClasses() error {
 	for i := range p.Classes {
 		if err := p.Classes[i].check(fmt.Sprintf("classes[%d]", i)); err != nil {
 			return err
@@ -180,34 +211,18 @@
 			return fmt.Errorf("classes[%d].name: %q is there twice; rename one", i, p.Classes[i].Name)
 		}
 	}
-	for i, t := range p.Tenants {
-		if !token(t) {
-			return fmt.Errorf("tenants[%d]: %q; want 1 to 200 printable characters without blanks", i, t)
-		}
-	}
-	if p.Trace != nil {
-		return p.Trace.check(p)
-	}
-	if p.ForS == 0 {
-		return errors.New("for_s: 0; say for how many seconds requests are due")
-	}
-	for i := range p.Streams {
-		if err := p.Streams[i].check(p, fmt.Sprintf("streams[%d]", i)); err != nil {
-			return err
-		}
-	}
 	return nil
 }
 
 func (p *Plan) fill() {
-	set(&p.Connections, 10000)
-	set(&p.Lateness.P99Ms, 1)
-	set(&p.Lateness.MaxMs, 50)
+	setDefault(&p.Connections, 10000)
+	setDefault(&p.Lateness.P99Ms, 1)
+	setDefault(&p.Lateness.MaxMs, 50)
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		set(&c.Method, "GET")
-		set(&c.Path, "/"+c.Name+"/{key}")
-		set(&c.Keys.Count, 1)
+		setDefault(&c.Method, "GET")
+		setDefault(&c.Path, "/"+c.Name+"/{key}")
+		setDefault(&c.Keys.Count, 1)
 		if len(c.Retry.On) == 0 {
 			c.Retry.On = []string{"refused", "unreachable"}
 			if c.Method == "GET" {
@@ -216,12 +231,12 @@
 		}
 	}
 	for i := range p.Streams {
-		set(&p.Streams[i].Spacing, Poisson)
+		setDefault(&p.Streams[i].Spacing, Poisson)
 	}
 }
 
-// set gives a value to what was left out.
-func set[T comparable](what *T, value T) {
+// setDefault gives a value to what was left out.
+func setDefault[T comparable](what *T, value T) {
 	var left T
 	if *what == left {
 		*what = value
@@ -232,31 +247,19 @@
 	return slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// token reports whether a name can stand in a header and in a path.
-func token(s string) bool {
+// isToken reports whether a name can stand in a header and in a path.
+func isToken(s string) bool {
 	return s != "" && len(s) <= 200 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
 var methods = []string{"GET", "POST", "PUT", "PATCH", "DELETE"}
 
 func (c *Class) check(key string) error {
-	for _, n := range []struct {
-		key   string
-		value float64
-		least float64
-	}{
-		{"aim_ms", c.LatencyObjectiveMs, 1},
-		{"deadline_ms", c.DeadlineMs, 1},
-		{"patience_ms", c.TimeoutMs, 0},
-		{"retry.wait_ms", c.Retry.WaitMs, 0},
-		{"retry.advice_ms", c.Retry.MaxRetryAfterMs, 0},
-	} {
-		if most := maxDeadline.Seconds() * 1000; !(n.value >= n.least && n.value <= most) {
-			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, n.key, n.value, n.least, most)
-		}
+	if err := c.checkTimes(key); err != nil {
+		return err
 	}
 	switch {
-	case !token(c.Name) || strings.ContainsAny(c.Name, "/,\""):
+	case !isToken(c.Name) || strings.ContainsAny(c.Name, "/,\""):
 		return fmt.Errorf("%s.name: %q; want 1 to 200 printable characters without blanks, commas, slashes and quotes",
 			key, c.Name)
 	case c.LatencyObjectiveMs > c.DeadlineMs:
@@ -276,6 +279,25 @@
 	return checkMessage(key, c.Method, c.Path, c.BodyBytes)
 }
 
+func (c *Class) checkTimes(key string) error {
+	for _, check := range []struct {
+		key      string
+		value    float64
+		minValue float64
+	}{
+		{"aim_ms", c.LatencyObjectiveMs, 1},
+		{"deadline_ms", c.DeadlineMs, 1},
+		{"patience_ms", c.TimeoutMs, 0},
+		{"retry.wait_ms", c.Retry.WaitMs, 0},
+		{"retry.advice_ms", c.Retry.MaxRetryAfterMs, 0},
+	} {
+		if maxValue := maxDeadline.Seconds() * 1000; !(check.value >= check.minValue && check.value <= maxValue) {
+			return fmt.Errorf("%s.%s: %v; want from %v to %v ms", key, check.key, check.value, check.minValue, maxValue)
+		}
+	}
+	return nil
+}
+
 // checkMessage says what is wrong with a message of a class or of a trace.
 func checkMessage(key, method, path string, size int) error {
 	switch {
@@ -328,7 +350,7 @@
 
 func (p *Plan) checkTenant(name string) error {
 	switch {
-	case !token(name) || strings.ContainsAny(name, `,"`):
+	case !isToken(name) || strings.ContainsAny(name, `,"`):
 		return fmt.Errorf("%q; want 1 to 200 printable characters without blanks, commas and quotes", name)
 	case len(p.Tenants) > 0 && !slices.Contains(p.Tenants, name):
 		return fmt.Errorf("there is no tenant %q; add it to tenants or leave it out", name)
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -90,7 +90,7 @@
 	Requests    uint64       `json:"asked"`    // requests, each with all its tries
 	Attempts    uint64       `json:"tries"`    // sendings, or attempts to
 	Resent      uint64       `json:"resent"`   // tries that crossed the close of a kept connection and went out once more
-	InObjective uint64       `json:"in_aim"`   // requests served within their aim, from when they were due
+	InObjective uint64       `json:"in_aim"`   // requests served within their latency objective, from when they were due
 	Ends        [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
 	AttemptEnds [ends]uint64 `json:"try_ends"` // of tries
 
@@ -102,13 +102,13 @@
 
 // done is a request that has ended.
 type done struct {
-	class          int
-	due, sent, end time.Time // sent is of the last try
-	late           time.Duration
-	tries, resent  uint64
-	tryEnds        [ends]uint64
-	last           End
-	aim            time.Duration
+	class            int
+	due, sent, end   time.Time // sent is of the last try
+	late             time.Duration
+	tries, resent    uint64
+	tryEnds          [ends]uint64
+	last             End
+	latencyObjective time.Duration
 }
 
 func (t *Tally) add(d *done) {
@@ -122,7 +122,7 @@
 	if d.last != Served {
 		return
 	}
-	if d.end.Sub(d.due) <= d.aim {
+	if d.end.Sub(d.due) <= d.latencyObjective {
 		t.InObjective++
 	}
 	t.Due.record(d.end.Sub(d.due))
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"errors"
 	"fmt"
 	"os/exec"
 	"runtime"
@@ -11,8 +12,8 @@
 )
 
 const (
-	endWithin = 10 * time.Second      // of the word to end
-	tellEvery = 50 * time.Millisecond // two signals that come at once are one
+	endWithin      = 10 * time.Second      // of SIGTERM
+	signalInterval = 50 * time.Millisecond // two signals that come at once are one
 )
 
 // Program is a process that this one has started.
@@ -51,9 +52,9 @@
 // Signal sends it a signal.
 func (p *Program) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Stop tells it to end, again and again so that it does not wait for the kill, and returns how it did. Call it once.
+// Stop sends SIGTERM until the process has ended, repeatedly so that it ends at once, and returns its exit error. Call it once.
 func (p *Program) Stop() error {
-	again := time.NewTicker(tellEvery)
+	again := time.NewTicker(signalInterval)
 	defer again.Stop()
 	late := time.After(endWithin)
 	for {
@@ -64,8 +65,7 @@
 		case <-again.C:
 		case <-late:
 			p.cmd.Process.Kill()
-			_ = <-p.exited
-			return fmt.Errorf("process %d has not ended within %s of SIGTERM", p.Pid(), endWithin)
+			return errors.Join(fmt.Errorf("process %d has not ended within %s of SIGTERM", p.Pid(), endWithin), <-p.exited)
 		}
 	}
 }
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -11,14 +11,14 @@
 	minSpan    = 2 * time.Second        // in which probes and calls are counted
 	minWidth   = 250 * time.Millisecond // of a window, which also holds windowAsked requests
 	windowWith = 50
-	noticeIn   = 50 * time.Millisecond // in which the lab may notice what has come
+	noticeIn   = 50 * time.Millisecond // in which the test bench may notice what has come
 )
 
 // Metrics is what a run has shown. Seconds count from the event. What became of tries is counted of those that ended
 // after it, twice and late sends of the whole run.
 type Metrics struct {
 	Requests    int      `json:"requests"`   // of the whole run
-	Normal      float64  `json:"normal"`     // share served within the aim before the event
+	Normal      float64  `json:"normal"`     // share served within the latency objective before the event
 	Back        *float64 `json:"back_s"`     // until 95% of normal holds for a second; nil = never
 	Below       float64  `json:"below_s"`    // spent below that, in all
 	Worst       float64  `json:"worst"`      // share in the worst window
@@ -29,10 +29,10 @@
 	Rejected    int      `json:"refused"`
 	Unreachable int      `json:"unreachable"`      // no connection came up
 	Twice       int      `json:"twice"`            // runs of what must not run twice beyond the first
-	Late        int      `json:"late"`             // sends to a provider after the grace of its drain
-	Probes      float64  `json:"probes_per_s"`     // during the trouble
+	Late        int      `json:"late"`             // sends to a server after the grace of its drain
+	Probes      float64  `json:"probes_per_s"`     // during the fault
 	Lists       float64  `json:"list_calls_per_s"` // likewise
-	Stall       float64  `json:"stall_s"`          // the longest time for which the lab itself was held up
+	Stall       float64  `json:"stall_s"`          // the longest time for which the test bench itself was stalled
 }
 
 // isLost reports whether the sidecar had the request, or might have, and its client was left without an answer.
@@ -56,8 +56,8 @@
 	}
 }
 
-// servedShare is the part of the requests due in a span that was served within the aim.
-func servedShare(tries []fakes.Try, from, to time.Time) float64 {
+// servedFraction is the part of the requests due in a span that was served within the latency objective.
+func servedFraction(tries []fakes.Try, from, to time.Time) float64 {
 	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.AskedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
 		return all.Share()
@@ -70,19 +70,19 @@
 	return max(minWidth, time.Duration(windowWith/rate*float64(time.Second)))
 }
 
-// trouble is what an event did to service.
-type trouble struct {
-	back  time.Duration // from the event until service is back; 0 = it was never away
-	ok    bool          // it came back
-	below time.Duration // in windows below 95% of normal
-	worst float64       // share of the worst window
+// degradation is what an event did to service.
+type degradation struct {
+	back      time.Duration // from the event until service is back; 0 = it was never away
+	recovered bool          // it came back
+	below     time.Duration // in windows below 95% of normal
+	worst     float64       // share of the worst window
 }
 
-// faultAfter looks for the first window after the event that is below 95% of normal: what follows a word to stop,
-// say, is well for a while. From there on it is fakes.Recovered that says when service is back. A trouble that begins
+// faultAfter looks for the first window after the event that is below 95% of normal: after SIGTERM,
+// for example, service stays normal for a while. From there on it is fakes.Recovered that says when service is back. A fault that begins
 // in the last second is only counted: how it ends can't be seen.
-func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) trouble {
-	out := trouble{ok: true, worst: 1}
+func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
+	out := degradation{recovered: true, worst: 1}
 	windows := fakes.Tally(tries, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
 	seen := len(windows) - int(fakes.WellFor/width)
@@ -98,7 +98,7 @@
 	}
 	if first >= 0 {
 		begin := time.Duration(first) * width
-		out.back, out.ok = fakes.Recovered(tries, event.Add(begin), normal, width)
+		out.back, out.recovered = fakes.Recovered(tries, event.Add(begin), normal, width)
 		out.back += begin
 	}
 	return out
@@ -120,9 +120,8 @@
 	return n
 }
 
-// toldAt returns when each drain was told, given the revisions that told them: with the first answer that holds it,
-// whoever asked.
-func toldAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
+// notifiedAt returns when each drain was first sent to a sidecar, given the revisions that list them.
+func notifiedAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
@@ -135,7 +134,7 @@
 	return notifiedAt
 }
 
-// lateSends counts the requests whose first byte came to a provider after the grace of its drain.
+// lateSends counts the requests whose first byte came to a server after the grace of its drain.
 func lateSends(notifiedAt map[string]time.Time, requests []fakes.Request) (n int) {
 	for _, q := range requests {
 		if at, drained := notifiedAt[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeIn)) {
@@ -145,20 +144,20 @@
 	return n
 }
 
-// figures measures a run whose load has ended.
-func (r *rig) figures(event time.Time) Metrics {
+// metrics measures a run whose load has ended.
+func (r *rig) metrics(event time.Time) Metrics {
 	w := width(r.setup.Rate)
-	f := Metrics{Stall: r.stall.Seconds(), Normal: servedShare(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
+	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
 	t := faultAfter(r.tries, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
 	until := r.tries[len(r.tries)-1].At
-	if t.ok {
+	if t.recovered {
 		back := t.back.Seconds()
 		f.Back = &back
 		until = event.Add(max(minSpan, t.back))
 	}
-	if !r.second.IsZero() {
-		first := servedShare(r.tries, r.second, r.second.Add(firstSpan))
+	if !r.restartedAt.IsZero() {
+		first := servedFraction(r.tries, r.restartedAt, r.restartedAt.Add(firstSpan))
 		f.First = &first
 	}
 	for i := range r.tries {
@@ -171,7 +170,7 @@
 	}
 	f.Twice = r.extraRuns()
 	calls := r.fleet.Directory.Calls()
-	notifiedAt := toldAt(r.drains, calls)
+	notifiedAt := notifiedAt(r.drains, calls)
 	within := func(at time.Time) float64 {
 		if at.Before(event) || at.After(until) {
 			return 0
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// The fleet's nature. A provider alone could serve some 170 requests a second.
+// The fleet's nature. A server alone could serve some 170 requests a second.
 const (
-	cores      = 4
-	queue      = 32
-	tileMean   = 25 * time.Millisecond
-	orderMean  = 15 * time.Millisecond
-	answerSize = 512
-	handshake  = 2 * time.Millisecond
-	coldBy     = 2.0
-	warmIn     = 2 * time.Second
-	connIdle   = time.Minute
-	connectIn  = 150 * time.Millisecond
-	drainGrace = 750 * time.Millisecond
-	orderPart  = 0.2 // of the requests; the others are safe to repeat
-	socketsMax = 4096
-	stallTick  = 10 * time.Millisecond
+	cores            = 4
+	queue            = 32
+	tileServiceTime  = 25 * time.Millisecond
+	orderServiceTime = 15 * time.Millisecond
+	answerSize       = 512
+	handshake        = 2 * time.Millisecond
+	slowStartFactor  = 2.0
+	warmUpTime       = 2 * time.Second
+	connIdle         = time.Minute
+	connectIn        = 150 * time.Millisecond
+	drainGrace       = 750 * time.Millisecond
+	orderPart        = 0.2 // of the requests; the others are safe to repeat
+	maxSockets       = 4096
+	stallTick        = 10 * time.Millisecond
 )
 
 // Setup is what every experiment needs to know.
 type Setup struct {
 	Program string // path of the sidecar's program
-	Servers int    // at least 4, so that some can be in trouble
+	Servers int    // at least 4, so that some can have a fault
 	Rate    float64
-	Seed    uint64        // of the load, the providers and the sidecar
+	Seed    uint64        // of the load, the servers and the sidecar
 	Dir     string        // an existing folder for the configuration, the snapshot and the log
 	Classes []fakes.Class // one that is safe and one that is not; nil = fakes.Tile and fakes.Order
 }
@@ -57,7 +57,7 @@
 	return s.Classes
 }
 
-// rig is the sidecar's line of processes, its peers and the load on it.
+// rig is the sidecar's line of processes, the fakes around it and the load on it.
 type rig struct {
 	setup Setup
 	fleet *fakes.Fleet
@@ -71,8 +71,8 @@
 	tries   []fakes.Try   // once the load has ended, as the next
 	stall   time.Duration // the longest time by which a timer has come late
 
-	drains map[string]uint64 // by a process's id, the directory's revision that told its drain
-	second time.Time         // when a second life was started
+	drains      map[string]uint64 // by a process's id, discovery's revision that lists its drain
+	restartedAt time.Time         // when a second life was started
 }
 
 // build starts the fleet and the program, which serves when it returns. The edit changes the configuration.
@@ -91,9 +91,9 @@
 		}
 	}()
 	nature := fakes.ProviderOptions{
-		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: coldBy,
-		WarmIn: warmIn, IdleMost: connIdle, Default: fakes.Service{Mean: tileMean, Body: answerSize},
-		Service: map[string]fakes.Service{"order": {Mean: orderMean, Body: answerSize}},
+		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: slowStartFactor,
+		WarmIn: warmUpTime, IdleMost: connIdle, Default: fakes.Service{Mean: tileServiceTime, Body: answerSize},
+		Service: map[string]fakes.Service{"order": {Mean: orderServiceTime, Body: answerSize}},
 	}
 	if r.fleet, err = fakes.NewFleet(network, s.Servers, nature); err != nil {
 		return r, err
@@ -109,8 +109,8 @@
 		Name: "lab", Listen: address, Seed: s.Seed,
 		Directory: r.fleet.Directory.Address(),
 		Known:     fakes.List{Revision: r.fleet.Directory.Revision(), Members: r.fleet.Members()},
-		Classes:   s.classes(), Sockets: socketsMax, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
-		WarmIn: warmIn, Edit: edit,
+		Classes:   s.classes(), Sockets: maxSockets, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
+		WarmIn: warmUpTime, Edit: edit,
 	})
 	if err != nil {
 		return r, err
@@ -156,7 +156,7 @@
 }
 
 // stall returns, at the end of ctx, the longest time by which a timer has come late: so long this process, and any
-// other of the machine, may have been held up.
+// other of the machine, may have been stalled.
 func stall(ctx context.Context) (longest time.Duration) {
 	for before := time.Now(); fakes.Pause(ctx, stallTick) == nil; before = time.Now() {
 		longest = max(longest, time.Since(before)-stallTick)
@@ -172,25 +172,25 @@
 
 // again starts a process in the place of one that has ended.
 func (r *rig) again(ctx context.Context) error {
-	r.second = time.Now()
+	r.restartedAt = time.Now()
 	return r.line.start(ctx)
 }
 
-// some are the first providers of the fleet, a quarter of it.
-func (r *rig) some() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
+// faultyServers are the first servers of the fleet, a quarter of it.
+func (r *rig) faultyServers() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
 
-// release replaces the first so many providers, a quarter of the fleet at a time, by others at new addresses.
-func (r *rig) release(ctx context.Context, most int) error {
+// release replaces the first so many servers, a quarter of the fleet at a time, by others at new addresses.
+func (r *rig) release(ctx context.Context, servers int) error {
 	plan := fakes.Release{
-		Batch: len(r.some()), Most: most, Grace: 1200 * time.Millisecond,
+		Batch: len(r.faultyServers()), Most: servers, Grace: 1200 * time.Millisecond,
 		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true,
 	}
-	notifiedAt := r.fleet.Directory.Revision()
-	for batch := range slices.Chunk(r.fleet.Providers[:most], plan.Batch) {
+	revision := r.fleet.Directory.Revision()
+	for batch := range slices.Chunk(r.fleet.Providers[:servers], plan.Batch) {
 		for _, p := range batch {
-			r.drains[p.ID()] = notifiedAt + 1 // and the next revision tells of its end
+			r.drains[p.ID()] = revision + 1 // and the next revision lists its end
 		}
-		notifiedAt += 2
+		revision += 2
 	}
 	return r.fleet.Release(ctx, plan)
 }
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -41,7 +41,7 @@
 			Name: "release-hidden", About: "every provider is replaced while connections to the directory go silent",
 			event: releaseHidden, after: 11 * time.Second,
 		},
-		{Name: "release-told", About: "the same, told", event: releaseTold, after: 11 * time.Second},
+		{Name: "release-told", About: "the same, told", event: releaseAnnounced, after: 11 * time.Second},
 		{
 			Name: "silence", About: "a quarter of the machines vanish for 4 s and come back cold",
 			event: silence, after: 8 * time.Second,
@@ -70,7 +70,7 @@
 	}
 }
 
-func releaseTold(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
+func releaseAnnounced(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
 
 // releaseHidden loses the answers on every connection that has been open for a moment. New ones are fine.
 func releaseHidden(ctx context.Context, r *rig) error {
@@ -87,7 +87,7 @@
 }
 
 func silence(ctx context.Context, r *rig) error {
-	for _, p := range r.some() {
+	for _, p := range r.faultyServers() {
 		if err := p.Vanish(true); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 		return err
 	}
 	var back []fakes.Member
-	for _, p := range r.some() {
+	for _, p := range r.faultyServers() {
 		p.Kill()
 		if err := p.Start(""); err != nil {
 			return err
@@ -153,7 +153,7 @@
 	if err := fakes.Pause(ctx, time.Second); err != nil {
 		return err
 	}
-	if err := r.release(ctx, len(r.some())); err != nil {
+	if err := r.release(ctx, len(r.faultyServers())); err != nil {
 		return err
 	}
 	if err := fakes.Pause(ctx, time.Until(back)); err != nil {
@@ -162,9 +162,9 @@
 	return r.fleet.Directory.Down(false)
 }
 
-// someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only who has asked knows.
+// someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only a sidecar that has sent requests knows.
 func someFail(r *rig) {
-	for _, p := range r.some() {
+	for _, p := range r.faultyServers() {
 		p.Behave(fakes.Behaviour{FailShare: 0.9, Slow: 0.3})
 	}
 }
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -33,7 +33,7 @@
 	Rate      float64
 	Endpoints []fakes.Member // change, too
 
-	// build: hollow sidecars, told by the template. One of their own, or one for all, is each one's discovery.
+	// build: simulated sidecars by the template, each with a discovery of its own or with one for all.
 	First     int
 	Count     int
 	Template  []byte // prepare, too
@@ -97,7 +97,7 @@
 	discovery *discoveryServer
 	servers   *fakeServers
 	sidecars  []*sidecar
-	busy      *process.Neighbours
+	busy      *process.BusyWatch
 }
 
 // Serve is the life of a part: it obeys the orders that it reads until they end.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	h := &worker{dir: dir, servers: newFakeServers(), busy: process.Watch()}
+	h := &worker{dir: dir, servers: newFakeServers(), busy: process.WatchBusy()}
 	defer h.close()
 	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
 	for {
@@ -116,7 +116,7 @@
 		} else if err != nil {
 			return fmt.Errorf("orders: %w", err)
 		}
-		r, err := h.obey(&o)
+		r, err := h.execute(&o)
 		if err != nil {
 			r.Error = o.Op + ": " + err.Error()
 		}
@@ -137,7 +137,7 @@
 	_ = os.RemoveAll(h.dir)
 }
 
-func (h *worker) obey(o *order) (r reply, err error) {
+func (h *worker) execute(o *order) (r reply, err error) {
 	switch o.Op {
 	case "listen":
 		if h.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Endpoints); err == nil {
@@ -152,27 +152,17 @@
 	case "start":
 		r.Times, err = h.start(len(h.sidecars), o)
 	case "restart":
-		count := min(o.Count, len(h.sidecars))
-		if err = h.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err == nil {
-			r.Times, err = h.start(count, o)
-		}
+		r.Times, err = h.restart(o)
 	case "await":
 		r.Times = h.await(o.Revision, o.Within)
 	case "reload":
-		r.Times = make([]float64, len(h.sidecars))
-		err = h.each(len(h.sidecars), func(i int, s *sidecar) error {
-			err := s.reload()
-			r.Times[i] = unixMs(time.Now())
-			return err
-		})
+		r.Times, err = h.reload()
 	case "calls":
 		for _, s := range h.sidecars {
 			s.rate.Store(uint64(o.PerS * 1e3))
 		}
 	case "down":
-		for _, address := range o.At {
-			h.servers.at(address).down.Store(o.Down)
-		}
+		h.setDown(o.At, o.Down)
 	case "count":
 		r.Counts, err = h.counts()
 	case "sent":
@@ -183,6 +173,33 @@
 	return r, err
 }
 
+// restart ends the first so many and starts them all at once.
+func (h *worker) restart(o *order) ([]float64, error) {
+	count := min(o.Count, len(h.sidecars))
+	if err := h.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err != nil {
+		return nil, err
+	}
+	return h.start(count, o)
+}
+
+// reload has all read their configuration again, and returns when each had.
+func (h *worker) reload() ([]float64, error) {
+	times := make([]float64, len(h.sidecars))
+	err := h.each(len(h.sidecars), func(i int, s *sidecar) error {
+		err := s.reload()
+		times[i] = unixMs(time.Now())
+		return err
+	})
+	return times, err
+}
+
+// setDown has servers refuse connections, or take them again.
+func (h *worker) setDown(addresses []string, down bool) {
+	for _, address := range addresses {
+		h.servers.at(address).down.Store(down)
+	}
+}
+
 func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1e3 }
 
 // build makes the sidecars' configurations.
@@ -216,7 +233,7 @@
 	return group.Wait()
 }
 
-// start starts the first so many and returns after how long each had the directory's first answer in force.
+// start starts the first so many and returns after how long each had discovery's first answer in force.
 func (h *worker) start(count int, o *order) ([]float64, error) {
 	if err := h.each(count, func(_ int, s *sidecar) error { return s.start(o.Known) }); err != nil {
 		return nil, err
@@ -274,7 +291,7 @@
 		c.Refused += s.refused.Load()
 		c.Failed += s.failed.Load()
 		c.WatchFailures += s.failures
-		c.WatchDoubts += s.doubts
+		c.WatchDoubts += s.fullRefreshes
 		if s.stop != nil {
 			c.WatchFailures += s.watch.Failures.Load()
 			c.WatchDoubts += s.watch.FullRefreshes.Load()
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -3,12 +3,9 @@
 import (
 	"context"
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"plankrouter/internal/testbench/process"
 	"slices"
 	"time"
-
-	"golang.org/x/sync/errgroup"
 )
 
 // Plan says how long the scenes are.
@@ -62,14 +59,14 @@
 	*world
 	plan Plan
 	rows []Row
-	busy *process.Neighbours
+	busy *process.BusyWatch
 }
 
 // Play plays all scenes with one fleet.
 func Play(ctx context.Context, set Setup, plan Plan) (rows []Row, err error) {
-	began, busy := time.Now(), process.Watch()
+	began, busy := time.Now(), process.WatchBusy()
 	defer busy.Close()
-	w, times, err := build(ctx, set)
+	w, times, err := startFleet(ctx, set)
 	defer func() {
 		if ended := w.close(); err == nil {
 			err = ended
@@ -83,11 +80,11 @@
 	if err != nil {
 		return nil, err
 	}
-	after.at = began
-	p.row("all start", slices.Concat(spreadFigures(times), p.traffic(after, 0), []Figure{
-		{"memory_mb_a_sidecar", after.Hollow.MemoryMB / float64(set.Sidecars)},
-		{"heap_mb_a_sidecar", after.Hollow.HeapMB / float64(set.Sidecars)},
-		{"memory_mb_all", after.Hollow.MemoryMB + after.Discovery.MemoryMB},
+	after.time = began
+	p.addRow("all start", slices.Concat(spreadMetrics(times), p.traffic(after, 0), []Figure{
+		{"memory_mb_a_sidecar", after.Simulated.MemoryMB / float64(set.Sidecars)},
+		{"heap_mb_a_sidecar", after.Simulated.HeapMB / float64(set.Sidecars)},
+		{"memory_mb_all", after.Simulated.MemoryMB + after.Discovery.MemoryMB},
 	}))
 	for _, scene := range p.scenes() {
 		if len(plan.Only) > 0 && !slices.Contains(plan.Only, scene.name) {
@@ -96,7 +93,7 @@
 		if err := ctx.Err(); err != nil {
 			return p.rows, err
 		}
-		if err := scene.do(p); err != nil {
+		if err := scene.play(p); err != nil {
 			return p.rows, fmt.Errorf("%s: %w", scene.name, err)
 		}
 	}
@@ -106,7 +103,7 @@
 // scene is one that follows the start.
 type scene struct {
 	name string
-	do   func(*play) error
+	play func(*play) error
 }
 
 func (*play) scenes() []scene {
@@ -121,14 +118,14 @@
 	}
 }
 
-func (p *play) row(scene string, figures []Figure) {
+func (p *play) addRow(scene string, metrics []Figure) {
 	late, cores := p.busy.Look()
-	figures = append(figures, Figure{"stall_ms", ms(max(late, p.late))}, Figure{"machine_cores_busy", cores})
+	metrics = append(metrics, Figure{"stall_ms", ms(max(late, p.late))}, Figure{"machine_cores_busy", cores})
 	p.late = 0
-	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: figures})
+	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: metrics})
 }
 
-func spreadFigures(times []float64) []Figure {
+func spreadMetrics(times []float64) []Figure {
 	s := spreadOf(times)
 	return []Figure{{"median_ms", s.median}, {"most99_ms", s.most99}, {"last_ms", s.last}, {"missing", float64(s.missing)}}
 }
@@ -160,9 +157,9 @@
 func (p *play) cpu(u used, long time.Duration) []Figure {
 	part := 100 / long.Seconds() / float64(p.set.Sidecars)
 	return []Figure{
-		{"cpu_sidecar_pct", u.Hollow.CPU.Seconds() * part},
+		{"cpu_sidecar_pct", u.Simulated.CPU.Seconds() * part},
 		{"cpu_discovery_pct", u.Discovery.CPU.Seconds() * part},
-		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
+		{"cores_busy", (u.Simulated.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
 	}
 }
 
@@ -187,229 +184,15 @@
 		return err
 	}
 	s := long.Seconds() * float64(p.set.Sidecars)
-	p.row(scene, slices.Concat(p.cpu(u, long), []Figure{
-		{"calls_s", float64(u.Hollow.Calls) / s},
-		{"probes_s", float64(u.Hollow.Probes) / s},
-		{"refused", float64(u.Hollow.Refused)},
-		{"failed", float64(u.Hollow.Failed)},
+	p.addRow(scene, slices.Concat(p.cpu(u, long), []Figure{
+		{"calls_s", float64(u.Simulated.Calls) / s},
+		{"probes_s", float64(u.Simulated.Probes) / s},
+		{"refused", float64(u.Simulated.Refused)},
+		{"failed", float64(u.Simulated.Failed)},
 	},
 		p.traffic(u, long)))
 	_, err = all(p.simulatedFleet, order{Op: "calls"})
 	return err
 }
 
-// list times single changes, of one line each.
-func (p *play) list() error {
-	var times []float64
-	u, _, err := p.during(func() error {
-		for i := range p.plan.Changes {
-			m := p.endpoints[i%len(p.endpoints)]
-			m.Phase = map[string]string{fakes.Serving: fakes.Draining, fakes.Draining: fakes.Serving}[m.Phase]
-			one, err := p.change([]fakes.Member{m}, p.plan.Within)
-			if err != nil {
-				return err
-			}
-			times = append(times, one...)
-			time.Sleep(p.plan.Gap)
-		}
-		return nil
-	})
-	if err != nil {
-		return err
-	}
-	p.row("list", slices.Concat(spreadFigures(times), p.traffic(u, 0)))
-	return nil
-}
-
-// burst is one change after another, until the last is in force.
-func (p *play) burst() error {
-	quiet, window, err := p.during(p.sleep(p.plan.Window / 4))
-	if err != nil {
-		return err
-	}
-	var times []float64
-	u, long, err := p.during(func() error {
-		for i := range p.plan.Burst {
-			m := p.endpoints[i%len(p.endpoints)]
-			m.UpSince = 1 + int64(i) // another process at the same place, long ago
-			within := time.Duration(0)
-			if i == p.plan.Burst-1 {
-				within = p.plan.Within
-			}
-			if times, err = p.change([]fakes.Member{m}, within); err != nil {
-				return err
-			}
-			time.Sleep(p.plan.Gap)
-		}
-		return nil
-	})
-	if err != nil {
-		return err
-	}
-	n := float64(p.set.Sidecars * p.plan.Burst)
-	extra := u.Hollow.CPU.Seconds() - quiet.Hollow.CPU.Seconds()/window.Seconds()*long.Seconds()
-	there := u.Discovery.CPU.Seconds() - quiet.Discovery.CPU.Seconds()/window.Seconds()*long.Seconds()
-	p.row("burst", slices.Concat(spreadFigures(times), []Figure{
-		{"changes", float64(p.plan.Burst)},
-		{"cpu_us_a_change", extra * 1e6 / n},
-		{"discovery_us_a_change", there * 1e6 / n},
-		{"cores_busy", (u.Hollow.CPU + u.Discovery.CPU).Seconds() / long.Seconds()},
-	},
-		p.traffic(u, 0)))
-	return nil
-}
-
-// configuration changes a class's aim, from the word to read the file until it is in force.
-func (p *play) configuration() error {
-	p.latencyObjective += 10 * time.Millisecond
-	template, err := p.template()
-	if err != nil {
-		return err
-	}
-	if _, err := all(p.simulatedFleet, order{Op: "prepare", Template: template}); err != nil {
-		return err
-	}
-	var times []float64
-	u, long, err := p.during(func() error {
-		began := unixMs(time.Now())
-		times, err = p.times(order{Op: "reload"})
-		times = since(times, began)
-		return err
-	})
-	if err != nil {
-		return err
-	}
-	p.row("configuration", slices.Concat(spreadFigures(times), []Figure{
-		{"cpu_us_a_sidecar", u.Hollow.CPU.Seconds() * 1e6 / float64(p.set.Sidecars)}, {"took_ms", ms(long)},
-	}))
-	return nil
-}
-
 func ms(d time.Duration) float64 { return d.Seconds() * 1e3 }
-
-// zone loses a zone, an eighth of the servers, under calls: they refuse connections and discovery knows at once. Then they come
-// back as new processes.
-func (p *play) zone() error {
-	if _, err := all(p.simulatedFleet, order{Op: "calls", PerS: p.rate()}); err != nil {
-		return err
-	}
-	time.Sleep(p.plan.Settle)
-	var lost []fakes.Member
-	var gone []string
-	for _, m := range p.endpoints {
-		if m.Locality == zone(zones-1) {
-			gone = append(gone, m.Address)
-			m.Phase = fakes.Deleted
-			lost = append(lost, m)
-		}
-	}
-	var times []float64
-	u, long, err := p.during(func() (err error) {
-		if _, err = all(p.simulatedFleet, order{Op: "down", At: gone, Down: true}); err != nil {
-			return err
-		}
-		times, err = p.change(lost, p.plan.Within)
-		time.Sleep(p.plan.Zone)
-		return err
-	})
-	if err != nil {
-		return err
-	}
-	p.row("zone lost", slices.Concat(spreadFigures(times), []Figure{
-		{"lines", float64(len(lost))},
-		{"served", float64(u.Hollow.Served)},
-		{"refused", float64(u.Hollow.Refused)},
-		{"failed", float64(u.Hollow.Failed)},
-		{"unreached", float64(u.Hollow.Unreached)},
-	},
-		p.cpu(u, long)[:2], p.traffic(u, 0)))
-	back := slices.Clone(lost)
-	for i := range back {
-		back[i].Phase, back[i].UpSince = fakes.Serving, time.Now().UnixMilli()
-		back[i].Address = serverAddress(1, slices.IndexFunc(p.endpoints, func(m fakes.Member) bool { return m.ID == back[i].ID }))
-	}
-	before, err := p.sent()
-	if err != nil {
-		return err
-	}
-	if u, long, err = p.during(func() (err error) {
-		times, err = p.change(back, p.plan.Within)
-		time.Sleep(p.plan.Zone)
-		return err
-	}); err != nil {
-		return err
-	}
-	after, err := p.sent()
-	if err != nil {
-		return err
-	}
-	cold, coldMost, warm := 0.0, 0.0, 0.0
-	for _, m := range p.endpoints {
-		n := float64(after[m.Address] - before[m.Address])
-		if m.Locality == zone(zones-1) {
-			cold, coldMost = cold+n, max(coldMost, n)
-		} else {
-			warm += n
-		}
-	}
-	p.row("zone back", slices.Concat(spreadFigures(times), []Figure{
-		{"lines", float64(len(lost))},
-		{"cold_of_warm", cold / float64(len(lost)) / max(1e-9, warm/float64(len(p.endpoints)-len(lost)))},
-		{"coldest_most_of_warm", coldMost / max(1e-9, warm/float64(len(p.endpoints)-len(lost)))},
-		{"served", float64(u.Hollow.Served)},
-		{"refused", float64(u.Hollow.Refused)},
-		{"failed", float64(u.Hollow.Failed)},
-	},
-		p.cpu(u, long)[:2], p.traffic(u, 0)))
-	_, err = all(p.simulatedFleet, order{Op: "calls"})
-	return err
-}
-
-// sent returns the calls that each address has had.
-func (p *play) sent() (map[string]int64, error) {
-	replies, err := all(p.simulatedFleet, order{Op: "sent"})
-	sum := map[string]int64{}
-	for _, r := range replies {
-		for address, n := range r.Sent {
-			sum[address] += n
-		}
-	}
-	return sum, err
-}
-
-const maxRestartTime = 30 * time.Second // for which a restarted sidecar is waited for
-
-// restart ends some sidecars and starts them all at once: with the list of their configuration, then without.
-func (p *play) restart() error {
-	for _, known := range []bool{true, false} {
-		var times []float64
-		u, _, err := p.during(func() error {
-			replies, left := make([]reply, len(p.simulatedFleet)), min(p.plan.Restart, p.set.Sidecars)
-			var group errgroup.Group
-			for i, part := range p.simulatedFleet {
-				n := min(left, p.counts[i])
-				left -= n
-				group.Go(func() (err error) {
-					replies[i], err = part.ask(order{Op: "restart", Count: n, Known: known, Within: maxRestartTime})
-					return err
-				})
-			}
-			if err := group.Wait(); err != nil {
-				return err
-			}
-			for _, r := range replies {
-				times = append(times, r.Times...)
-			}
-			return nil
-		})
-		if err != nil {
-			return err
-		}
-		name := "restart with a list"
-		if !known {
-			name = "restart without one"
-		}
-		p.row(name, slices.Concat([]Figure{{"restarted", float64(len(times))}}, spreadFigures(times), p.traffic(u, 0)))
-	}
-	return nil
-}
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	zones    = 8
-	zoneMark = `"zone-of-this-one"`
-	warmIn   = 8 * time.Second
-	places   = 1024 // sockets of a sidecar
-	memoryMB = 64   // the letter's, of a sidecar
+	zones      = 8
+	zoneMark   = `"zone-of-this-one"`
+	warmUpTime = 8 * time.Second
+	maxSockets = 1024 // sockets of a sidecar
+	memoryMB   = 64   // that the platform grants a sidecar
 )
 
 // Setup is a fleet.
@@ -46,7 +46,7 @@
 	Spawn func(ctx context.Context) (*Part, error)
 }
 
-// Part is a process of the fleet as the one that orders it about sees it.
+// Part is a process of the fleet as seen by the process that controls it.
 type Part struct {
 	orders  *json.Encoder
 	replies *json.Decoder
@@ -87,8 +87,8 @@
 	}
 }
 
-// ask gives an order and waits for the answer.
-func (p *Part) ask(o order) (r reply, err error) {
+// send sends an order and waits for the reply.
+func (p *Part) send(o order) (r reply, err error) {
 	if err := p.orders.Encode(o); err != nil {
 		return r, fmt.Errorf("part: %s: %w", o.Op, err)
 	}
@@ -106,7 +106,7 @@
 	set              Setup
 	endpoints        []fakes.Member // as discovery has them
 	latencyObjective time.Duration
-	discovery        []*Part // one, or one for each of hollow
+	discovery        []*Part // one, or one for each part of the simulated fleet
 	simulatedFleet   []*Part
 	counts           []int // of sidecars, by part
 	known            fakes.List
@@ -131,14 +131,14 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 200+nth, i/250, 1+i%250, 3000)
 }
 
-// template words the configuration of all.
+// template returns the configuration that all share.
 func (w *world) template() ([]byte, error) {
 	tile := fakes.Tile()
 	tile.Aim = w.latencyObjective
 	return fakes.Config(fakes.Sidecar{
 		Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
-		Classes: []fakes.Class{tile}, Sockets: places, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
-		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmIn, Edit: w.edit,
+		Classes: []fakes.Class{tile}, Sockets: maxSockets, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
+		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmUpTime, Edit: w.edit,
 	})
 }
 
@@ -155,8 +155,8 @@
 	}
 }
 
-// build starts the parts and the sidecars, all at once and without a list; times is after how long each had it.
-func build(ctx context.Context, set Setup) (w *world, times []float64, err error) {
+// startFleet starts the parts and the sidecars, all at once and without a list; times is after how long each had it.
+func startFleet(ctx context.Context, set Setup) (w *world, times []float64, err error) {
 	if set.Spawn == nil {
 		set.Spawn = Here
 	}
@@ -187,7 +187,7 @@
 			return w, nil, err
 		}
 		w.simulatedFleet, w.counts = append(w.simulatedFleet, p), append(w.counts, count)
-		if _, err := p.ask(order{Op: "build", First: first, Count: count, Template: template, Discovery: addresses}); err != nil {
+		if _, err := p.send(order{Op: "build", First: first, Count: count, Template: template, Discovery: addresses}); err != nil {
 			return w, nil, err
 		}
 	}
@@ -196,7 +196,7 @@
 		return w, nil, err
 	}
 	c, err := w.count()
-	if sum := c.Hollow.MemoryMB + c.Discovery.MemoryMB; err == nil && set.MaxMemory > 0 && sum > set.MaxMemory {
+	if sum := c.Simulated.MemoryMB + c.Discovery.MemoryMB; err == nil && set.MaxMemory > 0 && sum > set.MaxMemory {
 		err = fmt.Errorf("%d sidecars take %.0f MB with their discovery, and %.0f are allowed", set.Sidecars, sum, set.MaxMemory)
 	}
 	return w, times, err
@@ -213,7 +213,7 @@
 	if w.set.Kind == Pushed {
 		rate = 0
 	}
-	r, err := p.ask(order{Op: "listen", Listeners: listeners, Rate: rate, Endpoints: w.endpoints})
+	r, err := p.send(order{Op: "listen", Listeners: listeners, Rate: rate, Endpoints: w.endpoints})
 	return r.Addresses, err
 }
 
@@ -231,7 +231,7 @@
 	replies := make([]reply, len(parts))
 	var group errgroup.Group
 	for i, p := range parts {
-		group.Go(func() (err error) { replies[i], err = p.ask(o); return err })
+		group.Go(func() (err error) { replies[i], err = p.send(o); return err })
 	}
 	return replies, group.Wait()
 }
@@ -247,16 +247,16 @@
 
 // used is what both sides have used and done.
 type used struct {
-	at                time.Time
-	Hollow, Discovery Counts
+	time                 time.Time
+	Simulated, Discovery Counts
 }
 
 func (w *world) count() (u used, err error) {
-	u.at = time.Now()
+	u.time = time.Now()
 	for _, side := range []struct {
 		parts []*Part
 		sum   *Counts
-	}{{w.simulatedFleet, &u.Hollow}, {w.discovery, &u.Discovery}} {
+	}{{w.simulatedFleet, &u.Simulated}, {w.discovery, &u.Discovery}} {
 		replies, err := all(side.parts, order{Op: "count"})
 		if err != nil {
 			return u, err
@@ -270,7 +270,7 @@
 }
 
 func (u used) minus(o used) used {
-	return used{at: u.at, Hollow: u.Hollow.minus(o.Hollow), Discovery: u.Discovery.minus(o.Discovery)}
+	return used{time: u.time, Simulated: u.Simulated.minus(o.Simulated), Discovery: u.Discovery.minus(o.Discovery)}
 }
 
 // during does something and returns what was used meanwhile and how long it took.
@@ -283,7 +283,7 @@
 		return u, 0, err
 	}
 	after, err := w.count()
-	return after.minus(before), after.at.Sub(before.at), err
+	return after.minus(before), after.time.Sub(before.time), err
 }
 
 // change puts lines in force at discovery and returns after how many ms each sidecar went by it; 0 = not within the time.
--- a/internal/testbench/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// TestShortSoak plays some short runs, over a minute in all: two of all troubles, the others of the ends of processes alone, with deadlines
+// TestShortSoak plays some short runs, over a minute in all: two of all faults, the others of the ends of processes alone, with deadlines
 // short and long and with a crowd. The limits on time are wide, since the machine that runs a suite may be crowded; all other rules are the
 // soak's.
 func TestShortSoak(t *testing.T) {
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if report.Served == 0 || len(report.Troubles) == 0 {
+		if report.Served == 0 || len(report.Faults) == 0 {
 			t.Errorf("seed %d: nothing was played: %+v", run.seed, report)
 		}
 		for _, v := range report.Violations {
