--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -41,7 +41,7 @@
 	predecessor     *hotrestart.Successor // nil = there is none
 }
 
-// program is the running parts.
+// program has the running parts of the process, and is the one owner of its life; see lifecycle.
 type program struct {
 	cfg      *config.Config // as at the start
 	getenv   func(string) string
