--- /dev/null
+++ b/internal/keepalive/estimator.go
@@ -0,0 +1,179 @@
+// Package keepalive decides on which connection a call goes, a kept one or a new one, and whether its last byte is held
+// back for a moment. It learns from how calls end. It does no input or output, reads no clock and draws no random
+// numbers.
+//
+// # The losses
+//
+// Kept connections break without a word: something between has forgotten them, or the provider has, and the call that
+// finds out is reset. Any call may break, on a new connection too, so that only what a kept one adds to that speaks for
+// a new one. All losses are in one unit, the worth of a request of worth 1. With p the probability that the call
+// breaks, w the worth of its request and H = Settings.Handshake:
+//
+//	a kept connection costs  w·L(p) + p·H                        (what breaks must be replaced)
+//	a new one costs          w·L(p) + p·H + H + w·late(dial)     (its own p; dial is learned)
+//	L(p) = p·((1-s)·broken + s·early) + late(pause)              for the pause, if any, for which it is least
+//	broken = 1 for what must not run twice, else Retry + late(time until a break shows, learned)
+//	early  = Retry + late(pause + dial), as nothing has run
+//	late(d) = Hurry·d/Aim, at most 1: the part of requests for which a delay of d is one too many
+//
+// s is the share of breaks that show while the last byte is held back: a provider starts a request once that byte is
+// there, so that what breaks before has not run. It is learned for each length of pause from those held back for as
+// long (Kaplan and Meier, JASA 53, 1958: the others say nothing of the time after theirs), and apart for the breaks
+// that happen on new connections as well and those that only kept ones add.
+//
+// # The probabilities
+//
+// p of a kept connection grows with the time for which it was idle and with the calls that it has carried: a curve over
+// each, in steps of 1.35, so 1-p = (1-idle)·(1-carried). A step's estimate is the mean of a Beta posterior whose prior
+// is centred on its neighbours; then the curve is made monotone by pooling adjacent violators (Ayer et al., 1955;
+// Barlow et al., Statistical Inference under Order Restrictions, 1972). A break is ascribed to the two curves by how far
+// the step of each stands out from the mean. A provider's curves shrink towards the fleet's, which leave out the
+// providers with the most breaks: trouble at one says nothing of the others, the same at several does. A new connection
+// is expected to do as well as kept ones until there is evidence.
+//
+// Evidence fades with a half-life of Settings.Calls calls, bounded on both sides by times, so that a few calls an hour
+// are not forgotten one by one and a thousand a second do not shut out what is new. Without breaks all estimates are
+// exactly 0, and the Book does as a plain pool does: any kept connection, no pause. What has been given up is tried
+// again as its evidence fades, first by what loses least: a request that may run again, or a probe.
+package keepalive
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Use is a call's connection.
+type Use struct {
+	Provider string
+	Idle     time.Duration // of the connection before the call
+	Carried  int           // calls before this one; 0 with Idle 0 = a new connection
+}
+
+func (u Use) kept() bool { return u.Carried > 0 || u.Idle > 0 }
+
+// Fate is how a call ended. Those that ended in other ways (refused, timed out, called off) are not reported.
+type Fate uint8
+
+// The fates.
+const (
+	Answered Fate = iota // whatever the answer said
+	Broken               // the connection was reset or ended after the call's last byte was written
+	Early                // it broke while the last byte was held back: the call has not run
+)
+
+// Stakes are what a call puts at risk.
+type Stakes struct {
+	Once  bool          // it must not run twice: broken, it is lost
+	Aim   time.Duration // in which its answer is wanted; 0 = any time will do
+	Worth float64       // of its request, relative to 1 for a usual one; a small part for a probe, so that it explores
+}
+
+// worth guards against figures that would turn the comparison around.
+func (s *Stakes) worth() float64 {
+	if !(s.Worth > 0) {
+		return 0
+	}
+	return min(s.Worth, 1e6)
+}
+
+// Book is what is known of how connections break. It is not safe for concurrent use.
+type Book struct {
+	set Settings
+
+	odds  float64   // log, that breaks have become several times as frequent
+	clock float64   // in half-lives of the evidence, at the last lesson
+	base  float64   // clock at which a lesson weighed 1: later ones weigh more instead of earlier ones less
+	at    time.Time // of the last lesson
+
+	all       evidence // of all providers together, those that are gone among them
+	whole     evidence // of them too, with every break held against both the idle time and the calls carried
+	breaks    [kinds]breaks
+	providers map[string]*record
+	list      []*record // the same, in the order in which they came
+	suspects  []*record // room for draw
+
+	fleet  belief
+	shown  [kinds][len(pauses)]float64 // share of breaks that show within each pause
+	late   [kinds]float64              // seconds until a break after the last byte shows
+	stale  bool                        // there has been a break since the beliefs were drawn
+	drawn  float64                     // clock at that time
+	drawns int                         // how often they have been
+}
+
+// record is one provider.
+type record struct {
+	name    string
+	seen    evidence
+	thought belief
+	drawns  int     // Book.drawns when the belief was drawn
+	learned float64 // clock at its last lesson
+	apart   bool    // it has so many breaks that the fleet's curves leave it out
+}
+
+// New returns a Book without evidence.
+func New(set Settings) (*Book, error) {
+	if err := set.Check(); err != nil {
+		return nil, err
+	}
+	return &Book{set: set, stale: true, providers: map[string]*record{}}, nil
+}
+
+// record returns the provider's, a new one if there is none. The one that has learned nothing for longest makes room.
+func (b *Book) record(provider string) *record {
+	r := b.providers[provider]
+	if r == nil {
+		if len(b.list) >= b.set.Providers {
+			b.Forget(slices.MinFunc(b.list, func(x, y *record) int { return cmp.Compare(x.learned, y.learned) }).name)
+		}
+		r = &record{name: provider, drawns: -1}
+		b.providers[provider] = r
+		b.list = append(b.list, r)
+	}
+	r.learned = b.clock
+	return r
+}
+
+// Learn takes note of how a call on u ended. held is for how long its last byte was to be held back, as Hold said, also
+// where the connection broke sooner; 0 = not at all. took says when a break showed: for Early counted from the first
+// byte, for Broken from the last; for Answered it does not matter.
+func (b *Book) Learn(now time.Time, u Use, f Fate, held, took time.Duration) {
+	p, usual := b.belief(now, u.Provider).breaks(u)
+	b.tick(now)
+	b.surprise(p, f)
+	r, w := b.record(u.Provider), b.weight()
+	if f == Answered {
+		r.seen.learn(u, w, 0, 0)
+		b.all.learn(u, w, 0, 0)
+		b.whole.learn(u, w, 0, 0)
+		return
+	}
+	b.stale = true
+	b.whole.learn(u, w, w, w)
+	byIdle := w * float32(b.whole.blame(u, 1/w))
+	r.seen.learn(u, w, byIdle, w-byIdle)
+	b.all.learn(u, w, byIdle, w-byIdle)
+	part := float32((usual + little) / (p + little))
+	b.breaks[anywhere].learn(f, held, took, w*part)
+	b.breaks[added].learn(f, held, took, w*(1-part))
+}
+
+// Dialed takes note of the time that a connection took to come up, or to be given up.
+func (b *Book) Dialed(provider string, took time.Duration) {
+	w := b.weight()
+	b.record(provider).seen.dial.learn(w, took)
+	b.all.dial.learn(w, took)
+}
+
+// Forget drops a provider that is gone from the list. What it had in common with others stays with the fleet.
+func (b *Book) Forget(provider string) {
+	r := b.providers[provider]
+	if r == nil {
+		return
+	}
+	if r.apart {
+		b.all.subtract(&r.seen)
+	}
+	delete(b.providers, provider)
+	b.list = slices.DeleteFunc(b.list, func(x *record) bool { return x == r })
+}
--- /dev/null
+++ b/internal/keepalive/posterior.go
@@ -0,0 +1,146 @@
+package keepalive
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// curve is the probability of a break by step, which never falls.
+type curve [steps]float32
+
+// belief is what is concluded from evidence.
+type belief struct {
+	fresh         float64 // probability that a call on a new connection breaks
+	used          float64 // that one on a kept connection does, on the whole
+	idle, carried curve   // that one breaks by the idle time, which takes in what happens to new ones; by calls carried
+	renewal       curve   // by calls carried: breaks that a new connection would save until it has carried as many
+	dial          float64 // seconds
+}
+
+// draw concludes from e, which belongs to a part of the fleet; strength is that of the priors that the fleet gives.
+func (k *belief) draw(e *evidence, fleet *belief, strength float64, scale float32) {
+	k.idle.draw(&e.idle, &fleet.idle, strength, scale)
+	k.carried.draw(&e.carried, &fleet.carried, strength, scale)
+	for i := 2; i < steps; i++ {
+		k.renewal[i] = k.renewal[i-1] + (k.carried[i]-k.carried[i-1])*float32(froms[i])
+	}
+	var kept tally
+	for i := range steps {
+		kept.learn(e.idle[i].calls, e.idle[i].broken+e.carried[i].broken)
+	}
+	k.used = kept.estimate(scale, strength, fleet.used)
+	better := max(0, fleet.used-fleet.fresh) // new ones than kept ones, elsewhere
+	k.fresh = e.fresh.estimate(scale, freshPrior, max(0, k.used-better))
+	k.dial = e.dial.estimate(scale, fleet.dial)
+}
+
+// join is the probability that one of two things happens.
+func join(x, y float32) float64 { return 1 - (1-float64(x))*(1-float64(y)) }
+
+// breaks returns the probability that the call breaks, and how much of it a new connection has as well.
+func (k *belief) breaks(u Use) (p, usual float64) {
+	if !u.kept() {
+		return k.fresh, k.fresh
+	}
+	return k.kept(idleStep(u.Idle), stepOf(float64(u.Carried)))
+}
+
+func (k *belief) kept(idle, carried int) (p, usual float64) {
+	p = join(k.idle[idle], k.carried[carried])
+	return p, min(p, k.fresh)
+}
+
+// draw estimates each step from its own calls and those at its neighbours, then pools adjacent violators. Steps without
+// calls weigh next to nothing, so that far ones that nothing is known of do not water down what is.
+func (c *curve) draw(of *[steps]tally, prior *curve, strength float64, scale float32) {
+	var around, own [steps]tally
+	for i, t := range of { // one with many calls must not speak for those far off
+		own[i] = t
+		own[i].scale(scale * float32(min(1, strength/(float64(t.calls*scale)+little))))
+	}
+	var left, right tally
+	for i := range steps {
+		j := steps - 1 - i
+		around[i].learn(left.calls, left.broken)
+		around[j].learn(right.calls, right.broken)
+		left.learn(own[i].calls, own[i].broken)
+		right.learn(own[j].calls, own[j].broken)
+		left.scale(near)
+		right.scale(near)
+	}
+	var blocks [steps]struct {
+		value, weight float32
+		end           int
+	}
+	n := 0
+	for i := range steps {
+		m := around[i].estimate(1, strength*nearPrior, float64(prior[i]))
+		blocks[n].value = float32(of[i].estimate(scale, strength, m))
+		blocks[n].weight, blocks[n].end = of[i].calls*scale+faded, i+1
+		for n++; n > 1 && blocks[n-2].value > blocks[n-1].value; n-- {
+			x, y := &blocks[n-2], &blocks[n-1]
+			x.value = (x.value*x.weight + y.value*y.weight) / (x.weight + y.weight)
+			x.weight, x.end = x.weight+y.weight, y.end
+		}
+	}
+	i := 0
+	for _, b := range blocks[:n] {
+		for ; i < b.end; i++ {
+			c[i] = b.value
+		}
+	}
+}
+
+// belief returns what is thought of the provider, which for an unknown one is what is thought of the fleet.
+func (b *Book) belief(now time.Time, provider string) *belief {
+	clock := b.clockAt(now)
+	scale := func() float32 { return float32(math.Exp2(b.base - clock)) }
+	if b.stale || clock-b.drawn > refit {
+		b.stale, b.drawn = false, clock
+		b.drawns++
+		b.draw(scale())
+	}
+	r := b.providers[provider]
+	if r == nil {
+		return &b.fleet
+	}
+	if r.drawns != b.drawns {
+		r.drawns = b.drawns
+		r.thought.draw(&r.seen, &b.fleet, providerPrior, scale())
+	}
+	return &r.thought
+}
+
+// draw concludes from the evidence what is thought of the fleet and of breaks. The providers with the most breaks are
+// left out, one in eight and one more: an eighth of breaks all over the fleet is little, a lone culprit's are all.
+func (b *Book) draw(scale float32) {
+	suspects := b.suspects[:0]
+	for _, r := range b.list {
+		r.apart = false
+		if r.seen.broken > 0 {
+			suspects = append(suspects, r)
+		}
+	}
+	slices.SortStableFunc(suspects, byBreaks)
+	b.suspects = suspects
+	common := b.all
+	for _, r := range suspects[:min(len(suspects), 1+len(b.list)/8)] {
+		r.apart = true
+		common.subtract(&r.seen)
+	}
+	b.fleet.draw(&common, &belief{}, stepPrior, scale)
+	for kind := range b.breaks {
+		d := &b.breaks[kind]
+		hidden := 1.0
+		for i, p := range pauses {
+			hidden *= 1 - d.shown[i].estimate(scale, shownPrior, p.shows)
+			b.shown[kind][i] = 1 - hidden
+		}
+		b.late[kind] = d.late.estimate(scale, 0)
+	}
+}
+
+// byBreaks puts the provider with the most breaks first.
+func byBreaks(x, y *record) int { return cmp.Compare(y.seen.broken, x.seen.broken) }
