--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -17,9 +17,9 @@
 
 // Figures are the settings that may change while a Caller works.
 type Figures struct {
-	Connect  time.Duration      // for a connection to come up
-	ConnIdle time.Duration      // after which a server closes an idle one
-	Stakes   []keepalive.Stakes // by class of requests
+	Connect  time.Duration         // for a connection to come up
+	ConnIdle time.Duration         // after which a server closes an idle one
+	Stakes   []keepalive.RetryCost // by class of requests
 }
 
 // Settings are what a Caller works by.
@@ -33,10 +33,10 @@
 }
 
 // Stakes are the costs of a broken connection to a request, by the policy's classes.
-func Stakes(classes []policy.Class) (out []keepalive.Stakes) {
+func Stakes(classes []policy.Class) (out []keepalive.RetryCost) {
 	for _, c := range classes {
 		objective := time.Duration(c.LatencyObjective * float64(time.Millisecond))
-		out = append(out, keepalive.Stakes{Once: c.Idempotency == policy.NonIdempotent, Aim: objective, Worth: c.PriorityWeight})
+		out = append(out, keepalive.RetryCost{NonIdempotent: c.Idempotency == policy.NonIdempotent, LatencyObjective: objective, PriorityWeight: c.PriorityWeight})
 	}
 	return out
 }
@@ -49,9 +49,9 @@
 	figures  atomic.Pointer[Figures]
 	wg       sync.WaitGroup
 
-	mu           sync.Mutex      // guards what follows, and the endpoints' idle connections
-	estimator    *keepalive.Book // of how connections break
-	idleOutcomes outcome.Counts  // how idle connections have ended
+	mu           sync.Mutex           // guards what follows, and the endpoints' idle connections
+	estimator    *keepalive.Estimator // of how connections break
+	idleOutcomes outcome.Counts       // how idle connections have ended
 }
 
 // New returns a Caller whose connections end with ctx.
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -20,7 +20,7 @@
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
 			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{
 				Connect: time.Second, ConnIdle: time.Hour,
-				Stakes: []keepalive.Stakes{{Once: true, Worth: 1}},
+				Stakes: []keepalive.RetryCost{{NonIdempotent: true, PriorityWeight: 1}},
 			}})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/backend/connchooser.go
+++ b/internal/backend/connchooser.go
@@ -7,7 +7,7 @@
 )
 
 // probeCost is that of a probe: it may be sent again, and little depends on it.
-var probeCost = keepalive.Stakes{Worth: 0.05}
+var probeCost = keepalive.RetryCost{PriorityWeight: 0.05}
 
 // connChooser picks the connection for an attempt, and how it is written. It is called with the Caller's lock held.
 type connChooser interface {
@@ -24,7 +24,7 @@
 func (u connUse) isKept() bool { return u.attempts > 0 || u.idle > 0 }
 
 func (u connUse) keepaliveUse(server string) keepalive.Use {
-	return keepalive.Use{Provider: server, Idle: u.idle, Carried: u.attempts}
+	return keepalive.Use{Server: server, Idle: u.idle, Carried: u.attempts}
 }
 
 // deadConn is how a reused connection was found dead.
@@ -36,10 +36,10 @@
 
 // estimatorChooser chooses by what the estimator has learned.
 type estimatorChooser struct {
-	estimator *keepalive.Book
+	estimator *keepalive.Estimator
 	now       time.Time
 	server    string
-	cost      keepalive.Stakes
+	cost      keepalive.RetryCost
 }
 
 func (c estimatorChooser) mayReuse(u connUse) bool {
--- a/internal/keepalive/breaks.go
+++ b/internal/keepalive/breaks.go
@@ -29,7 +29,7 @@
 	late  mean               // seconds until one shows, after the last byte
 }
 
-func (d *breaks) learn(f Fate, held, took time.Duration, w float32) {
+func (d *breaks) learn(f Outcome, held, took time.Duration, w float32) {
 	if f == Broken {
 		d.late.learn(w, took)
 	}
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -6,13 +6,13 @@
 )
 
 // tick moves the clock to a lesson at now.
-func (b *Book) tick(now time.Time) {
-	passed := float64(max(0, now.Sub(b.at)))
-	if b.at.IsZero() {
+func (b *Estimator) tick(now time.Time) {
+	passed := float64(max(0, now.Sub(b.lastLesson)))
+	if b.lastLesson.IsZero() {
 		passed = 0
 	}
-	b.at = now
-	b.clock += min(max(1/b.set.Calls, passed/float64(b.set.LongHalfLife)), passed/float64(b.set.HalfLife))
+	b.lastLesson = now
+	b.clock += min(max(1/b.settings.Calls, passed/float64(b.settings.LongHalfLife)), passed/float64(b.settings.HalfLife))
 	if b.clock-b.base > precise {
 		b.scale(b.base - b.clock)
 		b.base = b.clock
@@ -20,18 +20,18 @@
 }
 
 // clockAt is the clock at now, without a lesson.
-func (b *Book) clockAt(now time.Time) float64 {
-	if b.at.IsZero() {
+func (b *Estimator) clockAt(now time.Time) float64 {
+	if b.lastLesson.IsZero() {
 		return b.clock
 	}
-	return b.clock + float64(max(0, now.Sub(b.at)))/float64(b.set.LongHalfLife)
+	return b.clock + float64(max(0, now.Sub(b.lastLesson)))/float64(b.settings.LongHalfLife)
 }
 
 // scale multiplies all evidence by a power of two.
-func (b *Book) scale(power float64) {
+func (b *Estimator) scale(power float64) {
 	by := float32(math.Exp2(power))
 	b.all.scale(by)
-	b.whole.scale(by)
+	b.doublyBlamed.scale(by)
 	for _, r := range b.list {
 		r.seen.scale(by)
 	}
@@ -41,7 +41,7 @@
 }
 
 // weight is what a lesson counts for now.
-func (b *Book) weight() float32 { return float32(math.Exp2(b.clock - b.base)) }
+func (b *Estimator) weight() float32 { return float32(math.Exp2(b.clock - b.base)) }
 
 const (
 	changed = 8.0      // logarithm of the odds at which circumstances count as changed
@@ -50,10 +50,10 @@
 	precise = 20.0     // half-lives in which the weights grow before all are made small again
 )
 
-// surprise is Page's cumulative sum (Biometrika 41, 1954) of the log-likelihood ratio of breaks being several times as
+// detectChange is Page's cumulative sum (Biometrika 41, 1954) of the log-likelihood ratio of breaks being several times as
 // frequent as was thought, p. When it is high, circumstances have changed, and what was learned before counts for
 // little.
-func (b *Book) surprise(p float64, f Fate) {
+func (b *Estimator) detectChange(p float64, f Outcome) {
 	p += 0.01
 	many := 3*p + 0.05
 	switch {
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -45,89 +45,89 @@
 
 // Use is a call's connection.
 type Use struct {
-	Provider string
-	Idle     time.Duration // of the connection before the call
-	Carried  int           // calls before this one; 0 with Idle 0 = a new connection
+	Server  string
+	Idle    time.Duration // of the connection before the call
+	Carried int           // calls before this one; 0 with Idle 0 = a new connection
 }
 
-func (u Use) kept() bool { return u.Carried > 0 || u.Idle > 0 }
+func (u Use) isKept() bool { return u.Carried > 0 || u.Idle > 0 }
 
-// Fate is how a call ended. Those that ended in other ways (refused, timed out, called off) are not reported.
-type Fate uint8
+// Outcome is how a call ended. Those that ended in other ways (refused, timed out, called off) are not reported.
+type Outcome uint8
 
 // The fates.
 const (
-	Answered Fate = iota // whatever the answer said
-	Broken               // the connection was reset or ended after the call's last byte was written
-	Early                // it broke while the last byte was held back: the call has not run
+	Answered Outcome = iota // whatever the answer said
+	Broken                  // the connection was reset or ended after the call's last byte was written
+	Early                   // it broke while the last byte was held back: the call has not run
 )
 
-// Stakes are what a call puts at risk.
-type Stakes struct {
-	Once  bool          // it must not run twice: broken, it is lost
-	Aim   time.Duration // in which its answer is wanted; 0 = any time will do
-	Worth float64       // of its request, relative to 1 for a usual one; a small part for a probe, so that it explores
+// RetryCost are what a call puts at risk.
+type RetryCost struct {
+	NonIdempotent    bool          // it must not run twice: broken, it is lost
+	LatencyObjective time.Duration // in which its answer is wanted; 0 = any time will do
+	PriorityWeight   float64       // of its request, relative to 1 for a usual one; a small part for a probe, so that it explores
 }
 
-// worth guards against figures that would turn the comparison around.
-func (s *Stakes) worth() float64 {
-	if !(s.Worth > 0) {
+// boundedWeight guards against figures that would turn the comparison around.
+func (s *RetryCost) boundedWeight() float64 {
+	if !(s.PriorityWeight > 0) {
 		return 0
 	}
-	return min(s.Worth, 1e6)
+	return min(s.PriorityWeight, 1e6)
 }
 
-// Book is what is known of how connections break. It is not safe for concurrent use.
-type Book struct {
-	set Settings
-
-	odds  float64   // log, that breaks have become several times as frequent
-	clock float64   // in half-lives of the evidence, at the last lesson
-	base  float64   // clock at which a lesson weighed 1: later ones weigh more instead of earlier ones less
-	at    time.Time // of the last lesson
-
-	all       evidence // of all providers together, those that are gone among them
-	whole     evidence // of them too, with every break held against both the idle time and the calls carried
-	breaks    [kinds]breaks
-	providers map[string]*record
-	list      []*record // the same, in the order in which they came
-	suspects  []*record // room for draw
-
-	fleet  belief
-	shown  [kinds][len(pauses)]float64 // share of breaks that show within each pause
-	late   [kinds]float64              // seconds until a break after the last byte shows
-	stale  bool                        // there has been a break since the beliefs were drawn
-	drawn  float64                     // clock at that time
-	drawns int                         // how often they have been
+// Estimator is what is known of how connections break. It is not safe for concurrent use.
+type Estimator struct {
+	settings Settings
+
+	odds       float64   // log, that breaks have become several times as frequent
+	clock      float64   // in half-lives of the evidence, at the last lesson
+	base       float64   // clock at which a lesson weighed 1: later ones weigh more instead of earlier ones less
+	lastLesson time.Time // of the last lesson
+
+	all          evidence // of all providers together, those that are gone among them
+	doublyBlamed evidence // of them too, with every break held against both the idle time and the calls carried
+	breaks       [kinds]breaks
+	servers      map[string]*serverRecord
+	list         []*serverRecord // the same, in the order in which they came
+	suspects     []*serverRecord // room for draw
+
+	fleet   posterior
+	shown   [kinds][len(pauses)]float64 // share of breaks that show within each pause
+	late    [kinds]float64              // seconds until a break after the last byte shows
+	stale   bool                        // there has been a break since the beliefs were drawn
+	drawnAt float64                     // clock at that time
+	draws   int                         // how often they have been
 }
 
-// record is one provider.
-type record struct {
-	name    string
-	seen    evidence
-	thought belief
-	drawns  int     // Book.drawns when the belief was drawn
-	learned float64 // clock at its last lesson
-	apart   bool    // it has so many breaks that the fleet's curves leave it out
+// serverRecord is one provider.
+type serverRecord struct {
+	name      string
+	seen      evidence
+	posterior posterior
+	draws     int     // Book.drawns when the belief was drawn
+	learned   float64 // clock at its last lesson
+	leftOut   bool    // it has so many breaks that the fleet's curves leave it out
 }
 
 // New returns a Book without evidence.
-func New(set Settings) (*Book, error) {
+func New(set Settings) (*Estimator, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Book{set: set, stale: true, providers: map[string]*record{}}, nil
+	return &Estimator{settings: set, stale: true, servers: map[string]*serverRecord{}}, nil
 }
 
-// record returns the provider's, a new one if there is none. The one that has learned nothing for longest makes room.
-func (b *Book) record(provider string) *record {
-	r := b.providers[provider]
+// serverRecord returns the provider's, a new one if there is none. The one that has learned nothing for longest makes room.
+func (b *Estimator) record(server string) *serverRecord {
+	r := b.servers[server]
 	if r == nil {
-		if len(b.list) >= b.set.Providers {
-			b.Forget(slices.MinFunc(b.list, func(x, y *record) int { return cmp.Compare(x.learned, y.learned) }).name)
+		if len(b.list) >= b.settings.MaxServers {
+			b.Forget(slices.MinFunc(b.list, func(x, y *serverRecord) int { return cmp.Compare(x.learned, y.learned) }).name)
 		}
-		r = &record{name: provider, drawns: -1}
-		b.providers[provider] = r
+		r = &serverRecord{name: server, draws: -1}
+		b.servers[server] = r
 		b.list = append(b.list, r)
 	}
 	r.learned = b.clock
@@ -137,20 +137,20 @@
 // Learn takes note of how a call on u ended. held is for how long its last byte was to be held back, as Hold said, also
 // where the connection broke sooner; 0 = not at all. took says when a break showed: for Early counted from the first
 // byte, for Broken from the last; for Answered it does not matter.
-func (b *Book) Learn(now time.Time, u Use, f Fate, held, took time.Duration) {
-	p, usual := b.belief(now, u.Provider).breaks(u)
+func (b *Estimator) Learn(now time.Time, u Use, f Outcome, held, took time.Duration) {
+	p, usual := b.posterior(now, u.Server).breaks(u)
 	b.tick(now)
-	b.surprise(p, f)
-	r, w := b.record(u.Provider), b.weight()
+	b.detectChange(p, f)
+	r, w := b.record(u.Server), b.weight()
 	if f == Answered {
 		r.seen.learn(u, w, 0, 0)
 		b.all.learn(u, w, 0, 0)
-		b.whole.learn(u, w, 0, 0)
+		b.doublyBlamed.learn(u, w, 0, 0)
 		return
 	}
 	b.stale = true
-	b.whole.learn(u, w, w, w)
-	byIdle := w * float32(b.whole.blame(u, 1/w))
+	b.doublyBlamed.learn(u, w, w, w)
+	byIdle := w * float32(b.doublyBlamed.idleShareOfBreak(u, 1/w))
 	r.seen.learn(u, w, byIdle, w-byIdle)
 	b.all.learn(u, w, byIdle, w-byIdle)
 	part := float32((usual + little) / (p + little))
@@ -159,21 +159,21 @@
 }
 
 // Dialed takes note of the time that a connection took to come up, or to be given up.
-func (b *Book) Dialed(provider string, took time.Duration) {
+func (b *Estimator) Dialed(server string, took time.Duration) {
 	w := b.weight()
-	b.record(provider).seen.dial.learn(w, took)
+	b.record(server).seen.dial.learn(w, took)
 	b.all.dial.learn(w, took)
 }
 
 // Forget drops a provider that is gone from the list. What it had in common with others stays with the fleet.
-func (b *Book) Forget(provider string) {
-	r := b.providers[provider]
+func (b *Estimator) Forget(server string) {
+	r := b.servers[server]
 	if r == nil {
 		return
 	}
-	if r.apart {
+	if r.leftOut {
 		b.all.subtract(&r.seen)
 	}
-	delete(b.providers, provider)
-	b.list = slices.DeleteFunc(b.list, func(x *record) bool { return x == r })
+	delete(b.servers, server)
+	b.list = slices.DeleteFunc(b.list, func(x *serverRecord) bool { return x == r })
 }
--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -14,15 +14,15 @@
 
 // Strengths of the priors, in calls.
 const (
-	stepPrior     = 8.0  // of a step of the fleet's curves, centred on its neighbours
-	providerPrior = 16.0 // likewise, of a provider's
-	near          = 0.5  // what a neighbour counts for; one further off, the square of that, and so on
-	nearPrior     = 0.25 // part of the above with which the neighbours' mean is centred on the fleet's curve
-	freshPrior    = 8.0  // of new connections, centred on kept ones
-	shownPrior    = 2.0  // of the share of breaks that a pause shows
-	meanPrior     = 4.0  // of a provider's mean time, centred on the fleet's
-	faded         = 0.01 // less is no evidence
-	little        = 1e-9
+	stepPrior    = 8.0  // of a step of the fleet's curves, centred on its neighbours
+	serverPrior  = 16.0 // likewise, of a provider's
+	near         = 0.5  // what a neighbour counts for; one further off, the square of that, and so on
+	nearPrior    = 0.25 // part of the above with which the neighbours' mean is centred on the fleet's curve
+	newConnPrior = 8.0  // of new connections, centred on kept ones
+	shownPrior   = 2.0  // of the share of breaks that a pause shows
+	meanPrior    = 4.0  // of a provider's mean time, centred on the fleet's
+	faded        = 0.01 // less is no evidence
+	little       = 1e-9
 )
 
 var (
@@ -83,7 +83,7 @@
 
 // evidence is what calls have shown, of one provider or of all.
 type evidence struct {
-	fresh         tally        // on new connections
+	onNewConns    tally        // on new connections
 	idle, carried [steps]tally // on kept ones
 	dial          mean
 	broken        float32 // of all calls
@@ -92,30 +92,30 @@
 // learn adds a call of weight w, and what of it was lost by the idle time and by the calls carried.
 func (e *evidence) learn(u Use, w, byIdle, byCarried float32) {
 	e.broken += byIdle + byCarried
-	if !u.kept() {
-		e.fresh.learn(w, byIdle+byCarried)
+	if !u.isKept() {
+		e.onNewConns.learn(w, byIdle+byCarried)
 		return
 	}
 	e.idle[idleStep(u.Idle)].learn(w, byIdle)
 	e.carried[stepOf(float64(u.Carried))].learn(w, byCarried)
 }
 
-// blame is the part of a break that the idle time is to answer for, the rest being that of the calls carried. e holds
+// idleShareOfBreak is the part of a break that the idle time is to answer for, the rest being that of the calls carried. e holds
 // all breaks against both. What stands out from the mean by chance counts little beside what does for a reason, hence
 // the squares; where nothing stands out, it is the idle time.
-func (e *evidence) blame(u Use, scale float32) float64 {
+func (e *evidence) idleShareOfBreak(u Use, scale float32) float64 {
 	var kept tally
 	for _, t := range e.idle {
 		kept.learn(t.calls, t.broken)
 	}
 	usual := kept.estimate(scale, faded, 0)
-	x, y := risen(&e.idle, idleStep(u.Idle), scale, usual), risen(&e.carried, stepOf(float64(u.Carried)), scale, usual)
+	x, y := squaredExcess(&e.idle, idleStep(u.Idle), scale, usual), squaredExcess(&e.carried, stepOf(float64(u.Carried)), scale, usual)
 	x += usual*usual + little
 	return x / (x + y)
 }
 
-// risen is the square of what a step and its neighbours lie above the mean.
-func risen(of *[steps]tally, step int, scale float32, usual float64) float64 {
+// squaredExcess is the square of what a step and its neighbours lie above the mean.
+func squaredExcess(of *[steps]tally, step int, scale float32, usual float64) float64 {
 	t := of[step]
 	for _, i := range []int{step - 1, step + 1} {
 		if i >= 0 && i < steps {
@@ -127,7 +127,7 @@
 }
 
 func (e *evidence) scale(by float32) {
-	e.fresh.scale(by)
+	e.onNewConns.scale(by)
 	e.dial.scale(by)
 	e.broken *= by
 	for i := range steps {
@@ -138,7 +138,7 @@
 
 // subtract leaves out what o counted of calls.
 func (e *evidence) subtract(o *evidence) {
-	e.fresh.subtract(o.fresh)
+	e.onNewConns.subtract(o.onNewConns)
 	e.broken = max(0, e.broken-o.broken)
 	for i := range steps {
 		e.idle[i].subtract(o.idle[i])
--- a/internal/keepalive/golden_test.go
+++ b/internal/keepalive/golden_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := book(t)
+	restored := newEstimator(t)
 	if err := restored.Restore(began, stored, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keepalive/posterior.go
+++ b/internal/keepalive/posterior.go
@@ -10,9 +10,9 @@
 // curve is the probability of a break by step, which never falls.
 type curve [steps]float32
 
-// belief is what is concluded from evidence.
-type belief struct {
-	fresh         float64 // probability that a call on a new connection breaks
+// posterior is what is concluded from evidence.
+type posterior struct {
+	onNewConns    float64 // probability that a call on a new connection breaks
 	used          float64 // that one on a kept connection does, on the whole
 	idle, carried curve   // that one breaks by the idle time, which takes in what happens to new ones; by calls carried
 	renewal       curve   // by calls carried: breaks that a new connection would save until it has carried as many
@@ -20,7 +20,7 @@
 }
 
 // draw concludes from e, which belongs to a part of the fleet; strength is that of the priors that the fleet gives.
-func (k *belief) draw(e *evidence, fleet *belief, strength float64, scale float32) {
+func (k *posterior) draw(e *evidence, fleet *posterior, strength float64, scale float32) {
 	k.idle.draw(&e.idle, &fleet.idle, strength, scale)
 	k.carried.draw(&e.carried, &fleet.carried, strength, scale)
 	for i := 2; i < steps; i++ {
@@ -31,8 +31,8 @@
 		kept.learn(e.idle[i].calls, e.idle[i].broken+e.carried[i].broken)
 	}
 	k.used = kept.estimate(scale, strength, fleet.used)
-	better := max(0, fleet.used-fleet.fresh) // new ones than kept ones, elsewhere
-	k.fresh = e.fresh.estimate(scale, freshPrior, max(0, k.used-better))
+	better := max(0, fleet.used-fleet.onNewConns) // new ones than kept ones, elsewhere
+	k.onNewConns = e.onNewConns.estimate(scale, newConnPrior, max(0, k.used-better))
 	k.dial = e.dial.estimate(scale, fleet.dial)
 }
 
@@ -40,16 +40,16 @@
 func join(x, y float32) float64 { return 1 - (1-float64(x))*(1-float64(y)) }
 
 // breaks returns the probability that the call breaks, and how much of it a new connection has as well.
-func (k *belief) breaks(u Use) (p, usual float64) {
-	if !u.kept() {
-		return k.fresh, k.fresh
+func (k *posterior) breaks(u Use) (p, usual float64) {
+	if !u.isKept() {
+		return k.onNewConns, k.onNewConns
 	}
 	return k.kept(idleStep(u.Idle), stepOf(float64(u.Carried)))
 }
 
-func (k *belief) kept(idle, carried int) (p, usual float64) {
+func (k *posterior) kept(idle, carried int) (p, usual float64) {
 	p = join(k.idle[idle], k.carried[carried])
-	return p, min(p, k.fresh)
+	return p, min(p, k.onNewConns)
 }
 
 // draw estimates each step from its own calls and those at its neighbours, then pools adjacent violators. Steps without
@@ -93,32 +93,32 @@
 	}
 }
 
-// belief returns what is thought of the provider, which for an unknown one is what is thought of the fleet.
-func (b *Book) belief(now time.Time, provider string) *belief {
+// posterior returns what is thought of the provider, which for an unknown one is what is thought of the fleet.
+func (b *Estimator) posterior(now time.Time, server string) *posterior {
 	clock := b.clockAt(now)
 	scale := func() float32 { return float32(math.Exp2(b.base - clock)) }
-	if b.stale || clock-b.drawn > refit {
-		b.stale, b.drawn = false, clock
-		b.drawns++
+	if b.stale || clock-b.drawnAt > refit {
+		b.stale, b.drawnAt = false, clock
+		b.draws++
 		b.draw(scale())
 	}
-	r := b.providers[provider]
+	r := b.servers[server]
 	if r == nil {
 		return &b.fleet
 	}
-	if r.drawns != b.drawns {
-		r.drawns = b.drawns
-		r.thought.draw(&r.seen, &b.fleet, providerPrior, scale())
+	if r.draws != b.draws {
+		r.draws = b.draws
+		r.posterior.draw(&r.seen, &b.fleet, serverPrior, scale())
 	}
-	return &r.thought
+	return &r.posterior
 }
 
 // draw concludes from the evidence what is thought of the fleet and of breaks. The providers with the most breaks are
 // left out, one in eight and one more: an eighth of breaks all over the fleet is little, a lone culprit's are all.
-func (b *Book) draw(scale float32) {
+func (b *Estimator) draw(scale float32) {
 	suspects := b.suspects[:0]
 	for _, r := range b.list {
-		r.apart = false
+		r.leftOut = false
 		if r.seen.broken > 0 {
 			suspects = append(suspects, r)
 		}
@@ -127,10 +127,10 @@
 	b.suspects = suspects
 	common := b.all
 	for _, r := range suspects[:min(len(suspects), 1+len(b.list)/8)] {
-		r.apart = true
+		r.leftOut = true
 		common.subtract(&r.seen)
 	}
-	b.fleet.draw(&common, &belief{}, stepPrior, scale)
+	b.fleet.draw(&common, &posterior{}, stepPrior, scale)
 	for kind := range b.breaks {
 		d := &b.breaks[kind]
 		hidden := 1.0
@@ -143,4 +143,4 @@
 }
 
 // byBreaks puts the provider with the most breaks first.
-func byBreaks(x, y *record) int { return cmp.Compare(y.seen.broken, x.seen.broken) }
+func byBreaks(x, y *serverRecord) int { return cmp.Compare(y.seen.broken, x.seen.broken) }
--- a/internal/keepalive/reuse_test.go
+++ b/internal/keepalive/reuse_test.go
@@ -12,14 +12,14 @@
 
 var (
 	began = time.Unix(1e9, 0)
-	order = Stakes{Once: true, Aim: aim, Worth: 1}
-	query = Stakes{Aim: aim, Worth: 1}
-	probe = Stakes{Worth: 0.05}
+	order = RetryCost{NonIdempotent: true, LatencyObjective: aim, PriorityWeight: 1}
+	query = RetryCost{LatencyObjective: aim, PriorityWeight: 1}
+	probe = RetryCost{PriorityWeight: 0.05}
 )
 
-func book(t testing.TB) *Book {
+func newEstimator(t testing.TB) *Estimator {
 	t.Helper()
-	b, err := New(priced())
+	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 
 // lesson is a number of calls on one connection, broken ones spread among them evenly.
 type lesson struct {
-	provider      string
+	server        string
 	idle          time.Duration
 	carried       int
 	calls, broken int
@@ -36,12 +36,12 @@
 	early         bool
 }
 
-func kept(provider string, idle time.Duration, calls, broken int) lesson {
-	return lesson{provider: provider, idle: idle, carried: 3, calls: calls, broken: broken}
+func kept(server string, idle time.Duration, calls, broken int) lesson {
+	return lesson{server: server, idle: idle, carried: 3, calls: calls, broken: broken}
 }
 
 // teach has a call each 10 ms and returns the time after the last.
-func teach(b *Book, now time.Time, lessons ...lesson) time.Time {
+func teach(b *Estimator, now time.Time, lessons ...lesson) time.Time {
 	for _, l := range lessons {
 		for i := range l.calls {
 			f := Answered
@@ -51,7 +51,7 @@
 				}
 			}
 			now = now.Add(10 * ms)
-			b.Learn(now, Use{l.provider, l.idle, l.carried}, f, l.held, l.took)
+			b.Learn(now, Use{l.server, l.idle, l.carried}, f, l.held, l.took)
 		}
 	}
 	return now
@@ -64,10 +64,10 @@
 	clean := kept(a, 20*ms, 300, 0)
 	part := kept(a, 200*ms, 50, 10)
 	all := kept(a, 200*ms, 50, 50)
-	worn := lesson{provider: a, idle: 20 * ms, carried: 100, calls: 50, broken: 10}
+	worn := lesson{server: a, idle: 20 * ms, carried: 100, calls: 50, broken: 10}
 	other := kept(b, 20*ms, 100, 100)
-	onNew := func(l lesson) []lesson { return []lesson{l, {provider: a, calls: l.calls, broken: l.broken}} }
-	at := func(provider string, l lesson) lesson { l.provider = provider; return l }
+	onNew := func(l lesson) []lesson { return []lesson{l, {server: a, calls: l.calls, broken: l.broken}} }
+	at := func(server string, l lesson) lesson { l.server = server; return l }
 	for name, c := range map[string]struct {
 		seen     []lesson
 		use      Use
@@ -87,9 +87,9 @@
 		"an unknown one's neighbour": {[]lesson{other}, Use{a, 20 * ms, 3}, "kkk"},
 		"several have the trouble":   {[]lesson{clean, at("c", all), at("d", all)}, Use{a, 200 * ms, 3}, "nnk"},
 	} {
-		b := book(t)
+		b := newEstimator(t)
 		now, got := teach(b, began, c.seen...), ""
-		for _, s := range []Stakes{order, query, probe} {
+		for _, s := range []RetryCost{order, query, probe} {
 			if b.Take(now, c.use, s) {
 				got += "k"
 			} else {
@@ -104,11 +104,11 @@
 
 // What has been given up is tried again, by the cheapest first, though nobody goes there meanwhile.
 func TestWayBack(t *testing.T) {
-	b := book(t)
+	b := newEstimator(t)
 	bad := kept("a", 200*ms, 100, 100)
-	now := teach(b, began, lesson{provider: "a", calls: 100}, bad)
+	now := teach(b, began, lesson{server: "a", calls: 100}, bad)
 	var back []time.Duration
-	for _, s := range []Stakes{query, order} {
+	for _, s := range []RetryCost{query, order} {
 		start := now
 		for !b.Take(now, Use{"a", 200 * ms, 3}, s) && now.Sub(start) < 3*time.Hour {
 			now = now.Add(time.Minute)
@@ -119,7 +119,7 @@
 		t.Errorf("with no calls at all a query goes there again after %s, an order %s later", back[0], back[1])
 	}
 	for now = teach(b, now, bad); ; {
-		now = teach(b, now, lesson{provider: "a", calls: 100})
+		now = teach(b, now, lesson{server: "a", calls: 100})
 		if b.Take(now, Use{"a", 200 * ms, 3}, order) {
 			break
 		}
@@ -131,13 +131,13 @@
 
 func TestHold(t *testing.T) {
 	use := Use{"a", 20 * ms, 3}
-	seen := lesson{provider: "a", idle: 20 * ms, carried: 3, calls: 2000, broken: 200, held: 4 * ms}
+	seen := lesson{server: "a", idle: 20 * ms, carried: 3, calls: 2000, broken: 200, held: 4 * ms}
 	never := seen
 	never.held = 8 * ms
 	shows := func(after time.Duration) lesson { l := seen; l.early, l.took = true, after; return l }
 	for name, c := range map[string]struct {
 		seen        lesson
-		stakes      Stakes
+		stakes      RetryCost
 		least, most time.Duration
 	}{
 		"nothing breaks":           {kept("a", 20*ms, 300, 0), order, 0, 0},
@@ -146,12 +146,12 @@
 		"breaks never show":        {never, order, 0, ms / 2},
 		"it may run twice":         {shows(100 * time.Microsecond), query, 0, 0},
 		"so may a probe":           {shows(100 * time.Microsecond), probe, 0, 0},
-		"it is in a great hurry":   {shows(3 * ms), Stakes{Once: true, Aim: 5 * ms, Worth: 1}, 0, 0},
-		"any time will do":         {shows(3 * ms), Stakes{Once: true, Worth: 1}, 4 * ms, 8 * ms},
+		"it is in a great hurry":   {shows(3 * ms), RetryCost{NonIdempotent: true, LatencyObjective: 5 * ms, PriorityWeight: 1}, 0, 0},
+		"any time will do":         {shows(3 * ms), RetryCost{NonIdempotent: true, PriorityWeight: 1}, 4 * ms, 8 * ms},
 		"one in 300 breaks":        {kept("a", 20*ms, 300, 1), order, 0, ms},
 		"it breaks, none was held": {kept("a", 20*ms, 300, 30), order, 2 * ms, 8 * ms},
 	} {
-		b := book(t)
+		b := newEstimator(t)
 		now := teach(b, began, c.seen)
 		if got := b.Hold(now, use, c.stakes); got < c.least || got > c.most {
 			t.Errorf("%s: %s, want %s to %s", name, got, c.least, c.most)
@@ -165,7 +165,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	worths := []float64{0, 0.05, 1, 100, -1, math.NaN(), math.Inf(1)}
 	for range 300 {
-		b, now, dials := book(t), began, rng.IntN(2) == 0
+		b, now, dials := newEstimator(t), began, rng.IntN(2) == 0
 		for range rng.IntN(200) {
 			u := Use{fmt.Sprint(rng.IntN(4)), time.Duration(rng.ExpFloat64() * 1e8), rng.IntN(200)}
 			if u.Carried < 20 {
@@ -174,14 +174,14 @@
 			if now = now.Add(time.Duration(rng.ExpFloat64() * 1e9)); rng.IntN(100) == 0 {
 				now = now.Add(-time.Hour)
 			}
-			b.Learn(now, u, Fate(rng.IntN(3)), time.Duration(rng.IntN(3))*4*ms, time.Duration(rng.IntN(5))*ms)
+			b.Learn(now, u, Outcome(rng.IntN(3)), time.Duration(rng.IntN(3))*4*ms, time.Duration(rng.IntN(5))*ms)
 			if dials {
-				b.Dialed(u.Provider, time.Duration(rng.IntN(5))*ms)
+				b.Dialed(u.Server, time.Duration(rng.IntN(5))*ms)
 			}
 		}
 		for _, w := range worths {
 			for _, most := range []time.Duration{0, 50 * ms, time.Minute} {
-				s := Stakes{Once: rng.IntN(2) == 0, Aim: time.Duration(rng.IntN(3)-1) * time.Second, Worth: w}
+				s := RetryCost{NonIdempotent: rng.IntN(2) == 0, LatencyObjective: time.Duration(rng.IntN(3)-1) * time.Second, PriorityWeight: w}
 				p := fmt.Sprint(rng.IntN(5))
 				limit := b.Limit(now, p, s, most)
 				if limit < 0 || limit > most {
@@ -191,11 +191,11 @@
 				if limit > 0 && !b.Take(now, below, s) || limit < most && b.Take(now, above, s) {
 					t.Fatalf("%+v: Take does not agree with the limit %s", s, limit)
 				}
-				if d := b.Hold(now, Use{p, limit, 5}, s); d < 0 || d > b.set.MostPause {
+				if d := b.Hold(now, Use{p, limit, 5}, s); d < 0 || d > b.settings.MaxPause {
 					t.Fatalf("%+v: hold for %s", s, d)
 				}
-				s.Once = false
-				if safe := b.Limit(now, p, s, most); safe < b.Limit(now, p, Stakes{true, s.Aim, w}, most) {
+				s.NonIdempotent = false
+				if safe := b.Limit(now, p, s, most); safe < b.Limit(now, p, RetryCost{true, s.LatencyObjective, w}, most) {
 					t.Fatalf("%+v: limit %s, less than for what must not run twice", s, safe)
 				}
 			}
@@ -205,22 +205,22 @@
 
 // Evidence that must be scaled down again and again stays the same in effect, and providers stay bounded.
 func TestBounds(t *testing.T) {
-	set := priced()
-	set.Providers = 3
+	set := testSettings()
+	set.MaxServers = 3
 	b, _ := New(set)
 	now := began
 	for i := range 20 {
 		now = teach(b, now.Add(time.Hour), kept(fmt.Sprint(i), 200*ms, 1000, 200))
-		k := b.belief(now, fmt.Sprint(i)).idle[idleStep(200*ms)]
-		if k < 0.1 || k > 0.25 || len(b.list) > 3 || len(b.providers) > 3 {
+		k := b.posterior(now, fmt.Sprint(i)).idle[idleStep(200*ms)]
+		if k < 0.1 || k > 0.25 || len(b.list) > 3 || len(b.servers) > 3 {
 			t.Errorf("hour %d: probability %g, %d providers", i, k, len(b.list))
 		}
 		if n := b.all.idle[idleStep(200*ms)].calls / b.weight(); n > 1100 {
 			t.Errorf("hour %d: %g calls count, though those of an hour ago must have faded", i, n)
 		}
 	}
-	b = book(t)
-	now = teach(b, now, lesson{provider: "a", calls: 20}, kept("a", 200*ms, 20, 20))
+	b = newEstimator(t)
+	now = teach(b, now, lesson{server: "a", calls: 20}, kept("a", 200*ms, 20, 20))
 	b.Take(now, Use{"a", 200 * ms, 3}, order)
 	b.Forget("a")
 	if now = now.Add(time.Minute); !b.Take(now, Use{"new", 200 * ms, 3}, order) {
@@ -228,13 +228,13 @@
 	}
 	for range 3 { // in turn, so that they look alike
 		for _, p := range []string{"a", "b", "c", "d"} {
-			now = teach(b, now, lesson{provider: p, calls: 20}, kept(p, 200*ms, 20, 10))
+			now = teach(b, now, lesson{server: p, calls: 20}, kept(p, 200*ms, 20, 10))
 		}
 	}
 	for _, p := range []string{"a", "b", "c", "d"} {
 		b.Forget(p)
 	}
-	if len(b.list)+len(b.providers) > 0 {
+	if len(b.list)+len(b.servers) > 0 {
 		t.Errorf("%d providers after all are forgotten", len(b.list))
 	}
 	if b.Take(now, Use{"new", 200 * ms, 3}, order) || !b.Take(now, Use{"new", 20 * ms, 3}, order) {
@@ -243,22 +243,22 @@
 }
 
 func TestState(t *testing.T) {
-	b := book(t)
+	b := newEstimator(t)
 	now := teach(b, began, kept("a", 20*ms, 300, 0),
-		lesson{provider: "b", idle: 200 * ms, carried: 3, calls: 90, broken: 30, held: 4 * ms, early: true},
-		lesson{provider: "c", idle: 20 * ms, carried: 100, calls: 90, broken: 30, held: 4 * ms})
+		lesson{server: "b", idle: 200 * ms, carried: 3, calls: 90, broken: 30, held: 4 * ms, early: true},
+		lesson{server: "c", idle: 20 * ms, carried: 100, calls: 90, broken: 30, held: 4 * ms})
 	b.Dialed("a", 3*ms)
 	data, err := b.State(now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := book(t)
+	next := newEstimator(t)
 	later := now.Add(time.Hour)
 	if err := next.Restore(later, data, 0); err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []string{"a", "b", "c", "d"} {
-		x, y := b.belief(now, p), next.belief(later, p)
+		x, y := b.posterior(now, p), next.posterior(later, p)
 		for i := range steps {
 			if off := math.Abs(join(x.idle[i], x.carried[i]) - join(y.idle[i], y.carried[i])); off > 0.01 {
 				t.Errorf("%s, step %d: %g off", p, i, off)
@@ -287,7 +287,7 @@
 		bad[i] ^= 0x41
 		if next.Restore(later, bad, 0) == nil { // then it must at least be something that can have been learned
 			next.Take(later, old, order)
-			if p := next.belief(later, "b").idle[steps-1]; !(p >= 0 && p <= 1) {
+			if p := next.posterior(later, "b").idle[steps-1]; !(p >= 0 && p <= 1) {
 				t.Fatalf("byte %d: a probability of %g", i, p)
 			}
 		}
@@ -295,11 +295,11 @@
 	for name, spoil := range map[string]func(*state){
 		"version":  func(s *state) { s.Version++ },
 		"pauses":   func(s *state) { s.Shown[added] = s.Shown[added][1:] },
-		"twice":    func(s *state) { s.Providers = append(s.Providers, s.Providers[0]) },
+		"twice":    func(s *state) { s.Servers = append(s.Servers, s.Servers[0]) },
 		"step":     func(s *state) { s.All.Idle = append(s.All.Idle, s.All.Idle[0]) },
 		"steps":    func(s *state) { s.All.Idle[0][0] = steps },
 		"broken":   func(s *state) { s.Whole.Fresh[1] = s.Whole.Fresh[0] + 1 },
-		"too many": func(s *state) { s.All.Fresh[0] = mostCalls + 1 },
+		"too many": func(s *state) { s.All.Fresh[0] = maxCalls + 1 },
 	} {
 		var s state
 		if err := decoder.Unmarshal(data, &s); err != nil {
@@ -311,19 +311,19 @@
 			t.Errorf("%s: taken", name)
 		}
 	}
-	set := priced()
-	set.Providers = 2048
+	set := testSettings()
+	set.MaxServers = 2048
 	big, _ := New(set)
 	for i := range 20480 {
 		name := strings.Repeat("p", 100) + fmt.Sprint(i%2048)
-		big.Learn(began, Use{name, time.Duration(i) * ms, 1 + i%100}, Fate(i%2), 0, 0)
+		big.Learn(began, Use{name, time.Duration(i) * ms, 1 + i%100}, Outcome(i%2), 0, 0)
 	}
 	big.Learn(began, Use{"the worst", ms, 1}, Broken, 0, 0)
 	big.record("the worst").seen.broken *= 100
-	if data, err = big.State(began); err != nil || len(data) > MostState || len(data) < MostState*9/10 {
+	if data, err = big.State(began); err != nil || len(data) > MaxStateBytes || len(data) < MaxStateBytes*9/10 {
 		t.Errorf("%d bytes, %v", len(data), err)
 	}
-	if err := next.Restore(began, data, 0); err != nil || next.providers["the worst"] == nil || len(next.list) < 1024 {
+	if err := next.Restore(began, data, 0); err != nil || next.servers["the worst"] == nil || len(next.list) < 1024 {
 		t.Errorf("%v, %d providers", err, len(next.list))
 	}
 }
@@ -336,8 +336,8 @@
 		"half_life":      func(s *Settings) { s.HalfLife = 0 },
 		"long_half_life": func(s *Settings) { s.LongHalfLife = s.HalfLife - 1 },
 		"calls":          func(s *Settings) { s.Calls = 0 },
-		"most_pause":     func(s *Settings) { s.MostPause = -1 },
-		"providers":      func(s *Settings) { s.Providers = 0 },
+		"most_pause":     func(s *Settings) { s.MaxPause = -1 },
+		"providers":      func(s *Settings) { s.MaxServers = 0 },
 	} {
 		s := Default()
 		spoil(&s)
@@ -348,7 +348,7 @@
 }
 
 func BenchmarkBook(b *testing.B) {
-	k := book(b)
+	k := newEstimator(b)
 	now := began
 	for i := range fleet {
 		now = teach(k, now, kept(names[i], 200*ms, 50, 10))
@@ -366,13 +366,13 @@
 	})
 	b.Run("Limit", func(b *testing.B) {
 		for b.Loop() {
-			k.Limit(now, use.Provider, order, time.Minute)
+			k.Limit(now, use.Server, order, time.Minute)
 		}
 	})
 	for name, every := range map[string]int{"all answered": 1 << 30, "7% broken": 14, "all broken": 1} {
 		b.Run("call, "+name, func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				use.Provider, now = names[i%fleet], now.Add(ms)
+				use.Server, now = names[i%fleet], now.Add(ms)
 				f := Answered
 				if i%every == every-1 {
 					f = Broken
@@ -380,7 +380,7 @@
 				k.Take(now, use, order)
 				k.Hold(now, use, order)
 				k.Learn(now, use, f, 0, 0)
-				k.Limit(now, use.Provider, probe, time.Minute)
+				k.Limit(now, use.Server, probe, time.Minute)
 			}
 		})
 	}
--- a/internal/keepalive/settings.go
+++ b/internal/keepalive/settings.go
@@ -13,15 +13,15 @@
 	HalfLife     time.Duration // of evidence, at least
 	LongHalfLife time.Duration // and at most
 	Calls        float64       // a half-life between the two is as long as this many calls take
-	MostPause    time.Duration // for which the last byte may be held back; 0 = never
-	Providers    int           // of which evidence is kept apart; each takes 1.2 KB
+	MaxPause     time.Duration // for which the last byte may be held back; 0 = never
+	MaxServers   int           // of which evidence is kept apart; each takes 1.2 KB
 }
 
 // Default returns the settings for requests of some 100 ms at providers that can hold a few hundred connections.
 func Default() Settings {
 	return Settings{
 		Handshake: 0.02, Retry: 0.1, Hurry: 0.3, HalfLife: 10 * time.Second, LongHalfLife: 10 * time.Minute,
-		Calls: 1000, MostPause: 8 * time.Millisecond, Providers: 2048,
+		Calls: 1000, MaxPause: 8 * time.Millisecond, MaxServers: 2048,
 	}
 }
 
@@ -42,10 +42,10 @@
 		return fmt.Errorf("reuse: long_half_life: %s is below half_life, %s", s.LongHalfLife, s.HalfLife)
 	case !(s.Calls >= 1 && s.Calls <= 1e9):
 		return fmt.Errorf("reuse: calls: %g does not lie between 1 and 1e9", s.Calls)
-	case s.MostPause < 0:
-		return fmt.Errorf("reuse: most_pause: %s is below 0", s.MostPause)
-	case s.Providers < 1 || s.Providers > 1<<16:
-		return fmt.Errorf("reuse: providers: %d does not lie between 1 and 65536", s.Providers)
+	case s.MaxPause < 0:
+		return fmt.Errorf("reuse: most_pause: %s is below 0", s.MaxPause)
+	case s.MaxServers < 1 || s.MaxServers > 1<<16:
+		return fmt.Errorf("reuse: providers: %d does not lie between 1 and 65536", s.MaxServers)
 	}
 	return nil
 }
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -17,8 +17,8 @@
 	always  = math.MaxInt
 )
 
-// priced are the settings that the losses below are counted by.
-func priced() Settings {
+// testSettings are the settings that the losses below are counted by.
+func testSettings() Settings {
 	set := Default()
 	set.Handshake, set.Retry, set.Hurry = 0.02, 0.1, 0.3
 	return set
@@ -38,9 +38,9 @@
 }
 
 // when returns a chance of p on a condition.
-func when(p float64, is func(at time.Duration, provider int, idle time.Duration, carried int) bool) chance {
-	return func(at time.Duration, provider int, idle time.Duration, carried int) float64 {
-		if is(at, provider, idle, carried) {
+func when(p float64, is func(at time.Duration, server int, idle time.Duration, carried int) bool) chance {
+	return func(at time.Duration, server int, idle time.Duration, carried int) float64 {
+		if is(at, server, idle, carried) {
 			return p
 		}
 		return 0
@@ -80,10 +80,10 @@
 
 // policy is what the simulated pool asks: a Book, or what it is compared with.
 type policy interface {
-	Take(time.Time, Use, Stakes) bool
-	Hold(time.Time, Use, Stakes) time.Duration
-	Limit(time.Time, string, Stakes, time.Duration) time.Duration
-	Learn(time.Time, Use, Fate, time.Duration, time.Duration)
+	Take(time.Time, Use, RetryCost) bool
+	Hold(time.Time, Use, RetryCost) time.Duration
+	Limit(time.Time, string, RetryCost, time.Duration) time.Duration
+	Learn(time.Time, Use, Outcome, time.Duration, time.Duration)
 	Dialed(string, time.Duration)
 }
 
@@ -97,24 +97,26 @@
 
 var plain = fixed{once: retired, safe: retired, carried: always}
 
-func (f *fixed) Take(_ time.Time, u Use, s Stakes) bool {
+func (f *fixed) Take(_ time.Time, u Use, s RetryCost) bool {
 	limit := f.safe
-	if s.Once {
+	if s.NonIdempotent {
 		limit = f.once
 	}
-	return f.lone && u.Provider != names[0] || u.Idle <= limit && u.Carried < f.carried
+	return f.lone && u.Server != names[0] || u.Idle <= limit && u.Carried < f.carried
 }
 
-func (f *fixed) Hold(_ time.Time, _ Use, s Stakes) time.Duration {
-	if s.Once {
+func (f *fixed) Hold(_ time.Time, _ Use, s RetryCost) time.Duration {
+	if s.NonIdempotent {
 		return f.pause
 	}
 	return 0
 }
 
-func (f *fixed) Limit(_ time.Time, _ string, _ Stakes, most time.Duration) time.Duration { return most }
-func (f *fixed) Learn(time.Time, Use, Fate, time.Duration, time.Duration)                {}
-func (f *fixed) Dialed(string, time.Duration)                                            {}
+func (f *fixed) Limit(_ time.Time, _ string, _ RetryCost, most time.Duration) time.Duration {
+	return most
+}
+func (f *fixed) Learn(time.Time, Use, Outcome, time.Duration, time.Duration) {}
+func (f *fixed) Dialed(string, time.Duration)                                {}
 
 // threshold learns one limit for all: the least power of two beyond which 15% more break than on new connections.
 type threshold struct {
@@ -123,7 +125,7 @@
 	at   time.Time
 }
 
-func (a *threshold) Learn(now time.Time, u Use, f Fate, _, _ time.Duration) {
+func (a *threshold) Learn(now time.Time, u Use, f Outcome, _, _ time.Duration) {
 	fade := math.Exp2(-now.Sub(a.at).Seconds() / 10)
 	a.at = now
 	for i := range a.seen {
@@ -161,7 +163,7 @@
 	}
 	var pools [fleet][]conn
 	var at time.Duration
-	set, start, rng := priced(), time.Unix(1e9, 0), rand.New(rand.NewPCG(seed, 1))
+	set, start, rng := testSettings(), time.Unix(1e9, 0), rand.New(rand.NewPCG(seed, 1))
 	late := func(d time.Duration) float64 { return set.Hurry * float64(d) / float64(aim) }
 	for range n {
 		at += time.Duration(rng.ExpFloat64() / rate * 1e9)
@@ -169,9 +171,9 @@
 		to, breaks, breaksBase := rng.IntN(fleet), rng.Float64(), rng.Float64()
 		// Of breaks on any call half come at once; of those that do, 60% show before the last byte is there.
 		atOnce, visible, shows := rng.Float64() < 0.5, rng.Float64() < 0.6, time.Duration(rng.ExpFloat64()*float64(ms))
-		now, s := start.Add(at), Stakes{Once: rng.Float64() < 0.3, Aim: aim, Worth: 1}
+		now, s := start.Add(at), RetryCost{NonIdempotent: rng.Float64() < 0.3, LatencyObjective: aim, PriorityWeight: 1}
 
-		u, pool, lately := Use{Provider: names[to]}, &pools[to], -1
+		u, pool, lately := Use{Server: names[to]}, &pools[to], -1
 		for i, c := range *pool {
 			if c.freed <= at && (lately < 0 || c.freed > (*pool)[lately].freed) {
 				lately = i
@@ -179,8 +181,8 @@
 		}
 		if lately >= 0 {
 			c := (*pool)[lately]
-			kept := Use{u.Provider, max(1, at-c.freed), c.carried}
-			closed := kept.Idle > p.Limit(now, u.Provider, Stakes{Aim: aim, Worth: 1}, retired)
+			kept := Use{u.Server, max(1, at-c.freed), c.carried}
+			closed := kept.Idle > p.Limit(now, u.Server, RetryCost{LatencyObjective: aim, PriorityWeight: 1}, retired)
 			take := !closed && p.Take(now, kept, s)
 			if take {
 				u = kept
@@ -190,8 +192,8 @@
 			}
 		}
 		added := 0.0
-		if !u.kept() {
-			p.Dialed(u.Provider, dial)
+		if !u.isKept() {
+			p.Dialed(u.Server, dial)
 			loss += set.Handshake + late(dial)
 		} else if w.added != nil {
 			added = w.added(at, to, u.Idle, u.Carried)
@@ -210,7 +212,7 @@
 		case visible && shows <= held:
 			loss += set.Retry + late(shows)
 			p.Learn(now, u, Early, held, shows)
-		case s.Once:
+		case s.NonIdempotent:
 			loss++
 			p.Learn(now, u, Broken, held, took)
 		default:
@@ -262,7 +264,7 @@
 				var pool, limit, best, book float64
 				f := w.best(rate, n)
 				for seed := range uint64(seeds) {
-					b, _ := New(priced())
+					b, _ := New(testSettings())
 					pool += w.lost(&plain, rate, n, seed) * 1000 / n / seeds
 					limit += w.lost(&threshold{fixed: plain}, rate, n, seed) * 1000 / n / seeds
 					best += w.lost(&f, rate, n, seed) * 1000 / n / seeds
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// MostState bounds what State returns, in bytes.
-	MostState = 250 << 10
+	// MaxStateBytes bounds what State returns, in bytes.
+	MaxStateBytes = 250 << 10
 
 	stateVersion = 1
 	part         = 16      // figures are kept in sixteenths of a call: whole numbers are short, and none is a NaN
-	mostCalls    = 1 << 28 // in those; what is kept of all that ever came stays below it
+	maxCalls     = 1 << 28 // in those; what is kept of all that ever came stays below it
 )
 
 // state is what a Book has learned, as it was at its last lesson.
 type state struct {
-	Version   uint               `cbor:"1,keyasint"`
-	All       evidenceState      `cbor:"2,keyasint"`
-	Shown     [kinds][][2]uint32 `cbor:"3,keyasint"` // by pause
-	Late      [kinds][2]uint32   `cbor:"4,keyasint"` // calls, and the mean in µs
-	Whole     evidenceState      `cbor:"5,keyasint"`
-	Providers []cbor.RawMessage  `cbor:"6,keyasint"` // the providerStates
+	Version uint               `cbor:"1,keyasint"`
+	All     evidenceState      `cbor:"2,keyasint"`
+	Shown   [kinds][][2]uint32 `cbor:"3,keyasint"` // by pause
+	Late    [kinds][2]uint32   `cbor:"4,keyasint"` // calls, and the mean in µs
+	Whole   evidenceState      `cbor:"5,keyasint"`
+	Servers []cbor.RawMessage  `cbor:"6,keyasint"` // the providerStates
 }
 
-// providerState is one provider's part.
-type providerState struct {
+// serverState is one provider's part.
+type serverState struct {
 	Name string        `cbor:"1,keyasint"`
 	Seen evidenceState `cbor:"2,keyasint"`
 }
@@ -59,11 +59,11 @@
 	return v
 }
 
-// State returns what was learned until now, in at most MostState bytes. Where there is not room for all providers those
+// State returns what was learned until now, in at most MaxStateBytes bytes. Where there is not room for all providers those
 // with the fewest breaks are left out; what is common to all is not.
-func (b *Book) State(now time.Time) ([]byte, error) {
+func (b *Estimator) State(now time.Time) ([]byte, error) {
 	scale := float32(math.Exp2(b.base - b.clockAt(now)))
-	s := state{Version: stateVersion, All: b.all.state(scale), Whole: b.whole.state(scale)}
+	s := state{Version: stateVersion, All: b.all.state(scale), Whole: b.doublyBlamed.state(scale)}
 	for kind := range b.breaks {
 		for _, t := range b.breaks[kind].shown {
 			s.Shown[kind] = append(s.Shown[kind], t.state(scale))
@@ -74,26 +74,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("reuse: %w", err)
 	}
-	room := MostState - len(out) - 8 // the head of a longer list
+	room := MaxStateBytes - len(out) - 8 // the head of a longer list
 	for _, r := range slices.SortedStableFunc(slices.Values(b.list), byBreaks) {
-		p, err := encoder.Marshal(&providerState{r.name, r.seen.state(scale)})
+		p, err := encoder.Marshal(&serverState{r.name, r.seen.state(scale)})
 		if err != nil {
 			return nil, fmt.Errorf("reuse: provider %q: %w", r.name, err)
 		}
 		if room -= len(p); room < 0 {
 			break
 		}
-		s.Providers = append(s.Providers, p)
+		s.Servers = append(s.Servers, p)
 	}
 	return encoder.Marshal(&s)
 }
 
 // Restore takes what State returned a time of age ago in place of all that the Book has learned, faded by that time.
 // After an error the Book is as it was.
-func (b *Book) Restore(now time.Time, data []byte, age time.Duration) error {
+func (b *Estimator) Restore(now time.Time, data []byte, age time.Duration) error {
 	var s state
-	if len(data) > MostState {
-		return fmt.Errorf("reuse: a state of %d bytes, more than %d", len(data), MostState)
+	if len(data) > MaxStateBytes {
+		return fmt.Errorf("reuse: a state of %d bytes, more than %d", len(data), MaxStateBytes)
 	}
 	if err := decoder.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("reuse: state: %w", err)
@@ -101,9 +101,9 @@
 	if s.Version != stateVersion {
 		return fmt.Errorf("reuse: state of version %d, want %d", s.Version, stateVersion)
 	}
-	scale := float32(math.Exp2(-float64(max(0, age))/float64(b.set.LongHalfLife))) / part
-	next := Book{set: b.set, at: now, stale: true, drawns: b.drawns, providers: map[string]*record{}}
-	if err := errors.Join(s.All.read(&next.all, scale), s.Whole.read(&next.whole, scale)); err != nil {
+	scale := float32(math.Exp2(-float64(max(0, age))/float64(b.settings.LongHalfLife))) / part
+	next := Estimator{settings: b.settings, lastLesson: now, stale: true, draws: b.draws, servers: map[string]*serverRecord{}}
+	if err := errors.Join(s.All.read(&next.all, scale), s.Whole.read(&next.doublyBlamed, scale)); err != nil {
 		return fmt.Errorf("reuse: state: %w", err)
 	}
 	for kind := range next.breaks {
@@ -118,15 +118,15 @@
 		}
 		d.late.read(s.Late[kind], scale)
 	}
-	for _, raw := range s.Providers {
-		var p providerState
+	for _, raw := range s.Servers {
+		var p serverState
 		if err := decoder.Unmarshal(raw, &p); err != nil {
 			return fmt.Errorf("reuse: state: %w", err)
 		}
-		if next.providers[p.Name] != nil {
+		if next.servers[p.Name] != nil {
 			return fmt.Errorf("reuse: state: provider %q is there twice", p.Name)
 		}
-		if len(next.list) < b.set.Providers {
+		if len(next.list) < b.settings.MaxServers {
 			if err := p.Seen.read(&next.record(p.Name).seen, scale); err != nil {
 				return fmt.Errorf("reuse: state: provider %q: %w", p.Name, err)
 			}
@@ -136,14 +136,14 @@
 	return nil
 }
 
-func sixteenths(v, scale float32) uint32 { return uint32(min(v*scale*part+0.5, mostCalls)) }
+func sixteenths(v, scale float32) uint32 { return uint32(min(v*scale*part+0.5, maxCalls)) }
 
 func (t tally) state(scale float32) [2]uint32 {
 	return [2]uint32{sixteenths(t.calls, scale), sixteenths(t.broken, scale)}
 }
 
 func (t *tally) read(s [2]uint32, scale float32) error {
-	if s[0] > mostCalls || s[1] > s[0] {
+	if s[0] > maxCalls || s[1] > s[0] {
 		return fmt.Errorf("%d of %d calls broken", s[1], s[0])
 	}
 	*t = tally{float32(s[0]) * scale, float32(s[1]) * scale}
@@ -155,13 +155,13 @@
 }
 
 func (m *mean) read(s [2]uint32, scale float32) {
-	m.weight = float32(min(s[0], mostCalls)) * scale
+	m.weight = float32(min(s[0], maxCalls)) * scale
 	m.sum = m.weight * float32(s[1]) / 1e6
 }
 
 func (e *evidence) state(scale float32) evidenceState {
 	return evidenceState{
-		Fresh: e.fresh.state(scale), Idle: stateOf(&e.idle, scale),
+		Fresh: e.onNewConns.state(scale), Idle: stateOf(&e.idle, scale),
 		Carried: stateOf(&e.carried, scale), Dial: e.dial.state(scale),
 	}
 }
@@ -176,11 +176,11 @@
 }
 
 func (s *evidenceState) read(e *evidence, scale float32) error {
-	if err := e.fresh.read(s.Fresh, scale); err != nil {
+	if err := e.onNewConns.read(s.Fresh, scale); err != nil {
 		return fmt.Errorf("new connections: %w", err)
 	}
 	e.dial.read(s.Dial, scale)
-	e.broken = e.fresh.broken
+	e.broken = e.onNewConns.broken
 	for _, c := range []struct {
 		name string
 		from [][3]uint32
