--- a/internal/keepalive/breaks.go
+++ b/internal/keepalive/breaks.go
@@ -29,25 +29,25 @@
 	late  mean               // seconds until one shows, after the last byte
 }
 
-func (d *breaks) learn(f Outcome, held, took time.Duration, w float32) {
-	if f == Broken {
-		d.late.learn(w, took)
+func (b *breaks) learn(how Outcome, held, took time.Duration, w float32) {
+	if how == Broken {
+		b.late.learn(w, took)
 	}
 	for i, p := range pauses {
-		if f == Early && took <= p.length {
-			d.shown[i].learn(w, w)
+		if how == Early && took <= p.length {
+			b.shown[i].learn(w, w)
 			break
 		}
 		if held < p.length { // whether it would have shown by then is not known
 			break
 		}
-		d.shown[i].learn(w, 0)
+		b.shown[i].learn(w, 0)
 	}
 }
 
-func (d *breaks) scale(by float32) {
-	for i := range d.shown {
-		d.shown[i].scale(by)
+func (b *breaks) scale(by float32) {
+	for i := range b.shown {
+		b.shown[i].scale(by)
 	}
-	d.late.scale(by)
+	b.late.scale(by)
 }
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -6,42 +6,42 @@
 )
 
 // tick moves the clock to a lesson at now.
-func (b *Estimator) tick(now time.Time) {
-	passed := float64(max(0, now.Sub(b.lastLesson)))
-	if b.lastLesson.IsZero() {
+func (e *Estimator) tick(now time.Time) {
+	passed := float64(max(0, now.Sub(e.lastLesson)))
+	if e.lastLesson.IsZero() {
 		passed = 0
 	}
-	b.lastLesson = now
-	b.clock += min(max(1/b.settings.Calls, passed/float64(b.settings.LongHalfLife)), passed/float64(b.settings.HalfLife))
-	if b.clock-b.base > precise {
-		b.scale(b.base - b.clock)
-		b.base = b.clock
+	e.lastLesson = now
+	e.clock += min(max(1/e.settings.Calls, passed/float64(e.settings.LongHalfLife)), passed/float64(e.settings.HalfLife))
+	if e.clock-e.base > precise {
+		e.scale(e.base - e.clock)
+		e.base = e.clock
 	}
 }
 
 // clockAt is the clock at now, without a lesson.
-func (b *Estimator) clockAt(now time.Time) float64 {
-	if b.lastLesson.IsZero() {
-		return b.clock
+func (e *Estimator) clockAt(now time.Time) float64 {
+	if e.lastLesson.IsZero() {
+		return e.clock
 	}
-	return b.clock + float64(max(0, now.Sub(b.lastLesson)))/float64(b.settings.LongHalfLife)
+	return e.clock + float64(max(0, now.Sub(e.lastLesson)))/float64(e.settings.LongHalfLife)
 }
 
 // scale multiplies all evidence by a power of two.
-func (b *Estimator) scale(power float64) {
+func (e *Estimator) scale(power float64) {
 	by := float32(math.Exp2(power))
-	b.all.scale(by)
-	b.doublyBlamed.scale(by)
-	for _, r := range b.list {
+	e.all.scale(by)
+	e.doublyBlamed.scale(by)
+	for _, r := range e.list {
 		r.seen.scale(by)
 	}
-	for i := range b.breaks {
-		b.breaks[i].scale(by)
+	for i := range e.breaks {
+		e.breaks[i].scale(by)
 	}
 }
 
 // weight is what a lesson counts for now.
-func (b *Estimator) weight() float32 { return float32(math.Exp2(b.clock - b.base)) }
+func (e *Estimator) weight() float32 { return float32(math.Exp2(e.clock - e.base)) }
 
 const (
 	changed = 8.0      // logarithm of the odds at which circumstances count as changed
@@ -53,19 +53,19 @@
 // detectChange is Page's cumulative sum (Biometrika 41, 1954) of the log-likelihood ratio of breaks being several times as
 // frequent as was thought, p. When it is high, circumstances have changed, and what was learned before counts for
 // little.
-func (b *Estimator) detectChange(p float64, f Outcome) {
+func (e *Estimator) detectChange(p float64, how Outcome) {
 	p += 0.01
 	many := 3*p + 0.05
 	switch {
 	case many > 0.9: // nothing much worse can happen
-		b.odds = 0
-	case f == Answered:
-		b.odds = max(0, b.odds+math.Log((1-many)/(1-p)))
+		e.odds = 0
+	case how == Answered:
+		e.odds = max(0, e.odds+math.Log((1-many)/(1-p)))
 	default:
-		b.odds += math.Log(many / p)
+		e.odds += math.Log(many / p)
 	}
-	if b.odds > changed {
-		b.odds = 0
-		b.clock += shock
+	if e.odds > changed {
+		e.odds = 0
+		e.clock += shock
 	}
 }
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -70,11 +70,11 @@
 }
 
 // boundedWeight guards against figures that would turn the comparison around.
-func (s *RetryCost) boundedWeight() float64 {
-	if !(s.PriorityWeight > 0) {
+func (r *RetryCost) boundedWeight() float64 {
+	if !(r.PriorityWeight > 0) {
 		return 0
 	}
-	return min(s.PriorityWeight, 1e6)
+	return min(r.PriorityWeight, 1e6)
 }
 
 // Estimator is what is known of how connections break. It is not safe for concurrent use.
@@ -120,60 +120,60 @@
 }
 
 // serverRecord returns the provider's, a new one if there is none. The one that has learned nothing for longest makes room.
-func (b *Estimator) record(server string) *serverRecord {
-	r := b.servers[server]
+func (e *Estimator) record(server string) *serverRecord {
+	r := e.servers[server]
 	if r == nil {
-		if len(b.list) >= b.settings.MaxServers {
-			b.Forget(slices.MinFunc(b.list, func(x, y *serverRecord) int { return cmp.Compare(x.learned, y.learned) }).name)
+		if len(e.list) >= e.settings.MaxServers {
+			e.Forget(slices.MinFunc(e.list, func(x, y *serverRecord) int { return cmp.Compare(x.learned, y.learned) }).name)
 		}
 		r = &serverRecord{name: server, draws: -1}
-		b.servers[server] = r
-		b.list = append(b.list, r)
+		e.servers[server] = r
+		e.list = append(e.list, r)
 	}
-	r.learned = b.clock
+	r.learned = e.clock
 	return r
 }
 
 // Learn takes note of how a call on u ended. held is for how long its last byte was to be held back, as Hold said, also
 // where the connection broke sooner; 0 = not at all. took says when a break showed: for Early counted from the first
 // byte, for Broken from the last; for Answered it does not matter.
-func (b *Estimator) Learn(now time.Time, u Use, f Outcome, held, took time.Duration) {
-	p, usual := b.posterior(now, u.Server).breaks(u)
-	b.tick(now)
-	b.detectChange(p, f)
-	r, w := b.record(u.Server), b.weight()
-	if f == Answered {
+func (e *Estimator) Learn(now time.Time, u Use, how Outcome, held, took time.Duration) {
+	p, usual := e.posterior(now, u.Server).breaks(u)
+	e.tick(now)
+	e.detectChange(p, how)
+	r, w := e.record(u.Server), e.weight()
+	if how == Answered {
 		r.seen.learn(u, w, 0, 0)
-		b.all.learn(u, w, 0, 0)
-		b.doublyBlamed.learn(u, w, 0, 0)
+		e.all.learn(u, w, 0, 0)
+		e.doublyBlamed.learn(u, w, 0, 0)
 		return
 	}
-	b.stale = true
-	b.doublyBlamed.learn(u, w, w, w)
-	byIdle := w * float32(b.doublyBlamed.idleShareOfBreak(u, 1/w))
+	e.stale = true
+	e.doublyBlamed.learn(u, w, w, w)
+	byIdle := w * float32(e.doublyBlamed.idleShareOfBreak(u, 1/w))
 	r.seen.learn(u, w, byIdle, w-byIdle)
-	b.all.learn(u, w, byIdle, w-byIdle)
+	e.all.learn(u, w, byIdle, w-byIdle)
 	part := float32((usual + little) / (p + little))
-	b.breaks[anywhere].learn(f, held, took, w*part)
-	b.breaks[added].learn(f, held, took, w*(1-part))
+	e.breaks[anywhere].learn(how, held, took, w*part)
+	e.breaks[added].learn(how, held, took, w*(1-part))
 }
 
 // Dialed takes note of the time that a connection took to come up, or to be given up.
-func (b *Estimator) Dialed(server string, took time.Duration) {
-	w := b.weight()
-	b.record(server).seen.dial.learn(w, took)
-	b.all.dial.learn(w, took)
+func (e *Estimator) Dialed(server string, took time.Duration) {
+	w := e.weight()
+	e.record(server).seen.dial.learn(w, took)
+	e.all.dial.learn(w, took)
 }
 
 // Forget drops a provider that is gone from the list. What it had in common with others stays with the fleet.
-func (b *Estimator) Forget(server string) {
-	r := b.servers[server]
+func (e *Estimator) Forget(server string) {
+	r := e.servers[server]
 	if r == nil {
 		return
 	}
 	if r.leftOut {
-		b.all.subtract(&r.seen)
+		e.all.subtract(&r.seen)
 	}
-	delete(b.servers, server)
-	b.list = slices.DeleteFunc(b.list, func(x *serverRecord) bool { return x == r })
+	delete(e.servers, server)
+	e.list = slices.DeleteFunc(e.list, func(x *serverRecord) bool { return x == r })
 }
--- a/internal/keepalive/posterior.go
+++ b/internal/keepalive/posterior.go
@@ -20,20 +20,20 @@
 }
 
 // draw concludes from e, which belongs to a part of the fleet; strength is that of the priors that the fleet gives.
-func (k *posterior) draw(e *evidence, fleet *posterior, strength float64, scale float32) {
-	k.idle.draw(&e.idle, &fleet.idle, strength, scale)
-	k.carried.draw(&e.carried, &fleet.carried, strength, scale)
+func (p *posterior) draw(e *evidence, fleet *posterior, strength float64, scale float32) {
+	p.idle.draw(&e.idle, &fleet.idle, strength, scale)
+	p.carried.draw(&e.carried, &fleet.carried, strength, scale)
 	for i := 2; i < steps; i++ {
-		k.renewal[i] = k.renewal[i-1] + (k.carried[i]-k.carried[i-1])*float32(froms[i])
+		p.renewal[i] = p.renewal[i-1] + (p.carried[i]-p.carried[i-1])*float32(froms[i])
 	}
 	var kept tally
 	for i := range steps {
 		kept.learn(e.idle[i].calls, e.idle[i].broken+e.carried[i].broken)
 	}
-	k.used = kept.estimate(scale, strength, fleet.used)
+	p.used = kept.estimate(scale, strength, fleet.used)
 	better := max(0, fleet.used-fleet.onNewConns) // new ones than kept ones, elsewhere
-	k.onNewConns = e.onNewConns.estimate(scale, newConnPrior, max(0, k.used-better))
-	k.dial = e.dial.estimate(scale, fleet.dial)
+	p.onNewConns = e.onNewConns.estimate(scale, newConnPrior, max(0, p.used-better))
+	p.dial = e.dial.estimate(scale, fleet.dial)
 }
 
 // join is the probability that one of two things happens.
@@ -94,51 +94,51 @@
 }
 
 // posterior returns what is thought of the provider, which for an unknown one is what is thought of the fleet.
-func (b *Estimator) posterior(now time.Time, server string) *posterior {
-	clock := b.clockAt(now)
-	scale := func() float32 { return float32(math.Exp2(b.base - clock)) }
-	if b.stale || clock-b.drawnAt > refit {
-		b.stale, b.drawnAt = false, clock
-		b.draws++
-		b.draw(scale())
+func (e *Estimator) posterior(now time.Time, server string) *posterior {
+	clock := e.clockAt(now)
+	scale := func() float32 { return float32(math.Exp2(e.base - clock)) }
+	if e.stale || clock-e.drawnAt > refit {
+		e.stale, e.drawnAt = false, clock
+		e.draws++
+		e.draw(scale())
 	}
-	r := b.servers[server]
+	r := e.servers[server]
 	if r == nil {
-		return &b.fleet
+		return &e.fleet
 	}
-	if r.draws != b.draws {
-		r.draws = b.draws
-		r.posterior.draw(&r.seen, &b.fleet, serverPrior, scale())
+	if r.draws != e.draws {
+		r.draws = e.draws
+		r.posterior.draw(&r.seen, &e.fleet, serverPrior, scale())
 	}
 	return &r.posterior
 }
 
 // draw concludes from the evidence what is thought of the fleet and of breaks. The providers with the most breaks are
 // left out, one in eight and one more: an eighth of breaks all over the fleet is little, a lone culprit's are all.
-func (b *Estimator) draw(scale float32) {
-	suspects := b.suspects[:0]
-	for _, r := range b.list {
+func (e *Estimator) draw(scale float32) {
+	suspects := e.suspects[:0]
+	for _, r := range e.list {
 		r.leftOut = false
 		if r.seen.broken > 0 {
 			suspects = append(suspects, r)
 		}
 	}
 	slices.SortStableFunc(suspects, byBreaks)
-	b.suspects = suspects
-	common := b.all
-	for _, r := range suspects[:min(len(suspects), 1+len(b.list)/8)] {
+	e.suspects = suspects
+	common := e.all
+	for _, r := range suspects[:min(len(suspects), 1+len(e.list)/8)] {
 		r.leftOut = true
 		common.subtract(&r.seen)
 	}
-	b.fleet.draw(&common, &posterior{}, stepPrior, scale)
-	for kind := range b.breaks {
-		d := &b.breaks[kind]
+	e.fleet.draw(&common, &posterior{}, stepPrior, scale)
+	for kind := range e.breaks {
+		d := &e.breaks[kind]
 		hidden := 1.0
 		for i, p := range pauses {
 			hidden *= 1 - d.shown[i].estimate(scale, shownPrior, p.shows)
-			b.shown[kind][i] = 1 - hidden
+			e.shown[kind][i] = 1 - hidden
 		}
-		b.late[kind] = d.late.estimate(scale, 0)
+		e.late[kind] = d.late.estimate(scale, 0)
 	}
 }
 
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -61,21 +61,21 @@
 
 // State returns what was learned until now, in at most MaxStateBytes bytes. Where there is not room for all providers those
 // with the fewest breaks are left out; what is common to all is not.
-func (b *Estimator) State(now time.Time) ([]byte, error) {
-	scale := float32(math.Exp2(b.base - b.clockAt(now)))
-	s := state{Version: stateVersion, All: b.all.state(scale), Whole: b.doublyBlamed.state(scale)}
-	for kind := range b.breaks {
-		for _, t := range b.breaks[kind].shown {
+func (e *Estimator) State(now time.Time) ([]byte, error) {
+	scale := float32(math.Exp2(e.base - e.clockAt(now)))
+	s := state{Version: stateVersion, All: e.all.state(scale), Whole: e.doublyBlamed.state(scale)}
+	for kind := range e.breaks {
+		for _, t := range e.breaks[kind].shown {
 			s.Shown[kind] = append(s.Shown[kind], t.state(scale))
 		}
-		s.Late[kind] = b.breaks[kind].late.state(scale)
+		s.Late[kind] = e.breaks[kind].late.state(scale)
 	}
 	out, err := encoder.Marshal(&s)
 	if err != nil {
 		return nil, fmt.Errorf("reuse: %w", err)
 	}
 	room := MaxStateBytes - len(out) - 8 // the head of a longer list
-	for _, r := range slices.SortedStableFunc(slices.Values(b.list), byBreaks) {
+	for _, r := range slices.SortedStableFunc(slices.Values(e.list), byBreaks) {
 		p, err := encoder.Marshal(&serverState{r.name, r.seen.state(scale)})
 		if err != nil {
 			return nil, fmt.Errorf("reuse: provider %q: %w", r.name, err)
@@ -90,7 +90,7 @@
 
 // Restore takes what State returned a time of age ago in place of all that the Book has learned, faded by that time.
 // After an error the Book is as it was.
-func (b *Estimator) Restore(now time.Time, data []byte, age time.Duration) error {
+func (e *Estimator) Restore(now time.Time, data []byte, age time.Duration) error {
 	var s state
 	if len(data) > MaxStateBytes {
 		return fmt.Errorf("reuse: a state of %d bytes, more than %d", len(data), MaxStateBytes)
@@ -101,8 +101,8 @@
 	if s.Version != stateVersion {
 		return fmt.Errorf("reuse: state of version %d, want %d", s.Version, stateVersion)
 	}
-	scale := float32(math.Exp2(-float64(max(0, age))/float64(b.settings.LongHalfLife))) / part
-	next := Estimator{settings: b.settings, lastLesson: now, stale: true, draws: b.draws, servers: map[string]*serverRecord{}}
+	scale := float32(math.Exp2(-float64(max(0, age))/float64(e.settings.LongHalfLife))) / part
+	next := Estimator{settings: e.settings, lastLesson: now, stale: true, draws: e.draws, servers: map[string]*serverRecord{}}
 	if err := errors.Join(s.All.read(&next.all, scale), s.Whole.read(&next.doublyBlamed, scale)); err != nil {
 		return fmt.Errorf("reuse: state: %w", err)
 	}
@@ -126,13 +126,13 @@
 		if next.servers[p.Name] != nil {
 			return fmt.Errorf("reuse: state: provider %q is there twice", p.Name)
 		}
-		if len(next.list) < b.settings.MaxServers {
+		if len(next.list) < e.settings.MaxServers {
 			if err := p.Seen.read(&next.record(p.Name).seen, scale); err != nil {
 				return fmt.Errorf("reuse: state: provider %q: %w", p.Name, err)
 			}
 		}
 	}
-	*b = next
+	*e = next
 	return nil
 }
 
