--- a/internal/keepalive/breaks.go
+++ b/internal/keepalive/breaks.go
@@ -16,7 +16,7 @@
 	{16 * time.Millisecond, 0.01},
 }
 
-// The kinds of breaks: those that happen on new connections as well, and those that only kept ones add.
+// The kinds of breaks: those that happen on new connections as well, and those that only reused ones add.
 const (
 	anywhere = iota
 	added
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -46,7 +46,7 @@
 const (
 	changed = 8.0      // logarithm of the odds at which circumstances count as changed
 	shock   = 3.0      // half-lives by which the evidence fades then
-	refit   = 1.0 / 64 // half-lives after which beliefs are drawn anew, as they are after every break
+	refit   = 1.0 / 64 // half-lives after which posteriors are drawn anew, as they are after every break
 	precise = 20.0     // half-lives in which the weights grow before all are made small again
 )
 
--- a/internal/keepalive/cost.go
+++ b/internal/keepalive/cost.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// loss is the expected loss of a call with the stakes whose connection breaks with probability p, usual of which new
+// loss is the expected loss of an attempt of this cost whose connection breaks with probability p, usual of which new
 // ones have as well, and the pause for which it is least. A pause that gains nothing is not taken.
 func (e *Estimator) loss(cost *RetryCost, k *posterior, p, usual float64) (float64, time.Duration) {
 	late := func(seconds float64) float64 {
@@ -48,10 +48,10 @@
 	return loss + e.settings.Handshake
 }
 
-// Take reports whether the call does better on this kept connection than on a new one. One that has been idle for
-// longer does no better; one that has carried fewer calls may.
+// Take reports whether the attempt does better on this reused connection than on a new one. One that has been idle for
+// longer does no better; one that has carried fewer attempts may.
 //
-// The risk that grows with the calls carried is weighed as in age replacement (Barlow and Proschan, Mathematical Theory
+// The risk that grows with the attempts carried is weighed as in age replacement (Barlow and Proschan, Mathematical Theory
 // of Reliability, 1965): a new connection is paid for once and spares all the breaks that the old one would have had
 // more until the new one has carried as many.
 func (e *Estimator) Take(now time.Time, u Use, cost RetryCost) bool {
@@ -67,7 +67,7 @@
 	return loss <= e.newConnLoss(&cost, k)
 }
 
-// Hold returns for how long the call's last byte is to be held back; 0 = write it with the rest.
+// Hold returns for how long the attempt's last byte is to be held back; 0 = write it with the rest.
 func (e *Estimator) Hold(now time.Time, u Use, cost RetryCost) time.Duration {
 	k := e.posterior(now, u.Server)
 	p, usual := k.breaks(u)
@@ -75,8 +75,8 @@
 	return pause
 }
 
-// Limit returns the idle time, at most most, from which on a new connection to the provider is the better one. Kept
-// ones that are idle for longer than the limit for the least stakes there are may be closed.
+// Limit returns the idle time, at most limit, from which on a new connection to the server is the better one. Kept
+// ones that are idle for longer than the result for the lowest cost there is may be closed.
 func (e *Estimator) Limit(now time.Time, server string, cost RetryCost, limit time.Duration) time.Duration {
 	k := e.posterior(now, server)
 	anew := e.newConnLoss(&cost, k)
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -1,39 +1,39 @@
-// Package keepalive decides on which connection a call goes, a kept one or a new one, and whether its last byte is held
-// back for a moment. It learns from how calls end. It does no input or output, reads no clock and draws no random
+// Package keepalive decides on which connection an attempt goes, a reused one or a new one, and whether its last byte is held
+// back for a moment. It learns from how attempts end. It does no input or output, reads no clock and draws no random
 // numbers.
 //
 // # The losses
 //
-// Kept connections break without a word: something between has forgotten them, or the provider has, and the call that
-// finds out is reset. Any call may break, on a new connection too, so that only what a kept one adds to that speaks for
-// a new one. All losses are in one unit, the worth of a request of worth 1. With p the probability that the call
-// breaks, w the worth of its request and H = Settings.Handshake:
+// Reused connections break without notice: something between has forgotten them, or the server has, and the attempt that
+// finds out is reset. Any attempt may break, on a new connection too, so that only what a reused one adds to that speaks for
+// a new one. All losses are in one unit, the value of a request of priority weight 1. With p the probability that the attempt
+// breaks, w the priority weight of its request and H = Settings.Handshake:
 //
-//	a kept connection costs  w·L(p) + p·H                        (what breaks must be replaced)
+//	a reused connection costs  w·L(p) + p·H                        (what breaks must be replaced)
 //	a new one costs          w·L(p) + p·H + H + w·late(dial)     (its own p; dial is learned)
 //	L(p) = p·((1-s)·broken + s·early) + late(pause)              for the pause, if any, for which it is least
 //	broken = 1 for what must not run twice, else Retry + late(time until a break shows, learned)
 //	early  = Retry + late(pause + dial), as nothing has run
-//	late(d) = Hurry·d/Aim, at most 1: the part of requests for which a delay of d is one too many
+//	late(d) = Hurry·d/LatencyObjective, at most 1: the part of requests for which a delay of d is one too many
 //
-// s is the share of breaks that show while the last byte is held back: a provider starts a request once that byte is
+// s is the share of breaks that show while the last byte is held back: a server starts a request once that byte is
 // there, so that what breaks before has not run. It is learned for each length of pause from those held back for as
 // long (Kaplan and Meier, JASA 53, 1958: the others say nothing of the time after theirs), and apart for the breaks
-// that happen on new connections as well and those that only kept ones add.
+// that happen on new connections as well and those that only reused ones add.
 //
 // # The probabilities
 //
-// p of a kept connection grows with the time for which it was idle and with the calls that it has carried: a curve over
+// p of a reused connection grows with the time for which it was idle and with the attempts that it has carried: a curve over
 // each, in steps of 1.35, so 1-p = (1-idle)·(1-carried). A step's estimate is the mean of a Beta posterior whose prior
 // is centred on its neighbours; then the curve is made monotone by pooling adjacent violators (Ayer et al., 1955;
 // Barlow et al., Statistical Inference under Order Restrictions, 1972). A break is ascribed to the two curves by how far
-// the step of each stands out from the mean. A provider's curves shrink towards the fleet's, which leave out the
-// providers with the most breaks: trouble at one says nothing of the others, the same at several does. A new connection
-// is expected to do as well as kept ones until there is evidence.
+// the step of each stands out from the mean. A server's curves shrink towards the fleet's, which leave out the
+// servers with the most breaks: trouble at one says nothing of the others, the same at several does. A new connection
+// is expected to do as well as reused ones until there is evidence.
 //
-// Evidence fades with a half-life of Settings.Calls calls, bounded on both sides by times, so that a few calls an hour
+// Evidence fades with a half-life of Settings.Calls attempts, bounded on both sides by times, so that a few attempts an hour
 // are not forgotten one by one and a thousand a second do not shut out what is new. Without breaks all estimates are
-// exactly 0, and the Book does as a plain pool does: any kept connection, no pause. What has been given up is tried
+// exactly 0, and the Estimator does as a plain pool does: any reused connection, no pause. What has been given up is tried
 // again as its evidence fades, first by what loses least: a request that may run again, or a probe.
 package keepalive
 
@@ -43,33 +43,33 @@
 	"time"
 )
 
-// Use is a call's connection.
+// Use is an attempt's connection.
 type Use struct {
 	Server  string
-	Idle    time.Duration // of the connection before the call
-	Carried int           // calls before this one; 0 with Idle 0 = a new connection
+	Idle    time.Duration // of the connection before the attempt
+	Carried int           // attempts before this one; 0 with Idle 0 = a new connection
 }
 
 func (u Use) isKept() bool { return u.Carried > 0 || u.Idle > 0 }
 
-// Outcome is how a call ended. Those that ended in other ways (refused, timed out, called off) are not reported.
+// Outcome is how an attempt ended. Those that ended in other ways (refused, timed out, cancelled) are not reported.
 type Outcome uint8
 
-// The fates.
+// The outcomes.
 const (
 	Answered Outcome = iota // whatever the answer said
-	Broken                  // the connection was reset or ended after the call's last byte was written
-	Early                   // it broke while the last byte was held back: the call has not run
+	Broken                  // the connection was reset or ended after the attempt's last byte was written
+	Early                   // it broke while the last byte was held back: the attempt has not run
 )
 
-// RetryCost are what a call puts at risk.
+// RetryCost is what an attempt puts at risk.
 type RetryCost struct {
 	NonIdempotent    bool          // it must not run twice: broken, it is lost
 	LatencyObjective time.Duration // in which its answer is wanted; 0 = any time will do
 	PriorityWeight   float64       // of its request, relative to 1 for a usual one; a small part for a probe, so that it explores
 }
 
-// boundedWeight guards against figures that would turn the comparison around.
+// boundedWeight guards against numbers that would turn the comparison around.
 func (r *RetryCost) boundedWeight() float64 {
 	if !(r.PriorityWeight > 0) {
 		return 0
@@ -81,13 +81,13 @@
 type Estimator struct {
 	settings Settings
 
-	odds       float64   // log, that breaks have become several times as frequent
-	clock      float64   // in half-lives of the evidence, at the last lesson
-	base       float64   // clock at which a lesson weighed 1: later ones weigh more instead of earlier ones less
-	lastLesson time.Time // of the last lesson
+	odds       float64 // log, that breaks have become several times as frequent
+	clock      float64 // in half-lives of the evidence, at the last lesson
+	base       float64 // clock at which a lesson weighed 1: later ones weigh more instead of earlier ones less
+	lastLesson time.Time
 
-	all          evidence // of all providers together, those that are gone among them
-	doublyBlamed evidence // of them too, with every break held against both the idle time and the calls carried
+	all          evidence // of all servers together, those that are gone among them
+	doublyBlamed evidence // of them too, with every break held against both the idle time and the attempts carried
 	breaks       [kinds]breaks
 	servers      map[string]*serverRecord
 	list         []*serverRecord // the same, in the order in which they came
@@ -96,22 +96,22 @@
 	fleet   posterior
 	shown   [kinds][len(pauses)]float64 // share of breaks that show within each pause
 	late    [kinds]float64              // seconds until a break after the last byte shows
-	stale   bool                        // there has been a break since the beliefs were drawn
+	stale   bool                        // there has been a break since the posteriors were drawn
 	drawnAt float64                     // clock at that time
 	draws   int                         // how often they have been
 }
 
-// serverRecord is one provider.
+// serverRecord is one server.
 type serverRecord struct {
 	name      string
 	seen      evidence
 	posterior posterior
-	draws     int     // Book.drawns when the belief was drawn
+	draws     int     // Estimator.drawns when the posterior was drawn
 	learned   float64 // clock at its last lesson
 	leftOut   bool    // it has so many breaks that the fleet's curves leave it out
 }
 
-// New returns a Book without evidence.
+// New returns an Estimator without evidence.
 func New(set Settings) (*Estimator, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	return &Estimator{settings: set, stale: true, servers: map[string]*serverRecord{}}, nil
 }
 
-// serverRecord returns the provider's, a new one if there is none. The one that has learned nothing for longest makes room.
+// record returns the server's record, a new one if there is none. The one that has learned nothing for longest makes room.
 func (e *Estimator) record(server string) *serverRecord {
 	r := e.servers[server]
 	if r == nil {
@@ -134,7 +134,7 @@
 	return r
 }
 
-// Learn takes note of how a call on u ended. held is for how long its last byte was to be held back, as Hold said, also
+// Learn takes note of how an attempt on u ended. held is for how long its last byte was to be held back, as Hold said, also
 // where the connection broke sooner; 0 = not at all. took says when a break showed: for Early counted from the first
 // byte, for Broken from the last; for Answered it does not matter.
 func (e *Estimator) Learn(now time.Time, u Use, how Outcome, held, took time.Duration) {
@@ -165,7 +165,7 @@
 	e.all.dial.learn(w, took)
 }
 
-// Forget drops a provider that is gone from the list. What it had in common with others stays with the fleet.
+// Forget drops a server that is gone from the list. What it had in common with others stays with the fleet.
 func (e *Estimator) Forget(server string) {
 	r := e.servers[server]
 	if r == nil {
--- a/internal/keepalive/reuse_test.go
+++ b/internal/keepalive/estimator_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-// lesson is a number of calls on one connection, broken ones spread among them evenly.
+// lesson is a number of attempts on one connection, broken ones spread among them evenly.
 type lesson struct {
 	server        string
 	idle          time.Duration
@@ -40,7 +40,7 @@
 	return lesson{server: server, idle: idle, carried: 3, calls: calls, broken: broken}
 }
 
-// teach has a call each 10 ms and returns the time after the last.
+// teach has an attempt each 10 ms and returns the time after the last.
 func teach(b *Estimator, now time.Time, lessons ...lesson) time.Time {
 	for _, l := range lessons {
 		for i := range l.calls {
@@ -57,7 +57,7 @@
 	return now
 }
 
-// Each case is what was seen, then what is decided on a kept connection that has been idle for so long and has carried
+// Each case is what was seen, then what is decided on a reused connection that has been idle for so long and has carried
 // so much, for an order, a query and a probe.
 func TestTake(t *testing.T) {
 	const a, b = "a", "b"
@@ -71,7 +71,7 @@
 	for name, c := range map[string]struct {
 		seen     []lesson
 		use      Use
-		decision string // of order, query and probe: k = the kept one, n = a new one
+		decision string // of order, query and probe: k = the reused one, n = a new one
 	}{
 		"nothing is known":           {nil, Use{a, time.Minute, 1000}, "kkk"},
 		"all was well":               {[]lesson{clean}, Use{a, time.Minute, 1000}, "kkk"},
@@ -203,7 +203,7 @@
 	}
 }
 
-// Evidence that must be scaled down again and again stays the same in effect, and providers stay bounded.
+// Evidence that must be scaled down again and again stays the same in effect, and servers stay bounded.
 func TestBounds(t *testing.T) {
 	set := testSettings()
 	set.MaxServers = 3
--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -9,18 +9,18 @@
 const (
 	steps = 40
 	ratio = 1.35
-	unit  = 5 * time.Millisecond // of idle time; that of calls carried is 1
+	unit  = 5 * time.Millisecond // of idle time; that of attempts carried is 1
 )
 
-// Strengths of the priors, in calls.
+// Strengths of the priors, in attempts.
 const (
 	stepPrior    = 8.0  // of a step of the fleet's curves, centred on its neighbours
-	serverPrior  = 16.0 // likewise, of a provider's
+	serverPrior  = 16.0 // likewise, of a server's
 	near         = 0.5  // what a neighbour counts for; one further off, the square of that, and so on
 	nearPrior    = 0.25 // part of the above with which the neighbours' mean is centred on the fleet's curve
-	newConnPrior = 8.0  // of new connections, centred on kept ones
+	newConnPrior = 8.0  // of new connections, centred on reused ones
 	shownPrior   = 2.0  // of the share of breaks that a pause shows
-	meanPrior    = 4.0  // of a provider's mean time, centred on the fleet's
+	meanPrior    = 4.0  // of a server's mean time, centred on the fleet's
 	faded        = 0.01 // less is no evidence
 	little       = 1e-9
 )
@@ -46,7 +46,7 @@
 
 func idleStep(d time.Duration) int { return stepOf(float64(d) / float64(unit)) }
 
-// tally counts, in the Book's weights, calls and those of them that broke.
+// tally counts, in the Estimator's weights, attempts and those of them that broke.
 type tally struct{ calls, broken float32 }
 
 func (t *tally) learn(calls, broken float32) { t.calls, t.broken = t.calls+calls, t.broken+broken }
@@ -81,15 +81,15 @@
 	return sum / max(weight, faded)
 }
 
-// evidence is what calls have shown, of one provider or of all.
+// evidence is what attempts have shown, of one server or of all.
 type evidence struct {
 	onNewConns    tally        // on new connections
-	idle, carried [steps]tally // on kept ones
+	idle, carried [steps]tally // on reused ones
 	dial          mean
-	broken        float32 // of all calls
+	broken        float32 // of all attempts
 }
 
-// learn adds a call of weight w, and what of it was lost by the idle time and by the calls carried.
+// learn adds an attempt of weight w, and what of it was lost by the idle time and by the attempts carried.
 func (e *evidence) learn(u Use, w, byIdle, byCarried float32) {
 	e.broken += byIdle + byCarried
 	if !u.isKept() {
@@ -100,7 +100,7 @@
 	e.carried[stepOf(float64(u.Carried))].learn(w, byCarried)
 }
 
-// idleShareOfBreak is the part of a break that the idle time is to answer for, the rest being that of the calls carried. e holds
+// idleShareOfBreak is the part of a break that the idle time is to answer for, the rest being that of the attempts carried. e holds
 // all breaks against both. What stands out from the mean by chance counts little beside what does for a reason, hence
 // the squares; where nothing stands out, it is the idle time.
 func (e *evidence) idleShareOfBreak(u Use, scale float32) float64 {
@@ -136,7 +136,7 @@
 	}
 }
 
-// subtract leaves out what o counted of calls.
+// subtract leaves out what o counted of attempts.
 func (e *evidence) subtract(o *evidence) {
 	e.onNewConns.subtract(o.onNewConns)
 	e.broken = max(0, e.broken-o.broken)
--- a/internal/keepalive/posterior.go
+++ b/internal/keepalive/posterior.go
@@ -12,10 +12,10 @@
 
 // posterior is what is concluded from evidence.
 type posterior struct {
-	onNewConns    float64 // probability that a call on a new connection breaks
-	used          float64 // that one on a kept connection does, on the whole
-	idle, carried curve   // that one breaks by the idle time, which takes in what happens to new ones; by calls carried
-	renewal       curve   // by calls carried: breaks that a new connection would save until it has carried as many
+	onNewConns    float64 // probability that an attempt on a new connection breaks
+	used          float64 // that one on a reused connection does, on the whole
+	idle, carried curve   // that one breaks by the idle time, which takes in what happens to new ones; by attempts carried
+	renewal       curve   // by attempts carried: breaks that a new connection would save until it has carried as many
 	dial          float64 // seconds
 }
 
@@ -31,7 +31,7 @@
 		kept.learn(e.idle[i].calls, e.idle[i].broken+e.carried[i].broken)
 	}
 	p.used = kept.estimate(scale, strength, fleet.used)
-	better := max(0, fleet.used-fleet.onNewConns) // new ones than kept ones, elsewhere
+	better := max(0, fleet.used-fleet.onNewConns) // new ones than reused ones, elsewhere
 	p.onNewConns = e.onNewConns.estimate(scale, newConnPrior, max(0, p.used-better))
 	p.dial = e.dial.estimate(scale, fleet.dial)
 }
@@ -39,24 +39,25 @@
 // join is the probability that one of two things happens.
 func join(x, y float32) float64 { return 1 - (1-float64(x))*(1-float64(y)) }
 
-// breaks returns the probability that the call breaks, and how much of it a new connection has as well.
-func (k *posterior) breaks(u Use) (p, usual float64) {
+// breaks returns the probability that the attempt breaks, and how much of it a new connection has as well.
+func (p *posterior) breaks(u Use) (probability, usual float64) {
 	if !u.isKept() {
-		return k.onNewConns, k.onNewConns
+		return p.onNewConns, p.onNewConns
 	}
-	return k.kept(idleStep(u.Idle), stepOf(float64(u.Carried)))
+	return p.kept(idleStep(u.Idle), stepOf(float64(u.Carried)))
 }
 
-func (k *posterior) kept(idle, carried int) (p, usual float64) {
-	p = join(k.idle[idle], k.carried[carried])
-	return p, min(p, k.onNewConns)
+// kept is breaks for a reused connection, by its steps.
+func (p *posterior) kept(idle, carried int) (probability, usual float64) {
+	probability = join(p.idle[idle], p.carried[carried])
+	return probability, min(probability, p.onNewConns)
 }
 
-// draw estimates each step from its own calls and those at its neighbours, then pools adjacent violators. Steps without
-// calls weigh next to nothing, so that far ones that nothing is known of do not water down what is.
+// draw estimates each step from its own attempts and those at its neighbours, then pools adjacent violators. Steps without
+// attempts weigh next to nothing, so that far ones that nothing is known of do not water down what is.
 func (c *curve) draw(of *[steps]tally, prior *curve, strength float64, scale float32) {
 	var around, own [steps]tally
-	for i, t := range of { // one with many calls must not speak for those far off
+	for i, t := range of { // one with many attempts must not speak for those far off
 		own[i] = t
 		own[i].scale(scale * float32(min(1, strength/(float64(t.calls*scale)+little))))
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// posterior returns what is thought of the provider, which for an unknown one is what is thought of the fleet.
+// posterior returns what is thought of the server, which for an unknown one is what is thought of the fleet.
 func (e *Estimator) posterior(now time.Time, server string) *posterior {
 	clock := e.clockAt(now)
 	scale := func() float32 { return float32(math.Exp2(e.base - clock)) }
@@ -113,7 +114,7 @@
 	return &r.posterior
 }
 
-// draw concludes from the evidence what is thought of the fleet and of breaks. The providers with the most breaks are
+// draw concludes from the evidence what is thought of the fleet and of breaks. The servers with the most breaks are
 // left out, one in eight and one more: an eighth of breaks all over the fleet is little, a lone culprit's are all.
 func (e *Estimator) draw(scale float32) {
 	suspects := e.suspects[:0]
@@ -142,5 +143,5 @@
 	}
 }
 
-// byBreaks puts the provider with the most breaks first.
+// byBreaks puts the server with the most breaks first.
 func byBreaks(x, y *serverRecord) int { return cmp.Compare(y.seen.broken, x.seen.broken) }
--- a/internal/keepalive/settings.go
+++ b/internal/keepalive/settings.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Settings are the prices and the memory. Prices are in worths of a request of worth 1.
+// Settings are the costs and the memory. Costs are in values of a request of priority weight 1.
 type Settings struct {
-	Handshake    float64       // a new connection: work at the provider, a place there, a socket here
+	Handshake    float64       // a new connection: work at the server, a place there, a socket here
 	Retry        float64       // sending again what may be sent again: a draw on the retry budget, work done twice
-	Hurry        float64       // a delay of d costs Hurry·d/Aim
+	Hurry        float64       // a delay of d costs Hurry·d/LatencyObjective
 	HalfLife     time.Duration // of evidence, at least
 	LongHalfLife time.Duration // and at most
-	Calls        float64       // a half-life between the two is as long as this many calls take
+	Calls        float64       // a half-life between the two is as long as this many attempts take
 	MaxPause     time.Duration // for which the last byte may be held back; 0 = never
 	MaxServers   int           // of which evidence is kept apart; each takes 1.2 KB
 }
 
-// Default returns the settings for requests of some 100 ms at providers that can hold a few hundred connections.
+// Default returns the settings for requests of some 100 ms at servers that can hold a few hundred connections.
 func Default() Settings {
 	return Settings{
 		Handshake: 0.02, Retry: 0.1, Hurry: 0.3, HalfLife: 10 * time.Second, LongHalfLife: 10 * time.Minute,
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -10,8 +10,8 @@
 
 const (
 	ms      = time.Millisecond
-	fleet   = 15               // providers
-	aim     = 750 * ms         // of every call
+	fleet   = 15               // servers
+	aim     = 750 * ms         // of every attempt
 	dial    = ms               // for a connection to come up
 	retired = 48 * time.Second // idle time after which a connection is closed in any case
 	always  = math.MaxInt
@@ -24,17 +24,17 @@
 	return set
 }
 
-// chance is that with which a kept connection breaks beyond what any call risks, by the time since the start, the
-// provider, the idle time and the calls carried.
+// chance is that with which a reused connection breaks beyond what any attempt risks, by the time since the start, the
+// server, the idle time and the attempts carried.
 type chance func(at time.Duration, provider int, idle time.Duration, carried int) float64
 
 // world says how connections break.
 type world struct {
 	name  string
-	base  float64 // chance of any call, on new connections too
+	base  float64 // chance of any attempt, on new connections too
 	added chance
-	lone  bool       // it is provider 0 alone; the fixed policies know that
-	worse [2]float64 // most loss beyond the best fixed policy's, for 1,000 calls, at 100 calls a second and at 1
+	lone  bool       // it is server 0 alone; the fixed policies know that
+	worse [2]float64 // most loss beyond the best fixed policy's, for 1,000 attempts, at 100 attempts a second and at 1
 }
 
 // when returns a chance of p on a condition.
@@ -70,15 +70,15 @@
 	{"one provider, 20% of all kept", 0, when(0.2, func(_ time.Duration, p int, _ time.Duration, _ int) bool {
 		return p == 0
 	}), true, [2]float64{0.3, 0.7}},
-	{"all beyond 90 ms, after 30 s", 0, when(1, func(at time.Duration, p int, idle time.Duration, _ int) bool {
+	{"all beyond 90 ms, after 30 s", 0, when(1, func(at time.Duration, _ int, idle time.Duration, _ int) bool {
 		return at > 30*time.Second && idle > 90*ms
 	}), false, [2]float64{0, 1.6}},
-	{"all beyond 90 ms, for 30 s", 0, when(1, func(at time.Duration, p int, idle time.Duration, _ int) bool {
+	{"all beyond 90 ms, for 30 s", 0, when(1, func(at time.Duration, _ int, idle time.Duration, _ int) bool {
 		return at < 30*time.Second && idle > 90*ms
 	}), false, [2]float64{0, 0.5}},
 }
 
-// policy is what the simulated pool asks: a Book, or what it is compared with.
+// policy is what the simulated pool asks: an Estimator, or what it is compared with.
 type policy interface {
 	Take(time.Time, Use, RetryCost) bool
 	Hold(time.Time, Use, RetryCost) time.Duration
@@ -90,9 +90,9 @@
 // fixed learns nothing.
 type fixed struct {
 	once, safe time.Duration // limits on the idle time
-	carried    int           // and on the calls carried
+	carried    int           // and on the attempts carried
 	pause      time.Duration // for what must not run twice
-	lone       bool          // the limits are for provider 0 alone
+	lone       bool          // the limits are for server 0 alone
 }
 
 var plain = fixed{once: retired, safe: retired, carried: always}
@@ -154,8 +154,8 @@
 	return n
 }()
 
-// lost plays n calls at rate a second, 30% of which must not run twice, and returns the loss. The same seed brings the
-// same calls, whatever the policy.
+// lost plays n attempts at rate a second, 30% of which must not run twice, and returns the loss. The same seed brings the
+// same attempts, whatever the policy.
 func (w *world) lost(p policy, rate float64, n int, seed uint64) (loss float64) {
 	type conn struct {
 		freed   time.Duration
@@ -169,7 +169,7 @@
 		at += time.Duration(rng.ExpFloat64() / rate * 1e9)
 		work := 5*ms + time.Duration(rng.ExpFloat64()*float64(20*ms))
 		to, breaks, breaksBase := rng.IntN(fleet), rng.Float64(), rng.Float64()
-		// Of breaks on any call half come at once; of those that do, 60% show before the last byte is there.
+		// Of breaks on any attempt half come at once; of those that do, 60% show before the last byte is there.
 		atOnce, visible, shows := rng.Float64() < 0.5, rng.Float64() < 0.6, time.Duration(rng.ExpFloat64()*float64(ms))
 		now, s := start.Add(at), RetryCost{NonIdempotent: rng.Float64() < 0.3, LatencyObjective: aim, PriorityWeight: 1}
 
@@ -254,7 +254,7 @@
 	return f
 }
 
-// In every world a Book loses little more than the best of the fixed policies, which knows that world.
+// In every world an Estimator loses little more than the best of the fixed policies, which knows that world.
 func TestWorlds(t *testing.T) {
 	const n, seeds = 6000, 2
 	for _, w := range worlds {
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -15,31 +15,31 @@
 	MaxStateBytes = 250 << 10
 
 	stateVersion = 1
-	part         = 16      // figures are kept in sixteenths of a call: whole numbers are short, and none is a NaN
+	part         = 16      // numbers are kept in sixteenths of an attempt: whole numbers are short, and none is a NaN
 	maxCalls     = 1 << 28 // in those; what is kept of all that ever came stays below it
 )
 
-// state is what a Book has learned, as it was at its last lesson.
+// state is what an Estimator has learned, as it was at its last lesson.
 type state struct {
 	Version uint               `cbor:"1,keyasint"`
 	All     evidenceState      `cbor:"2,keyasint"`
 	Shown   [kinds][][2]uint32 `cbor:"3,keyasint"` // by pause
-	Late    [kinds][2]uint32   `cbor:"4,keyasint"` // calls, and the mean in µs
+	Late    [kinds][2]uint32   `cbor:"4,keyasint"` // attempts, and the mean in µs
 	Whole   evidenceState      `cbor:"5,keyasint"`
 	Servers []cbor.RawMessage  `cbor:"6,keyasint"` // the providerStates
 }
 
-// serverState is one provider's part.
+// serverState is one server's part.
 type serverState struct {
 	Name string        `cbor:"1,keyasint"`
 	Seen evidenceState `cbor:"2,keyasint"`
 }
 
-// evidenceState is evidence; of the steps it has those with calls.
+// evidenceState is evidence; of the steps it has those with attempts.
 type evidenceState struct {
 	_       struct{} `cbor:",toarray"`
 	Fresh   [2]uint32
-	Idle    [][3]uint32 // step, calls, broken
+	Idle    [][3]uint32 // step, attempts, broken
 	Carried [][3]uint32
 	Dial    [2]uint32
 }
@@ -59,7 +59,7 @@
 	return v
 }
 
-// State returns what was learned until now, in at most MaxStateBytes bytes. Where there is not room for all providers those
+// State returns what was learned until now, in at most MaxStateBytes bytes. Where there is not room for all servers those
 // with the fewest breaks are left out; what is common to all is not.
 func (e *Estimator) State(now time.Time) ([]byte, error) {
 	scale := float32(math.Exp2(e.base - e.clockAt(now)))
@@ -88,8 +88,8 @@
 	return encoder.Marshal(&s)
 }
 
-// Restore takes what State returned a time of age ago in place of all that the Book has learned, faded by that time.
-// After an error the Book is as it was.
+// Restore takes what State returned a time of age ago in place of all that the Estimator has learned, faded by that time.
+// After an error the Estimator is as it was.
 func (e *Estimator) Restore(now time.Time, data []byte, age time.Duration) error {
 	var s state
 	if len(data) > MaxStateBytes {
