--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter lets the bench drive the decision module: batches come in on standard input, each is
-// answered by one reply on standard output, and the end of input ends the program.
+// Command simadapter lets the simulator drive the policy: batches come in on standard input, each is answered by one
+// reply on standard output, and the end of input ends the program.
 package main
 
 import (
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire is the bench's binary dialect: frames and the words they use. It translates to
-// and from the types of package policy and decides nothing.
+// Package simwire is the simulator's binary protocol: frames of records. It translates them to and from the types of package
+// policy and decides nothing.
 package simwire
 
 import (
@@ -136,87 +136,109 @@
 	return h.reply, nil
 }
 
-func (h *Host) event(now float64, rec, tail []byte) (int, error) {
-	code := u16(rec, 0)
-	if code == evPage {
-		return 0, h.page(rec, tail)
-	}
-	who := u16(rec, 2)
-	if code == evConfigure {
-		raw, err := cut(tail, rec, 12, 1)
-		if err != nil {
-			return 0, fmt.Errorf("settings: %w", err)
-		}
-		cfg, fields, err := ParseConfig(raw)
-		if err != nil {
-			return 0, fmt.Errorf("settings: %w", err)
-		}
-		bal, err := policy.New(cfg, binary.LittleEndian.Uint64(rec[4:]))
-		if err != nil {
-			return 0, fmt.Errorf("settings: %w", err)
-		}
-		h.live[who] = &instance{bal, fields}
-		return h.handle(now, who, h.live[who], &policy.Event{Kind: policy.Started})
-	}
-	if code < evConfigure || code > evPage {
+// event deals with one record, and returns how many actions it has led to.
+func (h *Host) event(now float64, record, tail []byte) (int, error) {
+	code := u16(record, 0)
+	id := u16(record, 2)
+	switch {
+	case code == evPage:
+		return 0, h.page(record, tail)
+	case code == evConfigure:
+		return h.configure(now, id, record, tail)
+	case code < evConfigure || code > evPage:
 		return 0, fmt.Errorf("unknown event code %d", code)
 	}
-	in := h.live[who]
+	in := h.live[id]
 	if in == nil {
-		return 0, fmt.Errorf("event code %d for instance %d, which is not running", code, who)
+		return 0, fmt.Errorf("event code %d for instance %d, which is not running", code, id)
 	}
-	var e policy.Event
-	var err error
 	switch code {
 	case evPowerOff:
-		delete(h.live, who)
+		delete(h.live, id)
 		return 0, nil
-	case evMessage, evHeadReceived: // no peers and no streamed classes: nothing to decide on
+	case evMessage, evHeadReceived: // no messages between instances and no streamed classes: nothing to decide on
 		return 0, nil
+	}
+	e, err := h.decode(code, in, record)
+	if err != nil {
+		return 0, err
+	}
+	return h.handle(now, id, in, &e)
+}
+
+// configure starts an instance with its settings.
+func (h *Host) configure(now float64, id uint16, record, tail []byte) (int, error) {
+	raw, err := cut(tail, record, 12, 1)
+	if err != nil {
+		return 0, fmt.Errorf("settings: %w", err)
+	}
+	cfg, fields, err := ParseConfig(raw)
+	if err != nil {
+		return 0, fmt.Errorf("settings: %w", err)
+	}
+	balancer, err := policy.New(cfg, binary.LittleEndian.Uint64(record[4:]))
+	if err != nil {
+		return 0, fmt.Errorf("settings: %w", err)
+	}
+	in := &instance{balancer, fields}
+	h.live[id] = in
+	return h.handle(now, id, in, &policy.Event{Kind: policy.Started})
+}
+
+// decode makes a record an event of the policy.
+func (h *Host) decode(code uint16, in *instance, record []byte) (e policy.Event, err error) {
+	switch code {
 	case evFleet:
-		switch form := rec[8]; form {
-		case 0, 1, 2:
-			slot := u32(rec, 4)
-			if slot >= uint32(len(h.pages)) {
-				return 0, fmt.Errorf("list number %d is out of bounds", slot)
-			}
-			e = policy.Event{Kind: policy.EndpointsUpdated, Complete: form != 0, Servers: h.pages[slot]}
-		case 3:
-			e = policy.Event{Kind: policy.SubscriptionFailed}
-		default:
-			return 0, fmt.Errorf("unknown list form %d", form)
-		}
+		return h.decodeList(record)
 	case evInbound:
 		e = policy.Event{
-			Kind: policy.RequestArrived, Request: policy.RequestID(u32(rec, 4)), TimeLeft: f64(rec, 8),
-			Class: int(rec[24]), Tenant: int(u32(rec, 25)),
-			ClientRetry: rec[29]&2 != 0,
+			Kind: policy.RequestArrived, Request: policy.RequestID(u32(record, 4)), TimeLeft: f64(record, 8),
+			Class: int(record[24]), Tenant: int(u32(record, 25)),
+			ClientRetry: record[29]&2 != 0,
 		}
 	case evEnded:
 		e = policy.Event{
-			Kind: policy.AttemptEnded, Request: policy.RequestID(u32(rec, 4)), Attempt: int(rec[8]),
-			Server: policy.ServerID(u32(rec, 9)), Elapsed: f64(rec, 13), Final: rec[21] != 0,
+			Kind: policy.AttemptEnded, Request: policy.RequestID(u32(record, 4)), Attempt: int(record[8]),
+			Server: policy.ServerID(u32(record, 9)), Elapsed: f64(record, 13), Final: record[21] != 0,
 		}
-		if e.Status, err = status(rec, 22); err != nil {
-			return 0, err
-		}
-		if e.Report, err = in.report(rec[24:]); err != nil {
-			return 0, err
+		if e.Status, err = status(record, 22); err != nil {
+			return e, err
 		}
+		e.Report, err = in.report(record[24:])
 	case evDropped:
-		e = policy.Event{Kind: policy.ClientGone, Request: policy.RequestID(u32(rec, 4))}
+		e = policy.Event{Kind: policy.ClientGone, Request: policy.RequestID(u32(record, 4))}
 	case evDue:
-		e = policy.Event{Kind: policy.TimerFired, Timer: binary.LittleEndian.Uint64(rec[4:])}
+		e = policy.Event{Kind: policy.TimerFired, Timer: binary.LittleEndian.Uint64(record[4:])}
 	case evCheckResult:
-		e = policy.Event{Kind: policy.ProbeEnded, Server: policy.ServerID(u32(rec, 4)), Elapsed: f64(rec, 10)}
-		if e.Status, err = status(rec, 8); err != nil {
-			return 0, err
-		}
-		if e.Report, err = in.report(rec[18:]); err != nil {
-			return 0, err
+		e = policy.Event{Kind: policy.ProbeEnded, Server: policy.ServerID(u32(record, 4)), Elapsed: f64(record, 10)}
+		if e.Status, err = status(record, 8); err != nil {
+			return e, err
 		}
+		e.Report, err = in.report(record[18:])
+	}
+	return e, err
+}
+
+// The forms of a list's event.
+const (
+	listPartial = 0
+	listFailed  = 3 // 1 and 2 are complete lists
+)
+
+// decodeList makes a record with a list of servers an event of the policy.
+func (h *Host) decodeList(record []byte) (policy.Event, error) {
+	form := record[8]
+	if form == listFailed {
+		return policy.Event{Kind: policy.SubscriptionFailed}, nil
+	}
+	if form > listFailed {
+		return policy.Event{}, fmt.Errorf("unknown list form %d", form)
+	}
+	slot := u32(record, 4)
+	if slot >= uint32(len(h.pages)) {
+		return policy.Event{}, fmt.Errorf("list number %d is out of bounds", slot)
 	}
-	return h.handle(now, who, in, &e)
+	return policy.Event{Kind: policy.EndpointsUpdated, Complete: form != listPartial, Servers: h.pages[slot]}, nil
 }
 
 func (h *Host) handle(now float64, who uint16, in *instance, e *policy.Event) (int, error) {
