--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -10,37 +10,37 @@
 
 const (
 	ms      = time.Millisecond
-	fleet   = 15               // providers
-	aim     = 750 * ms         // of every call
+	fleet   = 15               // servers
+	aim     = 750 * ms         // of every attempt
 	dial    = ms               // for a connection to come up
 	retired = 48 * time.Second // idle time after which a connection is closed in any case
 	always  = math.MaxInt
 )
 
-// priced are the settings that the losses below are counted by.
-func priced() Settings {
+// testSettings are the settings that the losses below are counted by.
+func testSettings() Settings {
 	set := Default()
 	set.Handshake, set.Retry, set.Hurry = 0.02, 0.1, 0.3
 	return set
 }
 
-// chance is that with which a kept connection breaks beyond what any call risks, by the time since the start, the
-// provider, the idle time and the calls carried.
+// chance is that with which a reused connection breaks beyond what any attempt risks, by the time since the start, the
+// server, the idle time and the attempts carried.
 type chance func(at time.Duration, provider int, idle time.Duration, carried int) float64
 
 // world says how connections break.
 type world struct {
 	name  string
-	base  float64 // chance of any call, on new connections too
+	base  float64 // chance of any attempt, on new connections too
 	added chance
-	lone  bool       // it is provider 0 alone; the fixed policies know that
-	worse [2]float64 // most loss beyond the best fixed policy's, for 1,000 calls, at 100 calls a second and at 1
+	lone  bool       // it is server 0 alone; the fixed policies know that
+	worse [2]float64 // most loss beyond the best fixed policy's, for 1,000 attempts, at 100 attempts a second and at 1
 }
 
 // when returns a chance of p on a condition.
-func when(p float64, is func(at time.Duration, provider int, idle time.Duration, carried int) bool) chance {
-	return func(at time.Duration, provider int, idle time.Duration, carried int) float64 {
-		if is(at, provider, idle, carried) {
+func when(p float64, is func(at time.Duration, server int, idle time.Duration, carried int) bool) chance {
+	return func(at time.Duration, server int, idle time.Duration, carried int) float64 {
+		if is(at, server, idle, carried) {
 			return p
 		}
 		return 0
@@ -70,51 +70,53 @@
 	{"one provider, 20% of all kept", 0, when(0.2, func(_ time.Duration, p int, _ time.Duration, _ int) bool {
 		return p == 0
 	}), true, [2]float64{0.3, 0.7}},
-	{"all beyond 90 ms, after 30 s", 0, when(1, func(at time.Duration, p int, idle time.Duration, _ int) bool {
+	{"all beyond 90 ms, after 30 s", 0, when(1, func(at time.Duration, _ int, idle time.Duration, _ int) bool {
 		return at > 30*time.Second && idle > 90*ms
 	}), false, [2]float64{0, 1.6}},
-	{"all beyond 90 ms, for 30 s", 0, when(1, func(at time.Duration, p int, idle time.Duration, _ int) bool {
+	{"all beyond 90 ms, for 30 s", 0, when(1, func(at time.Duration, _ int, idle time.Duration, _ int) bool {
 		return at < 30*time.Second && idle > 90*ms
 	}), false, [2]float64{0, 0.5}},
 }
 
-// policy is what the simulated pool asks: a Book, or what it is compared with.
+// policy is what the simulated pool asks: an Estimator, or what it is compared with.
 type policy interface {
-	Take(time.Time, Use, Stakes) bool
-	Hold(time.Time, Use, Stakes) time.Duration
-	Limit(time.Time, string, Stakes, time.Duration) time.Duration
-	Learn(time.Time, Use, Fate, time.Duration, time.Duration)
+	Take(time.Time, Use, RetryCost) bool
+	Hold(time.Time, Use, RetryCost) time.Duration
+	Limit(time.Time, string, RetryCost, time.Duration) time.Duration
+	Learn(time.Time, Use, Outcome, time.Duration, time.Duration)
 	Dialed(string, time.Duration)
 }
 
 // fixed learns nothing.
 type fixed struct {
 	once, safe time.Duration // limits on the idle time
-	carried    int           // and on the calls carried
+	carried    int           // and on the attempts carried
 	pause      time.Duration // for what must not run twice
-	lone       bool          // the limits are for provider 0 alone
+	lone       bool          // the limits are for server 0 alone
 }
 
 var plain = fixed{once: retired, safe: retired, carried: always}
 
-func (f *fixed) Take(_ time.Time, u Use, s Stakes) bool {
+func (f *fixed) Take(_ time.Time, u Use, s RetryCost) bool {
 	limit := f.safe
-	if s.Once {
+	if s.NonIdempotent {
 		limit = f.once
 	}
-	return f.lone && u.Provider != names[0] || u.Idle <= limit && u.Carried < f.carried
+	return f.lone && u.Server != names[0] || u.Idle <= limit && u.Carried < f.carried
 }
 
-func (f *fixed) Hold(_ time.Time, _ Use, s Stakes) time.Duration {
-	if s.Once {
+func (f *fixed) Hold(_ time.Time, _ Use, s RetryCost) time.Duration {
+	if s.NonIdempotent {
 		return f.pause
 	}
 	return 0
 }
 
-func (f *fixed) Limit(_ time.Time, _ string, _ Stakes, most time.Duration) time.Duration { return most }
-func (f *fixed) Learn(time.Time, Use, Fate, time.Duration, time.Duration)                {}
-func (f *fixed) Dialed(string, time.Duration)                                            {}
+func (f *fixed) Limit(_ time.Time, _ string, _ RetryCost, most time.Duration) time.Duration {
+	return most
+}
+func (f *fixed) Learn(time.Time, Use, Outcome, time.Duration, time.Duration) {}
+func (f *fixed) Dialed(string, time.Duration)                                {}
 
 // threshold learns one limit for all: the least power of two beyond which 15% more break than on new connections.
 type threshold struct {
@@ -123,7 +125,7 @@
 	at   time.Time
 }
 
-func (a *threshold) Learn(now time.Time, u Use, f Fate, _, _ time.Duration) {
+func (a *threshold) Learn(now time.Time, u Use, f Outcome, _, _ time.Duration) {
 	fade := math.Exp2(-now.Sub(a.at).Seconds() / 10)
 	a.at = now
 	for i := range a.seen {
@@ -152,8 +154,8 @@
 	return n
 }()
 
-// lost plays n calls at rate a second, 30% of which must not run twice, and returns the loss. The same seed brings the
-// same calls, whatever the policy.
+// lost plays n attempts at rate a second, 30% of which must not run twice, and returns the loss. The same seed brings the
+// same attempts, whatever the policy.
 func (w *world) lost(p policy, rate float64, n int, seed uint64) (loss float64) {
 	type conn struct {
 		freed   time.Duration
@@ -161,17 +163,17 @@
 	}
 	var pools [fleet][]conn
 	var at time.Duration
-	set, start, rng := priced(), time.Unix(1e9, 0), rand.New(rand.NewPCG(seed, 1))
+	set, start, rng := testSettings(), time.Unix(1e9, 0), rand.New(rand.NewPCG(seed, 1))
 	late := func(d time.Duration) float64 { return set.Hurry * float64(d) / float64(aim) }
 	for range n {
 		at += time.Duration(rng.ExpFloat64() / rate * 1e9)
 		work := 5*ms + time.Duration(rng.ExpFloat64()*float64(20*ms))
 		to, breaks, breaksBase := rng.IntN(fleet), rng.Float64(), rng.Float64()
-		// Of breaks on any call half come at once; of those that do, 60% show before the last byte is there.
+		// Of breaks on any attempt half come at once; of those that do, 60% show before the last byte is there.
 		atOnce, visible, shows := rng.Float64() < 0.5, rng.Float64() < 0.6, time.Duration(rng.ExpFloat64()*float64(ms))
-		now, s := start.Add(at), Stakes{Once: rng.Float64() < 0.3, Aim: aim, Worth: 1}
+		now, s := start.Add(at), RetryCost{NonIdempotent: rng.Float64() < 0.3, LatencyObjective: aim, PriorityWeight: 1}
 
-		u, pool, lately := Use{Provider: names[to]}, &pools[to], -1
+		u, pool, lately := Use{Server: names[to]}, &pools[to], -1
 		for i, c := range *pool {
 			if c.freed <= at && (lately < 0 || c.freed > (*pool)[lately].freed) {
 				lately = i
@@ -179,8 +181,8 @@
 		}
 		if lately >= 0 {
 			c := (*pool)[lately]
-			kept := Use{u.Provider, max(1, at-c.freed), c.carried}
-			closed := kept.Idle > p.Limit(now, u.Provider, Stakes{Aim: aim, Worth: 1}, retired)
+			kept := Use{u.Server, max(1, at-c.freed), c.carried}
+			closed := kept.Idle > p.Limit(now, u.Server, RetryCost{LatencyObjective: aim, PriorityWeight: 1}, retired)
 			take := !closed && p.Take(now, kept, s)
 			if take {
 				u = kept
@@ -190,8 +192,8 @@
 			}
 		}
 		added := 0.0
-		if !u.kept() {
-			p.Dialed(u.Provider, dial)
+		if !u.isKept() {
+			p.Dialed(u.Server, dial)
 			loss += set.Handshake + late(dial)
 		} else if w.added != nil {
 			added = w.added(at, to, u.Idle, u.Carried)
@@ -210,7 +212,7 @@
 		case visible && shows <= held:
 			loss += set.Retry + late(shows)
 			p.Learn(now, u, Early, held, shows)
-		case s.Once:
+		case s.NonIdempotent:
 			loss++
 			p.Learn(now, u, Broken, held, took)
 		default:
@@ -252,7 +254,7 @@
 	return f
 }
 
-// In every world a Book loses little more than the best of the fixed policies, which knows that world.
+// In every world an Estimator loses little more than the best of the fixed policies, which knows that world.
 func TestWorlds(t *testing.T) {
 	const n, seeds = 6000, 2
 	for _, w := range worlds {
@@ -262,7 +264,7 @@
 				var pool, limit, best, book float64
 				f := w.best(rate, n)
 				for seed := range uint64(seeds) {
-					b, _ := New(priced())
+					b, _ := New(testSettings())
 					pool += w.lost(&plain, rate, n, seed) * 1000 / n / seeds
 					limit += w.lost(&threshold{fixed: plain}, rate, n, seed) * 1000 / n / seeds
 					best += w.lost(&f, rate, n, seed) * 1000 / n / seeds
