--- a/cmd/plankrouter/admin.go
+++ b/cmd/plankrouter/admin.go
@@ -43,15 +43,15 @@
 // Ready reports whether a request would be served. With Figures, Disable and Enable it makes the program admin.Operations.
 func (p *program) Ready() bool { return p.dispatcher.Ready() && p.frontend.Taking() }
 
-// Figures are the counters of this process.
-func (p *program) Figures() metrics.Values { return p.metrics.Read() }
+// Metrics are the counters of this process.
+func (p *program) Metrics() metrics.Values { return p.metrics.Read() }
 
-// Disable takes a server out, for all processes of this sidecar.
-func (p *program) Disable(id string) error {
+// Cordon takes a server out, for all processes of this sidecar.
+func (p *program) Cordon(id string) error {
 	return p.changeCordons("disable", id, (*cordon.Set).Cordon)
 }
 
-// Enable puts a server back.
-func (p *program) Enable(id string) error {
+// Uncordon puts a server back.
+func (p *program) Uncordon(id string) error {
 	return p.changeCordons("enable", id, (*cordon.Set).Uncordon)
 }
--- a/cmd/plankrouter/counters.go
+++ b/cmd/plankrouter/counters.go
@@ -37,7 +37,7 @@
 // reportRequests prints what has become of the requests, in all, by reason and by class.
 func (p *program) reportRequests(counts dispatch.Counts, values metrics.Values) {
 	log.Printf("name=%s counters=core taken=%d conflicts=%d consumer_gone=%d sent=%d probes=%d lists=%d served=%d "+
-		"refused=%d failed=%d", p.cfg.Name, counts.Accepted, counts.Conflicts, counts.ClientsGone, values.Dispatches, counts.Probes,
+		"refused=%d failed=%d", p.cfg.Name, counts.Accepted, counts.Duplicates, counts.ClientsGone, values.Dispatches, counts.Probes,
 		counts.EndpointUpdates, metrics.Sum(values.Success), metrics.Sum(values.Overload), metrics.Sum(values.Error))
 	for _, reason := range slices.Sorted(maps.Keys(counts.UnservedByReason)) {
 		log.Printf("name=%s counters=unserved why=%s requests=%d", p.cfg.Name, reason, counts.UnservedByReason[reason])
--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -33,7 +33,7 @@
 	s.watch = watchConns
 	left := limit - open - transientDescriptors - s.watch
 	if withAdmin {
-		s.admin = max(minAdminConns, min(admin.MostConns, left/adminDivisor))
+		s.admin = max(minAdminConns, min(admin.MaxConns, left/adminDivisor))
 	}
 	s.conns = max(minConns, connlimit.Within(left-s.admin))
 	return s
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -66,7 +66,7 @@
 			f := startFlooded(t, c.limit, c.inherited)
 			idle := f.count()
 			full := idle + shareDescriptors(c.limit, idle, true).conns - 2 // by requests that hang, whatever else there is
-			for i := range 2 * admin.MostConns {
+			for i := range 2 * admin.MaxConns {
 				f.open(f.desk, "")
 				f.open(f.front, "")
 				if i == 0 {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// MostConns is the number of connections that this front end normally has, beside its listener.
-	MostConns = 16
+	// MaxConns is the number of connections that this front end normally has, beside its listener.
+	MaxConns = 16
 
 	requestTimeout = 2 * time.Second        // until the whole request was read
 	writeTimeout   = 800 * time.Millisecond // for writing the answer: operators wait for a second
@@ -32,9 +32,9 @@
 // Operations are what operators may ask for. None may wait for the network.
 type Operations interface {
 	Ready() bool // a request would be served
-	Figures() metrics.Values
-	Disable(id string) error // cordons that server; cordon.ErrUnknownServer
-	Enable(id string) error  // uncordons it; cordon.ErrUnknownServer
+	Metrics() metrics.Values
+	Cordon(id string) error   // cordons that server; cordon.ErrUnknownServer
+	Uncordon(id string) error // uncordons it; cordon.ErrUnknownServer
 }
 
 // Server is the front end.
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -34,10 +34,10 @@
 		answer = s.answerMetrics
 	case pathDisable:
 		method = "PUT"
-		answer = func() http1.Response { return changeServer(query, s.operations.Disable) }
+		answer = func() http1.Response { return changeServer(query, s.operations.Cordon) }
 	case pathEnable:
 		method = "PUT"
-		answer = func() http1.Response { return changeServer(query, s.operations.Enable) }
+		answer = func() http1.Response { return changeServer(query, s.operations.Uncordon) }
 	default:
 		return textResponse(404, "unknown path; there are /ready, /metrics, /tile-servers/disable and /tile-servers/enable")
 	}
@@ -57,7 +57,7 @@
 }
 
 func (s *Server) answerMetrics() http1.Response {
-	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(s.operations.Figures())
+	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(s.operations.Metrics())
 	if err != nil {
 		return textResponse(500, err.Error())
 	}
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -9,7 +9,7 @@
 // for concurrent use.
 type Policy struct {
 	First  float64 // wait after the first failure
-	Most   float64 // bound on any wait
+	Max    float64 // bound on any wait
 	Factor float64 // by which each wait exceeds the one before; 1 or more
 	Jitter float64 // part of a wait that is left to chance, from 0 (none) to 1
 }
@@ -18,5 +18,5 @@
 // comes from the caller. The result lies between (1 - Jitter) times the full wait and the full wait.
 func (p Policy) Wait(nth int, random float64) float64 {
 	full := p.First * math.Pow(p.Factor, float64(max(1, nth)-1)) // +Inf after very many failures, which min bounds
-	return min(p.Most, full) * (1 - p.Jitter*random)
+	return min(p.Max, full) * (1 - p.Jitter*random)
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWait(t *testing.T) {
-	p := Policy{First: 50, Most: 1000, Factor: 2, Jitter: 0.5}
+	p := Policy{First: 50, Max: 1000, Factor: 2, Jitter: 0.5}
 	for name, c := range map[string]struct {
 		nth          int
 		random, want float64
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -126,7 +126,7 @@
 
 // Counts are the totals of what the dispatcher has taken in, sent and answered.
 type Counts struct {
-	Accepted, Conflicts, ClientsGone  int
+	Accepted, Duplicates, ClientsGone int
 	Attempts, Probes, EndpointUpdates int
 	Served, Rejected, Failed          int
 	UnservedByReason                  map[policy.Reason]int // refused or failed, by reason
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -119,7 +119,7 @@
 			request.Duplicate, request.Rejected, request.Duplicate, request.Rejected,
 			request.Duplicate, request.Rejected,
 		}
-		if diff := cmp.Diff(want, got); diff != "" || d.counts.Conflicts != 3 || d.counts.AttemptOutcomes[outcome.ConnectRefused] != 3 {
+		if diff := cmp.Diff(want, got); diff != "" || d.counts.Duplicates != 3 || d.counts.AttemptOutcomes[outcome.ConnectRefused] != 3 {
 			t.Errorf("%+v\n%s", d.counts, diff)
 		}
 	})
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -50,7 +50,7 @@
 func (e requestArrived) apply(d *Dispatcher) {
 	req := e.request
 	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // servers could not tell the two apart, and one might get the other's answer
-		d.counts.Conflicts++
+		d.counts.Duplicates++
 		req.Respond(request.Response{Kind: request.Duplicate})
 		return
 	}
--- a/internal/dispatch/restore.go
+++ b/internal/dispatch/restore.go
@@ -34,15 +34,15 @@
 		}
 		listed.Members = append(listed.Members, member)
 		if member.Age > 0 {
-			d.predecessorAges[member.ID] = processAge{startDate: member.UpSince, age: member.Age}
+			d.predecessorAges[member.ID] = processAge{startDate: member.StartedAt, age: member.Age}
 		}
 	}
 	d.applyEndpoints(listed.Config())
 	d.predecessorAges = nil
 	now = time.Now()
 	for _, member := range listed.Members {
-		if id, have := d.serverIDs[member.ID]; have && member.ToldAt > 0 {
-			d.servers[id].phaseSince = d.timeOfDate(member.ToldAt, now) // a drain does not begin anew with this process
+		if id, have := d.serverIDs[member.ID]; have && member.PhaseSince > 0 {
+			d.servers[id].phaseSince = d.timeOfDate(member.PhaseSince, now) // a drain does not begin anew with this process
 		}
 	}
 	return now
@@ -51,13 +51,13 @@
 // restoredState returns what was learned before as the policy's state, as far as it is about servers that are listed.
 func (d *Dispatcher) restoredState(learned *snapshot.Learned) policy.State {
 	state := policy.State{
-		SumLoadSquared: learned.Fit.XX, SumLoadLatency: learned.Fit.XY, FittedAt: learned.Fit.At, FleetLatency: learned.FleetLatency,
-		OwnInFlight: learned.FracOwn, TotalInFlight: learned.FracAll,
-		Arrivals: policy.Level{Value: learned.Arrivals.V, At: learned.Arrivals.At},
-		Sends:    policy.Level{Value: learned.Sends.V, At: learned.Sends.At},
+		SumLoadSquared: learned.Fit.SumLoadSquared, SumLoadLatency: learned.Fit.SumLoadLatency, FittedAt: learned.Fit.FittedAt, FleetLatency: learned.FleetLatency,
+		OwnInFlight: learned.OwnInFlight, TotalInFlight: learned.TotalInFlight,
+		Arrivals: policy.Level{Value: learned.Arrivals.Value, At: learned.Arrivals.At},
+		Sends:    policy.Level{Value: learned.Sends.Value, At: learned.Sends.At},
 	}
 	for _, class := range learned.Fit.Classes {
-		state.Classes = append(state.Classes, policy.Mean{Count: class.N, Sum: class.Sum})
+		state.Classes = append(state.Classes, policy.Mean{Count: class.Count, Sum: class.Sum})
 	}
 	for _, tenant := range learned.Tenants {
 		state.Tenants = append(state.Tenants, policy.Level{Value: tenant.Tokens, At: fromSnapshotTime(tenant.At)})
@@ -77,14 +77,14 @@
 		startedAt = origin.listedAt
 	}
 	state := policy.ServerState{
-		ID: id, StartedAt: startedAt, Latency: server.Latency, LatencyReported: server.Reported,
-		ReportedAt: fromSnapshotTime(server.ReportAt), RoundTrip: server.Network, ErrorRate: server.Failing,
-		SlowStartBudget: policy.Level{Value: server.Cold.V, At: server.Cold.At},
+		ID: id, StartedAt: startedAt, Latency: server.Latency, LatencyReported: server.LatencyReported,
+		ReportedAt: fromSnapshotTime(server.ReportedAt), RoundTrip: server.RoundTrip, ErrorRate: server.ErrorRate,
+		SlowStartBudget: policy.Level{Value: server.SlowStartBudget.Value, At: server.SlowStartBudget.At},
 		Outcomes:        make([]policy.Tally, 1+len(d.options.Policy.Tenants)),
 	}
-	for _, tally := range server.By {
-		if int(tally.Who) < len(state.Outcomes) {
-			state.Outcomes[tally.Who] = policy.Tally{Successes: tally.Oks, Failures: tally.Misses, At: tally.At}
+	for _, tally := range server.Outcomes {
+		if int(tally.Tenant) < len(state.Outcomes) {
+			state.Outcomes[tally.Tenant] = policy.Tally{Successes: tally.Successes, Failures: tally.Failures, At: tally.At}
 		}
 	}
 	return state
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -29,19 +29,19 @@
 		Revision: d.listRevision, Members: d.snapshotMembers(now),
 	}
 	var err error
-	if out.Reuse, err = d.options.Upstream.State(now); err != nil {
+	if out.Keepalive, err = d.options.Upstream.State(now); err != nil {
 		d.options.Logf("snapshot=connections state=not_saved err=%q", err)
 	}
 	learned := &out.Learned
 	*learned = snapshot.Learned{
-		Now: d.clock.at(now), FleetLatency: state.FleetLatency, FracOwn: state.OwnInFlight, FracAll: state.TotalInFlight,
-		Fit:      snapshot.Fit{XX: state.SumLoadSquared, XY: state.SumLoadLatency, At: state.FittedAt},
-		Arrivals: snapshot.Rate{V: state.Arrivals.Value, At: state.Arrivals.At},
-		Sends:    snapshot.Rate{V: state.Sends.Value, At: state.Sends.At},
+		Now: d.clock.at(now), FleetLatency: state.FleetLatency, OwnInFlight: state.OwnInFlight, TotalInFlight: state.TotalInFlight,
+		Fit:      snapshot.Fit{SumLoadSquared: state.SumLoadSquared, SumLoadLatency: state.SumLoadLatency, FittedAt: state.FittedAt},
+		Arrivals: snapshot.Rate{Value: state.Arrivals.Value, At: state.Arrivals.At},
+		Sends:    snapshot.Rate{Value: state.Sends.Value, At: state.Sends.At},
 	}
 	for _, position := range d.classPositions { // the next process numbers them in the order of the settings
 		class := state.Classes[position]
-		learned.Fit.Classes = append(learned.Fit.Classes, snapshot.ClassFit{N: class.Count, Sum: class.Sum})
+		learned.Fit.Classes = append(learned.Fit.Classes, snapshot.ClassFit{Count: class.Count, Sum: class.Sum})
 	}
 	for _, position := range d.tenantPositions {
 		tenant := state.Tenants[position]
@@ -57,9 +57,9 @@
 // snapshotServer returns what was learned of a server's process.
 func (d *Dispatcher) snapshotServer(server policy.ServerState) snapshot.LearnedServer {
 	out := snapshot.LearnedServer{
-		StartedAt: d.startDate(server), Latency: server.Latency, Reported: server.LatencyReported,
-		ReportAt: toSnapshotTime(server.ReportedAt), Network: server.RoundTrip, Failing: server.ErrorRate,
-		Cold: snapshot.Rate{V: max(0, server.SlowStartBudget.Value), At: server.SlowStartBudget.At},
+		StartedAt: d.startDate(server), Latency: server.Latency, LatencyReported: server.LatencyReported,
+		ReportedAt: toSnapshotTime(server.ReportedAt), RoundTrip: server.RoundTrip, ErrorRate: server.ErrorRate,
+		SlowStartBudget: snapshot.Rate{Value: max(0, server.SlowStartBudget.Value), At: server.SlowStartBudget.At},
 	}
 	if record := d.servers[server.ID]; record != nil {
 		out.Name = record.name
@@ -70,7 +70,7 @@
 			tally = server.Outcomes[1+d.tenantPositions[who-1]]
 		}
 		if tally.Successes+tally.Failures > 0 {
-			out.By = append(out.By, snapshot.Tally{Who: uint32(who), Oks: tally.Successes, Misses: tally.Failures, At: tally.At})
+			out.Outcomes = append(out.Outcomes, snapshot.Tally{Tenant: uint32(who), Successes: tally.Successes, Failures: tally.Failures, At: tally.At})
 		}
 	}
 	return out
@@ -97,8 +97,8 @@
 		phase = endpoints.Deleted
 	}
 	member := snapshot.Member{
-		ID: server.endpoint.ID, Address: server.process.Address(), Locality: server.endpoint.Zone, Cell: server.endpoint.Cell, Phase: phase,
-		UpSince: server.endpoint.StartedAt, ToldAt: math.Floor(d.dateOfTime(server.phaseSince, now)),
+		ID: server.endpoint.ID, Address: server.process.Address(), Zone: server.endpoint.Zone, Cell: server.endpoint.Cell, Phase: phase,
+		StartedAt: server.endpoint.StartedAt, PhaseSince: math.Floor(d.dateOfTime(server.phaseSince, now)),
 	}
 	if server.origin.listedAt > 0 {
 		member.Age = max(1, d.clock.at(now)-server.origin.listedAt) // an age of 0 is none
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -59,7 +59,7 @@
 	c.closeDownload()
 	_ = c.writer.Wait() // the writer returns no errors
 	if c.metric != nil {
-		c.metric.End(metrics.Left) // no effect if it was answered, perhaps at the last moment
+		c.metric.End(metrics.ClientGone) // no effect if it was answered, perhaps at the last moment
 	}
 	http1.Free(c.reader)
 	c.server.removeConn(c, how)
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -21,7 +21,7 @@
 // metricOutcomes are what the statuses of the dispatcher's answers count as. Rejections of messages that were not submitted are not counted.
 var metricOutcomes = map[int]metrics.Outcome{
 	http.StatusOK: metrics.Success, http.StatusServiceUnavailable: metrics.Overload,
-	http.StatusBadGateway: metrics.Error, http.StatusConflict: metrics.Left,
+	http.StatusBadGateway: metrics.Error, http.StatusConflict: metrics.ClientGone,
 }
 
 // startWriter starts the writer, once.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,7 +12,7 @@
 
 // The outcomes. Of a request whose client has gone nothing is counted but that it is over.
 const (
-	Left Outcome = iota
+	ClientGone Outcome = iota
 	Success
 	Overload
 	Error
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -30,7 +30,7 @@
 	if err := checkCount("Members", len(s.Members), maxServers); err != nil {
 		return err
 	}
-	if err := checkCount("Reuse", len(s.Reuse), maxReuseBytes); err != nil {
+	if err := checkCount("Keepalive", len(s.Keepalive), maxReuseBytes); err != nil {
 		return err
 	}
 	seen := make(map[string]bool, len(s.Members))
@@ -54,20 +54,20 @@
 	if err := checkName("ID", m.ID, seen); err != nil {
 		return err
 	}
-	if err := checkTexts("Address Locality Phase", m.Address, m.Locality, m.Phase); err != nil {
+	if err := checkTexts("Address Zone Phase", m.Address, m.Zone, m.Phase); err != nil {
 		return err
 	}
 	if _, _, err := net.SplitHostPort(m.Address); err != nil && m.Phase == endpoints.Serving {
 		return &FieldError{"Address", fmt.Sprintf("%q is not host:port", m.Address)}
 	}
-	return checkNumbers("UpSince ToldAt Age", m.UpSince, m.ToldAt, m.Age)
+	return checkNumbers("StartedAt PhaseSince Age", m.StartedAt, m.PhaseSince, m.Age)
 }
 
 func (l *Learned) check() *FieldError {
 	for _, err := range []*FieldError{
-		checkNumbers("Now FleetLatency FracOwn FracAll Arrivals.V Arrivals.At Sends.V Sends.At Fit.XX Fit.XY Fit.At", l.Now,
-			l.FleetLatency, l.FracOwn, l.FracAll, l.Arrivals.V, l.Arrivals.At, l.Sends.V, l.Sends.At, l.Fit.XX,
-			l.Fit.XY, l.Fit.At),
+		checkNumbers("Now FleetLatency OwnInFlight TotalInFlight Arrivals.Value Arrivals.At Sends.Value Sends.At Fit.SumLoadSquared Fit.SumLoadLatency Fit.FittedAt", l.Now,
+			l.FleetLatency, l.OwnInFlight, l.TotalInFlight, l.Arrivals.Value, l.Arrivals.At, l.Sends.Value, l.Sends.At, l.Fit.SumLoadSquared,
+			l.Fit.SumLoadLatency, l.Fit.FittedAt),
 		checkFractions("MedianErrorRate", l.MedianErrorRate),
 		checkCount("Servers", len(l.Servers), maxServers),
 		checkCount("Tenants", len(l.Tenants), maxTenants),
@@ -83,7 +83,7 @@
 		}
 	}
 	for i, c := range l.Fit.Classes {
-		if err := checkNumbers("N Sum", c.N, c.Sum); err != nil {
+		if err := checkNumbers("Count Sum", c.Count, c.Sum); err != nil {
 			return err.in("Fit.Classes[%d].", i)
 		}
 	}
@@ -100,24 +100,24 @@
 	if err := checkName("Name", s.Name, seen); err != nil {
 		return err
 	}
-	if err := checkNumbers("StartedAt Latency ReportAt Network", s.StartedAt, s.Latency, s.ReportAt, s.Network); err != nil {
+	if err := checkNumbers("StartedAt Latency ReportedAt RoundTrip", s.StartedAt, s.Latency, s.ReportedAt, s.RoundTrip); err != nil {
 		return err
 	}
-	if err := checkNumbers("Cold.V Cold.At", s.Cold.V, s.Cold.At); err != nil {
+	if err := checkNumbers("SlowStartBudget.Value SlowStartBudget.At", s.SlowStartBudget.Value, s.SlowStartBudget.At); err != nil {
 		return err
 	}
-	if err := checkFractions("Failing", s.Failing); err != nil {
+	if err := checkFractions("ErrorRate", s.ErrorRate); err != nil {
 		return err
 	}
-	if err := checkCount("By", len(s.By), maxTenants+1); err != nil {
+	if err := checkCount("Outcomes", len(s.Outcomes), maxTenants+1); err != nil {
 		return err
 	}
-	for i, t := range s.By {
-		if err := checkNumbers("Oks Misses At", t.Oks, t.Misses, t.At); err != nil {
-			return err.in("By[%d].", i)
+	for i, t := range s.Outcomes {
+		if err := checkNumbers("Successes Failures At", t.Successes, t.Failures, t.At); err != nil {
+			return err.in("Outcomes[%d].", i)
 		}
-		if i > 0 && t.Who <= s.By[i-1].Who {
-			return &FieldError{fmt.Sprintf("By[%d].Who", i), fmt.Sprintf("%d after %d", t.Who, s.By[i-1].Who)}
+		if i > 0 && t.Tenant <= s.Outcomes[i-1].Tenant {
+			return &FieldError{fmt.Sprintf("Outcomes[%d].Tenant", i), fmt.Sprintf("%d after %d", t.Tenant, s.Outcomes[i-1].Tenant)}
 		}
 	}
 	return nil
--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -102,9 +102,9 @@
 
 // usualSize is what a snapshot usually takes: a large one must not be copied again and again as it grows.
 func (s *Snapshot) usualSize() int {
-	n := 1024 + len(s.Reuse) + 96*len(s.Members) + 20*len(s.Learned.Tenants)
+	n := 1024 + len(s.Keepalive) + 96*len(s.Members) + 20*len(s.Learned.Tenants)
 	for i := range s.Learned.Servers {
-		n += 80 + 32*len(s.Learned.Servers[i].By)
+		n += 80 + 32*len(s.Learned.Servers[i].Outcomes)
 	}
 	return n
 }
@@ -174,11 +174,11 @@
 // the decoder looks at what each one is only afterwards, and a list for every server adds up.
 func (t *Tallies) UnmarshalCBOR(b []byte) error {
 	if n := arrayLength(b); n > uint64(len(b)/minTallyBytes) {
-		return &FieldError{"Learned.Servers.By", fmt.Sprintf("%d of them in %d bytes", n, len(b))}
+		return &FieldError{"Learned.Servers.Outcomes", fmt.Sprintf("%d of them in %d bytes", n, len(b))}
 	}
 	if err := decoder.Unmarshal(b, (*[]Tally)(t)); err != nil {
 		*t = nil // the decoder goes on to the next list, whatever this one was
-		return &FieldError{"Learned.Servers.By", err.Error()}
+		return &FieldError{"Learned.Servers.Outcomes", err.Error()}
 	}
 	return nil
 }
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -24,11 +24,11 @@
 	s := &Snapshot{
 		TakenAt: testTakenAt, Program: "n1", Deployment: "d", Discovery: "127.0.0.1:8500", Revision: 41,
 		Learned: Learned{
-			Now: now, FleetLatency: 31.5, MedianErrorRate: 0.01, FracOwn: 3.25, FracAll: 90,
-			Arrivals: Rate{V: 17.5, At: at()}, Sends: Rate{V: 17, At: at()},
-			Fit: Fit{71.25, 11.5, at(), []ClassFit{{N: 3, Sum: 2.5}, {N: 1, Sum: 1.5}}},
+			Now: now, FleetLatency: 31.5, MedianErrorRate: 0.01, OwnInFlight: 3.25, TotalInFlight: 90,
+			Arrivals: Rate{Value: 17.5, At: at()}, Sends: Rate{Value: 17, At: at()},
+			Fit: Fit{71.25, 11.5, at(), []ClassFit{{Count: 3, Sum: 2.5}, {Count: 1, Sum: 1.5}}},
 		},
-		Reuse: make([]byte, 640),
+		Keepalive: make([]byte, 640),
 	}
 	for range tenants {
 		s.Learned.Tenants = append(s.Learned.Tenants, Bucket{Tokens: 5 * rng.Float64(), At: at()})
@@ -39,11 +39,11 @@
 			"SERVING", now - float64(rng.IntN(1e9)), now - 1000, 1000 * rng.Float64(),
 		}
 		p := LearnedServer{
-			Name: m.ID, StartedAt: m.UpSince, Latency: 100 * rng.Float64(), Reported: true,
-			ReportAt: at(), Network: rng.Float64(), Failing: rng.Float64() / 50, Cold: Rate{V: rng.Float64(), At: at()},
+			Name: m.ID, StartedAt: m.StartedAt, Latency: 100 * rng.Float64(), LatencyReported: true,
+			ReportedAt: at(), RoundTrip: rng.Float64(), ErrorRate: rng.Float64() / 50, SlowStartBudget: Rate{Value: rng.Float64(), At: at()},
 		}
 		for who := range tenants + 1 {
-			p.By = append(p.By, Tally{Who: uint32(who), Oks: 20 * rng.Float64(), Misses: rng.Float64(), At: at()})
+			p.Outcomes = append(p.Outcomes, Tally{Tenant: uint32(who), Successes: 20 * rng.Float64(), Failures: rng.Float64(), At: at()})
 		}
 		s.Members, s.Learned.Servers = append(s.Members, m), append(s.Learned.Servers, p)
 	}
@@ -96,21 +96,21 @@
 
 func TestFaultyFieldIsNamed(t *testing.T) {
 	for want, spoil := range map[string]func(s *Snapshot, l *Learned){
-		"TakenAt":                         func(s *Snapshot, _ *Learned) { s.TakenAt = time.Time{} },
-		"Discovery":                       func(s *Snapshot, _ *Learned) { s.Discovery = strings.Repeat("x", 513) },
-		"Reuse":                           func(s *Snapshot, _ *Learned) { s.Reuse = make([]byte, maxReuseBytes+1) },
-		"Members[1].ID":                   func(s *Snapshot, _ *Learned) { s.Members[1].ID = s.Members[0].ID },
-		"Members[0].Address":              func(s *Snapshot, _ *Learned) { s.Members[0].Address = "nowhere" },
-		"Members[1].UpSince":              func(s *Snapshot, _ *Learned) { s.Members[1].UpSince = math.Inf(1) },
-		"Learned.Sends.At":                func(_ *Snapshot, l *Learned) { l.Sends.At = math.NaN() },
-		"Learned.Fit.XY":                  func(_ *Snapshot, l *Learned) { l.Fit.XY = math.MaxFloat64 },
-		"Learned.Fit.Classes[0].Sum":      func(_ *Snapshot, l *Learned) { l.Fit.Classes[0].Sum = -0.5 },
-		"Learned.Tenants":                 func(_ *Snapshot, l *Learned) { l.Tenants = make([]Bucket, maxTenants+1) },
-		"Learned.Tenants[0].Tokens":       func(_ *Snapshot, l *Learned) { l.Tenants[0].Tokens = math.Inf(-1) },
-		"Learned.Servers[1].Name":         func(_ *Snapshot, l *Learned) { l.Servers[1].Name = "" },
-		"Learned.Servers[0].Failing":      func(_ *Snapshot, l *Learned) { l.Servers[0].Failing = 1.1 },
-		"Learned.Servers[1].By[1].Misses": func(_ *Snapshot, l *Learned) { l.Servers[1].By[1].Misses = -1 },
-		"Learned.Servers[1].By[1].Who":    func(_ *Snapshot, l *Learned) { l.Servers[1].By[1].Who = 0 },
+		"TakenAt":                                 func(s *Snapshot, _ *Learned) { s.TakenAt = time.Time{} },
+		"Discovery":                               func(s *Snapshot, _ *Learned) { s.Discovery = strings.Repeat("x", 513) },
+		"Keepalive":                               func(s *Snapshot, _ *Learned) { s.Keepalive = make([]byte, maxReuseBytes+1) },
+		"Members[1].ID":                           func(s *Snapshot, _ *Learned) { s.Members[1].ID = s.Members[0].ID },
+		"Members[0].Address":                      func(s *Snapshot, _ *Learned) { s.Members[0].Address = "nowhere" },
+		"Members[1].StartedAt":                    func(s *Snapshot, _ *Learned) { s.Members[1].StartedAt = math.Inf(1) },
+		"Learned.Sends.At":                        func(_ *Snapshot, l *Learned) { l.Sends.At = math.NaN() },
+		"Learned.Fit.SumLoadLatency":              func(_ *Snapshot, l *Learned) { l.Fit.SumLoadLatency = math.MaxFloat64 },
+		"Learned.Fit.Classes[0].Sum":              func(_ *Snapshot, l *Learned) { l.Fit.Classes[0].Sum = -0.5 },
+		"Learned.Tenants":                         func(_ *Snapshot, l *Learned) { l.Tenants = make([]Bucket, maxTenants+1) },
+		"Learned.Tenants[0].Tokens":               func(_ *Snapshot, l *Learned) { l.Tenants[0].Tokens = math.Inf(-1) },
+		"Learned.Servers[1].Name":                 func(_ *Snapshot, l *Learned) { l.Servers[1].Name = "" },
+		"Learned.Servers[0].ErrorRate":            func(_ *Snapshot, l *Learned) { l.Servers[0].ErrorRate = 1.1 },
+		"Learned.Servers[1].Outcomes[1].Failures": func(_ *Snapshot, l *Learned) { l.Servers[1].Outcomes[1].Failures = -1 },
+		"Learned.Servers[1].Outcomes[1].Tenant":   func(_ *Snapshot, l *Learned) { l.Servers[1].Outcomes[1].Tenant = 0 },
 	} {
 		s := largeFleet(2, 1)
 		spoil(s, &s.Learned)
@@ -128,7 +128,7 @@
 func TestFieldOfAnotherKindIsNamed(t *testing.T) {
 	for payload, want := range map[string]string{
 		"\x01": "payload", "\xa1\x04\x61x": "Revision",
-		"\xa1\x06\x01": "Learned", "\xa1\x06\xa1\x02\x81\xa1\x08\x81\x84\x61x000": "Learned.Servers.By",
+		"\xa1\x06\x01": "Learned", "\xa1\x06\xa1\x02\x81\xa1\x08\x81\x84\x61x000": "Learned.Servers.Outcomes",
 		"\xa1\x06\xa1\x01\x61x": "Learned",
 	} {
 		_, err := Decode(sealed(Minor, testTakenAt, payload))
--- a/internal/snapshot/list.go
+++ b/internal/snapshot/list.go
@@ -21,8 +21,8 @@
 	out := List{Discovery: discovery, Revision: l.Revision}
 	for _, m := range l.Endpoints {
 		out.Members = append(out.Members, Member{
-			ID: m.ID, Address: m.Address, Locality: m.Zone, Cell: m.Cell, Phase: m.Phase,
-			UpSince: m.StartedAt, ToldAt: unixMs(listedAt),
+			ID: m.ID, Address: m.Address, Zone: m.Zone, Cell: m.Cell, Phase: m.Phase,
+			StartedAt: m.StartedAt, PhaseSince: unixMs(listedAt),
 		})
 	}
 	return out
@@ -33,8 +33,8 @@
 	out := endpoints.List{Revision: l.Revision, Complete: true, Endpoints: make([]endpoints.Endpoint, 0, len(l.Members))}
 	for _, m := range l.Members {
 		out.Endpoints = append(out.Endpoints, endpoints.Endpoint{
-			ID: m.ID, Address: m.Address, Zone: m.Locality,
-			Cell: m.Cell, Phase: m.Phase, StartedAt: m.UpSince,
+			ID: m.ID, Address: m.Address, Zone: m.Zone,
+			Cell: m.Cell, Phase: m.Phase, StartedAt: m.StartedAt,
 		})
 	}
 	return out
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -13,7 +13,7 @@
 	asListed := true
 	earlier := snap.byID()
 	for _, m := range known.Members {
-		if was, have := earlier[m.ID]; have && m.UpSince <= was.UpSince {
+		if was, have := earlier[m.ID]; have && m.StartedAt <= was.StartedAt {
 			var altered bool
 			m, altered = m.withEarlier(was)
 			asListed = asListed && !altered
@@ -47,14 +47,14 @@
 		m.Phase = was.Phase
 		altered = true
 	}
-	if was.UpSince > m.UpSince { // all clocks are one: a later start was seen, and the server may be cold
-		m.UpSince = was.UpSince
+	if was.StartedAt > m.StartedAt { // all clocks are one: a later start was seen, and the server may be cold
+		m.StartedAt = was.StartedAt
 		altered = true
 	}
 	if was.Phase == m.Phase {
-		m.ToldAt = was.ToldAt
+		m.PhaseSince = was.PhaseSince
 	}
-	if was.UpSince == m.UpSince {
+	if was.StartedAt == m.StartedAt {
 		m.Age = was.Age
 	}
 	return m, altered
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -24,7 +24,7 @@
 	list, more := Merge(s.List(), known)
 	dropped = append(dropped, more...)
 	s.Learned.Servers, more = Match(s.Learned.Servers, list.Members)
-	return Restored{List: list, Learned: s.Learned, Reuse: s.Reuse}, append(dropped, more...)
+	return Restored{List: list, Learned: s.Learned, Reuse: s.Keepalive}, append(dropped, more...)
 }
 
 // DropStale returns what of s is still true at now, and what was left out. Times of the policy's clock come out as Unix ms
@@ -47,14 +47,14 @@
 	v.keepMembers(s, out, cmp.Or(foreign, otherDiscovery, future), foreign != "" && otherDiscovery != "")
 	if reason := cmp.Or(foreign, future); reason != "" {
 		v.drop(droppedLearned, "", 1, reason)
-		v.drop(droppedReuse, "", min(1, len(s.Reuse)), reason)
+		v.drop(droppedReuse, "", min(1, len(s.Keepalive)), reason)
 		return out, v.dropped
 	}
 	v.keepLearned(s, out, otherDiscovery)
 	if otherDiscovery != "" { // it is of single servers, too
-		v.drop(droppedReuse, "", min(1, len(s.Reuse)), otherDiscovery)
-	} else if v.keepFresh(v.takenAt, rules.MaxReuseAge, droppedReuse, "", min(1, len(s.Reuse))) {
-		out.Reuse = slices.Clone(s.Reuse)
+		v.drop(droppedReuse, "", min(1, len(s.Keepalive)), otherDiscovery)
+	} else if v.keepFresh(v.takenAt, rules.MaxReuseAge, droppedReuse, "", min(1, len(s.Keepalive))) {
+		out.Keepalive = slices.Clone(s.Keepalive)
 	}
 	return out, v.dropped
 }
@@ -78,11 +78,11 @@
 	}
 	for _, m := range s.Members {
 		asOf := v.takenAt
-		if m.availability() == deleted && m.ToldAt > 0 {
-			asOf = v.clampToPast(m.ToldAt) // the list says no more of it; one that drains is in it until the end
+		if m.availability() == deleted && m.PhaseSince > 0 {
+			asOf = v.clampToPast(m.PhaseSince) // the list says no more of it; one that drains is in it until the end
 		}
-		if m.ToldAt > 0 {
-			m.ToldAt = max(0, v.clampToPast(m.ToldAt))
+		if m.PhaseSince > 0 {
+			m.PhaseSince = max(0, v.clampToPast(m.PhaseSince))
 		}
 		if m.Age > 0 {
 			m.Age += max(0, v.now-v.takenAt)
@@ -107,13 +107,13 @@
 	kept.Now = v.clampToPast(v.takenAt)
 	if len(learned.Fit.Classes) != v.rules.Classes {
 		v.drop(droppedFit, "", 1, NoSuchPosition)
-	} else if at := v.toWallClock(learned.Fit.At); v.keepFresh(at, v.rules.MaxFitAge, droppedFit, "", 1) {
-		kept.Fit = Fit{learned.Fit.XX, learned.Fit.XY, at, slices.Clone(learned.Fit.Classes)}
+	} else if at := v.toWallClock(learned.Fit.FittedAt); v.keepFresh(at, v.rules.MaxFitAge, droppedFit, "", 1) {
+		kept.Fit = Fit{learned.Fit.SumLoadSquared, learned.Fit.SumLoadLatency, at, slices.Clone(learned.Fit.Classes)}
 	}
 	if v.keepFresh(v.takenAt, v.rules.MaxServiceTimeAge, droppedFleet, "", 1) {
 		kept.FleetLatency = learned.FleetLatency
-		kept.FracOwn = learned.FracOwn
-		kept.FracAll = learned.FracAll
+		kept.OwnInFlight = learned.OwnInFlight
+		kept.TotalInFlight = learned.TotalInFlight
 		kept.MedianErrorRate = learned.MedianErrorRate * v.remainingWeight(v.clampToPast(v.takenAt))
 	}
 	if len(learned.Tenants) != v.rules.Tenants {
@@ -124,8 +124,8 @@
 		}
 	}
 	if v.keepFresh(v.takenAt, v.rules.MaxRateAge, droppedRates, "", 1) {
-		kept.Arrivals = Rate{V: learned.Arrivals.V, At: v.toWallClock(learned.Arrivals.At)}
-		kept.Sends = Rate{V: learned.Sends.V, At: v.toWallClock(learned.Sends.At)}
+		kept.Arrivals = Rate{Value: learned.Arrivals.Value, At: v.toWallClock(learned.Arrivals.At)}
+		kept.Sends = Rate{Value: learned.Sends.Value, At: v.toWallClock(learned.Sends.At)}
 	}
 	if otherDiscovery != "" {
 		v.drop(droppedServer, "", len(learned.Servers), otherDiscovery)
@@ -134,7 +134,7 @@
 	matching, gone := Match(learned.Servers, s.Members)
 	v.dropped = append(v.dropped, gone...)
 	for i := range matching {
-		if one := v.keepServer(&matching[i]); one.Latency > 0 || one.Network > 0 || one.Failing > 0 || len(one.By) > 0 {
+		if one := v.keepServer(&matching[i]); one.Latency > 0 || one.RoundTrip > 0 || one.ErrorRate > 0 || len(one.Outcomes) > 0 {
 			kept.Servers = append(kept.Servers, one)
 		}
 	}
@@ -144,40 +144,40 @@
 func (v *validator) keepServer(in *LearnedServer) LearnedServer {
 	out := LearnedServer{Name: in.Name, StartedAt: in.StartedAt}
 	reportedAt := v.clampToPast(v.takenAt)
-	if in.ReportAt > 0 {
-		out.ReportAt = v.toWallClock(in.ReportAt)
-		reportedAt = out.ReportAt
+	if in.ReportedAt > 0 {
+		out.ReportedAt = v.toWallClock(in.ReportedAt)
+		reportedAt = out.ReportedAt
 	}
 	if in.Latency > 0 && v.keepFresh(reportedAt, v.rules.MaxServiceTimeAge, droppedServiceTime, in.Name, 1) {
 		out.Latency = in.Latency
-		out.Reported = in.Reported
+		out.LatencyReported = in.LatencyReported
 	}
-	if in.Network > 0 && v.keepFresh(v.takenAt, v.rules.MaxServiceTimeAge, droppedRoundTrip, in.Name, 1) {
-		out.Network = in.Network
+	if in.RoundTrip > 0 && v.keepFresh(v.takenAt, v.rules.MaxServiceTimeAge, droppedRoundTrip, in.Name, 1) {
+		out.RoundTrip = in.RoundTrip
 	}
-	if in.Failing > 0 {
-		if in.Failing*v.remainingWeight(reportedAt) >= v.rules.MinWeight {
-			out.Failing = in.Failing
+	if in.ErrorRate > 0 {
+		if in.ErrorRate*v.remainingWeight(reportedAt) >= v.rules.MinWeight {
+			out.ErrorRate = in.ErrorRate
 		} else {
 			v.drop(droppedErrors, in.Name, 1, FadedAway)
 		}
 	}
-	if in.Cold.At > 0 { // it fills by itself
-		out.Cold = Rate{V: in.Cold.V, At: v.toWallClock(in.Cold.At)}
+	if in.SlowStartBudget.At > 0 { // it fills by itself
+		out.SlowStartBudget = Rate{Value: in.SlowStartBudget.Value, At: v.toWallClock(in.SlowStartBudget.At)}
 	}
-	out.By = v.keepOutcomes(in)
+	out.Outcomes = v.keepOutcomes(in)
 	return out
 }
 
 // keepOutcomes keeps the outcomes of tenants that there are, as long as they weigh something.
 func (v *validator) keepOutcomes(in *LearnedServer) (kept Tallies) {
 	beyond, faded := 0, 0
-	for _, t := range in.By {
+	for _, t := range in.Outcomes {
 		t.At = v.toWallClock(t.At)
 		switch {
-		case int64(t.Who) > int64(v.rules.Tenants):
+		case int64(t.Tenant) > int64(v.rules.Tenants):
 			beyond++
-		case (t.Oks+t.Misses)*v.remainingWeight(t.At) < v.rules.MinWeight:
+		case (t.Successes+t.Failures)*v.remainingWeight(t.At) < v.rules.MinWeight:
 			faded++
 		default:
 			kept = append(kept, t)
@@ -196,7 +196,7 @@
 		switch m, have := listed[s.Name]; {
 		case !have || m.availability() == deleted:
 			dropped = append(dropped, Dropped{What: droppedServer, Server: s.Name, Count: 1, Reason: NotListed})
-		case m.UpSince != s.StartedAt:
+		case m.StartedAt != s.StartedAt:
 			dropped = append(dropped, Dropped{What: droppedServer, Server: s.Name, Count: 1, Reason: OtherProcess})
 		default:
 			kept = append(kept, s)
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -13,17 +13,17 @@
 // The policy's clock lags 10 s behind the wall clock.
 func smallFleet() *Snapshot {
 	at, s := unixMs(testTakenAt), largeFleet(3, 1)
-	s.Members = append(s.Members, Member{ID: "gone", Phase: endpoints.Deleted, ToldAt: at - 3600e3})
+	s.Members = append(s.Members, Member{ID: "gone", Phase: endpoints.Deleted, PhaseSince: at - 3600e3})
 	s.Members[0].ID, s.Members[1].ID, s.Members[2].ID = "serves", "warms", "drains"
-	s.Members[1].UpSince, s.Members[2].Phase, s.Members[2].ToldAt = at-500, endpoints.Draining, at-1000
+	s.Members[1].StartedAt, s.Members[2].Phase, s.Members[2].PhaseSince = at-500, endpoints.Draining, at-1000
 	l := &s.Learned
 	l.Now -= 10e3
 	for i := range l.Servers {
 		p := &l.Servers[i]
-		p.Name, p.StartedAt, p.ReportAt, p.Failing = s.Members[i].ID, s.Members[i].UpSince, l.Now-100, 0.5
-		p.By = []Tally{{Who: 0, Misses: 1, At: l.Now}, {Who: 1, Misses: 1, At: l.Now - 8e3}}
+		p.Name, p.StartedAt, p.ReportedAt, p.ErrorRate = s.Members[i].ID, s.Members[i].StartedAt, l.Now-100, 0.5
+		p.Outcomes = []Tally{{Tenant: 0, Failures: 1, At: l.Now}, {Tenant: 1, Failures: 1, At: l.Now - 8e3}}
 	}
-	l.Fit.At, l.Tenants[0].At, l.Arrivals.At, l.Sends.At = l.Now-50, 0, l.Now, l.Now
+	l.Fit.FittedAt, l.Tenants[0].At, l.Arrivals.At, l.Sends.At = l.Now-50, 0, l.Now, l.Now
 	return s
 }
 
@@ -41,15 +41,15 @@
 	}
 	l := &s.Learned
 	for i, have := range []bool{
-		s.Revision > 0, l.FleetLatency > 0, l.Fit.XX > 0, len(l.Tenants) > 0,
-		l.Arrivals.V > 0 && l.Sends.V > 0, len(s.Reuse) > 0,
+		s.Revision > 0, l.FleetLatency > 0, l.Fit.SumLoadSquared > 0, len(l.Tenants) > 0,
+		l.Arrivals.Value > 0 && l.Sends.Value > 0, len(s.Keepalive) > 0,
 	} {
 		if have {
 			out += strings.Fields("list fleet fit tenants rates reuse")[i] + " "
 		}
 	}
 	for _, p := range l.Servers {
-		out += fmt.Sprintf("%s:%t,%t,%d ", p.Name[:1], p.Latency > 0 && p.Network > 0, p.Failing > 0, len(p.By))
+		out += fmt.Sprintf("%s:%t,%t,%d ", p.Name[:1], p.Latency > 0 && p.RoundTrip > 0, p.ErrorRate > 0, len(p.Outcomes))
 	}
 	return strings.NewReplacer("true,", "+", "false,", "-").Replace(strings.TrimSpace(out))
 }
@@ -90,7 +90,7 @@
 			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_outcomes=3 why="no such position"`,
 		},
 		{
-			"started anew", 0, func(s *Snapshot, _ *ValidityRules) { s.Members[0].UpSince++; s.Learned.Servers[2].Name = "x" },
+			"started anew", 0, func(s *Snapshot, _ *ValidityRules) { s.Members[0].StartedAt++; s.Learned.Servers[2].Name = "x" },
 			all + learned + " w:++2", `dropped_server=1 why="another process" dropped_server=1 why="not listed"`,
 		},
 	} {
@@ -106,14 +106,14 @@
 		}
 		checkEqual(t, c.what+": the argument", before, must(Encode(s, 0)))
 		for _, m := range got.Members {
-			if was := s.List().byID()[m.ID]; m.UpSince != was.UpSince || m.ToldAt > min(was.ToldAt, unixMs(now)) {
+			if was := s.List().byID()[m.ID]; m.StartedAt != was.StartedAt || m.PhaseSince > min(was.PhaseSince, unixMs(now)) {
 				t.Errorf("%s: %+v was %+v", c.what, m, was)
 			}
 		}
 		for _, p := range got.Learned.Servers { // on the wall clock, as old as it was, and no younger than now
-			checkEqual(t, c.what, min(unixMs(testTakenAt)-100, unixMs(now)), p.ReportAt)
-			for _, e := range p.By {
-				checkEqual(t, c.what, min(unixMs(testTakenAt)-8e3*float64(e.Who), unixMs(now)), e.At)
+			checkEqual(t, c.what, min(unixMs(testTakenAt)-100, unixMs(now)), p.ReportedAt)
+			for _, e := range p.Outcomes {
+				checkEqual(t, c.what, min(unixMs(testTakenAt)-8e3*float64(e.Tenant), unixMs(now)), e.At)
 			}
 		}
 	}
@@ -128,8 +128,8 @@
 			continue
 		}
 		l.Members = append(l.Members, Member{
-			ID: w[:1], Phase: phases[w[1]], UpSince: float64(w[2] - '0'),
-			ToldAt: float64(w[3] - '0'),
+			ID: w[:1], Phase: phases[w[1]], StartedAt: float64(w[2] - '0'),
+			PhaseSince: float64(w[3] - '0'),
 		})
 	}
 	return l
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -21,20 +21,20 @@
 	Revision   uint64    `cbor:"4,keyasint"` // of the list there; 0 = not the whole list as it was sent
 	Members    []Member  `cbor:"5,keyasint,omitempty"`
 	Learned    Learned   `cbor:"6,keyasint"`
-	Reuse      []byte    `cbor:"7,keyasint,omitempty"` // of how connections break, in an encoding of package keepalive's
+	Keepalive  []byte    `cbor:"7,keyasint,omitempty"` // of how connections break, in an encoding of package keepalive's
 }
 
 // Member is a server as discovery listed it. One that was deleted lately is kept with that phase: an older list
 // must not bring it back.
 type Member struct {
-	ID       string  `cbor:"1,keyasint"`
-	Address  string  `cbor:"2,keyasint"`
-	Locality string  `cbor:"3,keyasint,omitempty"`
-	Cell     int     `cbor:"4,keyasint,omitempty"`
-	Phase    string  `cbor:"5,keyasint"`           // as in package endpoints; any other one counts as draining
-	UpSince  float64 `cbor:"6,keyasint,omitempty"` // Unix ms, by discovery; 0 = long ago
-	ToldAt   float64 `cbor:"7,keyasint,omitempty"` // Unix ms at which the present phase was first listed; 0 = not known
-	Age      float64 `cbor:"8,keyasint,omitempty"` // ms of real time since UpSince, at TakenAt, then at the next process's start; 0 = not known
+	ID         string  `cbor:"1,keyasint"`
+	Address    string  `cbor:"2,keyasint"`
+	Zone       string  `cbor:"3,keyasint,omitempty"`
+	Cell       int     `cbor:"4,keyasint,omitempty"`
+	Phase      string  `cbor:"5,keyasint"`           // as in package endpoints; any other one counts as draining
+	StartedAt  float64 `cbor:"6,keyasint,omitempty"` // Unix ms, by discovery; 0 = long ago
+	PhaseSince float64 `cbor:"7,keyasint,omitempty"` // Unix ms at which the present phase was first listed; 0 = not known
+	Age        float64 `cbor:"8,keyasint,omitempty"` // ms of real time since StartedAt, at TakenAt, then at the next process's start; 0 = not known
 }
 
 // availability says whether a server takes new work. A later value outlasts an earlier one.
@@ -65,8 +65,8 @@
 	Fit             Fit             `cbor:"3,keyasint"`
 	FleetLatency    float64         `cbor:"4,keyasint,omitempty"` // ms, the median service time
 	MedianErrorRate float64         `cbor:"5,keyasint,omitempty"` // probability of failure at the median server
-	FracOwn         float64         `cbor:"6,keyasint,omitempty"` // own requests, and all, in flight at probed servers
-	FracAll         float64         `cbor:"7,keyasint,omitempty"`
+	OwnInFlight     float64         `cbor:"6,keyasint,omitempty"` // own requests, and all, in flight at probed servers
+	TotalInFlight   float64         `cbor:"7,keyasint,omitempty"`
 	Tenants         []Bucket        `cbor:"8,keyasint,omitempty"` // by position in the settings
 	Arrivals        Rate            `cbor:"9,keyasint"`
 	Sends           Rate            `cbor:"10,keyasint"`
@@ -74,42 +74,42 @@
 
 // LearnedServer is what is known of one server's process.
 type LearnedServer struct {
-	Name      string  `cbor:"1,keyasint"`           // Member.ID
-	StartedAt float64 `cbor:"2,keyasint,omitempty"` // Member.UpSince of the process that this was learned of
-	Latency   float64 `cbor:"3,keyasint,omitempty"` // service time in ms; 0 = not known
-	Reported  bool    `cbor:"4,keyasint,omitempty"` // Latency is what the server reports itself
-	ReportAt  float64 `cbor:"5,keyasint,omitempty"` // of Latency and Failing; never to be taken for that of a load
-	Network   float64 `cbor:"6,keyasint,omitempty"` // lowest round trip in ms
-	Failing   float64 `cbor:"7,keyasint,omitempty"` // part of its answers that it reported as errors at ReportAt
-	By        Tallies `cbor:"8,keyasint,omitempty"` // only those that count anything
-	Cold      Rate    `cbor:"9,keyasint,omitempty"` // what was left of its slow-start budget
+	Name            string  `cbor:"1,keyasint"`           // Member.ID
+	StartedAt       float64 `cbor:"2,keyasint,omitempty"` // Member.StartedAt of the process that this was learned of
+	Latency         float64 `cbor:"3,keyasint,omitempty"` // service time in ms; 0 = not known
+	LatencyReported bool    `cbor:"4,keyasint,omitempty"` // Latency is what the server reports itself
+	ReportedAt      float64 `cbor:"5,keyasint,omitempty"` // of Latency and ErrorRate; never to be taken for that of a load
+	RoundTrip       float64 `cbor:"6,keyasint,omitempty"` // lowest round trip in ms
+	ErrorRate       float64 `cbor:"7,keyasint,omitempty"` // part of its answers that it reported as errors at ReportedAt
+	Outcomes        Tallies `cbor:"8,keyasint,omitempty"` // only those that count anything
+	SlowStartBudget Rate    `cbor:"9,keyasint,omitempty"` // what was left of its slow-start budget
 }
 
 // The types below are arrays of a fixed length in the file: new values get a field of their own beside them.
 
 // Tally counts outcomes at a server with their fading weight, as it was at At.
 type Tally struct {
-	_           struct{} `cbor:",toarray"`
-	Who         uint32   // 0 = of all requests, else of those of the tenant at position Who-1
-	Oks, Misses float64
-	At          float64
+	_                   struct{} `cbor:",toarray"`
+	Tenant              uint32   // 0 = of all requests, else of those of the tenant at position Tenant-1
+	Successes, Failures float64
+	At                  float64
 }
 
-// Tallies are in the order of Who.
+// Tallies are in the order of Tenant.
 type Tallies []Tally
 
 // Fit is the fit of the latency to the load, as it was at At.
 type Fit struct {
-	XX      float64    `cbor:"1,keyasint,omitempty"`
-	XY      float64    `cbor:"2,keyasint,omitempty"`
-	At      float64    `cbor:"3,keyasint,omitempty"`
-	Classes []ClassFit `cbor:"4,keyasint,omitempty"` // by position in the settings
+	SumLoadSquared float64    `cbor:"1,keyasint,omitempty"`
+	SumLoadLatency float64    `cbor:"2,keyasint,omitempty"`
+	FittedAt       float64    `cbor:"3,keyasint,omitempty"`
+	Classes        []ClassFit `cbor:"4,keyasint,omitempty"` // by position in the settings
 }
 
 // ClassFit is the mean of one class's samples.
 type ClassFit struct {
-	_      struct{} `cbor:",toarray"`
-	N, Sum float64
+	_          struct{} `cbor:",toarray"`
+	Count, Sum float64
 }
 
 // Bucket is what a tenant had left of its quota at At.
@@ -120,8 +120,8 @@
 
 // Rate is a fading count of events, as it was at At.
 type Rate struct {
-	_     struct{} `cbor:",toarray"`
-	V, At float64
+	_         struct{} `cbor:",toarray"`
+	Value, At float64
 }
 
 // Fingerprint stands for the settings that give positions their meaning: the names of the classes, tenants and zones,
--- a/internal/staleness/scheduler.go
+++ b/internal/staleness/scheduler.go
@@ -208,6 +208,6 @@
 
 // retryDelay returns the delay before the retry after the nth failure in a row.
 func retryDelay(first, limit time.Duration, nth int, random float64) time.Duration {
-	p := backoff.Policy{First: float64(first), Most: float64(limit), Factor: 2, Jitter: 0.5}
+	p := backoff.Policy{First: float64(first), Max: float64(limit), Factor: 2, Jitter: 0.5}
 	return time.Duration(p.Wait(nth, random))
 }
--- a/policy/internal/reachability/reachability.go
+++ b/policy/internal/reachability/reachability.go
@@ -9,7 +9,7 @@
 
 // ProbeBackoff is when a server whose probe or connection failed is probed again, in ms: so a server that is down costs next
 // to nothing, and one that is back is found within the bound.
-var ProbeBackoff = backoff.Policy{First: 50, Most: 1000, Factor: 2, Jitter: 0.5}
+var ProbeBackoff = backoff.Policy{First: 50, Max: 1000, Factor: 2, Jitter: 0.5}
 
 // State is what is known of one server. The zero value is a server that has not failed.
 type State struct {
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -144,7 +144,7 @@
 		for at := g.now; probes == 0 && g.now < at+5000; g.now += tickInterval {
 			tick()
 		}
-		if s := g.balancer.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Most {
+		if s := g.balancer.byID[4]; s.reachability.Unreachable || s.reachability.ConsecutiveFailures > 0 || g.now-s.reportedAt > reachability.ProbeBackoff.Max {
 			t.Errorf("%s: still unreachable %.0f ms after its return: %+v", name, g.now-s.reportedAt, s)
 		}
 	}
--- a/stats.go
+++ b/stats.go
@@ -28,7 +28,7 @@
 		Rejected:        counts.Rejected,
 		Failed:          counts.Failed,
 		Cancelled:       int(b.cancelled.Load()),
-		Duplicates:      counts.Conflicts,
+		Duplicates:      counts.Duplicates,
 		Attempts:        counts.Attempts,
 		Probes:          counts.Probes,
 		EndpointUpdates: counts.EndpointUpdates,
