--- a/balancer.go
+++ b/balancer.go
@@ -8,6 +8,7 @@
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/watchpolicy"
 	"plankrouter/policy"
 	"sync"
 	"sync/atomic"
@@ -84,7 +85,7 @@
 	if o.Discovery != "" {
 		b.watch, err = discovery.New(discovery.Options{
 			Address:  o.Discovery,
-			Watch:    staleness.DefaultSettings(),
+			Watch:    watchpolicy.DefaultSettings(),
 			Seed:     o.Seed,
 			Initial:  endpoints.List{Endpoints: initial.Endpoints},
 			Budget:   o.ConnectionLimit.budget,
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -3,8 +3,8 @@
 import (
 	"container/heap"
 	"fmt"
-	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 	"slices"
 	"testing"
 	"time"
@@ -14,7 +14,7 @@
 type scheduledPoll struct {
 	at      time.Duration
 	process int
-	call    staleness.Poll
+	call    watchpolicy.Poll
 }
 
 type pollQueue []scheduledPoll
@@ -32,16 +32,16 @@
 // firstLists plays so many processes that restart within a second with no list at all, at a discovery service that makes perSecond whole
 // lists and lets calls wait in turn for queued before it turns them away, and returns when each has its list, sorted.
 func firstLists(t *testing.T, processes, perSecond int, queued time.Duration, seed uint64) (listedAt []time.Duration) {
-	set := staleness.DefaultSettings()
+	set := watchpolicy.DefaultSettings()
 	set.Instances = processes
-	schedulers := make([]*staleness.Scheduler, processes)
+	schedulers := make([]*watchpolicy.Scheduler, processes)
 	all := &pollQueue{}
 	next := func(who int, now time.Duration) {
 		c := schedulers[who].Next(time.Unix(1e9, 0).Add(now))
 		heap.Push(all, scheduledPoll{now + c.Delay, who, c})
 	}
 	for i := range schedulers {
-		k, err := staleness.New(set, seed<<32+uint64(i), true)
+		k, err := watchpolicy.New(set, seed<<32+uint64(i), true)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,8 +9,8 @@
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/shutdown"
-	"plankrouter/internal/staleness"
 	"plankrouter/internal/transient"
+	"plankrouter/internal/watchpolicy"
 	"plankrouter/policy"
 	"time"
 )
@@ -33,16 +33,16 @@
 	Settings Settings       `json:"settings"`
 	Own      Own            `json:"plankrouter"`
 
-	ShutdownSchedule shutdown.Schedule  `json:"-"`
-	SnapshotEvery    time.Duration      `json:"-"`
-	ReadyWithin      time.Duration      `json:"-"`
-	Watch            staleness.Settings `json:"-"`
-	Seed             uint64             `json:"-"`
-	Policy           policy.Config      `json:"-"`
-	ConnIdle         time.Duration      `json:"-"` // a server closes a connection left idle this long
-	ConnectTimeout   time.Duration      `json:"-"`
-	DrainGrace       time.Duration      `json:"-"`
-	PollInterval     time.Duration      `json:"-"` // without a subscription all changes older than this count as listed; 0 = not said
+	ShutdownSchedule shutdown.Schedule    `json:"-"`
+	SnapshotEvery    time.Duration        `json:"-"`
+	ReadyWithin      time.Duration        `json:"-"`
+	Watch            watchpolicy.Settings `json:"-"`
+	Seed             uint64               `json:"-"`
+	Policy           policy.Config        `json:"-"`
+	ConnIdle         time.Duration        `json:"-"` // a server closes a connection left idle this long
+	ConnectTimeout   time.Duration        `json:"-"`
+	DrainGrace       time.Duration        `json:"-"`
+	PollInterval     time.Duration        `json:"-"` // without a subscription all changes older than this count as listed; 0 = not said
 
 	fileKeys map[string]any // as they stand in the file, for Reload
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"path/filepath"
 	"plankrouter/internal/shutdown"
-	"plankrouter/internal/staleness"
+	"plankrouter/internal/watchpolicy"
 	"strings"
 	"testing"
 	"time"
@@ -56,7 +56,7 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(loaded{})); diff != "" {
 		t.Error(diff)
 	}
-	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != staleness.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshotEvery {
+	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != watchpolicy.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshotEvery {
 		t.Errorf("an installation without keys of its own: %+v, %+v", c.ShutdownSchedule, c.Watch)
 	}
 	c, err = load(t, strings.Replace(validFile, withOwnKeys("")[0], withOwnKeys(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"fmt"
 	"plankrouter/internal/shutdown"
-	"plankrouter/internal/staleness"
+	"plankrouter/internal/watchpolicy"
 	"time"
 )
 
@@ -31,7 +31,7 @@
 	} `json:"stop"`
 }
 
-// WatchMs has the times of the watch in milliseconds; see staleness.Settings. The defaults are those for a discovery service
+// WatchMs has the times of the watch in milliseconds; see watchpolicy.Settings. The defaults are those for a discovery service
 // on the own machine, which costs nothing to ask.
 type WatchMs struct {
 	Wait       float64 `json:"wait_ms"`
@@ -79,10 +79,10 @@
 		return fmt.Errorf("plankrouter.stop.%w", err)
 	}
 	var err error
-	defaults := staleness.DefaultSettings()
+	defaults := watchpolicy.DefaultSettings()
 	defaults.Instances = c.Settings.Balancers
 	if c.Settings.Discovery == discoveryPushed { // to an agent on the own machine
-		defaults = staleness.PushedSettings(c.DrainGrace)
+		defaults = watchpolicy.PushedSettings(c.DrainGrace)
 	}
 	defaults.EffectiveBy = c.PollInterval
 	defaults.DrainGrace = c.DrainGrace
@@ -91,7 +91,7 @@
 }
 
 // toSettings fills in defaults, which stay on the right side of what is given, and checks.
-func (w *WatchMs) toSettings(defaults staleness.Settings) (s staleness.Settings, err error) {
+func (w *WatchMs) toSettings(defaults watchpolicy.Settings) (s watchpolicy.Settings, err error) {
 	s.Instances = defaults.Instances
 	s.EffectiveBy = defaults.EffectiveBy
 	s.DrainGrace = defaults.DrainGrace
--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -7,6 +7,7 @@
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/watchpolicy"
 	"strings"
 	"testing"
 	"time"
@@ -44,7 +45,7 @@
 				d := newScriptedSource(t, r.network)
 				options := r.watch.options
 				options.Address = d.Addr().String()
-				options.Watch = staleness.PushedSettings(grace)
+				options.Watch = watchpolicy.PushedSettings(grace)
 				r.replaceWatch(options)
 				defer r.run()()
 				first := d.accept()
@@ -76,7 +77,7 @@
 	withWatch(t, 0, func(r *fixture) {
 		d, options := newScriptedSource(t, r.network), r.watch.options
 		options.Address = d.Addr().String()
-		options.Watch = staleness.PushedSettings(750 * time.Millisecond)
+		options.Watch = watchpolicy.PushedSettings(750 * time.Millisecond)
 		dials := make(chan time.Time, 100)
 		options.Budget = connlimit.NewBudget(8, func(ctx context.Context, address string) (net.Conn, error) {
 			if dials <- time.Now(); len(dials) == 1 {
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -5,8 +5,8 @@
 	"net"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
-	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 	"testing"
 	"time"
 )
@@ -37,7 +37,7 @@
 	updatedAt := make(chan time.Time, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	w, err := New(Options{
-		Address: d.Address(), Watch: staleness.DefaultSettings(), Seed: 1,
+		Address: d.Address(), Watch: watchpolicy.DefaultSettings(), Seed: 1,
 		Budget: connlimit.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := connlimit.TCP(ctx, address)
 			if err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,6 +9,7 @@
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 	"slices"
 	"strings"
 	"testing"
@@ -43,7 +44,7 @@
 		defer r.source.Close()
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return r.network.Dial(ctx, address) }
 		w, err := New(Options{
-			Address: "d:1", Watch: staleness.DefaultSettings(), Seed: 1, Initial: endpoints.List{Revision: revision},
+			Address: "d:1", Watch: watchpolicy.DefaultSettings(), Seed: 1, Initial: endpoints.List{Revision: revision},
 			Budget: connlimit.NewBudget(8, dial), OnUpdate: r.onUpdate, Logf: func(format string, args ...any) {
 				r.logged = append(r.logged, fmt.Sprintf(format, args...))
 			},
@@ -198,7 +199,7 @@
 func TestValidityIsReportedBeforePauses(t *testing.T) {
 	withWatch(t, 0, func(r *fixture) {
 		options := r.watch.options
-		options.Watch = staleness.PushedSettings(750 * time.Millisecond)
+		options.Watch = watchpolicy.PushedSettings(750 * time.Millisecond)
 		r.replaceWatch(options)
 		var validFor []time.Duration // as each poll or pause begins
 		r.watch.options.OnValidity = func(t staleness.Validity) { validFor = append(validFor, time.Until(t.ListUntil)) }
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -8,7 +8,7 @@
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/shutdown"
-	"plankrouter/internal/staleness"
+	"plankrouter/internal/watchpolicy"
 	"strconv"
 	"time"
 )
@@ -60,7 +60,7 @@
 }
 
 // requestTarget returns the poll's path and query.
-func (w *Watch) requestTarget(poll staleness.Poll) string {
+func (w *Watch) requestTarget(poll watchpolicy.Poll) string {
 	if poll.Complete {
 		return http1.PathList
 	}
@@ -69,7 +69,7 @@
 }
 
 // fetch makes the poll and returns the list or changes that it brings, and when their first byte came.
-func (w *Watch) fetch(ctx context.Context, poll staleness.Poll) (list endpoints.List, firstByteAt time.Time, err error) {
+func (w *Watch) fetch(ctx context.Context, poll watchpolicy.Poll) (list endpoints.List, firstByteAt time.Time, err error) {
 	sameConn := w.conn != nil
 	raw, firstByteAt, err := w.exchange(ctx, poll)
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // exchange makes the poll and reads the whole of its answer.
-func (w *Watch) exchange(ctx context.Context, poll staleness.Poll) (raw []byte, firstByteAt time.Time, err error) {
+func (w *Watch) exchange(ctx context.Context, poll watchpolicy.Poll) (raw []byte, firstByteAt time.Time, err error) {
 	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.Quiet()) { // it would pass for the answer to this poll
 		return nil, firstByteAt, errUnexpectedBytes
 	}
@@ -137,7 +137,7 @@
 }
 
 // connect opens a connection to the source.
-func (w *Watch) connect(ctx context.Context, poll staleness.Poll) error {
+func (w *Watch) connect(ctx context.Context, poll watchpolicy.Poll) error {
 	socket, err := w.options.Budget.Dial(ctx, w.polledAddress, min(dialTimeout, poll.StallTimeout))
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 }
 
 // waitForRest bounds the reads of an answer whose first byte came at that time.
-func (c *sourceConn) waitForRest(firstByteAt time.Time, poll staleness.Poll) {
+func (c *sourceConn) waitForRest(firstByteAt time.Time, poll watchpolicy.Poll) {
 	c.deadline = firstByteAt.Add(maxTransferTime)
 	c.maxPause = poll.StallTimeout
 }
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -8,6 +8,7 @@
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 	"strings"
 	"sync"
 	"testing"
@@ -29,7 +30,7 @@
 
 func newRaceFixture(t *testing.T) *raceFixture {
 	x := &raceFixture{scriptedSource: newScriptedSource(t, nil), updates: make(chan string), proceed: make(chan struct{}, 100)}
-	settings := staleness.Settings{
+	settings := watchpolicy.Settings{
 		Wait: time.Minute, MinWait: time.Minute, Timeout: time.Minute, MinTimeout: time.Minute,
 		RetryBackoff: time.Millisecond, MaxRetryBackoff: time.Millisecond, RefreshInterval: time.Millisecond, MaxRefreshInterval: time.Millisecond,
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,19 +12,20 @@
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
+	"plankrouter/internal/watchpolicy"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Watch is the standing request to discovery. What to ask and how long to wait for the answer is decided by a staleness.Scheduler.
+// Watch is the standing request to discovery. What to ask and how long to wait for the answer is decided by a watchpolicy.Scheduler.
 type Watch struct {
 	options Options
 
 	Answers, Failures, FullRefreshes atomic.Int64 // FullRefreshes: complete lists asked for because servers contradict the list
 
 	mu         sync.Mutex
-	scheduler  *staleness.Scheduler
+	scheduler  *watchpolicy.Scheduler
 	address    string             // where the next poll goes
 	cancelPoll context.CancelFunc // ends the present one; nil = none
 	source     string             // of the last list
@@ -40,7 +41,7 @@
 // Options configure a Watch.
 type Options struct {
 	Address        string // host:port of discovery
-	Watch          staleness.Settings
+	Watch          watchpolicy.Settings
 	Seed           uint64
 	Initial        endpoints.List // what it begins with; if it is empty, the first poll asks for the complete list,
 	IgnoreRevision bool           // and if the revision of Initial is not one of discovery's
@@ -54,7 +55,7 @@
 
 // New returns a watch that Run begins.
 func New(o Options) (*Watch, error) {
-	scheduler, err := staleness.New(o.Watch, o.Seed, o.IgnoreRevision || len(o.Initial.Endpoints) == 0)
+	scheduler, err := watchpolicy.New(o.Watch, o.Seed, o.IgnoreRevision || len(o.Initial.Endpoints) == 0)
 	if err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
@@ -132,7 +133,7 @@
 }
 
 // nextPoll returns the next poll, a context that ends when it is to be given up, and until when the list may be relied on.
-func (w *Watch) nextPoll(ctx context.Context) (context.Context, staleness.Poll, staleness.Validity) {
+func (w *Watch) nextPoll(ctx context.Context) (context.Context, watchpolicy.Poll, staleness.Validity) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ctx, w.cancelPoll = context.WithCancel(ctx)
@@ -146,7 +147,7 @@
 }
 
 // poll makes a poll and takes its answer. One that is given up has not failed, but its connection may still bring the answer: it is closed.
-func (w *Watch) poll(ctx context.Context, poll staleness.Poll) {
+func (w *Watch) poll(ctx context.Context, poll watchpolicy.Poll) {
 	startedAt := time.Now()
 	list, firstByteAt, err := w.fetch(ctx, poll)
 	if w.options.Trace != nil {
@@ -164,7 +165,7 @@
 }
 
 // handleAnswer notes an answer and passes the list on.
-func (w *Watch) handleAnswer(ctx context.Context, poll staleness.Poll, list endpoints.List, startedAt, firstByteAt time.Time) {
+func (w *Watch) handleAnswer(ctx context.Context, poll watchpolicy.Poll, list endpoints.List, startedAt, firstByteAt time.Time) {
 	w.mu.Lock()
 	w.scheduler.Responded(poll, max(0, firstByteAt.Sub(startedAt))) // what follows its first byte may take long and says nothing of discovery
 	w.updateListed(list)
@@ -183,7 +184,7 @@
 }
 
 // handleFailure notes a poll that has failed; firstByteAt is zero if nothing was answered.
-func (w *Watch) handleFailure(poll staleness.Poll, firstByteAt time.Time, err error) {
+func (w *Watch) handleFailure(poll watchpolicy.Poll, firstByteAt time.Time, err error) {
 	w.Failures.Add(1)
 	silent := w.conn != nil && firstByteAt.IsZero() && errors.Is(err, os.ErrDeadlineExceeded)
 	w.closeConn()
--- a/internal/staleness/validity.go
+++ b/internal/staleness/validity.go
@@ -1,3 +1,5 @@
+// Package staleness has until when the endpoint list may be relied on, and what is seen of servers that confirms or contradicts it. It does
+// no input or output and reads no clock.
 package staleness
 
 import (
--- a/internal/staleness/validity_test.go
+++ b/internal/staleness/validity_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+const ms = time.Millisecond
+
 // Whatever the grace, a server is picked early enough for a connection, and no first byte is written at its end.
 func TestDrainLimits(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * ms, 100 * ms, 200 * ms, 750 * ms, 2000 * ms} {
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -8,9 +8,9 @@
 	"math"
 	"os"
 	"plankrouter/internal/probing"
-	"plankrouter/internal/staleness"
 	"plankrouter/internal/subset"
 	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 	"regexp"
 	"slices"
 	"strconv"
@@ -39,8 +39,8 @@
 	for _, servers := range []int{13, 600, 2000, 6000} {
 		near(fmt.Sprintf("servers chosen among, of %d", servers), float64(subset.Size(servers, fleetSize)), 0)
 	}
-	near("ms that a watch is held, agent", ms(staleness.PushedSettings(drainGrace).Wait), 0)
-	near("ms that a watch is held, on request", ms(staleness.DefaultSettings().Wait), 0)
+	near("ms that a watch is held, agent", ms(watchpolicy.PushedSettings(drainGrace).Wait), 0)
+	near("ms that a watch is held, on request", ms(watchpolicy.DefaultSettings().Wait), 0)
 
 	w := start(t, Point{Servers: 10, Instances: fleetSize, Price: cheap})
 	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // addresses differ in length
--- a/internal/staleness/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -1,7 +1,8 @@
-package staleness
+package watchpolicy
 
 import (
 	"maps"
+	"plankrouter/internal/staleness"
 	"time"
 )
 
@@ -73,11 +74,11 @@
 // list at once. It is bounded: never twice within Settings.RefreshInterval, less and less often while discovery confirms its list, not
 // while it rejects polls, nor while it answers several instances in time; and a server for which it confirms its list counts no more
 // until it has answered or restarted. No evidence removes a server from the list: a fault of this instance makes all look gone.
-func (s *Scheduler) Observe(now time.Time, server string, evidence Evidence) bool {
+func (s *Scheduler) Observe(now time.Time, server string, evidence staleness.Evidence) bool {
 	if _, listed := s.listed[server]; !listed {
 		return false
 	}
-	if evidence == Alive {
+	if evidence == staleness.Alive {
 		delete(s.contradictions, server)
 		return false
 	}
--- a/internal/staleness/contradictions_test.go
+++ b/internal/watchpolicy/contradictions_test.go
@@ -1,7 +1,8 @@
-package staleness
+package watchpolicy
 
 import (
 	"fmt"
+	"plankrouter/internal/staleness"
 	"testing"
 	"time"
 )
@@ -11,58 +12,58 @@
 	type step struct {
 		at        time.Duration
 		server    int
-		evidence  Evidence
+		evidence  staleness.Evidence
 		refreshes bool
 	}
 	again := func(from, every time.Duration, n int, refreshes ...int) (steps []step) { // two servers refuse again and again
 		for i := range n {
 			at := from + time.Duration(i)*every
-			steps = append(steps, step{at, 0, ConnectRefused, false}, step{at, 1, ConnectRefused, false})
+			steps = append(steps, step{at, 0, staleness.ConnectRefused, false}, step{at, 1, staleness.ConnectRefused, false})
 		}
 		for _, i := range refreshes {
 			steps[2*i+1].refreshes = true
 		}
 		return steps
 	}
-	const listed, sourceChanged = Evidence(100), Evidence(101)
+	const listed, sourceChanged = staleness.Evidence(100), staleness.Evidence(101)
 	for name, c := range map[string]struct {
 		servers int
 		steps   []step
 	}{
-		"one of many":                {15, []step{{0, 0, ConnectRefused, false}, {1, 0, ConnectRefused, false}, {2, 0, Draining, false}}},
-		"two at once":                {15, []step{{0, 0, ConnectRefused, false}, {500 * ms, 1, Draining, true}}},
-		"two, but not at once":       {15, []step{{0, 0, ConnectRefused, false}, {4 * time.Second, 1, ConnectRefused, false}}},
-		"one has answered meanwhile": {15, []step{{0, 0, ConnectRefused, false}, {1, 0, Alive, false}, {2, 1, ConnectRefused, false}}},
+		"one of many":                {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.ConnectRefused, false}, {2, 0, staleness.Draining, false}}},
+		"two at once":                {15, []step{{0, 0, staleness.ConnectRefused, false}, {500 * ms, 1, staleness.Draining, true}}},
+		"two, but not at once":       {15, []step{{0, 0, staleness.ConnectRefused, false}, {4 * time.Second, 1, staleness.ConnectRefused, false}}},
+		"one has answered meanwhile": {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.Alive, false}, {2, 1, staleness.ConnectRefused, false}}},
 		"a tenth of a large fleet": {40, []step{
-			{0, 0, ConnectRefused, false},
-			{1, 1, ConnectRefused, false},
-			{2, 2, ConnectRefused, false},
-			{3, 3, ConnectRefused, true},
+			{0, 0, staleness.ConnectRefused, false},
+			{1, 1, staleness.ConnectRefused, false},
+			{2, 2, staleness.ConnectRefused, false},
+			{3, 3, staleness.ConnectRefused, true},
 		}},
-		"the only one":           {1, []step{{0, 0, ConnectRefused, true}}},
-		"not on the list":        {2, []step{{0, 7, ConnectRefused, false}, {1, 8, ConnectRefused, false}}},
-		"not before the answer":  {15, []step{{0, 0, ConnectRefused, false}, {1, 1, ConnectRefused, true}, {5 * time.Second, 2, ConnectRefused, false}, {5 * time.Second, 3, ConnectRefused, false}}},
-		"the list confirms them": {15, append([]step{{0, 0, ConnectRefused, false}, {1, 1, ConnectRefused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
+		"the only one":           {1, []step{{0, 0, staleness.ConnectRefused, true}}},
+		"not on the list":        {2, []step{{0, 7, staleness.ConnectRefused, false}, {1, 8, staleness.ConnectRefused, false}}},
+		"not before the answer":  {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {5 * time.Second, 2, staleness.ConnectRefused, false}, {5 * time.Second, 3, staleness.ConnectRefused, false}}},
+		"the list confirms them": {15, append([]step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
 		"others after that": {15, []step{
-			{0, 0, ConnectRefused, false},
-			{1, 1, ConnectRefused, true},
+			{0, 0, staleness.ConnectRefused, false},
+			{1, 1, staleness.ConnectRefused, true},
 			{2, 0, listed, false},
-			{5 * time.Second, 2, ConnectRefused, false},
-			{5 * time.Second, 3, ConnectRefused, true},
+			{5 * time.Second, 2, staleness.ConnectRefused, false},
+			{5 * time.Second, 3, staleness.ConnectRefused, true},
 		}},
 		"others too soon after that": {15, []step{
-			{0, 0, ConnectRefused, false},
-			{1, 1, ConnectRefused, true},
+			{0, 0, staleness.ConnectRefused, false},
+			{1, 1, staleness.ConnectRefused, true},
 			{2, 0, listed, false},
-			{900 * ms, 2, ConnectRefused, false},
-			{900 * ms, 3, ConnectRefused, false},
+			{900 * ms, 2, staleness.ConnectRefused, false},
+			{900 * ms, 3, staleness.ConnectRefused, false},
 		}},
 		"a new source": {15, []step{
-			{0, 0, ConnectRefused, false},
-			{1, 1, ConnectRefused, true},
+			{0, 0, staleness.ConnectRefused, false},
+			{1, 1, staleness.ConnectRefused, true},
 			{2, 0, sourceChanged, false},
-			{5 * time.Second, 2, ConnectRefused, false},
-			{5 * time.Second, 3, ConnectRefused, true},
+			{5 * time.Second, 2, staleness.ConnectRefused, false},
+			{5 * time.Second, 3, staleness.ConnectRefused, true},
 		}},
 	} {
 		scheduler, start := newScheduler(t, c.servers), time.Unix(1e9, 0)
@@ -90,8 +91,8 @@
 	for range 600 { // ten minutes
 		for p := range 15 {
 			name := fmt.Sprint("p", p)
-			scheduler.Observe(now, name, Alive)
-			if scheduler.Observe(now, name, ConnectRefused) {
+			scheduler.Observe(now, name, staleness.Alive)
+			if scheduler.Observe(now, name, staleness.ConnectRefused) {
 				refreshes++
 				if poll := scheduler.Next(now); !poll.Complete {
 					t.Fatalf("the next poll is %+v", poll)
@@ -111,10 +112,10 @@
 func TestEvidenceDuringAPoll(t *testing.T) {
 	scheduler, now := newScheduler(t, 15), time.Unix(1e9, 0)
 	scheduler.Next(now)
-	scheduler.Observe(now, "p0", ConnectRefused)
+	scheduler.Observe(now, "p0", staleness.ConnectRefused)
 	poll := scheduler.Next(now)
 	checkBetween(t, "wait with one contradiction", poll.Wait, 450*ms, 500*ms)
-	if !scheduler.Observe(now, "p1", ConnectRefused) {
+	if !scheduler.Observe(now, "p1", staleness.ConnectRefused) {
 		t.Fatal("no refresh")
 	}
 	scheduler.Responded(poll, 10*ms)
@@ -125,7 +126,7 @@
 	scheduler.Responded(scheduler.Next(now), 10*ms)
 	scheduler.ReplaceListed(listedServers(3))
 	scheduler.SetListed("p0", true, 2) // a new process: what contradicted the list about the old one is over
-	scheduler.Observe(now.Add(time.Minute), "p0", ConnectRefused)
+	scheduler.Observe(now.Add(time.Minute), "p0", staleness.ConnectRefused)
 	if poll = scheduler.Next(now.Add(time.Minute)); poll.Complete || poll.Wait > 500*ms {
 		t.Errorf("after the complete list: %+v", poll)
 	}
@@ -139,8 +140,8 @@
 			scheduler.Failed()
 		}
 		poll := scheduler.Next(now)
-		scheduler.Observe(now, "p0", ConnectRefused)
-		if poll.Complete != complete || !scheduler.Observe(now, "p1", ConnectRefused) {
+		scheduler.Observe(now, "p0", staleness.ConnectRefused)
+		if poll.Complete != complete || !scheduler.Observe(now, "p1", staleness.ConnectRefused) {
 			t.Fatalf("%+v, no refresh", poll)
 		}
 		scheduler.Responded(poll, ms)
--- a/internal/staleness/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -1,6 +1,9 @@
-package staleness
+package watchpolicy
 
-import "time"
+import (
+	"plankrouter/internal/staleness"
+	"time"
+)
 
 // When a change of the list takes effect, whether or not it has arrived here: the platform's protocol.
 const (
@@ -15,14 +18,14 @@
 // the one that it is back, nothing may go there. Where polls queue at one service, an instance that starts in a herd may not be answered
 // for long and has no connection from before: a server that leaves after the start remains for its grace, so that another process takes
 // longer to be there.
-func (s *Scheduler) Validity() Validity {
+func (s *Scheduler) Validity() staleness.Validity {
 	switch {
 	case s.settings.Pushed:
-		return Validity{ListUntil: s.freshUntil, ProcessUntil: s.freshUntil}
+		return staleness.Validity{ListUntil: s.freshUntil, ProcessUntil: s.freshUntil}
 	case s.listAsOf.IsZero():
-		return Validity{ListUntil: s.freshUntil, ProcessUntil: s.freshUntil.Add(s.settings.DrainGrace)}
+		return staleness.Validity{ListUntil: s.freshUntil, ProcessUntil: s.freshUntil.Add(s.settings.DrainGrace)}
 	}
-	return Validity{ListUntil: s.freshUntil, ProcessUntil: s.listAsOf.Add(-maxPropagationDelay)}
+	return staleness.Validity{ListUntil: s.freshUntil, ProcessUntil: s.listAsOf.Add(-maxPropagationDelay)}
 }
 
 // updateFreshUntil notes until when the list is fresh, now that poll is made. The first poll that was not answered decides, or the first
--- a/internal/staleness/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -1,7 +1,8 @@
-package staleness
+package watchpolicy
 
 import (
 	"cmp"
+	"plankrouter/internal/staleness"
 	"strings"
 	"testing"
 	"time"
@@ -156,7 +157,7 @@
 	now = now.Add(poll.Wait + ms)
 	scheduler.Next(now)
 	now = now.Add(100 * ms)
-	if scheduler.Observe(now, "p1", ConnectRefused); !scheduler.Observe(now, "p2", ConnectRefused) {
+	if scheduler.Observe(now, "p1", staleness.ConnectRefused); !scheduler.Observe(now, "p2", staleness.ConnectRefused) {
 		t.Fatal("no refresh")
 	}
 	if poll = scheduler.Next(now); !poll.Complete {
--- a/internal/staleness/queue_test.go
+++ b/internal/watchpolicy/queue_test.go
@@ -1,7 +1,8 @@
-package staleness
+package watchpolicy
 
 import (
 	"fmt"
+	"plankrouter/internal/staleness"
 	"testing"
 	"time"
 )
@@ -113,7 +114,7 @@
 						source.step(instance)
 					}
 					if elapsed := now.Sub(start); c.instances > 1 && elapsed > 45*time.Second && elapsed < 55*time.Second && elapsed%(100*ms) == 0 {
-						if instance.Observe(now, "p1", ConnectRefused); instance.Observe(now, "p2", ConnectRefused) { // it leaves the present poll
+						if instance.Observe(now, "p1", staleness.ConnectRefused); instance.Observe(now, "p2", staleness.ConnectRefused) { // it leaves the present poll
 							instance.watching = false
 							instance.decide(now)
 						}
--- a/internal/staleness/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -1,4 +1,4 @@
-package staleness
+package watchpolicy
 
 import (
 	"math/rand/v2"
--- a/internal/staleness/scheduler_test.go
+++ b/internal/watchpolicy/scheduler_test.go
@@ -1,7 +1,8 @@
-package staleness
+package watchpolicy
 
 import (
 	"fmt"
+	"plankrouter/internal/staleness"
 	"testing"
 	"time"
 )
@@ -123,7 +124,7 @@
 					scheduler.Responded(next, next.Wait)
 					end = at + next.Delay + next.Wait
 				}
-				if first := scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) || first {
+				if first := scheduler.Observe(now, "p1", staleness.ConnectRefused); scheduler.Observe(now, "p2", staleness.ConnectRefused) || first {
 					refreshes[int(at/time.Second)]++
 					scheduler.Rejected()
 					scheduler.Responded(scheduler.Next(now), 0)
@@ -167,7 +168,7 @@
 		t.Errorf("rejected: %+v", poll)
 	}
 	now = now.Add(time.Minute) // overdue
-	if scheduler.Observe(now, "p1", ConnectRefused); scheduler.Observe(now, "p2", ConnectRefused) {
+	if scheduler.Observe(now, "p1", staleness.ConnectRefused); scheduler.Observe(now, "p2", staleness.ConnectRefused) {
 		t.Error("the place in the queue is left")
 	}
 	scheduler.Responded(Poll{Complete: true}, ms) // it had that at hand
@@ -177,7 +178,7 @@
 	poll := scheduler.Next(now)
 	scheduler.Responded(poll, poll.Wait+2*ms)
 	now = now.Add(time.Minute)
-	if scheduler.Observe(now, "p1", ConnectRefused); !scheduler.Observe(now, "p2", ConnectRefused) {
+	if scheduler.Observe(now, "p1", staleness.ConnectRefused); !scheduler.Observe(now, "p2", staleness.ConnectRefused) {
 		t.Error("no evidence counts any more")
 	}
 	if poll := scheduler.Next(now); !poll.Complete || poll.Delay > 800*ms || poll.Timeout != 4*time.Second {
