--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -59,8 +59,8 @@
 }
 
 type instance struct {
-	bal    *policy.Balancer
-	fields []loadreport.Field
+	balancer *policy.Balancer
+	fields   []loadreport.Field
 }
 
 // Host runs the instances that one stream of batches speaks of.
@@ -123,8 +123,8 @@
 	h.tail = h.tail[:0]
 	written := 0
 	for i := range count {
-		rec := frame[batchHeader+i*eventSize:][:eventSize]
-		n, err := h.event(now, rec, tail)
+		record := frame[batchHeader+i*eventSize:][:eventSize]
+		n, err := h.event(now, record, tail)
 		if err != nil {
 			return nil, fmt.Errorf("record %d at byte %d: %w", i, batchHeader+i*eventSize, err)
 		}
@@ -241,18 +241,18 @@
 	return policy.Event{Kind: policy.EndpointsUpdated, Complete: form != listPartial, Servers: h.pages[slot]}, nil
 }
 
-func (h *Host) handle(now float64, who uint16, in *instance, e *policy.Event) (int, error) {
-	h.actions = in.bal.Handle(now, e, h.actions[:0])
+func (h *Host) handle(now float64, id uint16, in *instance, e *policy.Event) (int, error) {
+	h.actions = in.balancer.Handle(now, e, h.actions[:0])
 	for i := range h.actions {
-		h.action(who, &h.actions[i])
+		h.action(id, &h.actions[i])
 	}
 	return len(h.actions), nil
 }
 
-func (h *Host) action(who uint16, a *policy.Action) {
+func (h *Host) action(id uint16, a *policy.Action) {
 	var b [actionSize]byte
 	le := binary.LittleEndian
-	code := func(c uint16) { le.PutUint16(b[0:], c); le.PutUint16(b[2:], who) }
+	code := func(c uint16) { le.PutUint16(b[0:], c); le.PutUint16(b[2:], id) }
 	switch a.Kind {
 	case policy.StartAttempt:
 		code(acDispatch)
@@ -292,12 +292,12 @@
 }
 
 // page stores a numbered list for the fleet events that follow. Each gets fresh memory only if it grows.
-func (h *Host) page(rec, tail []byte) error {
-	slot := u32(rec, 2)
+func (h *Host) page(record, tail []byte) error {
+	slot := u32(record, 2)
 	if slot >= uint32(len(h.pages)) {
 		return fmt.Errorf("list number %d is out of bounds", slot)
 	}
-	raw, err := cut(tail, rec, 6, lineSize)
+	raw, err := cut(tail, record, 6, lineSize)
 	if err != nil {
 		return fmt.Errorf("list %d: %w", slot, err)
 	}
@@ -335,17 +335,17 @@
 	return r, nil
 }
 
-func status(rec []byte, at int) (policy.Status, error) {
-	s, ok := outcomes[u16(rec, at)]
+func status(record []byte, at int) (policy.Status, error) {
+	s, ok := outcomes[u16(record, at)]
 	if !ok {
-		return 0, fmt.Errorf("unknown outcome %d", u16(rec, at))
+		return 0, fmt.Errorf("unknown outcome %d", u16(record, at))
 	}
 	return s, nil
 }
 
 // cut returns the part of the tail that the reference at rec[at] names, in units of size bytes.
-func cut(tail, rec []byte, at, size int) ([]byte, error) {
-	off, n := int(u32(rec, at)), int(u32(rec, at+4))
+func cut(tail, record []byte, at, size int) ([]byte, error) {
+	off, n := int(u32(record, at)), int(u32(record, at+4))
 	if off > len(tail) || n > (len(tail)-off)/size {
 		return nil, fmt.Errorf("%d entries at %d lie outside the tail of %d bytes", n, off, len(tail))
 	}
--- a/internal/streaming/flow_test.go
+++ b/internal/streaming/bounds_test.go
@@ -9,11 +9,11 @@
 // little; and what is kept whole stays within a quarter.
 func TestBounds(t *testing.T) {
 	for _, tc := range []struct{ memory, sockets, size int }{
-		{64 << 20, 1024, 16 << 10}, {32 << 20, 1024, 8 << 10}, {192 << 20, 256, mostBuffer}, {8 << 20, 4096, leastBuffer},
+		{64 << 20, 1024, 16 << 10}, {32 << 20, 1024, 8 << 10}, {192 << 20, 256, maxBuffer}, {8 << 20, 4096, minBuffer},
 	} {
 		b := New(tc.memory, tc.sockets)
 		p, free := b.Buffer()
-		if len(p) != tc.size || tc.size > leastBuffer && len(p)*tc.sockets/2 > tc.memory/8 {
+		if len(p) != tc.size || tc.size > minBuffer && len(p)*tc.sockets/2 > tc.memory/8 {
 			t.Errorf("%+v: buffers of %d", tc, len(p))
 		}
 		free()
@@ -37,8 +37,8 @@
 		got       int64
 		now, want time.Duration
 	}{
-		{0, 0, pauseMost}, {100, 1900 * time.Millisecond, 2004 * time.Millisecond}, // a trickle: 2 s in all
-		{640 << 10, 10 * time.Second, 10*time.Second + pauseMost}, {24 << 10, 2900 * time.Millisecond, 3 * time.Second},
+		{0, 0, maxPause}, {100, 1900 * time.Millisecond, 2004 * time.Millisecond}, // a trickle: 2 s in all
+		{640 << 10, 10 * time.Second, 10*time.Second + maxPause}, {24 << 10, 2900 * time.Millisecond, 3 * time.Second},
 	} {
 		p := Pace{Began: began, Got: tc.got}
 		if got := p.Until(began.Add(tc.now)).Sub(began).Round(time.Millisecond); got != tc.want {
--- a/internal/streaming/pace.go
+++ b/internal/streaming/pace.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// A peer that sends a body is slow within these bounds, and bad beyond them.
+// The least pace of a body: a sender that is slower is given up.
 const (
-	pauseMost = 1200 * time.Millisecond
-	paceLeast = 24 << 10        // bytes a second, on average,
-	paceAfter = 2 * time.Second // after this
+	maxPause  = 1200 * time.Millisecond
+	minPace   = 24 << 10        // bytes a second, on average,
+	paceGrace = 2 * time.Second // after this
 )
 
-// Pace says until when more of a body must have come. It reads no clock.
+// Pace is how much of a body has come since it began. It reads no clock.
 type Pace struct {
 	Began time.Time
 	Got   int64 // bytes so far
 }
 
-// Until is that moment, seen from now.
+// Until is when more of the body must have come at the latest, seen from now.
 func (p *Pace) Until(now time.Time) time.Time {
-	least := p.Began.Add(paceAfter + time.Duration(p.Got)*time.Second/paceLeast)
-	if pause := now.Add(pauseMost); pause.Before(least) {
+	least := p.Began.Add(paceGrace + time.Duration(p.Got)*time.Second/minPace)
+	if pause := now.Add(maxPause); pause.Before(least) {
 		return pause
 	}
 	return least
