--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -21,29 +21,29 @@
 	JSON      string  `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
 
-func (l *experiment) setup(program string, seed uint64) recovery.Setup {
-	return recovery.Setup{Program: program, Servers: l.Providers, Rate: l.Rate, Seed: seed}
+func (e *experiment) setup(program string, seed uint64) recovery.Setup {
+	return recovery.Setup{Program: program, Servers: e.Providers, Rate: e.Rate, Seed: seed}
 }
 
 // folder returns the folder for what is kept, and what to do with it at the end.
-func (l *experiment) folder() (string, func(), error) {
-	if l.Keep != "" {
-		return l.Keep, func() {}, os.MkdirAll(l.Keep, 0o755)
+func (e *experiment) folder() (string, func(), error) {
+	if e.Keep != "" {
+		return e.Keep, func() {}, os.MkdirAll(e.Keep, 0o755)
 	}
 	dir, err := os.MkdirTemp("", "testbench-")
 	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
 // save writes the results to the file of --json, if there is one.
-func (l *experiment) save(figures any) error {
-	if l.JSON == "" {
+func (e *experiment) save(figures any) error {
+	if e.JSON == "" {
 		return nil
 	}
 	raw, err := json.MarshalIndent(figures, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(l.JSON, append(raw, '\n'), 0o644)
+	return os.WriteFile(e.JSON, append(raw, '\n'), 0o644)
 }
 
 // recoverCommand runs scenarios.
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -63,8 +63,8 @@
 }
 
 // endpoints are the lines of the list.
-func (t *fakeServers) endpoints() (all []fakes.Member) {
-	for i, l := range t.listeners {
+func (f *fakeServers) endpoints() (all []fakes.Member) {
+	for i, l := range f.listeners {
 		all = append(all, fakes.Member{
 			ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
 			Phase: fakes.Serving,
@@ -73,19 +73,19 @@
 	return all
 }
 
-func (t *fakeServers) close() {
-	for _, l := range t.listeners {
+func (f *fakeServers) close() {
+	for _, l := range f.listeners {
 		l.Close()
 	}
-	t.mutex.Lock()
-	for c := range t.conns {
+	f.mutex.Lock()
+	for c := range f.conns {
 		c.Close()
 	}
-	t.mutex.Unlock()
-	t.running.Wait()
+	f.mutex.Unlock()
+	f.running.Wait()
 }
 
-func (t *fakeServers) accept(l net.Listener) {
+func (f *fakeServers) accept(l net.Listener) {
 	var active atomic.Int64
 	met := false
 	for {
@@ -95,28 +95,28 @@
 		}
 		if !met {
 			met = true
-			t.contacted.Add(1)
+			f.contacted.Add(1)
 		}
-		t.accepted.Add(1)
-		t.open.Add(1)
-		t.mutex.Lock()
-		t.conns[c] = struct{}{}
-		t.mutex.Unlock()
-		t.running.Go(func() {
+		f.accepted.Add(1)
+		f.open.Add(1)
+		f.mutex.Lock()
+		f.conns[c] = struct{}{}
+		f.mutex.Unlock()
+		f.running.Go(func() {
 			defer func() {
 				c.Close()
-				t.mutex.Lock()
-				delete(t.conns, c)
-				t.mutex.Unlock()
-				t.open.Add(-1)
+				f.mutex.Lock()
+				delete(f.conns, c)
+				f.mutex.Unlock()
+				f.open.Add(-1)
 			}()
-			t.serve(c, &active)
+			f.serve(c, &active)
 		})
 	}
 }
 
 // serve answers one request after another, probes at once and calls after their time.
-func (t *fakeServers) serve(c net.Conn, active *atomic.Int64) {
+func (f *fakeServers) serve(c net.Conn, active *atomic.Int64) {
 	br := bufio.NewReader(c)
 	for {
 		target, id, size, err := readHead(br)
@@ -126,7 +126,7 @@
 		if strings.HasPrefix(target, pathProbe) {
 			body := fmt.Sprintf(`{"active":%d,"avg_ms":%.1f}`, active.Load(), float64(meanServiceTime)/1e6)
 			raw := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-			t.probes.add(size + len(raw))
+			f.probes.add(size + len(raw))
 			if _, err := c.Write([]byte(raw)); err != nil {
 				return
 			}
@@ -138,8 +138,8 @@
 		active.Add(-1)
 		body := id + "\n" + strings.Repeat("x", max(0, responseBody-len(id)-1))
 		raw := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		t.calls.add(size + len(raw))
-		t.serviceTimes.Store(id, time.Since(start))
+		f.calls.add(size + len(raw))
+		f.serviceTimes.Store(id, time.Since(start))
 		if _, err := c.Write([]byte(raw)); err != nil {
 			return
 		}
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -124,29 +124,29 @@
 	scheduled int
 }
 
-func (a *schedule) at(when float64, e policy.Event) {
-	a.scheduled++
-	heap.Push(a, entry{when, a.scheduled, e})
+func (s *schedule) at(when float64, e policy.Event) {
+	s.scheduled++
+	heap.Push(s, entry{when, s.scheduled, e})
 }
 
 // next takes the soonest, if it is due by end.
-func (a *schedule) next(end float64) (e entry, ok bool) {
-	if len(a.entries) == 0 || a.entries[0].when > end {
+func (s *schedule) next(end float64) (e entry, ok bool) {
+	if len(s.entries) == 0 || s.entries[0].when > end {
 		return e, false
 	}
-	return heap.Pop(a).(entry), true
+	return heap.Pop(s).(entry), true
 }
 
-func (a *schedule) Len() int { return len(a.entries) }
-func (a *schedule) Less(i, j int) bool {
-	x, y := &a.entries[i], &a.entries[j]
+func (s *schedule) Len() int { return len(s.entries) }
+func (s *schedule) Less(i, j int) bool {
+	x, y := &s.entries[i], &s.entries[j]
 	return x.when < y.when || x.when == y.when && x.order < y.order
 }
-func (a *schedule) Swap(i, j int) { a.entries[i], a.entries[j] = a.entries[j], a.entries[i] }
-func (a *schedule) Push(x any)    { a.entries = append(a.entries, x.(entry)) }
-func (a *schedule) Pop() any {
-	last := len(a.entries) - 1
-	e := a.entries[last]
-	a.entries = a.entries[:last]
+func (s *schedule) Swap(i, j int) { s.entries[i], s.entries[j] = s.entries[j], s.entries[i] }
+func (s *schedule) Push(x any)    { s.entries = append(s.entries, x.(entry)) }
+func (s *schedule) Pop() any {
+	last := len(s.entries) - 1
+	e := s.entries[last]
+	s.entries = s.entries[:last]
 	return e
 }
--- a/internal/testbench/emulator/fault.go
+++ b/internal/testbench/emulator/fault.go
@@ -20,22 +20,22 @@
 	Zone  int     `json:"zone"`  // with silence: this zone, from 1, whose processes live on; 0 = a part of all servers
 }
 
-func (t Fault) String() string {
-	s := fmt.Sprintf("%s at %.2f s for %.2f s", t.Name, t.At, t.For)
-	if t.Part > 0 {
-		s += fmt.Sprintf(", part %.2f", t.Part)
+func (f Fault) String() string {
+	s := fmt.Sprintf("%s at %.2f s for %.2f s", f.Name, f.At, f.For)
+	if f.Part > 0 {
+		s += fmt.Sprintf(", part %.2f", f.Part)
 	}
-	if t.Size > 0 {
-		s += fmt.Sprintf(", size %.2f", t.Size)
+	if f.Size > 0 {
+		s += fmt.Sprintf(", size %.2f", f.Size)
 	}
-	if t.Every > 0 {
-		s += fmt.Sprintf(", every %.2f s", t.Every)
+	if f.Every > 0 {
+		s += fmt.Sprintf(", every %.2f s", f.Every)
 	}
-	if t.Class != "" {
-		s += ", class " + t.Class
+	if f.Class != "" {
+		s += ", class " + f.Class
 	}
-	if t.Zone > 0 {
-		s += fmt.Sprintf(", zone %d", t.Zone)
+	if f.Zone > 0 {
+		s += fmt.Sprintf(", zone %d", f.Zone)
 	}
 	return s
 }
@@ -170,34 +170,34 @@
 	return byName
 }()
 
-func (t *Fault) check(c *Config) error {
-	_, have := faultKinds[t.Name]
+func (f *Fault) check(c *Config) error {
+	_, have := faultKinds[f.Name]
 	switch {
 	case !have:
 		var names []string
 		for _, k := range FaultKinds() {
 			names = append(names, k.Name)
 		}
-		return fmt.Errorf("name: there is no %q; there are %s", t.Name, strings.Join(names, ", "))
-	case min(t.At, t.For, t.Part, t.Size, t.Every) < 0 || t.Part > 1:
-		return fmt.Errorf("%s: a figure is below 0, or part above 1: %v", t.Name, *t)
-	case !t.sizeIsPart():
-		return fmt.Errorf("%s: size: %v; it is a part, below 1", t.Name, t.Size)
-	case t.Zone < 0 || t.Zone > c.Zones:
-		return fmt.Errorf("%s: zone: %d; want 0 to %d", t.Name, t.Zone, c.Zones)
-	case t.Class != "" && !slices.ContainsFunc(c.Classes, func(k Class) bool { return k.Name == t.Class }):
-		return fmt.Errorf("%s: class: there is no %q", t.Name, t.Class)
+		return fmt.Errorf("name: there is no %q; there are %s", f.Name, strings.Join(names, ", "))
+	case min(f.At, f.For, f.Part, f.Size, f.Every) < 0 || f.Part > 1:
+		return fmt.Errorf("%s: a figure is below 0, or part above 1: %v", f.Name, *f)
+	case !f.sizeIsPart():
+		return fmt.Errorf("%s: size: %v; it is a part, below 1", f.Name, f.Size)
+	case f.Zone < 0 || f.Zone > c.Zones:
+		return fmt.Errorf("%s: zone: %d; want 0 to %d", f.Name, f.Zone, c.Zones)
+	case f.Class != "" && !slices.ContainsFunc(c.Classes, func(k Class) bool { return k.Name == f.Class }):
+		return fmt.Errorf("%s: class: there is no %q", f.Name, f.Class)
 	}
 	return nil
 }
 
 // sizeIsPart reports whether the size is a part below 1 where the kind wants one.
-func (t *Fault) sizeIsPart() bool {
-	switch t.Name {
+func (f *Fault) sizeIsPart() bool {
+	switch f.Name {
 	case "neighbour", "deploy":
-		return t.Size < 1
+		return f.Size < 1
 	case "failures":
-		return t.Size <= 1
+		return f.Size <= 1
 	}
 	return true
 }
@@ -213,27 +213,27 @@
 }
 
 // drawn fills in what a plan has left open.
-func (t Fault) drawn(c *Config, rng *rand.Rand) Fault {
-	k := faultKinds[t.Name]
-	timed := t.For > 0
+func (f Fault) drawn(c *Config, rng *rand.Rand) Fault {
+	k := faultKinds[f.Name]
+	timed := f.For > 0
 	at := (0.2 + 0.2*rng.Float64()) * c.Seconds
-	for _, f := range []struct {
+	for _, field := range []struct {
 		to *float64
 		in [2]float64
-	}{{&t.For, k.For}, {&t.Part, k.Part}, {&t.Size, k.Size}, {&t.Every, k.Every}} {
-		if v := between(rng, f.in); *f.to == 0 { // drawn in any case: a figure that is given must not move the others
-			*f.to = v
+	}{{&f.For, k.For}, {&f.Part, k.Part}, {&f.Size, k.Size}, {&f.Every, k.Every}} {
+		if v := between(rng, field.in); *field.to == 0 { // drawn in any case: a figure that is given must not move the others
+			*field.to = v
 		}
 	}
-	if t.At == 0 {
-		t.At = at
+	if f.At == 0 {
+		f.At = at
 	}
 	if !timed {
-		t.For = min(t.For, 0.6*c.Seconds)
+		f.For = min(f.For, 0.6*c.Seconds)
 	}
 	class := c.Classes[rng.IntN(len(c.Classes))].Name
-	if t.Name == "costly" && t.Class == "" {
-		t.Class = class
+	if f.Name == "costly" && f.Class == "" {
+		f.Class = class
 	}
-	return t
+	return f
 }
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -68,11 +68,11 @@
 // servedFraction is how much was requested, by weight, and how much of that was answered in time.
 type servedFraction struct{ requested, served float64 }
 
-func (p servedFraction) ratio() float64 {
-	if p.requested == 0 {
+func (s servedFraction) ratio() float64 {
+	if s.requested == 0 {
 		return 1
 	}
-	return p.served / p.requested
+	return s.served / s.requested
 }
 
 // judge sees every event, checks the rules and counts.
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -63,9 +63,9 @@
 	event func(e *policy.Event)
 }
 
-func (h listener) Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action {
-	h.event(e)
-	return h.Policy.Handle(now, e, out)
+func (l listener) Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action {
+	l.event(e)
+	return l.Policy.Handle(now, e, out)
 }
 
 func TestOnlyReportsAreRemoved(t *testing.T) {
--- a/internal/testbench/emulator/schedule.go
+++ b/internal/testbench/emulator/schedule.go
@@ -21,11 +21,11 @@
 }
 
 // at schedules act for time t, or for now if that has passed.
-func (a *schedule) at(t policy.Ms, do func()) {
-	a.seq++
-	e := event{max(t, a.now), a.seq, do}
-	a.heap = append(a.heap, e)
-	h, i := a.heap, len(a.heap)-1
+func (s *schedule) at(t policy.Ms, do func()) {
+	s.seq++
+	e := event{max(t, s.now), s.seq, do}
+	s.heap = append(s.heap, e)
+	h, i := s.heap, len(s.heap)-1
 	for i > 0 {
 		up := (i - 1) / 4
 		if !e.before(&h[up]) {
@@ -36,15 +36,15 @@
 	h[i] = e
 }
 
-func (a *schedule) after(d policy.Ms, do func()) { a.at(a.now+d, do) }
+func (s *schedule) after(d policy.Ms, do func()) { s.at(s.now+d, do) }
 
 // next removes the event that is due first and makes its time the present.
-func (a *schedule) next() func() {
-	h := a.heap
+func (s *schedule) next() func() {
+	h := s.heap
 	first, last := h[0], h[len(h)-1]
 	h[len(h)-1] = event{} // else its closure would be kept
 	h = h[:len(h)-1]
-	a.heap = h
+	s.heap = h
 	for i := 0; len(h) > 0; {
 		earliest := -1
 		for c := 4*i + 1; c < min(4*i+5, len(h)); c++ {
@@ -58,7 +58,7 @@
 		}
 		h[i], i = h[earliest], earliest
 	}
-	a.now = first.time
-	a.processed++
+	s.now = first.time
+	s.processed++
 	return first.act
 }
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -57,23 +57,23 @@
 }
 
 // start begins a process, which knows the list as discovery has it, or had it before it went down.
-func (sc *sidecar) start() {
-	sc.running = true
-	sc.seeds++
-	sc.known, sc.inFlight = map[policy.ServerID]*knownServer{}, map[policy.RequestID]*request{}
-	seed := mix(mix(sc.world.cfg.Seed, sc.world.cfg.PolicySeed), uint64(sc.number)<<20|sc.seeds)
-	sc.policy = sc.world.host(sc, seed)
-	sc.step(policy.Event{Kind: policy.Started})
-	sc.endpointsUpdated(sc.world.discovery.known(), true)
+func (s *sidecar) start() {
+	s.running = true
+	s.seeds++
+	s.known, s.inFlight = map[policy.ServerID]*knownServer{}, map[policy.RequestID]*request{}
+	seed := mix(mix(s.world.cfg.Seed, s.world.cfg.PolicySeed), uint64(s.number)<<20|s.seeds)
+	s.policy = s.world.host(s, seed)
+	s.step(policy.Event{Kind: policy.Started})
+	s.endpointsUpdated(s.world.discovery.known(), true)
 }
 
 // kill ends the process. Servers work on at what they have.
-func (sc *sidecar) kill() {
-	sc.running = false
-	sc.incarnation++
-	sc.pending = nil
-	for _, m := range sc.world.machines { // in an order that does not change
-		k := sc.known[m.id]
+func (s *sidecar) kill() {
+	s.running = false
+	s.incarnation++
+	s.pending = nil
+	for _, m := range s.world.machines { // in an order that does not change
+		k := s.known[m.id]
 		if k == nil {
 			continue
 		}
@@ -81,8 +81,8 @@
 			c.close()
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(sc.inFlight)) {
-		r := sc.inFlight[id]
+	for _, id := range slices.Sorted(maps.Keys(s.inFlight)) {
+		r := s.inFlight[id]
 		if a := r.current; a != nil {
 			a.ended = true
 			if a.conn != nil {
@@ -91,48 +91,48 @@
 		}
 		if !r.answered {
 			r.answered = true
-			sc.world.lost(r)
+			s.world.lost(r)
 		}
 	}
-	sc.known, sc.inFlight = nil, nil
+	s.known, s.inFlight = nil, nil
 }
 
 // knowsProcess reports whether the sidecar has been notified of the process that runs now.
-func (sc *sidecar) knowsProcess(m *machine) bool {
-	k := sc.known[m.id]
+func (s *sidecar) knowsProcess(m *machine) bool {
+	k := s.known[m.id]
 	return k != nil && k.startedAt == m.startedAt
 }
 
 // endpointsUpdated takes the list, or changes to it.
-func (sc *sidecar) endpointsUpdated(changes []policy.ServerInfo, complete bool) {
-	now := sc.world.now
+func (s *sidecar) endpointsUpdated(changes []policy.ServerInfo, complete bool) {
+	now := s.world.now
 	named := map[policy.ServerID]bool{}
 	for _, l := range changes {
 		named[l.ID] = true
-		k := sc.known[l.ID]
+		k := s.known[l.ID]
 		if k == nil {
-			k = &knownServer{machine: sc.world.byID[l.ID], health: l.Health, notifiedAt: now}
-			sc.known[l.ID] = k
+			k = &knownServer{machine: s.world.byID[l.ID], health: l.Health, notifiedAt: now}
+			s.known[l.ID] = k
 		}
 		k.startedAt = l.StartedAt
-		sc.setHealth(k, l.Health)
+		s.setHealth(k, l.Health)
 	}
 	if complete {
-		for _, m := range sc.world.machines {
-			if k := sc.known[m.id]; k != nil && !named[m.id] {
-				sc.setHealth(k, policy.Gone)
+		for _, m := range s.world.machines {
+			if k := s.known[m.id]; k != nil && !named[m.id] {
+				s.setHealth(k, policy.Gone)
 			}
 		}
 	}
-	sc.step(policy.Event{Kind: policy.EndpointsUpdated, Complete: complete, Servers: changes})
+	s.step(policy.Event{Kind: policy.EndpointsUpdated, Complete: complete, Servers: changes})
 }
 
-func (sc *sidecar) setHealth(k *knownServer, h policy.Health) {
+func (s *sidecar) setHealth(k *knownServer, h policy.Health) {
 	if h == k.health {
 		return
 	}
 	if k.health == policy.Ready || h == policy.Ready { // a drain's grace runs from its first news on
-		k.notifiedAt = sc.world.now
+		k.notifiedAt = s.world.now
 	}
 	k.health = h
 	if h != policy.Ready {
@@ -144,113 +144,113 @@
 }
 
 // take is a client's request.
-func (sc *sidecar) take(a *clientRequest, number int, left policy.Ms) *request {
-	sc.nextID++
-	r := &request{id: sc.nextID, origin: a, number: number, timeLeft: left}
-	sc.inFlight[r.id] = r
-	sc.world.judge.arrived(r)
-	sc.step(policy.Event{Kind: policy.RequestArrived, Request: r.id, Class: a.class, Tenant: a.tenant, TimeLeft: left})
+func (s *sidecar) take(a *clientRequest, number int, left policy.Ms) *request {
+	s.nextID++
+	r := &request{id: s.nextID, origin: a, number: number, timeLeft: left}
+	s.inFlight[r.id] = r
+	s.world.judge.arrived(r)
+	s.step(policy.Event{Kind: policy.RequestArrived, Request: r.id, Class: a.class, Tenant: a.tenant, TimeLeft: left})
 	return r
 }
 
 // gone ends a request whose client has left.
-func (sc *sidecar) gone(r *request) {
+func (s *sidecar) gone(r *request) {
 	r.answered = true
 	if r.attemptsInFlight == 0 {
-		delete(sc.inFlight, r.id)
+		delete(s.inFlight, r.id)
 	}
-	sc.step(policy.Event{Kind: policy.ClientGone, Request: r.id})
+	s.step(policy.Event{Kind: policy.ClientGone, Request: r.id})
 }
 
 // step gives the policy an event and does what it says. What ends at once by that waits for the rest.
-func (sc *sidecar) step(e policy.Event) {
-	sc.pending = append(sc.pending, e)
-	if sc.stepping {
+func (s *sidecar) step(e policy.Event) {
+	s.pending = append(s.pending, e)
+	if s.stepping {
 		return
 	}
-	sc.stepping = true
-	for i := 0; i < len(sc.pending); i++ {
-		e := sc.pending[i]
+	s.stepping = true
+	for i := 0; i < len(s.pending); i++ {
+		e := s.pending[i]
 		var before time.Duration
-		if sc.world.clock != nil {
-			before = sc.world.clock()
+		if s.world.clock != nil {
+			before = s.world.clock()
 		}
-		sc.actions = sc.policy.Handle(sc.world.now, &e, sc.actions[:0])
-		if sc.world.clock != nil {
-			sc.world.inPolicy += sc.world.clock() - before
+		s.actions = s.policy.Handle(s.world.now, &e, s.actions[:0])
+		if s.world.clock != nil {
+			s.world.inPolicy += s.world.clock() - before
 		}
-		for j := range sc.actions {
-			sc.do(&sc.actions[j])
+		for j := range s.actions {
+			s.do(&s.actions[j])
 		}
 	}
-	sc.pending = sc.pending[:0]
-	sc.stepping = false
+	s.pending = s.pending[:0]
+	s.stepping = false
 }
 
-func (sc *sidecar) do(a *policy.Action) {
+func (s *sidecar) do(a *policy.Action) {
 	switch a.Kind {
 	case policy.StartAttempt:
-		sc.send(a)
+		s.send(a)
 	case policy.CancelAttempt:
-		if r := sc.inFlight[a.Request]; r != nil && r.current != nil && a.Attempt == r.current.number {
-			sc.finish(r.current, policy.Cancelled, policy.Report{})
+		if r := s.inFlight[a.Request]; r != nil && r.current != nil && a.Attempt == r.current.number {
+			s.finish(r.current, policy.Cancelled, policy.Report{})
 		}
 	case policy.RejectRequest, policy.FailRequest:
-		sc.answer(a.Request, a.Kind)
+		s.answer(a.Request, a.Kind)
 	case policy.SendProbe:
-		if k := sc.known[a.Server]; k != nil {
-			sc.world.judge.probed()
-			sc.begin(&attempt{sidecar: sc, machine: k.machine}, probeTimeout)
+		if k := s.known[a.Server]; k != nil {
+			s.world.judge.probed()
+			s.begin(&attempt{sidecar: s, machine: k.machine}, probeTimeout)
 		}
 	case policy.SetTimer:
-		incarnation, handle := sc.incarnation, a.Timer
-		sc.world.after(a.After, func() {
-			if sc.incarnation == incarnation {
-				sc.step(policy.Event{Kind: policy.TimerFired, Timer: handle})
+		incarnation, handle := s.incarnation, a.Timer
+		s.world.after(a.After, func() {
+			if s.incarnation == incarnation {
+				s.step(policy.Event{Kind: policy.TimerFired, Timer: handle})
 			}
 		})
 	case policy.Subscribe, policy.Log: // the list is pushed; the judge sees for itself
 	}
 }
 
-func (sc *sidecar) send(a *policy.Action) {
-	r, k := sc.inFlight[a.Request], sc.known[a.Server]
-	sc.world.judge.sent(sc, a, r)
+func (s *sidecar) send(a *policy.Action) {
+	r, k := s.inFlight[a.Request], s.known[a.Server]
+	s.world.judge.sent(s, a, r)
 	if r == nil || k == nil {
-		sc.step(policy.Event{
+		s.step(policy.Event{
 			Kind: policy.AttemptEnded, Request: a.Request, Server: a.Server, Status: policy.NotSent,
 			Final: true,
 		})
 		return
 	}
-	att := &attempt{sidecar: sc, machine: k.machine, request: r, number: r.attempts}
+	att := &attempt{sidecar: s, machine: k.machine, request: r, number: r.attempts}
 	r.attempts++
 	r.attemptsInFlight++
 	r.current = att
-	sc.begin(att, max(timeoutLead, a.After-timeoutLead))
+	s.begin(att, max(timeoutLead, a.After-timeoutLead))
 }
 
 // begin makes an attempt or a probe, on an idle connection if there is one, and gives it up after wait.
-func (sc *sidecar) begin(a *attempt, wait policy.Ms) {
-	w := sc.world
-	a.incarnation, a.startedAt = sc.incarnation, w.now
+func (s *sidecar) begin(a *attempt, wait policy.Ms) {
+	w := s.world
+	a.incarnation, a.startedAt = s.incarnation, w.now
 	w.after(wait, func() {
 		switch {
 		case a.ended:
 		case a.written:
-			sc.finish(a, policy.TimedOut, policy.Report{})
+			s.finish(a, policy.TimedOut, policy.Report{})
 		default:
-			sc.finish(a, policy.ConnectFailed, policy.Report{})
+			s.finish(a, policy.ConnectFailed, policy.Report{})
 		}
 	})
-	k := sc.known[a.machine.id]
+	k := s.known[a.machine.id]
 	for n := len(k.idle) - 1; n >= 0; n-- {
 		c := k.idle[n]
 		k.idle[n] = nil
 		k.idle = k.idle[:n]
 		if !c.closed {
 			a.conn, c.attempt = c, a
-			sc.write(a)
+			s.write(a)
 			return
 		}
 	}
@@ -258,77 +258,77 @@
 }
 
 // connected is the end of a handshake.
-func (sc *sidecar) connected(a *attempt) {
+func (s *sidecar) connected(a *attempt) {
 	switch {
-	case a.ended || a.incarnation != sc.incarnation:
+	case a.ended || a.incarnation != s.incarnation:
 		a.conn.close()
 	case a.conn.closed:
-		sc.finish(a, policy.ConnectFailed, policy.Report{})
+		s.finish(a, policy.ConnectFailed, policy.Report{})
 	default:
-		a.connectedAt = sc.world.now
-		sc.write(a)
+		a.connectedAt = s.world.now
+		s.write(a)
 	}
 }
 
 // write sends a's bytes, unless its server has been draining for too long.
-func (sc *sidecar) write(a *attempt) {
-	k := sc.known[a.machine.id]
-	if a.request != nil && k.health != policy.Ready && sc.world.now > k.notifiedAt+sc.world.cfg.Rules.DrainGrace-graceMargin {
-		sc.finish(a, policy.ConnectFailed, policy.Report{})
+func (s *sidecar) write(a *attempt) {
+	k := s.known[a.machine.id]
+	if a.request != nil && k.health != policy.Ready && s.world.now > k.notifiedAt+s.world.cfg.Rules.DrainGrace-graceMargin {
+		s.finish(a, policy.ConnectFailed, policy.Report{})
 		return
 	}
 	a.written = true
 	if a.request != nil {
-		sc.world.judge.drained(sc, a.request, k, "its first byte goes out")
+		s.world.judge.drained(s, a.request, k, "its first byte goes out")
 	}
-	sc.world.carry(a)
+	s.world.carry(a)
 }
 
 // broke is a reset.
-func (sc *sidecar) broke(a *attempt) {
+func (s *sidecar) broke(a *attempt) {
 	if a.written {
-		sc.finish(a, policy.Reset, policy.Report{})
+		s.finish(a, policy.Reset, policy.Report{})
 	} else {
-		sc.finish(a, policy.ConnectFailed, policy.Report{})
+		s.finish(a, policy.ConnectFailed, policy.Report{})
 	}
 }
 
 // finish ends an attempt or a probe, once, and keeps its connection where it can carry another.
-func (sc *sidecar) finish(a *attempt, status policy.Status, report policy.Report) {
+func (s *sidecar) finish(a *attempt, status policy.Status, report policy.Report) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if a.incarnation != sc.incarnation { // that process is gone
+	if a.incarnation != s.incarnation { // that process is gone
 		if a.conn != nil {
 			a.conn.close()
 		}
 		return
 	}
-	sc.releaseConn(a, status)
-	if sc.world.cfg.Server.DropsCancelled && a.written && (status == policy.Cancelled || status == policy.TimedOut) {
+	s.releaseConn(a, status)
+	if s.world.cfg.Server.DropsCancelled && a.written && (status == policy.Cancelled || status == policy.TimedOut) {
 		m, incarnation := a.machine, a.machine.incarnation
-		sc.world.after(sc.world.delay(sc.zone, m.zone), func() { m.dropQueued(a, incarnation) })
+		s.world.after(s.world.delay(s.zone, m.zone), func() { m.dropQueued(a, incarnation) })
 	}
-	took := sc.world.now - a.startedAt
+	took := s.world.now - a.startedAt
 	if a.request == nil {
-		sc.step(policy.Event{
+		s.step(policy.Event{
 			Kind: policy.ProbeEnded, Server: a.machine.id, Status: status, Elapsed: took,
 			ConnectTime: max(0, a.connectedAt-a.startedAt), Report: report,
 		})
 		return
 	}
-	sc.finishAttempt(a, status, report, took)
+	s.finishAttempt(a, status, report, took)
 }
 
 // releaseConn keeps the attempt's connection if it can carry another one.
-func (sc *sidecar) releaseConn(a *attempt, status policy.Status) {
+func (s *sidecar) releaseConn(a *attempt, status policy.Status) {
 	c := a.conn
 	if c == nil {
 		return
 	}
-	c.attempt, c.idleAt = nil, sc.world.now
-	k := sc.known[a.machine.id]
+	c.attempt, c.idleAt = nil, s.world.now
+	k := s.known[a.machine.id]
 	responded := status == policy.OK || status == policy.Failed || status == policy.Declined
 	switch {
 	case !responded || k.health != policy.Ready:
@@ -339,40 +339,40 @@
 }
 
 // finishAttempt reports to the judge and the policy how the attempt at a request has ended.
-func (sc *sidecar) finishAttempt(a *attempt, status policy.Status, report policy.Report, took policy.Ms) {
+func (s *sidecar) finishAttempt(a *attempt, status policy.Status, report policy.Report, took policy.Ms) {
 	r := a.request
 	r.attemptsInFlight--
 	if r.current == a {
 		r.current = nil
 	}
 	r.mayRun = r.mayRun || !status.NeverRan() && status != policy.OK
-	sc.world.judge.ended(a, status)
+	s.world.judge.ended(a, status)
 	if status == policy.OK && !r.answered {
 		r.answered = true
 		r.work = a.work
-		sc.world.answered(r, policy.StartAttempt)
+		s.world.answered(r, policy.StartAttempt)
 	}
 	if r.answered && r.attemptsInFlight == 0 {
-		delete(sc.inFlight, r.id)
+		delete(s.inFlight, r.id)
 	}
-	sc.step(policy.Event{
+	s.step(policy.Event{
 		Kind: policy.AttemptEnded, Request: r.id, Attempt: a.number, Server: a.machine.id, Status: status,
 		Elapsed: took, Final: r.answered, Report: report,
 	})
 }
 
 // answer gives the policy's own final answer.
-func (sc *sidecar) answer(id policy.RequestID, kind policy.ActionKind) {
-	r := sc.inFlight[id]
-	sc.world.judge.answer(sc, id, r, kind)
+func (s *sidecar) answer(id policy.RequestID, kind policy.ActionKind) {
+	r := s.inFlight[id]
+	s.world.judge.answer(s, id, r, kind)
 	if r == nil || r.answered {
 		return
 	}
 	r.answered = true
 	if r.attemptsInFlight == 0 {
-		delete(sc.inFlight, id)
+		delete(s.inFlight, id)
 	}
-	sc.world.answered(r, kind)
+	s.world.answered(r, kind)
 }
 
 // mix is a hash for seeds: SplitMix64's finish.
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -116,7 +116,7 @@
 		w.cfg.Faults[i] = t
 		w.at(lead+t.At*1000, func() { faultKinds[t.Name].play(w, t, rng) })
 	}
-	w.at(lead, w.load())
+	w.at(lead, w.nextArrival())
 	return w, nil
 }
 
@@ -256,18 +256,18 @@
 	settled             bool
 }
 
-// load returns what brings the next request and enters itself again.
-func (w *world) load() func() {
+// nextArrival returns what brings the next request and enters itself again.
+func (w *world) nextArrival() func() {
 	cfg := &w.cfg
-	heavy := make([]float64, cfg.Sidecars) // cumulated, of the sidecars' traffic
+	cumulated := make([]float64, cfg.Sidecars) // cumulated, of the sidecars' traffic
 	sum := 0.0
-	for i := range heavy {
+	for i := range cumulated {
 		weight := math.Pow(float64(i+1), -cfg.Skew)
 		if cfg.Zones > 1 {
 			weight *= 1 + cfg.ZoneSkew*(1-2*float64(i%cfg.Zones)/float64(cfg.Zones-1))
 		}
 		sum += weight
-		heavy[i] = sum
+		cumulated[i] = sum
 	}
 	rng := w.rngLoad
 	var next func()
@@ -279,7 +279,7 @@
 			arrivedAt: w.now, tenant: -1,
 			class: pick(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Fraction }),
 		}
-		a.sidecar, _ = slices.BinarySearch(heavy, rng.Float64()*sum)
+		a.sidecar, _ = slices.BinarySearch(cumulated, rng.Float64()*sum)
 		if len(cfg.Tenants) > 0 {
 			a.tenant = pick(rng, len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Fraction })
 		}
@@ -291,21 +291,21 @@
 		} else if a.work = rng.ExpFloat64() * class.WorkMs; class.WaitMs > 0 {
 			a.wait = rng.ExpFloat64() * class.WaitMs
 		}
-		dear := rng.Float64() // drawn on every day, so that days with and without costly ones are otherwise the same
+		costlyDraw := rng.Float64() // drawn on every day, so that days with and without costly ones are otherwise the same
 		for _, c := range w.costly {
-			if c.class == a.class && dear < c.part {
+			if c.class == a.class && costlyDraw < c.part {
 				a.work *= c.times
 			}
 		}
 		a.withinQuota = w.judge.requestArrived(a)
-		w.startAttempt(a)
+		w.sendTry(a)
 		w.after(rng.ExpFloat64()*1000/(cfg.Rate*w.surge), next)
 	}
 	return next
 }
 
-// startAttempt brings a to its sidecar.
-func (w *world) startAttempt(a *clientRequest) {
+// sendTry brings a to its sidecar.
+func (w *world) sendTry(a *clientRequest) {
 	left := min(a.timeout, a.deadline-w.now)
 	a.tries++
 	w.judge.tally.Tries++
@@ -365,7 +365,7 @@
 	}
 	w.after(wait, func() {
 		if !a.settled {
-			w.startAttempt(a)
+			w.sendTry(a)
 		}
 	})
 }
--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -26,7 +26,7 @@
 
 	readers sync.WaitGroup
 
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	idle    []*clientConn // most lately used last
 	open    int           // or coming up
 	waiters []chan *clientConn
@@ -84,9 +84,9 @@
 
 // Close ends idle connections and waits until all readers have ended. Nothing may be sent any more.
 func (c *Client) Close() Usage {
-	c.mu.Lock()
+	c.mutex.Lock()
 	idle := slices.Clone(c.idle)
-	c.mu.Unlock()
+	c.mutex.Unlock()
 	for _, k := range idle {
 		k.close()
 	}
@@ -98,21 +98,21 @@
 
 // connect takes an idle connection, or opens one, or waits for its turn until a moment.
 func (c *Client) connect(until time.Time, fresh bool) (*clientConn, error) {
-	c.mu.Lock()
+	c.mutex.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
 		k := c.idle[n-1]
 		c.idle = c.idle[:n-1]
-		c.mu.Unlock()
+		c.mutex.Unlock()
 		return k, nil
 	}
 	if c.MaxConns == 0 || c.open < c.MaxConns {
 		c.open++
-		c.mu.Unlock()
+		c.mutex.Unlock()
 		return c.dial(until)
 	}
 	connReady := make(chan *clientConn, 1)
 	c.waiters = append(c.waiters, connReady)
-	c.mu.Unlock()
+	c.mutex.Unlock()
 	k, err := c.waitForConn(connReady, until)
 	switch {
 	case err != nil:
@@ -136,8 +136,8 @@
 	case <-late.C:
 		err = errBusy
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	c.usage.Held++
 	c.usage.HeldLonger = max(c.usage.HeldLonger, time.Since(start))
 	if err == nil {
@@ -179,8 +179,8 @@
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	nc, err := c.Dial(ctx, c.Address)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if err != nil {
 		c.releaseSlot()
 		return nil, err
@@ -233,15 +233,15 @@
 }
 
 // readLoop reads answers until the connection ends. Whatever comes while nobody asks is the end of it.
-func (k *clientConn) readLoop() {
-	br := bufio.NewReader(k)
+func (c *clientConn) readLoop() {
+	br := bufio.NewReader(c)
 	for {
 		var r reply
 		_, r.err = br.Peek(1)
-		k.closeIfIdle()
+		c.closeIfIdle()
 		if r.err == nil {
 			r.begun = true
-			r.response, r.body, r.err = k.client.Read(br)
+			r.response, r.body, r.err = c.client.Read(br)
 		}
 		switch {
 		case errors.Is(r.err, os.ErrDeadlineExceeded):
@@ -249,72 +249,72 @@
 		case r.err != nil:
 			r.response = nil
 		}
-		k.SetReadDeadline(time.Time{}) // it was this request's
+		c.SetReadDeadline(time.Time{}) // it was this request's
 		select {
-		case k.replies <- r:
-		case <-k.done:
+		case c.replies <- r:
+		case <-c.done:
 			return
 		}
 	}
 }
 
 // closeIfIdle ends the connection if it is idle.
-func (k *clientConn) closeIfIdle() {
-	c := k.client
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if i := slices.Index(c.idle, k); i >= 0 {
-		c.idle = slices.Delete(c.idle, i, i+1)
-		k.closeLocked()
+func (c *clientConn) closeIfIdle() {
+	client := c.client
+	client.mutex.Lock()
+	defer client.mutex.Unlock()
+	if i := slices.Index(client.idle, c); i >= 0 {
+		client.idle = slices.Delete(client.idle, i, i+1)
+		c.closeLocked()
 	}
 }
 
 // closeLocked closes the connection and leaves its place. Its caller holds the mutex.
-func (k *clientConn) closeLocked() {
-	if k.closed {
+func (c *clientConn) closeLocked() {
+	if c.closed {
 		return
 	}
-	k.closed = true
-	close(k.done)
-	k.Close()
-	k.client.releaseSlot()
+	c.closed = true
+	close(c.done)
+	c.Close()
+	c.client.releaseSlot()
 }
 
-func (k *clientConn) close() {
-	k.client.mu.Lock()
-	defer k.client.mu.Unlock()
-	k.closeLocked()
+func (c *clientConn) close() {
+	c.client.mutex.Lock()
+	defer c.client.mutex.Unlock()
+	c.closeLocked()
 }
 
 // finish ends the connection's request; it may carry another if it is to be kept.
-func (k *clientConn) finish(keep bool) {
-	k.client.mu.Lock()
-	defer k.client.mu.Unlock()
-	if k.carried++; keep {
-		k.client.offer(k)
+func (c *clientConn) finish(keep bool) {
+	c.client.mutex.Lock()
+	defer c.client.mutex.Unlock()
+	if c.carried++; keep {
+		c.client.offer(c)
 	} else {
-		k.closeLocked()
+		c.closeLocked()
 	}
 }
 
 // exchange sends a request and waits for what comes, until a moment.
-func (k *clientConn) exchange(message []byte, until time.Time) reply {
-	k.SetDeadline(until)
-	_, err := k.Write(message)
-	r := <-k.replies
+func (c *clientConn) exchange(message []byte, until time.Time) reply {
+	c.SetDeadline(until)
+	_, err := c.Write(message)
+	r := <-c.replies
 	r.unsent = err != nil
 	return r
 }
 
 // closedUnread reports whether the other side had closed the connection before it read the request: then the request was
 // answered with a reset, and so is what is written next. Else the other side has read it, and may have run it.
-func (k *clientConn) closedUnread(r *reply) bool {
+func (c *clientConn) closedUnread(r *reply) bool {
 	if r.begun || r.timedOut() {
 		return false
 	}
 	if r.unsent || errors.Is(r.err, syscall.ECONNRESET) {
 		return true
 	}
-	_, err := k.Write([]byte("\n"))
+	_, err := c.Write([]byte("\n"))
 	return err != nil
 }
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -107,7 +107,7 @@
 	load   Load
 	client Client
 
-	mu    sync.Mutex
+	mutex sync.Mutex
 	tries []Try
 }
 
@@ -163,8 +163,8 @@
 
 // Tries returns those that have ended so far, in the order in which they were due.
 func (c *Consumers) Tries() []Try {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	tries := slices.Clone(c.tries)
 	slices.SortStableFunc(tries, func(a, b Try) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.ID, b.ID)) })
 	return tries
@@ -176,9 +176,9 @@
 	for {
 		c.sendTry(&t, until)
 		t.EndedAt = time.Now()
-		c.mu.Lock()
+		c.mutex.Lock()
 		c.tries = append(c.tries, t)
-		c.mu.Unlock()
+		c.mutex.Unlock()
 		at := t.EndedAt.Add(c.load.Retry.Wait)
 		switch {
 		case t.Again >= c.load.Retry.Most || at.After(until):
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -240,9 +240,9 @@
 // Move ends all connections with a reset and goes on at another address, which it returns.
 func (d *Directory) Move() (string, error) {
 	d.resetAll()
-	d.mu.Lock()
+	d.mutex.Lock()
 	d.address = ""
-	d.mu.Unlock()
+	d.mutex.Unlock()
 	err := d.startListening()
 	return d.Address(), err
 }
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -19,13 +19,13 @@
 	handle  func(*hostConn, *message) bool // answers; false = the connection is to end
 	idle    time.Duration                  // after which a connection is closed; 0 = never
 
-	mu       sync.Mutex
+	mutex    sync.Mutex
 	address  string
 	listener Listener
 	conns    map[*hostConn]struct{}
 	accepted int
 	silence  chan struct{} // closed when it ends; nil = none
-	wg       sync.WaitGroup
+	running  sync.WaitGroup
 }
 
 // message is one request, read to its end.
@@ -56,123 +56,123 @@
 }
 
 // startListening listens, where it did before if it did.
-func (s *host) startListening() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.listener != nil {
+func (h *host) startListening() error {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.listener != nil {
 		return nil
 	}
-	l, err := s.network.Listen(s.address)
+	l, err := h.network.Listen(h.address)
 	if err != nil {
-		return fmt.Errorf("listen on %q: %w", s.address, err)
+		return fmt.Errorf("listen on %q: %w", h.address, err)
 	}
-	s.listener, s.address = l, l.Addr().String()
-	s.wg.Go(func() { s.acceptLoop(l) })
+	h.listener, h.address = l, l.Addr().String()
+	h.running.Go(func() { h.acceptLoop(l) })
 	return nil
 }
 
 // resetAll refuses new connections and resets all others. A silence ends with it, but only once nobody can say anything.
-func (s *host) resetAll() {
-	s.mu.Lock()
-	l := s.listener
-	s.listener = nil
-	conns := slices.Collect(maps.Keys(s.conns))
-	s.mu.Unlock()
+func (h *host) resetAll() {
+	h.mutex.Lock()
+	l := h.listener
+	h.listener = nil
+	conns := slices.Collect(maps.Keys(h.conns))
+	h.mutex.Unlock()
 	if l != nil {
 		l.Close()
 	}
 	for _, c := range conns {
 		c.drop(true)
 	}
-	_ = s.setSilent(false)
+	_ = h.setSilent(false)
 }
 
 // stop is down for good.
-func (s *host) stop() {
-	s.resetAll()
-	s.wg.Wait()
+func (h *host) stop() {
+	h.resetAll()
+	h.running.Wait()
 }
 
 // markOpenConns marks the connections that are open now.
-func (s *host) markOpenConns() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+func (h *host) markOpenConns() {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	for c := range h.conns {
 		c.marked = true
 	}
 }
 
-func (s *host) isMarked(c *hostConn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (h *host) isMarked(c *hostConn) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	return c.marked
 }
 
 // setSilent makes the machine vanish, or come back with its process and connections as they were.
-func (s *host) setSilent(on bool) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (h *host) setSilent(on bool) error {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	switch {
-	case on == (s.silence != nil):
+	case on == (h.silence != nil):
 		return nil
-	case on && s.listener == nil:
-		return fmt.Errorf("vanish: nobody listens at %q: start it first", s.address)
+	case on && h.listener == nil:
+		return fmt.Errorf("vanish: nobody listens at %q: start it first", h.address)
 	case on:
-		s.silence = make(chan struct{})
+		h.silence = make(chan struct{})
 	default:
-		close(s.silence)
-		s.silence = nil
+		close(h.silence)
+		h.silence = nil
 	}
-	if s.listener == nil {
+	if h.listener == nil {
 		return nil
 	}
-	return s.listener.Freeze(on)
+	return h.listener.Freeze(on)
 }
 
-func (s *host) acceptLoop(l Listener) {
+func (h *host) acceptLoop(l Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
 		c := &hostConn{
-			Conn: nc, host: s, messages: make(chan *message), clientDone: make(chan struct{}),
+			Conn: nc, host: h, messages: make(chan *message), clientDone: make(chan struct{}),
 			closed: make(chan struct{}), freeAt: time.Now(),
 		}
-		s.mu.Lock()
-		s.accepted++
-		c.number = s.accepted
-		s.conns[c] = struct{}{}
-		stale := s.listener != l // down has not seen it
-		s.mu.Unlock()
+		h.mutex.Lock()
+		h.accepted++
+		c.number = h.accepted
+		h.conns[c] = struct{}{}
+		stale := h.listener != l // down has not seen it
+		h.mutex.Unlock()
 		if stale {
 			c.drop(true)
 		}
-		s.wg.Go(c.readLoop)
-		s.wg.Go(c.serveLoop)
+		h.running.Go(c.readLoop)
+		h.running.Go(c.serveLoop)
 	}
 }
 
 // currentAddress is host:port, also while nobody listens there.
-func (s *host) currentAddress() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.address
+func (h *host) currentAddress() string {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.address
 }
 
 // connectionCounts returns how many connections have been accepted and how many are open.
-func (s *host) connectionCounts() (accepted, open int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.accepted, len(s.conns)
+func (h *host) connectionCounts() (accepted, open int) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.accepted, len(h.conns)
 }
 
 // waitWhileSilent waits until the machine is not silent: what was sent to it, ends included, arrives only then.
 func (c *hostConn) waitWhileSilent() {
 	for {
-		c.host.mu.Lock()
+		c.host.mutex.Lock()
 		silence := c.host.silence
-		c.host.mu.Unlock()
+		c.host.mutex.Unlock()
 		if silence == nil {
 			return
 		}
@@ -240,8 +240,8 @@
 
 func (c *hostConn) finish() {
 	c.drop(false)
-	c.host.mu.Lock()
-	defer c.host.mu.Unlock()
+	c.host.mutex.Lock()
+	defer c.host.mutex.Unlock()
 	delete(c.host.conns, c)
 }
 
--- a/internal/testbench/fakes/memory.go
+++ b/internal/testbench/fakes/memory.go
@@ -15,7 +15,7 @@
 // Memory is a network within one process. Whoever waits in it is durably blocked in the sense of testing/synctest, so
 // that time in a bubble can go on.
 type Memory struct {
-	mu        sync.Mutex
+	mutex     sync.Mutex
 	delay     time.Duration
 	spread    time.Duration
 	listeners map[string]*memListener
@@ -35,58 +35,58 @@
 // SetDelay sets how long bytes, ends and resets take one way on connections opened from now on: a part that is the same
 // everywhere, and one under spread that is each connection's own. A connection takes twice as long to come up. Without
 // a spread, what leaves on several connections at one moment comes back at one moment, in an order left to chance.
-func (n *Memory) SetDelay(same, spread time.Duration) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.delay, n.spread = same, spread
+func (m *Memory) SetDelay(same, spread time.Duration) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.delay, m.spread = same, spread
 }
 
 // delayTo is the delay of the next connection to an address.
-func (n *Memory) delayTo(address string) time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.dials[address]++
-	if n.spread <= 0 {
-		return n.delay
+func (m *Memory) delayTo(address string) time.Duration {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.dials[address]++
+	if m.spread <= 0 {
+		return m.delay
 	}
 	h := fnv.New64a()
-	fmt.Fprint(h, address, n.dials[address])
-	return n.delay + time.Duration(h.Sum64()%uint64(n.spread))
+	fmt.Fprint(h, address, m.dials[address])
+	return m.delay + time.Duration(h.Sum64()%uint64(m.spread))
 }
 
 // Listen makes address reachable.
-func (n *Memory) Listen(address string) (Listener, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (m *Memory) Listen(address string) (Listener, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	if address == "" {
-		n.host++
-		address = fmt.Sprintf("127.0.%d.%d", n.host/250, 1+n.host%250)
+		m.host++
+		address = fmt.Sprintf("127.0.%d.%d", m.host/250, 1+m.host%250)
 	}
 	if !strings.Contains(address, ":") {
-		n.port++
-		address = fmt.Sprintf("%s:%d", address, 20000+n.port)
+		m.port++
+		address = fmt.Sprintf("%s:%d", address, 20000+m.port)
 	}
-	if n.listeners[address] != nil {
+	if m.listeners[address] != nil {
 		return nil, opError("listen", address, os.NewSyscallError("bind", syscall.EADDRINUSE))
 	}
-	l := &memListener{network: n, addr: memAddr(address)}
-	l.cond.L = &l.mu
-	n.listeners[address] = l
+	l := &memListener{network: m, addr: memAddr(address)}
+	l.cond.L = &l.mutex
+	m.listeners[address] = l
 	return l, nil
 }
 
 // Dial connects to a listener.
-func (n *Memory) Dial(ctx context.Context, address string) (net.Conn, error) {
-	delay := n.delayTo(address)
+func (m *Memory) Dial(ctx context.Context, address string) (net.Conn, error) {
+	delay := m.delayTo(address)
 	if err := Pause(ctx, 2*delay); err != nil {
 		return nil, opError("dial", address, err)
 	}
 	for {
-		n.mu.Lock()
-		l := n.listeners[address]
-		n.port++
-		from := memAddr(fmt.Sprintf("127.0.0.1:%d", 20000+n.port))
-		n.mu.Unlock()
+		m.mutex.Lock()
+		l := m.listeners[address]
+		m.port++
+		from := memAddr(fmt.Sprintf("127.0.0.1:%d", 20000+m.port))
+		m.mutex.Unlock()
 		if l == nil {
 			return nil, opError("dial", address, os.NewSyscallError("connect", syscall.ECONNREFUSED))
 		}
@@ -131,7 +131,7 @@
 	network *Memory
 	addr    memAddr
 
-	mu     sync.Mutex
+	mutex  sync.Mutex
 	cond   sync.Cond
 	queue  []*memConn
 	closed bool
@@ -140,13 +140,13 @@
 
 // connect queues a connection for Accept and returns the other end of it, or else what to wait for before trying again.
 func (l *memListener) connect(from memAddr, delay time.Duration) (net.Conn, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if l.thawed != nil {
 		return nil, l.thawed
 	}
 	k := &link{delay: delay}
-	k.cond.L = &k.mu
+	k.cond.L = &k.mutex
 	a, b := &stream{}, &stream{}
 	mine := &memConn{link: k, incoming: a, outgoing: b, local: from, remote: l.addr}
 	theirs := &memConn{link: k, incoming: b, outgoing: a, local: l.addr, remote: from}
@@ -160,8 +160,8 @@
 }
 
 func (l *memListener) Accept() (net.Conn, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	for (len(l.queue) == 0 || l.thawed != nil) && !l.closed {
 		l.cond.Wait()
 	}
@@ -174,14 +174,14 @@
 }
 
 func (l *memListener) Close() error {
-	l.network.mu.Lock()
+	l.network.mutex.Lock()
 	if l.network.listeners[l.addr.String()] == l {
 		delete(l.network.listeners, l.addr.String())
 	}
-	l.network.mu.Unlock()
+	l.network.mutex.Unlock()
 	_ = l.Freeze(false)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if l.closed {
 		return opError("close", l.addr.String(), net.ErrClosed)
 	}
@@ -196,8 +196,8 @@
 func (l *memListener) Addr() net.Addr { return l.addr }
 
 func (l *memListener) Freeze(on bool) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	switch {
 	case on && l.thawed == nil:
 		l.thawed = make(chan struct{})
--- a/internal/testbench/fakes/memory_conn.go
+++ b/internal/testbench/fakes/memory_conn.go
@@ -15,22 +15,22 @@
 
 // link is what both ends of a connection share. Its mutex guards both directions and is never held by one who waits.
 type link struct {
-	mu    sync.Mutex
+	mutex sync.Mutex
 	cond  sync.Cond
 	delay time.Duration
 }
 
-func (k *link) wake() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cond.Broadcast()
+func (l *link) wake() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.cond.Broadcast()
 }
 
 // wakeAt wakes all who wait, now and at t.
-func (k *link) wakeAt(t time.Time) *time.Timer {
-	k.cond.Broadcast()
+func (l *link) wakeAt(t time.Time) *time.Timer {
+	l.cond.Broadcast()
 	if d := time.Until(t); d > 0 {
-		return time.AfterFunc(d, k.wake)
+		return time.AfterFunc(d, l.wake)
 	}
 	return nil
 }
@@ -47,21 +47,21 @@
 
 // segment is bytes, or the end, that arrive at a time.
 type segment struct {
-	at   time.Time
-	data []byte
-	end  error
+	arrivesAt time.Time
+	data      []byte
+	end       error
 }
 
 func (s *stream) add(k *link, data []byte, end error) {
 	at := time.Now().Add(k.delay)
-	s.queue = append(s.queue, segment{at: at, data: data, end: end})
+	s.queue = append(s.queue, segment{arrivesAt: at, data: data, end: end})
 	s.size += len(data)
 	k.wakeAt(at)
 }
 
 // deadline is one of a connection's two.
 type deadline struct {
-	at    time.Time
+	time  time.Time
 	alarm *time.Timer
 }
 
@@ -70,13 +70,13 @@
 		d.alarm.Stop()
 		d.alarm = nil
 	}
-	d.at = t
+	d.time = t
 	if k.cond.Broadcast(); !t.IsZero() {
 		d.alarm = k.wakeAt(t)
 	}
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) passed() bool { return !d.time.IsZero() && !time.Now().Before(d.time) }
 
 // memConn is one end.
 type memConn struct {
@@ -94,15 +94,15 @@
 
 // Read returns what has arrived. Bytes that came before a reset are still read, as on TCP.
 func (c *memConn) Read(b []byte) (int, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for {
 		switch {
 		case c.closed:
 			return 0, c.opError("read", net.ErrClosed)
 		case c.readBy.passed():
 			return 0, c.opError("read", os.ErrDeadlineExceeded)
-		case len(c.incoming.queue) > 0 && !c.incoming.queue[0].at.After(time.Now()):
+		case len(c.incoming.queue) > 0 && !c.incoming.queue[0].arrivesAt.After(time.Now()):
 			return c.readArrived(b)
 		}
 		c.cond.Wait()
@@ -129,8 +129,8 @@
 
 // Write takes what the window has room for and waits with the rest.
 func (c *memConn) Write(b []byte) (n int, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	s := c.outgoing
 	for {
 		switch {
@@ -165,18 +165,18 @@
 func (c *memConn) Abort() { _ = c.closeBoth(true) }
 
 func (c *memConn) closeBoth(reset bool) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if c.closed {
 		return c.opError("close", net.ErrClosed)
 	}
 	c.closed = true
 	now := time.Now()
 	for _, s := range c.incoming.queue {
-		if s.end == nil && s.at.After(now) {
+		if s.end == nil && s.arrivesAt.After(now) {
 			c.incoming.broken = true
 		}
-		reset = reset || s.end == nil && !s.at.After(now)
+		reset = reset || s.end == nil && !s.arrivesAt.After(now)
 	}
 	c.incoming.queue, c.incoming.size, c.incoming.readerClosed = nil, 0, true
 	switch {
@@ -194,8 +194,8 @@
 
 // CloseWrite ends this side's sending.
 func (c *memConn) CloseWrite() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	switch {
 	case c.closed:
 		return c.opError("close", net.ErrClosed)
@@ -217,8 +217,8 @@
 func (c *memConn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(t, &c.writeBy) }
 
 func (c *memConn) setDeadlines(t time.Time, ds ...*deadline) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if c.closed {
 		return c.opError("set", net.ErrClosed)
 	}
--- a/internal/testbench/fakes/network.go
+++ b/internal/testbench/fakes/network.go
@@ -48,36 +48,36 @@
 // loopback is TCP in 127.0.0.0/8. Its hosts are those of this process alone, so that no other takes the port of a peer
 // that is down for a while.
 type loopback struct {
-	mu   sync.Mutex
-	last int
+	mutex sync.Mutex
+	last  int
 }
 
 // Loopback returns the network of real sockets and real time.
 func Loopback() Network { return &loopback{} }
 
-func (n *loopback) host() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.last = n.last%250 + 1
+func (l *loopback) host() string {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.last = l.last%250 + 1
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%250, pid&0xff, n.last)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%250, pid&0xff, l.last)
 }
 
-func (n *loopback) Listen(address string) (Listener, error) {
+func (l *loopback) Listen(address string) (Listener, error) {
 	if address == "" {
-		address = n.host()
+		address = l.host()
 	}
 	if !strings.Contains(address, ":") {
 		address += ":0"
 	}
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &tcpListener{TCPListener: l.(*net.TCPListener), closed: make(chan struct{})}, nil
+	return &tcpListener{TCPListener: listener.(*net.TCPListener), closed: make(chan struct{})}, nil
 }
 
-func (n *loopback) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (l *loopback) Dial(ctx context.Context, address string) (net.Conn, error) {
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 }
 
@@ -96,16 +96,16 @@
 	once   sync.Once
 	closed chan struct{}
 
-	mu   sync.Mutex
-	thaw chan struct{} // nil = not frozen
-	fill []net.Conn
+	mutex  sync.Mutex
+	thawed chan struct{} // nil = not frozen
+	fill   []net.Conn
 }
 
 func (l *tcpListener) Accept() (net.Conn, error) {
 	for {
-		l.mu.Lock()
-		thaw := l.thaw
-		l.mu.Unlock()
+		l.mutex.Lock()
+		thaw := l.thawed
+		l.mutex.Unlock()
 		if thaw != nil {
 			select {
 			case <-thaw:
@@ -126,37 +126,37 @@
 
 func (l *tcpListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.empty()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.closeFillers()
 	return l.TCPListener.Close()
 }
 
 func (l *tcpListener) Freeze(on bool) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	switch {
-	case on == (l.thaw != nil):
+	case on == (l.thawed != nil):
 		return nil
 	case on:
-		l.thaw = make(chan struct{})
+		l.thawed = make(chan struct{})
 		if err := l.SetDeadline(time.Unix(1, 0)); err != nil {
 			return err
 		}
-		if err := l.queue(0); err != nil {
+		if err := l.setBacklog(0); err != nil {
 			return err
 		}
-		return l.stuff()
+		return l.fillQueue()
 	}
-	err := errors.Join(l.queue(backlog), l.SetDeadline(time.Time{}))
-	l.empty()
-	close(l.thaw)
-	l.thaw = nil
+	err := errors.Join(l.setBacklog(backlog), l.SetDeadline(time.Time{}))
+	l.closeFillers()
+	close(l.thawed)
+	l.thawed = nil
 	return err
 }
 
-// queue sets how many connections may wait for Accept.
-func (l *tcpListener) queue(n int) error {
+// setBacklog sets how many connections may wait for Accept.
+func (l *tcpListener) setBacklog(n int) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
@@ -166,8 +166,8 @@
 	return errors.Join(err, failed)
 }
 
-// stuff fills the queue until a connection no longer comes up.
-func (l *tcpListener) stuff() error {
+// fillQueue fills the queue until a connection no longer comes up.
+func (l *tcpListener) fillQueue() error {
 	d := net.Dialer{Timeout: fillWithin, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fillFrom)}}
 	for late := 0; late < fullAfter; { // one that is late may only have met a busy machine
 		if len(l.fill) >= fillers {
@@ -183,7 +183,7 @@
 	return nil
 }
 
-func (l *tcpListener) empty() {
+func (l *tcpListener) closeFillers() {
 	for _, c := range l.fill {
 		c.Close()
 	}
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -111,8 +111,8 @@
 
 // Move lets the next Start choose another address. The process must have been killed.
 func (p *Provider) Move() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.address = ""
 }
 
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -50,7 +50,7 @@
 
 // line is one trace line.
 type line struct {
-	at      time.Time
+	time    time.Time
 	sidecar string
 	field   map[string]string
 }
@@ -79,7 +79,7 @@
 	if len(lines) == 0 {
 		return nil, fmt.Errorf("%s: no trace lines: the sidecars have to run with GW_TRACE=1", dir)
 	}
-	slices.SortStableFunc(lines, func(x, y line) int { return x.at.Compare(y.at) })
+	slices.SortStableFunc(lines, func(x, y line) int { return x.time.Compare(y.time) })
 	c := &Count{Sidecars: len(names), Every: every, Most: map[string]Peak{}}
 	return c, c.count(lines, float64(warm.Milliseconds()))
 }
@@ -98,7 +98,7 @@
 			continue
 		}
 		l := line{sidecar: filepath.Base(name), field: map[string]string{}}
-		if l.at, err = time.Parse("2006/01/02 15:04:05.000000", stamp.FindString(in.Text())); err != nil {
+		if l.time, err = time.Parse("2006/01/02 15:04:05.000000", stamp.FindString(in.Text())); err != nil {
 			return nil, fmt.Errorf("%s, line %d: no time in it: %w", name, n, err)
 		}
 		for i, word := range strings.Fields("trace=" + text) {
@@ -119,7 +119,7 @@
 func (l *line) number(key string) (float64, error) {
 	v, err := strconv.ParseFloat(l.field[key], 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s at %s: %s: %q is no number", l.sidecar, l.at.Format(time.TimeOnly), key, l.field[key])
+		return 0, fmt.Errorf("%s at %s: %s: %q is no number", l.sidecar, l.time.Format(time.TimeOnly), key, l.field[key])
 	}
 	return v, nil
 }
@@ -143,7 +143,7 @@
 func (c *Count) count(lines []line, warm float64) error {
 	k := counter{Count: c, warm: warm, perRow: map[rowKey]int{}, cpu: map[string]float64{}}
 	for i := range lines {
-		k.add(&lines[i], int(lines[i].at.Sub(lines[0].at)/c.Every))
+		k.add(&lines[i], int(lines[i].time.Sub(lines[0].time)/c.Every))
 	}
 	for _, r := range c.Rows {
 		c.Total.add(r)
@@ -158,27 +158,27 @@
 }
 
 // number reads a field, and remembers that it is none.
-func (k *counter) number(l *line, key string) float64 {
+func (c *counter) number(l *line, key string) float64 {
 	value, err := l.number(key)
-	k.invalid = errors.Join(k.invalid, err)
+	c.invalid = errors.Join(c.invalid, err)
 	return value
 }
 
 // add counts a line of that stretch.
-func (k *counter) add(l *line, stretch int) {
-	for len(k.Rows) <= stretch {
-		k.Rows = append(k.Rows, Row{Open: k.open})
+func (c *counter) add(l *line, stretch int) {
+	for len(c.Rows) <= stretch {
+		c.Rows = append(c.Rows, Row{Open: c.open})
 	}
-	row := &k.Rows[stretch]
+	row := &c.Rows[stretch]
 	switch l.field["trace"] {
 	case "start":
 		if l.field["of"] == "probe" {
 			row.Probes++
-			k.notePeak(l, "probes", stretch)
+			c.notePeak(l, "probes", stretch)
 			break
 		}
-		k.addAttempt(l, row)
-		k.notePeak(l, "calls", stretch)
+		c.addAttempt(l, row)
+		c.notePeak(l, "calls", stretch)
 	case "end":
 		if l.field["of"] == "probe" && l.field["ending"] != "served" {
 			row.ProbesFailed++
@@ -186,41 +186,41 @@
 	case "dial":
 		row.Dials++
 		if l.field["ending"] == "open" {
-			k.open++
+			c.open++
 		} else {
 			row.DialsFailed++
 		}
-		k.notePeak(l, "connects", stretch)
+		c.notePeak(l, "connects", stretch)
 	case "closed":
-		k.open--
+		c.open--
 	case "list":
-		k.addPoll(l, row)
+		c.addPoll(l, row)
 	case "cpu":
-		k.cpu[l.sidecar] = max(k.cpu[l.sidecar], k.number(l, "used_ms"))
+		c.cpu[l.sidecar] = max(c.cpu[l.sidecar], c.number(l, "used_ms"))
 	}
-	row.Open = k.open
+	row.Open = c.open
 }
 
 // addAttempt counts an attempt that begins.
-func (k *counter) addAttempt(l *line, row *Row) {
+func (c *counter) addAttempt(l *line, row *Row) {
 	row.Attempts++
-	if k.number(l, "try") > 0 {
+	if c.number(l, "try") > 0 {
 		row.Retries++
 	}
-	reportAge := k.number(l, "news_ms")
+	reportAge := c.number(l, "news_ms")
 	if reportAge < 0 || reportAge > stale {
 		row.Stale++
 	}
 	if reportAge >= 0 {
-		k.ReportAges = append(k.ReportAges, reportAge)
+		c.ReportAges = append(c.ReportAges, reportAge)
 	}
-	if age := k.number(l, "age_ms"); age >= 0 && age < k.warm {
+	if age := c.number(l, "age_ms"); age >= 0 && age < c.warm {
 		row.Cold++
 	}
 }
 
 // addPoll counts an answered poll of discovery.
-func (k *counter) addPoll(l *line, row *Row) {
+func (c *counter) addPoll(l *line, row *Row) {
 	row.Lists++
 	switch {
 	case l.field["full"] == "true":
@@ -228,15 +228,15 @@
 	case l.field["ok"] != "true":
 		row.ListsWrong++
 	}
-	k.Waits = append(k.Waits, max(0, k.number(l, "took_ms")-k.number(l, "wait_ms")))
+	c.Waits = append(c.Waits, max(0, c.number(l, "took_ms")-c.number(l, "wait_ms")))
 }
 
 // notePeak keeps the stretch in which one server got most.
-func (k *counter) notePeak(l *line, what string, stretch int) {
+func (c *counter) notePeak(l *line, what string, stretch int) {
 	key := rowKey{what, l.field["provider"], stretch}
-	k.perRow[key]++
-	if n := k.perRow[key]; n > k.Most[what].Count {
-		k.Most[what] = Peak{n, key.server, time.Duration(stretch) * k.Every}
+	c.perRow[key]++
+	if n := c.perRow[key]; n > c.Most[what].Count {
+		c.Most[what] = Peak{n, key.server, time.Duration(stretch) * c.Every}
 	}
 }
 
--- a/internal/testbench/loadgen/arrivals.go
+++ b/internal/testbench/loadgen/arrivals.go
@@ -28,8 +28,8 @@
 }
 
 // id is the request id of one of its tries.
-func (q *Request) id(seed uint64, try int) string {
-	return fmt.Sprintf("%016x", rand.NewPCG(seed, q.Index<<8|uint64(try)).Uint64())
+func (r *Request) id(seed uint64, try int) string {
+	return fmt.Sprintf("%016x", rand.NewPCG(seed, r.Index<<8|uint64(try)).Uint64())
 }
 
 // Requests returns the requests in the order in which they are due: the same ones at each call and for each reader of
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -112,29 +112,29 @@
 	return ticks
 }
 
-func (l *perSecond) series(axis chart.YAxisType) chart.Series {
+func (p *perSecond) series(axis chart.YAxisType) chart.Series {
 	return chart.ContinuousSeries{
-		Name: l.name, XValues: l.seconds, YValues: l.values, YAxis: axis,
-		Style: chart.Style{StrokeColor: l.color, StrokeWidth: 2},
+		Name: p.name, XValues: p.seconds, YValues: p.values, YAxis: axis,
+		Style: chart.Style{StrokeColor: p.color, StrokeWidth: 2},
 	}
 }
 
 // draw fills in a value for each second in which something was due, of all classes, and returns the values.
-func (l *perSecond) draw(r *Report) []float64 {
+func (p *perSecond) draw(r *Report) []float64 {
 	for i := range r.Seconds {
 		s := &r.Seconds[i]
 		y := neverMs
-		if v := l.value(s); v != nil {
+		if v := p.value(s); v != nil {
 			y = *v
 		}
-		if n := len(l.seconds); n > 0 && l.seconds[n-1] == float64(s.Second) {
-			l.values[n-1] = l.merge(l.values[n-1], y)
+		if n := len(p.seconds); n > 0 && p.seconds[n-1] == float64(s.Second) {
+			p.values[n-1] = p.merge(p.values[n-1], y)
 			continue
 		}
-		l.seconds, l.values = append(l.seconds, float64(s.Second)), append(l.values, y)
+		p.seconds, p.values = append(p.seconds, float64(s.Second)), append(p.values, y)
 	}
-	if len(l.seconds) == 1 { // a line needs two ends
-		l.seconds, l.values = append(l.seconds, l.seconds[0]+1), append(l.values, l.values[0])
+	if len(p.seconds) == 1 { // a line needs two ends
+		p.seconds, p.values = append(p.seconds, p.seconds[0]+1), append(p.values, p.values[0])
 	}
-	return l.values
+	return p.values
 }
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -215,13 +215,13 @@
 type recorder struct {
 	start time.Time
 
-	mu     sync.Mutex
+	mutex  sync.Mutex
 	result *Result
 }
 
 func (r *recorder) done(d *done) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.result.Late.record(d.late)
 	r.result.Classes[d.class].add(d)
 	s := r.result.second(int(d.due.Sub(r.start) / time.Second))
@@ -230,7 +230,7 @@
 }
 
 func (r *recorder) stall(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.result.Stall = max(r.result.Stall, d)
 }
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -75,15 +75,15 @@
 }
 
 // Close ends it.
-func (n *BusyWatch) Close() { close(n.stop) }
+func (b *BusyWatch) Close() { close(b.stop) }
 
 // Look returns, since the last look, by how much a timer has come late at most, and how many processors were busy; 0 = not
 // known.
-func (n *BusyWatch) Look() (late time.Duration, cores float64) {
+func (b *BusyWatch) Look() (late time.Duration, cores float64) {
 	now, busy := time.Now(), machineBusy()
-	cores = max(0, (busy-n.busy).Seconds()/now.Sub(n.lastLook).Seconds())
-	n.lastLook, n.busy = now, busy
-	return time.Duration(n.late.Swap(0)), cores
+	cores = max(0, (busy-b.busy).Seconds()/now.Sub(b.lastLook).Seconds())
+	b.lastLook, b.busy = now, busy
+	return time.Duration(b.late.Swap(0)), cores
 }
 
 // machineBusy is the time of all processors that was not idle; 0 = not known.
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -28,20 +28,20 @@
 }
 
 // Check says what is wrong with the plan.
-func (p HandoverPlan) Check() error {
+func (h HandoverPlan) Check() error {
 	switch {
-	case p.Restarts < 1 || p.Restarts > 10000:
-		return fmt.Errorf("restarts: %d; want 1 to 10000", p.Restarts)
-	case p.Pause < 0 || p.Pause > time.Second:
-		return fmt.Errorf("pause: %s; want 0 to 1 s", p.Pause)
-	case p.Nth < 0:
-		return fmt.Errorf("nth: %d is negative", p.Nth)
-	case p.Kill != Nobody && p.Kill != Successor && p.Kill != Predecessor:
-		return fmt.Errorf("kill: %q; want %q or %q", p.Kill, Successor, Predecessor)
-	case p.Kill != Nobody && p.At != AtStart && p.At != Passing:
-		return fmt.Errorf("at: %q; want %q or %q", p.At, AtStart, Passing)
-	}
-	return p.Setup.Check()
+	case h.Restarts < 1 || h.Restarts > 10000:
+		return fmt.Errorf("restarts: %d; want 1 to 10000", h.Restarts)
+	case h.Pause < 0 || h.Pause > time.Second:
+		return fmt.Errorf("pause: %s; want 0 to 1 s", h.Pause)
+	case h.Nth < 0:
+		return fmt.Errorf("nth: %d is negative", h.Nth)
+	case h.Kill != Nobody && h.Kill != Successor && h.Kill != Predecessor:
+		return fmt.Errorf("kill: %q; want %q or %q", h.Kill, Successor, Predecessor)
+	case h.Kill != Nobody && h.At != AtStart && h.At != Passing:
+		return fmt.Errorf("at: %q; want %q or %q", h.At, AtStart, Passing)
+	}
+	return h.Setup.Check()
 }
 
 // HandoverReport is what became of a line of processes. Times are in seconds.
@@ -108,14 +108,14 @@
 }
 
 // run does all hot restarts and returns how long the undisturbed ones took, and the kills.
-func (p HandoverPlan) run(ctx context.Context, r *rig) (took []phases, kills []kill, err error) {
-	draw := rand.New(rand.NewPCG(p.Seed, 0))
-	for n := 1; n <= p.Restarts; n++ {
-		if err := fakes.Pause(ctx, p.Pause); err != nil {
+func (h HandoverPlan) run(ctx context.Context, r *rig) (took []phases, kills []kill, err error) {
+	draw := rand.New(rand.NewPCG(h.Seed, 0))
+	for n := 1; n <= h.Restarts; n++ {
+		if err := fakes.Pause(ctx, h.Pause); err != nil {
 			return nil, nil, err
 		}
-		if p.Kill != Nobody && n%max(1, p.Nth) == 0 {
-			k, err := r.line.handOverKilling(ctx, p.Kill, p.At, p.killDelay(draw.Float64(), took))
+		if h.Kill != Nobody && n%max(1, h.Nth) == 0 {
+			k, err := r.line.handOverKilling(ctx, h.Kill, h.At, h.killDelay(draw.Float64(), took))
 			if err != nil {
 				return nil, nil, fmt.Errorf("handover %d, with a kill: %w", n, err)
 			}
@@ -133,14 +133,14 @@
 
 // killDelay is how long after the beginning of its part of a hot restart a kill comes: somewhere in the time that the part
 // usually takes.
-func (p HandoverPlan) killDelay(part float64, took []phases) time.Duration {
+func (h HandoverPlan) killDelay(part float64, took []phases) time.Duration {
 	usual := startSpan
-	if p.At == Passing {
+	if h.At == Passing {
 		usual = passSpan
 	}
 	if len(took) > 0 {
 		usual = middle(took, func(t phases) time.Duration {
-			if p.At == Passing {
+			if h.At == Passing {
 				return t.pass
 			}
 			return t.start
@@ -163,12 +163,12 @@
 }
 
 // fill counts, and says which rules are broken.
-func (o *HandoverReport) fill(r *rig, took []phases, kills []kill) {
+func (h *HandoverReport) fill(r *rig, took []phases, kills []kill) {
 	complete := func(t phases) time.Duration { return t.total }
-	o.Restarts, o.Median = len(took), middle(took, complete).Seconds()
-	o.Start = middle(took, func(t phases) time.Duration { return t.start }).Seconds()
+	h.Restarts, h.Median = len(took), middle(took, complete).Seconds()
+	h.Start = middle(took, func(t phases) time.Duration { return t.start }).Seconds()
 	for _, t := range took {
-		o.Worst = max(o.Worst, t.total.Seconds())
+		h.Worst = max(h.Worst, t.total.Seconds())
 	}
 	var all Metrics
 	var strays []fakes.Try
@@ -177,29 +177,29 @@
 		all.count(t)
 		switch {
 		case t.Result == fakes.Served:
-			o.Served++
+			h.Served++
 		case !isLost(t):
 		case slices.ContainsFunc(kills, func(k kill) bool { return k.affects(t) }):
-			o.LostToKill++
+			h.LostToKill++
 		default:
 			strays = append(strays, *t)
 		}
 	}
-	o.Requests, o.Lost, o.Failed = len(r.tries), all.Lost+all.Unanswered, all.Failed
-	o.Rejected, o.Unreachable = all.Rejected, all.Unreachable
-	o.Twice = r.extraRuns()
-	o.LongestGap, o.Stall = longestGap(r.tries).Seconds(), r.stall.Seconds()
+	h.Requests, h.Lost, h.Failed = len(r.tries), all.Lost+all.Unanswered, all.Failed
+	h.Rejected, h.Unreachable = all.Rejected, all.Unreachable
+	h.Twice = r.extraRuns()
+	h.LongestGap, h.Stall = longestGap(r.tries).Seconds(), r.stall.Seconds()
 	for _, k := range kills {
-		o.Kills[k.phase]++
+		h.Kills[k.phase]++
 		if k.noSurvivor {
-			o.Afresh++
+			h.Afresh++
 		}
 		if !servedAfter(r.tries, k.until) {
-			o.Broken = append(o.Broken, fmt.Sprintf("nothing was served in the %s after a kill", maxServiceGap))
+			h.Broken = append(h.Broken, fmt.Sprintf("nothing was served in the %s after a kill", maxServiceGap))
 		}
 	}
-	o.Broken = append(o.Broken, noneLost(strays)...)
-	o.Broken = append(o.Broken, none(o.Twice, ruleTwice)...)
+	h.Broken = append(h.Broken, noneLost(strays)...)
+	h.Broken = append(h.Broken, none(h.Twice, ruleTwice)...)
 }
 
 // affects reports whether the request was under way when the process was killed, or until another served alone: a
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -41,18 +41,18 @@
 }
 
 // count adds what became of a try.
-func (f *Metrics) count(t *fakes.Try) {
+func (m *Metrics) count(t *fakes.Try) {
 	switch {
 	case t.Result == fakes.Failed:
-		f.Failed++
+		m.Failed++
 	case t.Result == fakes.Refused:
-		f.Rejected++
+		m.Rejected++
 	case t.Result == fakes.Unreachable:
-		f.Unreachable++
+		m.Unreachable++
 	case isLost(t) && t.Result == fakes.TimedOut:
-		f.Unanswered++
+		m.Unanswered++
 	case isLost(t):
-		f.Lost++
+		m.Lost++
 	}
 }
 
--- a/internal/testbench/recovery/processlog.go
+++ b/internal/testbench/recovery/processlog.go
@@ -39,12 +39,12 @@
 	return b, nil
 }
 
-func (b *processLog) read() {
-	defer close(b.done)
-	for br := bufio.NewReader(b.reader); ; {
+func (l *processLog) read() {
+	defer close(l.done)
+	for br := bufio.NewReader(l.reader); ; {
 		line, err := br.ReadString('\n')
 		if line != "" {
-			b.add(strings.TrimSuffix(line, "\n"))
+			l.add(strings.TrimSuffix(line, "\n"))
 		}
 		if err != nil {
 			return
@@ -52,43 +52,43 @@
 	}
 }
 
-func (b *processLog) add(line string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	fmt.Fprintln(b.file, line)
-	b.lines = append(b.lines, line)
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (l *processLog) add(line string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	fmt.Fprintln(l.file, line)
+	l.lines = append(l.lines, line)
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // close returns when all that processes have printed is kept. All must have ended.
-func (b *processLog) close() {
-	b.writer.Close()
-	_ = b.reader.SetReadDeadline(time.Now().Add(maxClose))
-	<-b.done
-	b.reader.Close()
+func (l *processLog) close() {
+	l.writer.Close()
+	_ = l.reader.SetReadDeadline(time.Now().Add(maxClose))
+	<-l.done
+	l.reader.Close()
 }
 
 // mark is the place behind the last line.
-func (b *processLog) mark() int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return len(b.lines)
+func (l *processLog) mark() int {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return len(l.lines)
 }
 
 // end notes that a process has ended.
-func (b *processLog) end(p *process) { fmt.Fprintln(b.writer, p.lastLine()) }
+func (l *processLog) end(p *process) { fmt.Fprintln(l.writer, p.lastLine()) }
 
 // await returns the first line from a mark on that holds one of the texts. It gives up at the end of ctx, after
 // maxAwait, or when p, which should log it, has ended.
-func (b *processLog) await(ctx context.Context, from int, p *process, texts ...string) (string, error) {
+func (l *processLog) await(ctx context.Context, from int, p *process, texts ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
 	last := p.lastLine()
 	for at := from; ; {
-		b.mutex.Lock()
-		lines, changed := b.lines, b.changed
-		b.mutex.Unlock()
+		l.mutex.Lock()
+		lines, changed := l.lines, l.changed
+		l.mutex.Unlock()
 		line, found := find(lines[at:], append(texts, last))
 		if found && line != last {
 			return line, nil
@@ -106,10 +106,10 @@
 }
 
 // look returns the first line from a mark on that holds the text, if there is one by now.
-func (b *processLog) look(from int, text string) (string, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return find(b.lines[from:], []string{text})
+func (l *processLog) look(from int, text string) (string, bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return find(l.lines[from:], []string{text})
 }
 
 // find returns the first line that holds one of the texts.
--- a/internal/testbench/recovery/table.go
+++ b/internal/testbench/recovery/table.go
@@ -42,7 +42,7 @@
 }
 
 // Write writes the report, a line for each figure.
-func (o HandoverReport) Write(w io.Writer) error {
+func (h HandoverReport) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	seconds := func(s float64) string {
 		return time.Duration(s * float64(time.Second)).Round(100 * time.Microsecond).String()
@@ -51,32 +51,32 @@
 		name  string
 		value any
 	}{
-		{"handovers done", o.Restarts},
-		{"requests", o.Requests},
-		{"served", o.Served},
-		{"lost", o.Lost},
-		{"failed", o.Failed},
-		{"refused", o.Rejected},
-		{"unreachable", o.Unreachable},
-		{"further runs of orders", o.Twice},
-		{"longest time without an answer", seconds(o.LongestGap)},
-		{"handover, median", seconds(o.Median)},
-		{"handover, worst", seconds(o.Worst)},
-		{"of it until the successor is ready, median", seconds(o.Start)},
-		{"the lab itself held up, longest", seconds(o.Stall)},
+		{"handovers done", h.Restarts},
+		{"requests", h.Requests},
+		{"served", h.Served},
+		{"lost", h.Lost},
+		{"failed", h.Failed},
+		{"refused", h.Rejected},
+		{"unreachable", h.Unreachable},
+		{"further runs of orders", h.Twice},
+		{"longest time without an answer", seconds(h.LongestGap)},
+		{"handover, median", seconds(h.Median)},
+		{"handover, worst", seconds(h.Worst)},
+		{"of it until the successor is ready, median", seconds(h.Start)},
+		{"the lab itself held up, longest", seconds(h.Stall)},
 	} {
 		fmt.Fprintf(t, "%s\t%v\n", row.name, row.value)
 	}
-	if len(o.Kills) > 0 {
+	if len(h.Kills) > 0 {
 		for _, met := range []string{beforeReady, whilePassing, afterDone} {
-			fmt.Fprintf(t, "killed %s\t%d\n", met, o.Kills[met])
+			fmt.Fprintf(t, "killed %s\t%d\n", met, h.Kills[met])
 		}
-		fmt.Fprintf(t, "started afresh\t%d\nlost to kills\t%d\n", o.Afresh, o.LostToKill)
+		fmt.Fprintf(t, "started afresh\t%d\nlost to kills\t%d\n", h.Afresh, h.LostToKill)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, b := range o.Broken {
+	for _, b := range h.Broken {
 		if _, err := fmt.Fprintf(w, "BROKEN: %s\n", b); err != nil {
 			return err
 		}
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -126,47 +126,47 @@
 	}
 }
 
-func (h *worker) close() {
-	h.busy.Close()
-	for _, s := range h.sidecars {
+func (w *worker) close() {
+	w.busy.Close()
+	for _, s := range w.sidecars {
 		s.end()
 	}
-	if h.discovery != nil {
-		h.discovery.close()
+	if w.discovery != nil {
+		w.discovery.close()
 	}
-	_ = os.RemoveAll(h.dir)
+	_ = os.RemoveAll(w.dir)
 }
 
-func (h *worker) execute(o *order) (r reply, err error) {
+func (w *worker) execute(o *order) (r reply, err error) {
 	switch o.Op {
 	case "listen":
-		if h.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Endpoints); err == nil {
-			r.Addresses, r.Revision = h.discovery.addresses, 1
+		if w.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Endpoints); err == nil {
+			r.Addresses, r.Revision = w.discovery.addresses, 1
 		}
 	case "change":
-		r.Revision = h.discovery.change(o.Endpoints)
+		r.Revision = w.discovery.change(o.Endpoints)
 	case "build":
-		return r, h.build(o)
+		return r, w.build(o)
 	case "prepare":
-		return r, h.each(len(h.sidecars), func(_ int, s *sidecar) error { return s.write(o.Template) })
+		return r, w.each(len(w.sidecars), func(_ int, s *sidecar) error { return s.write(o.Template) })
 	case "start":
-		r.Times, err = h.start(len(h.sidecars), o)
+		r.Times, err = w.start(len(w.sidecars), o)
 	case "restart":
-		r.Times, err = h.restart(o)
+		r.Times, err = w.restart(o)
 	case "await":
-		r.Times = h.await(o.Revision, o.Within)
+		r.Times = w.await(o.Revision, o.Within)
 	case "reload":
-		r.Times, err = h.reload()
+		r.Times, err = w.reload()
 	case "calls":
-		for _, s := range h.sidecars {
+		for _, s := range w.sidecars {
 			s.rate.Store(uint64(o.PerS * 1e3))
 		}
 	case "down":
-		h.setDown(o.At, o.Down)
+		w.setDown(o.At, o.Down)
 	case "count":
-		r.Counts, err = h.counts()
+		r.Counts, err = w.counts()
 	case "sent":
-		r.Sent = h.servers.sent()
+		r.Sent = w.servers.sent()
 	default:
 		err = errors.New("unknown order")
 	}
@@ -174,18 +174,18 @@
 }
 
 // restart ends the first so many and starts them all at once.
-func (h *worker) restart(o *order) ([]float64, error) {
-	count := min(o.Count, len(h.sidecars))
-	if err := h.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err != nil {
+func (w *worker) restart(o *order) ([]float64, error) {
+	count := min(o.Count, len(w.sidecars))
+	if err := w.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err != nil {
 		return nil, err
 	}
-	return h.start(count, o)
+	return w.start(count, o)
 }
 
 // reload has all read their configuration again, and returns when each had.
-func (h *worker) reload() ([]float64, error) {
-	times := make([]float64, len(h.sidecars))
-	err := h.each(len(h.sidecars), func(i int, s *sidecar) error {
+func (w *worker) reload() ([]float64, error) {
+	times := make([]float64, len(w.sidecars))
+	err := w.each(len(w.sidecars), func(i int, s *sidecar) error {
 		err := s.reload()
 		times[i] = unixMs(time.Now())
 		return err
@@ -194,16 +194,16 @@
 }
 
 // setDown has servers refuse connections, or take them again.
-func (h *worker) setDown(addresses []string, down bool) {
+func (w *worker) setDown(addresses []string, down bool) {
 	for _, address := range addresses {
-		h.servers.at(address).down.Store(down)
+		w.servers.at(address).down.Store(down)
 	}
 }
 
 func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1e3 }
 
 // build makes the sidecars' configurations.
-func (h *worker) build(o *order) error {
+func (w *worker) build(o *order) error {
 	if o.Cores > 0 {
 		runtime.GOMAXPROCS(o.Cores)
 	}
@@ -212,36 +212,36 @@
 	}
 	for i := range o.Count {
 		s := &sidecar{
-			zone: (o.First + i) % zones, name: "h" + strconv.Itoa(o.First+i), seed: uint64(o.First + i + 1), servers: h.servers,
-			discovery: o.Discovery[i%len(o.Discovery)], file: filepath.Join(h.dir, strconv.Itoa(i)+".json"),
+			zone: (o.First + i) % zones, name: "h" + strconv.Itoa(o.First+i), seed: uint64(o.First + i + 1), servers: w.servers,
+			discovery: o.Discovery[i%len(o.Discovery)], file: filepath.Join(w.dir, strconv.Itoa(i)+".json"),
 		}
 		if err := s.write(o.Template); err != nil {
 			return err
 		}
-		h.sidecars = append(h.sidecars, s)
+		w.sidecars = append(w.sidecars, s)
 	}
 	return nil
 }
 
 // each does something to the first so many, some side by side.
-func (h *worker) each(count int, do func(int, *sidecar) error) error {
+func (w *worker) each(count int, do func(int, *sidecar) error) error {
 	var group errgroup.Group
 	group.SetLimit(startedAtOnce)
-	for i, s := range h.sidecars[:count] {
+	for i, s := range w.sidecars[:count] {
 		group.Go(func() error { return do(i, s) })
 	}
 	return group.Wait()
 }
 
 // start starts the first so many and returns after how long each had discovery's first answer in force.
-func (h *worker) start(count int, o *order) ([]float64, error) {
-	if err := h.each(count, func(_ int, s *sidecar) error { return s.start(o.Known) }); err != nil {
+func (w *worker) start(count int, o *order) ([]float64, error) {
+	if err := w.each(count, func(_ int, s *sidecar) error { return s.start(o.Known) }); err != nil {
 		return nil, err
 	}
 	times := make([]float64, count)
 	for until := time.Now().Add(o.Within); ; time.Sleep(inForceLook) {
 		missing := false
-		for i, s := range h.sidecars[:count] {
+		for i, s := range w.sidecars[:count] {
 			if times[i] == 0 {
 				times[i] = s.firstAfter(o.Known)
 				missing = missing || times[i] == 0
@@ -254,11 +254,11 @@
 }
 
 // await returns when a revision came into force at each.
-func (h *worker) await(revision uint64, within time.Duration) []float64 {
-	times := make([]float64, len(h.sidecars))
+func (w *worker) await(revision uint64, within time.Duration) []float64 {
+	times := make([]float64, len(w.sidecars))
 	for until := time.Now().Add(within); ; time.Sleep(inForceLook) {
 		missing := false
-		for i, s := range h.sidecars {
+		for i, s := range w.sidecars {
 			if times[i] > 0 {
 				continue
 			}
@@ -274,7 +274,7 @@
 	}
 }
 
-func (h *worker) counts() (c Counts, err error) {
+func (w *worker) counts() (c Counts, err error) {
 	if c.CPU, err = process.CPU(os.Getpid()); err != nil {
 		return c, err
 	}
@@ -284,9 +284,9 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	c.HeapMB = float64(memory.HeapInuse+memory.StackInuse) / (1 << 20)
-	c.Late, _ = h.busy.Look()
-	c.Calls, c.Probes, c.Unreached = h.servers.counts()
-	for _, s := range h.sidecars {
+	c.Late, _ = w.busy.Look()
+	c.Calls, c.Probes, c.Unreached = w.servers.counts()
+	for _, s := range w.sidecars {
 		c.Served += s.served.Load()
 		c.Refused += s.refused.Load()
 		c.Failed += s.failed.Load()
@@ -297,8 +297,8 @@
 			c.WatchDoubts += s.watch.FullRefreshes.Load()
 		}
 	}
-	if h.discovery != nil {
-		c.Discovery = h.discovery.traffic()
+	if w.discovery != nil {
+		c.Discovery = w.discovery.traffic()
 	}
 	return c, nil
 }
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -30,33 +30,33 @@
 
 func newFakeServers() *fakeServers { return &fakeServers{all: map[string]*fakeServer{}} }
 
-func (t *fakeServers) at(address string) *fakeServer {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	one := t.all[address]
+func (f *fakeServers) at(address string) *fakeServer {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	one := f.all[address]
 	if one == nil {
 		one = new(fakeServer)
-		t.all[address] = one
+		f.all[address] = one
 	}
 	return one
 }
 
 // sent returns the calls that each address got.
-func (t *fakeServers) sent() map[string]int64 {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	out := make(map[string]int64, len(t.all))
-	for address, one := range t.all {
+func (f *fakeServers) sent() map[string]int64 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	out := make(map[string]int64, len(f.all))
+	for address, one := range f.all {
 		out[address] = one.calls.Load()
 	}
 	return out
 }
 
 // counts returns the calls and probes of all, and what was refused of either.
-func (t *fakeServers) counts() (calls, probes, refused int64) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	for _, one := range t.all {
+func (f *fakeServers) counts() (calls, probes, refused int64) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, one := range f.all {
 		calls += one.calls.Load()
 		probes += one.probes.Load()
 		refused += one.refused.Load()
@@ -66,18 +66,18 @@
 
 // Endpoint, Forget, State and Restore make fakeServers an upstream.Upstream. Its conformance tests do not apply: there are no
 // connections.
-func (t *fakeServers) Endpoint(_, address string) upstream.Endpoint {
-	return &endpoint{address: address, server: t.at(address)}
+func (f *fakeServers) Endpoint(_, address string) upstream.Endpoint {
+	return &endpoint{address: address, server: f.at(address)}
 }
 
 // Forget does nothing: the counts outlive the server.
-func (t *fakeServers) Forget(string) {}
+func (f *fakeServers) Forget(string) {}
 
 // State is nothing.
-func (t *fakeServers) State(time.Time) ([]byte, error) { return nil, nil }
+func (f *fakeServers) State(time.Time) ([]byte, error) { return nil, nil }
 
 // Restore takes nothing.
-func (t *fakeServers) Restore(time.Time, []byte, time.Duration) error { return nil }
+func (f *fakeServers) Restore(time.Time, []byte, time.Duration) error { return nil }
 
 // endpoint stands for one sidecar's connections to a server: a single one, established with the first attempt.
 type endpoint struct {
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -73,35 +73,35 @@
 	return out, ctx.Err()
 }
 
-func (p *Report) count(r *record) {
-	p.Attempts = len(r.attempts)
-	for _, q := range r.requests {
-		p.Requests++
+func (r *Report) count(recorded *record) {
+	r.Attempts = len(recorded.attempts)
+	for _, q := range recorded.requests {
+		r.Requests++
 		switch {
 		case !q.leftAt.IsZero():
-			p.Left++
+			r.Left++
 		case q.unreachable:
-			p.Unreachable++
+			r.Unreachable++
 		case q.status == 200:
-			p.Served++
+			r.Served++
 		case q.status == 429 || q.status == 503:
-			p.Refused++
+			r.Refused++
 		default:
-			p.Failed++
+			r.Failed++
 		}
 	}
 }
 
 // Write prints the report.
-func (p *Report) Write(to io.Writer) {
+func (r *Report) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connections within %s, repeats within %s, crowds %t: %d requests, %d served, %d refused, %d failed, %d left, %d found nobody; %d attempts; held up %s at most\n",
-		p.Seed, p.sockets, p.onRequest, p.longest, p.connect, p.window, p.manyClients, p.Requests, p.Served, p.Refused, p.Failed, p.Left, p.Unreachable, p.Attempts, p.Stall.Round(time.Millisecond))
+		r.Seed, r.sockets, r.onRequest, r.longest, r.connect, r.window, r.manyClients, r.Requests, r.Served, r.Refused, r.Failed, r.Left, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
 	fmt.Fprint(to, "  troubles:")
-	for _, k := range slices.Sorted(maps.Keys(p.Faults)) {
-		fmt.Fprintf(to, " %s %d", k, p.Faults[k])
+	for _, k := range slices.Sorted(maps.Keys(r.Faults)) {
+		fmt.Fprintf(to, " %s %d", k, r.Faults[k])
 	}
 	fmt.Fprintln(to)
-	for _, v := range p.Violations {
+	for _, v := range r.Violations {
 		fmt.Fprintf(to, "  BROKEN %s\n", v)
 	}
 }
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -106,22 +106,22 @@
 
 // addStallsBeforeKill adds one to three stalls with little time between them, the last of which ends around the kill: one for each step that a
 // last answer takes.
-func (e *shutdownFault) addStallsBeforeKill(rng *rand.Rand) {
-	end := e.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
+func (s *shutdownFault) addStallsBeforeKill(rng *rand.Rand) {
+	end := s.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
 	for range 1 + rng.IntN(3) {
-		e.stalls = append(e.stalls, end-stallLength)
+		s.stalls = append(s.stalls, end-stallLength)
 		end -= stallLength + minSlice + time.Duration(rng.Float64()*float64(maxSlice-minSlice))
 	}
 }
 
 // addStall adds a stall unless it would run into another one.
-func (e *shutdownFault) addStall(at time.Duration) {
-	for _, other := range e.stalls {
+func (s *shutdownFault) addStall(at time.Duration) {
+	for _, other := range s.stalls {
 		if at < other+stallLength+minStallGap && other < at+stallLength+minStallGap {
 			return
 		}
 	}
-	e.stalls = append(e.stalls, at)
+	s.stalls = append(s.stalls, at)
 }
 
 // aimedEnd sends a process SIGTERM among many clients while the drawn faults happen, kills it as early as operators may
