--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -15,7 +15,7 @@
 	Quick   bool          `help:"Few servers and short windows: under a minute, and no results to go by."`
 	Only    string        `placeholder:"WORDS" help:"Only the sizes whose name holds these words, or module."`
 	Core    int           `default:"-1" help:"Keep the sidecar to this core of the machine, so that results repeat; -1 = to none."`
-	Most    time.Duration `default:"15m" help:"End after this time, with what there is."`
+	MaxTime time.Duration `name:"most" default:"15m" help:"End after this time, with what there is."`
 	Keep    string        `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
 	JSON    string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
@@ -29,15 +29,15 @@
 
 // Validate checks the arguments.
 func (c *capacityCommand) Validate() error {
-	if c.Most <= 0 {
-		return fmt.Errorf("--most: %s; want more than 0", c.Most)
+	if c.MaxTime <= 0 {
+		return fmt.Errorf("--most: %s; want more than 0", c.MaxTime)
 	}
 	return executable(c.Program)
 }
 
 // Run measures, and prints what there is also where it was cut short.
 func (c *capacityCommand) Run(ctx context.Context, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, c.Most)
+	ctx, cancel := context.WithTimeout(ctx, c.MaxTime)
 	defer cancel()
 	kept := experiment{Keep: c.Keep, JSON: c.JSON}
 	dir, done, err := kept.folder()
--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -19,7 +19,7 @@
 	Servers    *int           `placeholder:"M" help:"Servers (16)."`
 	Rate       *float64       `placeholder:"R" help:"First tries a second over all sidecars (20 for each server)."`
 	For        *time.Duration `placeholder:"D" help:"Length of the day in virtual time (30s)."`
-	Trouble    []string       `placeholder:"NAME" help:"What goes wrong: those below, or random."`
+	Faults     []string       `name:"trouble" placeholder:"NAME" help:"What goes wrong: those below, or random."`
 	Seed       *uint64        `placeholder:"S" help:"Of the day (1)."`
 	PolicySeed *uint64        `placeholder:"S" help:"Of the sidecars' own choices, for the same day (0)."`
 	Policy     *string        `placeholder:"NAME" help:"module, random, round-robin, least or oracle (module)."`
@@ -66,7 +66,7 @@
 	if c.For != nil {
 		cfg.Seconds = c.For.Seconds()
 	}
-	for _, name := range c.Trouble {
+	for _, name := range c.Faults {
 		names := []string{name}
 		if name == "random" {
 			names = emulator.Random(cfg.Seed)
--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -19,13 +19,13 @@
 	Servers    int           `default:"64" help:"Servers in the list."`
 	PerPart    int           `default:"250" help:"Sidecars in a process."`
 	ProbePrice float64       `default:"0.0046" help:"Prices.Probe of the settings."`
-	TurnRate   float64       `default:"200" help:"On request: calls a second that get a slot, of those for the complete list and the first of a connection; others wait up to 2 s and are rejected then."`
+	SlotRate   float64       `name:"turn-rate" default:"200" help:"On request: calls a second that get a slot, of those for the complete list and the first of a connection; others wait up to 2 s and are rejected then."`
 	Watch      string        `type:"existingfile" placeholder:"FILE" help:"On request: a configuration whose plankrouter.watch is taken, such as deploy/shared-directory.json."`
 	Scene      []string      `placeholder:"NAME" help:"Only these, after the start: idle, calls, list, burst, configuration, zone, restart."`
 	Window     time.Duration `default:"10s" help:"Stretch of an ordinary minute that is looked at."`
 	CallsAll   float64       `default:"4000" help:"Calls a second of a whole fleet, while there are calls; of a sidecar at most 40."`
 	Restart    int           `default:"300" help:"Sidecars that are restarted together."`
-	MemoryMost float64       `default:"11000" help:"Memory of a fleet in MB beyond which it is not played."`
+	MaxMemory  float64       `name:"memory-most" default:"11000" help:"Memory of a fleet in MB beyond which it is not played."`
 	Program    string        `placeholder:"FILE" help:"The sidecar's program: one real and one simulated sidecar are measured side by side first, and no fleet where --sidecars is 0."`
 	JSON       string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
@@ -56,8 +56,8 @@
 		return fmt.Errorf("--restart: %d; want 1 or more", c.Restart)
 	case c.Window < time.Second:
 		return fmt.Errorf("--window: %s; want 1s or more", c.Window)
-	case c.TurnRate < 0 || c.CallsAll < 0:
-		return fmt.Errorf("--turn-rate, --calls-all: %g, %g; want 0 or more", c.TurnRate, c.CallsAll)
+	case c.SlotRate < 0 || c.CallsAll < 0:
+		return fmt.Errorf("--turn-rate, --calls-all: %g, %g; want 0 or more", c.SlotRate, c.CallsAll)
 	case c.Program != "":
 		return executable(c.Program)
 	}
@@ -77,8 +77,8 @@
 		return err
 	}
 	set := simulated.Setup{
-		PerPart: c.PerPart, Servers: c.Servers, ProbeCost: c.ProbePrice, SlotRate: c.TurnRate,
-		MaxMemory: c.MemoryMost, MaxStartTime: time.Minute, Spawn: simulated.Program(self, "fleet-part"),
+		PerPart: c.PerPart, Servers: c.Servers, ProbeCost: c.ProbePrice, SlotRate: c.SlotRate,
+		MaxMemory: c.MaxMemory, MaxStartTime: time.Minute, Spawn: simulated.Program(self, "fleet-part"),
 	}
 	if c.Watch != "" {
 		if set.Watch, err = readWatch(c.Watch); err != nil {
--- a/cmd/testbench/overload.go
+++ b/cmd/testbench/overload.go
@@ -11,21 +11,21 @@
 
 // overloadCommand plays the scale test of overload in virtual time.
 type overloadCommand struct {
-	Sidecars []int     `default:"4,40,300,2000,6000" placeholder:"N,..." help:"Sidecars that share the traffic (${default})."`
-	Servers  int       `default:"50" placeholder:"M" help:"Servers; 0 = as many as sidecars (${default})."`
-	Loads    []float64 `default:"0.5,0.9,1.2,2" placeholder:"L,..." help:"First tries over what the servers bear (${default})."`
-	Reports  []string  `default:"none,full" placeholder:"R,..." help:"Whether probes report a load: none, queued (by the time they wait), full (${default})."`
-	Events   []string  `default:"burst,zone" placeholder:"E,..." help:"What happens: none, burst, swell, zone (${default})."`
-	Seeds    []uint64  `default:"1" placeholder:"S,..." help:"Of the days (${default})."`
-	Policy   string    `default:"module" placeholder:"NAME" help:"As of emulate (${default})."`
-	Worthy   float64   `placeholder:"P" help:"Part of the requests that is worth five times the others (${default})." default:"0"`
-	ZoneSkew float64   `placeholder:"P" help:"So much more traffic in the first zone, and less in the last (${default})." default:"0"`
-	Drawn    bool      `help:"Draw work, queues, chokes and the clients' ways from the seed, too."`
-	Free     bool      `help:"Probes and connections cost the servers nothing: what deciding alone does."`
-	JSON     string    `name:"json" placeholder:"FILE" help:"Write the runs with their seconds as JSON, too."`
-	BySecond bool      `help:"Write each run's seconds."`
-	Workers  int       `placeholder:"N" help:"Runs side by side (GOMAXPROCS)."`
-	Progress bool      `help:"Write a line for each run as it ends, with the time so far."`
+	Sidecars         []int     `default:"4,40,300,2000,6000" placeholder:"N,..." help:"Sidecars that share the traffic (${default})."`
+	Servers          int       `default:"50" placeholder:"M" help:"Servers; 0 = as many as sidecars (${default})."`
+	Loads            []float64 `default:"0.5,0.9,1.2,2" placeholder:"L,..." help:"First tries over what the servers bear (${default})."`
+	Reports          []string  `default:"none,full" placeholder:"R,..." help:"Whether probes report a load: none, queued (by the time they wait), full (${default})."`
+	Events           []string  `default:"burst,zone" placeholder:"E,..." help:"What happens: none, burst, swell, zone (${default})."`
+	Seeds            []uint64  `default:"1" placeholder:"S,..." help:"Of the days (${default})."`
+	Policy           string    `default:"module" placeholder:"NAME" help:"As of emulate (${default})."`
+	PriorityFraction float64   `name:"worthy" placeholder:"P" help:"Part of the requests that is worth five times the others (${default})." default:"0"`
+	ZoneSkew         float64   `placeholder:"P" help:"So much more traffic in the first zone, and less in the last (${default})." default:"0"`
+	Drawn            bool      `help:"Draw work, queues, chokes and the clients' ways from the seed, too."`
+	Free             bool      `help:"Probes and connections cost the servers nothing: what deciding alone does."`
+	JSON             string    `name:"json" placeholder:"FILE" help:"Write the runs with their seconds as JSON, too."`
+	BySecond         bool      `help:"Write each run's seconds."`
+	Workers          int       `placeholder:"N" help:"Runs side by side (GOMAXPROCS)."`
+	Progress         bool      `help:"Write a line for each run as it ends, with the time so far."`
 }
 
 // Help shows examples.
@@ -43,7 +43,7 @@
 					for _, n := range c.Sidecars {
 						o := emulator.Overload{
 							Sidecars: n, Servers: c.Servers, Load: load, Reports: reports,
-							Event: event, Seed: seed, Policy: c.Policy, Worthy: c.Worthy,
+							Event: event, Seed: seed, Policy: c.Policy, PriorityFraction: c.PriorityFraction,
 							ZoneSkew: c.ZoneSkew, Drawn: c.Drawn, Free: c.Free,
 						}
 						if o.Servers == 0 {
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -15,14 +15,14 @@
 
 // experiment has the flags that all experiments share.
 type experiment struct {
-	Providers int     `default:"8" help:"Servers in the fleet."`
-	Rate      float64 `default:"400" help:"Requests a second."`
-	Keep      string  `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
-	JSON      string  `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
+	Servers int     `name:"providers" default:"8" help:"Servers in the fleet."`
+	Rate    float64 `default:"400" help:"Requests a second."`
+	Keep    string  `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
+	JSON    string  `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
 }
 
 func (e *experiment) setup(program string, seed uint64) recovery.Setup {
-	return recovery.Setup{Program: program, Servers: e.Providers, Rate: e.Rate, Seed: seed}
+	return recovery.Setup{Program: program, Servers: e.Servers, Rate: e.Rate, Seed: seed}
 }
 
 // folder returns the folder for what is kept, and what to do with it at the end.
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -164,7 +164,7 @@
 	}
 	busy := process.WatchBusy()
 	err = fakes.Pause(ctx, p.Window)
-	late, _ := busy.Look()
+	late, _ := busy.Sample()
 	busy.Close()
 	if m.StallMs = ms(late); err != nil {
 		return from, to, err
--- a/internal/testbench/emulator/judge_test.go
+++ b/internal/testbench/emulator/judge_test.go
@@ -30,7 +30,7 @@
 	for _, c := range []struct {
 		name    string
 		rule    Rule
-		trouble Fault
+		fault   Fault
 		make    func(Policy) mutant
 		request uint32 // 0 = any
 		what    string
@@ -103,7 +103,7 @@
 			}}
 		}, 0, "fell it"},
 	} {
-		cfg := dayWith("random", c.trouble)
+		cfg := dayWith("random", c.fault)
 		cfg.Rate = 100 // so few that no cold server is pushed over by chance
 		cfg.Discovery.Late = [2]float64{100, 300}
 		if sound := play(t, cfg, nil); !sound.Ok() {
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -16,17 +16,17 @@
 // Overload is one run of the scale test of overload: the same servers and the same traffic in all, shared by so many
 // sidecars. docs/operate/emulator.md describes its world.
 type Overload struct {
-	Sidecars int     `json:"sidecars"`
-	Servers  int     `json:"servers"`
-	Load     float64 `json:"load"`    // first tries over the servers' usable capacity, both a second
-	Reports  string  `json:"reports"` // one of OverloadReports
-	Event    string  `json:"event"`   // one of OverloadEvents
-	Seed     uint64  `json:"seed"`    // of the day
-	Policy   string  `json:"policy"`
-	Worthy   float64 `json:"worthy"`    // part of the first tries that is worth five times the others
-	ZoneSkew float64 `json:"zone_skew"` // as of Config
-	Drawn    bool    `json:"drawn"`     // the servers' and clients' ways are drawn from the seed, around what they else are
-	Free     bool    `json:"free"`      // probes and connections cost the servers nothing
+	Sidecars         int     `json:"sidecars"`
+	Servers          int     `json:"servers"`
+	Load             float64 `json:"load"`    // first tries over the servers' usable capacity, both a second
+	Reports          string  `json:"reports"` // one of OverloadReports
+	Event            string  `json:"event"`   // one of OverloadEvents
+	Seed             uint64  `json:"seed"`    // of the day
+	Policy           string  `json:"policy"`
+	PriorityFraction float64 `json:"worthy"`    // part of the first tries that is worth five times the others
+	ZoneSkew         float64 `json:"zone_skew"` // as of Config
+	Drawn            bool    `json:"drawn"`     // the servers' and clients' ways are drawn from the seed, around what they else are
+	Free             bool    `json:"free"`      // probes and connections cost the servers nothing
 }
 
 // OverloadEvents are what can happen on a day of the scale test: nothing; three times the traffic for two seconds; half
@@ -88,10 +88,10 @@
 		Name: "hold", Fraction: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, LatencyObjectiveMs: 1000,
 		DeadlineMs: 5000, PriorityWeight: 1, NonIdempotent: true,
 	}}
-	if o.Worthy > 0 {
+	if o.PriorityFraction > 0 {
 		worthy := c.Classes[0]
-		worthy.Name, worthy.Fraction, worthy.PriorityWeight = "order", o.Worthy, 5
-		c.Classes[0].Fraction -= o.Worthy
+		worthy.Name, worthy.Fraction, worthy.PriorityWeight = "order", o.PriorityFraction, 5
+		c.Classes[0].Fraction -= o.PriorityFraction
 		c.Classes = append(c.Classes, worthy)
 	}
 	c.Tenants = nil
@@ -125,26 +125,26 @@
 // OverloadResult is what became of a run. Shares are of first tries, answered within the latency objective.
 type OverloadResult struct {
 	Overload
-	Share    float64 `json:"share"` // of the whole day
-	Worth    float64 `json:"worth"` // the same by worth: what is beyond a tenant's share counts a tenth
-	Best     float64 `json:"best"`  // the same of the worthiest class
-	Before   float64 `json:"before"`
-	During   float64 `json:"during"`  // up to 5 s after the event's end
-	After    float64 `json:"after"`   // from then on
-	Back     float64 `json:"back_s"`  // after the event's end until it is within 0.05 of Before for good; -1 = never
-	Refused  float64 `json:"refused"` // answers of sidecars for each first try, as the next
-	Failed   float64 `json:"failed"`
-	Tries    float64 `json:"tries"`     // for each first try, as the next three
-	Attempts float64 `json:"attempts"`  //
-	TimedOut float64 `json:"timed_out"` // attempts
-	Probes   float64 `json:"probes"`
-	Shakes   float64 `json:"handshakes"`
-	Conns    float64 `json:"connections"` // for each server, on average
-	Choked   float64 `json:"choked"`      // part of the servers, on average from the event on
-	Waste    float64 `json:"waste"`
-	Broken   int     `json:"broken"` // breaches
-	Rows     []Row   `json:"rows"`
-	Report   *Report `json:"-"`
+	Share           float64 `json:"share"` // of the whole day
+	WeightedShare   float64 `json:"worth"` // the same by worth: what is beyond a tenant's share counts a tenth
+	Best            float64 `json:"best"`  // the same of the worthiest class
+	Before          float64 `json:"before"`
+	During          float64 `json:"during"`  // up to 5 s after the event's end
+	After           float64 `json:"after"`   // from then on
+	RecoverySeconds float64 `json:"back_s"`  // after the event's end until it is within 0.05 of Before for good; -1 = never
+	Rejected        float64 `json:"refused"` // answers of sidecars for each first try, as the next
+	Failed          float64 `json:"failed"`
+	Tries           float64 `json:"tries"`     // for each first try, as the next three
+	Attempts        float64 `json:"attempts"`  //
+	TimedOut        float64 `json:"timed_out"` // attempts
+	Probes          float64 `json:"probes"`
+	Handshakes      float64 `json:"handshakes"`
+	Conns           float64 `json:"connections"` // for each server, on average
+	Choked          float64 `json:"choked"`      // part of the servers, on average from the event on
+	Waste           float64 `json:"waste"`
+	Broken          int     `json:"broken"` // breaches
+	Rows            []Row   `json:"rows"`
+	Report          *Report `json:"-"`
 }
 
 // Play plays the run.
@@ -158,9 +158,9 @@
 		return nil, err
 	}
 	r := &OverloadResult{
-		Overload: o, Worth: report.Service,
+		Overload: o, WeightedShare: report.Service,
 		Best: report.Classes[len(report.Classes)-1].Service, Attempts: report.Attempts, Probes: report.Probes,
-		Shakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
+		Handshakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
 	}
 	requests := math.Max(1, float64(report.Requests))
 	r.Share = float64(report.InObjective) / requests
@@ -168,9 +168,9 @@
 	r.Before = inTime(report.Rows, overloadCalmStart, overloadEventStart)
 	r.During = inTime(report.Rows, overloadEventStart, ends+overloadRecoverySeconds)
 	r.After = inTime(report.Rows, ends+overloadRecoverySeconds, overloadSeconds)
-	r.Back = secondsUntilRecovered(report.Rows, int(ends), r.Before-overloadRecoveredMargin)
+	r.RecoverySeconds = secondsUntilRecovered(report.Rows, int(ends), r.Before-overloadRecoveredMargin)
 	for i, row := range report.Rows {
-		r.Refused += float64(row.Rejected) / requests
+		r.Rejected += float64(row.Rejected) / requests
 		r.Failed += float64(row.Failed) / requests
 		r.Tries += float64(row.Tries) / requests
 		r.TimedOut += float64(row.TimedOut) / requests
@@ -260,9 +260,9 @@
 		"tries\tattempts\ttimed out\tchoked\twaste\tprobes\thandshakes\tconns\tbroken\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.2f\t"+
-			"%.2f\t%.2f\t%.2f\t%.0f\t%d\t\n", r.Event, r.Reports, r.Load, r.Seed, r.Sidecars, r.Share, r.Worth, r.Best, r.Before,
-			r.During, r.After, r.Back, r.Refused, r.Failed, r.Tries, r.Attempts, r.TimedOut, r.Choked, r.Waste, r.Probes,
-			r.Shakes, r.Conns, r.Broken)
+			"%.2f\t%.2f\t%.2f\t%.0f\t%d\t\n", r.Event, r.Reports, r.Load, r.Seed, r.Sidecars, r.Share, r.WeightedShare, r.Best, r.Before,
+			r.During, r.After, r.RecoverySeconds, r.Rejected, r.Failed, r.Tries, r.Attempts, r.TimedOut, r.Choked, r.Waste, r.Probes,
+			r.Handshakes, r.Conns, r.Broken)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/testbench/emulator/overload_scale_test.go
+++ b/internal/testbench/emulator/overload_scale_test.go
@@ -27,10 +27,10 @@
 			t.Fatal(err)
 		}
 		for _, r := range results {
-			t.Logf("%s, load %g, %d sidecars: %.3f before, %.3f after, back in %.0f s", c.event, c.load, r.Sidecars, r.Before, r.After, r.Back)
-			if r.After < results[0].After-near || r.Back < 0 || r.Back > overloadRecoverySeconds || r.Broken > 0 {
+			t.Logf("%s, load %g, %d sidecars: %.3f before, %.3f after, back in %.0f s", c.event, c.load, r.Sidecars, r.Before, r.After, r.RecoverySeconds)
+			if r.After < results[0].After-near || r.RecoverySeconds < 0 || r.RecoverySeconds > overloadRecoverySeconds || r.Broken > 0 {
 				t.Errorf("%s, load %g, %d sidecars: %.3f after it, %d sidecars serve %.3f; back in %.0f s; broken: %v", c.event,
-					c.load, r.Sidecars, r.After, results[0].Sidecars, results[0].After, r.Back, r.Report.Broken)
+					c.load, r.Sidecars, r.After, results[0].Sidecars, results[0].After, r.RecoverySeconds, r.Report.Broken)
 			}
 		}
 	}
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -26,8 +26,8 @@
 	Service       float64        `json:"service"`
 	WorstWindow   float64        `json:"worst_window"` // of 10 s, or the day if that is shorter
 	WorstWindowAt float64        `json:"worst_window_at_s"`
-	Classes       []ServiceShare `json:"classes"`
-	Tenants       []ServiceShare `json:"tenants"` // within their shares
+	Classes       []NamedService `json:"classes"`
+	Tenants       []NamedService `json:"tenants"` // within their shares
 	WorstClass    float64        `json:"worst_class"`
 	WorstTenant   float64        `json:"worst_tenant"`
 	MeanMs        float64        `json:"mean_ms"` // of what was served, from the first try's intended send to the answer
@@ -57,8 +57,8 @@
 	InPolicy time.Duration `json:"-"` // spent in policies, by Options.Clock: it depends on the machine, not on the day
 }
 
-// ServiceShare is how a class or a tenant was served.
-type ServiceShare struct {
+// NamedService is how a class or a tenant was served.
+type NamedService struct {
 	Name    string  `json:"name"`
 	Service float64 `json:"service"`
 }
@@ -108,19 +108,19 @@
 const window = 10 // seconds
 
 // worstWindow is the worst window's share and where it begins.
-func (j *judge) worstWindow() (share float64, at int) {
+func (j *judge) worstWindow() (lowest float64, at int) {
 	full := j.seconds
-	share = 2
+	lowest = 2
 	for from := 0; from == 0 || from+window <= len(full); from++ {
 		sum := servedFraction{}
 		for _, s := range full[from:min(len(full), from+window)] {
 			sum.requested, sum.served = sum.requested+s.requested, sum.served+s.served
 		}
-		if s := sum.ratio(); s < share {
-			share, at = s, from
+		if s := sum.ratio(); s < lowest {
+			lowest, at = s, from
 		}
 	}
-	return share, at
+	return lowest, at
 }
 
 func (w *world) report() *Report {
@@ -139,11 +139,11 @@
 	r.WorstWindow = worstWindow
 	r.WorstWindowAt = float64(worstWindowAt)
 	for i, p := range j.classes {
-		r.Classes = append(r.Classes, ServiceShare{c.Classes[i].Name, p.ratio()})
+		r.Classes = append(r.Classes, NamedService{c.Classes[i].Name, p.ratio()})
 		r.WorstClass = min(r.WorstClass, p.ratio())
 	}
 	for i, p := range j.tenants {
-		r.Tenants = append(r.Tenants, ServiceShare{c.Tenants[i].Name, p.ratio()})
+		r.Tenants = append(r.Tenants, NamedService{c.Tenants[i].Name, p.ratio()})
 		r.WorstTenant = min(r.WorstTenant, p.ratio())
 	}
 	requests := max(1, float64(j.requestCount))
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -31,14 +31,14 @@
 
 // Count is the whole count.
 type Count struct {
-	Sidecars   int
-	Rows       []Row // by stretch of Every
-	Every      time.Duration
-	Total      Row
-	Most       map[string]Peak // of calls, probes and dials: the most at one server in any stretch
-	ReportAges []float64       // ms of age behind each send that had any, sorted
-	Waits      []float64       // ms that list calls took beyond their wait, sorted
-	CPU        []float64       // ms of each sidecar's processes, sorted
+	Sidecars       int
+	Rows           []Row // by stretch of Every
+	Every          time.Duration
+	Total          Row
+	MaxAtOneServer map[string]Peak // of calls, probes and dials: the most at one server in any stretch
+	ReportAges     []float64       // ms of age behind each send that had any, sorted
+	Waits          []float64       // ms that list calls took beyond their wait, sorted
+	CPU            []float64       // ms of each sidecar's processes, sorted
 }
 
 // Peak is a most, and where and when.
@@ -80,7 +80,7 @@
 		return nil, fmt.Errorf("%s: no trace lines: the sidecars have to run with GW_TRACE=1", dir)
 	}
 	slices.SortStableFunc(lines, func(x, y line) int { return x.time.Compare(y.time) })
-	c := &Count{Sidecars: len(names), Every: every, Most: map[string]Peak{}}
+	c := &Count{Sidecars: len(names), Every: every, MaxAtOneServer: map[string]Peak{}}
 	return c, c.count(lines, float64(warm.Milliseconds()))
 }
 
@@ -235,8 +235,8 @@
 func (c *counter) notePeak(l *line, what string, stretch int) {
 	key := rowKey{what, l.field["provider"], stretch}
 	c.perRow[key]++
-	if n := c.perRow[key]; n > c.Most[what].Count {
-		c.Most[what] = Peak{n, key.server, time.Duration(stretch) * c.Every}
+	if n := c.perRow[key]; n > c.MaxAtOneServer[what].Count {
+		c.MaxAtOneServer[what] = Peak{n, key.server, time.Duration(stretch) * c.Every}
 	}
 }
 
@@ -272,7 +272,7 @@
 	}
 	line("all", c.Total)
 	for _, what := range []string{"calls", "probes", "connects"} {
-		p := c.Most[what]
+		p := c.MaxAtOneServer[what]
 		printf("most %s at one server within %s: %d, %s at %.1f s\n", what, c.Every, p.Count, p.Server, p.At.Seconds())
 	}
 	for _, v := range []struct {
--- a/internal/testbench/fleet/fleet_test.go
+++ b/internal/testbench/fleet/fleet_test.go
@@ -54,8 +54,8 @@
 			Attempts: 3, Retries: 1, Stale: 2, Cold: 1, Probes: 1, ProbesFailed: 1, Dials: 2, DialsFailed: 1, Open: 1, Lists: 2,
 			ListsFull: 1, ListsWrong: 1,
 		},
-		Most:       map[string]Peak{"calls": {2, "a", 0}, "probes": {1, "a", 0}, "connects": {1, "b", 0}},
-		ReportAges: []float64{40, 1500}, Waits: []float64{2, 2000}, CPU: []float64{9},
+		MaxAtOneServer: map[string]Peak{"calls": {2, "a", 0}, "probes": {1, "a", 0}, "connects": {1, "b", 0}},
+		ReportAges:     []float64{40, 1500}, Waits: []float64{2, 2000}, CPU: []float64{9},
 	}
 	if d := cmp.Diff(want, c); d != "" {
 		t.Error(d)
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -77,9 +77,9 @@
 // Close ends it.
 func (b *BusyWatch) Close() { close(b.stop) }
 
-// Look returns, since the last look, by how much a timer has come late at most, and how many processors were busy; 0 = not
+// Sample returns, since the last look, by how much a timer has come late at most, and how many processors were busy; 0 = not
 // known.
-func (b *BusyWatch) Look() (late time.Duration, cores float64) {
+func (b *BusyWatch) Sample() (late time.Duration, cores float64) {
 	now, busy := time.Now(), machineBusy()
 	cores = max(0, (busy-b.busy).Seconds()/now.Sub(b.lastLook).Seconds())
 	b.lastLook, b.busy = now, busy
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -17,22 +17,22 @@
 // Metrics is what a run has shown. Seconds count from the event. What became of tries is counted of those that ended
 // after it, twice and late sends of the whole run.
 type Metrics struct {
-	Requests    int      `json:"requests"`   // of the whole run
-	Normal      float64  `json:"normal"`     // share served within the latency objective before the event
-	Back        *float64 `json:"back_s"`     // until 95% of normal holds for a second; nil = never
-	Below       float64  `json:"below_s"`    // spent below that, in all
-	Worst       float64  `json:"worst"`      // share in the worst window
-	First       *float64 `json:"first_2s"`   // share in the first 2 s of a second life; nil = there was none
-	Lost        int      `json:"lost"`       // the connection ended without an answer, or brought another's
-	Unanswered  int      `json:"unanswered"` // nothing came while the client waited
-	Failed      int      `json:"failed"`     // an error or a broken answer
-	Rejected    int      `json:"refused"`
-	Unreachable int      `json:"unreachable"`      // no connection came up
-	Twice       int      `json:"twice"`            // runs of what must not run twice beyond the first
-	Late        int      `json:"late"`             // sends to a server after the grace of its drain
-	Probes      float64  `json:"probes_per_s"`     // during the fault
-	Lists       float64  `json:"list_calls_per_s"` // likewise
-	Stall       float64  `json:"stall_s"`          // the longest time for which the test bench itself was stalled
+	Requests     int      `json:"requests"`   // of the whole run
+	Normal       float64  `json:"normal"`     // share served within the latency objective before the event
+	Recovery     *float64 `json:"back_s"`     // until 95% of normal holds for a second; nil = never
+	Below        float64  `json:"below_s"`    // spent below that, in all
+	Worst        float64  `json:"worst"`      // share in the worst window
+	AfterRestart *float64 `json:"first_2s"`   // share in the first 2 s of a second life; nil = there was none
+	Lost         int      `json:"lost"`       // the connection ended without an answer, or brought another's
+	Unanswered   int      `json:"unanswered"` // nothing came while the client waited
+	Failed       int      `json:"failed"`     // an error or a broken answer
+	Rejected     int      `json:"refused"`
+	Unreachable  int      `json:"unreachable"`      // no connection came up
+	ExtraRuns    int      `json:"twice"`            // runs of what must not run twice beyond the first
+	Late         int      `json:"late"`             // sends to a server after the grace of its drain
+	Probes       float64  `json:"probes_per_s"`     // during the fault
+	Lists        float64  `json:"list_calls_per_s"` // likewise
+	Stall        float64  `json:"stall_s"`          // the longest time for which the test bench itself was stalled
 }
 
 // isLost reports whether the sidecar had the request, or might have, and its client was left without an answer.
@@ -153,12 +153,12 @@
 	until := r.tries[len(r.tries)-1].At
 	if t.recovered {
 		back := t.back.Seconds()
-		f.Back = &back
+		f.Recovery = &back
 		until = event.Add(max(minSpan, t.back))
 	}
 	if !r.restartedAt.IsZero() {
 		first := servedFraction(r.tries, r.restartedAt, r.restartedAt.Add(firstSpan))
-		f.First = &first
+		f.AfterRestart = &first
 	}
 	for i := range r.tries {
 		if t := &r.tries[i]; t.Again == 0 {
@@ -168,7 +168,7 @@
 			f.count(&r.tries[i])
 		}
 	}
-	f.Twice = r.extraRuns()
+	f.ExtraRuns = r.extraRuns()
 	calls := r.fleet.Directory.Calls()
 	notifiedAt := notifiedAt(r.drains, calls)
 	within := func(at time.Time) float64 {
--- a/internal/testbench/recovery/program_test.go
+++ b/internal/testbench/recovery/program_test.go
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		notifiedAt := strings.Join(got.Broken, "; ")
-		if got.Unreachable == 0 || got.Twice != 0 || !strings.Contains(notifiedAt, "killed") {
+		if got.Unreachable == 0 || got.ExtraRuns != 0 || !strings.Contains(notifiedAt, "killed") {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -59,7 +59,7 @@
 	}
 	out.Metrics = r.metrics(event)
 	out.Broken = append(out.Broken, r.finish(ctx)...)
-	out.Broken = append(out.Broken, none(out.Twice, ruleTwice)...)
+	out.Broken = append(out.Broken, none(out.ExtraRuns, ruleTwice)...)
 	out.Broken = append(out.Broken, none(out.Late, ruleLate)...)
 	if s.strict {
 		out.Broken = append(out.Broken, noneLost(r.tries)...)
--- a/internal/testbench/recovery/table.go
+++ b/internal/testbench/recovery/table.go
@@ -17,16 +17,16 @@
 	fmt.Fprint(t, head)
 	for _, r := range reports {
 		back, first := "never", "-"
-		if r.Back != nil {
-			back = fmt.Sprintf("%.2f", *r.Back)
+		if r.Recovery != nil {
+			back = fmt.Sprintf("%.2f", *r.Recovery)
 		}
-		if r.First != nil {
-			first = fmt.Sprintf("%.3f", *r.First)
+		if r.AfterRestart != nil {
+			first = fmt.Sprintf("%.3f", *r.AfterRestart)
 		}
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%.3f\t%s\t%.2f\t%.3f\t%s\t", r.Scenario, r.Seed, r.Program, r.Requests,
 			r.Normal, back, r.Below, r.Worst, first)
 		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.0f\t\n", r.Lost, r.Unanswered, r.Failed, r.Rejected,
-			r.Unreachable, r.Twice, r.Late, r.Probes, r.Lists, r.Stall*1000)
+			r.Unreachable, r.ExtraRuns, r.Late, r.Probes, r.Lists, r.Stall*1000)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -284,7 +284,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	c.HeapMB = float64(memory.HeapInuse+memory.StackInuse) / (1 << 20)
-	c.Late, _ = w.busy.Look()
+	c.Late, _ = w.busy.Sample()
 	c.Calls, c.Probes, c.Unreached = w.servers.counts()
 	for _, s := range w.sidecars {
 		c.Served += s.served.Load()
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -105,7 +105,7 @@
 }
 
 func (c *Comparison) addDiscoveryTraffic(u used, long time.Duration, busy *process.BusyWatch) {
-	late, cores := busy.Look()
+	late, cores := busy.Sample()
 	c.StallMs, c.Machine = ms(late), cores
 	t, s := u.Discovery.Discovery, long.Seconds()
 	c.ListCalls, c.ListIn, c.ListOut, c.CompleteLists = float64(t.Calls)/s, float64(t.BytesIn)/s, float64(t.BytesOut)/s, t.Complete
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -119,7 +119,7 @@
 }
 
 func (p *play) addRow(scene string, metrics []Figure) {
-	late, cores := p.busy.Look()
+	late, cores := p.busy.Sample()
 	metrics = append(metrics, Figure{"stall_ms", ms(max(late, p.late))}, Figure{"machine_cores_busy", cores})
 	p.late = 0
 	p.rows = append(p.rows, Row{Scene: scene, Kind: p.set.Kind, Sidecars: p.set.Sidecars, Servers: p.set.Servers, Metrics: metrics})
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -21,11 +21,11 @@
 type Report struct {
 	Seed uint64
 	variant
-	Faults                            map[Kind]int
-	Requests, Served, Refused, Failed int
-	Left, Unreachable, Attempts       int
-	Stall                             time.Duration // by which this process was stalled, at most: slack of the judge
-	Violations                        []Violation
+	Faults                             map[Kind]int
+	Requests, Served, Rejected, Failed int
+	Left, Unreachable, Attempts        int
+	Stall                              time.Duration // by which this process was stalled, at most: slack of the judge
+	Violations                         []Violation
 }
 
 // Run plays a run and judges it.
@@ -85,7 +85,7 @@
 		case q.status == 200:
 			r.Served++
 		case q.status == 429 || q.status == 503:
-			r.Refused++
+			r.Rejected++
 		default:
 			r.Failed++
 		}
@@ -95,7 +95,7 @@
 // Write prints the report.
 func (r *Report) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connections within %s, repeats within %s, crowds %t: %d requests, %d served, %d refused, %d failed, %d left, %d found nobody; %d attempts; held up %s at most\n",
-		r.Seed, r.sockets, r.onRequest, r.longest, r.connect, r.window, r.manyClients, r.Requests, r.Served, r.Refused, r.Failed, r.Left, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
+		r.Seed, r.sockets, r.onRequest, r.longest, r.connect, r.window, r.manyClients, r.Requests, r.Served, r.Rejected, r.Failed, r.Left, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
 	fmt.Fprint(to, "  troubles:")
 	for _, k := range slices.Sorted(maps.Keys(r.Faults)) {
 		fmt.Fprintf(to, " %s %d", k, r.Faults[k])
