--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -35,11 +35,11 @@
 }
 
 // save writes the results to the file of --json, if there is one.
-func (e *experiment) save(figures any) error {
+func (e *experiment) save(results any) error {
 	if e.JSON == "" {
 		return nil
 	}
-	raw, err := json.MarshalIndent(figures, "", "  ")
+	raw, err := json.MarshalIndent(results, "", "  ")
 	if err != nil {
 		return err
 	}
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -80,12 +80,10 @@
 	if err := w.sidecar.start(ctx, w.network, s.Program, s.Core, log); err != nil {
 		return err
 	}
-	ready, err := w.read()
-	if err != nil {
+	m := &point.Measured
+	if err := w.recordStart(m, began); err != nil {
 		return err
 	}
-	m := &point.Measured
-	m.recordStart(time.Since(began), ready)
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -135,15 +133,20 @@
 	}
 }
 
-// recordStart records what the start of the sidecar took.
-func (m *Measured) recordStart(took time.Duration, ready reading) {
-	m.ReadyMs = ms(took)
+// recordStart records what the start of the sidecar took, which has just become ready.
+func (w *world) recordStart(m *Measured, began time.Time) error {
+	ready, err := w.read()
+	if err != nil {
+		return err
+	}
+	m.ReadyMs = ms(time.Since(began))
 	m.StartCPU = ms(ready.cpu)
 	m.StartLists = ready.lists.Messages
 	m.StartBytes = ready.lists.Bytes
 	m.StartCompleteLists = ready.completeLists
 	m.StartProbes = ready.probes.Messages
 	m.StartConnects = ready.accepted
+	return nil
 }
 
 // newLoad returns the point's clients, whose load lasts a little longer than the measurement.
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -38,11 +38,11 @@
 
 // configure writes the configuration file: whole or not at all, since the sidecar may read it at any time.
 func (s *sidecar) configure(of Point, discovery string, known fakes.List, latencyObjective time.Duration) error {
-	tile := fakes.Tile()
-	tile.Aim = latencyObjective
+	idempotent := fakes.Tile()
+	idempotent.Aim = latencyObjective
 	raw, err := fakes.Config(fakes.Sidecar{
 		Name: "lab", Listen: s.address, Seed: 1, Directory: discovery, Known: known,
-		Classes: []fakes.Class{tile, fakes.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
+		Classes: []fakes.Class{idempotent, fakes.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
 		ConnIdle: time.Minute, Connect: 150 * time.Millisecond, DrainGrace: drainGrace,
 		Edit: func(document map[string]any) {
 			document["admin_addr"] = s.admin
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -293,16 +293,7 @@
 // writeMeans writes, by number of sidecars, the means over the seeds of the share that was served in time after the
 // event and, in brackets, of the whole day, and behind the slash how many of the runs were back in time.
 func writeMeans(out io.Writer, t *tabwriter.Writer, results []*OverloadResult) {
-	var sizes []int
-	var rows []Overload
-	for _, r := range results {
-		sizes = append(sizes, r.Sidecars)
-		if row := r.row(); !slices.Contains(rows, row) {
-			rows = append(rows, row)
-		}
-	}
-	slices.Sort(sizes)
-	sizes = slices.Compact(sizes)
+	sizes, rows := sizesAndRows(results)
 	fmt.Fprintln(out, "\nmeans over the seeds: share after the event (of the whole day), runs back to the best share "+
 		"before it within 5 s of its end")
 	fmt.Fprint(t, "event\treports\tload\t")
@@ -313,33 +304,60 @@
 	for _, row := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%g\t", row.Event, row.Reports, row.Load)
 		lowest, highest := math.Inf(1), math.Inf(-1)
-		target := 0.0 // before the event, by any number of sidecars: what is far below it is not back
+		target := bestBefore(results, row, sizes) - overloadRecoveredMargin
 		for _, n := range sizes {
-			var before, runs float64
-			for _, r := range results {
-				if r.Sidecars == n && r.row() == row {
-					before, runs = before+r.Before, runs+1
-				}
-			}
-			target = max(target, before/max(1, runs))
+			after := writeMean(t, results, row, n, target)
+			lowest = min(lowest, after)
+			highest = max(highest, after)
 		}
-		for _, n := range sizes {
-			var after, wholeDay, runs float64
-			soon := 0
-			for _, r := range results {
-				if r.Sidecars != n || r.row() != row {
-					continue
-				}
-				after, wholeDay, runs = after+r.After, wholeDay+r.Share, runs+1
-				if late := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target-overloadRecoveredMargin); late >= 0 && late <= overloadRecoverySeconds {
-					soon++
-				}
+		fmt.Fprintf(t, "%.3f\t\n", highest-lowest)
+	}
+}
+
+// sizesAndRows returns the numbers of sidecars, sorted, and what tells the runs apart otherwise, in the order of the runs.
+func sizesAndRows(results []*OverloadResult) (sizes []int, rows []Overload) {
+	for _, r := range results {
+		sizes = append(sizes, r.Sidecars)
+		if row := r.row(); !slices.Contains(rows, row) {
+			rows = append(rows, row)
+		}
+	}
+	slices.Sort(sizes)
+	return slices.Compact(sizes), rows
+}
+
+// bestBefore is the best share before the event among the sizes, each on average: a run far below it has not recovered.
+func bestBefore(results []*OverloadResult, row Overload, sizes []int) (best float64) {
+	for _, n := range sizes {
+		var before, runs float64
+		for _, r := range results {
+			if r.Sidecars == n && r.row() == row {
+				before += r.Before
+				runs++
 			}
-			fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, wholeDay/runs, soon, runs)
-			lowest, highest = min(lowest, after/runs), max(highest, after/runs)
 		}
-		fmt.Fprintf(t, "%.3f\t\n", highest-lowest)
+		best = max(best, before/max(1, runs))
+	}
+	return best
+}
+
+// writeMean writes a cell of the table of means and returns the mean share after the event.
+func writeMean(t *tabwriter.Writer, results []*OverloadResult, row Overload, sidecars int, target float64) float64 {
+	var after, allDay, runs float64
+	recovered := 0
+	for _, r := range results {
+		if r.Sidecars != sidecars || r.row() != row {
+			continue
+		}
+		after += r.After
+		allDay += r.Share
+		runs++
+		if late := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target); late >= 0 && late <= overloadRecoverySeconds {
+			recovered++
+		}
 	}
+	fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, allDay/runs, recovered, runs)
+	return after / runs
 }
 
 // row is what runs of several sizes and seeds share.
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -64,8 +64,8 @@
 			case <-time.After(lateTick):
 			}
 			for late := int64(time.Since(before) - lateTick); ; {
-				most := n.late.Load()
-				if late <= most || n.late.CompareAndSwap(most, late) {
+				longest := n.late.Load()
+				if late <= longest || n.late.CompareAndSwap(longest, late) {
 					break
 				}
 			}
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -69,9 +69,9 @@
 
 // patientClasses are the usual classes with clients that wait for long.
 func patientClasses() []fakes.Class {
-	tile, order := fakes.Tile(), fakes.Order()
-	tile.Deadline, order.Deadline = clientTimeout, clientTimeout
-	return []fakes.Class{tile, order}
+	idempotent, order := fakes.Tile(), fakes.Order()
+	idempotent.Deadline, order.Deadline = clientTimeout, clientTimeout
+	return []fakes.Class{idempotent, order}
 }
 
 // Handovers runs the plan: SIGUSR2, until the successor serves alone, and again. An error says that it could not be run
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestShareIsOfWhatWasDue(t *testing.T) {
+func TestServedFractionIsOfWhatWasDue(t *testing.T) {
 	tries := windowsOf(0, 10, 20, 0)
 	if got := servedFraction(tries, after(250), after(750)); got != 0.75 {
 		t.Errorf("%g, want 0.75", got)
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -13,20 +13,20 @@
 
 // The fleet's nature. A server alone could serve some 170 requests a second.
 const (
-	cores            = 4
-	queue            = 32
-	tileServiceTime  = 25 * time.Millisecond
-	orderServiceTime = 15 * time.Millisecond
-	answerSize       = 512
-	handshake        = 2 * time.Millisecond
-	slowStartFactor  = 2.0
-	warmUpTime       = 2 * time.Second
-	connIdle         = time.Minute
-	connectIn        = 150 * time.Millisecond
-	drainGrace       = 750 * time.Millisecond
-	orderPart        = 0.2 // of the requests; the others are safe to repeat
-	maxSockets       = 4096
-	stallTick        = 10 * time.Millisecond
+	cores                 = 4
+	queue                 = 32
+	idempotentServiceTime = 25 * time.Millisecond
+	orderServiceTime      = 15 * time.Millisecond
+	answerSize            = 512
+	handshake             = 2 * time.Millisecond
+	slowStartFactor       = 2.0
+	warmUpTime            = 2 * time.Second
+	connIdle              = time.Minute
+	connectIn             = 150 * time.Millisecond
+	drainGrace            = 750 * time.Millisecond
+	orderPart             = 0.2 // of the requests; the others are safe to repeat
+	maxSockets            = 4096
+	stallTick             = 10 * time.Millisecond
 )
 
 // Setup is what every experiment needs to know.
@@ -92,7 +92,7 @@
 	}()
 	nature := fakes.ProviderOptions{
 		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: slowStartFactor,
-		WarmIn: warmUpTime, IdleMost: connIdle, Default: fakes.Service{Mean: tileServiceTime, Body: answerSize},
+		WarmIn: warmUpTime, IdleMost: connIdle, Default: fakes.Service{Mean: idempotentServiceTime, Body: answerSize},
 		Service: map[string]fakes.Service{"order": {Mean: orderServiceTime, Body: answerSize}},
 	}
 	if r.fleet, err = fakes.NewFleet(network, s.Servers, nature); err != nil {
@@ -135,17 +135,17 @@
 // begin starts the load. It lasts until end or for so long.
 func (r *rig) begin(ctx context.Context, long time.Duration) {
 	ctx, r.cancel = context.WithCancel(ctx)
-	flows := []fakes.Flow{}
+	streams := []fakes.Flow{}
 	for _, c := range r.setup.classes() {
 		part := orderPart
 		if c.Safe {
 			part = 1 - orderPart
 		}
-		flows = append(flows, fakes.Flow{Class: c, Rate: part * r.setup.Rate})
+		streams = append(streams, fakes.Flow{Class: c, Rate: part * r.setup.Rate})
 	}
 	r.load = fakes.NewConsumers(fakes.Load{
 		Network: r.line.network, Address: r.line.address, Seed: r.setup.Seed,
-		Flows: flows, For: long,
+		Flows: streams, For: long,
 	})
 	r.start = time.Now()
 	r.running.Go(func() {
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -133,11 +133,11 @@
 
 // template returns the configuration that all share.
 func (w *world) template() ([]byte, error) {
-	tile := fakes.Tile()
-	tile.Aim = w.latencyObjective
+	class := fakes.Tile()
+	class.Aim = w.latencyObjective
 	return fakes.Config(fakes.Sidecar{
 		Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
-		Classes: []fakes.Class{tile}, Sockets: maxSockets, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
+		Classes: []fakes.Class{class}, Sockets: maxSockets, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
 		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmUpTime, Edit: w.edit,
 	})
 }
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -182,7 +182,7 @@
 	now := time.Now()
 	for range 40 { // the sidecar may be starting, or its disk may fail
 		if s.order("enable", server) == 200 {
-			w.note(func(r *record) { r.orders[number].takenBackAt = now })
+			w.note(func(r *record) { r.orders[number].revokedAt = now })
 			return
 		}
 		_ = fakes.Pause(ctx, 100*time.Millisecond)
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -71,9 +71,9 @@
 
 // order is an operator's order that a sidecar has acknowledged.
 type order struct {
-	sidecar                     int
-	server                      string
-	acknowledgedAt, takenBackAt time.Time // to: it was taken back; zero = it was not
+	sidecar                   int
+	server                    string
+	acknowledgedAt, revokedAt time.Time // to: it was taken back; zero = it was not
 }
 
 // outage is a time in which discovery did not send its changes.
@@ -295,7 +295,7 @@
 	for _, o := range r.orders {
 		for _, a := range r.attempts {
 			late := a.Sent.Sub(o.acknowledgedAt) - drainGrace
-			if a.sidecar == o.sidecar && a.Server == o.server && late > drainSlack+r.slackAt(a.Sent) && (o.takenBackAt.IsZero() || a.Sent.Before(o.takenBackAt)) {
+			if a.sidecar == o.sidecar && a.Server == o.server && late > drainSlack+r.slackAt(a.Sent) && (o.revokedAt.IsZero() || a.Sent.Before(o.revokedAt)) {
 				add(Order, a.Sent, "%s: n%d sends to %s, which operators have taken out %s before", a.ID, o.sidecar, o.server,
 					a.Sent.Sub(o.acknowledgedAt))
 			}
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -18,10 +18,10 @@
 
 // proxy stands before a server and spoils its answers. What sidecars send it passes on at once.
 type proxy struct {
-	listener net.Listener
-	to       func() string // where the server is
-	cut      atomic.Bool
-	dribble  atomic.Bool
+	listener      net.Listener
+	serverAddress func() string // where the server is
+	cut           atomic.Bool
+	dribble       atomic.Bool
 
 	mutex       sync.Mutex
 	conns       map[net.Conn]bool
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, to: to, conns: map[net.Conn]bool{}}
+	p := &proxy{listener: l, serverAddress: to, conns: map[net.Conn]bool{}}
 	p.connections.Go(p.accept)
 	return p, nil
 }
@@ -51,7 +51,7 @@
 }
 
 func (p *proxy) serve(c net.Conn) {
-	s, err := net.DialTimeout("tcp", p.to(), time.Second)
+	s, err := net.DialTimeout("tcp", p.serverAddress(), time.Second)
 	if err != nil {
 		fakes.Abort(c)
 		return
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	denseClients    = 12
-	densePause      = 20 * time.Millisecond // after each answer
-	overloadClients = 150
-	overloadPause   = 100 * time.Millisecond
-	denseBefore     = 300 * time.Millisecond // of SIGTERM
-	lateRests       = 4
-	lateWithin      = 700 * time.Millisecond // of the kill, that the rest of a request comes
-	stallLength     = shutdown.MaxStall
-	maxStallLength  = 165 * time.Millisecond // what was stalled for longer, by the harness's own fault, says nothing
-	minStallGap     = 20 * time.Millisecond
-	endBeforeKill   = 100 * time.Millisecond // that a last stall ends, at the earliest,
-	endAfterKill    = 140 * time.Millisecond // and at the latest
-	minSlice        = 2 * time.Millisecond   // for which a process runs between two stalls in a row
-	maxSlice        = 30 * time.Millisecond
-	hangLead        = 200 * time.Millisecond // before the last accept
-	seriesWithin    = 150 * time.Millisecond // of SIGTERM, before or after it, in which other signals come
-	seriesClose     = 5 * time.Millisecond   // half of them so close to it
-	failAcceptMax   = 60 * time.Millisecond
-	lookAfter       = 60 * time.Millisecond // after SIGTERM, at which a hot restart may have happened meanwhile
-	shorterPart     = 2                     // one part in so many of the deadlines, where a reload makes them shorter
-	groupGone       = 2 * time.Second
+	denseClients     = 12
+	densePause       = 20 * time.Millisecond // after each answer
+	overloadClients  = 150
+	overloadPause    = 100 * time.Millisecond
+	denseBefore      = 300 * time.Millisecond // of SIGTERM
+	lateRests        = 4
+	lateWithin       = 700 * time.Millisecond // of the kill, that the rest of a request comes
+	stallLength      = shutdown.MaxStall
+	maxStallLength   = 165 * time.Millisecond // what was stalled for longer, by the harness's own fault, says nothing
+	minStallGap      = 20 * time.Millisecond
+	endBeforeKill    = 100 * time.Millisecond // that a last stall ends, at the earliest,
+	endAfterKill     = 140 * time.Millisecond // and at the latest
+	minSlice         = 2 * time.Millisecond   // for which a process runs between two stalls in a row
+	maxSlice         = 30 * time.Millisecond
+	unresponsiveLead = 200 * time.Millisecond // before the last accept
+	seriesWithin     = 150 * time.Millisecond // of SIGTERM, before or after it, in which other signals come
+	seriesClose      = 5 * time.Millisecond   // half of them so close to it
+	failAcceptMax    = 60 * time.Millisecond
+	lookAfter        = 60 * time.Millisecond // after SIGTERM, at which a hot restart may have happened meanwhile
+	shorterPart      = 2                     // one part in so many of the deadlines, where a reload makes them shorter
+	groupGone        = 2 * time.Second
 )
 
 // signalAfter is a signal that comes so long after SIGTERM, or before it.
@@ -195,12 +195,12 @@
 		at(lastForward-minStallGap, func() { w.interrupt(ctx, s, 4*minStallGap) })
 	}
 	if e.hanging {
-		at(lastForward-hangLead, func() { w.hangHalfOfServers(signalAt.Add(e.killAfter)) })
+		at(lastForward-unresponsiveLead, func() { w.stopHalfOfServersAnswering(signalAt.Add(e.killAfter)) })
 	}
 }
 
-// hangHalfOfServers has half of the servers stop answering until then, except those that have another fault.
-func (w *world) hangHalfOfServers(until time.Time) {
+// stopHalfOfServersAnswering has half of the servers stop answering until then, except those that have another fault.
+func (w *world) stopHalfOfServersAnswering(until time.Time) {
 	var hung []*serverPlace
 	for _, v := range w.servers[:len(w.servers)/2] {
 		if v.faulty.CompareAndSwap(false, true) {
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -133,7 +133,7 @@
 			w.close()
 		}
 	}()
-	var members []fakes.Member
+	var endpoints []fakes.Member
 	for i := range o.Servers {
 		p, err := fakes.NewProvider(w.network, fakes.ProviderOptions{
 			ID: fmt.Sprintf("s%d-0", i), Seed: o.Seed + uint64(i), Cores: cores,
@@ -149,10 +149,10 @@
 				return w, err
 			}
 		}
-		members = append(members, w.endpoint(s, fakes.Serving, 0))
+		endpoints = append(endpoints, w.endpoint(s, fakes.Serving, 0))
 	}
 	for range 2 {
-		d, err := fakes.NewDirectory(w.network, "", members...)
+		d, err := fakes.NewDirectory(w.network, "", endpoints...)
 		if err != nil {
 			return w, err
 		}
@@ -161,7 +161,7 @@
 	for i := range o.Sidecars {
 		s, err := newSidecar(identity{
 			number: i, program: o.Program, dir: o.Dir, variant: w.variant,
-			known: fakes.List{Revision: 1, Members: members},
+			known: fakes.List{Revision: 1, Members: endpoints},
 		}, o.Seed+uint64(i), w.network, w.edit(0), w.discoveries[0].Address())
 		if err != nil {
 			return w, err
@@ -213,11 +213,11 @@
 }
 
 // updateDiscovery changes the lists of both discoveries, one of which each sidecar watches.
-func (w *world) updateDiscovery(members ...fakes.Member) {
+func (w *world) updateDiscovery(endpoints ...fakes.Member) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
 	for _, d := range w.discoveries {
-		d.Change(members...)
+		d.Change(endpoints...)
 	}
 }
 
