--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -16,17 +16,17 @@
 // Overload is one run of the scale test of overload: the same servers and the same traffic in all, shared by so many
 // sidecars. docs/operate/emulator.md describes its world.
 type Overload struct {
-	Sidecars int     `json:"sidecars"`
-	Servers  int     `json:"servers"`
-	Load     float64 `json:"load"`    // first tries over the servers' usable capacity, both a second
-	Reports  string  `json:"reports"` // one of OverloadReports
-	Event    string  `json:"event"`   // one of OverloadEvents
-	Seed     uint64  `json:"seed"`    // of the day
-	Policy   string  `json:"policy"`
-	Worthy   float64 `json:"worthy"`    // part of the first tries that is worth five times the others
-	ZoneSkew float64 `json:"zone_skew"` // as of Config
-	Drawn    bool    `json:"drawn"`     // the servers' and clients' ways are drawn from the seed, around what they else are
-	Free     bool    `json:"free"`      // probes and connections cost the servers nothing
+	Sidecars         int     `json:"sidecars"`
+	Servers          int     `json:"servers"`
+	Load             float64 `json:"load"`    // first tries over the servers' usable capacity, both a second
+	Reports          string  `json:"reports"` // one of OverloadReports
+	Event            string  `json:"event"`   // one of OverloadEvents
+	Seed             uint64  `json:"seed"`    // of the day
+	Policy           string  `json:"policy"`
+	PriorityFraction float64 `json:"worthy"`    // part of the first tries that is worth five times the others
+	ZoneSkew         float64 `json:"zone_skew"` // as of Config
+	Drawn            bool    `json:"drawn"`     // the servers' and clients' ways are drawn from the seed, around what they else are
+	Free             bool    `json:"free"`      // probes and connections cost the servers nothing
 }
 
 // OverloadEvents are what can happen on a day of the scale test: nothing; three times the traffic for two seconds; half
@@ -88,10 +88,10 @@
 		Name: "hold", Fraction: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, LatencyObjectiveMs: 1000,
 		DeadlineMs: 5000, PriorityWeight: 1, NonIdempotent: true,
 	}}
-	if o.Worthy > 0 {
+	if o.PriorityFraction > 0 {
 		worthy := c.Classes[0]
-		worthy.Name, worthy.Fraction, worthy.PriorityWeight = "order", o.Worthy, 5
-		c.Classes[0].Fraction -= o.Worthy
+		worthy.Name, worthy.Fraction, worthy.PriorityWeight = "order", o.PriorityFraction, 5
+		c.Classes[0].Fraction -= o.PriorityFraction
 		c.Classes = append(c.Classes, worthy)
 	}
 	c.Tenants = nil
@@ -125,26 +125,26 @@
 // OverloadResult is what became of a run. Shares are of first tries, answered within the latency objective.
 type OverloadResult struct {
 	Overload
-	Share    float64 `json:"share"` // of the whole day
-	Worth    float64 `json:"worth"` // the same by worth: what is beyond a tenant's share counts a tenth
-	Best     float64 `json:"best"`  // the same of the worthiest class
-	Before   float64 `json:"before"`
-	During   float64 `json:"during"`  // up to 5 s after the event's end
-	After    float64 `json:"after"`   // from then on
-	Back     float64 `json:"back_s"`  // after the event's end until it is within 0.05 of Before for good; -1 = never
-	Refused  float64 `json:"refused"` // answers of sidecars for each first try, as the next
-	Failed   float64 `json:"failed"`
-	Tries    float64 `json:"tries"`     // for each first try, as the next three
-	Attempts float64 `json:"attempts"`  //
-	TimedOut float64 `json:"timed_out"` // attempts
-	Probes   float64 `json:"probes"`
-	Shakes   float64 `json:"handshakes"`
-	Conns    float64 `json:"connections"` // for each server, on average
-	Choked   float64 `json:"choked"`      // part of the servers, on average from the event on
-	Waste    float64 `json:"waste"`
-	Broken   int     `json:"broken"` // breaches
-	Rows     []Row   `json:"rows"`
-	Report   *Report `json:"-"`
+	Share           float64 `json:"share"` // of the whole day
+	WeightedShare   float64 `json:"worth"` // the same by worth: what is beyond a tenant's share counts a tenth
+	Best            float64 `json:"best"`  // the same of the worthiest class
+	Before          float64 `json:"before"`
+	During          float64 `json:"during"`  // up to 5 s after the event's end
+	After           float64 `json:"after"`   // from then on
+	RecoverySeconds float64 `json:"back_s"`  // after the event's end until it is within 0.05 of Before for good; -1 = never
+	Rejected        float64 `json:"refused"` // answers of sidecars for each first try, as the next
+	Failed          float64 `json:"failed"`
+	Tries           float64 `json:"tries"`     // for each first try, as the next three
+	Attempts        float64 `json:"attempts"`  //
+	TimedOut        float64 `json:"timed_out"` // attempts
+	Probes          float64 `json:"probes"`
+	Handshakes      float64 `json:"handshakes"`
+	Conns           float64 `json:"connections"` // for each server, on average
+	Choked          float64 `json:"choked"`      // part of the servers, on average from the event on
+	Waste           float64 `json:"waste"`
+	Broken          int     `json:"broken"` // breaches
+	Rows            []Row   `json:"rows"`
+	Report          *Report `json:"-"`
 }
 
 // Play plays the run.
@@ -158,9 +158,9 @@
 		return nil, err
 	}
 	r := &OverloadResult{
-		Overload: o, Worth: report.Service,
+		Overload: o, WeightedShare: report.Service,
 		Best: report.Classes[len(report.Classes)-1].Service, Attempts: report.Attempts, Probes: report.Probes,
-		Shakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
+		Handshakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
 	}
 	requests := math.Max(1, float64(report.Requests))
 	r.Share = float64(report.InObjective) / requests
@@ -168,9 +168,9 @@
 	r.Before = inTime(report.Rows, overloadCalmStart, overloadEventStart)
 	r.During = inTime(report.Rows, overloadEventStart, ends+overloadRecoverySeconds)
 	r.After = inTime(report.Rows, ends+overloadRecoverySeconds, overloadSeconds)
-	r.Back = secondsUntilRecovered(report.Rows, int(ends), r.Before-overloadRecoveredMargin)
+	r.RecoverySeconds = secondsUntilRecovered(report.Rows, int(ends), r.Before-overloadRecoveredMargin)
 	for i, row := range report.Rows {
-		r.Refused += float64(row.Rejected) / requests
+		r.Rejected += float64(row.Rejected) / requests
 		r.Failed += float64(row.Failed) / requests
 		r.Tries += float64(row.Tries) / requests
 		r.TimedOut += float64(row.TimedOut) / requests
@@ -260,9 +260,9 @@
 		"tries\tattempts\ttimed out\tchoked\twaste\tprobes\thandshakes\tconns\tbroken\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.2f\t"+
-			"%.2f\t%.2f\t%.2f\t%.0f\t%d\t\n", r.Event, r.Reports, r.Load, r.Seed, r.Sidecars, r.Share, r.Worth, r.Best, r.Before,
-			r.During, r.After, r.Back, r.Refused, r.Failed, r.Tries, r.Attempts, r.TimedOut, r.Choked, r.Waste, r.Probes,
-			r.Shakes, r.Conns, r.Broken)
+			"%.2f\t%.2f\t%.2f\t%.0f\t%d\t\n", r.Event, r.Reports, r.Load, r.Seed, r.Sidecars, r.Share, r.WeightedShare, r.Best, r.Before,
+			r.During, r.After, r.RecoverySeconds, r.Rejected, r.Failed, r.Tries, r.Attempts, r.TimedOut, r.Choked, r.Waste, r.Probes,
+			r.Handshakes, r.Conns, r.Broken)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -293,16 +293,7 @@
 // writeMeans writes, by number of sidecars, the means over the seeds of the share that was served in time after the
 // event and, in brackets, of the whole day, and behind the slash how many of the runs were back in time.
 func writeMeans(out io.Writer, t *tabwriter.Writer, results []*OverloadResult) {
-	var sizes []int
-	var rows []Overload
-	for _, r := range results {
-		sizes = append(sizes, r.Sidecars)
-		if row := r.row(); !slices.Contains(rows, row) {
-			rows = append(rows, row)
-		}
-	}
-	slices.Sort(sizes)
-	sizes = slices.Compact(sizes)
+	sizes, rows := sizesAndRows(results)
 	fmt.Fprintln(out, "\nmeans over the seeds: share after the event (of the whole day), runs back to the best share "+
 		"before it within 5 s of its end")
 	fmt.Fprint(t, "event\treports\tload\t")
@@ -313,33 +304,60 @@
 	for _, row := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%g\t", row.Event, row.Reports, row.Load)
 		lowest, highest := math.Inf(1), math.Inf(-1)
-		target := 0.0 // before the event, by any number of sidecars: what is far below it is not back
+		target := bestBefore(results, row, sizes) - overloadRecoveredMargin
 		for _, n := range sizes {
-			var before, runs float64
-			for _, r := range results {
-				if r.Sidecars == n && r.row() == row {
-					before, runs = before+r.Before, runs+1
-				}
-			}
-			target = max(target, before/max(1, runs))
+			after := writeMean(t, results, row, n, target)
+			lowest = min(lowest, after)
+			highest = max(highest, after)
 		}
-		for _, n := range sizes {
-			var after, wholeDay, runs float64
-			soon := 0
-			for _, r := range results {
-				if r.Sidecars != n || r.row() != row {
-					continue
-				}
-				after, wholeDay, runs = after+r.After, wholeDay+r.Share, runs+1
-				if late := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target-overloadRecoveredMargin); late >= 0 && late <= overloadRecoverySeconds {
-					soon++
-				}
+		fmt.Fprintf(t, "%.3f\t\n", highest-lowest)
+	}
+}
+
+// sizesAndRows returns the numbers of sidecars, sorted, and what tells the runs apart otherwise, in the order of the runs.
+func sizesAndRows(results []*OverloadResult) (sizes []int, rows []Overload) {
+	for _, r := range results {
+		sizes = append(sizes, r.Sidecars)
+		if row := r.row(); !slices.Contains(rows, row) {
+			rows = append(rows, row)
+		}
+	}
+	slices.Sort(sizes)
+	return slices.Compact(sizes), rows
+}
+
+// bestBefore is the best share before the event among the sizes, each on average: a run far below it has not recovered.
+func bestBefore(results []*OverloadResult, row Overload, sizes []int) (best float64) {
+	for _, n := range sizes {
+		var before, runs float64
+		for _, r := range results {
+			if r.Sidecars == n && r.row() == row {
+				before += r.Before
+				runs++
 			}
-			fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, wholeDay/runs, soon, runs)
-			lowest, highest = min(lowest, after/runs), max(highest, after/runs)
 		}
-		fmt.Fprintf(t, "%.3f\t\n", highest-lowest)
+		best = max(best, before/max(1, runs))
+	}
+	return best
+}
+
+// writeMean writes a cell of the table of means and returns the mean share after the event.
+func writeMean(t *tabwriter.Writer, results []*OverloadResult, row Overload, sidecars int, target float64) float64 {
+	var after, allDay, runs float64
+	recovered := 0
+	for _, r := range results {
+		if r.Sidecars != sidecars || r.row() != row {
+			continue
+		}
+		after += r.After
+		allDay += r.Share
+		runs++
+		if late := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target); late >= 0 && late <= overloadRecoverySeconds {
+			recovered++
+		}
 	}
+	fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, allDay/runs, recovered, runs)
+	return after / runs
 }
 
 // row is what runs of several sizes and seeds share.
