--- a/balancer_test.go
+++ b/balancer_test.go
@@ -21,7 +21,7 @@
 func fleet(t *testing.T, n int, edit func(*plankrouter.Options)) (*fakes.Fleet, *plankrouter.Balancer) {
 	t.Helper()
 	net := fakes.NewMemory()
-	f, err := fakes.NewFleet(net, n, fakes.ProviderOptions{
+	f, err := fakes.NewFleet(net, n, fakes.ServerOptions{
 		Cores: 4, Queue: 16, Seed: 1,
 		Default: fakes.Service{Mean: 20 * ms, Fixed: true},
 	})
@@ -35,7 +35,7 @@
 			{Name: "order", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 5, Idempotency: plankrouter.NonIdempotent},
 		},
 	}
-	for _, p := range f.Providers {
+	for _, p := range f.Servers {
 		o.Endpoints = append(o.Endpoints, plankrouter.Endpoint{ID: p.ID(), Address: p.Address()})
 	}
 	if edit != nil {
@@ -119,7 +119,7 @@
 				t.Error(err)
 			}
 		}()
-		f.Providers[0].Change(func(b *fakes.Behaviour) { b.Slow = 10 })
+		f.Servers[0].ChangeBehaviour(func(b *fakes.Behaviour) { b.Slowdown = 10 })
 		for _, after := range []time.Duration{0, 50 * ms} {
 			ctx, cancel := context.WithCancel(t.Context())
 			if after == 0 {
--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -18,8 +18,8 @@
 // Each wrong call gets its status, in whatever pieces it comes, and callers that say nothing keep nobody waiting.
 func TestOperatorsCalls(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-		s := start(t, n, fleet.Directory, nil)
-		id := fleet.Providers[0].ID()
+		s := start(t, n, fleet.Discovery, nil)
+		id := fleet.Servers[0].ID()
 		for _, tc := range []struct {
 			method, target string
 			want           int
@@ -69,21 +69,21 @@
 // What the program reports is what its clients and servers have counted, through a reload and abandoned requests.
 func TestMetricsAreTrue(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-		s := start(t, n, fleet.Directory, nil)
-		record := fakes.Tile()
+		s := start(t, n, fleet.Discovery, nil)
+		record := fakes.TileClass()
 		record.Name = "record"
-		load := func(flows ...fakes.Flow) []fakes.Try {
-			return fakes.NewConsumers(fakes.Load{Network: n, Address: s.front, Seed: 1, For: 6 * second, Flows: flows}).Run(t.Context())
+		load := func(flows ...fakes.Stream) []fakes.Try {
+			return fakes.NewClients(fakes.Load{Network: n, Address: s.front, Seed: 1, Duration: 6 * second, Streams: flows}).Run(t.Context())
 		}
 		if f := s.counters(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
 			t.Errorf("before anything: %+v", f)
 		}
-		fleet.Providers[0].Change(func(b *fakes.Behaviour) { b.Decline = true })
-		tries := load(fakes.Flow{Class: fakes.Tile(), Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})
-		s.sidecar.Classes = []fakes.Class{record, fakes.Order()}
+		fleet.Servers[0].ChangeBehaviour(func(b *fakes.Behaviour) { b.Decline = true })
+		tries := load(fakes.Stream{Class: fakes.TileClass(), Rate: 100}, fakes.Stream{Class: fakes.OrderClass(), Rate: 20})
+		s.sidecar.Classes = []fakes.Class{record, fakes.OrderClass()}
 		s.write()
 		s.reload()
-		tries = append(tries, load(fakes.Flow{Class: record, Rate: 100}, fakes.Flow{Class: fakes.Order(), Rate: 20})...)
+		tries = append(tries, load(fakes.Stream{Class: record, Rate: 100}, fakes.Stream{Class: fakes.OrderClass(), Rate: 20})...)
 		if err := os.WriteFile(s.file, []byte("{"), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -106,14 +106,14 @@
 			want[try.Result][try.Class.Name]++
 		}
 		seen := 0
-		for _, p := range fleet.Providers {
+		for _, p := range fleet.Servers {
 			seen += len(p.Requests())
 		}
 		for name, got := range f.Success {
 			if w := want[fakes.Served][name]; got < w || got > w+10 {
 				t.Errorf("%s: success %d, its consumers saw %d", name, got, w)
 			}
-			if w := want[fakes.Refused][name]; f.Overload[name] != w {
+			if w := want[fakes.Rejected][name]; f.Overload[name] != w {
 				t.Errorf("%s: overload %d, its consumers saw %d", name, f.Overload[name], w)
 			}
 		}
@@ -129,10 +129,10 @@
 // within what a cold one may get.
 func TestCordonedServerGetsNothing(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-		s := start(t, n, fleet.Directory, nil)
-		p, began := fleet.Providers[0], time.Now()
+		s := start(t, n, fleet.Discovery, nil)
+		p, began := fleet.Servers[0], time.Now()
 		after := func(d time.Duration) { time.Sleep(time.Until(began.Add(d))) }
-		member := p.Member()
+		member := p.Endpoint()
 		restarted := member
 		go func() {
 			after(3 * second)
@@ -146,11 +146,11 @@
 				after(time.Duration(5+i) * second)
 				m := member
 				m.Phase = phase
-				fleet.Directory.Change(m)
+				fleet.Discovery.Change(m)
 			}
 			after(9 * second)
-			fleet.Directory.WholeForWatch(true)
-			fleet.Directory.Change(fleet.Providers[1].Member())
+			fleet.Discovery.CompleteForWatch(true)
+			fleet.Discovery.Change(fleet.Servers[1].Endpoint())
 			s.write()
 			s.reload()
 			after(10 * second)
@@ -158,14 +158,14 @@
 			if err := p.Start(p.ID()); err != nil {
 				t.Error(err)
 			}
-			restarted = p.Member()
-			fleet.Directory.Change(restarted)
+			restarted = p.Endpoint()
+			fleet.Discovery.Change(restarted)
 			after(12 * second)
 			s.adminCall("PUT", "/tile-servers/enable?target="+p.ID(), 200)
 		}()
-		fakes.NewConsumers(fakes.Load{
-			Network: n, Address: s.front, Seed: 1, For: 20 * second,
-			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 100}, {Class: fakes.Order(), Rate: 20}},
+		fakes.NewClients(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, Duration: 20 * second,
+			Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 100}, {Class: fakes.OrderClass(), Rate: 20}},
 		}).Run(t.Context())
 		before, back, soon := 0, time.Duration(0), 0
 		for _, r := range p.Requests() {
@@ -188,9 +188,9 @@
 				t.Errorf("it was probed %s after the call", at-3*second)
 			}
 		}
-		for i, last := range fleet.Providers { // all out: refused, not sent there
+		for i, last := range fleet.Servers { // all out: refused, not sent there
 			s.adminCall("PUT", "/tile-servers/disable?target="+last.ID(), 200)
-			if i == len(fleet.Providers)-1 {
+			if i == len(fleet.Servers)-1 {
 				time.Sleep(second)
 			}
 		}
@@ -199,7 +199,7 @@
 		}
 		s.adminCall("GET", "/ready", 503)
 		s.stop()
-		next := startIn(t, n, fleet.Directory, filepath.Dir(s.file), nil) // as after a kill
+		next := startIn(t, n, fleet.Discovery, filepath.Dir(s.file), nil) // as after a kill
 		if f := next.counters(); f.TargetsDisabled != 6 {
 			t.Errorf("the next process: %+v", f)
 		}
--- a/cmd/plankrouter/bench_test.go
+++ b/cmd/plankrouter/bench_test.go
@@ -68,14 +68,14 @@
 	l.Close()
 	known := fakes.List{Revision: 1}
 	for i, s := range servers {
-		known.Members = append(known.Members, fakes.Member{
-			ID: fmt.Sprint("s-", i), Address: s, Locality: fakes.Here,
+		known.Endpoints = append(known.Endpoints, fakes.Endpoint{
+			ID: fmt.Sprint("s-", i), Address: s, Locality: fakes.LocalZone,
 			Phase: fakes.Serving,
 		})
 	}
-	raw, err := fakes.Config(fakes.Sidecar{
-		Name: "n1", Listen: address, Directory: "127.0.0.1:1", Seed: 1, Known: known,
-		Sockets: 1024, MemoryMB: 192,
+	raw, err := fakes.Config(fakes.SidecarConfig{
+		Name: "n1", Listen: address, Discovery: "127.0.0.1:1", Seed: 1, Known: known,
+		MaxConns: 1024, MemoryMB: 192,
 	})
 	if err != nil || !json.Valid(raw) {
 		b.Fatal(err)
@@ -90,7 +90,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := fakes.Ready(b.Context(), fakes.Loopback(), address); err != nil {
+	if err := fakes.AwaitReady(b.Context(), fakes.Loopback(), address); err != nil {
 		b.Fatal(err)
 	}
 	return p, address
--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -174,7 +174,7 @@
 				}
 			}
 		})
-		s := start(t, m, discovery, func(p *fakes.Sidecar) { p.MaxAttempts = 1 })
+		s := start(t, m, discovery, func(p *fakes.SidecarConfig) { p.MaxAttempts = 1 })
 		for what, tc := range map[string]struct {
 			raw  string
 			want int
@@ -198,7 +198,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
 		_, discovery := fakeServers(t, m, 2, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
-		s := start(t, m, discovery, func(p *fakes.Sidecar) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
+		s := start(t, m, discovery, func(p *fakes.SidecarConfig) { p.MemoryMB = 8 }) // room for 32 bodies of a length that is not known
 		ask := func(path, rest string) (int, string) {
 			return parse(t, s.send(s.front, "POST "+path+" HTTP/1.1\r\nHost: x\r\nReq-Id: "+nextID()+
 				"\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"+rest))
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -95,19 +95,19 @@
 	f := &floodedProgram{T: t, limit: limit}
 	known := fakes.List{Revision: 1}
 	for i := range 8 { // servers that take requests and never answer
-		known.Members = append(known.Members, fakes.Member{
+		known.Endpoints = append(known.Endpoints, fakes.Endpoint{
 			ID: fmt.Sprint("s-", i), Address: listenHere(t).Addr().String(),
-			Locality: fakes.Here, Phase: fakes.Serving,
+			Locality: fakes.LocalZone, Phase: fakes.Serving,
 		})
 	}
 	front, desk := listenHere(t), listenHere(t)
 	f.front, f.desk = front.Addr().String(), desk.Addr().String()
 	desk.Close() // a port that is free now
 	dir := t.TempDir()
-	raw, err := fakes.Config(fakes.Sidecar{
-		Name: "n1", Listen: f.front, Directory: listenHere(t).Addr().String(), Seed: 1,
-		Known: known, Sockets: limit, MemoryMB: 64, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
-		NoProbes: true, Classes: []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}},
+	raw, err := fakes.Config(fakes.SidecarConfig{
+		Name: "n1", Listen: f.front, Discovery: listenHere(t).Addr().String(), Seed: 1,
+		Known: known, MaxConns: limit, MemoryMB: 64, ConnIdle: time.Minute, ConnectTimeout: time.Minute, DrainGrace: time.Minute,
+		NoProbes: true, Classes: []fakes.Class{{Name: "tile", LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1, Idempotent: true}},
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = f.desk
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": filepath.Join(dir, "snapshot"), "every_ms": 1000}}
@@ -143,7 +143,7 @@
 		f.cmd.Process.Kill()
 		_ = f.cmd.Wait()
 	})
-	if err := fakes.Ready(t.Context(), fakes.Loopback(), f.front); err != nil {
+	if err := fakes.AwaitReady(t.Context(), fakes.Loopback(), f.front); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -183,17 +183,17 @@
 					<-release
 					_, _ = io.WriteString(w, "ok")
 				})
-				s := start(t, n, discovery, func(c *fakes.Sidecar) {
-					c.Sockets, c.NoProbes = limit, true
-					c.Classes = []fakes.Class{{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true}}
+				s := start(t, n, discovery, func(c *fakes.SidecarConfig) {
+					c.MaxConns, c.NoProbes = limit, true
+					c.Classes = []fakes.Class{{Name: "tile", LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1, Idempotent: true}}
 					c.Edit = func(d map[string]any) {
 						d["settings"].(map[string]any)["Limits"].(map[string]any)["MayCancel"] = false
 					}
 				})
 				down := func(on bool) {
 					if hangs {
-						discovery.Mute(on)
-					} else if err := discovery.Down(on); err != nil {
+						discovery.HoldAnswers(on)
+					} else if err := discovery.SetDown(on); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -95,11 +95,11 @@
 // A process whose configuration has a list does not wait for discovery, whatever that does: it is ready at once.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-		if err := fleet.Directory.Vanish(true); err != nil {
+		if err := fleet.Discovery.SetSilent(true); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) { c.Balancers = 6000 }) // returns once it is ready
+		s := start(t, n, fleet.Discovery, func(c *fakes.SidecarConfig) { c.Instances = 6000 }) // returns once it is ready
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("ready after %s", took)
 		}
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -44,16 +44,16 @@
 	return w.net.Dial(ctx, address)
 }
 
-func (w *world) first(n int, how func(*fakes.Provider)) func() {
+func (w *world) first(n int, how func(*fakes.Server)) func() {
 	return func() {
-		for _, p := range w.Providers[:n] {
+		for _, p := range w.Servers[:n] {
 			how(p)
 		}
 	}
 }
 
 // probes of a server, and calls to discovery, from a moment on.
-func (w *world) probes(p *fakes.Provider, from, to time.Duration) (n int) {
+func (w *world) probes(p *fakes.Server, from, to time.Duration) (n int) {
 	for _, one := range p.Probes() {
 		if at := one.At.Sub(w.start); at >= from && at < to {
 			n++
@@ -63,9 +63,9 @@
 }
 
 func (w *world) calls(from, to time.Duration) (n, whole int) {
-	for _, c := range w.Directory.Calls() {
+	for _, c := range w.Discovery.Calls() {
 		if at := c.At.Sub(w.start); at >= from && at < to {
-			if n++; c.Whole {
+			if n++; c.Complete {
 				whole++
 			}
 		}
@@ -85,13 +85,13 @@
 var recoveryCases = map[string]recoveryCase{
 	"release while the directory's answers are lost": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Do: w.Directory.LosePresent}, {At: 5 * second, Do: func() {
-				_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: second, Move: true})
+			return fakes.Timeline{{At: 5 * second, Act: w.Discovery.LoseAnswersOnOpenConns}, {At: 5 * second, Act: func() {
+				_ = w.Release(context.Background(), fakes.Release{Batch: 2, MaxServers: 4, Grace: second, NewAddresses: true})
 			}}}
 		},
 		event: 5 * second, within: 4 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
-			for _, p := range w.Providers {
+			for _, p := range w.Servers {
 				between(t, "probes of "+p.ID(), w.probes(p, 5*second, 15*second), 20, 700)
 			}
 			n, whole := w.calls(5*second, 15*second)
@@ -101,8 +101,8 @@
 	},
 	"a release leaves nobody warm": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Do: func() {
-				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: second, Between: 2 * second, Move: true})
+			return fakes.Timeline{{At: 5 * second, Act: func() {
+				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: second, Between: 2 * second, NewAddresses: true})
 			}}}
 		},
 		event: 5 * second, within: 6 * second, worst: 0.8, // each was at 0.41 for five seconds while nobody had anything to do
@@ -111,16 +111,16 @@
 		lasts: 42 * second,
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 3 * second, Do: func() { _ = w.Directory.Down(true) }},
-				{At: 4 * second, Do: func() {
-					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: second, Move: true})
+				{At: 3 * second, Act: func() { _ = w.Discovery.SetDown(true) }},
+				{At: 4 * second, Act: func() {
+					_ = w.Release(context.Background(), fakes.Release{Batch: 2, MaxServers: 4, Grace: second, NewAddresses: true})
 				}},
-				{At: 33 * second, Do: func() { _ = w.Directory.Down(false) }},
+				{At: 33 * second, Act: func() { _ = w.Discovery.SetDown(false) }},
 			}
 		},
 		event: 4 * second, within: 4 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
-			for _, p := range w.Providers[:4] {
+			for _, p := range w.Servers[:4] {
 				between(t, "probes of the new "+p.ID(), w.probes(p, 36*second, 40*second), 5, 400)
 			}
 			n, _ := w.calls(33*second, 36*second)
@@ -130,23 +130,23 @@
 	"directory mute, and the answer comes when the call was given up": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 3 * second, Do: func() { w.Directory.AnswerLate(true) }},
-				{At: 4 * second, Do: func() {
-					_ = w.Release(context.Background(), fakes.Release{Batch: 2, Most: 4, Grace: second, Move: true})
+				{At: 3 * second, Act: func() { w.Discovery.AnswerAfterClose(true) }},
+				{At: 4 * second, Act: func() {
+					_ = w.Release(context.Background(), fakes.Release{Batch: 2, MaxServers: 4, Grace: second, NewAddresses: true})
 				}},
-				{At: 8 * second, Do: func() { w.Directory.AnswerLate(false) }},
+				{At: 8 * second, Act: func() { w.Discovery.AnswerAfterClose(false) }},
 			}
 		},
 		event: 4 * second, within: 4 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
-			for _, p := range w.Providers[:4] {
+			for _, p := range w.Servers[:4] {
 				between(t, "probes of the new "+p.ID(), w.probes(p, 12*second, 16*second), 5, 400)
 			}
 		},
 	},
 	"half of the list is wrong and the directory stands by it": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Do: w.first(4, (*fakes.Provider).Kill)}}
+			return fakes.Timeline{{At: 5 * second, Act: w.first(4, (*fakes.Server).Kill)}}
 		},
 		event: 5 * second, within: 2 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
@@ -157,38 +157,38 @@
 	"nothing leaves the own machine": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 5 * second, Do: func() { w.local.Store(true); w.first(8, (*fakes.Provider).ResetKept)() }},
-				{At: 8 * second, Do: func() { w.local.Store(false) }},
+				{At: 5 * second, Act: func() { w.local.Store(true); w.first(8, (*fakes.Server).ResetOpenConns)() }},
+				{At: 8 * second, Act: func() { w.local.Store(false) }},
 			}
 		},
 		event: 8 * second, within: 2 * second,
 		check: func(t *testing.T, w *world) {
-			for _, p := range w.Providers {
+			for _, p := range w.Servers {
 				between(t, "probes of "+p.ID(), w.probes(p, 10*second, 15*second), 20, 400)
 			}
 		},
 	},
 	"one turns probes away and serves requests": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Do: w.first(1, func(p *fakes.Provider) {
-				p.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable })
+			return fakes.Timeline{{At: 5 * second, Act: w.first(1, func(p *fakes.Server) {
+				p.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable })
 			})}}
 		},
 		event: 5 * second, worst: 0.9,
 		check: func(t *testing.T, w *world) {
-			between(t, "probes", w.probes(w.Providers[0], 6*second, 16*second), 8, 60)
+			between(t, "probes", w.probes(w.Servers[0], 6*second, 16*second), 8, 60)
 		},
 	},
 	"one answers probes and declines requests": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Do: w.first(1, func(p *fakes.Provider) {
-				p.Change(func(b *fakes.Behaviour) { b.Decline = true })
+			return fakes.Timeline{{At: 5 * second, Act: w.first(1, func(p *fakes.Server) {
+				p.ChangeBehaviour(func(b *fakes.Behaviour) { b.Decline = true })
 			})}}
 		},
 		event: 5 * second, within: 2 * second, worst: 0.8,
 		check: func(t *testing.T, w *world) {
 			n := 0
-			for _, r := range w.Providers[0].Requests() {
+			for _, r := range w.Servers[0].Requests() {
 				if r.FirstByte.Sub(w.start) > 6*second {
 					n++
 				}
@@ -199,13 +199,13 @@
 	"two machines vanish and come back": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 5 * second, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(true) })},
-				{At: 12 * second, Do: w.first(2, func(p *fakes.Provider) { _ = p.Vanish(false) })},
+				{At: 5 * second, Act: w.first(2, func(p *fakes.Server) { _ = p.SetSilent(true) })},
+				{At: 12 * second, Act: w.first(2, func(p *fakes.Server) { _ = p.SetSilent(false) })},
 			}
 		},
 		event: 5 * second, within: 3 * second, worst: 0.5,
 		check: func(t *testing.T, w *world) {
-			for _, p := range w.Providers[:2] {
+			for _, p := range w.Servers[:2] {
 				between(t, "probes while it is away", w.probes(p, 7*second, 12*second), 0, 15)
 				between(t, "probes within 2 s of its return", w.probes(p, 12*second, 14*second), 3, 200)
 			}
@@ -213,8 +213,8 @@
 	},
 	"a start with a list in which nothing is true": {
 		known: func(l fakes.List) fakes.List {
-			for i := range l.Members {
-				l.Members[i].ID, l.Members[i].Address = fmt.Sprint("old-", i), fmt.Sprintf("127.9.9.%d:9", i+1)
+			for i := range l.Endpoints {
+				l.Endpoints[i].ID, l.Endpoints[i].Address = fmt.Sprint("old-", i), fmt.Sprintf("127.9.9.%d:9", i+1)
 			}
 			return l
 		},
@@ -222,15 +222,15 @@
 	},
 	"a drain is told": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Do: func() {
-				m := w.Providers[0].Member()
+			return fakes.Timeline{{At: 5 * second, Act: func() {
+				m := w.Servers[0].Endpoint()
 				m.Phase = fakes.Draining
-				w.Directory.Change(m)
+				w.Discovery.Change(m)
 			}}}
 		},
 		event: 5 * second, worst: 0.9,
 		check: func(t *testing.T, w *world) {
-			for _, r := range w.Providers[0].Requests() {
+			for _, r := range w.Servers[0].Requests() {
 				if at := r.FirstByte.Sub(w.start); at > 5750*time.Millisecond {
 					t.Errorf("a request was sent %s after the drain was told", at-5*second)
 				}
@@ -253,7 +253,7 @@
 func (tr recoveryCase) play(t *testing.T) {
 	w := &world{net: fakes.NewMemory()}
 	var err error
-	if w.Fleet, err = fakes.NewFleet(w.net, 8, fakes.ProviderOptions{
+	if w.Fleet, err = fakes.NewFleet(w.net, 8, fakes.ServerOptions{
 		Cores: 4, Queue: 16, Seed: 1,
 		Default: fakes.Service{Mean: 20 * time.Millisecond},
 	}); err != nil {
@@ -264,32 +264,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := fakes.List{Revision: 1, Members: w.Members()}
+	known := fakes.List{Revision: 1, Endpoints: w.Endpoints()}
 	if tr.known != nil {
 		known = tr.known(known)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	raw, err := fakes.Config(fakes.Sidecar{
+	raw, err := fakes.Config(fakes.SidecarConfig{
 		Name: "n1", Listen: front.Addr().String(), Seed: 1,
-		Directory: w.Directory.Address(), Known: known,
+		Discovery: w.Discovery.Address(), Known: known,
 	})
 	if err != nil || os.WriteFile(file, raw, 0o600) != nil {
 		t.Fatal(err)
 	}
 	signals, ended := launch(t, map[string]string{"GW_CONFIG": file}, front, nil, w.dial)
-	if err := fakes.Ready(t.Context(), w.net, front.Addr().String()); err != nil {
+	if err := fakes.AwaitReady(t.Context(), w.net, front.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	w.start = time.Now()
 	ctx, cancel := context.WithCancel(t.Context())
 	if tr.steps != nil {
-		go tr.steps(w).Run(ctx, w.start)
+		go tr.steps(w).Play(ctx, w.start)
 	}
 	lasts := max(tr.lasts, 20*second)
-	w.tries = fakes.NewConsumers(fakes.Load{
-		Network: w.net, Address: front.Addr().String(), Seed: 1, For: lasts,
-		Retry: fakes.Retry{Wait: 50 * time.Millisecond, Most: 2},
-		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 120}, {Class: fakes.Order(), Rate: 24}},
+	w.tries = fakes.NewClients(fakes.Load{
+		Network: w.net, Address: front.Addr().String(), Seed: 1, Duration: lasts,
+		Retry:   fakes.Retry{Wait: 50 * time.Millisecond, MaxRetries: 2},
+		Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 120}, {Class: fakes.OrderClass(), Rate: 24}},
 	}).Run(t.Context())
 	signals.raise(syscall.SIGTERM)
 	if err := <-ended; err != nil {
@@ -301,14 +301,14 @@
 			t.Errorf("%s %s is %s: %v", try.Class.Name, try.ID, try.Result, try.Err)
 		}
 	}
-	if twice := fakes.RunTwice("order", w.Providers...); len(twice) > 0 {
+	if twice := fakes.RequestsRunTwice("order", w.Servers...); len(twice) > 0 {
 		t.Errorf("orders run twice: %v", twice)
 	}
-	if took, ok := fakes.Recovered(w.tries, w.start.Add(tr.event), 1, 500*time.Millisecond); !ok || took > tr.within {
+	if took, ok := fakes.RecoveryTime(w.tries, w.start.Add(tr.event), 1, 500*time.Millisecond); !ok || took > tr.within {
 		t.Errorf("recovered: %t, after %s, want %s", ok, took, tr.within)
 	}
 	for _, win := range fakes.Tally(w.tries, w.start, second) {
-		if win.From.Sub(w.start) < lasts-second && win.Share() < tr.worst {
+		if win.From.Sub(w.start) < lasts-second && win.ServedFraction() < tr.worst {
 			t.Errorf("%s: %s", win.From.Sub(w.start), win)
 		}
 	}
--- a/cmd/plankrouter/reload_test.go
+++ b/cmd/plankrouter/reload_test.go
@@ -39,9 +39,9 @@
 			return out
 		}
 		tile, order := ask("GET", "tile", "t1"), ask("POST", "order", "o1")
-		nowUnsafe, nowPure := fakes.Tile(), fakes.Order()
-		nowUnsafe.Safe, nowPure.Safe = false, true
-		extra := fakes.Tile()
+		nowUnsafe, nowPure := fakes.TileClass(), fakes.OrderClass()
+		nowUnsafe.Idempotent, nowPure.Idempotent = false, true
+		extra := fakes.TileClass()
 		extra.Name = "extra"
 		s.sidecar.Classes = []fakes.Class{nowPure, nowUnsafe, extra}
 		s.sidecar.MaxAttempts = 1
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -98,12 +98,12 @@
 	for i := range servers {
 		l := listenHere(t)
 		go r.serveRequests(l)
-		known.Members = append(known.Members, fakes.Member{
-			ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.Here,
+		known.Endpoints = append(known.Endpoints, fakes.Endpoint{
+			ID: fmt.Sprint("s-", i), Address: l.Addr().String(), Locality: fakes.LocalZone,
 			Phase: fakes.Serving,
 		})
 	}
-	discovery, err := fakes.NewDirectory(fakes.Loopback(), "", known.Members...)
+	discovery, err := fakes.NewDiscovery(fakes.Loopback(), "", known.Endpoints...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,12 +111,12 @@
 	front := listenHere(t)
 	r.front = front.Addr().String()
 	name := strings.ReplaceAll(t.Name(), " ", "_")
-	raw, err := fakes.Config(fakes.Sidecar{
-		Name: name, Listen: r.front, Directory: discovery.Address(), Known: known, Seed: 1,
-		NoProbes: true, ConnIdle: time.Minute, Connect: time.Minute, DrainGrace: time.Minute,
+	raw, err := fakes.Config(fakes.SidecarConfig{
+		Name: name, Listen: r.front, Discovery: discovery.Address(), Known: known, Seed: 1,
+		NoProbes: true, ConnIdle: time.Minute, ConnectTimeout: time.Minute, DrainGrace: time.Minute,
 		Classes: []fakes.Class{
-			{Name: "tile", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safe: true},
-			{Name: "order", Aim: time.Minute, Deadline: time.Minute, Worth: 5},
+			{Name: "tile", LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1, Idempotent: true},
+			{Name: "order", LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 5},
 		},
 		Edit: func(d map[string]any) { edit(d["settings"].(map[string]any)) },
 	})
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -27,18 +27,18 @@
 	net              *fakes.Memory
 	front, adminAddr string
 	file             string
-	sidecar          fakes.Sidecar
+	sidecar          fakes.SidecarConfig
 	signals          signalQueues
 	ended            chan error
 }
 
 // start runs the program against the fleet's discovery service.
-func start(t *testing.T, n *fakes.Memory, discovery *fakes.Directory, edit func(*fakes.Sidecar)) *service {
+func start(t *testing.T, n *fakes.Memory, discovery *fakes.Discovery, edit func(*fakes.SidecarConfig)) *service {
 	return startIn(t, n, discovery, "", edit)
 }
 
 // startIn is start with the TMPDIR of an earlier process, "" for one of its own.
-func startIn(t *testing.T, n *fakes.Memory, discovery *fakes.Directory, folder string, edit func(*fakes.Sidecar)) *service {
+func startIn(t *testing.T, n *fakes.Memory, discovery *fakes.Discovery, folder string, edit func(*fakes.SidecarConfig)) *service {
 	log.SetOutput(io.Discard)
 	front, err := n.Listen("")
 	if err != nil {
@@ -52,10 +52,10 @@
 		T: t, net: n, front: front.Addr().String(), adminAddr: desk.Addr().String(),
 		file: filepath.Join(t.TempDir(), "config.json"),
 	}
-	s.sidecar = fakes.Sidecar{
-		Name: "n1", Listen: s.front, Seed: 1, Directory: discovery.Address(), ConnIdle: time.Minute,
-		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
-		Known: fakes.List{Revision: 1, Members: discovery.Members()},
+	s.sidecar = fakes.SidecarConfig{
+		Name: "n1", Listen: s.front, Seed: 1, Discovery: discovery.Address(), ConnIdle: time.Minute,
+		ConnectTimeout: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond,
+		Known: fakes.List{Revision: 1, Endpoints: discovery.Endpoints()},
 	}
 	if edit != nil {
 		edit(&s.sidecar)
@@ -66,7 +66,7 @@
 		"TMPDIR": cmp.Or(folder, filepath.Dir(s.file)),
 	}, front, desk, n.Dial)
 	if folder == "" {
-		if err := fakes.Ready(t.Context(), n, s.front); err != nil {
+		if err := fakes.AwaitReady(t.Context(), n, s.front); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -144,7 +144,7 @@
 func withFleet(t *testing.T, servers int, run func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
-		fleet, err := fakes.NewFleet(n, servers, fakes.ProviderOptions{
+		fleet, err := fakes.NewFleet(n, servers, fakes.ServerOptions{
 			Cores: 4, Queue: 16, Seed: 1,
 			Default: fakes.Service{Mean: 20 * time.Millisecond},
 		})
@@ -181,9 +181,9 @@
 }
 
 // fakeServers starts n of them and a discovery service that lists them.
-func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*fakeServer, *fakes.Directory) {
+func fakeServers(t *testing.T, m *fakes.Memory, n int, how func(w http.ResponseWriter, r *http.Request)) ([]*fakeServer, *fakes.Discovery) {
 	var all []*fakeServer
-	var listed []fakes.Member
+	var listed []fakes.Endpoint
 	for i := range n {
 		l, err := m.Listen("")
 		if err != nil {
@@ -194,9 +194,9 @@
 		go func() { _ = server.Serve(l) }()
 		t.Cleanup(func() { server.Close() })
 		all = append(all, h)
-		listed = append(listed, fakes.Member{ID: fmt.Sprint("h", i), Address: l.Addr().String(), Locality: fakes.Here, Phase: fakes.Serving})
+		listed = append(listed, fakes.Endpoint{ID: fmt.Sprint("h", i), Address: l.Addr().String(), Locality: fakes.LocalZone, Phase: fakes.Serving})
 	}
-	d, err := fakes.NewDirectory(m, "", listed...)
+	d, err := fakes.NewDiscovery(m, "", listed...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -25,8 +25,8 @@
 	row      shutdownCase
 	address  string
 	file     string
-	sidecar  fakes.Sidecar
-	servers  []*fakes.Provider
+	sidecar  fakes.SidecarConfig
+	servers  []*fakes.Server
 	cmd      *exec.Cmd
 	log      *os.File
 	killedAt time.Time // when SIGKILL was about to be sent; guarded by mu
@@ -62,9 +62,9 @@
 
 func (w *shutdownWorld) start() {
 	network, t := fakes.Loopback(), w.test
-	var members []fakes.Member
+	var members []fakes.Endpoint
 	for i := range 4 {
-		p, err := fakes.NewProvider(network, fakes.ProviderOptions{
+		p, err := fakes.NewServer(network, fakes.ServerOptions{
 			ID: fmt.Sprint("s", i), Cores: 500, Queue: 10,
 			Default: fakes.Service{Mean: w.row.service, Fixed: true, Body: 100},
 		})
@@ -72,9 +72,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Close)
-		w.servers, members = append(w.servers, p), append(members, p.Member())
+		w.servers, members = append(w.servers, p), append(members, p.Endpoint())
 	}
-	discovery, err := fakes.NewDirectory(network, "", members...)
+	discovery, err := fakes.NewDiscovery(network, "", members...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,9 +87,9 @@
 	l.Close()
 	folder := t.TempDir()
 	w.file = filepath.Join(folder, "config.json")
-	w.sidecar = fakes.Sidecar{
-		Name: "n1", Listen: w.address, Seed: 1, Directory: discovery.Address(), Sockets: 4096, MemoryMB: 256,
-		Connect: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Members: members},
+	w.sidecar = fakes.SidecarConfig{
+		Name: "n1", Listen: w.address, Seed: 1, Discovery: discovery.Address(), MaxConns: 4096, MemoryMB: 256,
+		ConnectTimeout: 150 * time.Millisecond, ConnIdle: time.Minute, DrainGrace: 750 * time.Millisecond, Known: fakes.List{Revision: 1, Endpoints: members},
 	}
 	w.configure(w.row.deadline)
 	if w.log, err = os.Create(filepath.Join(folder, "log")); err != nil {
@@ -102,15 +102,15 @@
 	if err := w.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := fakes.Ready(t.Context(), network, w.address); err != nil {
+	if err := fakes.AwaitReady(t.Context(), network, w.address); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // configure writes the configuration with this deadline of its one class.
 func (w *shutdownWorld) configure(longest time.Duration) {
-	tile := fakes.Tile()
-	tile.Deadline, tile.Aim = longest, longest
+	tile := fakes.TileClass()
+	tile.Deadline, tile.LatencyObjective = longest, longest
 	w.sidecar.Classes = []fakes.Class{tile}
 	raw, err := fakes.Config(w.sidecar)
 	if err == nil {
@@ -182,7 +182,7 @@
 	_ = syscall.Kill(to, syscall.SIGTERM)
 	if w.row.late > 0 {
 		for _, p := range w.servers {
-			p.Change(func(b *fakes.Behaviour) { b.Slow = float64(w.row.late) / float64(w.row.service) })
+			p.ChangeBehaviour(func(b *fakes.Behaviour) { b.Slowdown = float64(w.row.late) / float64(w.row.service) })
 		}
 	}
 	for _, s := range w.row.after {
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -67,7 +67,7 @@
 				}
 				s := service{
 					T: t, file: filepath.Join(t.TempDir(), "config.json"),
-					sidecar: fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1, Directory: discovery.Address()},
+					sidecar: fakes.SidecarConfig{Name: "n1", Listen: front.Addr().String(), Seed: 1, Discovery: discovery.Address()},
 				}
 				s.write()
 				var loaded atomic.Bool
@@ -135,9 +135,9 @@
 					_, _ = io.Copy(io.Discard, r.Body)
 					<-r.Context().Done()
 				})
-				long := fakes.Order()
+				long := fakes.OrderClass()
 				long.Deadline = 8 * second
-				s := start(t, m, discovery, func(c *fakes.Sidecar) { c.Classes = []fakes.Class{long} })
+				s := start(t, m, discovery, func(c *fakes.SidecarConfig) { c.Classes = []fakes.Class{long} })
 				at := time.Now().Add(3 * second)
 				got := make(chan time.Duration, 1)
 				time.AfterFunc(time.Until(at.Add(tc.after)), func() {
@@ -190,7 +190,7 @@
 	if run == nil {
 		t.Fatal("the deploy file has no run")
 	}
-	discovery, err := fakes.NewDirectory(fakes.Loopback(), "")
+	discovery, err := fakes.NewDiscovery(fakes.Loopback(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +212,7 @@
 	defer desk.Close()
 	s := service{
 		T: t, file: filepath.Join(t.TempDir(), "config.json"),
-		sidecar: fakes.Sidecar{Name: "n1", Listen: l.Addr().String(), Seed: 1, Directory: discovery.Address()},
+		sidecar: fakes.SidecarConfig{Name: "n1", Listen: l.Addr().String(), Seed: 1, Discovery: discovery.Address()},
 	}
 	s.write()
 	line := "LISTEN_FDS=1 LISTEN_PID=$$; export LISTEN_FDS LISTEN_PID; " +
@@ -261,7 +261,7 @@
 	pid := cmd.Process.Pid
 	for _, name := range []string{"first", "second"} {
 		for i := range 2 { // one that waits covers those that come after it
-			set := fakes.Tile()
+			set := fakes.TileClass()
 			set.Name = fmt.Sprint(name, i)
 			s.sidecar.Classes = []fakes.Class{set}
 			s.write()
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -12,27 +12,27 @@
 // the same, as a machine is that has come back before discovery says so. What discovery says counts from the start, though unheard.
 func TestFirstListIsAskedForWithinTheGrace(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-		known := fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
-		gone := fleet.Providers[0].Member()
+		known := fakes.List{Revision: fleet.Discovery.Revision(), Endpoints: fleet.Discovery.Endpoints()}
+		gone := fleet.Servers[0].Endpoint()
 		gone.Phase = fakes.Deleted
-		fleet.Directory.Change(gone)
-		s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) {
-			c.Known, c.Balancers = known, 300
+		fleet.Discovery.Change(gone)
+		s := start(t, n, fleet.Discovery, func(c *fakes.SidecarConfig) {
+			c.Known, c.Instances = known, 300
 			c.Edit = func(d map[string]any) { d["settings"].(map[string]any)["Prices"] = map[string]any{"Probe": 0.08} }
 		})
 		began := time.Now()
-		tries := fakes.NewConsumers(fakes.Load{
-			Network: n, Address: s.front, Seed: 1, For: 5 * second,
-			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 30}, {Class: fakes.Order(), Rate: 10}},
+		tries := fakes.NewClients(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, Duration: 5 * second,
+			Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 30}, {Class: fakes.OrderClass(), Rate: 10}},
 		}).Run(t.Context())
-		for _, one := range fleet.Providers[0].Requests() {
+		for _, one := range fleet.Servers[0].Requests() {
 			if late := one.FirstByte.Sub(began); late > 750*time.Millisecond {
 				t.Errorf("%s was sent to it after %s", one.ID, late)
 			}
 		}
 		for _, try := range tries {
 			if try.Result != fakes.Served {
-				t.Errorf("%s at %s: %s", try.ID, try.At.Sub(began), try.Result)
+				t.Errorf("%s at %s: %s", try.ID, try.DueAt.Sub(began), try.Result)
 			}
 		}
 		s.stop()
@@ -49,27 +49,27 @@
 			discovery, noProbes, killed := []string{"pushed", "on_request"}[way&1], way&2 > 0, way&4 > 0
 			t.Run(fmt.Sprintf("%s %s noProbes=%t killed=%t", grace, discovery, noProbes, killed), func(t *testing.T) {
 				withFleet(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-					edit := func(c *fakes.Sidecar) {
-						c.Balancers, c.DrainGrace, c.NoProbes = 300, grace, noProbes
-						c.Known = fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
+					edit := func(c *fakes.SidecarConfig) {
+						c.Instances, c.DrainGrace, c.NoProbes = 300, grace, noProbes
+						c.Known = fakes.List{Revision: fleet.Discovery.Revision(), Endpoints: fleet.Discovery.Endpoints()}
 						c.Edit = func(d map[string]any) {
 							set := d["settings"].(map[string]any)
 							set["Discovery"], set["Prices"] = discovery, map[string]any{"Probe": 0.08}
 						}
 					}
-					began, s := time.Now(), start(t, n, fleet.Directory, edit)
+					began, s := time.Now(), start(t, n, fleet.Discovery, edit)
 					load := func(from, to time.Duration) []fakes.Try {
-						return fakes.NewConsumers(fakes.Load{
-							Network: n, Address: s.front, Seed: 1, For: to - from,
-							Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 20}},
+						return fakes.NewClients(fakes.Load{
+							Network: n, Address: s.front, Seed: 1, Duration: to - from,
+							Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 40}, {Class: fakes.OrderClass(), Rate: 20}},
 						}).Run(t.Context())
 					}
 					go func() {
 						time.Sleep(silent)
-						fleet.Directory.Mute(true)
+						fleet.Discovery.HoldAnswers(true)
 						time.Sleep(leave - silent)
-						gone := fleet.Providers[:3]
-						gone[0].Behave(fakes.Behaviour{Drain: true})
+						gone := fleet.Servers[:3]
+						gone[0].SetBehaviour(fakes.Behaviour{Drain: true})
 						if err := errors.Join(gone[1].Restart(gone[1].ID()), gone[2].Restart("another")); err != nil {
 							t.Error(err)
 						}
@@ -78,13 +78,13 @@
 					if killed {
 						s.stop()
 						from = time.Since(began)
-						s, look, width = start(t, n, fleet.Directory, edit), from+second, 4*second
+						s, look, width = start(t, n, fleet.Discovery, edit), from+second, 4*second
 					}
-					served := fakes.Tally(append(tries, load(from, over)...), began.Add(look), width)[0].Share()
+					served := fakes.Tally(append(tries, load(from, over)...), began.Add(look), width)[0].ServedFraction()
 					if proof := !killed || way&1 > 0; proof && !noProbes && grace > 500*time.Millisecond && served < 0.5 {
 						t.Errorf("%.2f are served", served)
 					}
-					for i, p := range fleet.Providers[:3] {
+					for i, p := range fleet.Servers[:3] {
 						if i == 1 && killed && way&1 > 0 { // where calls wait in turn: see staleness.Keeper.Trust
 							continue
 						}
@@ -114,12 +114,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			withFleet(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 				if c.silent == 0 {
-					fleet.Directory.Mute(true)
+					fleet.Discovery.HoldAnswers(true)
 				}
-				began, gone := time.Now(), fleet.Providers[:3]
-				s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) {
-					c.Balancers, c.DrainGrace = 32, grace
-					c.Known = fakes.List{Revision: fleet.Directory.Revision(), Members: fleet.Directory.Members()}
+				began, gone := time.Now(), fleet.Servers[:3]
+				s := start(t, n, fleet.Discovery, func(c *fakes.SidecarConfig) {
+					c.Instances, c.DrainGrace = 32, grace
+					c.Known = fakes.List{Revision: fleet.Discovery.Revision(), Endpoints: fleet.Discovery.Endpoints()}
 					c.Edit = func(d map[string]any) {
 						set := d["settings"].(map[string]any)
 						set["Discovery"], set["Prices"] = "on_request", map[string]any{"Probe": 0.008}
@@ -127,7 +127,7 @@
 				})
 				go func() {
 					time.Sleep(c.silent)
-					fleet.Directory.Mute(true)
+					fleet.Discovery.HoldAnswers(true)
 					time.Sleep(c.leaves - c.silent)
 					for _, p := range gone {
 						p.Kill()
@@ -140,11 +140,11 @@
 					}
 				}()
 				from, until := began.Add(c.leaves+6*second+grace+50*time.Millisecond), began.Add(c.leaves+noticed+6*second)
-				tries := fakes.NewConsumers(fakes.Load{
-					Network: n, Address: s.front, Seed: 1, For: until.Sub(began),
-					Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 60}, {Class: fakes.Order(), Rate: 20}},
+				tries := fakes.NewClients(fakes.Load{
+					Network: n, Address: s.front, Seed: 1, Duration: until.Sub(began),
+					Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 60}, {Class: fakes.OrderClass(), Rate: 20}},
 				}).Run(t.Context())
-				if served := fakes.Tally(tries, from, until.Sub(from))[0].Share(); served < 0.9 {
+				if served := fakes.Tally(tries, from, until.Sub(from))[0].ServedFraction(); served < 0.9 {
 					t.Errorf("%.2f are served meanwhile", served)
 				}
 				for i, p := range gone {
@@ -165,9 +165,9 @@
 // the program starts, serves, and when half of the servers leave at once, the last in the list among them, nothing new goes there.
 func TestLargeFleetIsObeyed(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
-		var all, leaving []fakes.Member
+		var all, leaving []fakes.Endpoint
 		for i := range 2000 { // many at one address: who is asked there does not matter
-			m := fleet.Providers[i%2].Member()
+			m := fleet.Servers[i%2].Endpoint()
 			m.ID = fmt.Sprintf("s-%024x", i)
 			all = append(all, m)
 			if i%2 == 1 {
@@ -175,24 +175,24 @@
 				leaving = append(leaving, m)
 			}
 		}
-		fleet.Directory.Set(all...)
-		fleet.Directory.Word(true, true)
-		fleet.Directory.WholeForWatch(true)
-		s := start(t, n, fleet.Directory, func(c *fakes.Sidecar) {
-			c.Known, c.Balancers = fakes.List{Revision: fleet.Directory.Revision(), Members: all}, 1024
+		fleet.Discovery.Set(all...)
+		fleet.Discovery.SetEncoding(true, true)
+		fleet.Discovery.CompleteForWatch(true)
+		s := start(t, n, fleet.Discovery, func(c *fakes.SidecarConfig) {
+			c.Known, c.Instances = fakes.List{Revision: fleet.Discovery.Revision(), Endpoints: all}, 1024
 		})
 		began := time.Now()
 		told := began.Add(2 * second)
 		go func() {
 			time.Sleep(2 * second)
-			fleet.Directory.Change(leaving...)
+			fleet.Discovery.Change(leaving...)
 		}()
-		tries := fakes.NewConsumers(fakes.Load{
-			Network: n, Address: s.front, Seed: 1, For: 5 * second,
-			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 40}, {Class: fakes.Order(), Rate: 10}},
+		tries := fakes.NewClients(fakes.Load{
+			Network: n, Address: s.front, Seed: 1, Duration: 5 * second,
+			Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 40}, {Class: fakes.OrderClass(), Rate: 10}},
 		}).Run(t.Context())
-		served, before := fakes.Tally(tries, began, 5*second)[0].Share(), 0
-		for _, one := range fleet.Providers[1].Requests() {
+		served, before := fakes.Tally(tries, began, 5*second)[0].ServedFraction(), 0
+		for _, one := range fleet.Servers[1].Requests() {
 			if late := one.FirstByte.Sub(told); late > 750*time.Millisecond {
 				t.Errorf("%s was sent to one that leaves %s after its word", one.ID, late)
 			} else if late < 0 {
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -61,15 +61,15 @@
 	var classes []fakes.Class
 	for _, c := range d.settings.classes {
 		classes = append(classes, fakes.Class{
-			Name: c.Name, Safe: c.Idempotency == plankrouter.Idempotent, Aim: c.LatencyObjective,
-			Deadline: c.Deadline, Worth: c.PriorityWeight,
+			Name: c.Name, Idempotent: c.Idempotency == plankrouter.Idempotent, LatencyObjective: c.LatencyObjective,
+			Deadline: c.Deadline, PriorityWeight: c.PriorityWeight,
 		})
 	}
 	s, ms := d.settings, func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	return fakes.Config(fakes.Sidecar{
-		Name: "n1", Listen: "127.0.0.1:0", Directory: s.discovery.Address(), Seed: 1,
-		Known: fakes.List{Revision: 1, Members: s.endpoints}, Classes: classes, Sockets: s.connections, NoProbes: !s.probes,
-		MaxAttempts: s.maxAttempts, ConnIdle: s.connIdle, Connect: s.connect, DrainGrace: s.drainGrace,
+	return fakes.Config(fakes.SidecarConfig{
+		Name: "n1", Listen: "127.0.0.1:0", Discovery: s.discovery.Address(), Seed: 1,
+		Known: fakes.List{Revision: 1, Endpoints: s.endpoints}, Classes: classes, MaxConns: s.connections, NoProbes: !s.probes,
+		MaxAttempts: s.maxAttempts, ConnIdle: s.connIdle, ConnectTimeout: s.connect, DrainGrace: s.drainGrace,
 		Edit: func(document map[string]any) {
 			set := document["settings"].(map[string]any)
 			set["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.maxRetryAfter)
@@ -146,7 +146,7 @@
 	return len(all), err
 }
 
-func (d *daemon) Update(changed []fakes.Member, all bool) error {
+func (d *daemon) Update(changed []fakes.Endpoint, all bool) error {
 	return updateDiscovery(d.ctx, d.settings.discovery, changed, all)
 }
 
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -16,7 +16,7 @@
 	// Do sends a request and returns its outcome. The end of ctx is that of the caller's interest.
 	Do(ctx context.Context, r *request) outcome
 	// Update tells of endpoints that have changed, or of all. What is sent from its return on is decided by that.
-	Update(changed []fakes.Member, all bool) error
+	Update(changed []fakes.Endpoint, all bool) error
 	// Taken returns how many requests have been taken so far.
 	Taken() (int, error)
 	// Left returns how many connections there are beyond those of an idle start.
@@ -34,8 +34,8 @@
 type settings struct {
 	classes         []plankrouter.Class
 	tenants         []plankrouter.Tenant
-	endpoints       []fakes.Member
-	discovery       *fakes.Directory // the same endpoints; the daemon asks it, and the library if fed is "directory"
+	endpoints       []fakes.Endpoint
+	discovery       *fakes.Discovery // the same endpoints; the daemon asks it, and the library if fed is "directory"
 	endpointSource  string
 	probes          bool
 	maxAttempts     int
@@ -113,7 +113,7 @@
 
 // awaitRevision waits until the daemon, or a library that watches it, has taken discovery's present revision: it has asked
 // for what is newer. What asks is the only one that does.
-func awaitRevision(ctx context.Context, d *fakes.Directory) error {
+func awaitRevision(ctx context.Context, d *fakes.Discovery) error {
 	now := d.Revision()
 	return await(ctx, func() bool {
 		calls := d.Calls()
@@ -122,7 +122,7 @@
 }
 
 // updateDiscovery changes the list of the fake discovery service, and waits until the side has taken it.
-func updateDiscovery(ctx context.Context, d *fakes.Directory, changed []fakes.Member, all bool) error {
+func updateDiscovery(ctx context.Context, d *fakes.Discovery, changed []fakes.Endpoint, all bool) error {
 	if all {
 		d.Set(changed...)
 	} else {
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -36,7 +36,7 @@
 	return err
 }
 
-func toEndpoints(in []fakes.Member) (out []plankrouter.Endpoint) {
+func toEndpoints(in []fakes.Endpoint) (out []plankrouter.Endpoint) {
 	phases := map[string]plankrouter.Phase{
 		fakes.Serving: plankrouter.Serving, fakes.Draining: plankrouter.Draining,
 		fakes.Deleted: plankrouter.Gone,
@@ -51,7 +51,7 @@
 	return out
 }
 
-func (l *library) Update(changed []fakes.Member, all bool) error {
+func (l *library) Update(changed []fakes.Endpoint, all bool) error {
 	if l.settings.endpointSource == "directory" {
 		return updateDiscovery(l.ctx, l.settings.discovery, changed, all)
 	}
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -42,7 +42,7 @@
 	servers     map[string]*scriptedServer
 	order       []string // of the servers, as in the file
 	sharedDeeds *queue
-	endpoints   map[string]fakes.Member // as they were last listed, by id
+	endpoints   map[string]fakes.Endpoint // as they were last listed, by id
 	calls       []*call
 	running     sync.WaitGroup
 	closed      bool
@@ -53,7 +53,7 @@
 	ms := time.Millisecond
 	return &player{
 		ctx: ctx, scenario: s, side: side, network: n, servers: map[string]*scriptedServer{}, sharedDeeds: new(queue),
-		endpoints: map[string]fakes.Member{}, settings: settings{
+		endpoints: map[string]fakes.Endpoint{}, settings: settings{
 			dir: dir, maxAttempts: 3, connections: 512, connect: time.Minute,
 			connIdle: time.Minute, drainGrace: 750 * ms, maxRetryAfter: 1200 * ms,
 		},
@@ -90,7 +90,7 @@
 			})
 		}
 	}
-	if p.settings.discovery, err = fakes.NewDirectory(p.network, "", p.settings.endpoints...); err != nil {
+	if p.settings.discovery, err = fakes.NewDiscovery(p.network, "", p.settings.endpoints...); err != nil {
 		return nil, err
 	}
 	if err := p.side.Start(&p.settings); err != nil {
@@ -201,12 +201,12 @@
 }
 
 // endpoint words a server for the list: it serves, and has for long or for the time that since says.
-func (p *player) endpoint(id, at string, o options) (m fakes.Member, err error) {
+func (p *player) endpoint(id, at string, o options) (m fakes.Endpoint, err error) {
 	one := p.servers[at]
 	if one == nil {
 		return m, fmt.Errorf("there is no provider %q", at)
 	}
-	m = fakes.Member{ID: id, Address: one.address, Locality: fakes.Here, Phase: fakes.Serving}
+	m = fakes.Endpoint{ID: id, Address: one.address, Locality: fakes.LocalZone, Phase: fakes.Serving}
 	var age time.Duration
 	if o.get("since") != "" {
 		err = duration(o, "since", &age)
@@ -420,12 +420,12 @@
 		return errors.New("there is no such phase")
 	}
 	p.endpoints[id] = m
-	return p.side.Update([]fakes.Member{m}, false)
+	return p.side.Update([]fakes.Endpoint{m}, false)
 }
 
 // replaceEndpoints makes the whole list: these ids, as they were last listed, and no others.
 func (p *player) replaceEndpoints(ids []string) error {
-	var all []fakes.Member
+	var all []fakes.Endpoint
 	for _, id := range ids {
 		m, known := p.endpoints[id]
 		if !known {
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -29,7 +29,7 @@
 		stall     = 200 * time.Millisecond
 		tolerance = 30 * time.Millisecond // the kernel's ticks
 	)
-	d, err := fakes.NewDirectory(fakes.Loopback(), "", fakes.Member{ID: "a", Address: "127.0.0.1:1", Phase: fakes.Serving})
+	d, err := fakes.NewDiscovery(fakes.Loopback(), "", fakes.Endpoint{ID: "a", Address: "127.0.0.1:1", Phase: fakes.Serving})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,15 +21,15 @@
 type fixture struct {
 	t       *testing.T
 	network *fakes.Memory
-	source  *fakes.Directory
+	source  *fakes.Discovery
 	watch   *Watch
 	phases  map[string]string // by id, as updated
 	logged  []string
 }
 
-func (r *fixture) newSource(address string) *fakes.Directory {
-	d, err := fakes.NewDirectory(r.network, address, fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Serving},
-		fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
+func (r *fixture) newSource(address string) *fakes.Discovery {
+	d, err := fakes.NewDiscovery(r.network, address, fakes.Endpoint{ID: "a", Address: "a:1", Phase: fakes.Serving},
+		fakes.Endpoint{ID: "b", Address: "b:1", Phase: fakes.Serving})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -99,53 +99,53 @@
 func TestUpdatesAfterFaults(t *testing.T) {
 	const within = 2*time.Second + 3*time.Second
 	for name, c := range map[string]struct {
-		begin  func(*fakes.Directory) error
-		end    func(*fakes.Directory) error // nil = it is over at once
+		begin  func(*fakes.Discovery) error
+		end    func(*fakes.Discovery) error // nil = it is over at once
 		logged string                       // in the log, if anything
 	}{
 		"lost answers": {
-			func(d *fakes.Directory) error { d.LoseAnswers(true); return nil },
-			func(d *fakes.Directory) error { d.LoseAnswers(false); return nil }, "timeout",
+			func(d *fakes.Discovery) error { d.LoseAnswers(true); return nil },
+			func(d *fakes.Discovery) error { d.LoseAnswers(false); return nil }, "timeout",
 		},
 		"mute": {
-			func(d *fakes.Directory) error { d.Mute(true); return nil },
-			func(d *fakes.Directory) error { d.Mute(false); return nil }, "timeout",
+			func(d *fakes.Discovery) error { d.HoldAnswers(true); return nil },
+			func(d *fakes.Discovery) error { d.HoldAnswers(false); return nil }, "timeout",
 		},
 		"late beyond the time-out": {
-			func(d *fakes.Directory) error { d.Delay(4 * time.Second); return nil },
-			func(d *fakes.Directory) error { d.Delay(0); return nil }, "timeout",
+			func(d *fakes.Discovery) error { d.SetDelay(4 * time.Second); return nil },
+			func(d *fakes.Discovery) error { d.SetDelay(0); return nil }, "timeout",
 		},
-		"a part for the complete list": {func(d *fakes.Directory) error { // which is asked for after a failure
-			d.PartForWhole(true)
-			return errors.Join(d.Down(true), d.Down(false))
-		}, func(d *fakes.Directory) error { d.PartForWhole(false); return nil }, "got a part"},
+		"a part for the complete list": {func(d *fakes.Discovery) error { // which is asked for after a failure
+			d.PartialForComplete(true)
+			return errors.Join(d.SetDown(true), d.SetDown(false))
+		}, func(d *fakes.Discovery) error { d.PartialForComplete(false); return nil }, "got a part"},
 		"malformed": {
-			func(d *fakes.Directory) error {
-				d.Spoil([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
+			func(d *fakes.Discovery) error {
+				d.ReplaceAnswers([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
 				return nil
 			},
-			func(d *fakes.Directory) error { d.Spoil(nil); return nil }, "state=failed",
+			func(d *fakes.Discovery) error { d.ReplaceAnswers(nil); return nil }, "state=failed",
 		},
 		"cut off": {
-			func(d *fakes.Directory) error { return d.Vanish(true) },
-			func(d *fakes.Directory) error { return d.Vanish(false) }, "timeout",
+			func(d *fakes.Discovery) error { return d.SetSilent(true) },
+			func(d *fakes.Discovery) error { return d.SetSilent(false) }, "timeout",
 		},
-		"complete":  {func(d *fakes.Directory) error { d.WholeForWatch(true); return nil }, nil, ""},
-		"anew at 1": {func(d *fakes.Directory) error { return d.RestartAt(1) }, nil, "state=failed"},
-		"anew at 9": {func(d *fakes.Directory) error { return d.RestartAt(9) }, nil, "state=failed"},
+		"complete":  {func(d *fakes.Discovery) error { d.CompleteForWatch(true); return nil }, nil, ""},
+		"anew at 1": {func(d *fakes.Discovery) error { return d.RestartAt(1) }, nil, "state=failed"},
+		"anew at 9": {func(d *fakes.Discovery) error { return d.RestartAt(9) }, nil, "state=failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withWatch(t, 0, func(r *fixture) {
 				defer r.run()()
 				<-r.watch.FirstUpdate()
 				for range 3 { // so that it counts from a revision above 1
-					r.source.Change(fakes.Member{ID: "b", Address: "b:1", Phase: fakes.Serving})
+					r.source.Change(fakes.Endpoint{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
 				}
 				if err := c.begin(r.source); err != nil {
 					t.Fatal(err)
 				}
-				r.source.Change(fakes.Member{ID: "a", Address: "a:1", Phase: fakes.Draining})
+				r.source.Change(fakes.Endpoint{ID: "a", Address: "a:1", Phase: fakes.Draining})
 				if c.end != nil {
 					r.wait(10 * time.Second)
 					if got := r.phases["a"]; got != fakes.Serving {
@@ -184,7 +184,7 @@
 				}
 				r.wait(500 * time.Millisecond)
 				calls := other.Calls()
-				if len(calls) == 0 || !calls[0].Whole || slices.ContainsFunc(calls[1:], func(c fakes.DirectoryCall) bool { return c.Whole }) {
+				if len(calls) == 0 || !calls[0].Complete || slices.ContainsFunc(calls[1:], func(c fakes.DiscoveryCall) bool { return c.Complete }) {
 					t.Errorf("the new source is asked %+v", calls)
 				}
 				if r.watch.Address() != "e:1" || len(r.phases) != 2 {
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-func manyMembers(n int) (all []fakes.Member) {
+func manyMembers(n int) (all []fakes.Endpoint) {
 	for i := range n {
-		all = append(all, fakes.Member{
+		all = append(all, fakes.Endpoint{
 			ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
 			Locality: strings.Repeat("z", 1+i%30), Phase: fakes.Serving, UpSince: 1_790_000_000_000 + int64(i),
 		})
@@ -26,8 +26,8 @@
 			indented, chunked, complete := encoding&1 > 0, encoding&2 > 0, encoding&4 > 0
 			t.Run(fmt.Sprintf("%d indented %t chunked %t complete %t", n, indented, chunked, complete), func(t *testing.T) {
 				withWatch(t, 0, func(r *fixture) {
-					r.source.Word(indented, chunked)
-					r.source.WholeForWatch(complete)
+					r.source.SetEncoding(indented, chunked)
+					r.source.CompleteForWatch(complete)
 					all := manyMembers(n)
 					r.source.Set(all...)
 					defer r.run()()
@@ -51,10 +51,10 @@
 	for _, chunked := range []bool{false, true} {
 		withWatch(t, 0, func(r *fixture) {
 			r.watch.options.MaxListBytes = 200_000
-			r.source.Word(true, chunked)
+			r.source.SetEncoding(true, chunked)
 			defer r.run()()
 			r.wait(100 * time.Millisecond)
-			r.source.WholeForWatch(true)
+			r.source.CompleteForWatch(true)
 			r.source.Set(manyMembers(2000)...)
 			r.wait(10 * time.Second)
 			if logged := strings.Join(r.logged, "\n"); len(r.phases) != 2 || !strings.Contains(logged, "list too long") ||
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -63,10 +63,10 @@
 }
 
 // endpoints are the lines of the list.
-func (f *fakeServers) endpoints() (all []fakes.Member) {
+func (f *fakeServers) endpoints() (all []fakes.Endpoint) {
 	for i, l := range f.listeners {
-		all = append(all, fakes.Member{
-			ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.Here,
+		all = append(all, fakes.Endpoint{
+			ID: fmt.Sprintf("tile-server-%05d", i+1), Address: l.Addr().String(), Locality: fakes.LocalZone,
 			Phase: fakes.Serving,
 		})
 	}
@@ -169,16 +169,16 @@
 
 // fakeDiscovery is the scripted one, counted.
 type fakeDiscovery struct {
-	*fakes.Directory
+	*fakes.Discovery
 	count fakes.Counter
 }
 
-func newFakeDiscovery(n fakes.Network, endpoints []fakes.Member) (*fakeDiscovery, error) {
+func newFakeDiscovery(n fakes.Network, endpoints []fakes.Endpoint) (*fakeDiscovery, error) {
 	d := &fakeDiscovery{}
 	var err error
-	d.Directory, err = fakes.NewDirectory(d.count.Of(n), "", endpoints...)
+	d.Discovery, err = fakes.NewDiscovery(d.count.Wrap(n), "", endpoints...)
 	if err == nil {
-		d.Word(true, false)
+		d.SetEncoding(true, false)
 	}
 	return d, err
 }
@@ -187,7 +187,7 @@
 func (d *fakeDiscovery) lists() (t Traffic, complete int64) {
 	for _, c := range d.Calls() {
 		t.Messages++
-		if c.Whole {
+		if c.Complete {
 			complete++
 		}
 	}
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -150,10 +150,10 @@
 }
 
 // newLoad returns the point's clients, whose load lasts a little longer than the measurement.
-func (w *world) newLoad(measured time.Duration) *fakes.Consumers {
-	return fakes.NewConsumers(fakes.Load{
+func (w *world) newLoad(measured time.Duration) *fakes.Clients {
+	return fakes.NewClients(fakes.Load{
 		Network: w.network, Address: w.sidecar.address, Seed: 1,
-		Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: w.point.Rate}}, For: measured + 2*time.Second,
+		Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: w.point.Rate}}, Duration: measured + 2*time.Second,
 	})
 }
 
@@ -224,7 +224,7 @@
 func (m *Measured) countRequests(tries []fakes.Try, serviceTimes *sync.Map, from, to time.Time) {
 	var added []float64
 	for _, t := range tries {
-		if t.At.Before(from) || !t.At.Before(to) {
+		if t.DueAt.Before(from) || !t.DueAt.Before(to) {
 			continue
 		}
 		m.Requests++
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -60,7 +60,7 @@
 
 	w = start(t, Point{Servers: 100, Instances: fleetSize, Price: cheap, OnRequest: true, Unknown: true})
 	near("whole lists of a start that knows none", w.firstCallIsComplete(t), 0)
-	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Members: w.servers.endpoints()}, "", "    ")
+	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Endpoints: w.servers.endpoints()}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 func (w *world) firstCallIsComplete(t *testing.T) float64 {
 	t.Helper()
 	w.await(t, func() bool { return len(w.discovery.Calls()) > 0 }) // one that knows a list is ready before that
-	if w.discovery.Calls()[0].Whole {
+	if w.discovery.Calls()[0].Complete {
 		return 1
 	}
 	return 0
@@ -171,11 +171,11 @@
 		one := w.servers.endpoints()[n%len(w.servers.listeners)]
 		one.UpSince = time.Now().UnixMilli()
 		revision := w.discovery.Change(one)
-		known := func(c fakes.DirectoryCall) bool { return c.Index >= revision }
+		known := func(c fakes.DiscoveryCall) bool { return c.Index >= revision }
 		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Calls(), known) })
 		answers, complete := 0, false
 		for _, c := range w.discovery.Calls()[from:] {
-			if complete = complete || c.Whole; c.Members > 0 && c.Revision == revision {
+			if complete = complete || c.Complete; c.Endpoints > 0 && c.Revision == revision {
 				answers++
 			}
 		}
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -38,12 +38,12 @@
 
 // configure writes the configuration file: whole or not at all, since the sidecar may read it at any time.
 func (s *sidecar) configure(of Point, discovery string, known fakes.List, latencyObjective time.Duration) error {
-	idempotent := fakes.Tile()
-	idempotent.Aim = latencyObjective
-	raw, err := fakes.Config(fakes.Sidecar{
-		Name: "lab", Listen: s.address, Seed: 1, Directory: discovery, Known: known,
-		Classes: []fakes.Class{idempotent, fakes.Order()}, Sockets: sockets, MemoryMB: memoryMB, Balancers: of.Instances,
-		ConnIdle: time.Minute, Connect: 150 * time.Millisecond, DrainGrace: drainGrace,
+	idempotent := fakes.TileClass()
+	idempotent.LatencyObjective = latencyObjective
+	raw, err := fakes.Config(fakes.SidecarConfig{
+		Name: "lab", Listen: s.address, Seed: 1, Discovery: discovery, Known: known,
+		Classes: []fakes.Class{idempotent, fakes.OrderClass()}, MaxConns: sockets, MemoryMB: memoryMB, Instances: of.Instances,
+		ConnIdle: time.Minute, ConnectTimeout: 150 * time.Millisecond, DrainGrace: drainGrace,
 		Edit: func(document map[string]any) {
 			document["admin_addr"] = s.admin
 			settings := document["settings"].(map[string]any)
@@ -96,7 +96,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	return fakes.Ready(ctx, n, s.address)
+	return fakes.AwaitReady(ctx, n, s.address)
 }
 
 // stop ends it, if it has begun.
@@ -116,7 +116,7 @@
 // scrape reads /metrics and returns how many bytes that took, both ways.
 func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
 	var count fakes.Counter
-	counted := count.Of(n)
+	counted := count.Wrap(n)
 	client := http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext:       func(ctx context.Context, _, address string) (net.Conn, error) { return counted.Dial(ctx, address) },
--- a/internal/testbench/capacity/world.go
+++ b/internal/testbench/capacity/world.go
@@ -16,9 +16,9 @@
 func (w *world) configure(n int) error {
 	known := fakes.List{}
 	if !w.point.Unknown {
-		known = fakes.List{Revision: 1, Members: w.servers.endpoints()}
+		known = fakes.List{Revision: 1, Endpoints: w.servers.endpoints()}
 	}
-	latencyObjective := fakes.Tile().Aim + time.Duration(n%2)*time.Millisecond
+	latencyObjective := fakes.TileClass().LatencyObjective + time.Duration(n%2)*time.Millisecond
 	return w.sidecar.configure(w.point, w.discovery.Address(), known, latencyObjective)
 }
 
--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Client sends requests by HTTP/1.1 to one address. Connections are kept and carry one request at a time: the idle one
+// ConnPool sends requests by HTTP/1.1 to one address. Connections are kept and carry one request at a time: the idle one
 // most lately used, and a further one when all are busy. Its fields are set before its methods are called, which are
 // safe for concurrent use.
-type Client struct {
+type ConnPool struct {
 	Dial     func(ctx context.Context, address string) (net.Conn, error)
 	Address  string // host:port
 	MaxConns int    // a request waits when all are busy; 0 = no limit
@@ -35,9 +35,9 @@
 
 // Usage is what a Client's connections came to.
 type Usage struct {
-	Opened     int           // connections
-	Held       uint64        // waits because no further connection was allowed
-	HeldLonger time.Duration // the longest of them
+	Opened      int           // connections
+	Waits       uint64        // waits because no further connection was allowed
+	LongestWait time.Duration // the longest of them
 }
 
 // Exchange is how the sending of a request went, as its client has seen it.
@@ -53,7 +53,7 @@
 
 // Send sends a request and waits for its answer until a moment. A request on a kept connection that the other side has
 // closed without reading it is sent once more, on a new one; message encodes it each time.
-func (c *Client) Send(message func() []byte, until time.Time) (x Exchange) {
+func (c *ConnPool) Send(message func() []byte, until time.Time) (x Exchange) {
 	for {
 		conn, err := c.connect(until, x.Resent)
 		if err != nil {
@@ -83,7 +83,7 @@
 }
 
 // Close ends idle connections and waits until all readers have ended. Nothing may be sent any more.
-func (c *Client) Close() Usage {
+func (c *ConnPool) Close() Usage {
 	c.mutex.Lock()
 	idle := slices.Clone(c.idle)
 	c.mutex.Unlock()
@@ -97,7 +97,7 @@
 var errBusy = errors.New("every connection that the consumers may have is busy")
 
 // connect takes an idle connection, or opens one, or waits for its turn until a moment.
-func (c *Client) connect(until time.Time, fresh bool) (*clientConn, error) {
+func (c *ConnPool) connect(until time.Time, fresh bool) (*clientConn, error) {
 	c.mutex.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
 		k := c.idle[n-1]
@@ -127,7 +127,7 @@
 }
 
 // waitForConn waits for a turn: a connection, or nil for a place to open one.
-func (c *Client) waitForConn(connReady chan *clientConn, until time.Time) (k *clientConn, err error) {
+func (c *ConnPool) waitForConn(connReady chan *clientConn, until time.Time) (k *clientConn, err error) {
 	start := time.Now()
 	late := time.NewTimer(time.Until(until))
 	defer late.Stop()
@@ -138,8 +138,8 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.usage.Held++
-	c.usage.HeldLonger = max(c.usage.HeldLonger, time.Since(start))
+	c.usage.Waits++
+	c.usage.LongestWait = max(c.usage.LongestWait, time.Since(start))
 	if err == nil {
 		return k, nil
 	}
@@ -154,7 +154,7 @@
 }
 
 // releaseSlot gives a place to the next who waits. Its caller holds the mutex, as that of offer does.
-func (c *Client) releaseSlot() {
+func (c *ConnPool) releaseSlot() {
 	if len(c.waiters) == 0 {
 		c.open--
 		return
@@ -164,7 +164,7 @@
 }
 
 // offer gives a connection to the next who waits.
-func (c *Client) offer(k *clientConn) {
+func (c *ConnPool) offer(k *clientConn) {
 	switch {
 	case k.closed:
 	case len(c.waiters) == 0:
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *Client) dial(until time.Time) (*clientConn, error) {
+func (c *ConnPool) dial(until time.Time) (*clientConn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	nc, err := c.Dial(ctx, c.Address)
@@ -194,7 +194,7 @@
 // clientConn is one connection.
 type clientConn struct {
 	net.Conn
-	client  *Client
+	client  *ConnPool
 	number  int
 	carried int // requests answered
 	replies chan reply
@@ -227,7 +227,7 @@
 	case http.StatusOK:
 		return Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return Refused
+		return Rejected
 	}
 	return Failed
 }
--- a/internal/testbench/fakes/client_test.go
+++ b/internal/testbench/fakes/client_test.go
@@ -13,10 +13,10 @@
 func TestClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
-		p, err := NewProvider(n, ProviderOptions{Cores: 9, Default: Service{50 * time.Millisecond, true, 0}})
+		p, err := NewServer(n, ServerOptions{Cores: 9, Default: Service{50 * time.Millisecond, true, 0}})
 		ok(t, err)
 		defer p.Close()
-		c := Client{Dial: n.Dial, Address: p.Address(), MaxConns: 2, Read: readResponse}
+		c := ConnPool{Dial: n.Dial, Address: p.Address(), MaxConns: 2, Read: readResponse}
 		for _, step := range []struct {
 			name     string
 			do       func()
@@ -25,14 +25,14 @@
 		}{
 			{"a third one waits", func() {}, 3, "1 served false, 2 served false, 1 served false"},
 			{"connections are kept, the last used goes first", func() {}, 1, "1 served false"},
-			{"what crosses a close goes out again on a new one", p.ResetKept, 1, "3 served true"},
+			{"what crosses a close goes out again on a new one", p.ResetOpenConns, 1, "3 served true"},
 			{"idle ones that end are forgotten", func() { ok(t, p.Restart("s-2")) }, 1, "4 served false"},
 			{
 				"the place of one that ends is passed on", func() { time.AfterFunc(25*time.Millisecond, p.Kill) }, 3,
 				"4 unreachable true, 5 lost false, 0 unreachable false",
 			},
 			{
-				"on a new one nothing is crossed", func() { ok(t, p.Start("")); p.Behave(Behaviour{ResetAll: true}) }, 1,
+				"on a new one nothing is crossed", func() { ok(t, p.Start("")); p.SetBehaviour(Behaviour{ResetAll: true}) }, 1,
 				"6 lost false",
 			},
 		} {
@@ -57,7 +57,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		if used := c.Close(); used.Opened != 6 || used.Held != 3 || used.HeldLonger.Round(time.Millisecond) != 31e6 {
+		if used := c.Close(); used.Opened != 6 || used.Waits != 3 || used.LongestWait.Round(time.Millisecond) != 31e6 {
 			t.Errorf("%+v", used)
 		}
 	})
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -17,34 +17,34 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name          string
-	Safe          bool // to repeat: sent by GET, else by POST
-	Aim, Deadline time.Duration
-	Worth         float64
+	Name                       string
+	Idempotent                 bool // to repeat: sent by GET, else by POST
+	LatencyObjective, Deadline time.Duration
+	PriorityWeight             float64
 }
 
-// Tile is a class that is safe to repeat.
-func Tile() Class {
-	return Class{Name: "tile", Safe: true, Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1}
+// TileClass is a class that is safe to repeat.
+func TileClass() Class {
+	return Class{Name: "tile", Idempotent: true, LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1}
 }
 
-// Order is a class that must not run twice.
-func Order() Class {
-	return Class{Name: "order", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 5}
+// OrderClass is a class that must not run twice.
+func OrderClass() Class {
+	return Class{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5}
 }
 
-// Flow is the requests of one class and owner.
-type Flow struct {
-	Class Class
-	Owner string
-	Rate  float64 // a second, Poisson
+// Stream is the requests of one class and owner.
+type Stream struct {
+	Class  Class
+	Tenant string
+	Rate   float64 // a second, Poisson
 }
 
 // Retry is what clients do about an answer that is not the one they asked for: after a refusal, or where they could not
 // connect, they ask again; after a failure, or a lost answer, only where the class is safe.
 type Retry struct {
-	Wait time.Duration // before each
-	Most int           // for each request
+	Wait       time.Duration // before each
+	MaxRetries int           // for each request
 }
 
 // Load is what clients send.
@@ -52,8 +52,8 @@
 	Network  Network
 	Address  string // of the sidecar
 	Seed     uint64 // of arrivals and ids
-	Flows    []Flow
-	For      time.Duration // from the first moment to the last arrival
+	Streams  []Stream
+	Duration time.Duration // from the first moment to the last arrival
 	Retry    Retry         // zero = never
 	MaxConns int           // a request waits when all are busy; 0 = no limit
 }
@@ -64,7 +64,7 @@
 // The results. Each try has exactly one.
 const (
 	Served      Result = iota // 200 and the body made for this request
-	Refused                   // 429 or 503
+	Rejected                  // 429 or 503
 	Failed                    // any other answer, or one that ended too early
 	Lost                      // the connection ended without an answer
 	TimedOut                  // nothing came before the deadline; SentAt is zero where it waited for a connection
@@ -79,59 +79,61 @@
 
 // Try is one sending of a request.
 type Try struct {
-	ID      string
-	First   string // id of the request's first try
-	Class   Class
-	Owner   string
-	Again   int       // tries of the request before this one
-	AskedAt time.Time // when the first try was due
-	At      time.Time // when this one was due
-	SentAt  time.Time // its first byte
-	EndedAt time.Time
-	Conn    int   // the connection's number, from 1; 0 = none
-	Resent  bool  // it crossed the close of a kept connection and went out again on a new one
-	Status  int   // of the answer; 0 = none
-	Err     error // that there was none
-	Result  Result
+	ID          string
+	RequestID   string // id of the request's first try
+	Class       Class
+	Tenant      string
+	Number      int       // tries of the request before this one
+	RequestedAt time.Time // when the first try was due
+	DueAt       time.Time // when this one was due
+	SentAt      time.Time // its first byte
+	EndedAt     time.Time
+	Conn        int   // the connection's number, from 1; 0 = none
+	Resent      bool  // it crossed the close of a kept connection and went out again on a new one
+	Status      int   // of the answer; 0 = none
+	Err         error // that there was none
+	Result      Result
 }
 
 // Took is the time from the moment when the try was due.
-func (t *Try) Took() time.Duration { return t.EndedAt.Sub(t.At) }
+func (t *Try) Took() time.Duration { return t.EndedAt.Sub(t.DueAt) }
 
-// InAim reports whether the try served its request within the latency objective, counted from when the request was first due.
-func (t *Try) InAim() bool { return t.Result == Served && t.EndedAt.Sub(t.AskedAt) <= t.Class.Aim }
+// InObjective reports whether the try served its request within the latency objective, counted from when the request was first due.
+func (t *Try) InObjective() bool {
+	return t.Result == Served && t.EndedAt.Sub(t.RequestedAt) <= t.Class.LatencyObjective
+}
 
-// Consumers are a sidecar's clients, which share the connections of one Client. Arrivals don't wait for answers. Its
+// Clients are a sidecar's clients, which share the connections of one Client. Arrivals don't wait for answers. Its
 // methods are safe for concurrent use.
-type Consumers struct {
+type Clients struct {
 	load   Load
-	client Client
+	client ConnPool
 
 	mutex sync.Mutex
 	tries []Try
 }
 
-// NewConsumers returns clients that Run sets going.
-func NewConsumers(l Load) *Consumers {
-	return &Consumers{
+// NewClients returns clients that Run sets going.
+func NewClients(l Load) *Clients {
+	return &Clients{
 		load:   l,
-		client: Client{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readResponse},
+		client: ConnPool{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readResponse},
 	}
 }
 
 // arrival is a request drawn ahead.
 type arrival struct {
 	after time.Duration
-	flow  Flow
+	flow  Stream
 	id    string
 }
 
 func (l *Load) arrivals() (all []arrival) {
-	for i, f := range l.Flows {
+	for i, f := range l.Streams {
 		draw := rand.New(rand.NewPCG(l.Seed, uint64(i)))
 		for at := 0.0; f.Rate > 0; {
 			at += draw.ExpFloat64() / f.Rate
-			if at > l.For.Seconds() {
+			if at > l.Duration.Seconds() {
 				break
 			}
 			after := time.Duration(at * float64(time.Second))
@@ -144,7 +146,7 @@
 
 // Run sends all requests and returns every try, in the order in which they were due, once the last has ended. The end
 // of ctx is the end of arrivals.
-func (c *Consumers) Run(ctx context.Context) []Try {
+func (c *Clients) Run(ctx context.Context) []Try {
 	start := time.Now()
 	var requests sync.WaitGroup
 	for _, a := range c.load.arrivals() {
@@ -153,7 +155,7 @@
 			break
 		}
 		requests.Go(func() {
-			c.sendRequest(Try{ID: a.id, First: a.id, Class: a.flow.Class, Owner: a.flow.Owner, AskedAt: at, At: at})
+			c.sendRequest(Try{ID: a.id, RequestID: a.id, Class: a.flow.Class, Tenant: a.flow.Tenant, RequestedAt: at, DueAt: at})
 		})
 	}
 	requests.Wait()
@@ -162,17 +164,17 @@
 }
 
 // Tries returns those that have ended so far, in the order in which they were due.
-func (c *Consumers) Tries() []Try {
+func (c *Clients) Tries() []Try {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	tries := slices.Clone(c.tries)
-	slices.SortStableFunc(tries, func(a, b Try) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.ID, b.ID)) })
+	slices.SortStableFunc(tries, func(a, b Try) int { return cmp.Or(a.DueAt.Compare(b.DueAt), cmp.Compare(a.ID, b.ID)) })
 	return tries
 }
 
 // sendRequest makes its first try and those that follow.
-func (c *Consumers) sendRequest(t Try) {
-	until := t.AskedAt.Add(t.Class.Deadline)
+func (c *Clients) sendRequest(t Try) {
+	until := t.RequestedAt.Add(t.Class.Deadline)
 	for {
 		c.sendTry(&t, until)
 		t.EndedAt = time.Now()
@@ -181,17 +183,17 @@
 		c.mutex.Unlock()
 		at := t.EndedAt.Add(c.load.Retry.Wait)
 		switch {
-		case t.Again >= c.load.Retry.Most || at.After(until):
+		case t.Number >= c.load.Retry.MaxRetries || at.After(until):
 			return
-		case t.Result == Refused, t.Result == Unreachable:
-		case t.Class.Safe && (t.Result == Failed || t.Result == Lost):
+		case t.Result == Rejected, t.Result == Unreachable:
+		case t.Class.Idempotent && (t.Result == Failed || t.Result == Lost):
 		default:
 			return
 		}
 		time.Sleep(time.Until(at))
 		t = Try{
-			ID: repeatID(t.First, t.Again+1), First: t.First, Class: t.Class, Owner: t.Owner, Again: t.Again + 1,
-			AskedAt: t.AskedAt, At: at,
+			ID: repeatID(t.RequestID, t.Number+1), RequestID: t.RequestID, Class: t.Class, Tenant: t.Tenant, Number: t.Number + 1,
+			RequestedAt: t.RequestedAt, DueAt: at,
 		}
 	}
 }
@@ -203,7 +205,7 @@
 }
 
 // sendTry sends the request and says how that ended.
-func (c *Consumers) sendTry(t *Try, until time.Time) {
+func (c *Clients) sendTry(t *Try, until time.Time) {
 	x := c.client.Send(func() []byte { return t.encode(until) }, until)
 	t.SentAt, t.Conn, t.Resent, t.Err, t.Result = x.SentAt, x.Conn, x.Resent, x.Err, x.Result
 	if x.Answer != nil {
@@ -217,15 +219,15 @@
 // encode returns the request's bytes.
 func (t *Try) encode(until time.Time) []byte {
 	method, body := "GET", ""
-	if !t.Class.Safe {
-		method, body = "POST", "take "+t.First
+	if !t.Class.Idempotent {
+		method, body = "POST", "take "+t.RequestID
 	}
 	b := fmt.Appendf(nil, "%s /%s/%s HTTP/1.1\r\nHost: api.internal\r\n%s: %s\r\nReq-Deadline: %.3f\r\n",
-		method, t.Class.Name, t.First[:4], headerID, t.ID, max(0.001, time.Until(until).Seconds()))
-	if t.Owner != "" {
-		b = fmt.Appendf(b, "Req-Owner: %s\r\n", t.Owner)
+		method, t.Class.Name, t.RequestID[:4], headerID, t.ID, max(0.001, time.Until(until).Seconds()))
+	if t.Tenant != "" {
+		b = fmt.Appendf(b, "Req-Owner: %s\r\n", t.Tenant)
 	}
-	if t.Again > 0 {
+	if t.Number > 0 {
 		b = append(b, "Req-Retry: 1\r\n"...)
 	}
 	if body != "" {
@@ -244,8 +246,8 @@
 	return resp, body, err
 }
 
-// Ready waits until the sidecar at address answers GET /up with 200, or for the end of ctx.
-func Ready(ctx context.Context, n Network, address string) error {
+// AwaitReady waits until the sidecar at address answers GET /up with 200, or for the end of ctx.
+func AwaitReady(ctx context.Context, n Network, address string) error {
 	for {
 		err := checkUp(ctx, n, address)
 		if err == nil {
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -22,10 +22,10 @@
 
 // Consumers that talk straight to a server get from it what a sidecar might give them.
 func TestResults(t *testing.T) {
-	slowly := Class{Name: "slowly", Safe: true, Deadline: time.Second, Aim: 30 * time.Millisecond}
-	tile, order := Tile(), Order()
-	tile.Aim, order.Deadline = tile.Deadline, tile.Deadline
-	broken := func(after int) Behaviour { return Behaviour{BreakOff: &BreakOff{After: after}} }
+	slowly := Class{Name: "slowly", Idempotent: true, Deadline: time.Second, LatencyObjective: 30 * time.Millisecond}
+	tile, order := TileClass(), OrderClass()
+	tile.LatencyObjective, order.Deadline = tile.Deadline, tile.Deadline
+	broken := func(after int) Behaviour { return Behaviour{Truncate: &Truncation{After: after}} }
 	for name, test := range map[string]struct {
 		how   Behaviour
 		class Class
@@ -33,29 +33,29 @@
 		want  string // after "asked 41, in aim "
 	}{
 		"served":          {Behaviour{}, tile, Retry{}, "41, served 41"},
-		"too late":        {Behaviour{Slow: 9}, slowly, Retry{}, "0, served 41"},
+		"too late":        {Behaviour{Slowdown: 9}, slowly, Retry{}, "0, served 41"},
 		"timed out":       {Behaviour{Stall: true}, slowly, Retry{}, "0, timed out 41"},
 		"refused":         {Behaviour{Drain: true}, order, Retry{}, "0, refused 41"},
-		"asked again":     {Behaviour{Drain: true}, order, Retry{Most: 2}, "0, refused 123"},
+		"asked again":     {Behaviour{Drain: true}, order, Retry{MaxRetries: 2}, "0, refused 123"},
 		"within the time": {Behaviour{Drain: true}, slowly, Retry{2 * time.Second, 2}, "0, refused 41"},
-		"failed orders":   {Behaviour{FailShare: 1}, order, Retry{Most: 2}, "0, failed 41"},
-		"failed tiles":    {Behaviour{FailShare: 1}, tile, Retry{Most: 2}, "0, failed 123"},
+		"failed orders":   {Behaviour{FailFraction: 1}, order, Retry{MaxRetries: 2}, "0, failed 41"},
+		"failed tiles":    {Behaviour{FailFraction: 1}, tile, Retry{MaxRetries: 2}, "0, failed 123"},
 		"cut short":       {broken(20), order, Retry{}, "0, failed 41"},
 		"lost":            {broken(0), order, Retry{}, "0, lost 41"},
-		"wrong":           {Behaviour{Spoilt: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
+		"wrong":           {Behaviour{ReplaceWith: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
-				p, err := NewProvider(n, ProviderOptions{Cores: 100, Default: Service{10 * time.Millisecond, true, 0}})
+				p, err := NewServer(n, ServerOptions{Cores: 100, Default: Service{10 * time.Millisecond, true, 0}})
 				ok(t, err)
 				defer p.Close()
-				p.Behave(test.how)
+				p.SetBehaviour(test.how)
 				start := time.Now()
 				load := Load{
-					Network: n, Address: p.Address(), Seed: 1, For: 200 * time.Millisecond, Retry: test.retry,
-					Flows: []Flow{{Class: test.class, Owner: "acme", Rate: 200}},
+					Network: n, Address: p.Address(), Seed: 1, Duration: 200 * time.Millisecond, Retry: test.retry,
+					Streams: []Stream{{Class: test.class, Tenant: "acme", Rate: 200}},
 				}
-				tries := NewConsumers(load).Run(t.Context())
+				tries := NewClients(load).Run(t.Context())
 				if got := Tally(tries, start, 0); len(got) != 1 || got[0].String() != "asked 41, in aim "+test.want {
 					t.Errorf("%v, want %s", got, test.want)
 				}
@@ -69,17 +69,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
-		p, err := NewProvider(n, ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
+		p, err := NewServer(n, ServerOptions{MaxIdle: 100 * time.Millisecond, Cores: 9})
 		ok(t, err)
 		defer p.Close()
-		tries := NewConsumers(Load{
-			Network: n, Address: p.Address(), Seed: 1, For: time.Minute,
-			Flows: []Flow{{Class: Order(), Rate: 5}},
+		tries := NewClients(Load{
+			Network: n, Address: p.Address(), Seed: 1, Duration: time.Minute,
+			Streams: []Stream{{Class: OrderClass(), Rate: 5}},
 		}).Run(t.Context())
 		resent := 0
 		for _, try := range tries {
-			if try.Result != Served || p.Runs(try.ID) != 1 {
-				t.Errorf("%+v ran %d times", try, p.Runs(try.ID))
+			if try.Result != Served || p.RunCount(try.ID) != 1 {
+				t.Errorf("%+v ran %d times", try, p.RunCount(try.ID))
 			}
 			if try.Resent {
 				resent++
@@ -123,13 +123,13 @@
 func TestLimitOfConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
-		p, err := NewProvider(n, ProviderOptions{Cores: 9, Default: Service{Mean: time.Second, Fixed: true}})
+		p, err := NewServer(n, ServerOptions{Cores: 9, Default: Service{Mean: time.Second, Fixed: true}})
 		ok(t, err)
 		defer p.Close()
 		start := time.Now()
-		tries := NewConsumers(Load{
-			Network: n, Address: p.Address(), Seed: 1, For: 20 * time.Second, MaxConns: 2,
-			Flows: []Flow{{Class: Tile(), Rate: 2}, {Class: Order(), Rate: 2}},
+		tries := NewClients(Load{
+			Network: n, Address: p.Address(), Seed: 1, Duration: 20 * time.Second, MaxConns: 2,
+			Streams: []Stream{{Class: TileClass(), Rate: 2}, {Class: OrderClass(), Rate: 2}},
 		}).Run(t.Context())
 		late := slices.ContainsFunc(tries, func(t Try) bool { return t.Result == Served && t.Took() > 3*time.Second/2 })
 		unsent := slices.ContainsFunc(tries, func(t Try) bool { return t.Result == TimedOut && t.SentAt.IsZero() })
@@ -151,7 +151,7 @@
 }
 
 // relay is a plain sidecar: it knows the fleet's first members and sends each request to one of them by its id.
-func relay(n Network, members []Member) http.Handler {
+func relay(n Network, members []Endpoint) http.Handler {
 	return &httputil.ReverseProxy{
 		Transport: &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return n.Dial(ctx, address)
@@ -171,12 +171,12 @@
 	for i := range days {
 		synctest.Test(t, func(t *testing.T) {
 			n := NewMemory()
-			f, err := NewFleet(n, 4, ProviderOptions{Cores: 4, Queue: 9, Default: Service{Mean: 10 * time.Millisecond}})
+			f, err := NewFleet(n, 4, ServerOptions{Cores: 4, Queue: 9, Default: Service{Mean: 10 * time.Millisecond}})
 			ok(t, err)
 			defer f.Close()
 			l, err := n.Listen("")
 			ok(t, err)
-			handler := relay(n, f.Members())
+			handler := relay(n, f.Endpoints())
 			server := http.Server{Handler: handler}
 			go func() { _ = server.Serve(l) }() // until Close
 			defer server.Close()
@@ -184,31 +184,31 @@
 			start := time.Now()
 			go Timeline{
 				{4 * time.Second, "release", func() {
-					ok(t, f.Release(t.Context(), Release{Batch: 3, Grace: time.Second, Down: time.Second, Move: true}))
+					ok(t, f.Release(t.Context(), Release{Batch: 3, Grace: time.Second, Down: time.Second, NewAddresses: true}))
 				}},
-				{time.Second, "gone", f.Providers[0].Kill},
-				{2 * time.Second, "back", func() { ok(t, f.Providers[0].Start("")) }},
-			}.Run(t.Context(), start)
-			tries := NewConsumers(Load{
-				Network: n, Address: l.Addr().String(), Seed: 1, For: 11 * time.Second,
-				Flows: []Flow{{Class: Tile(), Rate: 100}, {Class: Order(), Rate: 50}},
+				{time.Second, "gone", f.Servers[0].Kill},
+				{2 * time.Second, "back", func() { ok(t, f.Servers[0].Start("")) }},
+			}.Play(t.Context(), start)
+			tries := NewClients(Load{
+				Network: n, Address: l.Addr().String(), Seed: 1, Duration: 11 * time.Second,
+				Streams: []Stream{{Class: TileClass(), Rate: 100}, {Class: OrderClass(), Rate: 50}},
 			}).Run(t.Context())
 			days[i] = Tally(tries, start, time.Second)
-			took, well := Recovered(tries, start.Add(time.Second), 1, 200*time.Millisecond)
+			took, well := RecoveryTime(tries, start.Add(time.Second), 1, 200*time.Millisecond)
 			if !well || took != time.Second {
 				t.Errorf("recovered: %t, after %s", well, took)
 			}
-			if took, well = Recovered(tries, start.Add(4*time.Second), 1, 200*time.Millisecond); well {
+			if took, well = RecoveryTime(tries, start.Add(4*time.Second), 1, 200*time.Millisecond); well {
 				t.Errorf("recovered from the release after %s", took)
 			}
-			if ids := RunTwice("order", f.Providers...); len(ids) > 0 {
+			if ids := RequestsRunTwice("order", f.Servers...); len(ids) > 0 {
 				t.Errorf("run twice: %v", ids)
 			}
-			if n := f.Directory.Revision(); n != 5 {
+			if n := f.Discovery.Revision(); n != 5 {
 				t.Errorf("told %d times", n)
 			}
-			now := f.Members()
-			if d := f.Directory.Members(); !slices.Equal(d, now) || now[3].ID != "s-4.2" || now[3].UpSince == 0 {
+			now := f.Endpoints()
+			if d := f.Discovery.Endpoints(); !slices.Equal(d, now) || now[3].ID != "s-4.2" || now[3].UpSince == 0 {
 				t.Errorf("listed %v, there are %v", d, now)
 			}
 		})
@@ -233,15 +233,15 @@
 			ok(t, err)
 			for j := range 20 {
 				at := start.Add(time.Duration(i) * 250 * time.Millisecond)
-				try := Try{First: fmt.Sprint(i, j), Class: Tile(), AskedAt: at, At: at, EndedAt: at, Result: Refused}
+				try := Try{RequestID: fmt.Sprint(i, j), Class: TileClass(), RequestedAt: at, DueAt: at, EndedAt: at, Result: Rejected}
 				if j < served { // by a second try
 					tries = append(tries, try)
-					try.Again, try.Result = 1, Served
+					try.Number, try.Result = 1, Served
 				}
 				tries = append(tries, try)
 			}
 		}
-		took, well := Recovered(tries, start, 1, 250*time.Millisecond)
+		took, well := RecoveryTime(tries, start, 1, 250*time.Millisecond)
 		if got := fmt.Sprint(took, well); got != want {
 			t.Errorf("%s: %s, want %s", script, got, want)
 		}
@@ -249,10 +249,10 @@
 }
 
 func TestConfigIsOneThatTheProgramTakes(t *testing.T) {
-	raw, err := Config(Sidecar{
-		Name: "n1", Listen: "127.0.0.1:1", Directory: "127.0.0.1:2", Seed: 77,
-		Known:  List{Revision: 3, Members: []Member{{ID: "a", Address: "127.0.0.1:3", Phase: Serving}}},
-		Owners: []string{"acme"}, DrainGrace: time.Second,
+	raw, err := Config(SidecarConfig{
+		Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", Seed: 77,
+		Known:   List{Revision: 3, Endpoints: []Endpoint{{ID: "a", Address: "127.0.0.1:3", Phase: Serving}}},
+		Tenants: []string{"acme"}, DrainGrace: time.Second,
 		Edit: func(d map[string]any) { d["limits"].(map[string]any)["sockets"] = 99 },
 	})
 	ok(t, err)
--- a/internal/testbench/fakes/config.go
+++ b/internal/testbench/fakes/config.go
@@ -7,64 +7,64 @@
 	"time"
 )
 
-// Sidecar is what a sidecar's configuration says. Zero figures are left to its defaults.
-type Sidecar struct {
-	Name, Listen, Directory string
+// SidecarConfig is what a sidecar's configuration says. Zero figures are left to its defaults.
+type SidecarConfig struct {
+	Name, Listen, Discovery string
 	Seed                    uint64
 	Known                   List    // the list as the sidecar last had it
 	Classes                 []Class // nil = Tile and Order
-	Owners                  []string
-	Sockets, MemoryMB       int
+	Tenants                 []string
+	MaxConns, MemoryMB      int
 	NoProbes                bool
 	MaxAttempts             int // 0 = 3
-	Balancers               int // 0 = 1
+	Instances               int // 0 = 1
 	ConnIdle                time.Duration
-	Connect                 time.Duration
+	ConnectTimeout          time.Duration
 	DrainGrace              time.Duration
-	WarmIn                  time.Duration // in which a server that starts gets warm
+	WarmUpTime              time.Duration // in which a server that starts gets warm
 
 	// Edit changes anything else: it is given the whole document before it is written.
 	Edit func(document map[string]any)
 }
 
 // Config returns the sidecar's configuration file.
-func Config(s Sidecar) ([]byte, error) {
+func Config(s SidecarConfig) ([]byte, error) {
 	if s.Classes == nil {
-		s.Classes = []Class{Tile(), Order()}
+		s.Classes = []Class{TileClass(), OrderClass()}
 	}
 	classes := []any{}
 	for _, c := range s.Classes {
 		repeat := "side_effect"
-		if c.Safe {
+		if c.Idempotent {
 			repeat = "pure"
 		}
 		classes = append(classes, map[string]any{
-			"Name": c.Name, "AimMs": ms(c.Aim), "HardLimitMs": ms(c.Deadline),
-			"Credit": c.Worth, "Repeat": repeat,
+			"Name": c.Name, "AimMs": ms(c.LatencyObjective), "HardLimitMs": ms(c.Deadline),
+			"Credit": c.PriorityWeight, "Repeat": repeat,
 		})
 	}
 	realms := []any{}
-	for _, o := range s.Owners {
+	for _, o := range s.Tenants {
 		realms = append(realms, map[string]any{"Name": o, "QuotaPerS": 1000})
 	}
 	s.Known.Complete = true
-	s.Known.Members = append([]Member{}, s.Known.Members...)
+	s.Known.Endpoints = append([]Endpoint{}, s.Known.Endpoints...)
 	document := map[string]any{
-		"name": s.Name, "listen": s.Listen, "discovery": s.Directory, "seed": strconv.FormatUint(s.Seed, 16),
-		"limits": map[string]any{"memory_mb": s.MemoryMB, "sockets": s.Sockets},
+		"name": s.Name, "listen": s.Listen, "discovery": s.Discovery, "seed": strconv.FormatUint(s.Seed, 16),
+		"limits": map[string]any{"memory_mb": s.MemoryMB, "sockets": s.MaxConns},
 		"known":  s.Known,
 		"settings": map[string]any{
-			"Balancers": cmp.Or(s.Balancers, 1), "Discovery": "pushed", "RoundMs": 5,
-			"Dcs": []string{Here}, "Locality": 0,
+			"Balancers": cmp.Or(s.Instances, 1), "Discovery": "pushed", "RoundMs": 5,
+			"Dcs": []string{LocalZone}, "Locality": 0,
 			"Limits": map[string]any{
-				"ConnIdleMs": ms(s.ConnIdle), "ConnectTimeoutMs": ms(s.Connect),
+				"ConnIdleMs": ms(s.ConnIdle), "ConnectTimeoutMs": ms(s.ConnectTimeout),
 				"MaxAttempts": cmp.Or(s.MaxAttempts, 3), "MayCancel": true, "Probes": !s.NoProbes,
 				"MaxRetryAfterMs": 1200,
 			},
 			"Report": map[string]any{"Names": []string{"active", "avg_ms"}},
 			"Realms": realms, "OverShareWorth": 0.2,
 			"Safety": map[string]any{
-				"StartCapacity": 0.3, "WarmWithinMs": cmp.Or(ms(s.WarmIn), 8000), "TipMultiple": 4,
+				"StartCapacity": 0.3, "WarmWithinMs": cmp.Or(ms(s.WarmUpTime), 8000), "TipMultiple": 4,
 				"FallMs": 3000, "DrainGraceMs": ms(s.DrainGrace),
 			},
 			"RequestClasses": classes,
--- a/internal/testbench/fakes/count.go
+++ b/internal/testbench/fakes/count.go
@@ -10,8 +10,8 @@
 // this side sees them and without TCP's.
 type Counter struct{ Accepted, In, Out atomic.Int64 }
 
-// Of returns the network, counted.
-func (c *Counter) Of(n Network) Network { return counted{n, c} }
+// Wrap returns the network, counted.
+func (c *Counter) Wrap(n Network) Network { return counted{n, c} }
 
 type counted struct {
 	Network
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -16,8 +16,8 @@
 	Deleted  = "DELETED"
 )
 
-// Member is one line of discovery's list.
-type Member struct {
+// Endpoint is one line of discovery's list.
+type Endpoint struct {
 	ID       string `json:"id"`
 	Address  string `json:"host_port"`
 	Locality string `json:"locality"`
@@ -27,9 +27,9 @@
 
 // List is what discovery answers.
 type List struct {
-	Revision uint64   `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []Member `json:"members"`
+	Revision  uint64     `json:"revision"`
+	Complete  bool       `json:"complete"`
+	Endpoints []Endpoint `json:"members"`
 }
 
 const (
@@ -38,22 +38,22 @@
 	lateAnswerDelay = time.Millisecond // after the caller has hung up
 )
 
-// DirectoryCall is one call as discovery has seen it.
-type DirectoryCall struct {
+// DiscoveryCall is one call as discovery has seen it.
+type DiscoveryCall struct {
 	At         time.Time // of its last byte
 	Conn       int       // the connection's number, from 1
-	Whole      bool      // the whole list was asked for
+	Complete   bool      // the whole list was asked for
 	Index      uint64
 	Wait       time.Duration
 	Answered   bool
 	AnsweredAt time.Time
 	Revision   uint64 // that it was answered with
-	Members    int    // lines of the answer
+	Endpoints  int    // lines of the answer
 }
 
 // entry is the last that is known of one id.
 type entry struct {
-	Member
+	Endpoint
 	revision uint64
 }
 
@@ -66,9 +66,9 @@
 	muted                                                chan struct{} // closed when it ends; nil = none
 }
 
-// Directory serves the list of servers, in whole and by a watch, and misbehaves on request. It is safe for
+// Discovery serves the list of servers, in whole and by a watch, and misbehaves on request. It is safe for
 // concurrent use; each method acts at once.
-type Directory struct {
+type Discovery struct {
 	host
 
 	state    sync.Mutex
@@ -77,12 +77,12 @@
 	entries  []entry
 	changed  chan struct{} // closed with the next revision
 	faults   discoveryFaults
-	calls    []DirectoryCall
+	calls    []DiscoveryCall
 }
 
-// NewDirectory starts discovery at address (see Network.Listen) whose first revision holds the members.
-func NewDirectory(n Network, address string, endpoints ...Member) (*Directory, error) {
-	d := &Directory{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
+// NewDiscovery starts discovery at address (see Network.Listen) whose first revision holds the members.
+func NewDiscovery(n Network, address string, endpoints ...Endpoint) (*Discovery, error) {
+	d := &Discovery{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
 	d.handle = d.serveCall
 	for _, m := range endpoints {
 		d.put(m)
@@ -91,20 +91,20 @@
 }
 
 // Close ends it and waits for all that it has under way.
-func (d *Directory) Close() { d.stop() }
+func (d *Discovery) Close() { d.stop() }
 
 // Address is host:port.
-func (d *Directory) Address() string { return d.currentAddress() }
+func (d *Discovery) Address() string { return d.currentAddress() }
 
 // Set replaces the whole list in a new revision, which it returns.
-func (d *Directory) Set(endpoints ...Member) uint64 {
+func (d *Discovery) Set(endpoints ...Endpoint) uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
 	d.revision++
 	for _, e := range d.entries {
-		if !slices.ContainsFunc(endpoints, func(m Member) bool { return m.ID == e.ID }) && e.Phase != Deleted {
+		if !slices.ContainsFunc(endpoints, func(m Endpoint) bool { return m.ID == e.ID }) && e.Phase != Deleted {
 			e.Phase = Deleted
-			d.put(e.Member)
+			d.put(e.Endpoint)
 		}
 	}
 	for _, m := range endpoints {
@@ -114,7 +114,7 @@
 }
 
 // Change replaces or adds members in a new revision, which it returns. Those with phase Deleted are gone.
-func (d *Directory) Change(endpoints ...Member) uint64 {
+func (d *Discovery) Change(endpoints ...Endpoint) uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
 	d.revision++
@@ -125,43 +125,43 @@
 }
 
 // put notes what is new of a member in the present revision.
-func (d *Directory) put(m Member) {
+func (d *Discovery) put(m Endpoint) {
 	i := slices.IndexFunc(d.entries, func(e entry) bool { return e.ID == m.ID })
 	if i < 0 {
 		i = len(d.entries)
 		d.entries = append(d.entries, entry{})
 	}
-	if d.entries[i].Member != m {
-		d.entries[i] = entry{Member: m, revision: d.revision}
+	if d.entries[i].Endpoint != m {
+		d.entries[i] = entry{Endpoint: m, revision: d.revision}
 	}
 }
 
-func (d *Directory) publish() uint64 {
+func (d *Discovery) publish() uint64 {
 	close(d.changed)
 	d.changed = make(chan struct{})
 	return d.revision
 }
 
 // Revision is the present one.
-func (d *Directory) Revision() uint64 {
+func (d *Discovery) Revision() uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return d.revision
 }
 
-// Members returns the whole list.
-func (d *Directory) Members() []Member {
+// Endpoints returns the whole list.
+func (d *Discovery) Endpoints() []Endpoint {
 	d.state.Lock()
 	defer d.state.Unlock()
-	return d.list(true, 0).Members
+	return d.list(true, 0).Endpoints
 }
 
 // list returns the complete list or the changes after a revision.
-func (d *Directory) list(complete bool, after uint64) List {
-	l := List{Revision: d.revision, Complete: complete, Members: []Member{}}
+func (d *Discovery) list(complete bool, after uint64) List {
+	l := List{Revision: d.revision, Complete: complete, Endpoints: []Endpoint{}}
 	for _, e := range d.entries {
 		if complete && e.Phase != Deleted || !complete && e.revision > after {
-			l.Members = append(l.Members, e.Member)
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
 	return l
@@ -169,13 +169,13 @@
 
 // LoseAnswers takes calls and never answers them, those under way included; their connections stay open and silent.
 // Calls that come after it has been switched off are answered.
-func (d *Directory) LoseAnswers(on bool) { d.setFault(func(f *discoveryFaults) { f.loseAnswers = on }) }
+func (d *Discovery) LoseAnswers(on bool) { d.setFault(func(f *discoveryFaults) { f.loseAnswers = on }) }
 
-// LosePresent loses the answers to all calls on connections that are open now, for good. New connections are fine.
-func (d *Directory) LosePresent() { d.markOpenConns() }
+// LoseAnswersOnOpenConns loses the answers to all calls on connections that are open now, for good. New connections are fine.
+func (d *Discovery) LoseAnswersOnOpenConns() { d.markOpenConns() }
 
-// Mute takes connections and calls and says nothing until it is switched off. Then it answers all that still wait.
-func (d *Directory) Mute(on bool) {
+// HoldAnswers takes connections and calls and says nothing until it is switched off. Then it answers all that still wait.
+func (d *Discovery) HoldAnswers(on bool) {
 	d.setFault(func(f *discoveryFaults) {
 		if f.muted != nil {
 			close(f.muted)
@@ -187,8 +187,8 @@
 	})
 }
 
-// Down refuses connections, after resetting those that are open, until it is switched off.
-func (d *Directory) Down(on bool) error {
+// SetDown refuses connections, after resetting those that are open, until it is switched off.
+func (d *Discovery) SetDown(on bool) error {
 	if on {
 		d.resetAll()
 		return nil
@@ -196,36 +196,40 @@
 	return d.startListening()
 }
 
-// Vanish is the end of its machine, or its return: nothing is answered, refused or reset, and connections hang.
-func (d *Directory) Vanish(on bool) error { return d.setSilent(on) }
+// SetSilent is the end of its machine, or its return: nothing is answered, refused or reset, and connections hang.
+func (d *Discovery) SetSilent(on bool) error { return d.setSilent(on) }
 
-// Delay sends each answer so much later than it is made.
-func (d *Directory) Delay(by time.Duration) { d.setFault(func(f *discoveryFaults) { f.delay = by }) }
+// SetDelay sends each answer so much later than it is made.
+func (d *Discovery) SetDelay(by time.Duration) { d.setFault(func(f *discoveryFaults) { f.delay = by }) }
 
-// AnswerLate answers a call only a moment after its caller has hung up, or has ended its sending.
-func (d *Directory) AnswerLate(on bool) { d.setFault(func(f *discoveryFaults) { f.answerLate = on }) }
+// AnswerAfterClose answers a call only a moment after its caller has hung up, or has ended its sending.
+func (d *Discovery) AnswerAfterClose(on bool) {
+	d.setFault(func(f *discoveryFaults) { f.answerLate = on })
+}
 
-// WholeForWatch answers watches with the whole list.
-func (d *Directory) WholeForWatch(on bool) {
+// CompleteForWatch answers watches with the whole list.
+func (d *Discovery) CompleteForWatch(on bool) {
 	d.setFault(func(f *discoveryFaults) { f.wholeForWatch = on })
 }
 
-// PartForWhole answers calls for the whole list with the first half of it, as changes.
-func (d *Directory) PartForWhole(on bool) {
+// PartialForComplete answers calls for the whole list with the first half of it, as changes.
+func (d *Discovery) PartialForComplete(on bool) {
 	d.setFault(func(f *discoveryFaults) { f.partForWhole = on })
 }
 
-// Word encodes answers indented, and in chunks.
-func (d *Directory) Word(indented, chunked bool) {
+// SetEncoding encodes answers indented, and in chunks.
+func (d *Discovery) SetEncoding(indented, chunked bool) {
 	d.setFault(func(f *discoveryFaults) { f.indented, f.chunked = indented, chunked })
 }
 
-// Spoil sends these bytes in place of each answer; nil = no longer.
-func (d *Directory) Spoil(with []byte) { d.setFault(func(f *discoveryFaults) { f.replacement = with }) }
+// ReplaceAnswers sends these bytes in place of each answer; nil = no longer.
+func (d *Discovery) ReplaceAnswers(with []byte) {
+	d.setFault(func(f *discoveryFaults) { f.replacement = with })
+}
 
 // RestartAt ends all connections with a reset and starts anew, at the same address, with the list at another revision,
 // which may be lower. It no longer knows what was deleted or changed before.
-func (d *Directory) RestartAt(revision uint64) error {
+func (d *Discovery) RestartAt(revision uint64) error {
 	d.resetAll()
 	d.state.Lock()
 	d.revision, d.since = revision, revision
@@ -238,7 +242,7 @@
 }
 
 // Move ends all connections with a reset and goes on at another address, which it returns.
-func (d *Directory) Move() (string, error) {
+func (d *Discovery) Move() (string, error) {
 	d.resetAll()
 	d.mutex.Lock()
 	d.address = ""
@@ -248,31 +252,31 @@
 }
 
 // Calls returns all calls so far.
-func (d *Directory) Calls() []DirectoryCall {
+func (d *Discovery) Calls() []DiscoveryCall {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return slices.Clone(d.calls)
 }
 
-func (d *Directory) setFault(set func(*discoveryFaults)) {
+func (d *Discovery) setFault(set func(*discoveryFaults)) {
 	d.state.Lock()
 	defer d.state.Unlock()
 	set(&d.faults)
 }
 
-func (d *Directory) currentFaults() discoveryFaults {
+func (d *Discovery) currentFaults() discoveryFaults {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return d.faults
 }
 
 // serveCall records a call and answers it, as the faults have it.
-func (d *Directory) serveCall(c *hostConn, m *message) bool {
+func (d *Discovery) serveCall(c *hostConn, m *message) bool {
 	if m.URL.Path != listPath || m.Method != "GET" {
 		return c.write(encodeResponse(404, "", nil))
 	}
 	query := m.URL.Query()
-	call := DirectoryCall{At: m.last, Conn: c.number, Whole: !query.Has("index")}
+	call := DiscoveryCall{At: m.last, Conn: c.number, Complete: !query.Has("index")}
 	call.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
 	call.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
@@ -303,7 +307,7 @@
 	c.waitWhileSilent()
 	d.state.Lock()
 	record := &d.calls[index]
-	record.Answered, record.AnsweredAt, record.Revision, record.Members = true, time.Now(), list.Revision, len(list.Members)
+	record.Answered, record.AnsweredAt, record.Revision, record.Endpoints = true, time.Now(), list.Revision, len(list.Endpoints)
 	d.state.Unlock()
 	return c.write(raw)
 }
@@ -326,16 +330,16 @@
 }
 
 // awaitList waits for what the call asks for. False means that its connection has ended.
-func (d *Directory) awaitList(c *hostConn, call *DirectoryCall) (List, bool) {
+func (d *Discovery) awaitList(c *hostConn, call *DiscoveryCall) (List, bool) {
 	until := time.NewTimer(call.Wait)
 	defer until.Stop()
-	for pollExpired := call.Whole; ; {
+	for pollExpired := call.Complete; ; {
 		d.state.Lock()
 		faults, changed := d.faults, d.changed
 		forgot := call.Index > d.revision || call.Index < d.since // it can't say what has changed since then
-		l := d.list(call.Whole || forgot || faults.wholeForWatch, call.Index)
-		if call.Whole && faults.partForWhole {
-			l.Complete, l.Members = false, l.Members[:len(l.Members)/2]
+		l := d.list(call.Complete || forgot || faults.wholeForWatch, call.Index)
+		if call.Complete && faults.partForWhole {
+			l.Complete, l.Endpoints = false, l.Endpoints[:len(l.Endpoints)/2]
 		}
 		changedSinceIndex := pollExpired || forgot || d.revision > call.Index
 		d.state.Unlock()
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -81,17 +81,17 @@
 		return answer
 	}
 	s := fmt.Sprint(l.Revision, map[bool]string{true: "=", false: "+"}[l.Complete])
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		s += m.ID + m.Phase[:1]
 	}
 	return s
 }
 
 func TestDiscovery(t *testing.T) {
-	a, b := Member{ID: "a", Phase: Serving}, Member{ID: "b", Phase: Serving}
-	gone := Member{ID: "a", Phase: Deleted}
+	a, b := Endpoint{ID: "a", Phase: Serving}, Endpoint{ID: "b", Phase: Serving}
+	gone := Endpoint{ID: "a", Phase: Deleted}
 	const complete, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
-	then := func(d *Directory, do func()) { // once there is a call
+	then := func(d *Discovery, do func()) { // once there is a call
 		go func() {
 			for len(d.Calls()) == 0 {
 				time.Sleep(time.Millisecond)
@@ -100,58 +100,58 @@
 		}()
 	}
 	for name, test := range map[string]struct {
-		do    func(d *Directory)
+		do    func(d *Discovery)
 		calls string // targets on one connection, or "new" for another connection
 		want  string
 	}{
-		"whole":   {func(*Directory) {}, complete, "1=aSbS"},
-		"no news": {func(*Directory) {}, short, "1+"},
+		"whole":   {func(*Discovery) {}, complete, "1=aSbS"},
+		"no news": {func(*Discovery) {}, short, "1+"},
 		"changes": {
-			func(d *Directory) { then(d, func() { d.Change(gone) }) },
+			func(d *Discovery) { then(d, func() { d.Change(gone) }) },
 			watch + " " + complete, "2+aD 2=bS",
 		},
-		"set":            {func(d *Directory) { then(d, func() { d.Set(b) }) }, watch, "2+aD"},
-		"news of before": {func(d *Directory) { d.Change(Member{ID: "c", Phase: Draining}) }, watch, "2+cD"},
-		"lost":           {func(d *Directory) { d.LoseAnswers(true) }, complete + " new " + complete, "silence silence"},
+		"set":            {func(d *Discovery) { then(d, func() { d.Set(b) }) }, watch, "2+aD"},
+		"news of before": {func(d *Discovery) { d.Change(Endpoint{ID: "c", Phase: Draining}) }, watch, "2+cD"},
+		"lost":           {func(d *Discovery) { d.LoseAnswers(true) }, complete + " new " + complete, "silence silence"},
 		"lost in the wait": {
-			func(d *Directory) { then(d, func() { d.LoseAnswers(true); d.Set(b) }) },
+			func(d *Discovery) { then(d, func() { d.LoseAnswers(true); d.Set(b) }) },
 			watch, "silence",
 		},
-		"lost for a while": {func(d *Directory) {
+		"lost for a while": {func(d *Discovery) {
 			d.LoseAnswers(true)
 			then(d, func() { d.LoseAnswers(false); d.Set(b) })
 		}, watch, "silence"},
-		"present lost": {func(d *Directory) { d.LosePresent() }, complete + " new " + complete, "silence 1=aSbS"},
-		"mute":         {func(d *Directory) { d.Mute(true) }, complete, "silence"},
-		"mute, then all": {func(d *Directory) {
-			d.Mute(true)
-			then(d, func() { d.Change(gone); d.Mute(false) })
+		"present lost": {func(d *Discovery) { d.LoseAnswersOnOpenConns() }, complete + " new " + complete, "silence 1=aSbS"},
+		"mute":         {func(d *Discovery) { d.HoldAnswers(true) }, complete, "silence"},
+		"mute, then all": {func(d *Discovery) {
+			d.HoldAnswers(true)
+			then(d, func() { d.Change(gone); d.HoldAnswers(false) })
 		}, watch, "2+aD"},
-		"vanished": {func(d *Directory) { _ = d.Vanish(true) }, complete, "silence"},
-		"vanished and back": {func(d *Directory) {
-			_ = d.Vanish(true)
-			time.AfterFunc(20*time.Millisecond, func() { _ = d.Vanish(false) })
+		"vanished": {func(d *Discovery) { _ = d.SetSilent(true) }, complete, "silence"},
+		"vanished and back": {func(d *Discovery) {
+			_ = d.SetSilent(true)
+			time.AfterFunc(20*time.Millisecond, func() { _ = d.SetSilent(false) })
 		}, complete, "1=aSbS"},
-		"down": {func(d *Directory) { _ = d.Down(true) }, complete, "reset"},
-		"down and up": {func(d *Directory) {
-			_ = d.Down(true)
-			_ = d.Down(false)
+		"down": {func(d *Discovery) { _ = d.SetDown(true) }, complete, "reset"},
+		"down and up": {func(d *Discovery) {
+			_ = d.SetDown(true)
+			_ = d.SetDown(false)
 		}, complete + " new " + complete, "reset 1=aSbS"},
-		"delay":             {func(d *Directory) { d.Delay(2 * answerTimeout) }, complete, "silence"},
-		"late":              {func(d *Directory) { d.AnswerLate(true) }, complete, "silence"},
-		"whole for a watch": {func(d *Directory) { d.WholeForWatch(true); d.Change(gone) }, watch, "2=bS"},
-		"part for whole":    {func(d *Directory) { d.PartForWhole(true) }, complete, "1+aS"},
-		"spoilt":            {func(d *Directory) { d.Spoil(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
+		"delay":             {func(d *Discovery) { d.SetDelay(2 * answerTimeout) }, complete, "silence"},
+		"late":              {func(d *Discovery) { d.AnswerAfterClose(true) }, complete, "silence"},
+		"whole for a watch": {func(d *Discovery) { d.CompleteForWatch(true); d.Change(gone) }, watch, "2=bS"},
+		"part for whole":    {func(d *Discovery) { d.PartialForComplete(true) }, complete, "1+aS"},
+		"spoilt":            {func(d *Discovery) { d.ReplaceAnswers(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
 		"lower revision": {
-			func(d *Directory) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
+			func(d *Discovery) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
 			"new " + listPath + "?index=3&wait=50", "1=aSbS",
 		},
-		"forgotten changes": {func(d *Directory) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
-		"moved":             {func(d *Directory) { _, _ = d.Move() }, complete + " new " + complete, "reset 1=aSbS"},
+		"forgotten changes": {func(d *Discovery) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
+		"moved":             {func(d *Discovery) { _, _ = d.Move() }, complete + " new " + complete, "reset 1=aSbS"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
-				d, err := NewDirectory(n, "", a, b)
+				d, err := NewDiscovery(n, "", a, b)
 				ok(t, err)
 				defer d.Close()
 				c := call(t, n, d.Address())
@@ -176,19 +176,19 @@
 
 func TestDiscoveryCallsAreCounted(t *testing.T) {
 	onBoth(t, func(t *testing.T, n Network) {
-		d, err := NewDirectory(n, "", Member{ID: "a", Phase: Serving})
+		d, err := NewDiscovery(n, "", Endpoint{ID: "a", Phase: Serving})
 		ok(t, err)
 		defer d.Close()
 		c := call(t, n, d.Address())
 		c.get(listPath, "")
-		d.AnswerLate(true)
+		d.AnswerAfterClose(true)
 		c.get(listPath+"?index=1&wait=100000", "")
 		calls := d.Calls()
 		for i := range calls {
 			calls[i].At, calls[i].AnsweredAt = time.Time{}, time.Time{}
 		}
-		want := []DirectoryCall{
-			{Conn: 1, Whole: true, Answered: true, Revision: 1, Members: 1},
+		want := []DiscoveryCall{
+			{Conn: 1, Complete: true, Answered: true, Revision: 1, Endpoints: 1},
 			{Conn: 1, Index: 1, Wait: maxWait},
 		}
 		if !slices.Equal(calls, want) {
--- a/internal/testbench/fakes/doc.go
+++ b/internal/testbench/fakes/doc.go
@@ -10,7 +10,7 @@
 //
 //	synctest.Test(t, func(t *testing.T) {
 //		net := fakes.NewMemory()
-//		fleet, err := fakes.NewFleet(net, 8, fakes.ProviderOptions{Cores: 4, Queue: 16, Seed: 1,
+//		fleet, err := fakes.NewFleet(net, 8, fakes.ServerOptions{Cores: 4, Queue: 16, Seed: 1,
 //			Default: fakes.Service{Mean: 20 * time.Millisecond}})
 //		if err != nil {
 //			t.Fatal(err)
@@ -21,8 +21,8 @@
 //			t.Fatal(err)
 //		}
 //		file := filepath.Join(t.TempDir(), "config.json")
-//		raw, err := fakes.Config(fakes.Sidecar{Name: "n1", Listen: front.Addr().String(), Seed: 1,
-//			Directory: fleet.Directory.Address(), Known: fakes.List{Revision: 1, Members: fleet.Members()}})
+//		raw, err := fakes.Config(fakes.SidecarConfig{Name: "n1", Listen: front.Addr().String(), Seed: 1,
+//			Discovery: fleet.Discovery.Address(), Known: fakes.List{Revision: 1, Endpoints: fleet.Endpoints()}})
 //		if err != nil || os.WriteFile(file, raw, 0o600) != nil {
 //			t.Fatal(err)
 //		}
@@ -31,31 +31,31 @@
 //		if err != nil {
 //			t.Fatal(err)
 //		}
-//		signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-//		go func() { ended <- serve(cfg, getenv, front, net.Dial, signals) }()
-//		if err := fakes.Ready(t.Context(), net, front.Addr().String()); err != nil {
+//		signals, ended := newSignalQueues(), make(chan error, 1)
+//		go func() { ended <- serve(startOptions{cfg: cfg, getenv: getenv, listener: front, dial: net.Dial, signals: signals}) }()
+//		if err := fakes.AwaitReady(t.Context(), net, front.Addr().String()); err != nil {
 //			t.Fatal(err)
 //		}
 //
 //		start := time.Now()
 //		go fakes.Timeline{
-//			{At: 5 * time.Second, Name: "answers are lost", Do: func() { fleet.Directory.LoseAnswers(true) }},
-//			{At: 6 * time.Second, Name: "release", Do: func() {
-//				fleet.Release(t.Context(), fakes.Release{Batch: 4, Most: 4, Grace: time.Second, Move: true})
+//			{At: 5 * time.Second, Name: "answers are lost", Act: func() { fleet.Discovery.LoseAnswers(true) }},
+//			{At: 6 * time.Second, Name: "release", Act: func() {
+//				fleet.Release(t.Context(), fakes.Release{Batch: 4, MaxServers: 4, Grace: time.Second, NewAddresses: true})
 //			}},
-//		}.Run(t.Context(), start)
-//		tries := fakes.NewConsumers(fakes.Load{Network: net, Address: front.Addr().String(), Seed: 1,
-//			For:   30 * time.Second,
-//			Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: 200}, {Class: fakes.Order(), Rate: 40}},
+//		}.Play(t.Context(), start)
+//		tries := fakes.NewClients(fakes.Load{Network: net, Address: front.Addr().String(), Seed: 1,
+//			Duration: 30 * time.Second,
+//			Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 200}, {Class: fakes.OrderClass(), Rate: 40}},
 //		}).Run(t.Context())
 //
 //		calm := fakes.Tally(tries, start, 5*time.Second)[0]
-//		took, ok := fakes.Recovered(tries, start.Add(6*time.Second), calm.Share(), 500*time.Millisecond)
+//		took, ok := fakes.RecoveryTime(tries, start.Add(6*time.Second), calm.ServedFraction(), 500*time.Millisecond)
 //		t.Logf("calm: %s; recovered: %t, after %s", calm, ok, took)
-//		if twice := fakes.RunTwice("order", fleet.Providers...); len(twice) > 0 {
+//		if twice := fakes.RequestsRunTwice("order", fleet.Servers...); len(twice) > 0 {
 //			t.Errorf("orders run twice: %v", twice)
 //		}
-//		signals <- syscall.SIGTERM
+//		signals.stop <- receivedSignal{Signal: syscall.SIGTERM, earliestSent: time.Now(), readAt: time.Now()}
 //		if err := <-ended; err != nil {
 //			t.Error(err)
 //		}
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -8,14 +8,14 @@
 
 // Fleet is some servers and the discovery that lists them.
 type Fleet struct {
-	Directory *Directory
-	Providers []*Provider
+	Discovery *Discovery
+	Servers   []*Server
 	lifetimes []int // processes so far, by server
 }
 
 // NewFleet starts n servers of one nature; o's ID, if any, goes before the number in their names, and each gets a
 // seed of its own.
-func NewFleet(net Network, n int, o ProviderOptions) (*Fleet, error) {
+func NewFleet(net Network, n int, o ServerOptions) (*Fleet, error) {
 	f := &Fleet{lifetimes: make([]int, n)}
 	prefix, seed := o.ID, o.Seed
 	if prefix == "" {
@@ -23,15 +23,15 @@
 	}
 	for i := range n {
 		o.ID, o.Seed = fmt.Sprintf("%s-%d", prefix, i+1), seed+uint64(i)
-		p, err := NewProvider(net, o)
+		p, err := NewServer(net, o)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.Providers = append(f.Providers, p)
+		f.Servers = append(f.Servers, p)
 	}
 	var err error
-	if f.Directory, err = NewDirectory(net, "", f.Members()...); err != nil {
+	if f.Discovery, err = NewDiscovery(net, "", f.Endpoints()...); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -40,39 +40,39 @@
 
 // Close ends all of them.
 func (f *Fleet) Close() {
-	if f.Directory != nil {
-		f.Directory.Close()
+	if f.Discovery != nil {
+		f.Discovery.Close()
 	}
-	for _, p := range f.Providers {
+	for _, p := range f.Servers {
 		p.Close()
 	}
 }
 
-// Members are the lines of all servers as they are, whatever discovery says.
-func (f *Fleet) Members() (endpoints []Member) {
-	for _, p := range f.Providers {
-		endpoints = append(endpoints, p.Member())
+// Endpoints are the lines of all servers as they are, whatever discovery says.
+func (f *Fleet) Endpoints() (endpoints []Endpoint) {
+	for _, p := range f.Servers {
+		endpoints = append(endpoints, p.Endpoint())
 	}
 	return endpoints
 }
 
 // Release is a rolling replacement of all processes.
 type Release struct {
-	Batch   int           // servers replaced at a time; 0 = 1
-	Most    int           // servers replaced, from the first on; 0 = all
-	Grace   time.Duration // from the notice of the drain to the end of the process
-	Down    time.Duration // from there to the next process
-	Between time.Duration // from there to the next batch
-	Move    bool          // the next process has another address
+	Batch        int           // servers replaced at a time; 0 = 1
+	MaxServers   int           // servers replaced, from the first on; 0 = all
+	Grace        time.Duration // from the notice of the drain to the end of the process
+	Down         time.Duration // from there to the next process
+	Between      time.Duration // from there to the next batch
+	NewAddresses bool          // the next process has another address
 }
 
 // Release replaces the servers' processes: discovery lists one as draining, and it declines what is new; after
 // the grace it ends, and one under a new id starts and is listed together with the other's end. It returns early at the
 // end of ctx.
 func (f *Fleet) Release(ctx context.Context, r Release) error {
-	servers := len(f.Providers)
-	if r.Most > 0 {
-		servers = min(servers, r.Most)
+	servers := len(f.Servers)
+	if r.MaxServers > 0 {
+		servers = min(servers, r.MaxServers)
 	}
 	for from := 0; from < servers; from += max(1, r.Batch) {
 		to := min(servers, from+max(1, r.Batch))
@@ -89,18 +89,18 @@
 }
 
 func (f *Fleet) replace(ctx context.Context, from, to int, r Release) error {
-	var changes []Member
-	for _, p := range f.Providers[from:to] {
-		m := p.Member()
+	var changes []Endpoint
+	for _, p := range f.Servers[from:to] {
+		m := p.Endpoint()
 		m.Phase = Draining
 		changes = append(changes, m)
-		p.Change(func(b *Behaviour) { b.Drain = true })
+		p.ChangeBehaviour(func(b *Behaviour) { b.Drain = true })
 	}
-	f.Directory.Change(changes...)
+	f.Discovery.Change(changes...)
 	if err := Pause(ctx, r.Grace); err != nil {
 		return err
 	}
-	for i, p := range f.Providers[from:to] {
+	for i, p := range f.Servers[from:to] {
 		p.Kill()
 		changes[i].Phase = Deleted
 	}
@@ -108,21 +108,21 @@
 		return err
 	}
 	for i := from; i < to; i++ {
-		p := f.Providers[i]
-		if r.Move {
-			p.Move()
+		p := f.Servers[i]
+		if r.NewAddresses {
+			p.ForgetAddress()
 		}
 		if err := p.Restart(f.nextID(i)); err != nil {
 			return err
 		}
-		changes = append(changes, p.Member())
+		changes = append(changes, p.Endpoint())
 	}
-	f.Directory.Change(changes...)
+	f.Discovery.Change(changes...)
 	return nil
 }
 
 // nextID names the next process of the i-th server.
 func (f *Fleet) nextID(i int) string {
 	f.lifetimes[i]++
-	return fmt.Sprintf("%s.%d", f.Providers[i].options.ID, f.lifetimes[i]+1)
+	return fmt.Sprintf("%s.%d", f.Servers[i].options.ID, f.lifetimes[i]+1)
 }
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -11,7 +11,7 @@
 )
 
 // serveMessage serves one message.
-func (p *Provider) serveMessage(c *hostConn, m *message) bool {
+func (p *Server) serveMessage(c *hostConn, m *message) bool {
 	how := p.currentBehaviour()
 	reset := how.resets(c, m) || p.isMarked(c)
 	if m.URL.Path == loadPath || m.URL.Path == alivePath {
@@ -24,10 +24,10 @@
 		c.drop(true)
 		return false
 	case m.Header.Get(headerID) == "":
-		return p.recordAndSend(c, index, Nameless, encodeResponse(404, "", nil))
+		return p.recordAndSend(c, index, MissingID, encodeResponse(404, "", nil))
 	case how.Drain || how.Decline:
 		return p.decline(c, index)
-	case how.Hang:
+	case how.Unresponsive:
 		p.recordOutcome(index, Unsent)
 		return c.waitForClose()
 	}
@@ -47,13 +47,13 @@
 
 // resets reports whether a message is answered by a reset of its connection.
 func (b *Behaviour) resets(c *hostConn, m *message) bool {
-	idleTooLong := b.ForgetIdle > 0 && m.idle > b.ForgetIdle
-	carriedTooMany := b.ForgetAfter > 0 && c.carried >= b.ForgetAfter
+	idleTooLong := b.ResetAfterIdle > 0 && m.idle > b.ResetAfterIdle
+	carriedTooMany := b.ResetAfterRequests > 0 && c.carried >= b.ResetAfterRequests
 	return b.ResetAll || idleTooLong || carriedTooMany
 }
 
 // recordRequest adds a request to the record and returns its index there and the process that has it.
-func (p *Provider) recordRequest(c *hostConn, m *message) (int, *lifetime) {
+func (p *Server) recordRequest(c *hostConn, m *message) (int, *lifetime) {
 	p.state.Lock()
 	defer p.state.Unlock()
 	p.requests = append(p.requests, Request{
@@ -70,12 +70,12 @@
 	return class
 }
 
-func (p *Provider) decline(c *hostConn, index int) bool {
+func (p *Server) decline(c *hostConn, index int) bool {
 	return p.recordAndSend(c, index, Declined, encodeResponse(503, headerDeclined, nil))
 }
 
 // recordOutcome records how a request ended. It returns false, so that the connection ends with it.
-func (p *Provider) recordOutcome(index int, o Outcome) bool {
+func (p *Server) recordOutcome(index int, o Outcome) bool {
 	p.state.Lock()
 	defer p.state.Unlock()
 	p.requests[index].Outcome = o
@@ -83,14 +83,14 @@
 }
 
 // recordAndSend records the outcome before it sends the response, since whoever has the response may look it up.
-func (p *Provider) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
+func (p *Server) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
 	c.waitWhileSilent()
 	p.recordOutcome(index, o)
 	return c.write(raw) || p.recordOutcome(index, Unsent)
 }
 
 // serveProbe answers with the load.
-func (p *Provider) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
+func (p *Server) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
 	p.state.Lock()
 	now := p.current
 	load := map[string]any{"active": now.busy + len(now.waiting)}
@@ -99,14 +99,14 @@
 	}
 	status := 200
 	switch {
-	case reset || how.Probes == ProbesCutOff:
+	case reset || how.Probes == ProbesReset:
 		status = 0
 	case how.Drain || how.Probes == ProbesUnavailable:
 		status = 503
 	}
 	p.probes = append(p.probes, Probe{At: m.last, Conn: c.number, Path: m.URL.Path, Status: status})
 	p.state.Unlock()
-	if how.Hang {
+	if how.Unresponsive {
 		return c.waitForClose()
 	}
 	switch status {
@@ -121,7 +121,7 @@
 }
 
 // waitForCore waits for a core. Pending says that the request has got one; any other outcome is final.
-func (p *Provider) waitForCore(c *hostConn, now *lifetime) Outcome {
+func (p *Server) waitForCore(c *hostConn, now *lifetime) Outcome {
 	p.state.Lock()
 	if now.busy < p.options.Cores {
 		now.busy++
@@ -140,7 +140,7 @@
 	case <-coreFree:
 		return outcome
 	case <-c.clientDone:
-		outcome = Left
+		outcome = ClientGone
 	case <-c.closed:
 		outcome = Killed
 	}
@@ -166,7 +166,7 @@
 
 // run occupies a core for the service time and returns the response's body and whether the request is to fail. Only the
 // end of the process interrupts it: ended is false then.
-func (p *Provider) run(c *hostConn, m *message, now *lifetime, index int) (body []byte, failed, ended bool) {
+func (p *Server) run(c *hostConn, m *message, now *lifetime, index int) (body []byte, failed, ended bool) {
 	id := m.Header.Get(headerID)
 	p.state.Lock()
 	p.requests[index].Started = true
@@ -185,12 +185,12 @@
 	if !service.Fixed {
 		work *= draw.ExpFloat64()
 	}
-	if how.Slow > 0 {
-		work *= how.Slow
+	if how.Slowdown > 0 {
+		work *= how.Slowdown
 	}
 	took := time.Duration(work * p.slowStartFactor(now))
 	if c.carried == 0 {
-		took += p.options.Connect
+		took += p.options.Handshake
 	}
 	ended = c.wait(took)
 	p.state.Lock()
@@ -207,20 +207,20 @@
 	}
 	body = []byte(id + "\n")
 	body = append(body, make([]byte, max(0, service.Body-len(body)))...)
-	return body, draw.Float64() < p.behaviour.FailShare, true
+	return body, draw.Float64() < p.behaviour.FailFraction, true
 }
 
 // slowStartFactor is by how much service takes longer while the process is in slow start.
-func (p *Provider) slowStartFactor(now *lifetime) float64 {
+func (p *Server) slowStartFactor(now *lifetime) float64 {
 	age := time.Since(now.startedAt)
-	if now.warm || p.options.ColdBy <= 1 || age >= p.options.WarmIn {
+	if now.warm || p.options.SlowStartFactor <= 1 || age >= p.options.WarmUpTime {
 		return 1
 	}
-	return 1 + (p.options.ColdBy-1)*(1-float64(age)/float64(p.options.WarmIn))
+	return 1 + (p.options.SlowStartFactor-1)*(1-float64(age)/float64(p.options.WarmUpTime))
 }
 
 // respond sends the response to a request that has run, or what the behaviour sends instead.
-func (p *Provider) respond(c *hostConn, index int, body []byte, failed bool) bool {
+func (p *Server) respond(c *hostConn, index int, body []byte, failed bool) bool {
 	select {
 	case <-c.clientDone:
 		return p.recordOutcome(index, Unsent)
@@ -232,19 +232,19 @@
 		outcome, full = Errored, encodeResponse(500, "", nil)
 	}
 	switch {
-	case how.BreakOff != nil:
-		p.recordOutcome(index, BrokenOff)
-		if n := min(how.BreakOff.After, len(full)); n > 0 {
+	case how.Truncate != nil:
+		p.recordOutcome(index, Truncated)
+		if n := min(how.Truncate.After, len(full)); n > 0 {
 			c.write(full[:n])
 		}
-		c.drop(how.BreakOff.Reset)
+		c.drop(how.Truncate.Reset)
 		return false
 	case how.Stall:
 		p.recordOutcome(index, Stalled)
 		c.write(full[:len(full)-len(body)])
 		return c.waitForClose()
-	case how.Spoilt != nil:
-		return p.recordAndSend(c, index, Spoilt, how.Spoilt)
+	case how.ReplaceWith != nil:
+		return p.recordAndSend(c, index, Garbled, how.ReplaceWith)
 	}
 	return p.recordAndSend(c, index, outcome, full)
 }
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -13,11 +13,11 @@
 )
 
 func TestServer(t *testing.T) {
-	behave := func(b Behaviour) func(*Provider) { return func(p *Provider) { p.Behave(b) } }
-	forgetIdle := func(d time.Duration) func(*Provider) { return behave(Behaviour{ForgetIdle: d}) }
+	behave := func(b Behaviour) func(*Server) { return func(p *Server) { p.SetBehaviour(b) } }
+	forgetIdle := func(d time.Duration) func(*Server) { return behave(Behaviour{ResetAfterIdle: d}) }
 	found := encodeResponse(302, "", nil)
 	for name, test := range map[string]struct {
-		do    func(p *Provider)
+		do    func(p *Server)
 		calls string // "load" or "alive" for a probe, "new" and "dial" for a connection, "pause"; else a request's id
 		want  string // what each call brings
 		ran   string // what its books say of each request; ! for one that has run, + for one that has ended its run
@@ -31,52 +31,52 @@
 		"draining":       {behave(Behaviour{Drain: true}), "x load", "503 declined|503", "declined"},
 		"declining":      {behave(Behaviour{Decline: true}), "x alive", `503 declined|200 {"active":0}`, "declined"},
 		"probes refused": {behave(Behaviour{Probes: ProbesUnavailable}), "x load", "200 x|503", "answered!+"},
-		"probes cut off": {behave(Behaviour{Probes: ProbesCutOff}), "x load", "200 x|nothing reset", "answered!+"},
+		"probes cut off": {behave(Behaviour{Probes: ProbesReset}), "x load", "200 x|nothing reset", "answered!+"},
 		"all reset": {
 			behave(Behaviour{ResetAll: true}), "x new y",
 			"nothing reset|nothing reset", "reset reset",
 		},
-		"kept ones reset":     {(*Provider).ResetKept, "x new y", "nothing reset|200 y", "reset answered!+"},
+		"kept ones reset":     {(*Server).ResetOpenConns, "x new y", "nothing reset|200 y", "reset answered!+"},
 		"idle ones forgotten": {forgetIdle(time.Millisecond), "pause x", "nothing reset", "reset"},
 		"busy ones not":       {forgetIdle(time.Hour), "x z", "200 x|200 z", "answered!+ answered!+"},
-		"forgotten by count":  {behave(Behaviour{ForgetAfter: 2}), "x z", "200 x|nothing reset", "answered!+ reset"},
-		"broken off":          {behave(Behaviour{BreakOff: &BreakOff{After: 60}}), "x", "200 end", "broken off!+"},
-		"never begun":         {behave(Behaviour{BreakOff: &BreakOff{}}), "x", "nothing end", "broken off!+"},
+		"forgotten by count":  {behave(Behaviour{ResetAfterRequests: 2}), "x z", "200 x|nothing reset", "answered!+ reset"},
+		"broken off":          {behave(Behaviour{Truncate: &Truncation{After: 60}}), "x", "200 end", "broken off!+"},
+		"never begun":         {behave(Behaviour{Truncate: &Truncation{}}), "x", "nothing end", "broken off!+"},
 		"reset after a run": {
-			behave(Behaviour{BreakOff: &BreakOff{Reset: true}}), "x",
+			behave(Behaviour{Truncate: &Truncation{Reset: true}}), "x",
 			"nothing reset", "broken off!+",
 		},
 		"stalled":  {behave(Behaviour{Stall: true}), "x", "200 silence", "stalled!+"},
-		"failed":   {behave(Behaviour{FailShare: 1}), "x", "500", "errored!+"},
-		"spoilt":   {behave(Behaviour{Spoilt: found}), "x", "302", "spoilt!+"},
-		"slow":     {behave(Behaviour{Slow: 1e6}), "x", "nothing silence", "killed!"},
-		"vanished": {func(p *Provider) { _ = p.Vanish(true) }, "x dial", "nothing silence|hangs", ""},
-		"vanished and back": {func(p *Provider) {
-			_ = p.Vanish(true)
-			time.AfterFunc(20*time.Millisecond, func() { _ = p.Vanish(false) })
+		"failed":   {behave(Behaviour{FailFraction: 1}), "x", "500", "errored!+"},
+		"spoilt":   {behave(Behaviour{ReplaceWith: found}), "x", "302", "spoilt!+"},
+		"slow":     {behave(Behaviour{Slowdown: 1e6}), "x", "nothing silence", "killed!"},
+		"vanished": {func(p *Server) { _ = p.SetSilent(true) }, "x dial", "nothing silence|hangs", ""},
+		"vanished and back": {func(p *Server) {
+			_ = p.SetSilent(true)
+			time.AfterFunc(20*time.Millisecond, func() { _ = p.SetSilent(false) })
 		}, "x new y", "200 x|200 y", "answered!+ answered!+"},
 		"vanished, then another": {
-			func(p *Provider) { _ = p.Vanish(true); _ = p.Restart("s-2") }, "x new y",
+			func(p *Server) { _ = p.SetSilent(true); _ = p.Restart("s-2") }, "x new y",
 			"nothing reset|200 y", "answered!+",
 		},
-		"killed": {(*Provider).Kill, "x", "nothing reset", ""},
-		"killed in a run": {func(p *Provider) {
-			p.Behave(Behaviour{Slow: 1e6})
+		"killed": {(*Server).Kill, "x", "nothing reset", ""},
+		"killed in a run": {func(p *Server) {
+			p.SetBehaviour(Behaviour{Slowdown: 1e6})
 			go func() {
-				for p.Runs("x") == 0 {
+				for p.RunCount("x") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				p.Kill()
 			}()
 		}, "x", "nothing reset", "killed!"},
 		"restarted": {
-			func(p *Provider) { p.Behave(Behaviour{Drain: true}); _ = p.Restart("s-2") }, "x new load y",
+			func(p *Server) { p.SetBehaviour(Behaviour{Drain: true}); _ = p.Restart("s-2") }, "x new load y",
 			`nothing reset|200 {"active":0}|200 y`, "answered!+",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBoth(t, func(t *testing.T, n Network) {
-				p, err := NewProvider(n, ProviderOptions{ID: "s-1", Default: Service{5 * time.Millisecond, true, 100}})
+				p, err := NewServer(n, ServerOptions{ID: "s-1", Default: Service{5 * time.Millisecond, true, 100}})
 				ok(t, err)
 				defer p.Close()
 				c := call(t, n, p.Address())
@@ -119,7 +119,7 @@
 }
 
 // summarizeRequests describes the server's requests.
-func summarizeRequests(p *Provider) string {
+func summarizeRequests(p *Server) string {
 	var all []string
 	for _, r := range p.Requests() {
 		s := r.Outcome.String()
@@ -139,9 +139,9 @@
 func TestServiceModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
-		p, err := NewProvider(n, ProviderOptions{
-			Cores: 1, Queue: 1, Connect: 10 * time.Millisecond, ColdBy: 3,
-			WarmIn: time.Second, IdleMost: time.Second, Default: Service{20 * time.Millisecond, true, 0},
+		p, err := NewServer(n, ServerOptions{
+			Cores: 1, Queue: 1, Handshake: 10 * time.Millisecond, SlowStartFactor: 3,
+			WarmUpTime: time.Second, MaxIdle: time.Second, Default: Service{20 * time.Millisecond, true, 0},
 		})
 		ok(t, err)
 		defer p.Close()
@@ -168,17 +168,17 @@
 			t.Errorf("took %v, want %s", got, want)
 		}
 		back := time.Now().Add(time.Second / 10)
-		time.AfterFunc(time.Second/10, func() { ok(t, p.Vanish(false)) })
-		ok(t, p.Vanish(true))
+		time.AfterFunc(time.Second/10, func() { ok(t, p.SetSilent(false)) })
+		ok(t, p.SetSilent(true))
 		took(last)
 		if r := p.Requests(); !r[len(r)-1].FirstByte.Equal(back) {
 			t.Errorf("%+v came before %s", r[len(r)-1], back)
 		}
 		time.Sleep(2 * time.Second)
-		if accepted, open := p.Connections(); accepted != 5 || open != 0 || p.Runs("x") != 6 || p.Runs("b") != 0 {
-			t.Errorf("%d connections, %d open; x ran %d times, b %d", accepted, open, p.Runs("x"), p.Runs("b"))
+		if accepted, open := p.Connections(); accepted != 5 || open != 0 || p.RunCount("x") != 6 || p.RunCount("b") != 0 {
+			t.Errorf("%d connections, %d open; x ran %d times, b %d", accepted, open, p.RunCount("x"), p.RunCount("b"))
 		}
-		if ids := RunTwice("tile", p); !slices.Equal(ids, []string{"x"}) {
+		if ids := RequestsRunTwice("tile", p); !slices.Equal(ids, []string{"x"}) {
 			t.Errorf("run twice: %v", ids)
 		}
 	})
--- a/internal/testbench/fakes/server_types.go
+++ b/internal/testbench/fakes/server_types.go
@@ -13,8 +13,8 @@
 	serviceTimeWeight = 0.1 // weight of the newest service time in the report's mean
 )
 
-// Here is the one locality that a sidecar knows by Config.
-const Here = "here"
+// LocalZone is the one locality that a sidecar knows by Config.
+const LocalZone = "here"
 
 // Service is the work of one class.
 type Service struct {
@@ -23,54 +23,54 @@
 	Body  int           // bytes of an answer, at least the request's id and a newline
 }
 
-// ProviderOptions are a server's nature, which faults don't change.
-type ProviderOptions struct {
+// ServerOptions are a server's nature, which faults don't change.
+type ServerOptions struct {
 	ID       string
 	Address  string // see Network.Listen
 	Locality string // "" = Here
 	Seed     uint64 // of service times and of failures
 
-	Cores    int                // requests that run side by side; 0 = 1
-	Queue    int                // requests that may wait; one more is declined. 0 = none may
-	Service  map[string]Service // by class, the first part of the path
-	Default  Service            // of any other class
-	Connect  time.Duration      // that the first request on a connection takes longer, as after a TLS handshake
-	ColdBy   float64            // a process that has just started takes so many times as long; up to 1 = no longer
-	WarmIn   time.Duration      // and is warm after so long, getting there evenly
-	IdleMost time.Duration      // a connection idle for so long is closed; 0 = never
+	Cores           int                // requests that run side by side; 0 = 1
+	Queue           int                // requests that may wait; one more is declined. 0 = none may
+	Service         map[string]Service // by class, the first part of the path
+	Default         Service            // of any other class
+	Handshake       time.Duration      // that the first request on a connection takes longer, as after a TLS handshake
+	SlowStartFactor float64            // a process that has just started takes so many times as long; up to 1 = no longer
+	WarmUpTime      time.Duration      // and is warm after so long, getting there evenly
+	MaxIdle         time.Duration      // a connection idle for so long is closed; 0 = never
 }
 
-// Probing says what becomes of probes.
-type Probing uint8
+// ProbeFault says what becomes of probes.
+type ProbeFault uint8
 
 // How probes are answered, apart from draining.
 const (
-	ProbesAnswered Probing = iota
+	ProbesAnswered ProbeFault = iota
 	ProbesUnavailable
-	ProbesCutOff // the connection is reset
+	ProbesReset // the connection is reset
 )
 
-// BreakOff ends an answer early.
-type BreakOff struct {
+// Truncation ends an answer early.
+type Truncation struct {
 	After int  // bytes of it, the head included; 0 = before the first
 	Reset bool // else the connection is ended in order
 }
 
-// Behaviour is how a server misbehaves; the zero value is good behaviour. Requests that BreakOff, Stall, FailShare
+// Behaviour is how a server misbehaves; the zero value is good behaviour. Requests that Truncate, Stall, FailFraction
 // and Spoilt befall are run; those that are declined or reset are not.
 type Behaviour struct {
-	Drain       bool          // probes get 503, requests are declined
-	Decline     bool          // requests are declined while probes are answered
-	Probes      Probing       // while requests are served
-	ResetAll    bool          // each request is reset, probes included
-	ForgetIdle  time.Duration // a request on a connection idle for longer is reset; 0 = none
-	ForgetAfter int           // a request on a connection that has carried so many is reset; 0 = none
-	BreakOff    *BreakOff     // of each answer
-	Stall       bool          // after an answer's head nothing more comes
-	Hang        bool          // nothing is answered, probes included, and no connection is ended
-	FailShare   float64       // part of requests that are answered 500 after their run
-	Spoilt      []byte        // sent in place of each answer
-	Slow        float64       // service takes so many times as long; 0 = 1
+	Drain              bool          // probes get 503, requests are declined
+	Decline            bool          // requests are declined while probes are answered
+	Probes             ProbeFault    // while requests are served
+	ResetAll           bool          // each request is reset, probes included
+	ResetAfterIdle     time.Duration // a request on a connection idle for longer is reset; 0 = none
+	ResetAfterRequests int           // a request on a connection that has carried so many is reset; 0 = none
+	Truncate           *Truncation   // of each answer
+	Stall              bool          // after an answer's head nothing more comes
+	Unresponsive       bool          // nothing is answered, probes included, and no connection is ended
+	FailFraction       float64       // part of requests that are answered 500 after their run
+	ReplaceWith        []byte        // sent in place of each answer
+	Slowdown           float64       // service takes so many times as long; 0 = 1
 }
 
 // Outcome says what a server did with a request.
@@ -78,18 +78,18 @@
 
 // The outcomes.
 const (
-	Pending   Outcome = iota // waiting or running
-	Answered                 // 200 and its whole body
-	Errored                  // 500
-	Declined                 // declined: never ran
-	Nameless                 // 404: it had no id
-	Reset                    // the connection was reset: never ran
-	Left                     // the caller had gone before it began: never ran
-	Unsent                   // the caller had gone before it was answered, or the process hangs
-	Killed                   // the process ended first
-	BrokenOff                // an answer that did not end, or never began
-	Stalled                  // an answer's head
-	Spoilt                   // bytes that are no answer
+	Pending    Outcome = iota // waiting or running
+	Answered                  // 200 and its whole body
+	Errored                   // 500
+	Declined                  // declined: never ran
+	MissingID                 // 404: it had no id
+	Reset                     // the connection was reset: never ran
+	ClientGone                // the caller had gone before it began: never ran
+	Unsent                    // the caller had gone before it was answered, or the process hangs
+	Killed                    // the process ended first
+	Truncated                 // an answer that did not end, or never began
+	Stalled                   // an answer's head
+	Garbled                   // bytes that are no answer
 )
 
 var outcomes = [...]string{
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -9,24 +9,24 @@
 
 // Window is what became of the requests and tries that were due in a span of time.
 type Window struct {
-	From   time.Time
-	Asked  int          // requests
-	InAim  int          // of these, served within the latency objective, by whichever try
-	Counts [results]int // of tries, by Result
+	From        time.Time
+	Requests    int          // requests
+	InObjective int          // of these, served within the latency objective, by whichever try
+	Counts      [results]int // of tries, by Result
 }
 
-// Share is the part of the requests that were served within the latency objective; 1 where there were none.
-func (w Window) Share() float64 {
-	if w.Asked == 0 {
+// ServedFraction is the part of the requests that were served within the latency objective; 1 where there were none.
+func (w Window) ServedFraction() float64 {
+	if w.Requests == 0 {
 		return 1
 	}
-	return float64(w.InAim) / float64(w.Asked)
+	return float64(w.InObjective) / float64(w.Requests)
 }
 
 // String lists the counts that are not zero.
 func (w Window) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "asked %d, in aim %d", w.Asked, w.InAim)
+	fmt.Fprintf(&b, "asked %d, in aim %d", w.Requests, w.InObjective)
 	for r, n := range w.Counts {
 		if n > 0 {
 			fmt.Fprintf(&b, ", %s %d", Result(r), n)
@@ -40,27 +40,27 @@
 func Tally(tries []Try, from time.Time, width time.Duration) (windows []Window) {
 	inObjective := map[string]bool{}
 	for i := range tries {
-		if tries[i].InAim() {
-			inObjective[tries[i].First] = true
+		if tries[i].InObjective() {
+			inObjective[tries[i].RequestID] = true
 		}
 	}
 	for i := range tries {
 		t := &tries[i]
-		if t.At.Before(from) {
+		if t.DueAt.Before(from) {
 			continue
 		}
 		at := 0
 		if width > 0 {
-			at = int(t.At.Sub(from) / width)
+			at = int(t.DueAt.Sub(from) / width)
 		}
 		for len(windows) <= at {
 			windows = append(windows, Window{From: from.Add(time.Duration(len(windows)) * width)})
 		}
 		w := &windows[at]
-		if w.Counts[t.Result]++; t.Again == 0 {
-			w.Asked++
-			if inObjective[t.First] {
-				w.InAim++
+		if w.Counts[t.Result]++; t.Number == 0 {
+			w.Requests++
+			if inObjective[t.RequestID] {
+				w.InObjective++
 			}
 		}
 	}
@@ -69,22 +69,22 @@
 
 // What is well, for Recovered.
 const (
-	WellAt  = 0.95        // of the normal share
-	WellFor = time.Second // that it has to last
+	RecoveredFraction = 0.95        // of the normal share
+	RecoveredFor      = time.Second // that it has to last
 )
 
-// Recovered returns the time from the event until the share of requests served within their latency objective is 95% or more of
+// RecoveryTime returns the time from the event until the share of requests served within their latency objective is 95% or more of
 // normal in every window for at least a second; normal is a share from 0 to 1, as Window.Share gives it for a quiet
 // time. False means that the tries show no such second. The time is a multiple of the window's width, which must be
 // wide enough for some twenty requests, since one that fails by chance must not hide a recovery.
-func Recovered(tries []Try, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
+func RecoveryTime(tries []Try, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
 	windows := Tally(tries, event, width)
 	if len(windows) > 0 { // the last may be cut short by the end of the load
 		windows = windows[:len(windows)-1]
 	}
-	need := int((WellFor + width - 1) / width)
+	need := int((RecoveredFor + width - 1) / width)
 	for i, well := 0, 0; i < len(windows); i++ {
-		if well++; windows[i].Share() < WellAt*normal {
+		if well++; windows[i].ServedFraction() < RecoveredFraction*normal {
 			well = 0
 		}
 		if well == need {
@@ -94,8 +94,8 @@
 	return 0, false
 }
 
-// RunTwice returns the ids of a class's requests that servers have begun more than once.
-func RunTwice(class string, servers ...*Provider) (ids []string) {
+// RequestsRunTwice returns the ids of a class's requests that servers have begun more than once.
+func RequestsRunTwice(class string, servers ...*Server) (ids []string) {
 	runs := map[string]int{}
 	for _, p := range servers {
 		for _, r := range p.Requests() {
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -19,7 +19,7 @@
 // The ends. Each try has exactly one.
 const (
 	Served      = End(fakes.Served)      // 200
-	Refused     = End(fakes.Refused)     // 429 or 503
+	Refused     = End(fakes.Rejected)    // 429 or 503
 	Failed      = End(fakes.Failed)      // any other answer, or one that broke off
 	Lost        = End(fakes.Lost)        // the connection ended without an answer
 	TimedOut    = End(fakes.TimedOut)    // nothing came while the client waited, or it got no connection in that time
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -47,7 +47,7 @@
 		o.Start = now
 	}
 	rec := &recorder{start: o.Start, result: newResult(len(p.Classes))}
-	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: fakes.Client{
+	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: fakes.ConnPool{
 		Dial:    o.Dialer.Dial,
 		Address: o.Address, MaxConns: (p.Connections + o.Parts - 1) / o.Parts, Read: answer,
 	}}
@@ -61,7 +61,7 @@
 	used := c.conns.Close()
 	close(stop)
 	watch.Wait()
-	rec.result.Opened, rec.result.Held, rec.result.HeldLonger = uint64(used.Opened), used.Held, used.HeldLonger
+	rec.result.Opened, rec.result.Held, rec.result.HeldLonger = uint64(used.Opened), used.Waits, used.LongestWait
 	rec.result.Partial = ctx.Err() != nil || err != nil
 	rec.result.Ran = time.Since(o.Start)
 	return rec.result, err
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -206,7 +206,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
-		server, err := fakes.NewProvider(n, fakes.ProviderOptions{IdleMost: 100 * time.Millisecond, Cores: 9})
+		server, err := fakes.NewServer(n, fakes.ServerOptions{MaxIdle: 100 * time.Millisecond, Cores: 9})
 		ok(t, err)
 		defer server.Close()
 		p := constantPlan(t, constant(5), Poisson, 60)
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -47,7 +47,7 @@
 // Real processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
 	n := fakes.Loopback()
-	server, err := fakes.NewProvider(n, fakes.ProviderOptions{
+	server, err := fakes.NewServer(n, fakes.ServerOptions{
 		Cores:   100,
 		Default: fakes.Service{Mean: time.Millisecond, Fixed: true},
 	})
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -69,7 +69,7 @@
 
 // patientClasses are the usual classes with clients that wait for long.
 func patientClasses() []fakes.Class {
-	idempotent, order := fakes.Tile(), fakes.Order()
+	idempotent, order := fakes.TileClass(), fakes.OrderClass()
 	idempotent.Deadline, order.Deadline = clientTimeout, clientTimeout
 	return []fakes.Class{idempotent, order}
 }
@@ -205,12 +205,14 @@
 // affects reports whether the request was under way when the process was killed, or until another served alone: a
 // connection that came up meanwhile may have been the killed one's, or in the queue of a listener that then had no
 // process.
-func (k kill) affects(t *fakes.Try) bool { return t.EndedAt.After(k.killedAt) && !t.At.After(k.until) }
+func (k kill) affects(t *fakes.Try) bool {
+	return t.EndedAt.After(k.killedAt) && !t.DueAt.After(k.until)
+}
 
 // servedAfter reports whether a request that was due soon after a moment was served.
 func servedAfter(tries []fakes.Try, at time.Time) bool {
 	return slices.ContainsFunc(tries, func(t fakes.Try) bool {
-		return t.Result == fakes.Served && t.At.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
+		return t.Result == fakes.Served && t.DueAt.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
 	})
 }
 
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -40,7 +40,7 @@
 	l.take(p)
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
-	if err := fakes.Ready(ctx, l.network, l.address); err != nil {
+	if err := fakes.AwaitReady(ctx, l.network, l.address); err != nil {
 		return fmt.Errorf("process %d (%s): %w", p.Pid, p.fate(), err)
 	}
 	return nil
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -45,7 +45,7 @@
 	switch {
 	case t.Result == fakes.Failed:
 		m.Failed++
-	case t.Result == fakes.Refused:
+	case t.Result == fakes.Rejected:
 		m.Rejected++
 	case t.Result == fakes.Unreachable:
 		m.Unreachable++
@@ -58,9 +58,9 @@
 
 // servedFraction is the part of the requests due in a span that was served within the latency objective.
 func servedFraction(tries []fakes.Try, from, to time.Time) float64 {
-	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.AskedAt.Before(to) })
+	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.RequestedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
-		return all.Share()
+		return all.ServedFraction()
 	}
 	return 1
 }
@@ -85,11 +85,11 @@
 	out := degradation{recovered: true, worst: 1}
 	windows := fakes.Tally(tries, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
-	seen := len(windows) - int(fakes.WellFor/width)
+	seen := len(windows) - int(fakes.RecoveredFor/width)
 	first := -1
 	for i, w := range windows {
-		out.worst = min(out.worst, w.Share())
-		if w.Share() < fakes.WellAt*normal {
+		out.worst = min(out.worst, w.ServedFraction())
+		if w.ServedFraction() < fakes.RecoveredFraction*normal {
 			out.below += width
 			if first < 0 && i < seen {
 				first = i
@@ -98,7 +98,7 @@
 	}
 	if first >= 0 {
 		begin := time.Duration(first) * width
-		out.back, out.recovered = fakes.Recovered(tries, event.Add(begin), normal, width)
+		out.back, out.recovered = fakes.RecoveryTime(tries, event.Add(begin), normal, width)
 		out.back += begin
 	}
 	return out
@@ -107,12 +107,12 @@
 // extraRuns counts how often requests that must not run twice were run beyond the first time.
 func (r *rig) extraRuns() (n int) {
 	for _, c := range r.setup.classes() {
-		if c.Safe {
+		if c.Idempotent {
 			continue
 		}
-		for _, id := range fakes.RunTwice(c.Name, r.fleet.Providers...) {
-			for _, p := range r.fleet.Providers {
-				n += p.Runs(id)
+		for _, id := range fakes.RequestsRunTwice(c.Name, r.fleet.Servers...) {
+			for _, p := range r.fleet.Servers {
+				n += p.RunCount(id)
 			}
 			n-- // the first
 		}
@@ -121,7 +121,7 @@
 }
 
 // notifiedAt returns when each drain was first sent to a sidecar, given the revisions that list them.
-func notifiedAt(drains map[string]uint64, calls []fakes.DirectoryCall) map[string]time.Time {
+func notifiedAt(drains map[string]uint64, calls []fakes.DiscoveryCall) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
@@ -150,7 +150,7 @@
 	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
 	t := faultAfter(r.tries, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
-	until := r.tries[len(r.tries)-1].At
+	until := r.tries[len(r.tries)-1].DueAt
 	if t.recovered {
 		back := t.back.Seconds()
 		f.Recovery = &back
@@ -161,7 +161,7 @@
 		f.AfterRestart = &first
 	}
 	for i := range r.tries {
-		if t := &r.tries[i]; t.Again == 0 {
+		if t := &r.tries[i]; t.Number == 0 {
 			f.Requests++
 		}
 		if r.tries[i].EndedAt.After(event) {
@@ -169,7 +169,7 @@
 		}
 	}
 	f.ExtraRuns = r.extraRuns()
-	calls := r.fleet.Directory.Calls()
+	calls := r.fleet.Discovery.Calls()
 	notifiedAt := notifiedAt(r.drains, calls)
 	within := func(at time.Time) float64 {
 		if at.Before(event) || at.After(until) {
@@ -177,7 +177,7 @@
 		}
 		return 1 / until.Sub(event).Seconds()
 	}
-	for _, p := range r.fleet.Providers {
+	for _, p := range r.fleet.Servers {
 		f.Late += lateSends(notifiedAt, p.Requests())
 		for _, probe := range p.Probes() {
 			f.Probes += within(probe.At)
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -19,11 +19,11 @@
 		for i := range 20 {
 			due := epoch.Add(time.Duration(w*20+i) * 12500 * time.Microsecond)
 			t := fakes.Try{
-				ID: fmt.Sprint(w, i), First: fmt.Sprint(w, i), Class: fakes.Tile(), AskedAt: due, At: due,
+				ID: fmt.Sprint(w, i), RequestID: fmt.Sprint(w, i), Class: fakes.TileClass(), RequestedAt: due, DueAt: due,
 				EndedAt: due.Add(time.Millisecond), Result: fakes.Served,
 			}
 			if i >= n {
-				t.Result = fakes.Refused
+				t.Result = fakes.Rejected
 			}
 			tries = append(tries, t)
 		}
@@ -65,7 +65,7 @@
 func TestCounts(t *testing.T) {
 	var got Metrics
 	for r, n := range map[fakes.Result]int{
-		fakes.Served: 1, fakes.Refused: 2, fakes.Failed: 3, fakes.Lost: 4,
+		fakes.Served: 1, fakes.Rejected: 2, fakes.Failed: 3, fakes.Lost: 4,
 		fakes.TimedOut: 5, fakes.Unreachable: 6, fakes.Wrong: 7,
 	} {
 		for range n {
@@ -80,7 +80,7 @@
 
 // A drain counts from the first answer that told it, and only for the process that it is about.
 func TestLateSends(t *testing.T) {
-	notifiedAt := notifiedAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DirectoryCall{
+	notifiedAt := notifiedAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DiscoveryCall{
 		{Answered: true, AnsweredAt: after(0), Revision: 2},
 		{Answered: false, AnsweredAt: after(10), Revision: 3},
 		{Answered: true, AnsweredAt: after(200), Revision: 3},
@@ -116,7 +116,7 @@
 		due, ended int
 		want       bool
 	}{{0, 99, false}, {0, 101, true}, {150, 400, true}, {201, 400, false}} {
-		if got := k.affects(&fakes.Try{At: after(test.due), EndedAt: after(test.ended)}); got != test.want {
+		if got := k.affects(&fakes.Try{DueAt: after(test.due), EndedAt: after(test.ended)}); got != test.want {
 			t.Errorf("due at %d ms, ended at %d ms: %t, want %t", test.due, test.ended, got, test.want)
 		}
 	}
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -52,7 +52,7 @@
 
 func (s Setup) classes() []fakes.Class {
 	if s.Classes == nil {
-		return []fakes.Class{fakes.Tile(), fakes.Order()}
+		return []fakes.Class{fakes.TileClass(), fakes.OrderClass()}
 	}
 	return s.Classes
 }
@@ -64,7 +64,7 @@
 	line  *line
 	file  *os.File // the log
 
-	load    *fakes.Consumers
+	load    *fakes.Clients
 	running sync.WaitGroup // the load
 	cancel  context.CancelFunc
 	start   time.Time
@@ -90,9 +90,9 @@
 			r.close()
 		}
 	}()
-	nature := fakes.ProviderOptions{
-		Seed: s.Seed, Cores: cores, Queue: queue, Connect: handshake, ColdBy: slowStartFactor,
-		WarmIn: warmUpTime, IdleMost: connIdle, Default: fakes.Service{Mean: idempotentServiceTime, Body: answerSize},
+	nature := fakes.ServerOptions{
+		Seed: s.Seed, Cores: cores, Queue: queue, Handshake: handshake, SlowStartFactor: slowStartFactor,
+		WarmUpTime: warmUpTime, MaxIdle: connIdle, Default: fakes.Service{Mean: idempotentServiceTime, Body: answerSize},
 		Service: map[string]fakes.Service{"order": {Mean: orderServiceTime, Body: answerSize}},
 	}
 	if r.fleet, err = fakes.NewFleet(network, s.Servers, nature); err != nil {
@@ -105,12 +105,12 @@
 	address := front.Addr().String()
 	front.Close()
 	config := filepath.Join(s.Dir, "config.json")
-	raw, err := fakes.Config(fakes.Sidecar{
+	raw, err := fakes.Config(fakes.SidecarConfig{
 		Name: "lab", Listen: address, Seed: s.Seed,
-		Directory: r.fleet.Directory.Address(),
-		Known:     fakes.List{Revision: r.fleet.Directory.Revision(), Members: r.fleet.Members()},
-		Classes:   s.classes(), Sockets: maxSockets, ConnIdle: connIdle, Connect: connectIn, DrainGrace: drainGrace,
-		WarmIn: warmUpTime, Edit: edit,
+		Discovery: r.fleet.Discovery.Address(),
+		Known:     fakes.List{Revision: r.fleet.Discovery.Revision(), Endpoints: r.fleet.Endpoints()},
+		Classes:   s.classes(), MaxConns: maxSockets, ConnIdle: connIdle, ConnectTimeout: connectIn, DrainGrace: drainGrace,
+		WarmUpTime: warmUpTime, Edit: edit,
 	})
 	if err != nil {
 		return r, err
@@ -135,17 +135,17 @@
 // begin starts the load. It lasts until end or for so long.
 func (r *rig) begin(ctx context.Context, long time.Duration) {
 	ctx, r.cancel = context.WithCancel(ctx)
-	streams := []fakes.Flow{}
+	streams := []fakes.Stream{}
 	for _, c := range r.setup.classes() {
 		part := orderPart
-		if c.Safe {
+		if c.Idempotent {
 			part = 1 - orderPart
 		}
-		streams = append(streams, fakes.Flow{Class: c, Rate: part * r.setup.Rate})
+		streams = append(streams, fakes.Stream{Class: c, Rate: part * r.setup.Rate})
 	}
-	r.load = fakes.NewConsumers(fakes.Load{
+	r.load = fakes.NewClients(fakes.Load{
 		Network: r.line.network, Address: r.line.address, Seed: r.setup.Seed,
-		Flows: streams, For: long,
+		Streams: streams, Duration: long,
 	})
 	r.start = time.Now()
 	r.running.Go(func() {
@@ -177,16 +177,16 @@
 }
 
 // faultyServers are the first servers of the fleet, a quarter of it.
-func (r *rig) faultyServers() []*fakes.Provider { return r.fleet.Providers[:max(1, r.setup.Servers/4)] }
+func (r *rig) faultyServers() []*fakes.Server { return r.fleet.Servers[:max(1, r.setup.Servers/4)] }
 
 // release replaces the first so many servers, a quarter of the fleet at a time, by others at new addresses.
 func (r *rig) release(ctx context.Context, servers int) error {
 	plan := fakes.Release{
-		Batch: len(r.faultyServers()), Most: servers, Grace: 1200 * time.Millisecond,
-		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, Move: true,
+		Batch: len(r.faultyServers()), MaxServers: servers, Grace: 1200 * time.Millisecond,
+		Down: 100 * time.Millisecond, Between: 200 * time.Millisecond, NewAddresses: true,
 	}
-	revision := r.fleet.Directory.Revision()
-	for batch := range slices.Chunk(r.fleet.Providers[:servers], plan.Batch) {
+	revision := r.fleet.Discovery.Revision()
+	for batch := range slices.Chunk(r.fleet.Servers[:servers], plan.Batch) {
 		for _, p := range batch {
 			r.drains[p.ID()] = revision + 1 // and the next revision lists its end
 		}
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -86,7 +86,7 @@
 	for i := range tries {
 		if t := &tries[i]; isLost(t) {
 			broken = append(broken, fmt.Sprintf("request %s: %s, due %s, sent %s, ended %s on connection %d: %v",
-				t.ID, t.Result, t.At.Format(clock), t.SentAt.Format(clock), t.EndedAt.Format(clock), t.Conn, t.Err))
+				t.ID, t.Result, t.DueAt.Format(clock), t.SentAt.Format(clock), t.EndedAt.Format(clock), t.Conn, t.Err))
 		}
 	}
 	if n := len(broken); n > 0 {
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -77,7 +77,7 @@
 	released := make(chan error, 1)
 	go func() { released <- r.release(ctx, r.setup.Servers) }()
 	for {
-		r.fleet.Directory.LosePresent()
+		r.fleet.Discovery.LoseAnswersOnOpenConns()
 		select {
 		case err := <-released:
 			return err
@@ -88,22 +88,22 @@
 
 func silence(ctx context.Context, r *rig) error {
 	for _, p := range r.faultyServers() {
-		if err := p.Vanish(true); err != nil {
+		if err := p.SetSilent(true); err != nil {
 			return err
 		}
 	}
 	if err := fakes.Pause(ctx, silentFor); err != nil {
 		return err
 	}
-	var back []fakes.Member
+	var back []fakes.Endpoint
 	for _, p := range r.faultyServers() {
 		p.Kill()
 		if err := p.Start(""); err != nil {
 			return err
 		}
-		back = append(back, p.Member())
+		back = append(back, p.Endpoint())
 	}
-	r.fleet.Directory.Change(back...)
+	r.fleet.Discovery.Change(back...)
 	return nil
 }
 
@@ -146,7 +146,7 @@
 }
 
 func discoveryDown(ctx context.Context, r *rig) error {
-	if err := r.fleet.Directory.Down(true); err != nil {
+	if err := r.fleet.Discovery.SetDown(true); err != nil {
 		return err
 	}
 	back := time.Now().Add(downFor)
@@ -159,13 +159,13 @@
 	if err := fakes.Pause(ctx, time.Until(back)); err != nil {
 		return err
 	}
-	return r.fleet.Directory.Down(false)
+	return r.fleet.Discovery.SetDown(false)
 }
 
 // someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only a sidecar that has sent requests knows.
 func someFail(r *rig) {
 	for _, p := range r.faultyServers() {
-		p.Behave(fakes.Behaviour{FailShare: 0.9, Slow: 0.3})
+		p.SetBehaviour(fakes.Behaviour{FailFraction: 0.9, Slowdown: 0.3})
 	}
 }
 
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -54,17 +54,17 @@
 
 // line is the last that is known of a server.
 type line struct {
-	fakes.Member
+	fakes.Endpoint
 	revision uint64
 }
 
 // newDiscovery listens at so many addresses of 127.0.0.0/8 with a first revision.
-func newDiscovery(listeners int, rate float64, endpoints []fakes.Member) (*discoveryServer, error) {
+func newDiscovery(listeners int, rate float64, endpoints []fakes.Endpoint) (*discoveryServer, error) {
 	d := &discoveryServer{rate: rate, lineIndex: map[string]int{}, changed: make(chan struct{})}
 	d.change(endpoints)
 	d.server.Handler = d
 	d.server.ConnContext = withFirst
-	network := d.count.Of(fakes.Loopback())
+	network := d.count.Wrap(fakes.Loopback())
 	for range listeners {
 		l, err := network.Listen("")
 		if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
-func (d *discoveryServer) change(endpoints []fakes.Member) uint64 {
+func (d *discoveryServer) change(endpoints []fakes.Endpoint) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.revision++
@@ -113,10 +113,10 @@
 	if complete && d.complete != nil {
 		return d.complete, true, nil
 	}
-	l := fakes.List{Revision: d.revision, Complete: complete, Members: []fakes.Member{}}
+	l := fakes.List{Revision: d.revision, Complete: complete, Endpoints: []fakes.Endpoint{}}
 	for _, e := range d.lines {
 		if complete && e.Phase != fakes.Deleted || !complete && e.revision > after {
-			l.Members = append(l.Members, e.Member)
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
 	raw, _ = json.Marshal(l) // plain structs of strings and numbers
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -31,7 +31,7 @@
 	// listen: a discovery with so many addresses; 0 Rate = no bound.
 	Listeners int
 	Rate      float64
-	Endpoints []fakes.Member // change, too
+	Endpoints []fakes.Endpoint // change, too
 
 	// build: simulated sidecars by the template, each with a discovery of its own or with one for all.
 	First     int
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -54,8 +54,8 @@
 }
 
 // startDiscovery is a world with an agent and nobody else.
-func startDiscovery(ctx context.Context, set Setup, endpoints []fakes.Member) (w *world, agent string, template []byte, err error) {
-	w = &world{set: set, endpoints: endpoints, latencyObjective: fakes.Tile().Aim, known: fakes.List{Revision: 1, Members: endpoints}}
+func startDiscovery(ctx context.Context, set Setup, endpoints []fakes.Endpoint) (w *world, agent string, template []byte, err error) {
+	w = &world{set: set, endpoints: endpoints, latencyObjective: fakes.TileClass().LatencyObjective, known: fakes.List{Revision: 1, Endpoints: endpoints}}
 	addresses, err := w.listen(ctx, 1)
 	if err != nil {
 		return w, "", nil, err
@@ -112,15 +112,15 @@
 }
 
 // startWarmFleet starts servers that are past slow start, as those of simulated sidecars are, in all zones by turns.
-func startWarmFleet(network fakes.Network, servers int) (*fakes.Fleet, []fakes.Member, error) {
-	fleet, err := fakes.NewFleet(network, servers, fakes.ProviderOptions{
+func startWarmFleet(network fakes.Network, servers int) (*fakes.Fleet, []fakes.Endpoint, error) {
+	fleet, err := fakes.NewFleet(network, servers, fakes.ServerOptions{
 		ID: "t", Seed: 1, Cores: 64, Queue: 64,
-		IdleMost: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64},
+		MaxIdle: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64},
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	endpoints := fleet.Members()
+	endpoints := fleet.Endpoints()
 	for i := range endpoints {
 		endpoints[i].Locality = zone(i % zones)
 		endpoints[i].UpSince = 0
@@ -158,9 +158,9 @@
 	go func() {
 		defer close(done)
 		if rate > 0 {
-			fakes.NewConsumers(fakes.Load{
+			fakes.NewClients(fakes.Load{
 				Network: network, Address: sidecar.address, Seed: 1,
-				Flows: []fakes.Flow{{Class: fakes.Tile(), Rate: rate}}, For: warmUp + window + time.Second,
+				Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: rate}}, Duration: warmUp + window + time.Second,
 			}).Run(calling)
 		}
 	}()
@@ -227,7 +227,7 @@
 	}
 	ready, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	return r, fakes.Ready(ready, network, r.address)
+	return r, fakes.AwaitReady(ready, network, r.address)
 }
 
 // stop ends the process, if it was started, and removes its files.
@@ -244,7 +244,7 @@
 
 // reached counts the requests and probes that the servers got.
 func reached(f *fakes.Fleet) (calls, probes int) {
-	for _, p := range f.Providers {
+	for _, p := range f.Servers {
 		calls, probes = calls+len(p.Requests()), probes+len(p.Probes())
 	}
 	return calls, probes
--- a/internal/testbench/simulated/scenes_changes.go
+++ b/internal/testbench/simulated/scenes_changes.go
@@ -13,7 +13,7 @@
 		for i := range p.plan.Changes {
 			m := p.endpoints[i%len(p.endpoints)]
 			m.Phase = map[string]string{fakes.Serving: fakes.Draining, fakes.Draining: fakes.Serving}[m.Phase]
-			one, err := p.change([]fakes.Member{m}, p.plan.Within)
+			one, err := p.change([]fakes.Endpoint{m}, p.plan.Within)
 			if err != nil {
 				return err
 			}
@@ -44,7 +44,7 @@
 			if i == p.plan.Burst-1 {
 				within = p.plan.Within
 			}
-			if times, err = p.change([]fakes.Member{m}, within); err != nil {
+			if times, err = p.change([]fakes.Endpoint{m}, within); err != nil {
 				return err
 			}
 			time.Sleep(p.plan.Gap)
--- a/internal/testbench/simulated/scenes_zone.go
+++ b/internal/testbench/simulated/scenes_zone.go
@@ -13,7 +13,7 @@
 		return err
 	}
 	time.Sleep(p.plan.Settle)
-	var lost []fakes.Member
+	var lost []fakes.Endpoint
 	var gone []string
 	for _, m := range p.endpoints {
 		if m.Locality == zone(zones-1) {
@@ -46,11 +46,11 @@
 }
 
 // returnZone brings a lost zone back as new processes, which start cold, and ends the calls.
-func (p *play) returnZone(lost []fakes.Member) error {
+func (p *play) returnZone(lost []fakes.Endpoint) error {
 	back := slices.Clone(lost)
 	for i := range back {
 		back[i].Phase, back[i].UpSince = fakes.Serving, time.Now().UnixMilli()
-		back[i].Address = serverAddress(1, slices.IndexFunc(p.endpoints, func(m fakes.Member) bool { return m.ID == back[i].ID }))
+		back[i].Address = serverAddress(1, slices.IndexFunc(p.endpoints, func(m fakes.Endpoint) bool { return m.ID == back[i].ID }))
 	}
 	before, err := p.sent()
 	if err != nil {
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -104,7 +104,7 @@
 // world is the fleet under way.
 type world struct {
 	set              Setup
-	endpoints        []fakes.Member // as discovery has them
+	endpoints        []fakes.Endpoint // as discovery has them
 	latencyObjective time.Duration
 	discovery        []*Part // one, or one for each part of the simulated fleet
 	simulatedFleet   []*Part
@@ -114,9 +114,9 @@
 }
 
 // servers makes the list, a zone after another.
-func servers(n int) (endpoints []fakes.Member) {
+func servers(n int) (endpoints []fakes.Endpoint) {
 	for i := range n {
-		endpoints = append(endpoints, fakes.Member{
+		endpoints = append(endpoints, fakes.Endpoint{
 			ID: "t-" + strconv.Itoa(i), Address: serverAddress(0, i), Locality: zone(i % zones),
 			Phase: fakes.Serving,
 		})
@@ -133,12 +133,12 @@
 
 // template returns the configuration that all share.
 func (w *world) template() ([]byte, error) {
-	class := fakes.Tile()
-	class.Aim = w.latencyObjective
-	return fakes.Config(fakes.Sidecar{
-		Name: "hollow", Listen: "127.0.0.1:1", Directory: discoveryMark, Seed: 1, Known: w.known,
-		Classes: []fakes.Class{class}, Sockets: maxSockets, MemoryMB: memoryMB, Balancers: w.set.Sidecars, ConnIdle: time.Minute,
-		Connect: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmIn: warmUpTime, Edit: w.edit,
+	class := fakes.TileClass()
+	class.LatencyObjective = w.latencyObjective
+	return fakes.Config(fakes.SidecarConfig{
+		Name: "hollow", Listen: "127.0.0.1:1", Discovery: discoveryMark, Seed: 1, Known: w.known,
+		Classes: []fakes.Class{class}, MaxConns: maxSockets, MemoryMB: memoryMB, Instances: w.set.Sidecars, ConnIdle: time.Minute,
+		ConnectTimeout: 150 * time.Millisecond, DrainGrace: 750 * time.Millisecond, WarmUpTime: warmUpTime, Edit: w.edit,
 	})
 }
 
@@ -163,8 +163,8 @@
 	if set.PerPart == 0 {
 		set.PerPart = 250
 	}
-	w = &world{set: set, endpoints: servers(set.Servers), latencyObjective: fakes.Tile().Aim}
-	w.known = fakes.List{Revision: 1, Members: w.endpoints}
+	w = &world{set: set, endpoints: servers(set.Servers), latencyObjective: fakes.TileClass().LatencyObjective}
+	w.known = fakes.List{Revision: 1, Endpoints: w.endpoints}
 	template, err := w.template()
 	if err != nil {
 		return w, nil, err
@@ -287,9 +287,9 @@
 }
 
 // change puts lines in force at discovery and returns after how many ms each sidecar went by it; 0 = not within the time.
-func (w *world) change(lines []fakes.Member, within time.Duration) ([]float64, error) {
+func (w *world) change(lines []fakes.Endpoint, within time.Duration) ([]float64, error) {
 	for _, m := range lines {
-		i := slices.IndexFunc(w.endpoints, func(o fakes.Member) bool { return o.ID == m.ID })
+		i := slices.IndexFunc(w.endpoints, func(o fakes.Endpoint) bool { return o.ID == m.ID })
 		w.endpoints[i] = m
 	}
 	began := unixMs(time.Now())
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -93,7 +93,7 @@
 	defer s.control.Heal(faultinjection.SlowConnect)
 	if t.Target%2 == 0 {
 		for _, v := range w.servers {
-			v.ResetKept()
+			v.ResetOpenConns()
 		}
 	}
 	pause()
@@ -199,13 +199,13 @@
 			case Silent:
 				d.LoseAnswers(on)
 			case Down:
-				_ = d.Down(on)
+				_ = d.SetDown(on)
 			case Late:
 				delay := time.Duration(0)
 				if on {
 					delay = listDelay
 				}
-				d.Delay(delay)
+				d.SetDelay(delay)
 			}
 		}
 	}
@@ -241,9 +241,9 @@
 	}
 	defer v.faulty.Store(false)
 	behave := func(how func(*fakes.Behaviour)) {
-		v.Change(how)
+		v.ChangeBehaviour(how)
 		pause()
-		v.Behave(fakes.Behaviour{})
+		v.SetBehaviour(fakes.Behaviour{})
 	}
 	switch t.Kind {
 	case Restart:
@@ -251,11 +251,11 @@
 	case Replace:
 		w.replace(v, pause)
 	case Vanish:
-		_ = v.Vanish(true)
+		_ = v.SetSilent(true)
 		pause()
-		_ = v.Vanish(false)
+		_ = v.SetSilent(false)
 	case ResetKept:
-		v.ResetKept()
+		v.ResetOpenConns()
 		if v.proxy != nil {
 			v.proxy.reset()
 		}
@@ -264,9 +264,9 @@
 	case Decline:
 		behave(func(b *fakes.Behaviour) { b.Decline = true })
 	case ProbesFail:
-		behave(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesCutOff })
+		behave(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesReset })
 	case Slow:
-		behave(func(b *fakes.Behaviour) { b.Slow = slowTimes })
+		behave(func(b *fakes.Behaviour) { b.Slowdown = slowTimes })
 	}
 }
 
@@ -292,8 +292,8 @@
 
 // replace has a server drain, ends it, and starts another under a new id in its place.
 func (w *world) replace(v *serverPlace, pause func()) {
-	v.Change(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // as one that drains does, which serves what it gets
-	defer v.Behave(fakes.Behaviour{})
+	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // as one that drains does, which serves what it gets
+	defer v.SetBehaviour(fakes.Behaviour{})
 	leave := w.endpoint(v, fakes.Draining, 0)
 	w.note(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
 	w.updateDiscovery(leave)
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -187,7 +187,7 @@
 }
 
 // mayRun reports whether an attempt may have run, as far as its sidecar can tell.
-func (a *attempt) mayRun() bool { return a.Outcome != fakes.Declined && a.Outcome != fakes.Nameless }
+func (a *attempt) mayRun() bool { return a.Outcome != fakes.Declined && a.Outcome != fakes.MissingID }
 
 // judgeEffect looks at what may not run twice.
 func (r *record) judgeEffect(q *request, tries []attempt, add adder) {
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -204,13 +204,13 @@
 	var hung []*serverPlace
 	for _, v := range w.servers[:len(w.servers)/2] {
 		if v.faulty.CompareAndSwap(false, true) {
-			v.Change(func(b *fakes.Behaviour) { b.Hang = true })
+			v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Unresponsive = true })
 			hung = append(hung, v)
 		}
 	}
 	time.Sleep(time.Until(until))
 	for _, v := range hung {
-		v.Behave(fakes.Behaviour{})
+		v.SetBehaviour(fakes.Behaviour{})
 		v.faulty.Store(false)
 	}
 }
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -102,9 +102,9 @@
 
 // configure writes the configuration in one step, as whoever replaces a file that others read.
 func (s *sidecar) configure(discovery string, seed uint64, edit func(map[string]any)) error {
-	raw, err := fakes.Config(fakes.Sidecar{
-		Name: s.name, Listen: s.address, Seed: seed, Directory: discovery, Known: s.known,
-		Sockets: s.sockets, ConnIdle: connIdle, Connect: s.connect, DrainGrace: drainGrace, WarmIn: warmIn,
+	raw, err := fakes.Config(fakes.SidecarConfig{
+		Name: s.name, Listen: s.address, Seed: seed, Discovery: discovery, Known: s.known,
+		MaxConns: s.sockets, ConnIdle: connIdle, ConnectTimeout: s.connect, DrainGrace: drainGrace, WarmUpTime: warmIn,
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = s.admin
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": s.path("snapshot"), "every_ms": 500}}
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -90,7 +90,7 @@
 
 // serverPlace is a server's place, where one process after another lives.
 type serverPlace struct {
-	*fakes.Provider
+	*fakes.Server
 	proxy     *proxy // nil = none
 	processes int
 	faulty    atomic.Bool
@@ -110,7 +110,7 @@
 	classes     []class
 	network     fakes.Network
 	servers     []*serverPlace
-	discoveries []*fakes.Directory
+	discoveries []*fakes.Discovery
 	sidecars    []*sidecar
 	clients     []*clients
 	offset      atomic.Int64 // of the wall clock
@@ -133,16 +133,16 @@
 			w.close()
 		}
 	}()
-	var endpoints []fakes.Member
+	var endpoints []fakes.Endpoint
 	for i := range o.Servers {
-		p, err := fakes.NewProvider(w.network, fakes.ProviderOptions{
+		p, err := fakes.NewServer(w.network, fakes.ServerOptions{
 			ID: fmt.Sprintf("s%d-0", i), Seed: o.Seed + uint64(i), Cores: cores,
-			Queue: queue, Default: fakes.Service{Mean: meanWork, Body: 200}, IdleMost: connIdle, Connect: time.Millisecond,
+			Queue: queue, Default: fakes.Service{Mean: meanWork, Body: 200}, MaxIdle: connIdle, Handshake: time.Millisecond,
 		})
 		if err != nil {
 			return w, err
 		}
-		s := &serverPlace{Provider: p}
+		s := &serverPlace{Server: p}
 		w.servers = append(w.servers, s)
 		if i%proxied == 0 {
 			if s.proxy, err = newProxy(w.network, p.Address); err != nil {
@@ -152,7 +152,7 @@
 		endpoints = append(endpoints, w.endpoint(s, fakes.Serving, 0))
 	}
 	for range 2 {
-		d, err := fakes.NewDirectory(w.network, "", endpoints...)
+		d, err := fakes.NewDiscovery(w.network, "", endpoints...)
 		if err != nil {
 			return w, err
 		}
@@ -161,7 +161,7 @@
 	for i := range o.Sidecars {
 		s, err := newSidecar(identity{
 			number: i, program: o.Program, dir: o.Dir, variant: w.variant,
-			known: fakes.List{Revision: 1, Members: endpoints},
+			known: fakes.List{Revision: 1, Endpoints: endpoints},
 		}, o.Seed+uint64(i), w.network, w.edit(0), w.discoveries[0].Address())
 		if err != nil {
 			return w, err
@@ -177,8 +177,8 @@
 }
 
 // endpoint is the server's line in a list.
-func (w *world) endpoint(s *serverPlace, phase string, upSince int64) fakes.Member {
-	return fakes.Member{ID: s.ID(), Address: s.address(), Locality: fakes.Here, Phase: phase, UpSince: upSince}
+func (w *world) endpoint(s *serverPlace, phase string, upSince int64) fakes.Endpoint {
+	return fakes.Endpoint{ID: s.ID(), Address: s.address(), Locality: fakes.LocalZone, Phase: phase, UpSince: upSince}
 }
 
 // edit returns a change of a sidecar's configuration; times makes one configuration differ from another.
@@ -213,7 +213,7 @@
 }
 
 // updateDiscovery changes the lists of both discoveries, one of which each sidecar watches.
-func (w *world) updateDiscovery(endpoints ...fakes.Member) {
+func (w *world) updateDiscovery(endpoints ...fakes.Endpoint) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
 	for _, d := range w.discoveries {
