--- a/balancer.go
+++ b/balancer.go
@@ -3,6 +3,10 @@
 import (
 	"context"
 	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
 	"plankrouter/internal/backend"
 	"plankrouter/internal/discovery"
 	"plankrouter/internal/dispatch"
@@ -10,16 +14,13 @@
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/watchpolicy"
 	"plankrouter/policy"
-	"sync"
-	"sync/atomic"
-	"time"
 )
 
 // Balancer is one pool of servers. Its methods are safe for concurrent use.
 type Balancer struct {
 	options    Options
 	dispatcher *dispatch.Dispatcher
-	backend    *backend.Caller
+	backend    *backend.Client
 	watch      *discovery.Watch // nil = no discovery service is watched
 	classes    map[string]int   // positions in options, by name
 	tenants    map[string]int   // likewise
@@ -71,12 +72,12 @@
 	o := &b.options
 	cfg := o.policyConfig()
 	b.backend, err = backend.New(ctx, o.ConnectionLimit.budget, backend.Settings{
-		Figures: backend.Figures{
-			Connect:  o.ConnectTimeout,
-			ConnIdle: o.ServerIdleTimeout,
-			Stakes:   backend.Stakes(cfg.Classes),
+		ReloadableSettings: backend.ReloadableSettings{
+			Connect:    o.ConnectTimeout,
+			ConnIdle:   o.ServerIdleTimeout,
+			RetryCosts: backend.RetryCosts(cfg.Classes),
 		},
-		Answers: func(status int) bool { return status < 500 },
+		IsServed: func(status int) bool { return status < 500 },
 	})
 	if err != nil {
 		return err
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -6,13 +6,14 @@
 	"fmt"
 	"net"
 	"net/http"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const ms = time.Millisecond
--- a/bench_test.go
+++ b/bench_test.go
@@ -7,13 +7,14 @@
 	"math/rand/v2"
 	"net/http"
 	"os"
-	"plankrouter"
-	"plankrouter/internal/testbench/cpubench"
 	"runtime"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/cpubench"
 )
 
 func TestMain(m *testing.M) {
--- a/cmd/plankrouter/admin.go
+++ b/cmd/plankrouter/admin.go
@@ -4,11 +4,12 @@
 	"context"
 	"fmt"
 	"net"
+	"time"
+
 	"plankrouter/internal/admin"
 	"plankrouter/internal/config"
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/metrics"
-	"time"
 )
 
 // adminListenPause is between two attempts to listen for operators while another process does.
@@ -41,7 +42,7 @@
 }
 
 // Ready reports whether a request would be served. With Figures, Disable and Enable it makes the program admin.Operations.
-func (p *program) Ready() bool { return p.dispatcher.Ready() && p.frontend.Taking() }
+func (p *program) Ready() bool { return p.dispatcher.Ready() && p.frontend.IsAccepting() }
 
 // Metrics are the counters of this process.
 func (p *program) Metrics() metrics.Values { return p.metrics.Read() }
--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -8,11 +8,12 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/config"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Each wrong call gets its status, in whatever pieces it comes, and callers that say nothing keep nobody waiting.
--- a/cmd/plankrouter/bench_test.go
+++ b/cmd/plankrouter/bench_test.go
@@ -10,13 +10,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/testbench/cpubench"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/cpubench"
+	"plankrouter/internal/testbench/fakes"
 )
 
 func TestMain(m *testing.M) {
--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -8,12 +8,13 @@
 	"fmt"
 	"io"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // writeSlowly writes p in pieces, with a pause before each.
--- a/cmd/plankrouter/cordons.go
+++ b/cmd/plankrouter/cordons.go
@@ -5,10 +5,11 @@
 	"errors"
 	"log"
 	"path/filepath"
+	"time"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/faultinjection"
-	"time"
 )
 
 const (
--- a/cmd/plankrouter/counters.go
+++ b/cmd/plankrouter/counters.go
@@ -4,11 +4,12 @@
 	"fmt"
 	"log"
 	"maps"
+	"slices"
+	"strings"
+
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
-	"slices"
-	"strings"
 )
 
 // report prints the counters.
@@ -16,7 +17,7 @@
 	counts := p.dispatcher.Counts()
 	p.reportRequests(counts, p.metrics.Read())
 	log.Printf("name=%s counters=front connections=%d adopted=%d not_taken=%d sockets=%d", p.cfg.Name,
-		p.frontend.Connections.Load(), p.frontend.Adopted.Load(), p.frontend.NotTaken.Load(), p.budget.Used())
+		p.frontend.Connections.Load(), p.frontend.Adopted.Load(), p.frontend.Rejected.Load(), p.budget.Used())
 	log.Printf("name=%s counters=directory answers=%d failures=%d doubts=%d", p.cfg.Name,
 		p.watch.Answers.Load(), p.watch.Failures.Load(), p.watch.FullRefreshes.Load())
 	if writer := p.snapshotWriter; writer != nil {
@@ -30,8 +31,8 @@
 	}
 	p.reportOutcomes("calls", counts.AttemptOutcomes)
 	p.reportOutcomes("probes", counts.ProbeOutcomes)
-	p.reportOutcomes("idle_connections", p.backend.Idle())
-	p.reportOutcomes("consumers", p.frontend.Endings())
+	p.reportOutcomes("idle_connections", p.backend.IdleOutcomes())
+	p.reportOutcomes("consumers", p.frontend.Outcomes())
 }
 
 // reportRequests prints what has become of the requests, in all, by reason and by class.
--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -1,10 +1,10 @@
 package main
 
 import (
+	"golang.org/x/sys/unix"
+
 	"plankrouter/internal/admin"
 	"plankrouter/internal/connlimit"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -35,7 +35,7 @@
 	if withAdmin {
 		s.admin = max(minAdminConns, min(admin.MaxConns, left/adminDivisor))
 	}
-	s.conns = max(minConns, connlimit.Within(left-s.admin))
+	s.conns = max(minConns, connlimit.MaxSocketsWithin(left-s.admin))
 	return s
 }
 
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -10,12 +10,13 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/admin"
-	"plankrouter/internal/testbench/fakes"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/admin"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // floodedProgram is the program as a process of its own, which starts with descriptors that are not its own doing.
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -6,14 +6,15 @@
 	"log"
 	"net"
 	"os"
-	"plankrouter/internal/hotrestart"
-	"plankrouter/internal/snapshot"
 	"slices"
 	"strings"
 	"syscall"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/hotrestart"
+	"plankrouter/internal/snapshot"
 )
 
 // firstListTimeout is how long discovery has, before a successor takes over with the list that it was given.
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -8,15 +8,16 @@
 	"log"
 	"net"
 	"os"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/hotrestart"
 	"plankrouter/internal/transient"
-	"runtime"
-	"runtime/debug"
-	"syscall"
-	"time"
 )
 
 const (
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -5,6 +5,12 @@
 	"fmt"
 	"log"
 	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
 	"plankrouter/internal/backend"
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
@@ -20,11 +26,6 @@
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/streaming"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
 )
 
 const bytesPerMB = 1 << 20
@@ -59,7 +60,7 @@
 
 	budget     *connlimit.Budget
 	shares     descriptorShares // while no other process shares the descriptors
-	backend    *backend.Caller
+	backend    *backend.Client
 	dispatcher *dispatch.Dispatcher
 	watch      *discovery.Watch
 	frontend   *frontend.Server
@@ -157,8 +158,8 @@
 		return 0, err
 	}
 	p.backend, err = backend.New(ctx, p.budget, backend.Settings{
-		Figures: backendTimes(p.cfg), Trace: trace,
-		Written: p.metrics.AttemptSent, Bounds: buffers, Rules: &p.invariants,
+		ReloadableSettings: backendTimes(p.cfg), Trace: trace,
+		OnSent: p.metrics.AttemptSent, Bounds: buffers, Invariants: &p.invariants,
 	})
 	if err != nil {
 		return 0, err
@@ -174,7 +175,7 @@
 		return 0, err
 	}
 	p.frontend = frontend.New(p.cfg, p.dispatcher, p.budget, &p.metrics, buffers)
-	p.frontend.Rules = &p.invariants
+	p.frontend.Invariants = &p.invariants
 	p.frontend.Trace = trace
 	return len(initial.Endpoints), nil
 }
--- a/cmd/plankrouter/program_test.go
+++ b/cmd/plankrouter/program_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"net"
-	"plankrouter/internal/config"
-	"plankrouter/internal/connlimit"
 	"syscall"
 	"testing"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/connlimit"
 )
 
 // usuallyOpen is what a process of its own holds as it begins to serve; a test's has those of the test, too. They are the standard
--- a/cmd/plankrouter/races_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"net"
-	"plankrouter/internal/connlimit"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/connlimit"
 )
 
 // A client leaves while its request waits, wherever that is, whether or not attempts may be cancelled and however it goes:
@@ -64,7 +65,7 @@
 					case backlog:
 						nc := wait(r, "the connection", r.accepts)
 						goes(c)
-						for s := connlimit.NewBudget(1, nil).Adopt(nc, connlimit.Inward); !s.Left(); {
+						for s := connlimit.NewBudget(1, nil).Adopt(nc, connlimit.Inward); !s.HasPeerLeft(); {
 							time.Sleep(time.Millisecond)
 						}
 						r.pass <- nc
@@ -146,7 +147,7 @@
 			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
 			held := wait(r, "the connection to a provider", r.pendingDials)
 			_ = c.CloseWrite()
-			for !s.Left() {
+			for !s.HasPeerLeft() {
 				time.Sleep(time.Millisecond)
 			}
 			close(held)
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -3,11 +3,12 @@
 import (
 	"container/heap"
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/watchpolicy"
 	"slices"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 )
 
 // scheduledPoll is a restarted process's next call.
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -8,13 +8,14 @@
 	"net"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // recoveryCase is one that the program has to find back from: what happens to its world, and what must hold.
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"log"
+	"time"
+
 	"plankrouter/internal/backend"
 	"plankrouter/internal/config"
 	"plankrouter/internal/dispatch"
 	"plankrouter/internal/snapshot"
-	"time"
 )
 
 // reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent at earliestSent at the
@@ -57,6 +58,6 @@
 }
 
 // backendTimes are the backend's times and what a lost connection costs it.
-func backendTimes(cfg *config.Config) backend.Figures {
-	return backend.Figures{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, Stakes: backend.Stakes(cfg.Policy.Classes)}
+func backendTimes(cfg *config.Config) backend.ReloadableSettings {
+	return backend.ReloadableSettings{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, RetryCosts: backend.RetryCosts(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/reload_test.go
+++ b/cmd/plankrouter/reload_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // An open request keeps the rules that it was taken under, whichever way its class turns meanwhile, and so it does when its
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -5,11 +5,12 @@
 	"errors"
 	"log"
 	"net"
-	"plankrouter/internal/hotrestart"
-	"plankrouter/internal/transient"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/hotrestart"
+	"plankrouter/internal/transient"
 )
 
 const (
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -11,7 +11,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strings"
@@ -19,6 +18,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const stepTimeout = 30 * time.Second // with the program in a test that hangs: no verdict depends on how soon anything comes
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -11,14 +11,15 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/metrics"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/metrics"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // service is the program with an address for operators, in a bubble of its own.
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"log"
-	"plankrouter/internal/shutdown"
 	"time"
+
+	"plankrouter/internal/shutdown"
 )
 
 const (
@@ -84,7 +85,7 @@
 	p.lifecycle.on(stopSignalled)
 	p.requestStop()
 	notify("STOPPING=1")
-	p.frontend.Stay()
+	p.frontend.KeepIdle()
 	return run
 }
 
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -11,12 +11,13 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // shutdownWorld is what a row plays in.
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -5,12 +5,13 @@
 	"log"
 	"os"
 	"os/signal"
-	"plankrouter/internal/shutdown"
 	"sync/atomic"
 	"syscall"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/shutdown"
 )
 
 // signalQueues are the signals that have come and are not handled yet. Each kind waits at a place of its own, so that none keeps out
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -10,7 +10,6 @@
 	"os/exec"
 	"os/signal"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"strconv"
 	"strings"
@@ -19,6 +18,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // However many others wait, each kind of signal finds a place.
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -5,12 +5,13 @@
 	"errors"
 	"io/fs"
 	"log"
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/hotrestart"
-	"plankrouter/internal/snapshot"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/hotrestart"
+	"plankrouter/internal/snapshot"
 )
 
 // restoreState returns what this process can go by from an earlier one: the predecessor's state, or the snapshot that was
@@ -112,7 +113,7 @@
 
 // takeSnapshot returns what the sidecar has learned, or nil if it has stopped or a successor has taken over its file.
 func (p *program) takeSnapshot() *snapshot.Snapshot {
-	if p.frontend.Passing() {
+	if p.frontend.IsHandingOver() {
 		return nil
 	}
 	taken := p.dispatcher.Snapshot()
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // One of 300 instances starts with a list that names a server which discovery no longer does, and which is there all
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -6,6 +6,7 @@
 	"bufio"
 	"fmt"
 	"os"
+
 	"plankrouter/internal/simwire"
 )
 
--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -5,8 +5,9 @@
 	"fmt"
 	"io"
 	"os"
-	"plankrouter/internal/testbench/capacity"
 	"time"
+
+	"plankrouter/internal/testbench/capacity"
 )
 
 // capacityCommand measures what a sidecar costs as its world grows.
--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -6,11 +6,12 @@
 	"fmt"
 	"io"
 	"os"
-	"plankrouter/internal/testbench/emulator"
 	"runtime"
 	"strings"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/emulator"
 )
 
 // emulateCommand plays a day in virtual time, or compares days.
--- a/cmd/testbench/fleet.go
+++ b/cmd/testbench/fleet.go
@@ -2,8 +2,9 @@
 
 import (
 	"io"
-	"plankrouter/internal/testbench/fleet"
 	"time"
+
+	"plankrouter/internal/testbench/fleet"
 )
 
 // fleetCommand counts over the logs of a fleet.
--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -6,10 +6,11 @@
 	"fmt"
 	"io"
 	"os"
-	"plankrouter/internal/config"
-	"plankrouter/internal/testbench/simulated"
 	"slices"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/testbench/simulated"
 )
 
 // fleetScenesCommand plays fleets of simulated sidecars.
--- a/cmd/testbench/handover.go
+++ b/cmd/testbench/handover.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"io"
-	"plankrouter/internal/testbench/recovery"
 	"time"
+
+	"plankrouter/internal/testbench/recovery"
 )
 
 // handoverCommand runs a line of processes.
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -10,10 +10,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/testbench/cpubench"
-	"plankrouter/internal/testbench/loadgen"
 	"runtime/debug"
 	"time"
+
+	"plankrouter/internal/testbench/cpubench"
+	"plankrouter/internal/testbench/loadgen"
 )
 
 // errLate says that a report is about the generator.
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -9,10 +9,11 @@
 	"io"
 	"os"
 	"os/signal"
-	"plankrouter/internal/testbench/recovery"
 	"syscall"
 
 	"github.com/alecthomas/kong"
+
+	"plankrouter/internal/testbench/recovery"
 )
 
 // The exit codes.
--- a/cmd/testbench/overload.go
+++ b/cmd/testbench/overload.go
@@ -4,9 +4,10 @@
 	"context"
 	"fmt"
 	"io"
-	"plankrouter/internal/testbench/emulator"
 	"runtime"
 	"time"
+
+	"plankrouter/internal/testbench/emulator"
 )
 
 // overloadCommand plays the scale test of overload in virtual time.
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -8,9 +8,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/testbench/recovery"
 	"slices"
 	"strings"
+
+	"plankrouter/internal/testbench/recovery"
 )
 
 // experiment has the flags that all experiments share.
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -7,8 +7,9 @@
 	"io"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/soak"
 	"time"
+
+	"plankrouter/internal/testbench/soak"
 )
 
 // soakCommand hunts rare faults.
--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -6,8 +6,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 	"runtime"
 	"slices"
 	"strings"
@@ -15,6 +13,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // servers starts servers that end with the test.
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"strings"
 	"sync"
@@ -15,6 +14,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/goleak"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 var update = flag.Bool("update", false, "record what the sides do as what they should do")
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -10,8 +10,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strconv"
@@ -19,6 +17,9 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // program builds the daemon once, into a folder that TestMain removes.
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // driver plays one side. All but Do are called by one goroutine.
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -5,10 +5,11 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // library is a Balancer in this process.
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -5,13 +5,14 @@
 	"context"
 	"errors"
 	"fmt"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // call is a request under way.
--- a/conformance/server_test.go
+++ b/conformance/server_test.go
@@ -11,13 +11,14 @@
 	"net"
 	"net/http"
 	"os"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // waitLimit bounds every wait for something that has to come. Nothing is asserted of how long it takes.
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -8,13 +8,14 @@
 	"io"
 	"net/http"
 	"net/url"
-	"plankrouter"
 	"reflect"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"plankrouter"
 )
 
 // body is a request's that takes note of its end.
--- a/dial.go
+++ b/dial.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"net"
+
 	"plankrouter/internal/connlimit"
 )
 
--- a/do.go
+++ b/do.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/request"
-	"time"
 )
 
 // MaxBody bounds the bodies of requests and responses, in bytes.
@@ -116,7 +117,7 @@
 	}
 	return &request.Request{
 		ID: id, Class: class, Tenant: tenant, Timeout: b.options.Classes[class].Deadline, Host: host,
-		Method: method, Target: target, Fields: fields.EndToEnd(http1.Reworded), Body: r.Body,
+		Method: method, Target: target, Fields: fields.EndToEnd(http1.IsSetPerAttempt), Body: r.Body,
 	}, nil
 }
 
--- a/example_test.go
+++ b/example_test.go
@@ -7,9 +7,10 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"plankrouter"
 	"strings"
 	"time"
+
+	"plankrouter"
 )
 
 // server starts a server of the fleet for an example, which says what it was asked.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -10,12 +10,13 @@
 	"log"
 	"net"
 	"os"
-	"plankrouter/internal/http1"
-	"plankrouter/internal/metrics"
 	"sync"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/http1"
+	"plankrouter/internal/metrics"
 )
 
 const (
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -3,11 +3,12 @@
 import (
 	"errors"
 	"net/url"
-	"plankrouter/internal/cordon"
-	"plankrouter/internal/http1"
 	"strings"
 
 	jsoniter "github.com/json-iterator/go"
+
+	"plankrouter/internal/cordon"
+	"plankrouter/internal/http1"
 )
 
 // The operators' paths.
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
+	"sync"
+	"time"
+
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
-	"sync"
-	"time"
 )
 
 // stage is how far an attempt has come.
@@ -117,7 +118,7 @@
 		return false
 	}
 	a.stage = stageAwaitingResponse
-	if onSent := a.endpoint.client.settings.Written; onSent != nil && !a.isProbe {
+	if onSent := a.endpoint.client.settings.OnSent; onSent != nil && !a.isProbe {
 		onSent()
 	}
 	return true
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -7,13 +7,14 @@
 	"io"
 	"net"
 	"net/http"
+	"strings"
+	"testing"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
-	"strings"
-	"testing"
-	"time"
 )
 
 // BenchmarkAttempt measures an attempt on a reused loopback connection, with its message in one piece or in two, with and without
@@ -54,10 +55,10 @@
 	defer theirs.Close()
 	requester := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
 	for _, size := range []int{1, 2 * chunkSize} {
-		for _, gone := range []func() bool{nil, requester.Left} {
+		for _, gone := range []func() bool{nil, requester.HasPeerLeft} {
 			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/chunkSize/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
-				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{Figures: Figures{Connect: time.Minute, ConnIdle: time.Hour}})
+				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{ReloadableSettings: ReloadableSettings{Connect: time.Minute, ConnIdle: time.Hour}})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -6,21 +6,22 @@
 	"io"
 	"net"
 	"net/http"
+	"testing"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/keepalive"
 	"plankrouter/internal/upstream"
 	"plankrouter/internal/upstream/upstreamtest"
-	"testing"
-	"time"
 )
 
 func TestCaller(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Harness{
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
-			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{Figures: Figures{
+			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{ReloadableSettings: ReloadableSettings{
 				Connect: time.Second, ConnIdle: time.Hour,
-				Stakes: []keepalive.RetryCost{{NonIdempotent: true, PriorityWeight: 1}},
+				RetryCosts: []keepalive.RetryCost{{NonIdempotent: true, PriorityWeight: 1}},
 			}})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -4,11 +4,12 @@
 	"bufio"
 	"errors"
 	"os"
+	"sync"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
-	"sync"
-	"time"
 )
 
 // conn is one connection to a server. One goroutine makes its attempts, one after another, and watches it between
@@ -80,7 +81,7 @@
 	// This goroutine may have been woken late, and the server may be about to close the connection.
 	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.idleUntil) {
 		err = c.socket.SetReadDeadline(time.Time{})
-		if err == nil && c.socket.Quiet() {
+		if err == nil && c.socket.IsQuiet() {
 			return next, outcome.Open
 		}
 	}
@@ -90,7 +91,7 @@
 // remainsQuiet waits for the pause before the last byte, and reports whether nothing has come in, the connection's end included.
 func (c *conn) remainsQuiet(pause time.Duration) bool {
 	if pause <= 0 {
-		return c.socket.Quiet()
+		return c.socket.IsQuiet()
 	}
 	c.socket.SetReadDeadline(time.Now().Add(pause))
 	_, err := c.reader.Peek(1)
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -5,12 +5,13 @@
 	"io"
 	"net"
 	"path/filepath"
+	"testing"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
-	"testing"
-	"time"
 )
 
 // What the server sent before an attempt's last byte was written belongs to nobody: the attempt fails as one that never ran,
@@ -32,7 +33,7 @@
 	defer in.Close()
 	budget := connlimit.NewBudget(1, nil)
 	budget.Reserve(connlimit.Outward)
-	at := &endpoint{client: new(Caller), address: "p1:1"}
+	at := &endpoint{client: new(Client), address: "p1:1"}
 	conn := newConn(budget.Adopt(out, connlimit.Outward), at)
 	defer conn.close()
 	if _, err := in.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nmap")); err != nil {
@@ -62,7 +63,7 @@
 		opened <- serverConn
 		return clientConn, nil
 	})
-	client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+	client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/connchooser.go
+++ b/internal/backend/connchooser.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"time"
+
 	"plankrouter/internal/keepalive"
 	"plankrouter/internal/outcome"
-	"time"
 )
 
 // probeCost is that of a probe: it may be sent again, and little depends on it.
@@ -51,7 +52,7 @@
 }
 
 // learn tells the estimator how the connections of an attempt did.
-func (c *Caller) learn(a *attempt, r *result) {
+func (c *Client) learn(a *attempt, r *result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/internal/backend/deadconn_test.go
+++ b/internal/backend/deadconn_test.go
@@ -4,14 +4,15 @@
 	"context"
 	"io"
 	"net"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/outcome"
-	"plankrouter/internal/request"
-	"plankrouter/internal/upstream"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 )
 
 // fixed chooses any idle connection, and pauses there for so long before the last byte.
@@ -84,7 +85,7 @@
 					}
 					return clientConn, nil
 				})
-				client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+				client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -5,14 +5,15 @@
 	"context"
 	"net"
 	"net/http"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/http1"
-	"plankrouter/internal/request"
-	"plankrouter/internal/upstream"
 	"strconv"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/http1"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 )
 
 // deadlineSlack is by how much the deadline sent to a server may differ from what the client still waits.
@@ -43,7 +44,7 @@
 					serverConns <- serverConn
 					return clientConn, nil
 				})
-				client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+				client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"os"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/upstream"
-	"time"
 )
 
 // chunkSize is what the kernel takes at once, in bytes. Only a larger message takes so long to write that an answer could come before
@@ -114,9 +115,9 @@
 		return http1.ReadResponse(c.reader, a.bodiless, c.setAnswering)
 	}
 	kept := 0
-	defer func() { bounds.Give(kept) }()
-	return http1.ReadLong(c.reader, a.bodiless, c.setAnswering, func(n int) bool {
-		if bounds.Take(n) {
+	defer func() { bounds.Release(kept) }()
+	return http1.ReadStreamedResponse(c.reader, a.bodiless, c.setAnswering, func(n int) bool {
+		if bounds.Reserve(n) {
 			kept = n
 		}
 		return kept == n
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"time"
+
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
-	"time"
 )
 
 // isOver reports whether nothing of the attempt may be written any more: it has ended, or its client has left, which is looked up at
@@ -15,7 +16,7 @@
 // expiredOrForbidden is the guard before the first byte of an attempt and before its last: it says why that may not be written;
 // Open = it may. It is called with mu held.
 func (a *attempt) expiredOrForbidden(now time.Time, first bool) outcome.Kind {
-	rules := a.endpoint.client.settings.Rules
+	rules := a.endpoint.client.settings.Invariants
 	switch {
 	case a.stage == stageEnded:
 		return outcome.Withdrawn
@@ -40,7 +41,7 @@
 	if a.request == nil {
 		return
 	}
-	rules := a.endpoint.client.settings.Rules
+	rules := a.endpoint.client.settings.Invariants
 	now := time.Now()
 	if late := a.request.ClientGoneFor(now); late > invariant.ClientGoneGrace {
 		rules.Violated(invariant.ClientGone, "request=%q server=%s late_ms=%.1f", a.request.ID, a.endpoint.name, late.Seconds()*1e3)
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -4,16 +4,17 @@
 	"context"
 	"io"
 	"net"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/outcome"
-	"plankrouter/internal/request"
-	"plankrouter/internal/streaming"
-	"plankrouter/internal/upstream"
 	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/streaming"
+	"plankrouter/internal/upstream"
 )
 
 // body is a request's body that a client still sends.
@@ -54,8 +55,8 @@
 				clientConn, serverConn := net.Pipe()
 				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) { return clientConn, nil })
 				client, err := New(ctx, budget, Settings{
-					Figures: Figures{Connect: time.Second, ConnIdle: time.Hour},
-					Bounds:  streaming.New(1<<20, 8),
+					ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour},
+					Bounds:             streaming.New(1<<20, 8),
 				})
 				if err != nil {
 					t.Fatal(err)
--- a/internal/backend/message.go
+++ b/internal/backend/message.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
+	"strconv"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
-	"strconv"
-	"time"
 )
 
 // maxDeadlineDrift is how far the deadline in a message may be out of date before the message is encoded again.
@@ -58,7 +59,7 @@
 			length = -1
 		}
 	}
-	a.message = http1.AppendLongRequest(nil, r.Method, r.Target, cmp.Or(r.Host, a.endpoint.address), fields, r.Body, length)
+	a.message = http1.AppendStreamedRequest(nil, r.Method, r.Target, cmp.Or(r.Host, a.endpoint.address), fields, r.Body, length)
 }
 
 // refreshDeadline encodes the message again if the deadline in it is out of date, as after a slow dial.
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -1,11 +1,12 @@
 package backend
 
 import (
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/loadreport"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/upstream"
-	"time"
 )
 
 // result is how an attempt ended.
@@ -20,7 +21,7 @@
 func (a *attempt) resultOf(r *http1.Response) upstream.Result {
 	out := upstream.Result{Outcome: outcome.ServerError, Body: r.Body}
 	switch {
-	case r.Status == 200, !a.isProbe && a.endpoint.client.settings.Answers != nil && a.endpoint.client.settings.Answers(r.Status):
+	case r.Status == 200, !a.isProbe && a.endpoint.client.settings.IsServed != nil && a.endpoint.client.settings.IsServed(r.Status):
 		out.Outcome, out.StatusCode = outcome.Served, r.Status
 		out.Fields = r.Header.EndToEnd(isHopHeader)
 		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" { // of the body that HEAD leaves out
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -4,18 +4,19 @@
 	"context"
 	"errors"
 	"os"
+	"syscall"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/transient"
 	"plankrouter/internal/upstream"
-	"syscall"
-	"time"
 )
 
 // dialAndServe opens a connection for the attempt and serves it until it ends. An attempt that was offered to the connection but finds
 // it dead before the last byte is written can't have run, and gets another one.
-func (c *Caller) dialAndServe(a *attempt) {
+func (c *Client) dialAndServe(a *attempt) {
 	for a != nil {
 		a.pause = a.pauseOnNew
 		began := time.Now()
@@ -44,8 +45,8 @@
 }
 
 // serve makes attempts on the connection, one after another, until it ends, and returns the one that it could not begin.
-func (c *Caller) serve(conn *conn, a *attempt) *attempt {
-	if !conn.socket.Quiet() { // a server that speaks first is no HTTP server
+func (c *Client) serve(conn *conn, a *attempt) *attempt {
+	if !conn.socket.IsQuiet() { // a server that speaks first is no HTTP server
 		conn.close()
 		c.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
@@ -88,7 +89,7 @@
 // endExchange ends an attempt, and says whether the connection is to be kept and whether the result has been reported. The attempt
 // ends before its connection is kept for others, so that a late Cancel can't close that. But it is reported after that, so that an
 // attempt that follows from the report finds the connection; unless a streamed answer still occupies it.
-func (c *Caller) endExchange(a *attempt, r *result, reusable bool) (reported, keep bool) {
+func (c *Client) endExchange(a *attempt, r *result, reusable bool) (reported, keep bool) {
 	if !c.finish(a, r) {
 		return true, false
 	}
@@ -117,14 +118,14 @@
 }
 
 // end ends the attempt and reports the result, unless it has ended before.
-func (c *Caller) end(a *attempt, r result) {
+func (c *Client) end(a *attempt, r result) {
 	if c.finish(a, &r) {
 		a.onEnd(r.Result)
 	}
 }
 
 // finish ends the attempt with a result that is still to be reported. False means that it has ended before.
-func (c *Caller) finish(a *attempt, r *result) bool {
+func (c *Client) finish(a *attempt, r *result) bool {
 	a.mu.Lock()
 	if a.stage == stageEnded {
 		a.mu.Unlock()
--- a/internal/backend/run_test.go
+++ b/internal/backend/run_test.go
@@ -3,10 +3,11 @@
 import (
 	"net"
 	"os"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/outcome"
 	"syscall"
 	"testing"
+
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/outcome"
 )
 
 // An error in which nothing has left this machine says nothing of the server.
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"plankrouter/internal/outcome"
-	"plankrouter/internal/upstream"
 	"slices"
 	"time"
+
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/upstream"
 )
 
 const (
@@ -15,7 +16,7 @@
 
 // endpoint is one server's process at one address, with its idle connections.
 type endpoint struct {
-	client        *Caller
+	client        *Client
 	name, address string
 
 	idle   []*conn // the most recently used last; guarded by client.mu, like closed
@@ -28,14 +29,14 @@
 func (e *endpoint) Start(options upstream.AttemptOptions) upstream.Attempt {
 	cost := probeCost
 	if options.Request != nil {
-		cost = e.client.figures.Load().Stakes[options.Request.Class]
+		cost = e.client.figures.Load().RetryCosts[options.Request.Class]
 	}
 	a := e.encode(options)
 	e.client.start(a, estimatorChooser{e.client.estimator, time.Now(), e.name, cost})
 	return a
 }
 
-func (c *Caller) start(a *attempt, chooser connChooser) {
+func (c *Client) start(a *attempt, chooser connChooser) {
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
 	c.mu.Lock()
 	a.pauseOnNew = chooser.pauseBeforeLastByte(connUse{})
@@ -70,7 +71,7 @@
 // keepIdle lets the connection's endpoint use it again, for as long as the attempt with the lowest cost would. That time ends well
 // before the server closes the connection: an attempt that crosses the close is reset, and must not be sent again if it is not
 // idempotent.
-func (c *Caller) keepIdle(conn *conn) {
+func (c *Client) keepIdle(conn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -87,7 +88,7 @@
 }
 
 // removeIdle removes a connection that has ended while it was idle.
-func (c *Caller) removeIdle(conn *conn, how outcome.Kind) {
+func (c *Client) removeIdle(conn *conn, how outcome.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleOutcomes[how]++
--- a/internal/backend/server_test.go
+++ b/internal/backend/server_test.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"net"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/request"
-	"plankrouter/internal/upstream"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 )
 
 // An idle connection is offered an attempt when its time is over and its goroutine, woken late, has not ended it yet: its server may
@@ -23,7 +24,7 @@
 			serverConns = append(serverConns, serverConn)
 			return clientConn, nil
 		})
-		client, err := New(ctx, budget, Settings{Figures: Figures{Connect: time.Second, ConnIdle: time.Hour}})
+		client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -5,10 +5,11 @@
 	"errors"
 	"io"
 	"net"
-	"plankrouter/internal/http1"
-	"plankrouter/internal/request"
 	"sync"
 	"time"
+
+	"plankrouter/internal/http1"
+	"plankrouter/internal/request"
 )
 
 // streamBody writes the request up to its last byte, which it returns: releaseLastByte decides whether that may be written. A nil last
@@ -19,7 +20,7 @@
 	write := func(p []byte) bool {
 		c.socket.SetWriteDeadline(time.Now().Add(maxStreamStall))
 		_, err := c.socket.Write(p)
-		return err == nil && c.socket.Quiet()
+		return err == nil && c.socket.IsQuiet()
 	}
 	defer c.socket.SetWriteDeadline(time.Time{})
 	if !write(a.message) {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -5,9 +5,10 @@
 	"errors"
 	"fmt"
 	"net"
-	"plankrouter/policy"
 	"strconv"
 	"time"
+
+	"plankrouter/policy"
 )
 
 // Defaults for what the platform may leave out.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -6,13 +6,14 @@
 	"errors"
 	"fmt"
 	"os"
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/faultinjection"
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/transient"
 	"plankrouter/internal/watchpolicy"
 	"plankrouter/policy"
-	"time"
 )
 
 // readTimeout is for a file that can't be opened for a moment: a SIGHUP comes once.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -3,13 +3,14 @@
 import (
 	"os"
 	"path/filepath"
-	"plankrouter/internal/shutdown"
-	"plankrouter/internal/watchpolicy"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"plankrouter/internal/shutdown"
+	"plankrouter/internal/watchpolicy"
 )
 
 const validFile = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -1,8 +1,9 @@
 package config
 
 import (
-	"plankrouter/internal/stableid"
 	"time"
+
+	"plankrouter/internal/stableid"
 )
 
 // numberHoldTime is how long a number keeps its meaning for requests that came under it, after the class or tenant is dropped:
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -3,9 +3,10 @@
 import (
 	"cmp"
 	"fmt"
+	"time"
+
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/watchpolicy"
-	"time"
 )
 
 // Defaults of Own: those of the platform, on which none of its keys is given.
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
+	"slices"
+
 	"plankrouter/internal/loadreport"
 	"plankrouter/policy"
-	"slices"
 )
 
 // discoveryPushed is the value of Discovery for a list that is sent to an agent on the own machine.
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -33,8 +33,8 @@
 	}
 	var one [1]byte
 	for _, quiet := range []bool{false, true} { // both bytes came together
-		if _, err := io.ReadFull(s, one[:]); err != nil || s.Quiet() != quiet {
-			t.Errorf("after %q: quiet %t, %v", one, s.Quiet(), err)
+		if _, err := io.ReadFull(s, one[:]); err != nil || s.IsQuiet() != quiet {
+			t.Errorf("after %q: quiet %t, %v", one, s.IsQuiet(), err)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	s := NewBudget(1, nil).Adopt(mine, Inward)
 	b.ReportAllocs()
 	for b.Loop() {
-		if s.Left() {
+		if s.HasPeerLeft() {
 			b.Fatal("it is there")
 		}
 	}
--- a/internal/connlimit/dial.go
+++ b/internal/connlimit/dial.go
@@ -5,8 +5,9 @@
 	"errors"
 	"net"
 	"os"
-	"plankrouter/internal/faultinjection"
 	"time"
+
+	"plankrouter/internal/faultinjection"
 )
 
 // ErrLimitReached says that the limit leaves no place, and that no idle connection can make room.
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -17,9 +17,9 @@
 // Closing is how many connections may be open beyond the limit, while those that have made room are being closed.
 func Closing(limit int) int { return min(maxClosing, max(1, limit/closingDivisor)) }
 
-// Within is the highest limit under which so many descriptors suffice, including those of connections that are being closed; 0 = there
+// MaxSocketsWithin is the highest limit under which so many descriptors suffice, including those of connections that are being closed; 0 = there
 // is none.
-func Within(descriptors int) (limit int) {
+func MaxSocketsWithin(descriptors int) (limit int) {
 	for limit+1+Closing(limit+1) <= descriptors {
 		limit++
 	}
--- a/internal/connlimit/limits_test.go
+++ b/internal/connlimit/limits_test.go
@@ -23,7 +23,7 @@
 	for _, descriptors := range []int{2, 3, 8, 23, 80, 200, 523} {
 		t.Run(fmt.Sprint(descriptors), func(t *testing.T) {
 			var open atomic.Int64
-			limit, worst := Within(descriptors), int64(0)
+			limit, worst := MaxSocketsWithin(descriptors), int64(0)
 			b := NewBudget(limit, func(context.Context, string) (net.Conn, error) {
 				c, _ := net.Pipe()
 				open.Add(1)
--- a/internal/connlimit/socket.go
+++ b/internal/connlimit/socket.go
@@ -3,8 +3,9 @@
 import (
 	"container/list"
 	"net"
-	"plankrouter/internal/sockopt"
 	"time"
+
+	"plankrouter/internal/sockopt"
 )
 
 // Socket is a connection that counts under the limit until it is closed.
@@ -81,11 +82,11 @@
 	return !s.evicted && s.SetReadDeadline(t) == nil
 }
 
-// Quiet reports whether nothing is unread, neither bytes nor the other side's close or reset.
-func (s *Socket) Quiet() bool { return sockopt.IsQuiet(s.Conn) }
+// IsQuiet reports whether nothing is unread, neither bytes nor the other side's close or reset.
+func (s *Socket) IsQuiet() bool { return sockopt.IsQuiet(s.Conn) }
 
-// Left reports whether the other side has ended its sending or broken the connection.
-func (s *Socket) Left() bool { return sockopt.HasPeerLeft(s.Conn) }
+// HasPeerLeft reports whether the other side has ended its sending or broken the connection.
+func (s *Socket) HasPeerLeft() bool { return sockopt.HasPeerLeft(s.Conn) }
 
 // SinceArrival is how long ago the last bytes came in, if that is known.
 func (s *Socket) SinceArrival() (since time.Duration, known bool) {
--- a/internal/cordon/store.go
+++ b/internal/cordon/store.go
@@ -8,12 +8,13 @@
 	"io"
 	"io/fs"
 	"os"
-	"plankrouter/internal/transient"
 	"sync"
 	"syscall"
 	"time"
 
 	jsoniter "github.com/json-iterator/go"
+
+	"plankrouter/internal/transient"
 )
 
 const (
--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -4,13 +4,14 @@
 	"context"
 	"fmt"
 	"net"
+	"strings"
+	"testing"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/watchpolicy"
-	"strings"
-	"testing"
-	"time"
 )
 
 // An answer that has begun and stops is given up as soon as one that has not begun, wherever it stops, and the complete list is asked for
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"net"
+	"testing"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/testbench/fakes"
 	"plankrouter/internal/watchpolicy"
-	"testing"
-	"time"
 )
 
 // stallingConn is a connection of a process that stalls after each read.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -5,16 +5,17 @@
 	"errors"
 	"fmt"
 	"net"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/endpoints"
-	"plankrouter/internal/staleness"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/watchpolicy"
 	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/staleness"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 )
 
 // fixture is a watch of a source that lists a and b, in simulated time.
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -4,13 +4,14 @@
 	"context"
 	"errors"
 	"fmt"
+	"strconv"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/watchpolicy"
-	"strconv"
-	"time"
 )
 
 const (
@@ -95,7 +96,7 @@
 
 // exchange makes the poll and reads the whole of its answer.
 func (w *Watch) exchange(ctx context.Context, poll watchpolicy.Poll) (raw []byte, firstByteAt time.Time, err error) {
-	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.Quiet()) { // it would pass for the answer to this poll
+	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.IsQuiet()) { // it would pass for the answer to this poll
 		return nil, firstByteAt, errUnexpectedBytes
 	}
 	if w.conn == nil {
@@ -121,7 +122,7 @@
 			conn.waitForAnswer(deadline)
 		}
 	}
-	resp, err := http1.ReadLong(w.reader, false, onBegun, func(int) bool { return false }) // readBody reads it all
+	resp, err := http1.ReadStreamedResponse(w.reader, false, onBegun, func(int) bool { return false }) // readBody reads it all
 	if err != nil {
 		return nil, firstByteAt, err
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -4,10 +4,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"plankrouter/internal/endpoints"
-	"plankrouter/internal/http1"
 
 	jsoniter "github.com/json-iterator/go"
+
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/http1"
 )
 
 const (
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 func manyMembers(n int) (all []fakes.Endpoint) {
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -4,15 +4,16 @@
 	"context"
 	"fmt"
 	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/testbench/fakes"
 	"plankrouter/internal/watchpolicy"
-	"strings"
-	"sync"
-	"testing"
-	"time"
 )
 
 // raceFixture is a watch on real sockets that waits for long, so that whatever happens is the test's doing.
@@ -159,7 +160,7 @@
 			x := newRaceFixture(t)
 			c := x.start()
 			between(c)
-			for x.conn.Quiet() && name != "a reset" { // the kernel has it in a moment
+			for x.conn.IsQuiet() && name != "a reset" { // the kernel has it in a moment
 				time.Sleep(time.Millisecond)
 			}
 			x.proceed <- struct{}{}
@@ -327,7 +328,7 @@
 			})
 		}
 		conn.Close()
-		for x.conn.Quiet() {
+		for x.conn.IsQuiet() {
 			time.Sleep(time.Millisecond)
 		}
 		x.proceed <- struct{}{}
--- a/internal/discovery/script_test.go
+++ b/internal/discovery/script_test.go
@@ -4,11 +4,12 @@
 	"bufio"
 	"fmt"
 	"net"
-	"plankrouter/internal/http1"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/http1"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // scriptedSource is a discovery service whose every byte the test writes.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,13 +9,14 @@
 	"errors"
 	"fmt"
 	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/watchpolicy"
-	"sync"
-	"sync/atomic"
-	"time"
 )
 
 // Watch is the standing request to discovery. What to ask and how long to wait for the answer is decided by a watchpolicy.Scheduler.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -2,12 +2,13 @@
 
 import (
 	"container/heap"
+	"time"
+
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
-	"time"
 )
 
 const (
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -1,8 +1,9 @@
 package dispatch
 
 import (
-	"plankrouter/policy"
 	"time"
+
+	"plankrouter/policy"
 )
 
 // clock gives the policy its time: Unix milliseconds at the start plus what has passed since by the monotonic clock. The servers' start
--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -3,6 +3,11 @@
 import (
 	"context"
 	"fmt"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
@@ -10,10 +15,6 @@
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
-	"sync/atomic"
-	"testing"
-	"testing/synctest"
-	"time"
 )
 
 // servingUpstream is an upstream whose servers answer each attempt after 5 ms. It counts attempts by address.
--- a/internal/dispatch/cordons.go
+++ b/internal/dispatch/cordons.go
@@ -1,10 +1,11 @@
 package dispatch
 
 import (
+	"time"
+
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
-	"time"
 )
 
 const (
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -5,6 +5,9 @@
 
 import (
 	"context"
+	"sync/atomic"
+	"time"
+
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/invariant"
@@ -16,8 +19,6 @@
 	"plankrouter/internal/upstream"
 	"plankrouter/internal/wallclock"
 	"plankrouter/policy"
-	"sync/atomic"
-	"time"
 )
 
 const (
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -3,6 +3,14 @@
 import (
 	"context"
 	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/loadreport"
@@ -11,13 +19,6 @@
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
-	"slices"
-	"strings"
-	"testing"
-	"testing/synctest"
-	"time"
-
-	"github.com/google/go-cmp/cmp"
 )
 
 // refusingUpstream is an upstream whose servers refuse every connection.
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -1,6 +1,8 @@
 package dispatch
 
 import (
+	"time"
+
 	"plankrouter/internal/cordon"
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/request"
@@ -8,7 +10,6 @@
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
-	"time"
 )
 
 // event is something that another goroutine has seen or asks for. The dispatcher's goroutine alone calls apply.
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
-	"slices"
-	"testing"
-	"testing/synctest"
-	"time"
 )
 
 // Servers drop a repeat of a request with an idempotency key for 3 s after its first attempt that may have run was sent. Each further
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -1,13 +1,14 @@
 package dispatch
 
 import (
+	"testing"
+	"testing/synctest"
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
-	"testing"
-	"testing/synctest"
-	"time"
 )
 
 // What a faulty policy asks for against a rule is prevented at the one place that sends, or that refuses, and counted there.
--- a/internal/dispatch/origin.go
+++ b/internal/dispatch/origin.go
@@ -1,9 +1,10 @@
 package dispatch
 
 import (
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/policy"
-	"time"
 )
 
 // origin is when a server's process counts as started: the dates that say so, in Unix milliseconds, and where they lie on the policy's
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -2,11 +2,12 @@
 
 import (
 	"container/heap"
+	"time"
+
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/staleness"
 	"plankrouter/policy"
-	"time"
 )
 
 // handle gives the policy an event and carries out its actions. Carrying one out may end an attempt at once; that event waits until
--- a/internal/dispatch/races_test.go
+++ b/internal/dispatch/races_test.go
@@ -2,17 +2,18 @@
 
 import (
 	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/shutdown"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
-	"slices"
-	"strings"
-	"testing"
-	"testing/synctest"
-	"time"
 )
 
 // delayedUpstream is an upstream whose connections have not come up yet. It records what is done to its attempts.
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -2,9 +2,10 @@
 
 import (
 	"errors"
+	"time"
+
 	"plankrouter/internal/stableid"
 	"plankrouter/policy"
-	"time"
 )
 
 // Reconfiguration is what a reload may change. Classes and tenants go by positions that keep their meaning for open requests.
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -2,12 +2,13 @@
 
 import (
 	"maps"
+	"slices"
+	"time"
+
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
-	"slices"
-	"time"
 )
 
 // maxUploadTime is how long a request may take whose body is still being sent.
--- a/internal/dispatch/restore.go
+++ b/internal/dispatch/restore.go
@@ -1,10 +1,11 @@
 package dispatch
 
 import (
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/snapshot"
 	"plankrouter/policy"
-	"time"
 )
 
 // restore begins with the list and what was learned before, instead of the configuration's list alone.
--- a/internal/dispatch/servers.go
+++ b/internal/dispatch/servers.go
@@ -3,12 +3,13 @@
 import (
 	"cmp"
 	"hash/fnv"
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/staleness"
 	"plankrouter/internal/upstream"
 	"plankrouter/policy"
-	"time"
 )
 
 // noZone is the position of a zone that the policy's settings do not name.
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -2,10 +2,11 @@
 
 import (
 	"container/heap"
+	"time"
+
 	"plankrouter/internal/request"
 	"plankrouter/internal/shutdown"
 	"plankrouter/policy"
-	"time"
 )
 
 // ShuttingDown is why a request is refused that arrives when this process may be killed soon. The policy is not asked: it knows nothing
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -3,11 +3,12 @@
 import (
 	"cmp"
 	"math"
+	"slices"
+	"time"
+
 	"plankrouter/internal/endpoints"
 	"plankrouter/internal/snapshot"
 	"plankrouter/policy"
-	"slices"
-	"time"
 )
 
 // maxDeletedServers bounds the deleted servers that the next process gets to know: a release may replace all at once.
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -1,14 +1,15 @@
 package dispatch
 
 import (
-	"plankrouter/internal/endpoints"
-	"plankrouter/internal/snapshot"
-	"plankrouter/policy"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"plankrouter/internal/endpoints"
+	"plankrouter/internal/snapshot"
+	"plankrouter/policy"
 )
 
 // A drain that was listed before a restart, and what was learned of a server, are known to the next process; its own configuration
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -2,9 +2,10 @@
 
 import (
 	"container/heap"
+	"time"
+
 	"plankrouter/internal/outcome"
 	"plankrouter/policy"
-	"time"
 )
 
 // timerKind says what is to be done when a timer fires.
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -2,10 +2,11 @@
 
 import (
 	"net/url"
+	"time"
+
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
-	"time"
 )
 
 // unknownMs stands in the trace for a time that is not known.
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -6,9 +6,10 @@
 	"log"
 	"net"
 	"os"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/faultinjection"
-	"time"
 )
 
 // Serve accepts connections until Drain or the end of ctx, and returns when the last one has ended.
--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"io"
+	"testing"
+	"testing/synctest"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
-	"testing"
-	"testing/synctest"
 )
 
 // stoppedDispatcher is a dispatcher that has stopped.
@@ -40,7 +41,7 @@
 				Server:   New(cfg, row.dispatcher, connlimit.NewBudget(16, nil), new(metrics.Registry), streaming.New(1<<20, 16)),
 				listener: newPipeListener(), done: make(chan error, 1),
 			}
-			s.Rules = recorder
+			s.Invariants = recorder
 			go func() { s.done <- s.Serve(ctx, s.listener) }()
 			c := s.connect()
 			c.sendRequest("a")
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"net"
-	"plankrouter/internal/request"
 	"testing"
 	"time"
+
+	"plankrouter/internal/request"
 )
 
 // recordingDispatcher is a dispatcher that passes on the requests it gets.
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -8,16 +8,17 @@
 	"net"
 	"net/http"
 	"os"
-	"plankrouter/internal/config"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/metrics"
-	"plankrouter/internal/request"
-	"plankrouter/internal/streaming"
 	"sync"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/metrics"
+	"plankrouter/internal/request"
+	"plankrouter/internal/streaming"
 )
 
 // immediateDispatcher is a dispatcher that answers at once.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -5,6 +5,12 @@
 	"errors"
 	"net/http"
 	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/http1"
 	"plankrouter/internal/invariant"
@@ -12,11 +18,6 @@
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
 )
 
 // conn is one client's connection. Its reader goroutine reads messages, answers those that it rejects, and watches for the client's
@@ -68,10 +69,10 @@
 // checkAnswered records, as the connection is about to be closed, a request without answer whose client is still there.
 func (c *conn) checkAnswered(how outcome.Kind) {
 	id := c.unansweredID.Load()
-	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.Left() {
+	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.HasPeerLeft() {
 		return
 	}
-	c.server.Rules.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
+	c.server.Invariants.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
 }
 
 // serveMessages serves one message after another, and returns how the connection has ended.
@@ -112,7 +113,7 @@
 	c.startWriter()
 	c.metric = c.server.metrics.RequestStarted(c.class)
 	defer c.releaseMemory()
-	if (c.reader.Buffered() > 0 || !c.socket.Quiet()) && c.socket.Left() { // it left while its request waited to be read
+	if (c.reader.Buffered() > 0 || !c.socket.IsQuiet()) && c.socket.HasPeerLeft() { // it left while its request waited to be read
 		return outcome.ClientGone
 	}
 	if !c.server.dispatcher.Submit(r) {
@@ -141,7 +142,7 @@
 		return <-c.written
 	}
 	check := time.Tick(clientCheckInterval)
-	for err == nil && !c.socket.Left() { // the client's end can't be read behind bytes that are still unread
+	for err == nil && !c.socket.HasPeerLeft() { // the client's end can't be read behind bytes that are still unread
 		select {
 		case how := <-c.written:
 			return how
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -4,8 +4,9 @@
 	"errors"
 	"log"
 	"net"
-	"plankrouter/internal/connlimit"
 	"sync"
+
+	"plankrouter/internal/connlimit"
 )
 
 // The notes that go with a connection to a successor say what its client has sent so far. A new connection has none.
@@ -14,8 +15,8 @@
 	noteHasSentRequest = "known"   // a request
 )
 
-// Stay keeps the connections that are open, however long they are idle, until Drain.
-func (s *Server) Stay() {
+// KeepIdle keeps the connections that are open, however long they are idle, until Drain.
+func (s *Server) KeepIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keepIdle = true
@@ -66,8 +67,8 @@
 	close(s.resumed)
 }
 
-// Passing reports whether a handover is under way.
-func (s *Server) Passing() bool {
+// IsHandingOver reports whether a handover is under way.
+func (s *Server) IsHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOver != nil
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -7,16 +7,17 @@
 	"io"
 	"net"
 	"net/http"
-	"plankrouter/internal/config"
-	"plankrouter/internal/connlimit"
-	"plankrouter/internal/metrics"
-	"plankrouter/internal/request"
-	"plankrouter/internal/streaming"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/connlimit"
+	"plankrouter/internal/metrics"
+	"plankrouter/internal/request"
+	"plankrouter/internal/streaming"
 )
 
 // manualDispatcher is a dispatcher that answers when the test says so.
@@ -202,8 +203,8 @@
 				t.Errorf("one that sends nothing: %s", got)
 			}
 		}
-		if !old.Passing() || notes[""] != 2 || notes[noteHasSentRequest] != 1 || len(notes) != 2 {
-			t.Errorf("passing %t, with notes %v", old.Passing(), notes)
+		if !old.IsHandingOver() || notes[""] != 2 || notes[noteHasSentRequest] != 1 || len(notes) != 2 {
+			t.Errorf("passing %t, with notes %v", old.IsHandingOver(), notes)
 		}
 		idle.sendRequest("c")
 		next.manual.answerAll()
@@ -272,8 +273,8 @@
 		synctest.Wait()
 		s.listener.pause(false)
 		s.Resume()
-		if synctest.Wait(); attempts.Load() != 2 || s.Passing() {
-			t.Errorf("%d tries, passing %t", attempts.Load(), s.Passing())
+		if synctest.Wait(); attempts.Load() != 2 || s.IsHandingOver() {
+			t.Errorf("%d tries, passing %t", attempts.Load(), s.IsHandingOver())
 		}
 		select {
 		case <-left:
@@ -308,7 +309,7 @@
 			s.manual.answerAll()
 			c.readStatus()
 			if stay {
-				s.Stay()
+				s.KeepIdle()
 			}
 			time.Sleep(3 * idleCheckInterval)
 			c.sendRequest("b")
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -20,7 +20,7 @@
 		if c.keepAlive() {
 			continue
 		}
-		if !c.socket.Quiet() {
+		if !c.socket.IsQuiet() {
 			c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 			_, err = c.reader.Peek(1)
 		}
--- a/internal/frontend/lastaccept.go
+++ b/internal/frontend/lastaccept.go
@@ -5,9 +5,10 @@
 	"errors"
 	"net"
 	"os"
+	"time"
+
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/sockopt"
-	"time"
 )
 
 // acceptLast accepts what waits in the listener's backlog and closes the listener, then the connections that are idle: a client whose
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -4,11 +4,12 @@
 	"errors"
 	"net/http"
 	"os"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
-	"time"
 )
 
 // errNoMemory says that the bounds leave no memory for a body.
@@ -118,7 +119,7 @@
 	c.unansweredID.Store(&r.ID)
 	c.hasSentRequest = true
 	c.class = translator.names[r.Class]
-	r.ClientGone = c.socket.Left
+	r.ClientGone = c.socket.HasPeerLeft
 	c.upload = nil
 	if message.Rest != nil {
 		c.upload = &upload{
@@ -130,8 +131,8 @@
 	r.Respond = func(a request.Response) { // never blocks: the channel has room for the one answer
 		response := encodeResponse(a)
 		response.Bodiless = a.Kind == request.Served && message.Method == http.MethodHead
-		response.Close = message.Close || a.Remainder != nil && a.Remainder.Length() < 0 && message.Old
-		c.deliver(response, a.Remainder, message.Old)
+		response.Close = message.Close || a.Remainder != nil && a.Remainder.Length() < 0 && message.IsHTTP10
+		c.deliver(response, a.Remainder, message.IsHTTP10)
 	}
 	return r, 0
 }
@@ -141,7 +142,7 @@
 	n, err := c.socket.Read(p)
 	if c.pace != nil && n > 0 {
 		c.pace.Got += int64(n)
-		c.extendBodyDeadline(c.pace.Until(time.Now()))
+		c.extendBodyDeadline(c.pace.Deadline(time.Now()))
 	}
 	return n, err
 }
@@ -151,7 +152,7 @@
 	if message.Length() < 0 || message.Length() > int64(c.reader.Buffered()) {
 		now := time.Now()
 		c.pace = &streaming.Pace{Began: now}
-		c.extendDeadline(c.pace.Until(now))
+		c.extendDeadline(c.pace.Deadline(now))
 	}
 	return message.ReadFirst(c.reader)
 }
@@ -167,7 +168,7 @@
 		return true
 	}
 	c.releaseMemory()
-	if !c.server.bounds.Take(int(n)) {
+	if !c.server.bounds.Reserve(int(n)) {
 		return false
 	}
 	c.reservedBytes = int(n)
@@ -175,7 +176,7 @@
 }
 
 func (c *conn) releaseMemory() {
-	c.server.bounds.Give(c.reservedBytes)
+	c.server.bounds.Release(c.reservedBytes)
 	c.reservedBytes = 0
 }
 
--- a/internal/frontend/reject.go
+++ b/internal/frontend/reject.go
@@ -3,9 +3,10 @@
 import (
 	"io"
 	"net"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/sockopt"
-	"time"
 )
 
 // rejectsAtOnce reports whether connections that find no place are rejected at once.
@@ -38,7 +39,7 @@
 
 // rejection is the answer to a message that is not submitted as a request.
 func (c *conn) rejection(status int, closeConn bool) *http1.Response {
-	c.server.NotTaken.Add(1)
+	c.server.Rejected.Add(1)
 	return &http1.Response{Status: status, Close: closeConn}
 }
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -4,6 +4,12 @@
 
 import (
 	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/invariant"
@@ -11,11 +17,6 @@
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
 )
 
 // Server accepts and serves the clients' connections.
@@ -26,12 +27,12 @@
 	bounds     *streaming.Bounds
 	translator atomic.Pointer[translator]
 
-	// Rules counts the requests whose connection was ended without their answer; nil = nothing does. Set it before Serve.
-	Rules *invariant.Recorder
+	// Invariants counts the requests whose connection was ended without their answer; nil = nothing does. Set it before Serve.
+	Invariants *invariant.Recorder
 	// Trace logs a line for each connection as it ends; nil = nothing does. Set it before Serve.
 	Trace func(format string, args ...any)
 
-	Connections, Adopted, NotTaken atomic.Int64
+	Connections, Adopted, Rejected atomic.Int64
 
 	mu             sync.Mutex
 	conns          map[*conn]bool               // true = a message is under way
@@ -68,8 +69,8 @@
 	s.translator.Store(newTranslator(settings))
 }
 
-// Endings returns how the connections have ended so far.
-func (s *Server) Endings() outcome.Counts {
+// Outcomes returns how the connections have ended so far.
+func (s *Server) Outcomes() outcome.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outcomes
@@ -82,8 +83,8 @@
 	return len(s.conns)
 }
 
-// Taking reports whether this process still accepts connections.
-func (s *Server) Taking() bool {
+// IsAccepting reports whether this process still accepts connections.
+func (s *Server) IsAccepting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serving && !s.draining && s.handOver == nil
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -4,12 +4,13 @@
 	"math"
 	"net/http"
 	"net/url"
-	"plankrouter/internal/config"
-	"plankrouter/internal/http1"
-	"plankrouter/internal/request"
 	"strconv"
 	"strings"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/http1"
+	"plankrouter/internal/request"
 )
 
 const (
@@ -70,7 +71,7 @@
 	return &request.Request{
 		ID: id, Class: class, Tenant: tenant,
 		ClientRetry: message.Header.Get(http1.HeaderRetry) == "1", SentAt: sentAt, Timeout: timeout,
-		Method: message.Method, Target: target, Fields: message.Header.EndToEnd(http1.Reworded), Body: message.Body,
+		Method: message.Method, Target: target, Fields: message.Header.EndToEnd(http1.IsSetPerAttempt), Body: message.Body,
 	}, 0
 }
 
--- a/internal/frontend/upload.go
+++ b/internal/frontend/upload.go
@@ -4,13 +4,14 @@
 	"errors"
 	"io"
 	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/internal/streaming"
-	"sync"
-	"sync/atomic"
-	"time"
 )
 
 // errAnsweredEarly says that the body is not needed any more.
@@ -54,7 +55,7 @@
 	}
 	u.consumed.Store(true)
 	u.conn.pace = u.pace
-	u.conn.socket.ExtendReadDeadline(u.pace.Until(time.Now()))
+	u.conn.socket.ExtendReadDeadline(u.pace.Deadline(time.Now()))
 	n, err := u.body.Read(p)
 	if err == nil && u.body.Length() == 0 {
 		err = io.EOF
@@ -113,7 +114,7 @@
 	for {
 		select {
 		case <-check:
-			if c.socket.Left() {
+			if c.socket.HasPeerLeft() {
 				c.server.dispatcher.ClientGone(r)
 				u.takeBody()
 				return outcome.ClientGone
@@ -159,7 +160,7 @@
 	u := c.upload
 	if errors.Is(u.err, errAnsweredEarly) {
 		c.pace = u.pace
-		c.socket.ExtendReadDeadline(u.pace.Until(time.Now()))
+		c.socket.ExtendReadDeadline(u.pace.Deadline(time.Now()))
 		_, err := io.Copy(io.Discard, u.body)
 		c.pace = nil
 		if err != nil || !c.socket.MarkBusy() || c.socket.SetReadDeadline(time.Time{}) != nil {
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -4,11 +4,12 @@
 	"errors"
 	"io"
 	"net/http"
+	"time"
+
 	"plankrouter/internal/http1"
 	"plankrouter/internal/metrics"
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
-	"time"
 )
 
 // pendingResponse is what the writer is to write.
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -35,7 +35,7 @@
 		f.chunked = true
 	case sized:
 		f.sized = true
-		f.length, err = parseLength(length, 10, MaxLong)
+		f.length, err = parseLength(length, 10, MaxStreamedBody)
 		return f, err
 	}
 	return f, nil
@@ -96,7 +96,7 @@
 	}
 	n, err := b.reader.Read(p)
 	b.total += int64(n)
-	if b.total > MaxLong {
+	if b.total > MaxStreamedBody {
 		err = ErrTooLarge
 	}
 	if !b.untilEOF {
@@ -126,7 +126,7 @@
 		return asUnexpectedEOF(err)
 	}
 	size, _, _ := strings.Cut(line, ";")
-	if b.left, err = parseLength(strings.TrimRight(size, " \t"), 16, MaxLong); err != nil {
+	if b.left, err = parseLength(strings.TrimRight(size, " \t"), 16, MaxStreamedBody); err != nil {
 		return err
 	}
 	if b.left > 0 {
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -3,8 +3,9 @@
 import (
 	"bufio"
 	"fmt"
-	"plankrouter/internal/field"
 	"strings"
+
+	"plankrouter/internal/field"
 )
 
 // Field is one header line.
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -15,7 +15,7 @@
 // The bounds, in bytes unless the name says otherwise. A line must also fit the reader's buffer, so readers come from NewReader.
 const (
 	MaxBody             = 64 << 10 // of a body that is read whole
-	MaxLong             = 48 << 20 // of one that is streamed: a longer one is taken for endless
+	MaxStreamedBody     = 48 << 20 // of one that is streamed: a longer one is taken for endless
 	maxLineBytes        = 8 << 10
 	maxHeaderLines      = 100
 	maxHeaderBytes      = 32 << 10
@@ -26,7 +26,7 @@
 // other error comes from the connection.
 var ErrMalformed = errors.New("malformed message")
 
-// ErrTooLarge says that a body exceeds MaxBody or MaxLong.
+// ErrTooLarge says that a body exceeds MaxBody or MaxStreamedBody.
 var ErrTooLarge = fmt.Errorf("%w: body too large", ErrMalformed)
 
 // idleReaders are kept for reuse: connections come and go by the hundred, and the buffer is most of what one costs.
--- a/internal/http1/names.go
+++ b/internal/http1/names.go
@@ -17,7 +17,7 @@
 	PathList = "/discovery/hosts"
 )
 
-// Reworded reports whether the header is set anew for each attempt, as the request's id and its deadline are.
-func Reworded(name string) bool {
+// IsSetPerAttempt reports whether the header is set anew for each attempt, as the request's id and its deadline are.
+func IsSetPerAttempt(name string) bool {
 	return strings.EqualFold(name, HeaderID) || strings.EqualFold(name, HeaderDeadline)
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -13,7 +13,7 @@
 	Body           []byte
 	Rest           *Body // what follows Body; nil = nothing does
 	Close          bool  // the connection ends with the answer
-	Old            bool  // HTTP/1.0: the client can't read chunks
+	IsHTTP10       bool  // HTTP/1.0: the client can't read chunks
 	framing
 }
 
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("%w: %d Host lines", ErrMalformed, hosts)
 	}
 	r.Close = closesConnection(r.Header, minor)
-	r.Old = minor == 0
+	r.IsHTTP10 = minor == 0
 	r.framing, err = parseFraming(r.Header)
 	if r.chunked && minor == 0 {
 		return nil, fmt.Errorf("%w: chunked in HTTP/1.0", ErrMalformed)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -25,19 +25,19 @@
 	Bodiless bool   // it answers HEAD: Header says what a body would have had
 }
 
-// ReadResponse reads a whole answer, whose body must not be longer than MaxBody, as ReadLong does.
+// ReadResponse reads a whole answer, whose body must not be longer than MaxBody, as ReadStreamedResponse does.
 func ReadResponse(reader *bufio.Reader, bodiless bool, begun func(bool)) (*Response, error) {
-	r, err := ReadLong(reader, bodiless, begun, func(int) bool { return true })
+	r, err := ReadStreamedResponse(reader, bodiless, begun, func(int) bool { return true })
 	if err == nil && r.Rest != nil {
 		return nil, ErrTooLarge
 	}
 	return r, err
 }
 
-// ReadLong reads an answer and skips interim ones. One to HEAD is bodiless, whatever its header says. Before each it waits
+// ReadStreamedResponse reads an answer and skips interim ones. One to HEAD is bodiless, whatever its header says. Before each it waits
 // for the first byte and then calls begun(true), and begun(false) once the answer is read. Of a body that is longer than MaxBody,
 // or for which mayKeep grants no memory, it reads only the beginning; Rest has what follows.
-func ReadLong(reader *bufio.Reader, bodiless bool, begun func(bool), mayKeep func(int) bool) (*Response, error) {
+func ReadStreamedResponse(reader *bufio.Reader, bodiless bool, begun func(bool), mayKeep func(int) bool) (*Response, error) {
 	for range maxInterimResponses {
 		if _, err := reader.Peek(1); err != nil {
 			return nil, err
--- a/internal/http1/writer.go
+++ b/internal/http1/writer.go
@@ -4,12 +4,12 @@
 
 // AppendRequest appends a whole request. It has a Content-Length if there is a body or the method suggests one.
 func AppendRequest(b []byte, method, target, host string, fields []Field, body []byte) []byte {
-	return AppendLongRequest(b, method, target, host, fields, body, int64(len(body)))
+	return AppendStreamedRequest(b, method, target, host, fields, body, int64(len(body)))
 }
 
-// AppendLongRequest appends a request whose body has this length in all and begins with body; a length of -1 sends it in chunks, of
+// AppendStreamedRequest appends a request whose body has this length in all and begins with body; a length of -1 sends it in chunks, of
 // which body is the first.
-func AppendLongRequest(b []byte, method, target, host string, fields []Field, body []byte, length int64) []byte {
+func AppendStreamedRequest(b []byte, method, target, host string, fields []Field, body []byte, length int64) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\n"...)
 	b = appendFields(b, fields)
--- a/internal/keepalive/estimator_test.go
+++ b/internal/keepalive/estimator_test.go
@@ -26,8 +26,8 @@
 	return b
 }
 
-// lesson is a number of attempts on one connection, broken ones spread among them evenly.
-type lesson struct {
+// observation is a number of attempts on one connection, broken ones spread among them evenly.
+type observation struct {
 	server        string
 	idle          time.Duration
 	carried       int
@@ -36,12 +36,12 @@
 	early         bool
 }
 
-func kept(server string, idle time.Duration, calls, broken int) lesson {
-	return lesson{server: server, idle: idle, carried: 3, calls: calls, broken: broken}
+func kept(server string, idle time.Duration, calls, broken int) observation {
+	return observation{server: server, idle: idle, carried: 3, calls: calls, broken: broken}
 }
 
-// teach has an attempt each 10 ms and returns the time after the last.
-func teach(b *Estimator, now time.Time, lessons ...lesson) time.Time {
+// learnAll has an attempt each 10 ms and returns the time after the last.
+func learnAll(b *Estimator, now time.Time, lessons ...observation) time.Time {
 	for _, l := range lessons {
 		for i := range l.calls {
 			f := Answered
@@ -64,31 +64,33 @@
 	clean := kept(a, 20*ms, 300, 0)
 	part := kept(a, 200*ms, 50, 10)
 	all := kept(a, 200*ms, 50, 50)
-	worn := lesson{server: a, idle: 20 * ms, carried: 100, calls: 50, broken: 10}
+	worn := observation{server: a, idle: 20 * ms, carried: 100, calls: 50, broken: 10}
 	other := kept(b, 20*ms, 100, 100)
-	onNew := func(l lesson) []lesson { return []lesson{l, {server: a, calls: l.calls, broken: l.broken}} }
-	at := func(server string, l lesson) lesson { l.server = server; return l }
+	onNew := func(l observation) []observation {
+		return []observation{l, {server: a, calls: l.calls, broken: l.broken}}
+	}
+	at := func(server string, l observation) observation { l.server = server; return l }
 	for name, c := range map[string]struct {
-		seen     []lesson
+		seen     []observation
 		use      Use
 		decision string // of order, query and probe: k = the reused one, n = a new one
 	}{
 		"nothing is known":           {nil, Use{a, time.Minute, 1000}, "kkk"},
-		"all was well":               {[]lesson{clean}, Use{a, time.Minute, 1000}, "kkk"},
-		"old ones break":             {[]lesson{clean, part}, Use{a, 200 * ms, 3}, "nkk"},
-		"older ones than have been":  {[]lesson{clean, part}, Use{a, time.Second, 3}, "nkk"},
-		"younger ones don't":         {[]lesson{clean, part}, Use{a, 20 * ms, 3}, "kkk"},
-		"all old ones break":         {[]lesson{clean, all}, Use{a, 200 * ms, 3}, "nnk"},
+		"all was well":               {[]observation{clean}, Use{a, time.Minute, 1000}, "kkk"},
+		"old ones break":             {[]observation{clean, part}, Use{a, 200 * ms, 3}, "nkk"},
+		"older ones than have been":  {[]observation{clean, part}, Use{a, time.Second, 3}, "nkk"},
+		"younger ones don't":         {[]observation{clean, part}, Use{a, 20 * ms, 3}, "kkk"},
+		"all old ones break":         {[]observation{clean, all}, Use{a, 200 * ms, 3}, "nnk"},
 		"new ones break as well":     {onNew(part), Use{a, 200 * ms, 3}, "kkk"},
 		"a fault of this side":       {onNew(all), Use{a, 200 * ms, 3}, "kkk"},
-		"worn ones break":            {[]lesson{clean, worn}, Use{a, 20 * ms, 100}, "nnn"},
-		"those less worn don't":      {[]lesson{clean, worn}, Use{a, 20 * ms, 3}, "kkk"},
-		"it is another's trouble":    {[]lesson{clean, other}, Use{a, 20 * ms, 3}, "kkk"},
-		"an unknown one's neighbour": {[]lesson{other}, Use{a, 20 * ms, 3}, "kkk"},
-		"several have the trouble":   {[]lesson{clean, at("c", all), at("d", all)}, Use{a, 200 * ms, 3}, "nnk"},
+		"worn ones break":            {[]observation{clean, worn}, Use{a, 20 * ms, 100}, "nnn"},
+		"those less worn don't":      {[]observation{clean, worn}, Use{a, 20 * ms, 3}, "kkk"},
+		"it is another's trouble":    {[]observation{clean, other}, Use{a, 20 * ms, 3}, "kkk"},
+		"an unknown one's neighbour": {[]observation{other}, Use{a, 20 * ms, 3}, "kkk"},
+		"several have the trouble":   {[]observation{clean, at("c", all), at("d", all)}, Use{a, 200 * ms, 3}, "nnk"},
 	} {
 		b := newEstimator(t)
-		now, got := teach(b, began, c.seen...), ""
+		now, got := learnAll(b, began, c.seen...), ""
 		for _, s := range []RetryCost{order, query, probe} {
 			if b.Take(now, c.use, s) {
 				got += "k"
@@ -103,10 +105,10 @@
 }
 
 // What has been given up is tried again, by the cheapest first, though nobody goes there meanwhile.
-func TestWayBack(t *testing.T) {
+func TestReuseResumesAsEvidenceFades(t *testing.T) {
 	b := newEstimator(t)
 	bad := kept("a", 200*ms, 100, 100)
-	now := teach(b, began, lesson{server: "a", calls: 100}, bad)
+	now := learnAll(b, began, observation{server: "a", calls: 100}, bad)
 	var back []time.Duration
 	for _, s := range []RetryCost{query, order} {
 		start := now
@@ -118,8 +120,8 @@
 	if back[0] == 0 || back[1] == 0 || back[0]+back[1] >= 2*time.Hour {
 		t.Errorf("with no calls at all a query goes there again after %s, an order %s later", back[0], back[1])
 	}
-	for now = teach(b, now, bad); ; {
-		now = teach(b, now, lesson{server: "a", calls: 100})
+	for now = learnAll(b, now, bad); ; {
+		now = learnAll(b, now, observation{server: "a", calls: 100})
 		if b.Take(now, Use{"a", 200 * ms, 3}, order) {
 			break
 		}
@@ -131,12 +133,12 @@
 
 func TestHold(t *testing.T) {
 	use := Use{"a", 20 * ms, 3}
-	seen := lesson{server: "a", idle: 20 * ms, carried: 3, calls: 2000, broken: 200, held: 4 * ms}
+	seen := observation{server: "a", idle: 20 * ms, carried: 3, calls: 2000, broken: 200, held: 4 * ms}
 	never := seen
 	never.held = 8 * ms
-	shows := func(after time.Duration) lesson { l := seen; l.early, l.took = true, after; return l }
+	shows := func(after time.Duration) observation { l := seen; l.early, l.took = true, after; return l }
 	for name, c := range map[string]struct {
-		seen        lesson
+		seen        observation
 		stakes      RetryCost
 		least, most time.Duration
 	}{
@@ -152,7 +154,7 @@
 		"it breaks, none was held": {kept("a", 20*ms, 300, 30), order, 2 * ms, 8 * ms},
 	} {
 		b := newEstimator(t)
-		now := teach(b, began, c.seen)
+		now := learnAll(b, began, c.seen)
 		if got := b.Hold(now, use, c.stakes); got < c.least || got > c.most {
 			t.Errorf("%s: %s, want %s to %s", name, got, c.least, c.most)
 		}
@@ -210,7 +212,7 @@
 	b, _ := New(set)
 	now := began
 	for i := range 20 {
-		now = teach(b, now.Add(time.Hour), kept(fmt.Sprint(i), 200*ms, 1000, 200))
+		now = learnAll(b, now.Add(time.Hour), kept(fmt.Sprint(i), 200*ms, 1000, 200))
 		k := b.posterior(now, fmt.Sprint(i)).idle[idleStep(200*ms)]
 		if k < 0.1 || k > 0.25 || len(b.list) > 3 || len(b.servers) > 3 {
 			t.Errorf("hour %d: probability %g, %d providers", i, k, len(b.list))
@@ -220,7 +222,7 @@
 		}
 	}
 	b = newEstimator(t)
-	now = teach(b, now, lesson{server: "a", calls: 20}, kept("a", 200*ms, 20, 20))
+	now = learnAll(b, now, observation{server: "a", calls: 20}, kept("a", 200*ms, 20, 20))
 	b.Take(now, Use{"a", 200 * ms, 3}, order)
 	b.Forget("a")
 	if now = now.Add(time.Minute); !b.Take(now, Use{"new", 200 * ms, 3}, order) {
@@ -228,7 +230,7 @@
 	}
 	for range 3 { // in turn, so that they look alike
 		for _, p := range []string{"a", "b", "c", "d"} {
-			now = teach(b, now, lesson{server: p, calls: 20}, kept(p, 200*ms, 20, 10))
+			now = learnAll(b, now, observation{server: p, calls: 20}, kept(p, 200*ms, 20, 10))
 		}
 	}
 	for _, p := range []string{"a", "b", "c", "d"} {
@@ -244,9 +246,9 @@
 
 func TestState(t *testing.T) {
 	b := newEstimator(t)
-	now := teach(b, began, kept("a", 20*ms, 300, 0),
-		lesson{server: "b", idle: 200 * ms, carried: 3, calls: 90, broken: 30, held: 4 * ms, early: true},
-		lesson{server: "c", idle: 20 * ms, carried: 100, calls: 90, broken: 30, held: 4 * ms})
+	now := learnAll(b, began, kept("a", 20*ms, 300, 0),
+		observation{server: "b", idle: 200 * ms, carried: 3, calls: 90, broken: 30, held: 4 * ms, early: true},
+		observation{server: "c", idle: 20 * ms, carried: 100, calls: 90, broken: 30, held: 4 * ms})
 	b.Dialed("a", 3*ms)
 	data, err := b.State(now)
 	if err != nil {
@@ -347,11 +349,11 @@
 	}
 }
 
-func BenchmarkBook(b *testing.B) {
+func BenchmarkEstimator(b *testing.B) {
 	k := newEstimator(b)
 	now := began
 	for i := range fleet {
-		now = teach(k, now, kept(names[i], 200*ms, 50, 10))
+		now = learnAll(k, now, kept(names[i], 200*ms, 50, 10))
 	}
 	use := Use{names[3], 150 * ms, 5}
 	b.Run("Take", func(b *testing.B) {
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -2,9 +2,9 @@
 package loadreport
 
 import (
-	"plankrouter/policy"
-
 	jsoniter "github.com/json-iterator/go"
+
+	"plankrouter/policy"
 )
 
 // Field says what one value of a load report means.
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -1,10 +1,11 @@
 package loadreport
 
 import (
-	"plankrouter/policy"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"plankrouter/policy"
 )
 
 func TestReportIsReadByName(t *testing.T) {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"os"
+
 	"plankrouter/policy"
 )
 
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -1,8 +1,9 @@
 package outcome
 
 import (
-	"plankrouter/policy"
 	"testing"
+
+	"plankrouter/policy"
 )
 
 // Whether an attempt never ran decides whether what is not idempotent may be sent again: no kind may slip over to the other side.
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -4,9 +4,10 @@
 
 import (
 	"io"
-	"plankrouter/internal/field"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/field"
 )
 
 // Field is one named attribute that travels with a request or its answer.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"math"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/loadreport"
 	"plankrouter/policy"
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -4,9 +4,10 @@
 	"bytes"
 	"encoding/binary"
 	"math"
-	"plankrouter/policy"
 	"strings"
 	"testing"
+
+	"plankrouter/policy"
 )
 
 const facts = `{"Balancers":2,"Discovery":"on_request","RoundMs":5,"Unknown":[1],
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"net"
-	"plankrouter/internal/endpoints"
 	"strings"
 	"unicode/utf8"
+
+	"plankrouter/internal/endpoints"
 )
 
 // Bounds of a snapshot's parts.
--- a/internal/snapshot/list.go
+++ b/internal/snapshot/list.go
@@ -1,9 +1,10 @@
 package snapshot
 
 import (
-	"plankrouter/internal/endpoints"
 	"slices"
 	"time"
+
+	"plankrouter/internal/endpoints"
 )
 
 // List is discovery's list of servers.
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"plankrouter/internal/config"
 	"slices"
 	"time"
+
+	"plankrouter/internal/config"
 )
 
 // Restored is what a start has to go by.
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/config"
-	"plankrouter/internal/endpoints"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/endpoints"
 )
 
 // smallFleet is a snapshot of a small fleet: a server that serves, one in slow start, one that drains and one that is gone.
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -5,10 +5,11 @@
 import (
 	"encoding/hex"
 	"hash/fnv"
-	"plankrouter/internal/config"
-	"plankrouter/internal/endpoints"
 	"strconv"
 	"time"
+
+	"plankrouter/internal/config"
+	"plankrouter/internal/endpoints"
 )
 
 // Snapshot is all that outlives a process. It holds no present load: what a server had in flight is outdated long
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"plankrouter/internal/config"
 	"time"
+
+	"plankrouter/internal/config"
 )
 
 // ValidityRules say what a start accepts of a snapshot, and up to what age.
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -5,12 +5,13 @@
 import (
 	"errors"
 	"net"
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/transient"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/transient"
 )
 
 // The system calls themselves; a test puts others in their place.
--- a/internal/staleness/validity.go
+++ b/internal/staleness/validity.go
@@ -3,8 +3,9 @@
 package staleness
 
 import (
-	"plankrouter/internal/shutdown"
 	"time"
+
+	"plankrouter/internal/shutdown"
 )
 
 // FirstByteLead is the time in which a first byte that is about to be written goes out: the process may stall there, and it has a part of
--- a/internal/staleness/validity_test.go
+++ b/internal/staleness/validity_test.go
@@ -1,9 +1,10 @@
 package staleness
 
 import (
-	"plankrouter/internal/shutdown"
 	"testing"
 	"time"
+
+	"plankrouter/internal/shutdown"
 )
 
 const ms = time.Millisecond
--- a/internal/streaming/bounds.go
+++ b/internal/streaming/bounds.go
@@ -34,8 +34,8 @@
 	return *q, func() { b.buffers.Put(q) }
 }
 
-// Take reserves n bytes for a body that is to be kept, and reports whether the bound leaves them.
-func (b *Bounds) Take(n int) bool {
+// Reserve reserves n bytes for a body that is to be kept, and reports whether the bound leaves them.
+func (b *Bounds) Reserve(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > b.bytesLeft {
@@ -45,8 +45,8 @@
 	return true
 }
 
-// Give returns n bytes.
-func (b *Bounds) Give(n int) {
+// Release returns n bytes.
+func (b *Bounds) Release(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bytesLeft += n
--- a/internal/streaming/bounds_test.go
+++ b/internal/streaming/bounds_test.go
@@ -18,13 +18,13 @@
 		}
 		free()
 		taken := 0
-		for b.Take(64 << 10) {
+		for b.Reserve(64 << 10) {
 			taken += 64 << 10
 		}
 		if taken > tc.memory/4 || taken < tc.memory/4-64<<10 {
 			t.Errorf("%+v: %d bytes are kept whole", tc, taken)
 		}
-		if b.Give(64 << 10); !b.Take(64<<10) || b.Take(64<<10) {
+		if b.Release(64 << 10); !b.Reserve(64<<10) || b.Reserve(64<<10) {
 			t.Errorf("%+v: what is given back may be taken once", tc)
 		}
 	}
@@ -41,7 +41,7 @@
 		{640 << 10, 10 * time.Second, 10*time.Second + maxPause}, {24 << 10, 2900 * time.Millisecond, 3 * time.Second},
 	} {
 		p := Pace{Began: began, Got: tc.got}
-		if got := p.Until(began.Add(tc.now)).Sub(began).Round(time.Millisecond); got != tc.want {
+		if got := p.Deadline(began.Add(tc.now)).Sub(began).Round(time.Millisecond); got != tc.want {
 			t.Errorf("%d bytes after %s: until %s, want %s", tc.got, tc.now, got, tc.want)
 		}
 	}
--- a/internal/streaming/pace.go
+++ b/internal/streaming/pace.go
@@ -15,8 +15,8 @@
 	Got   int64 // bytes so far
 }
 
-// Until is when more of the body must have come at the latest, seen from now.
-func (p *Pace) Until(now time.Time) time.Time {
+// Deadline is when more of the body must have come at the latest, seen from now.
+func (p *Pace) Deadline(now time.Time) time.Time {
 	least := p.Began.Add(paceGrace + time.Duration(p.Got)*time.Second/minPace)
 	if pause := now.Add(maxPause); pause.Before(least) {
 		return pause
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -4,11 +4,12 @@
 	"bufio"
 	"fmt"
 	"net"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -8,14 +8,15 @@
 	"net"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/process"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 // world is what surrounds the sidecar of one point.
--- a/internal/testbench/capacity/module.go
+++ b/internal/testbench/capacity/module.go
@@ -3,11 +3,12 @@
 import (
 	"container/heap"
 	"fmt"
-	"plankrouter/policy"
 	"runtime"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"plankrouter/policy"
 )
 
 // ModulePoint is what the policy alone costs, with one size of the list.
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -7,16 +7,17 @@
 	"fmt"
 	"math"
 	"os"
-	"plankrouter/internal/probing"
-	"plankrouter/internal/subset"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/watchpolicy"
 	"regexp"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/probing"
+	"plankrouter/internal/subset"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/watchpolicy"
 )
 
 // TestPage holds what docs/CAPACITY.md counts against what the code does: the page's figures are products of these.
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -9,10 +9,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/process"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 const readyWithin = 30 * time.Second
--- a/internal/testbench/capacity/world.go
+++ b/internal/testbench/capacity/world.go
@@ -6,10 +6,11 @@
 	"fmt"
 	"io"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"sync"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // configure writes the sidecar's configuration, whose n-th version differs from the one before.
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -13,11 +13,12 @@
 	"net/url"
 	"os"
 	"os/exec"
-	"plankrouter/internal/testbench/process"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/process"
 )
 
 // RoleVariable makes a process that calls Serve a server or a proxy.
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -7,8 +7,9 @@
 	"fmt"
 	"io"
 	"math"
-	"plankrouter/policy"
 	"slices"
+
+	"plankrouter/policy"
 )
 
 // Config is a whole day: the world, its load, what goes wrong and which policy decides. In plans its keys are those of the tags.
--- a/internal/testbench/emulator/discovery_test.go
+++ b/internal/testbench/emulator/discovery_test.go
@@ -1,8 +1,9 @@
 package emulator
 
 import (
-	"plankrouter/policy"
 	"testing"
+
+	"plankrouter/policy"
 )
 
 func TestDiscoveryThatIsDownLosesUpdates(t *testing.T) {
--- a/internal/testbench/emulator/fault_servers.go
+++ b/internal/testbench/emulator/fault_servers.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"plankrouter/policy"
 	"slices"
 	"strings"
+
+	"plankrouter/policy"
 )
 
 // someServers are a part of the servers, one at least, and their numbers.
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+
 	"plankrouter/policy"
 )
 
--- a/internal/testbench/emulator/judge_test.go
+++ b/internal/testbench/emulator/judge_test.go
@@ -1,10 +1,11 @@
 package emulator
 
 import (
-	"plankrouter/policy"
 	"slices"
 	"strings"
 	"testing"
+
+	"plankrouter/policy"
 )
 
 // mutant is a host's module with one fault.
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -4,9 +4,10 @@
 	"bytes"
 	"context"
 	"math"
-	"plankrouter/policy"
 	"strings"
 	"testing"
+
+	"plankrouter/policy"
 )
 
 func TestWaitsHoldASlotAndNoCore(t *testing.T) {
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"plankrouter/policy"
 	"slices"
+
+	"plankrouter/policy"
 )
 
 const jamMargin = 3 // requests that may be on their way to a server unseen
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"plankrouter/policy"
 )
 
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -3,9 +3,10 @@
 import (
 	"maps"
 	"math"
-	"plankrouter/policy"
 	"slices"
 	"time"
+
+	"plankrouter/policy"
 )
 
 const (
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"plankrouter/policy"
 	"slices"
 	"time"
+
+	"plankrouter/policy"
 )
 
 const (
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -11,13 +11,14 @@
 	"net/url"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/config"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/config"
 )
 
 // Consumers that talk straight to a server get from it what a sidecar might give them.
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -7,10 +7,11 @@
 	"io"
 	"net"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Dialer opens connections.
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -7,11 +7,12 @@
 	"fmt"
 	"net/http"
 	"os"
-	"plankrouter/internal/testbench/fakes"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const workVariable = "PLANKROUTER_LOAD_TEST_WORK"
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -47,15 +47,17 @@
 	larger := func(a, b float64) float64 { return max(a, b) }
 	add := func(a, b float64) float64 { return a + b }
 	count := func(n uint64) *float64 { f := float64(n); return &f }
-	return []perSecond{
+	latencies = []perSecond{
 		line("p50 from due", "6baed6", larger, func(s *SecondRow) *float64 { return s.Due[0] }),
 		line("p99 from due", "08519c", larger, func(s *SecondRow) *float64 { return s.Due[2] }),
 		line("p99 from send", "e6550d", larger, func(s *SecondRow) *float64 { return s.Sent[2] }),
 		line("generator late", "999999", larger, func(s *SecondRow) *float64 { return &s.LateMs }),
-	}, []perSecond{
+	}
+	rates = []perSecond{
 		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return count(s.Requests) }),
 		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return count(s.InObjective) }),
 	}
+	return latencies, rates
 }
 
 // Plot draws the seconds of the run: latency of the worst class against the axis on the right, which is logarithmic,
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -5,12 +5,13 @@
 	"errors"
 	"fmt"
 	"math"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // End is how a try ended, as its client has seen it, and a request by its last try.
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -4,11 +4,12 @@
 	"context"
 	"fmt"
 	"os"
-	"plankrouter/internal/testbench/fakes"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Options are what a run needs besides its plan.
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -7,13 +7,14 @@
 	"maps"
 	"math"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/wcharczuk/go-chart/v2"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // near reports whether a duration is the one wanted, as exactly as the histogram holds it.
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -6,9 +6,10 @@
 	"net/http"
 	"os"
 	"os/exec"
-	"plankrouter/internal/testbench/fakes"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Three processes send the plan between them, each request once; what they report is the same as that of one.
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -4,9 +4,10 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // Victim is which of the two processes of a hot restart is killed.
--- a/internal/testbench/recovery/line.go
+++ b/internal/testbench/recovery/line.go
@@ -6,11 +6,12 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const endWithin = 20 * time.Second // of a process, after SIGTERM
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -1,9 +1,10 @@
 package recovery
 
 import (
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 var epoch = time.Unix(1_800_000_000, 0)
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -5,10 +5,11 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"sync"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // The fleet's nature. A server alone could serve some 170 requests a second.
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -6,11 +6,12 @@
 	"fmt"
 	"net"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -8,14 +8,15 @@
 	"io"
 	"os"
 	"path/filepath"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/internal/testbench/process"
 	"runtime"
 	"runtime/debug"
 	"strconv"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/internal/testbench/process"
 )
 
 const (
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -7,9 +7,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"time"
+
 	"plankrouter/internal/testbench/fakes"
 	"plankrouter/internal/testbench/process"
-	"time"
 )
 
 // Comparison is one real sidecar or one simulated one, alone in a process, in the same world.
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"fmt"
-	"plankrouter/internal/testbench/process"
 	"slices"
 	"time"
+
+	"plankrouter/internal/testbench/process"
 )
 
 // Plan says how long the scenes are.
--- a/internal/testbench/simulated/scenes_changes.go
+++ b/internal/testbench/simulated/scenes_changes.go
@@ -1,9 +1,10 @@
 package simulated
 
 import (
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // list times single changes, of one line each.
--- a/internal/testbench/simulated/scenes_zone.go
+++ b/internal/testbench/simulated/scenes_zone.go
@@ -1,9 +1,10 @@
 package simulated
 
 import (
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // zone loses a zone, an eighth of the servers, under calls: they refuse connections and discovery knows at once. Then they come
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -1,12 +1,13 @@
 package simulated
 
 import (
-	"plankrouter/internal/outcome"
-	"plankrouter/internal/upstream"
-	"plankrouter/policy"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/upstream"
+	"plankrouter/policy"
 )
 
 // The times that a stand-in server takes, from an attempt's start to its end.
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -6,6 +6,11 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
 	"plankrouter/internal/config"
 	"plankrouter/internal/connlimit"
 	"plankrouter/internal/discovery"
@@ -14,10 +19,6 @@
 	"plankrouter/internal/request"
 	"plankrouter/internal/snapshot"
 	"plankrouter/internal/staleness"
-	"strconv"
-	"sync"
-	"sync/atomic"
-	"time"
 )
 
 // sidecar is a simulated one, assembled of the program's own parts.
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -8,12 +8,13 @@
 	"math"
 	"os"
 	"os/exec"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // The kinds of discovery, in the settings' words.
--- a/internal/testbench/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -9,12 +9,13 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"plankrouter/internal/testbench/fakes"
 	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // class is one of the requests that clients send.
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -5,11 +5,12 @@
 import (
 	"context"
 	"fmt"
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/testbench/fakes"
 	"strings"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/testbench/fakes"
 )
 
 // playFault plays a fault and returns when it is over.
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -4,10 +4,11 @@
 	"cmp"
 	"fmt"
 	"math"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // What the rules allow, measured at clients and servers.
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -4,10 +4,11 @@
 	"errors"
 	"io"
 	"net"
-	"plankrouter/internal/testbench/fakes"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"io"
 	"maps"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -5,9 +5,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/testbench/recovery"
 	"testing"
 	"time"
+
+	"plankrouter/internal/testbench/recovery"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -6,14 +6,15 @@
 	"io"
 	"math/rand/v2"
 	"os"
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/shutdown"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strconv"
 	"sync"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/shutdown"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -12,14 +12,15 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"plankrouter/internal/faultinjection"
-	"plankrouter/internal/testbench/fakes"
 	"regexp"
 	"slices"
 	"strconv"
 	"sync"
 	"syscall"
 	"time"
+
+	"plankrouter/internal/faultinjection"
+	"plankrouter/internal/testbench/fakes"
 )
 
 const (
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -4,12 +4,13 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"plankrouter/internal/testbench/fakes"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"plankrouter/internal/testbench/fakes"
 )
 
 // The nature of servers and the settings of sidecars. A server in slow start bears so little that one which is taken for warm gets
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -4,10 +4,11 @@
 package upstream
 
 import (
+	"time"
+
 	"plankrouter/internal/outcome"
 	"plankrouter/internal/request"
 	"plankrouter/policy"
-	"time"
 )
 
 // Upstream makes the attempts of one dispatcher. All methods are called by the dispatcher's goroutine alone and must not block.
--- a/internal/upstream/upstreamtest/scenarios.go
+++ b/internal/upstream/upstreamtest/scenarios.go
@@ -1,8 +1,9 @@
 package upstreamtest
 
 import (
-	"plankrouter/internal/outcome"
 	"time"
+
+	"plankrouter/internal/outcome"
 )
 
 // scenarios are what the suite plays, with what has to come of it.
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -9,15 +9,16 @@
 	"io"
 	"net"
 	"os"
-	"plankrouter/internal/outcome"
-	"plankrouter/internal/request"
-	"plankrouter/internal/upstream"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"plankrouter/internal/outcome"
+	"plankrouter/internal/request"
+	"plankrouter/internal/upstream"
 )
 
 // Harness is what the suite has to know of a protocol.
--- a/internal/watchpolicy/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -2,8 +2,9 @@
 
 import (
 	"maps"
-	"plankrouter/internal/staleness"
 	"time"
+
+	"plankrouter/internal/staleness"
 )
 
 const (
--- a/internal/watchpolicy/contradictions_test.go
+++ b/internal/watchpolicy/contradictions_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/staleness"
 	"testing"
 	"time"
+
+	"plankrouter/internal/staleness"
 )
 
 // Each step is evidence, or an answer of discovery; refreshes says whether it asks for the complete list.
--- a/internal/watchpolicy/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -1,8 +1,9 @@
 package watchpolicy
 
 import (
-	"plankrouter/internal/staleness"
 	"time"
+
+	"plankrouter/internal/staleness"
 )
 
 // When a change of the list takes effect, whether or not it has arrived here: the platform's protocol.
--- a/internal/watchpolicy/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"plankrouter/internal/staleness"
 	"strings"
 	"testing"
 	"time"
+
+	"plankrouter/internal/staleness"
 )
 
 // Until when the list is fresh, by how the polls since its last answer ended. It is read after the poll that follows the last of them.
--- a/internal/watchpolicy/queue_test.go
+++ b/internal/watchpolicy/queue_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/staleness"
 	"testing"
 	"time"
+
+	"plankrouter/internal/staleness"
 )
 
 // queueingSource is a source that serves a new watch or a complete list in one slot, has a queue of so long, and rejects what comes beyond.
--- a/internal/watchpolicy/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -2,8 +2,9 @@
 
 import (
 	"math/rand/v2"
-	"plankrouter/internal/backoff"
 	"time"
+
+	"plankrouter/internal/backoff"
 )
 
 const (
--- a/internal/watchpolicy/scheduler_test.go
+++ b/internal/watchpolicy/scheduler_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"plankrouter/internal/staleness"
 	"testing"
 	"time"
+
+	"plankrouter/internal/staleness"
 )
 
 const ms = time.Millisecond
--- a/middleware/errors.go
+++ b/middleware/errors.go
@@ -7,8 +7,9 @@
 	"math"
 	"net/http"
 	"os"
-	"plankrouter"
 	"strconv"
+
+	"plankrouter"
 )
 
 // Status returns the status that stands for an error of Do, of a plankrouter.Transport or of this package:
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -6,9 +6,10 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"time"
+
 	"plankrouter"
 	"plankrouter/middleware"
-	"time"
 )
 
 // fleet starts one server, which says what it was asked, and a balancer over it, for an example.
--- a/middleware/gin/example_test.go
+++ b/middleware/gin/example_test.go
@@ -6,11 +6,11 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"plankrouter"
-	"plankrouter/middleware"
 
 	"github.com/gin-gonic/gin"
 
+	"plankrouter"
+	"plankrouter/middleware"
 	plankroutergin "plankrouter/middleware/gin"
 )
 
--- a/middleware/gin/plankroutergin.go
+++ b/middleware/gin/plankroutergin.go
@@ -4,10 +4,11 @@
 
 import (
 	"net/http"
-	"plankrouter"
-	"plankrouter/middleware"
 
 	"github.com/gin-gonic/gin"
+
+	"plankrouter"
+	"plankrouter/middleware"
 )
 
 // Handler is middleware.Handler. Where the request was cancelled nothing is written by it, but Gin ends such a request
--- a/middleware/gin/plankroutergin_test.go
+++ b/middleware/gin/plankroutergin_test.go
@@ -3,14 +3,14 @@
 import (
 	"io"
 	"net/http"
-	"plankrouter"
-	"plankrouter/middleware"
-	"plankrouter/middleware/middlewaretest"
 	"testing"
 
 	"github.com/gin-gonic/gin"
 
+	"plankrouter"
+	"plankrouter/middleware"
 	plankroutergin "plankrouter/middleware/gin"
+	"plankrouter/middleware/middlewaretest"
 )
 
 func TestMain(m *testing.M) {
--- a/middleware/handler.go
+++ b/middleware/handler.go
@@ -3,9 +3,10 @@
 import (
 	"net/http"
 	"net/http/httputil"
-	"plankrouter"
 	"strconv"
 	"strings"
+
+	"plankrouter"
 )
 
 // Handler returns a handler that serves each request by one of b's servers, with one Do under the request's context. An
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+
 	"plankrouter"
 )
 
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"net/http"
+	"testing"
+
 	"plankrouter"
 	"plankrouter/middleware"
 	"plankrouter/middleware/middlewaretest"
-	"testing"
 )
 
 func TestAdapter(t *testing.T) {
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -20,15 +20,16 @@
 	"io"
 	"log"
 	"net/http"
-	"plankrouter"
-	"plankrouter/internal/testbench/fakes"
-	"plankrouter/middleware"
 	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/testbench/fakes"
+	"plankrouter/middleware"
 )
 
 // Adapter is what is tested. Both functions return the whole application as an http.Handler, such as a framework's
--- a/middleware/middlewaretest/rows.go
+++ b/middleware/middlewaretest/rows.go
@@ -5,10 +5,11 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"plankrouter"
-	"plankrouter/middleware"
 	"strings"
 	"time"
+
+	"plankrouter"
+	"plankrouter/middleware"
 )
 
 var big = strings.Repeat("x", plankrouter.MaxBody)
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -18,12 +18,13 @@
 	"io"
 	"math"
 	"net/http"
-	"plankrouter"
-	"plankrouter/internal/http1"
 	"runtime/debug"
 	"strconv"
 	"strings"
 	"time"
+
+	"plankrouter"
+	"plankrouter/internal/http1"
 )
 
 // Options say what is read from a request that comes in, and what is made of it. The zero value reads no header. The
--- a/options.go
+++ b/options.go
@@ -5,8 +5,9 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"plankrouter/internal/connlimit"
 	"time"
+
+	"plankrouter/internal/connlimit"
 )
 
 // Idempotency says what may happen if a request runs twice.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"plankrouter/policy/internal/admission"
 	"plankrouter/policy/internal/draw"
 )
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
+
 	"plankrouter/internal/probing"
 	"plankrouter/policy/internal/admission"
 	"plankrouter/policy/internal/overload"
@@ -11,7 +13,6 @@
 	"plankrouter/policy/internal/retrybudget"
 	"plankrouter/policy/internal/stats"
 	"plankrouter/policy/internal/tokenbucket"
-	"slices"
 )
 
 const (
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"plankrouter/policy"
 )
 
--- a/policy/internal/reachability/reachability.go
+++ b/policy/internal/reachability/reachability.go
@@ -4,6 +4,7 @@
 
 import (
 	"math/rand/v2"
+
 	"plankrouter/internal/backoff"
 )
 
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -1,8 +1,9 @@
 package policy
 
 import (
-	"plankrouter/policy/internal/probepool"
 	"testing"
+
+	"plankrouter/policy/internal/probepool"
 )
 
 // newFleetWithoutProbes is newFleetOfOthers where no probes are allowed: only answers show how servers are.
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
-	"plankrouter/policy/internal/outlier"
 	"slices"
 	"testing"
+
+	"plankrouter/policy/internal/outlier"
 )
 
 // sendPastIdleServer plays so many requests with six servers, of which server 4 always looks idle, and returns how many went
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
+	"slices"
+
 	"plankrouter/internal/probing"
 	"plankrouter/policy/internal/draw"
-	"slices"
 )
 
 const (
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -1,12 +1,13 @@
 package policy
 
 import (
+	"slices"
+
 	"plankrouter/internal/probing"
 	"plankrouter/internal/subset"
 	"plankrouter/policy/internal/draw"
 	"plankrouter/policy/internal/outlier"
 	"plankrouter/policy/internal/probepool"
-	"slices"
 )
 
 const (
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -1,11 +1,12 @@
 package policy
 
 import (
+	"testing"
+
 	"plankrouter/internal/probing"
 	"plankrouter/internal/subset"
 	"plankrouter/policy/internal/probepool"
 	"plankrouter/policy/internal/reachability"
-	"testing"
 )
 
 // An instance with little traffic has no fresh loads: its requests wait for their own probes instead of going to a
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
+	"slices"
+
 	"plankrouter/policy/internal/outlier"
 	"plankrouter/policy/internal/stats"
 	"plankrouter/policy/internal/tokenbucket"
-	"slices"
 )
 
 // State returns what has been learned. The present load and servers that are not ready are left out.
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"plankrouter/policy/internal/probepool"
 	"reflect"
 	"testing"
+
+	"plankrouter/policy/internal/probepool"
 )
 
 // walkedRequest is what the walk knows of one request: enough to check rules 1 and 2.
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
+	"slices"
+
 	"plankrouter/policy/internal/outlier"
 	"plankrouter/policy/internal/reachability"
 	"plankrouter/policy/internal/tokenbucket"
-	"slices"
 )
 
 const (
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"plankrouter/policy/internal/tokenbucket"
 	"testing"
+
+	"plankrouter/policy/internal/tokenbucket"
 )
 
 // A cold server gets more than its budget by the clock only where it has just reported that it has capacity.
--- a/validate.go
+++ b/validate.go
@@ -7,10 +7,11 @@
 	"math"
 	"math/rand/v2"
 	"net"
-	"plankrouter/internal/endpoints"
-	"plankrouter/policy"
 	"slices"
 	"time"
+
+	"plankrouter/internal/endpoints"
+	"plankrouter/policy"
 )
 
 const (
