--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -86,7 +86,7 @@
 						t.Errorf("%.2f are served", served)
 					}
 					for i, p := range fleet.Servers[:3] {
-						if i == 1 && killed && way&1 > 0 { // where calls wait in turn: see staleness.Keeper.Trust
+						if i == 1 && killed && way&1 > 0 { // where calls wait in turn: see watchpolicy.Scheduler.Validity
 							continue
 						}
 						for _, one := range p.Requests() {
