--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	probeTimeout         = 200 * time.Millisecond // an answer that took longer says nothing of the present
-	timeoutLead          = 100 * time.Microsecond // of an attempt's time-out over a timer of the policy for the same moment
-	uploadResponseMargin = 15 * time.Millisecond  // before the client stops waiting, once its request's body was sent
+	probeTimeout         = 200 * time.Millisecond // a slower response says nothing about the current load
+	attemptTimeoutLead   = 100 * time.Microsecond // by which an attempt's timeout fires before the policy's timer for the same time
+	uploadResponseMargin = 15 * time.Millisecond  // before the client's timeout, for an attempt whose body was streamed
 )
 
 // attemptID numbers the attempts and probes of a Dispatcher, from 1 on.
@@ -22,61 +22,61 @@
 
 const noAttempt attemptID = 0
 
-// attemptRecord is an attempt or a probe under way, and what it is for.
+// attemptRecord is an attempt or a probe in flight.
 type attemptRecord struct {
-	running   upstream.Attempt
-	startedAt time.Time
-	isProbe   bool
-	request   policy.RequestID // of an attempt
-	number    int              // among those of its request
-	server    policy.ServerID
-	process   upstream.Endpoint // that it went to
-	timeout   *timer
-	expires   time.Time // no byte of it later than this; zero = any time
+	upstreamAttempt upstream.Attempt
+	startedAt       time.Time
+	isProbe         bool
+	request         policy.RequestID // of an attempt; 0 for a probe
+	number          int              // of the attempt among those of its request, from 0 on
+	server          policy.ServerID
+	process         upstream.Endpoint // to which it was sent
+	timeout         *timer
+	expires         time.Time // no byte of it may be written later than this; zero = no limit
 }
 
-// startAttempt makes the attempt that the policy asks for.
+// startAttempt starts the attempt that the policy requests, unless a guard prevents it.
 func (d *Dispatcher) startAttempt(action *policy.Action) {
 	pending, server := d.requests[action.Request], d.servers[action.Server]
 	if !d.maySend(pending, server) {
-		// A sound policy does not ask for it; the event keeps the accounts of a faulty one right.
+		// A correct policy does not request it; the event keeps the attempt counts of a faulty one consistent.
 		d.options.Logf("state=attempt_refused request=%d server=%d", action.Request, action.Server)
 		d.handle(policy.Event{
 			Kind: policy.AttemptEnded, Request: action.Request, Server: action.Server, Status: policy.NotSent,
-			Final: pending == nil || pending.answered,
+			Final: pending == nil || pending.closed,
 		})
 		return
 	}
 	d.counts.Attempts++
-	attempt := &attemptRecord{request: action.Request, number: pending.attempts, server: action.Server}
-	pending.attempts++
+	attempt := &attemptRecord{request: action.Request, number: pending.attemptsStarted, server: action.Server}
+	pending.attemptsStarted++
 	if action.Expires > 0 {
 		attempt.expires = d.eventTime.Add(duration(action.Expires))
 	}
 	pending.attempt = d.launch(server, pending.request, attempt, duration(action.After))
 }
 
-// launch begins an attempt for req, or a probe where that is nil, gives it up after timeout, and returns its id.
+// launch starts an attempt for req, or a probe if req is nil, with that timeout, and returns its id.
 func (d *Dispatcher) launch(server *serverRecord, req *request.Request, attempt *attemptRecord, timeout time.Duration) attemptID {
 	d.lastAttempt++
 	id := d.lastAttempt
 	timeout = d.setAttemptTimers(id, req, attempt, timeout)
 	d.attempts[id] = attempt
-	server.attempts++
+	server.attemptsInFlight++
 	attempt.startedAt = time.Now()
 	attempt.process = server.process
 	d.traceStart(attempt, server)
-	firstByteBy := server.firstByteBy
+	firstByteDeadline := server.firstByteDeadline
 	if t := d.listValidity.StartBy(server.liveness, d.options.DrainGrace); req != nil && !t.IsZero() &&
-		(firstByteBy.IsZero() || t.Before(firstByteBy)) {
-		firstByteBy = t
+		(firstByteDeadline.IsZero() || t.Before(firstByteDeadline)) {
+		firstByteDeadline = t
 	}
 	var deadline time.Time
 	if req != nil && req.Remainder == nil {
 		deadline = d.eventTime.Add(timeout)
 	}
-	attempt.running = server.process.Start(upstream.AttemptOptions{
-		Request: req, Timeout: timeout, Deadline: deadline, StartBy: firstByteBy, Expires: attempt.expires,
+	attempt.upstreamAttempt = server.process.Start(upstream.AttemptOptions{
+		Request: req, Timeout: timeout, Deadline: deadline, StartBy: firstByteDeadline, Expires: attempt.expires,
 		OnBodySent: func() { d.send(bodySent{id}) },
 		OnEnd: func(r upstream.Result) {
 			if !d.send(attemptEnded{id, r}) {
@@ -87,19 +87,19 @@
 	return id
 }
 
-// setAttemptTimers sets the timers that give an attempt up, and returns the time-out that its server is to know of.
+// setAttemptTimers sets the timers that end an attempt, and returns the timeout that its server is sent.
 func (d *Dispatcher) setAttemptTimers(id attemptID, req *request.Request, attempt *attemptRecord, timeout time.Duration) time.Duration {
-	// The policy often gives an attempt until its request's own deadline, for which it has set a timer too. The time-out must win that
-	// race: cancelled by the deadline instead, the attempt would teach the policy nothing, and it would judge the servers by the
-	// answers that came in time alone.
-	attempt.timeout = &timer{kind: attemptTimeout, fireAt: d.eventTime.Add(timeout - timeoutLead), attempt: id, index: notQueued}
+	// The policy often allows an attempt to run until its request's deadline, for which it has a timer of its own. The attempt's
+	// timeout must fire first: an attempt that is cancelled by the deadline gives the policy no result, and the policy would judge
+	// servers only by the responses that came in time.
+	attempt.timeout = &timer{kind: attemptTimeout, fireAt: d.eventTime.Add(timeout - attemptTimeoutLead), attempt: id, index: notQueued}
 	if req == nil || req.Remainder == nil {
 		heap.Push(&d.timers, attempt.timeout)
-	} else { // its time begins when its last byte is written
+	} else { // its timeout starts when its last byte is written: see bodySent
 		d.uploads[id] = attempt
 		timeout = d.waitLimit(req)
 	}
-	if !attempt.expires.IsZero() && attempt.expires.Before(attempt.timeout.fireAt) { // else the client would wait for what will not be sent
+	if !attempt.expires.IsZero() && attempt.expires.Before(attempt.timeout.fireAt) { // else the client would wait in vain
 		heap.Push(&d.timers, &timer{kind: attemptExpiry, fireAt: attempt.expires, attempt: id})
 	}
 	return timeout
@@ -113,37 +113,38 @@
 	d.handle(policy.Event{Kind: policy.BodyProgressed, Server: attempt.server})
 	delete(d.uploads, e.attempt)
 	pending := d.requests[attempt.request]
-	if pending == nil || pending.answered {
+	if pending == nil || pending.closed {
 		return
 	}
-	now := time.Now() // the client waits from now on, and so the attempt's time counts
+	now := time.Now() // the client's timeout and the attempt's duration start here
 	attempt.startedAt = now
 	pending.request.SentAt = now
 	attempt.timeout = &timer{kind: attemptTimeout, fireAt: now.Add(d.waitLimit(pending.request) - uploadResponseMargin), attempt: e.attempt}
 	heap.Push(&d.timers, attempt.timeout)
 }
 
-// cancelAttempt gives up an attempt that has not ended yet.
-func (d *Dispatcher) cancelAttempt(id attemptID, why outcome.Kind) {
+// cancelAttempt cancels an attempt that has not ended yet.
+func (d *Dispatcher) cancelAttempt(id attemptID, reason outcome.Kind) {
 	if attempt := d.attempts[id]; attempt != nil {
-		if how, cancelled := attempt.running.Cancel(why); cancelled {
-			d.endAttempt(id, upstream.Result{Outcome: how})
+		if kind, cancelled := attempt.upstreamAttempt.Cancel(reason); cancelled {
+			d.endAttempt(id, upstream.Result{Outcome: kind})
 		}
 	}
 }
 
-// withdrawAttempt gives up an attempt of which the last byte is not written.
-func (d *Dispatcher) withdrawAttempt(id attemptID, why outcome.Kind) {
+// withdrawAttempt cancels an attempt whose last byte has not been written.
+func (d *Dispatcher) withdrawAttempt(id attemptID, reason outcome.Kind) {
 	if attempt := d.attempts[id]; attempt != nil {
-		if how, withdrawn := attempt.running.Withdraw(why); withdrawn {
-			d.endAttempt(id, upstream.Result{Outcome: how})
+		if kind, withdrawn := attempt.upstreamAttempt.Withdraw(reason); withdrawn {
+			d.endAttempt(id, upstream.Result{Outcome: kind})
 		}
 	}
 }
 
 func (e attemptEnded) apply(d *Dispatcher) { d.endAttempt(e.attempt, e.Result) }
 
-// endAttempt turns the end of an attempt or a probe into the policy's event. Each comes by here once.
+// endAttempt removes an attempt or a probe that has ended, and passes its result on. A second end of the same attempt is logged
+// and ignored.
 func (d *Dispatcher) endAttempt(id attemptID, r upstream.Result) {
 	attempt := d.attempts[id]
 	if attempt == nil { // reported twice, or after a Cancel that ended it
@@ -153,12 +154,12 @@
 	}
 	delete(d.attempts, id)
 	delete(d.uploads, id)
-	if attempt.timeout.index != notQueued { // else it would keep the attempt in memory until its time was up
+	if attempt.timeout.index != notQueued { // else it would keep the attempt in memory until it fires
 		heap.Remove(&d.timers, attempt.timeout.index)
 	}
 	server := d.servers[attempt.server]
 	if server != nil {
-		server.attempts--
+		server.attemptsInFlight--
 	}
 	took := millis(time.Since(attempt.startedAt))
 	d.traceEnd(attempt, server, r.Outcome, took)
@@ -170,10 +171,11 @@
 	}
 }
 
-// observeServer passes on what the end of an attempt says of its server's place in the list.
+// observeServer reports the end of an attempt as evidence for or against the list, and updates the liveness of the server's
+// process.
 func (d *Dispatcher) observeServer(server *serverRecord, attempt *attemptRecord, r upstream.Result) {
-	evidence, is := evidenceOf(r.Outcome, attempt.isProbe)
-	if !is || server == nil {
+	evidence, ok := evidenceOf(r.Outcome, attempt.isProbe)
+	if !ok || server == nil {
 		return
 	}
 	d.options.OnEvidence(server.name, evidence)
@@ -182,7 +184,8 @@
 	}
 }
 
-// probeEnded gives the policy a probe's result. The server is nil once it is gone.
+// probeEnded passes a probe's result to the policy. The server is nil once it has been removed. An incomplete load report, or
+// one from a process that has been replaced, counts as missing.
 func (d *Dispatcher) probeEnded(server *serverRecord, attempt *attemptRecord, r upstream.Result, took policy.Ms) {
 	fromOldProcess := server != nil && server.process != attempt.process
 	incomplete := r.Outcome == outcome.Served && d.options.IsComplete != nil && !d.options.IsComplete(r.Report)
@@ -203,16 +206,17 @@
 	})
 }
 
-// requestAttemptEnded gives the client the answer that an attempt has brought, and the policy its result.
+// requestAttemptEnded sends the attempt's response to the client, if the request was served, and passes the result to the
+// policy.
 func (d *Dispatcher) requestAttemptEnded(attempt *attemptRecord, r upstream.Result, took policy.Ms) {
 	d.counts.AttemptOutcomes[r.Outcome]++
 	pending := d.requests[attempt.request]
 	pending.attempt = noAttempt
-	pending.mayRun = pending.mayRun || !r.Outcome.Status().NeverRan()
-	if !pending.answered && pending.request.IsClientGone() { // the event that says so still waits
+	pending.endedMayHaveRun = pending.endedMayHaveRun || !r.Outcome.Status().NeverRan()
+	if !pending.closed && pending.request.IsClientGone() { // its clientGone event is still queued
 		d.cancelRequest(attempt.request, pending)
 	}
-	if r.Outcome == outcome.Served && !pending.answered {
+	if r.Outcome == outcome.Served && !pending.closed {
 		d.respond(attempt.request, request.Response{
 			Kind: request.Served, StatusCode: r.StatusCode, Fields: r.Fields,
 			Body: r.Body, Remainder: r.Remainder,
@@ -220,32 +224,32 @@
 	} else {
 		closeBody(r.Remainder)
 	}
-	if pending.answered {
+	if pending.closed {
 		delete(d.requests, attempt.request)
 	}
 	d.handle(policy.Event{
 		Kind: policy.AttemptEnded, Request: attempt.request, Attempt: attempt.number,
-		Server: attempt.server, Status: r.Outcome.Status(), Elapsed: took, Final: pending.answered, Report: r.Report,
+		Server: attempt.server, Status: r.Outcome.Status(), Elapsed: took, Final: pending.closed, Report: r.Report,
 		BodyConsumed: pending.request.Remainder != nil && pending.request.Remainder.Consumed(),
 	})
 }
 
-// closeBody ends the body of an answer that nobody waits for.
+// closeBody closes the body of a response that is not needed; it may be nil.
 func closeBody(body request.BodyStream) {
 	if body != nil {
 		body.Close(false)
 	}
 }
 
-// evidenceOf returns what an outcome says of the server's place in the list. A request that is declined may have met a full queue; a
-// probe is declined by a server that drains.
-func evidenceOf(how outcome.Kind, isProbe bool) (evidence staleness.Evidence, is bool) {
+// evidenceOf returns what an outcome says about the server's entry in the list; false = nothing. A declined request says
+// nothing, since the server's queue may be full; a probe is declined by a server that drains.
+func evidenceOf(kind outcome.Kind, isProbe bool) (evidence staleness.Evidence, ok bool) {
 	switch {
-	case how == outcome.Served:
+	case kind == outcome.Served:
 		return staleness.Alive, true
-	case how == outcome.ConnectRefused:
+	case kind == outcome.ConnectRefused:
 		return staleness.ConnectRefused, true
-	case isProbe && (how == outcome.ServerError || how == outcome.Declined):
+	case isProbe && (kind == outcome.ServerError || kind == outcome.Declined):
 		return staleness.Draining, true
 	}
 	return evidence, false
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -6,22 +6,22 @@
 	"plankrouter/policy"
 )
 
-// clock gives the policy its time: Unix milliseconds at the start plus what has passed since by the monotonic clock. The servers' start
-// times are Unix milliseconds too, and a step of the wall clock must not move deadlines.
+// clock is the policy's clock: Unix milliseconds at its start plus the time that has passed since by the monotonic clock.
+// Process start times are in Unix milliseconds, too, and a step of the wall clock must not move deadlines.
 type clock struct {
 	start     time.Time
-	startDate policy.Ms // by the wall clock
+	startDate policy.Ms // Unix milliseconds at start, by the wall clock
 }
 
 func newClock(wall func() time.Time) clock { return clock{time.Now(), unixMs(wall())} }
 
 func (c clock) at(t time.Time) policy.Ms { return c.startDate + millis(t.Sub(c.start)) }
 
-// unixMs returns a time as a date of the wall clock.
+// unixMs returns t in Unix milliseconds.
 func unixMs(t time.Time) policy.Ms { return float64(t.UnixMicro()) / 1e3 }
 
-// duration turns the policy's milliseconds into a Duration.
+// duration converts the policy's milliseconds to a Duration.
 func duration(ms policy.Ms) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// millis turns a Duration into the policy's milliseconds.
+// millis converts a Duration to the policy's milliseconds.
 func millis(d time.Duration) policy.Ms { return float64(d) / float64(time.Millisecond) }
--- a/internal/dispatch/clockstep_test.go
+++ b/internal/dispatch/clockstep_test.go
@@ -17,28 +17,28 @@
 	"plankrouter/policy"
 )
 
-// servingUpstream is an upstream whose servers answer each attempt after 5 ms. It counts attempts by address.
+// servingUpstream is an upstream whose servers respond to each attempt after 5 ms. It counts attempts by address.
 type servingUpstream struct {
 	refusingUpstream
-	started map[string]int
+	attemptsByAddress map[string]int
 }
 
 func (c servingUpstream) Endpoint(_, address string) upstream.Endpoint {
-	return &servingEndpoint{refusingEndpoint(address), c.started}
+	return &servingEndpoint{refusingEndpoint(address), c.attemptsByAddress}
 }
 
 type servingEndpoint struct {
 	refusingEndpoint
-	started map[string]int
+	attemptsByAddress map[string]int
 }
 
 func (e *servingEndpoint) Start(t upstream.AttemptOptions) upstream.Attempt {
-	e.started[e.Address()]++
+	e.attemptsByAddress[e.Address()]++
 	time.AfterFunc(5*time.Millisecond, func() { t.OnEnd(upstream.Result{Outcome: outcome.Served, StatusCode: 200}) })
 	return refusedAttempt{}
 }
 
-// steppedClock is a wall clock that is stepped.
+// steppedClock is a wall clock that tests can step.
 type steppedClock struct{ offset atomic.Int64 }
 
 func (w *steppedClock) now() time.Time {
@@ -48,18 +48,18 @@
 func (w *steppedClock) ms() float64                 { return unixMs(w.now()) }
 func (w *steppedClock) ago(d time.Duration) float64 { return w.ms() - millis(d) }
 
-// options returns settings with a slow start.
+// options returns dispatcher options with a slow start of 8 s.
 func options(wall *steppedClock, counts map[string]int) Options {
 	return Options{
 		Policy: policy.Config{
 			MaxAttempts: 1, Cancel: true, Instances: 1, StartCapacity: 0.3, WarmUpTime: 8000,
 			OverloadMultiple: 4, Classes: []policy.Class{{LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}},
-		}, Upstream: servingUpstream{started: counts},
+		}, Upstream: servingUpstream{attemptsByAddress: counts},
 		WallClock: wall.now, DrainGrace: 750 * time.Millisecond,
 	}
 }
 
-// sendRequests sends requests to a dispatcher that runs, for two seconds.
+// sendRequests sends 100 requests/s to a running dispatcher, for two seconds.
 func sendRequests(d *Dispatcher) {
 	for i := range 200 {
 		d.Submit(&request.Request{
@@ -70,8 +70,8 @@
 	}
 }
 
-// attemptsDuringSlowStart sends requests for two seconds to a dispatcher that knows one old server and the one that list adds, and
-// returns how many attempts the latter got.
+// attemptsDuringSlowStart sends requests for two seconds to a dispatcher that has one warm server and the one that list adds,
+// and returns the number of attempts that the latter got.
 func attemptsDuringSlowStart(t *testing.T, list func(*steppedClock, *Dispatcher)) (attempts int) {
 	synctest.Test(t, func(t *testing.T) {
 		wall, counts := new(steppedClock), map[string]int{}
@@ -98,7 +98,7 @@
 	return attempts
 }
 
-// listNewServer lists a server that has started at that date.
+// listNewServer adds a server that started at that date, in Unix milliseconds; 0 = unknown.
 func listNewServer(d *Dispatcher, startedAt float64) {
 	d.UpdateEndpoints(endpoints.List{Revision: 2, Endpoints: []endpoints.Endpoint{{
 		ID: "new", Address: "new:1", Phase: endpoints.Serving,
@@ -106,13 +106,13 @@
 	}}}, time.Now())
 }
 
-// A server in slow start gets no more, and for no longer gets less, because the wall clock was stepped: its start is a date, its
-// warming up a span of real time.
-func TestSlowStartOutlivesAClockStep(t *testing.T) {
+// Guards against a step of the wall clock that shortens or prolongs a server's slow start: the start of its process is a date,
+// the time to warm up is a duration.
+func TestSlowStartUnaffectedByClockStep(t *testing.T) {
 	usual := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) { listNewServer(d, w.ms()) })
 	warm := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) { listNewServer(d, w.ago(time.Hour)) })
 	if usual == 0 || warm < 2*usual {
-		t.Fatalf("no slow start to look at: %d attempts, %d at a warm server", usual, warm)
+		t.Fatalf("no slow start: %d attempts to a new server, %d to a warm one", usual, warm)
 	}
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		for name, do := range map[string]func(*steppedClock, *Dispatcher){
@@ -131,7 +131,7 @@
 				w.step(step)
 				listNewServer(d, started)
 			},
-			"put back by operators after the step": func(w *steppedClock, d *Dispatcher) {
+			"uncordoned after the step": func(w *steppedClock, d *Dispatcher) {
 				w.step(step)
 				listNewServer(d, 0)
 				d.SetCordons(cordon.Set{Cordoned: map[string]float64{"new": w.ms()}})
@@ -145,8 +145,8 @@
 	}
 }
 
-// A server that has warmed up stays warm, whatever the clock does after that and however often it is listed.
-func TestWarmServerRemainsWarmOverAClockStep(t *testing.T) {
+// Guards against a new slow start of a warm server when the clock is stepped and the server is listed again.
+func TestWarmServerStaysWarmAfterClockStep(t *testing.T) {
 	warm := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) { listNewServer(d, w.ago(time.Hour)) })
 	for _, step := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
 		got := attemptsDuringSlowStart(t, func(w *steppedClock, d *Dispatcher) {
@@ -162,9 +162,9 @@
 	}
 }
 
-// A process passes on what it knows of a server's age as an age: a date would be another one by a clock that was stepped since the
-// server started.
-func TestSlowStartOutlivesAClockStepAndAHotRestart(t *testing.T) {
+// Guards against passing a server's start to the successor as a date only: if the clock was stepped since that start, the
+// successor would compute another age from it.
+func TestSlowStartUnaffectedByClockStepAndHotRestart(t *testing.T) {
 	restarted := func(step time.Duration) (attempts int) {
 		synctest.Test(t, func(t *testing.T) {
 			wall, counts := new(steppedClock), map[string]int{}
@@ -209,7 +209,7 @@
 	}
 	usual := restarted(0)
 	if usual == 0 || usual > 60 {
-		t.Fatalf("no slow start to look at: %d attempts", usual)
+		t.Fatalf("no slow start: %d attempts to a new server", usual)
 	}
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		if got := restarted(step); got > usual+1 || got < usual-1 {
--- a/internal/dispatch/cordons.go
+++ b/internal/dispatch/cordons.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	reportInterval = 100 * time.Millisecond // between two looks at what changes by itself
-	// minExclusion is for how long the policy must exclude a server before it is counted: it does so for a moment where an answer is late.
+	reportInterval = 100 * time.Millisecond // least time between two reports, unless the list was updated
+	// minExclusion is how long the policy must have excluded a server before it counts as excluded: a late response excludes a
+	// server for a short time.
 	minExclusion = 300 * time.Millisecond
 )
 
-// SetCordons replaces the operators' cordons, and returns once they are in force, or once Run has ended.
+// SetCordons replaces the operators' cordons, and returns once they are in force or Run has ended.
 func (d *Dispatcher) SetCordons(set cordon.Set) {
 	query(d, func(done chan<- struct{}) event { return cordonsChanged{set, done} })
 }
@@ -34,13 +35,13 @@
 			d.options.Upstream.Forget(name)
 		}
 	}
-	if len(list.Endpoints) > 0 { // as they were listed, as changes, under the new cordons
+	if len(list.Endpoints) > 0 { // the endpoints as listed, to which the new cordons are applied
 		d.applyEndpoints(list)
 	}
 }
 
-// effectiveHealth returns a listed server's health under the cordons, and since when it is so. One that is cordoned counts as
-// draining.
+// effectiveHealth returns the health of a listed server and when it took effect. A ready server that is cordoned counts as
+// draining, since its cordon or listedAt, whichever is earlier.
 func (d *Dispatcher) effectiveHealth(endpoint endpoints.Endpoint, listedAt, now time.Time) (health policy.Health, since time.Time) {
 	health = healthOfPhase(endpoint.Phase)
 	since = listedAt
@@ -53,13 +54,14 @@
 	return health, since
 }
 
-// reportServers reports, at most once in reportInterval, how many servers are listed, and how many of those are cordoned or excluded by
-// the policy; and tells the policy which servers owe no answer yet, since the request is still being sent.
+// reportServers reports, at most once per reportInterval or after an update of the list, how many servers are listed and how
+// many of those are cordoned or excluded by the policy. It also sends the policy a BodyProgressed event for each request body
+// that is still being sent: its server can't respond yet.
 func (d *Dispatcher) reportServers(now time.Time) {
-	if now.Sub(d.reportedAt) < reportInterval {
+	if now.Sub(d.serversReportedAt) < reportInterval {
 		return
 	}
-	d.reportedAt = now
+	d.serversReportedAt = now
 	d.observeWallClock(now)
 	for _, attempt := range d.uploads {
 		d.handle(policy.Event{Kind: policy.BodyProgressed, Server: attempt.server})
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch runs the load-balancing policy of one endpoint list. One goroutine owns the request table, the server table, the
-// timers and the policy; all others send it events, and it never waits for a socket. Attempts are made by an upstream.Upstream, of
-// whatever protocol; requests come from any front end. Many dispatchers may live in a process: they share only what they are given.
+// Package dispatch runs the load-balancing policy of one endpoint list. One goroutine owns the request table, the server table,
+// the timers and the policy; all other goroutines send it events, and it never blocks on network I/O. An upstream.Upstream
+// makes the attempts, in any protocol; any front end can submit requests. A process may run several dispatchers, which share
+// only what their Options hold.
 package dispatch
 
 import (
@@ -22,43 +23,44 @@
 )
 
 const (
-	eventQueueSize = 1024      // events that may wait before their senders do
-	maxEventBatch  = 32        // events that are handled before timers are looked at
-	idleAlarm      = time.Hour // until the next alarm, while no timer is set
+	eventQueueSize     = 1024      // events that are queued before their senders block
+	maxEventBatch      = 32        // events that are handled before the timers are checked
+	idleWakeupInterval = time.Hour // between wakeups while no timer is set
 )
 
-// Options configure a Dispatcher. Upstream is required; the rest may be left out as far as Policy allows.
+// Options configures a Dispatcher. Upstream and a valid Policy are required; the other fields are optional.
 type Options struct {
 	Name             string // in snapshots
-	Deployment       string // in snapshots: stands for the settings that give positions their meaning
+	Deployment       string // in snapshots; identifies the settings that class and tenant positions refer to
 	Policy           policy.Config
 	Seed             uint64
-	Zones            []string           // the names of the policy's zones, by position; a server of any other is in none
-	DrainGrace       time.Duration      // after which nothing new may reach a server that drains or is gone
-	InitialEndpoints endpoints.List     // the servers, as far as they are known
-	Restored         *snapshot.Restored // takes the place of InitialEndpoints; nil = there is none
+	Zones            []string           // zone names by their position in the policy; a server in any other zone has none
+	DrainGrace       time.Duration      // after which no new attempt may reach a server that is draining or gone
+	InitialEndpoints endpoints.List     // the servers known at the start
+	Restored         *snapshot.Restored // used instead of InitialEndpoints; nil = there is none
 	Upstream         upstream.Upstream
 
-	// IsComplete reports whether a probe's report has what the policy can't do without; nil = any will do.
+	// IsComplete reports whether the load report of a probe has every value that the policy requires; nil = any report does.
 	IsComplete func(policy.Report) bool
 	// Logf logs a line of key=value pairs; nil = nothing is logged.
 	Logf func(format string, args ...any)
-	// Trace logs a line for every attempt and probe, as it begins and as it ends; nil = none.
+	// Trace logs a line for each start and end of an attempt or probe, and for each state change of a request or a server; nil =
+	// no trace.
 	Trace func(format string, args ...any)
-	// OnEvidence gets what is seen of servers that bears on the list. It must not block; nil = it is dropped.
+	// OnEvidence receives observations of servers that confirm or contradict the list. It must not block; nil = they are dropped.
 	OnEvidence func(server string, evidence staleness.Evidence)
-	// OnServerCounts gets, now and then, how many servers are listed, and how many of those are ejected or cordoned. It must not
-	// block; nil = it is dropped.
+	// OnServerCounts receives, at most every 100 ms and after each update of the list, the number of listed servers and how many of
+	// those are ejected or cordoned. It must not block; nil = the numbers are dropped.
 	OnServerCounts func(listed, excluded int)
 	// Cordons are the operators' cordons at the start.
 	Cordons cordon.Set
-	// Invariants counts what the guards of the rules prevented; nil = it is not counted.
+	// Invariants counts the acts that the guards prevented; nil = they are not counted.
 	Invariants *invariant.Recorder
 	// WallClock reads the wall clock, which may be stepped; nil = time.Now.
 	WallClock func() time.Time
 }
 
-// withDefaults fills in what was left out.
+// withDefaults returns o with no-op functions, or time.Now, for those that are nil.
 func (o Options) withDefaults() Options {
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
@@ -75,47 +77,48 @@
 	return o
 }
 
-// Dispatcher owns one policy.Balancer and all that its decisions are about. Its exported methods are safe for concurrent use.
+// Dispatcher owns one policy.Balancer and the requests, attempts and servers that it decides on. Its exported methods are safe
+// for concurrent use.
 type Dispatcher struct {
 	options    Options
 	balancer   *policy.Balancer
 	clock      clock
-	wallClock  wallclock.Line // places dates of servers' starts and of cordons on the policy's clock
+	wallClock  wallclock.Line // converts the dates of process starts and cordons to the policy's clock
 	ready      atomic.Bool
 	events     chan event
-	listEvents chan event    // from discovery; handled before other events, since the grace of a drain runs already
+	listEvents chan event    // from discovery; handled first, since the grace of a listed drain is already running
 	stopped    chan struct{} // closed when Run has ended
 
 	// Requests and attempts.
 	requests          map[policy.RequestID]*pendingRequest
 	requestIDs        map[*request.Request]policy.RequestID
 	lastRequest       policy.RequestID
-	openIDs           map[string]bool // the clients' ids of requests without a final answer
-	openInPredecessor map[string]bool // likewise, in the process before this one
+	openIDs           map[string]bool // the clients' ids of the requests without a final response
+	openInPredecessor map[string]bool // likewise, of the predecessor
 	attempts          map[attemptID]*attemptRecord
-	uploads           map[attemptID]*attemptRecord // those whose request is still being sent
+	uploads           map[attemptID]*attemptRecord // attempts whose request body is still being sent
 	lastAttempt       attemptID
 
 	// Servers.
-	servers         map[policy.ServerID]*serverRecord
-	serverIDs       map[string]policy.ServerID // by the ids in the list
-	usedServerIDs   map[policy.ServerID]bool
-	zonePositions   map[string]int
-	deletedServers  []snapshot.Member     // deleted lately: an older list must not bring them back to the next process
-	predecessorAges map[string]processAge // by server, as the process before this one knew them; only while restore runs
-	listRevision    uint64
-	listValidity    staleness.Validity // zero = the list never becomes stale
-	cordons         cordon.Set
-	reportedAt      time.Time // see reportServers
+	servers           map[policy.ServerID]*serverRecord
+	serverIDs         map[string]policy.ServerID // by id in the list
+	usedServerIDs     map[policy.ServerID]bool
+	zonePositions     map[string]int
+	deletedServers    []snapshot.Member     // for the successor, which must not restore them from an older list
+	predecessorAges   map[string]processAge // by id in the list, from the snapshot; nil except while restore runs
+	listRevision      uint64
+	listValidity      staleness.Validity // zero = the list never becomes stale
+	cordons           cordon.Set
+	serversReportedAt time.Time // when reportServers last reported; zero = it reports next time
 
 	// The policy's events, actions and timers.
 	timers       timers
-	policyEvents []policy.Event // to be handled, in order
+	policyEvents []policy.Event // waiting for the policy, in order
 	actions      []policy.Action
 	handling     bool
-	eventTime    time.Time // of the event that the policy has last seen; the times in its actions count from here
+	eventTime    time.Time // when the policy handled its latest event; the times in its actions are relative to this
 
-	// Positions that the policy has given to classes and tenants, in the order of the settings.
+	// The policy's positions of classes and tenants, in the order of the settings.
 	classPositions  []int
 	tenantPositions []int
 
@@ -125,16 +128,16 @@
 	counts Counts
 }
 
-// Counts are the totals of what the dispatcher has taken in, sent and answered.
+// Counts are the totals since the dispatcher was created.
 type Counts struct {
 	Accepted, Duplicates, ClientsGone int
 	Attempts, Probes, EndpointUpdates int
 	Served, Rejected, Failed          int
-	UnservedByReason                  map[policy.Reason]int // refused or failed, by reason
+	UnservedByReason                  map[policy.Reason]int // rejected or failed, by reason
 	AttemptOutcomes, ProbeOutcomes    outcome.Counts
 }
 
-// New returns a Dispatcher that does nothing until Run is called; events sent to it wait.
+// New returns a Dispatcher that handles no events before Run is called; events sent earlier are queued.
 func New(o Options) (*Dispatcher, error) {
 	balancer, err := policy.New(withProbeValidity(o.Policy, o.DrainGrace), o.Seed)
 	if err != nil {
@@ -167,14 +170,15 @@
 // Run handles events and timers until ctx ends. It is called once.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	defer close(d.stopped)
-	armed := time.Now().Add(idleAlarm)
-	alarm := time.NewTimer(idleAlarm)
-	defer alarm.Stop()
+	wakeupAt := time.Now().Add(idleWakeupInterval)
+	wakeup := time.NewTimer(idleWakeupInterval)
+	defer wakeup.Stop()
 	for {
-		// An alarm that is too early does no harm: most timers are removed before they are due.
-		if len(d.timers) > 0 && d.timers[0].fireAt.Before(armed) {
-			armed = d.timers[0].fireAt
-			alarm.Reset(time.Until(armed))
+		// The wakeup is only moved to an earlier time, never to a later one: most timers are removed before they fire, and an
+		// early wakeup is harmless.
+		if len(d.timers) > 0 && d.timers[0].fireAt.Before(wakeupAt) {
+			wakeupAt = d.timers[0].fireAt
+			wakeup.Reset(time.Until(wakeupAt))
 		}
 		select {
 		case <-ctx.Done():
@@ -185,22 +189,22 @@
 			d.handleListEvents()
 			e.apply(d)
 			d.handleQueuedEvents()
-		case <-alarm.C:
-			armed = time.Now().Add(idleAlarm)
-			alarm.Reset(idleAlarm)
+		case <-wakeup.C:
+			wakeupAt = time.Now().Add(idleWakeupInterval)
+			wakeup.Reset(idleWakeupInterval)
 		}
 		d.fireTimers()
 		d.reportServers(time.Now())
 	}
 }
 
-// Done is closed when Run has ended: nothing is answered any more.
+// Done returns a channel that is closed when Run has ended; no request gets a response after that.
 func (d *Dispatcher) Done() <-chan struct{} { return d.stopped }
 
-// Ready reports whether there is a server to send to.
+// Ready reports whether the list has a server that is ready.
 func (d *Dispatcher) Ready() bool { return d.ready.Load() }
 
-// handleListEvents handles what waits from discovery.
+// handleListEvents handles the queued events from discovery.
 func (d *Dispatcher) handleListEvents() {
 	for {
 		select {
@@ -212,7 +216,7 @@
 	}
 }
 
-// handleQueuedEvents handles what else waits, up to a point at which timers must be looked at.
+// handleQueuedEvents handles up to maxEventBatch queued events, those from discovery first.
 func (d *Dispatcher) handleQueuedEvents() {
 	for range maxEventBatch {
 		d.handleListEvents()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -46,7 +46,7 @@
 func (refusedAttempt) Withdraw(outcome.Kind) (outcome.Kind, bool) { return 0, false }
 func (refusedAttempt) StartBy(time.Time)                          {}
 
-// newDispatcher returns a Dispatcher that knows no server yet. The test itself applies its events.
+// newDispatcher returns a Dispatcher without servers. Run is not called: the test applies the events.
 func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	d, err := New(Options{
@@ -59,14 +59,14 @@
 	return d
 }
 
-type sizes struct{ Servers, IDs, Numbers, Requests, Open, Attempts, Timers int }
+type sizes struct{ Servers, IDs, UsedIDs, Requests, Open, Attempts, Timers int }
 
 func (d *Dispatcher) sizes() sizes {
 	return sizes{len(d.servers), len(d.serverIDs), len(d.usedServerIDs), len(d.requests), len(d.openIDs), len(d.attempts), len(d.timers)}
 }
 
-// Servers are replaced by new ones under new ids all day long, and each attempt ends long before its time: nothing may be kept of
-// those that are gone.
+// Guards against memory leaks when servers are replaced by new ones under new ids, over and over, and attempts end long before
+// their timeouts.
 func TestDeletedServersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
@@ -90,16 +90,16 @@
 			d.fireTimers()
 		}
 		d.applyEndpoints(endpoints.List{Complete: true})
-		time.Sleep(time.Second) // until the last deadline
+		time.Sleep(time.Second) // until the last deadline has passed
 		d.fireTimers()
 		if diff := cmp.Diff(before, d.sizes()); diff != "" || d.counts.Attempts != 20000 || len(d.deletedServers) > maxDeletedServers {
-			t.Errorf("%d sent, %d gone\n%s", d.counts.Attempts, len(d.deletedServers), diff)
+			t.Errorf("%d attempts, %d deleted servers\n%s", d.counts.Attempts, len(d.deletedServers), diff)
 		}
 	})
 }
 
-// Two open requests of one id: the second is refused, and the id is free again with the first's answer.
-func TestDuplicateOfOpenRequestIsRefused(t *testing.T) {
+// A request with the id of an open one is rejected as a duplicate; the id may be used again once the first has its response.
+func TestDuplicateOfOpenRequestIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
 		var got []request.Kind
@@ -108,7 +108,7 @@
 			for range 2 {
 				requestArrived{&request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Second,
-					Respond: func(a request.Response) { got = append(got, a.Kind) },
+					Respond: func(resp request.Response) { got = append(got, resp.Kind) },
 				}}.apply(d)
 			}
 			synctest.Wait()
@@ -126,28 +126,30 @@
 	})
 }
 
-// When Run has ended, Cancel still distinguishes what was never sent from what may have run; what it does not know may have.
+// After Run has ended, Cancel still distinguishes requests that were never sent from those that may have run. A request that the
+// dispatcher does not know may have run.
 func TestCancelAfterRunEnded(t *testing.T) {
 	d := newDispatcher(t)
 	ctx, end := context.WithCancel(t.Context())
 	end()
-	for i, h := range []*pendingRequest{{}, {attempt: 1}, {mayRun: true}, nil} {
+	for i, pending := range []*pendingRequest{{}, {attempt: 1}, {endedMayHaveRun: true}, nil} {
 		req := &request.Request{ID: fmt.Sprint(i)}
-		if id := policy.RequestID(i + 1); h != nil {
-			d.requests[id], d.requestIDs[req] = h, id
+		if id := policy.RequestID(i + 1); pending != nil {
+			d.requests[id], d.requestIDs[req] = pending, id
 		}
 		if i == 0 {
 			if err := d.Run(ctx); err != nil {
 				t.Error(err)
 			}
 		}
-		if mayRun := d.Cancel(req); mayRun != (i > 0) {
-			t.Errorf("%+v: may have run: %t", h, mayRun)
+		if mayHaveRun := d.Cancel(req); mayHaveRun != (i > 0) {
+			t.Errorf("%+v: may have run: %t", pending, mayHaveRun)
 		}
 	}
 }
 
-// A probe's answer whose report can't be read, or lacks the load, says nothing: a zero in its place would look like an idle server.
+// Guards against reading an incomplete or malformed load report of a probe as a load of zero, so that the server would look
+// idle.
 func TestUnreadableReportsAreIgnored(t *testing.T) {
 	settings := config.Settings{}
 	settings.Report.Names = []string{"active", "avg_ms"}
@@ -167,28 +169,28 @@
 	}
 }
 
-// A refused connection and a declined probe contradict the list, an answer confirms it, and a declined request says nothing, since a
-// queue may have been full.
+// A refused connection and a declined probe contradict the list, and a response confirms it. A declined request says nothing,
+// since the server's queue may be full.
 func TestEvidenceOfOutcomes(t *testing.T) {
 	const none = staleness.Evidence(255)
-	for e, want := range map[outcome.Kind][2]staleness.Evidence{
+	for kind, want := range map[outcome.Kind][2]staleness.Evidence{
 		outcome.Served: {staleness.Alive, staleness.Alive}, outcome.ConnectRefused: {staleness.ConnectRefused, staleness.ConnectRefused},
 		outcome.Declined: {none, staleness.Draining}, outcome.ServerError: {none, staleness.Draining},
 		outcome.TimedOut: {none, none}, outcome.ConnectTimeout: {none, none}, outcome.LocalError: {none, none},
 	} {
 		for i, probe := range []bool{false, true} {
-			got, is := evidenceOf(e, probe)
-			if !is {
+			got, ok := evidenceOf(kind, probe)
+			if !ok {
 				got = none
 			}
 			if got != want[i] {
-				t.Errorf("%s, probe %t: %d, want %d", e, probe, got, want[i])
+				t.Errorf("%s, probe %t: %d, want %d", kind, probe, got, want[i])
 			}
 		}
 	}
 }
 
-// The trace has, of each attempt, what it was decided on, and how it ended.
+// The trace has the ages of the load report and the process at the start of each attempt, and its end.
 func TestTrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
@@ -222,7 +224,7 @@
 	})
 }
 
-// Once the list is stale a server gets no request before a probe has been answered by the process that the list names.
+// Once the list is stale, a server gets no request until the listed process has responded to a probe.
 func TestStaleListNeedsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, err := New(Options{
@@ -249,7 +251,7 @@
 			d.Submit(req)
 			time.Sleep(2 * time.Second)
 			if c := d.Counts(); c.Attempts != want || c.Probes == 0 {
-				t.Errorf("request %d: %d sent, want %d; %d probes", i, c.Attempts, want, c.Probes)
+				t.Errorf("request %d: %d attempts, want %d; %d probes", i, c.Attempts, want, c.Probes)
 			}
 		}
 		cancel()
@@ -257,14 +259,15 @@
 	})
 }
 
-// The news that a server drains overtakes all other events: however many wait, nothing of them is sent there.
-func TestEndpointUpdatesOvertakeQueuedEvents(t *testing.T) {
+// Guards against sending queued requests to a server after the list update that drains it has arrived: updates are handled
+// before all other queued events.
+func TestEndpointUpdatesPrecedeQueuedEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
-		line := func(id, phase string) endpoints.Endpoint {
+		endpoint := func(id, phase string) endpoints.Endpoint {
 			return endpoints.Endpoint{ID: id, Address: id + ":1", Phase: phase}
 		}
-		d.applyEndpoints(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{line("a", endpoints.Serving), line("b", endpoints.Serving)}})
+		d.applyEndpoints(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{endpoint("a", endpoints.Serving), endpoint("b", endpoints.Serving)}})
 		for i := range eventQueueSize / 2 {
 			d.Submit(&request.Request{ID: fmt.Sprint(i), SentAt: time.Now(), Timeout: time.Second, Respond: func(request.Response) {}})
 		}
@@ -274,7 +277,7 @@
 				sent = append(sent, args[1].(string))
 			}
 		}
-		d.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{line("a", endpoints.Draining)}}, time.Now())
+		d.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{endpoint("a", endpoints.Draining)}}, time.Now())
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = d.Run(ctx) }() // it ends with ctx, and has no other error
 		synctest.Wait()
@@ -286,7 +289,7 @@
 	})
 }
 
-// A release may replace all of a large fleet at once: the next process gets to know each server that is gone.
+// A release may replace all servers of a large fleet at once: the snapshot has each of the deleted servers.
 func TestAllDeletedServersAreRemembered(t *testing.T) {
 	d := newDispatcher(t)
 	for _, phase := range []string{endpoints.Serving, endpoints.Deleted} {
@@ -297,6 +300,6 @@
 		d.applyEndpoints(l)
 	}
 	if n := len(d.snapshot(time.Now()).Members); n != 2000 {
-		t.Errorf("%d of 2000", n)
+		t.Errorf("%d deleted servers in the snapshot, want 2000", n)
 	}
 }
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -12,14 +12,14 @@
 	"plankrouter/internal/upstream"
 )
 
-// event is something that another goroutine has seen or asks for. The dispatcher's goroutine alone calls apply.
+// event is an observation or a request of another goroutine. Only the dispatcher's goroutine calls apply, once Run has started.
 type event interface{ apply(*Dispatcher) }
 
 type (
 	requestArrived struct{ request *request.Request }
 	clientGone     struct {
-		request *request.Request
-		mayRun  chan<- bool // gets whether an attempt may have run; nil = nobody asks
+		request    *request.Request
+		mayHaveRun chan<- bool // receives whether an attempt may have run; nil = not needed
 	}
 	attemptEnded struct {
 		attempt attemptID
@@ -53,7 +53,7 @@
 	openRequestsRequested struct{ reply chan<- []string }
 )
 
-// send queues an event; false = Run has ended.
+// send queues an event, and returns false if Run has ended.
 func (d *Dispatcher) send(e event) bool { return d.sendTo(d.events, e) }
 
 func (d *Dispatcher) sendTo(queue chan<- event, e event) bool {
@@ -65,15 +65,15 @@
 	}
 }
 
-// query sends the event that newEvent makes of a channel for the reply, and waits for that; false = Run has ended.
-func query[T any](d *Dispatcher, newEvent func(reply chan<- T) event) (answer T, ok bool) {
+// query sends the event that newEvent returns for a reply channel, and waits for the reply; ok is false if Run has ended.
+func query[T any](d *Dispatcher, newEvent func(reply chan<- T) event) (response T, ok bool) {
 	reply := make(chan T, 1)
 	if d.send(newEvent(reply)) {
 		select {
-		case answer = <-reply:
-			return answer, true
+		case response = <-reply:
+			return response, true
 		case <-d.stopped:
 		}
 	}
-	return answer, false
+	return response, false
 }
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -14,28 +14,28 @@
 	"plankrouter/policy"
 )
 
-// Servers drop a repeat of a request with an idempotency key for 3 s after its first attempt that may have run was sent. Each further
-// attempt expires at that moment, less the policy's margin of 11 ms, and is withdrawn then if it is not written whole: its client is
-// answered at once.
-func TestFurtherAttemptsExpire(t *testing.T) {
+// Guards against repeating a request when servers no longer recognize its idempotency key. They drop repeats for 3 s after the
+// first attempt that may have run was sent. Each further attempt expires at the end of that window, less the policy's margin of
+// 11 ms: if its last byte has not been written by that time, it is withdrawn and the client gets a response at once.
+func TestRepeatedAttemptsExpire(t *testing.T) {
 	const never, second = time.Duration(-1), time.Second
 	withdrawn := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
 		idempotency policy.Idempotency
-		ends        []outcome.Kind  // of its attempts, a second after each was sent; the last one's connection does not come up
-		written     bool            // or does
-		expires     []time.Duration // of each attempt, from the first one on
-		actions     []string        // done to the last attempt within 3 s of the first
-		answers     []request.Kind
+		ends        []outcome.Kind  // of its attempts, 1 s after each was sent; one more has no connection yet
+		written     bool            // that last attempt is written in full
+		expires     []time.Duration // of each attempt, since the first was sent
+		actions     []string        // on the last attempt, until 3 s after the first
+		responses   []request.Kind
 	}{
-		"what may run twice": {idempotency: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
+		"idempotent": {idempotency: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
 		"the first may have run": {
 			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, answers: []request.Kind{request.Rejected},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, responses: []request.Kind{request.Rejected},
 		},
 		"the first has timed out": {
 			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.TimedOut},
-			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, answers: []request.Kind{request.Rejected},
+			expires: []time.Duration{never, 3*second - 11*time.Millisecond}, actions: withdrawn, responses: []request.Kind{request.Rejected},
 		},
 		"the second is written": {
 			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ResetByPeer}, written: true,
@@ -49,16 +49,16 @@
 		"the first two may have run": {
 			idempotency: policy.WithIdempotencyKey, ends: []outcome.Kind{outcome.ServerError, outcome.ResetByPeer},
 			expires: []time.Duration{never, 3*second - 11*time.Millisecond, 3*second - 11*time.Millisecond},
-			actions: withdrawn, answers: []request.Kind{request.Rejected},
+			actions: withdrawn, responses: []request.Kind{request.Rejected},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := new(delayedUpstream)
+				u := new(delayedUpstream)
 				d, err := New(Options{Policy: policy.Config{MaxAttempts: 4, Round: 5, Classes: []policy.Class{{
 					LatencyObjective: 2e4, Deadline: 6e4,
 					Idempotency: tc.idempotency, KeyWindow: 3000,
-				}}}, Upstream: c, DrainGrace: time.Minute})
+				}}}, Upstream: u, DrainGrace: time.Minute})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -70,35 +70,35 @@
 				var got []request.Kind
 				req := &request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Minute,
-					Respond: func(a request.Response) { got = append(got, a.Kind) },
+					Respond: func(resp request.Response) { got = append(got, resp.Kind) },
 				}
 				first := time.Now()
 				requestArrived{req}.apply(d)
-				d.retryFreely()
+				d.fillRetryBudget()
 				for i, end := range tc.ends {
 					time.Sleep(second)
 					d.fireTimers()
-					c.attempts[i].over = true
+					u.attempts[i].over = true
 					d.endAttempt(d.requests[d.requestIDs[req]].attempt, upstream.Result{Outcome: end})
 				}
 				if tc.written {
-					c.attempts[len(c.attempts)-1].over = true
+					u.attempts[len(u.attempts)-1].over = true
 				}
 				var expires []time.Duration
-				for _, call := range c.attempts {
+				for _, attempt := range u.attempts {
 					expires = append(expires, never)
-					if !call.Expires.IsZero() {
-						expires[len(expires)-1] = call.Expires.Sub(first)
+					if !attempt.Expires.IsZero() {
+						expires[len(expires)-1] = attempt.Expires.Sub(first)
 					}
 				}
-				c.actions = nil
+				u.actions = nil
 				time.Sleep(time.Until(first.Add(3*second - 12*time.Millisecond)))
 				d.fireTimers()
-				before := len(c.actions) + len(got)
+				before := len(u.actions) + len(got)
 				time.Sleep(time.Millisecond)
 				d.fireTimers()
-				if !slices.Equal(expires, tc.expires) || !slices.Equal(c.actions, tc.actions) || !slices.Equal(got, tc.answers) || before > 0 {
-					t.Errorf("expire %v, did %q, answers %v, %d too early", expires, c.actions, got, before)
+				if !slices.Equal(expires, tc.expires) || !slices.Equal(u.actions, tc.actions) || !slices.Equal(got, tc.responses) || before > 0 {
+					t.Errorf("expire at %v, actions %q, responses %v, %d too early", expires, u.actions, got, before)
 				}
 			})
 		})
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -5,15 +5,16 @@
 	"plankrouter/policy"
 )
 
-// maySend is the guard of every attempt: it prevents what a sound policy does not ask for.
+// maySend reports whether an attempt for the request may be sent to the server. It is checked before every attempt; a correct
+// policy requests none that it prevents. What would violate an invariant is counted and logged.
 func (d *Dispatcher) maySend(pending *pendingRequest, server *serverRecord) bool {
 	switch {
-	case pending == nil || pending.answered || server == nil:
+	case pending == nil || pending.closed || server == nil:
 		return false
-	case pending.underWay():
+	case pending.inFlight():
 		d.reportPrevented(invariant.OneAttempt, pending, "send")
 		return false
-	case pending.mayRun && d.classOf(pending).Idempotency == policy.NonIdempotent:
+	case pending.endedMayHaveRun && d.classOf(pending).Idempotency == policy.NonIdempotent:
 		d.reportPrevented(invariant.Effect, pending, "send")
 		return false
 	case server.health != policy.Ready:
@@ -23,7 +24,8 @@
 	return true
 }
 
-// mayReject is the guard of every refusal, which promises that trying again is harmless.
+// mayReject reports whether the request may be rejected. A rejection promises that a retry is harmless, so that no attempt may
+// have run, except where the class makes a repetition safe on every server.
 func (d *Dispatcher) mayReject(pending *pendingRequest) bool {
 	if !pending.mayHaveRun() {
 		return true
@@ -32,7 +34,7 @@
 	return class.Idempotency == policy.Idempotent || class.Idempotency == policy.WithIdempotencyKey && class.KeyScope == policy.ScopeAll
 }
 
-// classOf returns the request's class, as the policy knows it.
+// classOf returns the settings of the request's class; an unknown class is non-idempotent.
 func (d *Dispatcher) classOf(pending *pendingRequest) policy.Class {
 	if position := pending.request.Class; position >= 0 && position < len(d.options.Policy.Classes) {
 		return d.options.Policy.Classes[position]
@@ -40,9 +42,9 @@
 	return policy.Class{Idempotency: policy.NonIdempotent}
 }
 
-// reportPrevented counts and logs what a guard has prevented: the policy should not have asked for it.
+// reportPrevented counts and logs an act that a guard has prevented.
 func (d *Dispatcher) reportPrevented(rule invariant.Rule, pending *pendingRequest, what string) {
 	d.options.Invariants.Prevented(rule)
-	d.options.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t under_way=%t", rule, pending.request.ID, what,
-		pending.attempts, pending.mayRun, pending.underWay())
+	d.options.Logf("rule=%s state=held_back request=%q what=%s attempts=%d may_have_run=%t in_flight=%t", rule, pending.request.ID, what,
+		pending.attemptsStarted, pending.endedMayHaveRun, pending.inFlight())
 }
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -11,26 +11,27 @@
 	"plankrouter/policy"
 )
 
-// What a faulty policy asks for against a rule is prevented at the one place that sends, or that refuses, and counted there.
+// Guards against a faulty policy: an attempt or a rejection that would violate an invariant is prevented where it would be
+// made, and counted.
 func TestInvariantGuards(t *testing.T) {
 	for name, row := range map[string]struct {
 		idempotency policy.Idempotency
 		scope       policy.KeyScope
-		mayRun      bool
-		underWay    bool // another attempt is
+		mayHaveRun  bool // an earlier attempt
+		inFlight    bool // another attempt is
 		draining    bool // the server is
 		send        bool
-		refuse      bool
+		reject      bool
 		counted     invariant.Rule
 	}{
-		"nothing has run":                          {idempotency: policy.NonIdempotent, send: true, refuse: true},
-		"what is not idempotent may have run":      {idempotency: policy.NonIdempotent, mayRun: true, counted: invariant.Effect},
-		"what is idempotent may have run":          {idempotency: policy.Idempotent, mayRun: true, send: true, refuse: true},
-		"a key that all servers know may have run": {idempotency: policy.WithIdempotencyKey, mayRun: true, send: true, refuse: true},
-		"a key that a zone knows may have run":     {idempotency: policy.WithIdempotencyKey, scope: policy.ScopeZone, mayRun: true, send: true},
-		"an attempt is under way":                  {idempotency: policy.Idempotent, underWay: true, refuse: true, counted: invariant.OneAttempt},
-		"a non-idempotent attempt is under way":    {idempotency: policy.NonIdempotent, underWay: true, counted: invariant.OneAttempt},
-		"the server drains":                        {idempotency: policy.Idempotent, draining: true, refuse: true, counted: invariant.DrainGrace},
+		"nothing has run":                        {idempotency: policy.NonIdempotent, send: true, reject: true},
+		"non-idempotent, may have run":           {idempotency: policy.NonIdempotent, mayHaveRun: true, counted: invariant.Effect},
+		"idempotent, may have run":               {idempotency: policy.Idempotent, mayHaveRun: true, send: true, reject: true},
+		"key known to all servers, may have run": {idempotency: policy.WithIdempotencyKey, mayHaveRun: true, send: true, reject: true},
+		"key known to one zone, may have run":    {idempotency: policy.WithIdempotencyKey, scope: policy.ScopeZone, mayHaveRun: true, send: true},
+		"attempt in flight":                      {idempotency: policy.Idempotent, inFlight: true, reject: true, counted: invariant.OneAttempt},
+		"non-idempotent attempt in flight":       {idempotency: policy.NonIdempotent, inFlight: true, counted: invariant.OneAttempt},
+		"server is draining":                     {idempotency: policy.Idempotent, draining: true, reject: true, counted: invariant.DrainGrace},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			recorder := new(invariant.Recorder)
@@ -47,11 +48,11 @@
 				server.health = policy.Draining
 			}
 			var got []request.Kind
-			pending := &pendingRequest{mayRun: row.mayRun, request: &request.Request{
+			pending := &pendingRequest{endedMayHaveRun: row.mayHaveRun, request: &request.Request{
 				ID: "r", SentAt: time.Now(), Timeout: time.Second,
-				Respond: func(a request.Response) { got = append(got, a.Kind) },
+				Respond: func(resp request.Response) { got = append(got, resp.Kind) },
 			}}
-			if row.underWay {
+			if row.inFlight {
 				pending.attempt = 1
 			}
 			if send := d.maySend(pending, server); send != row.send {
@@ -63,13 +64,13 @@
 			d.requests[1] = pending
 			d.respond(1, request.Response{Kind: request.Rejected})
 			want := request.Rejected
-			if !row.refuse {
+			if !row.reject {
 				want = request.Failed
 			}
 			if len(got) != 1 || got[0] != want {
-				t.Errorf("%s: answers %v, want %v", name, got, want)
+				t.Errorf("%s: responses %v, want %v", name, got, want)
 			}
-			time.Sleep(time.Second) // the goroutines of refusingUpstream
+			time.Sleep(time.Second) // until the goroutines of refusingUpstream have ended
 			synctest.Wait()
 		})
 	}
--- a/internal/dispatch/origin.go
+++ b/internal/dispatch/origin.go
@@ -7,58 +7,59 @@
 	"plankrouter/policy"
 )
 
-// origin is when a server's process counts as started: the dates that say so, in Unix milliseconds, and where they lie on the policy's
-// clock. Both remain as they were at first, whatever becomes of the wall clock after that.
-type origin struct {
-	listedDate     float64   // by the list
-	uncordonedDate float64   // by operators, who have put the server back and may have restarted it
-	listedAt       policy.Ms // of listedDate
-	startedAt      policy.Ms // the later of the two
+// processStart is when a server's process counts as started: by its dates, in Unix milliseconds, and by the policy's clock. The
+// times on the policy's clock are computed once per date, so that later steps of the wall clock don't change them.
+type processStart struct {
+	listedDate     float64   // in the list; 0 = unknown
+	uncordonedDate float64   // when operators uncordoned the server, which they may have restarted; 0 = never
+	listedAt       policy.Ms // listedDate on the policy's clock
+	startedAt      policy.Ms // the later of the two dates, on the policy's clock
 }
 
-// processAge is how long ago a server's process has started, of which the list gives that date.
+// processAge is the age of a server's process, which is identified by its start date in the list.
 type processAge struct {
 	startDate float64
 	age       policy.Ms
 }
 
-// observeWallClock notes whether the wall clock has been stepped: what is dated from now on goes by it.
+// observeWallClock logs a step of the wall clock, and takes it into account for dates from now on.
 func (d *Dispatcher) observeWallClock(now time.Time) {
 	if step := d.wallClock.Observe(d.clock.at(now), unixMs(d.options.WallClock())); step != 0 {
 		d.options.Logf("state=clock_stepped by_ms=%.0f", step)
 	}
 }
 
-// policyTime returns where on the policy's clock a date lies.
+// policyTime converts a date, in Unix milliseconds, to the policy's clock.
 func (d *Dispatcher) policyTime(date float64, now time.Time) policy.Ms {
 	return d.wallClock.Place(date, d.clock.at(now))
 }
 
-// originOf returns the origin of the process that the list names, given what is known of its server.
-func (d *Dispatcher) originOf(server *serverRecord, endpoint endpoints.Endpoint, now time.Time) origin {
+// processStartOf returns when the listed process started; server is its record so far. For a process that the predecessor knew,
+// the age in the snapshot decides.
+func (d *Dispatcher) processStartOf(server *serverRecord, endpoint endpoints.Endpoint, now time.Time) processStart {
 	uncordonedDate := d.cordons.Uncordoned[endpoint.ID]
-	if server.origin.listedDate == endpoint.StartedAt && server.origin.uncordonedDate == uncordonedDate {
-		return server.origin
+	if server.processStart.listedDate == endpoint.StartedAt && server.processStart.uncordonedDate == uncordonedDate {
+		return server.processStart
 	}
-	listedAt := server.origin.listedAt
-	if server.origin.listedDate != endpoint.StartedAt {
+	listedAt := server.processStart.listedAt
+	if server.processStart.listedDate != endpoint.StartedAt {
 		listedAt = d.policyTime(endpoint.StartedAt, now)
 		if process, known := d.predecessorAges[endpoint.ID]; known && process.startDate == endpoint.StartedAt {
 			listedAt = d.clock.at(now) - process.age
 		}
 	}
-	return origin{
+	return processStart{
 		listedDate: endpoint.StartedAt, uncordonedDate: uncordonedDate,
 		listedAt: listedAt, startedAt: max(listedAt, d.policyTime(uncordonedDate, now)),
 	}
 }
 
-// dateOfTime returns the date that the wall clock, as it is now, gives a moment of this process.
+// dateOfTime converts t to a date, in Unix milliseconds, by the current wall clock.
 func (d *Dispatcher) dateOfTime(t, now time.Time) float64 {
 	return unixMs(d.options.WallClock()) - millis(now.Sub(t))
 }
 
-// timeOfDate returns the moment of a date, no later than now.
+// timeOfDate converts a date, in Unix milliseconds, to a time no later than now.
 func (d *Dispatcher) timeOfDate(date float64, now time.Time) time.Time {
 	return now.Add(-duration(max(0, d.clock.at(now)-d.policyTime(date, now))))
 }
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -10,8 +10,8 @@
 	"plankrouter/policy"
 )
 
-// handle gives the policy an event and carries out its actions. Carrying one out may end an attempt at once; that event waits until
-// all actions that were decided before are done.
+// handle passes an event to the policy and executes the resulting actions. An action may end an attempt at once; the event of
+// that end is queued until the earlier actions have been executed.
 func (d *Dispatcher) handle(e policy.Event) {
 	d.policyEvents = append(d.policyEvents, e)
 	if d.handling {
@@ -23,7 +23,7 @@
 		d.policyEvents = d.policyEvents[1:]
 		d.eventTime = time.Now()
 		if pending := d.requests[next.Request]; next.Kind == policy.RequestArrived && pending != nil {
-			next.TimeLeft = millis(d.timeLeft(pending.request, d.eventTime)) // as of the time from which the policy counts it
+			next.TimeLeft = millis(d.timeLeft(pending.request, d.eventTime)) // relative to the time of the event
 		}
 		d.actions = d.balancer.Handle(d.clock.at(d.eventTime), &next, d.actions[:0])
 		for i := range d.actions {
@@ -33,13 +33,13 @@
 	d.handling = false
 }
 
-// execute carries out one of the policy's actions.
+// execute executes one action of the policy.
 func (d *Dispatcher) execute(action *policy.Action) {
 	switch action.Kind {
 	case policy.StartAttempt:
 		d.startAttempt(action)
 	case policy.CancelAttempt:
-		if pending := d.requests[action.Request]; pending != nil && pending.underWay() && action.Attempt == pending.attempts-1 {
+		if pending := d.requests[action.Request]; pending != nil && pending.inFlight() && action.Attempt == pending.attemptsStarted-1 {
 			d.cancelAttempt(pending.attempt, outcome.Cancelled)
 		}
 	case policy.RejectRequest:
@@ -55,15 +55,16 @@
 		}
 	case policy.SetTimer:
 		heap.Push(&d.timers, &timer{fireAt: d.eventTime.Add(duration(action.After)), handle: action.Timer})
-	case policy.Subscribe: // the list is watched all the time
+	case policy.Subscribe: // nothing to do: the list is always watched
 	case policy.Log:
 		d.options.Logf("decision=%q", action.Text)
 	}
 }
 
-// withProbeValidity adds to the policy's settings for how long a probe stands for a list that is stale.
+// withProbeValidity returns the policy's settings with ProbeValidity, the time for which a probe allows requests to its server
+// while the list is stale, derived from the drain grace.
 func withProbeValidity(cfg policy.Config, grace time.Duration) policy.Config {
-	pickFor, _ := staleness.DrainLimits(grace)
-	cfg.ProbeValidity = millis(pickFor)
+	pickWindow, _ := staleness.DrainLimits(grace)
+	cfg.ProbeValidity = millis(pickWindow)
 	return cfg
 }
--- a/internal/dispatch/races_test.go
+++ b/internal/dispatch/races_test.go
@@ -16,7 +16,7 @@
 	"plankrouter/policy"
 )
 
-// delayedUpstream is an upstream whose connections have not come up yet. It records what is done to its attempts.
+// delayedUpstream is an upstream whose connections are never established. It records what is done with its attempts.
 type delayedUpstream struct {
 	refusingUpstream
 	attempts []*delayedAttempt
@@ -48,26 +48,26 @@
 }
 
 func (c *delayedAttempt) StartBy(time.Time) {}
-func (c *delayedAttempt) Cancel(why outcome.Kind) (outcome.Kind, bool) {
-	return c.end("cancel", why)
+func (c *delayedAttempt) Cancel(reason outcome.Kind) (outcome.Kind, bool) {
+	return c.end("cancel", reason)
 }
 
-func (c *delayedAttempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) {
-	return c.end("withdraw", why)
+func (c *delayedAttempt) Withdraw(reason outcome.Kind) (outcome.Kind, bool) {
+	return c.end("withdraw", reason)
 }
 
-func (c *delayedAttempt) end(how string, why outcome.Kind) (outcome.Kind, bool) {
+func (c *delayedAttempt) end(how string, reason outcome.Kind) (outcome.Kind, bool) {
 	if c.over {
 		return outcome.Open, false
 	}
 	c.over = true
-	c.upstream.actions = append(c.upstream.actions, fmt.Sprint(how, " ", c.address, " ", why.Unsent()))
-	return why.Unsent(), true
+	c.upstream.actions = append(c.upstream.actions, fmt.Sprint(how, " ", c.address, " ", reason.Unsent()))
+	return reason.Unsent(), true
 }
 
-// Attempts whose connections are still coming up when something makes them useless are withdrawn, whether or not the settings allow
-// running ones to be cancelled.
-func TestUnwantedAttemptIsWithdrawn(t *testing.T) {
+// Guards against sending an attempt that is no longer needed when its connection is established: it is withdrawn, even if the
+// settings don't allow sent attempts to be cancelled.
+func TestUnneededAttemptIsWithdrawn(t *testing.T) {
 	serving := func(id, address string, since float64) endpoints.Endpoint {
 		return endpoints.Endpoint{ID: id, Address: address, Phase: endpoints.Serving, StartedAt: since}
 	}
@@ -78,10 +78,10 @@
 		responses   []request.Response
 		clientsGone int
 	}{
-		"the client leaves": {[]endpoints.Endpoint{serving("s", "p:1", 0)}, func(d *Dispatcher, req *request.Request, _ *delayedUpstream) {
+		"the client is gone": {[]endpoints.Endpoint{serving("s", "p:1", 0)}, func(d *Dispatcher, req *request.Request, _ *delayedUpstream) {
 			clientGone{request: req}.apply(d)
 		}, []string{"start p:1", "withdraw p:1 withdrawn"}, nil, 1},
-		"a shutdown that leaves less time than the attempt has": {
+		"a shutdown whose schedule ends before the attempt's timeout": {
 			[]endpoints.Endpoint{serving("s", "p:1", 0)},
 			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
 				shutdownScheduled{schedule: shutdown.NewSchedule(time.Minute, time.Second), signalledAt: time.Now()}.apply(d)
@@ -92,28 +92,28 @@
 			[]request.Response{{Kind: request.Failed}},
 			0,
 		},
-		"another process under the same id": {
+		"the server has another address": {
 			[]endpoints.Endpoint{serving("s", "p:1", 1), serving("t", "p:1", 1)},
 			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
-				d.retryFreely()
+				d.fillRetryBudget()
 				d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{serving("s", "p:2", 1), serving("t", "p:3", 1)}})
 			},
-			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
+			[]string{"start p:1", "withdraw p:1 drained", "start on another process"},
 			nil, 0,
 		},
-		"another start of the same process": {
+		"the process was restarted at the same address": {
 			[]endpoints.Endpoint{serving("s", "p:1", 1), serving("t", "p:1", 1)},
 			func(d *Dispatcher, _ *request.Request, _ *delayedUpstream) {
-				d.retryFreely()
+				d.fillRetryBudget()
 				d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{serving("s", "p:1", 2), serving("t", "p:1", 2)}})
 			},
-			[]string{"start p:1", "withdraw p:1 drained", "start elsewhere"},
+			[]string{"start p:1", "withdraw p:1 drained", "start on another process"},
 			nil, 0,
 		},
-		"an attempt fails while the event of the client's end waits": {
+		"an attempt fails while the clientGone event is queued": {
 			[]endpoints.Endpoint{serving("s", "p:1", 0), serving("t", "p:1", 0)},
 			func(d *Dispatcher, req *request.Request, u *delayedUpstream) {
-				d.retryFreely()
+				d.fillRetryBudget()
 				d.ClientGone(req)
 				u.attempts[0].over = true
 				d.endAttempt(1, upstream.Result{Outcome: outcome.Declined})
@@ -138,25 +138,25 @@
 				var got []request.Response
 				req := &request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Minute,
-					Respond: func(a request.Response) { got = append(got, a) },
+					Respond: func(resp request.Response) { got = append(got, resp) },
 				}
 				requestArrived{req}.apply(d)
 				tc.act(d, req, u)
 				for i, action := range u.actions[1:] {
 					if strings.HasPrefix(action, "start") {
-						u.actions[i+1] = "start elsewhere"
+						u.actions[i+1] = "start on another process"
 					}
 				}
 				if !slices.Equal(u.actions, tc.actions) || !slices.EqualFunc(got, tc.responses, func(a, b request.Response) bool {
 					return a.Kind == b.Kind && a.MayHaveRun == b.MayHaveRun
 				}) || d.counts.ClientsGone != tc.clientsGone {
-					t.Errorf("%q, %+v, %d gone", u.actions, got, d.counts.ClientsGone)
+					t.Errorf("actions %q, responses %+v, %d clients gone", u.actions, got, d.counts.ClientsGone)
 				}
-				if last := tc.actions[len(tc.actions)-1]; last != "start elsewhere" {
-					time.Sleep(time.Minute) // until its timers have passed
+				if last := tc.actions[len(tc.actions)-1]; last != "start on another process" {
+					time.Sleep(time.Minute) // until its timers have fired
 					d.fireTimers()
 					if after := d.sizes(); after.Requests != before.Requests || after.Attempts != before.Attempts || after.Open != before.Open {
-						t.Errorf("%+v, was %+v", after, before)
+						t.Errorf("sizes %+v, before the request %+v", after, before)
 					}
 				}
 			})
@@ -164,8 +164,8 @@
 	}
 }
 
-// retryFreely has so many requests come and go that the retry budget allows a further attempt.
-func (d *Dispatcher) retryFreely() {
+// fillRetryBudget submits and cancels enough requests that the retry budget allows a further attempt. It drops their records.
+func (d *Dispatcher) fillRetryBudget() {
 	for i := range 20 {
 		req := &request.Request{ID: fmt.Sprint("x", i), SentAt: time.Now(), Timeout: time.Minute, Respond: func(request.Response) {}}
 		requestArrived{req}.apply(d)
@@ -175,10 +175,10 @@
 	u.attempts, u.actions, d.counts.ClientsGone = u.attempts[:1], u.actions[:1], 0
 }
 
-// Cancel reports whether an attempt may have run, also where the end of an attempt has found before that the client is gone.
+// Cancel reports whether an attempt may have run even if the end of the attempt has already shown that the client is gone.
 func TestCancelAfterClientWasFoundGone(t *testing.T) {
-	for how, want := range map[outcome.Kind]bool{outcome.Withdrawn: false, outcome.Declined: false, outcome.ResetByPeer: true} {
-		t.Run(how.String(), func(t *testing.T) {
+	for kind, want := range map[outcome.Kind]bool{outcome.Withdrawn: false, outcome.Declined: false, outcome.ResetByPeer: true} {
+		t.Run(kind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				u := new(delayedUpstream)
 				d, err := New(Options{Policy: policy.Config{MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: 1e4, Deadline: 6e4}}}, Upstream: u})
@@ -188,16 +188,16 @@
 				d.applyEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{{ID: "s", Address: "p:1", Phase: endpoints.Serving}}})
 				req := &request.Request{
 					ID: "a", SentAt: time.Now(), Timeout: time.Minute, ClientGone: func() bool { return true },
-					Respond: func(a request.Response) { t.Errorf("answered: %+v", a) },
+					Respond: func(resp request.Response) { t.Errorf("response to a client that is gone: %+v", resp) },
 				}
 				requestArrived{req}.apply(d)
 				req.CheckClientGone()
 				u.attempts[0].over = true
-				d.endAttempt(1, upstream.Result{Outcome: how})
+				d.endAttempt(1, upstream.Result{Outcome: kind})
 				reply := make(chan bool, 1)
 				clientGone{req, reply}.apply(d)
 				if got := <-reply; got != want || d.counts.ClientsGone != 1 || len(u.attempts) != 1 {
-					t.Errorf("may have run: %t, want %t; %d gone, %d attempts", got, want, d.counts.ClientsGone, len(u.attempts))
+					t.Errorf("may have run: %t, want %t; %d clients gone, %d attempts", got, want, d.counts.ClientsGone, len(u.attempts))
 				}
 			})
 		})
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -8,7 +8,8 @@
 	"plankrouter/policy"
 )
 
-// Reconfiguration is what a reload may change. Classes and tenants go by positions that keep their meaning for open requests.
+// Reconfiguration holds the settings that a reload may change. Positions of classes and tenants are stable:
+// they keep their meaning for open requests.
 type Reconfiguration struct {
 	Policy           policy.Config
 	Classes, Tenants stableid.Mapping
@@ -18,7 +19,7 @@
 
 var errStopped = errors.New("the dispatcher has stopped")
 
-// Reconfigure takes other settings, or none of them, and returns once they are in force.
+// Reconfigure applies all of the settings, or none if it returns an error, and returns once they are in force.
 func (d *Dispatcher) Reconfigure(c Reconfiguration) error {
 	err, ok := query(d, func(done chan<- error) event { return reconfigured{c, done} })
 	if !ok {
@@ -39,7 +40,7 @@
 	e.done <- err
 }
 
-// positions returns the numbers from 0 up to n.
+// positions returns the numbers from 0 to n-1.
 func positions(n int) []int {
 	out := make([]int, n)
 	for i := range out {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -11,46 +11,49 @@
 	"plankrouter/policy"
 )
 
-// maxUploadTime is how long a request may take whose body is still being sent.
+// maxUploadTime limits a request while its body is still being sent.
 const maxUploadTime = 10 * time.Minute
 
-// pendingRequest is a request that has no final answer yet, or whose attempt is still under way.
+// pendingRequest is a request that has no final response yet, or whose attempt has not ended.
 type pendingRequest struct {
-	request  *request.Request
-	attempts int       // so far
-	attempt  attemptID // under way, or noAttempt
-	mayRun   bool      // an attempt that has ended may have run
-	answered bool      // or its client is gone
+	request         *request.Request
+	attemptsStarted int       // started so far
+	attempt         attemptID // in flight, or noAttempt
+	endedMayHaveRun bool      // an attempt that has ended may have run
+	closed          bool      // it has its final response, or its client is gone
 }
 
-// underWay reports whether an attempt has not ended yet.
-func (p *pendingRequest) underWay() bool { return p.attempt != noAttempt }
+// inFlight reports whether an attempt has not ended yet.
+func (p *pendingRequest) inFlight() bool { return p.attempt != noAttempt }
 
-// mayHaveRun reports whether an attempt may have run, or may yet.
-func (p *pendingRequest) mayHaveRun() bool { return p.mayRun || p.underWay() }
+// mayHaveRun reports whether an attempt may have run or may still run.
+func (p *pendingRequest) mayHaveRun() bool { return p.endedMayHaveRun || p.inFlight() }
 
-// Submit hands over a request; with ClientGone and Ready it makes the Dispatcher a request.Dispatcher.
+// Submit passes a request to the dispatcher; it returns false if Run has ended. With ClientGone and Ready it implements
+// request.Dispatcher.
 func (d *Dispatcher) Submit(req *request.Request) bool { return d.send(requestArrived{req}) }
 
-// ClientGone reports that the client is gone. The event may have to wait behind others; nothing more is sent meanwhile all the same.
+// ClientGone reports that the request's client is gone. The event may be queued behind others, but nothing more of the request
+// is sent from now on.
 func (d *Dispatcher) ClientGone(req *request.Request) {
 	req.MarkClientGone()
 	d.send(clientGone{request: req})
 }
 
-// Cancel is ClientGone for a caller that has to know whether an attempt may have run. What has been answered meanwhile may have.
-func (d *Dispatcher) Cancel(req *request.Request) (mayRun bool) {
-	mayRun, ok := query(d, func(reply chan<- bool) event { return clientGone{req, reply} })
+// Cancel is like ClientGone, and returns whether an attempt may have run. After Run has ended, a request that the dispatcher does
+// not know counts as one that may have.
+func (d *Dispatcher) Cancel(req *request.Request) (mayHaveRun bool) {
+	mayHaveRun, ok := query(d, func(reply chan<- bool) event { return clientGone{req, reply} })
 	if ok {
-		return mayRun
+		return mayHaveRun
 	}
-	pending := d.requests[d.requestIDs[req]] // as Run has left it: nothing changes it any more
+	pending := d.requests[d.requestIDs[req]] // Run has ended: no other goroutine accesses the table
 	return pending == nil || pending.mayHaveRun()
 }
 
 func (e requestArrived) apply(d *Dispatcher) {
 	req := e.request
-	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // servers could not tell the two apart, and one might get the other's answer
+	if d.openIDs[req.ID] || d.openInPredecessor[req.ID] { // servers can't tell the two apart, and could mix up their responses
 		d.counts.Duplicates++
 		req.Respond(request.Response{Kind: request.Duplicate})
 		return
@@ -70,7 +73,8 @@
 	d.handle(policy.Event{Kind: policy.RequestArrived, Request: id, Class: req.Class, Tenant: req.Tenant, ClientRetry: req.ClientRetry})
 }
 
-// timeLeft is how long the request's client still waits at now. While its body is being sent that time has not begun: see bodySent.
+// timeLeft returns how long the request may still take at now. While its body is being sent, its own timeout has not started:
+// see bodySent.
 func (d *Dispatcher) timeLeft(req *request.Request, now time.Time) time.Duration {
 	switch {
 	case req.Remainder == nil:
@@ -81,7 +85,7 @@
 	return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
 }
 
-// waitLimit is how long its client waits in all, as long as this process lives.
+// waitLimit returns how long the request may take in all: its client's timeout, or less after a shutdown was scheduled.
 func (d *Dispatcher) waitLimit(req *request.Request) time.Duration {
 	if d.shutdownAt.IsZero() {
 		return req.Timeout
@@ -90,32 +94,32 @@
 }
 
 func (e clientGone) apply(d *Dispatcher) {
-	id, waits := d.requestIDs[e.request]
-	if !waits { // answered a moment ago, or its client was already found to be gone
-		if e.mayRun != nil {
-			e.mayRun <- e.request.MayHaveRun
+	id, open := d.requestIDs[e.request]
+	if !open { // it has its response, or its client was already found to be gone
+		if e.mayHaveRun != nil {
+			e.mayHaveRun <- e.request.MayHaveRun
 		}
 		return
 	}
 	pending := d.requests[id]
 	d.cancelRequest(id, pending)
 	d.handle(policy.Event{Kind: policy.ClientGone, Request: id})
-	if e.mayRun != nil {
-		e.mayRun <- pending.mayHaveRun()
+	if e.mayHaveRun != nil {
+		e.mayHaveRun <- pending.mayHaveRun()
 	}
 }
 
-// cancelRequest ends a request whose client is gone.
+// cancelRequest closes a request whose client is gone.
 func (d *Dispatcher) cancelRequest(id policy.RequestID, pending *pendingRequest) {
 	d.counts.ClientsGone++
-	d.traceRequest(pending.request, "left", "attempts=%d under_way=%t", pending.attempts, pending.underWay())
+	d.traceRequest(pending.request, "left", "attempts=%d in_flight=%t", pending.attemptsStarted, pending.inFlight())
 	d.closeRequest(id, pending)
 }
 
-// respond gives the one final answer, unless it was given.
+// respond gives the request its final response, unless it is closed. A rejection that mayReject forbids becomes a failure.
 func (d *Dispatcher) respond(id policy.RequestID, resp request.Response) {
 	pending := d.requests[id]
-	if pending == nil || pending.answered {
+	if pending == nil || pending.closed {
 		return
 	}
 	if resp.Kind == request.Rejected && !d.mayReject(pending) {
@@ -130,30 +134,30 @@
 	case request.Failed:
 		d.counts.Failed++
 	}
-	d.traceRequest(pending.request, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", resp.Kind, pending.attempts,
-		pending.mayRun, millis(time.Since(pending.request.SentAt)))
+	d.traceRequest(pending.request, "answered", "kind=%s attempts=%d may_have_run=%t took_ms=%.1f", resp.Kind, pending.attemptsStarted,
+		pending.endedMayHaveRun, millis(time.Since(pending.request.SentAt)))
 	d.closeRequest(id, pending)
 	resp.MayHaveRun = pending.request.MayHaveRun
 	pending.request.Respond(resp)
 }
 
-// closeRequest ends a request. An attempt that may have run goes on, unless the policy cancels it; one that was not sent yet is
-// withdrawn, since nobody waits for it.
+// closeRequest marks a request as closed. An attempt that may have run continues unless the policy cancels it; one that has not
+// been sent in full is withdrawn, since its response is no longer needed.
 func (d *Dispatcher) closeRequest(id policy.RequestID, pending *pendingRequest) {
-	pending.answered = true
+	pending.closed = true
 	delete(d.requestIDs, pending.request)
 	delete(d.openIDs, pending.request.ID)
 	d.withdrawAttempt(pending.attempt, outcome.Cancelled)
 	pending.request.MayHaveRun = pending.mayHaveRun()
-	if !pending.underWay() {
+	if !pending.inFlight() {
 		delete(d.requests, id)
 	}
 }
 
-// countUnserved counts why a request is refused or failed.
+// countUnserved counts the reason for which a request is rejected or failed.
 func (d *Dispatcher) countUnserved(action *policy.Action) {
 	pending := d.requests[action.Request]
-	if pending == nil || pending.answered {
+	if pending == nil || pending.closed {
 		return
 	}
 	if d.counts.UnservedByReason == nil {
@@ -163,7 +167,7 @@
 	d.traceRequest(pending.request, "unserved", "why=%s", action.Reason)
 }
 
-// Counts returns the present totals; after Run has ended, the last ones.
+// Counts returns the current totals, or the final ones after Run has ended.
 func (d *Dispatcher) Counts() Counts {
 	if counts, ok := query(d, func(reply chan<- Counts) event { return countsRequested{reply} }); ok {
 		return counts
@@ -177,7 +181,7 @@
 	e.reply <- counts
 }
 
-// OpenRequests returns the clients' ids of the requests that have no final answer yet.
+// OpenRequests returns the clients' ids of the requests without a final response, or nil if Run has ended.
 func (d *Dispatcher) OpenRequests() []string {
 	ids, _ := query(d, func(reply chan<- []string) event { return openRequestsRequested{reply} })
 	return ids
@@ -185,7 +189,8 @@
 
 func (e openRequestsRequested) apply(d *Dispatcher) { e.reply <- slices.Collect(maps.Keys(d.openIDs)) }
 
-// SetOpenInPredecessor replaces the ids of the requests that another process of the same sidecar has open.
+// SetOpenInPredecessor replaces the ids of the requests that are open in the predecessor: a request of such an id is a
+// duplicate.
 func (d *Dispatcher) SetOpenInPredecessor(ids []string) { d.send(predecessorRequestsListed{ids}) }
 
 func (e predecessorRequestsListed) apply(d *Dispatcher) {
--- a/internal/dispatch/restore.go
+++ b/internal/dispatch/restore.go
@@ -8,27 +8,27 @@
 	"plankrouter/policy"
 )
 
-// restore begins with the list and what was learned before, instead of the configuration's list alone.
-func (d *Dispatcher) restore(before *snapshot.Restored) {
-	now := d.restoreList(before)
-	state := d.restoredState(&before.Learned)
+// restore starts from the endpoint list and the learned state of a snapshot. What can't be restored is logged.
+func (d *Dispatcher) restore(restored *snapshot.Restored) {
+	now := d.restoreList(restored)
+	state := d.restoredState(&restored.Learned)
 	if err := d.balancer.Restore(&state); err != nil {
 		d.options.Logf("snapshot=policy state=not_restored err=%q", err)
 	}
-	if len(before.Reuse) > 0 {
-		age := duration(d.clock.at(now) - before.Learned.Now)
-		if err := d.options.Upstream.Restore(now, before.Reuse, age); err != nil {
+	if len(restored.Reuse) > 0 {
+		age := duration(d.clock.at(now) - restored.Learned.Now)
+		if err := d.options.Upstream.Restore(now, restored.Reuse, age); err != nil {
 			d.options.Logf("snapshot=connections state=not_restored err=%q", err)
 		}
 	}
 }
 
-// restoreList takes the list of the process before this one, and returns when it was taken.
-func (d *Dispatcher) restoreList(before *snapshot.Restored) (now time.Time) {
-	listed := before.List
+// restoreList applies the list of the snapshot, and returns when it did so.
+func (d *Dispatcher) restoreList(restored *snapshot.Restored) (now time.Time) {
+	listed := restored.List
 	listed.Members = nil
 	d.predecessorAges = map[string]processAge{}
-	for _, member := range before.List.Members {
+	for _, member := range restored.List.Members {
 		if member.Phase == endpoints.Deleted {
 			d.rememberDeleted(member)
 			continue
@@ -42,14 +42,14 @@
 	d.predecessorAges = nil
 	now = time.Now()
 	for _, member := range listed.Members {
-		if id, have := d.serverIDs[member.ID]; have && member.PhaseSince > 0 {
-			d.servers[id].phaseSince = d.timeOfDate(member.PhaseSince, now) // a drain does not begin anew with this process
+		if id, found := d.serverIDs[member.ID]; found && member.PhaseSince > 0 {
+			d.servers[id].phaseSince = d.timeOfDate(member.PhaseSince, now) // the grace of a drain is not restarted
 		}
 	}
 	return now
 }
 
-// restoredState returns what was learned before as the policy's state, as far as it is about servers that are listed.
+// restoredState converts the learned state of a snapshot to the policy's state, without servers that are not listed.
 func (d *Dispatcher) restoredState(learned *snapshot.Learned) policy.State {
 	state := policy.State{
 		SumLoadSquared: learned.Fit.SumLoadSquared, SumLoadLatency: learned.Fit.SumLoadLatency, FittedAt: learned.Fit.FittedAt, FleetLatency: learned.FleetLatency,
@@ -64,18 +64,18 @@
 		state.Tenants = append(state.Tenants, policy.Level{Value: tenant.Tokens, At: fromSnapshotTime(tenant.At)})
 	}
 	for _, server := range learned.Servers {
-		if id, have := d.serverIDs[server.Name]; have {
+		if id, found := d.serverIDs[server.Name]; found {
 			state.Servers = append(state.Servers, d.restoredServer(id, server))
 		}
 	}
 	return state
 }
 
-// restoredServer returns what was learned of one server's process.
+// restoredServer converts the learned state of one server's process.
 func (d *Dispatcher) restoredServer(id policy.ServerID, server snapshot.LearnedServer) policy.ServerState {
 	startedAt := server.StartedAt
-	if origin := d.servers[id].origin; origin.listedDate == startedAt {
-		startedAt = origin.listedAt
+	if start := d.servers[id].processStart; start.listedDate == startedAt {
+		startedAt = start.listedAt
 	}
 	state := policy.ServerState{
 		ID: id, StartedAt: startedAt, Latency: server.Latency, LatencyReported: server.LatencyReported,
--- a/internal/dispatch/servers.go
+++ b/internal/dispatch/servers.go
@@ -15,22 +15,22 @@
 // noZone is the position of a zone that the policy's settings do not name.
 const noZone = -1
 
-// serverRecord is a server that the list has named.
+// serverRecord is a server that is listed, or was and still has an attempt or probe in flight.
 type serverRecord struct {
-	name          string             // its id in the list
-	endpoint      endpoints.Endpoint // as last listed
-	origin        origin             // of the process that it names
-	phaseSince    time.Time          // when the present phase was listed
-	process       upstream.Endpoint
-	health        policy.Health
-	firstByteBy   time.Time // once it drains or is gone
-	attempts      int       // and probes under way
-	reportedAt    time.Time // its last load report came
-	excludedSince time.Time // by the policy; zero = it is not
-	liveness      staleness.Liveness
+	name              string             // id in the list
+	endpoint          endpoints.Endpoint // as last listed
+	processStart      processStart       // of the listed process
+	phaseSince        time.Time          // when the present phase was listed
+	process           upstream.Endpoint
+	health            policy.Health
+	firstByteDeadline time.Time // if it drains or is gone: no first byte of an attempt later than this; zero = no limit
+	attemptsInFlight  int       // attempts and probes in flight
+	reportedAt        time.Time // when its last load report arrived; set only while tracing; zero = none yet
+	excludedSince     time.Time // by the policy, as seen by reportServers; zero = it is not
+	liveness          staleness.Liveness
 }
 
-// UpdateEndpoints takes a list, or changes of it, that arrived at that moment.
+// UpdateEndpoints queues a complete list, or changes to it, that arrived at that time.
 func (d *Dispatcher) UpdateEndpoints(list endpoints.List, at time.Time) {
 	d.sendTo(d.listEvents, endpointsUpdated{list, at})
 }
@@ -40,43 +40,43 @@
 	d.applyEndpointsAt(e.List, e.arrivedAt)
 }
 
-// SetListValidity takes until when the list may be relied on from now on.
+// SetListValidity queues a new validity of the list.
 func (d *Dispatcher) SetListValidity(validity staleness.Validity) {
 	d.sendTo(d.listEvents, listValidityChanged(validity))
 }
 
 func (e listValidityChanged) apply(d *Dispatcher) {
 	d.listValidity = staleness.Validity(e)
-	pickFor, _ := staleness.DrainLimits(d.options.DrainGrace)
+	pickWindow, _ := staleness.DrainLimits(d.options.DrainGrace)
 	d.handle(policy.Event{
-		Kind: policy.ListValidityChanged, TimeLeft: millis(time.Until(e.ListUntil) + pickFor),
+		Kind: policy.ListValidityChanged, TimeLeft: millis(time.Until(e.ListUntil) + pickWindow),
 		Elapsed: millis(time.Until(e.ProcessUntil)),
 	})
 }
 
-// IsListed reports whether the list has a server of that id, in whatever phase.
+// IsListed reports whether the list has a server of that id, draining ones included.
 func (d *Dispatcher) IsListed(server string) bool {
-	is, _ := query(d, func(reply chan<- bool) event { return serverLookup{server, reply} })
-	return is
+	listed, _ := query(d, func(reply chan<- bool) event { return serverLookup{server, reply} })
+	return listed
 }
 
 func (e serverLookup) apply(d *Dispatcher) {
-	id, have := d.serverIDs[e.server]
-	e.reply <- have && d.servers[id].isListed()
+	id, found := d.serverIDs[e.server]
+	e.reply <- found && d.servers[id].isListed()
 }
 
-// isListed is false for a server that is gone, whose record remains while an attempt to it is under way.
+// isListed reports whether the list has the server. The record of one that is gone remains while an attempt to it is in flight.
 func (s *serverRecord) isListed() bool { return s != nil && s.health != policy.Gone }
 
-// applyEndpoints takes a list as of now.
+// applyEndpoints applies a list as of now.
 func (d *Dispatcher) applyEndpoints(list endpoints.List) { d.applyEndpointsAt(list, time.Now()) }
 
-// applyEndpointsAt takes a list that arrived at that moment, with the cordons applied to it: the server table first, then the policy.
+// applyEndpointsAt applies a list that arrived at that time, and the cordons, to the server table and then to the policy.
 func (d *Dispatcher) applyEndpointsAt(list endpoints.List, arrivedAt time.Time) {
 	d.listRevision = list.Revision
 	now := time.Now()
 	d.observeWallClock(now)
-	replaced := map[upstream.Endpoint]bool{} // processes in whose place there is another one by now
+	replaced := map[upstream.Endpoint]bool{} // processes that the list replaces by another
 	infos := make([]policy.ServerInfo, 0, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
 		infos = append(infos, d.applyEndpoint(endpoint, arrivedAt, now, replaced))
@@ -86,15 +86,16 @@
 	}
 	d.dropGoneServers(now)
 	d.handle(policy.Event{Kind: policy.EndpointsUpdated, Complete: list.Complete, Servers: infos})
-	d.reportedAt = time.Time{}
-	for id, attempt := range d.attempts { // once the policy knows the list: what is withdrawn may be sent again
+	d.serversReportedAt = time.Time{}
+	for id, attempt := range d.attempts { // after the policy has the list: withdrawn attempts may be retried
 		if replaced[attempt.process] {
 			d.withdrawAttempt(id, outcome.ServerDraining)
 		}
 	}
 }
 
-// applyEndpoint enters one server in the table, and returns it as the policy is to know it. A process that it replaces is noted.
+// applyEndpoint updates one server in the table, and returns its entry for the policy. A process that it replaces is added to
+// replaced.
 func (d *Dispatcher) applyEndpoint(endpoint endpoints.Endpoint, arrivedAt, now time.Time, replaced map[upstream.Endpoint]bool) policy.ServerInfo {
 	id := d.serverID(endpoint.ID)
 	zone, known := d.zonePositions[endpoint.Zone]
@@ -110,41 +111,41 @@
 		d.servers[id] = server
 	}
 	if endpoint.Address != "" && endpoint.Address != server.process.Address() || endpoint.StartedAt != server.endpoint.StartedAt {
-		server.process.Close() // another process: nobody answers for it at the old address or on the old connections
+		server.process.Close() // another process: the old address and connections don't lead to it
 		replaced[server.process] = true
 		server.process = d.options.Upstream.Endpoint(endpoint.ID, cmp.Or(endpoint.Address, server.process.Address()))
 		server.liveness = staleness.Liveness{}
 	}
 	server.endpoint = endpoint
-	server.origin = d.originOf(server, endpoint, now)
+	server.processStart = d.processStartOf(server, endpoint, now)
 	health, since := d.effectiveHealth(endpoint, arrivedAt, now)
 	info := policy.ServerInfo{
-		ID: id, Zone: zone, Cell: endpoint.Cell, Health: health, StartedAt: server.origin.startedAt,
-		Uncordoned: health == policy.Ready && server.health == policy.Draining && server.origin.startedAt > server.origin.listedAt,
+		ID: id, Zone: zone, Cell: endpoint.Cell, Health: health, StartedAt: server.processStart.startedAt,
+		Uncordoned: health == policy.Ready && server.health == policy.Draining && server.processStart.startedAt > server.processStart.listedAt,
 	}
 	d.setHealth(id, server, health, since)
 	return info
 }
 
-// removeUnlisted marks as gone what a complete list does not name.
+// removeUnlisted marks the servers that a complete list does not contain as gone.
 func (d *Dispatcher) removeUnlisted(listed []endpoints.Endpoint, arrivedAt time.Time) {
-	named := make(map[string]bool, len(listed))
+	isListed := make(map[string]bool, len(listed))
 	for _, endpoint := range listed {
-		named[endpoint.ID] = true
+		isListed[endpoint.ID] = true
 	}
 	for id, server := range d.servers {
-		if !named[server.name] {
+		if !isListed[server.name] {
 			d.setHealth(id, server, policy.Gone, arrivedAt)
 		}
 	}
 }
 
-// dropGoneServers removes the servers that are gone and have no attempt under way, and notes whether any is left to send to.
+// dropGoneServers removes the servers that are gone and have no attempt in flight, and updates what Ready returns.
 func (d *Dispatcher) dropGoneServers(now time.Time) {
 	ready := false
 	for id, server := range d.servers {
 		ready = ready || server.health == policy.Ready
-		if server.health == policy.Gone && server.attempts == 0 {
+		if server.health == policy.Gone && server.attemptsInFlight == 0 {
 			d.rememberDeleted(d.snapshotMember(server, now))
 			delete(d.servers, id)
 			d.options.Upstream.Forget(server.name)
@@ -155,7 +156,7 @@
 	d.ready.Store(ready)
 }
 
-// healthOfPhase reads a phase of the list. A server in an unknown one gets no new work: it is not the phase that asks for it.
+// healthOfPhase converts a phase of the list. A server in an unknown phase counts as draining, so that it gets no new attempts.
 func healthOfPhase(phase string) policy.Health {
 	switch phase {
 	case endpoints.Serving:
@@ -166,7 +167,8 @@
 	return policy.Draining
 }
 
-// setHealth notes a server's health and, when it leaves, the end of the grace for attempts that still connect.
+// setHealth sets a server's health as of since. When a server stops being ready, its idle connections are closed, and attempts
+// that are not written yet must be sent within the drain grace.
 func (d *Dispatcher) setHealth(id policy.ServerID, server *serverRecord, health policy.Health, since time.Time) {
 	before := server.health
 	server.health = health
@@ -176,25 +178,26 @@
 	}
 	switch {
 	case health == policy.Ready:
-		server.firstByteBy = time.Time{}
+		server.firstByteDeadline = time.Time{}
 		if before != policy.Ready {
 			server.process = d.options.Upstream.Endpoint(server.name, server.process.Address())
 		}
 	case before == policy.Ready:
 		server.process.Close()
-		_, writeFor := staleness.DrainLimits(d.options.DrainGrace)
-		server.firstByteBy = since.Add(writeFor)
+		_, writeWindow := staleness.DrainLimits(d.options.DrainGrace)
+		server.firstByteDeadline = since.Add(writeWindow)
 		for _, attempt := range d.attempts {
 			if attempt.server == id {
-				attempt.running.StartBy(server.firstByteBy)
+				attempt.upstreamAttempt.StartBy(server.firstByteDeadline)
 			}
 		}
 	}
 }
 
-// serverID returns the policy's number of the server with that id in the list: the same in every life of its process and of this one.
+// serverID returns the policy's id of the server with that id in the list, and assigns one to a new server: a hash, incremented
+// on a collision, so that restarts of the server and of this process normally keep it.
 func (d *Dispatcher) serverID(name string) policy.ServerID {
-	if id, have := d.serverIDs[name]; have {
+	if id, found := d.serverIDs[name]; found {
 		return id
 	}
 	hash := fnv.New32a()
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -9,11 +9,12 @@
 	"plankrouter/policy"
 )
 
-// ShuttingDown is why a request is refused that arrives when this process may be killed soon. The policy is not asked: it knows nothing
-// of processes.
+// ShuttingDown is the reason for rejecting a request that arrives when this process may be killed soon. The dispatcher decides
+// that itself: the policy knows nothing about processes.
 const ShuttingDown policy.Reason = "ending"
 
-// ScheduleShutdown reports that the process was told to stop at that moment: requests are answered in time for that from then on.
+// ScheduleShutdown reports that the process was signalled at that time to stop. Requests are answered by the schedule's
+// deadlines from then on.
 func (d *Dispatcher) ScheduleShutdown(schedule shutdown.Schedule, at time.Time) {
 	d.send(shutdownScheduled{schedule, at})
 }
@@ -23,23 +24,23 @@
 	d.shutdownSchedule = e.schedule
 	for id, pending := range d.requests {
 		req := pending.request
-		uploading := req.Remainder != nil // its body may still be sent: then its own deadline is not set yet
+		uploading := req.Remainder != nil // its body may still be sent, and its own deadline is not known then
 		end := req.SentAt.Add(d.waitLimit(req))
 		if uploading {
 			end = d.shutdownAt.Add(e.schedule.LastAnswer)
 		}
-		if !pending.answered && (uploading || end.Before(req.SentAt.Add(req.Timeout))) {
-			heap.Push(&d.timers, &timer{fireAt: end, handle: uint64(id)}) // the policy ends the request as at its own deadline
+		if !pending.closed && (uploading || end.Before(req.SentAt.Add(req.Timeout))) {
+			heap.Push(&d.timers, &timer{fireAt: end, handle: uint64(id)}) // the policy handles it like the request's own deadline
 		}
 	}
 }
 
-// isPastLastForward reports whether this process may be killed so soon that it sends nothing new.
+// isPastLastForward reports whether this process may be killed so soon that it forwards no new request.
 func (d *Dispatcher) isPastLastForward(now time.Time) bool {
 	return !d.shutdownAt.IsZero() && now.Sub(d.shutdownAt) >= d.shutdownSchedule.LastForward
 }
 
-// rejectForShutdown refuses a request of which nothing was sent.
+// rejectForShutdown rejects a request of which nothing was sent.
 func (d *Dispatcher) rejectForShutdown(id policy.RequestID) {
 	d.countUnserved(&policy.Action{Request: id, Reason: ShuttingDown})
 	d.respond(id, request.Response{Kind: request.Rejected})
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -11,10 +11,12 @@
 	"plankrouter/policy"
 )
 
-// maxDeletedServers bounds the deleted servers that the next process gets to know: a release may replace all at once.
+// maxDeletedServers limits the number of deleted servers in a snapshot. A release may replace all servers of a large fleet at
+// once.
 const maxDeletedServers = 2048
 
-// Snapshot returns what the sidecar has learned, or nil if Run has ended. The address of discovery is filled in by the caller.
+// Snapshot returns the endpoint list and the learned state for a later process, or nil if Run has ended. The caller fills in the
+// address of discovery.
 func (d *Dispatcher) Snapshot() *snapshot.Snapshot {
 	snap, _ := query(d, func(reply chan<- *snapshot.Snapshot) event { return snapshotRequested{reply} })
 	return snap
@@ -22,7 +24,7 @@
 
 func (e snapshotRequested) apply(d *Dispatcher) { e.reply <- d.snapshot(time.Now()) }
 
-// snapshot gives the policy's state the names by which the next process knows its servers.
+// snapshot builds the snapshot, in which the policy's state refers to servers by their ids in the list.
 func (d *Dispatcher) snapshot(now time.Time) *snapshot.Snapshot {
 	state := d.balancer.State()
 	out := &snapshot.Snapshot{
@@ -40,7 +42,7 @@
 		Arrivals: snapshot.Rate{Value: state.Arrivals.Value, At: state.Arrivals.At},
 		Sends:    snapshot.Rate{Value: state.Sends.Value, At: state.Sends.At},
 	}
-	for _, position := range d.classPositions { // the next process numbers them in the order of the settings
+	for _, position := range d.classPositions { // in the order of the settings, by which the next process numbers them
 		class := state.Classes[position]
 		learned.Fit.Classes = append(learned.Fit.Classes, snapshot.ClassFit{Count: class.Count, Sum: class.Sum})
 	}
@@ -55,7 +57,7 @@
 	return out
 }
 
-// snapshotServer returns what was learned of a server's process.
+// snapshotServer converts what the policy has learned about a server's process.
 func (d *Dispatcher) snapshotServer(server policy.ServerState) snapshot.LearnedServer {
 	out := snapshot.LearnedServer{
 		StartedAt: d.startDate(server), Latency: server.Latency, LatencyReported: server.LatencyReported,
@@ -65,19 +67,19 @@
 	if record := d.servers[server.ID]; record != nil {
 		out.Name = record.name
 	}
-	for who := range 1 + len(d.tenantPositions) { // of all requests, then by tenant
+	for i := range 1 + len(d.tenantPositions) { // those of all requests, then by tenant
 		tally := server.Outcomes[0]
-		if who > 0 {
-			tally = server.Outcomes[1+d.tenantPositions[who-1]]
+		if i > 0 {
+			tally = server.Outcomes[1+d.tenantPositions[i-1]]
 		}
 		if tally.Successes+tally.Failures > 0 {
-			out.Outcomes = append(out.Outcomes, snapshot.Tally{Tenant: uint32(who), Successes: tally.Successes, Failures: tally.Failures, At: tally.At})
+			out.Outcomes = append(out.Outcomes, snapshot.Tally{Tenant: uint32(i), Successes: tally.Successes, Failures: tally.Failures, At: tally.At})
 		}
 	}
 	return out
 }
 
-// snapshotMembers returns the list, in the order of ids, with the servers that were deleted lately.
+// snapshotMembers returns the listed servers and those in deletedServers, sorted by id.
 func (d *Dispatcher) snapshotMembers(now time.Time) (members []snapshot.Member) {
 	for _, server := range d.servers {
 		members = append(members, d.snapshotMember(server, now))
@@ -91,39 +93,40 @@
 	return members
 }
 
-// snapshotMember returns a server's line of the list.
+// snapshotMember returns a server's entry in the snapshot.
 func (d *Dispatcher) snapshotMember(server *serverRecord, now time.Time) snapshot.Member {
 	phase := server.endpoint.Phase
-	if server.health == policy.Gone { // also where a complete list does not name it
+	if server.health == policy.Gone { // including those that a complete list does not contain
 		phase = endpoints.Deleted
 	}
 	member := snapshot.Member{
 		ID: server.endpoint.ID, Address: server.process.Address(), Zone: server.endpoint.Zone, Cell: server.endpoint.Cell, Phase: phase,
 		StartedAt: server.endpoint.StartedAt, PhaseSince: math.Floor(d.dateOfTime(server.phaseSince, now)),
 	}
-	if server.origin.listedAt > 0 {
-		member.Age = max(1, d.clock.at(now)-server.origin.listedAt) // an age of 0 is none
+	if server.processStart.listedAt > 0 {
+		member.Age = max(1, d.clock.at(now)-server.processStart.listedAt) // an age of 0 means unknown
 	}
 	return member
 }
 
-// rememberDeleted keeps a deleted server for the next process, in place of the one deleted longest ago.
+// rememberDeleted adds a server to deletedServers. Beyond maxDeletedServers, the one deleted longest ago is dropped.
 func (d *Dispatcher) rememberDeleted(deleted snapshot.Member) {
 	d.deletedServers = slices.DeleteFunc(d.deletedServers, func(m snapshot.Member) bool { return m.ID == deleted.ID })
 	d.deletedServers = append(d.deletedServers, deleted)
 	d.deletedServers = d.deletedServers[max(0, len(d.deletedServers)-maxDeletedServers):]
 }
 
-// startDate is the date that the list gives the start of the process of which the policy has learned; one that operators have put back
-// may be another by now, and the list has no date of it.
+// startDate returns the date in the list of the start of the process that the policy's state is about. For a process that may
+// have been restarted while it was cordoned, the list has no date: the policy's own time takes its place.
 func (d *Dispatcher) startDate(server policy.ServerState) float64 {
-	if record := d.servers[server.ID]; record != nil && record.origin.listedAt == server.StartedAt {
-		return record.origin.listedDate
+	if record := d.servers[server.ID]; record != nil && record.processStart.listedAt == server.StartedAt {
+		return record.processStart.listedDate
 	}
 	return server.StartedAt
 }
 
-// toSnapshotTime turns the policy's time of what never happened, minus infinity, into the snapshot's, 0.
+// toSnapshotTime converts the policy's value for "never", minus infinity, to that of the snapshot, 0. Other times stay as they
+// are.
 func toSnapshotTime(at policy.Ms) float64 {
 	if math.IsInf(at, -1) {
 		return 0
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -12,8 +12,8 @@
 	"plankrouter/policy"
 )
 
-// A drain that was listed before a restart, and what was learned of a server, are known to the next process; its own configuration
-// knows neither. The drain has begun when it was listed, and nothing is known of a server's next process.
+// Guards against a successor that restarts the grace of a drain, or that uses the learned state of a server for its next
+// process. The configuration of the successor has neither the drain nor the learned state.
 func TestRestoreAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
@@ -62,17 +62,17 @@
 			t.Fatal(err)
 		}
 		got := map[string]any{}
-		for _, k := range next.servers {
-			got[k.name] = []any{k.health, k.phaseSince.Sub(drainedAt).Round(time.Second)}
+		for _, server := range next.servers {
+			got[server.name] = []any{server.health, server.phaseSince.Sub(drainedAt).Round(time.Second)}
 		}
-		for _, one := range next.balancer.State().Servers {
-			if one.Latency > 0 {
-				got["latency of "+next.servers[one.ID].name] = one.Latency
+		for _, server := range next.balancer.State().Servers {
+			if server.Latency > 0 {
+				got["latency of "+next.servers[server.ID].name] = server.Latency
 			}
 		}
-		for _, m := range next.snapshot(time.Now()).Members {
-			if m.Phase == endpoints.Deleted {
-				got["deleted"] = m.ID
+		for _, member := range next.snapshot(time.Now()).Members {
+			if member.Phase == endpoints.Deleted {
+				got["deleted"] = member.ID
 			}
 		}
 		want := map[string]any{
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -8,13 +8,13 @@
 	"plankrouter/policy"
 )
 
-// timerKind says what is to be done when a timer fires.
+// timerKind selects what happens when a timer fires.
 type timerKind uint8
 
 const (
-	policyTimer    timerKind = iota // the policy has set it
-	attemptTimeout                  // an attempt's time is up
-	attemptExpiry                   // an attempt that is not written whole must not be any more
+	policyTimer    timerKind = iota // set by the policy
+	attemptTimeout                  // cancels the attempt
+	attemptExpiry                   // withdraws the attempt if its last byte has not been written
 )
 
 // notQueued is the index of a timer that is not in the heap.
@@ -23,12 +23,12 @@
 type timer struct {
 	kind    timerKind
 	fireAt  time.Time
-	handle  uint64    // the policy's, of a policyTimer
-	attempt attemptID // of the others
+	handle  uint64    // of a policyTimer, as set by the policy
+	attempt attemptID // of the other kinds
 	index   int       // in timers, or notQueued
 }
 
-// fireTimers handles the timers whose time has come.
+// fireTimers handles the timers that are due.
 func (d *Dispatcher) fireTimers() {
 	for len(d.timers) > 0 && !time.Now().Before(d.timers[0].fireAt) {
 		t := heap.Pop(&d.timers).(*timer)
@@ -43,7 +43,7 @@
 	}
 }
 
-// timers is a heap.Interface, the earliest first.
+// timers is a heap.Interface with the earliest timer first.
 type timers []*timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -9,10 +9,10 @@
 	"plankrouter/policy"
 )
 
-// unknownMs stands in the trace for a time that is not known.
+// unknownMs is the value in the trace of an unknown duration.
 const unknownMs = -1.0
 
-// traceStart logs what an attempt is decided on: the age of the server's last report and of its process, in ms.
+// traceStart logs the start of an attempt or probe, with the ages of the server's last load report and of its process, in ms.
 func (d *Dispatcher) traceStart(attempt *attemptRecord, server *serverRecord) {
 	if d.options.Trace == nil {
 		return
@@ -21,26 +21,26 @@
 	if !server.reportedAt.IsZero() {
 		reportAge = millis(attempt.startedAt.Sub(server.reportedAt))
 	}
-	if server.origin.startedAt > 0 {
-		processAge = d.clock.at(attempt.startedAt) - server.origin.startedAt
+	if server.processStart.startedAt > 0 {
+		processAge = d.clock.at(attempt.startedAt) - server.processStart.startedAt
 	}
 	d.options.Trace("trace=start of=%s provider=%s try=%d news_ms=%.0f age_ms=%.0f request=%s", attempt.traceName(), server.name,
 		attempt.number, reportAge, processAge, d.traceRequestID(attempt))
 }
 
-// traceEnd logs how it ended, and takes note of a report.
-func (d *Dispatcher) traceEnd(attempt *attemptRecord, server *serverRecord, how outcome.Kind, took policy.Ms) {
+// traceEnd logs the end of an attempt or probe, and records when a probe was answered for later calls of traceStart.
+func (d *Dispatcher) traceEnd(attempt *attemptRecord, server *serverRecord, kind outcome.Kind, took policy.Ms) {
 	if d.options.Trace == nil || server == nil {
 		return
 	}
-	if attempt.isProbe && how == outcome.Served {
+	if attempt.isProbe && kind == outcome.Served {
 		server.reportedAt = time.Now()
 	}
-	d.options.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", attempt.traceName(), server.name, how, took,
+	d.options.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", attempt.traceName(), server.name, kind, took,
 		d.traceRequestID(attempt))
 }
 
-// traceName is the attempt's kind in the trace, whose readers know it by that word.
+// traceName returns the kind of the attempt in the trace; tools that read the trace match these names.
 func (a *attemptRecord) traceName() string {
 	if a.isProbe {
 		return "probe"
@@ -48,7 +48,7 @@
 	return "call"
 }
 
-// traceRequestID returns the id of the request that an attempt is for, escaped so that it is one word of the log; "-" = none.
+// traceRequestID returns the id of the attempt's request, escaped so that it contains no space; "-" = none.
 func (d *Dispatcher) traceRequestID(attempt *attemptRecord) string {
 	if pending := d.requests[attempt.request]; pending != nil && !attempt.isProbe {
 		return url.QueryEscape(pending.request.ID)
@@ -69,8 +69,8 @@
 		return
 	}
 	firstByteLeft := unknownMs // no limit
-	if !server.firstByteBy.IsZero() {
-		firstByteLeft = max(0, millis(time.Until(server.firstByteBy)))
+	if !server.firstByteDeadline.IsZero() {
+		firstByteLeft = max(0, millis(time.Until(server.firstByteDeadline)))
 	}
 	d.options.Trace("trace=server provider=%s was=%s is=%s first_byte_ms=%.0f", server.name, before, server.health, firstByteLeft)
 }
