--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the front end for operators: it listens at an address of their own, reads one request from each connection and
-// answers it. It decides nothing; what operators ask goes through Operations.
+// Package admin is the HTTP front end for operators. It listens on an address of its own and serves one request per connection,
+// by calls of Operations.
 package admin
 
 import (
@@ -20,43 +20,43 @@
 )
 
 const (
-	// MaxConns is the number of connections that this front end normally has, beside its listener.
+	// MaxConns is the usual limit on open connections, the listener not included; New may get a lower one.
 	MaxConns = 16
 
-	requestTimeout = 2 * time.Second        // until the whole request was read
-	writeTimeout   = 800 * time.Millisecond // for writing the answer: operators wait for a second
-	lingerTime     = 200 * time.Millisecond // until a connection is closed whose client goes on sending
-	acceptPause    = 5 * time.Millisecond   // after an error of accept
-	minConns       = 2                      // see New
+	requestTimeout   = 2 * time.Second        // for reading the whole request
+	writeTimeout     = 800 * time.Millisecond // for writing the response: operators wait for 1 s
+	lingerTimeout    = 200 * time.Millisecond // after the response, before closing a connection whose client is still sending
+	acceptRetryDelay = 5 * time.Millisecond   // before accepting again after an error
+	minConns         = 2                      // see New
 )
 
-// Operations are what operators may ask for. None may wait for the network.
+// Operations are the operations that operators may request. None may block on the network.
 type Operations interface {
-	Ready() bool // a request would be served
+	Ready() bool // whether a request could be served
 	Metrics() metrics.Values
-	Cordon(id string) error   // cordons that server; cordon.ErrUnknownServer
-	Uncordon(id string) error // uncordons it; cordon.ErrUnknownServer
+	Cordon(id string) error   // returns cordon.ErrUnknownServer if the server is neither listed nor cordoned
+	Uncordon(id string) error // likewise
 }
 
-// Server is the front end.
+// Server is the front end for operators.
 type Server struct {
 	operations Operations
-	maxOpen    int // connections that are read from or answered
+	maxServed  int // limit on open connections, without the one that waits for capacity
 
 	mu      sync.Mutex
 	open    int
-	reading list.List     // of net.Conn whose request is not read whole yet, the oldest first
-	freed   chan struct{} // gets an element when a connection is closed
+	reading list.List     // of net.Conn whose request is not complete yet, oldest first
+	freed   chan struct{} // receives an element when a connection was closed
 	running errgroup.Group
 }
 
-// New returns a front end with conns connections at most, of which one has just been accepted and waits for the room that another makes;
-// below 2 counts as 2.
+// New returns a front end with at most conns open connections. One of these is reserved for a connection that was accepted and
+// waits until another one is closed, so that the minimum is 2; a smaller conns counts as 2.
 func New(operations Operations, conns int) *Server {
-	return &Server{operations: operations, maxOpen: max(minConns, conns) - 1, freed: make(chan struct{}, 1)}
+	return &Server{operations: operations, maxServed: max(minConns, conns) - 1, freed: make(chan struct{}, 1)}
 }
 
-// Serve answers requests until ctx ends.
+// Serve accepts connections and serves their requests until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	defer func() { _ = s.running.Wait() }() // its goroutines return no error
@@ -71,13 +71,13 @@
 		case err != nil:
 			log.Printf("admin=%s state=accept_failed err=%q", l.Addr(), err)
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			case <-ctx.Done():
 				return nil
 			}
 			continue
 		}
-		s.waitForRoom(ctx)
+		s.waitForCapacity(ctx)
 		s.mu.Lock()
 		s.open++
 		position := s.reading.PushBack(conn)
@@ -91,12 +91,13 @@
 	}
 }
 
-// waitForRoom returns once there is room for another connection. It closes the one whose request is incomplete for longest; all others
-// are being answered, which takes a moment.
-func (s *Server) waitForRoom(ctx context.Context) {
+// waitForCapacity returns once another connection may be served. If the limit is reached, it closes the connection whose
+// request has been incomplete for longest. If all requests are complete, it waits for a response to be sent, which is limited
+// by writeTimeout.
+func (s *Server) waitForCapacity(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		full, oldest := s.open >= s.maxOpen, s.reading.Front()
+		full, oldest := s.open >= s.maxServed, s.reading.Front()
 		if full && oldest != nil {
 			s.reading.Remove(oldest).(net.Conn).Close()
 		}
@@ -112,7 +113,7 @@
 	}
 }
 
-// release closes a connection and makes room for another.
+// release closes a connection and frees its place.
 func (s *Server) release(conn net.Conn, position *list.Element) {
 	conn.Close()
 	s.mu.Lock()
@@ -125,7 +126,7 @@
 	}
 }
 
-// serve reads the connection's request and answers it.
+// serve reads the request of a connection and writes the response.
 func (s *Server) serve(conn net.Conn, position *list.Element) {
 	conn.SetDeadline(time.Now().Add(requestTimeout))
 	br := http1.NewReader(conn)
@@ -143,11 +144,11 @@
 	var resp http1.Response
 	switch {
 	case err == nil:
-		resp = s.answer(req)
+		resp = s.handle(req)
 	case errors.Is(err, http1.ErrMalformed):
 		resp = textResponse(400, err.Error())
 	case errors.Is(err, os.ErrDeadlineExceeded) && br.Buffered() > 0:
-		resp = textResponse(408, "no whole call came in time")
+		resp = textResponse(408, "timed out before the whole request was received")
 	default:
 		return
 	}
@@ -156,9 +157,9 @@
 	if _, err := conn.Write(http1.AppendResponse(nil, &resp, false)); err != nil {
 		return
 	}
-	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok { // a plain close may overtake the answer as a reset
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok { // a plain close could reset it before the response arrives
 		_ = halfCloser.CloseWrite() // the connection is closed anyway
-		conn.SetReadDeadline(time.Now().Add(lingerTime))
+		conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		_, _ = io.CopyN(io.Discard, br, http1.MaxBody) // likewise
 	}
 }
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -11,7 +11,7 @@
 	"plankrouter/internal/http1"
 )
 
-// The operators' paths.
+// The paths that operators request.
 const (
 	pathReady   = "/ready"
 	pathMetrics = "/metrics"
@@ -19,45 +19,45 @@
 	pathEnable  = "/tile-servers/enable"
 )
 
-// answer carries out a request.
-func (s *Server) answer(req *http1.Request) http1.Response {
+// handle executes a request and returns the response.
+func (s *Server) handle(req *http1.Request) http1.Response {
 	target := req.Target
-	if u, err := url.Parse(target); err == nil && u.Host != "" { // the absolute form
+	if u, err := url.Parse(target); err == nil && u.Host != "" { // absolute-form request target
 		target = u.RequestURI()
 	}
 	path, query, _ := strings.Cut(target, "?")
-	var answer func() http1.Response
+	var respond func() http1.Response
 	method := "GET"
 	switch path {
 	case pathReady:
-		answer = s.answerReady
+		respond = s.readyResponse
 	case pathMetrics:
-		answer = s.answerMetrics
+		respond = s.metricsResponse
 	case pathDisable:
 		method = "PUT"
-		answer = func() http1.Response { return changeServer(query, s.operations.Cordon) }
+		respond = func() http1.Response { return changeServer(query, s.operations.Cordon) }
 	case pathEnable:
 		method = "PUT"
-		answer = func() http1.Response { return changeServer(query, s.operations.Uncordon) }
+		respond = func() http1.Response { return changeServer(query, s.operations.Uncordon) }
 	default:
-		return textResponse(404, "unknown path; there are /ready, /metrics, /tile-servers/disable and /tile-servers/enable")
+		return textResponse(404, "unknown path; the paths are /ready, /metrics, /tile-servers/disable and /tile-servers/enable")
 	}
 	if req.Method != method {
-		resp := textResponse(405, path+" takes "+method)
+		resp := textResponse(405, path+" requires the method "+method)
 		resp.Header = append(resp.Header, http1.Field{Name: "Allow", Value: method})
 		return resp
 	}
-	return answer()
+	return respond()
 }
 
-func (s *Server) answerReady() http1.Response {
+func (s *Server) readyResponse() http1.Response {
 	if !s.operations.Ready() {
 		return textResponse(503, "not ready")
 	}
 	return textResponse(200, "ready")
 }
 
-func (s *Server) answerMetrics() http1.Response {
+func (s *Server) metricsResponse() http1.Response {
 	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(s.operations.Metrics())
 	if err != nil {
 		return textResponse(500, err.Error())
@@ -65,7 +65,7 @@
 	return http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/json"}}, Body: body}
 }
 
-// changeServer cordons or uncordons the server that the query names.
+// changeServer calls change, which cordons or uncordons, with the server id in the query's parameter target.
 func changeServer(query string, change func(id string) error) http1.Response {
 	values, err := url.ParseQuery(query)
 	if err != nil {
@@ -73,11 +73,11 @@
 	}
 	ids := values["target"]
 	if len(ids) != 1 || ids[0] == "" {
-		return textResponse(400, "target: give the id of one tile server, as ?target=ID")
+		return textResponse(400, "target: exactly one tile server id is required, as ?target=ID")
 	}
 	switch err := change(ids[0]); {
 	case errors.Is(err, cordon.ErrUnknownServer):
-		return textResponse(404, "target: no such tile server is listed")
+		return textResponse(404, "target: tile server is neither listed nor cordoned")
 	case err != nil:
 		return textResponse(500, err.Error())
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,7 @@
-// Package invariant counts how the rules that a sidecar keeps at run time have been kept. Each rule has one guard, next to the act that it
-// forbids, which checks just before and prevents the act; and a check just after, which finds a violation all the same, as where the
-// process stalls between the two. Both are counted here: a prevented act is usual, a violation is a fault.
+// Package invariant counts prevented and actual violations of the rules that a sidecar has to keep at run time. For each rule,
+// a guard checks just before the act that the rule forbids, and prevents it; a second check just after the act detects a
+// violation that the guard missed, for example because the process stalled in between. Prevented acts are normal, a violation
+// is a fault.
 package invariant
 
 import (
@@ -8,18 +9,18 @@
 	"time"
 )
 
-// Rule is one of the rules.
+// Rule identifies a rule.
 type Rule uint8
 
-// The rules. The comment says what is forbidden.
+// The rules. The comments say what each one forbids.
 const (
-	ClientGone   Rule = iota // a byte of an attempt later than ClientGoneGrace after its client has gone
-	DrainGrace               // a first byte to a server that drains or is gone, beyond the grace
-	RepeatWindow             // a repeat of a request with an idempotency key, beyond its window
-	Deadline                 // telling a server a deadline that exceeds the client's by more than DeadlineSlack
-	OneAttempt               // a second attempt while one is under way
-	Effect                   // repeating or refusing what may have run, where its class forbids that
-	Answer                   // ending a connection without the answer to a request that was read from it
+	ClientGone   Rule = iota // writing a byte of an attempt more than ClientGoneGrace after its client was gone
+	DrainGrace               // writing a first byte to a server after the grace of its drain or deletion
+	RepeatWindow             // repeating a request with an idempotency key after the key's window
+	Deadline                 // sending a server a deadline that exceeds the client's by more than DeadlineSlack
+	OneAttempt               // starting an attempt of a request while another is in flight
+	Effect                   // repeating or rejecting a request that may have run, if its class forbids that
+	Answer                   // closing a connection without a response to a request that was read from it
 	ruleCount
 )
 
@@ -27,14 +28,14 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// What the operators allow beyond a limit, measured at the other end of the socket.
+// The tolerances that operators allow beyond each limit, as measured at the other end of the socket.
 const (
 	ClientGoneGrace = 100 * time.Millisecond
 	DeadlineSlack   = 150 * time.Millisecond
-	SocketSlack     = 50 * time.Millisecond // of every other time limit
+	SocketSlack     = 50 * time.Millisecond // for every other time limit
 )
 
-// Recorder counts. It is safe for concurrent use, and a nil Recorder counts nothing.
+// Recorder counts prevented acts and violations by rule. It is safe for concurrent use, and a nil Recorder counts nothing.
 type Recorder struct {
 	// Logf logs a line of key=value pairs for each violation; nil = nothing is logged.
 	Logf func(format string, args ...any)
@@ -42,14 +43,14 @@
 	prevented, violated [ruleCount]atomic.Int64
 }
 
-// Prevented counts an act that the rule's guard has prevented.
+// Prevented counts an act that the guard of the rule prevented.
 func (r *Recorder) Prevented(rule Rule) {
 	if r != nil {
 		r.prevented[rule].Add(1)
 	}
 }
 
-// Violated counts a violation of the rule, and logs what is known of it as key=value pairs.
+// Violated counts a violation of the rule, and logs it with the formatted key=value pairs.
 func (r *Recorder) Violated(rule Rule, format string, args ...any) {
 	if r == nil {
 		return
@@ -60,13 +61,13 @@
 	}
 }
 
-// Count is how often a rule's guard has prevented an act, and how often the rule was violated.
+// Count has the numbers of prevented acts and violations of a rule.
 type Count struct {
 	Rule                  Rule
 	Prevented, Violations int64
 }
 
-// Counts are those of all rules, in a fixed order.
+// Counts returns the counts of all rules, in the order of their constants.
 func (r *Recorder) Counts() (counts []Count) {
 	for rule := range ruleCount {
 		c := Count{Rule: rule}
@@ -79,11 +80,12 @@
 	return counts
 }
 
-// Limit is a time limit on an act: past GuardAt its guard prevents the act, past ViolationAt the rule is violated. The zero value is no
-// limit.
+// Limit is a time limit on an act: after GuardAt its guard prevents the act, and an act that is done after ViolationAt violates
+// the rule. The zero value is no limit.
 type Limit struct{ GuardAt, ViolationAt time.Time }
 
-// NewLimit returns the limit on an act that its guard lets pass until guardAt, and the rule until slack after that.
+// NewLimit returns the limit on an act that the guard allows until guardAt, and the rule until guardAt+slack; a zero guardAt is
+// no limit.
 func NewLimit(guardAt time.Time, slack time.Duration) Limit {
 	if guardAt.IsZero() {
 		return Limit{}
@@ -91,10 +93,10 @@
 	return Limit{GuardAt: guardAt, ViolationAt: guardAt.Add(slack)}
 }
 
-// GuardPassed reports whether the guard has to prevent the act at now.
+// GuardPassed reports whether GuardAt has passed at now, so that the guard has to prevent the act.
 func (l Limit) GuardPassed(now time.Time) bool { return !l.GuardAt.IsZero() && now.After(l.GuardAt) }
 
-// ViolatedAt reports whether the act, done by then, has violated the rule.
+// ViolatedAt reports whether an act that was completed at done has violated the rule.
 func (l Limit) ViolatedAt(done time.Time) bool {
 	return !l.ViolationAt.IsZero() && done.After(l.ViolationAt)
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -20,12 +20,12 @@
 	if diff := cmp.Diff([]string{`rule=effect state=broken request="r-1"`}, lines); diff != "" {
 		t.Error(diff)
 	}
-	var none *Recorder
-	none.Prevented(Answer)
-	none.Violated(Answer, "")
-	for _, c := range none.Counts() {
+	var nilRecorder *Recorder
+	nilRecorder.Prevented(Answer)
+	nilRecorder.Violated(Answer, "")
+	for _, c := range nilRecorder.Counts() {
 		if c.Prevented+c.Violations != 0 {
-			t.Errorf("%s: a nil Recorder has counted", c.Rule)
+			t.Errorf("%s: nil Recorder counted", c.Rule)
 		}
 	}
 }
@@ -37,11 +37,11 @@
 		done                  time.Time
 		guardPassed, violated bool
 	}{
-		"none":        {NewLimit(time.Time{}, time.Second), at, false, false},
-		"in time":     {NewLimit(at, time.Second), at, false, false},
-		"prevented":   {NewLimit(at, time.Second), at.Add(1), true, false},
-		"just passed": {NewLimit(at, time.Second), at.Add(time.Second), true, false},
-		"violated":    {NewLimit(at, time.Second), at.Add(time.Second + 1), true, true},
+		"no limit":         {NewLimit(time.Time{}, time.Second), at, false, false},
+		"in time":          {NewLimit(at, time.Second), at, false, false},
+		"prevented":        {NewLimit(at, time.Second), at.Add(1), true, false},
+		"within the slack": {NewLimit(at, time.Second), at.Add(time.Second), true, false},
+		"violated":         {NewLimit(at, time.Second), at.Add(time.Second + 1), true, true},
 	} {
 		guardPassed, violated := row.limit.GuardPassed(row.done), row.limit.ViolatedAt(row.done)
 		if guardPassed != row.guardPassed || violated != row.violated {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a sidecar does, once, where it happens, for whoever wants to read it. It does no input or
-// output and reads no clock.
+// Package metrics counts the requests, attempts, servers and reloads of a sidecar. Each is counted in one place, where it
+// happens. The package does no input or output and reads no clock.
 package metrics
 
 import (
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// Outcome is how an accepted request has ended.
+// Outcome is the outcome of an accepted request.
 type Outcome uint8
 
-// The outcomes. Of a request whose client has gone nothing is counted but that it is over.
+// The outcomes. A request whose client is gone is counted by none of them; it only ceases to be concurrent.
 const (
 	ClientGone Outcome = iota
 	Success
@@ -18,26 +18,26 @@
 	Error
 )
 
-// Values are the counts, in the form in which operators read them. The first three are by class.
+// Values has the metrics under the names that operators read. The first three are by class.
 type Values struct {
 	Success         map[string]int `json:"success"`
 	Overload        map[string]int `json:"overload"`
 	Error           map[string]int `json:"error"`
-	Dispatches      int            `json:"dispatches"` // attempts written whole to servers
-	Concurrent      int            `json:"concurrent"` // requests accepted and not ended
-	Targets         int            `json:"targets"`    // servers in the list
-	TargetsDisabled int            `json:"targets_disabled"`
+	Dispatches      int            `json:"dispatches"`       // attempts whose last byte was written to a server
+	Concurrent      int            `json:"concurrent"`       // accepted requests that have not ended
+	Targets         int            `json:"targets"`          // listed servers
+	TargetsDisabled int            `json:"targets_disabled"` // listed servers that are ejected or cordoned
 	ReloadSuccess   int            `json:"reload_success"`
 	ReloadFailure   int            `json:"reload_failure"`
 }
 
-// Registry counts. It is safe for concurrent use; the zero value is ready to use.
+// Registry holds the metrics. It is safe for concurrent use. Classes have to be added by Classes before their requests end.
 type Registry struct {
 	mu     sync.Mutex
 	values Values
 }
 
-// Classes makes sure that these classes have counts, if only 0. Those of others remain.
+// Classes adds counts of 0 for classes that have none yet. Other counts stay as they are.
 func (r *Registry) Classes(names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,14 +51,14 @@
 	}
 }
 
-// Request is an accepted request.
+// Request is an accepted request, counted as concurrent until End.
 type Request struct {
 	registry *Registry
 	class    string
 	once     sync.Once
 }
 
-// RequestStarted counts a request of that class, which is under way until End.
+// RequestStarted counts a request of that class as concurrent until its End.
 func (r *Registry) RequestStarted(class string) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,14 +66,14 @@
 	return &Request{registry: r, class: class}
 }
 
-// End counts how the request has ended. Only the first call counts.
-func (r *Request) End(how Outcome) {
+// End counts the outcome of the request. Only the first call has an effect.
+func (r *Request) End(outcome Outcome) {
 	r.once.Do(func() {
 		registry := r.registry
 		registry.mu.Lock()
 		defer registry.mu.Unlock()
 		registry.values.Concurrent--
-		switch how {
+		switch outcome {
 		case Success:
 			registry.values.Success[r.class]++
 		case Overload:
@@ -84,14 +84,14 @@
 	})
 }
 
-// AttemptSent counts an attempt whose last byte is written.
+// AttemptSent counts an attempt whose last byte was written.
 func (r *Registry) AttemptSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.values.Dispatches++
 }
 
-// SetTargets notes how many servers the list has, and how many of those are ejected or cordoned.
+// SetTargets sets the number of listed servers, and how many of those are ejected or cordoned.
 func (r *Registry) SetTargets(listed, disabled int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +99,7 @@
 	r.values.TargetsDisabled = disabled
 }
 
-// ConfigReloaded counts a file that was accepted, or rejected.
+// ConfigReloaded counts a reload of the configuration file that was accepted or rejected.
 func (r *Registry) ConfigReloaded(accepted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Read returns a copy of the counts.
+// Read returns a copy of the metrics.
 func (r *Registry) Read() Values {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +121,7 @@
 	return values
 }
 
-// Sum adds up a count over its classes.
+// Sum returns the sum of a count over all classes.
 func Sum(byClass map[string]int) (total int) {
 	for _, n := range byClass {
 		total += n
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request has what a front end hands to the dispatcher and gets back from it. Nothing in it belongs to one protocol: a second front
-// end, or a library inside an application, uses the same types.
+// Package request has the types of requests and responses that front ends and the dispatcher exchange. They are independent of
+// the protocol, so that every front end, and a library inside an application, can use them.
 package request
 
 import (
@@ -10,47 +10,47 @@
 	"plankrouter/internal/field"
 )
 
-// Field is one named attribute that travels with a request or its answer.
+// Field is one named attribute of a request or response.
 type Field = field.Field
 
 // Request is one request of a client.
 type Request struct {
-	ID          string // the client's own, passed on unchanged
-	Class       int    // position in the settings
-	Tenant      int    // position in the settings; -1 = none that they name
-	ClientRetry bool   // the client marked it as a repetition
-	SentAt      time.Time
+	ID          string        // set by the client, forwarded unchanged
+	Class       int           // position in the policy's settings
+	Tenant      int           // position in the policy's settings; -1 = none of these
+	ClientRetry bool          // the client marked it as a retry
+	SentAt      time.Time     // when the client sent it; with a Remainder, when the last byte of that was forwarded
 	Timeout     time.Duration // how long the client waits, from SentAt
 
-	Host      string // whom it is meant for, where the protocol has that; "" = the server that gets it
-	Method    string // what to do
-	Target    string // to what
+	Host      string // intended host, if the protocol has one; "" = the address of the server it is sent to
+	Method    string // of the protocol, such as GET
+	Target    string // what the method applies to, such as a path
 	Fields    []Field
 	Body      []byte
-	Remainder Upload // of the body, beyond Body; nil = that is all
+	Remainder Upload // of the body, after Body; nil = Body is all of it
 
-	// Respond takes the one final answer. It must not block.
+	// Respond receives the final response, at most once. It must not block.
 	Respond func(Response)
-	// ClientGone reports whether its client is gone by now; nil = only MarkClientGone says so. It must not block, and any goroutine may
-	// call it.
+	// ClientGone reports whether the client is gone now; nil = only MarkClientGone reports it. It must not block, and any goroutine
+	// may call it.
 	ClientGone func() bool
-	// MayHaveRun is set by the dispatcher as it closes the request: an attempt may have run, or may yet.
+	// MayHaveRun is set by the dispatcher when it closes the request: an attempt may have run, or may still run.
 	MayHaveRun bool
 
-	clientGoneAt atomic.Pointer[time.Time] // when its client was found to be gone; nil = it is there
+	clientGoneAt atomic.Pointer[time.Time] // when the client was first known to be gone; nil = it is not
 }
 
-// MarkClientGone notes that its client is gone. Whoever is about to write something of it sees that at once, even while the dispatcher's
-// event of it waits.
+// MarkClientGone records that the client is gone. An attempt that is about to write sees it at once, even while the
+// dispatcher's event is still queued.
 func (r *Request) MarkClientGone() {
 	now := time.Now()
 	r.clientGoneAt.CompareAndSwap(nil, &now)
 }
 
-// IsClientGone reports whether its client is known to be gone.
+// IsClientGone reports whether the client is known to be gone.
 func (r *Request) IsClientGone() bool { return r.clientGoneAt.Load() != nil }
 
-// ClientGoneFor returns for how long its client has been known to be gone at now; 0 = it is there.
+// ClientGoneFor returns how long before now the client was first known to be gone; 0 = it is not.
 func (r *Request) ClientGoneFor(now time.Time) time.Duration {
 	if at := r.clientGoneAt.Load(); at != nil {
 		return now.Sub(*at)
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// CheckClientGone is IsClientGone as of now: it calls ClientGone, and notes the result.
+// CheckClientGone calls ClientGone and records the result, and returns what IsClientGone does then.
 func (r *Request) CheckClientGone() bool {
 	if !r.IsClientGone() && r.ClientGone != nil && r.ClientGone() {
 		r.MarkClientGone()
@@ -66,30 +66,31 @@
 	return r.IsClientGone()
 }
 
-// Stream is a body that is read piece by piece.
+// Stream is a body that is read in parts.
 type Stream interface {
-	io.Reader      // io.EOF = it was whole
-	Length() int64 // of what is left; -1 = that is not known
+	io.Reader      // io.EOF = the body is complete
+	Length() int64 // bytes that are left; -1 = unknown
 }
 
-// Upload is a body that the client still sends. One attempt at a time reads it.
+// Upload is a request body that the client is still sending. One attempt at a time reads it.
 type Upload interface {
 	Stream
-	Consumed() bool // something of it was read: it can't be sent again
+	Consumed() bool // a part of it was read, so that it can't be sent again
 }
 
-// BodyStream is an answer's body that the server still sends.
+// BodyStream is a response body that the server is still sending.
 type BodyStream interface {
 	Stream
-	// Close ends it, whole or not; only the first call counts. Any goroutine may call it, and a Read under way ends soon.
+	// Close ends the stream; whole says whether the body was complete. Only the first call has an effect. Any goroutine may call
+	// it, and makes a concurrent Read return soon.
 	Close(whole bool)
 }
 
-// Kind says what a final answer means to the client.
+// Kind is the kind of a final response.
 type Kind uint8
 
-// The kinds. Rejected promises that trying again is harmless; Failed promises nothing; Duplicate says that the request was never accepted,
-// since another of the same id is open.
+// The kinds. Rejected promises that a retry is harmless; Failed promises nothing; Duplicate means that the request was never
+// accepted, since another one with the same id is open.
 const (
 	Served Kind = iota
 	Rejected
@@ -99,23 +100,23 @@
 
 func (k Kind) String() string { return [...]string{"served", "refused", "failed", "conflict"}[k] }
 
-// Response is the final answer to a request.
+// Response is the final response to a request.
 type Response struct {
 	Kind       Kind
-	RetryAfter time.Duration // with Rejected: when to come back; 0 = no advice
-	StatusCode int           // with Served: the protocol's own status, which the dispatcher passes on unread
+	RetryAfter time.Duration // with Rejected: delay before a retry; 0 = unspecified
+	StatusCode int           // with Served: the protocol's status, which the dispatcher does not interpret
 	Fields     []Field       // with Served: the server's
 	Body       []byte        // with Served: the server's, unchanged
-	Remainder  BodyStream    // with Served: what follows Body; nil = that is all
-	MayHaveRun bool          // an attempt may have run, or may yet
+	Remainder  BodyStream    // with Served: the rest of the body; nil = Body is all of it
+	MayHaveRun bool          // an attempt may have run, or may still run
 }
 
-// Dispatcher takes requests from any front end.
+// Dispatcher accepts requests from any front end.
 type Dispatcher interface {
-	// Submit hands over a request; its Respond is called exactly once, unless ClientGone comes first. False means that the dispatcher
-	// has stopped and will never answer.
+	// Submit passes a request to the dispatcher, which calls its Respond exactly once, unless ClientGone is called first. False
+	// means that the dispatcher has stopped and will not call Respond.
 	Submit(*Request) bool
-	// ClientGone reports that the client no longer waits.
+	// ClientGone reports that the client is gone.
 	ClientGone(*Request)
 	// Ready reports whether a request could be served now.
 	Ready() bool
