--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -15,7 +15,7 @@
 		d.reportPrevented(invariant.OneAttempt, pending, "send")
 		return false
 	case pending.endedMayHaveRun && d.classOf(pending).Idempotency == policy.NonIdempotent:
-		d.reportPrevented(invariant.Effect, pending, "send")
+		d.reportPrevented(invariant.UnsafeRepeat, pending, "send")
 		return false
 	case server.health != policy.Ready:
 		d.reportPrevented(invariant.DrainGrace, pending, "send")
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -25,7 +25,7 @@
 		counted     invariant.Rule
 	}{
 		"nothing has run":                        {idempotency: policy.NonIdempotent, send: true, reject: true},
-		"non-idempotent, may have run":           {idempotency: policy.NonIdempotent, mayHaveRun: true, counted: invariant.Effect},
+		"non-idempotent, may have run":           {idempotency: policy.NonIdempotent, mayHaveRun: true, counted: invariant.UnsafeRepeat},
 		"idempotent, may have run":               {idempotency: policy.Idempotent, mayHaveRun: true, send: true, reject: true},
 		"key known to all servers, may have run": {idempotency: policy.WithIdempotencyKey, mayHaveRun: true, send: true, reject: true},
 		"key known to one zone, may have run":    {idempotency: policy.WithIdempotencyKey, scope: policy.ScopeZone, mayHaveRun: true, send: true},
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if resp.Kind == request.Rejected && !d.mayReject(pending) {
-		d.reportPrevented(invariant.Effect, pending, "refuse")
+		d.reportPrevented(invariant.UnsafeRepeat, pending, "refuse")
 		resp = request.Response{Kind: request.Failed}
 	}
 	switch resp.Kind {
--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -60,7 +60,7 @@
 			if err := <-s.done; err != nil {
 				t.Error(err)
 			}
-			if got := recorder.Counts()[invariant.Answer].Violations; got != row.want {
+			if got := recorder.Counts()[invariant.MissingResponse].Violations; got != row.want {
 				t.Errorf("%s: %d counted, want %d", name, got, row.want)
 			}
 		})
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -72,7 +72,7 @@
 	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.HasPeerLeft() {
 		return
 	}
-	c.server.Invariants.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
+	c.server.Invariants.Violated(invariant.MissingResponse, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
 }
 
 // serveMessages serves one message after another, and returns how the connection has ended.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -65,7 +65,7 @@
 
 // Reconfigure replaces the classes and tenants from the next request on.
 func (s *Server) Reconfigure(settings *config.Settings) {
-	s.metrics.Classes(settings.ClassNames()...)
+	s.metrics.InitClasses(settings.ClassNames()...)
 	s.translator.Store(newTranslator(settings))
 }
 
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -14,13 +14,13 @@
 
 // The rules. The comments say what each one forbids.
 const (
-	ClientGone   Rule = iota // writing a byte of an attempt more than ClientGoneGrace after its client was gone
-	DrainGrace               // writing a first byte to a server after the grace of its drain or deletion
-	RepeatWindow             // repeating a request with an idempotency key after the key's window
-	Deadline                 // sending a server a deadline that exceeds the client's by more than DeadlineSlack
-	OneAttempt               // starting an attempt of a request while another is in flight
-	Effect                   // repeating or rejecting a request that may have run, if its class forbids that
-	Answer                   // closing a connection without a response to a request that was read from it
+	ClientGone      Rule = iota // writing a byte of an attempt more than ClientGoneGrace after its client was gone
+	DrainGrace                  // writing a first byte to a server after the grace of its drain or deletion
+	RepeatWindow                // repeating a request with an idempotency key after the key's window
+	Deadline                    // sending a server a deadline that exceeds the client's by more than DeadlineSlack
+	OneAttempt                  // starting an attempt of a request while another is in flight
+	UnsafeRepeat                // repeating or rejecting a request that may have run, if its class forbids that
+	MissingResponse             // closing a connection without a response to a request that was read from it
 	ruleCount
 )
 
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -13,16 +13,16 @@
 	recorder := &Recorder{Logf: func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }}
 	recorder.Prevented(DrainGrace)
 	recorder.Prevented(DrainGrace)
-	recorder.Violated(Effect, "request=%q", "r-1")
-	if c := recorder.Counts(); c[DrainGrace].Prevented != 2 || c[DrainGrace].Violations != 0 || c[Effect].Violations != 1 || len(c) != int(ruleCount) {
+	recorder.Violated(UnsafeRepeat, "request=%q", "r-1")
+	if c := recorder.Counts(); c[DrainGrace].Prevented != 2 || c[DrainGrace].Violations != 0 || c[UnsafeRepeat].Violations != 1 || len(c) != int(ruleCount) {
 		t.Errorf("%v", c)
 	}
 	if diff := cmp.Diff([]string{`rule=effect state=broken request="r-1"`}, lines); diff != "" {
 		t.Error(diff)
 	}
 	var nilRecorder *Recorder
-	nilRecorder.Prevented(Answer)
-	nilRecorder.Violated(Answer, "")
+	nilRecorder.Prevented(MissingResponse)
+	nilRecorder.Violated(MissingResponse, "")
 	for _, c := range nilRecorder.Counts() {
 		if c.Prevented+c.Violations != 0 {
 			t.Errorf("%s: nil Recorder counted", c.Rule)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -37,8 +37,8 @@
 	values Values
 }
 
-// Classes adds counts of 0 for classes that have none yet. Other counts stay as they are.
-func (r *Registry) Classes(names ...string) {
+// InitClasses adds counts of 0 for classes that have none yet. Other counts stay as they are.
+func (r *Registry) InitClasses(names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, counts := range []*map[string]int{&r.values.Success, &r.values.Overload, &r.values.Error} {
