--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -31,8 +31,8 @@
 	number          int              // of the attempt among those of its request, from 0 on
 	server          policy.ServerID
 	process         upstream.Endpoint // to which it was sent
-	timeout         *timer
-	expires         time.Time // no byte of it may be written later than this; zero = no limit
+	timeout         *timer            // cancels it; not queued while the request body is being sent
+	expires         time.Time         // no byte of it may be written later than this; zero = no limit
 }
 
 // startAttempt starts the attempt that the policy requests, unless a guard prevents it.
@@ -161,13 +161,13 @@
 	if server != nil {
 		server.attemptsInFlight--
 	}
-	took := millis(time.Since(attempt.startedAt))
-	d.traceEnd(attempt, server, r.Outcome, took)
+	elapsed := millis(time.Since(attempt.startedAt))
+	d.traceEnd(attempt, server, r.Outcome, elapsed)
 	d.observeServer(server, attempt, r)
 	if attempt.isProbe {
-		d.probeEnded(server, attempt, r, took)
+		d.probeEnded(server, attempt, r, elapsed)
 	} else {
-		d.requestAttemptEnded(attempt, r, took)
+		d.requestAttemptEnded(attempt, r, elapsed)
 	}
 }
 
@@ -186,7 +186,7 @@
 
 // probeEnded passes a probe's result to the policy. The server is nil once it has been removed. An incomplete load report, or
 // one from a process that has been replaced, counts as missing.
-func (d *Dispatcher) probeEnded(server *serverRecord, attempt *attemptRecord, r upstream.Result, took policy.Ms) {
+func (d *Dispatcher) probeEnded(server *serverRecord, attempt *attemptRecord, r upstream.Result, elapsed policy.Ms) {
 	fromOldProcess := server != nil && server.process != attempt.process
 	incomplete := r.Outcome == outcome.Served && d.options.IsComplete != nil && !d.options.IsComplete(r.Report)
 	if fromOldProcess || incomplete {
@@ -201,14 +201,14 @@
 		connectTime = millis(r.ConnectedAt.Sub(attempt.startedAt))
 	}
 	d.handle(policy.Event{
-		Kind: policy.ProbeEnded, Server: attempt.server, Status: r.Outcome.Status(), Elapsed: took, ConnectTime: connectTime,
+		Kind: policy.ProbeEnded, Server: attempt.server, Status: r.Outcome.Status(), Elapsed: elapsed, ConnectTime: connectTime,
 		ProbeSentAt: probedAt, Report: r.Report,
 	})
 }
 
 // requestAttemptEnded sends the attempt's response to the client, if the request was served, and passes the result to the
 // policy.
-func (d *Dispatcher) requestAttemptEnded(attempt *attemptRecord, r upstream.Result, took policy.Ms) {
+func (d *Dispatcher) requestAttemptEnded(attempt *attemptRecord, r upstream.Result, elapsed policy.Ms) {
 	d.counts.AttemptOutcomes[r.Outcome]++
 	pending := d.requests[attempt.request]
 	pending.attempt = noAttempt
@@ -229,7 +229,7 @@
 	}
 	d.handle(policy.Event{
 		Kind: policy.AttemptEnded, Request: attempt.request, Attempt: attempt.number,
-		Server: attempt.server, Status: r.Outcome.Status(), Elapsed: took, Final: pending.closed, Report: r.Report,
+		Server: attempt.server, Status: r.Outcome.Status(), Elapsed: elapsed, Final: pending.closed, Report: r.Report,
 		BodyConsumed: pending.request.Remainder != nil && pending.request.Remainder.Consumed(),
 	})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -115,7 +115,7 @@
 	timers       timers
 	policyEvents []policy.Event // waiting for the policy, in order
 	actions      []policy.Action
-	handling     bool
+	handling     bool      // handle is running: further events are only queued
 	eventTime    time.Time // when the policy handled its latest event; the times in its actions are relative to this
 
 	// The policy's positions of classes and tenants, in the order of the settings.
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -29,14 +29,14 @@
 }
 
 // traceEnd logs the end of an attempt or probe, and records when a probe was answered for later calls of traceStart.
-func (d *Dispatcher) traceEnd(attempt *attemptRecord, server *serverRecord, kind outcome.Kind, took policy.Ms) {
+func (d *Dispatcher) traceEnd(attempt *attemptRecord, server *serverRecord, kind outcome.Kind, elapsed policy.Ms) {
 	if d.options.Trace == nil || server == nil {
 		return
 	}
 	if attempt.isProbe && kind == outcome.Served {
 		server.reportedAt = time.Now()
 	}
-	d.options.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", attempt.traceName(), server.name, kind, took,
+	d.options.Trace("trace=end of=%s provider=%s ending=%s took_ms=%.1f request=%s", attempt.traceName(), server.name, kind, elapsed,
 		d.traceRequestID(attempt))
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -31,7 +31,7 @@
 	ReloadFailure   int            `json:"reload_failure"`
 }
 
-// Registry holds the metrics. It is safe for concurrent use. Classes have to be added by Classes before their requests end.
+// Registry holds the metrics. It is safe for concurrent use. Classes have to be added by InitClasses before their requests end.
 type Registry struct {
 	mu     sync.Mutex
 	values Values
