--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -40,8 +40,8 @@
 	d.send(clientGone{request: req})
 }
 
-// Cancel is like ClientGone, and returns whether an attempt may have run. After Run has ended, a request that the dispatcher does
-// not know counts as one that may have.
+// Cancel is like ClientGone, and returns whether an attempt may have run. After Run has ended, a request that the dispatcher
+// does not know counts as one that may have.
 func (d *Dispatcher) Cancel(req *request.Request) (mayHaveRun bool) {
 	mayHaveRun, ok := query(d, func(reply chan<- bool) event { return clientGone{req, reply} })
 	if ok {
