--- a/cmd/plankrouter/admin.go
+++ b/cmd/plankrouter/admin.go
@@ -12,10 +12,10 @@
 	"plankrouter/internal/metrics"
 )
 
-// adminListenPause is between two attempts to listen for operators while another process does.
+// adminListenPause is the pause between two attempts to listen on the admin address while another process uses it.
 const adminListenPause = 20 * time.Millisecond
 
-// listenAdmin returns the listener for operators, nil where they have no address.
+// listenAdmin returns the listener for operators, nil if no admin address is configured.
 func listenAdmin(cfg *config.Config) (net.Listener, error) {
 	if cfg.AdminAddr == "" {
 		return nil, nil
@@ -27,8 +27,8 @@
 	return l, nil
 }
 
-// serveAdmin answers operators until ctx ends. A process that finds their address taken has no listener before the other has
-// ended, as a successor that its predecessor has started: both have the same address. It serves requests meanwhile.
+// serveAdmin serves operators until ctx ends. If l is nil, another process uses the address, as a predecessor with the same one does:
+// serveAdmin retries until that has exited. The process serves requests of clients meanwhile.
 func (p *program) serveAdmin(ctx context.Context, l net.Listener) error {
 	for l == nil {
 		select {
@@ -36,23 +36,23 @@
 		case <-ctx.Done():
 			return nil
 		}
-		l, _ = listenAdmin(p.cfg) // an error says that the address is still taken
+		l, _ = listenAdmin(p.cfg) // on an error the address is still in use
 	}
 	return admin.New(p, p.shares.admin).Serve(ctx, l)
 }
 
-// Ready reports whether a request would be served. With Figures, Disable and Enable it makes the program admin.Operations.
+// Ready reports whether a request would be served. With Metrics, Cordon and Uncordon it implements admin.Operations.
 func (p *program) Ready() bool { return p.dispatcher.Ready() && p.frontend.IsAccepting() }
 
-// Metrics are the counters of this process.
+// Metrics returns the counters of this process.
 func (p *program) Metrics() metrics.Values { return p.metrics.Read() }
 
-// Cordon takes a server out, for all processes of this sidecar.
+// Cordon stops this sidecar's processes from sending requests to the server.
 func (p *program) Cordon(id string) error {
 	return p.changeCordons("disable", id, (*cordon.Set).Cordon)
 }
 
-// Uncordon puts a server back.
+// Uncordon ends the cordon of the server.
 func (p *program) Uncordon(id string) error {
 	return p.changeCordons("enable", id, (*cordon.Set).Uncordon)
 }
--- a/cmd/plankrouter/cordons.go
+++ b/cmd/plankrouter/cordons.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	cordonReadPause   = 20 * time.Millisecond // between two attempts to read a file that can't be read at the start,
-	cordonReadTimeout = time.Second           // which has so long: then service comes first
+	cordonReadPause   = 20 * time.Millisecond // between two attempts to read the file at the start
+	cordonReadTimeout = time.Second           // bounds these attempts: after that the process serves without the cordons
 )
 
-// newCordonStore returns where operators' cordons are kept: in the folder that the platform gives the sidecar's processes, where there
-// is one.
+// newCordonStore returns the store of operators' cordons: a file in TMPDIR, the folder that the platform gives the sidecar's processes. In
+// memory only if there is no such folder or no admin address.
 func newCordonStore(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
 		return &cordon.Store{
@@ -29,22 +29,22 @@
 	return &cordon.Store{}
 }
 
-// cordonFaults are the faults that befall the steps of the cordons' file in a soak.
+// cordonFaults maps the steps of reading and writing the cordons' file to the faults that soak tests inject there.
 var cordonFaults = map[cordon.Step]faultinjection.Op{
 	cordon.StepOpen: faultinjection.ReadFile, cordon.StepRead: faultinjection.ReadFile,
 	cordon.StepLock: faultinjection.WriteFile, cordon.StepWrite: faultinjection.WriteFile, cordon.StepSync: faultinjection.SyncFile,
 	cordon.StepRename: faultinjection.WriteFile,
 }
 
-// readInitialCordons returns the operators' cordons at the start: without them a process sends to servers that operators have taken out.
-// A file that can't be read holds the start up no longer than cordonReadTimeout.
+// readInitialCordons returns the operators' cordons at the start: without them the process sends requests to cordoned servers. A file that
+// can't be read delays the start by no more than cordonReadTimeout.
 func (p *program) readInitialCordons(ctx context.Context) cordon.Set {
-	for began := time.Now(); ; {
+	for startedAt := time.Now(); ; {
 		set, _, err := p.cordons.Read()
 		if err == nil {
 			return set
 		}
-		if errors.Is(err, cordon.ErrMalformedFile) || time.Since(began) >= cordonReadTimeout {
+		if errors.Is(err, cordon.ErrMalformedFile) || time.Since(startedAt) >= cordonReadTimeout {
 			log.Printf("name=%s state=cordons_not_used err=%q", p.cfg.Name, err)
 			return set
 		}
@@ -56,12 +56,12 @@
 	}
 }
 
-// watchCordons follows the cordons that operators set by another process of this sidecar, until ctx ends.
+// watchCordons applies cordons that operators set through another process of this sidecar, until ctx ends.
 func (p *program) watchCordons(ctx context.Context) {
 	p.cordons.Watch(ctx, p.applyCordons, func(err error) { log.Printf("name=%s state=cordons_not_used err=%q", p.cfg.Name, err) })
 }
 
-// applyCordons puts the present set in force, one call at a time: an earlier set must not replace a later one.
+// applyCordons reads the stored set and puts it in force. The mutex keeps an earlier set from replacing a later one.
 func (p *program) applyCordons() {
 	p.cordonMu.Lock()
 	defer p.cordonMu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// changeCordons changes the cordons, and returns once the change is in force here.
+// changeCordons changes the cordons, and returns once the change is in force in this process.
 func (p *program) changeCordons(operation, id string, change func(*cordon.Set, string, float64, bool) error) error {
 	listed := p.dispatcher.IsListed(id)
 	now := config.Millis(time.Duration(faultinjection.Wall().UnixNano()))
--- a/cmd/plankrouter/counters.go
+++ b/cmd/plankrouter/counters.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/outcome"
 )
 
-// report prints the counters.
+// report logs the counters.
 func (p *program) report() {
 	counts := p.dispatcher.Counts()
 	p.reportRequests(counts, p.metrics.Read())
@@ -35,7 +35,7 @@
 	p.reportOutcomes("consumers", p.frontend.Outcomes())
 }
 
-// reportRequests prints what has become of the requests, in all, by reason and by class.
+// reportRequests logs the counts of requests by result, in total, by reason and by class.
 func (p *program) reportRequests(counts dispatch.Counts, values metrics.Values) {
 	log.Printf("name=%s counters=core taken=%d conflicts=%d consumer_gone=%d sent=%d probes=%d lists=%d served=%d "+
 		"refused=%d failed=%d", p.cfg.Name, counts.Accepted, counts.Duplicates, counts.ClientsGone, values.Dispatches, counts.Probes,
@@ -49,7 +49,7 @@
 	}
 }
 
-// reportOutcomes prints how the attempts, probes or connections of one kind have ended.
+// reportOutcomes logs the outcomes of the attempts, probes or connections of one kind.
 func (p *program) reportOutcomes(kind string, counts outcome.Counts) {
 	var text strings.Builder
 	counts.Each(func(how outcome.Kind, n int) { fmt.Fprintf(&text, " %s=%d", how, n) })
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -66,7 +66,7 @@
 		t.Run(fmt.Sprintf("%d of which %d are inherited", c.limit, c.inherited), func(t *testing.T) {
 			f := startFlooded(t, c.limit, c.inherited)
 			idle := f.count()
-			full := idle + shareDescriptors(c.limit, idle, true).conns - 2 // by requests that hang, whatever else there is
+			full := idle + divideDescriptors(c.limit, idle, true).conns - 2 // by requests that hang, whatever else there is
 			for i := range 2 * admin.MaxConns {
 				f.open(f.desk, "")
 				f.open(f.front, "")
@@ -155,7 +155,7 @@
 	for _, operators := range []bool{false, true} {
 		for limit := 32; limit <= 4096; limit++ {
 			for _, held := range []int{usuallyOpen, 12, 30} {
-				s := shareDescriptors(limit, held, operators)
+				s := divideDescriptors(limit, held, operators)
 				sum := s.total(held)
 				if sum > limit && s.conns > minConns {
 					t.Fatalf("%+v: %d of %d with %d held", s, sum, limit, held)
@@ -199,7 +199,7 @@
 					}
 				}
 				down(true)
-				places := shareDescriptors(limit, usuallyOpen, true).conns
+				places := divideDescriptors(limit, usuallyOpen, true).conns
 				request := func(i int) *bufio.Reader {
 					c, err := n.Dial(t.Context(), s.front)
 					if err != nil {
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -17,11 +17,11 @@
 	"plankrouter/internal/snapshot"
 )
 
-// firstListTimeout is how long discovery has, before a successor takes over with the list that it was given.
+// firstListTimeout bounds how long a successor waits for discovery before it takes over with the endpoint list that it started with.
 const firstListTimeout = 2 * time.Second
 
-// takeOver makes this process a predecessor's successor: once discovery has answered, or has had its time, it says that it is
-// ready, and when it may serve it takes the connections that come. Without a predecessor it may serve at once.
+// takeOver makes this process the predecessor's successor. It reports ready after the first response of discovery, or firstListTimeout,
+// and returns once this process may serve; the predecessor's connections arrive after that. Without a predecessor that is at once.
 func (p *program) takeOver(ctx context.Context, group *errgroup.Group, predecessor *hotrestart.Successor) error {
 	if predecessor == nil {
 		notify("READY=1")
@@ -64,47 +64,48 @@
 	return nil
 }
 
-// receiveConnections serves the predecessor's connections as they come, until it has passed all or is lost.
+// receiveConnections serves the predecessor's connections as they arrive, until it has transferred all or the handover fails.
 func (p *program) receiveConnections(ctx context.Context, group *errgroup.Group, predecessor *hotrestart.Successor) {
 	err := predecessor.ReceiveConns(ctx, func(c *net.TCPConn, note []byte) { p.frontend.Adopt(c, note) })
 	switch {
-	case ctx.Err() != nil: // this process is at its end, whatever the other does
+	case ctx.Err() != nil: // this process ends, whatever the predecessor does
 	case err == nil || errors.Is(err, hotrestart.ErrGone):
 		log.Printf("name=%s handover=complete adopted=%d err=%v", p.cfg.Name, p.frontend.Adopted.Load(), err)
 		p.serveAlone(ctx, group)
-	case predecessor.TookOver(): // the other is as it is, and the platform ends it
+	case predecessor.TookOver(): // the platform ends the predecessor, in whatever state it is
 		log.Printf("name=%s handover=broken err=%q", p.cfg.Name, err)
-		_ = predecessor.Close() // nothing is left to be done about it
+		_ = predecessor.Close() // an error changes nothing: the handover has failed already
 		p.serveAlone(ctx, group)
-	default: // the two have lost each other: the one that has most of it serves on
+	default: // the predecessor still has most of the connections, so it continues to serve
 		log.Printf("name=%s handover=broken err=%q", p.cfg.Name, err)
 		p.retire(predecessor)
 	}
 }
 
-// retire leaves the listener and all further connections to the predecessor, which serves on.
+// retire leaves the listener and all further connections to the predecessor, which continues to serve.
 func (p *program) retire(predecessor *hotrestart.Successor) {
-	p.lifecycle.on(predecessorServesOn)
-	_ = predecessor.Close() // the predecessor takes the end of the process for the same
+	p.lifecycle.on(predecessorResumed)
+	_ = predecessor.Close() // if it fails, the predecessor notices when this process exits
 	p.frontend.Drain(p.listener)
 }
 
-// prepareSuccessor gives a successor the listener and the options, and returns once it may serve.
+// prepareSuccessor passes a successor the listener and the options, and returns once the successor may serve.
 type prepareSuccessor func(*net.TCPListener, hotrestart.Options) (*hotrestart.Predecessor, error)
 
-// handOver starts a successor and gives it everything, or goes on as if nothing had been.
+// handOver starts a successor and hands over to it. If that fails, this process continues to serve.
 func (p *program) handOver(ctx context.Context) {
 	p.handOverWith(func(l *net.TCPListener, o hotrestart.Options) (*hotrestart.Predecessor, error) {
 		return p.coordinator.Start(ctx, l, o)
 	})
 }
 
-// handOverWith gives everything to the successor that prepare makes ready.
+// handOverWith hands state, listener and connections over to the successor that prepare returns. If that fails, this process continues
+// to serve.
 func (p *program) handOverWith(prepare prepareSuccessor) {
 	listener, ok := p.listener.(*net.TCPListener)
 	learned := p.takeSnapshot()
 	if !ok || learned == nil {
-		log.Printf("name=%s handover=refused err=%q", p.cfg.Name, "one is under way, or this process is at its end")
+		log.Printf("name=%s handover=refused err=%q", p.cfg.Name, "a handover is in progress, or this process is shutting down")
 		return
 	}
 	state, err := snapshot.Encode(learned, 0)
@@ -124,7 +125,7 @@
 	log.Printf("name=%s handover=passing successor=%d", p.cfg.Name, successor.Pid())
 	if rendezvousFolder(p.getenv) != "" {
 		p.budget.Limit(p.shares.conns / standbyDivisor)
-		defer p.budget.Limit(p.shares.conns) // if it serves on
+		defer p.budget.Limit(p.shares.conns) // if this process continues to serve
 	}
 	transferred := p.beginTransfer(successor, listener)
 	stopForwarded := p.forwardStop(successor, listener)
@@ -141,8 +142,8 @@
 	p.resumeServing(listener)
 }
 
-// beginTransfer gives the successor this process's connections as they become idle. Nothing more is accepted here, but the listener is
-// kept. The channel is closed when the successor has all.
+// beginTransfer passes this process's connections to the successor as they become idle. This process accepts no more, but keeps the
+// listener. The channel is closed when the successor has all connections.
 func (p *program) beginTransfer(successor *hotrestart.Predecessor, listener *net.TCPListener) (transferred <-chan struct{}) {
 	p.lifecycle.on(successorReady)
 	transferred = p.frontend.HandOver(func(c net.Conn, note []byte) error { return successor.TransferConn(c.(syscall.Conn), note) })
@@ -150,34 +151,34 @@
 	return transferred
 }
 
-// completeHandover ends this process's work: the successor has it all.
+// completeHandover stops this process once the successor has everything.
 func (p *program) completeHandover(successor *hotrestart.Predecessor, stopForwarded func()) {
 	log.Printf("name=%s handover=done successor=%d", p.cfg.Name, successor.Pid())
 	stopForwarded()
-	p.lifecycle.on(successorHasAll)
+	p.lifecycle.on(handoverCompleted)
 	p.stop()
 }
 
-// resumeServing accepts connections again: the successor is lost.
+// resumeServing accepts connections again after the successor is lost.
 func (p *program) resumeServing(listener *net.TCPListener) {
 	p.lifecycle.on(successorLost)
 	setDeadline(listener, time.Time{})
 	p.frontend.Resume()
 }
 
-// longAgo is a deadline that ends an accept at once.
+// longAgo is a deadline that makes a pending accept return at once.
 var longAgo = time.Unix(1, 0)
 
-// setDeadline sets the listener's deadline, which fails only on one that is closed: a shutdown or the forwarded signal to stop has
-// closed it then.
+// setDeadline sets the listener's deadline. That fails only if the listener is closed, by a shutdown or by forwardStop: the error doesn't
+// matter then.
 func setDeadline(listener *net.TCPListener, deadline time.Time) { _ = listener.SetDeadline(deadline) }
 
-// forwardStop sends the successor a signal to stop that comes when it is too late to cancel the handover: the service is meant.
-// The listener is the successor's alone from then on: as long as this process kept a copy, what came after the successor has closed its
-// own would be accepted by the kernel, and by nobody else. What forwardStop returns is called once the handover is done, and sees to it
-// that a signal that has come by then has got through.
+// forwardStop forwards a stop signal to the successor if it comes too late to cancel the handover: the signal is meant for the service.
+// This process then closes its copy of the listener: with that open, the kernel would still establish connections after the successor has
+// closed its own, and nobody would accept them. The caller calls done once the handover is complete; it waits until a signal that has
+// come by then has been forwarded.
 func (p *program) forwardStop(successor *hotrestart.Predecessor, listener net.Listener) (done func()) {
-	if rendezvousFolder(p.getenv) != "" { // the platform signals each process by itself
+	if rendezvousFolder(p.getenv) != "" { // the platform signals each process itself
 		return func() {}
 	}
 	forwarded := make(chan struct{})
@@ -189,8 +190,8 @@
 		}
 		err := successor.Stop(hotrestart.Stop{At: stop.sent, Kill: stop.kill})
 		log.Printf("name=%s handover=told_to_stop successor=%d err=%v", p.cfg.Name, successor.Pid(), err)
-		if err != nil { // it reads no more of this process: it counts from when it gets the signal
-			_ = syscall.Kill(successor.Pid(), syscall.SIGTERM) // which fails only where it has ended
+		if err != nil { // the successor no longer reads from this process: its schedule counts from when it receives SIGTERM
+			_ = syscall.Kill(successor.Pid(), syscall.SIGTERM) // fails only if the successor has exited
 			return
 		}
 		_ = listener.Close() // a shutdown may have closed it
@@ -202,27 +203,27 @@
 	}
 }
 
-// forwardReload has the successor read its configuration, if this process has got a signal to since the handover began: the successor may
-// have read it before.
+// forwardReload makes the successor reload its configuration if this process has received a reload signal since the handover began: the
+// successor may have read the configuration before that.
 func (p *program) forwardReload(successor *hotrestart.Predecessor, startedAt time.Time) {
 	last := p.signals.lastReload.Load()
-	if rendezvousFolder(p.getenv) != "" || last == nil || last.readAt.Before(startedAt) { // the platform signals each process by itself
+	if rendezvousFolder(p.getenv) != "" || last == nil || last.readAt.Before(startedAt) { // the platform signals each process itself
 		return
 	}
 	err := successor.Reload(hotrestart.Reload{At: last.earliestSent})
 	log.Printf("name=%s handover=told_to_reload successor=%d err=%v", p.cfg.Name, successor.Pid(), err)
 }
 
-// successorEnvironment is the successor's: this process's, but for a discovery address that a reload has replaced.
+// successorEnvironment returns the successor's environment: that of this process, without a discovery address that a reload has replaced.
 func (p *program) successorEnvironment() []string {
 	env := os.Environ()
-	if p.discoveryMoved.Load() {
+	if p.discoveryOverridden.Load() {
 		env = slices.DeleteFunc(env, func(kv string) bool { return strings.HasPrefix(kv, "GW_DISCOVERY=") })
 	}
 	return env
 }
 
-// notify tells the service manager, where there is one.
+// notify reports the state to the service manager, if there is one.
 func notify(state string) {
 	if err := hotrestart.Notify(state); err != nil {
 		log.Printf("notify=%q err=%q", state, err)
--- a/cmd/plankrouter/lifecycle.go
+++ b/cmd/plankrouter/lifecycle.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// phase is where a process is in its life.
+// phase is the phase of a process between its start and its exit; see transitions.
 type phase int
 
-// The phases. From shuttingDown on no handover is begun.
+// The phases. From shuttingDown on no handover begins.
 const (
 	starting     phase = iota // may not serve yet
 	serving                   // accepts connections
-	handingOver               // a successor is ready, and is given the listener and the connections
-	retiring                  // its predecessor serves on after a broken handover: it answers what it has and accepts nothing
-	shuttingDown              // has got a signal to stop: it serves on until its schedule's last forward
-	draining                  // has closed its listener, and answers what it has taken
-	left                      // serves nothing any more: the process ends
+	handingOver               // a successor is ready, and receives the listener and the connections
+	retiring                  // the handover failed and the predecessor continues to serve: it finishes its requests and accepts nothing
+	shuttingDown              // has received a stop signal: it serves until LastForward of its schedule
+	draining                  // has closed its listener, and finishes its requests
+	finished                  // serves nothing any more: the process exits
 )
 
 // event moves a process from one phase to another.
@@ -21,26 +21,26 @@
 
 // The events, each with the function that acts on it.
 const (
-	mayServe            event = iota // takeOver: there is no predecessor, or it lets this process serve
-	successorReady                   // beginTransfer
-	successorLost                    // resumeServing
-	successorHasAll                  // completeHandover
-	predecessorServesOn              // retire
-	stopSignalled                    // beginShutdown
-	lastForwardReached               // drain
-	allAnswered                      // leave; also where the process can't start
+	mayServe           event = iota // takeOver: there is no predecessor, or it permits this process to serve
+	successorReady                  // beginTransfer
+	successorLost                   // resumeServing
+	handoverCompleted               // completeHandover
+	predecessorResumed              // retire
+	stopSignalled                   // beginShutdown
+	lastForwardReached              // drain
+	allFinished                     // finish; also if the process can't start
 )
 
-// transitions are the phases that follow each other. What is not listed changes nothing: a handover that is under way goes on beside
-// a shutdown, whose phases it does not change before it is complete.
+// transitions maps each phase and event to the next phase. An event that is not listed changes nothing: a handover continues during a
+// shutdown, and only its completion changes the phase then.
 var transitions = map[phase]map[event]phase{
-	starting:     {mayServe: serving, stopSignalled: shuttingDown, allAnswered: left},
-	serving:      {successorReady: handingOver, predecessorServesOn: retiring, stopSignalled: shuttingDown, allAnswered: left},
-	handingOver:  {successorLost: serving, successorHasAll: left, stopSignalled: shuttingDown, allAnswered: left},
-	retiring:     {stopSignalled: shuttingDown, allAnswered: left},
-	shuttingDown: {lastForwardReached: draining, successorHasAll: left, allAnswered: left},
-	draining:     {successorHasAll: left, allAnswered: left},
-	left:         {},
+	starting:     {mayServe: serving, stopSignalled: shuttingDown, allFinished: finished},
+	serving:      {successorReady: handingOver, predecessorResumed: retiring, stopSignalled: shuttingDown, allFinished: finished},
+	handingOver:  {successorLost: serving, handoverCompleted: finished, stopSignalled: shuttingDown, allFinished: finished},
+	retiring:     {stopSignalled: shuttingDown, allFinished: finished},
+	shuttingDown: {lastForwardReached: draining, handoverCompleted: finished, allFinished: finished},
+	draining:     {handoverCompleted: finished, allFinished: finished},
+	finished:     {},
 }
 
 // lifecycle is the phase of a process. It is safe for concurrent use; the zero value is starting.
@@ -49,7 +49,7 @@
 	phase phase
 }
 
-// on moves to the phase that follows by the event.
+// on moves to the next phase for the event, if there is one.
 func (l *lifecycle) on(e event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,15 +58,15 @@
 	}
 }
 
-// current is the phase in force.
+// current returns the present phase.
 func (l *lifecycle) current() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// leave ends the process's work: it serves nobody any more.
-func (p *program) leave() {
-	p.lifecycle.on(allAnswered)
+// finish stops the process: it has no open request.
+func (p *program) finish() {
+	p.lifecycle.on(allFinished)
 	p.stop()
 }
--- a/cmd/plankrouter/lifecycle_test.go
+++ b/cmd/plankrouter/lifecycle_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Every phase can be reached from the start, every one but left leads to left, and left is the end.
+// Every phase can be reached from starting, finished can be reached from every other phase, and no phase follows finished.
 func TestLifecycleEndsFromEveryPhase(t *testing.T) {
 	reached := map[phase]bool{starting: true}
 	for more := true; more; {
@@ -16,36 +16,36 @@
 			}
 		}
 	}
-	for one := starting; one <= left; one++ {
+	for one := starting; one <= finished; one++ {
 		events, listed := transitions[one]
 		if !listed || !reached[one] {
 			t.Errorf("phase %d: listed %t, reached %t", one, listed, reached[one])
 		}
-		if one == left && len(events) != 0 || one != left && events[allAnswered] != left {
+		if one == finished && len(events) != 0 || one != finished && events[allFinished] != finished {
 			t.Errorf("phase %d: %v", one, events)
 		}
 	}
 }
 
-// A shutdown outlasts the handover that it meets, and a process that has left stays so.
+// A shutdown continues whatever becomes of a handover in progress, and a finished process stays finished.
 func TestLifecycle(t *testing.T) {
 	for name, row := range map[string]struct {
 		events []event
 		want   phase
 	}{
-		"serves":                             {[]event{mayServe}, serving},
-		"hands over":                         {[]event{mayServe, successorReady, successorHasAll}, left},
-		"loses its successor":                {[]event{mayServe, successorReady, successorLost}, serving},
-		"stops while it starts":              {[]event{stopSignalled, mayServe}, shuttingDown},
-		"stops":                              {[]event{mayServe, stopSignalled, lastForwardReached}, draining},
-		"stops and ends":                     {[]event{mayServe, stopSignalled, lastForwardReached, allAnswered}, left},
-		"stops during a handover":            {[]event{mayServe, successorReady, stopSignalled}, shuttingDown},
-		"stops and loses its successor":      {[]event{mayServe, successorReady, stopSignalled, successorLost}, shuttingDown},
-		"drains and completes its handover":  {[]event{mayServe, successorReady, stopSignalled, lastForwardReached, successorHasAll}, left},
-		"retires":                            {[]event{mayServe, predecessorServesOn}, retiring},
-		"is told to stop while it retires":   {[]event{mayServe, predecessorServesOn, stopSignalled}, shuttingDown},
-		"is told to stop after it has left":  {[]event{mayServe, allAnswered, stopSignalled}, left},
-		"reaches its schedule after it left": {[]event{mayServe, stopSignalled, allAnswered, lastForwardReached}, left},
+		"starts to serve":                   {[]event{mayServe}, serving},
+		"completes a handover":              {[]event{mayServe, successorReady, handoverCompleted}, finished},
+		"successor is lost":                 {[]event{mayServe, successorReady, successorLost}, serving},
+		"stop signal while starting":        {[]event{stopSignalled, mayServe}, shuttingDown},
+		"stop signal":                       {[]event{mayServe, stopSignalled, lastForwardReached}, draining},
+		"stop signal, then finished":        {[]event{mayServe, stopSignalled, lastForwardReached, allFinished}, finished},
+		"stop signal during a handover":     {[]event{mayServe, successorReady, stopSignalled}, shuttingDown},
+		"stop signal, then successor lost":  {[]event{mayServe, successorReady, stopSignalled, successorLost}, shuttingDown},
+		"handover completed while draining": {[]event{mayServe, successorReady, stopSignalled, lastForwardReached, handoverCompleted}, finished},
+		"retires after a failed handover":   {[]event{mayServe, predecessorResumed}, retiring},
+		"stop signal while retiring":        {[]event{mayServe, predecessorResumed, stopSignalled}, shuttingDown},
+		"stop signal after finished":        {[]event{mayServe, allFinished, stopSignalled}, finished},
+		"last forward after finished":       {[]event{mayServe, stopSignalled, allFinished, lastForwardReached}, finished},
 	} {
 		var l lifecycle
 		for _, e := range row.events {
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -1,5 +1,5 @@
-// Command plankrouter is the sidecar: it takes the clients' requests, sends each to the server that the policy picks, and
-// answers. See README.md.
+// Command plankrouter is the sidecar: it accepts requests of clients, forwards each to the server that the policy picks, and
+// returns the response. See README.md.
 package main
 
 import (
@@ -21,16 +21,16 @@
 )
 
 const (
-	// memoryLimitFraction is the share of limits.memory_mb beyond which the garbage collector works harder.
+	// memoryLimitFraction is the fraction of limits.memory_mb that is set as the soft memory limit of the Go runtime.
 	memoryLimitFraction = 0.7
 
-	// listenTimeout bounds the wait for a listener that can't be had for a moment: the platform waits for 10 s.
+	// listenTimeout bounds the retries of a listen that fails temporarily. The platform waits for 10 s.
 	listenTimeout = 5 * time.Second
 )
 
 func main() {
 	signals := newSignalQueues()
-	signals.listen() // before anything else: to start may take a while, and a signal that nobody takes ends the process
+	signals.listen() // before anything else: the start may take a while, and an unhandled signal ends the process
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds)
 	if err := run(signals); err != nil {
 		log.Printf("state=failed err=%q", err)
@@ -38,7 +38,7 @@
 	}
 }
 
-// run starts the process, beside or after another one where there is such, and returns when it has served all.
+// run starts the process, as the successor of another one if there is one, and returns when all its requests have responses.
 func run(signals signalQueues) error {
 	predecessor, err := hotrestart.Inherited(os.Getenv)
 	if err != nil {
@@ -47,7 +47,7 @@
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		if predecessor != nil {
-			_ = predecessor.Reject(err.Error()) // which returns the reason that this process ends for anyway
+			_ = predecessor.Reject(err.Error()) // its error is not needed: this process ends with err anyway
 		}
 		return err
 	}
@@ -56,14 +56,14 @@
 			log.Printf("name=%s handover=alone err=%q", cfg.Name, err)
 		}
 	}
-	runtime.GOMAXPROCS(1) // one core is all there is; more threads would only wait for one another
+	runtime.GOMAXPROCS(1) // the process has one core; more threads would only compete for it
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(cfg.Limits.MemoryMB) * bytesPerMB))
 	listener, err := listen(cfg, predecessor)
 	if err != nil {
 		return err
 	}
 	adminListener, err := listenAdmin(cfg)
-	if errno := syscall.Errno(0); errors.As(err, &errno) { // a predecessor or another program has the address: requests come first
+	if errno := syscall.Errno(0); errors.As(err, &errno) { // a predecessor or another program uses the address: serve requests without it for now
 		log.Printf("name=%s state=admin_waiting err=%q", cfg.Name, err)
 	} else if err != nil {
 		return err
@@ -80,8 +80,7 @@
 	})
 }
 
-// listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
-// new one.
+// listen returns the predecessor's listener, the one that the platform or the service manager has opened for this process, or a new one.
 func listen(cfg *config.Config, predecessor *hotrestart.Successor) (net.Listener, error) {
 	if predecessor != nil && !predecessor.TookOver() {
 		return predecessor.Listener(), predecessor.Check(cfg.Listen)
@@ -103,7 +102,7 @@
 	return listener, nil
 }
 
-// listenTCP is net.Listen, which a soak may fail.
+// listenTCP is net.Listen with fault injection, for soak tests.
 func listenTCP(address string) (net.Listener, error) {
 	if err := faultinjection.Inject(faultinjection.Listen); err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", err)}
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -30,19 +30,19 @@
 
 const bytesPerMB = 1 << 20
 
-// startOptions is what a process starts with.
+// startOptions is what serve starts with.
 type startOptions struct {
 	cfg             *config.Config
 	getenv          func(string) string
 	listener        net.Listener
-	adminListener   net.Listener // nil = there is no address for operators, or it can't be had yet
+	adminListener   net.Listener // nil = no admin address is configured, or another process still uses it
 	dial            connlimit.Dialer
 	openDescriptors int // at the start, the listeners among them
 	signals         signalQueues
 	predecessor     *hotrestart.Successor // nil = there is none
 }
 
-// program has the running parts of the process, and is the one owner of its life; see lifecycle.
+// program has the running parts of the process, and alone changes its phase; see lifecycle.
 type program struct {
 	cfg      *config.Config // as at the start
 	getenv   func(string) string
@@ -50,16 +50,16 @@
 	signals  signalQueues
 
 	lifecycle     lifecycle
-	stopRequested context.Context    // ends with the signal to stop
+	stopRequested context.Context    // ends with the first stop signal
 	requestStop   context.CancelFunc // ends it
-	stop          context.CancelFunc // ends the process's work
+	stop          context.CancelFunc // cancels the context of all goroutines
 
-	activeConfig   atomic.Pointer[config.Config] // since the last reload; handleSignals alone changes it
-	numbering      config.Numbering
-	discoveryMoved atomic.Bool // a reload has named another discovery service than the environment
+	activeConfig        atomic.Pointer[config.Config] // since the last reload; handleSignals alone changes it
+	numbering           config.Numbering
+	discoveryOverridden atomic.Bool // a reload was applied, whose discovery address replaces that of the environment
 
 	budget     *connlimit.Budget
-	shares     descriptorShares // while no other process shares the descriptors
+	shares     descriptorShares // the division while no other process shares the descriptors
 	backend    *backend.Client
 	dispatcher *dispatch.Dispatcher
 	watch      *discovery.Watch
@@ -70,17 +70,17 @@
 	cordons  *cordon.Store
 	cordonMu sync.Mutex // orders changes of the cordons in force
 
-	snapshotWriter *snapshot.Writer // nil = snapshots are not kept
+	snapshotWriter *snapshot.Writer // nil = snapshots are not configured
 	snapshotMu     sync.Mutex
-	stopSnapshots  func() // writes the last one; nil = none is kept, or it is written
+	stopSnapshots  func() // writes the last snapshot and waits for that; nil = not started, or done
 
 	coordinator     hotrestart.Coordinator    // of processes that take over from one another
-	scheduleChanges chan scheduleChange       // for whoever shuts this process down
-	forwardableStop atomic.Pointer[stopTimes] // nil = there was no signal to stop
+	scheduleChanges chan scheduleChange       // from reload to followStopSignals
+	forwardableStop atomic.Pointer[stopTimes] // nil = no stop signal was received
 }
 
-// serve runs the sidecar, for operators too if there is a listener for them, until a signal ends it and all that it has taken
-// is answered, or until a successor has it all.
+// serve runs the sidecar until a stop signal, and then until all accepted requests have responses, or until a successor has taken over
+// everything.
 func serve(options startOptions) error {
 	processCtx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -104,16 +104,16 @@
 	return err
 }
 
-// newProgram shares out the descriptors. The parts that need them are still to be assembled.
+// newProgram divides the descriptors and returns a program without the parts that assemble makes.
 func newProgram(options startOptions) *program {
 	cfg, openAtStart := options.cfg, options.openDescriptors
-	if cfg.AdminAddr != "" && options.adminListener == nil { // it comes once the other process has ended
+	if cfg.AdminAddr != "" && options.adminListener == nil { // its listener opens once the other process has exited
 		openAtStart++
 	}
-	shares := shareDescriptors(cfg.Limits.Sockets, openAtStart, cfg.AdminAddr != "")
+	shares := divideDescriptors(cfg.Limits.Sockets, openAtStart, cfg.AdminAddr != "")
 	if required := shares.total(openAtStart); required > cfg.Limits.Sockets {
 		log.Printf("name=%s limits.sockets=%d open=%d err=%q", cfg.Name, cfg.Limits.Sockets, openAtStart,
-			fmt.Sprintf("the least that serves needs %d: raise limits.sockets", required))
+			fmt.Sprintf("serving needs at least %d descriptors: raise limits.sockets", required))
 	}
 	p := &program{
 		cfg:             cfg,
@@ -131,10 +131,10 @@
 	return p
 }
 
-// assemble makes the parts that serve requests, from what an earlier process has left where there is such, and returns how
-// many servers they begin with.
+// assemble makes the parts that serve requests, from the state of an earlier process if there is one, and returns the number of servers
+// in the initial endpoint list.
 func (p *program) assemble(ctx context.Context, options startOptions, trace func(string, ...any)) (listed int, err error) {
-	deployment := snapshot.Fingerprint(&p.cfg.Settings) // of the names as they are configured, before they are numbered
+	deployment := snapshot.Fingerprint(&p.cfg.Settings) // before Apply: of the names as configured, not of their numbers
 	if _, err := p.numbering.Apply(time.Now(), p.cfg); err != nil {
 		return 0, err
 	}
@@ -147,7 +147,7 @@
 	}
 	p.watch, err = discovery.New(discovery.Options{
 		Address: p.cfg.Discovery, Watch: p.cfg.Watch, Seed: p.cfg.Seed,
-		Initial: initial, IgnoreRevision: restored != nil, // discovery may count anew by now
+		Initial: initial, IgnoreRevision: restored != nil, // the discovery service may have restarted its revisions
 		MaxListBytes: discovery.MaxListBytes(int64(p.cfg.Limits.MemoryMB) * bytesPerMB),
 		Budget:       connlimit.NewBudget(p.shares.watch, options.dial),
 		OnUpdate:     func(l endpoints.List, at time.Time) { p.dispatcher.UpdateEndpoints(l, at) },
@@ -180,10 +180,10 @@
 	return len(initial.Endpoints), nil
 }
 
-// run starts the goroutines of the assembled parts. The group ends when all of them have.
+// run starts the goroutines of the assembled parts in the group.
 func (p *program) run(ctx context.Context, group *errgroup.Group, options startOptions) {
 	group.Go(func() error {
-		defer p.backend.Wait() // once nothing starts an attempt any more
+		defer p.backend.Wait() // after Run: then no attempt starts any more
 		return p.dispatcher.Run(ctx)
 	})
 	group.Go(func() error { return p.watch.Run(ctx) })
@@ -196,14 +196,14 @@
 	group.Go(func() error { p.handleSignals(ctx, group); return nil })
 }
 
-// serveClients takes over from the predecessor, if there is one, and serves clients until the last one is answered. All other
-// parts end then.
+// serveClients takes over from the predecessor, if there is one, and serves clients until the last one has its response. Then it stops
+// all other parts.
 func (p *program) serveClients(ctx context.Context, group *errgroup.Group, predecessor *hotrestart.Successor) error {
-	defer p.leave()
+	defer p.finish()
 	if err := p.takeOver(ctx, group, predecessor); err != nil {
 		return err
 	}
 	p.startSnapshots(ctx, group)
-	defer p.writeLastSnapshot() // while the dispatcher can still give it
+	defer p.writeLastSnapshot() // while the dispatcher still runs and can return its state
 	return p.frontend.Serve(ctx, p.listener)
 }
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -11,8 +11,8 @@
 	"plankrouter/internal/snapshot"
 )
 
-// reload reads the configuration anew and goes by it, or says why not and changes nothing. Its signal was sent at earliestSent at the
-// earliest.
+// reload reads the configuration again and applies it. On an error it logs that and changes nothing. The reload signal was sent no
+// earlier than earliestSent.
 func (p *program) reload(ctx context.Context, now, earliestSent time.Time) {
 	fixed, err := p.applyConfig(now)
 	p.metrics.ConfigReloaded(err == nil)
@@ -31,8 +31,8 @@
 	log.Printf("name=%s state=reloaded discovery=%s classes=%v", p.cfg.Name, active.Discovery, active.Settings.ClassNames())
 }
 
-// applyConfig applies a file that has been checked whole: first the dispatcher and the backend, then the
-// frontend, so that no request comes in under a number that is not known yet.
+// applyConfig reads and checks the whole configuration, applies it, and returns the changed keys that take effect at the next start only.
+// The frontend comes after the dispatcher and the backend, so that no request has a class or tenant number that they don't know yet.
 func (p *program) applyConfig(now time.Time) (fixed []string, err error) {
 	next, fixed, err := p.activeConfig.Load().Reload(p.getenv)
 	if err != nil {
@@ -52,12 +52,12 @@
 	p.backend.Reconfigure(backendTimes(next))
 	p.frontend.Reconfigure(&next.Settings)
 	p.watch.SetAddress(next.Discovery)
-	p.discoveryMoved.Store(true)
+	p.discoveryOverridden.Store(true)
 	p.activeConfig.Store(next)
 	return fixed, nil
 }
 
-// backendTimes are the backend's times and what a lost connection costs it.
+// backendTimes returns the backend's timeouts and the costs of a retry by class.
 func backendTimes(cfg *config.Config) backend.ReloadableSettings {
 	return backend.ReloadableSettings{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, RetryCosts: backend.RetryCosts(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// standbyDivisor: of two processes the one that does not serve has one in so many of the sockets.
+	// standbyDivisor is the divisor of the socket limit for the process, of two, that does not accept connections.
 	standbyDivisor = 4
-	// rendezvousTimeout bounds the wait for a rendezvous socket that can't be had for a moment.
+	// rendezvousTimeout bounds the retries of a listen on the rendezvous socket that fails temporarily.
 	rendezvousTimeout = 2 * time.Second
-	// acceptRetryPause is the pause after an accept that has failed.
+	// acceptRetryPause is the pause after a failed accept.
 	acceptRetryPause = 20 * time.Millisecond
 )
 
-// rendezvousFolder is the folder in which two processes of this sidecar meet, where the platform starts the second one; "" = it does not.
+// rendezvousFolder returns the folder of the socket by which two processes of this sidecar find each other; "" if the platform doesn't
+// start the second one.
 func rendezvousFolder(getenv func(string) string) string {
 	if getenv(hotrestart.ListenVariable) == "" {
 		return ""
@@ -30,7 +31,7 @@
 	return getenv("TMPDIR")
 }
 
-// serveAlone makes this process the sidecar's only one, and the one that a second process finds.
+// serveAlone gives this process all sockets of the sidecar, and makes it the one that a second process finds.
 func (p *program) serveAlone(ctx context.Context, group *errgroup.Group) {
 	p.budget.Limit(p.shares.conns)
 	p.dispatcher.SetOpenInPredecessor(nil)
@@ -54,12 +55,12 @@
 	})
 }
 
-// handOverTo gives everything to the process that has found this one, over its connection.
+// handOverTo hands over to the process that has connected to the rendezvous socket, over that connection.
 func (p *program) handOverTo(ctx context.Context, c *net.UnixConn) {
 	p.handOverWith(func(own *net.TCPListener, options hotrestart.Options) (*hotrestart.Predecessor, error) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(p.stopRequested, cancel)() // a signal to stop calls off what is not ready
+		defer context.AfterFunc(p.stopRequested, cancel)() // a stop signal cancels a handover whose successor is not ready
 		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
 		successor, err := p.coordinator.Meet(ctx, c, own, options)
 		if err != nil {
@@ -70,7 +71,7 @@
 	_ = c.Close() // the handover may have closed it
 }
 
-// acceptSuccessors hands each process that has found this one to meet, until ctx ends.
+// acceptSuccessors passes the connection of each process that has found this one to meet, until ctx ends or the listener is closed.
 func acceptSuccessors(ctx context.Context, accept func() (*net.UnixConn, error), meet func(*net.UnixConn)) {
 	for ctx.Err() == nil {
 		c, err := accept()
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// hastenedLastForward is when a process that has got two signals to stop accepts nothing more: clients are still arriving before.
-	hastenedLastForward = 500 * time.Millisecond
-	// advanceInterval is between two looks at the clock and at how many clients there are, during a shutdown.
+	// expeditedLastForward is the time after the stop signal at which a process that has received a second one closes its listener.
+	// Before that new clients still arrive.
+	expeditedLastForward = 500 * time.Millisecond
+	// advanceInterval is the time between two checks of the clock and of the number of clients during a shutdown.
 	advanceInterval = 10 * time.Millisecond
 )
 
-// scheduleChange is a configuration that has been put in force, by a signal that was sent no earlier than that.
+// scheduleChange is the schedule of a reloaded configuration, with the earliest time at which the reload signal can have been sent.
 type scheduleChange struct {
 	schedule     shutdown.Schedule
 	earliestSent time.Time
 }
 
-// stopTimes are the moments of a signal to stop as this process goes by it, both by the clock of whoever sent it.
+// stopTimes are the times of a stop signal as forwarded to a successor: when it was sent, and when the sender may kill the process.
 type stopTimes struct {
 	sent time.Time
 	kill time.Time
 }
 
-// shutdownRun is the shutdown of this process, from the signal to stop on. It is the one owner of all that follows from that signal's
-// moment.
+// shutdownRun is the shutdown of this process, from the stop signal on. It alone decides what depends on the time of that signal.
 type shutdownRun struct {
 	program        *program
 	signal         receivedSignal
-	configured     shutdown.Schedule // by the settings that whoever sent the signal goes by
-	adjusted       shutdown.Schedule // for as many clients as there have been since
-	maxConnections int               // clients' connections that have been open at once
-	forwarded      bool              // the signal is a predecessor's, and has not come from anybody else yet
-	hastened       bool              // by a second signal
+	configured     shutdown.Schedule // by the settings in force for the sender of the signal
+	adjusted       shutdown.Schedule // configured, for maxConnections
+	maxConnections int               // the most client connections open at once since the signal
+	forwarded      bool              // the signal was forwarded by a predecessor, and has not been received directly yet
+	expedited      bool              // a second stop signal was received
 }
 
-// followStopSignals acts on signals to stop until ctx ends. They wait for no other.
+// followStopSignals handles stop signals until ctx ends. No other signal delays them.
 func (p *program) followStopSignals(ctx context.Context) {
 	defer p.requestStop()
 	var run *shutdownRun
@@ -68,7 +68,7 @@
 	}
 }
 
-// beginShutdown notes the signal to stop, and by when the process may be killed for it. No handover begins from then on.
+// beginShutdown starts the shutdown for a stop signal and returns it. No handover begins after that.
 func (p *program) beginShutdown(signal receivedSignal) *shutdownRun {
 	run := &shutdownRun{
 		program:    p,
@@ -89,24 +89,25 @@
 	return run
 }
 
-// signalRepeated is a further signal to stop: it hastens the end, unless one of the two is the other, forwarded by a predecessor.
+// signalRepeated handles a further stop signal. It expedites the shutdown, unless the two are one signal, received directly and from a
+// predecessor.
 func (s *shutdownRun) signalRepeated(signal receivedSignal) {
 	if signal.isForwarded() != s.forwarded {
 		s.forwarded = false
 		return
 	}
-	s.hastened = s.hastened || !signal.isForwarded()
+	s.expedited = s.expedited || !signal.isForwarded()
 }
 
-// apply goes by the schedule from now on.
+// apply puts the schedule in force.
 func (s *shutdownRun) apply(schedule shutdown.Schedule) {
 	s.adjusted = schedule
 	s.program.forwardableStop.Store(&stopTimes{sent: s.signal.earliestSent, kill: s.signal.earliestSent.Add(schedule.Kill)})
 	s.program.dispatcher.ScheduleShutdown(schedule, s.signal.earliestSent)
 }
 
-// scheduleChanged goes by a configuration whose signal may have been sent before the one to stop, if the kill comes earlier by it:
-// whoever sent both goes by that.
+// scheduleChanged applies a reloaded schedule with an earlier kill, if the reload signal may have been sent before the stop signal: the
+// sender of both then kills by the new settings.
 func (s *shutdownRun) scheduleChanged(change scheduleChange) {
 	if change.earliestSent.After(s.signal.readAt) || change.schedule.Kill >= s.configured.Kill {
 		return
@@ -118,7 +119,7 @@
 	s.advance(time.Now())
 }
 
-// advance leaves more time where more clients have come, and drains once the time for that has come.
+// advance makes the schedule earlier if there are more clients than before, and starts the drain once LastForward has passed.
 func (s *shutdownRun) advance(now time.Time) {
 	if s.program.lifecycle.current() != shuttingDown {
 		return
@@ -128,18 +129,18 @@
 		s.apply(schedule)
 	}
 	lastForward := s.adjusted.LastForward
-	if s.hastened {
-		lastForward = min(lastForward, hastenedLastForward)
+	if s.expedited {
+		lastForward = min(lastForward, expeditedLastForward)
 	}
 	if sinceSignal := now.Sub(s.signal.earliestSent); sinceSignal >= lastForward {
 		s.program.drain(sinceSignal)
 	}
 }
 
-// drain closes the listener and idle connections so long after the signal to stop. What has been taken is answered.
+// drain closes the listener and idle connections, sinceSignal after the stop signal. Accepted requests still get their responses.
 func (p *program) drain(sinceSignal time.Duration) {
 	p.lifecycle.on(lastForwardReached)
 	log.Printf("name=%s state=draining after_ms=%d clients=%d sockets=%d", p.cfg.Name, sinceSignal.Milliseconds(), p.frontend.Open(), p.budget.Used())
-	go p.writeLastSnapshot() // while there is time: what is still under way matters less than that it is there
+	go p.writeLastSnapshot() // now, while there is time: a snapshot without the requests in flight is better than none
 	p.frontend.Drain(p.listener)
 }
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -14,25 +14,26 @@
 	"plankrouter/internal/shutdown"
 )
 
-// signalQueues are the signals that have come and are not handled yet. Each kind waits at a place of its own, so that none keeps out
-// another; one that finds no room there is covered by what waits.
+// signalQueues are the signals that were received and are not handled yet. Each kind has a queue of its own, so that none displaces
+// another. A signal that finds its queue full is dropped: handling those in the queue covers it.
 type signalQueues struct {
-	stop       chan receivedSignal // two of them say more than one
+	stop       chan receivedSignal // of two: the second expedites the shutdown
 	reload     chan receivedSignal
 	report     chan os.Signal
 	handOver   chan os.Signal
-	lastReload *atomic.Pointer[receivedSignal] // handled or not; nil in it = there was none
+	lastReload *atomic.Pointer[receivedSignal] // the last reload signal, handled or not; holds nil if there was none
 }
 
-// receivedSignal is a signal with the time in which it was sent: whoever sent it counts from then, however late it is read or handled.
+// receivedSignal is a signal with bounds of the time at which it was sent. The sender counts from then, however late the signal is read
+// or handled.
 type receivedSignal struct {
 	os.Signal
-	earliestSent time.Time // that it can have been sent
-	readAt       time.Time // by which it had been
-	killAt       time.Time // that the predecessor goes by that has passed a signal to stop on; zero = it came directly
+	earliestSent time.Time // the earliest time at which it can have been sent
+	readAt       time.Time // when it was read, which is after it was sent
+	killAt       time.Time // time of the kill as reported by the predecessor that forwarded a stop signal; zero = received directly
 }
 
-// isForwarded reports whether a predecessor has passed the signal on.
+// isForwarded reports whether a predecessor has forwarded the signal.
 func (s receivedSignal) isForwarded() bool { return !s.killAt.IsZero() }
 
 func newSignalQueues() signalQueues {
@@ -42,17 +43,17 @@
 	}
 }
 
-// listen takes this process's signals from now on.
+// listen queues this process's signals from now on.
 func (q signalQueues) listen() {
 	reload, stop := make(chan os.Signal, cap(q.reload)), make(chan os.Signal, cap(q.stop))
-	signal.Notify(reload, syscall.SIGHUP) // first: it would end the process, and is ignored until here where the deploy file has it so
+	signal.Notify(reload, syscall.SIGHUP) // first: unhandled it ends the process, unless the deploy file has it ignored until here
 	signal.Notify(q.report, syscall.SIGUSR1)
 	signal.Notify(q.handOver, syscall.SIGUSR2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	go q.timestamp(reload, stop, shutdown.NewHeartbeat(time.Now()))
 }
 
-// timestamp notes of each signal to stop or to reload since when it can have been sent.
+// timestamp queues each stop or reload signal with the bounds of the time at which it was sent.
 func (q signalQueues) timestamp(reload, stop <-chan os.Signal, heartbeat *shutdown.Heartbeat) {
 	beat := time.NewTicker(shutdown.HeartbeatInterval)
 	defer beat.Stop()
@@ -70,13 +71,13 @@
 	}
 }
 
-// addReload adds a signal to reload.
+// addReload queues a reload signal.
 func (q signalQueues) addReload(s receivedSignal) {
 	q.lastReload.Store(&s)
 	enqueue(q.reload, s)
 }
 
-// enqueue adds a signal unless those that wait cover it.
+// enqueue adds a signal to the queue, and drops it if that is full.
 func enqueue(queue chan<- receivedSignal, s receivedSignal) {
 	select {
 	case queue <- s:
@@ -84,7 +85,7 @@
 	}
 }
 
-// handleSignals acts on all signals but those to stop until ctx ends.
+// handleSignals handles all signals except stop signals until ctx ends.
 func (p *program) handleSignals(ctx context.Context, group *errgroup.Group) {
 	for {
 		select {
@@ -98,7 +99,7 @@
 			if p.lifecycle.current() < shuttingDown {
 				group.Go(func() error { p.handOver(p.stopRequested); return nil })
 			} else {
-				log.Printf("name=%s handover=refused err=%q", p.cfg.Name, "this process has been told to stop")
+				log.Printf("name=%s handover=refused err=%q", p.cfg.Name, "this process has received a stop signal")
 			}
 		}
 	}
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -14,23 +14,23 @@
 	"plankrouter/internal/snapshot"
 )
 
-// restoreState returns what this process can go by from an earlier one: the predecessor's state, or the snapshot that was
-// kept if it has handed over none. Nil says that there is nothing but the configuration.
+// restoreState returns the state that this process can use of an earlier one: the predecessor's, or if that has handed over none, the
+// stored snapshot. Nil means that there is only the configuration.
 func (p *program) restoreState(predecessor *hotrestart.Successor, now time.Time) *snapshot.Restored {
 	p.snapshotWriter = p.newSnapshotWriter()
-	var taken *snapshot.Snapshot
+	var stored *snapshot.Snapshot
 	var err error
 	origin := p.cfg.Own.Snapshot.Path
 	switch {
 	case predecessor != nil && len(predecessor.State()) > 0:
 		origin = "predecessor"
-		taken, err = snapshot.Decode(predecessor.State())
+		stored, err = snapshot.Decode(predecessor.State())
 	case p.snapshotWriter != nil:
-		taken, err = p.snapshotWriter.Store.Read()
+		stored, err = p.snapshotWriter.Store.Read()
 	default:
 		return nil
 	}
-	if errors.Is(err, fs.ErrNotExist) { // the first start has none
+	if errors.Is(err, fs.ErrNotExist) { // at the first start
 		return nil
 	}
 	if err != nil {
@@ -38,14 +38,14 @@
 		return nil
 	}
 	known := snapshot.FromConfig(p.cfg.Known, p.cfg.Discovery, now)
-	restored, dropped := snapshot.Restore(taken, known, now, p.validityRules())
+	restored, dropped := snapshot.Restore(stored, known, now, p.validityRules())
 	log.Printf("name=%s snapshot=%q state=used age=%s servers=%d learned_servers=%d dropped=%d %s", p.cfg.Name, origin,
-		now.Sub(taken.TakenAt).Round(time.Millisecond), len(restored.List.Members), len(restored.Learned.Servers), len(dropped),
+		now.Sub(stored.TakenAt).Round(time.Millisecond), len(restored.List.Members), len(restored.Learned.Servers), len(dropped),
 		snapshot.Summary(dropped))
 	return &restored
 }
 
-// newSnapshotWriter returns what keeps snapshots, nil where the configuration names no file for them.
+// newSnapshotWriter returns the writer of snapshots, nil if the configuration names no file for them.
 func (p *program) newSnapshotWriter() *snapshot.Writer {
 	path := p.cfg.Own.Snapshot.Path
 	if path == "" {
@@ -62,7 +62,7 @@
 	}
 }
 
-// validityRules say what this process accepts of a snapshot.
+// validityRules returns what this process accepts of a snapshot.
 func (p *program) validityRules() snapshot.ValidityRules {
 	rules := snapshot.DefaultValidityRules()
 	rules.Program = p.cfg.Name
@@ -73,15 +73,15 @@
 	return rules
 }
 
-// snapshotFaults are the faults that befall the steps of writing a snapshot in a soak.
+// snapshotFaults maps the steps of writing a snapshot to the faults that soak tests inject there.
 var snapshotFaults = map[snapshot.Step]faultinjection.Op{
 	snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
 	snapshot.StepSweep: faultinjection.WriteFile, snapshot.StepCreate: faultinjection.WriteFile, snapshot.StepFill: faultinjection.WriteFile,
 	snapshot.StepSync: faultinjection.SyncFile, snapshot.StepRename: faultinjection.WriteFile, snapshot.StepSyncDir: faultinjection.SyncFile,
 }
 
-// startSnapshots writes snapshots from now on, if they are to be kept, until writeLastSnapshot is called, which writes one more. A
-// disk that fails is logged and ends nothing.
+// startSnapshots writes snapshots from now on, if they are configured, until writeLastSnapshot is called, which writes one more. A disk
+// error is logged and stops nothing.
 func (p *program) startSnapshots(ctx context.Context, group *errgroup.Group) {
 	if p.snapshotWriter == nil {
 		return
@@ -101,7 +101,7 @@
 	p.stopSnapshots = func() { end(); <-done }
 }
 
-// writeLastSnapshot returns when the last one has been written, or has had its time.
+// writeLastSnapshot writes the last snapshot, and returns when that is done or has timed out.
 func (p *program) writeLastSnapshot() {
 	p.snapshotMu.Lock()
 	defer p.snapshotMu.Unlock()
@@ -111,7 +111,8 @@
 	}
 }
 
-// takeSnapshot returns what the sidecar has learned, or nil if it has stopped or a successor has taken over its file.
+// takeSnapshot returns the state that the sidecar has learned. It returns nil if the dispatcher has stopped, and during a handover: the
+// successor writes the snapshot file then.
 func (p *program) takeSnapshot() *snapshot.Snapshot {
 	if p.frontend.IsHandingOver() {
 		return nil
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,19 +1,18 @@
-// Package shutdown has the schedule of a graceful shutdown. It reads no clock: all times count from the moment at which the signal to
-// stop was sent, of which Heartbeat knows the earliest that it can have been.
+// Package shutdown computes the schedule of a graceful shutdown. It reads no clock: all times count from when the stop signal was sent.
+// Heartbeat returns the earliest time at which that can have been.
 //
-// The platform's signal is SIGTERM, and this is the arithmetic of what follows, with L the longest deadline of a class, or
-// 3 s where that is longer:
+// The platform sends SIGTERM, and SIGKILL later. The times of the schedule, with L the longest deadline of a class but no more than 3 s:
 //
-//	0.2 to 0.4 s  new connections still come in for so long
-//	LastForward   the listener and idle connections are closed; what is read from here on is refused at once
-//	LastAnswer    what has been accepted and has no answer by then is given up
-//	L + 0.7 s     the kill may come
+//	0.2 to 0.4 s  new connections still arrive until then
+//	LastForward   the listener and idle connections are closed; a request that is read later is rejected at once
+//	LastAnswer    an accepted request that has no response yet fails
+//	L + 0.7 s     the platform may send SIGKILL
 //
-// Clients go on sending on connections that stay open, and a process may stall at any step, so that each lead over the kill is the
-// sum of the steps that follow it.
+// Clients keep sending on connections that stay open, and the process may stall at any step. So each lead over the kill is the sum of the
+// steps that follow it.
 //
-// The successor starts only after the kill, however early this process ends. So every moment from LastForward to the kill is one in
-// which nobody serves: no lead is longer than its sum.
+// The platform starts the successor only after the kill, even if this process exits earlier. Nobody serves from LastForward to the kill:
+// no lead is longer than its sum.
 package shutdown
 
 import (
@@ -22,50 +21,51 @@
 )
 
 const (
-	maxCountedDeadline = 3 * time.Second        // what the platform counts of the longest deadline
-	killGrace          = 700 * time.Millisecond // from the end of that deadline to the kill
-	minKill            = 500 * time.Millisecond // with less time nothing can be answered
+	maxCountedDeadline = 3 * time.Second        // the most of the longest deadline that the platform waits for
+	killGrace          = 700 * time.Millisecond // added by the platform to that deadline to get the time of the kill
+	minKill            = 500 * time.Millisecond // least time from the signal to the kill; with less no request gets a response
 
-	// MaxStall bounds for how long a process may stall at any step.
+	// MaxStall is the longest stall of the process that the schedule allows for at each step.
 	MaxStall = 150 * time.Millisecond
-	// workMargin is for the work itself, and for what is on its way to be written or read.
+	// workMargin is the time for the work of all steps, and for data in transit to be written or read.
 	workMargin = 50 * time.Millisecond
 
-	// answerLead is for what precedes the kill: the process sees that the moment has come, gives the answer and writes it.
-	answerLead = 3*MaxStall + workMargin
-	// forwardLead is for one step more: the process sees that the moment has come and closes connections, reads a request that had come by
-	// then, refuses it and writes that.
+	// responseLead is the time from LastAnswer to the kill. Three steps may stall: the process notices the deadline, makes the response
+	// and writes it.
+	responseLead = 3*MaxStall + workMargin
+	// forwardLead is the time from LastForward to the kill. Four steps may stall: the process notices the time and closes connections,
+	// reads a request that had arrived by then, rejects it and writes the response.
 	forwardLead = 4*MaxStall + workMargin
 
-	answerDivisor  = 2 // one part in so many of the time to the kill is left before LastAnswer where that is short,
-	forwardDivisor = 4 // and before LastForward
+	responseDivisor = 2 // if the time to the kill is short, LastAnswer is this fraction of it (1/2)
+	forwardDivisor  = 4 // and LastForward this one (1/4)
 
-	// CloseTimePerConnection is the time that the end of a client's connection takes, with an answer on it, on a tenth of a core.
+	// CloseTimePerConnection is the time that a response on a client's connection and its close take on a tenth of a CPU core.
 	CloseTimePerConnection = 250 * time.Microsecond
 )
 
-// Schedule is the timetable from the signal to stop on.
+// Schedule is the schedule of a shutdown. Its times count from when the stop signal was sent.
 type Schedule struct {
-	LastForward time.Duration // then nothing more is accepted: the listener and idle connections are closed
-	LastAnswer  time.Duration // by then all that was accepted is answered
-	Kill        time.Duration // then the process may be killed
+	LastForward time.Duration // when the listener and idle connections are closed; no request is forwarded after that
+	LastAnswer  time.Duration // by when every accepted request has a response
+	Kill        time.Duration // the earliest time at which the process may be killed
 }
 
-// NewSchedule returns the schedule for classes whose longest deadline is longest and a kill that comes no earlier than kill after the
-// signal; 0 = as the platform does it.
+// NewSchedule returns the schedule for classes whose longest deadline is longest, and a kill no earlier than kill after the signal.
+// With a kill of 0 the time of the platform's kill is computed from longest.
 func NewSchedule(longest, kill time.Duration) Schedule {
 	if kill <= 0 {
 		kill = min(longest, maxCountedDeadline) + killGrace
 	}
 	return Schedule{
 		LastForward: max(kill-forwardLead, kill/forwardDivisor),
-		LastAnswer:  max(kill-answerLead, kill/answerDivisor),
+		LastAnswer:  max(kill-responseLead, kill/responseDivisor),
 		Kill:        kill,
 	}
 }
 
-// ForConnections returns the schedule for so many open connections of clients, all of which have to be answered and closed before the
-// kill.
+// ForConnections returns the schedule with more time before the kill, in which that many client connections get their responses and are
+// closed.
 func (s Schedule) ForConnections(connections int) Schedule {
 	work := time.Duration(connections) * CloseTimePerConnection
 	s.LastForward = max(s.LastForward-work, min(s.LastForward, s.Kill/forwardDivisor))
@@ -73,7 +73,7 @@
 	return s
 }
 
-// Earlier returns the schedule of the two whose kill comes first.
+// Earlier returns the schedule with the earlier kill, s if they are equal.
 func (s Schedule) Earlier(other Schedule) Schedule {
 	if other.Kill < s.Kill {
 		return other
@@ -81,17 +81,17 @@
 	return s
 }
 
-// Check returns an error where the schedule leaves no time to answer anything.
+// Check returns an error if the schedule is too short for any response.
 func (s Schedule) Check() error {
 	if s.Kill < minKill {
-		return fmt.Errorf("kill_after_ms: %s leaves no time to answer what is taken; want %s or more", s.Kill, minKill)
+		return fmt.Errorf("kill_after_ms: %s leaves no time to respond to accepted requests; want %s or more", s.Kill, minKill)
 	}
 	return nil
 }
 
-// WaitLimit is how long a request may take that came at received, which is negative before the signal, and whose client waits for
-// timeout: it is answered by LastAnswer, also where its deadline is beyond what the platform counts of it, or was before the
-// settings changed. The platform does not count what comes in the first 0.7 s and is open at the kill; those who sent it do.
+// WaitLimit returns how long a request may take that was received at received (negative: before the signal) and whose client waits for
+// timeout. The response is due by LastAnswer, even if the deadline is longer than what the platform waits for, or comes from settings
+// that a reload has replaced. The platform does not count requests of the first 0.7 s that are open at the kill, but their clients do.
 func (s Schedule) WaitLimit(received, timeout time.Duration) time.Duration {
 	return min(timeout, max(0, s.LastAnswer-received))
 }
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// The timetable for what the platform grants, for a kill that comes soon and for one that comes late.
+// The schedule with the kill time of the platform, with an early configured kill and with a late one.
 func TestNewSchedule(t *testing.T) {
 	for _, c := range []struct{ longest, kill, lastForward, lastAnswer, killed time.Duration }{
 		{2500 * ms, 0, 2550 * ms, 2700 * ms, 3200 * ms},
@@ -25,22 +25,22 @@
 		}
 	}
 	if NewSchedule(time.Second, 400*ms).Check() == nil {
-		t.Error("a kill after 400 ms is taken")
+		t.Error("a kill after 400 ms is accepted")
 	}
 }
 
-// Each lead bears a stall at every step that follows it: connections are closed, a last request is read and refused, and what is open is
-// given up and answered before the kill, with as many connections as there may be.
-func TestLeadsBearTheirSteps(t *testing.T) {
-	for longest := 250 * ms; longest < 6*time.Second; longest += 70 * ms { // below, a new client would hardly be let in
+// Each lead is long enough for a stall at every step that follows it: connections are closed, a last request is read and rejected, and
+// open requests fail and get their responses before the kill, with any number of connections.
+func TestLeadsCoverStalls(t *testing.T) {
+	for longest := 250 * ms; longest < 6*time.Second; longest += 70 * ms { // with shorter ones new clients would hardly be accepted
 		for _, connections := range []int{0, 10, 100, 300, 1000, 10000} {
 			schedule := NewSchedule(longest, 0).ForConnections(connections)
 			work := min(time.Duration(connections)*CloseTimePerConnection, schedule.Kill/10)
-			if closed := schedule.LastForward + MaxStall; closed+3*MaxStall+work > schedule.Kill {
-				t.Errorf("longest %s, %d connections: a request that comes at %s is refused after the kill at %s", longest, connections, closed, schedule.Kill)
+			if closedAt := schedule.LastForward + MaxStall; closedAt+3*MaxStall+work > schedule.Kill {
+				t.Errorf("longest %s, %d connections: a request that arrives at %s is rejected after the kill at %s", longest, connections, closedAt, schedule.Kill)
 			}
-			if given := schedule.LastAnswer + 2*MaxStall; given+MaxStall+work > schedule.Kill {
-				t.Errorf("longest %s, %d connections: what is given up at %s is answered after the kill at %s", longest, connections, given, schedule.Kill)
+			if failedAt := schedule.LastAnswer + 2*MaxStall; failedAt+MaxStall+work > schedule.Kill {
+				t.Errorf("longest %s, %d connections: a request that fails at %s gets its response after the kill at %s", longest, connections, failedAt, schedule.Kill)
 			}
 			if schedule.LastForward <= 0 || schedule.LastAnswer < schedule.LastForward {
 				t.Errorf("longest %s, %d connections: %+v", longest, connections, schedule)
@@ -49,12 +49,12 @@
 	}
 }
 
-// Whatever comes in when, its answer is due before the kill, with time for a stall before it is seen to be due and one before it is
-// written.
+// The response to a request is due before the kill whenever it arrives, with time for two stalls: before the deadline is noticed and
+// before the response is written.
 func TestWaitLimit(t *testing.T) {
 	schedule := NewSchedule(2500*ms, 0)
 	for _, c := range []struct{ received, timeout, want time.Duration }{
-		{-2 * time.Second, 8 * time.Second, 4700 * ms}, // of a class that was dropped since
+		{-2 * time.Second, 8 * time.Second, 4700 * ms}, // of a class that a reload has dropped
 		{-time.Second, 3700 * ms, 3700 * ms},
 		{-time.Second, 4201 * ms, 3700 * ms},
 		{0, 2500 * ms, 2500 * ms},
@@ -74,17 +74,17 @@
 		for received := -longest; received <= schedule.LastForward; received += 10 * ms {
 			for _, timeout := range []time.Duration{10 * ms, longest / 2, longest, 2 * longest} {
 				if end := received + schedule.WaitLimit(received, timeout); end > schedule.Kill-2*MaxStall && received+timeout > schedule.Kill-2*MaxStall {
-					t.Fatalf("longest %s: taken at %s for %s, answered by %s, killed at %s", longest, received, timeout, end, schedule.Kill)
+					t.Fatalf("longest %s: received at %s with timeout %s, response due at %s, killed at %s", longest, received, timeout, end, schedule.Kill)
 				}
 			}
 		}
 	}
 }
 
-// Of two schedules the one counts whose kill comes first.
+// Earlier returns the schedule with the earlier kill.
 func TestEarlier(t *testing.T) {
-	soon, late := NewSchedule(300*ms, 0), NewSchedule(time.Second, 0)
-	if late.Earlier(soon) != soon || soon.Earlier(late) != soon {
-		t.Error("the later kill goes before the earlier one")
+	early, late := NewSchedule(300*ms, 0), NewSchedule(time.Second, 0)
+	if late.Earlier(early) != early || early.Earlier(late) != early {
+		t.Error("Earlier returns the schedule with the later kill")
 	}
 }
