--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -80,7 +80,7 @@
 		run.configured = run.configured.Earlier(shutdown.NewSchedule(0, max(signal.killAt.Sub(signal.earliestSent), 1)))
 	}
 	log.Printf("name=%s state=stopping signal=%q sent_ms_ago=%d last_request_after=%s answers_after=%s kill_after=%s", p.cfg.Name, signal.Signal,
-		time.Since(signal.earliestSent).Milliseconds(), run.configured.LastForward, run.configured.LastAnswer, run.configured.Kill)
+		time.Since(signal.earliestSent).Milliseconds(), run.configured.LastForward, run.configured.LastResponse, run.configured.Kill)
 	run.apply(run.configured)
 	p.lifecycle.on(stopSignalled)
 	p.requestStop()
@@ -114,7 +114,7 @@
 	}
 	s.configured = change.schedule
 	log.Printf("name=%s state=stopping_sooner last_request_after=%s answers_after=%s kill_after=%s", s.program.cfg.Name, s.configured.LastForward,
-		s.configured.LastAnswer, s.configured.Kill)
+		s.configured.LastResponse, s.configured.Kill)
 	s.apply(s.configured.ForConnections(s.maxConnections))
 	s.advance(time.Now())
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -78,7 +78,7 @@
 	case d.shutdownAt.IsZero():
 		return maxUploadTime
 	}
-	return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
+	return d.shutdownSchedule.LastResponse - now.Sub(d.shutdownAt)
 }
 
 // waitLimit is how long its client waits in all, as long as this process lives.
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -26,7 +26,7 @@
 		uploading := req.Remainder != nil // its body may still be sent: then its own deadline is not set yet
 		end := req.SentAt.Add(d.waitLimit(req))
 		if uploading {
-			end = d.shutdownAt.Add(e.schedule.LastAnswer)
+			end = d.shutdownAt.Add(e.schedule.LastResponse)
 		}
 		if !pending.answered && (uploading || end.Before(req.SentAt.Add(req.Timeout))) {
 			heap.Push(&d.timers, &timer{fireAt: end, handle: uint64(id)}) // the policy ends the request as at its own deadline
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -47,7 +47,7 @@
 // Schedule is the schedule of a shutdown. Its times count from when the stop signal was sent.
 type Schedule struct {
 	LastForward time.Duration // when the listener and idle connections are closed; no request is forwarded after that
-	LastAnswer  time.Duration // by when every accepted request has a response
+	LastResponse  time.Duration // by when every accepted request has a response
 	Kill        time.Duration // the earliest time at which the process may be killed
 }
 
@@ -59,7 +59,7 @@
 	}
 	return Schedule{
 		LastForward: max(kill-forwardLead, kill/forwardDivisor),
-		LastAnswer:  max(kill-responseLead, kill/responseDivisor),
+		LastResponse:  max(kill-responseLead, kill/responseDivisor),
 		Kill:        kill,
 	}
 }
@@ -69,7 +69,7 @@
 func (s Schedule) ForConnections(connections int) Schedule {
 	work := time.Duration(connections) * CloseTimePerConnection
 	s.LastForward = max(s.LastForward-work, min(s.LastForward, s.Kill/forwardDivisor))
-	s.LastAnswer = max(s.LastAnswer-work, s.LastForward)
+	s.LastResponse = max(s.LastResponse-work, s.LastForward)
 	return s
 }
 
@@ -93,5 +93,5 @@
 // timeout. The response is due by LastAnswer, even if the deadline is longer than what the platform waits for, or comes from settings
 // that a reload has replaced. The platform does not count requests of the first 0.7 s that are open at the kill, but their clients do.
 func (s Schedule) WaitLimit(received, timeout time.Duration) time.Duration {
-	return min(timeout, max(0, s.LastAnswer-received))
+	return min(timeout, max(0, s.LastResponse-received))
 }
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -39,10 +39,10 @@
 			if closedAt := schedule.LastForward + MaxStall; closedAt+3*MaxStall+work > schedule.Kill {
 				t.Errorf("longest %s, %d connections: a request that arrives at %s is rejected after the kill at %s", longest, connections, closedAt, schedule.Kill)
 			}
-			if failedAt := schedule.LastAnswer + 2*MaxStall; failedAt+MaxStall+work > schedule.Kill {
+			if failedAt := schedule.LastResponse + 2*MaxStall; failedAt+MaxStall+work > schedule.Kill {
 				t.Errorf("longest %s, %d connections: a request that fails at %s gets its response after the kill at %s", longest, connections, failedAt, schedule.Kill)
 			}
-			if schedule.LastForward <= 0 || schedule.LastAnswer < schedule.LastForward {
+			if schedule.LastForward <= 0 || schedule.LastResponse < schedule.LastForward {
 				t.Errorf("longest %s, %d connections: %+v", longest, connections, schedule)
 			}
 		}
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -85,7 +85,7 @@
 	if rng.IntN(4) > 0 {
 		e.addStallsBeforeKill(rng)
 	} else { // across the last accept or the last answer
-		e.addStall(pickOne(rng, plan.LastForward, plan.LastAnswer) - time.Duration(rng.Float64()*float64(stallLength)))
+		e.addStall(pickOne(rng, plan.LastForward, plan.LastResponse) - time.Duration(rng.Float64()*float64(stallLength)))
 	}
 	e.hanging = rng.IntN(3) > 0
 	if rng.IntN(3) == 0 {
