--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -239,13 +239,13 @@
 				if status, text := s.call("GET", "/metrics"); status != 200 {
 					t.Errorf("response for operators: %d %s", status, text)
 				}
-				back := time.Now()
+				backAt := time.Now()
 				down(false)
 				time.Sleep(3 * time.Second)
 				synctest.Wait()
 				polls := 0
 				for _, poll := range discovery.Calls() {
-					if poll.At.After(back) {
+					if poll.At.After(backAt) {
 						polls++
 					}
 				}
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -38,10 +38,10 @@
 	ended        chan error
 	file         string
 
-	mu     sync.Mutex
-	seen   []string         // ids of the requests whose head a server has received
-	answer func(int) string // response to the n-th request; "" = none
-	probes chan struct{}    // probes get responses once it is closed; nil = at once
+	mu      sync.Mutex
+	seen    []string         // ids of the requests whose head a server has received
+	respond func(int) string // response to the n-th request; "" = none
+	probes  chan struct{}    // probes get responses once it is closed; nil = at once
 }
 
 // logged is the log of all programs of parallel tests.
@@ -95,7 +95,7 @@
 		T: t, pendingDials: make(chan chan struct{}), accepts: make(chan net.Conn), pass: make(chan net.Conn),
 		closed: make(chan struct{}, 64), probed: make(chan struct{}, 64), file: filepath.Join(t.TempDir(), "config.json"),
 	}
-	r.answer = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
+	r.respond = func(int) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" }
 	known := fakes.List{Revision: 1}
 	for i := range servers {
 		l := listenHere(t)
@@ -151,8 +151,8 @@
 func (r *rig) decline(nth int, stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	previous := r.answer
-	r.answer = func(n int) string {
+	previous := r.respond
+	r.respond = func(n int) string {
 		if n == nth {
 			stop()
 			return "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
@@ -172,12 +172,12 @@
 	if !slices.Equal(r.seen, want) {
 		r.Errorf("servers received %v, want %v", r.seen, want)
 	}
-	for _, word := range []string{
+	for _, counter := range []string{
 		fmt.Sprintf(" taken=%d ", gone+served), fmt.Sprintf(" consumer_gone=%d ", gone),
 		fmt.Sprintf(" served=%d refused=0 failed=0", served), " sockets=0",
 	} {
-		if !strings.Contains(counts, word) {
-			r.Errorf("%q is not in\n%s", word, counts)
+		if !strings.Contains(counts, counter) {
+			r.Errorf("%q is not in\n%s", counter, counts)
 		}
 	}
 }
@@ -196,11 +196,11 @@
 				if err != nil {
 					return
 				}
-				answer, probes := "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"active\":0,\"avg_ms\":10.0}", r.probes
+				response, probes := "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"active\":0,\"avg_ms\":10.0}", r.probes
 				if id := req.Header.Get("Req-Id"); id != "" {
 					r.mu.Lock()
 					r.seen = append(r.seen, id)
-					answer = r.answer(len(r.seen))
+					response = r.respond(len(r.seen))
 					r.mu.Unlock()
 				} else if r.probed <- struct{}{}; probes != nil {
 					<-probes
@@ -208,7 +208,7 @@
 				if _, err := io.Copy(io.Discard, req.Body); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, answer)
+				_, _ = io.WriteString(c, response)
 			}
 		}()
 	}
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -40,7 +40,7 @@
 	responseDivisor = 2 // if the time to the kill is short, LastResponse is this fraction of it (1/2)
 	forwardDivisor  = 4 // and LastForward this one (1/4)
 
-	// CloseTimePerConnection is the time that a response on a client's connection and its close take on a tenth of a CPU core.
+	// CloseTimePerConnection is the time to write a response on a client's connection and close it, on a tenth of a CPU core.
 	CloseTimePerConnection = 250 * time.Microsecond
 )
 
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// WaitLimit returns how long a request may take that was received at received (negative: before the signal) and whose client
-// waits for timeout. The response is due by LastResponse, even if the deadline is longer than what the platform waits for, or
+// WaitLimit returns how long a request may take that arrives at received (negative: before the signal), if its client waits for
+// timeout. The response is due by LastResponse, even if the deadline is longer than what the platform waits for, or
 // comes from settings that a reload has replaced. The platform does not count requests of the first 0.7 s that are open at
 // the kill, but their clients do.
 func (s Schedule) WaitLimit(received, timeout time.Duration) time.Duration {
