--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -82,7 +82,7 @@
 	case d.shutdownAt.IsZero():
 		return maxUploadTime
 	}
-	return d.shutdownSchedule.LastAnswer - now.Sub(d.shutdownAt)
+	return d.shutdownSchedule.LastResponse - now.Sub(d.shutdownAt)
 }
 
 // waitLimit returns how long the request may take in all: its client's timeout, or less after a shutdown was scheduled.
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -27,7 +27,7 @@
 		uploading := req.Remainder != nil // its body may still be sent, and its own deadline is not known then
 		end := req.SentAt.Add(d.waitLimit(req))
 		if uploading {
-			end = d.shutdownAt.Add(e.schedule.LastAnswer)
+			end = d.shutdownAt.Add(e.schedule.LastResponse)
 		}
 		if !pending.closed && (uploading || end.Before(req.SentAt.Add(req.Timeout))) {
 			heap.Push(&d.timers, &timer{fireAt: end, handle: uint64(id)}) // the policy handles it like the request's own deadline
