--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -1,11 +1,11 @@
 package staleness
 
-// Evidence is what has been seen of a server.
+// Evidence is an observation of a server.
 type Evidence uint8
 
-// Alive confirms that the server is in service as the list says; the others contradict it.
+// Alive confirms that a server is in service as the list says; the other kinds contradict the list.
 const (
-	Alive          Evidence = iota // it has answered as one in service does
-	ConnectRefused                 // a connection was refused: no process is there
-	Draining                       // it declined a probe, as one does that drains
+	Alive          Evidence = iota // the server responded as one in service does
+	ConnectRefused                 // a connection was refused: no process listens
+	Draining                       // the server declined a probe, as a draining one does
 )
--- a/internal/staleness/validity_test.go
+++ b/internal/staleness/validity_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// Whatever the grace, a server is picked early enough for a connection, and no first byte is written at its end.
+// Whatever the drain grace, a server is picked early enough to establish a connection, and no first byte is written in its
+// last 100 ms.
 func TestDrainLimits(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * ms, 100 * ms, 200 * ms, 750 * ms, 2000 * ms} {
 		pickFor, writeFor := DrainLimits(grace)
@@ -19,9 +20,9 @@
 	}
 }
 
-// A first byte that its guard lets pass at the last moment goes out within the grace of a drain, although the process stalls between the
-// two.
-func TestDrainLimitsBearAStall(t *testing.T) {
+// A first byte that is permitted at the last possible time is sent within the drain grace, even if the process stalls in
+// between.
+func TestDrainLimitsLeaveTimeForStall(t *testing.T) {
 	for grace := 300 * time.Millisecond; grace <= 5*time.Second; grace += 50 * time.Millisecond {
 		pickFor, writeFor := DrainLimits(grace)
 		if writeFor+shutdown.MaxStall > grace || pickFor > writeFor || pickFor < 0 {
--- a/internal/watchpolicy/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	evidenceMemory = 3 * time.Second // in which evidence against the list counts without being repeated
-	// contradictedShare and minContradicted: one in so many of the listed servers, and at least so many, must contradict the list.
-	contradictedShare = 10
-	minContradicted   = 2
+	evidenceTTL = 3 * time.Second // for which evidence against the list counts without being repeated
+	// contradictedDivisor and minContradicted set how many servers must contradict the list to cause a refresh: one in
+	// contradictedDivisor of those listed, and at least minContradicted, or all where fewer are listed.
+	contradictedDivisor = 10
+	minContradicted     = 2
 )
 
-// contradiction is the evidence that a listed server is not in service.
+// contradiction is evidence that a server is not in service although the list names it as such.
 type contradiction struct {
 	lastSeen  time.Time
-	rechecked bool // discovery has been asked since, and says that it is
+	rechecked bool // a complete list received since then still names the server as in service
 }
 
-// SetListed takes a change of the list about one server: whether the list now names it as in service, and the start of its process. What
-// contradicted the list about an earlier process is over.
+// SetListed records whether the list now names server as in service, and the start time of its process in Unix milliseconds.
+// It drops evidence against the list that concerns an earlier process of the server.
 func (s *Scheduler) SetListed(server string, ready bool, startedAt float64) {
 	before, listed := s.listed[server]
 	if !ready || listed && before != startedAt {
@@ -33,8 +34,8 @@
 	}
 }
 
-// ReplaceListed takes a complete list: the servers that are in service, with the starts of their processes. Those that still contradict
-// it have been rechecked.
+// ReplaceListed records the servers that a complete list names as in service, each with the start time of its process in Unix
+// milliseconds. Servers that still contradict the list count as rechecked.
 func (s *Scheduler) ReplaceListed(ready map[string]float64) {
 	if !maps.Equal(s.listed, ready) {
 		s.refreshes = 0
@@ -50,31 +51,34 @@
 	for _, c := range s.contradictions {
 		c.rechecked = true
 	}
-	s.refreshWanted = s.refreshMissed
-	s.refreshMissed = false
+	s.refreshWanted = s.refreshStillWanted
+	s.refreshStillWanted = false
 }
 
-// countContradictions counts the servers that contradict the list and about which discovery has not been asked since.
+// countContradictions returns the number of servers that contradict the list and that no complete list has rechecked since.
 func (s *Scheduler) countContradictions(now time.Time) (n int) {
 	for _, c := range s.contradictions {
-		if !c.rechecked && now.Sub(c.lastSeen) <= evidenceMemory {
+		if !c.rechecked && now.Sub(c.lastSeen) <= evidenceTTL {
 			n++
 		}
 	}
 	return n
 }
 
-// mustKeepWatch reports whether evidence has to wait, as it does at a source that other instances poll, too, while the watch is in time.
-// All see the same then, and whoever leaves a watch for the complete list loses the change that is on its way and goes to the end of the
-// queue: with 32 instances, four servers that refuse would cost most of them every list for 10 to 20 s.
+// mustKeepWatch reports whether a refresh must wait because other instances poll the same source and the response to the
+// present watch is not overdue. All instances see the same evidence at the same time, and one that abandons its watch for the
+// complete list loses the change that is about to arrive and joins the end of the queue: with 32 instances, four servers that
+// refuse connections would leave most instances without any list for 10 to 20 s.
 func (s *Scheduler) mustKeepWatch(now time.Time) bool {
 	return s.settings.Instances > 1 && now.Before(s.overdueAt)
 }
 
-// Observe takes evidence of a server. True asks for the complete list now, even while a poll is under way: several servers contradict the
-// list at once. It is bounded: never twice within Settings.RefreshInterval, less and less often while discovery confirms its list, not
-// while it rejects polls, nor while it answers several instances in time; and a server for which it confirms its list counts no more
-// until it has answered or restarted. No evidence removes a server from the list: a fault of this instance makes all look gone.
+// Observe records evidence about a server and reports whether to refresh, that is to request the complete list now and to
+// cancel a poll in progress, because enough servers contradict the list at the same time. Refreshes are limited: at most one
+// per Settings.RefreshInterval, with an exponential backoff while discovery confirms its list, none while discovery rejects
+// polls, and none while several instances poll it and the watch is not overdue. A server whose entry discovery has confirmed
+// does not count again until it has responded or restarted. Evidence never removes a server from the list: a fault of this
+// instance can make all servers look unreachable.
 func (s *Scheduler) Observe(now time.Time, server string, evidence staleness.Evidence) bool {
 	if _, listed := s.listed[server]; !listed {
 		return false
@@ -96,12 +100,12 @@
 	interval := retryDelay(2*s.settings.RefreshInterval, s.settings.MaxRefreshInterval, s.refreshes, s.rng.Float64())
 	s.nextRefreshAt = now.Add(max(s.settings.RefreshInterval, interval))
 	s.refreshWanted = true
-	s.leftWatchInTime = now.Before(s.overdueAt) && !s.settings.Pushed
+	s.abandonedWatch = now.Before(s.overdueAt) && !s.settings.Pushed
 	return true
 }
 
-// mayRefresh reports whether the contradictions are enough, and a refresh is allowed, for one at now.
+// mayRefresh reports whether enough servers contradict the list for a refresh at now, and whether the limits allow one.
 func (s *Scheduler) mayRefresh(now time.Time) bool {
-	needed := max(min(minContradicted, len(s.listed)), len(s.listed)/contradictedShare)
-	return !s.refreshWanted && !s.sourceFull && !now.Before(s.nextRefreshAt) && s.countContradictions(now) >= needed && !s.mustKeepWatch(now)
+	needed := max(min(minContradicted, len(s.listed)), len(s.listed)/contradictedDivisor)
+	return !s.refreshWanted && !s.sourceOverloaded && !now.Before(s.nextRefreshAt) && s.countContradictions(now) >= needed && !s.mustKeepWatch(now)
 }
--- a/internal/watchpolicy/contradictions_test.go
+++ b/internal/watchpolicy/contradictions_test.go
@@ -8,7 +8,7 @@
 	"plankrouter/internal/staleness"
 )
 
-// Each step is evidence, or an answer of discovery; refreshes says whether it asks for the complete list.
+// Each step is evidence or a response of discovery; refreshes is whether the step requests the complete list.
 func TestEvidence(t *testing.T) {
 	type step struct {
 		at        time.Duration
@@ -16,7 +16,7 @@
 		evidence  staleness.Evidence
 		refreshes bool
 	}
-	again := func(from, every time.Duration, n int, refreshes ...int) (steps []step) { // two servers refuse again and again
+	repeat := func(from, every time.Duration, n int, refreshes ...int) (steps []step) { // two servers refuse connections repeatedly
 		for i := range n {
 			at := from + time.Duration(i)*every
 			steps = append(steps, step{at, 0, staleness.ConnectRefused, false}, step{at, 1, staleness.ConnectRefused, false})
@@ -31,20 +31,20 @@
 		servers int
 		steps   []step
 	}{
-		"one of many":                {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.ConnectRefused, false}, {2, 0, staleness.Draining, false}}},
-		"two at once":                {15, []step{{0, 0, staleness.ConnectRefused, false}, {500 * ms, 1, staleness.Draining, true}}},
-		"two, but not at once":       {15, []step{{0, 0, staleness.ConnectRefused, false}, {4 * time.Second, 1, staleness.ConnectRefused, false}}},
-		"one has answered meanwhile": {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.Alive, false}, {2, 1, staleness.ConnectRefused, false}}},
+		"one of many":                 {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.ConnectRefused, false}, {2, 0, staleness.Draining, false}}},
+		"two at once":                 {15, []step{{0, 0, staleness.ConnectRefused, false}, {500 * ms, 1, staleness.Draining, true}}},
+		"two, but not at once":        {15, []step{{0, 0, staleness.ConnectRefused, false}, {4 * time.Second, 1, staleness.ConnectRefused, false}}},
+		"one has responded meanwhile": {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.Alive, false}, {2, 1, staleness.ConnectRefused, false}}},
 		"a tenth of a large fleet": {40, []step{
 			{0, 0, staleness.ConnectRefused, false},
 			{1, 1, staleness.ConnectRefused, false},
 			{2, 2, staleness.ConnectRefused, false},
 			{3, 3, staleness.ConnectRefused, true},
 		}},
-		"the only one":           {1, []step{{0, 0, staleness.ConnectRefused, true}}},
-		"not on the list":        {2, []step{{0, 7, staleness.ConnectRefused, false}, {1, 8, staleness.ConnectRefused, false}}},
-		"not before the answer":  {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {5 * time.Second, 2, staleness.ConnectRefused, false}, {5 * time.Second, 3, staleness.ConnectRefused, false}}},
-		"the list confirms them": {15, append([]step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {2, 0, listed, false}}, again(2*time.Second, time.Second, 100)...)},
+		"the only one":            {1, []step{{0, 0, staleness.ConnectRefused, true}}},
+		"not on the list":         {2, []step{{0, 7, staleness.ConnectRefused, false}, {1, 8, staleness.ConnectRefused, false}}},
+		"not before the response": {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {5 * time.Second, 2, staleness.ConnectRefused, false}, {5 * time.Second, 3, staleness.ConnectRefused, false}}},
+		"the list confirms them":  {15, append([]step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {2, 0, listed, false}}, repeat(2*time.Second, time.Second, 100)...)},
 		"others after that": {15, []step{
 			{0, 0, staleness.ConnectRefused, false},
 			{1, 1, staleness.ConnectRefused, true},
@@ -52,7 +52,7 @@
 			{5 * time.Second, 2, staleness.ConnectRefused, false},
 			{5 * time.Second, 3, staleness.ConnectRefused, true},
 		}},
-		"others too soon after that": {15, []step{
+		"others within the interval": {15, []step{
 			{0, 0, staleness.ConnectRefused, false},
 			{1, 1, staleness.ConnectRefused, true},
 			{2, 0, listed, false},
@@ -83,8 +83,8 @@
 	}
 }
 
-// Where discovery confirms a list that is wrong, or all fails because the fault is on this side, it is asked ever more seldom: a server
-// that answers in between contradicts the list anew each time.
+// Refreshes become rarer while discovery confirms its list, because the list is wrong or the fault is on this machine,
+// although a server that responds in between counts as a new contradiction each time.
 func TestRefreshesAreBounded(t *testing.T) {
 	scheduler := newScheduler(t, 15)
 	now := time.Unix(1e9, 0)
@@ -109,7 +109,8 @@
 	}
 }
 
-// Evidence that comes during a poll is not forgotten with that poll's answer, nor with its failure, and contradictions shorten the wait.
+// Evidence received during a poll stays valid after the response to that poll and after its failure, and contradictions
+// shorten the wait.
 func TestEvidenceDuringAPoll(t *testing.T) {
 	scheduler, now := newScheduler(t, 15), time.Unix(1e9, 0)
 	scheduler.Next(now)
@@ -121,20 +122,21 @@
 	}
 	scheduler.Responded(poll, 10*ms)
 	if poll = scheduler.Next(now); !poll.Complete {
-		t.Errorf("after the answer to another poll: %+v", poll)
+		t.Errorf("after the response to another poll: %+v", poll)
 	}
 	scheduler.Failed()
 	scheduler.Responded(scheduler.Next(now), 10*ms)
 	scheduler.ReplaceListed(listedServers(3))
-	scheduler.SetListed("p0", true, 2) // a new process: what contradicted the list about the old one is over
+	scheduler.SetListed("p0", true, 2) // a new process: evidence about the old one is dropped
 	scheduler.Observe(now.Add(time.Minute), "p0", staleness.ConnectRefused)
 	if poll = scheduler.Next(now.Add(time.Minute)); poll.Complete || poll.Wait > 500*ms {
 		t.Errorf("after the complete list: %+v", poll)
 	}
 }
 
-// Evidence that comes just as an earlier poll is answered by a complete list is not settled by that.
-func TestEvidenceCrossesACompleteList(t *testing.T) {
+// A complete list that is the response to an earlier poll does not count as the refresh that evidence during that poll has
+// requested.
+func TestEvidenceDuringCompleteList(t *testing.T) {
 	for _, complete := range []bool{false, true} {
 		scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
 		if complete {
@@ -148,12 +150,12 @@
 		scheduler.Responded(poll, ms)
 		scheduler.ReplaceListed(listedServers(4))
 		if poll = scheduler.Next(now); !poll.Complete {
-			t.Errorf("complete %t: evidence is lost", complete)
+			t.Errorf("complete %t: no refresh after the response", complete)
 		}
 		scheduler.Responded(poll, ms)
 		scheduler.ReplaceListed(listedServers(4))
 		if poll = scheduler.Next(now); poll.Complete {
-			t.Errorf("complete %t: it is refreshed twice", complete)
+			t.Errorf("complete %t: refreshed twice", complete)
 		}
 	}
 }
--- a/internal/watchpolicy/doc.go
+++ b/internal/watchpolicy/doc.go
@@ -1,8 +1,9 @@
-// Package watchpolicy decides how the endpoint list is kept fresh: how long a poll may wait for
-// changes, when one that remains unanswered is given up, when the next one follows, and when what is seen of the servers contradicts
-// the list so clearly that the complete list is requested at once. It does no input or output and reads no clock.
+// Package watchpolicy schedules the polls that keep the endpoint list up to date: how long a poll waits for changes, when a
+// poll without a response times out, when the next poll is sent, and when evidence from the servers contradicts the list
+// strongly enough to request the complete list at once. It does no I/O and reads no clock.
 //
-// A watch can die silently: its answers are lost on a connection that remains open. Silence alone does not distinguish that from a
-// source without changes, so a poll asks to be answered after a bounded wait even then, and the time beyond that wait in which the
-// answer usually comes is learned. What is silent for much longer is dead.
+// A watch can fail silently: its responses are lost while the connection stays open. Silence alone does not distinguish that
+// from a source without changes. Therefore each poll asks for a response after a bounded wait even without changes, and the
+// Scheduler learns how long after that wait responses usually arrive. A poll whose response is much later than usual times
+// out.
 package watchpolicy
--- a/internal/watchpolicy/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -6,7 +6,8 @@
 	"plankrouter/internal/staleness"
 )
 
-// When a change of the list takes effect, whether or not it has arrived here: the platform's protocol.
+// The times at which the platform's protocol lets a change of the list take effect, whether or not this instance has received
+// it.
 const (
 	effectiveAfterWait         = 2 * time.Second // after the end of a poll's wait
 	effectiveAfterSourceChange = 4 * time.Second // after the request to poll another source
@@ -14,11 +15,13 @@
 	maxPropagationDelay = 2 * time.Second
 )
 
-// Validity returns that of the list as the last poll or pause began. A list that is polled for may lack changes of up to 6 s: a server may
-// have gone and be back under its id, unseen, at any time after the list was sent, and while the change that it has gone comes before
-// the one that it is back, nothing may go there. Where polls queue at one service, an instance that starts in a herd may not be answered
-// for long and has no connection from before: a server that leaves after the start remains for its grace, so that another process takes
-// longer to be there.
+// Validity returns until when the list may be relied on, as computed when the last poll, or the delay before it, began. A
+// polled list may lack the changes of the last 6 s: at any time after it was sent a server may have stopped, and another
+// process may have started under its id. No request may be sent to that process between the change that reports the stop and
+// the one that reports the start. Before the first response ProcessUntil is later by the drain grace: where polls queue at a
+// shared service, an instance that starts together with many others may wait long for a response and has no older
+// connections, and a server that leaves after the start keeps running for its drain grace, so that another process can
+// replace it no earlier.
 func (s *Scheduler) Validity() staleness.Validity {
 	switch {
 	case s.settings.Pushed:
@@ -29,8 +32,8 @@
 	return staleness.Validity{ListUntil: s.freshUntil, ProcessUntil: s.listAsOf.Add(-maxPropagationDelay)}
 }
 
-// updateFreshUntil notes until when the list is fresh, now that poll is made. The first poll that was not answered decides, or the first
-// pause.
+// updateFreshUntil updates freshUntil for poll, which is made at now. The earliest time applies among those of the polls and
+// delays since the last response.
 func (s *Scheduler) updateFreshUntil(now time.Time, poll Poll) {
 	until := s.freshUntilAfter(now, poll)
 	if latest := now.Add(effectiveAfterSourceChange); s.sourceChanged && latest.Before(until) {
@@ -39,16 +42,16 @@
 	if s.freshUntil.IsZero() || until.Before(s.freshUntil) {
 		s.freshUntil = until
 	}
-	s.leftWatchInTime = false
+	s.abandonedWatch = false
 }
 
-// freshUntilAfter returns until when the list is fresh if poll is not answered.
+// freshUntilAfter returns until when the list is fresh if poll gets no response.
 func (s *Scheduler) freshUntilAfter(now time.Time, poll Poll) time.Time {
-	pausedAgent := poll.Delay > 0 && s.settings.Pushed // it may have had a change since it was polled last
+	pausedAgent := poll.Delay > 0 && s.settings.Pushed // it may have received a change since the last poll
 	switch {
-	case pausedAgent || s.listAsOf.IsZero(): // nobody knows the age of the list to begin with
+	case pausedAgent || s.listAsOf.IsZero(): // the age of the initial list is unknown
 		return now
-	case s.leftWatchInTime: // it would have brought the changes
+	case s.abandonedWatch: // it would have delivered any change since then
 		return now
 	case (poll.Delay > 0 || poll.Complete) && !s.settings.Pushed:
 		return s.listAsOf.Add(max(0, s.settings.EffectiveBy-maxPropagationDelay))
--- a/internal/watchpolicy/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -9,31 +9,31 @@
 	"plankrouter/internal/staleness"
 )
 
-// Until when the list is fresh, by how the polls since its last answer ended. It is read after the poll that follows the last of them.
+// ListUntil depends on how the polls since the last response ended. It is read during the poll that follows the last of them.
 func TestListUntil(t *testing.T) {
 	type end func(*Scheduler, Poll)
-	answered := func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, poll.Wait+2*ms) }
+	responded := func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, poll.Wait+2*ms) }
 	changed := func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, poll.Wait/2) }
-	lost := func(scheduler *Scheduler, _ Poll) { scheduler.Failed() }
+	failed := func(scheduler *Scheduler, _ Poll) { scheduler.Failed() }
 	rejected := func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() }
-	left := func(*Scheduler, Poll) {}
+	abandoned := func(*Scheduler, Poll) {}
 	for _, c := range []struct {
 		name string
 		ends []end         // of one poll a second
 		want time.Duration // from the start, less the random part of a wait
 	}{
-		{"the first is answered", []end{answered}, 4 * time.Second},
-		{"each is answered", []end{answered, answered, answered}, 6 * time.Second},
-		{"each brings a change", []end{changed, changed, changed}, 6 * time.Second},
-		{"all are lost", []end{answered, lost, lost, lost, lost}, 4 * time.Second},
-		{"all are rejected", []end{answered, rejected, rejected, rejected, rejected}, 4 * time.Second},
-		{"an agent's are lost: there is a pause after the first", []end{answered, lost, lost, lost, lost}, 2 * time.Second},
-		{"it is left for another", []end{answered, left}, 4 * time.Second},
-		{"found again", []end{lost, lost, answered}, 6 * time.Second},
+		{"response to the first", []end{responded}, 4 * time.Second},
+		{"response to each", []end{responded, responded, responded}, 6 * time.Second},
+		{"change in each response", []end{changed, changed, changed}, 6 * time.Second},
+		{"all fail", []end{responded, failed, failed, failed, failed}, 4 * time.Second},
+		{"all are rejected", []end{responded, rejected, rejected, rejected, rejected}, 4 * time.Second},
+		{"an agent's polls fail: a delay follows the first", []end{responded, failed, failed, failed, failed}, 2 * time.Second},
+		{"abandoned for another", []end{responded, abandoned}, 4 * time.Second},
+		{"response after failures", []end{failed, failed, responded}, 6 * time.Second},
 	} {
 		scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
 		scheduler.settings.Pushed = strings.HasPrefix(c.name, "an agent")
-		for i, end := range append(c.ends, left) {
+		for i, end := range append(c.ends, abandoned) {
 			poll := scheduler.Next(now.Add(time.Duration(i) * time.Second))
 			end(scheduler, poll)
 		}
@@ -49,15 +49,15 @@
 	now := time.Unix(1e9, 0)
 	for i := range 2 {
 		scheduler.Next(now.Add(time.Duration(i) * time.Second))
-		checkBetween(t, "nothing was ever answered", scheduler.Validity().ListUntil.Sub(now), 0, 0)
+		checkBetween(t, "never a response", scheduler.Validity().ListUntil.Sub(now), 0, 0)
 		scheduler.Failed()
 	}
 	scheduler.Responded(Poll{Complete: true}, ms)
 	scheduler.Next(now)
-	checkBetween(t, "a poll that may wait for long", scheduler.Validity().ListUntil.Sub(now), 20*time.Second, 22*time.Second)
+	checkBetween(t, "a poll with a long wait", scheduler.Validity().ListUntil.Sub(now), 20*time.Second, 22*time.Second)
 	scheduler.Rejected()
 	scheduler.Next(now)
-	checkBetween(t, "that was rejected", scheduler.Validity().ListUntil.Sub(now), 4*time.Second, 6*time.Second)
+	checkBetween(t, "after its rejection", scheduler.Validity().ListUntil.Sub(now), 4*time.Second, 6*time.Second)
 	settings.Instances = 300
 	if scheduler, err = New(settings, 1, false); err != nil {
 		t.Fatal(err)
@@ -65,20 +65,20 @@
 	scheduler.Responded(scheduler.Next(now), ms)
 	scheduler.SourceChanged()
 	poll := scheduler.Next(now.Add(time.Second))
-	checkBetween(t, "the slot at another source", poll.Delay, ms, 500*ms)
-	checkBetween(t, "meanwhile", scheduler.Validity().ListUntil.Sub(now), 4*time.Second, 4500*ms)
+	checkBetween(t, "delay at another source", poll.Delay, ms, 500*ms)
+	checkBetween(t, "list during that delay", scheduler.Validity().ListUntil.Sub(now), 4*time.Second, 4500*ms)
 }
 
-// A change that discovery has, and that could be polled for, takes effect 6 s later, however the polls ended: also where the last of them
-// was held for long. Hence the list is fresh for 6 s from its answer on and no longer, once a poll has failed, has been rejected or been
-// given up.
-func TestListUntilAfterUnansweredPolls(t *testing.T) {
-	failed, rejected, left := (*Scheduler).Failed, (*Scheduler).Rejected, func(*Scheduler) {}
+// A change takes effect 6 s after discovery has it, however the polls for it ended, even if discovery held the last of them
+// for long. Once a poll has failed, was rejected, timed out or was abandoned, the list is therefore fresh for at most 6 s
+// from its response.
+func TestListUntilAfterPollsWithoutResponse(t *testing.T) {
+	failed, rejected, abandoned := (*Scheduler).Failed, (*Scheduler).Rejected, func(*Scheduler) {}
 	for _, instances := range []int{1, 32, 300} {
 		for name, ends := range map[string][]func(*Scheduler){
-			"failed": {failed}, "rejected": {rejected}, "given up": {(*Scheduler).TimedOut}, "left for another": {left},
-			"rejected, then given up": {rejected, (*Scheduler).TimedOut}, "failed and rejected": {failed, rejected, rejected},
-			"given up again and again": {(*Scheduler).TimedOut, (*Scheduler).TimedOut, (*Scheduler).TimedOut},
+			"failed": {failed}, "rejected": {rejected}, "timed out": {(*Scheduler).TimedOut}, "abandoned for another": {abandoned},
+			"rejected, then timed out": {rejected, (*Scheduler).TimedOut}, "failed and rejected": {failed, rejected, rejected},
+			"timed out repeatedly": {(*Scheduler).TimedOut, (*Scheduler).TimedOut, (*Scheduler).TimedOut},
 		} {
 			for _, effectiveBy := range []time.Duration{0, 3 * time.Second, time.Minute} {
 				settings := defaults
@@ -90,17 +90,17 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				answeredAt := time.Unix(1e9, 0)
-				scheduler.Responded(scheduler.Next(answeredAt), ms)
-				answeredAt = scheduler.pollStart // after its delay
-				now, limit := answeredAt.Add(ms), min(6*time.Second, cmp.Or(effectiveBy, time.Minute))
+				respondedAt := time.Unix(1e9, 0)
+				scheduler.Responded(scheduler.Next(respondedAt), ms)
+				respondedAt = scheduler.pollStart // after its delay
+				now, limit := respondedAt.Add(ms), min(6*time.Second, cmp.Or(effectiveBy, time.Minute))
 				for i, end := range ends {
 					scheduler.Next(now)
 					end(scheduler)
 					now = now.Add(3 * time.Second)
-					scheduler.refreshWanted = name == "left for another" // only evidence makes it leave
+					scheduler.refreshWanted = name == "abandoned for another" // only evidence causes that
 					scheduler.Next(now)
-					if fresh := scheduler.Validity().ListUntil.Sub(answeredAt); fresh > limit {
+					if fresh := scheduler.Validity().ListUntil.Sub(respondedAt); fresh > limit {
 						t.Errorf("%s, %d instances, effective by %s, after poll %d: fresh for %s", name, instances, effectiveBy, i, fresh)
 					}
 				}
@@ -109,9 +109,10 @@
 	}
 }
 
-// Only a process that was there before the list was sent, by the time that a change may take to it, is known to be the one that it names:
-// another may be there under its id at any time after that, and while polls are rejected nobody says so. A list that was never sent is
-// that of the start: a server that leaves after it remains for its grace.
+// Only a process that was running maxPropagationDelay before the list was sent is known to be the one that the list names. At
+// any later time another process may have started under the same id, which this instance does not learn while its polls are
+// rejected. Before the first response the list is that of the start, and a server that leaves after the start keeps running
+// for its drain grace.
 func TestProcessUntil(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	for _, c := range []struct {
@@ -119,16 +120,16 @@
 		ends []func(*Scheduler, Poll) // of one poll a second
 		want time.Duration            // after the start
 	}{
-		{"never answered", nil, 750 * ms},
-		{"never answered, and rejected", []func(*Scheduler, Poll){
+		{"never a response", nil, 750 * ms},
+		{"never a response, and rejected", []func(*Scheduler, Poll){
 			func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() }, func(scheduler *Scheduler, _ Poll) { scheduler.Failed() },
 		}, 750 * ms},
-		{"answered", []func(*Scheduler, Poll){func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, ms) }}, -2 * time.Second},
-		{"answered, then rejected", []func(*Scheduler, Poll){
+		{"response", []func(*Scheduler, Poll){func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, ms) }}, -2 * time.Second},
+		{"response, then rejected", []func(*Scheduler, Poll){
 			func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, ms) },
 			func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() }, func(scheduler *Scheduler, _ Poll) { scheduler.Rejected() },
 		}, -2 * time.Second},
-		{"answered again", []func(*Scheduler, Poll){
+		{"second response", []func(*Scheduler, Poll){
 			func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, ms) },
 			func(scheduler *Scheduler, _ Poll) { scheduler.Failed() }, func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, ms) },
 		}, 0},
@@ -149,9 +150,9 @@
 	}
 }
 
-// An instance that leaves a watch that is in time, as a single one does for contradictions, would have got what changes meanwhile, and at
-// once.
-func TestWatchLeftInTime(t *testing.T) {
+// A watch that is not overdue would have delivered changes at once. A list whose watch is abandoned for a refresh, as a
+// single instance does, is therefore no longer fresh.
+func TestWatchAbandonedForRefresh(t *testing.T) {
 	scheduler, now := newScheduler(t, 4), time.Unix(1e9, 0)
 	poll := scheduler.Next(now)
 	scheduler.Responded(poll, poll.Wait+ms)
@@ -164,5 +165,5 @@
 	if poll = scheduler.Next(now); !poll.Complete {
 		t.Errorf("with contradictions: %+v", poll)
 	}
-	checkBetween(t, "left in time", scheduler.Validity().ListUntil.Sub(now), 0, 0)
+	checkBetween(t, "watch abandoned", scheduler.Validity().ListUntil.Sub(now), 0, 0)
 }
--- a/internal/watchpolicy/queue_test.go
+++ b/internal/watchpolicy/queue_test.go
@@ -8,41 +8,41 @@
 	"plankrouter/internal/staleness"
 )
 
-// queueingSource is a source that serves a new watch or a complete list in one slot, has a queue of so long, and rejects what comes beyond.
-// A watch that goes on costs it nothing, and there are no changes.
+// queueingSource is a source that takes slotTime to serve a new watch or a complete list, and rejects a poll that would have
+// to wait longer than maxQueue. A continued watch costs it nothing, and its list does not change.
 type queueingSource struct {
 	slotTime, maxQueue time.Duration
 	freeAt             time.Time
 
-	rejected, completeLists, timedOut int // those that timed out use up their slots all the same
+	rejected, completeLists, timedOut int // a poll that timed out still occupies its slot
 }
 
-// queuedInstance is one of the instances that poll it.
+// queuedInstance is an instance that polls a queueingSource.
 type queuedInstance struct {
 	*Scheduler
-	poll        Poll
-	sentAt      time.Time // of the poll; zero = it is not sent yet
-	nextStep    time.Time // when the poll is made, or ends
-	finish      func()
-	watching    bool // the next poll continues a watch
-	firstAnswer time.Time
-	lastAnswer  time.Time
-	maxGap      time.Duration
+	poll          Poll
+	sentAt        time.Time // when the poll was sent; zero = not yet
+	nextStep      time.Time // when the poll is sent or ends
+	finish        func()
+	watching      bool // the next poll continues a watch
+	firstResponse time.Time
+	lastResponse  time.Time
+	maxGap        time.Duration
 }
 
-// decide has the instance decide on its next poll.
-func (i *queuedInstance) decide(now time.Time) {
+// schedulePoll schedules the instance's next poll.
+func (i *queuedInstance) schedulePoll(now time.Time) {
 	i.poll = i.Next(now)
 	i.sentAt = time.Time{}
 	i.nextStep = now.Add(i.poll.Delay)
 }
 
-// step makes the poll, or ends it.
+// step sends the instance's poll, or ends it if it was sent.
 func (s *queueingSource) step(instance *queuedInstance) {
 	now := instance.nextStep
 	if !instance.sentAt.IsZero() {
 		instance.finish()
-		instance.decide(now)
+		instance.schedulePoll(now)
 		return
 	}
 	instance.sentAt = now
@@ -61,8 +61,8 @@
 			at = served
 		}
 	}
-	if giveUp := now.Add(instance.poll.Timeout); at.After(giveUp) {
-		instance.nextStep, instance.finish = giveUp, func() { s.timedOut++; instance.watching = false; instance.TimedOut() }
+	if timeoutAt := now.Add(instance.poll.Timeout); at.After(timeoutAt) {
+		instance.nextStep, instance.finish = timeoutAt, func() { s.timedOut++; instance.watching = false; instance.TimedOut() }
 		return
 	}
 	instance.nextStep, instance.finish = at, func() {
@@ -70,12 +70,12 @@
 		if instance.poll.Complete {
 			instance.ReplaceListed(listedServers(12))
 		}
-		if instance.watching = !instance.poll.Complete; instance.firstAnswer.IsZero() {
-			instance.firstAnswer = at
+		if instance.watching = !instance.poll.Complete; instance.firstResponse.IsZero() {
+			instance.firstResponse = at
 		} else {
-			instance.maxGap = max(instance.maxGap, at.Sub(instance.lastAnswer))
+			instance.maxGap = max(instance.maxGap, at.Sub(instance.lastResponse))
 		}
-		instance.lastAnswer = at
+		instance.lastResponse = at
 	}
 }
 
@@ -86,13 +86,13 @@
 	return 0
 }
 
-// Many instances start at once at a source that bears a few polls a second, and later all see the same servers refuse for ten seconds, which
-// its list goes on to name: each is answered about as soon as there are slots for all, nobody loses the watch that it has, nobody asks for
-// the complete list, and the rejections are bounded.
-func TestQueuedInstancesAreAllAnswered(t *testing.T) {
+// Many instances start at once at a source with capacity for a few polls a second. Later, for ten seconds, all of them have
+// connections refused by the same servers, which stay listed. Each instance gets its first response about as soon as there
+// are slots for all, none loses its watch or requests the complete list, and the number of rejections is bounded.
+func TestQueuedInstancesAllGetResponses(t *testing.T) {
 	for _, c := range []struct {
 		instances, rejected int
-		answered            time.Duration
+		firstResponse       time.Duration
 	}{{1, 0, time.Second}, {4, 0, 1500 * ms}, {12, 6, 3 * time.Second}, {32, 85, 9 * time.Second}, {80, 330, 25 * time.Second}} {
 		for seed := range uint64(5) {
 			start := time.Unix(1e9, 0)
@@ -106,7 +106,7 @@
 				}
 				scheduler.ReplaceListed(listedServers(12))
 				instance := &queuedInstance{Scheduler: scheduler}
-				instance.decide(start)
+				instance.schedulePoll(start)
 				all = append(all, instance)
 			}
 			for now := start; now.Before(start.Add(60 * time.Second)); now = now.Add(5 * ms) {
@@ -115,23 +115,23 @@
 						source.step(instance)
 					}
 					if elapsed := now.Sub(start); c.instances > 1 && elapsed > 45*time.Second && elapsed < 55*time.Second && elapsed%(100*ms) == 0 {
-						if instance.Observe(now, "p1", staleness.ConnectRefused); instance.Observe(now, "p2", staleness.ConnectRefused) { // it leaves the present poll
+						if instance.Observe(now, "p1", staleness.ConnectRefused); instance.Observe(now, "p2", staleness.ConnectRefused) {
 							instance.watching = false
-							instance.decide(now)
+							instance.schedulePoll(now)
 						}
 					}
 				}
 			}
 			last, gap := time.Duration(0), time.Duration(0)
 			for _, instance := range all {
-				if instance.firstAnswer.IsZero() {
-					instance.firstAnswer = start.Add(time.Hour)
+				if instance.firstResponse.IsZero() {
+					instance.firstResponse = start.Add(time.Hour)
 				}
-				last, gap = max(last, instance.firstAnswer.Sub(start)), max(gap, instance.maxGap)
+				last, gap = max(last, instance.firstResponse.Sub(start)), max(gap, instance.maxGap)
 			}
-			what := fmt.Sprintf("%d instances, seed %d: the last answered after %s, nothing for %s, %d rejected, %d timed out, %d complete lists",
+			what := fmt.Sprintf("%d instances, seed %d: last first response after %s, longest gap %s, %d rejected, %d timed out, %d complete lists",
 				c.instances, seed, last, gap, source.rejected, source.timedOut, source.completeLists)
-			if t.Log(what); last > c.answered || gap > 1500*ms || source.rejected > c.rejected || source.completeLists > 0 {
+			if t.Log(what); last > c.firstResponse || gap > 1500*ms || source.rejected > c.rejected || source.completeLists > 0 {
 				t.Error(what)
 			}
 		}
--- a/internal/watchpolicy/scheduler_test.go
+++ b/internal/watchpolicy/scheduler_test.go
@@ -12,7 +12,7 @@
 
 var defaults = DefaultSettings()
 
-// newScheduler returns the only watch of a list of so many servers.
+// newScheduler returns the scheduler of a single instance, with a list of that many servers.
 func newScheduler(t *testing.T, servers int) *Scheduler {
 	t.Helper()
 	scheduler, err := New(defaults, 1, false)
@@ -23,8 +23,8 @@
 	return scheduler
 }
 
-// newSchedulerAmong returns a watch that is one of so many.
-func newSchedulerAmong(t *testing.T, instances int, seed uint64) *Scheduler {
+// newSchedulerOfMany returns the scheduler of one of that many instances.
+func newSchedulerOfMany(t *testing.T, instances int, seed uint64) *Scheduler {
 	t.Helper()
 	settings := defaults
 	settings.Instances = instances
@@ -51,46 +51,46 @@
 	}
 }
 
-// A poll is held for a bounded wait, and how long its answer may be late is learned from how late answers are.
+// A poll has a bounded wait, and its timeout is learned from the lateness of earlier responses.
 func TestTimeoutIsLearned(t *testing.T) {
 	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
 	poll := scheduler.Next(now)
 	checkBetween(t, "first wait", poll.Wait, 900*ms, time.Second)
-	checkBetween(t, "time-out before any sample", poll.Timeout-poll.Wait, time.Second, time.Second)
+	checkBetween(t, "timeout before any sample", poll.Timeout-poll.Wait, time.Second, time.Second)
 	for range 50 {
 		poll = scheduler.Next(now)
 		scheduler.Responded(poll, poll.Wait+2*ms)
 	}
 	poll = scheduler.Next(now)
-	checkBetween(t, "time-out with a quick source", poll.Timeout-poll.Wait, 250*ms, 250*ms)
-	scheduler.Responded(poll, 10*ms) // a change: how late the source is, this does not say
+	checkBetween(t, "timeout with a fast source", poll.Timeout-poll.Wait, 250*ms, 250*ms)
+	scheduler.Responded(poll, 10*ms) // a change: no sample of the lateness
 	for range 50 {
 		poll = scheduler.Next(now)
 		scheduler.Responded(poll, poll.Wait+400*ms)
 	}
 	poll = scheduler.Next(now)
-	checkBetween(t, "time-out with a slow one", poll.Timeout-poll.Wait, 400*ms, 500*ms)
+	checkBetween(t, "timeout with a slow source", poll.Timeout-poll.Wait, 400*ms, 500*ms)
 	if poll.Complete || poll.Delay != 0 {
-		t.Errorf("after an answer: %+v", poll)
+		t.Errorf("after a response: %+v", poll)
 	}
 }
 
-// A source that is down is polled less and less often, for the complete list, and given ever more time.
+// A source that is down is polled for the complete list with an exponential backoff, and with timeouts that grow to the maximum.
 func TestFailures(t *testing.T) {
 	scheduler, now := newScheduler(t, 0), time.Unix(1e9, 0)
 	scheduler.Responded(Poll{Complete: true}, ms)
 	for i, limit := range []time.Duration{50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
 		scheduler.Failed()
 		poll := scheduler.Next(now)
-		checkBetween(t, fmt.Sprint("pause ", i), poll.Delay, limit/2, limit)
-		checkBetween(t, fmt.Sprint("time ", i), poll.Timeout, min(time.Second, 250*ms<<i), time.Second)
+		checkBetween(t, fmt.Sprint("delay ", i), poll.Delay, limit/2, limit)
+		checkBetween(t, fmt.Sprint("timeout ", i), poll.Timeout, min(time.Second, 250*ms<<i), time.Second)
 		if !poll.Complete || poll.Wait != 0 {
 			t.Errorf("after a failure: %+v", poll)
 		}
 	}
 	scheduler.Responded(Poll{Complete: true}, ms)
 	if poll := scheduler.Next(now); poll.Complete || poll.Delay != 0 {
-		t.Errorf("after the answer: %+v", poll)
+		t.Errorf("after the response: %+v", poll)
 	}
 	scheduler.SourceChanged()
 	if poll := scheduler.Next(now); !poll.Complete || poll.Delay != 0 || poll.Timeout != time.Second {
@@ -98,26 +98,27 @@
 	}
 }
 
-// What all instances together ask of a source, when all start or see the same at one moment and it rejects them: the greatest number
-// of polls in any 100 ms of the first half minute, and how many there are a second at its end.
-func TestSumOverInstances(t *testing.T) {
+// The load of all instances on a source stays bounded when all of them start or see the same evidence together and the source
+// rejects them: the maximum number of polls in any 100 ms of the first 30 s, and the number of polls in the last second of
+// those.
+func TestPollRateOfAllInstances(t *testing.T) {
 	for _, c := range []struct {
 		instances                 int
-		maxPolls, last, refreshes int // refreshes: complete lists asked for in any second, for what all see while their watch is in time
+		maxPolls, last, refreshes int // refreshes: in any second, caused by evidence while no watch is overdue
 	}{{1, 2, 1, 1}, {4, 8, 4, 0}, {32, 20, 15, 0}, {80, 32, 18, 0}, {300, 110, 10, 0}, {2000, 750, 40, 0}, {5000, 1800, 90, 0}} {
 		polls, refreshes := map[int]int{}, map[int]int{}
 		for i := range c.instances {
-			scheduler, at := newSchedulerAmong(t, c.instances, uint64(i)), time.Duration(0)
+			scheduler, at := newSchedulerOfMany(t, c.instances, uint64(i)), time.Duration(0)
 			for at < 30*time.Second {
 				next := scheduler.Next(time.Unix(0, 0).Add(at))
 				if next.Complete {
-					t.Fatalf("instance %d asks for the complete list", i)
+					t.Fatalf("instance %d requests the complete list", i)
 				}
 				at += next.Delay
 				polls[int(at/(100*ms))]++
 				scheduler.Rejected()
 			}
-			scheduler, at = newSchedulerAmong(t, c.instances, uint64(i)), 0
+			scheduler, at = newSchedulerOfMany(t, c.instances, uint64(i)), 0
 			for end := time.Duration(0); at < 30*time.Second; at += 50 * ms {
 				now := time.Unix(1e9, 0).Add(at)
 				if at >= end {
@@ -150,10 +151,10 @@
 	}
 }
 
-// Where polls queue for two seconds, an instance that is not the only one queues too, whatever it has learned of a quick source; and while
-// polls are rejected no evidence makes it leave its place.
-func TestSourceFull(t *testing.T) {
-	scheduler, now := newSchedulerAmong(t, 80, 1), time.Unix(1e9, 0)
+// Where polls queue for two seconds, an instance that shares its source waits in the queue, even if it has learned a short
+// timeout. While polls are rejected, no evidence makes it abandon its place.
+func TestSourceOverloaded(t *testing.T) {
+	scheduler, now := newSchedulerOfMany(t, 80, 1), time.Unix(1e9, 0)
 	if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait != 1900*ms || poll.Delay > 800*ms {
 		t.Errorf("the first poll: %+v", poll)
 	}
@@ -162,7 +163,7 @@
 		scheduler.Responded(poll, poll.Wait+2*ms)
 	}
 	if poll := scheduler.Next(now); poll.Timeout > 1500*ms {
-		t.Errorf("a watch that goes on: %+v", poll)
+		t.Errorf("a continued watch: %+v", poll)
 	}
 	scheduler.Rejected()
 	if poll := scheduler.Next(now); poll.Complete || poll.Timeout-poll.Wait != 1900*ms || poll.Delay < 250*ms || poll.Delay > 500*ms {
@@ -170,9 +171,9 @@
 	}
 	now = now.Add(time.Minute) // overdue
 	if scheduler.Observe(now, "p1", staleness.ConnectRefused); scheduler.Observe(now, "p2", staleness.ConnectRefused) {
-		t.Error("the place in the queue is left")
+		t.Error("evidence has caused a refresh at an overloaded source")
 	}
-	scheduler.Responded(Poll{Complete: true}, ms) // it had that at hand
+	scheduler.Responded(Poll{Complete: true}, ms) // available at once, it shows no capacity for a watch
 	if poll := scheduler.Next(now); poll.Timeout-poll.Wait != 1900*ms {
 		t.Errorf("after a complete list: %+v", poll)
 	}
@@ -180,7 +181,7 @@
 	scheduler.Responded(poll, poll.Wait+2*ms)
 	now = now.Add(time.Minute)
 	if scheduler.Observe(now, "p1", staleness.ConnectRefused); !scheduler.Observe(now, "p2", staleness.ConnectRefused) {
-		t.Error("no evidence counts any more")
+		t.Error("evidence causes no refresh after the response to a watch")
 	}
 	if poll := scheduler.Next(now); !poll.Complete || poll.Delay > 800*ms || poll.Timeout != 4*time.Second {
 		t.Errorf("with contradictions: %+v", poll)
@@ -191,14 +192,14 @@
 	}
 	scheduler.Failed()
 	if scheduler.Rejected(); !scheduler.Next(now).Complete {
-		t.Error("the complete list that a failure needs is forgotten")
+		t.Error("after a failure and a rejection: no request for the complete list")
 	}
 }
 
-// A poll that times out after others were rejected was in the queue: the next one asks for changes as before. Elsewhere silence may be the
-// end of who has sent the list, and the complete list is asked for.
+// A poll that times out after others were rejected was in the queue, and the next one requests changes as before. Otherwise
+// the process that sent the list may be gone, and the next poll requests the complete list.
 func TestTimedOut(t *testing.T) {
-	scheduler, now := newSchedulerAmong(t, 32, 1), time.Unix(1e9, 0)
+	scheduler, now := newSchedulerOfMany(t, 32, 1), time.Unix(1e9, 0)
 	scheduler.Next(now)
 	scheduler.Rejected()
 	for range 3 {
@@ -210,12 +211,12 @@
 	scheduler.Responded(scheduler.Next(now), ms)
 	scheduler.Next(now)
 	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
-		t.Error("a watch that has become silent goes on")
+		t.Error("a silent watch is continued")
 	}
 	scheduler.Rejected()
 	scheduler.TimedOut()
 	if poll := scheduler.Next(now); !poll.Complete || poll.Timeout < 2*time.Second {
-		t.Errorf("the complete list that the silence needs is forgotten, or given up before its slot: %+v", poll)
+		t.Errorf("after a silent watch and a rejection: no request for the complete list, or a timeout before its slot: %+v", poll)
 	}
 	scheduler, err := New(PushedSettings(750*ms), 1, false)
 	if err != nil {
@@ -224,6 +225,6 @@
 	scheduler.Next(now)
 	scheduler.Rejected()
 	if scheduler.TimedOut(); !scheduler.Next(now).Complete {
-		t.Error("an agent has no queue")
+		t.Error("a timeout at an agent counts as queueing")
 	}
 }
--- a/internal/watchpolicy/settings.go
+++ b/internal/watchpolicy/settings.go
@@ -7,31 +7,34 @@
 )
 
 const (
-	defaultEffectiveBy = 6 * time.Second        // see Settings.EffectiveBy: the platform's protocol
-	minDrainGrace      = 200 * time.Millisecond // that PushedSettings are made for
+	defaultEffectiveBy = 6 * time.Second        // Settings.EffectiveBy of the platform's protocol
+	minDrainGrace      = 200 * time.Millisecond // shortest drain grace for which PushedSettings adapts the settings
 )
 
-// Settings bound what is asked of discovery. What a poll costs there decides on them: an agent on the own machine is polled every
-// second for nothing, one service for thousands of instances is not. Durations are positive.
+// Settings bound the frequency and the duration of polls. They depend on what a poll costs at the source: an agent on the
+// same machine can be polled every second at no cost, a service that thousands of instances share cannot. Durations are
+// positive.
 type Settings struct {
 	Wait               time.Duration // for which a poll is held while there is no change
-	MinWait            time.Duration // to which contradictions may shorten that
-	Timeout            time.Duration // beyond that wait, at most, before a poll is given up
-	MinTimeout         time.Duration // and at least, however quickly answers usually come
-	RetryBackoff       time.Duration // from a failure to the next poll; doubled with each further one
-	MaxRetryBackoff    time.Duration // bound on that
-	RefreshInterval    time.Duration // between two refreshes that evidence causes; doubled while they settle nothing
-	MaxRefreshInterval time.Duration // bound on that
-	EffectiveBy        time.Duration // after which all changes take effect while no poll waits for them; 0 = defaultEffectiveBy, which bounds it
-	Pushed             bool          // the list is pushed: changes take effect as soon as they could have arrived
-	Instances          int           // that poll the same source, as far as is known; below 1 counts as 1
-	DrainGrace         time.Duration // for which a server that drains still takes work
+	MinWait            time.Duration // to which contradictions may shorten Wait
+	Timeout            time.Duration // upper bound on the time from the end of a poll's wait until it times out
+	MinTimeout         time.Duration // lower bound on that time, however quickly responses usually arrive
+	RetryBackoff       time.Duration // from a failure to the next poll; doubled with each consecutive failure
+	MaxRetryBackoff    time.Duration // upper bound on that delay
+	RefreshInterval    time.Duration // between two refreshes that evidence causes; doubled while they do not change the list
+	MaxRefreshInterval time.Duration // upper bound on that interval
+	EffectiveBy        time.Duration // after which a change takes effect while no poll waits; 0 = defaultEffectiveBy, the maximum
+	Pushed             bool          // an agent is sent the list: a change takes effect as soon as it could have been received
+	Instances          int           // known number of instances that poll the same source; below 1 counts as 1
+	DrainGrace         time.Duration // for which a draining server still accepts new requests
 }
 
-// PushedSettings returns the settings for an agent on the own machine that the list is pushed to. It answers at once and costs nothing,
-// so that no other instance matters; and changes that it has take effect whether or not it was polled. Hence a watch that has died is
-// found out, and the agent polled anew, within the grace of a drain: a wait, the time beyond it and the pause together are 0.7 of it at
-// first, and an agent that has been down is heard again as soon. A grace too short for that is no reason to poll without a pause.
+// PushedSettings returns the settings for an agent on the same machine that the list is pushed to. The agent responds at once
+// and a poll costs nothing, so that the number of instances does not matter; but a change that has reached the agent takes
+// effect whether or not the agent was polled. A failed watch must therefore be detected, and the agent polled again, within
+// the drain grace: at first the wait, the minimum timeout and the retry delay together take 0.7 of the grace, and so do the
+// timeout and the longest retry delay at an agent that stays down. A shorter grace than minDrainGrace counts as
+// minDrainGrace, so that retries keep a delay.
 func PushedSettings(grace time.Duration) Settings {
 	grace = max(grace, minDrainGrace)
 	defaults := DefaultSettings()
@@ -44,7 +47,7 @@
 	}
 }
 
-// DefaultSettings returns the settings of a single sidecar for a source that it polls.
+// DefaultSettings returns the settings for a source that a single sidecar polls.
 func DefaultSettings() Settings {
 	return Settings{
 		Wait: time.Second, MinWait: 250 * time.Millisecond,
@@ -55,7 +58,7 @@
 	}
 }
 
-// Check returns an error that names the setting that makes no sense, by its key in a configuration.
+// Check returns an error that names the first invalid setting by its configuration key, or nil.
 func (s Settings) Check() error {
 	for _, bounds := range []struct {
 		key, maxKey string
@@ -67,13 +70,13 @@
 		{"ask_ms", "ask_most_ms", s.RefreshInterval, s.MaxRefreshInterval},
 	} {
 		if bounds.low <= 0 || bounds.high < bounds.low {
-			return fmt.Errorf("%s: %s does not lie above 0 and up to %s, %s", bounds.key, bounds.low, bounds.maxKey, bounds.high)
+			return fmt.Errorf("%s: %s must be above 0 and at most %s, which is %s", bounds.key, bounds.low, bounds.maxKey, bounds.high)
 		}
 	}
 	return nil
 }
 
-// forInstances returns the settings sized for the number of instances.
+// forInstances returns the settings with defaults filled in and retry delays raised for the number of instances.
 func (s Settings) forInstances() Settings {
 	s.Instances = max(1, s.Instances)
 	s.EffectiveBy = min(cmp.Or(s.EffectiveBy, defaultEffectiveBy), defaultEffectiveBy)
--- a/internal/watchpolicy/settings_test.go
+++ b/internal/watchpolicy/settings_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// Whatever the grace, a watch of an agent that has died is given up, and the agent polled anew, within it.
+// Whatever the drain grace, a failed watch of an agent times out and the agent is polled again within that grace.
 func TestPushedSettingsPollWithinGrace(t *testing.T) {
 	if s := PushedSettings(ms); s.Check() != nil || s.MinWait < 20*ms || s.RetryBackoff < 10*ms {
 		t.Errorf("a grace of a millisecond: %+v", s)
@@ -31,27 +31,27 @@
 			t.Fatalf("%s: %v", grace, err)
 		}
 		now := time.Unix(1e9, 0)
-		for i := range 20 { // answered in time
+		for i := range 20 { // with timely responses
 			poll := scheduler.Next(now)
 			if poll.Delay != 0 || i == 0 && poll.Wait != 0 {
-				t.Fatalf("%s: it waits %s", grace, poll.Delay)
+				t.Fatalf("%s: delay %s", grace, poll.Delay)
 			}
 			scheduler.Responded(poll, poll.Wait+ms)
 			now = now.Add(poll.Wait + ms)
 		}
-		dead := scheduler.Next(now)
+		failed := scheduler.Next(now)
 		scheduler.Failed()
-		again := scheduler.Next(now.Add(dead.Timeout))
-		if gap := dead.Timeout + again.Delay; gap > grace*3/4 || !again.Complete {
-			t.Errorf("%s: polled anew %s after it died", grace, gap)
+		retry := scheduler.Next(now.Add(failed.Timeout))
+		if gap := failed.Timeout + retry.Delay; gap > grace*3/4 || !retry.Complete {
+			t.Errorf("%s: polled again %s after the watch failed", grace, gap)
 		}
-		if gap := dead.StallTimeout + again.Delay; dead.StallTimeout <= 0 || gap > grace*3/4 {
-			t.Errorf("%s: polled anew %s after its answer stopped", grace, gap)
+		if gap := failed.StallTimeout + retry.Delay; failed.StallTimeout <= 0 || gap > grace*3/4 {
+			t.Errorf("%s: polled again %s after its response stopped", grace, gap)
 		}
 		for range 20 {
 			scheduler.Failed()
 			if poll := scheduler.Next(now); poll.Delay+poll.Timeout > grace {
-				t.Errorf("%s: after a long silence it polls every %s", grace, poll.Delay+poll.Timeout)
+				t.Errorf("%s: %s between polls after many failures", grace, poll.Delay+poll.Timeout)
 			}
 		}
 	}
