--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// stallingConn is a connection of a process that stalls after each read.
+// stallingConn is a connection whose process stalls after each read.
 type stallingConn struct {
 	*net.TCPConn
 	delay time.Duration
@@ -24,11 +24,12 @@
 	return n, err
 }
 
-// A list is dated by when it arrived, not by when this process came to read it: a drain's grace runs from there.
+// The time of an update is that of its arrival, from which a drain's grace counts, even if the process stalled before it read
+// the update.
 func TestUpdateIsDatedByArrival(t *testing.T) {
 	const (
 		stall     = 200 * time.Millisecond
-		tolerance = 30 * time.Millisecond // the kernel's ticks
+		tolerance = 30 * time.Millisecond // granularity of the kernel's timestamps
 	)
 	d, err := fakes.NewDiscovery(fakes.Loopback(), "", fakes.Endpoint{ID: "a", Address: "127.0.0.1:1", Phase: fakes.Serving})
 	if err != nil {
@@ -63,8 +64,8 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	answered := d.Calls()[0].AnsweredAt
-	if late := at.Sub(answered); late > tolerance || late < -tolerance {
-		t.Errorf("dated %s after discovery has answered", late)
+	respondedAt := d.Calls()[0].AnsweredAt
+	if late := at.Sub(respondedAt); late > tolerance || late < -tolerance {
+		t.Errorf("update is dated %s after the response of discovery", late)
 	}
 }
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkParse reads a complete list, indented.
+// BenchmarkParse decodes an indented complete list.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{200, 350, 1024, 2000} {
 		raw, err := json.MarshalIndent(map[string]any{"revision": 7, "complete": true, "members": manyMembers(n)}, "", "    ")
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,13 +18,13 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// fixture is a watch of a source that lists a and b, in simulated time.
+// fixture is a watch, in simulated time, of a source that lists the servers a and b.
 type fixture struct {
 	t       *testing.T
 	network *fakes.Memory
 	source  *fakes.Discovery
 	watch   *Watch
-	phases  map[string]string // by id, as updated
+	phases  map[string]string // by id, from the calls of OnUpdate
 	logged  []string
 }
 
@@ -37,7 +37,8 @@
 	return d
 }
 
-// withWatch runs f in a bubble, with a watch that has not begun. Its list is empty, of that revision.
+// withWatch runs f in a synctest bubble, with a watch that is not running yet and whose initial list is empty and of that
+// revision.
 func withWatch(t *testing.T, revision uint64, f func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fixture{t: t, network: fakes.NewMemory(), phases: map[string]string{}}
@@ -67,13 +68,13 @@
 	}
 }
 
-// wait lets time pass, and all that is due by then be done.
+// wait advances the simulated time by d and waits until all goroutines are blocked.
 func (r *fixture) wait(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// replaceWatch replaces the watch by one of other options.
+// replaceWatch replaces the watch by a new one with the given options.
 func (r *fixture) replaceWatch(options Options) {
 	w, err := New(options)
 	if err != nil {
@@ -82,8 +83,8 @@
 	r.watch = w
 }
 
-// run starts the watch and returns a function that ends it.
-func (r *fixture) run() (end func()) {
+// run starts the watch and returns a function that stops it.
+func (r *fixture) run() (stop func()) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	done := make(chan error, 1)
 	go func() { done <- r.watch.Run(ctx) }()
@@ -95,31 +96,31 @@
 	}
 }
 
-// Whatever the source does with its answers, it is polled again, and what it answers once the fault is over is used soon: after the longest
-// pause between polls, and a poll. Nothing of answers that are wrong is used.
+// A source whose responses are lost, late or wrong is polled again. Wrong responses are not used, and the first good response
+// after the fault is used within the longest delay between polls and the duration of one poll.
 func TestUpdatesAfterFaults(t *testing.T) {
 	const within = 2*time.Second + 3*time.Second
 	for name, c := range map[string]struct {
 		begin  func(*fakes.Discovery) error
-		end    func(*fakes.Discovery) error // nil = it is over at once
-		logged string                       // in the log, if anything
+		end    func(*fakes.Discovery) error // nil = the fault is over at once
+		logged string                       // part of the log; "" = nothing is logged
 	}{
-		"lost answers": {
+		"lost responses": {
 			func(d *fakes.Discovery) error { d.LoseAnswers(true); return nil },
 			func(d *fakes.Discovery) error { d.LoseAnswers(false); return nil }, "timeout",
 		},
-		"mute": {
+		"held responses": {
 			func(d *fakes.Discovery) error { d.HoldAnswers(true); return nil },
 			func(d *fakes.Discovery) error { d.HoldAnswers(false); return nil }, "timeout",
 		},
-		"late beyond the time-out": {
+		"late beyond the timeout": {
 			func(d *fakes.Discovery) error { d.SetDelay(4 * time.Second); return nil },
 			func(d *fakes.Discovery) error { d.SetDelay(0); return nil }, "timeout",
 		},
-		"a part for the complete list": {func(d *fakes.Discovery) error { // which is asked for after a failure
+		"changes instead of the complete list": {func(d *fakes.Discovery) error { // the complete list is requested after a failure
 			d.PartialForComplete(true)
 			return errors.Join(d.SetDown(true), d.SetDown(false))
-		}, func(d *fakes.Discovery) error { d.PartialForComplete(false); return nil }, "got a part"},
+		}, func(d *fakes.Discovery) error { d.PartialForComplete(false); return nil }, "got changes"},
 		"malformed": {
 			func(d *fakes.Discovery) error {
 				d.ReplaceAnswers([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
@@ -127,19 +128,19 @@
 			},
 			func(d *fakes.Discovery) error { d.ReplaceAnswers(nil); return nil }, "state=failed",
 		},
-		"cut off": {
+		"connections without traffic": {
 			func(d *fakes.Discovery) error { return d.SetSilent(true) },
 			func(d *fakes.Discovery) error { return d.SetSilent(false) }, "timeout",
 		},
-		"complete":  {func(d *fakes.Discovery) error { d.CompleteForWatch(true); return nil }, nil, ""},
-		"anew at 1": {func(d *fakes.Discovery) error { return d.RestartAt(1) }, nil, "state=failed"},
-		"anew at 9": {func(d *fakes.Discovery) error { return d.RestartAt(9) }, nil, "state=failed"},
+		"complete list":         {func(d *fakes.Discovery) error { d.CompleteForWatch(true); return nil }, nil, ""},
+		"restart at revision 1": {func(d *fakes.Discovery) error { return d.RestartAt(1) }, nil, "state=failed"},
+		"restart at revision 9": {func(d *fakes.Discovery) error { return d.RestartAt(9) }, nil, "state=failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withWatch(t, 0, func(r *fixture) {
 				defer r.run()()
 				<-r.watch.FirstUpdate()
-				for range 3 { // so that it counts from a revision above 1
+				for range 3 { // so that the revision is above 1
 					r.source.Change(fakes.Endpoint{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
 				}
@@ -161,14 +162,14 @@
 					t.Errorf("afterwards: %v", r.phases)
 				}
 				if logged := strings.Join(r.logged, "\n"); c.logged == "" && logged != "" || !strings.Contains(logged, c.logged) {
-					t.Errorf("it logs %q, want %q", logged, c.logged)
+					t.Errorf("logged %q, want %q", logged, c.logged)
 				}
 			})
 		})
 	}
 }
 
-// Whenever SetAddress is called, also before the watch has begun, it asks the new source for the complete list first.
+// After SetAddress, even before the first poll, the first request to the new source is for the complete list.
 func TestSetAddress(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before the first poll %t", before), func(t *testing.T) {
@@ -186,7 +187,7 @@
 				r.wait(500 * time.Millisecond)
 				calls := other.Calls()
 				if len(calls) == 0 || !calls[0].Complete || slices.ContainsFunc(calls[1:], func(c fakes.DiscoveryCall) bool { return c.Complete }) {
-					t.Errorf("the new source is asked %+v", calls)
+					t.Errorf("requests to the new source: %+v", calls)
 				}
 				if r.watch.Address() != "e:1" || len(r.phases) != 2 {
 					t.Errorf("source %s, list %v", r.watch.Address(), r.phases)
@@ -196,15 +197,15 @@
 	}
 }
 
-// Changes that an agent has take effect at once while nobody polls: the validity is reported before each pause begins.
-func TestValidityIsReportedBeforePauses(t *testing.T) {
+// Changes at an agent take effect at once while it is not polled, so that OnValidity is called before each delay begins.
+func TestValidityIsReportedBeforeDelays(t *testing.T) {
 	withWatch(t, 0, func(r *fixture) {
 		options := r.watch.options
 		options.Watch = watchpolicy.PushedSettings(750 * time.Millisecond)
 		r.replaceWatch(options)
-		var validFor []time.Duration // as each poll or pause begins
+		var validFor []time.Duration // as each poll or delay begins
 		r.watch.options.OnValidity = func(t staleness.Validity) { validFor = append(validFor, time.Until(t.ListUntil)) }
-		end := r.run()
+		stop := r.run()
 		r.wait(1500 * time.Millisecond)
 		before := len(validFor)
 		r.source.Close() // each poll fails at once
@@ -212,23 +213,23 @@
 		if len(validFor) <= before || validFor[before-1] < time.Second || validFor[before] != 0 {
 			t.Errorf("before %d: %s", before, validFor)
 		}
-		end()
+		stop()
 	})
 }
 
-// What each poll asks for, by how those before ended, where 32 instances share one source: one that is rejected, or times out in the queue
-// where polls are rejected, asks for changes again; after any other silence, and after the end of the connection, for the complete list.
+// With 32 instances at one source, a poll that is rejected, or that times out while polls are being rejected, is followed by
+// a request for changes. Any other timeout, and the end of the connection, is followed by a request for the complete list.
 func TestPollsWhileRejected(t *testing.T) {
 	const rejected, changes, complete = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "?index=7&wait=", ""
 	noChange := okResponse(listJSON(7, false))
-	for name, c := range map[string]struct{ answers, want []string }{ // "" = nothing, until the poll is given up
-		"rejected":                           {[]string{rejected, rejected, rejected}, []string{changes, changes, changes, changes}},
-		"in the queue":                       {[]string{rejected, "", "", rejected}, []string{changes, changes, changes, changes, changes}},
-		"answered, then silent":              {[]string{rejected, noChange, "", rejected, ""}, []string{changes, changes, changes, complete, complete, complete}},
-		"silent from the start":              {[]string{"", rejected}, []string{changes, complete, complete}},
-		"in the queue, then it ends":         {[]string{rejected, "end", rejected}, []string{changes, changes, complete, complete}},
-		"in the queue, an answer that stops": {[]string{rejected, noChange[:20]}, []string{changes, changes, complete}},
-		"in the queue, another answer":       {[]string{rejected, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, []string{changes, changes, complete}},
+	for name, c := range map[string]struct{ responses, want []string }{ // response "" = none, until the poll times out
+		"rejected":                            {[]string{rejected, rejected, rejected}, []string{changes, changes, changes, changes}},
+		"timed out in the queue":              {[]string{rejected, "", "", rejected}, []string{changes, changes, changes, changes, changes}},
+		"no change, then silent":              {[]string{rejected, noChange, "", rejected, ""}, []string{changes, changes, changes, complete, complete, complete}},
+		"silent from the start":               {[]string{"", rejected}, []string{changes, complete, complete}},
+		"rejected, then closed":               {[]string{rejected, "close", rejected}, []string{changes, changes, complete, complete}},
+		"rejected, then a truncated response": {[]string{rejected, noChange[:20]}, []string{changes, changes, complete}},
+		"rejected, then an error":             {[]string{rejected, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, []string{changes, changes, complete}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withWatch(t, 0, func(r *fixture) {
@@ -244,18 +245,18 @@
 						conn = d.accept()
 					}
 					if got := conn.nextTarget(); (want == complete) != (got == complete) || !strings.HasPrefix(got, want) {
-						t.Errorf("poll %d asks for %q, want %q", i, got, want)
+						t.Errorf("poll %d requests %q, want %q", i, got, want)
 					}
 					switch {
-					case i == len(c.answers):
-					case c.answers[i] == "end":
+					case i == len(c.responses):
+					case c.responses[i] == "close":
 						conn.Close()
 						conn = nil
-					case c.answers[i] == noChange:
+					case c.responses[i] == noChange:
 						conn.write(noChange)
 					default:
-						conn.write(c.answers[i])
-						if got := conn.nextTarget(); got != "ended" {
+						conn.write(c.responses[i])
+						if got := conn.nextTarget(); got != "closed" {
 							t.Errorf("after poll %d: %q", i, got)
 						}
 						conn = nil
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -16,23 +16,23 @@
 
 const (
 	dialTimeout     = 1 * time.Second
-	maxTransferTime = 5 * time.Second // of an answer, from its first byte
+	maxTransferTime = 5 * time.Second // of a response, from its first byte
 )
 
 var (
-	errRejected        = errors.New("rejected") // discovery is there and has no room for the poll
-	errUnexpectedBytes = errors.New("the connection has ended, or brought what no poll had asked for")
-	errIncomplete      = errors.New("asked for the complete list, got a part")
+	errRejected    = errors.New("rejected") // discovery runs but has no capacity for the poll
+	errConnNotIdle = errors.New("idle connection was closed, or received data outside of a response")
+	errNotComplete = errors.New("requested the complete list, got changes")
 )
 
-// sourceConn is the connection to discovery. A read lasts until deadline; within an answer no longer than maxPause.
+// sourceConn is the connection to discovery. A read times out at deadline and, within a response, after maxPause at the latest.
 type sourceConn struct {
 	*connlimit.Socket
 	deadline time.Time
-	maxPause time.Duration // 0 = no answer has begun
+	maxPause time.Duration // 0 = no response has begun
 }
 
-// Read is that of net.Conn, with the deadline that applies.
+// Read implements net.Conn. It sets the read deadline that applies.
 func (c *sourceConn) Read(p []byte) (int, error) {
 	deadline := c.deadline
 	if pauseEnds := time.Now().Add(c.maxPause); c.maxPause > 0 && pauseEnds.Before(deadline) {
@@ -42,8 +42,8 @@
 	return c.Socket.Read(p)
 }
 
-// arrivalTime returns when what has just been read from discovery arrived, at the earliest: this process may have stalled before it read
-// that.
+// arrivalTime returns the earliest time at which the data just read from s may have arrived. That is before now, since this
+// process may have stalled before the read.
 func arrivalTime(s *connlimit.Socket) time.Time {
 	now := time.Now()
 	since, known := s.SinceArrival()
@@ -60,7 +60,7 @@
 	}
 }
 
-// requestTarget returns the poll's path and query.
+// requestTarget returns the path and the query of the request for poll.
 func (w *Watch) requestTarget(poll watchpolicy.Poll) string {
 	if poll.Complete {
 		return http1.PathList
@@ -69,9 +69,10 @@
 		"&wait=" + strconv.FormatInt(poll.Wait.Milliseconds(), 10)
 }
 
-// fetch makes the poll and returns the list or changes that it brings, and when their first byte came.
+// fetch sends poll and returns the list or the changes in its response, and the arrival time of the first byte, zero if there
+// was none.
 func (w *Watch) fetch(ctx context.Context, poll watchpolicy.Poll) (list endpoints.List, firstByteAt time.Time, err error) {
-	sameConn := w.conn != nil
+	reusedConn := w.conn != nil
 	raw, firstByteAt, err := w.exchange(ctx, poll)
 	if err != nil {
 		return list, firstByteAt, err
@@ -80,24 +81,24 @@
 	if err != nil {
 		return list, firstByteAt, err
 	}
-	for _, problem := range problems { // one bad line must not hide the others
+	for _, problem := range problems { // one invalid entry must not hide the others
 		w.options.Logf("discovery=%s state=line_skipped err=%q", w.polledAddress, problem)
 	}
 	switch {
 	case poll.Complete && !list.Complete:
-		err = errIncomplete
-	case list.Revision < w.revision && (sameConn || !list.Complete):
-		// The process that has sent the newer one may have meant another poll, another process counts anew. A complete list on a new
-		// connection is right in either case.
-		err = fmt.Errorf("revision %d after %d: discovery counts anew, or answers another poll", list.Revision, w.revision)
+		err = errNotComplete
+	case list.Revision < w.revision && (reusedConn || !list.Complete):
+		// The same process may have responded to an earlier poll, or another process has started its revisions again. A complete list
+		// on a new connection is valid in either case.
+		err = fmt.Errorf("revision %d after %d: discovery has restarted, or responded to an earlier poll", list.Revision, w.revision)
 	}
 	return list, firstByteAt, err
 }
 
-// exchange makes the poll and reads the whole of its answer.
+// exchange sends poll and reads the whole response.
 func (w *Watch) exchange(ctx context.Context, poll watchpolicy.Poll) (raw []byte, firstByteAt time.Time, err error) {
-	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.IsQuiet()) { // it would pass for the answer to this poll
-		return nil, firstByteAt, errUnexpectedBytes
+	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.IsQuiet()) { // the data would be taken for the response to this poll
+		return nil, firstByteAt, errConnNotIdle
 	}
 	if w.conn == nil {
 		if err := w.connect(ctx, poll); err != nil {
@@ -113,23 +114,24 @@
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", w.requestTarget(poll), w.polledAddress, nil, nil)); err != nil {
 		return nil, firstByteAt, err
 	}
-	conn.waitForAnswer(deadline)
-	onBegun := func(begun bool) { // a long list is no silence, and an interim answer none that counts
-		if begun {
+	conn.setResponseDeadline(deadline)
+	onResponseStart := func(started bool) { // a long transfer does not count as silence, nor an interim response as the response
+		if started {
 			firstByteAt = arrivalTime(conn.Socket)
-			conn.waitForRest(firstByteAt, poll)
+			conn.setTransferDeadline(firstByteAt, poll)
 		} else {
-			conn.waitForAnswer(deadline)
+			conn.setResponseDeadline(deadline)
 		}
 	}
-	resp, err := http1.ReadStreamedResponse(w.reader, false, onBegun, func(int) bool { return false }) // readBody reads it all
+	// No part of the body is buffered here: readBody reads it.
+	resp, err := http1.ReadStreamedResponse(w.reader, false, onResponseStart, func(int) bool { return false })
 	if err != nil {
 		return nil, firstByteAt, err
 	}
 	if err := checkStatus(resp.Status); err != nil {
 		return nil, firstByteAt, err
 	}
-	conn.waitForRest(firstByteAt, poll)
+	conn.setTransferDeadline(firstByteAt, poll)
 	raw, err = readBody(resp, w.options.MaxListBytes)
 	if err == nil && resp.Close {
 		w.closeConn()
@@ -148,19 +150,20 @@
 	return nil
 }
 
-// waitForAnswer bounds the reads before an answer has begun.
-func (c *sourceConn) waitForAnswer(deadline time.Time) {
+// setResponseDeadline bounds reads before a response has begun.
+func (c *sourceConn) setResponseDeadline(deadline time.Time) {
 	c.deadline = deadline
 	c.maxPause = 0
 }
 
-// waitForRest bounds the reads of an answer whose first byte came at that time.
-func (c *sourceConn) waitForRest(firstByteAt time.Time, poll watchpolicy.Poll) {
+// setTransferDeadline bounds reads within the response to poll, whose first byte arrived at firstByteAt.
+func (c *sourceConn) setTransferDeadline(firstByteAt time.Time, poll watchpolicy.Poll) {
 	c.deadline = firstByteAt.Add(maxTransferTime)
 	c.maxPause = poll.StallTimeout
 }
 
-// checkStatus returns an error unless the answer has the list.
+// checkStatus returns an error unless a response of that status contains the list; errRejected if discovery has no capacity
+// for the poll.
 func checkStatus(status int) error {
 	switch status {
 	case 200:
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxLineBytes  = 4 << 10             // of a line of the list, indented and with the longest names: usual ones take 150 to 400 bytes
-	minListBytes  = 1100 * maxLineBytes // that an answer may take, whatever the memory
-	memoryDivisor = 8                   // one part in so many of the memory may go into an answer, beside the list in force and the new one
+	maxEntryBytes = 4 << 10              // of an indented list entry with the longest names; usual entries take 150 to 400
+	minListBytes  = 1100 * maxEntryBytes // that a response may take, whatever the memory
+	memoryDivisor = 8                    // a response may take 1/memoryDivisor of the memory, besides the old and the new list
 )
 
 var (
@@ -22,10 +22,11 @@
 	errTooLong = errors.New("list too long")
 )
 
-// MaxListBytes returns the longest answer, in bytes, that a process accepts which may use so much memory; 0 = that is not known.
+// MaxListBytes returns the maximum size in bytes of a response that a process accepts which may use that much memory, in
+// bytes; 0 = unknown.
 func MaxListBytes(memory int64) int64 { return max(minListBytes, memory/memoryDivisor) }
 
-// readBody reads the whole of an answer.
+// readBody returns the whole body of a response, or an error if it is longer than maxBytes.
 func readBody(r *http1.Response, maxBytes int64) ([]byte, error) {
 	if r.Rest == nil {
 		return nil, nil
@@ -35,23 +36,23 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Rest, maxBytes+1))
 	if err == nil && int64(len(raw)) > maxBytes {
-		err = fmt.Errorf("%w: over the %d bytes that are accepted", errTooLong, maxBytes)
+		err = fmt.Errorf("%w: more than the %d bytes that are accepted", errTooLong, maxBytes)
 	}
 	return raw, err
 }
 
-// parse reads an answer, and returns with the list what is wrong with the lines that it has skipped, or that contradict each other. An
-// answer that is cut off or malformed is an error; in one that is not, a line that can't be read does not hide the others.
+// parse decodes the body of a response. It returns the list and, as problems, the invalid entries that it skipped and the
+// entries that contradict each other. A truncated or malformed body is an error.
 func parse(raw []byte) (list endpoints.List, problems []error, err error) {
 	if err = codec.Unmarshal(raw, &list); err == nil {
 		problems = list.RemoveInvalid()
 	} else {
-		lines, lineProblems, err := parseLines(raw)
+		entries, entryProblems, err := parseEntries(raw)
 		if err != nil {
 			return list, nil, err
 		}
-		list = lines
-		problems = lineProblems
+		list = entries
+		problems = entryProblems
 	}
 	if list.Complete && list.Endpoints == nil {
 		return list, nil, errors.New("members: missing from a complete list")
@@ -59,19 +60,19 @@
 	return list, append(problems, list.Normalize()...), nil
 }
 
-// parseLines reads an answer line by line.
-func parseLines(raw []byte) (list endpoints.List, problems []error, err error) {
-	var loose struct {
+// parseEntries decodes the body of a response entry by entry and skips the invalid ones, each of which is returned as a problem.
+func parseEntries(raw []byte) (list endpoints.List, problems []error, err error) {
+	var undecoded struct {
 		endpoints.List
 		Members []jsoniter.RawMessage `json:"members"`
 	}
-	if err = codec.Unmarshal(raw, &loose); err != nil {
+	if err = codec.Unmarshal(raw, &undecoded); err != nil {
 		return list, nil, err
 	}
-	list = endpoints.List{Revision: loose.Revision, Complete: loose.Complete, Endpoints: []endpoints.Endpoint{}}
-	for i, line := range loose.Members {
+	list = endpoints.List{Revision: undecoded.Revision, Complete: undecoded.Complete, Endpoints: []endpoints.Endpoint{}}
+	for i, entry := range undecoded.Members {
 		var endpoint endpoints.Endpoint
-		err := codec.Unmarshal(line, &endpoint)
+		err := codec.Unmarshal(entry, &endpoint)
 		if err == nil {
 			err = endpoint.Check()
 		}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -19,8 +19,7 @@
 	return all
 }
 
-// However many servers there are and however an answer is encoded, the list is used, complete or as changes, and a drain in its last line
-// is known in time.
+// A list or set of changes of any size and in any encoding is used, and a drain in its last entry is known within 100 ms.
 func TestListsOfAnySize(t *testing.T) {
 	for _, n := range []int{1, 200, 350, 1024, 2000} {
 		for encoding := range 8 {
@@ -47,7 +46,7 @@
 	}
 }
 
-// A list beyond the bound changes nothing, is logged with its size and the bound, and is polled for at the pace of failures.
+// A list longer than the limit is not used, is logged with the limit, and is polled for with the backoff of failed polls.
 func TestListTooLong(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		withWatch(t, 0, func(r *fixture) {
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -16,17 +16,17 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// raceFixture is a watch on real sockets that waits for long, so that whatever happens is the test's doing.
+// raceFixture is a watch on real sockets with long timeouts, so that only the test causes events.
 type raceFixture struct {
 	*scriptedSource
 	*Watch
-	updates     chan string      // "revision map[id:phase ...]" of each list; OnUpdate waits from then on
+	updates     chan string      // "revision map[id:phase ...]" of each update; OnUpdate then waits for proceed
 	proceed     chan struct{}    // lets OnUpdate return
-	onRead      func(toEnd bool) // is called after each read, which may be up to the end of an answer, before the watch sees it; nil = nothing is
+	onRead      func(toEnd bool) // called after each read, before the watch sees it; toEnd = up to the end of a response
 	end         context.CancelFunc
 	ended       chan error
-	onConnected func() // is called as a connection has come up; nil = nothing is
-	onValidity  func() // is called as a poll begins; nil = nothing is
+	onConnected func() // called when a connection is established; nil = not called
+	onValidity  func() // called when a poll begins; nil = not called
 }
 
 func newRaceFixture(t *testing.T) *raceFixture {
@@ -74,7 +74,7 @@
 	return x
 }
 
-// observedConn is the watch's end of a connection.
+// observedConn is the watch's side of a connection; it calls onRead of the fixture.
 type observedConn struct {
 	*net.TCPConn
 	fixture *raceFixture
@@ -112,15 +112,16 @@
 	})
 }
 
-// start runs the watch up to the list of a and b, revision 7, and b's end, revision 8, in whose OnUpdate it waits.
+// start runs the watch until it has received the list of a and b, revision 7, and the deletion of b, revision 8, whose
+// OnUpdate still waits.
 func (x *raceFixture) start() *scriptedConn {
 	x.run()
 	c := x.accept()
-	x.want("asked", c.nextTarget(), "")
+	x.want("requested", c.nextTarget(), "")
 	x.proceed <- struct{}{}
 	c.write(okResponse(listJSON(7, true, "a=SERVING", "b=SERVING")))
 	x.wantUpdate("7 map[a:SERVING b:SERVING]")
-	x.want("asked", c.nextTarget(), "?index=7&wait=60000")
+	x.want("requested", c.nextTarget(), "?index=7&wait=60000")
 	c.write(okResponse(listJSON(8, false, "b=DELETED")))
 	x.wantUpdate("8 map[a:SERVING]")
 	return c
@@ -144,104 +145,106 @@
 	}
 }
 
-// Whatever comes over the connection between an answer and the next poll, no poll is made on it, and nothing of it is used: the complete
-// list is asked for on a new one.
+// Data that arrives between a response and the next poll is not used, and neither is its connection: the complete list is
+// requested on a new one. The same goes for a connection that is closed or reset in between.
 func TestBytesBetweenTwoPolls(t *testing.T) {
 	for name, between := range map[string]func(*scriptedConn){
-		"the answer again":  func(c *scriptedConn) { c.write(okResponse(listJSON(8, false, "b=DELETED"))) },
-		"an older one":      func(c *scriptedConn) { c.write(okResponse(listJSON(7, true, "a=SERVING", "b=SERVING"))) },
-		"one that is newer": func(c *scriptedConn) { c.write(okResponse(listJSON(9, false, "b=SERVING"))) },
-		"the start of one":  func(c *scriptedConn) { c.write("HTTP/1.1 ") },
-		"bytes":             func(c *scriptedConn) { c.write("\r\n") },
-		"its end":           func(c *scriptedConn) { c.Close() },
-		"a reset":           func(c *scriptedConn) { fakes.Abort(c.Conn) },
+		"the response again":      func(c *scriptedConn) { c.write(okResponse(listJSON(8, false, "b=DELETED"))) },
+		"an older response":       func(c *scriptedConn) { c.write(okResponse(listJSON(7, true, "a=SERVING", "b=SERVING"))) },
+		"a newer response":        func(c *scriptedConn) { c.write(okResponse(listJSON(9, false, "b=SERVING"))) },
+		"the start of a response": func(c *scriptedConn) { c.write("HTTP/1.1 ") },
+		"bytes":                   func(c *scriptedConn) { c.write("\r\n") },
+		"a close":                 func(c *scriptedConn) { c.Close() },
+		"a reset":                 func(c *scriptedConn) { fakes.Abort(c.Conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newRaceFixture(t)
 			c := x.start()
 			between(c)
-			for x.conn.IsQuiet() && name != "a reset" { // the kernel has it in a moment
+			for x.conn.IsQuiet() && name != "a reset" { // until the kernel has received it
 				time.Sleep(time.Millisecond)
 			}
 			x.proceed <- struct{}{}
-			again := x.accept()
-			x.want("then asked", again.nextTarget(), "")
-			x.want("asked on the old connection", c.nextTarget(), "ended")
+			retried := x.accept()
+			x.want("then requested", retried.nextTarget(), "")
+			x.want("requested on the old connection", c.nextTarget(), "closed")
 			x.proceed <- struct{}{}
-			again.write(okResponse(listJSON(8, true, "a=SERVING")))
+			retried.write(okResponse(listJSON(8, true, "a=SERVING")))
 			x.wantUpdate("8 map[a:SERVING]")
-			x.want("asked", again.nextTarget(), "?index=8&wait=60000")
+			x.want("requested", retried.nextTarget(), "?index=8&wait=60000")
 		})
 	}
 }
 
-// A late answer can't be distinguished from that to the next poll: it is used where it changes nothing that is newer, and else the complete
-// list is asked for on a new connection, whose answer is used at any revision.
-func TestLateAnswerToEarlierPoll(t *testing.T) {
+// A late response cannot be distinguished from one to the next poll. It is used unless it is older than the list, or only has
+// changes where the complete list was requested. Otherwise the complete list is requested on a new connection and used at any
+// revision.
+func TestLateResponseToEarlierPoll(t *testing.T) {
 	older, same := listJSON(7, true, "a=SERVING", "b=SERVING"), listJSON(8, false, "b=DELETED")
 	for name, c := range map[string]struct {
 		late, update string // "" = none
-		complete     bool   // is asked for, since all contradicts the list
+		complete     bool   // the complete list is requested, because all servers contradict the list
 		rejected     bool
 	}{
-		"the same":                         {same, "8 map[a:SERVING]", false, false},
-		"the same, complete":               {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", false, false},
-		"nothing new":                      {listJSON(8, false), "", false, false},
-		"older changes":                    {listJSON(7, false, "b=SERVING"), "", false, true},
-		"older, empty":                     {listJSON(7, false), "", false, true},
-		"an older list":                    {older, "", false, true},
-		"changes for a list":               {same, "", true, true},
-		"an older list for the present":    {older, "", true, true},
-		"the present list for the present": {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", true, false},
+		"the same changes":                         {same, "8 map[a:SERVING]", false, false},
+		"the same as a complete list":              {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", false, false},
+		"no changes":                               {listJSON(8, false), "", false, false},
+		"older changes":                            {listJSON(7, false, "b=SERVING"), "", false, true},
+		"older, without changes":                   {listJSON(7, false), "", false, true},
+		"an older list":                            {older, "", false, true},
+		"changes instead of a list":                {same, "", true, true},
+		"an older list instead of the present one": {older, "", true, true},
+		"the present list":                         {listJSON(8, true, "a=SERVING"), "8 map[a:SERVING]", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, asked := newRaceFixture(t), "?index=8&wait=60000"
+			x, requested := newRaceFixture(t), "?index=8&wait=60000"
 			conn := x.start()
 			if c.complete {
-				asked = ""
+				requested = ""
 				x.Observe("a", staleness.ConnectRefused)
 			}
 			x.proceed <- struct{}{}
-			x.want("asked", conn.nextTarget(), asked)
+			x.want("requested", conn.nextTarget(), requested)
 			conn.write(okResponse(c.late))
 			if c.update != "" {
 				x.wantUpdate(c.update)
 				x.proceed <- struct{}{}
 			}
 			if !c.rejected {
-				x.want("then asked", conn.nextTarget(), "?index=8&wait=60000")
+				x.want("then requested", conn.nextTarget(), "?index=8&wait=60000")
 				conn.write(okResponse(listJSON(9, false, "a=DRAINING")))
 				x.wantUpdate("9 map[a:DRAINING]")
 				return
 			}
-			again := x.accept()
-			x.want("then asked", again.nextTarget(), "")
-			again.write(okResponse(listJSON(3, true, "c=SERVING"))) // it counts anew
+			retried := x.accept()
+			x.want("then requested", retried.nextTarget(), "")
+			retried.write(okResponse(listJSON(3, true, "c=SERVING"))) // the revisions have restarted
 			x.wantUpdate("3 map[c:SERVING]")
 			x.proceed <- struct{}{}
-			x.want("and", again.nextTarget(), "?index=3&wait=60000")
+			x.want("after that", retried.nextTarget(), "?index=3&wait=60000")
 		})
 	}
 }
 
-// Whenever SetAddress is called, what the old source has answered by then is used, as its list, and nothing that it answers later; the new
-// one is asked for the complete list. Of several calls the last counts, and one that leads back leads to the list that is known.
+// At any time of SetAddress, a response that the old source has sent and the watch has read is used as that source's list,
+// and a later one is not. The complete list is requested from the new source. The last of several calls counts, and one that
+// returns to the old address continues from the known list.
 func TestSetAddressRaces(t *testing.T) {
 	changes := okResponse(listJSON(9, false, "a=DRAINING"))
 	for name, c := range map[string]struct {
 		at      string // what the watch is doing
-		updated bool   // by the old source's answer
+		updated bool   // by the old source's response
 		back    bool
 	}{
-		"half of an answer is read":      {"half", false, false},
-		"and back":                       {"half", false, true},
-		"the whole of it is read":        {"whole", true, false},
-		"that, and back":                 {"whole", true, true},
-		"OnUpdate has it":                {"update", true, false},
-		"OnUpdate has it, and back":      {"update", true, true},
-		"a poll begins":                  {"poll", false, false},
-		"a poll begins, and back":        {"poll", false, true},
-		"the poll is sent and no answer": {"sent", false, false},
+		"half of a response is read":    {"half", false, false},
+		"half, and back":                {"half", false, true},
+		"the whole response is read":    {"whole", true, false},
+		"the whole response, and back":  {"whole", true, true},
+		"OnUpdate is running":           {"update", true, false},
+		"OnUpdate is running, and back": {"update", true, true},
+		"a poll begins":                 {"poll", false, false},
+		"a poll begins, and back":       {"poll", false, true},
+		"the poll is sent, no response": {"sent", false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newRaceFixture(t)
@@ -266,7 +269,7 @@
 				x.onValidity = func() { once.Do(move) }
 			}
 			x.proceed <- struct{}{}
-			if c.at != "poll" { // whose request is not sent
+			if c.at != "poll" { // canceled before the request is sent
 				conn.nextTarget()
 			}
 			switch c.at {
@@ -288,24 +291,24 @@
 			}
 			<-moved
 			if c.at != "update" && c.at != "poll" || !c.back {
-				x.want("then, on that connection", conn.nextTarget(), "ended")
-				conn.write(changes[60:]) // too late, if it was not read
+				x.want("then, on that connection", conn.nextTarget(), "closed")
+				conn.write(changes[60:]) // ignored where the first part was not read
 			}
 			if c.back {
 				if c.at != "update" && c.at != "poll" {
 					conn = x.accept()
 				}
-				x.want("asked", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.updated])
+				x.want("requested", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.updated])
 				return
 			}
 			now := third.accept()
-			x.want("the new one is asked", now.nextTarget(), "")
+			x.want("requested from the new source", now.nextTarget(), "")
 			x.want("source", x.Address(), old)
 			now.write(okResponse(listJSON(3, true, "c=SERVING")))
 			x.wantUpdate("3 map[c:SERVING]")
 			x.want("source", x.Address(), third.Addr().String())
 			x.proceed <- struct{}{}
-			x.want("the new one is asked", now.nextTarget(), "?index=3&wait=60000")
+			x.want("requested from the new source", now.nextTarget(), "?index=3&wait=60000")
 			if x.Failures.Load() != 0 {
 				t.Errorf("%d polls have failed", x.Failures.Load())
 			}
@@ -313,9 +316,9 @@
 	}
 }
 
-// A SetAddress just as a connection to the old source has come up leaves that unused, and that a failure needs the complete list is not
-// forgotten.
-func TestSetAddressAsConnectionComesUp(t *testing.T) {
+// After SetAddress at the moment when a connection to the old source is established, that connection stays unused. The poll
+// after that still requests the complete list, as it must after a failure.
+func TestSetAddressWhileConnecting(t *testing.T) {
 	for _, back := range []bool{false, true} {
 		x := newRaceFixture(t)
 		second := newScriptedSource(t, nil)
@@ -336,14 +339,14 @@
 			next = x.scriptedSource
 		}
 		now := next.accept()
-		x.want("asked", now.nextTarget(), "")
+		x.want("requested", now.nextTarget(), "")
 		now.write(okResponse(listJSON(3, true, "c=SERVING")))
 		x.wantUpdate("3 map[c:SERVING]")
 	}
 }
 
-// Whenever evidence against the list, or the end of the watch, comes: an answer that was read by then is used. After evidence the next poll
-// is for the complete list, also where the present one was just answered by one; after the end there is none.
+// At any time of evidence against the list or of the end of the watch, a response already read is used. After evidence the
+// next poll requests the complete list, even if one has just been received; after the end there is no further poll.
 func TestEvidenceAndShutdownRaces(t *testing.T) {
 	for i, at := range []string{"sent", "half", "whole", "changes", "update", "poll"} {
 		for _, end := range []bool{false, true} {
@@ -373,7 +376,7 @@
 				}
 				x.proceed <- struct{}{}
 				if at != "poll" {
-					x.want("asked", conn.nextTarget(), "?index=8&wait=60000")
+					x.want("requested", conn.nextTarget(), "?index=8&wait=60000")
 				}
 				switch {
 				case at == "sent":
@@ -393,14 +396,14 @@
 					if err := <-x.ended; err != nil || x.Failures.Load() != 0 {
 						t.Errorf("ended with %v, %d failures", err, x.Failures.Load())
 					}
-					x.want("then asked", conn.nextTarget(), "ended")
+					x.want("then requested", conn.nextTarget(), "closed")
 					return
 				}
 				if at != "update" && at != "poll" {
-					x.want("then, on that connection", conn.nextTarget(), "ended")
+					x.want("then, on that connection", conn.nextTarget(), "closed")
 					conn = x.accept()
 				}
-				x.want("then asked", conn.nextTarget(), "")
+				x.want("then requested", conn.nextTarget(), "")
 				conn.write(okResponse(listJSON(9, true, "a=SERVING")))
 				x.wantUpdate("9 map[a:SERVING]")
 				x.proceed <- struct{}{}
--- a/internal/discovery/script_test.go
+++ b/internal/discovery/script_test.go
@@ -12,15 +12,15 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// scriptedSource is a discovery service whose every byte the test writes.
+// scriptedSource is a discovery service whose responses the test writes byte by byte.
 type scriptedSource struct {
 	*testing.T
 	net.Listener
 }
 
-const stepTimeout = 10 * time.Second // of real time: a step that takes so long has failed
+const stepTimeout = 10 * time.Second // in real time, after which a step of a test fails
 
-// newScriptedSource listens in a network of simulated time, or, without one, on a real socket.
+// newScriptedSource returns a source that listens in the in-memory network n, or on a real socket if n is nil.
 func newScriptedSource(t *testing.T, n fakes.Network) *scriptedSource {
 	var l net.Listener
 	var err error
@@ -36,7 +36,7 @@
 	return &scriptedSource{t, l}
 }
 
-// scriptedConn is one connection to it.
+// scriptedConn is a connection accepted by a scriptedSource.
 type scriptedConn struct {
 	*testing.T
 	net.Conn
@@ -50,17 +50,18 @@
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { c.Close() })
-	if _, ok := c.(*net.TCPConn); ok { // in real time
+	if _, ok := c.(*net.TCPConn); ok { // a real socket
 		c.SetDeadline(time.Now().Add(stepTimeout))
 	}
 	return &scriptedConn{s.T, c, bufio.NewReader(c)}
 }
 
-// nextTarget returns what the next poll on the connection asks for: its query, "" = the complete list, or "ended".
+// nextTarget returns the query of the next poll on the connection, "" for the complete list, or "closed" if the connection
+// was closed.
 func (c *scriptedConn) nextTarget() string {
 	r, err := http1.ReadRequest(c.reader)
 	if err != nil {
-		return "ended"
+		return "closed"
 	}
 	return strings.TrimPrefix(r.Target, http1.PathList)
 }
@@ -71,11 +72,11 @@
 	}
 }
 
-// listJSON returns an answer's body, of lines like "a=SERVING".
-func listJSON(revision int, complete bool, lines ...string) string {
+// listJSON returns the body of a response; each of entries has the form "a=SERVING".
+func listJSON(revision int, complete bool, entries ...string) string {
 	var all []string
-	for _, l := range lines {
-		id, phase, _ := strings.Cut(l, "=")
+	for _, entry := range entries {
+		id, phase, _ := strings.Cut(entry, "=")
 		all = append(all, fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:9","phase":%q}`, id, phase))
 	}
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(all, ","))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of servers by a watch of the discovery service. It is the edge to that protocol: the list's JSON and
-// its requests are known here alone.
+// Package discovery keeps the endpoint list up to date by a watch of the discovery service. It alone implements that
+// protocol: no other package knows its requests and the JSON format of the list.
 package discovery
 
 import (
@@ -19,21 +19,22 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// Watch is the standing request to discovery. What to ask and how long to wait for the answer is decided by a watchpolicy.Scheduler.
+// Watch polls a discovery service for the endpoint list and its changes. A watchpolicy.Scheduler decides what each poll
+// requests and how long to wait for the response.
 type Watch struct {
 	options Options
 
-	Answers, Failures, FullRefreshes atomic.Int64 // FullRefreshes: complete lists asked for because servers contradict the list
+	Answers, Failures, FullRefreshes atomic.Int64 // FullRefreshes: complete lists requested because servers contradict the list
 
 	mu         sync.Mutex
 	scheduler  *watchpolicy.Scheduler
-	address    string             // where the next poll goes
-	cancelPoll context.CancelFunc // ends the present one; nil = none
-	source     string             // of the last list
-	answered   chan struct{}      // closed by the first answer
+	address    string             // of the source for the next poll
+	cancelPoll context.CancelFunc // cancels the present poll; nil = none
+	source     string             // address of the source of the last list
+	responded  chan struct{}      // closed by the first response
 
-	// Of Run alone.
-	polledAddress string // where the present poll goes
+	// Used by Run alone.
+	polledAddress string // of the source for the present poll
 	revision      uint64
 	conn          *sourceConn // nil = none
 	reader        *bufio.Reader
@@ -44,17 +45,17 @@
 	Address        string // host:port of discovery
 	Watch          watchpolicy.Settings
 	Seed           uint64
-	Initial        endpoints.List // what it begins with; if it is empty, the first poll asks for the complete list,
-	IgnoreRevision bool           // and if the revision of Initial is not one of discovery's
-	MaxListBytes   int64          // of an answer; 0 = MaxListBytes(0)
+	Initial        endpoints.List // the list to begin with; if it is empty, the first poll requests the complete list
+	IgnoreRevision bool           // the revision of Initial is not from discovery: the first poll requests the complete list
+	MaxListBytes   int64          // maximum size of a response; 0 = MaxListBytes(0)
 	Budget         *connlimit.Budget
-	OnUpdate       func(l endpoints.List, at time.Time) // takes each answer with a complete list or changes, in order, and when its first byte came
-	OnValidity     func(staleness.Validity)             // as a poll or a pause before it begins; nil = it is dropped
+	OnUpdate       func(l endpoints.List, at time.Time) // called for each list or set of changes, in order; at = its arrival
+	OnValidity     func(staleness.Validity)             // called before each poll and the delay before it; nil = not called
 	Logf           func(format string, args ...any)     // nil = nothing is logged
-	Trace          func(format string, args ...any)     // logs a line for every poll; nil = none
+	Trace          func(format string, args ...any)     // logs one line per poll; nil = nothing is logged
 }
 
-// New returns a watch that Run begins.
+// New returns a Watch that sends its first poll in Run, or an error if the settings in o.Watch are invalid.
 func New(o Options) (*Watch, error) {
 	scheduler, err := watchpolicy.New(o.Watch, o.Seed, o.IgnoreRevision || len(o.Initial.Endpoints) == 0)
 	if err != nil {
@@ -68,7 +69,7 @@
 		o.OnValidity = func(staleness.Validity) {}
 	}
 	w := &Watch{
-		options: o, scheduler: scheduler, answered: make(chan struct{}),
+		options: o, scheduler: scheduler, responded: make(chan struct{}),
 		revision: o.Initial.Revision, address: o.Address, polledAddress: o.Address, source: o.Address,
 	}
 	initial := o.Initial
@@ -77,8 +78,8 @@
 	return w, nil
 }
 
-// SetAddress moves the watch to another source, at once. Changes take effect there that this one does not know, so the first poll there
-// asks for the complete list.
+// SetAddress switches the watch to the source at address, at once. The new source may have changes that the old one does not
+// know, so that the first poll there requests the complete list.
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,18 +92,18 @@
 	}
 }
 
-// Address returns the source of the present list.
+// Address returns the address of the source of the present list.
 func (w *Watch) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.source
 }
 
-// FirstUpdate is closed by the first answer.
-func (w *Watch) FirstUpdate() <-chan struct{} { return w.answered }
+// FirstUpdate returns a channel that is closed by the first valid response, even one without changes.
+func (w *Watch) FirstUpdate() <-chan struct{} { return w.responded }
 
-// Observe takes evidence of a server. Where several contradict the list at once the present poll is given up for one that asks for the
-// complete list. It is safe for concurrent use and does not block.
+// Observe records evidence about a server. If enough servers contradict the list at the same time, it cancels the present
+// poll and the next one requests the complete list. It is safe for concurrent use and does not block.
 func (w *Watch) Observe(server string, evidence staleness.Evidence) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// Run watches until ctx ends.
+// Run polls until ctx is done, and returns nil.
 func (w *Watch) Run(ctx context.Context) error {
 	defer w.closeConn()
 	for ctx.Err() == nil {
@@ -123,7 +124,7 @@
 		w.options.OnValidity(validity)
 		select {
 		case <-pollCtx.Done():
-		case <-time.After(poll.Delay): // none after an answer: a watch goes on only if the next poll comes within 200 ms
+		case <-time.After(poll.Delay): // 0 after a response: discovery continues a watch only if the next poll arrives within 200 ms
 			if pollCtx.Err() == nil {
 				w.poll(pollCtx, poll)
 			}
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// nextPoll returns the next poll, a context that ends when it is to be given up, and until when the list may be relied on.
+// nextPoll returns the next poll, a context whose end cancels it, and until when the list may be relied on.
 func (w *Watch) nextPoll(ctx context.Context) (context.Context, watchpolicy.Poll, staleness.Validity) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,7 +148,8 @@
 	return ctx, poll, w.scheduler.Validity()
 }
 
-// poll makes a poll and takes its answer. One that is given up has not failed, but its connection may still bring the answer: it is closed.
+// poll sends poll and handles its result. A canceled poll does not count as failed, but its connection is closed, since the
+// response might still arrive on it.
 func (w *Watch) poll(ctx context.Context, poll watchpolicy.Poll) {
 	startedAt := time.Now()
 	list, firstByteAt, err := w.fetch(ctx, poll)
@@ -157,7 +159,7 @@
 	}
 	switch {
 	case err == nil:
-		w.handleAnswer(ctx, poll, list, startedAt, firstByteAt)
+		w.handleResponse(ctx, poll, list, startedAt, firstByteAt)
 	case ctx.Err() != nil:
 		w.closeConn()
 	default:
@@ -165,17 +167,17 @@
 	}
 }
 
-// handleAnswer notes an answer and passes the list on.
-func (w *Watch) handleAnswer(ctx context.Context, poll watchpolicy.Poll, list endpoints.List, startedAt, firstByteAt time.Time) {
+// handleResponse records the response to poll and passes list to OnUpdate.
+func (w *Watch) handleResponse(ctx context.Context, poll watchpolicy.Poll, list endpoints.List, startedAt, firstByteAt time.Time) {
 	w.mu.Lock()
-	w.scheduler.Responded(poll, max(0, firstByteAt.Sub(startedAt))) // what follows its first byte may take long and says nothing of discovery
+	w.scheduler.Responded(poll, max(0, firstByteAt.Sub(startedAt))) // the transfer after the first byte is not part of the lateness
 	w.updateListed(list)
 	w.source = w.polledAddress
 	w.mu.Unlock()
 	if w.Answers.Add(1) == 1 {
-		close(w.answered)
+		close(w.responded)
 	}
-	if ctx.Err() != nil { // given up as it was answered: the connection is closed
+	if ctx.Err() != nil { // canceled as the response arrived
 		w.closeConn()
 	}
 	w.revision = list.Revision
@@ -184,16 +186,16 @@
 	}
 }
 
-// handleFailure notes a poll that has failed; firstByteAt is zero if nothing was answered.
+// handleFailure records and logs the failure of poll; firstByteAt is zero if no byte of a response arrived.
 func (w *Watch) handleFailure(poll watchpolicy.Poll, firstByteAt time.Time, err error) {
 	w.Failures.Add(1)
-	silent := w.conn != nil && firstByteAt.IsZero() && errors.Is(err, os.ErrDeadlineExceeded)
+	timedOut := w.conn != nil && firstByteAt.IsZero() && errors.Is(err, os.ErrDeadlineExceeded)
 	w.closeConn()
 	w.mu.Lock()
 	switch {
 	case errors.Is(err, errRejected):
 		w.scheduler.Rejected()
-	case silent:
+	case timedOut:
 		w.scheduler.TimedOut()
 	default:
 		w.scheduler.Failed()
@@ -202,7 +204,7 @@
 	w.options.Logf("discovery=%s state=failed complete=%t err=%q", w.polledAddress, poll.Complete, err)
 }
 
-// updateListed passes on to the scheduler what the list says.
+// updateListed reports to the scheduler which servers list names as in service.
 func (w *Watch) updateListed(list endpoints.List) {
 	ready := map[string]float64{}
 	for _, endpoint := range list.Endpoints {
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints has the endpoint list in the form in which every source gives it: discovery, a static list, an application. What
-// follows from it (drains, slow starts, empty lists) is enforced once, by the dispatcher.
+// Package endpoints defines the endpoint list that every source provides: discovery, a static list, an application. The
+// dispatcher alone enforces what follows from the list: drains, slow starts, empty lists.
 package endpoints
 
 import (
@@ -8,31 +8,31 @@
 	"net"
 )
 
-// Phases of a server. Any other counts as draining: it is not the one that asks for new work.
+// Phases of a server. Any other value counts as draining, because only Serving permits new requests.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
-	Deleted  = "DELETED" // only among changes
+	Deleted  = "DELETED" // only in a list of changes
 )
 
-// Endpoint is one server, as a line of the list.
+// Endpoint is the entry of one server in the list.
 type Endpoint struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"host_port"`
 	Zone      string  `json:"locality"`
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"`
-	StartedAt float64 `json:"up_since_ms"` // start of its process in Unix milliseconds; 0 = long ago
+	StartedAt float64 `json:"up_since_ms"` // process start time in Unix milliseconds; 0 = long ago
 }
 
-// List is the complete list, or what has changed.
+// List is the complete list, or only the entries that have changed.
 type List struct {
 	Revision  uint64     `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"`
 }
 
-// Check returns an error that names, by its key in the list, what makes the line unusable.
+// Check returns an error that names the invalid field by its JSON key, or nil.
 func (e *Endpoint) Check() error {
 	if e.ID == "" {
 		return errors.New("id: missing")
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// RemoveInvalid removes the unusable lines and returns what is wrong with each, by its position.
+// RemoveInvalid removes the invalid entries and returns an error for each, with its position.
 func (l *List) RemoveInvalid() (problems []error) {
 	valid := l.Endpoints[:0]
 	for i, endpoint := range l.Endpoints {
@@ -57,14 +57,15 @@
 	return problems
 }
 
-// Normalize leaves one line of each server that has several, and returns an error for each pair that contradict each other. The last one
-// wins, unless it alone asks for new work, for the same process: a server that one line takes out of service gets nothing new by another.
+// Normalize removes duplicate entries of a server, and returns an error for each two that contradict each other. It keeps the
+// last entry, unless that alone is Serving and not for a newer process: no entry returns a server to service that an earlier
+// one takes out of it.
 func (l *List) Normalize() (problems []error) {
 	positions := make(map[string]int, len(l.Endpoints))
 	unique := l.Endpoints[:0]
 	for _, endpoint := range l.Endpoints {
-		position, again := positions[endpoint.ID]
-		if !again {
+		position, duplicate := positions[endpoint.ID]
+		if !duplicate {
 			positions[endpoint.ID] = len(unique)
 			unique = append(unique, endpoint)
 			continue
