--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -1,5 +1,5 @@
-// Package cordon has the servers that operators have taken out of service, and keeps them in a file that all processes of a sidecar
-// share. A Set reads no clock and touches no file.
+// Package cordon holds the servers that operators have taken out of service, and stores them in a file that all processes of a
+// sidecar share. A Set reads no clock and accesses no file.
 package cordon
 
 import (
@@ -9,22 +9,22 @@
 	"slices"
 )
 
-// ErrUnknownServer says that a server is neither listed nor cordoned.
+// ErrUnknownServer is returned for a server that is neither listed nor cordoned.
 var ErrUnknownServer = errors.New("server is not listed")
 
-// maxUncordoned bounds the servers whose return is remembered; the earliest are forgotten.
+// maxUncordoned bounds the number of entries in Set.Uncordoned; the earliest are dropped.
 const maxUncordoned = 2048
 
-// Set is the cordons in force. Dates are Unix milliseconds. The zero value cordons no server.
+// Set holds the cordons in force. Dates are in Unix milliseconds. The zero value cordons no server.
 type Set struct {
-	Cordoned   map[string]float64 `json:"out"`  // since when, by id; in force whatever the list says
-	Uncordoned map[string]float64 `json:"back"` // since when it may be used again: it may have been restarted meanwhile
+	Cordoned   map[string]float64 `json:"out"`  // start of each cordon by server id; in force whatever the list says
+	Uncordoned map[string]float64 `json:"back"` // end of earlier cordons by server id: the server may have restarted meanwhile
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (s Set) Clone() Set { return Set{maps.Clone(s.Cordoned), maps.Clone(s.Uncordoned)} }
 
-// Cordon takes the server out of service from that date on. One that is cordoned remains so since it was.
+// Cordon takes the server out of service from date on. If it is already cordoned, its earlier date stays.
 func (s *Set) Cordon(id string, date float64, listed bool) error {
 	if _, cordoned := s.Cordoned[id]; cordoned {
 		return nil
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Uncordon puts the server back. One that is listed and not cordoned remains as it is.
+// Uncordon returns the server to service from date on. A server that is listed and not cordoned stays as it is.
 func (s *Set) Uncordon(id string, date float64, listed bool) error {
 	if _, cordoned := s.Cordoned[id]; !cordoned {
 		if !listed {
@@ -62,19 +62,19 @@
 	return nil
 }
 
-// ChangedIDs returns the ids of the servers about which next differs, in order.
+// ChangedIDs returns the sorted ids of the servers whose entries in next differ from those in s.
 func (s Set) ChangedIDs(next Set) (ids []string) {
-	addDifferent := func(before, after map[string]float64) {
+	addChanged := func(before, after map[string]float64) {
 		for id, date := range before {
 			if after[id] != date {
 				ids = append(ids, id)
 			}
 		}
 	}
-	addDifferent(s.Cordoned, next.Cordoned)
-	addDifferent(next.Cordoned, s.Cordoned)
-	addDifferent(s.Uncordoned, next.Uncordoned)
-	addDifferent(next.Uncordoned, s.Uncordoned)
+	addChanged(s.Cordoned, next.Cordoned)
+	addChanged(next.Cordoned, s.Cordoned)
+	addChanged(s.Uncordoned, next.Uncordoned)
+	addChanged(next.Uncordoned, s.Uncordoned)
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -21,7 +21,7 @@
 		t.Error(err)
 	}
 	before := s.Clone()
-	if err := s.Uncordon("a", 9, false); err != nil { // cordoned, and listed no more
+	if err := s.Uncordon("a", 9, false); err != nil { // cordoned, and no longer listed
 		t.Error(err)
 	}
 	if err := s.Uncordon("c", 9, true); err != nil { // never cordoned
@@ -44,11 +44,12 @@
 		}
 	}
 	if _, early := s.Uncordoned["x"]; len(s.Uncordoned) != maxUncordoned || early {
-		t.Errorf("%d returns are remembered", len(s.Uncordoned))
+		t.Errorf("%d uncordoned servers are kept", len(s.Uncordoned))
 	}
 }
 
-// The file decides for all processes: whole or not at all, whatever is in it.
+// All processes apply the set in the file, a malformed file is not applied in part, and a set that cannot be stored is not in
+// force.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans.json")
 	one, two := &Store{Path: path}, &Store{Path: path}
@@ -97,9 +98,9 @@
 			t.Errorf("after %.40q: %v, %v", malformed, set.Cordoned, err)
 		}
 	}
-	unwritable := &Store{Path: filepath.Join(t.TempDir(), "nowhere", "bans.json")}
+	unwritable := &Store{Path: filepath.Join(t.TempDir(), "missing", "bans.json")}
 	if _, err := unwritable.Update(func(s *Set) error { return s.Cordon("a", 1, true) }); err == nil {
-		t.Error("a set that can't be kept is in force")
+		t.Error("a set that cannot be stored is in force")
 	} else if set, _, err := unwritable.Read(); len(set.Cordoned) > 0 || err != nil {
 		t.Errorf("after that: %v, %v", set.Cordoned, err)
 	}
--- a/internal/cordon/faults_test.go
+++ b/internal/cordon/faults_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// failingDisk is a disk of which one step fails the next few times.
+// failingDisk makes step fail with err the next few times.
 type failingDisk struct {
 	step  Step
 	times int
@@ -24,7 +24,7 @@
 	return f.err
 }
 
-// cordonInNewFile returns a file, written some time ago, in which a server is cordoned.
+// cordonInNewFile returns the path of a new file, dated one hour ago, in which the server id is cordoned.
 func cordonInNewFile(t *testing.T, id string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "bans.json")
@@ -38,14 +38,14 @@
 	return path
 }
 
-// A cordon that operators got an answer for remains, whatever the disk does meanwhile.
-func TestCordonsOutliveFailingDisk(t *testing.T) {
-	t.Run("read once the disk is back", testReadOnceDiskIsBack)
-	t.Run("an update undoes no other", testUpdateUndoesNoOther)
+// A cordon that was confirmed to an operator stays in force through disk faults.
+func TestCordonsSurviveDiskFaults(t *testing.T) {
+	t.Run("read after a disk fault", testReadAfterDiskFault)
+	t.Run("update keeps other cordons", testUpdateKeepsOtherCordons)
 }
 
-// A process that starts while the disk fails knows the cordons as soon as the disk is back.
-func testReadOnceDiskIsBack(t *testing.T) {
+// A process that starts during a disk fault loads the cordons as soon as the fault is over.
+func testReadAfterDiskFault(t *testing.T) {
 	for _, fault := range []failingDisk{
 		{StepOpen, 2, syscall.ENFILE}, {StepOpen, 2, syscall.EIO}, {StepRead, 2, syscall.EIO}, {StepRead, 1, syscall.EINTR},
 	} {
@@ -62,8 +62,8 @@
 	}
 }
 
-// An update while the file can't be read is refused: written over what another process has written, it would undo that.
-func testUpdateUndoesNoOther(t *testing.T) {
+// An update while the file cannot be read is rejected, because it would overwrite cordons that another process has written.
+func testUpdateKeepsOtherCordons(t *testing.T) {
 	for _, step := range []Step{StepOpen, StepRead} {
 		path := cordonInNewFile(t, "a")
 		disk := &failingDisk{step, 1, syscall.EIO}
@@ -75,15 +75,15 @@
 			t.Errorf("%s: cordoned %v, %v; want a alone", step, set.Cordoned, err)
 		}
 		if _, err := s.Update(func(s *Set) error { return s.Cordon("b", 2, true) }); err != nil {
-			t.Errorf("%s, once the disk is back: %v", step, err)
+			t.Errorf("%s, after the fault: %v", step, err)
 		}
 		if set, _, err := (&Store{Path: path}).Read(); err != nil || set.Cordoned["a"] != 1 || set.Cordoned["b"] != 2 {
-			t.Errorf("%s, once the disk is back: cordoned %v, %v; want both", step, set.Cordoned, err)
+			t.Errorf("%s, after the fault: cordoned %v, %v; want both", step, set.Cordoned, err)
 		}
 	}
 }
 
-// A wait for another writer that a signal interrupts is resumed: the update is not refused.
+// A signal that interrupts the wait for another writer does not make the update fail: the wait is resumed.
 func TestInterruptedLockIsRetried(t *testing.T) {
 	disk := &failingDisk{StepLock, 2, syscall.EINTR}
 	s := &Store{Path: cordonInNewFile(t, "a"), BeforeStep: disk.before}
--- a/internal/cordon/store.go
+++ b/internal/cordon/store.go
@@ -21,18 +21,19 @@
 	fileVersion  = 1
 	maxFileBytes = 1 << 20
 
-	// PollInterval bounds how late a process knows what operators asked of another one: well within a drain's grace.
+	// PollInterval bounds the delay until a process applies a cordon set through another process; it is much shorter than a
+	// drain's grace.
 	PollInterval = 50 * time.Millisecond
 
-	// minFileAge is how long a file must have been known to be taken for unchanged by its attributes: two that are written at one moment
-	// can look the same from outside.
+	// minFileAge is the time after first seeing a file from which equal attributes prove that it has not changed: two files that
+	// are written at the same moment can have the same attributes.
 	minFileAge = time.Second
 )
 
-// Step is one of an access to the file.
+// Step is one operation of an access to the file.
 type Step string
 
-// The steps.
+// The steps of reading, locking and replacing the file.
 const (
 	StepOpen   Step = "open"
 	StepRead   Step = "read"
@@ -42,32 +43,34 @@
 	StepRename Step = "rename"
 )
 
-// Store is the set that this process goes by. Where Path is set the file there decides, for this process and any other of the same
-// sidecar, and outlives them. It is safe for concurrent use.
+// Store holds the set that this process applies. With Path set, the file there is authoritative for all processes of the same
+// sidecar, and persists after they end. It is safe for concurrent use.
 type Store struct {
-	Path string // "" = the set is kept by this process alone
+	Path string // "" = the set is held in the memory of this process alone
 
-	// BeforeStep, if set, is called before each step on a file, and its error is the step's: a test's way to a disk that fails.
+	// BeforeStep, if not nil, is called before each step on a file and its error is returned as that of the step. Tests inject
+	// faults with it.
 	BeforeStep func(step Step, path string) error
 
 	mu       sync.Mutex
 	current  Set
-	seenFile fs.FileInfo // that current was read from or written to; nil = there was none
-	seenAt   time.Time   // when it was first seen
-	content  []byte      // what was in it
+	seenFile fs.FileInfo // the file that current was last read from or written to; nil = none yet
+	seenAt   time.Time   // when seenFile was first seen
+	content  []byte      // content of seenFile
 }
 
-// storedFile is the file's content.
+// storedFile is the JSON content of the file.
 type storedFile struct {
 	Version int `json:"version"`
 	Set
 }
 
-// ErrMalformedFile says that the file was read and is none of this program's. Any other error is of the disk, which may be back soon.
+// ErrMalformedFile is returned for a file whose content is not in the format of this program. Any other error is a disk
+// fault, which may be temporary.
 var ErrMalformedFile = errors.New("malformed cordon file")
 
-// Read takes over the file's set, if it has changed, and returns the set, and whether it is another one. After an error the set remains as
-// it was, as it does while there is no file.
+// Read loads the set from the file if that has changed, and returns the set and whether it was loaded. After an error, and
+// while there is no file, the set stays as it was.
 func (s *Store) Read() (set Set, changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +78,7 @@
 	return s.current.Clone(), changed, err
 }
 
-// refresh takes over the file's set.
+// refresh loads the set from the file if that has changed, and reports whether it did.
 func (s *Store) refresh() (changed bool, err error) {
 	if s.Path == "" {
 		return false, nil
@@ -87,7 +90,7 @@
 	if !changed {
 		return false, nil
 	}
-	s.content = content // also a malformed one, so that it is reported once
+	s.content = content // even if malformed, so that the error is reported once
 	set, err := s.parse(content)
 	if err != nil {
 		return false, err
@@ -96,7 +99,7 @@
 	return true, nil
 }
 
-// readFile returns the file's content, and whether it has changed since it was last read or written.
+// readFile returns the content of the file and whether that has changed since it was last read or written.
 func (s *Store) readFile() (content []byte, changed bool, err error) {
 	var f *os.File
 	err = s.runStep(StepOpen, s.Path, func() error {
@@ -131,7 +134,7 @@
 	return content, s.content == nil || !bytes.Equal(content, s.content), nil
 }
 
-// parse returns the set that a file of that content has.
+// parse decodes the content of the file.
 func (s *Store) parse(content []byte) (Set, error) {
 	var stored storedFile
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(content, &stored); err != nil {
@@ -144,8 +147,8 @@
 	return stored.Set, nil
 }
 
-// Update applies change to the set, as all processes know it, and keeps the result, whole or not at all. After an error nothing has
-// changed.
+// Update reads the current set, applies change to it, stores the result atomically and returns it. After an error the stored
+// set is unchanged.
 func (s *Store) Update(change func(*Set) error) (Set, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +158,7 @@
 			return Set{}, fmt.Errorf("cordon file: %w", err)
 		}
 		defer lock.Close()
-		// A malformed file is about to be replaced. One that can't be read may have what operators asked of another process.
+		// A malformed file is about to be replaced. An unreadable one may contain cordons that operators set through another process.
 		if _, err := s.refresh(); err != nil && !errors.Is(err, ErrMalformedFile) {
 			return Set{}, err
 		}
@@ -173,7 +176,7 @@
 	return next.Clone(), nil
 }
 
-// runStep is one access to the file.
+// runStep runs one step of an access to the file at path.
 func (s *Store) runStep(step Step, path string, access func() error) error {
 	if s.BeforeStep != nil {
 		if err := s.BeforeStep(step, path); err != nil {
@@ -183,7 +186,8 @@
 	return access()
 }
 
-// lock waits until no other process writes, which takes one small write, and keeps others from it until the file is closed.
+// lock waits until no other process writes the file, which takes as long as one small write. It locks others out until the
+// returned file is closed.
 func (s *Store) lock() (f *os.File, err error) {
 	path := s.Path + ".lock"
 	return transient.Interrupted(func() (*os.File, error) {
@@ -200,13 +204,13 @@
 	})
 }
 
-// write replaces the file.
+// write replaces the file atomically by one that contains set.
 func (s *Store) write(set Set) error {
 	content, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(storedFile{fileVersion, set})
 	if err != nil {
 		return err
 	}
-	next := s.Path + ".next" // one writer at a time holds the lock
+	next := s.Path + ".next" // the lock permits one writer at a time
 	info, err := s.writeFile(next, content)
 	if err != nil {
 		return err
@@ -219,7 +223,7 @@
 	return nil
 }
 
-// writeFile writes a file, and returns once the disk has it.
+// writeFile writes a file, syncs it to disk and returns its attributes.
 func (s *Store) writeFile(path string, content []byte) (info fs.FileInfo, err error) {
 	var f *os.File
 	err = s.runStep(StepWrite, path, func() error {
@@ -240,14 +244,14 @@
 	return info, errors.Join(err, f.Close())
 }
 
-// rememberFile notes which file was read or written.
+// rememberFile records the attributes of the file that was read or written.
 func (s *Store) rememberFile(info fs.FileInfo) {
 	s.seenFile = info
 	s.seenAt = time.Now()
 }
 
-// Watch calls changed when another process has written a set, and failed with what keeps it from being read, once for each such error in
-// a row, until ctx ends.
+// Watch polls the file until ctx is done. It calls changed when another process has written a set, and failed when reading
+// fails, unless the previous read failed with the same error.
 func (s *Store) Watch(ctx context.Context, changed func(), failed func(error)) {
 	if s.Path == "" {
 		return
@@ -261,7 +265,7 @@
 			return
 		case <-tick.C:
 		}
-		_, isNew, err := s.Read()
+		_, updated, err := s.Read()
 		switch {
 		case err == nil:
 			lastFailure = ""
@@ -269,7 +273,7 @@
 			lastFailure = err.Error()
 			failed(err)
 		}
-		if isNew {
+		if updated {
 			changed()
 		}
 	}
--- a/internal/stableid/stableid.go
+++ b/internal/stableid/stableid.go
@@ -1,55 +1,56 @@
-// Package stableid gives named things numbers that outlive a change of what is named. It reads no clock.
+// Package stableid assigns numbers to named items that stay the same when the set of items changes. It reads no clock.
 package stableid
 
 import "time"
 
-// none stands for no number.
-const none = -1
+// noNumber means that no number is assigned.
+const noNumber = -1
 
-// Table gives out numbers to things with rules of type R. The zero value has given out none.
+// Table assigns numbers to items, each of which has a name and rules of type R. The zero value has assigned no number.
 type Table[R comparable] struct{ entries []entry[R] }
 
-// entry is what a number stands for.
+// entry is the item that a number is assigned to.
 type entry[R comparable] struct {
 	name          string
 	rules         R
-	live          bool      // named at present
-	reservedUntil time.Time // when it may get another meaning, once it is not live
+	live          bool      // in the present set of items
+	reservedUntil time.Time // when the number may be reassigned, if not live; zero = never set
 }
 
-// Mapping is the result of a change.
+// Mapping is the result of Table.Apply.
 type Mapping struct {
-	ByPosition    []int // the numbers of what is named, in the order of the names
-	PredecessorOf []int // by number: whose past is also this one's; its own where nothing changed; -1 = nobody's
+	ByPosition    []int // number of each item, in the order of the names
+	PredecessorOf []int // by number: the number whose state this one inherits; its own where nothing changed; -1 = none
 }
 
-// Apply names things anew. What keeps its name and rules keeps its number, or has it again. What has new rules gets another number and the
-// past of its name. A number whose name or rules are gone stands for them for another keepFor: whoever has it may still use it.
+// Apply replaces the set of items. An item keeps the number that it has, or last had, with the same name and rules. One with
+// new rules gets another number, whose predecessor is the last number of its name. A number that is no longer in use is not
+// reassigned within keepFor from now, since its holders may still use it.
 func (t *Table[R]) Apply(now time.Time, keepFor time.Duration, names []string, rules []R) Mapping {
 	mapping := Mapping{ByPosition: make([]int, len(names)), PredecessorOf: make([]int, len(t.entries))}
-	named := map[int]bool{}
+	current := map[int]bool{}
 	for i, name := range names {
 		n := t.numberOf(name, rules[i])
 		mapping.ByPosition[i] = n
-		named[n] = true
+		current[n] = true
 	}
 	for n := range t.entries {
 		mapping.PredecessorOf[n] = n
-		if t.entries[n].live && !named[n] {
+		if t.entries[n].live && !current[n] {
 			t.entries[n].reservedUntil = now.Add(keepFor)
 		}
-		t.entries[n].live = named[n] // also where it was dropped before: nobody else may get it now
+		t.entries[n].live = current[n] // also for a number used again, so that it is not reassigned below
 	}
 	before := len(t.entries)
 	for i, name := range names {
-		if mapping.ByPosition[i] != none {
+		if mapping.ByPosition[i] != noNumber {
 			continue
 		}
 		predecessor := t.lastNumberOf(name, before)
 		n := t.freeNumber(now)
 		if n == len(t.entries) {
 			t.entries = append(t.entries, entry[R]{})
-			mapping.PredecessorOf = append(mapping.PredecessorOf, none)
+			mapping.PredecessorOf = append(mapping.PredecessorOf, noNumber)
 		}
 		t.entries[n] = entry[R]{name: name, rules: rules[i], live: true}
 		mapping.ByPosition[i] = n
@@ -58,28 +59,28 @@
 	return mapping
 }
 
-// numberOf returns the number of that name and those rules, or none.
+// numberOf returns the number of the item with that name and those rules, or noNumber.
 func (t *Table[R]) numberOf(name string, rules R) int {
 	for n, e := range t.entries {
 		if e.name == name && e.rules == rules {
 			return n
 		}
 	}
-	return none
+	return noNumber
 }
 
-// lastNumberOf returns the number below limit that the name had last, if it had several, or none.
+// lastNumberOf returns the number below limit that was assigned to name last, or noNumber.
 func (t *Table[R]) lastNumberOf(name string, limit int) int {
-	last := none
+	last := noNumber
 	for n, e := range t.entries[:limit] {
-		if e.name == name && (last == none || e.reservedUntil.After(t.entries[last].reservedUntil)) {
+		if e.name == name && (last == noNumber || e.reservedUntil.After(t.entries[last].reservedUntil)) {
 			last = n
 		}
 	}
 	return last
 }
 
-// freeNumber returns a number that nobody can have any more, or the next new one.
+// freeNumber returns a number whose reservation has ended, or else the next new one.
 func (t *Table[R]) freeNumber(now time.Time) int {
 	for n, e := range t.entries {
 		if !e.live && !e.reservedUntil.IsZero() && !now.Before(e.reservedUntil) {
@@ -89,10 +90,10 @@
 	return len(t.entries)
 }
 
-// Len returns how many numbers are given out.
+// Len returns how many numbers are assigned or reserved.
 func (t *Table[R]) Len() int { return len(t.entries) }
 
-// Rules returns what the number stands for, and whether it is named at present.
+// Rules returns the name and the rules of number n, and whether they are in the present set of items.
 func (t *Table[R]) Rules(n int) (name string, rules R, live bool) {
 	e := t.entries[n]
 	return e.name, e.rules, e.live
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,4 +1,4 @@
-// Package transient tells system calls that fail for a moment from those that fail for good, and retries the former.
+// Package transient distinguishes temporary from permanent errors of system calls, and retries after the former.
 package transient
 
 import (
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// retryPause is between two calls.
+// retryPause is the delay between two attempts.
 const retryPause = 20 * time.Millisecond
 
-// localErrors are the errors in which nothing has left this machine: it lacks something that it may have again soon.
+// localErrors are temporary shortages of a resource on this machine; nothing was sent.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN,
 }
 
-// interruptedErrors are those of calls that were interrupted, and of files that can't be reached for a moment.
+// interruptedErrors are those of interrupted calls and of files that are temporarily unavailable.
 var interruptedErrors = []error{syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ESTALE}
 
-// IsLocal reports whether this machine lacks what the call needs: that says nothing of anybody else.
+// IsLocal reports whether the call failed because this machine lacks a resource, which says nothing about the remote side.
 func IsLocal(err error) bool {
 	return slices.ContainsFunc(localErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
-// Is reports whether the call may succeed in a moment, with nothing changed but time.
+// Is reports whether err is temporary: the same call may succeed shortly.
 func Is(err error) bool {
 	return IsLocal(err) || slices.ContainsFunc(interruptedErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
-// Retry makes the call until it succeeds or fails for good, but not after timeout. It returns the last error.
+// Retry repeats the call until it succeeds, fails permanently, or timeout has passed. It returns the last error.
 func Retry(timeout time.Duration, call func() error) error {
 	start := time.Now()
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Interrupted repeats the call for as long as a signal interrupts it.
+// Interrupted repeats the call for as long as it returns EINTR, and returns its last result.
 func Interrupted[T any](call func() (T, error)) (T, error) {
 	for {
 		v, err := call()
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -10,16 +10,16 @@
 )
 
 func TestRetry(t *testing.T) {
-	final := errors.New("for good")
+	final := errors.New("permanent")
 	for name, row := range map[string]struct {
-		errs  []error // of one call after another; nil behind them
+		errs  []error // of the first calls; later ones succeed
 		calls int
 		want  error
 	}{
-		"succeeds":           {nil, 1, nil},
-		"fails for a moment": {[]error{syscall.ENFILE, syscall.EINTR}, 3, nil},
-		"fails for good":     {[]error{syscall.EIO, final}, 2, final},
-		"is not there":       {[]error{syscall.ENOENT}, 1, syscall.ENOENT},
+		"succeeds":          {nil, 1, nil},
+		"fails temporarily": {[]error{syscall.ENFILE, syscall.EINTR}, 3, nil},
+		"fails permanently": {[]error{syscall.EIO, final}, 2, final},
+		"does not exist":    {[]error{syscall.ENOENT}, 1, syscall.ENOENT},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
@@ -35,9 +35,9 @@
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		err := Retry(time.Second, func() error { return syscall.ENFILE })
-		if took := time.Since(began); !errors.Is(err, syscall.ENFILE) || took < time.Second || took > 2*time.Second {
+		if took := time.Since(start); !errors.Is(err, syscall.ENFILE) || took < time.Second || took > 2*time.Second {
 			t.Errorf("gave up after %s: %v", took, err)
 		}
 	})
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,9 +1,9 @@
-// Package wallclock places dates of the wall clock, which may be stepped, on a line of real time that runs on. It reads no clock.
+// Package wallclock converts wall clock dates, whose clock may be stepped, to a monotonic timeline. It reads no clock.
 //
-// A date says what the wall clock showed, not how long ago that was: between the two lies the clock's offset from the line, and
-// each step makes another one. Which offset was in force when a date was written is not known. Of those that have been seen, the
-// one counts that puts the date latest without putting it into the future: what has started is taken for younger than it is
-// rather than for older.
+// A date is what the wall clock showed, not how long ago that was. The two differ by the clock's offset from the timeline,
+// which changes with each step, and the offset at the time when a date was written is unknown. Of the offsets observed so
+// far, Place uses the one that results in the latest time that is not in the future: a process counts as younger than it is
+// rather than as older.
 package wallclock
 
 import (
@@ -12,19 +12,19 @@
 )
 
 const (
-	minStepMs  = 50.0   // by which the offset must change to count as a step: less is a clock that is being adjusted
-	maxAheadMs = 1000.0 // by which a date may lie ahead, as other machines' clocks do; it counts as of now then
-	maxSteps   = 64     // earlier offsets that are kept, the latest ones
+	minStepMs  = 50.0   // minimum change of the offset that counts as a step; less is a gradual clock adjustment
+	maxAheadMs = 1000.0 // by which a date may lie in the future, as clocks of other machines differ; it counts as now
+	maxSteps   = 64     // maximum number of earlier offsets that are kept, the latest ones
 )
 
-// Line is a line of real time and the offsets of the wall clock from it that have been seen. Times are in milliseconds. The zero
-// value is a line that started as the wall clock, whatever that showed.
+// Line is a monotonic timeline and the observed offsets of the wall clock from it. Times are in milliseconds. The zero value
+// is a timeline whose initial offset is 0.
 type Line struct {
-	offset  float64   // in force
-	earlier []float64 // offsets that were in force before, in their order
+	offset  float64   // present offset
+	earlier []float64 // previous offsets, oldest first
 }
 
-// Observe takes what the wall clock shows at now, and returns by how many ms it has been stepped since the last call; 0 = it has not.
+// Observe records the wall clock time at now, and returns the size of the clock step since the last call; 0 = no step.
 func (l *Line) Observe(now, wall float64) (step float64) {
 	offset := wall - now
 	step = offset - l.offset
@@ -38,7 +38,7 @@
 	return step
 }
 
-// Place returns where on the line a date of the past lies, no later than now; 0, which is no date, stays 0.
+// Place converts a past wall clock date to a time on the timeline, now at the latest; 0 and less mean no date and return 0.
 func (l *Line) Place(date, now float64) float64 {
 	if date <= 0 {
 		return 0
@@ -49,7 +49,7 @@
 			placed = max(placed, at)
 		}
 	}
-	if math.IsInf(placed, -1) { // ahead by every offset: a step that this process has not seen
+	if math.IsInf(placed, -1) { // in the future by every offset: a step that this process has not observed
 		return now
 	}
 	return min(placed, now)
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -3,18 +3,18 @@
 import "testing"
 
 const (
-	start  = 1.8e12 // the wall clock's date, and the line's, at the start
+	start  = 1.8e12 // initial time of the wall clock and of the timeline
 	minute = 60e3
 	hour   = 60 * minute
 )
 
-// A date is placed where it was written, whichever side of a step that was; where that can't be known, no earlier.
+// A date written before or after a clock step is placed at the time it was written, or later where the offset is ambiguous.
 func TestPlace(t *testing.T) {
 	for name, row := range map[string]struct {
 		steps   []float64 // of the wall clock, a minute apart
-		age     float64   // of what is dated, two minutes after the last step
-		written int       // behind so many of the steps
-		younger float64   // by which it may be taken for younger than it is
+		age     float64   // of the date, two minutes after the last step
+		written int       // number of steps before it was written
+		younger float64   // by which it may be placed too late
 	}{
 		"no step":                               {nil, 1000, 0, 0},
 		"stepped back, written after":           {[]float64{-hour}, 1000, 1, 0},
@@ -36,33 +36,33 @@
 			offset += s
 			offsets = append(offsets, offset)
 			if got := l.Observe(now, now+offset); got != s {
-				t.Errorf("%s: step of %g seen as %g", name, s, got)
+				t.Errorf("%s: step of %g observed as %g", name, s, got)
 			}
 		}
 		now += 2 * minute
 		if got := l.Observe(now, now+offset+1); got != 0 {
-			t.Errorf("%s: no step seen as %g", name, got)
+			t.Errorf("%s: no step observed as %g", name, got)
 		}
 		l.Observe(now, now+offset)
 		at := now - row.age
 		got := l.Place(at+offsets[row.written], now)
 		if got < at || got > at+row.younger {
-			t.Errorf("%s: placed %g ms from where it is, at most %g are to be", name, got-at, row.younger)
+			t.Errorf("%s: placed %g ms too late, want 0 to %g", name, got-at, row.younger)
 		}
 	}
 }
 
-// What lies ahead counts as of now, and no date is none.
-func TestPlaceAhead(t *testing.T) {
+// A date in the future counts as now, and a missing date stays missing.
+func TestPlaceFuture(t *testing.T) {
 	var l Line
 	for date, want := range map[float64]float64{start + hour: start, start + 200: start, start: start, 0: 0, -1: 0} {
 		if got := l.Place(date, start); got != want {
-			t.Errorf("%g ahead: placed at %g, want %g", date-start, got, want)
+			t.Errorf("%g ms in the future: placed at %g, want %g", date-start, got, want)
 		}
 	}
 }
 
-// A clock that is stepped all day long costs no more memory.
+// The memory for offsets is bounded, however often the clock is stepped.
 func TestStepsAreBounded(t *testing.T) {
 	var l Line
 	for i := range 10 * maxSteps {
