--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -164,7 +164,7 @@
 	for name, c := range map[string]struct {
 		ignoreRevision           bool
 		target, response, update string
-		next                     string // next target; "" = on a new connection, as the response was not used
+		next                     string // target of the next poll; "" = the complete list, on a new connection
 	}{
 		"newer changes":                   {false, at50, listJSON(51, false, "b=DRAINING"), "51 map[b:DRAINING]", "?index=51&wait=60000"},
 		"the present revision":            {false, at50, listJSON(50, false), "", at50},
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkParse decodes an indented complete list.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{200, 350, 1024, 2000} {
-		raw, err := json.MarshalIndent(map[string]any{"revision": 7, "complete": true, "members": manyMembers(n)}, "", "    ")
+		raw, err := json.MarshalIndent(map[string]any{"revision": 7, "complete": true, "members": manyEndpoints(n)}, "", "    ")
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -42,7 +42,7 @@
 	return c.Socket.Read(p)
 }
 
-// arrivalTime returns the earliest time at which the data just read from s may have arrived. That is before now, since this
+// arrivalTime returns the earliest time at which the data just read from s may have arrived. It can be before now, because this
 // process may have stalled before the read.
 func arrivalTime(s *connlimit.Socket) time.Time {
 	now := time.Now()
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,7 +9,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-func manyMembers(n int) (all []fakes.Endpoint) {
+func manyEndpoints(n int) (all []fakes.Endpoint) {
 	for i := range n {
 		all = append(all, fakes.Endpoint{
 			ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
@@ -28,7 +28,7 @@
 				withWatch(t, 0, func(r *fixture) {
 					r.source.SetEncoding(indented, chunked)
 					r.source.CompleteForWatch(complete)
-					all := manyMembers(n)
+					all := manyEndpoints(n)
 					r.source.Set(all...)
 					defer r.run()()
 					r.wait(100 * time.Millisecond)
@@ -55,7 +55,7 @@
 			defer r.run()()
 			r.wait(100 * time.Millisecond)
 			r.source.CompleteForWatch(true)
-			r.source.Set(manyMembers(2000)...)
+			r.source.Set(manyEndpoints(2000)...)
 			r.wait(10 * time.Second)
 			if logged := strings.Join(r.logged, "\n"); len(r.phases) != 2 || !strings.Contains(logged, "list too long") ||
 				!strings.Contains(logged, "200000 ") {
@@ -64,7 +64,7 @@
 			if n := r.watch.Failures.Load(); n < 4 || n > 20 {
 				t.Errorf("chunked %t: %d polls failed in 10 s", chunked, n)
 			}
-			r.source.Set(manyMembers(20)...)
+			r.source.Set(manyEndpoints(20)...)
 			r.wait(4 * time.Second)
 			if len(r.phases) != 20 {
 				t.Errorf("chunked %t: then %d are listed", chunked, len(r.phases))
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -21,7 +21,7 @@
 	*scriptedSource
 	*Watch
 	updates     chan string      // "revision map[id:phase ...]" of each update; OnUpdate then waits for proceed
-	proceed     chan struct{}    // lets OnUpdate return
+	proceed     chan struct{}    // a value makes OnUpdate return
 	onRead      func(toEnd bool) // called after each read, before the watch sees it; toEnd = up to the end of a response
 	end         context.CancelFunc
 	ended       chan error
@@ -226,9 +226,9 @@
 	}
 }
 
-// At any time of SetAddress, a response that the old source has sent and the watch has read is used as that source's list,
-// and a later one is not. The complete list is requested from the new source. The last of several calls counts, and one that
-// returns to the old address continues from the known list.
+// Whenever SetAddress is called, a response of the old source that the watch has read by that time is used as that source's
+// list, and a later one is not. The complete list is requested from the new source. The last of several calls counts, and one
+// that returns to the old address continues from the known list.
 func TestSetAddressRaces(t *testing.T) {
 	changes := okResponse(listJSON(9, false, "a=DRAINING"))
 	for name, c := range map[string]struct {
@@ -301,14 +301,14 @@
 				x.want("requested", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.updated])
 				return
 			}
-			now := third.accept()
-			x.want("requested from the new source", now.nextTarget(), "")
+			newConn := third.accept()
+			x.want("requested from the new source", newConn.nextTarget(), "")
 			x.want("source", x.Address(), old)
-			now.write(okResponse(listJSON(3, true, "c=SERVING")))
+			newConn.write(okResponse(listJSON(3, true, "c=SERVING")))
 			x.wantUpdate("3 map[c:SERVING]")
 			x.want("source", x.Address(), third.Addr().String())
 			x.proceed <- struct{}{}
-			x.want("requested from the new source", now.nextTarget(), "?index=3&wait=60000")
+			x.want("requested from the new source", newConn.nextTarget(), "?index=3&wait=60000")
 			if x.Failures.Load() != 0 {
 				t.Errorf("%d polls have failed", x.Failures.Load())
 			}
@@ -338,14 +338,14 @@
 		if x.accept(); back {
 			next = x.scriptedSource
 		}
-		now := next.accept()
-		x.want("requested", now.nextTarget(), "")
-		now.write(okResponse(listJSON(3, true, "c=SERVING")))
+		newConn := next.accept()
+		x.want("requested", newConn.nextTarget(), "")
+		newConn.write(okResponse(listJSON(3, true, "c=SERVING")))
 		x.wantUpdate("3 map[c:SERVING]")
 	}
 }
 
-// At any time of evidence against the list or of the end of the watch, a response already read is used. After evidence the
+// Whenever there is evidence against the list or the watch ends, a response that has been read is used. After evidence the
 // next poll requests the complete list, even if one has just been received; after the end there is no further poll.
 func TestEvidenceAndShutdownRaces(t *testing.T) {
 	for i, at := range []string{"sent", "half", "whole", "changes", "update", "poll"} {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -49,7 +49,7 @@
 	IgnoreRevision bool           // the revision of Initial is not from discovery: the first poll requests the complete list
 	MaxListBytes   int64          // maximum size of a response; 0 = MaxListBytes(0)
 	Budget         *connlimit.Budget
-	OnUpdate       func(l endpoints.List, at time.Time) // called for each list or set of changes, in order; at = its arrival
+	OnUpdate       func(l endpoints.List, at time.Time) // receives lists and changes, in order; at = arrival of the first byte
 	OnValidity     func(staleness.Validity)             // called before each poll and the delay before it; nil = not called
 	Logf           func(format string, args ...any)     // nil = nothing is logged
 	Trace          func(format string, args ...any)     // logs one line per poll; nil = nothing is logged
--- a/internal/watchpolicy/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -51,8 +51,8 @@
 	for _, c := range s.contradictions {
 		c.rechecked = true
 	}
-	s.refreshWanted = s.refreshStillWanted
-	s.refreshStillWanted = false
+	s.refreshWanted = s.refreshOutstanding
+	s.refreshOutstanding = false
 }
 
 // countContradictions returns the number of servers that contradict the list and that no complete list has rechecked since.
@@ -66,19 +66,19 @@
 }
 
 // mustKeepWatch reports whether a refresh must wait because other instances poll the same source and the response to the
-// present watch is not overdue. All instances see the same evidence at the same time, and one that abandons its watch for the
-// complete list loses the change that is about to arrive and joins the end of the queue: with 32 instances, four servers that
+// present watch is not overdue. All instances see the same evidence at the same time. One that abandons its watch for the
+// complete list loses the change that is about to arrive and joins the end of the queue. With 32 instances, four servers that
 // refuse connections would leave most instances without any list for 10 to 20 s.
 func (s *Scheduler) mustKeepWatch(now time.Time) bool {
 	return s.settings.Instances > 1 && now.Before(s.overdueAt)
 }
 
-// Observe records evidence about a server and reports whether to refresh, that is to request the complete list now and to
-// cancel a poll in progress, because enough servers contradict the list at the same time. Refreshes are limited: at most one
-// per Settings.RefreshInterval, with an exponential backoff while discovery confirms its list, none while discovery rejects
-// polls, and none while several instances poll it and the watch is not overdue. A server whose entry discovery has confirmed
-// does not count again until it has responded or restarted. Evidence never removes a server from the list: a fault of this
-// instance can make all servers look unreachable.
+// Observe records evidence about a server. It returns true if enough servers contradict the list at the same time for a
+// refresh: the caller cancels a poll in progress and requests the complete list now. There is at most one refresh per
+// Settings.RefreshInterval, with an exponential backoff while discovery confirms its list. There is none while discovery rejects
+// polls, or while several instances poll it and the watch is not overdue. A server whose entry discovery has confirmed does not
+// count again until it has responded or restarted. Evidence never removes a server from the list: a fault of this instance can
+// make all servers look unreachable.
 func (s *Scheduler) Observe(now time.Time, server string, evidence staleness.Evidence) bool {
 	if _, listed := s.listed[server]; !listed {
 		return false
--- a/internal/watchpolicy/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -6,8 +6,7 @@
 	"plankrouter/internal/staleness"
 )
 
-// The times at which the platform's protocol lets a change of the list take effect, whether or not this instance has received
-// it.
+// The times at which a change of the list takes effect by the platform's protocol, whether or not this instance has received it.
 const (
 	effectiveAfterWait         = 2 * time.Second // after the end of a poll's wait
 	effectiveAfterSourceChange = 4 * time.Second // after the request to poll another source
@@ -18,10 +17,11 @@
 // Validity returns until when the list may be relied on, as computed when the last poll, or the delay before it, began. A
 // polled list may lack the changes of the last 6 s: at any time after it was sent a server may have stopped, and another
 // process may have started under its id. No request may be sent to that process between the change that reports the stop and
-// the one that reports the start. Before the first response ProcessUntil is later by the drain grace: where polls queue at a
-// shared service, an instance that starts together with many others may wait long for a response and has no older
-// connections, and a server that leaves after the start keeps running for its drain grace, so that another process can
-// replace it no earlier.
+// the one that reports the start.
+//
+// Before the first response ProcessUntil is later by the drain grace. Where polls queue at a shared service, an instance that
+// starts together with many others may wait long for that response, and it has no older connections. A server that leaves
+// after the start keeps running for its drain grace, so that another process can replace it no earlier.
 func (s *Scheduler) Validity() staleness.Validity {
 	switch {
 	case s.settings.Pushed:
--- a/internal/watchpolicy/queue_test.go
+++ b/internal/watchpolicy/queue_test.go
@@ -92,7 +92,7 @@
 func TestQueuedInstancesAllGetResponses(t *testing.T) {
 	for _, c := range []struct {
 		instances, rejected int
-		firstResponse       time.Duration
+		maxFirstResponse    time.Duration
 	}{{1, 0, time.Second}, {4, 0, 1500 * ms}, {12, 6, 3 * time.Second}, {32, 85, 9 * time.Second}, {80, 330, 25 * time.Second}} {
 		for seed := range uint64(5) {
 			start := time.Unix(1e9, 0)
@@ -131,7 +131,7 @@
 			}
 			what := fmt.Sprintf("%d instances, seed %d: last first response after %s, longest gap %s, %d rejected, %d timed out, %d complete lists",
 				c.instances, seed, last, gap, source.rejected, source.timedOut, source.completeLists)
-			if t.Log(what); last > c.firstResponse || gap > 1500*ms || source.rejected > c.rejected || source.completeLists > 0 {
+			if t.Log(what); last > c.maxFirstResponse || gap > 1500*ms || source.rejected > c.rejected || source.completeLists > 0 {
 				t.Error(what)
 			}
 		}
--- a/internal/watchpolicy/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -65,7 +65,7 @@
 	nextRefreshAt      time.Time                 // earliest time of the next refresh
 	refreshWanted      bool                      // a refresh is in progress or to be made
 	pollIsRefresh      bool                      // the present poll is that refresh
-	refreshStillWanted bool                      // the last response was to an earlier poll, so the refresh is still to be made
+	refreshOutstanding bool                      // the last response was to an earlier poll, so the refresh is still to be made
 }
 
 // New returns a Scheduler, or an error if the settings are invalid. With complete the first poll requests the complete list,
@@ -148,7 +148,7 @@
 // Responded records a response to poll, whatever its content, whose first byte arrived took after the poll was sent.
 func (s *Scheduler) Responded(poll Poll, took time.Duration) {
 	s.failures = 0
-	s.refreshStillWanted = s.refreshWanted && !s.pollIsRefresh // the evidence came while another poll was in flight
+	s.refreshOutstanding = s.refreshWanted && !s.pollIsRefresh // the evidence came while another poll was in flight
 	s.listAsOf = s.pollStart
 	s.freshUntil = time.Time{}
 	s.sourceChanged = false
