--- a/cmd/plankrouter/counters.go
+++ b/cmd/plankrouter/counters.go
@@ -19,7 +19,7 @@
 	log.Printf("name=%s counters=front connections=%d adopted=%d not_taken=%d sockets=%d", p.cfg.Name,
 		p.frontend.Connections.Load(), p.frontend.Adopted.Load(), p.frontend.Rejected.Load(), p.budget.Used())
 	log.Printf("name=%s counters=directory answers=%d failures=%d doubts=%d", p.cfg.Name,
-		p.watch.Answers.Load(), p.watch.Failures.Load(), p.watch.FullRefreshes.Load())
+		p.watch.Responses.Load(), p.watch.Failures.Load(), p.watch.FullRefreshes.Load())
 	if writer := p.snapshotWriter; writer != nil {
 		log.Printf("name=%s counters=snapshots written=%d failed=%d skipped=%d", p.cfg.Name,
 			writer.Written.Load(), writer.Failed.Load(), writer.Skipped.Load())
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	select {
-	case <-p.watch.FirstUpdate():
+	case <-p.watch.FirstResponse():
 	case <-time.After(firstListTimeout):
 	case <-predecessor.Cancelled():
 	case <-ctx.Done():
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -85,7 +85,7 @@
 	if c.Settings.Discovery == discoveryPushed { // to an agent on the own machine
 		defaults = watchpolicy.PushedSettings(c.DrainGrace)
 	}
-	defaults.EffectiveBy = c.PollInterval
+	defaults.EffectiveAfter = c.PollInterval
 	defaults.DrainGrace = c.DrainGrace
 	c.Watch, err = own.Watch.toSettings(defaults)
 	return err
@@ -94,7 +94,7 @@
 // toSettings fills in defaults, which stay on the right side of what is given, and checks.
 func (w *WatchMs) toSettings(defaults watchpolicy.Settings) (s watchpolicy.Settings, err error) {
 	s.Instances = defaults.Instances
-	s.EffectiveBy = defaults.EffectiveBy
+	s.EffectiveAfter = defaults.EffectiveAfter
 	s.DrainGrace = defaults.DrainGrace
 	s.Pushed = defaults.Pushed
 	if err := readDurations("plankrouter.watch.", 1, maxOwnMs,
--- a/internal/cordon/store.go
+++ b/internal/cordon/store.go
@@ -190,7 +190,7 @@
 // returned file is closed.
 func (s *Store) lock() (f *os.File, err error) {
 	path := s.Path + ".lock"
-	return transient.Interrupted(func() (*os.File, error) {
+	return transient.RetryInterrupted(func() (*os.File, error) {
 		err := s.runStep(StepLock, path, func() error {
 			if f, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 				return err
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -139,7 +139,7 @@
 		t.Run(name, func(t *testing.T) {
 			withWatch(t, 0, func(r *fixture) {
 				defer r.run()()
-				<-r.watch.FirstUpdate()
+				<-r.watch.FirstResponse()
 				for range 3 { // so that the revision is above 1
 					r.source.Change(fakes.Endpoint{ID: "b", Address: "b:1", Phase: fakes.Serving})
 					time.Sleep(time.Second)
@@ -181,7 +181,7 @@
 				}
 				defer r.run()()
 				if !before {
-					<-r.watch.FirstUpdate()
+					<-r.watch.FirstResponse()
 					r.watch.SetAddress("e:1")
 				}
 				r.wait(500 * time.Millisecond)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -24,7 +24,7 @@
 type Watch struct {
 	options Options
 
-	Answers, Failures, FullRefreshes atomic.Int64 // FullRefreshes: complete lists requested because servers contradict the list
+	Responses, Failures, FullRefreshes atomic.Int64 // FullRefreshes: complete lists requested because servers contradict the list
 
 	mu         sync.Mutex
 	scheduler  *watchpolicy.Scheduler
@@ -99,8 +99,8 @@
 	return w.source
 }
 
-// FirstUpdate returns a channel that is closed by the first valid response, even one without changes.
-func (w *Watch) FirstUpdate() <-chan struct{} { return w.responded }
+// FirstResponse returns a channel that is closed by the first valid response, even one without changes.
+func (w *Watch) FirstResponse() <-chan struct{} { return w.responded }
 
 // Observe records evidence about a server. If enough servers contradict the list at the same time, it cancels the present
 // poll and the next one requests the complete list. It is safe for concurrent use and does not block.
@@ -174,7 +174,7 @@
 	w.updateListed(list)
 	w.source = w.polledAddress
 	w.mu.Unlock()
-	if w.Answers.Add(1) == 1 {
+	if w.Responses.Add(1) == 1 {
 		close(w.responded)
 	}
 	if ctx.Err() != nil { // canceled as the response arrived
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -80,7 +80,7 @@
 	options    Options
 	balancer   *policy.Balancer
 	clock      clock
-	wallClock  wallclock.Line // places dates of servers' starts and of cordons on the policy's clock
+	wallClock  wallclock.Timeline // places dates of servers' starts and of cordons on the policy's clock
 	ready      atomic.Bool
 	events     chan event
 	listEvents chan event    // from discovery; handled before other events, since the grace of a drain runs already
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -37,7 +37,7 @@
 	var err error
 	known := control(c, func(fd int) {
 		var b [1]byte
-		_, err = transient.Interrupted(func() (int, error) { return peek(fd, b[:]) })
+		_, err = transient.RetryInterrupted(func() (int, error) { return peek(fd, b[:]) })
 	})
 	return !known || errors.Is(err, syscall.EAGAIN)
 }
@@ -55,7 +55,7 @@
 // pollNow looks for the wanted events without waiting. It returns whether there are any, those of errors included, and which.
 func pollNow(fd int, wanted int16) (ready bool, events int16, err error) {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: wanted}}
-	n, err := transient.Interrupted(func() (int, error) { return poll(fds, 0) })
+	n, err := transient.RetryInterrupted(func() (int, error) { return poll(fds, 0) })
 	return n > 0, fds[0].Revents, err
 }
 
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -106,7 +106,7 @@
 	s.mutex.Unlock()
 	s.ended.Go(func() { _ = pool.Run(ctx) })
 	s.ended.Go(func() { _ = s.watch.Run(ctx) })
-	s.ended.Go(func() { s.awaitFirstUpdate(ctx, s.watch.FirstUpdate()) })
+	s.ended.Go(func() { s.awaitFirstUpdate(ctx, s.watch.FirstResponse()) })
 	s.ended.Go(func() { s.call(ctx, pool, cfg) })
 	return nil
 }
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Interrupted repeats the call for as long as it returns EINTR, and returns its last result.
-func Interrupted[T any](call func() (T, error)) (T, error) {
+// RetryInterrupted repeats the call for as long as it returns EINTR, and returns its last result.
+func RetryInterrupted[T any](call func() (T, error)) (T, error) {
 	for {
 		v, err := call()
 		if !errors.Is(err, syscall.EINTR) {
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -45,7 +45,7 @@
 
 func TestInterrupted(t *testing.T) {
 	left := 5
-	got, err := Interrupted(func() (int, error) {
+	got, err := RetryInterrupted(func() (int, error) {
 		if left--; left > 0 {
 			return 0, os.NewSyscallError("poll", syscall.EINTR)
 		}
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -17,15 +17,15 @@
 	maxSteps   = 64     // maximum number of earlier offsets that are kept, the latest ones
 )
 
-// Line is a monotonic timeline and the observed offsets of the wall clock from it. Times are in milliseconds. The zero value
+// Timeline is a monotonic timeline and the observed offsets of the wall clock from it. Times are in milliseconds. The zero value
 // is a timeline whose initial offset is 0.
-type Line struct {
+type Timeline struct {
 	offset  float64   // present offset
 	earlier []float64 // previous offsets, oldest first
 }
 
 // Observe records the wall clock time at now, and returns the size of the clock step since the last call; 0 = no step.
-func (l *Line) Observe(now, wall float64) (step float64) {
+func (l *Timeline) Observe(now, wall float64) (step float64) {
 	offset := wall - now
 	step = offset - l.offset
 	if math.Abs(step) < minStepMs {
@@ -39,7 +39,7 @@
 }
 
 // Place converts a past wall clock date to a time on the timeline, now at the latest; 0 and less mean no date and return 0.
-func (l *Line) Place(date, now float64) float64 {
+func (l *Timeline) Place(date, now float64) float64 {
 	if date <= 0 {
 		return 0
 	}
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -28,7 +28,7 @@
 		"back and forth, written between":       {[]float64{-hour, hour}, 2*minute + 30e3, 1, 0},
 		"twice, written between":                {[]float64{hour, -5000}, 2*minute + 30e3, 1, 5000},
 	} {
-		var l Line
+		var l Timeline
 		now, offset := start, 0.0
 		offsets := []float64{0}
 		for _, s := range row.steps {
@@ -54,7 +54,7 @@
 
 // A date in the future counts as now, and a missing date stays missing.
 func TestPlaceFuture(t *testing.T) {
-	var l Line
+	var l Timeline
 	for date, want := range map[float64]float64{start + hour: start, start + 200: start, start: start, 0: 0, -1: 0} {
 		if got := l.Place(date, start); got != want {
 			t.Errorf("%g ms in the future: placed at %g, want %g", date-start, got, want)
@@ -64,7 +64,7 @@
 
 // The memory for offsets is bounded, however often the clock is stepped.
 func TestStepsAreBounded(t *testing.T) {
-	var l Line
+	var l Timeline
 	for i := range 10 * maxSteps {
 		l.Observe(start, start+float64(i)*1000)
 	}
--- a/internal/watchpolicy/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -54,7 +54,7 @@
 	case s.abandonedWatch: // it would have delivered any change since then
 		return now
 	case (poll.Delay > 0 || poll.Complete) && !s.settings.Pushed:
-		return s.listAsOf.Add(max(0, s.settings.EffectiveBy-maxPropagationDelay))
+		return s.listAsOf.Add(max(0, s.settings.EffectiveAfter-maxPropagationDelay))
 	}
 	return s.pollStart.Add(poll.Wait + effectiveAfterWait)
 }
--- a/internal/watchpolicy/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -85,7 +85,7 @@
 				settings.Wait = 20 * time.Second
 				settings.MinWait = 10 * time.Second
 				settings.Instances = instances
-				settings.EffectiveBy = effectiveBy
+				settings.EffectiveAfter = effectiveBy
 				scheduler, err := New(settings, 1, false)
 				if err != nil {
 					t.Fatal(err)
