--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -153,7 +153,7 @@
 	conn.write(okResponse(listJSON(7, true, "a=SERVING"))[:60])
 	x.want("requested again", x.accept().nextTarget(), "")
 	if took := time.Since(at); took > maxTransferTime/2 {
-		t.Errorf("after %s", took)
+		t.Errorf("requested again after %s", took)
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -211,7 +211,7 @@
 		r.source.Close() // each poll fails at once
 		r.wait(100 * time.Millisecond)
 		if len(validFor) <= before || validFor[before-1] < time.Second || validFor[before] != 0 {
-			t.Errorf("before %d: %s", before, validFor)
+			t.Errorf("%d validities before the source closed: %s", before, validFor)
 		}
 		stop()
 	})
--- a/internal/stableid/stableid_test.go
+++ b/internal/stableid/stableid_test.go
@@ -65,6 +65,6 @@
 		}
 	}
 	if table.Len() > 60 {
-		t.Errorf("%d numbers", table.Len())
+		t.Errorf("%d numbers are assigned or reserved", table.Len())
 	}
 }
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -11,7 +11,8 @@
 // retryPause is the delay between two attempts.
 const retryPause = 20 * time.Millisecond
 
-// localErrors are temporary shortages of a resource on this machine; nothing was sent.
+// localErrors are those for lack of a local resource, such as descriptors, memory, ports or a route, which may be available
+// again soon. Nothing has left this machine.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN,
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -38,7 +38,7 @@
 		start := time.Now()
 		err := Retry(time.Second, func() error { return syscall.ENFILE })
 		if took := time.Since(start); !errors.Is(err, syscall.ENFILE) || took < time.Second || took > 2*time.Second {
-			t.Errorf("gave up after %s: %v", took, err)
+			t.Errorf("timed out after %s: %v", took, err)
 		}
 	})
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,4 +1,4 @@
-// Package wallclock converts wall clock dates, whose clock may be stepped, to a monotonic timeline. It reads no clock.
+// Package wallclock converts dates of the wall clock, which may be stepped, to times on a monotonic timeline. It reads no clock.
 //
 // A date is what the wall clock showed, not how long ago that was. The two differ by the clock's offset from the timeline,
 // which changes with each step, and the offset at the time when a date was written is unknown. Of the offsets observed so
@@ -13,7 +13,7 @@
 
 const (
 	minStepMs  = 50.0   // minimum change of the offset that counts as a step; less is a gradual clock adjustment
-	maxAheadMs = 1000.0 // by which a date may lie in the future, as clocks of other machines differ; it counts as now
+	maxAheadMs = 1000.0 // maximum by which a date may lie in the future, as clocks of other machines differ; it counts as now
 	maxSteps   = 64     // maximum number of earlier offsets that are kept, the latest ones
 )
 
@@ -25,26 +25,26 @@
 }
 
 // Observe records the wall clock time at now, and returns the size of the clock step since the last call; 0 = no step.
-func (l *Timeline) Observe(now, wall float64) (step float64) {
+func (t *Timeline) Observe(now, wall float64) (step float64) {
 	offset := wall - now
-	step = offset - l.offset
+	step = offset - t.offset
 	if math.Abs(step) < minStepMs {
 		step = 0
 	} else {
-		l.earlier = append(l.earlier, l.offset)
-		l.earlier = slices.Delete(l.earlier, 0, max(0, len(l.earlier)-maxSteps))
+		t.earlier = append(t.earlier, t.offset)
+		t.earlier = slices.Delete(t.earlier, 0, max(0, len(t.earlier)-maxSteps))
 	}
-	l.offset = offset
+	t.offset = offset
 	return step
 }
 
 // Place converts a past wall clock date to a time on the timeline, now at the latest; 0 and less mean no date and return 0.
-func (l *Timeline) Place(date, now float64) float64 {
+func (t *Timeline) Place(date, now float64) float64 {
 	if date <= 0 {
 		return 0
 	}
 	placed := math.Inf(-1)
-	for _, offset := range append([]float64{l.offset}, l.earlier...) {
+	for _, offset := range append([]float64{t.offset}, t.earlier...) {
 		if at := date - offset; at <= now+maxAheadMs {
 			placed = max(placed, at)
 		}
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -16,17 +16,17 @@
 		written int       // number of steps before it was written
 		younger float64   // by which it may be placed too late
 	}{
-		"no step":                               {nil, 1000, 0, 0},
-		"stepped back, written after":           {[]float64{-hour}, 1000, 1, 0},
-		"stepped back, written before":          {[]float64{-hour}, 3 * minute, 0, 0},
-		"stepped forward, written after":        {[]float64{hour}, 1000, 1, 0},
-		"stepped forward, written before":       {[]float64{hour}, 3 * minute, 0, 0},
-		"stepped forward by little, after":      {[]float64{5000}, 1000, 1, 0},
-		"stepped forward by little, long after": {[]float64{5000}, 10000, 1, 5000},
-		"stepped back by little, after":         {[]float64{-5000}, 1000, 1, 0},
-		"stepped back by little, long before":   {[]float64{-5000}, 4 * minute, 0, 5000},
-		"back and forth, written between":       {[]float64{-hour, hour}, 2*minute + 30e3, 1, 0},
-		"twice, written between":                {[]float64{hour, -5000}, 2*minute + 30e3, 1, 5000},
+		"no step":                              {nil, 1000, 0, 0},
+		"stepped back, written after":          {[]float64{-hour}, 1000, 1, 0},
+		"stepped back, written before":         {[]float64{-hour}, 3 * minute, 0, 0},
+		"stepped forward, written after":       {[]float64{hour}, 1000, 1, 0},
+		"stepped forward, written before":      {[]float64{hour}, 3 * minute, 0, 0},
+		"stepped forward a little, after":      {[]float64{5000}, 1000, 1, 0},
+		"stepped forward a little, long after": {[]float64{5000}, 10000, 1, 5000},
+		"stepped back a little, after":         {[]float64{-5000}, 1000, 1, 0},
+		"stepped back a little, long before":   {[]float64{-5000}, 4 * minute, 0, 5000},
+		"back and forth, written between":      {[]float64{-hour, hour}, 2*minute + 30e3, 1, 0},
+		"twice, written between":               {[]float64{hour, -5000}, 2*minute + 30e3, 1, 5000},
 	} {
 		var l Timeline
 		now, offset := start, 0.0
--- a/internal/watchpolicy/contradictions_test.go
+++ b/internal/watchpolicy/contradictions_test.go
@@ -35,7 +35,7 @@
 		"two at once":                 {15, []step{{0, 0, staleness.ConnectRefused, false}, {500 * ms, 1, staleness.Draining, true}}},
 		"two, but not at once":        {15, []step{{0, 0, staleness.ConnectRefused, false}, {4 * time.Second, 1, staleness.ConnectRefused, false}}},
 		"one has responded meanwhile": {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 0, staleness.Alive, false}, {2, 1, staleness.ConnectRefused, false}}},
-		"a tenth of a large fleet": {40, []step{
+		"a tenth of 40 servers": {40, []step{
 			{0, 0, staleness.ConnectRefused, false},
 			{1, 1, staleness.ConnectRefused, false},
 			{2, 2, staleness.ConnectRefused, false},
@@ -45,7 +45,7 @@
 		"not on the list":         {2, []step{{0, 7, staleness.ConnectRefused, false}, {1, 8, staleness.ConnectRefused, false}}},
 		"not before the response": {15, []step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {5 * time.Second, 2, staleness.ConnectRefused, false}, {5 * time.Second, 3, staleness.ConnectRefused, false}}},
 		"the list confirms them":  {15, append([]step{{0, 0, staleness.ConnectRefused, false}, {1, 1, staleness.ConnectRefused, true}, {2, 0, listed, false}}, repeat(2*time.Second, time.Second, 100)...)},
-		"others after that": {15, []step{
+		"others after the interval": {15, []step{
 			{0, 0, staleness.ConnectRefused, false},
 			{1, 1, staleness.ConnectRefused, true},
 			{2, 0, listed, false},
--- a/internal/watchpolicy/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -80,12 +80,12 @@
 			"rejected, then timed out": {rejected, (*Scheduler).TimedOut}, "failed and rejected": {failed, rejected, rejected},
 			"timed out repeatedly": {(*Scheduler).TimedOut, (*Scheduler).TimedOut, (*Scheduler).TimedOut},
 		} {
-			for _, effectiveBy := range []time.Duration{0, 3 * time.Second, time.Minute} {
+			for _, effectiveAfter := range []time.Duration{0, 3 * time.Second, time.Minute} {
 				settings := defaults
 				settings.Wait = 20 * time.Second
 				settings.MinWait = 10 * time.Second
 				settings.Instances = instances
-				settings.EffectiveAfter = effectiveBy
+				settings.EffectiveAfter = effectiveAfter
 				scheduler, err := New(settings, 1, false)
 				if err != nil {
 					t.Fatal(err)
@@ -93,7 +93,7 @@
 				respondedAt := time.Unix(1e9, 0)
 				scheduler.Responded(scheduler.Next(respondedAt), ms)
 				respondedAt = scheduler.pollStart // after its delay
-				now, limit := respondedAt.Add(ms), min(6*time.Second, cmp.Or(effectiveBy, time.Minute))
+				now, limit := respondedAt.Add(ms), min(6*time.Second, cmp.Or(effectiveAfter, time.Minute))
 				for i, end := range ends {
 					scheduler.Next(now)
 					end(scheduler)
@@ -101,7 +101,7 @@
 					scheduler.refreshWanted = name == "abandoned for another" // only evidence causes that
 					scheduler.Next(now)
 					if fresh := scheduler.Validity().ListUntil.Sub(respondedAt); fresh > limit {
-						t.Errorf("%s, %d instances, effective by %s, after poll %d: fresh for %s", name, instances, effectiveBy, i, fresh)
+						t.Errorf("%s, %d instances, effective after %s, after poll %d: fresh for %s", name, instances, effectiveAfter, i, fresh)
 					}
 				}
 			}
--- a/internal/watchpolicy/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -136,7 +136,7 @@
 	isNewWatch := !s.latenessKnown || s.sourceOverloaded || s.failures > 0
 	switch {
 	case instances == 1 && (complete || isNewWatch):
-		return s.settings.Timeout // there is no queue
+		return s.settings.Timeout // no other instance queues
 	case complete:
 		return max(s.settings.Timeout, min(instances*slotDuration, queueDrainTime), min(instances*queuePerInstance, maxInstanceDelay))
 	case isNewWatch:
--- a/internal/watchpolicy/scheduler_test.go
+++ b/internal/watchpolicy/scheduler_test.go
@@ -145,7 +145,7 @@
 			maxRefreshes = max(maxRefreshes, n)
 		}
 		if maxPolls > c.maxPolls || last > c.last || maxRefreshes != c.refreshes {
-			t.Errorf("%d instances: %d polls in 100 ms, %d in the last second, %d complete lists in one; want at most %d, %d, and %d",
+			t.Errorf("%d instances: %d polls in 100 ms, %d in the last second, %d complete lists in one second; want at most %d, %d, and %d",
 				c.instances, maxPolls, last, maxRefreshes, c.maxPolls, c.last, c.refreshes)
 		}
 	}
--- a/internal/watchpolicy/settings.go
+++ b/internal/watchpolicy/settings.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	defaultEffectiveBy = 6 * time.Second        // Settings.EffectiveBy of the platform's protocol
-	minDrainGrace      = 200 * time.Millisecond // shortest drain grace for which PushedSettings adapts the settings
+	defaultEffectiveAfter = 6 * time.Second        // Settings.EffectiveAfter of the platform's protocol
+	minDrainGrace         = 200 * time.Millisecond // shortest drain grace for which PushedSettings adapts the settings
 )
 
 // Settings bound the frequency and the duration of polls. They depend on what a poll costs at the source: an agent on the
@@ -23,7 +23,7 @@
 	MaxRetryBackoff    time.Duration // upper bound on that delay
 	RefreshInterval    time.Duration // between two refreshes that evidence causes; doubled while they do not change the list
 	MaxRefreshInterval time.Duration // upper bound on that interval
-	EffectiveAfter     time.Duration // after which a change takes effect while no poll waits; 0 = defaultEffectiveBy, the maximum
+	EffectiveAfter     time.Duration // after which changes take effect while no poll waits; 0 = defaultEffectiveAfter, the maximum
 	Pushed             bool          // an agent is sent the list: a change takes effect as soon as it could have been received
 	Instances          int           // known number of instances that poll the same source; below 1 counts as 1
 	DrainGrace         time.Duration // for which a draining server still accepts new requests
@@ -79,7 +79,7 @@
 // forInstances returns the settings with defaults filled in and retry delays raised for the number of instances.
 func (s Settings) forInstances() Settings {
 	s.Instances = max(1, s.Instances)
-	s.EffectiveAfter = min(cmp.Or(s.EffectiveAfter, defaultEffectiveBy), defaultEffectiveBy)
+	s.EffectiveAfter = min(cmp.Or(s.EffectiveAfter, defaultEffectiveAfter), defaultEffectiveAfter)
 	n := time.Duration(s.Instances)
 	s.RetryBackoff = max(s.RetryBackoff, min(n*retryPerInstance, maxFirstRetry))
 	s.MaxRetryBackoff = max(s.MaxRetryBackoff, min(n*maxRetryPerInstance, maxInstanceDelay))
