--- a/internal/cordon/store.go
+++ b/internal/cordon/store.go
@@ -21,8 +21,8 @@
 	fileVersion  = 1
 	maxFileBytes = 1 << 20
 
-	// PollInterval bounds the delay until a process applies a cordon set through another process; it is much shorter than a
-	// drain's grace.
+	// PollInterval bounds how long it takes a process to apply a cordon that operators requested from another process. It is well
+	// within a drain's grace.
 	PollInterval = 50 * time.Millisecond
 
 	// minFileAge is the time after first seeing a file from which equal attributes prove that it has not changed: two files that
@@ -158,7 +158,8 @@
 			return Set{}, fmt.Errorf("cordon file: %w", err)
 		}
 		defer lock.Close()
-		// A malformed file is about to be replaced. An unreadable one may contain cordons that operators set through another process.
+		// A malformed file is about to be replaced. An unreadable one may contain cordons that operators requested from another
+		// process.
 		if _, err := s.refresh(); err != nil && !errors.Is(err, ErrMalformedFile) {
 			return Set{}, err
 		}
--- a/internal/stableid/stableid.go
+++ b/internal/stableid/stableid.go
@@ -23,9 +23,9 @@
 	PredecessorOf []int // by number: the number whose state this one inherits; its own where nothing changed; -1 = none
 }
 
-// Apply replaces the set of items. An item keeps the number that it has, or last had, with the same name and rules. One with
-// new rules gets another number, whose predecessor is the last number of its name. A number that is no longer in use is not
-// reassigned within keepFor from now, since its holders may still use it.
+// Apply replaces the set of items. An item keeps the number that it has with the same name and rules, or had and that was not
+// reassigned. One with new rules gets another number, whose predecessor is the last number of its name. A number that Apply
+// drops is not reassigned within keepFor from now, since its holders may still use it.
 func (t *Table[R]) Apply(now time.Time, keepFor time.Duration, names []string, rules []R) Mapping {
 	mapping := Mapping{ByPosition: make([]int, len(names)), PredecessorOf: make([]int, len(t.entries))}
 	current := map[int]bool{}
