--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,7 +9,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-func manyMembers(n int) (all []fakes.Endpoint) {
+func manyEndpoints(n int) (all []fakes.Endpoint) {
 	for i := range n {
 		all = append(all, fakes.Endpoint{
 			ID: fmt.Sprintf("s-%0*x", 8+i%40, i), Address: fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250),
@@ -19,8 +19,7 @@
 	return all
 }
 
-// However many servers there are and however an answer is encoded, the list is used, complete or as changes, and a drain in its last line
-// is known in time.
+// A list or set of changes of any size and in any encoding is used, and a drain in its last entry is known within 100 ms.
 func TestListsOfAnySize(t *testing.T) {
 	for _, n := range []int{1, 200, 350, 1024, 2000} {
 		for encoding := range 8 {
@@ -29,7 +28,7 @@
 				withWatch(t, 0, func(r *fixture) {
 					r.source.SetEncoding(indented, chunked)
 					r.source.CompleteForWatch(complete)
-					all := manyMembers(n)
+					all := manyEndpoints(n)
 					r.source.Set(all...)
 					defer r.run()()
 					r.wait(100 * time.Millisecond)
@@ -47,7 +46,7 @@
 	}
 }
 
-// A list beyond the bound changes nothing, is logged with its size and the bound, and is polled for at the pace of failures.
+// A list longer than the limit is not used, is logged with the limit, and is polled for with the backoff of failed polls.
 func TestListTooLong(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		withWatch(t, 0, func(r *fixture) {
@@ -56,7 +55,7 @@
 			defer r.run()()
 			r.wait(100 * time.Millisecond)
 			r.source.CompleteForWatch(true)
-			r.source.Set(manyMembers(2000)...)
+			r.source.Set(manyEndpoints(2000)...)
 			r.wait(10 * time.Second)
 			if logged := strings.Join(r.logged, "\n"); len(r.phases) != 2 || !strings.Contains(logged, "list too long") ||
 				!strings.Contains(logged, "200000 ") {
@@ -65,7 +64,7 @@
 			if n := r.watch.Failures.Load(); n < 4 || n > 20 {
 				t.Errorf("chunked %t: %d polls failed in 10 s", chunked, n)
 			}
-			r.source.Set(manyMembers(20)...)
+			r.source.Set(manyEndpoints(20)...)
 			r.wait(4 * time.Second)
 			if len(r.phases) != 20 {
 				t.Errorf("chunked %t: then %d are listed", chunked, len(r.phases))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -83,7 +83,7 @@
 	options    Options
 	balancer   *policy.Balancer
 	clock      clock
-	wallClock  wallclock.Line // converts the dates of process starts and cordons to the policy's clock
+	wallClock  wallclock.Timeline // converts the dates of process starts and cordons to the policy's clock
 	ready      atomic.Bool
 	events     chan event
 	listEvents chan event    // from discovery; handled first, since the grace of a listed drain is already running
