--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package loadreport reads the load reports of servers.
+// Package loadreport parses the load reports of servers.
 package loadreport
 
 import (
@@ -7,10 +7,10 @@
 	"plankrouter/policy"
 )
 
-// Field says what one value of a load report means.
+// Field is the meaning of one value in a load report.
 type Field uint8
 
-// The values that the policy uses; all others are Other.
+// The values used by the policy; any other value is Other.
 const (
 	Other Field = iota
 	RIF
@@ -20,7 +20,7 @@
 
 var fields = map[string]Field{"active": RIF, "avg_ms": Latency, "err_rps": Errors}
 
-// Fields returns what each value means of a report that has them in the order of names.
+// Fields returns the meaning of each value in a report whose values have the given names, in this order.
 func Fields(names []string) []Field {
 	out := make([]Field, len(names))
 	for i, name := range names {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// Put stores a value.
+// Put stores the value v in the field of r that f stands for; a value of Other is dropped.
 func (f Field) Put(r *policy.Report, v float64) {
 	switch f {
 	case RIF:
@@ -44,7 +44,8 @@
 	}
 }
 
-// Parse reads a report in JSON, an object of numbers by name. What can't be read is an empty report, and null is no value.
+// Parse parses a report in JSON, an object that maps names to numbers. The result is empty if raw is malformed; null and
+// negative values are ignored.
 func Parse(raw []byte) (r policy.Report) {
 	var values map[string]*float64
 	if jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &values) != nil {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package outcome names every way in which a connection, an attempt or a probe can end.
+// Package outcome defines the kinds of ends of connections, attempts and probes.
 package outcome
 
 import (
@@ -10,46 +10,46 @@
 	"plankrouter/policy"
 )
 
-// Kind is one of them.
+// Kind is how a connection, an attempt or a probe has ended.
 type Kind uint8
 
-// The kinds, by what had been under way.
+// The kinds, grouped by what has ended.
 const (
 	Open Kind = iota // not ended
 
-	// Of a connection between two requests, on either side.
+	// A client or server connection.
 	IdleRetired         // idle for too long, or closed to make room for another
 	PeerClosed          // the other side closed it
-	UnexpectedBytes     // bytes came that nobody had asked for
-	ClosedAfterResponse // the answer that was sent or received was declared to be the last
+	UnexpectedBytes     // bytes were received without a request
+	ClosedAfterResponse // the response sent or received said that the connection would be closed
 	ShuttingDown        // the sidecar shuts down
 	ClientGone          // the client left while its request was pending
 	MalformedRequest    // what the client sent is malformed
-	ResponseAborted     // the server broke off in the middle of an answer that was being passed on
-	WriteFailed         // the answer could not be written to the client
-	PassedToSuccessor   // the next process of a hot restart has it now
-
-	// Of an attempt or a probe: answered.
-	Served       // 200 and a whole body
-	ServerError  // an answer that is neither a 200 nor says that the request has not run
-	Declined     // the server says that the request has not run
-	NoLoadReport // a probe's, without the load report that it should bring, or of an earlier process: it says nothing
-
-	// Of an attempt or a probe: never ran.
-	ConnectionLimit // the limit on connections left none for it
-	LocalError      // this machine could not even try: no descriptor, no port, no route
-	ConnectRefused  // the connection was refused or came to nothing
-	ConnectTimeout  // the connection did not come up in time
+	ResponseAborted     // the server connection was closed or reset in the middle of a response that was being forwarded
+	WriteFailed         // the response could not be written to the client
+	PassedToSuccessor   // passed on to the successor in a hot restart
+
+	// An attempt or a probe with a response.
+	Served       // status 200 and a complete body
+	ServerError  // another status, not one that says that the request has not run
+	Declined     // the response says that the request has not run
+	NoLoadReport // the response to a probe has no load report, or is from an earlier process, and can't be used
+
+	// An attempt or a probe that has not run.
+	ConnectionLimit // the connection limit was reached
+	LocalError      // this machine could not open a connection: no file descriptor, no port, no route
+	ConnectRefused  // the connection was refused, or failed otherwise
+	ConnectTimeout  // the connection was not established in time
 	ServerDraining  // the server was draining or gone before the first byte was written
-	Expired         // the time in which it could be repeated was over before the last byte was written
-	PartlyWritten   // the connection broke, or time was up, before the last byte was written
-	Withdrawn       // given up before the last byte was written
+	Expired         // the time in which servers drop repeats was over before the last byte was written
+	PartlyWritten   // the connection was closed or reset, or the attempt timed out, before the last byte was written
+	Withdrawn       // cancelled before the last byte was written
 
-	// Of an attempt or a probe: may have run.
-	ResetByPeer // the connection broke or ended before the whole answer had come
-	Malformed   // what came back is no HTTP answer, or too large a one
-	TimedOut    // nothing came back in time
-	Cancelled   // the sidecar stopped waiting
+	// An attempt or a probe that may have run.
+	ResetByPeer // the connection was reset or closed before the whole response was received
+	Malformed   // the response is not valid HTTP, or too large
+	TimedOut    // no response was received in time
+	Cancelled   // the sidecar no longer waits for the response
 
 	kindCount
 )
@@ -87,13 +87,13 @@
 	Cancelled:           {"called_off", policy.Cancelled},
 }
 
-// Status returns the policy's status of an attempt or a probe that has ended so.
+// Status returns the policy's status for an attempt or a probe of this kind.
 func (k Kind) Status() policy.Status { return kinds[k].status }
 
 func (k Kind) String() string { return kinds[k].name }
 
-// Unsent returns the kind that applies instead while the last byte has not been written: what the server has not received whole can't have
-// run.
+// Unsent returns the kind that replaces k if the last byte of the request has not been written: a request that the server has
+// not received completely can't have run.
 func (k Kind) Unsent() Kind {
 	switch k {
 	case Cancelled:
@@ -104,7 +104,8 @@
 	return k
 }
 
-// FromIdleError returns how an idle connection has ended, by the error of its reader; without an error it got bytes that nobody asked for.
+// FromIdleError returns how an idle connection has ended, by the error of its reader. No error means that it has received
+// bytes without a request.
 func FromIdleError(err error) Kind {
 	switch {
 	case err == nil:
@@ -117,7 +118,7 @@
 	return ResetByPeer
 }
 
-// Counts has the number of each kind.
+// Counts holds the count of each kind.
 type Counts [kindCount]int
 
 // Each calls f with every kind that was counted, in a fixed order.
--- a/internal/probing/probing.go
+++ b/internal/probing/probing.go
@@ -1,39 +1,39 @@
-// Package probing says how often one instance of many probes and how far it relies on an answer. The rules follow from the
-// settings and from what the instance sees: how many servers there are, what a probe costs, how many requests come. Where
-// all instances add up at a server, the rule states the sum. It does no input or output and reads no clock.
+// Package probing computes how many probes an instance sends and how many requests may use a response. The rules depend on the
+// cost of a probe, the number of servers and the instance's request rate. If the probes of all instances add up at a server,
+// the rule bounds the sum. The package does no input or output and reads no clock.
 package probing
 
 import "math"
 
 // Bounds on the number of probes.
 const (
-	MaxPerRequest = 2.0  // probes a request on average; Prequal's r_probe, "above 1 is quite safe"
-	MinInterval   = 40.0 // ms between two probes of a server by one instance on average: more show nothing new
-	PerWait       = 4    // probes of a request that waits for their answers; Prequal's d
-	minPerWait    = 2    // of one that can't be sent without an answer
+	MaxPerRequest = 2.0  // probes per request on average; Prequal's r_probe, "above 1 is quite safe"
+	MinInterval   = 40.0 // ms between two probes of a server by one instance on average: shorter ones show nothing new
+	PerWait       = 4    // probes of a request that waits for their responses; Prequal's d
+	minPerWait    = 2    // minimum for a request that can't be sent without a response
 )
 
 const (
-	oldReportCost = 0.02 // part of a request's value lost to old reports at one probe a request; at r probes the r-th part of it
+	oldReportCost = 0.02 // fraction of a request's value lost to old reports with one probe per request; 1/r of it with r probes
 	poolGrowth    = 1.0  // net growth of the pool with each request; Prequal's delta
-	maxUses       = 3.0  // uses of an entry where Prequal's formula has no positive divisor
+	maxUses       = 3.0  // uses of an entry if Prequal's formula has no positive divisor
 )
 
-// PerRequest is the number of probes that a request brings along, on average, where a probe costs the part price of a
-// request's value and the instance has so many servers and so many requests a millisecond.
+// PerRequest returns the average number of probes that an instance with the given number of servers and request rate sends per
+// request. price is the cost of a probe as a fraction of a request's value.
 //
-// More probes lose less to old reports, as oldReportCost/r, and cost r times the price: the sum is least at
-// sqrt(oldReportCost/price). At one server all instances together send that many for each request that it gets, and no more
-// than one each in MinInterval.
+// With r probes per request, old reports cost oldReportCost/r and the probes r*price; the sum is lowest at
+// r = sqrt(oldReportCost/price). So a server gets at most r probes from all instances per request that it gets, and at most
+// one from each instance per MinInterval, on average.
 func PerRequest(price float64, servers int, requestsPerMs float64) float64 {
 	return min(MaxPerRequest, math.Sqrt(oldReportCost/max(price, math.SmallestNonzeroFloat64)),
 		float64(servers)/(MinInterval*requestsPerMs))
 }
 
-// Uses is how many requests may go by one entry of a pool of that size before it leaves, on average: Prequal's b_reuse.
-// removed is the part of the entries, over those that perRequest probes bring, that is removed besides.
-func Uses(pool float64, servers int, perRequest, removed float64) float64 {
-	uses := max(maxUses, poolGrowth/perRequest) // an entry must do for all requests until the next one comes
+// UsesPerEntry returns the average number of requests that may use one entry of a pool of the given size: Prequal's b_reuse.
+// perRequest is the number of probes per request and removed the number of entries removed from the pool per probe.
+func UsesPerEntry(pool float64, servers int, perRequest, removed float64) float64 {
+	uses := max(maxUses, poolGrowth/perRequest) // an entry must last until the next one is added
 	divisor := (1 - pool/float64(max(1, servers)) - removed) * perRequest
 	if divisor > 0 {
 		uses = min(uses, max(1, (1+poolGrowth)/divisor))
@@ -41,14 +41,15 @@
 	return uses
 }
 
-// AreCostly reports whether the price alone keeps probes below MaxPerRequest: then none is sent only to find servers again.
+// AreCostly reports whether the price alone keeps probes below MaxPerRequest. If so, no probes are sent just to find out
+// whether a failed server is back.
 func AreCostly(price float64) bool { return price*MaxPerRequest*MaxPerRequest > oldReportCost }
 
-// ToAwait is how many probes a request may send whose answers it waits for. Where probes are limited it may send those that
-// requests have saved up or may borrow. An urgent request, which may go nowhere without an answer because the list is stale,
-// always sends minPerWait: so do all instances, for each request that finds no server which has answered lately, and the
-// answers serve the next requests too.
-func ToAwait(saved float64, limited, urgent bool) int {
+// ProbesToAwait returns the number of probes that a request may send and wait for. If probes are limited it is at most saved,
+// the number earned by requests or borrowed. An urgent request, which can't be sent without a response because the list is
+// stale, may always send minPerWait. Every instance does that for each request that finds no server with a recent response;
+// later requests use the responses, too.
+func ProbesToAwait(saved float64, limited, urgent bool) int {
 	probes := PerWait
 	if limited {
 		probes = max(0, min(probes, int(saved)))
@@ -59,8 +60,8 @@
 	return probes
 }
 
-// RandomChoices is among how many random servers a request chooses where the pool has none. Without probes there is never a
-// pool, and the power of a few choices stands for it.
+// RandomChoices returns the number of random servers from which a request chooses the best if the pool has no usable entry.
+// Without probes the pool is always empty, and the power of random choices replaces it.
 func RandomChoices(probes bool) int {
 	if probes {
 		return 1
--- a/internal/probing/probing_test.go
+++ b/internal/probing/probing_test.go
@@ -61,7 +61,7 @@
 }
 
 // What requests that can't do without an answer cost at most, whatever is saved up.
-func TestToAwait(t *testing.T) {
+func TestProbesToAwait(t *testing.T) {
 	for name, c := range map[string]struct {
 		saved           float64
 		limited, urgent bool
@@ -77,7 +77,7 @@
 		"some saved, urgent":                   {3.5, true, true, 3},
 		"more saved than a wait needs, urgent": {10, true, true, 4},
 	} {
-		if got := ToAwait(c.saved, c.limited, c.urgent); got != c.want {
+		if got := ProbesToAwait(c.saved, c.limited, c.urgent); got != c.want {
 			t.Errorf("%s: %d probes, want %d", name, got, c.want)
 		}
 	}
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,31 +1,32 @@
-// Package subset says among how many servers one instance of many chooses. Connections of every instance to every server
-// would fill the servers' tables, and reports of few servers are fresher than those of many. It does no input or output.
+// Package subset computes the number of servers that one of many instances uses. Connections from every instance to every
+// server would fill the servers' connection tables, and an instance can keep its reports fresher for fewer servers. It does no
+// input or output.
 package subset
 
-// MinSize is the number of servers among which an instance chooses at least, where there are that many.
+// MinSize is the minimum number of servers in a subset, unless there are fewer.
 const MinSize = 4
 
-// maxConnections is how many instances may normally connect to one server: a few hundred connections slow one.
+// maxConnections is the average number of instances that connect to a server: a few hundred connections slow a server down.
 const maxConnections = 128
 
-// One in how many requests sends probes to the whole subset, and not only to the servers of the preferred zone.
+// Intervals, in requests, at which probes are sent to all zones instead of the preferred zone alone.
 const (
-	farInterval       = 2
-	sparseFarInterval = 10
+	allZonesInterval       = 2
+	sparseAllZonesInterval = 10
 )
 
-// Size is the number of servers among which one of so many instances chooses. At one server meet maxConnections instances, or
-// all there are, or MinSize/servers of them where that is more.
+// Size returns the number of servers in the subset of one instance. On average a server is then in the subsets of
+// maxConnections instances, or of all if there are fewer, or of MinSize/servers of them if that is more.
 func Size(servers, instances int) int {
 	return min(servers, max(MinSize, maxConnections*servers/max(1, instances)))
 }
 
-// FarInterval is in how many requests one sends its probes to the whole subset, the others to the servers of the preferred
-// zone. Where reports are sparse fewer do: reports of few servers are fresher, and fewer connections are needed
-// for it. The caller makes up for a full zone: while its servers have more in flight than they run concurrently, more probes leave it.
-func FarInterval(sparse bool) int {
+// AllZonesInterval returns the number of requests of which on average one sends its probes to all zones and the others to the
+// preferred zone. It is larger if reports are sparse: that keeps the reports of fewer servers fresh, over fewer connections. If
+// the preferred zone is at its capacity, the caller sends more probes to other zones.
+func AllZonesInterval(sparse bool) int {
 	if sparse {
-		return sparseFarInterval
+		return sparseAllZonesInterval
 	}
-	return farInterval
+	return allZonesInterval
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-func TestFarInterval(t *testing.T) {
-	if FarInterval(true) <= FarInterval(false) {
-		t.Errorf("one request in %d probes all zones where reports are sparse, one in %d else", FarInterval(true), FarInterval(false))
+func TestAllZonesInterval(t *testing.T) {
+	if AllZonesInterval(true) <= AllZonesInterval(false) {
+		t.Errorf("one request in %d probes all zones where reports are sparse, one in %d else", AllZonesInterval(true), AllZonesInterval(false))
 	}
 }
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,41 +1,41 @@
 package policy
 
-// ActionKind names what the sidecar is to do.
+// ActionKind is the type of an action.
 type ActionKind uint8
 
-// The actions. The comments name the fields of Action that each one uses.
+// The action types. The comments name the fields of Action that each one uses.
 const (
-	StartAttempt  ActionKind = iota // Request, Server, After = the attempt's time-out, Expires
+	StartAttempt  ActionKind = iota // Request, Server, After = the attempt's timeout, Expires
 	CancelAttempt                   // Request, Attempt
-	RejectRequest                   // Request, After = advice when to try again, Reason
+	RejectRequest                   // Request, After = how long the client should wait before a retry, Reason
 	FailRequest                     // Request, Reason
 	SendProbe                       // Server
 	SetTimer                        // Timer, After
-	Subscribe                       // to changes of the server list
+	Subscribe                       // to updates of the server list
 	Log                             // Text
 )
 
-// Action is one thing to do; Kind says which of the fields count.
+// Action is an output of a Balancer that the sidecar has to carry out; Kind says which of the fields are used.
 type Action struct {
 	Kind    ActionKind
 	Attempt int
 	Request RequestID
 	Server  ServerID
 	After   Ms
-	Expires Ms // until when, from now, its last byte has to be written; 0 = at any time
+	Expires Ms // time from now by which the attempt's last byte has to be written; 0 = no limit
 	Timer   uint64
 	Text    string
 	Reason  Reason
 }
 
-// Reason says why a request is refused or failed, for logs and counts.
+// Reason says why a request is rejected or failed, for logs and counters.
 type Reason string
 
 // The reasons.
 const (
-	NoEligibleServer Reason = "no_server"  // the rules allow none, or all are ejected
-	ListStale        Reason = "list_stale" // likewise, while the list may no longer be relied on
+	NoEligibleServer Reason = "no_server"  // no server is allowed by the rules, or all that are have been ejected
+	ListStale        Reason = "list_stale" // the same while the list is stale
 	NoCapacity       Reason = "crowded"    // no server has capacity for a request of this value
-	DeadlineReached  Reason = "time_up"    // the client is about to give up
-	RetryNotAllowed  Reason = "no_retry"   // an attempt has ended, and no further one may or can follow
+	DeadlineReached  Reason = "time_up"    // the client's deadline is near
+	RetryNotAllowed  Reason = "no_retry"   // an attempt has ended, and a further one is not allowed or not possible
 )
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,15 +7,17 @@
 	"plankrouter/policy/internal/draw"
 )
 
-// Of load beyond what servers can finish in time, requests of the least value are refused first.
+// Admission control rejects the load that servers can't finish in time, requests of the lowest value first.
 
 const (
-	maxSlowFactor   = 1.5 // times the median service time that a usual request is taken to need at most: a few costly ones raise a mean
-	peerValueFactor = 1.5 // times a request's value, from which a class keeps its capacity against it
-	minQuotaBurst   = 5.0 // requests of a tenant that may come at once; else a second's quota
-	minIdleRIF      = 1   // requests in flight below which a server is idle
+	maxSlowFactor   = 1.5 // upper bound of a server's service time in fleet medians: a few costly requests raise a server's mean
+	peerValueFactor = 1.5 // a request must leave capacity for classes worth at least this many times its value
+	minQuotaBurst   = 5.0 // requests; lower bound of a tenant's burst, which otherwise is its quota of one second
+	minIdleRIF      = 1   // RIF below which a server is idle
 )
 
+// withinQuota takes a token for a request of the tenant and reports whether there was one. Requests without a known tenant
+// have no quota.
 func (b *Balancer) withinQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantBuckets) {
 		return true
@@ -24,11 +26,11 @@
 	return b.tenantBuckets[tenant].Take(b.now, quota/1000, max(minQuotaBurst, quota))
 }
 
-// trafficShare is this instance's part of the fleet's traffic.
+// trafficShare returns this instance's fraction of the traffic of all instances.
 func (b *Balancer) trafficShare() float64 { return b.traffic.Share(b.arrivalRate.PerMs(b.now) * 1000) }
 
-// admits reports whether the answer is likely in time and the server has capacity for a request of this value. An idle
-// server gets a request that may fail: only a sample can correct a wrong estimate.
+// admits reports whether a timely response is likely and the server has capacity for a request of this value. An idle server
+// admits a request even if its estimated latency is too long, since only a new sample can correct a wrong estimate.
 func (b *Balancer) admits(s *server, r *request) bool {
 	value := b.relativeValue(r.class)
 	if r.overQuota {
@@ -37,7 +39,7 @@
 	if !b.latencyReported && !b.gauge.Admits(uint32(r.id), value) {
 		return false
 	}
-	timeLeft := min(r.objectiveAt, r.answerBy) - b.now
+	timeLeft := min(r.objectiveAt, r.respondBy) - b.now
 	if b.overdueFor(s) > timeLeft {
 		return false
 	}
@@ -48,8 +50,8 @@
 		b.loadModel.Stretch(s.rif+1) <= admission.MaxStretch(b.reportsSparse, value)
 }
 
-// meetsObjectives reports whether the server would answer in time not only this request but also one of each class that is
-// worth more: else it would take the place of one of those.
+// meetsObjectives reports whether the server is expected to meet the latency objectives of this request and of all classes
+// that are worth more, as the request would otherwise take capacity from those.
 func (b *Balancer) meetsObjectives(s *server, r *request, value float64, timeLeft Ms) bool {
 	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
 	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s))
@@ -61,7 +63,7 @@
 			continue
 		}
 		maxLatency := objective / margin
-		if !b.latencyReported { // an objective that is tight for free servers is no reason to leave them idle
+		if !b.latencyReported { // an objective that even free servers barely meet must not keep them idle
 			maxLatency = max(maxLatency, admission.FreeMultiple*b.gauge.Baseline()*b.loadModel.ClassFactor(class))
 		}
 		if b.expectedLatency(s, class, s.rif) > maxLatency {
@@ -71,7 +73,7 @@
 	return true
 }
 
-// relativeValue is the value of a class for the time that its requests take, over that of the best class.
+// relativeValue returns the class's value per processing time, as a fraction of that of the best class.
 func (b *Balancer) relativeValue(class int) float64 {
 	highest := math.SmallestNonzeroFloat64
 	for i, c := range b.cfg.Classes {
@@ -82,8 +84,8 @@
 	return b.cfg.Classes[class].PriorityWeight / b.loadModel.ClassFactor(class) / highest
 }
 
-// randomWithCapacity is a random server that admits the request, for where the picked one does not. A random one, since all
-// instances would overload the best.
+// randomWithCapacity returns a random server that admits the request, or nil. It is used if the picked server does not admit
+// it. The server is random because all instances together would overload the best one.
 func (b *Balancer) randomWithCapacity(r *request) *server {
 	maxAge := maxPoolAge
 	if b.reportsSparse {
@@ -95,8 +97,8 @@
 	})
 }
 
-// updateGauge lets overload control look at the answers of late, against the objective that leaves the least time for a
-// usual request.
+// updateGauge updates overload control by recent response times, compared with the objective that is the tightest relative
+// to the class's usual duration.
 func (b *Balancer) updateGauge() {
 	tightest := math.Inf(1)
 	for i, c := range b.cfg.Classes {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -70,7 +70,7 @@
 		cfg.Classes[i].LateWeight = 0
 	}
 	g := newRig(t, cfg, 4)
-	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.balancer.answerMargin {
+	if s := find(g.arrive(1, 2), StartAttempt); s == nil || s.After < 900-g.balancer.responseMargin {
 		t.Errorf("an attempt for a client that waits 900 ms: %+v", s)
 	}
 }
@@ -101,7 +101,7 @@
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
 	g := newRig(t, cfg, 1)
-	s, r := g.balancer.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
+	s, r := g.balancer.byID[1], &request{class: 0, objectiveAt: g.now + 400, respondBy: g.now + 900}
 	for name, c := range map[string]struct {
 		rif             float64
 		latency, median Ms
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -16,65 +16,65 @@
 )
 
 const (
-	tickInterval       = 50.0 // ms between looks at what moves without traffic
-	refusalLogInterval = 2000 // ms between two log lines that count refusals
-	randomStream       = 0x9e3779b97f4a7c15
+	tickInterval         = 50.0 // ms between updates of the state that changes without traffic
+	rejectionLogInterval = 2000 // ms between two log lines that count rejected requests
+	randomStream         = 0x9e3779b97f4a7c15
 )
 
-// never is the time of what has not happened yet; -never is that of what has no end.
+// never is the time of an event that has not happened yet; -never is a time that is never reached.
 var never = math.Inf(-1)
 
-// Timer handles: a request's deadline uses the request's number, the others lie above.
+// Timer IDs. The timer of a request's deadline has the request's ID; all other timer IDs are higher than any request ID.
 const (
 	tickTimer = uint64(1)<<40 + iota
 	resubscribeTimer
-	probeWaitTimer = uint64(1) << 41 // added to the request's number
+	probeWaitTimer = uint64(1) << 41 // added to the request's ID
 )
 
-// Balancer is one sidecar's decisions. It is not safe for concurrent use.
+// Balancer makes the decisions of one sidecar. It is not safe for concurrent use.
 type Balancer struct {
-	cfg          Config
-	rng          *rand.Rand
-	actions      []Action // of the event in hand
-	now          Ms       // of the event in hand
-	minObjective Ms       // tightest latency objective of all classes
-	answerMargin Ms       // before the client gives up, by which a request is answered
-	startedAt    Ms
-	loggedAt     Ms // when refusals were logged last
-
-	servers         []*server // by rank
-	byID            map[ServerID]*server
-	readyCount      int // servers listed as ready
-	localCount      int // of those, in the preferred zone
-	resubscribeWait Ms
-	listValidUntil  Ms // the list is complete until then
-	probeAnyUntil   Ms // until then a probe of any server may stand for a stale list
-
-	pool              probepool.Pool[*server]
-	recentRIFs        stats.Window // of the newest reports
-	hotRIF            float64      // servers with more in flight are hot
-	probeCredit       float64      // probes that requests have saved up
-	probesPerRequest  float64      // at the present rate of requests
-	capacityElsewhere stats.SuccessRate
-	reportsSparse     bool       // most servers' reports are older than maxPoolAge
-	waitingForProbes  []*request // in order of arrival
-	lastProbeAt       Ms
+	cfg            Config
+	rng            *rand.Rand
+	actions        []Action // result of the current call of Handle
+	now            Ms       // time of the current event
+	minObjective   Ms       // tightest latency objective of all classes
+	responseMargin Ms       // time before the client's deadline at which the sidecar gives its final response
+	startedAt      Ms
+	loggedAt       Ms // when rejected requests were last logged
+
+	servers            []*server // in order of rank
+	byID               map[ServerID]*server
+	readyCount         int // servers listed as ready
+	localCount         int // of those, servers in the preferred zone
+	resubscribeWait    Ms
+	listValidUntil     Ms // from then on the list is stale
+	anyProbeValidUntil Ms // until then, while the list is stale, servers may be probed that have not responded to a probe yet
+
+	pool               probepool.Pool[*server]
+	recentRIFs         stats.Window      // RIF of the newest reports
+	hotRIF             float64           // threshold: servers with more requests in flight are hot
+	probeCredit        float64           // probes earned by requests and not sent yet; negative = borrowed
+	probesPerRequest   float64           // probes that each request earns at the current request rate
+	otherZonesCapacity stats.SuccessRate // fraction of recent probes of other zones that found free capacity
+	reportsSparse      bool              // this instance probes too rarely to have a report younger than maxPoolAge of every server
+	waitingForProbes   []*request        // in order of arrival
+	lastProbeAt        Ms
 
 	latencyReported   bool // servers report their service times
 	loadModel         overload.Model
 	probeTimes        overload.ProbeTimes
-	gauge             overload.Gauge // used where no server reports its service time
+	gauge             overload.Gauge // used if no server reports its service time
 	medianFailureRate float64
-	fleetLatency      Ms // median service time
-
-	traffic         admission.Traffic
-	tenantBuckets   []tokenbucket.Bucket
-	sendRate        stats.Rate
-	arrivalRate     stats.Rate
-	retryBudget     retrybudget.Budget
-	requests        map[RequestID]*request
-	inFlight        int // attempts
-	refusedSinceLog int
+	fleetLatency      Ms // median service time of the ready servers
+
+	traffic          admission.Traffic
+	tenantBuckets    []tokenbucket.Bucket
+	sendRate         stats.Rate
+	arrivalRate      stats.Rate
+	retryBudget      retrybudget.Budget
+	requests         map[RequestID]*request
+	inFlight         int // attempts of this instance
+	rejectedSinceLog int
 }
 
 // New returns a Balancer for cfg whose random choices come from seed.
@@ -84,24 +84,24 @@
 	}
 	cfg = cfg.withDefaults()
 	return &Balancer{
-		cfg:               cfg,
-		rng:               rand.New(rand.NewPCG(seed, randomStream)),
-		minObjective:      cfg.minObjective(),
-		answerMargin:      2*cfg.Round + 1,
-		byID:              map[ServerID]*server{},
-		listValidUntil:    -never,
-		hotRIF:            -never,
-		probesPerRequest:  probing.MaxPerRequest,
-		capacityElsewhere: 1,
-		loadModel:         overload.NewModel(cfg.objectives()),
-		gauge:             overload.NewGauge(cfg.objectives()),
-		traffic:           admission.Traffic{TotalQuota: cfg.totalQuota(), Instances: cfg.Instances},
-		tenantBuckets:     slices.Repeat([]tokenbucket.Bucket{{At: never}}, len(cfg.Tenants)),
-		requests:          map[RequestID]*request{},
+		cfg:                cfg,
+		rng:                rand.New(rand.NewPCG(seed, randomStream)),
+		minObjective:       cfg.minObjective(),
+		responseMargin:     2*cfg.Round + 1,
+		byID:               map[ServerID]*server{},
+		listValidUntil:     -never,
+		hotRIF:             -never,
+		probesPerRequest:   probing.MaxPerRequest,
+		otherZonesCapacity: 1,
+		loadModel:          overload.NewModel(cfg.objectives()),
+		gauge:              overload.NewGauge(cfg.objectives()),
+		traffic:            admission.Traffic{TotalQuota: cfg.totalQuota(), Instances: cfg.Instances},
+		tenantBuckets:      slices.Repeat([]tokenbucket.Bucket{{At: never}}, len(cfg.Tenants)),
+		requests:           map[RequestID]*request{},
 	}, nil
 }
 
-// Handle takes one event at time now and appends to out what is to be done about it.
+// Handle processes one event at time now, appends the resulting actions to out and returns it.
 func (b *Balancer) Handle(now Ms, e *Event, out []Action) []Action {
 	b.now = now
 	b.actions = out
@@ -126,9 +126,9 @@
 		b.onProbeEnded(e)
 	case ListValidityChanged:
 		b.listValidUntil = b.now + e.TimeLeft
-		b.probeAnyUntil = b.now + e.Elapsed
+		b.anyProbeValidUntil = b.now + e.Elapsed
 	case BodyProgressed:
-		b.byID[e.Server].silentSince = b.now
+		b.byID[e.Server].noResponseSince = b.now
 	}
 	return b.actions
 }
@@ -154,16 +154,16 @@
 		}
 	default:
 		if r := b.requests[RequestID(timer)]; r != nil && !r.done {
-			b.refuseOrFail(r, DeadlineReached)
+			b.rejectOrFail(r, DeadlineReached)
 		}
 	}
 }
 
-// tick looks at what moves without traffic.
+// tick updates the state that changes without traffic, and sends the probes that need no request.
 func (b *Balancer) tick() {
 	b.setTimer(tickTimer, tickInterval)
 	b.pool.Expire(b.now, b.maxEntryAge())
-	b.loadModel.Fade(b.now)
+	b.loadModel.Decay(b.now)
 	b.updateMedians()
 	b.updateGauge()
 	if b.now-b.lastProbeAt >= idleProbeInterval {
@@ -171,17 +171,17 @@
 	}
 	b.probeFailedServers()
 	b.updateEjections()
-	b.logRefusals()
+	b.logRejections()
 }
 
-func (b *Balancer) logRefusals() {
-	if b.refusedSinceLog == 0 || b.now-b.loggedAt < refusalLogInterval {
+func (b *Balancer) logRejections() {
+	if b.rejectedSinceLog == 0 || b.now-b.loggedAt < rejectionLogInterval {
 		return
 	}
 	b.logf("refused=%d traffic_share=%.2f pool=%d ready=%d service_ms=%.0f class_factors=%.2f concurrency=%.1f; %s",
-		b.refusedSinceLog, b.trafficShare(), b.pool.Len(), b.readyCount, b.fleetLatency, b.loadModel.Classes,
+		b.rejectedSinceLog, b.trafficShare(), b.pool.Len(), b.readyCount, b.fleetLatency, b.loadModel.Classes,
 		b.loadModel.Concurrency(), &b.gauge)
-	b.refusedSinceLog = 0
+	b.rejectedSinceLog = 0
 	b.loggedAt = b.now
 }
 
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -7,12 +7,12 @@
 )
 
 // kept is how much a Balancer keeps that has a key or was once under way.
-type kept struct{ Servers, ByID, Requests, Waiting, Pool, RIFs, Tallies, OutAll int }
+type kept struct{ Servers, ByID, Requests, Waiting, Pool, RIFs, Tallies, InFlight int }
 
 func (b *Balancer) kept() kept {
 	h := kept{
 		Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waitingForProbes),
-		Pool: b.pool.Len(), RIFs: b.recentRIFs.Len(), OutAll: b.inFlight,
+		Pool: b.pool.Len(), RIFs: b.recentRIFs.Len(), InFlight: b.inFlight,
 	}
 	for _, s := range b.servers {
 		h.Tallies += len(s.outcomesByTenant)
@@ -26,7 +26,7 @@
 	cfg := testConfig()
 	cfg.Tenants, cfg.ProbeCost, cfg.Instances = []Tenant{{Quota: 10}, {Quota: 10}}, 0.08, 300
 	g := newRig(t, cfg, 12)
-	playFrom := func(from int) {
+	runFrom := func(from int) {
 		for i := from; i < from+2000; i++ {
 			g.now += 70
 			list := []ServerInfo{{ID: ServerID(i%12 + 1 + i/12*12), Health: Ready, StartedAt: g.now}}
@@ -74,15 +74,15 @@
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 		g.tick()
 	}
-	playFrom(0)
+	runFrom(0)
 	before := g.balancer.kept()
 	for k := range 9 {
-		playFrom(2000 * (k + 1))
+		runFrom(2000 * (k + 1))
 	}
 	if diff := cmp.Diff(before, g.balancer.kept()); diff != "" {
 		t.Error(diff)
 	}
-	if before.Servers != 12 || before.Requests != 0 || before.OutAll != 0 {
+	if before.Servers != 12 || before.Requests != 0 || before.InFlight != 0 {
 		t.Errorf("%+v", before)
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -11,18 +11,18 @@
 // Ms is a time or a duration in milliseconds; times count from any fixed origin.
 type Ms = float64
 
-// Idempotency says what may happen if a request runs twice.
+// Idempotency says whether a request may run more than once.
 type Idempotency uint8
 
-// Idempotent requests may run any number of times, those with a key only where the repeat is recognised
-// and dropped, the others never.
+// The kinds of idempotency. Idempotent requests may run any number of times. A request WithIdempotencyKey may be repeated
+// only at servers that recognise and drop the repeat. A NonIdempotent request may never run twice.
 const (
 	Idempotent Idempotency = iota
 	WithIdempotencyKey
 	NonIdempotent
 )
 
-// KeyScope is the group of servers that drop a repeat of a request WithIdempotencyKey.
+// KeyScope is the group of servers that recognise a repeat of a request WithIdempotencyKey and drop it.
 type KeyScope uint8
 
 // The scopes of an idempotency key.
@@ -34,49 +34,49 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective Ms      // an answer within it has its full value
-	Deadline         Ms      // no client waits longer
-	PriorityWeight   float64 // value of an answer within the objective
-	LateWeight       float64 // part of PriorityWeight that a later answer still earns
+	LatencyObjective Ms      // a response within it has its full value
+	Deadline         Ms      // longest time that a client waits
+	PriorityWeight   float64 // value of a response within the objective
+	LateWeight       float64 // fraction of PriorityWeight that a later response is still worth
 	Idempotency      Idempotency
-	KeyScope         KeyScope // with WithIdempotencyKey
-	KeyWindow        Ms       // with WithIdempotencyKey: how long servers drop repeats
-	Attempts         int      // per request; 0 = Config.MaxAttempts
-	Retired          bool     // no further request is of it: only those that are open keep its rules
+	KeyScope         KeyScope // only for WithIdempotencyKey
+	KeyWindow        Ms       // only for WithIdempotencyKey: how long servers drop repeats
+	Attempts         int      // maximum per request; 0 = Config.MaxAttempts
+	Retired          bool     // no longer in the settings: only its requests that are still open use it
 }
 
-// Tenant is one sharer of the fleet.
+// Tenant is one of the customers that share the fleet.
 type Tenant struct {
-	Quota float64 // requests a second over all sidecars that are within its quota
+	Quota float64 // requests per second, summed over all sidecars
 }
 
 // Config is the settings of a Balancer.
 type Config struct {
 	Classes         []Class
 	Tenants         []Tenant // may be empty
-	OverQuotaWeight float64  // value of a request beyond its tenant's quota, as a part of the full one
-	Instances       int      // sidecars in service, this one included
+	OverQuotaWeight float64  // value of a request beyond its tenant's quota, as a fraction of its full value
+	Instances       int      // sidecars in service, including this one
 	Zone            int      // the sidecar's own zone
 
-	SubscribeToList bool // the server list is sent only to those who subscribe
+	SubscribeToList bool // the server list has to be subscribed to
 	Probes          bool // SendProbe is allowed
 	Cancel          bool // CancelAttempt is allowed
-	MaxAttempts     int  // per request
-	MaxRetryAfter   Ms   // longest advice that a client follows; 0 = none is passed on
-	Round           Ms   // least time between two looks at the events
+	MaxAttempts     int  // per request, for classes that set none
+	MaxRetryAfter   Ms   // longest Retry-After that clients follow; 0 = none is sent
+	Round           Ms   // shortest interval at which the sidecar processes events: no timer is more exact
 
-	StartCapacity    float64 // least part of its capacity at which a server starts
-	WarmUpTime       Ms      // after which it has all of it
-	OverloadMultiple float64 // times its present capacity that, for OverloadWindow, overload a cold server
+	StartCapacity    float64 // lowest fraction of its full capacity that a server has when it starts
+	WarmUpTime       Ms      // time from its start until a server has its full capacity; 0 = no slow start
+	OverloadMultiple float64 // a starting server is overloaded by this multiple of its current capacity, sent over OverloadWindow
 	OverloadWindow   Ms
-	CrossZoneCost    float64 // part of a request's value that an attempt in another zone costs
-	WastedWorkCost   float64 // the same for all work of the servers being in vain
-	ProbeCost        float64 // the same for one probe
+	CrossZoneCost    float64 // cost of an attempt in another zone, as a fraction of a request's value
+	WastedWorkCost   float64 // cost if all work of the servers is wasted, as a fraction of a request's value
+	ProbeCost        float64 // cost of one probe, as a fraction of a request's value
 
-	ProbeValidity Ms // for so long after it was sent, a probe stands for a stale list; see Event.ProbeSentAt
+	ProbeValidity Ms // how long after it was sent a probe proves, while the list is stale, that the server is in service
 }
 
-// validate returns an error that names the first setting that the policy can't work with.
+// validate returns an error that names the first invalid setting.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
 		return errors.New("policy: no request classes")
@@ -96,7 +96,7 @@
 		{"StartCapacity", c.StartCapacity},
 		{"OverloadMultiple", c.OverloadMultiple},
 	} {
-		if !(setting.value >= 0) { // NaN is refused, too
+		if !(setting.value >= 0) { // also true for NaN
 			return fmt.Errorf("policy: negative or missing %s: %v", setting.name, setting.value)
 		}
 	}
@@ -107,7 +107,7 @@
 	return c.LatencyObjective > 0 && c.Deadline > 0 && c.Idempotency <= NonIdempotent && c.KeyScope <= ScopeCell && !(c.KeyWindow < 0)
 }
 
-// withDefaults returns a copy in which what may be missing is filled in.
+// withDefaults returns a copy with defaults for the settings that may be missing.
 func (c *Config) withDefaults() Config {
 	filled := *c
 	filled.Instances = max(1, c.Instances)
@@ -119,7 +119,7 @@
 	return filled
 }
 
-// minObjective is the tightest latency objective of the classes in use.
+// minObjective returns the tightest latency objective of the classes in use.
 func (c *Config) minObjective() Ms {
 	tightest := math.Inf(1)
 	for _, class := range c.Classes {
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,32 +1,32 @@
 package policy
 
-// ServerID is an opaque name of a server that the owner of a Balancer chooses.
+// ServerID is an opaque identifier of a server, chosen by the owner of a Balancer.
 type ServerID uint32
 
-// RequestID is an opaque name of a request that the owner of a Balancer chooses.
+// RequestID is an opaque identifier of a request, chosen by the owner of a Balancer.
 type RequestID uint32
 
-// EventKind names what has happened.
+// EventKind is the type of an event.
 type EventKind uint8
 
-// The events. The comments name the fields of Event that each one uses.
+// The event types. The comments name the fields of Event that each one uses.
 const (
 	Started             EventKind = iota // the first event of an instance
-	EndpointsUpdated                     // Servers, Complete: the list of servers, or changes to it
-	SubscriptionFailed                   // a subscription or its request has failed
+	EndpointsUpdated                     // Servers, Complete: the whole server list, or changes to it
+	SubscriptionFailed                   // subscribing to the server list has failed, or the subscription has ended
 	RequestArrived                       // Request, Class, Tenant, TimeLeft, ClientRetry
 	AttemptEnded                         // Request, Attempt, Server, Status, Elapsed, Final, BodyConsumed, Report
 	ClientGone                           // Request
 	TimerFired                           // Timer
 	ProbeEnded                           // Server, Status, Elapsed, ConnectTime, ProbeSentAt, Report
-	ListValidityChanged                  // TimeLeft: for how long the list is valid; Elapsed: for how long a probe of any server may stand for it
-	BodyProgressed                       // Server: a long request is still on its way there
+	ListValidityChanged                  // TimeLeft: until the list is stale; Elapsed: for how long unproven servers are probed
+	BodyProgressed                       // Server: a request body was still being sent to it, so that no response was due
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint8
 
-// The outcomes. Declined, ConnectFailed and NotSent prove that the attempt never ran.
+// The outcomes. Declined, ConnectFailed and NotSent prove that the attempt has not run.
 const (
 	OK Status = iota
 	Failed
@@ -41,10 +41,10 @@
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (s Status) NeverRan() bool { return s == Declined || s == ConnectFailed || s == NotSent }
 
-// Health is what the list says of a server.
+// Health is a server's state in the list.
 type Health uint8
 
-// The list's states.
+// The states of a server.
 const (
 	Gone Health = iota
 	Ready
@@ -53,13 +53,13 @@
 
 func (h Health) String() string { return [...]string{"gone", "ready", "draining"}[h] }
 
-// ServerInfo is one line of the server list.
+// ServerInfo is one entry of the server list.
 type ServerInfo struct {
 	ID         ServerID
 	Zone, Cell int
 	Health     Health
-	StartedAt  Ms   // 0 = long ago
-	Uncordoned bool // operators have just put it back: nobody else sends to it for that
+	StartedAt  Ms   // 0 = not known, long ago
+	Uncordoned bool // an operator has just uncordoned it: it is probed at once, as no other instance sends to it on that account
 }
 
 // Report is a server's load report; a field is meaningful only if its Has flag is set.
@@ -68,26 +68,26 @@
 	HasErrors          bool
 	RIF                float64 // requests in flight
 	Latency            Ms      // recent service time
-	Errors             float64 // a second
+	Errors             float64 // per second
 }
 
-// Event is one thing that has happened; Kind says which of the fields count.
+// Event is an input of a Balancer; Kind says which of the fields are used.
 type Event struct {
 	Kind         EventKind
 	Status       Status
-	Final        bool // the request is answered: nothing more is owed
+	Final        bool // the client has its response, or needs none: no further attempt follows
 	Complete     bool // Servers is the whole list
-	ClientRetry  bool // the client marked the request as a repetition
-	BodyConsumed bool // with AttemptEnded: the request's body is gone, so that it can't be sent again
+	ClientRetry  bool // the client marked the request as a retry
+	BodyConsumed bool // with AttemptEnded: the request's body is no longer available, so that it can't be sent again
 	Attempt      int
 	Request      RequestID
 	Server       ServerID
 	Class        int
 	Tenant       int
-	TimeLeft     Ms // until the client gives up
+	TimeLeft     Ms // until the client's deadline
 	Elapsed      Ms
-	ConnectTime  Ms // part of Elapsed in which a new connection came up
-	ProbeSentAt  Ms // when the probe was sent, if the process that the list names has answered it; else 0
+	ConnectTime  Ms // part of Elapsed that establishing a new connection took
+	ProbeSentAt  Ms // when the probe was sent, if the response is from the process in the list; else 0
 	Timer        uint64
 	Report       Report
 	Servers      []ServerInfo
--- a/policy/internal/admission/admission.go
+++ b/policy/internal/admission/admission.go
@@ -1,34 +1,34 @@
-// Package admission says what a request must find at a server to be sent there, and which part of the fleet's traffic an
-// instance takes for its own. It does no input or output and reads no clock.
+// Package admission computes the limits by which a request is admitted to a server, and an instance's share of the fleet's
+// traffic. It does no input or output and reads no clock.
 package admission
 
 import "math"
 
-// Limits on the response time over that of a free server.
+// Limits on the response time as a multiple of that of a free server.
 const (
-	FreeMultiple      = 1.75 // of the fleet's baseline, up to which a server counts as free
-	FullStretch       = 4.5  // past which a queue only adds waiting
-	sparseFullStretch = 2.5  // the same where reports are sparse
-	valueExponent     = 0.4  // how the limit falls with a request's value
+	FreeMultiple      = 1.75 // multiple of the fleet's baseline up to which a server counts as free
+	FullStretch       = 4.5  // above it a longer queue adds only waiting
+	sparseFullStretch = 2.5  // the same if reports are sparse
+	valueExponent     = 0.4  // how quickly the limit falls with a request's value
 )
 
-// Parts of LatencyMargin, in expected responses.
+// Terms of LatencyMargin, in expected response times.
 const (
-	idleMargin        = 0.5  // at an idle server, where work in vain takes nothing from others
-	fullMargin        = 2.0  // added to that when all its places are taken
-	wasteMargin       = 8.5  // left beyond the expected response for each unit of the price of wasted work
-	sparseWasteMargin = 15.0 // the same where reports are sparse: the server that looks best is seldom as good as it looks
+	idleMargin        = 0.5  // margin at an idle server, where wasted work takes no capacity from other requests
+	fullMargin        = 2.0  // added to that at full concurrency
+	wasteMargin       = 8.5  // added to one response time per unit of the cost of wasted work
+	sparseWasteMargin = 15.0 // the same if reports are sparse: the server that looks best is then seldom as good as it looks
 )
 
-// reportMemory is the weight that each report leaves to those before it in the traffic share.
-const reportMemory = 0.99
+// reportDecay is the factor by which each report reduces the weight of earlier ones in the traffic share.
+const reportDecay = 0.99
 
-// priorRequests stand for an unknown load in the traffic share: requests that are spread evenly over instances.
+// priorRequests is the number of requests, spread evenly over all instances, assumed in the traffic share before any report.
 const priorRequests = 20.0
 
-// LatencyMargin is how many times the expected response must fit into the time that a request has left, at that price of
-// wasted work; load is the part of the server's places that are taken. Many instances with sparse reports send to the same
-// servers before any learns of it, and nobody sees the queue that they make together.
+// LatencyMargin returns how many expected response times have to fit into the time that a request has left. price is the cost
+// of wasted work and load the fraction of the server's concurrency in use. The margin is larger if reports are sparse: many
+// instances may then send to the same server, and none sees the queue that they build up together.
 func LatencyMargin(sparse bool, price, load float64) float64 {
 	waste := wasteMargin
 	if sparse {
@@ -37,7 +37,8 @@
 	return min(1+waste*price, idleMargin+fullMargin*load)
 }
 
-// MaxStretch is how many times longer than at a free server the response to a request of that value, 0 to 1, may take.
+// MaxStretch returns the longest admissible response time of a request of the given value, 0 to 1, as a multiple of that of a
+// free server.
 func MaxStretch(sparse bool, value float64) float64 {
 	full := FullStretch
 	if sparse {
@@ -46,27 +47,27 @@
 	return 1 + (full-1)*math.Pow(value, valueExponent)
 }
 
-// Traffic is what an instance knows of its own traffic and the fleet's.
+// Traffic holds the figures by which an instance estimates its share of the fleet's traffic.
 type Traffic struct {
-	OwnInFlight   float64 // this instance's requests at the servers that report, a fading sum over reports
-	TotalInFlight float64 // all requests there, summed likewise
-	TotalQuota    float64 // requests a second of all tenants
+	OwnInFlight   float64 // this instance's requests in flight at reporting servers, as a decaying sum over reports
+	TotalInFlight float64 // all requests in flight there, as a decaying sum over reports
+	TotalQuota    float64 // requests per second, summed over all tenants
 	Instances     int
 }
 
-// AddReport takes a server's report of all requests in flight there, of which own are this instance's on average.
+// AddReport adds a server's report of total requests in flight, of which own are this instance's on average.
 func (t *Traffic) AddReport(own, total float64) {
-	t.OwnInFlight = t.OwnInFlight*reportMemory + own
-	t.TotalInFlight = t.TotalInFlight*reportMemory + total
+	t.OwnInFlight = t.OwnInFlight*reportDecay + own
+	t.TotalInFlight = t.TotalInFlight*reportDecay + total
 }
 
-// Share is this instance's part of the fleet's traffic, where perSecond requests arrive at it: own requests among all that
-// servers report, and the even part (one instance's of so many) as long as they report few.
+// Share returns this instance's fraction of the fleet's traffic if perSecond requests arrive at it. It is the fraction of own
+// requests among all that servers report, or close to an even share, 1/Instances, as long as they have reported few.
 //
-// Where no server reports, it is the part of the tenants' quotas that arrives here, or the even part where that is more. A
-// tenant is then beyond its quota where it takes more of the instance's traffic than of the quotas, and not for being at a busy
-// instance. Together the instances let pass what the quotas do, or all that comes, where that is more: whether it is too much is
-// found by overload control.
+// If no server reports its load, it is the rate of arriving requests as a fraction of all tenants' quotas, and at least an even
+// share. A tenant is then beyond its quota only if its fraction of the instance's traffic is higher than its fraction of the
+// quotas, not because the instance is a busy one. All instances together then let through as much as the quotas or, if that is
+// more, all arriving requests; overload control detects whether those are too many.
 func (t *Traffic) Share(perSecond float64) float64 {
 	even := 1 / float64(max(1, t.Instances))
 	if t.OwnInFlight+t.TotalInFlight > 0 {
--- a/policy/internal/draw/draw.go
+++ b/policy/internal/draw/draw.go
@@ -1,9 +1,9 @@
-// Package draw chooses at random.
+// Package draw makes random choices from a slice.
 package draw
 
 import "math/rand/v2"
 
-// Highest returns up to count random items of the highest preference that any item has. Items of preference 0 are left out.
+// Highest returns up to count random items among those of the highest preference. Items of preference 0 are never chosen.
 func Highest[S any, P ~int](rng *rand.Rand, items []S, count int, preferenceOf func(S) P) (found []S) {
 	highest := P(1)
 	seen := 0
@@ -18,7 +18,7 @@
 			found = found[:0]
 		}
 		seen++
-		place := rng.IntN(seen) // of so many, each is kept with the same chance
+		place := rng.IntN(seen) // reservoir sampling: each item seen is kept with the same probability
 		switch {
 		case len(found) < count:
 			found = append(found, item)
@@ -29,7 +29,7 @@
 	return found
 }
 
-// One returns a random one of the suitable items, or the zero S where there is none.
+// One returns a random suitable item, or the zero S if there is none.
 func One[S any](rng *rand.Rand, items []S, isSuitable func(S) bool) (one S) {
 	found := Highest(rng, items, 1, func(item S) int {
 		if isSuitable(item) {
@@ -43,7 +43,7 @@
 	return one
 }
 
-// WithoutReplacement returns up to n random items, each at most once. It changes the order of items.
+// WithoutReplacement returns up to n random items, each at most once. It reorders items in place.
 func WithoutReplacement[S any](rng *rand.Rand, items []S, n int) []S {
 	n = min(n, len(items))
 	for i := range n {
--- a/policy/internal/outlier/bytenant.go
+++ b/policy/internal/outlier/bytenant.go
@@ -1,12 +1,12 @@
 package outlier
 
-// AllTenants is the place of the outcomes of all requests among a server's, and the tenant of a request that has none.
+// AllTenants is the index in ByTenant of the outcomes of all requests. It is also the index for a request without a tenant.
 const AllTenants = 0
 
-// ByTenant is one server's outcomes: those of all requests, then by tenant.
+// ByTenant holds one server's outcomes: of all requests at AllTenants, then of each tenant.
 type ByTenant []Tally
 
-// AddSuccess counts a success of the tenant's.
+// AddSuccess counts a success of the tenant.
 func (o ByTenant) AddSuccess(now float64, tenant int) {
 	o[AllTenants].AddSuccess(now)
 	if tenant != AllTenants {
@@ -14,7 +14,7 @@
 	}
 }
 
-// AddFailure counts a failure of the tenant's of that weight.
+// AddFailure counts a failure of the tenant with the given weight.
 func (o ByTenant) AddFailure(now float64, tenant int, weight float64) {
 	o[AllTenants].AddFailure(now, weight)
 	if tenant != AllTenants {
@@ -22,5 +22,5 @@
 	}
 }
 
-// FailureRate is the probability of a failure for the tenant.
+// FailureRate returns the probability that a request of the tenant fails.
 func (o ByTenant) FailureRate(now float64, tenant int) float64 { return o[tenant].FailureRate(now) }
--- a/policy/internal/outlier/tally.go
+++ b/policy/internal/outlier/tally.go
@@ -1,26 +1,26 @@
-// Package outlier weighs the outcomes of requests at a server, each the less the older it is. It reads no clock: times are in
-// milliseconds from any fixed origin.
+// Package outlier computes the failure rate of a server from the outcomes of requests, whose weight decays with their age. It
+// reads no clock: times are in milliseconds from any fixed origin.
 package outlier
 
 import "math"
 
-// HalfLife is the time in ms in which outcomes lose half their weight; then a bad server is tried again.
+// HalfLife is the time in ms in which outcomes lose half their weight, so that an ejected server is retried.
 const HalfLife = 4e3
 
 const (
-	priorSuccesses = 2.0  // weight of a prior success: one failure alone ejects no server
-	successShrink  = 0.85 // what one success leaves of the weight of failures
+	priorSuccesses      = 2.0  // successes assumed before any outcome: one failure alone ejects no server
+	successFailureDecay = 0.85 // factor by which a success reduces the weight of failures
 
-	silentMultiple    = 6.0 // expected answers that are missing before a server counts as silent, over all its attempts
-	minSilentMultiple = 2.0 // the same for each of them, however many there are
+	unresponsiveMultiple    = 6.0 // expected response times, summed over all attempts in flight, after which a server is unresponsive
+	minUnresponsiveMultiple = 2.0 // the same for each attempt, however many are in flight
 )
 
-// Tally is fading counts of successes and failures, as they were at At.
+// Tally is the decaying counts of successes and failures, as they were at time At.
 type Tally struct{ Successes, Failures, At float64 }
 
-// FailureRate is the probability of a failure.
+// FailureRate returns the probability of a failure at now.
 func (t *Tally) FailureRate(now float64) float64 {
-	if t.Successes+t.Failures == 0 { // as at most servers: fading those would take most of the time
+	if t.Successes+t.Failures == 0 { // true for most servers: computing their decay would take most of the CPU time
 		return 0
 	}
 	decay := Decay(now - t.At)
@@ -35,21 +35,21 @@
 	t.FailureRate(now)
 	t.At = now
 	t.Successes++
-	t.Failures *= successShrink
+	t.Failures *= successFailureDecay
 }
 
-// AddFailure counts a failure of that weight.
+// AddFailure counts a failure with the given weight.
 func (t *Tally) AddFailure(now, weight float64) {
 	t.FailureRate(now)
 	t.At = now
 	t.Failures += weight
 }
 
-// IsSilent reports whether a server with so many attempts in flight has given no answer for far longer than one is expected to
-// take. The more attempts there are, the sooner.
-func IsSilent(inFlight int, silentFor, expected float64) bool {
-	return inFlight > 0 && silentFor > expected*max(minSilentMultiple, silentMultiple/float64(inFlight))
+// IsUnresponsive reports whether a server has attempts in flight but has sent no response for far longer than the expected
+// response time. The more attempts are in flight, the shorter that time.
+func IsUnresponsive(inFlight int, noResponseFor, expected float64) bool {
+	return inFlight > 0 && noResponseFor > expected*max(minUnresponsiveMultiple, unresponsiveMultiple/float64(inFlight))
 }
 
-// Decay is what an outcome of that age still weighs.
+// Decay returns the weight of an outcome of the given age in ms.
 func Decay(age float64) float64 { return math.Exp2(-age / HalfLife) }
--- a/policy/internal/outlier/tally_test.go
+++ b/policy/internal/outlier/tally_test.go
@@ -40,7 +40,7 @@
 	outcomes.AddFailure(0, 2, 1)
 	outcomes.AddFailure(0, AllTenants, 1)
 	outcomes.AddSuccess(0, 1)
-	if outcomes[AllTenants].Failures != 2*successShrink || outcomes[AllTenants].Successes != 1 {
+	if outcomes[AllTenants].Failures != 2*successFailureDecay || outcomes[AllTenants].Successes != 1 {
 		t.Errorf("%+v of all", outcomes[AllTenants])
 	}
 	if outcomes.FailureRate(0, 1) != 0 || outcomes.FailureRate(0, 2) == 0 {
@@ -48,11 +48,11 @@
 	}
 }
 
-func TestIsSilent(t *testing.T) {
+func TestIsUnresponsive(t *testing.T) {
 	for name, c := range map[string]struct {
-		inFlight  int
-		silentFor float64
-		want      bool
+		inFlight      int
+		noResponseFor float64
+		want          bool
 	}{
 		"nothing in flight":         {0, 1e6, false},
 		"one attempt, not for long": {1, 500, false},
@@ -60,7 +60,7 @@
 		"many attempts, one answer": {10, 150, false},
 		"many attempts, for long":   {10, 201, true},
 	} {
-		if got := IsSilent(c.inFlight, c.silentFor, 100); got != c.want {
+		if got := IsUnresponsive(c.inFlight, c.noResponseFor, 100); got != c.want {
 			t.Errorf("%s: silent %t", name, got)
 		}
 	}
--- a/policy/internal/overload/baseline.go
+++ b/policy/internal/overload/baseline.go
@@ -3,32 +3,33 @@
 import "math"
 
 const (
-	minBaselineAnswers = 16    // answers from which the baseline is known,
-	maxBaselineAnswers = 64    // and how many of the newest are remembered for it
-	baselineDownStep   = 0.02  // part of the way down to the newest answers' median that the baseline goes with each,
-	baselineUpStep     = 0.002 // and up
-	baselineDriftTime  = 60e3  // ms in which it grows by e while answers are slow: work and servers change
+	minBaselineResponses = 16    // responses needed before the baseline is known
+	maxBaselineResponses = 64    // newest responses that it is computed from
+	baselineDownStep     = 0.02  // smoothing factor per response while the median of the newest is below the baseline
+	baselineUpStep       = 0.002 // the same while it is above
+	baselineDriftTime    = 60e3  // ms in which it grows by a factor of e while responses are slow, since work and servers change
 )
 
-// baseline is what answers of one kind take while servers are free, learned from the newest of them, however old they are.
+// baseline is the duration of one kind of request at free servers, estimated from its newest responses, whatever their age.
 type baseline struct {
-	target     float64 // latency target in ms; 0 = none
-	median     float64 // the baseline in ms; 0 = not known yet
-	durations  [maxBaselineAnswers]float64
-	next       int // place in durations
-	count      int // of durations that are known
-	answeredAt float64
-	sorted     []float64 // scratch space of add
+	target         float64 // latency target in ms; 0 = none
+	median         float64 // the baseline in ms; 0 = not known yet
+	durations      [maxBaselineResponses]float64
+	next           int // index in durations of the next response
+	count          int // number of durations recorded
+	lastResponseAt float64
+	sorted         []float64 // scratch space of add
 }
 
-// add takes an answer at now. The median follows the answers while they are not slow: down quickly, up slowly.
+// add adds the duration of a response at now. The baseline follows the responses while they are not slow: quickly if they get
+// shorter, slowly if they get longer.
 func (b *baseline) add(now, duration float64) {
 	b.durations[b.next] = duration
-	b.next = (b.next + 1) % maxBaselineAnswers
-	b.count = min(b.count+1, maxBaselineAnswers)
-	passed := now - b.answeredAt
-	b.answeredAt = now
-	if b.count < minBaselineAnswers {
+	b.next = (b.next + 1) % maxBaselineResponses
+	b.count = min(b.count+1, maxBaselineResponses)
+	passed := now - b.lastResponseAt
+	b.lastResponseAt = now
+	if b.count < minBaselineResponses {
 		return
 	}
 	b.sorted = append(b.sorted[:0], b.durations[:b.count]...)
@@ -43,7 +44,7 @@
 	default:
 		b.median *= math.Exp(passed / baselineDriftTime)
 	}
-	if b.target > 0 { // an instance that starts in the middle of an overload has seen nothing else
+	if b.target > 0 { // an instance that starts during an overload has only slow responses to compare with
 		b.median = min(b.median, b.target/slowMultiple)
 	}
 }
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -6,58 +6,58 @@
 	"slices"
 )
 
-// What is looked at.
+// Which attempts are compared with the baseline.
 const (
-	slowMultiple          = 1.5  // of the baseline, from which answers count as slow
-	priorBaselineFraction = 0.5  // of the latency target that the baseline is taken to be until it is known
-	maxFollowed           = 64   // attempts that are remembered
-	minFollowInterval     = 50.0 // ms between two of them: a busy instance's window is as long as a quiet one's
-	maxRecentAge          = 5e3  // ms from its start for which an attempt shows the present state
-	memoryMultiple        = 2.0  // times the time after which it is slow, for which it does so in any case
-	maxRecent             = 20   // newest attempts that count at most
-	minRecent             = 3    // attempts without which nothing is known
-	fullRateRecent        = 8    // attempts for the full rate of shedding: the same few show nothing new with each update
-	medianErrorFactor     = 0.4  // 0.8 of the median's standard error in ranks, as a part of their number, times its root
+	slowMultiple          = 1.5  // multiple of the baseline above which a duration counts as slow
+	priorBaselineFraction = 0.5  // baseline assumed until it is known, as a fraction of the latency target
+	maxTracked            = 64   // number of attempts in the ring buffer
+	minTrackInterval      = 50.0 // ms between two tracked attempts: the ring must cover as long a time with many requests as with few
+	maxRecentAge          = 5e3  // ms since the start of an attempt for which it counts as recent
+	maxAgeMultiple        = 2.0  // lower bound of that age, as a multiple of the time after which the attempt is slow
+	maxRecent             = 20   // maximum number of recent attempts that are evaluated
+	minRecent             = 3    // minimum number of recent attempts to detect an overload
+	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer add no evidence with each update
+	medianErrorFactor     = 0.4  // 0.8 standard errors of the median as a quantile, 0.8*0.5/sqrt(n), times sqrt(n)
 )
 
-// What follows from it.
+// How the rejected fraction changes.
 const (
-	oneSecond           = 1e3   // ms
-	maxUpdateSeconds    = 1     // that an update counts for, however long ago the last one was
-	sheddingRate        = 4.0   // e-folds a second by which less is admitted, for each time too long that answers take
-	recoveryRate        = 0.4   // part a second that is admitted again once they don't
-	blindRecoveryRate   = 0.125 // the same while there are too few attempts to judge by
-	valueExponent       = 0.4   // how the refused part grows as a request's value falls
-	minValue            = 0.01  // value below which it grows no more
-	minAdmittedFraction = 0.02  // part that is always admitted: only answers show that the overload is over
+	oneSecond             = 1e3   // ms
+	maxUpdateSeconds      = 1     // upper bound of the time since the last update that is taken into account
+	sheddingRate          = 4.0   // e-folds per second by which the admitted fraction falls, per unit of excess duration
+	recoveryRate          = 0.4   // decrease of the rejected fraction per second once attempts are no longer slow
+	lowSampleRecoveryRate = 0.125 // the same while there are fewer than minRecent attempts
+	valueExponent         = 0.4   // how quickly the rejected fraction rises as a request's value falls
+	minValue              = 0.01  // lower bound of a request's value in that
+	minAdmittedFraction   = 0.02  // always admitted: only responses show that the overload is over
 )
 
-// Gauge compares the time that own attempts of late have taken, over all servers, with the baseline of their class. It goes by
-// a median, which does not hang on the few attempts that wait for servers which are gone.
+// Gauge detects an overload of the whole fleet from the durations of this instance's recent attempts at all servers, compared
+// with the baseline of their class. It uses a median, which a few attempts at failed servers do not shift.
 type Gauge struct {
-	followed        [maxFollowed]attempt // a ring, in order of their starts
-	next            int                  // place in the ring
-	allClasses      baseline             // of durations over their class's factor
-	classes         []baseline           // by number
-	updatedAt       float64
-	recent          []float64 // scratch space of Update: durations over their baselines
-	stretch         float64   // as of the last update
-	refusedFraction float64   // of the requests of the highest value
+	tracked          [maxTracked]attempt // ring buffer, in order of start
+	next             int                 // index in tracked of the next attempt
+	allClasses       baseline            // of durations divided by the factor of their class
+	classes          []baseline          // by class
+	updatedAt        float64
+	recent           []float64 // scratch space of Update: durations divided by their baselines
+	stretch          float64   // as of the last update
+	rejectedFraction float64   // of the requests of the highest value
 }
 
-// attempt is one that is followed.
+// attempt is a tracked attempt.
 type attempt struct {
 	request     uint32
-	startedAt   float64 // 0 = there is none, or it does not count
+	startedAt   float64 // 0 = empty entry, or the attempt does not count
 	class       int
-	classFactor float64 // usual duration of the class over that of all
-	duration    float64 // until its answer; 0 = it is in flight
+	classFactor float64 // usual duration of the class divided by that of all requests
+	duration    float64 // 0 = still in flight
 }
 
-// newest returns the i-th newest place of the ring, from 0.
-func (g *Gauge) newest(i int) *attempt { return &g.followed[(g.next+maxFollowed-1-i)%maxFollowed] }
+// newest returns the i-th newest entry of the ring buffer, counted from 0.
+func (g *Gauge) newest(i int) *attempt { return &g.tracked[(g.next+maxTracked-1-i)%maxTracked] }
 
-// NewGauge returns one for classes with those latency targets in ms.
+// NewGauge returns a Gauge for classes with the given latency targets in ms.
 func NewGauge(targets []float64) Gauge {
 	g := Gauge{}
 	for _, target := range targets {
@@ -66,10 +66,10 @@
 	return g
 }
 
-// Reconfigure takes the classes of next. from gives, for each of them, the old class whose past it takes over, or -1.
-// Attempts in flight belong to old classes and are not followed any more.
+// Reconfigure replaces the classes by those of next. from gives, for each of them, the index of the old class whose baseline it
+// takes over, or -1. Attempts of the old classes are no longer tracked.
 func (g *Gauge) Reconfigure(next Gauge, from []int) {
-	g.followed = [maxFollowed]attempt{}
+	g.tracked = [maxTracked]attempt{}
 	for i, old := range from {
 		if old >= 0 {
 			target := next.classes[i].target
@@ -80,22 +80,23 @@
 	g.classes = next.classes
 }
 
-// AttemptStarted follows an attempt at a request of a class whose usual duration is classFactor times that of all. Of many in
-// a short time one is followed.
+// AttemptStarted tracks an attempt of a class whose usual duration is classFactor times that of all requests. Attempts that
+// start too soon after the last tracked one are skipped.
 func (g *Gauge) AttemptStarted(now float64, request uint32, class int, classFactor float64) {
 	a := attempt{request: request, startedAt: now, class: class, classFactor: classFactor}
-	every := max(minFollowInterval, memoryMultiple*slowMultiple*g.baselineOf(&a)/maxFollowed)
+	every := max(minTrackInterval, maxAgeMultiple*slowMultiple*g.baselineOf(&a)/maxTracked)
 	if last := g.newest(0); last.startedAt > 0 && now-last.startedAt < every {
 		return
 	}
-	g.followed[g.next] = a
-	g.next = (g.next + 1) % maxFollowed
+	g.tracked[g.next] = a
+	g.next = (g.next + 1) % maxTracked
 }
 
-// AttemptEnded takes note of an attempt's end. One that was neither answered nor given all its time does not count.
+// AttemptEnded records the end of an attempt. completed means that it has had a response or has timed out; other attempts do
+// not count.
 func (g *Gauge) AttemptEnded(now float64, request uint32, completed bool) {
-	for i := range g.followed {
-		a := &g.followed[i]
+	for i := range g.tracked {
+		a := &g.tracked[i]
 		if a.request != request || a.startedAt == 0 || a.duration > 0 {
 			continue
 		}
@@ -110,34 +111,35 @@
 	}
 }
 
-// Stretch is the median of recent durations over their baselines, at least 1, less most of its standard error.
+// Stretch returns the median of recent durations divided by their baselines, less most of its standard error and at least 1.
 func (g *Gauge) Stretch() float64 { return max(1, g.stretch) }
 
-// Baseline is the median duration while servers are free, over all classes, in ms; 0 = not known yet.
+// Baseline returns the median duration in ms at free servers, over all classes; 0 = not known yet.
 func (g *Gauge) Baseline() float64 { return g.allClasses.median }
 
-// String is the gauge's state in key=value, for a log.
+// String returns the gauge's state as key=value pairs for a log line.
 func (g *Gauge) String() string {
-	return fmt.Sprintf("stretch=%.1f baseline_ms=%.0f refused_part=%.2f", g.Stretch(), g.Baseline(), g.refusedFraction)
+	return fmt.Sprintf("stretch=%.1f baseline_ms=%.0f refused_part=%.2f", g.Stretch(), g.Baseline(), g.rejectedFraction)
 }
 
-// Admits reports whether a request of that value, 0 to 1, may be admitted. Of those of the highest value refusedFraction is
-// refused, of others more. Which ones depends on their numbers alone, so that the answer is the same for each server that is
-// looked at, and they are spread evenly.
+// Admits reports whether a request of the given value, 0 to 1, may be admitted. It rejects rejectedFraction of the requests of
+// the highest value and more of the others. The choice depends on the request's ID alone, so that the result is the same for
+// each server considered, and rejections are spread evenly.
 func (g *Gauge) Admits(request uint32, value float64) bool {
-	_, draw := math.Modf(float64(request) * math.Phi)
-	if draw >= g.refusedFraction {
+	_, position := math.Modf(float64(request) * math.Phi)
+	if position >= g.rejectedFraction {
 		return true
 	}
-	admitted := math.Pow(1-g.refusedFraction, 1/math.Pow(max(value, minValue), valueExponent))
-	return draw >= 1-admitted
+	admitted := math.Pow(1-g.rejectedFraction, 1/math.Pow(max(value, minValue), valueExponent))
+	return position >= 1-admitted
 }
 
-// Update judges at now. target is the time in which a usual request has to be done for the tightest latency target.
+// Update recomputes the rejected fraction at now. target is the duration in ms that a usual request may take under the tightest
+// latency target.
 //
-// While answers are slow the part that is refused grows, the quicker the slower they are; once they are not it shrinks
-// steadily, and more slowly while there are too few to judge by. So it goes on growing as long as servers are overloaded, however
-// little they get, and ends by itself.
+// While attempts are slow the rejected fraction grows, the faster the slower they are. Otherwise it shrinks at a constant rate,
+// which is lower if there are too few recent attempts. So it keeps growing as long as servers are overloaded, even if this
+// instance sends them little, and returns to 0 by itself.
 func (g *Gauge) Update(now, target float64) {
 	g.allClasses.target = target
 	slow := g.collectRecent(now)
@@ -146,25 +148,26 @@
 	g.updatedAt = now
 	count := float64(len(g.recent))
 	if len(g.recent) < minRecent {
-		g.refusedFraction = max(0, g.refusedFraction-blindRecoveryRate*seconds)
+		g.rejectedFraction = max(0, g.rejectedFraction-lowSampleRecoveryRate*seconds)
 		return
 	}
 	g.stretch = quantile(0.5-medianErrorFactor/math.Sqrt(count), g.recent)
 	excess := g.stretch / slowMultiple
 	if excess <= 1 {
-		g.refusedFraction = max(0, g.refusedFraction-recoveryRate*seconds)
+		g.rejectedFraction = max(0, g.rejectedFraction-recoveryRate*seconds)
 		return
 	}
 	rate := sheddingRate * (excess - 1) * min(1, count/fullRateRecent)
-	g.refusedFraction = min(1-minAdmittedFraction, 1-(1-g.refusedFraction)*math.Exp(-rate*seconds))
+	g.rejectedFraction = min(1-minAdmittedFraction, 1-(1-g.rejectedFraction)*math.Exp(-rate*seconds))
 }
 
-// collectRecent puts the durations of the newest attempts over their baselines into g.recent; for those in flight it takes their
-// age. Only attempts count that have had the time to be slow: of younger ones the quick answers alone have come. It returns
-// the longest time in ms after which one of them counts as slow: what is refused changes no quicker than answers can show.
+// collectRecent stores the durations of recent attempts, divided by their baselines, in g.recent; the duration of an attempt in
+// flight is its age. Attempts that started too recently to be slow are skipped, since only quick ones among them have ended.
+// It returns the longest time in ms after which one of them counts as slow, which bounds how fast the rejected fraction may
+// change: no faster than responses can show the effect.
 func (g *Gauge) collectRecent(now float64) (longestSlow float64) {
 	g.recent = g.recent[:0]
-	for i := 0; i < maxFollowed && len(g.recent) < maxRecent; i++ {
+	for i := 0; i < maxTracked && len(g.recent) < maxRecent; i++ {
 		a := g.newest(i)
 		if a.startedAt == 0 {
 			continue
@@ -172,7 +175,7 @@
 		baseline := g.baselineOf(a)
 		age := now - a.startedAt
 		slow := slowMultiple * baseline
-		if age < slow || age > max(maxRecentAge, memoryMultiple*slow) {
+		if age < slow || age > max(maxRecentAge, maxAgeMultiple*slow) {
 			continue
 		}
 		duration := a.duration
@@ -185,7 +188,8 @@
 	return longestSlow
 }
 
-// baselineOf is the attempt's duration if servers were free: by its class, or by all while its class has too few answers.
+// baselineOf returns the attempt's expected duration in ms at free servers: the baseline of its class, or that of all classes if
+// its class has too few responses.
 func (g *Gauge) baselineOf(a *attempt) float64 {
 	class := &g.classes[a.class]
 	switch {
@@ -197,7 +201,7 @@
 	return priorBaselineFraction * class.target
 }
 
-// quantile is the q-th quantile of values, which it sorts, or 0 where there are none.
+// quantile returns the q-th quantile of values, or 0 if there are none. It sorts values.
 func quantile(q float64, values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// world plays the answers of one instance.
-type world struct {
+// simulation plays the answers of one instance.
+type simulation struct {
 	gauge       Gauge
 	rng         *rand.Rand
 	now         float64
@@ -18,13 +18,13 @@
 	left        float64
 }
 
-func newWorld(left float64) *world {
-	return &world{gauge: NewGauge([]float64{left}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, left: left}
+func newSimulation(left float64) *simulation {
+	return &simulation{gauge: NewGauge([]float64{left}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, left: left}
 }
 
-// run plays until that time; hung is the part of the attempts that are given up after 5 s. It returns the part that the gauge
+// run plays until that time; hungFraction is the part of the attempts that are given up after 5 s. It returns the part that the gauge
 // would refuse, on average.
-func (w *world) run(until, perMs, baseline, stretch, hung float64) (part float64) {
+func (w *simulation) run(until, perMs, baseline, stretch, hungFraction float64) (part float64) {
 	looks := 0.0
 	for ; w.now < until; w.now += 50 {
 		for n := perMs * 50; n > 0; n-- {
@@ -32,7 +32,7 @@
 				break
 			}
 			took := baseline * stretch * math.Exp(0.6*w.rng.NormFloat64())
-			if w.rng.Float64() < hung {
+			if w.rng.Float64() < hungFraction {
 				took = 5000
 			}
 			w.lastRequest++
@@ -47,7 +47,7 @@
 		}
 		w.gauge.Update(w.now, w.left)
 		looks++
-		part += w.gauge.refusedFraction
+		part += w.gauge.rejectedFraction
 	}
 	return part / looks
 }
@@ -56,7 +56,7 @@
 // servers that is gone for none.
 func TestGaugeSeesOverloadInOwnAnswers(t *testing.T) {
 	for _, perMs := range []float64{0.008, 0.04, 1} { // of one in 6,000 and of one in 4 at the same traffic, about
-		w := newWorld(500)
+		w := newSimulation(500)
 		if part := w.run(60e3, perMs, 200, 1, 0); part > 0.001 {
 			t.Errorf("%g a ms: %.3f are refused while servers are free", perMs, part)
 		}
@@ -77,9 +77,9 @@
 
 // Answers that hang are seen without waiting for them.
 func TestGaugeDoesNotWaitForSlowAnswers(t *testing.T) {
-	w := newWorld(500)
+	w := newSimulation(500)
 	w.run(10e3, 0.02, 200, 1, 0)
-	for w.gauge.refusedFraction < 0.5 && w.now < 20e3 {
+	for w.gauge.rejectedFraction < 0.5 && w.now < 20e3 {
 		w.run(w.now+50, 0.02, 200, 1, 1)
 	}
 	if w.now > 13e3 {
@@ -89,7 +89,7 @@
 
 // A process that starts in the middle of an overload has seen nothing else: only its latency target shows what this is.
 func TestGaugeThatStartsInAnOverload(t *testing.T) {
-	w := newWorld(500)
+	w := newSimulation(500)
 	w.run(3e3, 0.04, 200, 12, 0)
 	if part := w.run(8e3, 0.04, 200, 12, 0); part < 0.85 {
 		t.Errorf("%.3f are refused", part)
@@ -106,13 +106,13 @@
 		"one a second, overloaded":       {0.001, 4, 0.6, 1},
 		"one in ten seconds, overloaded": {0.0001, 4, 0, 0},
 	} {
-		w := newWorld(500)
+		w := newSimulation(500)
 		w.run(10e3, c.perMs, 200, 1, 0)
 		if part := w.run(60e3, c.perMs, 200, c.stretch, 0); part < c.minPart || part > c.maxPart {
 			t.Errorf("%s: %.3f are refused", name, part)
 		}
 	}
-	w := newWorld(500)
+	w := newSimulation(500)
 	w.run(10e3, 0.04, 200, 1, 0)
 	w.run(15e3, 0.04, 200, 5, 0)
 	w.run(28e3, 0, 200, 1, 0)
@@ -123,7 +123,7 @@
 
 // A latency target that leaves little more than answers take at free servers is no overload.
 func TestGaugeWithATightTarget(t *testing.T) {
-	w := newWorld(300)
+	w := newSimulation(300)
 	w.run(5e3, 0.04, 200, 1, 0)
 	if part := w.run(60e3, 0.04, 200, 1, 0); part > 0.005 {
 		t.Errorf("%.3f are refused while servers are free", part)
@@ -136,7 +136,7 @@
 
 // Attempts that wait at overloaded servers do not hide that others answer as usual: each counts once, by its start.
 func TestGaugeForgetsUnansweredAttempts(t *testing.T) {
-	w := newWorld(500)
+	w := newSimulation(500)
 	w.run(10e3, 0.02, 200, 1, 0)
 	for w.now < 11e3 { // all of one second hang for 20 s
 		w.run(w.now+50, 0, 200, 1, 0)
@@ -165,7 +165,7 @@
 // Work of seconds outlives any fixed window: it is seen all the same, by a busy instance and by a quieter one.
 func TestGaugeWithWorkOfSeconds(t *testing.T) {
 	for _, perMs := range []float64{0.001, 0.02} {
-		w := newWorld(20e3)
+		w := newSimulation(20e3)
 		w.run(60e3, perMs, 5000, 1, 0)
 		if part := w.run(200e3, perMs, 5000, 1, 0); part > 0.03 {
 			t.Errorf("%g a ms: %.3f are refused while servers are free", perMs, part)
--- a/policy/internal/overload/probes.go
+++ b/policy/internal/overload/probes.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// Servers that report no load show it all the same where their probes queue with requests: a probe takes as many times its
-// shortest time as the server has requests to work on at once. That needs no count of own requests, which say nothing of
-// what other instances have sent.
+// The load of a server that reports none can be estimated from the duration of its probes if they queue with requests: a
+// probe then takes its shortest duration times the number of requests that the server works on. That includes the requests of
+// other instances, which a count of own requests does not.
 
 const (
-	minTimeDrift = 60e3 // ms in which what counts as the shortest time grows by e: routes and machines change
-	minProbeTime = 0.05 // ms; no clock or network tells shorter probes apart
+	minTimeDrift = 60e3 // ms in which the shortest duration on record grows by a factor of e, since routes and machines change
+	minProbeTime = 0.05 // ms; shorter durations can't be measured reliably
 )
 
-// ProbeTimes keeps the shortest time that probes have taken, by zone: the round trip and the probe at a free server.
+// ProbeTimes holds the shortest duration of a probe by zone, which is that of a probe without queueing. The zero value has none.
 type ProbeTimes struct{ zones map[int]minTime }
 
 type minTime struct{ duration, updatedAt float64 }
 
-// Load is how loaded a server of that zone is by a probe that was answered at now and took duration on a connection that
-// was up. It counts as requests in flight do in reports, in units in which a Model that has learned nothing takes a request to
-// be stretched by the probe's waiting over the shortest time of any zone. It is about 0 where probes don't queue with requests.
+// Load returns the estimated load of a server in the zone by a probe whose response was received at now, after duration on an
+// established connection. It stands for the RIF of a load report. The unit is chosen so that a Model without samples predicts a
+// stretch equal to the probe's queueing time divided by the shortest duration in any zone. It is about 0 if probes do not
+// queue with requests.
 func (p *ProbeTimes) Load(now float64, zone int, duration float64) float64 {
 	if p.zones == nil {
 		p.zones = map[int]minTime{}
--- a/policy/internal/reachability/reachability.go
+++ b/policy/internal/reachability/reachability.go
@@ -1,5 +1,5 @@
-// Package reachability keeps whether a server answers probes and connects, and when it may be probed again. It reads no clock:
-// times are in milliseconds from any fixed origin.
+// Package reachability tracks whether a server responds to probes and accepts connections, and when it may be probed again. It
+// reads no clock: times are in milliseconds from any fixed origin.
 package reachability
 
 import (
@@ -8,18 +8,18 @@
 	"plankrouter/internal/backoff"
 )
 
-// ProbeBackoff is when a server whose probe or connection failed is probed again, in ms: so a server that is down costs next
-// to nothing, and one that is back is found within the bound.
+// ProbeBackoff is the delay in ms before a server whose probe or connection failed is probed again. A server that is down gets
+// few probes, and one that is back is found within Max.
 var ProbeBackoff = backoff.Policy{First: 50, Max: 1000, Factor: 2, Jitter: 0.5}
 
-// State is what is known of one server. The zero value is a server that has not failed.
+// State is the reachability of one server. The zero value is a server that has not failed.
 type State struct {
-	Unreachable         bool // a probe or a connection has failed since the last answer
-	ConsecutiveFailures int  // of probes and connections, until a probe is answered
+	Unreachable         bool // a probe or a connection has failed since the last response
+	ConsecutiveFailures int  // failed probes and connections since the last response to a probe
 	NextProbeAt         float64
 }
 
-// Failed notes that a probe or a connection has failed. Those that were under way together count as one.
+// Failed records that a probe or a connection has failed. Failures before the next probe is due count as one.
 func (s *State) Failed(now float64, rng *rand.Rand) {
 	s.Unreachable = true
 	if now >= s.NextProbeAt {
@@ -28,17 +28,18 @@
 	}
 }
 
-// NotProbed notes that a probe was not sent, which says nothing of the server but would happen again at once.
-func (s *State) NotProbed(now float64) { s.NextProbeAt = now + ProbeBackoff.First }
+// ProbeNotSent records that a probe could not be sent. That says nothing about the server, but delays the next probe, which
+// would fail in the same way now.
+func (s *State) ProbeNotSent(now float64) { s.NextProbeAt = now + ProbeBackoff.First }
 
-// ProbeAnswered notes that a probe was answered.
-func (s *State) ProbeAnswered(now float64) { *s = State{NextProbeAt: now} }
+// ProbeSucceeded records a response to a probe.
+func (s *State) ProbeSucceeded(now float64) { *s = State{NextProbeAt: now} }
 
-// RequestAnswered notes that a request was answered. How probes fare is not changed by it.
-func (s *State) RequestAnswered() { s.Unreachable = false }
+// RequestSucceeded records a successful response to a request. It does not end the backoff of probes.
+func (s *State) RequestSucceeded() { s.Unreachable = false }
 
 // MayProbe reports whether the server may be probed now.
 func (s *State) MayProbe(now float64) bool { return now >= s.NextProbeAt }
 
-// HasFailed reports whether no probe has been answered since one or a connection failed.
+// HasFailed reports whether a probe or a connection has failed since the last response to a probe.
 func (s *State) HasFailed() bool { return s.ConsecutiveFailures > 0 }
--- a/policy/internal/reachability/reachability_test.go
+++ b/policy/internal/reachability/reachability_test.go
@@ -26,15 +26,15 @@
 func TestOnlyAProbeEndsTheBackoff(t *testing.T) {
 	var s State
 	s.Failed(1000, rand.New(rand.NewPCG(1, 0)))
-	s.RequestAnswered()
+	s.RequestSucceeded()
 	if s.Unreachable || !s.HasFailed() {
 		t.Errorf("%+v after an answered request", s)
 	}
-	s.ProbeAnswered(1010)
+	s.ProbeSucceeded(1010)
 	if s.HasFailed() || !s.MayProbe(1010) {
 		t.Errorf("%+v after an answered probe", s)
 	}
-	s.NotProbed(1010)
+	s.ProbeNotSent(1010)
 	if s.Unreachable || s.MayProbe(1011) {
 		t.Errorf("%+v after a probe that was not sent", s)
 	}
--- a/policy/internal/retrybudget/retrybudget.go
+++ b/policy/internal/retrybudget/retrybudget.go
@@ -1,19 +1,19 @@
-// Package retrybudget bounds further attempts, so that retries never become the load.
+// Package retrybudget limits retries to a fraction of the requests, so that they can't overload the servers.
 package retrybudget
 
 const (
-	retriesPerRequest = 0.1  // further attempts that each request earns
-	maxSaved          = 10.0 // further attempts that may be saved up
+	retriesPerRequest = 0.1  // retries added to the budget by each request
+	maxSaved          = 10.0 // upper bound of the budget, in retries
 )
 
-// Budget is the number of further attempts that requests have earned. The zero value is an empty one.
+// Budget is the number of retries that are left. The zero value is an empty budget.
 type Budget float64
 
-// Earn adds what a new request earns.
+// Earn adds the share of a new request.
 func (b *Budget) Earn() { *b = min(maxSaved, *b+retriesPerRequest) }
 
-// Allows reports whether there is one attempt left.
+// Allows reports whether at least one retry is left.
 func (b Budget) Allows() bool { return b >= 1 }
 
-// Take takes one attempt.
+// Take removes one retry from the budget.
 func (b *Budget) Take() { *b-- }
--- a/policy/internal/slowstart/slowstart.go
+++ b/policy/internal/slowstart/slowstart.go
@@ -1,15 +1,15 @@
-// Package slowstart says what all instances together may send to a server that has started a short while ago. It does no
+// Package slowstart limits the requests that all instances together send to a server that has started recently. It does no
 // input or output and reads no clock.
 package slowstart
 
 const (
-	unreportedFraction  = 0.375 // of what overloads a cold server that may be sent without a report of its load: it bears more than it must
-	reportedFraction    = 0.5   // of what overloads it that may be sent where it has reported free capacity
-	allStartingFraction = 0.5   // of the arriving requests, taken for what a fleet of cold servers alone bears when warm
+	unreportedFraction  = 0.375 // fraction of the overload limit that a starting server is sent without a report of free capacity
+	reportedFraction    = 0.5   // the same if it has reported free capacity
+	allStartingFraction = 0.5   // fraction of arriving requests taken as the full capacity of a fleet of starting servers
 )
 
-// Fraction is the part of its capacity that a process of that age bears at least: it grows from initial to 1 within warmUp. A
-// process whose start is not known, as of those that began long ago, bears all.
+// Fraction returns the lowest fraction of its full capacity that a process of the given age has. It grows linearly from initial
+// to 1 within warmUp. A process whose start is not known is taken to have started long ago, and has its full capacity.
 func Fraction(age float64, startKnown bool, initial, warmUp float64) float64 {
 	if !startKnown || warmUp <= 0 {
 		return 1
@@ -17,15 +17,16 @@
 	return min(1, initial+(1-initial)*max(0, age/warmUp))
 }
 
-// Rate is what of a fleet's requests a millisecond may go to a cold server, over the number of servers: a warm server's part,
-// times the fraction that it must bear by now, where overloadMultiple times that overloads it. sent and arriving are the rates
-// of requests that are sent on and that come. All instances together send that to it, give or take chance: their buckets start
-// as full as they are at any moment.
+// Rate returns the rate at which one instance may send requests to a starting server, multiplied by the number of servers. It is
+// the rate of a warm server, reduced to the fraction of its capacity that the server has now or, if that is more, to a safe part
+// of the overload limit, which is overloadMultiple times that fraction. sent and arriving are the instance's rates of
+// attempts and of arriving requests, per millisecond. Over all instances the rates add up to the server's limit, apart from
+// random variation, because their token buckets start at random levels.
 //
-// A server that has just reported free capacity gets more: reportedFraction of what overloads it is safe, and no more reaches it than
-// it can do.
+// A server that has just reported free capacity gets more: reportedFraction of the overload limit is safe then, since it is not
+// sent more than it can process.
 func Rate(fraction, overloadMultiple float64, hasCapacity bool, sent, arriving float64) float64 {
-	safe, rate := unreportedFraction, max(sent, allStartingFraction*arriving) // a fleet of cold servers alone gets some
+	safe, rate := unreportedFraction, max(sent, allStartingFraction*arriving) // not 0 if all servers are starting
 	if hasCapacity {
 		safe, rate = reportedFraction, max(rate, arriving)
 	}
--- a/policy/internal/stats/stats.go
+++ b/policy/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats holds the averages and quantiles that decisions rest on. It reads no clock: times are in milliseconds from
-// any fixed origin.
+// Package stats has the moving averages and quantiles used by the policy. It reads no clock: times are in milliseconds
+// from any fixed origin.
 package stats
 
 import (
@@ -8,22 +8,22 @@
 )
 
 const (
-	rateMemory    = 2000.0 // ms in which an event's weight in a rate falls by e
-	successMemory = 0.9    // weight that each new outcome leaves to those before it in a success rate
+	rateDecayTime = 2000.0 // ms in which an event's weight in a rate decays by a factor of e
+	successDecay  = 0.9    // factor by which each new outcome reduces the weight of earlier ones in a success rate
 )
 
-// Rate is how often something happens, exponentially weighted: Value is the faded count of events at At.
+// Rate is the exponentially weighted rate of an event: Value is the decayed count of events at time At.
 type Rate struct{ Value, At float64 }
 
 // Add counts an event at now.
 func (r *Rate) Add(now float64) {
-	r.Value = r.Value*math.Exp((r.At-now)/rateMemory) + 1
+	r.Value = r.Value*math.Exp((r.At-now)/rateDecayTime) + 1
 	r.At = now
 }
 
-// PerMs is the rate at now.
+// PerMs returns the number of events per millisecond at now.
 func (r *Rate) PerMs(now float64) float64 {
-	return r.Value * math.Exp((r.At-now)/rateMemory) / rateMemory
+	return r.Value * math.Exp((r.At-now)/rateDecayTime) / rateDecayTime
 }
 
 // SuccessRate is the fraction of recent trials that succeeded, exponentially weighted.
@@ -31,13 +31,13 @@
 
 // Add counts a trial.
 func (r *SuccessRate) Add(success bool) {
-	*r *= successMemory
+	*r *= successDecay
 	if success {
-		*r += 1 - successMemory
+		*r += 1 - successDecay
 	}
 }
 
-// Quantile is the q-th quantile of values, which it sorts, or none where there are no values.
+// Quantile returns the q-th quantile of values, or none if there are no values. It sorts values.
 func Quantile(q float64, values []float64, none float64) float64 {
 	if len(values) == 0 {
 		return none
@@ -46,10 +46,10 @@
 	return values[int(q*float64(len(values)-1))]
 }
 
-// Window holds the newest samples, up to a number of them.
+// Window holds the newest samples. The zero value is empty.
 type Window struct{ samples []float64 }
 
-// Add takes a sample, for which the oldest leaves where there are more than maxSamples.
+// Add adds a sample and, if there are then more than maxSamples, removes the oldest.
 func (w *Window) Add(sample float64, maxSamples int) {
 	w.samples = append(w.samples, sample)
 	if len(w.samples) > maxSamples {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Quantile is the q-th quantile of the samples, or 0 where there are none.
+// Quantile returns the q-th quantile of the samples, or 0 if there are none.
 func (w *Window) Quantile(q float64) float64 { return Quantile(q, slices.Clone(w.samples), 0) }
 
-// Len is the number of samples.
+// Len returns the number of samples.
 func (w *Window) Len() int { return len(w.samples) }
--- a/policy/internal/stats/stats_test.go
+++ b/policy/internal/stats/stats_test.go
@@ -13,7 +13,7 @@
 	if got := r.PerMs(20e3); math.Abs(got-0.1) > 0.001 {
 		t.Errorf("%g a ms, want 0.1", got)
 	}
-	if got := r.PerMs(20e3 + rateMemory); math.Abs(got-0.1/math.E) > 0.001 {
+	if got := r.PerMs(20e3 + rateDecayTime); math.Abs(got-0.1/math.E) > 0.001 {
 		t.Errorf("%g a ms after the memory's time without events", got)
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -3,14 +3,14 @@
 import "cmp"
 
 const (
-	priorServiceTime = 50.0 // ms of service time assumed before any report or answer
-	latencySmoothing = 0.3  // part of the way that an unreported service time moves with an answer
-	startupPeriod    = 1500 // ms from the start in which only quick requests have been answered, so that samples mislead
-	maxSampleRatio   = 10   // of a response to the service time: longer ones count as this
+	priorServiceTime = 50.0 // ms; service time assumed before any report or response
+	latencySmoothing = 0.3  // weight of a new response in the moving average of a service time that is not reported
+	startupPeriod    = 1500 // ms after the start in which samples are ignored: the first responses are those of quick requests
+	maxSampleRatio   = 10   // upper bound of a sample's ratio of response time to service time
 )
 
-// serviceTime is the expected time of a request at the server, without waiting. Without probes a request chooses among
-// servers that have not reported yet, too, and the fleet's median stands for those.
+// serviceTime returns the expected processing time of a request at the server, without queueing. Without probes a request may
+// also be sent to servers that have not reported yet, for which the median of the others is assumed.
 func (b *Balancer) serviceTime(s *server) Ms {
 	if !b.cfg.Probes && b.latencyReported {
 		return cmp.Or(s.latency, b.fleetLatency, priorServiceTime)
@@ -18,21 +18,22 @@
 	return cmp.Or(s.latency, b.gauge.Baseline(), priorServiceTime)
 }
 
-// expectedLatency is the response time that a request sent to s with rif in flight should see.
+// expectedLatency returns the expected response time of a request of the class at s while rif others are in flight there.
 func (b *Balancer) expectedLatency(s *server, class int, rif float64) Ms {
 	return b.serviceTime(s)*b.loadModel.ClassFactor(class)*b.loadModel.Stretch(rif+1) + s.roundTrip
 }
 
-// overdueFor is for how long at least a server has owed an answer, where only answers show service times.
+// overdueFor returns the time since the server's last response while it has attempts in flight. It is 0 if service times are
+// known from load reports in probe responses.
 func (b *Balancer) overdueFor(s *server) Ms {
 	if s.inFlight == 0 || b.latencyReported && b.cfg.Probes {
 		return 0
 	}
-	return b.now - s.silentSince
+	return b.now - s.noResponseSince
 }
 
-// recordDuration learns from the duration of an attempt, which was answered or given up.
-func (b *Balancer) recordDuration(s *server, r *request, elapsed Ms, answered bool) {
+// recordDuration adds the duration of an attempt, which has succeeded or timed out, to the estimates of service time and load.
+func (b *Balancer) recordDuration(s *server, r *request, elapsed Ms, succeeded bool) {
 	if !s.latencyReported {
 		b.learnServiceTime(s, r, elapsed)
 	}
@@ -41,15 +42,15 @@
 		return
 	}
 	ratio := min(maxSampleRatio, max(0, elapsed-s.roundTrip)/r.sentServiceTime)
-	b.loadModel.Add(r.class, r.sentRIF+1, ratio, answered)
+	b.loadModel.Add(r.class, r.sentRIF+1, ratio, succeeded)
 	if !b.latencyReported {
 		b.loadModel.Normalize()
 	}
 }
 
-// learnServiceTime estimates the service time of a server that does not report it. Where no server does, the estimate leaves
-// out the waiting that the load model expects, and the request is compared with the fleet's baseline: a server's own
-// service time and its waiting show as a product only.
+// learnServiceTime updates the estimated service time of a server that does not report it. If no server does, the queueing
+// expected by the load model is divided out first, and sentServiceTime becomes the baseline of all servers: a server's
+// service time and its queueing can be observed only as a product.
 func (b *Balancer) learnServiceTime(s *server, r *request, elapsed Ms) {
 	serviceTime := elapsed
 	if r != nil && !b.latencyReported {
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -6,9 +6,9 @@
 	"plankrouter/policy/internal/probepool"
 )
 
-// newFleetWithoutProbes is newFleetOfOthers where no probes are allowed: only answers show how servers are.
-func newFleetWithoutProbes(t *testing.T, servers int) *fleetOfOthers {
-	f := newFleetOfOthers(t, servers, 300, false)
+// newSharedFleetWithoutProbes is newSharedFleet where no probes are allowed: only answers show how servers are.
+func newSharedFleetWithoutProbes(t *testing.T, servers int) *sharedFleet {
+	f := newSharedFleet(t, servers, 300, false)
 	f.balancer.cfg.Probes = false
 	return f
 }
@@ -16,7 +16,7 @@
 // Where only answers show how servers are, requests keep away from those that are known to be slow, though at random half of them
 // would go there.
 func TestSlowServersGetLessWithoutProbes(t *testing.T) {
-	f := newFleetWithoutProbes(t, 20)
+	f := newSharedFleetWithoutProbes(t, 20)
 	f.slow = 10
 	f.run(20e3)
 	f.sentTo = map[ServerID]int{}
@@ -43,7 +43,7 @@
 	g.balancer.byID[2].inFlight = 0
 	g.now += 300
 	g.tick()
-	r := &request{objectiveAt: g.now + 400, answerBy: g.now + 900}
+	r := &request{objectiveAt: g.now + 400, respondBy: g.now + 900}
 	if got := g.balancer.pickCost(g.balancer.byID[1], r); got < 300 {
 		t.Errorf("a cost of %.0f ms by a server that has owed an answer for 300 ms", got)
 	}
@@ -69,7 +69,7 @@
 	g.balancer.pool = probepool.Pool[*server]{}
 	for id, s := range g.balancer.byID {
 		if s.reportedAt = never; id < 20 {
-			s.rif, s.inFlight, s.silentSince = 60, 60, g.now
+			s.rif, s.inFlight, s.noResponseSince = 60, 60, g.now
 		}
 	}
 	for id := range RequestID(20) {
@@ -100,7 +100,7 @@
 // A class whose latency target is 1.5 times its work is admitted while servers are free, also where they report nothing.
 func TestTightTargetsAreAdmitted(t *testing.T) {
 	for name, probes := range map[string]bool{"probes": true, "no probes": false} {
-		f := newFleetOfOthers(t, 40, 300, false)
+		f := newSharedFleet(t, 40, 300, false)
 		f.balancer.cfg.Probes = probes
 		cfg := f.balancer.cfg
 		for i := range cfg.Classes {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,41 +5,42 @@
 	"plankrouter/policy/internal/stats"
 )
 
-// Outlier detection goes by own outcomes and missing answers, whatever the reports and the list say of a server.
+// Outlier detection ejects servers by the outcomes of own requests, by missing responses and by reported error rates.
 const (
-	failedProbeWeight = 0.5  // of a failed probe, in failures
-	ejectionThreshold = 0.5  // failure rate above the fleet's median from which a server is ejected
-	minAnswerFraction = 0.25 // of the tightest latency objective: no shorter answer is expected
+	failedProbeWeight   = 0.5  // weight of a failed probe, in failed requests
+	ejectionThreshold   = 0.5  // failure rate above the fleet's median from which a server is ejected
+	minResponseFraction = 0.25 // lower bound of the expected response time, as a fraction of the tightest latency objective
 )
 
-// isUnreachable reports whether the server is no first choice because it could not be reached. Without probes that
-// ends with the wait, since only a request can find it back then.
+// isUnreachable reports whether the last connection to the server, or probe of it, has failed, so that other servers are
+// preferred. Without probes that ends with the backoff, since only a request can show that the server is back.
 func (b *Balancer) isUnreachable(s *server) bool {
 	return s.reachability.Unreachable && (b.cfg.Probes || !s.reachability.MayProbe(b.now))
 }
 
-// isSilent reports whether the server has owed answers for far longer than expected.
-func (b *Balancer) isSilent(s *server) bool {
-	answer := max(s.expectedLatency, minAnswerFraction*b.minObjective)
-	return outlier.IsSilent(s.inFlight, b.now-s.silentSince, answer)
+// isUnresponsive reports whether the server has attempts in flight and has sent no response for far longer than expected.
+func (b *Balancer) isUnresponsive(s *server) bool {
+	expected := max(s.expectedLatency, minResponseFraction*b.minObjective)
+	return outlier.IsUnresponsive(s.inFlight, b.now-s.noResponseSince, expected)
 }
 
-// failureRate is the probability that the server fails a request, by own outcomes or by its own report.
+// failureRate returns the probability that the server fails a request: the higher of the rates by own outcomes and by its
+// last load report, or 1 if it is unresponsive.
 func (b *Balancer) failureRate(s *server) float64 {
-	if b.isSilent(s) {
+	if b.isUnresponsive(s) {
 		return 1
 	}
 	return max(s.outcomesByTenant.FailureRate(b.now, outlier.AllTenants), s.reportedErrorRate*outlier.Decay(b.now-s.reportedAt))
 }
 
-// failureRateAboveMedian is how much likelier a server fails than the median one: trouble that most servers share
-// ejects none.
+// failureRateAboveMedian returns by how much the server's failure rate exceeds the fleet's median, so that a fault common to
+// most servers ejects none.
 func (b *Balancer) failureRateAboveMedian(s *server) float64 {
 	return max(0, b.failureRate(s)-b.medianFailureRate)
 }
 
-// isEjected reports whether outlier detection keeps requests from the server. An idle one gets a trial as soon as its
-// own failure rate has faded.
+// isEjected reports whether outlier detection keeps requests from the server. A server without own attempts in flight is
+// retried as soon as its own failure rate has decayed below the threshold.
 func (b *Balancer) isEjected(s *server) bool {
 	return b.failureRateAboveMedian(s) >= ejectionThreshold && (s.inFlight > 0 || b.failureRate(s) >= ejectionThreshold)
 }
@@ -64,13 +65,13 @@
 	b.fleetLatency = stats.Quantile(0.5, latencies, b.fleetLatency)
 }
 
-// updateEjections logs which servers are ejected and which are not any more.
+// updateEjections records and logs which servers have been ejected and which are no longer ejected.
 func (b *Balancer) updateEjections() {
 	for _, s := range b.servers {
 		ejected := b.failureRateAboveMedian(s) >= ejectionThreshold
 		if ejected != s.ejected {
 			s.ejected = ejected
-			b.logf("server=%d ejected=%t silent=%t failure_rate=%.2f", s.info.ID, ejected, b.isSilent(s), b.failureRate(s))
+			b.logf("server=%d ejected=%t silent=%t failure_rate=%.2f", s.info.ID, ejected, b.isUnresponsive(s), b.failureRate(s))
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,9 +7,9 @@
 	"plankrouter/policy/internal/outlier"
 )
 
-// sendPastIdleServer plays so many requests with six servers, of which server 4 always looks idle, and returns how many went
-// there first. endAtIdle ends an attempt there, if it is to end; the others are answered.
-func sendPastIdleServer(t *testing.T, requests int, endAtIdle func(g *rig, id RequestID)) (toIdle int) {
+// sendWithIdleServer plays so many requests with six servers, of which server 4 always looks idle, and returns how many went
+// there first. endIdleAttempt ends an attempt there, if it is to end; the others are answered.
+func sendWithIdleServer(t *testing.T, requests int, endIdleAttempt func(g *rig, id RequestID)) (toIdle int) {
 	t.Helper()
 	const idle = 4
 	g := newRig(t, testConfig(), 6)
@@ -21,7 +21,7 @@
 		case attempt == nil:
 		case attempt.Server == idle:
 			toIdle++
-			endAtIdle(g, id)
+			endIdleAttempt(g, id)
 		default:
 			g.done(id, 0, attempt.Server, OK)
 		}
@@ -30,14 +30,14 @@
 }
 
 func TestFastFailingServerIsEjected(t *testing.T) {
-	failed := sendPastIdleServer(t, 300, func(g *rig, id RequestID) { g.done(id, 0, 4, Failed) })
+	failed := sendWithIdleServer(t, 300, func(g *rig, id RequestID) { g.done(id, 0, 4, Failed) })
 	if failed > 30 {
 		t.Errorf("%d of 300 requests went to the failing server", failed)
 	}
 }
 
 func TestSilentServerIsEjected(t *testing.T) {
-	unanswered := sendPastIdleServer(t, 200, func(*rig, RequestID) {})
+	unanswered := sendWithIdleServer(t, 200, func(*rig, RequestID) {})
 	if unanswered > 40 {
 		t.Errorf("%d of 200 requests went to the silent server", unanswered)
 	}
@@ -45,7 +45,7 @@
 
 // A server that declines requests answers fast and looks idle.
 func TestDecliningServerGetsFewRequests(t *testing.T) {
-	declined := sendPastIdleServer(t, 100, func(g *rig, id RequestID) {
+	declined := sendWithIdleServer(t, 100, func(g *rig, id RequestID) {
 		if next := find(g.done(id, 0, 4, Declined), StartAttempt); next != nil {
 			g.done(id, 1, next.Server, OK)
 		}
@@ -89,7 +89,7 @@
 	g := newRig(t, cfg, 4)
 	s := g.balancer.byID[1]
 	for i := range 12 {
-		r := &request{id: RequestID(i + 1), tenant: 1 + i%4/3, inFlight: true, answerBy: g.now + 900} // the second's is every fourth
+		r := &request{id: RequestID(i + 1), tenant: 1 + i%4/3, inFlight: true, respondBy: g.now + 900} // the second's is every fourth
 		g.balancer.requests[r.id] = r
 		g.do(Event{Kind: AttemptEnded, Request: r.id, Server: 1, Status: []Status{OK, Declined}[r.tenant-1], Elapsed: 40, Final: true})
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fleetOfOthers plays one instance of many, with servers that report nothing and are all as slow as the others make them.
-type fleetOfOthers struct {
+// sharedFleet plays one instance of many, with servers that report nothing and are all as slow as the others make them.
+type sharedFleet struct {
 	*rig
 	rng     *rand.Rand
 	stretch float64
@@ -28,14 +28,14 @@
 	event Event
 }
 
-func newFleetOfOthers(t *testing.T, servers, instances int, queues bool) *fleetOfOthers {
+func newSharedFleet(t *testing.T, servers, instances int, queues bool) *sharedFleet {
 	cfg := testConfig()
 	cfg.Instances, cfg.ProbeCost, cfg.WastedWorkCost = instances, 0.01, 0.05
 	b, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleetOfOthers{
+	f := &sharedFleet{
 		rig: &rig{test: t, balancer: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, queues: queues,
 		every: 50,
 	}
@@ -45,12 +45,12 @@
 }
 
 // list gives it a list of that many servers and no others.
-func (f *fleetOfOthers) list(servers int) {
+func (f *sharedFleet) list(servers int) {
 	list := readyServers(servers)
 	f.act(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
 }
 
-func (f *fleetOfOthers) act(acts []Action) {
+func (f *sharedFleet) act(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case SendProbe:
@@ -89,7 +89,7 @@
 }
 
 // times is how much longer that server takes than others.
-func (f *fleetOfOthers) times(s ServerID) float64 {
+func (f *sharedFleet) times(s ServerID) float64 {
 	if s <= f.slow {
 		return 4
 	}
@@ -97,7 +97,7 @@
 }
 
 // run plays until that time and returns the part of the requests that were sent somewhere.
-func (f *fleetOfOthers) run(until Ms) float64 {
+func (f *sharedFleet) run(until Ms) float64 {
 	arrived, arrive, was := 0, f.now, f.sent
 	for f.now < until {
 		next := -1
@@ -138,7 +138,7 @@
 		"settings say four times as many":         {false, 1200},
 		"settings say a quarter of the instances": {false, 75},
 	} {
-		f := newFleetOfOthers(t, 40, c.instances, c.queues)
+		f := newSharedFleet(t, 40, c.instances, c.queues)
 		f.run(10e3)
 		if part := f.run(20e3); part < 0.97 {
 			t.Errorf("%s: %.2f are admitted while all is well", name, part)
@@ -158,7 +158,7 @@
 
 // Where servers report no load, the time of a probe in their queue shows which of them is overloaded.
 func TestProbeTimesShowTheLoad(t *testing.T) {
-	f := newFleetOfOthers(t, 2, 300, true)
+	f := newSharedFleet(t, 2, 300, true)
 	f.run(3e3)
 	overloaded, free := f.balancer.byID[1], f.balancer.byID[2]
 	overloaded.inFlight, free.inFlight = 0, 0 // own requests count as well
@@ -167,7 +167,7 @@
 	if overloaded.rif < 20 || free.rif > 1 {
 		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", overloaded.rif, free.rif)
 	}
-	r := &request{class: 2, objectiveAt: f.balancer.now + 400, answerBy: f.balancer.now + 900}
+	r := &request{class: 2, objectiveAt: f.balancer.now + 400, respondBy: f.balancer.now + 900}
 	if s := f.balancer.pick(r); s != free {
 		t.Errorf("the overloaded server is picked")
 	}
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	recentReportAge     = 3000 // ms after a report in which a random pick prefers the server
-	rifCostFraction     = 0.2  // added part of the expected latency when all places are taken: breaks ties
-	crossZoneCostFactor = 8.0  // latency objectives that an attempt in another zone counts as, times Config.CrossZoneCost
-	failureCostFactor   = 2.0  // latency objectives that a failure counts as, times its probability
-	minPoolChoices      = 2    // usable entries below which the pool alone does not decide
+	recentReportAge     = 3000 // ms after its last report in which a random pick prefers a server
+	rifCostFraction     = 0.2  // fraction of the expected latency added to the cost at full concurrency: breaks ties
+	crossZoneCostFactor = 8.0  // cost of an attempt in another zone, in latency objectives per unit of Config.CrossZoneCost
+	failureCostFactor   = 2.0  // cost of a certain failure, in latency objectives
+	minPoolChoices      = 2    // usable pool entries needed to pick from the pool alone
 )
 
-// preference orders servers for a random draw, which is among those of the highest preference that any server has.
+// preference ranks servers for a random pick, which chooses among those with the highest preference found.
 type preference int
 
 const (
-	pickForbidden   preference = iota // by the rules
-	pickEjected                       // by outlier detection: better than no server
+	pickForbidden   preference = iota // not eligible
+	pickEjected                       // ejected by outlier detection; still better than no server
 	pickFailed                        // the last attempt failed there, or it is unreachable
 	pickReportedOld                   // its last report is older than recentReportAge
 	pickReported
-	pickSlowStarting // in slow start while this instance still has budget for it: rare, and no other instance may be able to
+	pickSlowStarting // in slow start, and this instance has budget for it: a rare chance, which other instances may not have
 )
 
-// pickCost compares cold servers: the expected response time plus, as time, likely failures and zone crossings.
+// pickCost returns the cost by which cold servers are compared: the expected response time in ms, plus the costs of a likely
+// failure and of crossing zones, converted to ms.
 func (b *Balancer) pickCost(s *server, r *request) float64 {
 	objective := b.cfg.Classes[r.class].LatencyObjective
 	latency := max(b.overdueFor(s), b.expectedLatency(s, r.class, s.rif))
@@ -39,7 +40,8 @@
 	return cost + b.failureRateAboveMedian(s)*failureCostFactor*objective
 }
 
-// isBetter is the hot-cold rule: cold before hot, cold servers by cost, hot ones by RIF.
+// isBetter reports whether x is better than y by the hot-cold rule: cold servers come before hot ones, cold servers are
+// compared by cost and hot ones by RIF.
 func (b *Balancer) isBetter(x, y *server, r *request) bool {
 	xHot := x.rif > b.hotRIF
 	yHot := y.rif > b.hotRIF
@@ -52,13 +54,13 @@
 	return b.pickCost(x, r) < b.pickCost(y, r)
 }
 
-// isEligible reports whether the rules of the list, of retries and of slow start let the server have this request.
+// isEligible reports whether the server list, the retry rules and slow start allow sending this request to the server.
 func (b *Balancer) isEligible(s *server, r *request) bool {
 	return s.info.Health == Ready && b.mayRetryAt(s, r) && b.hasSlowStartBudget(s) &&
 		(!b.isListStale() || b.now-s.probeSentAt < b.cfg.ProbeValidity)
 }
 
-// bestInPool is the pool's choice by the hot-cold rule among the usable entries, and how many of those there are.
+// bestInPool returns the best server among the usable pool entries by the hot-cold rule, and the number of usable entries.
 func (b *Balancer) bestInPool(r *request) (best *server, usable int) {
 	return b.pool.Best(
 		func(s *server) bool { return s != r.failedServer && b.isEligible(s, r) && b.acceptsTenant(s, r) },
@@ -66,8 +68,8 @@
 	)
 }
 
-// pick is the pool's choice, or a random server where the pool has too few usable entries. One entry is enough for a retry
-// and for a request that has waited for probes.
+// pick returns the pool's choice, or a random server if the pool has too few usable entries; nil if no server is eligible.
+// One entry is enough for a retry and for a request that has waited for probes.
 func (b *Balancer) pick(r *request) *server {
 	best, usable := b.bestInPool(r)
 	if usable >= minPoolChoices || usable == 1 && (r.attempts > 0 || r.probeWaits > 0) {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	maxPoolAge            = 1000.0 // ms that an entry of the pool may be old; Prequal's limit
-	maxServiceTimes       = 2.0    // median service times that it may be old: by then most of what was in flight has left
-	minPoolRounds         = 4      // rounds that it may be old in any case
-	removalFraction       = 0.25   // of the rate of probes, at which entries are removed: the pool must not run dry
-	hotQuantile           = 0.6    // of RIF, past which servers are hot; low in Prequal's range, since reported latency lags
-	maxRIFSamples         = 64     // newest reports behind that quantile
-	idleProbeInterval     = 1000   // ms without any probe after which one is sent: an idle instance learns nothing else
-	recoveryProbesPerTick = 2      // probes of servers that failed to answer one: no request is needed to find them back
-	maxProbeDebt          = 10.0   // probes that may be borrowed, where they are limited, before a refusal
-	maxProbeWaits         = 2      // waits for probes for each attempt
-	probeWaitFraction     = 0.05   // of the tightest latency objective that one of them may take
-	minProbeWaitRounds    = 2      // rounds that one of them takes at least
-	minWaitsLeft          = 2      // times a wait that a request must have left to wait at all
+	maxPoolAge            = 1000.0 // ms; maximum age of a pool entry in Prequal
+	maxServiceTimes       = 2.0    // the same in median service times: by then most requests it counted have ended
+	minPoolRounds         = 4      // lower bound of that age in units of Config.Round
+	removalFraction       = 0.25   // pool entries removed for each probe sent; more would empty the pool
+	hotQuantile           = 0.6    // quantile of RIF above which servers are hot; low in Prequal's range as latency lags
+	maxRIFSamples         = 64     // number of newest reports for that quantile
+	idleProbeInterval     = 1000   // ms without any probe after which one is sent: an idle instance gets no other load reports
+	recoveryProbesPerTick = 2      // maximum probes of failed servers per tick: they are found again without any request
+	maxProbeDebt          = 10.0   // maximum number of probes borrowed, if probes are limited, before a request is rejected
+	maxProbeWaits         = 2      // maximum number of waits for probes before each attempt
+	probeWaitFraction     = 0.05   // duration of a wait as a fraction of the tightest latency objective
+	minProbeWaitRounds    = 2      // lower bound of that duration in units of Config.Round
+	minWaitsLeft          = 2      // a request waits only if it has at least this many waits left until its deadline
 )
 
 func (b *Balancer) onProbeEnded(e *Event) {
@@ -33,7 +33,7 @@
 	}
 	s.probeInFlight = false
 	if e.Status == NotSent {
-		s.reachability.NotProbed(b.now)
+		s.reachability.ProbeNotSent(b.now)
 		return
 	}
 	b.pool.Remove(s)
@@ -42,7 +42,7 @@
 		load = b.probeTimes.Load(b.now, s.info.Zone, e.Elapsed-e.ConnectTime)
 	}
 	if !s.isLocal() {
-		b.capacityElsewhere.Add(e.Status == OK && load < b.loadModel.Concurrency())
+		b.otherZonesCapacity.Add(e.Status == OK && load < b.loadModel.Concurrency())
 	}
 	if e.Status != OK {
 		s.reachability.Failed(b.now, b.rng)
@@ -51,23 +51,24 @@
 		}
 		return
 	}
-	s.reachability.ProbeAnswered(b.now)
+	s.reachability.ProbeSucceeded(b.now)
 	s.probeSentAt = e.ProbeSentAt
 	if s.roundTrip == 0 || e.Elapsed < s.roundTrip {
 		s.roundTrip = e.Elapsed
 	}
 	b.applyReport(s, &e.Report, load)
 	for _, r := range slices.Clone(b.waitingForProbes) {
-		r.answersMissing--
-		if r.answersMissing <= 0 {
+		r.responsesPending--
+		if r.responsesPending <= 0 {
 			b.resume(r)
 		}
 	}
 }
 
-// applyReport takes a server's load report, from the answer to a probe or to a request.
+// applyReport updates a server's state by a load report from the response to a probe or to a request. load is the RIF
+// reported, or estimated if the report has none.
 func (b *Balancer) applyReport(s *server, report *Report, load float64) {
-	s.rif = max(load, float64(s.inFlight)) // own requests on their way are in no report yet
+	s.rif = max(load, float64(s.inFlight)) // the report does not count own requests that had not arrived yet
 	s.reportedAt = b.now
 	if report.HasRIF {
 		b.traffic.AddReport(float64(b.inFlight)/float64(max(1, b.readyCount)), report.RIF)
@@ -79,30 +80,30 @@
 	}
 	b.recentRIFs.Add(s.rif, maxRIFSamples)
 	b.hotRIF = b.recentRIFs.Quantile(hotQuantile)
-	if report.HasErrors { // against what it answers in its service time, by Little's law
+	if report.HasErrors { // over the rate of its responses, which by Little's law is RIF / service time
 		s.reportedErrorRate = report.Errors / (report.Errors + 1000*(s.rif+1)/b.serviceTime(s))
 	}
 	if s.info.Health == Ready {
-		uses := probing.Uses(probepool.Size, b.readyCount, b.probesPerRequest, removalFraction)
-		b.pool.Add(s, b.now, int(uses+b.rng.Float64())) // randomly rounded
+		uses := probing.UsesPerEntry(probepool.Size, b.readyCount, b.probesPerRequest, removalFraction)
+		b.pool.Add(s, b.now, int(uses+b.rng.Float64())) // rounded at random, so that the mean is exact
 	}
 }
 
-// waitForProbes is Prequal's synchronous mode, for a pool that is short: the request waits for all but one of its own
-// probes. Up to debt they may be borrowed from later requests: one that is about to be refused needs them more. It
-// reports whether the request waits.
+// waitForProbes is Prequal's synchronous mode, for a pool with too few usable entries: the request sends probes and waits
+// for the responses to all but one of them. Up to debt probes may be borrowed from later requests, as a request that is about
+// to be rejected needs them more. It reports whether the request waits.
 func (b *Balancer) waitForProbes(r *request, debt float64, urgent bool) bool {
 	wait := max(minProbeWaitRounds*b.cfg.Round, probeWaitFraction*b.minObjective)
-	if b.readyCount < 2 || r.probeWaits >= maxProbeWaits || r.answerBy-b.now < minWaitsLeft*wait {
+	if b.readyCount < 2 || r.probeWaits >= maxProbeWaits || r.respondBy-b.now < minWaitsLeft*wait {
 		return false
 	}
 	limited := b.reportsSparse || probing.AreCostly(b.cfg.ProbeCost)
-	n := probing.ToAwait(b.probeCredit+debt, limited, urgent)
+	n := probing.ProbesToAwait(b.probeCredit+debt, limited, urgent)
 	if limited {
 		b.probeCredit = max(b.probeCredit-float64(n), -maxProbeDebt)
 	}
-	r.answersMissing = b.probeRandom(n, b.candidateCount(r.probeWaits > 0)) - 1
-	if r.answersMissing <= 0 {
+	r.responsesPending = b.probeRandom(n, b.candidateCount(r.probeWaits > 0)) - 1
+	if r.responsesPending <= 0 {
 		return false
 	}
 	r.probeWaits++
@@ -112,11 +113,11 @@
 	return true
 }
 
-// resume goes on with a request that has waited for probes.
+// resume ends a request's wait for probes and sends or rejects it.
 func (b *Balancer) resume(r *request) {
 	b.stopWaiting(r)
 	if !r.done {
-		b.sendOrRefuse(r)
+		b.sendOrReject(r)
 	}
 }
 
@@ -124,21 +125,21 @@
 	b.waitingForProbes = slices.DeleteFunc(b.waitingForProbes, func(waiting *request) bool { return waiting == r })
 }
 
-// subsetSize is the number of servers to choose among.
+// subsetSize returns the number of servers in this instance's subset.
 func (b *Balancer) subsetSize() int { return subset.Size(b.readyCount, b.cfg.Instances) }
 
-// candidateCount is the number of servers to probe among: those of the preferred zone, or of all zones if asked for or if
-// the preferred one is full and others are not.
+// candidateCount returns the number of servers, in order of rank, from which probe targets are drawn: those of the preferred
+// zone, or of all zones if asked for or if the preferred zone is at its capacity and other zones are not.
 func (b *Balancer) candidateCount(allZones bool) int {
 	local := min(b.subsetSize(), max(subset.MinSize, b.localCount))
-	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.capacityElsewhere) {
+	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.otherZonesCapacity) {
 		return min(b.readyCount, local+min(b.subsetSize(), b.readyCount-b.localCount))
 	}
 	return local
 }
 
-// probeRandom probes n random servers among the first ones by rank, and returns how many it found. A server in slow start
-// does not count among those, as it is no substitute for another.
+// probeRandom probes up to n random servers of the first among servers in order of rank, and returns the number of servers
+// drawn. A server in slow start may be drawn in addition to those, as it can't replace another server yet.
 func (b *Balancer) probeRandom(n, among int) int {
 	var candidates []*server
 	for _, s := range b.servers {
@@ -153,18 +154,18 @@
 	drawn := draw.WithoutReplacement(b.rng, candidates, n)
 	for _, s := range drawn {
 		b.probe(s)
-		b.lastProbeAt = b.now // not by probes of failed servers: those must not take the place of reports of the others
+		b.lastProbeAt = b.now // not set by probes of failed servers, which must not delay probes of the others
 	}
 	return len(drawn)
 }
 
-// mayProbe reports whether a probe of the server is allowed and its answer can be relied on, by the list or as a later
-// probe of a process that has answered one.
+// mayProbe reports whether a probe of the server is allowed and its response would be usable: while the list is stale that
+// takes a server which has responded to a probe before, or an event that still allows probes of any server.
 func (b *Balancer) mayProbe(s *server) bool {
 	if !b.cfg.Probes || s.info.Health != Ready || !s.reachability.MayProbe(b.now) {
 		return false
 	}
-	return s.probeSentAt > 0 || b.now < b.probeAnyUntil || !b.isListStale()
+	return s.probeSentAt > 0 || b.now < b.anyProbeValidUntil || !b.isListStale()
 }
 
 // probe probes the server, if there is one and no probe of it is in flight.
@@ -176,8 +177,8 @@
 	s.probeInFlight = true
 }
 
-// probeFailedServers probes some of the servers that failed to answer a probe or to connect. Random ones, so that none waits
-// for ever.
+// probeFailedServers probes some of the servers whose last probe or connection has failed. They are chosen at random, so
+// that each of them is probed sooner or later.
 func (b *Balancer) probeFailedServers() {
 	if probing.AreCostly(b.cfg.ProbeCost) {
 		return
@@ -189,8 +190,8 @@
 	}
 }
 
-// replenishProbes gives a new request its part of the probes, and removes pool entries that are too old, or in turn the oldest
-// and the worst: bad servers must not collect there. Reports count as sparse only once the rate of requests is known.
+// replenishProbes adds the probes that a new request earns, expires old pool entries and trims the pool, so that bad servers do
+// not accumulate in it. Reports count as sparse only once the request rate is known.
 func (b *Balancer) replenishProbes(r *request) {
 	b.pool.Expire(b.now, b.maxEntryAge())
 	b.probesPerRequest = probing.PerRequest(b.cfg.ProbeCost, b.readyCount, b.arrivalRate.PerMs(b.now))
@@ -200,14 +201,15 @@
 	b.pool.Trim(removalFraction*b.probesPerRequest, func(x, y *server) bool { return b.isBetter(x, y, r) })
 }
 
-// probeForRequest sends the probes that requests have saved up, some of them to all zones.
+// probeForRequest sends the probes that requests have earned. For some requests their targets are drawn from all zones.
 func (b *Balancer) probeForRequest() {
 	n := max(0, int(b.probeCredit))
 	b.probeCredit -= float64(n)
-	allZones := b.rng.IntN(subset.FarInterval(b.reportsSparse)) == 1
+	allZones := b.rng.IntN(subset.AllZonesInterval(b.reportsSparse)) == 1
 	b.probeRandom(n, b.candidateCount(allZones))
 }
 
+// maxEntryAge returns the maximum age of a pool entry.
 func (b *Balancer) maxEntryAge() Ms {
 	return min(maxPoolAge, max(maxServiceTimes*b.fleetLatency, minPoolRounds*b.cfg.Round))
 }
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -37,7 +37,7 @@
 			if i == 1 {
 				rif = 0
 			}
-			sent = find(g.do(probeAnswer(s, rif, 40)), StartAttempt)
+			sent = find(g.do(probeResponse(s, rif, 40)), StartAttempt)
 		}
 		g.now += probeWaitFraction*g.balancer.minObjective + 5
 		for i := range 2*maxProbeWaits + 1 {
@@ -124,7 +124,7 @@
 					if a.Server == 4 {
 						probes++
 					}
-					acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+					acts = append(acts, g.do(probeResponse(a.Server, 1, 40))...)
 				}
 			}
 		}
@@ -282,7 +282,7 @@
 // probe's answer, or most of them would find the pool empty and wait for probes of their own.
 func TestUsesFollowTheRateOfProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 40)
-	if n := probing.Uses(probepool.Size, g.balancer.readyCount, g.balancer.probesPerRequest, removalFraction); n < 1 || n > 4 {
+	if n := probing.UsesPerEntry(probepool.Size, g.balancer.readyCount, g.balancer.probesPerRequest, removalFraction); n < 1 || n > 4 {
 		t.Errorf("%.1f uses before any request", n)
 	}
 	waited := 0
@@ -297,7 +297,7 @@
 			case StartAttempt:
 				acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
 			case SendProbe:
-				acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+				acts = append(acts, g.do(probeResponse(a.Server, 1, 40))...)
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 				switch a := acts[0]; a.Kind {
 				case SendProbe:
 					probes++
-					acts = append(acts, g.do(probeAnswer(a.Server, 1, 40))...)
+					acts = append(acts, g.do(probeResponse(a.Server, 1, 40))...)
 				case StartAttempt:
 					sent++
 					acts = append(acts, g.done(id, 0, a.Server, OK)...)
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,30 +5,30 @@
 	"plankrouter/policy/internal/outlier"
 )
 
-// request is a request from its arrival to its final answer.
+// request is the state of a request from its arrival to its final response and the end of its last attempt.
 type request struct {
-	id             RequestID
-	class          int
-	tenant         int // place among a server's outcomes, or outlier.AllTenants
-	objectiveAt    Ms
-	answerBy       Ms   // the final answer is given by then
-	overQuota      bool // beyond its tenant's quota
-	done           bool // answered, or nobody waits for it any more
-	probeWaits     int  // for this attempt, so far
-	answersMissing int  // of probes, in the present wait
-	waitUntil      Ms
+	id               RequestID
+	class            int
+	tenant           int // index into outlier.ByTenant; outlier.AllTenants = none
+	objectiveAt      Ms
+	respondBy        Ms   // deadline for the final response
+	overQuota        bool // beyond its tenant's quota
+	done             bool // the client has its response, or no longer waits for one
+	probeWaits       int  // number of waits for probes before the next attempt
+	responsesPending int  // probe responses that the current wait still needs
+	waitUntil        Ms   // when the current wait ends
 
 	attempts        int
-	inFlight        bool    // an attempt is
-	failedServer    *server // of the last attempt
-	sentAt          Ms
-	sentRIF         float64 // at the server, before the attempt
-	sentServiceTime Ms      // as expected then
-	expectedLatency Ms
+	inFlight        bool    // an attempt is in flight
+	failedServer    *server // server of the last attempt, if that has failed
+	sentAt          Ms      // start of the last attempt
+	sentRIF         float64 // RIF of the server before the last attempt
+	sentServiceTime Ms      // service time of the server, as estimated at sentAt
+	expectedLatency Ms      // response time of the last attempt, as estimated at sentAt
 
 	mayHaveRun          bool // an attempt may have had an effect
-	repeatsDroppedUntil Ms   // by servers, counted from when the first of those attempts was sent
-	ranZone, ranCell    int
+	repeatsDroppedUntil Ms   // until then servers drop repeats; the window starts when the first such attempt was sent
+	ranZone, ranCell    int  // zone and cell of that attempt's server
 }
 
 func (b *Balancer) onRequestArrived(e *Event) {
@@ -40,32 +40,32 @@
 		class:       class,
 		tenant:      1 + max(-1, min(e.Tenant, len(b.tenantBuckets)-1)),
 		objectiveAt: b.now + b.cfg.Classes[class].LatencyObjective,
-		answerBy:    b.now + max(0, e.TimeLeft-b.answerMargin),
+		respondBy:   b.now + max(0, e.TimeLeft-b.responseMargin),
 	}
 	b.requests[r.id] = r
-	b.setTimer(uint64(r.id), r.answerBy-b.now)
+	b.setTimer(uint64(r.id), r.respondBy-b.now)
 	b.replenishProbes(r)
 	r.overQuota = !b.withinQuota(e.Tenant)
 	b.pickOrWait(r)
 }
 
-// pickOrWait decides from the pool, or waits for answers of probes where the pool is short.
+// pickOrWait sends or rejects the request at once, or waits for probe responses if the pool has too few usable entries.
 func (b *Balancer) pickOrWait(r *request) {
 	_, usable := b.bestInPool(r)
-	if usable < min(minPoolChoices, b.readyCount) && b.mayRefuse(r) && b.waitForProbes(r, 0, false) {
+	if usable < min(minPoolChoices, b.readyCount) && b.mayReject(r) && b.waitForProbes(r, 0, false) {
 		return
 	}
 	if r.attempts == 0 {
 		b.probeForRequest()
 	}
-	b.sendOrRefuse(r)
+	b.sendOrReject(r)
 }
 
-// sendOrRefuse sends the request, waits for reports of more servers, or gives up. It may have been called late, and a server
-// must not be given more time than there is.
-func (b *Balancer) sendOrRefuse(r *request) {
-	if b.now >= r.answerBy {
-		b.refuseOrFail(r, DeadlineReached)
+// sendOrReject sends the request, waits for reports of more servers, or rejects or fails the request. It may be called after
+// the request's deadline, when no attempt may be started any more.
+func (b *Balancer) sendOrReject(r *request) {
+	if b.now >= r.respondBy {
+		b.rejectOrFail(r, DeadlineReached)
 		return
 	}
 	s, reason := b.serverFor(r)
@@ -77,11 +77,11 @@
 	if (r.probeWaits > 0 || urgent || b.reportsSparse && r.attempts == 0) && b.waitForProbes(r, maxProbeDebt, urgent) {
 		return
 	}
-	b.refuseOrFail(r, reason)
+	b.rejectOrFail(r, reason)
 }
 
-// serverFor returns the server that gets the request, or nil and why none does. A first attempt must be admitted; a further
-// one must only be answered before the client gives up.
+// serverFor returns the server for the next attempt, or nil and the reason why there is none. A first attempt has to be
+// admitted; for a further one it is enough that the response is expected before the deadline.
 func (b *Balancer) serverFor(r *request) (*server, Reason) {
 	s := b.pick(r)
 	switch {
@@ -91,7 +91,7 @@
 		return nil, NoEligibleServer
 	case r.attempts == 0 && !b.admits(s, r):
 		return b.randomWithCapacity(r), NoCapacity
-	case r.attempts > 0 && b.expectedLatency(s, r.class, s.rif) >= r.answerBy-b.now:
+	case r.attempts > 0 && b.expectedLatency(s, r.class, s.rif) >= r.respondBy-b.now:
 		return nil, DeadlineReached
 	}
 	return s, NoEligibleServer
@@ -102,7 +102,7 @@
 	r.sentServiceTime = b.serviceTime(s)
 	r.sentRIF = s.rif
 	if s.inFlight == 0 {
-		s.silentSince = b.now
+		s.noResponseSince = b.now
 	}
 	r.expectedLatency = b.expectedLatency(s, r.class, s.rif)
 	s.expectedLatency = r.expectedLatency
@@ -119,7 +119,7 @@
 	r.sentAt = b.now
 	r.attempts++
 	action := Action{Kind: StartAttempt, Request: r.id, Server: s.info.ID, After: max(timeout, 1)}
-	if r.mayHaveRun && class.Idempotency == WithIdempotencyKey { // its connection may come up long after mayRetryAt has looked
+	if r.mayHaveRun && class.Idempotency == WithIdempotencyKey { // connecting may take long after mayRetryAt
 		action.Expires = r.repeatsDroppedUntil - b.now
 	}
 	b.act(action)
@@ -148,14 +148,14 @@
 	}
 	r.failedServer = s
 	if !b.takeRetry(r, e) {
-		b.refuseOrFail(r, RetryNotAllowed)
+		b.rejectOrFail(r, RetryNotAllowed)
 		return
 	}
 	r.probeWaits = 0
 	b.pickOrWait(r)
 }
 
-// recordOutcome learns from the end of an attempt at a server; r is nil where the request has ended before.
+// recordOutcome updates the server's statistics by the end of an attempt there; r is nil if the request has already ended.
 func (b *Balancer) recordOutcome(s *server, r *request, e *Event) {
 	tenant := outlier.AllTenants
 	if r != nil {
@@ -163,15 +163,15 @@
 	}
 	switch e.Status {
 	case OK:
-		s.silentSince = b.now
-		s.reachability.RequestAnswered()
+		s.noResponseSince = b.now
+		s.reachability.RequestSucceeded()
 		s.outcomesByTenant.AddSuccess(b.now, tenant)
 		b.recordDuration(s, r, e.Elapsed, true)
 		if e.Report.HasRIF {
 			b.applyReport(s, &e.Report, e.Report.RIF)
 		}
 	case Failed, Reset, ConnectFailed, Declined:
-		s.silentSince = b.now
+		s.noResponseSince = b.now
 		s.outcomesByTenant.AddFailure(b.now, tenant, 1)
 		switch e.Status {
 		case ConnectFailed:
@@ -180,20 +180,20 @@
 			b.loadModel.AddDeclined(s.rif+1, admission.FullStretch)
 		}
 	case TimedOut:
-		if !b.isSilent(s) {
-			b.recordDuration(s, r, e.Elapsed, false) // the answered ones alone would look too fast
+		if !b.isUnresponsive(s) {
+			b.recordDuration(s, r, e.Elapsed, false) // samples of successful attempts alone would be too short
 		}
-		if b.isSilent(s) || r != nil && e.Elapsed+b.cfg.Round > timeoutMultiple*r.expectedLatency {
+		if b.isUnresponsive(s) || r != nil && e.Elapsed+b.cfg.Round > timeoutMultiple*r.expectedLatency {
 			s.outcomesByTenant.AddFailure(b.now, tenant, 1)
 		}
 	}
 }
 
-// refuseOrFail gives the final answer: a refusal where the request can't have run, else a failure.
-func (b *Balancer) refuseOrFail(r *request, reason Reason) {
+// rejectOrFail gives the final response: it rejects the request if the client may safely retry it, and fails it otherwise.
+func (b *Balancer) rejectOrFail(r *request, reason Reason) {
 	action := Action{Kind: FailRequest, Request: r.id, Reason: reason}
-	if b.mayRefuse(r) {
-		b.refusedSinceLog++
+	if b.mayReject(r) {
+		b.rejectedSinceLog++
 		action.Kind = RejectRequest
 		action.After = b.retryAfter(r)
 	}
@@ -201,7 +201,7 @@
 	b.endRequest(r)
 }
 
-// endRequest stops the work on a request that nobody waits for.
+// endRequest ends a request that no client waits for any more, and cancels its attempt in flight if that is allowed.
 func (b *Balancer) endRequest(r *request) {
 	r.done = true
 	switch {
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -9,11 +9,11 @@
 	"plankrouter/policy/internal/tokenbucket"
 )
 
-// State returns what has been learned. The present load and servers that are not ready are left out.
+// State returns the state to be saved. The current load and servers that are not ready are left out.
 func (b *Balancer) State() State {
 	state := State{
 		SumLoadSquared: b.loadModel.SumLoadSquared, SumLoadLatency: b.loadModel.SumLoadLatency,
-		FittedAt: b.loadModel.FadedAt, FleetLatency: b.fleetLatency,
+		FittedAt: b.loadModel.DecayedAt, FleetLatency: b.fleetLatency,
 		OwnInFlight: b.traffic.OwnInFlight, TotalInFlight: b.traffic.TotalInFlight,
 		Arrivals: Level(b.arrivalRate), Sends: Level(b.sendRate),
 	}
@@ -41,16 +41,17 @@
 	}
 }
 
-// Restore takes what an earlier process has learned, after the list and before any request. What concerns a
-// process that a listed server is not any more is left out; a state of other classes or tenants is an error.
+// Restore loads the state saved by an earlier process. It has to be called after the first server list and before any
+// request. The state of a server that has restarted since is ignored; a state with another number of classes or tenants is an
+// error.
 func (b *Balancer) Restore(state *State) error {
 	if !fits(len(state.Classes), len(b.loadModel.Classes)) || !fits(len(state.Tenants), len(b.tenantBuckets)) {
-		return fmt.Errorf("policy: a state of %d classes and %d tenants does not fit %d and %d",
+		return fmt.Errorf("policy: saved state has %d classes and %d tenants, configuration has %d and %d",
 			len(state.Classes), len(state.Tenants), len(b.loadModel.Classes), len(b.tenantBuckets))
 	}
 	b.loadModel.SumLoadSquared = state.SumLoadSquared
 	b.loadModel.SumLoadLatency = state.SumLoadLatency
-	b.loadModel.FadedAt = state.FittedAt
+	b.loadModel.DecayedAt = state.FittedAt
 	for i, class := range state.Classes {
 		b.loadModel.Classes[i].Count = class.Count
 		b.loadModel.Classes[i].Sum = class.Sum
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// fits reports whether a state has as many entries as the settings; it has none of what was too old to be stored.
+// fits reports whether the saved state has as many entries as the configuration, or none because they were too old to save.
 func fits(stored, configured int) bool { return stored == 0 || stored == configured }
 
 func (b *Balancer) restoreServer(stored *ServerState) {
@@ -82,13 +83,14 @@
 	s.latencyReported = stored.LatencyReported
 	s.roundTrip = stored.RoundTrip
 	s.reportedErrorRate = stored.ErrorRate
-	s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // its load is not known, and must not pass for an idle server's
+	s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // rif is not restored: 0 must not look idle
 	s.slowStartBudget = tokenbucket.Bucket(stored.SlowStartBudget)
 	copy(s.outcomesByTenant, stored.Outcomes)
 }
 
-// Reconfigure takes other settings, or none of them if they are not valid. classes and tenants give, for each new one, the
-// number of the old one whose past it takes over, or -1; a request that is open keeps its number and so its rules.
+// Reconfigure replaces the settings; invalid ones are an error and change nothing. classes and tenants give, for each new
+// class or tenant, the index of the old one whose statistics it takes over, or -1. Open requests keep their class index, so a
+// class in use must keep its index, too.
 func (b *Balancer) Reconfigure(cfg Config, classes, tenants []int) error {
 	next, err := New(cfg, 0)
 	if err != nil {
@@ -105,7 +107,7 @@
 	}
 	b.cfg = next.cfg
 	b.minObjective = next.minObjective
-	b.answerMargin = next.answerMargin
+	b.responseMargin = next.responseMargin
 	b.traffic.TotalQuota = next.traffic.TotalQuota
 	b.traffic.Instances = next.traffic.Instances
 	b.tenantBuckets = next.tenantBuckets
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// carryOver copies to each next entry the previous one that from names.
+// carryOver copies previous[from[i]] to next[i], unless from[i] is negative.
 func carryOver[T any](from []int, previous, next []T) {
 	for i, old := range from {
 		if old >= 0 {
--- a/policy/restore_test.go
+++ b/policy/restore_test.go
@@ -57,8 +57,8 @@
 		t.Errorf("an old load is taken for a present one: %+v", one)
 	}
 	h.do(Event{Kind: TimerFired, Timer: tickTimer})
-	g.balancer.now, g.balancer.loadModel.FadedAt = h.now, state.FittedAt
-	g.balancer.loadModel.Fade(h.now)
+	g.balancer.now, g.balancer.loadModel.DecayedAt = h.now, state.FittedAt
+	g.balancer.loadModel.Decay(h.now)
 	if got, want := h.balancer.loadModel.ClassFactor(0), g.balancer.loadModel.ClassFactor(0); got != want {
 		t.Errorf("fit %g, want %g", got, want)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,25 +1,25 @@
 package policy
 
 const (
-	timeoutMultiple    = 8.0 // expected responses after which a request that may be repeated is tried elsewhere
-	minTimeoutFraction = 0.5 // of the tightest latency objective: no time-out of such an attempt is shorter
-	maxTimeoutFraction = 0.5 // of the time left, past which such a time-out would leave too little for another attempt
+	timeoutMultiple    = 8.0 // timeout of an attempt that may be retried, in expected response times
+	minTimeoutFraction = 0.5 // lower bound of that timeout, as a fraction of the tightest latency objective
+	maxTimeoutFraction = 0.5 // upper bound of that timeout, as a fraction of the time left: a longer one leaves no time for a retry
 )
 
-// takeRetry reports whether the request may have a further attempt, and takes that from the budget.
+// takeRetry reports whether the request may be retried, and takes the retry from the budget.
 func (b *Balancer) takeRetry(r *request, e *Event) bool {
 	canRepeat := e.Status != NotSent && !e.BodyConsumed && r.attempts < b.cfg.Classes[r.class].Attempts
-	if !canRepeat || !b.retryBudget.Allows() || r.answerBy-b.now <= b.answerMargin {
+	if !canRepeat || !b.retryBudget.Allows() || r.respondBy-b.now <= b.responseMargin {
 		return false
 	}
 	b.retryBudget.Take()
 	return true
 }
 
-// attemptTimeout is the time that the next attempt may take: all that is left, or less where a further one may follow.
+// attemptTimeout returns the timeout of the next attempt: all the time that is left, or less if a retry may follow.
 func (b *Balancer) attemptTimeout(r *request) Ms {
 	class := &b.cfg.Classes[r.class]
-	timeLeft := r.answerBy - b.now
+	timeLeft := r.respondBy - b.now
 	timeout := max(timeoutMultiple*r.expectedLatency, minTimeoutFraction*b.minObjective)
 	mayRetry := class.Idempotency != NonIdempotent && r.attempts+1 < class.Attempts && b.retryBudget.Allows()
 	if mayRetry && timeout < maxTimeoutFraction*timeLeft {
@@ -28,19 +28,19 @@
 	return timeLeft
 }
 
-// markMayHaveRun notes that an attempt at the server may have had an effect. The first one decides where and how long
-// servers drop a repeat.
+// markMayHaveRun records that an attempt at the server may have had an effect. The first such attempt determines which
+// servers drop repeats, and until when.
 func (b *Balancer) markMayHaveRun(r *request, s *server) {
 	if !r.mayHaveRun && s != nil {
-		window := b.cfg.Classes[r.class].KeyWindow - b.answerMargin
+		window := b.cfg.Classes[r.class].KeyWindow - b.responseMargin
 		r.repeatsDroppedUntil = r.sentAt + window
 		r.ranZone, r.ranCell = s.info.Zone, s.info.Cell
 	}
 	r.mayHaveRun = true
 }
 
-// mayRetryAt reports whether the server may have the request without it running twice. It is the only place that says
-// where an attempt is allowed.
+// mayRetryAt reports whether sending the request to the server is safe: it has not run before, or may run twice, or the
+// server would drop the repeat. No other code decides this.
 func (b *Balancer) mayRetryAt(s *server, r *request) bool {
 	class := &b.cfg.Classes[r.class]
 	if !r.mayHaveRun || class.Idempotency == Idempotent {
@@ -54,9 +54,9 @@
 	return class.KeyScope == ScopeAll || class.KeyScope == ScopeZone && sameZone || sameCell
 }
 
-// mayRefuse reports whether a refusal, which says that the request may be sent again, would be true: no attempt is in
-// flight, and none has run or a repeat does no harm wherever it goes.
-func (b *Balancer) mayRefuse(r *request) bool {
+// mayReject reports whether the request may be rejected, which tells the client that it may safely send it again: no attempt
+// is in flight, and none can have run or a repeat is harmless at any server.
+func (b *Balancer) mayReject(r *request) bool {
 	if r.inFlight {
 		return false
 	}
--- a/policy/retryafter.go
+++ b/policy/retryafter.go
@@ -1,7 +1,7 @@
 package policy
 
-// retryAfter advises a refused client when to try again: as late as it will follow beyond its tenant's quota, else when
-// what servers work on now has left.
+// retryAfter returns how long the client of a rejected request should wait before a retry: the longest time that clients
+// follow if the tenant is beyond its quota, else a median service time, by which most current requests have ended.
 func (b *Balancer) retryAfter(r *request) Ms {
 	if r.overQuota {
 		return b.cfg.MaxRetryAfter
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -46,7 +46,7 @@
 func (r *rig) do(e Event) []Action { return r.balancer.Handle(r.now, &e, nil) }
 
 func (r *rig) report(s ServerID, rif, latency float64) {
-	r.do(probeAnswer(s, rif, latency))
+	r.do(probeResponse(s, rif, latency))
 }
 
 func (r *rig) arrive(id RequestID, class int) []Action {
@@ -64,7 +64,7 @@
 func (r *rig) answer(acts []Action) []Action {
 	for i := 0; i < len(acts) && len(r.balancer.waitingForProbes) > 0; i++ {
 		if s := r.balancer.byID[acts[i].Server]; acts[i].Kind == SendProbe {
-			acts = append(acts, r.do(probeAnswer(acts[i].Server, s.rif, r.balancer.serviceTime(s)))...)
+			acts = append(acts, r.do(probeResponse(acts[i].Server, s.rif, r.balancer.serviceTime(s)))...)
 		}
 	}
 	return acts
@@ -76,7 +76,7 @@
 	for ; len(acts) > 0; acts = acts[1:] {
 		switch a := acts[0]; a.Kind {
 		case SendProbe:
-			acts = append(acts, r.do(probeAnswer(a.Server, 1, 40))...)
+			acts = append(acts, r.do(probeResponse(a.Server, 1, 40))...)
 		case StartAttempt:
 			to = a.Server
 			acts = append(acts, r.done(id, 0, a.Server, OK)...)
@@ -107,8 +107,8 @@
 
 func (r *rig) tick() []Action { return r.do(Event{Kind: TimerFired, Timer: tickTimer}) }
 
-// probeAnswer is the answer to a probe after a millisecond.
-func probeAnswer(s ServerID, rif, latency float64) Event {
+// probeResponse is the answer to a probe after a millisecond.
+func probeResponse(s ServerID, rif, latency float64) Event {
 	return Event{
 		Kind: ProbeEnded, Server: s, Elapsed: 1,
 		Report: Report{HasRIF: true, HasLatency: true, RIF: rif, Latency: latency},
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,14 +9,14 @@
 	"plankrouter/policy/internal/probepool"
 )
 
-// walkedRequest is what the walk knows of one request: enough to check rules 1 and 2.
-type walkedRequest struct {
+// trackedRequest is what the walk knows of one request: enough to check rules 1 and 2.
+type trackedRequest struct {
 	class            int
 	end              Ms
 	answered         bool
 	out              map[int]ServerID
 	attempts         int
-	mayRan           bool
+	maybeRan         bool
 	firstRan         Ms
 	ranZone, ranCell int
 	sentAt           Ms
@@ -25,25 +25,25 @@
 // walk feeds legal, seeded events to a Balancer and checks the rules after each. It is an event generator
 // with assertions, not a model of servers. It returns all actions, and the first broken rule if any.
 type walk struct {
-	rng      *rand.Rand
-	cfg      Config
-	balancer *Balancer
-	now      Ms
-	reqs     map[RequestID]*walkedRequest
-	order    []RequestID
-	servers  map[ServerID]*ServerInfo
-	sends    map[ServerID][]Ms
-	timers   []Event
-	dues     []Ms
-	next     RequestID
-	log      []string
-	spoil    func(*Balancer, []Action) []Action // breaks the rules on purpose
+	rng        *rand.Rand
+	cfg        Config
+	balancer   *Balancer
+	now        Ms
+	reqs       map[RequestID]*trackedRequest
+	order      []RequestID
+	servers    map[ServerID]*ServerInfo
+	sends      map[ServerID][]Ms
+	timers     []Event
+	timerDueAt []Ms
+	next       RequestID
+	log        []string
+	breakRule  func(*Balancer, []Action) []Action // breaks the rules on purpose
 }
 
 func (w *walk) check(e Event) error {
 	acts := w.balancer.Handle(w.now, &e, nil)
-	if w.spoil != nil {
-		acts = w.spoil(w.balancer, acts)
+	if w.breakRule != nil {
+		acts = w.breakRule(w.balancer, acts)
 	}
 	for _, a := range acts {
 		w.log = append(w.log, fmt.Sprintf("%.1f %+v", w.now, a))
@@ -64,10 +64,10 @@
 				return fmt.Errorf("too many attempts: %+v", a)
 			}
 			c := w.cfg.Classes[r.class]
-			if r.mayRan && c.Idempotency == NonIdempotent {
+			if r.maybeRan && c.Idempotency == NonIdempotent {
 				return fmt.Errorf("rule 2: non-idempotent request sent again: %+v", a)
 			}
-			if r.mayRan && c.Idempotency == WithIdempotencyKey {
+			if r.maybeRan && c.Idempotency == WithIdempotencyKey {
 				if w.now-r.firstRan >= c.KeyWindow || s.Zone != r.ranZone || s.Cell != r.ranCell {
 					return fmt.Errorf("rule 2: request with a key left its scope or window: %+v", a)
 				}
@@ -84,13 +84,13 @@
 				return fmt.Errorf("rule 1: a second answer: %+v", a)
 			}
 			c := w.cfg.Classes[r.class]
-			if a.Kind == RejectRequest && (len(r.out) > 0 || r.mayRan && c.Idempotency != Idempotent) {
+			if a.Kind == RejectRequest && (len(r.out) > 0 || r.maybeRan && c.Idempotency != Idempotent) {
 				return fmt.Errorf("rule 2: refused what may have run: %+v", a)
 			}
 			r.answered = true
 		case SetTimer:
 			w.timers = append(w.timers, Event{Kind: TimerFired, Timer: a.Timer})
-			w.dues = append(w.dues, w.now+a.After)
+			w.timerDueAt = append(w.timerDueAt, w.now+a.After)
 		case CancelAttempt:
 			if r := w.reqs[a.Request]; r == nil || a.Attempt >= r.attempts {
 				return fmt.Errorf("cancelled an attempt never made: %+v", a)
@@ -113,8 +113,8 @@
 	final := r.answered || st == OK
 	if st == OK {
 		r.answered = true
-	} else if !st.NeverRan() && !r.mayRan {
-		r.mayRan, r.firstRan = true, r.sentAt
+	} else if !st.NeverRan() && !r.maybeRan {
+		r.maybeRan, r.firstRan = true, r.sentAt
 		r.ranZone, r.ranCell = w.servers[s].Zone, w.servers[s].Cell
 	}
 	return w.check(Event{
@@ -135,13 +135,13 @@
 
 func (w *walk) step() error {
 	w.now += w.rng.Float64() * 20
-	for i := 0; i < len(w.dues); i++ {
-		if w.dues[i] > w.now {
+	for i := 0; i < len(w.timerDueAt); i++ {
+		if w.timerDueAt[i] > w.now {
 			continue
 		}
 		e := w.timers[i]
 		w.timers = append(w.timers[:i], w.timers[i+1:]...)
-		w.dues = append(w.dues[:i], w.dues[i+1:]...)
+		w.timerDueAt = append(w.timerDueAt[:i], w.timerDueAt[i+1:]...)
 		i--
 		if err := w.check(e); err != nil {
 			return err
@@ -177,7 +177,7 @@
 	case 3, 4, 5, 6:
 		w.next++
 		left := w.rng.Float64() * 1000
-		w.reqs[w.next] = &walkedRequest{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
+		w.reqs[w.next] = &trackedRequest{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
 		w.order = append(w.order, w.next)
 		return w.check(Event{
 			Kind: RequestArrived, Request: w.next, Class: w.reqs[w.next].class, TimeLeft: left,
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	w := &walk{
-		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, balancer: b, now: 5000, reqs: map[RequestID]*walkedRequest{},
+		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, balancer: b, now: 5000, reqs: map[RequestID]*trackedRequest{},
 		servers: map[ServerID]*ServerInfo{}, sends: map[ServerID][]Ms{},
 	}
 	for id := ServerID(1); id <= 8; id++ {
@@ -283,7 +283,7 @@
 			return kept
 		}
 	}
-	for name, spoil := range map[string]func(*Balancer, []Action) []Action{
+	for name, breakRule := range map[string]func(*Balancer, []Action) []Action{
 		"failures swallowed": drop(FailRequest),
 		"refusals swallowed": drop(RejectRequest),
 		"failures answered as refusals": func(_ *Balancer, acts []Action) []Action {
@@ -321,7 +321,7 @@
 		for seed := range uint64(10) {
 			w := newWalk(t, seed)
 			w.cfg.Classes = append([]Class(nil), w.cfg.Classes...)
-			w.spoil = spoil
+			w.breakRule = breakRule
 			if w.run(4000) != nil {
 				caught = true
 				break
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -14,32 +14,32 @@
 	maxResubscribeWait = 8e3   // ms
 )
 
-// server is what is known of a server: what the list says, what its last report says and what this instance's
-// own requests add.
+// server is the state of one server: its list entry, its last load report and what this instance's own requests have
+// shown since.
 type server struct {
 	info ServerInfo
-	rank float64 // this instance's order of preference: the preferred zone below 1, else at random
+	rank float64 // random; 0 to 1 in the preferred zone, 1 to 2 elsewhere. Determines this instance's subset.
 
-	rif               float64 // last reported, plus own attempts and minus own answers since
+	rif               float64 // last reported RIF, plus own attempts started and minus own attempts ended since
 	latency           Ms      // service time; 0 = not known
-	latencyReported   bool    // latency is the server's own figure
-	reportedErrorRate float64 // part of its answers that its last report counts as errors
+	latencyReported   bool    // latency comes from the server's load report, not from an estimate
+	reportedErrorRate float64 // fraction of its responses that are errors, by its last report
 	reportedAt        Ms
-	roundTrip         Ms // shortest probe
+	roundTrip         Ms // shortest duration of a probe; 0 = not known
 
-	inFlight         int // own attempts
+	inFlight         int // own attempts at the server
 	expectedLatency  Ms  // of the latest attempt
-	silentSince      Ms  // last answer, or the first attempt after all had been answered
+	noResponseSince  Ms  // time of its last response or BodyProgressed, or of a later attempt if none was in flight
 	outcomesByTenant outlier.ByTenant
-	ejected          bool // as logged last
+	ejected          bool // as last logged
 
 	probeInFlight   bool
-	probeSentAt     Ms // of the last probe that shows the listed process to be there; 0 = of none
+	probeSentAt     Ms // when the last probe was sent that the listed process has responded to; 0 = none has been
 	reachability    reachability.State
 	slowStartBudget tokenbucket.Bucket
 }
 
-// isNew reports whether no process of the server is known yet.
+// isNew reports whether the server has just been created, before resetServer has run for its first process.
 func (s *server) isNew() bool { return s.reportedAt == 0 }
 
 // isLocal reports whether the server is in the preferred zone.
@@ -74,23 +74,23 @@
 	}
 	s.info = info
 	if info.Uncordoned && b.cfg.Probes {
-		b.probe(s) // else it would be found again only by chance
+		b.probe(s) // without it the server would be probed again only by chance
 	}
 }
 
-// resetServer forgets what was known of a server's earlier process. The new one's slow start begins with a random part of
-// the budget, so that not all instances send at once.
+// resetServer discards the state of a server's earlier process. The slow start of the new one begins with a random part of
+// the budget, so that not all instances send to it at once.
 func (b *Balancer) resetServer(s *server) {
 	*s = server{
 		rank: s.rank, roundTrip: s.roundTrip, inFlight: s.inFlight,
-		reportedAt: never, silentSince: b.now,
+		reportedAt: never, noResponseSince: b.now,
 		outcomesByTenant: make(outlier.ByTenant, 1+len(b.tenantBuckets)),
 		slowStartBudget:  tokenbucket.Bucket{Value: b.rng.Float64(), At: b.now},
 	}
 	b.pool.Remove(s)
 }
 
-// removeUnlisted counts the ready servers and removes those that are gone and owe no answer.
+// removeUnlisted counts the ready servers and removes those that are gone and have no attempt in flight.
 func (b *Balancer) removeUnlisted() {
 	b.readyCount = 0
 	b.localCount = 0
@@ -111,12 +111,13 @@
 	})
 }
 
-// onSubscriptionFailed subscribes again after a jittered, growing wait: all instances share one discovery service.
+// onSubscriptionFailed subscribes again after an exponential, jittered backoff, since all instances share one discovery
+// service.
 func (b *Balancer) onSubscriptionFailed() {
 	b.resubscribeWait = min(max(2*b.resubscribeWait, minResubscribeWait), maxResubscribeWait)
 	b.setTimer(resubscribeTimer, b.resubscribeWait*(0.5+b.rng.Float64()))
 }
 
-// isListStale reports whether changes may have taken effect that the list does not show yet. Then only a probe
-// that the listed process has answered shows that a server is still there.
+// isListStale reports whether changes may have taken effect that the list does not show yet. Then only a response of the
+// listed process to a probe shows that a server is still in service.
 func (b *Balancer) isListStale() bool { return b.now >= b.listValidUntil }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,18 +3,18 @@
 import "plankrouter/policy/internal/slowstart"
 
 const (
-	maxSlowStartReportAge   = 1000.0 // ms for which a cold server's report of free capacity counts
-	freeConcurrencyFraction = 0.5    // of what it runs concurrently by now: with less in flight it has capacity
+	maxSlowStartReportAge   = 1000.0 // ms; maximum age of a report that shows free capacity of a server in slow start
+	freeConcurrencyFraction = 0.5    // fraction of its current concurrency below which its RIF shows free capacity
 )
 
-// slowStartFraction is the part of its capacity that a server bears by now: 1 unless it has started a short while ago.
+// slowStartFraction returns the fraction of its full capacity that a server has now: 1 unless it has started recently.
 func (b *Balancer) slowStartFraction(s *server) float64 {
 	startKnown := s.info.StartedAt > 0
 	return slowstart.Fraction(b.now-s.info.StartedAt, startKnown, b.cfg.StartCapacity, b.cfg.WarmUpTime)
 }
 
-// hasSlowStartBudget reports whether this instance may send the server a request, as one of all instances that together
-// must not overload it while it is cold.
+// hasSlowStartBudget reports whether slow start lets this instance send a request to the server. The budget is this
+// instance's share of what all instances together may send without overloading a starting server.
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
 	fraction := b.slowStartFraction(s)
 	if fraction >= 1 {
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -104,18 +104,18 @@
 						t.Parallel()
 						cfg := cfg
 						cfg.Instances, cfg.OverloadMultiple = size[0], way.overload
-						seeds, worstOfAll, got := uint64(3), 0.0, 0
+						seeds, worstOverall, got := uint64(3), 0.0, 0
 						if size[0] > 300 { // these take longer, and their sum varies less
 							seeds = 1
 						}
 						for seed := range seeds {
 							sent, worst := coldFleet{size[0], size[1], skewed, way.burst, each, way.quiet}.play(t, cfg, seed)
-							worstOfAll, got = max(worstOfAll, worst), got+len(sent)
+							worstOverall, got = max(worstOverall, worst), got+len(sent)
 						}
 						part := each * (way.burst*(8-way.quiet/1000) + way.quiet/10000)
-						t.Logf("%.2f of what overloads it, %.2f of a warm one's part", worstOfAll, float64(got)/float64(seeds)/part)
-						if worstOfAll > 1 {
-							t.Errorf("%.2f of what overloads it", worstOfAll)
+						t.Logf("%.2f of what overloads it, %.2f of a warm one's part", worstOverall, float64(got)/float64(seeds)/part)
+						if worstOverall > 1 {
+							t.Errorf("%.2f of what overloads it", worstOverall)
 						}
 					})
 				}
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -46,7 +46,7 @@
 		"too many in flight for it": {30, 40, false, false},
 	} {
 		g := newRig(t, cfg, 2)
-		s, r := g.balancer.byID[1], &request{class: 0, objectiveAt: g.now + 400, answerBy: g.now + 900}
+		s, r := g.balancer.byID[1], &request{class: 0, objectiveAt: g.now + 400, respondBy: g.now + 900}
 		s.rif, s.latency, g.balancer.fleetLatency = c.rif, c.latency, c.latency
 		g.balancer.byID[2].rif = 50
 		for sparse, want := range map[bool]bool{false: c.frequent, true: c.sparse} {
@@ -59,7 +59,7 @@
 		}
 	}
 	g := newRig(t, cfg, 1)
-	r := &request{class: 0, objectiveAt: g.now + 1200, answerBy: g.now + 1700}
+	r := &request{class: 0, objectiveAt: g.now + 1200, respondBy: g.now + 1700}
 	if g.balancer.now += 800; g.balancer.randomWithCapacity(r) == nil {
 		t.Error("a report of 800 ms ago counts for nothing")
 	}
@@ -78,7 +78,7 @@
 	}
 	g.balancer.now += 2000 // the pool's entries are too old
 	g.balancer.pool.Expire(g.balancer.now, g.balancer.maxEntryAge())
-	r := &request{class: 0, objectiveAt: g.balancer.now + 400, answerBy: g.balancer.now + 900}
+	r := &request{class: 0, objectiveAt: g.balancer.now + 400, respondBy: g.balancer.now + 900}
 	met := map[ServerID]bool{}
 	for range 100 {
 		met[g.balancer.pick(r).info.ID] = true
@@ -153,7 +153,7 @@
 					if hasCapacity && a.Server%2 == 0 {
 						rif = 1
 					}
-					acts = append(acts, g.do(probeAnswer(a.Server, rif, 40))...)
+					acts = append(acts, g.do(probeResponse(a.Server, rif, 40))...)
 				case SetTimer:
 					if a.Timer >= probeWaitTimer {
 						g.now += a.After
@@ -190,7 +190,7 @@
 		near, all := 0, 0
 		for id := RequestID(0); all < 1000; id++ {
 			g.balancer.reportsSparse = sparse
-			r := &request{id: id, objectiveAt: g.now + 400, answerBy: g.now + 900, probeWaits: maxProbeWaits}
+			r := &request{id: id, objectiveAt: g.now + 400, respondBy: g.now + 900, probeWaits: maxProbeWaits}
 			g.balancer.probeCredit, g.balancer.actions = 1, nil
 			g.balancer.pickOrWait(r)
 			for _, a := range g.balancer.actions {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,40 +2,40 @@
 
 import "plankrouter/policy/internal/outlier"
 
-// State is what a Balancer has learned that outlives its process. No present load is in it. Times are those
-// of the clock that Handle is given; a value whose time is in the past has faded since.
+// State is the part of a Balancer's state that is worth saving over a restart of its process; the current load is not
+// included. Times are those of the clock passed to Handle; a decaying value is stored as it was at its time.
 type State struct {
 	Servers        []ServerState
-	SumLoadSquared float64 // of the fit of the response time to the load, as it was at FittedAt
+	SumLoadSquared float64 // sums of the least-squares fit of response time to load, as they were at FittedAt
 	SumLoadLatency float64
 	FittedAt       Ms
-	Classes        []Mean  // by class: its part of the service time
+	Classes        []Mean  // by class: duration as a multiple of the service time
 	FleetLatency   Ms      // median service time
-	OwnInFlight    float64 // own requests at the servers that report, summed over reports
-	TotalInFlight  float64 // all requests there, summed likewise
-	Tenants        []Level // by tenant: requests that each may still send at once
-	Arrivals       Level   // fading counts of events
-	Sends          Level
+	OwnInFlight    float64 // own requests in flight at reporting servers, as a decaying sum over reports
+	TotalInFlight  float64 // all requests in flight there, as a decaying sum over reports
+	Tenants        []Level // by tenant: tokens left of its quota
+	Arrivals       Level   // decaying count of arrived requests
+	Sends          Level   // decaying count of attempts
 }
 
-// ServerState is what is known of one server's process.
+// ServerState is the saved state of one server process.
 type ServerState struct {
 	ID              ServerID
-	StartedAt       Ms // of the process
+	StartedAt       Ms // start time of the process
 	Latency         Ms // service time; 0 = not known
 	LatencyReported bool
-	ReportedAt      Ms // of Latency and ErrorRate
-	RoundTrip       Ms // shortest probe
+	ReportedAt      Ms // time of the report with Latency and ErrorRate
+	RoundTrip       Ms // shortest duration of a probe
 	ErrorRate       float64
-	Outcomes        []Tally // of all requests, then by tenant
-	SlowStartBudget Level
+	Outcomes        []Tally // [0] of all requests, [1+i] of tenant i
+	SlowStartBudget Level   // requests that this instance may send during slow start
 }
 
-// Tally is fading counts of a server's successes and failures.
+// Tally is the decaying counts of a server's successes and failures.
 type Tally = outlier.Tally
 
-// Mean is the sum of Count fading samples.
+// Mean is the decaying sum of samples, with their decaying count.
 type Mean struct{ Count, Sum float64 }
 
-// Level is a value that changes by itself, as it was at At.
+// Level is a value that changes with time, as it was at time At.
 type Level struct{ Value, At float64 }
