--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -6,12 +6,13 @@
 	"plankrouter/policy"
 )
 
-// Whether an attempt never ran decides whether what is not idempotent may be sent again: no kind may slip over to the other side.
+// A non-idempotent request is retried only after a kind of end that proves that it has not run, so the kinds that prove it are
+// listed here one by one.
 func TestKindsThatNeverRan(t *testing.T) {
 	neverRan := map[Kind]bool{
 		Declined: true, ConnectionLimit: true, LocalError: true, ConnectRefused: true, ConnectTimeout: true, ServerDraining: true, Expired: true,
 		PartlyWritten: true, Withdrawn: true, NoLoadReport: true,
-	} // the last is of probes alone
+	} // the last is only for probes
 	names := map[string]bool{}
 	for kind := Served; kind < kindCount; kind++ {
 		if kind.Status().NeverRan() != neverRan[kind] {
@@ -23,7 +24,7 @@
 	}
 	for kind := Open; kind < kindCount; kind++ {
 		if kind.String() == "" || names[kind.String()] {
-			t.Errorf("kind %d is called %q", kind, kind)
+			t.Errorf("kind %d has the name %q", kind, kind)
 		}
 		names[kind.String()] = true
 	}
--- a/internal/probing/probing_test.go
+++ b/internal/probing/probing_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// All instances together must not send a server more probes than the price allows; each has one request in 60 ms.
+// All instances together must not send a server more probes than their cost allows. Each instance has one request per 60 ms.
 func TestProbesAtAServer(t *testing.T) {
 	const rate = 1.0 / 60
 	for name, c := range map[string]struct {
@@ -13,15 +13,15 @@
 		instances, servers int
 		maxPerSecond       float64 // at one server
 	}{
-		"costly, one instance":                       {0.08, 1, 60, 0.15},
-		"costly, few instances":                      {0.08, 4, 60, 0.57},
-		"costly, 80 instances":                       {0.08, 80, 60, 11.2},
-		"costly, 2,000 instances":                    {0.08, 2000, 60, 280},
-		"costly, 200 servers":                        {0.08, 300, 200, 12.6},
-		"costly, 200 servers and 5,000 instances":    {0.08, 5000, 200, 210},
-		"cheap, one instance":                        {0.0046, 1, 60, 0.6},
-		"cheap, 80 instances: as the design would":   {0.0046, 80, 60, 45},
-		"for free, 80 instances: no more than cheap": {0, 80, 60, 45},
+		"costly, one instance":                    {0.08, 1, 60, 0.15},
+		"costly, few instances":                   {0.08, 4, 60, 0.57},
+		"costly, 80 instances":                    {0.08, 80, 60, 11.2},
+		"costly, 2,000 instances":                 {0.08, 2000, 60, 280},
+		"costly, 200 servers":                     {0.08, 300, 200, 12.6},
+		"costly, 200 servers and 5,000 instances": {0.08, 5000, 200, 210},
+		"cheap, one instance":                     {0.0046, 1, 60, 0.6},
+		"cheap, 80 instances":                     {0.0046, 80, 60, 45},
+		"free, 80 instances: as many as if cheap": {0, 80, 60, 45},
 	} {
 		each := PerRequest(c.price, c.servers, rate)
 		sum := float64(c.instances) * each * rate * 1000 / float64(c.servers)
@@ -31,7 +31,7 @@
 	}
 }
 
-// A busy instance probes no server more often than its reports change, whatever a probe costs.
+// A busy instance probes a server on average at most once per MinInterval, whatever a probe costs.
 func TestProbesOfABusyInstance(t *testing.T) {
 	for _, perMs := range []float64{0.1, 1, 100} {
 		for _, price := range []float64{0, 0.0046, 0.08} {
@@ -42,8 +42,8 @@
 	}
 }
 
-// The more a probe costs the fewer are sent, so that what is paid for them grows no faster than the root of the price.
-func TestProbesFollowTheirPrice(t *testing.T) {
+// The more a probe costs, the fewer are sent: the total cost grows at most with the square root of the price.
+func TestProbeRateFallsWithPrice(t *testing.T) {
 	previous := math.Inf(1)
 	for _, price := range []float64{0, 0.001, 0.0046, 0.01, 0.08, 0.3, 1} {
 		each := PerRequest(price, 60, 0.001)
@@ -54,13 +54,13 @@
 			t.Errorf("price %g: %g probes a request, costly %t", price, each, AreCostly(price))
 		}
 		if each*price > math.Sqrt(oldReportCost*price)+1e-9 {
-			t.Errorf("price %g: %g is paid for each request's probes", price, each*price)
+			t.Errorf("price %g: the probes of a request cost %g", price, each*price)
 		}
 		previous = each
 	}
 }
 
-// What requests that can't do without an answer cost at most, whatever is saved up.
+// A request that waits for probes sends at most PerWait of them; an urgent one always sends at least minPerWait.
 func TestProbesToAwait(t *testing.T) {
 	for name, c := range map[string]struct {
 		saved           float64
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A class with a long latency objective must not fill the servers until one of more value with a tight objective finds none.
+// A class with a long latency objective must not fill the servers so far that a more valuable class with a tight objective is
+// rejected.
 func TestLongObjectivesLeaveCapacityForTighterOnes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
@@ -26,26 +27,26 @@
 	}
 }
 
-// Attempts at servers with few in flight must not lower what servers count as able to run: a burst after a quiet time would be
-// refused.
-func TestQuietTimesDoNotLowerConcurrency(t *testing.T) {
+// Attempts at servers with a low RIF must not lower the estimated concurrency: a burst after a time of low load would be
+// rejected.
+func TestLowLoadDoesNotLowerConcurrency(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id := RequestID(1); id <= 500; id++ {
 		g.now += 10
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 0, 40)
 		}
-		g.done(id, 0, find(g.arrive(id, 0), StartAttempt).Server, OK)
+		g.endAttempt(id, 0, find(g.arrive(id, 0), StartAttempt).Server, OK)
 	}
 	for s := ServerID(1); s <= 4; s++ {
 		g.report(s, 4, 40)
 	}
 	if find(g.arrive(1000, 2), StartAttempt) == nil {
-		t.Error("refused at four in flight after a quiet time")
+		t.Error("rejected at a RIF of four after a time of low load")
 	}
 }
 
-// Requests that servers decline must lower what is admitted.
+// Requests declined by servers must lower the estimated concurrency, and so the requests admitted.
 func TestDeclinedRequestsLowerConcurrency(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	before := g.balancer.loadModel.Concurrency()
@@ -54,7 +55,7 @@
 			g.report(s, 3, 40)
 		}
 		if a := find(g.arrive(id, 2), StartAttempt); a != nil {
-			g.done(id, 0, a.Server, Declined)
+			g.endAttempt(id, 0, a.Server, Declined)
 		}
 	}
 	if after := g.balancer.loadModel.Concurrency(); after >= before {
@@ -62,9 +63,9 @@
 	}
 }
 
-// An answer after the latency objective earns nothing, but if the attempt ended there the client would send again: the work was
-// wasted, and more of it follows. So an attempt is given as long as the client waits.
-func TestLateAnswersAreWaitedFor(t *testing.T) {
+// A response after the latency objective has no value here, but if the attempt were cancelled then, its work would be wasted
+// and the client would retry. So the timeout of an attempt is as long as the client waits.
+func TestLateResponsesAreAwaited(t *testing.T) {
 	cfg := testConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].LateWeight = 0
@@ -75,9 +76,9 @@
 	}
 }
 
-// Just after the start the quick requests alone are answered, so that reports look too short and responses, by them,
-// too long. What is learned from those would refuse much of what comes in the seconds after.
-func TestStartupAnswersAreNotSamples(t *testing.T) {
+// Just after the start only quick requests have ended, so that reported service times are too short and response times, by
+// comparison, too long. With those as samples many requests would be rejected in the next seconds.
+func TestStartupResponsesAreNotSamples(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id, want := range map[RequestID]bool{1: false, 2: true} {
 		g.now = 1000 + float64(id-1)*startupPeriod
@@ -86,7 +87,7 @@
 		}
 		s := find(g.arrive(id, 0), StartAttempt)
 		g.now += 40
-		g.done(id, 0, s.Server, OK)
+		g.endAttempt(id, 0, s.Server, OK)
 		if got := g.balancer.loadModel.Classes[0].Count > 0; got != want {
 			t.Errorf("%.0f ms after the start: sampled %t, want %t", g.now-1000, got, want)
 		}
@@ -94,9 +95,9 @@
 	}
 }
 
-// Where wasted work costs, the mean response must leave much of the latency objective at a server that is full: many take far
-// longer than the mean, and take a place from others. At one with places left an attempt may fail at little cost. And one
-// server's mean, which a few costly requests raise, counts up to 1.5 times the median of all.
+// If wasted work has a cost, the mean response time at a full server must be well below the latency objective: many responses
+// take far longer than the mean and take capacity from others. At a server with free capacity a failed attempt costs little. A
+// server's mean service time, which a few costly requests raise, counts only up to 1.5 times the fleet's median.
 func TestAdmissionLeavesMarginForLongResponses(t *testing.T) {
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
@@ -107,13 +108,13 @@
 		latency, median Ms
 		want            bool
 	}{
-		"full, half of the objective":              {4, 200, 200, true},
-		"full, more than half of it":               {4, 250, 250, false},
-		"places left, more than half of it":        {1, 250, 250, true},
-		"places left, somewhat beyond it":          {1, 460, 460, true},
-		"places left, far beyond it":               {1, 500, 500, false},
-		"full, raised mean of a fast fleet":        {4, 900, 120, true},
-		"full, raised mean of a fleet not so fast": {4, 900, 170, false},
+		"full, half of the objective":         {4, 200, 200, true},
+		"full, more than half of it":          {4, 250, 250, false},
+		"free capacity, more than half of it": {1, 250, 250, true},
+		"free capacity, somewhat beyond it":   {1, 460, 460, true},
+		"free capacity, far beyond it":        {1, 500, 500, false},
+		"full, raised mean in a fast fleet":   {4, 900, 120, true},
+		"full, raised mean in a slower fleet": {4, 900, 170, false},
 	} {
 		s.rif = c.rif
 		s.latency = c.latency
@@ -124,8 +125,8 @@
 	}
 }
 
-// Where no server reports the load of all instances, a busy instance's tenants are within their quotas as long as its own traffic
-// is shared by them.
+// If no server reports its load, the tenants of a busy instance are within their quotas as long as they divide its traffic
+// in proportion to the quotas.
 func TestQuotasAtABusyInstance(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.Tenants = 300, []Tenant{{Quota: 300}, {Quota: 100}}
@@ -134,7 +135,7 @@
 		t.Fatal(err)
 	}
 	over := [2]int{}
-	for n := range 4000 { // 40 a second: 30 times the mean, nine in ten of the second tenant, which has a quarter of the quotas
+	for n := range 4000 { // 40 per second: 30 times the mean; 9 in 10 are of the second tenant, which has a quarter of the quotas
 		b.now += 25
 		b.arrivalRate.Add(b.now)
 		tenant := 1
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// BenchmarkRequest measures what a request costs the policy, from its arrival to its answer with the probes that it brings,
-// and BenchmarkTick the look every 50 ms at what moves without traffic, at one of many instances with so many servers.
+// BenchmarkRequest measures the events of one request, from its arrival to its response, and those of the probes sent with it.
 func BenchmarkRequest(b *testing.B) {
-	benchmarkSizes(b, func(g *rig, n int) { g.pass(RequestID(n)) })
+	benchmarkSizes(b, func(g *rig, n int) { g.serve(RequestID(n)) })
 }
 
+// BenchmarkTick measures the periodic update.
 func BenchmarkTick(b *testing.B) {
 	benchmarkSizes(b, func(g *rig, _ int) { g.tick() })
 }
 
-func benchmarkSizes(b *testing.B, once func(g *rig, n int)) {
+// benchmarkSizes runs step in one of 300 instances, for several numbers of servers.
+func benchmarkSizes(b *testing.B, step func(g *rig, n int)) {
 	for _, servers := range []int{16, 60, 200, 350, 1024, 2000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			cfg := testConfig()
@@ -26,7 +27,7 @@
 			for b.Loop() {
 				n++
 				g.now += 50
-				once(g, n)
+				step(g, n)
 			}
 		})
 	}
--- a/policy/churn_test.go
+++ b/policy/churn_test.go
@@ -6,23 +6,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// kept is how much a Balancer keeps that has a key or was once under way.
-type kept struct{ Servers, ByID, Requests, Waiting, Pool, RIFs, Tallies, InFlight int }
+// retained counts the entries in a Balancer's collections, and its attempts in flight.
+type retained struct{ Servers, ByID, Requests, Waiting, Pool, RIFs, Tallies, InFlight int }
 
-func (b *Balancer) kept() kept {
-	h := kept{
+func (b *Balancer) retained() retained {
+	counts := retained{
 		Servers: len(b.servers), ByID: len(b.byID), Requests: len(b.requests), Waiting: len(b.waitingForProbes),
 		Pool: b.pool.Len(), RIFs: b.recentRIFs.Len(), InFlight: b.inFlight,
 	}
 	for _, s := range b.servers {
-		h.Tallies += len(s.outcomesByTenant)
+		counts.Tallies += len(s.outcomesByTenant)
 	}
-	return h
+	return counts
 }
 
-// Twenty thousand servers come and go, and as many requests end in every way there is, some after their server has gone: in the end
-// the Balancer keeps what the same servers needed at the start.
-func TestNothingGrows(t *testing.T) {
+// Guards against leaks: 20,000 servers are added and removed, and as many requests end with every status, some after their
+// server is gone. In the end the Balancer must retain no more than at the start.
+func TestStateDoesNotGrow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.ProbeCost, cfg.Instances = []Tenant{{Quota: 10}, {Quota: 10}}, 0.08, 300
 	g := newRig(t, cfg, 12)
@@ -36,7 +36,7 @@
 			g.do(Event{Kind: EndpointsUpdated, Servers: list})
 			id := RequestID(i)
 			acts := g.do(Event{Kind: RequestArrived, Request: id, Class: i % 3, Tenant: i % 2, TimeLeft: 900})
-			var open []Event // answered once the servers may have gone
+			var open []Event // attempts that end after their server may be gone
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
 				case SendProbe:
@@ -50,10 +50,10 @@
 						open = append(open, Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: OK, Final: true})
 						continue
 					}
-					how := []Status{OK, Failed, Reset, ConnectFailed, Declined, TimedOut}[i%6]
+					status := []Status{OK, Failed, Reset, ConnectFailed, Declined, TimedOut}[i%6]
 					acts = append(acts, g.do(Event{
-						Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: how, Elapsed: 40,
-						Final: how == OK,
+						Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: status, Elapsed: 40,
+						Final: status == OK,
 					})...)
 				}
 			}
@@ -75,11 +75,11 @@
 		g.tick()
 	}
 	runFrom(0)
-	before := g.balancer.kept()
+	before := g.balancer.retained()
 	for k := range 9 {
 		runFrom(2000 * (k + 1))
 	}
-	if diff := cmp.Diff(before, g.balancer.kept()); diff != "" {
+	if diff := cmp.Diff(before, g.balancer.retained()); diff != "" {
 		t.Error(diff)
 	}
 	if before.Servers != 12 || before.Requests != 0 || before.InFlight != 0 {
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestNewRejectsBadConfig(t *testing.T) {
-	for name, breakRule := range map[string]func(*Config){
+	for name, invalidate := range map[string]func(*Config){
 		"no classes":                 func(c *Config) { c.Classes = nil },
 		"negative latency objective": func(c *Config) { c.Classes[0].LatencyObjective = -1 },
 		"unknown idempotency":        func(c *Config) { c.Classes[0].Idempotency = 9 },
@@ -13,7 +13,7 @@
 		"negative warm-up time":      func(c *Config) { c.WarmUpTime = -1 },
 	} {
 		cfg := testConfig()
-		breakRule(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,7 +6,7 @@
 	"plankrouter/policy"
 )
 
-// A sidecar feeds events and carries out the actions that come back.
+// A sidecar passes events to a Balancer and carries out the actions that it returns.
 func Example() {
 	b, err := policy.New(policy.Config{
 		Classes: []policy.Class{{LatencyObjective: 200, Deadline: 1000, PriorityWeight: 1, Idempotency: policy.Idempotent}},
--- a/policy/internal/admission/admission_test.go
+++ b/policy/internal/admission/admission_test.go
@@ -10,14 +10,14 @@
 		traffic         Traffic
 		perSecond, want float64
 	}{
-		"nothing seen yet: the even part":                {Traffic{0, 0, 400, 300}, 0, 1.0 / 300},
-		"no reports: the part of the quotas":             {Traffic{0, 0, 400, 300}, 40, 0.1},
-		"no reports, more than the quotas":               {Traffic{0, 0, 400, 300}, 800, 1},
-		"no reports and no quotas":                       {Traffic{0, 0, 0, 4}, 5, 1},
-		"reports, nothing own: a prior's part is left":   {Traffic{0, 980, 400, 10}, 400, 2.0 / 1000},
-		"reports, a tenth is own":                        {Traffic{98, 980, 400, 10}, 0, 0.1},
-		"few reports: mostly the even part":              {Traffic{10, 0, 400, 20}, 400, 11.0 / 20},
-		"number of instances not known: taken to be one": {Traffic{0, 0, 400, 0}, 0, 1},
+		"no traffic, no reports: even share":          {Traffic{0, 0, 400, 300}, 0, 1.0 / 300},
+		"no reports: fraction of the quotas":          {Traffic{0, 0, 400, 300}, 40, 0.1},
+		"no reports, more than the quotas":            {Traffic{0, 0, 400, 300}, 800, 1},
+		"no reports and no quotas":                    {Traffic{0, 0, 0, 4}, 5, 1},
+		"reports, no own requests: the prior's share": {Traffic{0, 980, 400, 10}, 400, 2.0 / 1000},
+		"reports, a tenth of the requests is own":     {Traffic{98, 980, 400, 10}, 0, 0.1},
+		"few reports: mostly the even share":          {Traffic{10, 0, 400, 20}, 400, 11.0 / 20},
+		"unknown number of instances: one assumed":    {Traffic{0, 0, 400, 0}, 0, 1},
 	} {
 		if got := c.traffic.Share(c.perSecond); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%s: %g, want %g", name, got, c.want)
@@ -48,9 +48,9 @@
 		t.Errorf("%g for the highest value, want %g", got, FullStretch)
 	}
 	if got := MaxStretch(true, 1); got != sparseFullStretch {
-		t.Errorf("%g for the highest value where reports are sparse, want %g", got, sparseFullStretch)
+		t.Errorf("%g for the highest value with sparse reports, want %g", got, sparseFullStretch)
 	}
 	if MaxStretch(false, 0.1) >= MaxStretch(false, 0.5) {
-		t.Error("a request of less value may be stretched as much")
+		t.Error("the limit is not lower for a lower value")
 	}
 }
--- a/policy/internal/draw/draw_test.go
+++ b/policy/internal/draw/draw_test.go
@@ -21,11 +21,11 @@
 		t.Errorf("drawn %v, want 3 and 5 about as often", drawn)
 	}
 	if found := Highest(rng, []int{1, 2}, 3, func(int) int { return 0 }); len(found) != 0 {
-		t.Errorf("%v are drawn, where all are left out", found)
+		t.Errorf("%v are drawn, although all have preference 0", found)
 	}
 }
 
-func TestOneOfNone(t *testing.T) {
+func TestOneWithoutSuitableItem(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 0))
 	if one := One(rng, []int{1, 2}, func(int) bool { return false }); one != 0 {
 		t.Errorf("%d, want the zero value", one)
--- a/policy/internal/outlier/tally.go
+++ b/policy/internal/outlier/tally.go
@@ -11,7 +11,7 @@
 	priorSuccesses      = 2.0  // successes assumed before any outcome: one failure alone ejects no server
 	successFailureDecay = 0.85 // factor by which a success reduces the weight of failures
 
-	unresponsiveMultiple    = 6.0 // expected response times, summed over all attempts in flight, after which a server is unresponsive
+	unresponsiveMultiple    = 6.0 // expected response times, summed over attempts in flight, until a server is unresponsive
 	minUnresponsiveMultiple = 2.0 // the same for each attempt, however many are in flight
 )
 
--- a/policy/internal/outlier/tally_test.go
+++ b/policy/internal/outlier/tally_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestOutcomesFade(t *testing.T) {
+func TestOutcomesDecay(t *testing.T) {
 	tally := Tally{Successes: 4, Failures: 8, At: 1000}
 	tally.FailureRate(1000 + HalfLife)
 	if math.Abs(tally.Failures-4) > 1e-9 || math.Abs(tally.Successes-2) > 1e-9 {
@@ -55,13 +55,13 @@
 		want          bool
 	}{
 		"nothing in flight":         {0, 1e6, false},
-		"one attempt, not for long": {1, 500, false},
-		"one attempt, for long":     {1, 601, true},
-		"many attempts, one answer": {10, 150, false},
-		"many attempts, for long":   {10, 201, true},
+		"one attempt, short time":   {1, 500, false},
+		"one attempt, long time":    {1, 601, true},
+		"many attempts, short time": {10, 150, false},
+		"many attempts, long time":  {10, 201, true},
 	} {
 		if got := IsUnresponsive(c.inFlight, c.noResponseFor, 100); got != c.want {
-			t.Errorf("%s: silent %t", name, got)
+			t.Errorf("%s: unresponsive %t", name, got)
 		}
 	}
 }
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -11,7 +11,7 @@
 	slowMultiple          = 1.5  // multiple of the baseline above which a duration counts as slow
 	priorBaselineFraction = 0.5  // baseline assumed until it is known, as a fraction of the latency target
 	maxTracked            = 64   // number of attempts in the ring buffer
-	minTrackInterval      = 50.0 // ms between two tracked attempts: the ring must cover as long a time with many requests as with few
+	minTrackInterval      = 50.0 // ms between two tracked attempts: the ring covers as long a time with many requests as with few
 	maxRecentAge          = 5e3  // ms since the start of an attempt for which it counts as recent
 	maxAgeMultiple        = 2.0  // lower bound of that age, as a multiple of the time after which the attempt is slow
 	maxRecent             = 20   // maximum number of recent attempts that are evaluated
--- a/policy/internal/probepool/probepool_test.go
+++ b/policy/internal/probepool/probepool_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// less has servers of a lower number be better.
+// less is a better function by which the lower number is better.
 func less(x, y int) bool { return x < y }
 
 func all(int) bool { return true }
@@ -20,7 +20,7 @@
 	for s := range Size {
 		p.Add(s, float64(s), 1)
 	}
-	p.Add(0, 100, 1) // the same server again: no other leaves
+	p.Add(0, 100, 1) // the same server again: no other is removed
 	if p.Len() != Size {
 		t.Fatalf("%d entries", p.Len())
 	}
@@ -29,7 +29,7 @@
 		t.Errorf("best %d of %d: server 1 was the oldest", best, n)
 	}
 	if best, _ := p.Best(func(s int) bool { return s > 0 }, less); best != 2 {
-		t.Errorf("best %d but for server 0, want 2", best)
+		t.Errorf("best %d except server 0, want 2", best)
 	}
 }
 
@@ -45,7 +45,7 @@
 	p := filled(1, 2)
 	p.Use(1)
 	if p.Len() != 2 {
-		t.Fatal("gone after the first of two uses")
+		t.Fatal("removed after the first of two uses")
 	}
 	p.Use(1)
 	p.Use(7) // not in the pool
@@ -58,7 +58,7 @@
 	p := filled(5, 1, 9, 3, 2)
 	p.Trim(0.5, less)
 	if p.Len() != 5 {
-		t.Fatal("half a removal has removed one")
+		t.Fatal("an entry was removed before a whole removal was due")
 	}
 	p.Trim(0.5, less) // 5 is the oldest
 	if _, n := p.Best(func(s int) bool { return s == 5 }, less); n != 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestBestOfNone(t *testing.T) {
+func TestBestOfEmptyPool(t *testing.T) {
 	if best, n := (&Pool[int]{}).Best(all, less); best != 0 || n != 0 {
 		t.Errorf("%d, %d", best, n)
 	}
--- a/policy/internal/reachability/reachability_test.go
+++ b/policy/internal/reachability/reachability_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFailuresThatWereUnderWayTogetherCountAsOne(t *testing.T) {
+func TestConcurrentFailuresCountAsOne(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 0))
 	var s State
 	s.Failed(1000, rng)
@@ -23,16 +23,16 @@
 	}
 }
 
-func TestOnlyAProbeEndsTheBackoff(t *testing.T) {
+func TestOnlyAProbeResponseEndsTheBackoff(t *testing.T) {
 	var s State
 	s.Failed(1000, rand.New(rand.NewPCG(1, 0)))
 	s.RequestSucceeded()
 	if s.Unreachable || !s.HasFailed() {
-		t.Errorf("%+v after an answered request", s)
+		t.Errorf("%+v after a response to a request", s)
 	}
 	s.ProbeSucceeded(1010)
 	if s.HasFailed() || !s.MayProbe(1010) {
-		t.Errorf("%+v after an answered probe", s)
+		t.Errorf("%+v after a response to a probe", s)
 	}
 	s.ProbeNotSent(1010)
 	if s.Unreachable || s.MayProbe(1011) {
--- a/policy/internal/slowstart/slowstart_test.go
+++ b/policy/internal/slowstart/slowstart_test.go
@@ -31,10 +31,10 @@
 		sent, arriving float64
 		want           float64
 	}{
-		"no report":                          {false, 1, 1, 0.2 * 4 * unreportedFraction},
-		"reports capacity":                   {true, 1, 1, 0.2 * 4 * reportedFraction},
-		"all servers cold, no report":        {false, 0, 1, 0.2 * 4 * unreportedFraction * allStartingFraction},
-		"all servers cold, reports capacity": {true, 0, 1, 0.2 * 4 * reportedFraction},
+		"no report":                              {false, 1, 1, 0.2 * 4 * unreportedFraction},
+		"reports capacity":                       {true, 1, 1, 0.2 * 4 * reportedFraction},
+		"all servers starting, no report":        {false, 0, 1, 0.2 * 4 * unreportedFraction * allStartingFraction},
+		"all servers starting, reports capacity": {true, 0, 1, 0.2 * 4 * reportedFraction},
 	} {
 		if got := Rate(0.2, 4, c.hasCapacity, c.sent, c.arriving); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%s: %g, want %g", name, got, c.want)
--- a/policy/internal/stats/stats_test.go
+++ b/policy/internal/stats/stats_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("%g a ms, want 0.1", got)
 	}
 	if got := r.PerMs(20e3 + rateDecayTime); math.Abs(got-0.1/math.E) > 0.001 {
-		t.Errorf("%g a ms after the memory's time without events", got)
+		t.Errorf("%g a ms after the decay time without events", got)
 	}
 }
 
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -6,35 +6,35 @@
 	"plankrouter/policy/internal/probepool"
 )
 
-// newSharedFleetWithoutProbes is newSharedFleet where no probes are allowed: only answers show how servers are.
+// newSharedFleetWithoutProbes returns a sharedFleet in which probes are not allowed, so that only responses to requests show the
+// state of servers.
 func newSharedFleetWithoutProbes(t *testing.T, servers int) *sharedFleet {
 	f := newSharedFleet(t, servers, 300, false)
 	f.balancer.cfg.Probes = false
 	return f
 }
 
-// Where only answers show how servers are, requests keep away from those that are known to be slow, though at random half of them
-// would go there.
+// Without probes, fewer requests are sent to servers that are known to be slow than the half that a random choice would send.
 func TestSlowServersGetLessWithoutProbes(t *testing.T) {
 	f := newSharedFleetWithoutProbes(t, 20)
-	f.slow = 10
+	f.lastSlow = 10
 	f.run(20e3)
 	f.sentTo = map[ServerID]int{}
 	f.run(60e3)
 	slow, all := 0, 0
 	for id, n := range f.sentTo {
-		if all += n; id <= f.slow {
+		if all += n; id <= f.lastSlow {
 			slow += n
 		}
 	}
 	if part := float64(slow) / float64(all); part > 0.25 {
-		t.Errorf("%.2f of the requests go to the slow half", part)
+		t.Errorf("%.2f of the requests were sent to the slow half", part)
 	}
 }
 
-// A server that has owed an answer for long is chosen as one that takes at least as long, whatever it took before. It is left
-// alone for that only where the request would wait past its latency target as well.
-func TestOverdueAnswersCount(t *testing.T) {
+// Without probes, the time since a server's last response counts as its response time if that is longer than the estimate. The
+// server is not admitted only if the request would then miss its latency target.
+func TestOverdueResponsesCount(t *testing.T) {
 	g := newRig(t, testConfig(), 2)
 	g.balancer.cfg.Probes = false
 	for id := RequestID(1); g.balancer.byID[1].inFlight == 0; id++ {
@@ -45,24 +45,24 @@
 	g.tick()
 	r := &request{objectiveAt: g.now + 400, respondBy: g.now + 900}
 	if got := g.balancer.pickCost(g.balancer.byID[1], r); got < 300 {
-		t.Errorf("a cost of %.0f ms by a server that has owed an answer for 300 ms", got)
+		t.Errorf("a cost of %.0f ms at a server whose response is overdue by 300 ms", got)
 	}
 	if got := g.balancer.pickCost(g.balancer.byID[2], r); got > 150 {
-		t.Errorf("a cost of %.0f ms by one that owes none", got)
+		t.Errorf("a cost of %.0f ms at a server without attempts in flight", got)
 	}
 	if !g.balancer.admits(g.balancer.byID[1], r) {
-		t.Error("not admitted where 300 ms are overdue and 400 ms are left")
+		t.Error("not admitted with a response overdue by 300 ms and 400 ms left")
 	}
 	if r.objectiveAt = g.now + 200; g.balancer.admits(g.balancer.byID[1], r) {
-		t.Error("admitted where 300 ms are overdue and 200 ms are left")
+		t.Error("admitted with a response overdue by 300 ms and 200 ms left")
 	}
 	g.balancer.cfg.Probes = true // then its reports count
 	if got := g.balancer.pickCost(g.balancer.byID[1], r); got > 150 || !g.balancer.admits(g.balancer.byID[1], r) {
-		t.Errorf("a cost of %.0f ms where probes report service times, or not admitted", got)
+		t.Errorf("a cost of %.0f ms, or not admitted, although probes report service times", got)
 	}
 }
 
-// A request that the drawn servers have no capacity for goes to one that has, also where no probe shows which.
+// If the servers drawn at random have no capacity, the request is sent to one that has, also without probes.
 func TestCapacityIsFoundWithoutProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 20)
 	g.balancer.cfg.Probes = false
@@ -74,14 +74,14 @@
 	}
 	for id := range RequestID(20) {
 		if s := find(g.arrive(id, 0), StartAttempt); s == nil || s.Server != 20 {
-			t.Fatalf("request %d: %+v, where server 20 alone has capacity", id, s)
+			t.Fatalf("request %d: %+v, although only server 20 has capacity", id, s)
 		}
-		g.done(id, 0, 20, OK)
+		g.endAttempt(id, 0, 20, OK)
 	}
 }
 
-// A load report in an answer counts as a probe's answer does.
-func TestReportsInAnswersAreUsed(t *testing.T) {
+// A load report in the response to a request is used like one in the response to a probe.
+func TestReportsInResponsesAreUsed(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	g.balancer.cfg.Probes, g.balancer.pool = false, probepool.Pool[*server]{}
 	s := find(g.arrive(1, 0), StartAttempt)
@@ -92,12 +92,12 @@
 	})
 	of := g.balancer.byID[s.Server]
 	if of.rif != 30 || of.latency != 70 || of.reportedAt != g.now || g.balancer.pool.Len() != 1 {
-		t.Errorf("30 in flight and 70 ms were reported; the server is taken to have %g and %g, the pool holds %d", of.rif,
+		t.Errorf("reported: RIF 30, latency 70 ms; got RIF %g and latency %g, and %d pool entries", of.rif,
 			of.latency, g.balancer.pool.Len())
 	}
 }
 
-// A class whose latency target is 1.5 times its work is admitted while servers are free, also where they report nothing.
+// A class whose latency target is 1.5 times its duration at free servers is admitted there, also if servers report no load.
 func TestTightTargetsAreAdmitted(t *testing.T) {
 	for name, probes := range map[string]bool{"probes": true, "no probes": false} {
 		f := newSharedFleet(t, 40, 300, false)
@@ -116,7 +116,7 @@
 		f.stretch = 6
 		f.run(43e3)
 		if part := f.run(50e3); part > 0.4 {
-			t.Errorf("%s: %.2f are admitted while answers take 6 times as long; %s", name, part, &f.balancer.gauge)
+			t.Errorf("%s: %.2f are admitted while responses take 6 times as long; %s", name, part, &f.balancer.gauge)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,8 +7,8 @@
 	"plankrouter/policy/internal/outlier"
 )
 
-// sendWithIdleServer plays so many requests with six servers, of which server 4 always looks idle, and returns how many went
-// there first. endIdleAttempt ends an attempt there, if it is to end; the others are answered.
+// sendWithIdleServer sends requests in a fleet of six servers, of which server 4 always reports no load, and returns how many
+// first attempts it got. endIdleAttempt may end an attempt there; all other attempts succeed.
 func sendWithIdleServer(t *testing.T, requests int, endIdleAttempt func(g *rig, id RequestID)) (toIdle int) {
 	t.Helper()
 	const idle = 4
@@ -23,39 +23,40 @@
 			toIdle++
 			endIdleAttempt(g, id)
 		default:
-			g.done(id, 0, attempt.Server, OK)
+			g.endAttempt(id, 0, attempt.Server, OK)
 		}
 	}
 	return toIdle
 }
 
 func TestFastFailingServerIsEjected(t *testing.T) {
-	failed := sendWithIdleServer(t, 300, func(g *rig, id RequestID) { g.done(id, 0, 4, Failed) })
+	failed := sendWithIdleServer(t, 300, func(g *rig, id RequestID) { g.endAttempt(id, 0, 4, Failed) })
 	if failed > 30 {
-		t.Errorf("%d of 300 requests went to the failing server", failed)
+		t.Errorf("%d of 300 requests were sent to the failing server", failed)
 	}
 }
 
-func TestSilentServerIsEjected(t *testing.T) {
-	unanswered := sendWithIdleServer(t, 200, func(*rig, RequestID) {})
-	if unanswered > 40 {
-		t.Errorf("%d of 200 requests went to the silent server", unanswered)
+func TestUnresponsiveServerIsEjected(t *testing.T) {
+	unresponsive := sendWithIdleServer(t, 200, func(*rig, RequestID) {})
+	if unresponsive > 40 {
+		t.Errorf("%d of 200 requests were sent to the unresponsive server", unresponsive)
 	}
 }
 
-// A server that declines requests answers fast and looks idle.
+// A server that declines requests responds quickly and looks idle, but must not attract requests.
 func TestDecliningServerGetsFewRequests(t *testing.T) {
 	declined := sendWithIdleServer(t, 100, func(g *rig, id RequestID) {
-		if next := find(g.done(id, 0, 4, Declined), StartAttempt); next != nil {
-			g.done(id, 1, next.Server, OK)
+		if next := find(g.endAttempt(id, 0, 4, Declined), StartAttempt); next != nil {
+			g.endAttempt(id, 1, next.Server, OK)
 		}
 	})
 	if declined == 0 || declined > 25 {
-		t.Errorf("%d of 100 requests went to the declining server", declined)
+		t.Errorf("%d of 100 requests were sent to the declining server", declined)
 	}
 }
 
-// A sidecar that has sent nothing to a server must learn from its report that it fails quickly; an old report fades.
+// A server is ejected by the error rate that it reports, also if this instance has sent it nothing. The weight of a report
+// decays.
 func TestReportedErrorsEject(t *testing.T) {
 	for name, c := range map[string]struct {
 		errors, age float64
@@ -79,7 +80,7 @@
 	}
 }
 
-// A server that declines one tenant's requests serves the others: it is ejected for that tenant alone.
+// A server that declines only one tenant's requests is ejected for that tenant alone.
 func TestServerEjectedForOneTenant(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverQuotaWeight = make([]Tenant, 2), 1
@@ -89,7 +90,7 @@
 	g := newRig(t, cfg, 4)
 	s := g.balancer.byID[1]
 	for i := range 12 {
-		r := &request{id: RequestID(i + 1), tenant: 1 + i%4/3, inFlight: true, respondBy: g.now + 900} // the second's is every fourth
+		r := &request{id: RequestID(i + 1), tenant: 1 + i%4/3, inFlight: true, respondBy: g.now + 900} // 1 in 4 is of tenant 2
 		g.balancer.requests[r.id] = r
 		g.do(Event{Kind: AttemptEnded, Request: r.id, Server: 1, Status: []Status{OK, Declined}[r.tenant-1], Elapsed: 40, Final: true})
 	}
@@ -103,12 +104,12 @@
 		for s := range g.balancer.byID {
 			g.report(s, map[bool]float64{true: 0, false: 2}[s == 1], 40) // the least loaded of all
 		}
-		if a := find(g.answer(g.do(Event{Kind: RequestArrived, Request: 100 + id, Tenant: 1, TimeLeft: 900})), StartAttempt); a != nil {
+		if a := find(g.respondToProbes(g.do(Event{Kind: RequestArrived, Request: 100 + id, Tenant: 1, TimeLeft: 900})), StartAttempt); a != nil {
 			to = append(to, a.Server)
-			g.done(100+id, 0, a.Server, OK)
+			g.endAttempt(100+id, 0, a.Server, OK)
 		}
 	}
 	if len(to) != 40 || slices.Contains(to, 1) {
-		t.Errorf("its requests went to %v", to)
+		t.Errorf("the tenant's requests were sent to %v", to)
 	}
 }
--- a/policy/overload_cases_test.go
+++ b/policy/overload_cases_test.go
@@ -2,20 +2,21 @@
 
 import "testing"
 
-// Cases that make an overload look like none, or the other way round, to one instance of many whose servers report nothing.
-func TestWhatIsNoOverload(t *testing.T) {
+// Changes of the fleet or its traffic that one of many instances must not take for an overload, with servers that report no
+// load.
+func TestNoFalseOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		set    func(f *sharedFleet) // before the start
-		change func(f *sharedFleet) // after ten seconds in which all is well
+		change func(f *sharedFleet) // after ten seconds of normal operation
 	}{
-		"a quiet sidecar becomes the busiest": {
-			func(f *sharedFleet) { f.every = 2000 }, func(f *sharedFleet) { f.every = 25 },
+		"an instance with few requests becomes the busiest": {
+			func(f *sharedFleet) { f.interval = 2000 }, func(f *sharedFleet) { f.interval = 25 },
 		},
-		"servers refuse probes and serve": {
-			func(f *sharedFleet) { f.mute = true }, func(*sharedFleet) {},
+		"servers decline probes but serve requests": {
+			func(f *sharedFleet) { f.probesDeclined = true }, func(*sharedFleet) {},
 		},
-		"one in ten turns cold and slow": {
-			func(*sharedFleet) {}, func(f *sharedFleet) { f.slow = 4 },
+		"one in ten servers becomes slow": {
+			func(*sharedFleet) {}, func(f *sharedFleet) { f.lastSlow = 4 },
 		},
 		"the list grows from 40 to 2,000": {
 			func(*sharedFleet) {}, func(f *sharedFleet) { f.list(2000) },
@@ -24,27 +25,27 @@
 			func(f *sharedFleet) { f.list(400) }, func(f *sharedFleet) { f.list(13) },
 		},
 		"a tenth of the servers is gone": {
-			func(*sharedFleet) {}, func(f *sharedFleet) { f.gone = 4 },
+			func(*sharedFleet) {}, func(f *sharedFleet) { f.lastGone = 4 },
 		},
 	} {
-		for _, queues := range []bool{true, false} {
-			f := newSharedFleet(t, 40, 300, queues)
+		for _, probesQueue := range []bool{true, false} {
+			f := newSharedFleet(t, 40, 300, probesQueue)
 			c.set(f)
 			f.run(12e3)
 			c.change(f)
 			if part := f.run(30e3); part < 0.9 {
-				t.Errorf("%s, probes queue %t: %.2f are admitted; %s", name, queues, part, &f.balancer.gauge)
+				t.Errorf("%s, probes queue %t: %.2f are admitted; %s", name, probesQueue, part, &f.balancer.gauge)
 			}
 		}
 	}
 }
 
-// Requests of a class that takes four times as long are nine in ten instead of one in ten: that is no overload.
+// A change from 10 % to 90 % of requests of a class that takes four times as long is not an overload.
 func TestMoreOfALongClassIsNoOverload(t *testing.T) {
 	f := newSharedFleet(t, 40, 300, false)
-	f.long = 0.1
+	f.longFraction = 0.1
 	f.run(12e3)
-	f.long = 0.9
+	f.longFraction = 0.9
 	if part := f.run(30e3); part < 0.9 {
 		t.Errorf("%.2f are admitted; %s", part, &f.balancer.gauge)
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,29 +6,30 @@
 	"testing"
 )
 
-// sharedFleet plays one instance of many, with servers that report nothing and are all as slow as the others make them.
+// sharedFleet simulates one of many instances. Its servers report no load; how slow they are is set by stretch, which stands for
+// the load from the other instances.
 type sharedFleet struct {
 	*rig
-	rng     *rand.Rand
-	stretch float64
-	queues  bool     // probes wait with requests
-	mute    bool     // probes are refused
-	long    float64  // part of the requests that are of class 0 and take four times as long; the others are of class 2
-	every   Ms       // between two requests
-	slow    ServerID // servers up to this one take four times as long,
-	gone    ServerID // and up to this one say nothing
-	due     []due
-	last    RequestID
-	sent    int
-	sentTo  map[ServerID]int // first attempts; nil = they are not counted
+	rng            *rand.Rand
+	stretch        float64
+	probesQueue    bool     // probes queue with requests
+	probesDeclined bool     // servers decline probes
+	longFraction   float64  // fraction of requests of class 0, which take four times as long; the others are of class 2
+	interval       Ms       // time between two requests
+	lastSlow       ServerID // servers up to this ID take four times as long
+	lastGone       ServerID // servers up to this ID do not respond
+	pending        []pendingEvent
+	lastRequest    RequestID
+	sent           int
+	sentTo         map[ServerID]int // number of first attempts; nil = not counted
 }
 
-type due struct {
+type pendingEvent struct {
 	dueAt Ms
 	event Event
 }
 
-func newSharedFleet(t *testing.T, servers, instances int, queues bool) *sharedFleet {
+func newSharedFleet(t *testing.T, servers, instances int, probesQueue bool) *sharedFleet {
 	cfg := testConfig()
 	cfg.Instances, cfg.ProbeCost, cfg.WastedWorkCost = instances, 0.01, 0.05
 	b, err := New(cfg, 7)
@@ -36,34 +37,34 @@
 		t.Fatal(err)
 	}
 	f := &sharedFleet{
-		rig: &rig{test: t, balancer: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, queues: queues,
-		every: 50,
+		rig: &rig{test: t, balancer: b, now: 1000}, rng: rand.New(rand.NewPCG(5, 0)), stretch: 1, probesQueue: probesQueue,
+		interval: 50,
 	}
-	f.act(f.do(Event{Kind: Started}))
+	f.carryOut(f.do(Event{Kind: Started}))
 	f.list(servers)
 	return f
 }
 
-// list gives it a list of that many servers and no others.
+// list replaces the server list by one of that many servers.
 func (f *sharedFleet) list(servers int) {
 	list := readyServers(servers)
-	f.act(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
+	f.carryOut(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
 }
 
-func (f *sharedFleet) act(acts []Action) {
+func (f *sharedFleet) carryOut(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case SendProbe:
 			took, status := 1+0.2*f.rng.Float64(), OK
-			if f.queues {
-				took *= f.stretch * f.times(a.Server)
+			if f.probesQueue {
+				took *= f.stretch * f.slowdown(a.Server)
 			}
-			if f.mute {
+			if f.probesDeclined {
 				status = Declined
-			} else if a.Server <= f.gone {
+			} else if a.Server <= f.lastGone {
 				took, status = 200, TimedOut
 			}
-			f.due = append(f.due, due{f.now + took, Event{Kind: ProbeEnded, Server: a.Server, Status: status, Elapsed: took}})
+			f.pending = append(f.pending, pendingEvent{f.now + took, Event{Kind: ProbeEnded, Server: a.Server, Status: status, Elapsed: took}})
 		case StartAttempt:
 			if f.balancer.requests[a.Request].attempts == 1 {
 				f.sent++
@@ -71,92 +72,93 @@
 					f.sentTo[a.Server]++
 				}
 			}
-			took, status := 60*f.stretch*f.times(a.Server)*math.Exp(0.5*f.rng.NormFloat64()), OK
+			took, status := 60*f.stretch*f.slowdown(a.Server)*math.Exp(0.5*f.rng.NormFloat64()), OK
 			if f.balancer.requests[a.Request].class == 0 {
 				took *= 4
 			}
-			if took > a.After || a.Server <= f.gone {
+			if took > a.After || a.Server <= f.lastGone {
 				took, status = a.After, TimedOut
 			}
-			f.due = append(f.due, due{f.now + took, Event{
+			f.pending = append(f.pending, pendingEvent{f.now + took, Event{
 				Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: status,
 				Elapsed: took, Final: status == OK,
 			}})
 		case SetTimer:
-			f.due = append(f.due, due{f.now + a.After, Event{Kind: TimerFired, Timer: a.Timer}})
+			f.pending = append(f.pending, pendingEvent{f.now + a.After, Event{Kind: TimerFired, Timer: a.Timer}})
 		}
 	}
 }
 
-// times is how much longer that server takes than others.
-func (f *sharedFleet) times(s ServerID) float64 {
-	if s <= f.slow {
+// slowdown returns how many times longer the server takes than others.
+func (f *sharedFleet) slowdown(s ServerID) float64 {
+	if s <= f.lastSlow {
 		return 4
 	}
 	return 1
 }
 
-// run plays until that time and returns the part of the requests that were sent somewhere.
+// run simulates until the given time and returns the fraction of requests that were sent to a server.
 func (f *sharedFleet) run(until Ms) float64 {
-	arrived, arrive, was := 0, f.now, f.sent
+	arrived, arrive, sentBefore := 0, f.now, f.sent
 	for f.now < until {
 		next := -1
-		for i := range f.due {
-			if next < 0 || f.due[i].dueAt < f.due[next].dueAt {
+		for i := range f.pending {
+			if next < 0 || f.pending[i].dueAt < f.pending[next].dueAt {
 				next = i
 			}
 		}
-		if next < 0 || f.due[next].dueAt >= arrive {
-			f.now, arrive = arrive, arrive+f.every
-			f.last++
+		if next < 0 || f.pending[next].dueAt >= arrive {
+			f.now, arrive = arrive, arrive+f.interval
+			f.lastRequest++
 			arrived++
 			class := 2
-			if f.rng.Float64() < f.long {
+			if f.rng.Float64() < f.longFraction {
 				class = 0
 			}
-			f.act(f.do(Event{Kind: RequestArrived, Request: f.last, Class: class, TimeLeft: 900}))
+			f.carryOut(f.do(Event{Kind: RequestArrived, Request: f.lastRequest, Class: class, TimeLeft: 900}))
 			continue
 		}
-		d := f.due[next]
-		f.due[next] = f.due[len(f.due)-1]
-		f.due = f.due[:len(f.due)-1]
+		d := f.pending[next]
+		f.pending[next] = f.pending[len(f.pending)-1]
+		f.pending = f.pending[:len(f.pending)-1]
 		f.now = d.dueAt
-		f.act(f.do(d.event))
+		f.carryOut(f.do(d.event))
 	}
-	return float64(f.sent-was) / float64(arrived)
+	return float64(f.sent-sentBefore) / float64(arrived)
 }
 
-// One instance of many is a small part of each server's load and can't count the rest. It sees by its own answers and by its probes
-// that all servers are overloaded, refuses most requests then, and admits all again within 5 s of the end.
-func TestOverloadIsSeenByOneOfMany(t *testing.T) {
+// One of many instances sends a small part of each server's load and does not know the rest. From the durations of its attempts
+// and probes it has to detect that all servers are overloaded, reject most requests meanwhile, and admit all again within 5 s
+// of the end of the overload.
+func TestOneOfManyInstancesDetectsOverload(t *testing.T) {
 	for name, c := range map[string]struct {
-		queues    bool
-		instances int // by the settings, where there are 300
+		probesQueue bool
+		instances   int // in the settings; 300 share the fleet
 	}{
 		"probes queue":                            {true, 300},
-		"probes don't":                            {false, 300},
+		"probes do not queue":                     {false, 300},
 		"settings say four times as many":         {false, 1200},
 		"settings say a quarter of the instances": {false, 75},
 	} {
-		f := newSharedFleet(t, 40, c.instances, c.queues)
+		f := newSharedFleet(t, 40, c.instances, c.probesQueue)
 		f.run(10e3)
 		if part := f.run(20e3); part < 0.97 {
-			t.Errorf("%s: %.2f are admitted while all is well", name, part)
+			t.Errorf("%s: %.2f are admitted before the overload", name, part)
 		}
 		f.stretch = 6
 		f.run(23e3)
 		if part := f.run(30e3); part > 0.4 {
-			t.Errorf("%s: %.2f are admitted while answers take 6 times as long", name, part)
+			t.Errorf("%s: %.2f are admitted while responses take 6 times as long", name, part)
 		}
 		f.stretch = 1
 		f.run(35e3)
 		if part := f.run(45e3); part < 0.97 {
-			t.Errorf("%s: %.2f are admitted once all is well again", name, part)
+			t.Errorf("%s: %.2f are admitted after the overload", name, part)
 		}
 	}
 }
 
-// Where servers report no load, the time of a probe in their queue shows which of them is overloaded.
+// If servers report no load, the duration of a probe that queues with requests shows which of them is overloaded.
 func TestProbeTimesShowTheLoad(t *testing.T) {
 	f := newSharedFleet(t, 2, 300, true)
 	f.run(3e3)
@@ -165,7 +167,7 @@
 	f.do(Event{Kind: ProbeEnded, Server: 1, Elapsed: 30})
 	f.do(Event{Kind: ProbeEnded, Server: 2, Elapsed: 1.1})
 	if overloaded.rif < 20 || free.rif > 1 {
-		t.Errorf("loads of %.1f and %.1f by probes of 30 and 1.1 ms", overloaded.rif, free.rif)
+		t.Errorf("loads of %.1f and %.1f estimated from probes of 30 and 1.1 ms", overloaded.rif, free.rif)
 	}
 	r := &request{class: 2, objectiveAt: f.balancer.now + 400, respondBy: f.balancer.now + 900}
 	if s := f.balancer.pick(r); s != free {
@@ -176,8 +178,8 @@
 	}
 }
 
-// What servers report goes before all that: neither probes' times nor own answers change anything there.
-func TestReportsGoBeforeOwnAnswers(t *testing.T) {
+// Load reports take precedence: the durations of probes and of own attempts do not change the load of a server that reports it.
+func TestReportsTakePrecedenceOverDurations(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id := range RequestID(200) {
 		g.now += 50
@@ -186,11 +188,11 @@
 			continue
 		}
 		g.now += 380
-		g.done(id, 0, s.Server, OK)
+		g.endAttempt(id, 0, s.Server, OK)
 		g.do(Event{Kind: ProbeEnded, Server: s.Server, Elapsed: 100, Report: Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}})
 		g.tick()
 		if rif := g.balancer.byID[s.Server].rif; rif > 2 {
-			t.Fatalf("a load of %.1f where 1 is reported", rif)
+			t.Fatalf("a load of %.1f although 1 is reported", rif)
 		}
 	}
 	if got := g.balancer.gauge.Stretch(); got != 1 {
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -9,17 +9,17 @@
 	"plankrouter/policy/internal/reachability"
 )
 
-// An instance with little traffic has no fresh loads: its requests wait for their own probes instead of going to a
-// random server, and go anyway when the probes stay unanswered.
+// An instance with little traffic has no recent load reports: its requests wait for their own probes instead of being sent to
+// a random server, and are sent anyway if there is no response to the probes.
 func TestShortPoolWaitsForItsProbes(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		answers int // probes that are answered; idle servers but for the first
-		best    bool
-	}{{"answered", 3, true}, {"silent probes", 0, false}} {
+		name      string
+		responses int // number of probes with a response, the second of them from an idle server
+		best      bool
+	}{{"responses", 3, true}, {"no responses", 0, false}} {
 		g := newRig(t, testConfig(), 8)
-		g.now += 5000                                  // what was known is old
-		g.balancer.probeCredit = probing.MaxPerRequest // an earlier request has needed none
+		g.now += 5000                                  // all reports are old
+		g.balancer.probeCredit = probing.MaxPerRequest // probes that an earlier request did not send
 		acts := g.do(Event{Kind: RequestArrived, Request: 1, Class: 0, TimeLeft: 900})
 		var targets []ServerID
 		for _, a := range acts {
@@ -32,7 +32,7 @@
 		}
 		g.now += 5
 		var sent *Action
-		for i, s := range targets[:c.answers] {
+		for i, s := range targets[:c.responses] {
 			rif := 9.0
 			if i == 1 {
 				rif = 0
@@ -55,8 +55,8 @@
 	}
 }
 
-// A thousand instances that connect to every server fill the servers' tables: each keeps to a few, own zone first.
-// Few instances choose among all.
+// If a thousand instances connected to every server, the servers' connection tables would be full. So each instance uses a
+// subset, servers of its own zone first; few instances use all servers.
 func TestSubsetFollowsTheNumberOfInstances(t *testing.T) {
 	for name, c := range map[string]struct{ instances, servers, want int }{
 		"one instance":                    {1, 64, 64},
@@ -100,12 +100,12 @@
 	}
 }
 
-// A server whose probes fail is probed less and less often, however many requests wait for reports, and is found again within a
-// bounded time even when no requests come. Requests go elsewhere meanwhile.
+// A server whose probes fail is probed with an exponential backoff, however many requests wait for reports, and is found again
+// within a bounded time even without requests. Meanwhile requests are sent to other servers.
 func TestFailedProbesBackOff(t *testing.T) {
 	for name, status := range map[string]Status{
 		"refused": ConnectFailed, "draining": Failed, "declined": Declined,
-		"silent": TimedOut,
+		"timed out": TimedOut,
 	} {
 		g := newRig(t, testConfig(), 4)
 		down, probes, sends := true, 0, 0
@@ -116,7 +116,7 @@
 					sends++
 					fallthrough
 				case a.Kind == StartAttempt:
-					acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
+					acts = append(acts, g.endAttempt(a.Request, 0, a.Server, OK)...)
 				case a.Kind == SendProbe && a.Server == 4 && down:
 					probes++
 					acts = append(acts, g.do(Event{Kind: ProbeEnded, Server: 4, Status: status, Elapsed: 1})...)
@@ -129,7 +129,7 @@
 			}
 		}
 		tick := func() { settle(g.tick()) }
-		for id := range RequestID(2000) { // ten seconds of one every 5 ms
+		for id := range RequestID(2000) { // one request every 5 ms for ten seconds
 			if g.now += 5; id%10 == 0 {
 				tick()
 			}
@@ -151,7 +151,7 @@
 	}
 }
 
-// Where probes are not allowed a request finds out whether a server that refused a connection is back, after the same wait.
+// Without probes, a server that has refused a connection is tried by a request after the same backoff as a probe would have.
 func TestUnreachableWithoutProbes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes = false
@@ -160,18 +160,18 @@
 	s.reachability.Failed(g.balancer.now, g.balancer.rng)
 	first := s.reachability.NextProbeAt
 	if s.reachability.Failed(g.balancer.now, g.balancer.rng); s.reachability.ConsecutiveFailures != 1 || s.reachability.NextProbeAt != first {
-		t.Errorf("two refusals at once count as %d", s.reachability.ConsecutiveFailures)
+		t.Errorf("two refused connections at once count as %d", s.reachability.ConsecutiveFailures)
 	}
 	if !g.balancer.isUnreachable(s) {
-		t.Error("reachable after a refusal")
+		t.Error("reachable after a refused connection")
 	}
 	if g.balancer.now = s.reachability.NextProbeAt; g.balancer.isUnreachable(s) {
-		t.Error("unreachable beyond the wait")
+		t.Error("unreachable after the backoff")
 	}
 }
 
-// Many servers are down, some of them for longer than their probes take: those that are back are found all the same, without a
-// request, and they do not keep away the reports of the others.
+// Many servers do not respond to probes, half of them for good: those that are back must be found without a request, and probes
+// of failed servers must not replace those of the others.
 func TestEveryServerIsFoundAgain(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 1
@@ -179,7 +179,7 @@
 	down := func(s ServerID) bool { return s > 50 || s%2 == 0 }
 	found, healthy := map[ServerID]Ms{}, 0
 	start := g.now
-	silent := map[ServerID]Ms{} // probes out, until when
+	silent := map[ServerID]Ms{} // probes in flight: when they time out
 	for ; g.now < start+60e3; g.now += tickInterval {
 		for id := range ServerID(61) {
 			if until, out := silent[id]; out && g.now >= until {
@@ -202,7 +202,7 @@
 			}
 		}
 		if g.now == start {
-			for id := range ServerID(60) { // what is down has been found out
+			for id := range ServerID(60) { // the failure of each server that is down has been noticed
 				if down(id + 1) {
 					g.do(Event{Kind: ProbeEnded, Server: id + 1, Status: ConnectFailed, Elapsed: 1})
 				}
@@ -218,11 +218,11 @@
 		}
 	}
 	if healthy < 20 {
-		t.Errorf("%d probes of the others in a minute of idleness", healthy)
+		t.Errorf("%d probes of the others in an idle minute", healthy)
 	}
 }
 
-// A probe that was not even sent is not sent again the next moment, however many requests wait for reports.
+// A probe that could not be sent is not retried at once, however many requests wait for reports.
 func TestUnsentProbesDoNotBurst(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	probes := 0
@@ -241,8 +241,9 @@
 	}
 }
 
-// A probe that is under way will answer for all: in a sidecar short of time, more of them only make the answers later.
-// And a busy sidecar, which sees each server many times a second, needs fewer for each request.
+// A server has one probe in flight at a time, whose response serves all requests: in a sidecar short of CPU time more probes
+// would only delay the responses. A busy sidecar, which gets many reports of each server per second, sends fewer per
+// request.
 func TestProbesAreBounded(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	out := map[ServerID]int{}
@@ -258,11 +259,11 @@
 	}
 	for s, n := range out {
 		if n != 1 {
-			t.Errorf("%d probes of server %d under way", n, s)
+			t.Errorf("%d probes of server %d in flight", n, s)
 		}
 	}
 	clear(out)
-	for id := range RequestID(1000) { // a second of one a millisecond, each answered at once
+	for id := range RequestID(1000) { // one request per millisecond for a second, with immediate probe responses
 		g.now++
 		acts := g.do(Event{Kind: RequestArrived, Request: 100 + id, TimeLeft: 900})
 		for count(acts); len(acts) > 0; acts = acts[1:] {
@@ -278,15 +279,15 @@
 	}
 }
 
-// A busy sidecar has few probes for each request. An entry of its pool must then do for as many requests as come until the next
-// probe's answer, or most of them would find the pool empty and wait for probes of their own.
+// A busy sidecar sends few probes per request. A pool entry must then serve all requests that arrive until the next probe's
+// response, or most requests would find the pool empty and wait for their own probes.
 func TestUsesFollowTheRateOfProbes(t *testing.T) {
 	g := newRig(t, testConfig(), 40)
 	if n := probing.UsesPerEntry(probepool.Size, g.balancer.readyCount, g.balancer.probesPerRequest, removalFraction); n < 1 || n > 4 {
 		t.Errorf("%.1f uses before any request", n)
 	}
 	waited := 0
-	for id := range RequestID(10000) { // half a second of 20,000 a second, and a probe of each server in 40 ms
+	for id := range RequestID(10000) { // 20,000 per second for half a second, with one probe of each server per 40 ms
 		g.now += 0.05
 		acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 		if find(acts, StartAttempt) == nil {
@@ -295,20 +296,20 @@
 		for ; len(acts) > 0; acts = acts[1:] {
 			switch a := acts[0]; a.Kind {
 			case StartAttempt:
-				acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
+				acts = append(acts, g.endAttempt(a.Request, 0, a.Server, OK)...)
 			case SendProbe:
 				acts = append(acts, g.do(probeResponse(a.Server, 1, 40))...)
 			}
 		}
 	}
-	if waited > 70 { // many more where uses do not follow
-		t.Errorf("%d of 10,000 requests waited for probes of their own", waited)
+	if waited > 70 { // many more if uses did not follow the rate of probes
+		t.Errorf("%d of 10,000 requests waited for their own probes", waited)
 	}
 }
 
-// A quiet sidecar's pool is nearly always short, so that every request would wait for probes of its own. All that a request
-// causes, those it waits for included, come out of what requests have saved up.
-func TestProbesOfAQuietSidecarAreBudgeted(t *testing.T) {
+// The pool of a sidecar with few requests nearly always has too few entries, so that every request would wait for its own
+// probes. All probes of a request, including those that it waits for, count against the probes earned by requests.
+func TestProbesAtALowRateAreBudgeted(t *testing.T) {
 	for name, c := range map[string]struct{ price, maxEach, minEach float64 }{
 		"free":        {0, 2, 1.9},
 		"cheap":       {0.0046, 2, 1.9},
@@ -319,7 +320,7 @@
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 60)
 		probes, sent := 0, 0
-		for id := range RequestID(400) { // each long after the last one, whose reports are old
+		for id := range RequestID(400) { // one every 1.5 s, when the reports of the last one have expired
 			g.now += 1500
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
@@ -329,7 +330,7 @@
 					acts = append(acts, g.do(probeResponse(a.Server, 1, 40))...)
 				case StartAttempt:
 					sent++
-					acts = append(acts, g.done(id, 0, a.Server, OK)...)
+					acts = append(acts, g.endAttempt(id, 0, a.Server, OK)...)
 				case RejectRequest, FailRequest:
 					t.Fatalf("request %d is not sent", id)
 				}
--- a/policy/restore_test.go
+++ b/policy/restore_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// What one process has learned is known to the next, but for what concerns a server's process that has ended, and no old load is
-// taken for a present one.
+// A restored state has everything that was learned, except about server processes that have ended, and no old load counts as a
+// current one.
 func TestRestoredState(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 100}}
@@ -16,7 +16,7 @@
 		if a == nil {
 			t.Fatalf("request %d not sent", id)
 		}
-		g.done(id, 0, a.Server, OK)
+		g.endAttempt(id, 0, a.Server, OK)
 		g.report(1, 5, 80)
 		g.report(3, 5, 120)
 	}
@@ -45,16 +45,16 @@
 	}
 	one, two, three := h.balancer.byID[1], h.balancer.byID[2], h.balancer.byID[3]
 	if one.latency != 80 || !one.latencyReported || one.roundTrip != 1 {
-		t.Errorf("what was known of a server is lost: %+v", one)
+		t.Errorf("the state of a server is lost: %+v", one)
 	}
 	if got := two.outcomesByTenant[0].FailureRate(h.now); got >= failureRate || got < failureRate/2 {
-		t.Errorf("a failure rate of %.2f is %.2f a second later", failureRate, got)
+		t.Errorf("a failure rate of %.2f has become %.2f a second later", failureRate, got)
 	}
 	if three.latency != 0 || len(three.outcomesByTenant) != 2 || three.outcomesByTenant[0].Failures != 0 {
-		t.Errorf("another process inherits: %+v", three)
+		t.Errorf("a new server process has the state of the old one: %+v", three)
 	}
 	if one.rif != 0 || h.balancer.pool.Len() != 0 || one.inFlight != 0 {
-		t.Errorf("an old load is taken for a present one: %+v", one)
+		t.Errorf("an old load counts as a current one: %+v", one)
 	}
 	h.do(Event{Kind: TimerFired, Timer: tickTimer})
 	g.balancer.now, g.balancer.loadModel.DecayedAt = h.now, state.FittedAt
@@ -67,6 +67,6 @@
 	}
 	state.Classes = state.Classes[:1]
 	if h.balancer.Restore(&state) == nil {
-		t.Error("a state of other classes is taken")
+		t.Error("a state with another number of classes is accepted")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,11 +6,11 @@
 
 func TestRetriesFollowTheClass(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		class  int
-		status Status
-		again  bool
-		final  ActionKind // where no attempt follows
+		name    string
+		class   int
+		status  Status
+		retried bool
+		final   ActionKind // if not retried
 	}{
 		{"idempotent after error", 0, Failed, true, 0},
 		{"with a key after error", 1, Failed, true, 0},
@@ -25,16 +25,16 @@
 		if first == nil {
 			t.Fatalf("%s: not sent", c.name)
 		}
-		acts := g.done(1, 0, first.Server, c.status)
+		acts := g.endAttempt(1, 0, first.Server, c.status)
 		next := find(acts, StartAttempt)
-		if (next != nil) != c.again {
+		if (next != nil) != c.retried {
 			t.Errorf("%s: next attempt %v", c.name, next)
 		}
 		if next != nil && c.class == 1 && (next.Server-1)/2 != (first.Server-1)/2 {
-			t.Errorf("%s: left the cell: %d then %d", c.name, first.Server, next.Server)
+			t.Errorf("%s: retried in another cell: server %d, then %d", c.name, first.Server, next.Server)
 		}
-		if !c.again && find(acts, c.final) == nil {
-			t.Errorf("%s: final answer missing in %v", c.name, acts)
+		if !c.retried && find(acts, c.final) == nil {
+			t.Errorf("%s: final response missing in %v", c.name, acts)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	g.balancer.retryBudget = 5
 	first := find(g.arrive(1, 1), StartAttempt)
 	g.now += 595
-	acts := g.done(1, 0, first.Server, Failed)
+	acts := g.endAttempt(1, 0, first.Server, Failed)
 	if find(acts, StartAttempt) != nil || find(acts, FailRequest) == nil {
 		t.Errorf("after the window: %v", acts)
 	}
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// testConfig has one class of each kind.
+// testConfig returns a configuration with one class of each kind of idempotency.
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
@@ -17,7 +17,7 @@
 	}
 }
 
-// rig drives one Balancer by hand.
+// rig passes events to one Balancer at a time set by the test.
 type rig struct {
 	test     testing.TB
 	balancer *Balancer
@@ -50,18 +50,19 @@
 }
 
 func (r *rig) arrive(id RequestID, class int) []Action {
-	return r.answer(r.do(Event{Kind: RequestArrived, Request: id, Class: class, TimeLeft: 900}))
+	return r.respondToProbes(r.do(Event{Kind: RequestArrived, Request: id, Class: class, TimeLeft: 900}))
 }
 
-func (r *rig) done(id RequestID, attempt int, s ServerID, st Status) []Action {
-	return r.answer(r.do(Event{
+func (r *rig) endAttempt(id RequestID, attempt int, s ServerID, st Status) []Action {
+	return r.respondToProbes(r.do(Event{
 		Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Status: st, Elapsed: 40,
 		Final: st == OK,
 	}))
 }
 
-// answer answers the probes that a request waits for at once, with the loads known already.
-func (r *rig) answer(acts []Action) []Action {
+// respondToProbes responds at once to the probes that a request waits for, with the loads already known, and returns all
+// actions.
+func (r *rig) respondToProbes(acts []Action) []Action {
 	for i := 0; i < len(acts) && len(r.balancer.waitingForProbes) > 0; i++ {
 		if s := r.balancer.byID[acts[i].Server]; acts[i].Kind == SendProbe {
 			acts = append(acts, r.do(probeResponse(acts[i].Server, s.rif, r.balancer.serviceTime(s)))...)
@@ -70,8 +71,9 @@
 	return acts
 }
 
-// pass has a request arrive and all probes and attempts that follow on it answered at once, and returns where it was sent.
-func (r *rig) pass(id RequestID) (to ServerID) {
+// serve simulates a request whose probes and attempts all succeed at once, and returns the server that it was sent to; 0 =
+// none.
+func (r *rig) serve(id RequestID) (to ServerID) {
 	acts := r.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 	for ; len(acts) > 0; acts = acts[1:] {
 		switch a := acts[0]; a.Kind {
@@ -79,7 +81,7 @@
 			acts = append(acts, r.do(probeResponse(a.Server, 1, 40))...)
 		case StartAttempt:
 			to = a.Server
-			acts = append(acts, r.done(id, 0, a.Server, OK)...)
+			acts = append(acts, r.endAttempt(id, 0, a.Server, OK)...)
 		}
 	}
 	return to
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// reportAll has servers 1 to count report three requests in flight, but for an idle one.
+// reportAll simulates reports of servers 1 to count: a RIF of 0 of the idle server and of 3 of the others.
 func (r *rig) reportAll(count, idle ServerID) {
 	for s := ServerID(1); s <= count; s++ {
 		rif := 3.0
@@ -107,7 +109,7 @@
 
 func (r *rig) tick() []Action { return r.do(Event{Kind: TimerFired, Timer: tickTimer}) }
 
-// probeResponse is the answer to a probe after a millisecond.
+// probeResponse returns a successful probe that took 1 ms.
 func probeResponse(s ServerID, rif, latency float64) Event {
 	return Event{
 		Kind: ProbeEnded, Server: s, Elapsed: 1,
@@ -115,7 +117,7 @@
 	}
 }
 
-// readyServers is a list of servers 1 to count.
+// readyServers returns a list of servers 1 to count.
 func readyServers(count int) []ServerInfo {
 	list := make([]ServerInfo, count)
 	for i := range list {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,35 +9,35 @@
 	"plankrouter/policy/internal/probepool"
 )
 
-// trackedRequest is what the walk knows of one request: enough to check rules 1 and 2.
+// trackedRequest is the walk's own record of one request, by which it checks rules 1 and 2.
 type trackedRequest struct {
 	class            int
-	end              Ms
-	answered         bool
-	out              map[int]ServerID
+	deadline         Ms
+	responded        bool
+	outstanding      map[int]ServerID
 	attempts         int
 	maybeRan         bool
-	firstRan         Ms
+	firstRanAt       Ms
 	ranZone, ranCell int
 	sentAt           Ms
 }
 
-// walk feeds legal, seeded events to a Balancer and checks the rules after each. It is an event generator
-// with assertions, not a model of servers. It returns all actions, and the first broken rule if any.
+// walk is a random walk: it passes valid, seeded random events to a Balancer and checks the rules after each. It generates
+// events and does not model servers. log has all actions; run returns the first violation of a rule.
 type walk struct {
-	rng        *rand.Rand
-	cfg        Config
-	balancer   *Balancer
-	now        Ms
-	reqs       map[RequestID]*trackedRequest
-	order      []RequestID
-	servers    map[ServerID]*ServerInfo
-	sends      map[ServerID][]Ms
-	timers     []Event
-	timerDueAt []Ms
-	next       RequestID
-	log        []string
-	breakRule  func(*Balancer, []Action) []Action // breaks the rules on purpose
+	rng          *rand.Rand
+	cfg          Config
+	balancer     *Balancer
+	now          Ms
+	requests     map[RequestID]*trackedRequest
+	openRequests []RequestID
+	servers      map[ServerID]*ServerInfo
+	sends        map[ServerID][]Ms
+	timers       []Event
+	timerDueAt   []Ms
+	lastRequest  RequestID
+	log          []string
+	breakRule    func(*Balancer, []Action) []Action // changes the Balancer or its actions so that a rule is violated
 }
 
 func (w *walk) check(e Event) error {
@@ -49,17 +49,17 @@
 		w.log = append(w.log, fmt.Sprintf("%.1f %+v", w.now, a))
 		switch a.Kind {
 		case StartAttempt:
-			r := w.reqs[a.Request]
+			r := w.requests[a.Request]
 			s := w.servers[a.Server]
 			switch {
-			case r == nil || r.answered:
-				return fmt.Errorf("rule 1: sent for a finished request: %+v", a)
+			case r == nil || r.responded:
+				return fmt.Errorf("rule 1: attempt of a finished request: %+v", a)
 			case s == nil:
 				return fmt.Errorf("sent to an unknown server: %+v", a)
 			case s.Health != Ready:
 				return fmt.Errorf("rule 3: sent to a server known as draining or gone: %+v", a)
-			case len(r.out) > 0:
-				return fmt.Errorf("rule 2: a second attempt at once: %+v", a)
+			case len(r.outstanding) > 0:
+				return fmt.Errorf("rule 2: a second attempt in flight: %+v", a)
 			case r.attempts >= w.cfg.MaxAttempts:
 				return fmt.Errorf("too many attempts: %+v", a)
 			}
@@ -68,53 +68,53 @@
 				return fmt.Errorf("rule 2: non-idempotent request sent again: %+v", a)
 			}
 			if r.maybeRan && c.Idempotency == WithIdempotencyKey {
-				if w.now-r.firstRan >= c.KeyWindow || s.Zone != r.ranZone || s.Cell != r.ranCell {
-					return fmt.Errorf("rule 2: request with a key left its scope or window: %+v", a)
+				if w.now-r.firstRanAt >= c.KeyWindow || s.Zone != r.ranZone || s.Cell != r.ranCell {
+					return fmt.Errorf("rule 2: request with a key repeated outside its scope or window: %+v", a)
 				}
 			}
-			r.out[r.attempts] = a.Server
+			r.outstanding[r.attempts] = a.Server
 			r.attempts++
 			r.sentAt = w.now
 			if s.StartedAt > 0 && w.now-s.StartedAt < w.cfg.WarmUpTime {
 				w.sends[a.Server] = append(w.sends[a.Server], w.now)
 			}
 		case RejectRequest, FailRequest:
-			r := w.reqs[a.Request]
-			if r == nil || r.answered {
-				return fmt.Errorf("rule 1: a second answer: %+v", a)
+			r := w.requests[a.Request]
+			if r == nil || r.responded {
+				return fmt.Errorf("rule 1: a second response: %+v", a)
 			}
 			c := w.cfg.Classes[r.class]
-			if a.Kind == RejectRequest && (len(r.out) > 0 || r.maybeRan && c.Idempotency != Idempotent) {
-				return fmt.Errorf("rule 2: refused what may have run: %+v", a)
+			if a.Kind == RejectRequest && (len(r.outstanding) > 0 || r.maybeRan && c.Idempotency != Idempotent) {
+				return fmt.Errorf("rule 2: rejected a request that may have run: %+v", a)
 			}
-			r.answered = true
+			r.responded = true
 		case SetTimer:
 			w.timers = append(w.timers, Event{Kind: TimerFired, Timer: a.Timer})
 			w.timerDueAt = append(w.timerDueAt, w.now+a.After)
 		case CancelAttempt:
-			if r := w.reqs[a.Request]; r == nil || a.Attempt >= r.attempts {
-				return fmt.Errorf("cancelled an attempt never made: %+v", a)
+			if r := w.requests[a.Request]; r == nil || a.Attempt >= r.attempts {
+				return fmt.Errorf("cancelled an attempt that was never started: %+v", a)
 			}
 		}
 	}
-	for _, id := range w.order {
-		if r := w.reqs[id]; !r.answered && w.now > r.end {
-			return fmt.Errorf("rule 1: request %d unanswered at its end", id)
+	for _, id := range w.openRequests {
+		if r := w.requests[id]; !r.responded && w.now > r.deadline {
+			return fmt.Errorf("rule 1: no response to request %d by its deadline", id)
 		}
 	}
 	return nil
 }
 
-func (w *walk) finish(id RequestID, st Status) error {
-	r := w.reqs[id]
+func (w *walk) endAttempt(id RequestID, st Status) error {
+	r := w.requests[id]
 	n := r.attempts - 1
-	s := r.out[n]
-	delete(r.out, n)
-	final := r.answered || st == OK
+	s := r.outstanding[n]
+	delete(r.outstanding, n)
+	final := r.responded || st == OK
 	if st == OK {
-		r.answered = true
+		r.responded = true
 	} else if !st.NeverRan() && !r.maybeRan {
-		r.maybeRan, r.firstRan = true, r.sentAt
+		r.maybeRan, r.firstRanAt = true, r.sentAt
 		r.ranZone, r.ranCell = w.servers[s].Zone, w.servers[s].Cell
 	}
 	return w.check(Event{
@@ -123,7 +123,7 @@
 	})
 }
 
-func (w *walk) list(full bool) error {
+func (w *walk) sendList(full bool) error {
 	var lines []ServerInfo
 	for id := ServerID(1); id <= 8; id++ {
 		if s := w.servers[id]; !full || s.Health != Gone {
@@ -147,9 +147,9 @@
 			return err
 		}
 	}
-	for _, id := range w.order { // an attempt ends by its request's end at the latest
-		if r := w.reqs[id]; len(r.out) > 0 && w.now > r.end-4 {
-			if err := w.finish(id, TimedOut); err != nil {
+	for _, id := range w.openRequests { // an attempt ends by its request's deadline
+		if r := w.requests[id]; len(r.outstanding) > 0 && w.now > r.deadline-4 {
+			if err := w.endAttempt(id, TimedOut); err != nil {
 				return err
 			}
 		}
@@ -162,7 +162,7 @@
 			s.StartedAt = w.now
 			w.sends[s.ID] = nil
 		}
-		return w.list(w.rng.IntN(2) == 0)
+		return w.sendList(w.rng.IntN(2) == 0)
 	case 1:
 		return w.check(Event{Kind: SubscriptionFailed})
 	case 2:
@@ -175,27 +175,27 @@
 			},
 		})
 	case 3, 4, 5, 6:
-		w.next++
+		w.lastRequest++
 		left := w.rng.Float64() * 1000
-		w.reqs[w.next] = &trackedRequest{class: w.rng.IntN(len(w.cfg.Classes)), end: w.now + left + 25, out: map[int]ServerID{}}
-		w.order = append(w.order, w.next)
+		w.requests[w.lastRequest] = &trackedRequest{class: w.rng.IntN(len(w.cfg.Classes)), deadline: w.now + left + 25, outstanding: map[int]ServerID{}}
+		w.openRequests = append(w.openRequests, w.lastRequest)
 		return w.check(Event{
-			Kind: RequestArrived, Request: w.next, Class: w.reqs[w.next].class, TimeLeft: left,
+			Kind: RequestArrived, Request: w.lastRequest, Class: w.requests[w.lastRequest].class, TimeLeft: left,
 			Tenant: w.rng.IntN(2), ClientRetry: w.rng.IntN(4) == 0,
 		})
 	default:
-		if len(w.order) == 0 {
+		if len(w.openRequests) == 0 {
 			return nil
 		}
-		i := w.rng.IntN(len(w.order))
-		id := w.order[i]
-		r := w.reqs[id]
-		if r.answered && len(r.out) == 0 {
-			w.order = append(w.order[:i], w.order[i+1:]...)
+		i := w.rng.IntN(len(w.openRequests))
+		id := w.openRequests[i]
+		r := w.requests[id]
+		if r.responded && len(r.outstanding) == 0 {
+			w.openRequests = append(w.openRequests[:i], w.openRequests[i+1:]...)
 			return w.check(Event{Kind: ClientGone, Request: id}) // a late event for a finished request
 		}
-		if len(r.out) > 0 {
-			return w.finish(id, Status(w.rng.IntN(8)))
+		if len(r.outstanding) > 0 {
+			return w.endAttempt(id, Status(w.rng.IntN(8)))
 		}
 		return nil
 	}
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	w := &walk{
-		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, balancer: b, now: 5000, reqs: map[RequestID]*trackedRequest{},
+		rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, balancer: b, now: 5000, requests: map[RequestID]*trackedRequest{},
 		servers: map[ServerID]*ServerInfo{}, sends: map[ServerID][]Ms{},
 	}
 	for id := ServerID(1); id <= 8; id++ {
@@ -224,7 +224,7 @@
 	if err := w.check(Event{Kind: Started}); err != nil {
 		return err
 	}
-	if err := w.list(true); err != nil {
+	if err := w.sendList(true); err != nil {
 		return err
 	}
 	for range steps {
@@ -242,18 +242,18 @@
 		if err := w.run(4000); err != nil {
 			t.Fatalf("seed %d at %.0f: %v", seed, w.now, err)
 		}
-		if n := len(w.balancer.requests); n > len(w.order) {
-			t.Errorf("seed %d: %d requests kept, %d open", seed, n, len(w.order))
+		if n := len(w.balancer.requests); n > len(w.openRequests) {
+			t.Errorf("seed %d: %d requests retained, %d open", seed, n, len(w.openRequests))
 		}
 		if w.balancer.pool.Len() > probepool.Size || len(w.balancer.servers) > 8 {
 			t.Errorf("seed %d: pool %d, servers %d", seed, w.balancer.pool.Len(), len(w.balancer.servers))
 		}
-		for _, r := range w.reqs {
+		for _, r := range w.requests {
 			sent += r.attempts
 		}
 	}
 	if sent < 2000 {
-		t.Errorf("only %d attempts: the walk proves little", sent)
+		t.Errorf("only %d attempts: too few to test the rules", sent)
 	}
 }
 
@@ -270,8 +270,8 @@
 	}
 }
 
-// TestWalkFindsBrokenRules breaks the actions on purpose: each must be noticed.
-func TestWalkFindsBrokenRules(t *testing.T) {
+// Each rule is violated on purpose, to check that the walk detects it.
+func TestWalkDetectsViolations(t *testing.T) {
 	drop := func(k ActionKind) func(*Balancer, []Action) []Action {
 		return func(_ *Balancer, acts []Action) []Action {
 			kept := acts[:0]
@@ -284,9 +284,9 @@
 		}
 	}
 	for name, breakRule := range map[string]func(*Balancer, []Action) []Action{
-		"failures swallowed": drop(FailRequest),
-		"refusals swallowed": drop(RejectRequest),
-		"failures answered as refusals": func(_ *Balancer, acts []Action) []Action {
+		"failures dropped":   drop(FailRequest),
+		"rejections dropped": drop(RejectRequest),
+		"failures replaced by rejections": func(_ *Balancer, acts []Action) []Action {
 			for i := range acts {
 				if acts[i].Kind == FailRequest {
 					acts[i].Kind = RejectRequest
@@ -302,13 +302,13 @@
 			b.cfg.Classes[1].KeyScope = ScopeAll
 			return acts
 		},
-		"drains ignored": func(b *Balancer, acts []Action) []Action {
+		"draining ignored": func(b *Balancer, acts []Action) []Action {
 			for _, s := range b.servers {
 				s.info.Health = Ready
 			}
 			return acts
 		},
-		"answers twice": func(_ *Balancer, acts []Action) []Action {
+		"two responses": func(_ *Balancer, acts []Action) []Action {
 			for _, a := range acts {
 				if a.Kind == RejectRequest {
 					return append(acts, a)
@@ -317,18 +317,18 @@
 			return acts
 		},
 	} {
-		caught := false
+		detected := false
 		for seed := range uint64(10) {
 			w := newWalk(t, seed)
 			w.cfg.Classes = append([]Class(nil), w.cfg.Classes...)
 			w.breakRule = breakRule
 			if w.run(4000) != nil {
-				caught = true
+				detected = true
 				break
 			}
 		}
-		if !caught {
-			t.Errorf("%s: not noticed", name)
+		if !detected {
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -7,19 +7,20 @@
 	"testing"
 )
 
-// coldFleet is instances that share requests and all learn of a cold server in the same moment.
-type coldFleet struct {
+// startingServerFleet simulates instances that share traffic and all get the update of a starting server at the same time.
+type startingServerFleet struct {
 	instances, servers int
-	skewed             bool    // instances' parts of the requests are log-normal, else equal
-	burst              float64 // times as many requests, from the cold server's start on
-	eachPerS           float64 // requests a second for each server, as many as it bears when warm
-	quiet              Ms      // until so long after the cold server's start there is a tenth of the requests
+	skewed             bool    // the shares of the instances are log-normal instead of equal
+	burst              float64 // factor by which the traffic grows when the server starts
+	requestsPerSecond  float64 // per server: its capacity when warm
+	quiet              Ms      // time after the server's start during which there is a tenth of the traffic
 }
 
-// play returns when the cold server got its requests, from its start on, and the most in an OverloadWindow over what overloads it.
-func (c coldFleet) play(t *testing.T, cfg Config, seed uint64) (sent []Ms, worst float64) {
+// simulate returns the times of the requests sent to the starting server, and the highest number of them in an OverloadWindow
+// as a fraction of the number that overloads it.
+func (c startingServerFleet) simulate(t *testing.T, cfg Config, seed uint64) (sent []Ms, worst float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f6c64))
-	fleet, parts, sum := make([]*rig, c.instances), make([]float64, c.instances), 0.0
+	fleet, cumulative, sum := make([]*rig, c.instances), make([]float64, c.instances), 0.0
 	for i := range fleet {
 		b, err := New(cfg, seed<<32+uint64(i))
 		if err != nil {
@@ -33,29 +34,29 @@
 			part = math.Exp(rng.NormFloat64())
 		}
 		sum += part
-		parts[i] = sum
+		cumulative[i] = sum
 	}
-	const born, lasts = 6000.0, 8000.0
+	const startedAt, duration = 6000.0, 8000.0
 	started := false
-	perMs := c.eachPerS / 1000 * float64(c.servers)
-	for n, now := 0, 1000.0; now < born+lasts; n++ {
+	perMs := c.requestsPerSecond / 1000 * float64(c.servers)
+	for n, now := 0, 1000.0; now < startedAt+duration; n++ {
 		rate := perMs
 		switch {
-		case c.quiet > 0 && now < born+c.quiet:
+		case c.quiet > 0 && now < startedAt+c.quiet:
 			rate /= 10
 		case started:
 			rate *= c.burst
 		}
-		if now += rng.ExpFloat64() / rate; now >= born && !started {
-			started, now = true, born
+		if now += rng.ExpFloat64() / rate; now >= startedAt && !started {
+			started, now = true, startedAt
 			for _, g := range fleet {
 				g.now = now
-				g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
+				g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: startedAt}}})
 			}
 		}
 		i, at := 0, rng.Float64()*sum
 		for lo, hi := 0, c.instances-1; lo <= hi; {
-			if mid := (lo + hi) / 2; parts[mid] > at {
+			if mid := (lo + hi) / 2; cumulative[mid] > at {
 				i, hi = mid, mid-1
 			} else {
 				lo = mid + 1
@@ -63,7 +64,7 @@
 		}
 		g := fleet[i]
 		g.now = now
-		if g.pass(RequestID(n)) == 1 && started {
+		if g.serve(RequestID(n)) == 1 && started {
 			sent = append(sent, now)
 		}
 	}
@@ -74,48 +75,49 @@
 				in++
 			}
 		}
-		fraction := cfg.StartCapacity + (1-cfg.StartCapacity)*(at-born)/cfg.WarmUpTime
-		bears := cfg.OverloadMultiple * fraction * c.eachPerS / 1000 * cfg.OverloadWindow
+		fraction := cfg.StartCapacity + (1-cfg.StartCapacity)*(at-startedAt)/cfg.WarmUpTime
+		bears := cfg.OverloadMultiple * fraction * c.requestsPerSecond / 1000 * cfg.OverloadWindow
 		worst = max(worst, float64(in)/(bears+2*math.Sqrt(bears)+2))
 	}
 	return sent, worst
 }
 
-// What all instances together send to a cold server stays below what overloads it: N and two roots of N and 2, N being
-// OverloadMultiple times what it must bear by then; whether they are few or many, equal or not, quiet or busy, and under a burst.
-func TestColdServerIsNotOverloadedByAllInstances(t *testing.T) {
+// All instances together must not overload a starting server. The limit is N + 2*sqrt(N) + 2 requests per OverloadWindow,
+// where N is OverloadMultiple times its capacity at the start of the window. It holds for few and many instances, equal and
+// skewed shares, high and low traffic, and a burst.
+func TestStartingServerIsNotOverloadedByAllInstances(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbeCost, cfg.OverloadWindow, cfg.Round, cfg.WarmUpTime = 0.08, 3000, 1, 8000
 	for _, each := range []float64{2, 15} {
 		for _, size := range [][2]int{{4, 30}, {20, 13}, {30, 20}, {300, 60}, {2000, 60}, {6000, 60}} {
 			for _, skewed := range []bool{false, true} {
-				for _, way := range []struct {
+				for _, traffic := range []struct {
 					burst     float64
 					quiet     Ms
-					overload  float64 // multiple of what the server bears
-					instances int     // at most
+					overload  float64 // OverloadMultiple
+					instances int     // maximum for which it is tested
 				}{{1, 0, 4, 6000}, {2, 0, 4, 6000}, {2, 1000, 4, 2000}, {2, 4000, 4, 2000}, {1.5, 0, 2, 2000}, {1.5, 4000, 2, 300}} {
-					if size[0] > way.instances || size[0] > 300 && each > 2 { // busy fleets of that size take long
+					if size[0] > traffic.instances || size[0] > 300 && each > 2 { // large fleets with high traffic take long to simulate
 						continue
 					}
 					name := fmt.Sprintf("%d instances, skewed %t, %g a second, burst %g after %g ms, %g times", size[0], skewed, each,
-						way.burst, way.quiet, way.overload)
+						traffic.burst, traffic.quiet, traffic.overload)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						cfg := cfg
-						cfg.Instances, cfg.OverloadMultiple = size[0], way.overload
+						cfg.Instances, cfg.OverloadMultiple = size[0], traffic.overload
 						seeds, worstOverall, got := uint64(3), 0.0, 0
-						if size[0] > 300 { // these take longer, and their sum varies less
+						if size[0] > 300 { // these take longer to simulate, and their sum varies less
 							seeds = 1
 						}
 						for seed := range seeds {
-							sent, worst := coldFleet{size[0], size[1], skewed, way.burst, each, way.quiet}.play(t, cfg, seed)
+							sent, worst := startingServerFleet{size[0], size[1], skewed, traffic.burst, each, traffic.quiet}.simulate(t, cfg, seed)
 							worstOverall, got = max(worstOverall, worst), got+len(sent)
 						}
-						part := each * (way.burst*(8-way.quiet/1000) + way.quiet/10000)
-						t.Logf("%.2f of what overloads it, %.2f of a warm one's part", worstOverall, float64(got)/float64(seeds)/part)
+						part := each * (traffic.burst*(8-traffic.quiet/1000) + traffic.quiet/10000)
+						t.Logf("%.2f of the overload limit, %.2f of what a warm server gets", worstOverall, float64(got)/float64(seeds)/part)
 						if worstOverall > 1 {
-							t.Errorf("%.2f of what overloads it", worstOverall)
+							t.Errorf("%.2f of the overload limit", worstOverall)
 						}
 					})
 				}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,7 @@
 	"plankrouter/policy/internal/tokenbucket"
 )
 
-// A cold server gets more than its budget by the clock only where it has just reported that it has capacity.
+// A starting server gets more than the budget of its age only if it has just reported free capacity.
 func TestReportedCapacityRaisesSlowStartBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		rif  float64
@@ -21,7 +21,7 @@
 		g := newRig(t, testConfig(), 2)
 		s := g.balancer.byID[1]
 		s.info.StartedAt, s.rif, s.reportedAt = g.now, c.rif, g.now-c.age
-		for range 200 { // 100 a second, of which next to none are sent
+		for range 200 { // 100 per second, of which almost none are sent
 			g.balancer.arrivalRate.Add(g.now)
 		}
 		s.slowStartBudget = tokenbucket.Bucket{Value: 0, At: g.now - 60}
@@ -32,11 +32,12 @@
 	}
 }
 
-// A cold server gets, over any overload window, no more than its share of what a warm one gets.
-func TestColdServerIsNotOverloaded(t *testing.T) {
+// A starting server gets, in any overload window, no more than OverloadMultiple times its current capacity, relative to what
+// warm servers get.
+func TestStartingServerIsNotOverloaded(t *testing.T) {
 	for _, perStep := range []int{1, 4} {
 		g := newRig(t, testConfig(), 4)
-		var cold []Ms
+		var toStarting []Ms
 		warm := 0
 		id := RequestID(0)
 		started := 0.0
@@ -49,7 +50,7 @@
 			for s := ServerID(1); s <= 4; s++ {
 				rif := 4.0
 				if s == 4 {
-					rif = 0 // the cold one looks best
+					rif = 0 // the starting server looks best
 				}
 				g.report(s, rif, 40)
 			}
@@ -60,32 +61,32 @@
 					continue
 				}
 				if step >= 400 && a.Server == 4 {
-					cold = append(cold, g.now)
+					toStarting = append(toStarting, g.now)
 				} else if step >= 400 {
 					warm++
 				}
-				g.done(id, 0, a.Server, OK)
+				g.endAttempt(id, 0, a.Server, OK)
 			}
 		}
 		perWarm := float64(warm) / 3 / (g.now - started)
-		for i := range cold {
+		for i := range toStarting {
 			n := 0
-			for j := i; j < len(cold) && cold[j]-cold[i] < 2000; j++ {
+			for j := i; j < len(toStarting) && toStarting[j]-toStarting[i] < 2000; j++ {
 				n++
 			}
-			w := 0.3 + 0.7*(cold[i]-started)/9000
+			w := 0.3 + 0.7*(toStarting[i]-started)/9000
 			if limit := 2.5 * w * 2000 * perWarm; w < 1 && float64(n) > limit {
-				t.Fatalf("(warm %d cold %d of %d) %d sent within 2 s at %.0f ms of age, limit %.0f", warm, len(cold), id, n, cold[i]-started, limit)
+				t.Fatalf("warm servers got %d, the starting one %d of %d requests: %d within 2 s at an age of %.0f ms, limit %.0f", warm, len(toStarting), id, n, toStarting[i]-started, limit)
 			}
 		}
-		if len(cold) == 0 {
-			t.Error("the cold server got nothing at all")
+		if len(toStarting) == 0 {
+			t.Error("the starting server got no requests")
 		}
 	}
 }
 
-// An instance that starts with a fleet that has just started must neither starve nor overload it.
-func TestFleetOfColdServers(t *testing.T) {
+// If the instance and all servers have just started, the servers must neither be overloaded nor be left without requests.
+func TestFleetOfStartingServers(t *testing.T) {
 	b, err := New(testConfig(), 5)
 	if err != nil {
 		t.Fatal(err)
@@ -98,27 +99,27 @@
 	}
 	g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 	sent := 0
-	for id := RequestID(1); id <= 200; id++ { // 2 s at 100 requests a second
+	for id := RequestID(1); id <= 200; id++ { // 2 s at 100 requests per second
 		g.now += 10
 		for s := ServerID(1); s <= 4; s++ {
 			g.report(s, 0, 40)
 		}
 		if a := find(g.arrive(id, 0), StartAttempt); a != nil {
 			sent++
-			g.done(id, 0, a.Server, OK)
+			g.endAttempt(id, 0, a.Server, OK)
 		}
 	}
 	if sent < 10 || sent > 100 {
-		t.Errorf("%d of 200 requests sent to a cold fleet", sent)
+		t.Errorf("%d of 200 requests sent to a fleet of starting servers", sent)
 	}
 }
 
-// When a server returns, many instances learn of it within moments. Together they must not send it a burst: each starts with a
-// random part of one request, and the sum over any second stays near what a warm server gets.
-func TestManyInstancesDoNotBurstToAColdServer(t *testing.T) {
+// If a server restarts, many instances get the update almost at once. Together they must not send it a burst: each starts with a
+// random fraction of one request as its budget, so that the sum stays near what a warm server gets.
+func TestManyInstancesDoNotBurstToAStartingServer(t *testing.T) {
 	const instances, servers = 400, 40
 	for seed := range uint64(3) {
-		cold := 0
+		toStarting := 0
 		sent := 0
 		for i := range uint64(instances) {
 			cfg := testConfig()
@@ -144,7 +145,7 @@
 				for s := ServerID(servers); s >= 1; s-- {
 					rif := 3.0
 					if s == 1 {
-						rif = 0 // the one that starts looks best
+						rif = 0 // the starting server looks best
 					}
 					g.report(s, rif, 40)
 				}
@@ -152,10 +153,10 @@
 					if count {
 						sent++
 						if a.Server == 1 {
-							cold++
+							toStarting++
 						}
 					}
-					g.done(id, 0, a.Server, OK)
+					g.endAttempt(id, 0, a.Server, OK)
 				}
 			}
 			for g.now < 1e6+4000 {
@@ -166,18 +167,18 @@
 				step(true)
 			}
 		}
-		limit := 2.5 * 0.3 * float64(sent) / servers // multiple x cold share x a warm server's part of 2 s
-		if float64(cold) > limit || cold == 0 {
-			t.Errorf("seed %d: %d of %d requests to the cold server in 2 s, limit %.0f", seed, cold, sent, limit)
+		limit := 2.5 * 0.3 * float64(sent) / servers // OverloadMultiple x StartCapacity x what a warm server gets in 2 s
+		if float64(toStarting) > limit || toStarting == 0 {
+			t.Errorf("seed %d: %d of %d requests to the starting server in 2 s, limit %.0f", seed, toStarting, sent, limit)
 		}
 	}
 }
 
-// Any number of instances share the same traffic, and all learn of a cold server in the same moment. What they send it together,
-// in any OverloadWindow, stays under three quarters of OverloadMultiple times what it must bear when the window begins, where the
-// fleet's servers are used to the full; and it gets half of a warm server's part at least.
-func TestColdServerGetsItsShareFromAllInstances(t *testing.T) {
-	const lasts = 8000
+// Any number of instances share the same traffic, and all get the update of a starting server at the same time. In a fully used
+// fleet, what they send it together in any OverloadWindow stays below three quarters of OverloadMultiple times its capacity at
+// the start of the window, and it gets at least half of what a warm server gets.
+func TestStartingServerGetsItsShareFromAllInstances(t *testing.T) {
+	const duration = 8000
 	for _, c := range [][2]int{{1, 30}, {4, 30}, {80, 30}, {300, 200}, {2000, 30}, {5000, 200}} {
 		instances, servers := c[0], c[1]
 		perMs := 0.015 * float64(servers)
@@ -195,18 +196,18 @@
 				fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
 			}
 			var sent []Ms
-			born := Ms(5000)
-			for n := range int((4000 + lasts) * perMs) {
+			startedAt := Ms(5000)
+			for n := range int((4000 + duration) * perMs) {
 				now := 1000 + float64(n)/perMs
-				if now-1/perMs < born && now >= born {
+				if now-1/perMs < startedAt && now >= startedAt {
 					for _, g := range fleet {
 						g.now = now
-						g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: born}}})
+						g.do(Event{Kind: EndpointsUpdated, Servers: []ServerInfo{{ID: 1, Health: Ready, StartedAt: startedAt}}})
 					}
 				}
 				g := fleet[n*7919%instances]
 				g.now = now
-				if g.pass(RequestID(n)) == 1 && now >= born {
+				if g.serve(RequestID(n)) == 1 && now >= startedAt {
 					sent = append(sent, now)
 				}
 			}
@@ -218,16 +219,16 @@
 						in++
 					}
 				}
-				bears := (cfg.StartCapacity + (1-cfg.StartCapacity)*(at-born)/cfg.WarmUpTime) * perMs / float64(servers) * cfg.OverloadWindow
+				bears := (cfg.StartCapacity + (1-cfg.StartCapacity)*(at-startedAt)/cfg.WarmUpTime) * perMs / float64(servers) * cfg.OverloadWindow
 				worst = max(worst, float64(in)/bears)
 			}
 			if worst > 0.75*cfg.OverloadMultiple {
-				t.Errorf("%.2f times what it must bear", worst)
+				t.Errorf("%.2f times its capacity", worst)
 			}
-			if fair := perMs / float64(servers) * lasts; float64(len(sent)) < 0.5*fair {
-				t.Errorf("%d requests, %.0f is a warm server's part", len(sent), fair)
+			if fair := perMs / float64(servers) * duration; float64(len(sent)) < 0.5*fair {
+				t.Errorf("%d requests, a warm server gets %.0f", len(sent), fair)
 			}
-			t.Logf("%.2f times what it must bear, %d requests", worst, len(sent))
+			t.Logf("%.2f times its capacity, %d requests", worst, len(sent))
 		})
 	}
 }
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-// Reports are sparse for an instance that probes most servers seldom, however many requests or servers there are.
+// Reports are sparse if the instance probes most servers rarely, for any number of requests and servers.
 func TestReportsAreSparse(t *testing.T) {
 	for name, c := range map[string]struct {
-		servers int
-		every   Ms // between two requests
-		price   float64
-		want    bool
+		servers  int
+		interval Ms // time between two requests
+		price    float64
+		want     bool
 	}{
 		"few requests, costly probes":  {60, 60, 0.08, true},
 		"many requests, few servers":   {16, 4, 0.0046, false},
@@ -21,8 +21,8 @@
 		cfg := testConfig()
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, c.servers)
-		for id := range RequestID(6000 / c.every) { // as long as it takes to know the rate
-			g.now += c.every
+		for id := range RequestID(6000 / c.interval) { // long enough for the rate to be known
+			g.now += c.interval
 			g.arrive(id, 0)
 		}
 		if g.balancer.reportsSparse != c.want {
@@ -31,14 +31,15 @@
 	}
 }
 
-// Where reports are sparse a server must show more capacity, and one whose report is older than a pool's entry shows none.
+// If reports are sparse a server needs more free capacity to be admitted, and a report older than a pool entry may be counts as
+// no capacity.
 func TestSparseReportsNeedMoreCapacity(t *testing.T) {
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
 	for name, c := range map[string]struct {
 		rif              float64
 		latency          Ms
-		frequent, sparse bool // admitted where reports are
+		frequent, sparse bool // whether it is admitted if reports are so
 	}{
 		"few in flight, fast":       {2, 40, true, true},
 		"many in flight, fast":      {17, 40, true, false},
@@ -61,14 +62,14 @@
 	g := newRig(t, cfg, 1)
 	r := &request{class: 0, objectiveAt: g.now + 1200, respondBy: g.now + 1700}
 	if g.balancer.now += 800; g.balancer.randomWithCapacity(r) == nil {
-		t.Error("a report of 800 ms ago counts for nothing")
+		t.Error("a report from 800 ms ago is not used")
 	}
 	if g.balancer.reportsSparse = true; g.balancer.randomWithCapacity(r) != nil {
-		t.Error("a report of 800 ms ago counts as recent")
+		t.Error("a report from 800 ms ago counts as recent")
 	}
 }
 
-// A random pick goes to a server that has reported in the last seconds while there is one.
+// A random pick prefers servers that have reported in the last seconds.
 func TestRandomPickPrefersKnownServers(t *testing.T) {
 	g := newRig(t, testConfig(), 30)
 	g.balancer.now += 2500
@@ -84,14 +85,15 @@
 		met[g.balancer.pick(r).info.ID] = true
 	}
 	if len(met) != 2 || !met[3] || !met[14] {
-		t.Errorf("it goes to %v", met)
+		t.Errorf("servers picked: %v", met)
 	}
 	if g.balancer.now += 2000; g.balancer.pick(r) == nil {
-		t.Error("it goes nowhere once all is old")
+		t.Error("no server is picked once all reports are old")
 	}
 }
 
-// Where probes are costly none is sent only to find unreachable servers: the random ones of requests find them again.
+// If probes are costly, none is sent just to find out whether an unreachable server is back: the random probes of requests
+// do that.
 func TestCostlyProbesOfUnreachableServers(t *testing.T) {
 	for name, c := range map[string]struct {
 		price                float64
@@ -104,10 +106,10 @@
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 20)
 		probes := 0
-		for range 100 { // five seconds in which all are down
+		for range 100 { // all servers are down for five seconds
 			g.now += tickInterval
 			for _, a := range g.tick() {
-				if a.Kind == SendProbe && g.balancer.lastProbeAt != g.now { // not one of those that an idle instance sends
+				if a.Kind == SendProbe && g.balancer.lastProbeAt != g.now { // not a probe of an idle instance
 					probes++
 				}
 				if a.Kind == SendProbe {
@@ -134,9 +136,9 @@
 	}
 }
 
-// Before an instance whose reports are sparse refuses, it probes: with probes borrowed from later requests, so that all together
-// stay within what they may cost.
-func TestSparseReportsAreProbedForBeforeARefusal(t *testing.T) {
+// If reports are sparse, an instance sends probes before it rejects a request. They are borrowed from later requests, so
+// that the total stays within the budget.
+func TestSparseReportsAreProbedForBeforeARejection(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbeCost, cfg.WastedWorkCost = 0.08, 0.1
 	for _, hasCapacity := range []bool{true, false} {
@@ -147,7 +149,7 @@
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case SendProbe: // half of them have capacity, if any
+				case SendProbe: // half of the servers have capacity, or none
 					probes++
 					rif := 40.0
 					if hasCapacity && a.Server%2 == 0 {
@@ -161,7 +163,7 @@
 					}
 				case StartAttempt:
 					sent++
-					acts = append(acts, g.done(a.Request, 0, a.Server, OK)...)
+					acts = append(acts, g.endAttempt(a.Request, 0, a.Server, OK)...)
 				case RejectRequest:
 					refused++
 				}
@@ -176,7 +178,7 @@
 	}
 }
 
-// Sparse reports are of the own zone, but for those of one request in ten.
+// If reports are sparse, probes are sent to the own zone, except those of one request in ten.
 func TestSparseReportsAreOfTheOwnZone(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.ProbeCost = 0.01, 0.08
@@ -204,7 +206,7 @@
 			}
 		}
 		if near < want[0] || near > want[1] {
-			t.Errorf("sparse %t: %d of 1000 probes stay near, want %d to %d", sparse, near, want[0], want[1])
+			t.Errorf("sparse %t: %d of 1000 probes are sent to the own zone, want %d to %d", sparse, near, want[0], want[1])
 		}
 	}
 }
--- a/policy/stalelist_test.go
+++ b/policy/stalelist_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-// While discovery can't be reached a server may begin to drain at any time. A quiet instance among many servers must still serve,
-// and send only where a probe has been answered lately: a draining server declines it.
-func TestProbesStandForAStaleList(t *testing.T) {
-	const holds = 550
+// While discovery is unreachable a server may begin to drain at any time. An instance with few requests must still serve,
+// but send requests only to servers that have recently responded to a probe, which a draining server declines.
+func TestProbesReplaceAStaleList(t *testing.T) {
+	const validity = 550
 	for name, price := range map[string]float64{"costly": 0.08, "cheap": 0} {
 		cfg := testConfig()
-		cfg.ProbeCost, cfg.ProbeValidity, cfg.Instances = price, holds, 300
+		cfg.ProbeCost, cfg.ProbeValidity, cfg.Instances = price, validity, 300
 		g := newRig(t, cfg, 40)
 		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3650})
 		answered, drains, probes := map[ServerID]Ms{}, map[ServerID]bool{}, 0
@@ -20,15 +20,15 @@
 				switch a.Kind {
 				case StartAttempt:
 					sent = true
-					if last, ok := answered[a.Server]; g.now >= 1000+3650 && (!ok || g.now-last >= holds) {
-						t.Fatalf("%s, %.0f ms: sent to %d, which answered a probe at %.0f", name, g.now, a.Server, last)
+					if last, ok := answered[a.Server]; g.now >= 1000+3650 && (!ok || g.now-last >= validity) {
+						t.Fatalf("%s, %.0f ms: sent to server %d, whose last probe response was at %.0f", name, g.now, a.Server, last)
 					}
 					g.do(Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Status: OK, Elapsed: 40, Final: true})
 				case SendProbe:
 					probes++
 					e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Status: Failed}
 					if !drains[a.Server] {
-						if a.Server <= 30 || g.now < 1000+3650 { // else the process that answers is not known
+						if a.Server <= 30 || g.now < 1000+3650 { // else it is not known which process responds
 							answered[a.Server], e.ProbeSentAt = g.now, g.now
 						}
 						e.Status, e.Report = OK, Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}
@@ -41,7 +41,7 @@
 		refused := 0
 		for id := range RequestID(200) {
 			if g.now += 350; id%10 == 0 {
-				drains[ServerID(1+id/10)] = true // half of them in the end
+				drains[ServerID(1+id/10)] = true // 20 of 40 servers in the end
 			}
 			handle(g.tick())
 			if !handle(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})) {
@@ -60,28 +60,28 @@
 	cfg.Probes = false
 	g := newRig(t, cfg, 4)
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: -1}); find(g.arrive(1, 0), RejectRequest) == nil {
-		t.Error("without probes a stale list is relied on")
+		t.Error("without probes a request is sent by a stale list")
 	}
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: 1}); find(g.arrive(2, 0), StartAttempt) == nil {
-		t.Error("refused after a new list")
+		t.Error("rejected after a new list")
 	}
 }
 
-// While a probe of any server may stand for the list, servers that have answered none yet are probed, and serve; after that their
-// probes would be wasted.
-func TestNewServersAreProbedWhileAnyProbeCounts(t *testing.T) {
-	for counts, want := range map[Ms]bool{5000: true, 0: false} {
+// While probes of any server are valid for a stale list, servers that have not responded to a probe yet are probed. After that
+// such probes would be wasted.
+func TestNewServersAreProbedWhileAnyProbeIsValid(t *testing.T) {
+	for validity, want := range map[Ms]bool{5000: true, 0: false} {
 		cfg := testConfig()
 		cfg.ProbeValidity = 550
 		g := newRig(t, cfg, 8)
-		g.do(Event{Kind: ListValidityChanged, TimeLeft: -1, Elapsed: counts})
+		g.do(Event{Kind: ListValidityChanged, TimeLeft: -1, Elapsed: validity})
 		probe := find(g.arrive(1, 0), SendProbe)
 		if (probe != nil) != want {
-			t.Errorf("any probe counts for %.0f ms: probed %t", counts, probe != nil)
+			t.Errorf("any probe is valid for %.0f ms: probed %t", validity, probe != nil)
 		}
 		g.now += 6000
 		if find(g.arrive(2, 0), SendProbe) != nil {
-			t.Errorf("any probe counts for %.0f ms: probed after that", counts)
+			t.Errorf("any probe is valid for %.0f ms: probed after that", validity)
 		}
 	}
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -2,21 +2,21 @@
 
 import "testing"
 
-// All instances of a zone may find its servers full. Then their probes, and with them their requests, must find the servers of
-// other zones, but only where there is capacity: not if those are full as well, or can't be reached.
+// If the servers of a zone are full, its instances must send probes, and then requests, to servers of other zones, unless those
+// are full or unreachable, too.
 func TestFullZoneProbesOtherZones(t *testing.T) {
 	const servers, local = 60, 20
 	for _, c := range []struct {
 		name                     string
-		here, there              float64 // RIF
-		cut                      bool    // the others answer nothing
-		minProbes, maxProbes     float64 // part of the probes that go to other zones
-		minRequests, maxRequests float64 // and of the requests
+		ownRIF, otherRIF         float64 // in the own zone and in the others
+		unreachable              bool    // probes of other zones time out
+		minProbes, maxProbes     float64 // fraction of probes sent to other zones
+		minRequests, maxRequests float64 // fraction of requests sent to other zones
 	}{
 		{"capacity everywhere", 1, 1, false, 0, 0.15, 0, 0.15},
-		{"full here", 20, 1, false, 0.5, 1, 0.7, 1},
-		{"full everywhere", 20, 20, false, 0, 0.3, 0, 1},
-		{"full here and cut off", 20, 1, true, 0, 0.3, 0, 0},
+		{"own zone full", 20, 1, false, 0.5, 1, 0.7, 1},
+		{"all zones full", 20, 20, false, 0, 0.3, 0, 1},
+		{"own zone full, others unreachable", 20, 1, true, 0, 0.3, 0, 0},
 	} {
 		cfg := testConfig()
 		cfg.Instances, cfg.ProbeCost, cfg.CrossZoneCost = 300, 0.08, 0.01
@@ -40,18 +40,18 @@
 				a := acts[0]
 				isFar := a.Server > local
 				e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Report: Report{
-					HasRIF: true, RIF: c.here,
+					HasRIF: true, RIF: c.ownRIF,
 					HasLatency: true, Latency: 40,
 				}}
 				if isFar {
-					e.Report.RIF = c.there
+					e.Report.RIF = c.otherRIF
 				}
-				if isFar && c.cut {
+				if isFar && c.unreachable {
 					e.Status = TimedOut
 				}
 				switch a.Kind {
 				case SendProbe:
-					if id >= 100 { // once the rate is known, and what there is elsewhere
+					if id >= 100 { // once the request rate and the capacity of other zones are known
 						probes++
 						if isFar {
 							far++
@@ -72,25 +72,25 @@
 			}
 		}
 		if part := far / probes; part < c.minProbes || part > c.maxProbes {
-			t.Errorf("%s: %.2f of %.0f probes go elsewhere, want %.2f to %.2f", c.name, part, probes, c.minProbes, c.maxProbes)
+			t.Errorf("%s: %.2f of %.0f probes are sent to other zones, want %.2f to %.2f", c.name, part, probes, c.minProbes, c.maxProbes)
 		}
 		if part := out / sent; sent > 0 && (part < c.minRequests || part > c.maxRequests) {
-			t.Errorf("%s: %.2f of %.0f requests go elsewhere, want %.2f to %.2f", c.name, part, sent, c.minRequests, c.maxRequests)
+			t.Errorf("%s: %.2f of %.0f requests are sent to other zones, want %.2f to %.2f", c.name, part, sent, c.minRequests, c.maxRequests)
 		}
 		t.Logf("%s: probes %.2f of %.0f, requests %.2f of %.0f", c.name, far/probes, probes, out/sent, sent)
 	}
 }
 
-// Whatever the number of instances, one probes no more servers than its subset in its own zone and as many again in others.
-// Without zones there is nothing beyond the subset.
+// For any number of instances, one probes at most as many servers as its subset has in its own zone, and as many again in
+// others. Without zones it probes only its subset.
 func TestCandidateCount(t *testing.T) {
 	for name, c := range map[string]struct{ instances, servers, local, ownZone, allZones int }{
-		"five zones":                             {300, 200, 40, 40, 40 + 85},
-		"one zone":                               {300, 200, 200, 85, 85},
-		"many instances, five zones":             {5000, 200, 40, 5, 5 + 5},
-		"many instances, one zone":               {5000, 200, 200, 5, 5},
-		"subset of all servers":                  {80, 60, 12, 12, 60},
-		"own zone smaller than the least subset": {4, 16, 3, 4, 16},
+		"five zones":                                {300, 200, 40, 40, 40 + 85},
+		"one zone":                                  {300, 200, 200, 85, 85},
+		"many instances, five zones":                {5000, 200, 40, 5, 5 + 5},
+		"many instances, one zone":                  {5000, 200, 200, 5, 5},
+		"subset of all servers":                     {80, 60, 12, 12, 60},
+		"own zone smaller than the smallest subset": {4, 16, 3, 4, 16},
 	} {
 		cfg := testConfig()
 		cfg.Instances, cfg.CrossZoneCost = c.instances, 0.01
