--- a/internal/probing/probing_test.go
+++ b/internal/probing/probing_test.go
@@ -26,7 +26,7 @@
 		each := PerRequest(c.price, c.servers, rate)
 		sum := float64(c.instances) * each * rate * 1000 / float64(c.servers)
 		if sum > c.maxPerSecond || sum < 0.9*c.maxPerSecond {
-			t.Errorf("%s: %.2f probes a second at each server, want %.2f", name, sum, c.maxPerSecond)
+			t.Errorf("%s: %.2f probes per second at each server, want %.2f", name, sum, c.maxPerSecond)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	for _, perMs := range []float64{0.1, 1, 100} {
 		for _, price := range []float64{0, 0.0046, 0.08} {
 			if each := PerRequest(price, 16, perMs); each*perMs > 16/MinInterval+1e-9 {
-				t.Errorf("price %g, %g requests a ms: %g probes a request", price, perMs, each)
+				t.Errorf("price %g, %g requests per ms: %g probes per request", price, perMs, each)
 			}
 		}
 	}
@@ -48,10 +48,10 @@
 	for _, price := range []float64{0, 0.001, 0.0046, 0.01, 0.08, 0.3, 1} {
 		each := PerRequest(price, 60, 0.001)
 		if each > previous || each <= 0 {
-			t.Errorf("price %g: %g probes a request after %g", price, each, previous)
+			t.Errorf("price %g: %g probes per request after %g", price, each, previous)
 		}
 		if AreCostly(price) != (each < MaxPerRequest) {
-			t.Errorf("price %g: %g probes a request, costly %t", price, each, AreCostly(price))
+			t.Errorf("price %g: %g probes per request, costly %t", price, each, AreCostly(price))
 		}
 		if each*price > math.Sqrt(oldReportCost*price)+1e-9 {
 			t.Errorf("price %g: the probes of a request cost %g", price, each*price)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -60,7 +60,7 @@
 	waitingForProbes   []*request        // in order of arrival
 	lastProbeAt        Ms
 
-	latencyReported   bool // servers report their service times
+	latencyReported   bool // a server has reported its service time
 	loadModel         overload.Model
 	probeTimes        overload.ProbeTimes
 	gauge             overload.Gauge // used if no server reports its service time
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -16,7 +16,7 @@
 	maxAgeMultiple        = 2.0  // lower bound of that age, as a multiple of the time after which the attempt is slow
 	maxRecent             = 20   // maximum number of recent attempts that are evaluated
 	minRecent             = 3    // minimum number of recent attempts to detect an overload
-	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer add no evidence with each update
+	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer are the same ones in several updates
 	medianErrorFactor     = 0.4  // 0.8 standard errors of the median as a quantile, 0.8*0.5/sqrt(n), times sqrt(n)
 )
 
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -25,7 +25,7 @@
 // run simulates until the given time. perMs is the rate of requests, baseline their median duration at free servers, stretch
 // the factor by which they are slower, and hungFraction the fraction of attempts that time out after 5 s. It returns the average
 // fraction of requests that the gauge would reject.
-func (s *simulation) run(until, perMs, baseline, stretch, hungFraction float64) (part float64) {
+func (s *simulation) run(until, perMs, baseline, stretch, hungFraction float64) (fraction float64) {
 	updates := 0.0
 	for ; s.now < until; s.now += 50 {
 		for n := perMs * 50; n > 0; n-- {
@@ -48,9 +48,9 @@
 		}
 		s.gauge.Update(s.now, s.left)
 		updates++
-		part += s.gauge.rejectedFraction
+		fraction += s.gauge.rejectedFraction
 	}
-	return part / updates
+	return fraction / updates
 }
 
 // One of many instances detects an overload of all servers by the durations of its own attempts, and does not mistake the
@@ -58,20 +58,20 @@
 func TestGaugeDetectsOverloadByOwnAttempts(t *testing.T) {
 	for _, perMs := range []float64{0.008, 0.04, 1} { // about that of one of 6,000 instances, and of one of 4 at the same total
 		s := newSimulation(500)
-		if part := s.run(60e3, perMs, 200, 1, 0); part > 0.001 {
-			t.Errorf("%g a ms: %.3f are rejected while servers are free", perMs, part)
+		if fraction := s.run(60e3, perMs, 200, 1, 0); fraction > 0.001 {
+			t.Errorf("%g per ms: %.3f are rejected while servers are free", perMs, fraction)
 		}
-		if part := s.run(120e3, perMs, 200, 1, 0.12); part > 0.01 {
-			t.Errorf("%g a ms: %.3f are rejected while some servers are gone", perMs, part)
+		if fraction := s.run(120e3, perMs, 200, 1, 0.12); fraction > 0.01 {
+			t.Errorf("%g per ms: %.3f are rejected while some servers are gone", perMs, fraction)
 		}
 		s.run(124e3, perMs, 200, 1, 0)
 		s.run(127e3, perMs, 200, 4, 0)
-		if part := s.run(140e3, perMs, 200, 4, 0); part < 0.85 {
-			t.Errorf("%g a ms: %.3f are rejected, all four times slower", perMs, part)
+		if fraction := s.run(140e3, perMs, 200, 4, 0); fraction < 0.85 {
+			t.Errorf("%g per ms: %.3f are rejected, all four times slower", perMs, fraction)
 		}
 		s.run(145e3, perMs, 200, 1, 0)
-		if part := s.run(160e3, perMs, 200, 1, 0); part > 0.001 {
-			t.Errorf("%g a ms: %.3f are rejected after that", perMs, part)
+		if fraction := s.run(160e3, perMs, 200, 1, 0); fraction > 0.001 {
+			t.Errorf("%g per ms: %.3f are rejected after that", perMs, fraction)
 		}
 	}
 }
@@ -93,8 +93,8 @@
 func TestGaugeStartedDuringAnOverload(t *testing.T) {
 	s := newSimulation(500)
 	s.run(3e3, 0.04, 200, 12, 0)
-	if part := s.run(8e3, 0.04, 200, 12, 0); part < 0.85 {
-		t.Errorf("%.3f are rejected", part)
+	if fraction := s.run(8e3, 0.04, 200, 12, 0); fraction < 0.85 {
+		t.Errorf("%.3f are rejected", fraction)
 	}
 }
 
@@ -104,22 +104,22 @@
 func TestGaugeAtALowRate(t *testing.T) {
 	for name, c := range map[string]struct{ perMs, stretch, minPart, maxPart float64 }{
 		"one in two seconds, free":       {0.0005, 1, 0, 0.1},
-		"one a second, free":             {0.001, 1, 0, 0.03},
-		"one a second, overloaded":       {0.001, 4, 0.6, 1},
+		"one per second, free":           {0.001, 1, 0, 0.03},
+		"one per second, overloaded":     {0.001, 4, 0.6, 1},
 		"one in ten seconds, overloaded": {0.0001, 4, 0, 0},
 	} {
 		s := newSimulation(500)
 		s.run(10e3, c.perMs, 200, 1, 0)
-		if part := s.run(60e3, c.perMs, 200, c.stretch, 0); part < c.minPart || part > c.maxPart {
-			t.Errorf("%s: %.3f are rejected", name, part)
+		if fraction := s.run(60e3, c.perMs, 200, c.stretch, 0); fraction < c.minPart || fraction > c.maxPart {
+			t.Errorf("%s: %.3f are rejected", name, fraction)
 		}
 	}
 	s := newSimulation(500)
 	s.run(10e3, 0.04, 200, 1, 0)
 	s.run(15e3, 0.04, 200, 5, 0)
 	s.run(28e3, 0, 200, 1, 0)
-	if part := s.run(35e3, 0, 200, 1, 0); part > 0 {
-		t.Errorf("%.3f are rejected some seconds after the last request", part)
+	if fraction := s.run(35e3, 0, 200, 1, 0); fraction > 0 {
+		t.Errorf("%.3f are rejected some seconds after the last request", fraction)
 	}
 }
 
@@ -127,12 +127,12 @@
 func TestGaugeWithATightTarget(t *testing.T) {
 	s := newSimulation(300)
 	s.run(5e3, 0.04, 200, 1, 0)
-	if part := s.run(60e3, 0.04, 200, 1, 0); part > 0.005 {
-		t.Errorf("%.3f are rejected while servers are free", part)
+	if fraction := s.run(60e3, 0.04, 200, 1, 0); fraction > 0.005 {
+		t.Errorf("%.3f are rejected while servers are free", fraction)
 	}
 	s.run(62e3, 0.04, 200, 4, 0)
-	if part := s.run(70e3, 0.04, 200, 4, 0); part < 0.85 {
-		t.Errorf("%.3f are rejected, all four times slower", part)
+	if fraction := s.run(70e3, 0.04, 200, 4, 0); fraction < 0.85 {
+		t.Errorf("%.3f are rejected, all four times slower", fraction)
 	}
 }
 
@@ -147,8 +147,8 @@
 		s.ends[s.lastRequest] = s.now + 20e3
 	}
 	s.run(15e3, 0.02, 200, 1, 0)
-	if part := s.run(20e3, 0.02, 200, 1, 0); part > 0.02 {
-		t.Errorf("%.3f are rejected because of attempts without a response for ten seconds", part)
+	if fraction := s.run(20e3, 0.02, 200, 1, 0); fraction > 0.02 {
+		t.Errorf("%.3f are rejected because of attempts without a response for ten seconds", fraction)
 	}
 }
 
@@ -170,12 +170,12 @@
 	for _, perMs := range []float64{0.001, 0.02} {
 		s := newSimulation(20e3)
 		s.run(60e3, perMs, 5000, 1, 0)
-		if part := s.run(200e3, perMs, 5000, 1, 0); part > 0.03 {
-			t.Errorf("%g a ms: %.3f are rejected while servers are free", perMs, part)
+		if fraction := s.run(200e3, perMs, 5000, 1, 0); fraction > 0.03 {
+			t.Errorf("%g per ms: %.3f are rejected while servers are free", perMs, fraction)
 		}
 		s.run(230e3, perMs, 5000, 4, 0)
-		if part := s.run(280e3, perMs, 5000, 4, 0); part < 0.85 {
-			t.Errorf("%g a ms: %.3f are rejected, all four times slower", perMs, part)
+		if fraction := s.run(280e3, perMs, 5000, 4, 0); fraction < 0.85 {
+			t.Errorf("%g per ms: %.3f are rejected, all four times slower", perMs, fraction)
 		}
 	}
 }
--- a/policy/internal/stats/stats_test.go
+++ b/policy/internal/stats/stats_test.go
@@ -11,10 +11,10 @@
 		r.Add(now)
 	}
 	if got := r.PerMs(20e3); math.Abs(got-0.1) > 0.001 {
-		t.Errorf("%g a ms, want 0.1", got)
+		t.Errorf("%g per ms, want 0.1", got)
 	}
 	if got := r.PerMs(20e3 + rateDecayTime); math.Abs(got-0.1/math.E) > 0.001 {
-		t.Errorf("%g a ms after the decay time without events", got)
+		t.Errorf("%g per ms after the decay time without events", got)
 	}
 }
 
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -27,8 +27,8 @@
 			slow += n
 		}
 	}
-	if part := float64(slow) / float64(all); part > 0.25 {
-		t.Errorf("%.2f of the requests were sent to the slow half", part)
+	if fraction := float64(slow) / float64(all); fraction > 0.25 {
+		t.Errorf("%.2f of the requests were sent to the slow half", fraction)
 	}
 }
 
@@ -110,13 +110,13 @@
 			t.Fatal(err)
 		}
 		f.run(10e3)
-		if part := f.run(40e3); part < 0.95 {
-			t.Errorf("%s: %.2f are admitted; %s", name, part, &f.balancer.gauge)
+		if fraction := f.run(40e3); fraction < 0.95 {
+			t.Errorf("%s: %.2f are admitted; %s", name, fraction, &f.balancer.gauge)
 		}
 		f.stretch = 6
 		f.run(43e3)
-		if part := f.run(50e3); part > 0.4 {
-			t.Errorf("%s: %.2f are admitted while responses take 6 times as long; %s", name, part, &f.balancer.gauge)
+		if fraction := f.run(50e3); fraction > 0.4 {
+			t.Errorf("%s: %.2f are admitted while responses take 6 times as long; %s", name, fraction, &f.balancer.gauge)
 		}
 	}
 }
--- a/policy/overload_cases_test.go
+++ b/policy/overload_cases_test.go
@@ -33,8 +33,8 @@
 			c.set(f)
 			f.run(12e3)
 			c.change(f)
-			if part := f.run(30e3); part < 0.9 {
-				t.Errorf("%s, probes queue %t: %.2f are admitted; %s", name, probesQueue, part, &f.balancer.gauge)
+			if fraction := f.run(30e3); fraction < 0.9 {
+				t.Errorf("%s, probes queue %t: %.2f are admitted; %s", name, probesQueue, fraction, &f.balancer.gauge)
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 	f.longFraction = 0.1
 	f.run(12e3)
 	f.longFraction = 0.9
-	if part := f.run(30e3); part < 0.9 {
-		t.Errorf("%.2f are admitted; %s", part, &f.balancer.gauge)
+	if fraction := f.run(30e3); fraction < 0.9 {
+		t.Errorf("%.2f are admitted; %s", fraction, &f.balancer.gauge)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -142,18 +142,18 @@
 	} {
 		f := newSharedFleet(t, 40, c.instances, c.probesQueue)
 		f.run(10e3)
-		if part := f.run(20e3); part < 0.97 {
-			t.Errorf("%s: %.2f are admitted before the overload", name, part)
+		if fraction := f.run(20e3); fraction < 0.97 {
+			t.Errorf("%s: %.2f are admitted before the overload", name, fraction)
 		}
 		f.stretch = 6
 		f.run(23e3)
-		if part := f.run(30e3); part > 0.4 {
-			t.Errorf("%s: %.2f are admitted while responses take 6 times as long", name, part)
+		if fraction := f.run(30e3); fraction > 0.4 {
+			t.Errorf("%s: %.2f are admitted while responses take 6 times as long", name, fraction)
 		}
 		f.stretch = 1
 		f.run(35e3)
-		if part := f.run(45e3); part < 0.97 {
-			t.Errorf("%s: %.2f are admitted after the overload", name, part)
+		if fraction := f.run(45e3); fraction < 0.97 {
+			t.Errorf("%s: %.2f are admitted after the overload", name, fraction)
 		}
 	}
 }
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -15,7 +15,7 @@
 	maxServiceTimes       = 2.0    // the same in median service times: by then most requests it counted have ended
 	minPoolRounds         = 4      // lower bound of that age in units of Config.Round
 	removalFraction       = 0.25   // pool entries removed for each probe sent; more would empty the pool
-	hotQuantile           = 0.6    // quantile of RIF above which servers are hot; low in Prequal's range as latency lags
+	hotQuantile           = 0.6    // quantile of RIF above which servers are hot; low in Prequal's range since latency lags
 	maxRIFSamples         = 64     // number of newest reports for that quantile
 	idleProbeInterval     = 1000   // ms without any probe after which one is sent: an idle instance gets no other load reports
 	recoveryProbesPerTick = 2      // maximum probes of failed servers per tick: they are found again without any request
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -179,11 +179,11 @@
 	down := func(s ServerID) bool { return s > 50 || s%2 == 0 }
 	found, healthy := map[ServerID]Ms{}, 0
 	start := g.now
-	silent := map[ServerID]Ms{} // probes in flight: when they time out
+	probesInFlight := map[ServerID]Ms{} // probes in flight: when they time out
 	for ; g.now < start+60e3; g.now += tickInterval {
 		for id := range ServerID(61) {
-			if until, out := silent[id]; out && g.now >= until {
-				delete(silent, id)
+			if timeoutAt, inFlight := probesInFlight[id]; inFlight && g.now >= timeoutAt {
+				delete(probesInFlight, id)
 				g.do(Event{Kind: ProbeEnded, Server: id, Status: TimedOut, Elapsed: 200})
 			}
 		}
@@ -191,7 +191,7 @@
 			switch {
 			case a.Kind != SendProbe:
 			case down(a.Server) && (g.now < start+30e3 || a.Server > 50):
-				silent[a.Server] = g.now + 200
+				probesInFlight[a.Server] = g.now + 200
 			default:
 				if _, before := found[a.Server]; down(a.Server) && !before {
 					found[a.Server] = g.now - start - 30e3
@@ -246,23 +246,23 @@
 // request.
 func TestProbesAreBounded(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
-	out := map[ServerID]int{}
+	probeCounts := map[ServerID]int{}
 	count := func(acts []Action) {
 		for _, a := range acts {
 			if a.Kind == SendProbe {
-				out[a.Server]++
+				probeCounts[a.Server]++
 			}
 		}
 	}
 	for id := range RequestID(20) {
 		count(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900}))
 	}
-	for s, n := range out {
+	for s, n := range probeCounts {
 		if n != 1 {
 			t.Errorf("%d probes of server %d in flight", n, s)
 		}
 	}
-	clear(out)
+	clear(probeCounts)
 	for id := range RequestID(1000) { // one request per millisecond for a second, with immediate probe responses
 		g.now++
 		acts := g.do(Event{Kind: RequestArrived, Request: 100 + id, TimeLeft: 900})
@@ -272,9 +272,9 @@
 			}
 		}
 	}
-	for s, n := range out {
+	for s, n := range probeCounts {
 		if n > 1000/probing.MinInterval*2 {
-			t.Errorf("%d probes of server %d in a second", n, s)
+			t.Errorf("%d probes of server %d in one second", n, s)
 		}
 	}
 }
@@ -337,7 +337,7 @@
 			}
 		}
 		if each := float64(probes) / 400; each > c.maxEach || each < c.minEach || sent != 400 {
-			t.Errorf("%s: %.2f probes a request, want %g to %g; %d sent", name, each, c.minEach, c.maxEach, sent)
+			t.Errorf("%s: %.2f probes per request, want %g to %g; %d sent", name, each, c.minEach, c.maxEach, sent)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -24,6 +24,9 @@
 
 // walk is a random walk: it passes valid, seeded random events to a Balancer and checks the rules after each. It generates
 // events and does not model servers. log has all actions; run returns the first violation of a rule.
+//
+// Rule 1: each request gets exactly one response, by its deadline. Rule 2: a request never runs twice where that is unsafe, and
+// has one attempt in flight at a time. Rule 3: no attempt is sent to a server that is draining or gone.
 type walk struct {
 	rng          *rand.Rand
 	cfg          Config
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -13,7 +13,7 @@
 	skewed             bool    // the shares of the instances are log-normal instead of equal
 	burst              float64 // factor by which the traffic grows when the server starts
 	requestsPerSecond  float64 // per server: its capacity when warm
-	quiet              Ms      // time after the server's start during which there is a tenth of the traffic
+	quietTime          Ms      // time after the server's start during which there is a tenth of the traffic
 }
 
 // simulate returns the times of the requests sent to the starting server, and the highest number of them in an OverloadWindow
@@ -29,11 +29,11 @@
 		fleet[i] = &rig{test: t, balancer: b, now: 1000}
 		list := readyServers(c.servers)
 		fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-		part := 1.0
+		share := 1.0
 		if c.skewed {
-			part = math.Exp(rng.NormFloat64())
+			share = math.Exp(rng.NormFloat64())
 		}
-		sum += part
+		sum += share
 		cumulative[i] = sum
 	}
 	const startedAt, duration = 6000.0, 8000.0
@@ -42,7 +42,7 @@
 	for n, now := 0, 1000.0; now < startedAt+duration; n++ {
 		rate := perMs
 		switch {
-		case c.quiet > 0 && now < startedAt+c.quiet:
+		case c.quietTime > 0 && now < startedAt+c.quietTime:
 			rate /= 10
 		case started:
 			rate *= c.burst
@@ -93,15 +93,15 @@
 			for _, skewed := range []bool{false, true} {
 				for _, traffic := range []struct {
 					burst     float64
-					quiet     Ms
+					quietTime Ms
 					overload  float64 // OverloadMultiple
 					instances int     // maximum for which it is tested
 				}{{1, 0, 4, 6000}, {2, 0, 4, 6000}, {2, 1000, 4, 2000}, {2, 4000, 4, 2000}, {1.5, 0, 2, 2000}, {1.5, 4000, 2, 300}} {
 					if size[0] > traffic.instances || size[0] > 300 && each > 2 { // large fleets with high traffic take long to simulate
 						continue
 					}
-					name := fmt.Sprintf("%d instances, skewed %t, %g a second, burst %g after %g ms, %g times", size[0], skewed, each,
-						traffic.burst, traffic.quiet, traffic.overload)
+					name := fmt.Sprintf("%d instances, skewed %t, %g per second, burst %g after %g ms, %g times", size[0], skewed, each,
+						traffic.burst, traffic.quietTime, traffic.overload)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						cfg := cfg
@@ -111,11 +111,11 @@
 							seeds = 1
 						}
 						for seed := range seeds {
-							sent, worst := startingServerFleet{size[0], size[1], skewed, traffic.burst, each, traffic.quiet}.simulate(t, cfg, seed)
+							sent, worst := startingServerFleet{size[0], size[1], skewed, traffic.burst, each, traffic.quietTime}.simulate(t, cfg, seed)
 							worstOverall, got = max(worstOverall, worst), got+len(sent)
 						}
-						part := each * (traffic.burst*(8-traffic.quiet/1000) + traffic.quiet/10000)
-						t.Logf("%.2f of the overload limit, %.2f of what a warm server gets", worstOverall, float64(got)/float64(seeds)/part)
+						share := each * (traffic.burst*(8-traffic.quietTime/1000) + traffic.quietTime/10000)
+						t.Logf("%.2f of the overload limit, %.2f of what a warm server gets", worstOverall, float64(got)/float64(seeds)/share)
 						if worstOverall > 1 {
 							t.Errorf("%.2f of the overload limit", worstOverall)
 						}
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -143,7 +143,7 @@
 	cfg.ProbeCost, cfg.WastedWorkCost = 0.08, 0.1
 	for _, hasCapacity := range []bool{true, false} {
 		g := newRig(t, cfg, 60)
-		probes, sent, refused := 0, 0, 0
+		probes, sent, rejected := 0, 0, 0
 		for id := range RequestID(400) {
 			g.now += 100
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
@@ -165,15 +165,15 @@
 					sent++
 					acts = append(acts, g.endAttempt(a.Request, 0, a.Server, OK)...)
 				case RejectRequest:
-					refused++
+					rejected++
 				}
 			}
 		}
 		if each := float64(probes) / 400; each > 0.55 || each < 0.4 {
-			t.Errorf("capacity %t: %.2f probes a request", hasCapacity, each)
+			t.Errorf("capacity %t: %.2f probes per request", hasCapacity, each)
 		}
-		if sent+refused != 400 || hasCapacity && sent < 230 || !hasCapacity && refused < 300 {
-			t.Errorf("capacity %t: %d sent, %d refused", hasCapacity, sent, refused)
+		if sent+rejected != 400 || hasCapacity && sent < 230 || !hasCapacity && rejected < 300 {
+			t.Errorf("capacity %t: %d sent, %d rejected", hasCapacity, sent, rejected)
 		}
 	}
 }
--- a/policy/stalelist_test.go
+++ b/policy/stalelist_test.go
@@ -38,18 +38,18 @@
 			}
 			return sent
 		}
-		refused := 0
+		rejected := 0
 		for id := range RequestID(200) {
 			if g.now += 350; id%10 == 0 {
 				drains[ServerID(1+id/10)] = true // 20 of 40 servers in the end
 			}
 			handle(g.tick())
 			if !handle(g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})) {
-				refused++
+				rejected++
 			}
 		}
-		if refused > 20 || probes > 3*200 && price > 0 {
-			t.Errorf("%s: %d of 200 were not sent, %d probes", name, refused, probes)
+		if rejected > 20 || probes > 3*200 && price > 0 {
+			t.Errorf("%s: %d of 200 were not sent, %d probes", name, rejected, probes)
 		}
 		g.do(Event{Kind: ListValidityChanged, TimeLeft: 3000})
 		if g.balancer.isListStale() {
@@ -60,7 +60,7 @@
 	cfg.Probes = false
 	g := newRig(t, cfg, 4)
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: -1}); find(g.arrive(1, 0), RejectRequest) == nil {
-		t.Error("without probes a request is sent by a stale list")
+		t.Error("without probes per request is sent by a stale list")
 	}
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: 1}); find(g.arrive(2, 0), StartAttempt) == nil {
 		t.Error("rejected after a new list")
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,7 +2,7 @@
 
 import "plankrouter/policy/internal/outlier"
 
-// State is the part of a Balancer's state that is worth saving over a restart of its process; the current load is not
+// State is the part of a Balancer's state that is saved over a restart of its process; the current load is not
 // included. Times are those of the clock passed to Handle; a decaying value is stored as it was at its time.
 type State struct {
 	Servers        []ServerState
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		name                     string
 		ownRIF, otherRIF         float64 // in the own zone and in the others
-		unreachable              bool    // probes of other zones time out
+		unreachable              bool    // probes of other zones time otherZoneSent
 		minProbes, maxProbes     float64 // fraction of probes sent to other zones
 		minRequests, maxRequests float64 // fraction of requests sent to other zones
 	}{
@@ -31,37 +31,37 @@
 			list = append(list, ServerInfo{ID: ServerID(i + 1), Health: Ready, Zone: i / local})
 		}
 		g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-		probes, far, sent, out := 0.0, 0.0, 0.0, 0.0
+		probes, otherZoneProbes, sent, otherZoneSent := 0.0, 0.0, 0.0, 0.0
 		for id := range RequestID(600) {
 			g.now += 70
 			g.tick()
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				a := acts[0]
-				isFar := a.Server > local
+				inOtherZone := a.Server > local
 				e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Report: Report{
 					HasRIF: true, RIF: c.ownRIF,
 					HasLatency: true, Latency: 40,
 				}}
-				if isFar {
+				if inOtherZone {
 					e.Report.RIF = c.otherRIF
 				}
-				if isFar && c.unreachable {
+				if inOtherZone && c.unreachable {
 					e.Status = TimedOut
 				}
 				switch a.Kind {
 				case SendProbe:
 					if id >= 100 { // once the request rate and the capacity of other zones are known
 						probes++
-						if isFar {
-							far++
+						if inOtherZone {
+							otherZoneProbes++
 						}
 					}
 				case StartAttempt:
 					if id >= 100 {
 						sent++
-						if isFar {
-							out++
+						if inOtherZone {
+							otherZoneSent++
 						}
 					}
 					e = Event{Kind: AttemptEnded, Request: id, Server: a.Server, Status: OK, Elapsed: 40, Final: true}
@@ -71,13 +71,13 @@
 				acts = append(acts, g.do(e)...)
 			}
 		}
-		if part := far / probes; part < c.minProbes || part > c.maxProbes {
-			t.Errorf("%s: %.2f of %.0f probes are sent to other zones, want %.2f to %.2f", c.name, part, probes, c.minProbes, c.maxProbes)
+		if fraction := otherZoneProbes / probes; fraction < c.minProbes || fraction > c.maxProbes {
+			t.Errorf("%s: %.2f of %.0f probes are sent to other zones, want %.2f to %.2f", c.name, fraction, probes, c.minProbes, c.maxProbes)
 		}
-		if part := out / sent; sent > 0 && (part < c.minRequests || part > c.maxRequests) {
-			t.Errorf("%s: %.2f of %.0f requests are sent to other zones, want %.2f to %.2f", c.name, part, sent, c.minRequests, c.maxRequests)
+		if fraction := otherZoneSent / sent; sent > 0 && (fraction < c.minRequests || fraction > c.maxRequests) {
+			t.Errorf("%s: %.2f of %.0f requests are sent to other zones, want %.2f to %.2f", c.name, fraction, sent, c.minRequests, c.maxRequests)
 		}
-		t.Logf("%s: probes %.2f of %.0f, requests %.2f of %.0f", c.name, far/probes, probes, out/sent, sent)
+		t.Logf("%s: probes %.2f of %.0f, requests %.2f of %.0f", c.name, otherZoneProbes/probes, probes, otherZoneSent/sent, sent)
 	}
 }
 
