--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -15,11 +15,11 @@
 	now         float64
 	lastRequest uint32
 	ends        map[uint32]float64 // of the attempts in flight
-	left        float64            // latency target in ms
+	target      float64            // latency target in ms
 }
 
-func newSimulation(left float64) *simulation {
-	return &simulation{gauge: NewGauge([]float64{left}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, left: left}
+func newSimulation(target float64) *simulation {
+	return &simulation{gauge: NewGauge([]float64{target}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, target: target}
 }
 
 // run simulates until the given time. perMs is the rate of requests, baseline their median duration at free servers, stretch
@@ -46,7 +46,7 @@
 				delete(s.ends, id)
 			}
 		}
-		s.gauge.Update(s.now, s.left)
+		s.gauge.Update(s.now, s.target)
 		updates++
 		fraction += s.gauge.rejectedFraction
 	}
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -29,11 +29,11 @@
 		fleet[i] = &rig{test: t, balancer: b, now: 1000}
 		list := readyServers(c.servers)
 		fleet[i].do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-		share := 1.0
+		weight := 1.0
 		if c.skewed {
-			share = math.Exp(rng.NormFloat64())
+			weight = math.Exp(rng.NormFloat64())
 		}
-		sum += share
+		sum += weight
 		cumulative[i] = sum
 	}
 	const startedAt, duration = 6000.0, 8000.0
@@ -114,8 +114,8 @@
 							sent, worst := startingServerFleet{size[0], size[1], skewed, traffic.burst, each, traffic.quietTime}.simulate(t, cfg, seed)
 							worstOverall, got = max(worstOverall, worst), got+len(sent)
 						}
-						share := each * (traffic.burst*(8-traffic.quietTime/1000) + traffic.quietTime/10000)
-						t.Logf("%.2f of the overload limit, %.2f of what a warm server gets", worstOverall, float64(got)/float64(seeds)/share)
+						warmRequests := each * (traffic.burst*(8-traffic.quietTime/1000) + traffic.quietTime/10000)
+						t.Logf("%.2f of the overload limit, %.2f of what a warm server gets", worstOverall, float64(got)/float64(seeds)/warmRequests)
 						if worstOverall > 1 {
 							t.Errorf("%.2f of the overload limit", worstOverall)
 						}
