--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,7 +30,7 @@
 func (b *Balancer) trafficShare() float64 { return b.traffic.Share(b.arrivalRate.PerMs(b.now) * 1000) }
 
 // admits reports whether a timely response is likely and the server has capacity for a request of this value. An idle server
-// admits a request even if its estimated latency is too long, since only a new sample can correct a wrong estimate.
+// admits a request within its quota even if the estimated latency is too long: only a new sample can correct the estimate.
 func (b *Balancer) admits(s *server, r *request) bool {
 	value := b.relativeValue(r.class)
 	if r.overQuota {
@@ -40,7 +40,7 @@
 		return false
 	}
 	timeLeft := min(r.objectiveAt, r.respondBy) - b.now
-	if b.overdueFor(s) > timeLeft {
+	if b.pendingFor(s) > timeLeft {
 		return false
 	}
 	if s.rif < minIdleRIF && !r.overQuota {
--- a/policy/config.go
+++ b/policy/config.go
@@ -63,7 +63,7 @@
 	Cancel          bool // CancelAttempt is allowed
 	MaxAttempts     int  // per request, for classes that set none
 	MaxRetryAfter   Ms   // longest Retry-After that clients follow; 0 = none is sent
-	Round           Ms   // shortest interval at which the sidecar processes events: no timer is more exact
+	Round           Ms   // shortest interval between two batches of events that the sidecar processes
 
 	StartCapacity    float64 // lowest fraction of its full capacity that a server has when it starts
 	WarmUpTime       Ms      // time from its start until a server has its full capacity; 0 = no slow start
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -23,9 +23,9 @@
 	return b.serviceTime(s)*b.loadModel.ClassFactor(class)*b.loadModel.Stretch(rif+1) + s.roundTrip
 }
 
-// overdueFor returns the time since the server's last response while it has attempts in flight. It is 0 if service times are
+// pendingFor returns the time since the server's last response while it has attempts in flight. It is 0 if service times are
 // known from load reports in probe responses.
-func (b *Balancer) overdueFor(s *server) Ms {
+func (b *Balancer) pendingFor(s *server) Ms {
 	if s.inFlight == 0 || b.latencyReported && b.cfg.Probes {
 		return 0
 	}
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -34,7 +34,7 @@
 
 // Without probes, the time since a server's last response counts as its response time if that is longer than the estimate. The
 // server is not admitted only if the request would then miss its latency target.
-func TestOverdueResponsesCount(t *testing.T) {
+func TestPendingResponsesCount(t *testing.T) {
 	g := newRig(t, testConfig(), 2)
 	g.balancer.cfg.Probes = false
 	for id := RequestID(1); g.balancer.byID[1].inFlight == 0; id++ {
@@ -45,16 +45,16 @@
 	g.tick()
 	r := &request{objectiveAt: g.now + 400, respondBy: g.now + 900}
 	if got := g.balancer.pickCost(g.balancer.byID[1], r); got < 300 {
-		t.Errorf("a cost of %.0f ms at a server whose response is overdue by 300 ms", got)
+		t.Errorf("a cost of %.0f ms at a server with a response pending for 300 ms", got)
 	}
 	if got := g.balancer.pickCost(g.balancer.byID[2], r); got > 150 {
 		t.Errorf("a cost of %.0f ms at a server without attempts in flight", got)
 	}
 	if !g.balancer.admits(g.balancer.byID[1], r) {
-		t.Error("not admitted with a response overdue by 300 ms and 400 ms left")
+		t.Error("not admitted with a response pending for 300 ms and 400 ms left")
 	}
 	if r.objectiveAt = g.now + 200; g.balancer.admits(g.balancer.byID[1], r) {
-		t.Error("admitted with a response overdue by 300 ms and 200 ms left")
+		t.Error("admitted with a response pending for 300 ms and 200 ms left")
 	}
 	g.balancer.cfg.Probes = true // then its reports count
 	if got := g.balancer.pickCost(g.balancer.byID[1], r); got > 150 || !g.balancer.admits(g.balancer.byID[1], r) {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,7 +5,8 @@
 	"plankrouter/policy/internal/stats"
 )
 
-// Outlier detection ejects servers by the outcomes of own requests, by missing responses and by reported error rates.
+// Outlier detection ejects servers by the outcomes of own requests, by missing responses and by reported error rates. A load
+// report or a list entry that shows a good server does not prevent it.
 const (
 	failedProbeWeight   = 0.5  // weight of a failed probe, in failed requests
 	ejectionThreshold   = 0.5  // failure rate above the fleet's median from which a server is ejected
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -32,7 +32,7 @@
 // failure and of crossing zones, converted to ms.
 func (b *Balancer) pickCost(s *server, r *request) float64 {
 	objective := b.cfg.Classes[r.class].LatencyObjective
-	latency := max(b.overdueFor(s), b.expectedLatency(s, r.class, s.rif))
+	latency := max(b.pendingFor(s), b.expectedLatency(s, r.class, s.rif))
 	cost := latency * (1 + rifCostFraction*s.rif/b.loadModel.Concurrency())
 	if s.info.Zone != b.cfg.Zone {
 		cost += b.cfg.CrossZoneCost * crossZoneCostFactor * objective
