--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -18,9 +18,9 @@
 
 // ReloadableSettings are the settings that may change while a Client works.
 type ReloadableSettings struct {
-	Connect    time.Duration         // for a connection to come up
-	ConnIdle   time.Duration         // after which a server closes an idle one
-	RetryCosts []keepalive.RetryCost // by class of requests
+	Connect    time.Duration           // for a connection to come up
+	ConnIdle   time.Duration           // after which a server closes an idle one
+	RetryCosts []keepalive.AttemptCost // by class of requests
 }
 
 // Settings are what a Caller works by.
@@ -34,10 +34,10 @@
 }
 
 // RetryCosts are the costs of a broken connection to a request, by the policy's classes.
-func RetryCosts(classes []policy.Class) (out []keepalive.RetryCost) {
+func RetryCosts(classes []policy.Class) (out []keepalive.AttemptCost) {
 	for _, c := range classes {
 		objective := time.Duration(c.LatencyObjective * float64(time.Millisecond))
-		out = append(out, keepalive.RetryCost{NonIdempotent: c.Idempotency == policy.NonIdempotent, LatencyObjective: objective, PriorityWeight: c.PriorityWeight})
+		out = append(out, keepalive.AttemptCost{NonIdempotent: c.Idempotency == policy.NonIdempotent, LatencyObjective: objective, PriorityWeight: c.PriorityWeight})
 	}
 	return out
 }
@@ -60,8 +60,8 @@
 	// A retry draws on a budget of one in ten requests, which is used up where connections break often; a handshake is a small
 	// part of a request's work.
 	costs := keepalive.Default()
-	costs.Handshake = 0.01
-	costs.Retry = 0.3
+	costs.HandshakeCost = 0.01
+	costs.RetryCost = 0.3
 	estimator, err := keepalive.New(costs)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 func (c *Client) Forget(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.estimator.Forget(server)
+	c.estimator.RemoveServer(server)
 }
 
 // State returns what was learned of how connections break.
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -21,7 +21,7 @@
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
 			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{ReloadableSettings: ReloadableSettings{
 				Connect: time.Second, ConnIdle: time.Hour,
-				RetryCosts: []keepalive.RetryCost{{NonIdempotent: true, PriorityWeight: 1}},
+				RetryCosts: []keepalive.AttemptCost{{NonIdempotent: true, PriorityWeight: 1}},
 			}})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/backend/connchooser.go
+++ b/internal/backend/connchooser.go
@@ -8,7 +8,7 @@
 )
 
 // probeCost is that of a probe: it may be sent again, and little depends on it.
-var probeCost = keepalive.RetryCost{PriorityWeight: 0.05}
+var probeCost = keepalive.AttemptCost{PriorityWeight: 0.05}
 
 // connChooser picks the connection for an attempt, and how it is written. It is called with the Caller's lock held.
 type connChooser interface {
@@ -40,15 +40,15 @@
 	estimator *keepalive.Estimator
 	now       time.Time
 	server    string
-	cost      keepalive.RetryCost
+	cost      keepalive.AttemptCost
 }
 
 func (c estimatorChooser) mayReuse(u connUse) bool {
-	return c.estimator.Take(c.now, u.keepaliveUse(c.server), c.cost)
+	return c.estimator.ShouldReuse(c.now, u.keepaliveUse(c.server), c.cost)
 }
 
 func (c estimatorChooser) pauseBeforeLastByte(u connUse) time.Duration {
-	return c.estimator.Hold(c.now, u.keepaliveUse(c.server), c.cost)
+	return c.estimator.LastByteDelay(c.now, u.keepaliveUse(c.server), c.cost)
 }
 
 // learn tells the estimator how the connections of an attempt did.
@@ -58,9 +58,9 @@
 	now := time.Now()
 	name := a.endpoint.name
 	if d := a.deadConn; d != nil {
-		how := keepalive.Broken
+		how := keepalive.BrokenAfterLastByte
 		if d.early {
-			how = keepalive.Early
+			how = keepalive.BrokenBeforeLastByte
 		}
 		c.estimator.Learn(now, d.keepaliveUse(name), how, d.pause, d.tookUntilBreak)
 	}
@@ -69,12 +69,12 @@
 	}
 	switch r.Outcome {
 	case outcome.Served, outcome.ServerError, outcome.Declined, outcome.Malformed:
-		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Answered, a.pause, 0)
+		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Responded, a.pause, 0)
 	case outcome.ResetByPeer:
-		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Broken, a.pause, r.tookUntilBreak)
+		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.BrokenAfterLastByte, a.pause, r.tookUntilBreak)
 	case outcome.PartlyWritten:
 		if r.early {
-			c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Early, a.pause, r.tookUntilBreak)
+			c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.BrokenBeforeLastByte, a.pause, r.tookUntilBreak)
 		}
 	}
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -76,7 +76,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	maxIdle := time.Duration(idleTimeoutFraction * float64(c.figures.Load().ConnIdle))
-	idleTimeout := c.estimator.Limit(now, conn.endpoint.name, probeCost, maxIdle)
+	idleTimeout := c.estimator.IdleLimit(now, conn.endpoint.name, probeCost, maxIdle)
 	if conn.endpoint.closed || conn.socket.SetReadDeadline(now.Add(idleTimeout)) != nil {
 		conn.close()
 		return
--- a/internal/keepalive/breaks.go
+++ b/internal/keepalive/breaks.go
@@ -30,11 +30,11 @@
 }
 
 func (b *breaks) learn(how Outcome, held, took time.Duration, w float32) {
-	if how == Broken {
+	if how == BrokenAfterLastByte {
 		b.late.learn(w, took)
 	}
 	for i, p := range pauses {
-		if how == Early && took <= p.length {
+		if how == BrokenBeforeLastByte && took <= p.length {
 			b.shown[i].learn(w, w)
 			break
 		}
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -12,7 +12,7 @@
 		passed = 0
 	}
 	e.lastLesson = now
-	e.clock += min(max(1/e.settings.Calls, passed/float64(e.settings.LongHalfLife)), passed/float64(e.settings.HalfLife))
+	e.clock += min(max(1/e.settings.HalfLifeAttempts, passed/float64(e.settings.MaxHalfLife)), passed/float64(e.settings.MinHalfLife))
 	if e.clock-e.base > precise {
 		e.scale(e.base - e.clock)
 		e.base = e.clock
@@ -24,7 +24,7 @@
 	if e.lastLesson.IsZero() {
 		return e.clock
 	}
-	return e.clock + float64(max(0, now.Sub(e.lastLesson)))/float64(e.settings.LongHalfLife)
+	return e.clock + float64(max(0, now.Sub(e.lastLesson)))/float64(e.settings.MaxHalfLife)
 }
 
 // scale multiplies all evidence by a power of two.
@@ -59,7 +59,7 @@
 	switch {
 	case many > 0.9: // nothing much worse can happen
 		e.odds = 0
-	case how == Answered:
+	case how == Responded:
 		e.odds = max(0, e.odds+math.Log((1-many)/(1-p)))
 	default:
 		e.odds += math.Log(many / p)
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -57,20 +57,20 @@
 
 // The outcomes.
 const (
-	Answered Outcome = iota // whatever the answer said
-	Broken                  // the connection was reset or ended after the attempt's last byte was written
-	Early                   // it broke while the last byte was held back: the attempt has not run
+	Responded            Outcome = iota // whatever the answer said
+	BrokenAfterLastByte                 // the connection was reset or ended after the attempt's last byte was written
+	BrokenBeforeLastByte                // it broke while the last byte was held back: the attempt has not run
 )
 
-// RetryCost is what an attempt puts at risk.
-type RetryCost struct {
+// AttemptCost is what an attempt puts at risk.
+type AttemptCost struct {
 	NonIdempotent    bool          // it must not run twice: broken, it is lost
 	LatencyObjective time.Duration // in which its answer is wanted; 0 = any time will do
 	PriorityWeight   float64       // of its request, relative to 1 for a usual one; a small part for a probe, so that it explores
 }
 
 // boundedWeight guards against numbers that would turn the comparison around.
-func (r *RetryCost) boundedWeight() float64 {
+func (r *AttemptCost) boundedWeight() float64 {
 	if !(r.PriorityWeight > 0) {
 		return 0
 	}
@@ -124,7 +124,7 @@
 	r := e.servers[server]
 	if r == nil {
 		if len(e.list) >= e.settings.MaxServers {
-			e.Forget(slices.MinFunc(e.list, func(x, y *serverRecord) int { return cmp.Compare(x.learned, y.learned) }).name)
+			e.RemoveServer(slices.MinFunc(e.list, func(x, y *serverRecord) int { return cmp.Compare(x.learned, y.learned) }).name)
 		}
 		r = &serverRecord{name: server, draws: -1}
 		e.servers[server] = r
@@ -142,7 +142,7 @@
 	e.tick(now)
 	e.detectChange(p, how)
 	r, w := e.record(u.Server), e.weight()
-	if how == Answered {
+	if how == Responded {
 		r.seen.learn(u, w, 0, 0)
 		e.all.learn(u, w, 0, 0)
 		e.doublyBlamed.learn(u, w, 0, 0)
@@ -165,8 +165,8 @@
 	e.all.dial.learn(w, took)
 }
 
-// Forget drops a server that is gone from the list. What it had in common with others stays with the fleet.
-func (e *Estimator) Forget(server string) {
+// RemoveServer drops a server that is gone from the list. What it had in common with others stays with the fleet.
+func (e *Estimator) RemoveServer(server string) {
 	r := e.servers[server]
 	if r == nil {
 		return
--- a/internal/keepalive/estimator_test.go
+++ b/internal/keepalive/estimator_test.go
@@ -12,9 +12,9 @@
 
 var (
 	began = time.Unix(1e9, 0)
-	order = RetryCost{NonIdempotent: true, LatencyObjective: aim, PriorityWeight: 1}
-	query = RetryCost{LatencyObjective: aim, PriorityWeight: 1}
-	probe = RetryCost{PriorityWeight: 0.05}
+	order = AttemptCost{NonIdempotent: true, LatencyObjective: aim, PriorityWeight: 1}
+	query = AttemptCost{LatencyObjective: aim, PriorityWeight: 1}
+	probe = AttemptCost{PriorityWeight: 0.05}
 )
 
 func newEstimator(t testing.TB) *Estimator {
@@ -44,10 +44,10 @@
 func learnAll(b *Estimator, now time.Time, lessons ...observation) time.Time {
 	for _, l := range lessons {
 		for i := range l.calls {
-			f := Answered
+			f := Responded
 			if (i+1)*l.broken/l.calls > i*l.broken/l.calls {
-				if f = Broken; l.early {
-					f = Early
+				if f = BrokenAfterLastByte; l.early {
+					f = BrokenBeforeLastByte
 				}
 			}
 			now = now.Add(10 * ms)
@@ -91,8 +91,8 @@
 	} {
 		b := newEstimator(t)
 		now, got := learnAll(b, began, c.seen...), ""
-		for _, s := range []RetryCost{order, query, probe} {
-			if b.Take(now, c.use, s) {
+		for _, s := range []AttemptCost{order, query, probe} {
+			if b.ShouldReuse(now, c.use, s) {
 				got += "k"
 			} else {
 				got += "n"
@@ -110,9 +110,9 @@
 	bad := kept("a", 200*ms, 100, 100)
 	now := learnAll(b, began, observation{server: "a", calls: 100}, bad)
 	var back []time.Duration
-	for _, s := range []RetryCost{query, order} {
+	for _, s := range []AttemptCost{query, order} {
 		start := now
-		for !b.Take(now, Use{"a", 200 * ms, 3}, s) && now.Sub(start) < 3*time.Hour {
+		for !b.ShouldReuse(now, Use{"a", 200 * ms, 3}, s) && now.Sub(start) < 3*time.Hour {
 			now = now.Add(time.Minute)
 		}
 		back = append(back, now.Sub(start))
@@ -122,7 +122,7 @@
 	}
 	for now = learnAll(b, now, bad); ; {
 		now = learnAll(b, now, observation{server: "a", calls: 100})
-		if b.Take(now, Use{"a", 200 * ms, 3}, order) {
+		if b.ShouldReuse(now, Use{"a", 200 * ms, 3}, order) {
 			break
 		}
 		if now.Sub(began) > 24*time.Hour {
@@ -139,7 +139,7 @@
 	shows := func(after time.Duration) observation { l := seen; l.early, l.took = true, after; return l }
 	for name, c := range map[string]struct {
 		seen        observation
-		stakes      RetryCost
+		stakes      AttemptCost
 		least, most time.Duration
 	}{
 		"nothing breaks":           {kept("a", 20*ms, 300, 0), order, 0, 0},
@@ -148,14 +148,14 @@
 		"breaks never show":        {never, order, 0, ms / 2},
 		"it may run twice":         {shows(100 * time.Microsecond), query, 0, 0},
 		"so may a probe":           {shows(100 * time.Microsecond), probe, 0, 0},
-		"it is in a great hurry":   {shows(3 * ms), RetryCost{NonIdempotent: true, LatencyObjective: 5 * ms, PriorityWeight: 1}, 0, 0},
-		"any time will do":         {shows(3 * ms), RetryCost{NonIdempotent: true, PriorityWeight: 1}, 4 * ms, 8 * ms},
+		"it is in a great hurry":   {shows(3 * ms), AttemptCost{NonIdempotent: true, LatencyObjective: 5 * ms, PriorityWeight: 1}, 0, 0},
+		"any time will do":         {shows(3 * ms), AttemptCost{NonIdempotent: true, PriorityWeight: 1}, 4 * ms, 8 * ms},
 		"one in 300 breaks":        {kept("a", 20*ms, 300, 1), order, 0, ms},
 		"it breaks, none was held": {kept("a", 20*ms, 300, 30), order, 2 * ms, 8 * ms},
 	} {
 		b := newEstimator(t)
 		now := learnAll(b, began, c.seen)
-		if got := b.Hold(now, use, c.stakes); got < c.least || got > c.most {
+		if got := b.LastByteDelay(now, use, c.stakes); got < c.least || got > c.most {
 			t.Errorf("%s: %s, want %s to %s", name, got, c.least, c.most)
 		}
 	}
@@ -183,21 +183,21 @@
 		}
 		for _, w := range worths {
 			for _, most := range []time.Duration{0, 50 * ms, time.Minute} {
-				s := RetryCost{NonIdempotent: rng.IntN(2) == 0, LatencyObjective: time.Duration(rng.IntN(3)-1) * time.Second, PriorityWeight: w}
+				s := AttemptCost{NonIdempotent: rng.IntN(2) == 0, LatencyObjective: time.Duration(rng.IntN(3)-1) * time.Second, PriorityWeight: w}
 				p := fmt.Sprint(rng.IntN(5))
-				limit := b.Limit(now, p, s, most)
+				limit := b.IdleLimit(now, p, s, most)
 				if limit < 0 || limit > most {
 					t.Fatalf("%+v: limit %s of %s", s, limit, most)
 				}
 				below, above := Use{p, limit * 999 / 1000, 1}, Use{p, limit*1001/1000 + 1, 1}
-				if limit > 0 && !b.Take(now, below, s) || limit < most && b.Take(now, above, s) {
+				if limit > 0 && !b.ShouldReuse(now, below, s) || limit < most && b.ShouldReuse(now, above, s) {
 					t.Fatalf("%+v: Take does not agree with the limit %s", s, limit)
 				}
-				if d := b.Hold(now, Use{p, limit, 5}, s); d < 0 || d > b.settings.MaxPause {
+				if d := b.LastByteDelay(now, Use{p, limit, 5}, s); d < 0 || d > b.settings.MaxPause {
 					t.Fatalf("%+v: hold for %s", s, d)
 				}
 				s.NonIdempotent = false
-				if safe := b.Limit(now, p, s, most); safe < b.Limit(now, p, RetryCost{true, s.LatencyObjective, w}, most) {
+				if safe := b.IdleLimit(now, p, s, most); safe < b.IdleLimit(now, p, AttemptCost{true, s.LatencyObjective, w}, most) {
 					t.Fatalf("%+v: limit %s, less than for what must not run twice", s, safe)
 				}
 			}
@@ -223,9 +223,9 @@
 	}
 	b = newEstimator(t)
 	now = learnAll(b, now, observation{server: "a", calls: 20}, kept("a", 200*ms, 20, 20))
-	b.Take(now, Use{"a", 200 * ms, 3}, order)
-	b.Forget("a")
-	if now = now.Add(time.Minute); !b.Take(now, Use{"new", 200 * ms, 3}, order) {
+	b.ShouldReuse(now, Use{"a", 200 * ms, 3}, order)
+	b.RemoveServer("a")
+	if now = now.Add(time.Minute); !b.ShouldReuse(now, Use{"new", 200 * ms, 3}, order) {
 		t.Error("a lone culprit is gone, and the others are still held to be like it")
 	}
 	for range 3 { // in turn, so that they look alike
@@ -234,12 +234,12 @@
 		}
 	}
 	for _, p := range []string{"a", "b", "c", "d"} {
-		b.Forget(p)
+		b.RemoveServer(p)
 	}
 	if len(b.list)+len(b.servers) > 0 {
 		t.Errorf("%d providers after all are forgotten", len(b.list))
 	}
-	if b.Take(now, Use{"new", 200 * ms, 3}, order) || !b.Take(now, Use{"new", 20 * ms, 3}, order) {
+	if b.ShouldReuse(now, Use{"new", 200 * ms, 3}, order) || !b.ShouldReuse(now, Use{"new", 20 * ms, 3}, order) {
 		t.Error("what they had in common went with them")
 	}
 }
@@ -271,11 +271,11 @@
 		}
 	}
 	old := Use{"b", 200 * ms, 3}
-	if got, want := next.Hold(later, old, order), b.Hold(now, old, order); got != want {
+	if got, want := next.LastByteDelay(later, old, order), b.LastByteDelay(now, old, order); got != want {
 		t.Errorf("held for %s, was %s", got, want)
 	}
 	again, _ := next.State(later)
-	if err := next.Restore(later, data, 24*time.Hour); err != nil || !next.Take(later, old, order) {
+	if err := next.Restore(later, data, 24*time.Hour); err != nil || !next.ShouldReuse(later, old, order) {
 		t.Errorf("a day old: %v, and it still counts", err)
 	}
 	if !bytes.Equal(data, again) {
@@ -288,7 +288,7 @@
 		bad := bytes.Clone(data)
 		bad[i] ^= 0x41
 		if next.Restore(later, bad, 0) == nil { // then it must at least be something that can have been learned
-			next.Take(later, old, order)
+			next.ShouldReuse(later, old, order)
 			if p := next.posterior(later, "b").idle[steps-1]; !(p >= 0 && p <= 1) {
 				t.Fatalf("byte %d: a probability of %g", i, p)
 			}
@@ -320,7 +320,7 @@
 		name := strings.Repeat("p", 100) + fmt.Sprint(i%2048)
 		big.Learn(began, Use{name, time.Duration(i) * ms, 1 + i%100}, Outcome(i%2), 0, 0)
 	}
-	big.Learn(began, Use{"the worst", ms, 1}, Broken, 0, 0)
+	big.Learn(began, Use{"the worst", ms, 1}, BrokenAfterLastByte, 0, 0)
 	big.record("the worst").seen.broken *= 100
 	if data, err = big.State(began); err != nil || len(data) > MaxStateBytes || len(data) < MaxStateBytes*9/10 {
 		t.Errorf("%d bytes, %v", len(data), err)
@@ -332,12 +332,12 @@
 
 func TestSettings(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"handshake":      func(s *Settings) { s.Handshake = math.NaN() },
-		"retry":          func(s *Settings) { s.Retry = 1.1 },
-		"hurry":          func(s *Settings) { s.Hurry = -1 },
-		"half_life":      func(s *Settings) { s.HalfLife = 0 },
-		"long_half_life": func(s *Settings) { s.LongHalfLife = s.HalfLife - 1 },
-		"calls":          func(s *Settings) { s.Calls = 0 },
+		"handshake":      func(s *Settings) { s.HandshakeCost = math.NaN() },
+		"retry":          func(s *Settings) { s.RetryCost = 1.1 },
+		"hurry":          func(s *Settings) { s.DelayCost = -1 },
+		"half_life":      func(s *Settings) { s.MinHalfLife = 0 },
+		"long_half_life": func(s *Settings) { s.MaxHalfLife = s.MinHalfLife - 1 },
+		"calls":          func(s *Settings) { s.HalfLifeAttempts = 0 },
 		"most_pause":     func(s *Settings) { s.MaxPause = -1 },
 		"providers":      func(s *Settings) { s.MaxServers = 0 },
 	} {
@@ -358,31 +358,31 @@
 	use := Use{names[3], 150 * ms, 5}
 	b.Run("Take", func(b *testing.B) {
 		for b.Loop() {
-			k.Take(now, use, order)
+			k.ShouldReuse(now, use, order)
 		}
 	})
 	b.Run("Hold", func(b *testing.B) {
 		for b.Loop() {
-			k.Hold(now, use, order)
+			k.LastByteDelay(now, use, order)
 		}
 	})
 	b.Run("Limit", func(b *testing.B) {
 		for b.Loop() {
-			k.Limit(now, use.Server, order, time.Minute)
+			k.IdleLimit(now, use.Server, order, time.Minute)
 		}
 	})
 	for name, every := range map[string]int{"all answered": 1 << 30, "7% broken": 14, "all broken": 1} {
 		b.Run("call, "+name, func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
 				use.Server, now = names[i%fleet], now.Add(ms)
-				f := Answered
+				f := Responded
 				if i%every == every-1 {
-					f = Broken
+					f = BrokenAfterLastByte
 				}
-				k.Take(now, use, order)
-				k.Hold(now, use, order)
+				k.ShouldReuse(now, use, order)
+				k.LastByteDelay(now, use, order)
 				k.Learn(now, use, f, 0, 0)
-				k.Limit(now, use.Server, probe, time.Minute)
+				k.IdleLimit(now, use.Server, probe, time.Minute)
 			}
 		})
 	}
--- a/internal/keepalive/golden_test.go
+++ b/internal/keepalive/golden_test.go
@@ -24,7 +24,7 @@
 	if !bytes.Equal(written, stored) {
 		t.Errorf("written again as %x, stored as %x", written, stored)
 	}
-	if restored.Take(began, Use{"b", 200 * ms, 3}, order) {
+	if restored.ShouldReuse(began, Use{"b", 200 * ms, 3}, order) {
 		t.Error("a connection that breaks often after such a pause is used for an order")
 	}
 }
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -20,7 +20,7 @@
 // testSettings are the settings that the losses below are counted by.
 func testSettings() Settings {
 	set := Default()
-	set.Handshake, set.Retry, set.Hurry = 0.02, 0.1, 0.3
+	set.HandshakeCost, set.RetryCost, set.DelayCost = 0.02, 0.1, 0.3
 	return set
 }
 
@@ -80,9 +80,9 @@
 
 // policy is what the simulated pool asks: an Estimator, or what it is compared with.
 type policy interface {
-	Take(time.Time, Use, RetryCost) bool
-	Hold(time.Time, Use, RetryCost) time.Duration
-	Limit(time.Time, string, RetryCost, time.Duration) time.Duration
+	ShouldReuse(time.Time, Use, AttemptCost) bool
+	LastByteDelay(time.Time, Use, AttemptCost) time.Duration
+	IdleLimit(time.Time, string, AttemptCost, time.Duration) time.Duration
 	Learn(time.Time, Use, Outcome, time.Duration, time.Duration)
 	Dialed(string, time.Duration)
 }
@@ -97,7 +97,7 @@
 
 var plain = fixed{once: retired, safe: retired, carried: always}
 
-func (f *fixed) Take(_ time.Time, u Use, s RetryCost) bool {
+func (f *fixed) ShouldReuse(_ time.Time, u Use, s AttemptCost) bool {
 	limit := f.safe
 	if s.NonIdempotent {
 		limit = f.once
@@ -105,14 +105,14 @@
 	return f.lone && u.Server != names[0] || u.Idle <= limit && u.Carried < f.carried
 }
 
-func (f *fixed) Hold(_ time.Time, _ Use, s RetryCost) time.Duration {
+func (f *fixed) LastByteDelay(_ time.Time, _ Use, s AttemptCost) time.Duration {
 	if s.NonIdempotent {
 		return f.pause
 	}
 	return 0
 }
 
-func (f *fixed) Limit(_ time.Time, _ string, _ RetryCost, most time.Duration) time.Duration {
+func (f *fixed) IdleLimit(_ time.Time, _ string, _ AttemptCost, most time.Duration) time.Duration {
 	return most
 }
 func (f *fixed) Learn(time.Time, Use, Outcome, time.Duration, time.Duration) {}
@@ -134,7 +134,7 @@
 	}
 	of := &a.seen[int(math.Log2(1+float64(u.Idle.Milliseconds())))]
 	of.calls++
-	if f != Answered {
+	if f != Responded {
 		of.broken++
 	}
 	a.once = retired
@@ -164,14 +164,14 @@
 	var pools [fleet][]conn
 	var at time.Duration
 	set, start, rng := testSettings(), time.Unix(1e9, 0), rand.New(rand.NewPCG(seed, 1))
-	late := func(d time.Duration) float64 { return set.Hurry * float64(d) / float64(aim) }
+	late := func(d time.Duration) float64 { return set.DelayCost * float64(d) / float64(aim) }
 	for range n {
 		at += time.Duration(rng.ExpFloat64() / rate * 1e9)
 		work := 5*ms + time.Duration(rng.ExpFloat64()*float64(20*ms))
 		to, breaks, breaksBase := rng.IntN(fleet), rng.Float64(), rng.Float64()
 		// Of breaks on any attempt half come at once; of those that do, 60% show before the last byte is there.
 		atOnce, visible, shows := rng.Float64() < 0.5, rng.Float64() < 0.6, time.Duration(rng.ExpFloat64()*float64(ms))
-		now, s := start.Add(at), RetryCost{NonIdempotent: rng.Float64() < 0.3, LatencyObjective: aim, PriorityWeight: 1}
+		now, s := start.Add(at), AttemptCost{NonIdempotent: rng.Float64() < 0.3, LatencyObjective: aim, PriorityWeight: 1}
 
 		u, pool, lately := Use{Server: names[to]}, &pools[to], -1
 		for i, c := range *pool {
@@ -182,8 +182,8 @@
 		if lately >= 0 {
 			c := (*pool)[lately]
 			kept := Use{u.Server, max(1, at-c.freed), c.carried}
-			closed := kept.Idle > p.Limit(now, u.Server, RetryCost{LatencyObjective: aim, PriorityWeight: 1}, retired)
-			take := !closed && p.Take(now, kept, s)
+			closed := kept.Idle > p.IdleLimit(now, u.Server, AttemptCost{LatencyObjective: aim, PriorityWeight: 1}, retired)
+			take := !closed && p.ShouldReuse(now, kept, s)
 			if take {
 				u = kept
 			}
@@ -194,12 +194,12 @@
 		added := 0.0
 		if !u.isKept() {
 			p.Dialed(u.Server, dial)
-			loss += set.Handshake + late(dial)
+			loss += set.HandshakeCost + late(dial)
 		} else if w.added != nil {
 			added = w.added(at, to, u.Idle, u.Carried)
 		}
 
-		held := p.Hold(now, u, s)
+		held := p.LastByteDelay(now, u, s)
 		took := time.Duration(0)
 		if breaks >= added && breaksBase < w.base && !atOnce {
 			took, visible = 50*ms, false
@@ -207,17 +207,17 @@
 		switch {
 		case breaks >= added && breaksBase >= w.base:
 			loss += late(held)
-			p.Learn(now, u, Answered, held, work)
+			p.Learn(now, u, Responded, held, work)
 			*pool = append(*pool, conn{at + held + work, u.Carried + 1})
 		case visible && shows <= held:
-			loss += set.Retry + late(shows)
-			p.Learn(now, u, Early, held, shows)
+			loss += set.RetryCost + late(shows)
+			p.Learn(now, u, BrokenBeforeLastByte, held, shows)
 		case s.NonIdempotent:
 			loss++
-			p.Learn(now, u, Broken, held, took)
+			p.Learn(now, u, BrokenAfterLastByte, held, took)
 		default:
-			loss += set.Retry + late(held+took)
-			p.Learn(now, u, Broken, held, took)
+			loss += set.RetryCost + late(held+took)
+			p.Learn(now, u, BrokenAfterLastByte, held, took)
 		}
 	}
 	return loss
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -101,7 +101,7 @@
 	if s.Version != stateVersion {
 		return fmt.Errorf("reuse: state of version %d, want %d", s.Version, stateVersion)
 	}
-	scale := float32(math.Exp2(-float64(max(0, age))/float64(e.settings.LongHalfLife))) / part
+	scale := float32(math.Exp2(-float64(max(0, age))/float64(e.settings.MaxHalfLife))) / part
 	next := Estimator{settings: e.settings, lastLesson: now, stale: true, draws: e.draws, servers: map[string]*serverRecord{}}
 	if err := errors.Join(s.All.read(&next.all, scale), s.Whole.read(&next.doublyBlamed, scale)); err != nil {
 		return fmt.Errorf("reuse: state: %w", err)
