--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -22,7 +22,7 @@
 
 // descriptorShares is how the descriptors are shared out that this process may hold.
 type descriptorShares struct {
-	conns int // for clients and servers, and as many more as connlimit.Closing says while they make room for one another
+	conns int // for clients and servers, and as many more as connlimit.MaxClosing says while they make room for one another
 	watch int // for discovery, whatever the others hold
 	admin int // for operators' connections, likewise
 }
@@ -41,7 +41,7 @@
 
 // total is the most that may be open at a time.
 func (s descriptorShares) total(open int) int {
-	return open + transientDescriptors + s.watch + s.admin + s.conns + connlimit.Closing(s.conns)
+	return open + transientDescriptors + s.watch + s.admin + s.conns + connlimit.MaxClosing(s.conns)
 }
 
 // openDescriptors is how many descriptors this process has open by now, of those that count: its own and what it was started with. Each number
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -47,7 +47,7 @@
 	p.lifecycle.on(mayServe)
 	p.dispatcher.SetOpenInPredecessor(predecessor.Open())
 	if predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
+		p.budget.SetLimit(p.shares.conns - p.shares.conns/standbyDivisor)
 	}
 	predecessor.Stopped = func(stop hotrestart.Stop) {
 		enqueue(p.signals.stop, receivedSignal{Signal: syscall.SIGTERM, earliestSent: stop.At, readAt: time.Now(), killAt: stop.Kill})
@@ -123,8 +123,8 @@
 	}
 	log.Printf("name=%s handover=passing successor=%d", p.cfg.Name, successor.Pid())
 	if rendezvousFolder(p.getenv) != "" {
-		p.budget.Limit(p.shares.conns / standbyDivisor)
-		defer p.budget.Limit(p.shares.conns) // if it serves on
+		p.budget.SetLimit(p.shares.conns / standbyDivisor)
+		defer p.budget.SetLimit(p.shares.conns) // if it serves on
 	}
 	transferred := p.beginTransfer(successor, listener)
 	stopForwarded := p.forwardStop(successor, listener)
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -73,7 +73,7 @@
 		getenv:          os.Getenv,
 		listener:        listener,
 		adminListener:   adminListener,
-		dial:            connlimit.TCP,
+		dial:            connlimit.DialTCP,
 		openDescriptors: openDescriptors(cfg.Limits.Sockets),
 		signals:         signals,
 		predecessor:     predecessor,
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -90,7 +90,7 @@
 	p.stopRequested, p.requestStop = context.WithCancel(ctx)
 	defer p.requestStop()
 	if options.predecessor != nil && options.predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns / standbyDivisor)
+		p.budget.SetLimit(p.shares.conns / standbyDivisor)
 	}
 	trace := startTracing(ctx, group, p.getenv)
 	listed, err := p.assemble(ctx, options, trace)
--- a/cmd/plankrouter/races_test.go
+++ b/cmd/plankrouter/races_test.go
@@ -65,7 +65,7 @@
 					case backlog:
 						nc := wait(r, "the connection", r.accepts)
 						goes(c)
-						for s := connlimit.NewBudget(1, nil).Adopt(nc, connlimit.Inward); !s.HasPeerLeft(); {
+						for s := connlimit.NewBudget(1, nil).Adopt(nc, connlimit.Inbound); !s.HasPeerClosed(); {
 							time.Sleep(time.Millisecond)
 						}
 						r.pass <- nc
@@ -144,10 +144,10 @@
 				r.decline(tc.before+1, stop)
 			}
 			c := r.client(tc.message)
-			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inward)
+			s := connlimit.NewBudget(1, nil).Adopt(wait(r, "the connection", accepted), connlimit.Inbound)
 			held := wait(r, "the connection to a provider", r.pendingDials)
 			_ = c.CloseWrite()
-			for !s.HasPeerLeft() {
+			for !s.HasPeerClosed() {
 				time.Sleep(time.Millisecond)
 			}
 			close(held)
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -32,7 +32,7 @@
 
 // serveAlone makes this process the sidecar's only one, and the one that a second process finds.
 func (p *program) serveAlone(ctx context.Context, group *errgroup.Group) {
-	p.budget.Limit(p.shares.conns)
+	p.budget.SetLimit(p.shares.conns)
 	p.dispatcher.SetOpenInPredecessor(nil)
 	folder := rendezvousFolder(p.getenv)
 	if folder == "" {
@@ -60,10 +60,10 @@
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(p.stopRequested, cancel)() // a signal to stop calls off what is not ready
-		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
+		p.budget.SetLimit(p.shares.conns - p.shares.conns/standbyDivisor)
 		successor, err := p.coordinator.Meet(ctx, c, own, options)
 		if err != nil {
-			p.budget.Limit(p.shares.conns)
+			p.budget.SetLimit(p.shares.conns)
 		}
 		return successor, err
 	})
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -53,12 +53,12 @@
 		b.Fatal(err)
 	}
 	defer theirs.Close()
-	requester := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
+	requester := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inbound)
 	for _, size := range []int{1, 2 * chunkSize} {
-		for _, gone := range []func() bool{nil, requester.HasPeerLeft} {
+		for _, gone := range []func() bool{nil, requester.HasPeerClosed} {
 			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/chunkSize/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
-				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{ReloadableSettings: ReloadableSettings{Connect: time.Minute, ConnIdle: time.Hour}})
+				client, err := New(ctx, connlimit.NewBudget(8, connlimit.DialTCP), Settings{ReloadableSettings: ReloadableSettings{Connect: time.Minute, ConnIdle: time.Hour}})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -81,7 +81,7 @@
 	// This goroutine may have been woken late, and the server may be about to close the connection.
 	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.idleUntil) {
 		err = c.socket.SetReadDeadline(time.Time{})
-		if err == nil && c.socket.IsQuiet() {
+		if err == nil && c.socket.HasNothingUnread() {
 			return next, outcome.Open
 		}
 	}
@@ -91,7 +91,7 @@
 // remainsQuiet waits for the pause before the last byte, and reports whether nothing has come in, the connection's end included.
 func (c *conn) remainsQuiet(pause time.Duration) bool {
 	if pause <= 0 {
-		return c.socket.IsQuiet()
+		return c.socket.HasNothingUnread()
 	}
 	c.socket.SetReadDeadline(time.Now().Add(pause))
 	_, err := c.reader.Peek(1)
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -32,9 +32,9 @@
 	}
 	defer in.Close()
 	budget := connlimit.NewBudget(1, nil)
-	budget.Reserve(connlimit.Outward)
+	budget.Reserve(connlimit.Outbound)
 	at := &endpoint{client: new(Client), address: "p1:1"}
-	conn := newConn(budget.Adopt(out, connlimit.Outward), at)
+	conn := newConn(budget.Adopt(out, connlimit.Outbound), at)
 	defer conn.close()
 	if _, err := in.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nmap")); err != nil {
 		t.Fatal(err)
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -46,7 +46,7 @@
 
 // serve makes attempts on the connection, one after another, until it ends, and returns the one that it could not begin.
 func (c *Client) serve(conn *conn, a *attempt) *attempt {
-	if !conn.socket.IsQuiet() { // a server that speaks first is no HTTP server
+	if !conn.socket.HasNothingUnread() { // a server that speaks first is no HTTP server
 		conn.close()
 		c.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -20,7 +20,7 @@
 	write := func(p []byte) bool {
 		c.socket.SetWriteDeadline(time.Now().Add(maxStreamStall))
 		_, err := c.socket.Write(p)
-		return err == nil && c.socket.IsQuiet()
+		return err == nil && c.socket.HasNothingUnread()
 	}
 	defer c.socket.SetWriteDeadline(time.Time{})
 	if !write(a.message) {
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -29,25 +29,25 @@
 	return &Budget{limit: limit, dial: dial, freed: make(chan struct{}, 1)}
 }
 
-// Limit sets another limit. If more sockets are in use, idle ones to servers are closed at once, and none is opened until enough have
+// SetLimit sets another limit. If more sockets are in use, idle ones to servers are closed at once, and none is opened until enough have
 // ended; clients keep theirs.
-func (b *Budget) Limit(limit int) {
+func (b *Budget) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit = limit
 	for e := b.idle.Front(); e != nil && b.used > limit; {
 		s := e.Value.(*Socket)
 		e = e.Next()
-		if s.side == Outward {
+		if s.side == Outbound {
 			_ = s.close()
 		}
 	}
 	b.notifyFreed()
 }
 
-// FavorBacklog has unused connections make room as soon as another one wants it, and lets them have all places of their side: what
+// PrioritizeBacklog has unused connections make room as soon as another one wants it, and lets them have all places of their side: what
 // waits in the backlog is about to be lost.
-func (b *Budget) FavorBacklog() {
+func (b *Budget) PrioritizeBacklog() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.backlogFavored = true
@@ -67,13 +67,13 @@
 	defer b.mu.Unlock()
 	ok := true
 	switch {
-	case side == Inward && !b.backlogFavored && b.unused.Len() >= max(1, b.limit/unusedDivisor):
+	case side == Inbound && !b.backlogFavored && b.unused.Len() >= max(1, b.limit/unusedDivisor):
 		ok = b.evictFirst(&b.unused, side)
-	case side == Inward && b.inward >= b.limit/inwardDivisor:
-		ok = b.evictFirst(&b.unused, Inward) || b.evictFirst(&b.idle, Inward)
-	case b.used >= b.limit || side == Inward && b.used >= b.limitBesideAttempts():
-		ok = b.evictFirst(&b.unused, Outward) || b.evictFirst(&b.idle, Outward)
-	case side == Inward && b.inward >= b.limit/inwardEvictDivisor:
+	case side == Inbound && b.inward >= b.limit/inwardDivisor:
+		ok = b.evictFirst(&b.unused, Inbound) || b.evictFirst(&b.idle, Inbound)
+	case b.used >= b.limit || side == Inbound && b.used >= b.limitBesideAttempts():
+		ok = b.evictFirst(&b.unused, Outbound) || b.evictFirst(&b.idle, Outbound)
+	case side == Inbound && b.inward >= b.limit/inwardEvictDivisor:
 		// Clients have limits too: one whose sockets are all idle connections to this process can't open another and so can't
 		// cause the eviction that it waits for.
 		_ = b.evictFirst(&b.unused, side) || b.evictFirst(&b.idle, side)
@@ -112,7 +112,7 @@
 func (b *Budget) ReserveForRejection() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limit := Closing(b.limit)
+	limit := MaxClosing(b.limit)
 	if !b.backlogFavored {
 		limit = max(1, limit/rejectionDivisor)
 	}
@@ -125,7 +125,7 @@
 
 // AdoptForRejection binds a place of ReserveForRejection to a connection, which counts as evicted from the start.
 func (b *Budget) AdoptForRejection(c net.Conn) *Socket {
-	return &Socket{Conn: c, budget: b, side: Inward, evicted: true}
+	return &Socket{Conn: c, budget: b, side: Inbound, evicted: true}
 }
 
 // ReleaseForRejection gives back a place that was not adopted.
@@ -139,9 +139,9 @@
 // evictFirst frees the place of the first candidate that may be evicted: for Inward a client's connection, for Outward any.
 func (b *Budget) evictFirst(candidates *list.List, side Side) bool {
 	now := time.Now()
-	for e := candidates.Front(); e != nil && b.evicted < Closing(b.limit); e = e.Next() {
+	for e := candidates.Front(); e != nil && b.evicted < MaxClosing(b.limit); e = e.Next() {
 		s := e.Value.(*Socket)
-		if !now.Before(s.evictableAt) && (side == Outward || s.side == Inward) {
+		if !now.Before(s.evictableAt) && (side == Outbound || s.side == Inbound) {
 			s.evict()
 			return true
 		}
@@ -151,13 +151,13 @@
 
 func (b *Budget) addUsed(side Side, n int) {
 	b.used += n
-	if side == Inward {
+	if side == Inbound {
 		b.inward += n
 	}
 }
 
-// IsScarce reports whether more than half of the places are taken.
-func (b *Budget) IsScarce() bool {
+// IsOverHalfUsed reports whether more than half of the places are taken.
+func (b *Budget) IsOverHalfUsed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return 2*b.used > b.limit
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -16,25 +16,25 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	b := NewBudget(2, TCP)
+	b := NewBudget(2, DialTCP)
 	out, err := b.Dial(context.Background(), l.Addr().String(), 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = out.Close() }()
 	in, err := l.Accept()
-	if err != nil || !b.Reserve(Outward) {
+	if err != nil || !b.Reserve(Outbound) {
 		t.Fatal(err)
 	}
-	s := b.Adopt(in, Outward)
+	s := b.Adopt(in, Outbound)
 	defer func() { _ = s.Close() }()
 	if _, err := out.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
 	var one [1]byte
 	for _, quiet := range []bool{false, true} { // both bytes came together
-		if _, err := io.ReadFull(s, one[:]); err != nil || s.IsQuiet() != quiet {
-			t.Errorf("after %q: quiet %t, %v", one, s.IsQuiet(), err)
+		if _, err := io.ReadFull(s, one[:]); err != nil || s.HasNothingUnread() != quiet {
+			t.Errorf("after %q: quiet %t, %v", one, s.HasNothingUnread(), err)
 		}
 	}
 }
@@ -44,24 +44,24 @@
 	var sockets []*Socket
 	for range 3 {
 		c, _ := net.Pipe()
-		if !b.Reserve(Outward) {
+		if !b.Reserve(Outbound) {
 			t.Fatal("no place under the limit")
 		}
-		sockets = append(sockets, b.Adopt(c, Outward))
+		sockets = append(sockets, b.Adopt(c, Outbound))
 	}
-	if b.Reserve(Outward) {
+	if b.Reserve(Outbound) {
 		t.Error("a place beyond the limit")
 	}
 	sockets[0].MarkIdle(time.Hour) // too lately used
 	sockets[1].MarkIdle(0)
 	sockets[2].MarkIdle(0)
-	if !b.Reserve(Outward) || sockets[0].IsEvicted() || !sockets[1].IsEvicted() || sockets[2].IsEvicted() {
+	if !b.Reserve(Outbound) || sockets[0].IsEvicted() || !sockets[1].IsEvicted() || sockets[2].IsEvicted() {
 		t.Error("not the one idle for longest has left")
 	}
 	if _, err := sockets[1].Read(make([]byte, 1)); err == nil {
 		t.Error("its reader was not woken")
 	}
-	if !sockets[2].MarkBusy() || b.Reserve(Outward) || b.Used() != 3 {
+	if !sockets[2].MarkBusy() || b.Reserve(Outbound) || b.Used() != 3 {
 		t.Errorf("a busy one has left; %d used", b.Used())
 	}
 	for _, s := range sockets {
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	b.Release(Outward)
+	b.Release(Outbound)
 	if b.Used() != 0 {
 		t.Errorf("%d places are still taken", b.Used())
 	}
@@ -88,36 +88,36 @@
 		}
 		return b.Adopt(c, side)
 	}
-	known, server := open(Inward), open(Outward)
+	known, server := open(Inbound), open(Outbound)
 	known.MarkIdle(time.Hour)
 	server.MarkIdle(0) // for longer than any other
 	var unused []*Socket
 	for range 3 {
-		s := open(Inward)
+		s := open(Inbound)
 		s.MarkUnused(time.Hour)
 		unused = append(unused, s)
 	}
-	if b.Reserve(Inward) {
+	if b.Reserve(Inbound) {
 		t.Error("a fourth unused connection beyond a quarter of twelve")
 	}
 	unused[1].MarkUnused(0)
-	if open(Inward); !unused[1].IsEvicted() || known.IsEvicted() {
+	if open(Inbound); !unused[1].IsEvicted() || known.IsEvicted() {
 		t.Error("not the unused one that may be evicted has been")
 	}
-	open(Inward)
-	open(Inward)
+	open(Inbound)
+	open(Inbound)
 	known.MarkIdle(0)
-	if open(Inward); !known.IsEvicted() || server.IsEvicted() {
+	if open(Inbound); !known.IsEvicted() || server.IsEvicted() {
 		t.Error("not the idle one of their own has left for a seventh of them")
 	}
-	if b.Reserve(Inward) {
+	if b.Reserve(Inbound) {
 		t.Error("clients have more than half")
 	}
 	unused[0].MarkUnused(0)
 	for range 5 {
-		open(Outward)
+		open(Outbound)
 	}
-	if open(Outward); !unused[0].IsEvicted() || server.IsEvicted() {
+	if open(Outbound); !unused[0].IsEvicted() || server.IsEvicted() {
 		t.Error("one that has been useful has left before an unused one")
 	}
 	if unused[0].ExtendReadDeadline(time.Now()) || !server.ExtendReadDeadline(time.Now()) {
@@ -132,11 +132,11 @@
 	var got []bool
 	var first *Socket
 	for i := range 6 {
-		if !b.Reserve(Inward) {
+		if !b.Reserve(Inbound) {
 			t.Fatal("no place under the limit")
 		}
 		c, _ := net.Pipe()
-		s := b.Adopt(c, Inward)
+		s := b.Adopt(c, Inbound)
 		if i == 0 {
 			first = s
 			s.MarkIdle(0)
@@ -148,13 +148,13 @@
 			t.Errorf("with %d connections: the idle one leaves: %t", i+1, got[i])
 		}
 	}
-	if b.IsScarce() {
+	if b.IsOverHalfUsed() {
 		t.Error("5 of 16 are scarce")
 	}
 	for range 4 {
-		b.Reserve(Outward)
+		b.Reserve(Outbound)
 	}
-	if !b.IsScarce() {
+	if !b.IsOverHalfUsed() {
 		t.Error("9 of 16 are plenty")
 	}
 }
@@ -176,10 +176,10 @@
 		b.Fatal(err)
 	}
 	defer mine.Close()
-	s := NewBudget(1, nil).Adopt(mine, Inward)
+	s := NewBudget(1, nil).Adopt(mine, Inbound)
 	b.ReportAllocs()
 	for b.Loop() {
-		if s.HasPeerLeft() {
+		if s.HasPeerClosed() {
 			b.Fatal("it is there")
 		}
 	}
@@ -200,12 +200,12 @@
 		idle = append(idle, s)
 	}
 	for i := range 8 { // half of the places
-		if !b.Reserve(Inward) || !idle[i].IsEvicted() {
+		if !b.Reserve(Inbound) || !idle[i].IsEvicted() {
 			t.Fatalf("client %d waits for idle connections to servers", i+1)
 		}
 		_ = idle[i].Close()
 	}
-	if b.Reserve(Inward) {
+	if b.Reserve(Inbound) {
 		t.Error("clients have more than half")
 	}
 	for _, s := range idle[8:] {
@@ -216,9 +216,9 @@
 			t.Fatal(err)
 		}
 	}
-	b.Release(Inward)
-	b.Reserve(Outward) // in its place
-	if b.Reserve(Inward) {
+	b.Release(Inbound)
+	b.Reserve(Outbound) // in its place
+	if b.Reserve(Inbound) {
 		t.Error("a client takes a place that is left to attempts")
 	}
 	if _, err := b.DialOptional(t.Context(), "", time.Hour); !errors.Is(err, ErrLimitReached) {
--- a/internal/connlimit/dial.go
+++ b/internal/connlimit/dial.go
@@ -16,8 +16,8 @@
 // Dialer opens a connection to host:port.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// TCP dials plainly. It sends no keep-alive: that a machine is silent shows in the requests that it does not answer.
-func TCP(ctx context.Context, address string) (net.Conn, error) {
+// DialTCP dials plainly. It sends no keep-alive: that a machine is silent shows in the requests that it does not answer.
+func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	if err := faultinjection.Inject(faultinjection.Connect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 	}
@@ -34,15 +34,15 @@
 
 // Dial opens a connection under the limit, or fails with ErrLimitReached.
 func (b *Budget) Dial(ctx context.Context, address string, within time.Duration) (*Socket, error) {
-	return b.open(ctx, address, within, b.Reserve(Outward))
+	return b.open(ctx, address, within, b.Reserve(Outbound))
 }
 
 // DialOptional is Dial for a connection that can be done without, as a probe's: it leaves the last places to attempts.
 func (b *Budget) DialOptional(ctx context.Context, address string, within time.Duration) (*Socket, error) {
 	b.mu.Lock()
-	ok := b.used < b.limitBesideAttempts() || b.evictFirst(&b.unused, Outward) || b.evictFirst(&b.idle, Outward)
+	ok := b.used < b.limitBesideAttempts() || b.evictFirst(&b.unused, Outbound) || b.evictFirst(&b.idle, Outbound)
 	if ok {
-		b.addUsed(Outward, 1)
+		b.addUsed(Outbound, 1)
 	}
 	b.mu.Unlock()
 	return b.open(ctx, address, within, ok)
@@ -57,8 +57,8 @@
 	defer cancel()
 	c, err := b.dial(ctx, address)
 	if err != nil {
-		b.Release(Outward)
+		b.Release(Outbound)
 		return nil, err
 	}
-	return b.Adopt(c, Outward), nil
+	return b.Adopt(c, Outbound), nil
 }
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -14,13 +14,13 @@
 	attemptsOnlyDivisor = 8                // this part of the places is left to attempts: neither clients nor probes take a free one of them
 )
 
-// Closing is how many connections may be open beyond the limit, while those that have made room are being closed.
-func Closing(limit int) int { return min(maxClosing, max(1, limit/closingDivisor)) }
+// MaxClosing is how many connections may be open beyond the limit, while those that have made room are being closed.
+func MaxClosing(limit int) int { return min(maxClosing, max(1, limit/closingDivisor)) }
 
 // MaxSocketsWithin is the highest limit under which so many descriptors suffice, including those of connections that are being closed; 0 = there
 // is none.
 func MaxSocketsWithin(descriptors int) (limit int) {
-	for limit+1+Closing(limit+1) <= descriptors {
+	for limit+1+MaxClosing(limit+1) <= descriptors {
 		limit++
 	}
 	return limit
@@ -32,8 +32,8 @@
 // Side says who opened a connection.
 type Side bool
 
-// The sides. Inward connections, which clients opened, leave room for the outward ones, without which nothing could be done for them.
+// The sides. Inbound connections, which clients opened, leave room for the outward ones, without which nothing could be done for them.
 const (
-	Outward Side = false
-	Inward  Side = true
+	Outbound Side = false
+	Inbound  Side = true
 )
--- a/internal/connlimit/limits_test.go
+++ b/internal/connlimit/limits_test.go
@@ -54,7 +54,7 @@
 			if worst > int64(descriptors) || worst < int64(descriptors)-1 {
 				t.Errorf("%d are open at most, a limit of %d", worst, limit)
 			}
-			if next := limit + 1; next+Closing(next) <= descriptors {
+			if next := limit + 1; next+MaxClosing(next) <= descriptors {
 				t.Errorf("a limit of %d would do as well as %d", next, limit)
 			}
 		})
--- a/internal/connlimit/socket.go
+++ b/internal/connlimit/socket.go
@@ -82,15 +82,15 @@
 	return !s.evicted && s.SetReadDeadline(t) == nil
 }
 
-// IsQuiet reports whether nothing is unread, neither bytes nor the other side's close or reset.
-func (s *Socket) IsQuiet() bool { return sockopt.IsQuiet(s.Conn) }
+// HasNothingUnread reports whether nothing is unread, neither bytes nor the other side's close or reset.
+func (s *Socket) HasNothingUnread() bool { return sockopt.HasNothingUnread(s.Conn) }
 
-// HasPeerLeft reports whether the other side has ended its sending or broken the connection.
-func (s *Socket) HasPeerLeft() bool { return sockopt.HasPeerLeft(s.Conn) }
+// HasPeerClosed reports whether the other side has ended its sending or broken the connection.
+func (s *Socket) HasPeerClosed() bool { return sockopt.HasPeerClosed(s.Conn) }
 
-// SinceArrival is how long ago the last bytes came in, if that is known.
-func (s *Socket) SinceArrival() (since time.Duration, known bool) {
-	return sockopt.SinceArrival(s.Conn)
+// SinceLastReceive is how long ago the last bytes came in, if that is known.
+func (s *Socket) SinceLastReceive() (since time.Duration, known bool) {
+	return sockopt.SinceLastReceive(s.Conn)
 }
 
 // Close closes the connection and gives its place back; further calls do nothing.
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -40,7 +40,7 @@
 	w, err := New(Options{
 		Address: d.Address(), Watch: watchpolicy.DefaultSettings(), Seed: 1,
 		Budget: connlimit.NewBudget(1, func(ctx context.Context, address string) (net.Conn, error) {
-			c, err := connlimit.TCP(ctx, address)
+			c, err := connlimit.DialTCP(ctx, address)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -46,7 +46,7 @@
 // that.
 func arrivalTime(s *connlimit.Socket) time.Time {
 	now := time.Now()
-	since, known := s.SinceArrival()
+	since, known := s.SinceLastReceive()
 	if !known {
 		since = shutdown.MaxStall
 	}
@@ -96,7 +96,7 @@
 
 // exchange makes the poll and reads the whole of its answer.
 func (w *Watch) exchange(ctx context.Context, poll watchpolicy.Poll) (raw []byte, firstByteAt time.Time, err error) {
-	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.IsQuiet()) { // it would pass for the answer to this poll
+	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.HasNothingUnread()) { // it would pass for the answer to this poll
 		return nil, firstByteAt, errUnexpectedBytes
 	}
 	if w.conn == nil {
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -36,7 +36,7 @@
 		RetryBackoff: time.Millisecond, MaxRetryBackoff: time.Millisecond, RefreshInterval: time.Millisecond, MaxRefreshInterval: time.Millisecond,
 	}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
-		c, err := connlimit.TCP(ctx, address)
+		c, err := connlimit.DialTCP(ctx, address)
 		if err != nil {
 			return nil, err
 		}
@@ -160,7 +160,7 @@
 			x := newRaceFixture(t)
 			c := x.start()
 			between(c)
-			for x.conn.IsQuiet() && name != "a reset" { // the kernel has it in a moment
+			for x.conn.HasNothingUnread() && name != "a reset" { // the kernel has it in a moment
 				time.Sleep(time.Millisecond)
 			}
 			x.proceed <- struct{}{}
@@ -328,7 +328,7 @@
 			})
 		}
 		conn.Close()
-		for x.conn.IsQuiet() {
+		for x.conn.HasNothingUnread() {
 			time.Sleep(time.Millisecond)
 		}
 		x.proceed <- struct{}{}
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -23,7 +23,7 @@
 	a := acceptor{server: s, listener: l, lastPlaceAt: time.Now()}
 	for !s.isDraining() {
 		var goOn bool
-		if s.budget.Reserve(connlimit.Inward) {
+		if s.budget.Reserve(connlimit.Inbound) {
 			goOn = a.accept(ctx)
 		} else {
 			goOn = a.waitForPlace(ctx)
@@ -73,7 +73,7 @@
 		s.admitNew(c)
 		return true
 	}
-	s.budget.Release(connlimit.Inward)
+	s.budget.Release(connlimit.Inbound)
 	if resumed := s.pauseAccepting(); resumed != nil {
 		select {
 		case <-resumed:
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.admit(nc, "")
-	if waited, known := c.socket.SinceArrival(); known && waited > maxBacklogWait {
+	if waited, known := c.socket.SinceLastReceive(); known && waited > maxBacklogWait {
 		s.rejectUntil = time.Now().Add(rejectionPeriod)
 	}
 }
@@ -115,7 +115,7 @@
 // admit serves a connection, with the note of the predecessor that had it before. It is called with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
 	c := &conn{
-		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), acceptedAt: time.Now(), hasSentMessage: note != "",
+		server: s, socket: s.budget.Adopt(nc, connlimit.Inbound), acceptedAt: time.Now(), hasSentMessage: note != "",
 		hasSentRequest: note == noteHasSentRequest,
 	}
 	if c.hasSentRequest {
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -146,7 +146,7 @@
 			budget := connlimit.NewBudget(4, nil) // two of them are for clients
 			s := &testServer{Server: New(cfg, new(immediateDispatcher), budget, new(metrics.Registry), streaming.New(1<<20, 16)), listener: l.pipeListener, done: make(chan error, 1)}
 			for range occupied {
-				budget.ReserveBeyondLimit(connlimit.Inward)
+				budget.ReserveBeyondLimit(connlimit.Inbound)
 			}
 			go func() { s.done <- s.Serve(ctx, l) }()
 			for range 2 - occupied {
@@ -157,7 +157,7 @@
 				}
 			}
 			if occupied > 0 {
-				budget.ReserveBeyondLimit(connlimit.Inward) // for which nothing makes room
+				budget.ReserveBeyondLimit(connlimit.Inbound) // for which nothing makes room
 			}
 			serverEnd, clientEnd := net.Pipe()
 			l.conns <- serverEnd
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -69,7 +69,7 @@
 // checkAnswered records, as the connection is about to be closed, a request without answer whose client is still there.
 func (c *conn) checkAnswered(how outcome.Kind) {
 	id := c.unansweredID.Load()
-	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.HasPeerLeft() {
+	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.HasPeerClosed() {
 		return
 	}
 	c.server.Invariants.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
@@ -113,7 +113,7 @@
 	c.startWriter()
 	c.metric = c.server.metrics.RequestStarted(c.class)
 	defer c.releaseMemory()
-	if (c.reader.Buffered() > 0 || !c.socket.IsQuiet()) && c.socket.HasPeerLeft() { // it left while its request waited to be read
+	if (c.reader.Buffered() > 0 || !c.socket.HasNothingUnread()) && c.socket.HasPeerClosed() { // it left while its request waited to be read
 		return outcome.ClientGone
 	}
 	if !c.server.dispatcher.Submit(r) {
@@ -142,7 +142,7 @@
 		return <-c.written
 	}
 	check := time.Tick(clientCheckInterval)
-	for err == nil && !c.socket.HasPeerLeft() { // the client's end can't be read behind bytes that are still unread
+	for err == nil && !c.socket.HasPeerClosed() { // the client's end can't be read behind bytes that are still unread
 		select {
 		case how := <-c.written:
 			return how
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -16,7 +16,7 @@
 		s.draining = true
 		s.drainStartedAt = time.Now()
 		s.partialUntil = s.drainStartedAt.Add(partialRequestTimeout)
-		s.budget.FavorBacklog() // it is about to be closed
+		s.budget.PrioritizeBacklog() // it is about to be closed
 		close(s.drainStarted)
 	}
 	if d, ok := l.(deadlineListener); s.serving && ok && s.handOver == nil && d.SetDeadline(s.drainStartedAt) == nil {
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -34,7 +34,7 @@
 func (s *Server) Adopt(nc net.Conn, note []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.ReserveBeyondLimit(connlimit.Inward)
+	s.budget.ReserveBeyondLimit(connlimit.Inbound)
 	s.Adopted.Add(1)
 	s.admit(nc, string(note))
 }
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -302,7 +302,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			s := newTestServer(ctx, t)
 			for range 9 { // more than half of the places
-				s.budget.Reserve(connlimit.Outward)
+				s.budget.Reserve(connlimit.Outbound)
 			}
 			c := s.connect()
 			c.sendRequest("a")
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -20,7 +20,7 @@
 		if c.keepAlive() {
 			continue
 		}
-		if !c.socket.IsQuiet() {
+		if !c.socket.HasNothingUnread() {
 			c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 			_, err = c.reader.Peek(1)
 		}
@@ -38,7 +38,7 @@
 	if !c.hasSentMessage { // it is here before its time only if a handover has failed
 		return idle < idleCheckInterval && !s.draining && c.socket.ExtendReadDeadline(c.idleSince.Add(idleCheckInterval))
 	}
-	mayStay := idle < maxIdle && (idle < idleCheckInterval || !s.budget.IsScarce())
+	mayStay := idle < maxIdle && (idle < idleCheckInterval || !s.budget.IsOverHalfUsed())
 	return !s.draining && (mayStay || s.keepIdle) && c.socket.ExtendReadDeadline(time.Now().Add(idleCheckInterval))
 }
 
--- a/internal/frontend/lastaccept.go
+++ b/internal/frontend/lastaccept.go
@@ -37,7 +37,7 @@
 		if closed {
 			return true
 		}
-		if !s.budget.Reserve(connlimit.Inward) {
+		if !s.budget.Reserve(connlimit.Inbound) {
 			if (s.isDrainingFor(maxBacklogWait) || s.rejectsAtOnce()) && s.rejectConnection(l) {
 				continue
 			}
@@ -48,7 +48,7 @@
 		}
 		c, acceptErr := accept(l)
 		if acceptErr != nil {
-			s.budget.Release(connlimit.Inward)
+			s.budget.Release(connlimit.Inbound)
 			// Where the backlog can't be looked at, a time-out is what says that it is empty.
 			return errors.Is(acceptErr, net.ErrClosed) ||
 				errors.Is(err, errors.ErrUnsupported) && errors.Is(acceptErr, os.ErrDeadlineExceeded)
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -111,7 +111,7 @@
 func (c *conn) newRequest(message *http1.Request) (*request.Request, int) {
 	translator := c.server.translator.Load()
 	now := time.Now()
-	since, _ := c.socket.SinceArrival()
+	since, _ := c.socket.SinceLastReceive()
 	r, status := translator.request(message, now.Add(-since))
 	if r == nil {
 		return nil, status
@@ -119,7 +119,7 @@
 	c.unansweredID.Store(&r.ID)
 	c.hasSentRequest = true
 	c.class = translator.names[r.Class]
-	r.ClientGone = c.socket.HasPeerLeft
+	r.ClientGone = c.socket.HasPeerClosed
 	c.upload = nil
 	if message.Rest != nil {
 		c.upload = &upload{
--- a/internal/frontend/upload.go
+++ b/internal/frontend/upload.go
@@ -114,7 +114,7 @@
 	for {
 		select {
 		case <-check:
-			if c.socket.HasPeerLeft() {
+			if c.socket.HasPeerClosed() {
 				c.server.dispatcher.ClientGone(r)
 				u.takeBody()
 				return outcome.ClientGone
--- a/internal/sockopt/interrupted_test.go
+++ b/internal/sockopt/interrupted_test.go
@@ -45,11 +45,11 @@
 	}
 	defer mine.Close()
 	interruptions = 3
-	if !IsQuiet(mine) {
+	if !HasNothingUnread(mine) {
 		t.Error("nothing has come in, and it is not quiet")
 	}
 	interruptions = 3
-	if HasPeerLeft(mine) {
+	if HasPeerClosed(mine) {
 		t.Error("it is there, and counts as left")
 	}
 	if _, err := theirs.Write([]byte("x")); err != nil {
@@ -59,11 +59,11 @@
 		t.Fatal(err)
 	}
 	interruptions = 3
-	if IsQuiet(mine) {
+	if HasNothingUnread(mine) {
 		t.Error("a byte has come in, and it counts as quiet")
 	}
 	interruptions = 3
-	if !HasPeerLeft(mine) {
+	if !HasPeerClosed(mine) {
 		t.Error("it has left, and counts as there")
 	}
 }
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -31,9 +31,9 @@
 	}
 )
 
-// IsQuiet reports whether nothing is unread, neither bytes nor the other side's close or reset. A connection without a descriptor
+// HasNothingUnread reports whether nothing is unread, neither bytes nor the other side's close or reset. A connection without a descriptor
 // counts as quiet.
-func IsQuiet(c net.Conn) bool {
+func HasNothingUnread(c net.Conn) bool {
 	var err error
 	known := control(c, func(fd int) {
 		var b [1]byte
@@ -42,9 +42,9 @@
 	return !known || errors.Is(err, syscall.EAGAIN)
 }
 
-// HasPeerLeft reports whether the other side has ended its sending or broken the connection, even if what it sent before that is
+// HasPeerClosed reports whether the other side has ended its sending or broken the connection, even if what it sent before that is
 // still unread.
-func HasPeerLeft(c net.Conn) (left bool) {
+func HasPeerClosed(c net.Conn) (left bool) {
 	control(c, func(fd int) {
 		_, events, err := pollNow(fd, unix.POLLRDHUP)
 		left = err == nil && events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
@@ -59,9 +59,9 @@
 	return n > 0, fds[0].Revents, err
 }
 
-// SinceArrival is how long ago the last bytes came in, read or not. It is not known if the kernel does not say: this process may have
+// SinceLastReceive is how long ago the last bytes came in, read or not. It is not known if the kernel does not say: this process may have
 // paused before it read them. Bytes of a connection within the process arrive at once.
-func SinceArrival(c net.Conn) (since time.Duration, known bool) {
+func SinceLastReceive(c net.Conn) (since time.Duration, known bool) {
 	known = true
 	control(c, func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -77,7 +77,7 @@
 	cfg := s.cfg
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	budget := connlimit.NewBudget(cfg.Limits.Sockets, connlimit.TCP)
+	budget := connlimit.NewBudget(cfg.Limits.Sockets, connlimit.DialTCP)
 	var pool *dispatch.Dispatcher
 	if s.watch, err = discovery.New(discovery.Options{
 		Address: cfg.Discovery, Watch: cfg.Watch, Seed: s.seed, Initial: cfg.Known,
--- a/options.go
+++ b/options.go
@@ -60,7 +60,7 @@
 // NewConnectionLimit returns a limit of maxConnections, at least 1, which dial opens; nil = plain TCP.
 func NewConnectionLimit(maxConnections int, dial func(ctx context.Context, address string) (net.Conn, error)) *ConnectionLimit {
 	if dial == nil {
-		return &ConnectionLimit{connlimit.NewBudget(max(1, maxConnections), connlimit.TCP)}
+		return &ConnectionLimit{connlimit.NewBudget(max(1, maxConnections), connlimit.DialTCP)}
 	}
 	return &ConnectionLimit{connlimit.NewBudget(max(1, maxConnections), guardDial(dial))}
 }
