--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -143,7 +143,7 @@
 	cordoned := p.readInitialCordons(ctx)
 	initial := p.cfg.Known
 	if restored != nil {
-		initial = restored.List.Config()
+		initial = restored.List.ToEndpoints()
 	}
 	p.watch, err = discovery.New(discovery.Options{
 		Address: p.cfg.Discovery, Watch: p.cfg.Watch, Seed: p.cfg.Seed,
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -37,7 +37,7 @@
 		log.Printf("name=%s snapshot=%q state=not_used err=%q", p.cfg.Name, origin, err)
 		return nil
 	}
-	known := snapshot.FromConfig(p.cfg.Known, p.cfg.Discovery, now)
+	known := snapshot.FromEndpoints(p.cfg.Known, p.cfg.Discovery, now)
 	restored, dropped := snapshot.Restore(taken, known, now, p.validityRules())
 	log.Printf("name=%s snapshot=%q state=used age=%s servers=%d learned_servers=%d dropped=%d %s", p.cfg.Name, origin,
 		now.Sub(taken.TakenAt).Round(time.Millisecond), len(restored.List.Members), len(restored.Learned.Servers), len(dropped),
@@ -56,9 +56,9 @@
 			Path:       path,
 			BeforeStep: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
 		},
-		Take:  p.takeSnapshot,
-		Every: p.cfg.SnapshotEvery,
-		Seed:  p.cfg.Seed,
+		Take:     p.takeSnapshot,
+		Interval: p.cfg.SnapshotEvery,
+		Seed:     p.cfg.Seed,
 	}
 }
 
@@ -75,8 +75,8 @@
 
 // snapshotFaults are the faults that befall the steps of writing a snapshot in a soak.
 var snapshotFaults = map[snapshot.Step]faultinjection.Op{
-	snapshot.StepLock: faultinjection.WriteFile, snapshot.StepList: faultinjection.ReadFile,
-	snapshot.StepSweep: faultinjection.WriteFile, snapshot.StepCreate: faultinjection.WriteFile, snapshot.StepFill: faultinjection.WriteFile,
+	snapshot.StepLock: faultinjection.WriteFile, snapshot.StepListLeftovers: faultinjection.ReadFile,
+	snapshot.StepRemoveLeftover: faultinjection.WriteFile, snapshot.StepCreate: faultinjection.WriteFile, snapshot.StepWrite: faultinjection.WriteFile,
 	snapshot.StepSync: faultinjection.SyncFile, snapshot.StepRename: faultinjection.WriteFile, snapshot.StepSyncDir: faultinjection.SyncFile,
 }
 
@@ -91,7 +91,7 @@
 	group.Go(func() error {
 		defer close(done)
 		// The writer logs all other errors, and the next snapshot may succeed.
-		if err := p.snapshotWriter.Run(ctx); errors.Is(err, snapshot.ErrLate) {
+		if err := p.snapshotWriter.Run(ctx); errors.Is(err, snapshot.ErrLastWriteTimeout) {
 			log.Printf("name=%s snapshot=%q state=late err=%q", p.cfg.Name, p.snapshotWriter.Store.Path, err)
 		}
 		return nil
--- a/internal/dispatch/restore.go
+++ b/internal/dispatch/restore.go
@@ -15,9 +15,9 @@
 	if err := d.balancer.Restore(&state); err != nil {
 		d.options.Logf("snapshot=policy state=not_restored err=%q", err)
 	}
-	if len(before.Reuse) > 0 {
+	if len(before.Keepalive) > 0 {
 		age := duration(d.clock.at(now) - before.Learned.Now)
-		if err := d.options.Upstream.Restore(now, before.Reuse, age); err != nil {
+		if err := d.options.Upstream.Restore(now, before.Keepalive, age); err != nil {
 			d.options.Logf("snapshot=connections state=not_restored err=%q", err)
 		}
 	}
@@ -38,7 +38,7 @@
 			d.predecessorAges[member.ID] = processAge{startDate: member.StartedAt, age: member.Age}
 		}
 	}
-	d.applyEndpoints(listed.Config())
+	d.applyEndpoints(listed.ToEndpoints())
 	d.predecessorAges = nil
 	now = time.Now()
 	for _, member := range listed.Members {
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -53,7 +53,7 @@
 		rules := snapshot.DefaultValidityRules()
 		rules.Deployment, rules.Classes = "", 1
 		listed[2].StartedAt = 6
-		known := snapshot.FromConfig(endpoints.List{Revision: 9, Endpoints: listed}, "", time.Now())
+		known := snapshot.FromEndpoints(endpoints.List{Revision: 9, Endpoints: listed}, "", time.Now())
 		restored, _ := snapshot.Restore(snap, known, time.Now(), rules)
 		options := d.options
 		options.Restored = &restored
--- a/internal/snapshot/dropped.go
+++ b/internal/snapshot/dropped.go
@@ -17,7 +17,7 @@
 	OtherDiscovery  Reason = "another discovery service"
 	FromTheFuture   Reason = "from the future"
 	TooOld          Reason = "too old"
-	FadedAway       Reason = "faded away"
+	WeightTooLow    Reason = "faded away"
 	OtherProcess    Reason = "another process"
 	NotListed       Reason = "not listed"
 	NoSuchPosition  Reason = "no such position"
--- a/internal/snapshot/list.go
+++ b/internal/snapshot/list.go
@@ -17,8 +17,8 @@
 // List returns the snapshot's list.
 func (s *Snapshot) List() List { return List{s.Discovery, s.Revision, s.Members} }
 
-// FromConfig is the list that the configuration knows of, whose phases count as listed at that moment.
-func FromConfig(l endpoints.List, discovery string, listedAt time.Time) List {
+// FromEndpoints is the list that the configuration knows of, whose phases count as listed at that moment.
+func FromEndpoints(l endpoints.List, discovery string, listedAt time.Time) List {
 	out := List{Discovery: discovery, Revision: l.Revision}
 	for _, m := range l.Endpoints {
 		out.Members = append(out.Members, Member{
@@ -29,8 +29,8 @@
 	return out
 }
 
-// Config is the list in the form in which the rest of the program takes it, whole.
-func (l List) Config() endpoints.List {
+// ToEndpoints is the list in the form in which the rest of the program takes it, whole.
+func (l List) ToEndpoints() endpoints.List {
 	out := endpoints.List{Revision: l.Revision, Complete: true, Endpoints: make([]endpoints.Endpoint, 0, len(l.Members))}
 	for _, m := range l.Members {
 		out.Endpoints = append(out.Endpoints, endpoints.Endpoint{
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -10,9 +10,9 @@
 
 // Restored is what a start has to go by.
 type Restored struct {
-	List    List
-	Learned Learned
-	Reuse   []byte
+	List      List
+	Learned   Learned
+	Keepalive []byte
 }
 
 // Restore puts DropStale, Merge and Match together: what a start at now takes of a snapshot, nil for none, beside the list
@@ -25,7 +25,7 @@
 	list, more := Merge(s.List(), known)
 	dropped = append(dropped, more...)
 	s.Learned.Servers, more = Match(s.Learned.Servers, list.Members)
-	return Restored{List: list, Learned: s.Learned, Reuse: s.Keepalive}, append(dropped, more...)
+	return Restored{List: list, Learned: s.Learned, Keepalive: s.Keepalive}, append(dropped, more...)
 }
 
 // DropStale returns what of s is still true at now, and what was left out. Times of the policy's clock come out as Unix ms
@@ -54,7 +54,7 @@
 	v.keepLearned(s, out, otherDiscovery)
 	if otherDiscovery != "" { // it is of single servers, too
 		v.drop(droppedReuse, "", min(1, len(s.Keepalive)), otherDiscovery)
-	} else if v.keepFresh(v.takenAt, rules.MaxReuseAge, droppedReuse, "", min(1, len(s.Keepalive))) {
+	} else if v.keepFresh(v.takenAt, rules.MaxKeepaliveAge, droppedReuse, "", min(1, len(s.Keepalive))) {
 		out.Keepalive = slices.Clone(s.Keepalive)
 	}
 	return out, v.dropped
@@ -157,10 +157,10 @@
 		out.RoundTrip = in.RoundTrip
 	}
 	if in.ErrorRate > 0 {
-		if in.ErrorRate*v.remainingWeight(reportedAt) >= v.rules.MinWeight {
+		if in.ErrorRate*v.remainingWeight(reportedAt) >= v.rules.MinOutcomeWeight {
 			out.ErrorRate = in.ErrorRate
 		} else {
-			v.drop(droppedErrors, in.Name, 1, FadedAway)
+			v.drop(droppedErrors, in.Name, 1, WeightTooLow)
 		}
 	}
 	if in.SlowStartBudget.At > 0 { // it fills by itself
@@ -178,14 +178,14 @@
 		switch {
 		case int64(t.Tenant) > int64(v.rules.Tenants):
 			beyond++
-		case (t.Successes+t.Failures)*v.remainingWeight(t.At) < v.rules.MinWeight:
+		case (t.Successes+t.Failures)*v.remainingWeight(t.At) < v.rules.MinOutcomeWeight:
 			faded++
 		default:
 			kept = append(kept, t)
 		}
 	}
 	v.drop(droppedOutcomes, in.Name, beyond, NoSuchPosition)
-	v.drop(droppedOutcomes, in.Name, faded, FadedAway)
+	v.drop(droppedOutcomes, in.Name, faded, WeightTooLow)
 	return kept
 }
 
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -160,7 +160,7 @@
 }
 
 func TestRestore(t *testing.T) {
-	known := FromConfig(endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{
+	known := FromEndpoints(endpoints.List{Revision: 50, Endpoints: []endpoints.Endpoint{
 		{ID: "serves", Address: "127.0.0.1:1", Phase: endpoints.Serving, StartedAt: unixMs(testTakenAt) + 1},
 		{ID: "drains", Address: "127.0.0.1:2", Phase: endpoints.Serving},
 	}}, "127.0.0.1:8500", testTakenAt)
@@ -168,7 +168,7 @@
 	checkEqual(t, "without a snapshot", known, none.List)
 	got, _ := Restore(smallFleet(), known, testTakenAt.Add(time.Second), testRules())
 	checkEqual(t, "learned", "d:++2", describe(&Snapshot{Learned: Learned{Servers: got.Learned.Servers}}))
-	l := got.List.Config()
+	l := got.List.ToEndpoints()
 	checkEqual(t, "list", []string{endpoints.Serving, endpoints.Draining, endpoints.Deleted, "0"}, []string{
 		l.Endpoints[0].Phase,
 		l.Endpoints[1].Phase, l.Endpoints[2].Phase, fmt.Sprint(l.Revision),
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -16,16 +16,16 @@
 // Step is one of a write, in their order.
 type Step string
 
-// The steps. StepList and StepSweep may fail without harm: what killed writers have left stays until the next write.
+// The steps. StepListLeftovers and StepRemoveLeftover may fail without harm: what killed writers have left stays until the next write.
 const (
-	StepLock    Step = "lock"
-	StepList    Step = "list leftovers"
-	StepSweep   Step = "remove a leftover"
-	StepCreate  Step = "create"
-	StepFill    Step = "write"
-	StepSync    Step = "sync"
-	StepRename  Step = "rename"
-	StepSyncDir Step = "sync the folder"
+	StepLock           Step = "lock"
+	StepListLeftovers  Step = "list leftovers"
+	StepRemoveLeftover Step = "remove a leftover"
+	StepCreate         Step = "create"
+	StepWrite          Step = "write"
+	StepSync           Step = "sync"
+	StepRename         Step = "rename"
+	StepSyncDir        Step = "sync the folder"
 )
 
 // Store keeps one snapshot in a file. It is safe for concurrent use.
@@ -79,7 +79,7 @@
 		err = s.runStep(StepRename, f.Name(), func() error { return os.Rename(f.Name(), s.Path) })
 	}
 	if err != nil {
-		return errors.Join(err, s.runStep(StepSweep, f.Name(), func() error { return os.Remove(f.Name()) }))
+		return errors.Join(err, s.runStep(StepRemoveLeftover, f.Name(), func() error { return os.Remove(f.Name()) }))
 	}
 	return s.runStep(StepSyncDir, dir, func() error {
 		d, err := os.Open(dir)
@@ -112,7 +112,7 @@
 // removeLeftovers removes what killed writers have left; the lock says that nobody else is writing.
 func (s *Store) removeLeftovers(dir, prefix string) {
 	var all []os.DirEntry
-	_ = s.runStep(StepList, dir, func() (err error) {
+	_ = s.runStep(StepListLeftovers, dir, func() (err error) {
 		all, err = os.ReadDir(dir)
 		return err
 	})
@@ -120,7 +120,7 @@
 		number, ours := strings.CutPrefix(e.Name(), prefix)
 		if ours && number != "" && strings.Trim(number, "0123456789") == "" && e.Type().IsRegular() {
 			path := filepath.Join(dir, e.Name())
-			_ = s.runStep(StepSweep, path, func() error { return os.Remove(path) })
+			_ = s.runStep(StepRemoveLeftover, path, func() error { return os.Remove(path) })
 		}
 	}
 }
@@ -128,7 +128,7 @@
 // writeAndSync writes, syncs and closes. The sync must come before the rename: else a crash may leave the new name with no
 // content.
 func (s *Store) writeAndSync(f *os.File, b []byte) error {
-	err := s.runStep(StepFill, f.Name(), func() error {
+	err := s.runStep(StepWrite, f.Name(), func() error {
 		_, err := f.Write(b)
 		return err
 	})
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -27,14 +27,14 @@
 func (d *disaster) before(path string) func(Step, string) error {
 	return func(step Step, at string) error {
 		if d.left--; d.left == -1 || d.left < -1 && d.crash {
-			if step == StepFill {
+			if step == StepWrite {
 				_ = os.WriteFile(at, []byte("half of it"), 0o600)
 			}
 			return d.err
 		}
 		switch step {
-		case StepFill, StepSync:
-			d.unsynced[at] = step == StepFill
+		case StepWrite, StepSync:
+			d.unsynced[at] = step == StepWrite
 		case StepRename:
 			d.replaced, _ = os.ReadFile(path)
 			d.unsynced[path] = d.unsynced[at]
@@ -129,7 +129,7 @@
 		var disk atomic.Value // func() error: what becomes of a write
 		disk.Store(func() error { return nil })
 		w := &Writer{
-			Every: 10 * time.Second, Seed: 7, Store: &Store{Path: filepath.Join(dir, "state")},
+			Interval: 10 * time.Second, Seed: 7, Store: &Store{Path: filepath.Join(dir, "state")},
 			Take: func() *Snapshot {
 				if takes.Add(1) == 2 {
 					return nil
@@ -174,7 +174,7 @@
 		for i, c := range []struct {
 			hangs, ends time.Duration // the first write, and Run
 			err         error
-		}{{lastWriteTimeout / 2, lastWriteTimeout / 2, nil}, {time.Hour, lastWriteTimeout, ErrLate}} {
+		}{{lastWriteTimeout / 2, lastWriteTimeout / 2, nil}, {time.Hour, lastWriteTimeout, ErrLastWriteTimeout}} {
 			hang := make(chan struct{})
 			disk.Store(func() error { <-hang; return nil })
 			stop = run()
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -21,9 +21,9 @@
 	MaxServiceTimeAge time.Duration // of service times, round trips and the instance's part of the fleet's traffic
 	MaxFitAge         time.Duration // of the fit of latency to load
 	MaxRateAge        time.Duration // of tenants' tokens and all rates
-	MaxReuseAge       time.Duration // of what was learned of how connections break
-	HalfLife          time.Duration // in which outcomes lose half their weight
-	MinWeight         float64       // of outcomes, below which they are left out
+	MaxKeepaliveAge   time.Duration // of what was learned of how connections break
+	OutcomeHalfLife   time.Duration // in which outcomes lose half their weight
+	MinOutcomeWeight  float64       // of outcomes, below which they are left out
 }
 
 // DefaultValidityRules returns the age limits; who starts and with what positions is left to fill in.
@@ -35,9 +35,9 @@
 		MaxServiceTimeAge: 5 * time.Minute,
 		MaxFitAge:         2 * time.Minute,
 		MaxRateAge:        10 * time.Second,
-		MaxReuseAge:       5 * time.Minute,
-		HalfLife:          4 * time.Second,
-		MinWeight:         0.05,
+		MaxKeepaliveAge:   5 * time.Minute,
+		OutcomeHalfLife:   4 * time.Second,
+		MinOutcomeWeight:  0.05,
 	}
 }
 
@@ -79,5 +79,5 @@
 
 // remainingWeight is what outcomes of that time have kept of their weight.
 func (v *validator) remainingWeight(at float64) float64 {
-	return math.Exp2(-max(0, v.now-at) / config.Millis(max(1, v.rules.HalfLife)))
+	return math.Exp2(-max(0, v.now-at) / config.Millis(max(1, v.rules.OutcomeHalfLife)))
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -19,16 +19,16 @@
 // errNothingToWrite is what write says when there was nothing to write.
 var errNothingToWrite = errors.New("nothing to write")
 
-// ErrLate means that the last snapshot was not written in time. The disk may still be at it.
-var ErrLate = errors.New("snapshot: the last one was not written in time")
+// ErrLastWriteTimeout means that the last snapshot was not written in time. The disk may still be at it.
+var ErrLastWriteTimeout = errors.New("snapshot: the last one was not written in time")
 
 // Writer writes a snapshot now and then. Fields are set before Run.
 type Writer struct {
-	Store *Store
-	Take  func() *Snapshot // called by a goroutine of the Writer's, one at a time; nil = nothing to write
-	Every time.Duration    // between two, more than 0
-	Seed  uint64
-	Logf  func(string, ...any) // nil = log.Printf
+	Store    *Store
+	Take     func() *Snapshot // called by a goroutine of the Writer's, one at a time; nil = nothing to write
+	Interval time.Duration    // between two, more than 0
+	Seed     uint64
+	Logf     func(string, ...any) // nil = log.Printf
 
 	Written, Failed, Skipped atomic.Int64 // Skipped: the earlier one was still being written
 
@@ -40,8 +40,8 @@
 // takes longer than a second, or is not begun by then because the disk hangs in an earlier one; the goroutine that waits
 // for the disk is then left behind. The first failure is logged, and the first success after it.
 func (w *Writer) Run(ctx context.Context) error {
-	if w.Every <= 0 {
-		return fmt.Errorf("snapshot: Writer.Every: %v is not positive", w.Every)
+	if w.Interval <= 0 {
+		return fmt.Errorf("snapshot: Writer.Every: %v is not positive", w.Interval)
 	}
 	w.rng = rand.New(rand.NewPCG(w.Seed, 0x51a95707))
 	done, busy := make(chan error, 1), false
@@ -77,7 +77,7 @@
 					return err
 				}
 			case <-limit.C:
-				return ErrLate
+				return ErrLastWriteTimeout
 			}
 		}
 		write()
@@ -86,7 +86,7 @@
 
 // nextInterval is the time to the next snapshot, twice as long after each failure.
 func (w *Writer) nextInterval() time.Duration {
-	every := float64(w.Every) * float64(min(maxBackoff, 1<<min(w.failures, 10)))
+	every := float64(w.Interval) * float64(min(maxBackoff, 1<<min(w.failures, 10)))
 	return time.Duration(every * (1 + jitterShare*(2*w.rng.Float64()-1)))
 }
 
