--- a/internal/keepalive/cost.go
+++ b/internal/keepalive/cost.go
@@ -25,7 +25,7 @@
 	least, pause := atOnce, time.Duration(0)
 	for i := range pauses {
 		length := pauses[i].length
-		if length > e.settings.MaxPause || p == 0 {
+		if length > e.settings.MaxLastByteDelay || p == 0 {
 			break
 		}
 		early, loss := e.settings.RetryCost+late(length.Seconds()+k.dial), atOnce+late(length.Seconds())
--- a/internal/keepalive/estimator_test.go
+++ b/internal/keepalive/estimator_test.go
@@ -193,7 +193,7 @@
 				if limit > 0 && !b.ShouldReuse(now, below, s) || limit < most && b.ShouldReuse(now, above, s) {
 					t.Fatalf("%+v: Take does not agree with the limit %s", s, limit)
 				}
-				if d := b.LastByteDelay(now, Use{p, limit, 5}, s); d < 0 || d > b.settings.MaxPause {
+				if d := b.LastByteDelay(now, Use{p, limit, 5}, s); d < 0 || d > b.settings.MaxLastByteDelay {
 					t.Fatalf("%+v: hold for %s", s, d)
 				}
 				s.NonIdempotent = false
@@ -338,7 +338,7 @@
 		"half_life":      func(s *Settings) { s.MinHalfLife = 0 },
 		"long_half_life": func(s *Settings) { s.MaxHalfLife = s.MinHalfLife - 1 },
 		"calls":          func(s *Settings) { s.HalfLifeAttempts = 0 },
-		"most_pause":     func(s *Settings) { s.MaxPause = -1 },
+		"most_pause":     func(s *Settings) { s.MaxLastByteDelay = -1 },
 		"providers":      func(s *Settings) { s.MaxServers = 0 },
 	} {
 		s := Default()
--- a/internal/keepalive/settings.go
+++ b/internal/keepalive/settings.go
@@ -13,7 +13,7 @@
 	MinHalfLife      time.Duration // of evidence, at least
 	MaxHalfLife      time.Duration // and at most
 	HalfLifeAttempts float64       // a half-life between the two is as long as this many attempts take
-	MaxPause         time.Duration // for which the last byte may be held back; 0 = never
+	MaxLastByteDelay time.Duration // for which the last byte may be held back; 0 = never
 	MaxServers       int           // of which evidence is kept apart; each takes 1.2 KB
 }
 
@@ -21,7 +21,7 @@
 func Default() Settings {
 	return Settings{
 		HandshakeCost: 0.02, RetryCost: 0.1, DelayCost: 0.3, MinHalfLife: 10 * time.Second, MaxHalfLife: 10 * time.Minute,
-		HalfLifeAttempts: 1000, MaxPause: 8 * time.Millisecond, MaxServers: 2048,
+		HalfLifeAttempts: 1000, MaxLastByteDelay: 8 * time.Millisecond, MaxServers: 2048,
 	}
 }
 
@@ -42,8 +42,8 @@
 		return fmt.Errorf("reuse: long_half_life: %s is below half_life, %s", s.MaxHalfLife, s.MinHalfLife)
 	case !(s.HalfLifeAttempts >= 1 && s.HalfLifeAttempts <= 1e9):
 		return fmt.Errorf("reuse: calls: %g does not lie between 1 and 1e9", s.HalfLifeAttempts)
-	case s.MaxPause < 0:
-		return fmt.Errorf("reuse: most_pause: %s is below 0", s.MaxPause)
+	case s.MaxLastByteDelay < 0:
+		return fmt.Errorf("reuse: most_pause: %s is below 0", s.MaxLastByteDelay)
 	case s.MaxServers < 1 || s.MaxServers > 1<<16:
 		return fmt.Errorf("reuse: providers: %d does not lie between 1 and 65536", s.MaxServers)
 	}
