--- a/internal/keepalive/breaks.go
+++ b/internal/keepalive/breaks.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// pauses are the lengths to choose from. Before there is evidence, a break that the one before has not shown is
-// expected to show within one with the probability shows: half of all in the end.
-var pauses = [...]struct {
-	length time.Duration
-	shows  float64
+// lastByteDelays are the times for which the last byte of an attempt may be held back, in ascending order. detectionPrior
+// is the prior probability that a break which went undetected within the previous delay is detected within this one; over
+// all delays about half of the breaks are expected to be detected.
+var lastByteDelays = [...]struct {
+	length         time.Duration
+	detectionPrior float64
 }{
 	{500 * time.Microsecond, 0.15},
 	{time.Millisecond, 0.12},
@@ -16,38 +17,39 @@
 	{16 * time.Millisecond, 0.01},
 }
 
-// The kinds of breaks: those that happen on new connections as well, and those that only reused ones add.
 const (
-	anywhere = iota
-	added
-	kinds
+	onAnyConn    = iota // breaks that occur on new connections as well
+	onReusedOnly        // additional breaks that occur on reused connections only
+	breakKinds          // number of kinds
 )
 
-// breaks is what is known of the breaks of one kind.
-type breaks struct {
-	shown [len(pauses)]tally // by pause: breaks that the one before had not shown, and those of them that it did
-	late  mean               // seconds until one shows, after the last byte
+// breakStats holds the statistics of the breaks of one kind.
+type breakStats struct {
+	detected      [len(lastByteDelays)]tally // by delay: breaks not detected within the previous one, those detected within it
+	detectionTime mean                       // seconds from the last byte until a break is detected
 }
 
-func (b *breaks) learn(how Outcome, held, took time.Duration, w float32) {
-	if how == BrokenAfterLastByte {
-		b.late.learn(w, took)
+// add records a break of weight w on an attempt whose last byte was to be held back for held; took is the time until the
+// break was detected.
+func (b *breakStats) add(outcome Outcome, held, took time.Duration, w float32) {
+	if outcome == BrokenAfterLastByte {
+		b.detectionTime.add(w, took)
 	}
-	for i, p := range pauses {
-		if how == BrokenBeforeLastByte && took <= p.length {
-			b.shown[i].learn(w, w)
+	for i, d := range lastByteDelays {
+		if outcome == BrokenBeforeLastByte && took <= d.length {
+			b.detected[i].add(w, w)
 			break
 		}
-		if held < p.length { // whether it would have shown by then is not known
+		if held < d.length { // censored: it is unknown whether this delay would have detected the break
 			break
 		}
-		b.shown[i].learn(w, 0)
+		b.detected[i].add(w, 0)
 	}
 }
 
-func (b *breaks) scale(by float32) {
-	for i := range b.shown {
-		b.shown[i].scale(by)
+func (b *breakStats) scale(by float32) {
+	for i := range b.detected {
+		b.detected[i].scale(by)
 	}
-	b.late.scale(by)
+	b.detectionTime.scale(by)
 }
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// tick moves the clock to a lesson at now.
-func (e *Estimator) tick(now time.Time) {
-	passed := float64(max(0, now.Sub(e.lastLesson)))
-	if e.lastLesson.IsZero() {
-		passed = 0
+// advanceClock advances the clock, in half-lives, to an observation at now. One observation advances it by
+// 1/HalfLifeAttempts, within the bounds that MinHalfLife and MaxHalfLife set for the time since the previous one.
+func (e *Estimator) advanceClock(now time.Time) {
+	elapsed := float64(max(0, now.Sub(e.lastObservation)))
+	if e.lastObservation.IsZero() {
+		elapsed = 0
 	}
-	e.lastLesson = now
-	e.clock += min(max(1/e.settings.HalfLifeAttempts, passed/float64(e.settings.MaxHalfLife)), passed/float64(e.settings.MinHalfLife))
-	if e.clock-e.base > precise {
-		e.scale(e.base - e.clock)
-		e.base = e.clock
+	e.lastObservation = now
+	e.clock += min(max(1/e.settings.HalfLifeAttempts, elapsed/float64(e.settings.MaxHalfLife)), elapsed/float64(e.settings.MinHalfLife))
+	if e.clock-e.weightBase > maxWeightGrowth {
+		e.scale(e.weightBase - e.clock)
+		e.weightBase = e.clock
 	}
 }
 
-// clockAt is the clock at now, without a lesson.
+// clockAt returns the clock at now without recording an observation.
 func (e *Estimator) clockAt(now time.Time) float64 {
-	if e.lastLesson.IsZero() {
+	if e.lastObservation.IsZero() {
 		return e.clock
 	}
-	return e.clock + float64(max(0, now.Sub(e.lastLesson)))/float64(e.settings.MaxHalfLife)
+	return e.clock + float64(max(0, now.Sub(e.lastObservation)))/float64(e.settings.MaxHalfLife)
 }
 
-// scale multiplies all evidence by a power of two.
+// scale multiplies the weight of all evidence by 2^power.
 func (e *Estimator) scale(power float64) {
 	by := float32(math.Exp2(power))
 	e.all.scale(by)
-	e.doublyBlamed.scale(by)
-	for _, r := range e.list {
-		r.seen.scale(by)
+	e.doubleCounted.scale(by)
+	for _, r := range e.serverList {
+		r.observed.scale(by)
 	}
 	for i := range e.breaks {
 		e.breaks[i].scale(by)
 	}
 }
 
-// weight is what a lesson counts for now.
-func (e *Estimator) weight() float32 { return float32(math.Exp2(e.clock - e.base)) }
+// weight returns the weight of an observation made now.
+func (e *Estimator) weight() float32 { return float32(math.Exp2(e.clock - e.weightBase)) }
 
 const (
-	changed = 8.0      // logarithm of the odds at which circumstances count as changed
-	shock   = 3.0      // half-lives by which the evidence fades then
-	refit   = 1.0 / 64 // half-lives after which posteriors are drawn anew, as they are after every break
-	precise = 20.0     // half-lives in which the weights grow before all are made small again
+	changeThreshold   = 8.0      // log-odds from which the break rate counts as changed
+	changeFade        = 3.0      // half-lives by which all evidence fades once the break rate has changed
+	recomputeInterval = 1.0 / 64 // half-lives after which posteriors are recomputed; a break causes that at once
+	maxWeightGrowth   = 20.0     // half-lives for which weights may grow before all evidence is rescaled
 )
 
-// detectChange is Page's cumulative sum (Biometrika 41, 1954) of the log-likelihood ratio of breaks being several times as
-// frequent as was thought, p. When it is high, circumstances have changed, and what was learned before counts for
-// little.
-func (e *Estimator) detectChange(p float64, how Outcome) {
+// detectChange runs a CUSUM test (Page, Biometrika 41, 1954) on the log-likelihood ratio of breaks being several times as
+// frequent as the estimate p. Once it exceeds changeThreshold, earlier evidence fades by changeFade half-lives.
+func (e *Estimator) detectChange(p float64, outcome Outcome) {
 	p += 0.01
-	many := 3*p + 0.05
+	raised := 3*p + 0.05
 	switch {
-	case many > 0.9: // nothing much worse can happen
-		e.odds = 0
-	case how == Responded:
-		e.odds = max(0, e.odds+math.Log((1-many)/(1-p)))
+	case raised > 0.9: // p is so high that an increase would go undetected
+		e.changeLogOdds = 0
+	case outcome == Responded:
+		e.changeLogOdds = max(0, e.changeLogOdds+math.Log((1-raised)/(1-p)))
 	default:
-		e.odds += math.Log(many / p)
+		e.changeLogOdds += math.Log(raised / p)
 	}
-	if e.odds > changed {
-		e.odds = 0
-		e.clock += shock
+	if e.changeLogOdds > changeThreshold {
+		e.changeLogOdds = 0
+		e.clock += changeFade
 	}
 }
--- a/internal/keepalive/cost.go
+++ b/internal/keepalive/cost.go
@@ -5,88 +5,88 @@
 	"time"
 )
 
-// loss is the expected loss of an attempt of this cost whose connection breaks with probability p, usual of which new
-// ones have as well, and the pause for which it is least. A pause that gains nothing is not taken.
-func (e *Estimator) loss(cost *AttemptCost, k *posterior, p, usual float64) (float64, time.Duration) {
-	late := func(seconds float64) float64 {
+// loss returns the lowest expected loss of an attempt whose connection breaks with probability p, and the last-byte delay
+// that achieves it; 0 if no delay lowers the loss. baseline is the part of p that a new connection has as well.
+func (e *Estimator) loss(cost *AttemptCost, post *posterior, p, baseline float64) (float64, time.Duration) {
+	delayLoss := func(seconds float64) float64 {
 		if cost.LatencyObjective <= 0 {
 			return 0
 		}
 		return min(1, e.settings.DelayCost*seconds/cost.LatencyObjective.Seconds())
 	}
-	parts := [kinds]float64{anywhere: usual, added: p - usual}
-	broken := [kinds]float64{1, 1}
+	probabilities := [breakKinds]float64{onAnyConn: baseline, onReusedOnly: p - baseline}
+	brokenLoss := [breakKinds]float64{1, 1}
 	if !cost.NonIdempotent {
-		for kind := range broken {
-			broken[kind] = min(1, e.settings.RetryCost+late(e.late[kind]))
+		for kind := range brokenLoss {
+			brokenLoss[kind] = min(1, e.settings.RetryCost+delayLoss(e.detectionTime[kind]))
 		}
 	}
-	atOnce := parts[anywhere]*broken[anywhere] + parts[added]*broken[added]
-	least, pause := atOnce, time.Duration(0)
-	for i := range pauses {
-		length := pauses[i].length
+	undelayedLoss := probabilities[onAnyConn]*brokenLoss[onAnyConn] + probabilities[onReusedOnly]*brokenLoss[onReusedOnly]
+	minLoss, delay := undelayedLoss, time.Duration(0)
+	for i := range lastByteDelays {
+		length := lastByteDelays[i].length
 		if length > e.settings.MaxLastByteDelay || p == 0 {
 			break
 		}
-		early, loss := e.settings.RetryCost+late(length.Seconds()+k.dial), atOnce+late(length.Seconds())
-		for kind, part := range parts {
-			loss -= part * e.shown[kind][i] * (broken[kind] - early)
+		earlyLoss, loss := e.settings.RetryCost+delayLoss(length.Seconds()+post.dial), undelayedLoss+delayLoss(length.Seconds())
+		for kind, probability := range probabilities {
+			loss -= probability * e.detectedShare[kind][i] * (brokenLoss[kind] - earlyLoss)
 		}
-		if loss < least {
-			least, pause = loss, length
+		if loss < minLoss {
+			minLoss, delay = loss, length
 		}
 	}
-	return cost.boundedWeight()*least + p*e.settings.HandshakeCost, pause
+	return cost.boundedWeight()*minLoss + p*e.settings.HandshakeCost, delay
 }
 
-// newConnLoss is the expected loss on a new connection.
-func (e *Estimator) newConnLoss(cost *AttemptCost, k *posterior) float64 {
-	loss, _ := e.loss(cost, k, k.onNewConns, k.onNewConns)
+// newConnLoss returns the expected loss of an attempt on a new connection, including the handshake.
+func (e *Estimator) newConnLoss(cost *AttemptCost, post *posterior) float64 {
+	loss, _ := e.loss(cost, post, post.onNewConns, post.onNewConns)
 	if cost.LatencyObjective > 0 {
-		loss += cost.boundedWeight() * min(1, e.settings.DelayCost*k.dial/cost.LatencyObjective.Seconds())
+		loss += cost.boundedWeight() * min(1, e.settings.DelayCost*post.dial/cost.LatencyObjective.Seconds())
 	}
 	return loss + e.settings.HandshakeCost
 }
 
-// ShouldReuse reports whether the attempt does better on this reused connection than on a new one. One that has been idle for
-// longer does no better; one that has carried fewer attempts may.
+// ShouldReuse reports whether the expected loss on this reused connection is at most that on a new one. If it is not, it
+// isn't on a connection that has been idle for longer either; on one that has carried fewer attempts it may be.
 //
 // The risk that grows with the attempts carried is weighed as in age replacement (Barlow and Proschan, Mathematical Theory
-// of Reliability, 1965): a new connection is paid for once and spares all the breaks that the old one would have had
-// more until the new one has carried as many.
+// of Reliability, 1965): the handshake is paid once, and the new connection avoids the additional breaks of the old one
+// until it has carried as many attempts.
 func (e *Estimator) ShouldReuse(now time.Time, u Use, cost AttemptCost) bool {
-	k := e.posterior(now, u.Server)
-	p, usual := k.breaks(u)
-	if u.isKept() {
-		p = min(1, max(p, usual+float64(k.renewal[stepOf(float64(u.Carried))])))
+	post := e.posterior(now, u.Server)
+	p, baseline := post.breakProbability(u)
+	if u.isReused() {
+		p = min(1, max(p, baseline+float64(post.renewal[stepOf(float64(u.Carried))])))
 	}
-	if p <= usual {
+	if p <= baseline {
 		return true
 	}
-	loss, _ := e.loss(&cost, k, p, usual)
-	return loss <= e.newConnLoss(&cost, k)
+	loss, _ := e.loss(&cost, post, p, baseline)
+	return loss <= e.newConnLoss(&cost, post)
 }
 
-// LastByteDelay returns for how long the attempt's last byte is to be held back; 0 = write it with the rest.
+// LastByteDelay returns for how long to hold back the last byte of an attempt on u; 0 = write it with the rest.
 func (e *Estimator) LastByteDelay(now time.Time, u Use, cost AttemptCost) time.Duration {
-	k := e.posterior(now, u.Server)
-	p, usual := k.breaks(u)
-	_, pause := e.loss(&cost, k, p, usual)
-	return pause
+	post := e.posterior(now, u.Server)
+	p, baseline := post.breakProbability(u)
+	_, delay := e.loss(&cost, post, p, baseline)
+	return delay
 }
 
-// IdleLimit returns the idle time, at most limit, from which on a new connection to the server is the better one. Kept
-// ones that are idle for longer than the result for the lowest cost there is may be closed.
+// IdleLimit returns the idle time, at most limit, beyond which a new connection to the server has the lower expected loss.
+// Connections that are idle for longer than the result for the lowest cost in use can be closed.
 func (e *Estimator) IdleLimit(now time.Time, server string, cost AttemptCost, limit time.Duration) time.Duration {
-	k := e.posterior(now, server)
-	anew := e.newConnLoss(&cost, k)
-	step := sort.Search(steps, func(i int) bool { // the loss grows with the idle time
-		p, usual := k.kept(i, stepOf(1))
-		loss, _ := e.loss(&cost, k, p, usual)
-		return p > usual && loss > anew
+	post := e.posterior(now, server)
+	newLoss := e.newConnLoss(&cost, post)
+	step := sort.Search(stepCount, func(i int) bool { // the loss is monotone in the idle time
+		p, baseline := post.onReusedConn(i, stepOf(1))
+		loss, _ := e.loss(&cost, post, p, baseline)
+		return p > baseline && loss > newLoss
 	})
-	if step == steps {
+	if step == stepCount {
 		return limit
 	}
-	return min(limit, time.Duration(froms[step]*float64(unit)))
+	return min(limit, time.Duration(stepStarts[step]*float64(idleUnit)))
 }
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -1,40 +1,40 @@
-// Package keepalive decides on which connection an attempt goes, a reused one or a new one, and whether its last byte is held
-// back for a moment. It learns from how attempts end. It does no input or output, reads no clock and draws no random
-// numbers.
+// Package keepalive decides whether an attempt uses a reused or a new connection, and for how long its last byte is held
+// back. It learns from the outcomes of attempts. It performs no I/O, reads no clock and draws no random numbers.
 //
-// # The losses
+// # Losses
 //
-// Reused connections break without notice: something between has forgotten them, or the server has, and the attempt that
-// finds out is reset. Any attempt may break, on a new connection too, so that only what a reused one adds to that speaks for
-// a new one. All losses are in one unit, the value of a request of priority weight 1. With p the probability that the attempt
-// breaks, w the priority weight of its request and H = Settings.Handshake:
+// A reused connection may be broken without notice, because the server or a device on the path has dropped its state, and
+// the attempt that uses it is reset. Attempts on new connections may break as well, so that only the additional risk of a
+// reused connection justifies a new one. Losses are in units of the value of a request of priority weight 1. p is the
+// probability that the attempt breaks, w the priority weight of its request.
 //
-//	a reused connection costs  w·L(p) + p·H                        (what breaks must be replaced)
-//	a new one costs          w·L(p) + p·H + H + w·late(dial)     (its own p; dial is learned)
-//	L(p) = p·((1-s)·broken + s·early) + late(pause)              for the pause, if any, for which it is least
-//	broken = 1 for what must not run twice, else Retry + late(time until a break shows, learned)
-//	early  = Retry + late(pause + dial), as nothing has run
-//	late(d) = Hurry·d/LatencyObjective, at most 1: the part of requests for which a delay of d is one too many
+//	reused connection: w·L(p) + p·HandshakeCost (a broken connection must be replaced).
+//	new connection:    w·L(p) + p·HandshakeCost + HandshakeCost + w·late(dial) (with its own p; dial is learned).
+//	L(p)    = p·((1-s)·broken + s·early) + late(delay), for the last-byte delay, possibly 0, that minimizes it.
+//	broken  = 1 for non-idempotent requests, else RetryCost + late(time until a break is detected, learned).
+//	early   = RetryCost + late(delay + dial), as the request has not run.
+//	late(d) = min(1, DelayCost·d/LatencyObjective): the share of requests for which a delay of d is too much.
 //
-// s is the share of breaks that show while the last byte is held back: a server starts a request once that byte is
-// there, so that what breaks before has not run. It is learned for each length of pause from those held back for as
-// long (Kaplan and Meier, JASA 53, 1958: the others say nothing of the time after theirs), and apart for the breaks
-// that happen on new connections as well and those that only reused ones add.
+// s is the share of breaks that are detected while the last byte is held back. A server starts a request only once it has
+// that byte, so that a request whose connection breaks earlier has not run. s is learned for each delay from the attempts
+// held back for at least as long (Kaplan and Meier, JASA 53, 1958: the others are censored). Breaks that occur on new
+// connections as well and those that only reused connections add are counted separately.
 //
-// # The probabilities
+// # Probabilities
 //
-// p of a reused connection grows with the time for which it was idle and with the attempts that it has carried: a curve over
-// each, in steps of 1.35, so 1-p = (1-idle)·(1-carried). A step's estimate is the mean of a Beta posterior whose prior
-// is centred on its neighbours; then the curve is made monotone by pooling adjacent violators (Ayer et al., 1955;
-// Barlow et al., Statistical Inference under Order Restrictions, 1972). A break is ascribed to the two curves by how far
-// the step of each stands out from the mean. A server's curves shrink towards the fleet's, which leave out the
-// servers with the most breaks: trouble at one says nothing of the others, the same at several does. A new connection
-// is expected to do as well as reused ones until there is evidence.
+// p of a reused connection grows with its idle time and with the number of attempts that it has carried. There is a curve
+// over each, in steps of ratio 1.35, and 1-p = (1-idle)·(1-carried). The estimate of a step is the mean of a Beta posterior
+// whose prior is centered on the neighboring steps. The curve is then made monotone by pooling adjacent violators (Ayer et
+// al., 1955; Barlow et al., Statistical Inference under Order Restrictions, 1972). A break is attributed to the two curves
+// by how far the step of each exceeds the mean. The curves of a server shrink towards those of the fleet, which exclude the
+// servers with the most breaks: a fault at one server says nothing of the others, but the same fault at several does. A new
+// connection is expected to break as often as reused ones until there is evidence.
 //
-// Evidence fades with a half-life of Settings.Calls attempts, bounded on both sides by times, so that a few attempts an hour
-// are not forgotten one by one and a thousand a second do not shut out what is new. Without breaks all estimates are
-// exactly 0, and the Estimator does as a plain pool does: any reused connection, no pause. What has been given up is tried
-// again as its evidence fades, first by what loses least: a request that may run again, or a probe.
+// Evidence fades with a half-life of Settings.HalfLifeAttempts attempts, bounded by Settings.MinHalfLife and MaxHalfLife, so
+// that evidence from a few attempts an hour is not lost between them and a thousand attempts a second don't hide a change.
+// Without breaks all estimates are exactly 0 and the Estimator acts like a plain connection pool: it reuses any connection
+// and holds back nothing. Connections that are no longer reused are tried again as the evidence fades, first by attempts
+// with the lowest loss: those of idempotent requests, and probes.
 package keepalive
 
 import (
@@ -43,33 +43,32 @@
 	"time"
 )
 
-// Use is an attempt's connection.
+// Use describes the connection of an attempt.
 type Use struct {
 	Server  string
-	Idle    time.Duration // of the connection before the attempt
-	Carried int           // attempts before this one; 0 with Idle 0 = a new connection
+	Idle    time.Duration // time for which the connection was idle before the attempt
+	Carried int           // attempts on the connection before this one; 0 with Idle 0 = a new connection
 }
 
-func (u Use) isKept() bool { return u.Carried > 0 || u.Idle > 0 }
+func (u Use) isReused() bool { return u.Carried > 0 || u.Idle > 0 }
 
-// Outcome is how an attempt ended. Those that ended in other ways (refused, timed out, cancelled) are not reported.
+// Outcome is how an attempt ended. Attempts that ended in other ways (refused, timed out, cancelled) are not reported.
 type Outcome uint8
 
-// The outcomes.
 const (
-	Responded            Outcome = iota // whatever the answer said
-	BrokenAfterLastByte                 // the connection was reset or ended after the attempt's last byte was written
-	BrokenBeforeLastByte                // it broke while the last byte was held back: the attempt has not run
+	Responded            Outcome = iota // a response arrived, whatever its status
+	BrokenAfterLastByte                 // the connection was reset or closed after the attempt's last byte was written
+	BrokenBeforeLastByte                // the connection broke while the last byte was held back: the request has not run
 )
 
-// AttemptCost is what an attempt puts at risk.
+// AttemptCost holds what determines the loss if an attempt breaks or is delayed.
 type AttemptCost struct {
-	NonIdempotent    bool          // it must not run twice: broken, it is lost
-	LatencyObjective time.Duration // in which its answer is wanted; 0 = any time will do
-	PriorityWeight   float64       // of its request, relative to 1 for a usual one; a small part for a probe, so that it explores
+	NonIdempotent    bool          // the request must not run twice, so that it is lost if the connection breaks
+	LatencyObjective time.Duration // time within which the response is wanted; 0 = no objective, delays cost nothing
+	PriorityWeight   float64       // relative to 1 for an ordinary request; low for a probe, so that it explores
 }
 
-// boundedWeight guards against numbers that would turn the comparison around.
+// boundedWeight returns the priority weight within 0 and 1e6: negative, infinite or NaN weights would invert comparisons.
 func (r *AttemptCost) boundedWeight() float64 {
 	if !(r.PriorityWeight > 0) {
 		return 0
@@ -77,38 +76,38 @@
 	return min(r.PriorityWeight, 1e6)
 }
 
-// Estimator is what is known of how connections break. It is not safe for concurrent use.
+// Estimator estimates the probability that connections break. It is not safe for concurrent use.
 type Estimator struct {
 	settings Settings
 
-	odds       float64 // log, that breaks have become several times as frequent
-	clock      float64 // in half-lives of the evidence, at the last lesson
-	base       float64 // clock at which a lesson weighed 1: later ones weigh more instead of earlier ones less
-	lastLesson time.Time
-
-	all          evidence // of all servers together, those that are gone among them
-	doublyBlamed evidence // of them too, with every break held against both the idle time and the attempts carried
-	breaks       [kinds]breaks
-	servers      map[string]*serverRecord
-	list         []*serverRecord // the same, in the order in which they came
-	suspects     []*serverRecord // room for draw
-
-	fleet   posterior
-	shown   [kinds][len(pauses)]float64 // share of breaks that show within each pause
-	late    [kinds]float64              // seconds until a break after the last byte shows
-	stale   bool                        // there has been a break since the posteriors were drawn
-	drawnAt float64                     // clock at that time
-	draws   int                         // how often they have been
+	changeLogOdds   float64 // CUSUM of the log-likelihood ratio that breaks have become several times as frequent
+	clock           float64 // in half-lives of the evidence, at the last observation
+	weightBase      float64 // clock at which an observation weighs 1; later ones weigh more, instead of earlier ones less
+	lastObservation time.Time
+
+	all                 evidence // of all servers together, including removed ones
+	doubleCounted       evidence // like all, but each break counts in full against both idle time and attempts carried
+	breaks              [breakKinds]breakStats
+	servers             map[string]*serverRecord
+	serverList          []*serverRecord // the same servers in insertion order, for deterministic results
+	exclusionCandidates []*serverRecord // buffer of recompute
+
+	fleet         posterior
+	detectedShare [breakKinds][len(lastByteDelays)]float64 // share of breaks detected within each last-byte delay
+	detectionTime [breakKinds]float64                      // seconds from the last byte until a break is detected
+	stale         bool                                     // a break has been observed since the posteriors were computed
+	computedAt    float64                                  // clock at the last recompute
+	generation    int                                      // number of recomputes
 }
 
-// serverRecord is one server.
+// serverRecord holds the evidence and the estimates of one server.
 type serverRecord struct {
-	name      string
-	seen      evidence
-	posterior posterior
-	draws     int     // Estimator.drawns when the posterior was drawn
-	learned   float64 // clock at its last lesson
-	leftOut   bool    // it has so many breaks that the fleet's curves leave it out
+	name         string
+	observed     evidence
+	posterior    posterior
+	generation   int     // Estimator.generation for which the posterior was computed; -1 = none
+	lastObserved float64 // clock at its last observation
+	excluded     bool    // has so many breaks that the fleet's curves exclude it
 }
 
 // New returns an Estimator without evidence.
@@ -119,61 +118,63 @@
 	return &Estimator{settings: set, stale: true, servers: map[string]*serverRecord{}}, nil
 }
 
-// record returns the server's record, a new one if there is none. The one that has learned nothing for longest makes room.
+// record returns the server's record and creates it if there is none. If there are MaxServers records already, the least
+// recently updated one is removed.
 func (e *Estimator) record(server string) *serverRecord {
 	r := e.servers[server]
 	if r == nil {
-		if len(e.list) >= e.settings.MaxServers {
-			e.RemoveServer(slices.MinFunc(e.list, func(x, y *serverRecord) int { return cmp.Compare(x.learned, y.learned) }).name)
+		if len(e.serverList) >= e.settings.MaxServers {
+			e.RemoveServer(slices.MinFunc(e.serverList, func(x, y *serverRecord) int { return cmp.Compare(x.lastObserved, y.lastObserved) }).name)
 		}
-		r = &serverRecord{name: server, draws: -1}
+		r = &serverRecord{name: server, generation: -1}
 		e.servers[server] = r
-		e.list = append(e.list, r)
+		e.serverList = append(e.serverList, r)
 	}
-	r.learned = e.clock
+	r.lastObserved = e.clock
 	return r
 }
 
-// Learn takes note of how an attempt on u ended. held is for how long its last byte was to be held back, as Hold said, also
-// where the connection broke sooner; 0 = not at all. took says when a break showed: for Early counted from the first
-// byte, for Broken from the last; for Answered it does not matter.
-func (e *Estimator) Learn(now time.Time, u Use, how Outcome, held, took time.Duration) {
-	p, usual := e.posterior(now, u.Server).breaks(u)
-	e.tick(now)
-	e.detectChange(p, how)
+// Learn records the outcome of an attempt on u. held is the result of LastByteDelay for the attempt, even if the connection
+// broke sooner; 0 = the last byte was not held back. took is the time until a break was detected: from the first byte for
+// BrokenBeforeLastByte, from the last byte for BrokenAfterLastByte; it is ignored for Responded.
+func (e *Estimator) Learn(now time.Time, u Use, outcome Outcome, held, took time.Duration) {
+	breakProbability, baseline := e.posterior(now, u.Server).breakProbability(u)
+	e.advanceClock(now)
+	e.detectChange(breakProbability, outcome)
 	r, w := e.record(u.Server), e.weight()
-	if how == Responded {
-		r.seen.learn(u, w, 0, 0)
-		e.all.learn(u, w, 0, 0)
-		e.doublyBlamed.learn(u, w, 0, 0)
+	if outcome == Responded {
+		r.observed.add(u, w, 0, 0)
+		e.all.add(u, w, 0, 0)
+		e.doubleCounted.add(u, w, 0, 0)
 		return
 	}
 	e.stale = true
-	e.doublyBlamed.learn(u, w, w, w)
-	byIdle := w * float32(e.doublyBlamed.idleShareOfBreak(u, 1/w))
-	r.seen.learn(u, w, byIdle, w-byIdle)
-	e.all.learn(u, w, byIdle, w-byIdle)
-	part := float32((usual + little) / (p + little))
-	e.breaks[anywhere].learn(how, held, took, w*part)
-	e.breaks[added].learn(how, held, took, w*(1-part))
+	e.doubleCounted.add(u, w, w, w)
+	byIdle := w * float32(e.doubleCounted.idleAttribution(u, 1/w))
+	r.observed.add(u, w, byIdle, w-byIdle)
+	e.all.add(u, w, byIdle, w-byIdle)
+	baselinePart := float32((baseline + epsilon) / (breakProbability + epsilon))
+	e.breaks[onAnyConn].add(outcome, held, took, w*baselinePart)
+	e.breaks[onReusedOnly].add(outcome, held, took, w*(1-baselinePart))
 }
 
-// Dialed takes note of the time that a connection took to come up, or to be given up.
+// Dialed records the time that a dial to the server took until it succeeded or failed.
 func (e *Estimator) Dialed(server string, took time.Duration) {
 	w := e.weight()
-	e.record(server).seen.dial.learn(w, took)
-	e.all.dial.learn(w, took)
+	e.record(server).observed.dial.add(w, took)
+	e.all.dial.add(w, took)
 }
 
-// RemoveServer drops a server that is gone from the list. What it had in common with others stays with the fleet.
+// RemoveServer removes the record of a server that is no longer listed. Its evidence stays in the fleet's unless it is
+// excluded from the fleet's curves.
 func (e *Estimator) RemoveServer(server string) {
 	r := e.servers[server]
 	if r == nil {
 		return
 	}
-	if r.leftOut {
-		e.all.subtract(&r.seen)
+	if r.excluded {
+		e.all.subtract(&r.observed)
 	}
 	delete(e.servers, server)
-	e.list = slices.DeleteFunc(e.list, func(x *serverRecord) bool { return x == r })
+	e.serverList = slices.DeleteFunc(e.serverList, func(x *serverRecord) bool { return x == r })
 }
--- a/internal/keepalive/posterior.go
+++ b/internal/keepalive/posterior.go
@@ -7,79 +7,80 @@
 	"time"
 )
 
-// curve is the probability of a break by step, which never falls.
-type curve [steps]float32
+// curve holds the probability of a break by step; it is non-decreasing.
+type curve [stepCount]float32
 
-// posterior is what is concluded from evidence.
+// posterior holds the estimates derived from evidence.
 type posterior struct {
 	onNewConns    float64 // probability that an attempt on a new connection breaks
-	used          float64 // that one on a reused connection does, on the whole
-	idle, carried curve   // that one breaks by the idle time, which takes in what happens to new ones; by attempts carried
-	renewal       curve   // by attempts carried: breaks that a new connection would save until it has carried as many
-	dial          float64 // seconds
+	onReused      float64 // probability that an attempt on a reused connection breaks, averaged over all steps
+	idle, carried curve   // probability of a break by idle time, which includes that on new connections, and by attempts carried
+	renewal       curve   // by attempts carried: expected breaks that a new connection avoids until it has carried as many
+	dial          float64 // seconds to establish a connection; 0 = unknown
 }
 
-// draw concludes from e, which belongs to a part of the fleet; strength is that of the priors that the fleet gives.
-func (p *posterior) draw(e *evidence, fleet *posterior, strength float64, scale float32) {
-	p.idle.draw(&e.idle, &fleet.idle, strength, scale)
-	p.carried.draw(&e.carried, &fleet.carried, strength, scale)
-	for i := 2; i < steps; i++ {
-		p.renewal[i] = p.renewal[i-1] + (p.carried[i]-p.carried[i-1])*float32(froms[i])
+// compute derives the estimates from e, the evidence of a server or of the fleet, with priors of the given strength that are
+// centered on the fleet's estimates.
+func (p *posterior) compute(e *evidence, fleet *posterior, strength float64, scale float32) {
+	p.idle.fit(&e.idle, &fleet.idle, strength, scale)
+	p.carried.fit(&e.carried, &fleet.carried, strength, scale)
+	for i := 2; i < stepCount; i++ {
+		p.renewal[i] = p.renewal[i-1] + (p.carried[i]-p.carried[i-1])*float32(stepStarts[i])
 	}
-	var kept tally
-	for i := range steps {
-		kept.learn(e.idle[i].calls, e.idle[i].broken+e.carried[i].broken)
+	var reused tally
+	for i := range stepCount {
+		reused.add(e.idle[i].attempts, e.idle[i].broken+e.carried[i].broken)
 	}
-	p.used = kept.estimate(scale, strength, fleet.used)
-	better := max(0, fleet.used-fleet.onNewConns) // new ones than reused ones, elsewhere
-	p.onNewConns = e.onNewConns.estimate(scale, newConnPrior, max(0, p.used-better))
+	p.onReused = reused.estimate(scale, strength, fleet.onReused)
+	advantage := max(0, fleet.onReused-fleet.onNewConns) // of new connections over reused ones, fleet-wide
+	p.onNewConns = e.onNewConns.estimate(scale, newConnPrior, max(0, p.onReused-advantage))
 	p.dial = e.dial.estimate(scale, fleet.dial)
 }
 
-// join is the probability that one of two things happens.
-func join(x, y float32) float64 { return 1 - (1-float64(x))*(1-float64(y)) }
+// eitherOf returns the probability that at least one of two independent events occurs.
+func eitherOf(x, y float32) float64 { return 1 - (1-float64(x))*(1-float64(y)) }
 
-// breaks returns the probability that the attempt breaks, and how much of it a new connection has as well.
-func (p *posterior) breaks(u Use) (probability, usual float64) {
-	if !u.isKept() {
+// breakProbability returns the probability that an attempt on u breaks, and the part of it that a new connection has as well.
+func (p *posterior) breakProbability(u Use) (probability, baseline float64) {
+	if !u.isReused() {
 		return p.onNewConns, p.onNewConns
 	}
-	return p.kept(idleStep(u.Idle), stepOf(float64(u.Carried)))
+	return p.onReusedConn(idleStep(u.Idle), stepOf(float64(u.Carried)))
 }
 
-// kept is breaks for a reused connection, by its steps.
-func (p *posterior) kept(idle, carried int) (probability, usual float64) {
-	probability = join(p.idle[idle], p.carried[carried])
+// onReusedConn returns the same as breakProbability for a reused connection, given its steps.
+func (p *posterior) onReusedConn(idle, carried int) (probability, baseline float64) {
+	probability = eitherOf(p.idle[idle], p.carried[carried])
 	return probability, min(probability, p.onNewConns)
 }
 
-// draw estimates each step from its own attempts and those at its neighbours, then pools adjacent violators. Steps without
-// attempts weigh next to nothing, so that far ones that nothing is known of do not water down what is.
-func (c *curve) draw(of *[steps]tally, prior *curve, strength float64, scale float32) {
-	var around, own [steps]tally
-	for i, t := range of { // one with many attempts must not speak for those far off
+// fit estimates each step from its own attempts and those of its neighbors, then makes the curve monotone by pooling
+// adjacent violators. Steps without attempts get a negligible weight, so that they don't dilute those with evidence.
+func (c *curve) fit(of *[stepCount]tally, prior *curve, strength float64, scale float32) {
+	var around, own [stepCount]tally
+	for i, t := range of { // cap the weight: a step with many attempts must not determine distant ones
 		own[i] = t
-		own[i].scale(scale * float32(min(1, strength/(float64(t.calls*scale)+little))))
+		own[i].scale(scale * float32(min(1, strength/(float64(t.attempts*scale)+epsilon))))
 	}
 	var left, right tally
-	for i := range steps {
-		j := steps - 1 - i
-		around[i].learn(left.calls, left.broken)
-		around[j].learn(right.calls, right.broken)
-		left.learn(own[i].calls, own[i].broken)
-		right.learn(own[j].calls, own[j].broken)
-		left.scale(near)
-		right.scale(near)
+	for i := range stepCount {
+		j := stepCount - 1 - i
+		around[i].add(left.attempts, left.broken)
+		around[j].add(right.attempts, right.broken)
+		left.add(own[i].attempts, own[i].broken)
+		right.add(own[j].attempts, own[j].broken)
+		left.scale(neighborWeight)
+		right.scale(neighborWeight)
 	}
-	var blocks [steps]struct {
+	var blocks [stepCount]struct {
 		value, weight float32
 		end           int
 	}
 	n := 0
-	for i := range steps {
-		m := around[i].estimate(1, strength*nearPrior, float64(prior[i]))
+	for i := range stepCount {
+		m := around[i].estimate(1, strength*neighborPriorShare, float64(prior[i]))
 		blocks[n].value = float32(of[i].estimate(scale, strength, m))
-		blocks[n].weight, blocks[n].end = of[i].calls*scale+faded, i+1
+		blocks[n].weight, blocks[n].end = of[i].attempts*scale+minEvidence, i+1
 		for n++; n > 1 && blocks[n-2].value > blocks[n-1].value; n-- {
 			x, y := &blocks[n-2], &blocks[n-1]
 			x.value = (x.value*x.weight + y.value*y.weight) / (x.weight + y.weight)
@@ -94,54 +95,56 @@
 	}
 }
 
-// posterior returns what is thought of the server, which for an unknown one is what is thought of the fleet.
+// posterior returns the estimates for the server, or those of the fleet if the server is unknown. It recomputes them if
+// they are stale.
 func (e *Estimator) posterior(now time.Time, server string) *posterior {
 	clock := e.clockAt(now)
-	scale := func() float32 { return float32(math.Exp2(e.base - clock)) }
-	if e.stale || clock-e.drawnAt > refit {
-		e.stale, e.drawnAt = false, clock
-		e.draws++
-		e.draw(scale())
+	scale := func() float32 { return float32(math.Exp2(e.weightBase - clock)) }
+	if e.stale || clock-e.computedAt > recomputeInterval {
+		e.stale, e.computedAt = false, clock
+		e.generation++
+		e.recompute(scale())
 	}
 	r := e.servers[server]
 	if r == nil {
 		return &e.fleet
 	}
-	if r.draws != e.draws {
-		r.draws = e.draws
-		r.posterior.draw(&r.seen, &e.fleet, serverPrior, scale())
+	if r.generation != e.generation {
+		r.generation = e.generation
+		r.posterior.compute(&r.observed, &e.fleet, serverPrior, scale())
 	}
 	return &r.posterior
 }
 
-// draw concludes from the evidence what is thought of the fleet and of breaks. The servers with the most breaks are
-// left out, one in eight and one more: an eighth of breaks all over the fleet is little, a lone culprit's are all.
-func (e *Estimator) draw(scale float32) {
-	suspects := e.suspects[:0]
-	for _, r := range e.list {
-		r.leftOut = false
-		if r.seen.broken > 0 {
-			suspects = append(suspects, r)
+// recompute derives the fleet's estimates and the detection of breaks from the evidence. The servers with the most breaks,
+// one in eight plus one, are excluded from the fleet's curves: if breaks occur fleet-wide, that loses only an eighth of the
+// evidence; if a single server is at fault, it removes all breaks.
+func (e *Estimator) recompute(scale float32) {
+	candidates := e.exclusionCandidates[:0]
+	for _, r := range e.serverList {
+		r.excluded = false
+		if r.observed.broken > 0 {
+			candidates = append(candidates, r)
 		}
 	}
-	slices.SortStableFunc(suspects, byBreaks)
-	e.suspects = suspects
-	common := e.all
-	for _, r := range suspects[:min(len(suspects), 1+len(e.list)/8)] {
-		r.leftOut = true
-		common.subtract(&r.seen)
+	slices.SortStableFunc(candidates, byBreaks)
+	e.exclusionCandidates = candidates
+	shared := e.all
+	for _, r := range candidates[:min(len(candidates), 1+len(e.serverList)/8)] {
+		r.excluded = true
+		shared.subtract(&r.observed)
 	}
-	e.fleet.draw(&common, &posterior{}, stepPrior, scale)
+	e.fleet.compute(&shared, &posterior{}, stepPrior, scale)
 	for kind := range e.breaks {
 		d := &e.breaks[kind]
-		hidden := 1.0
-		for i, p := range pauses {
-			hidden *= 1 - d.shown[i].estimate(scale, shownPrior, p.shows)
-			e.shown[kind][i] = 1 - hidden
+		undetected := 1.0
+		for i, p := range lastByteDelays {
+			undetected *= 1 - d.detected[i].estimate(scale, detectedPrior, p.detectionPrior)
+			e.detectedShare[kind][i] = 1 - undetected
 		}
-		e.late[kind] = d.late.estimate(scale, 0)
+		e.detectionTime[kind] = d.detectionTime.estimate(scale, 0)
 	}
 }
 
-// byBreaks puts the server with the most breaks first.
-func byBreaks(x, y *serverRecord) int { return cmp.Compare(y.seen.broken, x.seen.broken) }
+// byBreaks orders servers by the number of breaks, most first.
+func byBreaks(x, y *serverRecord) int { return cmp.Compare(y.observed.broken, x.observed.broken) }
