--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -1,5 +1,5 @@
-// Package connlimit keeps the connections of all kinds together under one limit. Idle ones make room for new
-// ones, the least recently used first.
+// Package connlimit enforces one limit on the sockets of all inbound and outbound connections. When it is reached, idle
+// connections are evicted for new ones, the least recently used first.
 package connlimit
 
 import (
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Budget is the limit and the places that are taken under it. It is safe for concurrent use.
+// Budget counts the sockets in use against a limit. It is safe for concurrent use.
 type Budget struct {
-	mu             sync.Mutex
-	limit          int
-	used           int
-	inward         int // of those used
-	evicted        int // connections whose place is given away and which are not closed yet
-	backlogFavored bool
-	// The connections that can make room, as lists of *Socket, the least recently used first: unused ones, which have brought
-	// nothing yet, go before idle ones.
+	mu                 sync.Mutex
+	limit              int
+	used               int
+	inbound            int // of the used slots, those of inbound connections
+	evicted            int // connections that have lost their slot and are not closed yet, including those of ReserveForRejection
+	backlogPrioritized bool
+	// Connections that can be evicted, as lists of *Socket, the least recently used first. Unused ones, from which no request
+	// has been received yet, are evicted before idle ones.
 	unused, idle list.List
 	freed        chan struct{}
 	dial         Dialer
 }
 
-// NewBudget allows for limit sockets; dial opens connections to servers.
+// NewBudget returns a Budget of limit sockets; dial opens connections to servers.
 func NewBudget(limit int, dial Dialer) *Budget {
 	return &Budget{limit: limit, dial: dial, freed: make(chan struct{}, 1)}
 }
 
-// SetLimit sets another limit. If more sockets are in use, idle ones to servers are closed at once, and none is opened until enough have
-// ended; clients keep theirs.
+// SetLimit changes the limit. If more sockets are in use, idle connections to servers are closed at once, and none is opened
+// until the number is below the limit; connections of clients stay open.
 func (b *Budget) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,12 +45,12 @@
 	b.notifyFreed()
 }
 
-// PrioritizeBacklog has unused connections make room as soon as another one wants it, and lets them have all places of their side: what
-// waits in the backlog is about to be lost.
+// PrioritizeBacklog makes unused connections evictable at once and lifts the limit on their number among the inbound ones:
+// connections that still wait in the backlog when the listener is closed are lost.
 func (b *Budget) PrioritizeBacklog() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.backlogFavored = true
+	b.backlogPrioritized = true
 	now := time.Now()
 	for e := b.unused.Front(); e != nil; e = e.Next() {
 		e.Value.(*Socket).evictableAt = now
@@ -58,24 +58,25 @@
 	b.notifyFreed()
 }
 
-// Reserve takes one place under the limit, if need be that of an unused connection or of the idle one least recently used. The
-// place goes to a Socket by Adopt, or back by Release. Inward connections beyond their part only make room for one another, and
-// so do unused ones beyond theirs: hundreds that send nothing must not keep out those that do. Up to their part they also take the
-// places of idle ones to servers: a client that waits in the kernel's backlog has a request.
+// Reserve takes one slot under the limit and reports whether there was one. If none is free, it evicts an unused connection
+// or else the least recently used idle one. The caller passes the slot to Adopt or returns it with Release. Once inbound
+// connections have their share of the limit, a new one evicts only inbound ones. Once unused ones have theirs, it evicts only
+// unused ones, so that hundreds of connections that send nothing can't keep out those that send requests. Below their share,
+// inbound connections also evict idle connections to servers: a client in the kernel's backlog has a request waiting.
 func (b *Budget) Reserve(side Side) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ok := true
 	switch {
-	case side == Inbound && !b.backlogFavored && b.unused.Len() >= max(1, b.limit/unusedDivisor):
+	case side == Inbound && !b.backlogPrioritized && b.unused.Len() >= max(1, b.limit/unusedDivisor):
 		ok = b.evictFirst(&b.unused, side)
-	case side == Inbound && b.inward >= b.limit/inwardDivisor:
+	case side == Inbound && b.inbound >= b.limit/inboundDivisor:
 		ok = b.evictFirst(&b.unused, Inbound) || b.evictFirst(&b.idle, Inbound)
-	case b.used >= b.limit || side == Inbound && b.used >= b.limitBesideAttempts():
+	case b.used >= b.limit || side == Inbound && b.used >= b.limitExceptAttempts():
 		ok = b.evictFirst(&b.unused, Outbound) || b.evictFirst(&b.idle, Outbound)
-	case side == Inbound && b.inward >= b.limit/inwardEvictDivisor:
-		// Clients have limits too: one whose sockets are all idle connections to this process can't open another and so can't
-		// cause the eviction that it waits for.
+	case side == Inbound && b.inbound >= b.limit/inboundEvictDivisor:
+		// Evicts early, because clients have limits, too: one whose sockets are all idle connections to this process can't open
+		// another connection and so can't cause the eviction that it waits for.
 		_ = b.evictFirst(&b.unused, side) || b.evictFirst(&b.idle, side)
 	}
 	if ok {
@@ -84,36 +85,38 @@
 	return ok
 }
 
-// ReserveBeyondLimit takes one place even if the limit does not leave it, for a connection that is there already.
+// ReserveBeyondLimit takes one slot even if the limit is reached, for a connection that is open already.
 func (b *Budget) ReserveBeyondLimit(side Side) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addUsed(side, 1)
 }
 
-// Adopt binds a reserved place to a connection.
+// Adopt assigns a reserved slot to a connection and returns its Socket, which releases the slot when closed.
 func (b *Budget) Adopt(c net.Conn, side Side) *Socket { return &Socket{Conn: c, budget: b, side: side} }
 
-// Release gives back a place that was not adopted.
+// Release returns a reserved slot that was not adopted.
 func (b *Budget) Release(side Side) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.release(side)
 }
 
+// release is Release for callers that hold the mutex.
 func (b *Budget) release(side Side) {
 	b.addUsed(side, -1)
 	b.notifyFreed()
 }
 
-// ReserveForRejection takes one of the places beyond the limit that connections have which are about to be closed: for an inward
-// connection that is only told that there is no place. It goes to a Socket by AdoptForRejection, or back by ReleaseForRejection. A part
-// of those places stays for connections that make room, unless the backlog is favored.
+// ReserveForRejection takes one of the slots beyond the limit that are meant for connections being closed, and reports
+// whether there was one. It is for an inbound connection that only gets a response that rejects it. The caller passes the
+// slot to AdoptForRejection or returns it with ReleaseForRejection. A part of these slots is left to evicted connections,
+// unless the backlog is prioritized.
 func (b *Budget) ReserveForRejection() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limit := MaxClosing(b.limit)
-	if !b.backlogFavored {
+	if !b.backlogPrioritized {
 		limit = max(1, limit/rejectionDivisor)
 	}
 	if b.evicted >= limit {
@@ -123,12 +126,12 @@
 	return true
 }
 
-// AdoptForRejection binds a place of ReserveForRejection to a connection, which counts as evicted from the start.
+// AdoptForRejection assigns a slot of ReserveForRejection to a connection, which counts as evicted from the start.
 func (b *Budget) AdoptForRejection(c net.Conn) *Socket {
 	return &Socket{Conn: c, budget: b, side: Inbound, evicted: true}
 }
 
-// ReleaseForRejection gives back a place that was not adopted.
+// ReleaseForRejection returns a slot of ReserveForRejection that was not adopted.
 func (b *Budget) ReleaseForRejection() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,7 +139,8 @@
 	b.notifyFreed()
 }
 
-// evictFirst frees the place of the first candidate that may be evicted: for Inward a client's connection, for Outward any.
+// evictFirst evicts the first evictable candidate and reports whether there was one: for Inbound an inbound connection, for
+// Outbound any.
 func (b *Budget) evictFirst(candidates *list.List, side Side) bool {
 	now := time.Now()
 	for e := candidates.Front(); e != nil && b.evicted < MaxClosing(b.limit); e = e.Next() {
@@ -152,25 +156,26 @@
 func (b *Budget) addUsed(side Side, n int) {
 	b.used += n
 	if side == Inbound {
-		b.inward += n
+		b.inbound += n
 	}
 }
 
-// IsOverHalfUsed reports whether more than half of the places are taken.
+// IsOverHalfUsed reports whether more than half of the slots are in use.
 func (b *Budget) IsOverHalfUsed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return 2*b.used > b.limit
 }
 
-// Used is the number of places taken.
+// Used returns the number of slots in use.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
 }
 
-// Freed wakes one waiter when a place has been given back or a connection can make room.
+// Freed returns a channel that receives a value when a slot has been released or a connection has become evictable. It
+// wakes one waiter.
 func (b *Budget) Freed() <-chan struct{} { return b.freed }
 
 func (b *Budget) notifyFreed() {
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A connection whose request has come in but is not read yet must not be taken for idle and closed.
-func TestUnreadBytesAreNotQuiet(t *testing.T) {
+// A connection with an unread request must not count as idle, since it would be closed.
+func TestUnreadBytesAreReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,37 +32,37 @@
 		t.Fatal(err)
 	}
 	var one [1]byte
-	for _, quiet := range []bool{false, true} { // both bytes came together
-		if _, err := io.ReadFull(s, one[:]); err != nil || s.HasNothingUnread() != quiet {
-			t.Errorf("after %q: quiet %t, %v", one, s.HasNothingUnread(), err)
+	for _, nothingUnread := range []bool{false, true} { // both bytes arrived together
+		if _, err := io.ReadFull(s, one[:]); err != nil || s.HasNothingUnread() != nothingUnread {
+			t.Errorf("after %q: nothing unread %t, %v", one, s.HasNothingUnread(), err)
 		}
 	}
 }
 
-func TestTheOneIdleForLongestLeaves(t *testing.T) {
+func TestLeastRecentlyUsedIsEvicted(t *testing.T) {
 	b := NewBudget(3, nil)
 	var sockets []*Socket
 	for range 3 {
 		c, _ := net.Pipe()
 		if !b.Reserve(Outbound) {
-			t.Fatal("no place under the limit")
+			t.Fatal("no slot under the limit")
 		}
 		sockets = append(sockets, b.Adopt(c, Outbound))
 	}
 	if b.Reserve(Outbound) {
-		t.Error("a place beyond the limit")
+		t.Error("a slot beyond the limit")
 	}
-	sockets[0].MarkIdle(time.Hour) // too lately used
+	sockets[0].MarkIdle(time.Hour) // not evictable yet
 	sockets[1].MarkIdle(0)
 	sockets[2].MarkIdle(0)
 	if !b.Reserve(Outbound) || sockets[0].IsEvicted() || !sockets[1].IsEvicted() || sockets[2].IsEvicted() {
-		t.Error("not the one idle for longest has left")
+		t.Error("the least recently used evictable connection was not evicted, or another one was")
 	}
 	if _, err := sockets[1].Read(make([]byte, 1)); err == nil {
-		t.Error("its reader was not woken")
+		t.Error("the reader of the evicted connection was not woken")
 	}
 	if !sockets[2].MarkBusy() || b.Reserve(Outbound) || b.Used() != 3 {
-		t.Errorf("a busy one has left; %d used", b.Used())
+		t.Errorf("a busy connection was evicted; %d used", b.Used())
 	}
 	for _, s := range sockets {
 		for range 2 {
@@ -73,24 +73,24 @@
 	}
 	b.Release(Outbound)
 	if b.Used() != 0 {
-		t.Errorf("%d places are still taken", b.Used())
+		t.Errorf("%d slots are still in use", b.Used())
 	}
 }
 
-// Connections that have brought nothing make room before any other, and for one another once they have their part.
-// Those of clients leave half of the places to those that attempts need.
-func TestUnusedConnectionsMakeRoomFirst(t *testing.T) {
+// Unused connections are evicted before idle ones, and only for one another once they have their share. Inbound
+// connections leave half of the slots to those of attempts.
+func TestUnusedConnectionsAreEvictedFirst(t *testing.T) {
 	b := NewBudget(12, nil)
 	open := func(side Side) *Socket {
 		c, _ := net.Pipe()
 		if !b.Reserve(side) {
-			t.Fatal("no place under the limit")
+			t.Fatal("no slot under the limit")
 		}
 		return b.Adopt(c, side)
 	}
-	known, server := open(Inbound), open(Outbound)
-	known.MarkIdle(time.Hour)
-	server.MarkIdle(0) // for longer than any other
+	idleInbound, idleOutbound := open(Inbound), open(Outbound)
+	idleInbound.MarkIdle(time.Hour)
+	idleOutbound.MarkIdle(0) // least recently used
 	var unused []*Socket
 	for range 3 {
 		s := open(Inbound)
@@ -98,42 +98,43 @@
 		unused = append(unused, s)
 	}
 	if b.Reserve(Inbound) {
-		t.Error("a fourth unused connection beyond a quarter of twelve")
+		t.Error("a fourth unused connection exceeds a quarter of 12 slots")
 	}
 	unused[1].MarkUnused(0)
-	if open(Inbound); !unused[1].IsEvicted() || known.IsEvicted() {
-		t.Error("not the unused one that may be evicted has been")
+	if open(Inbound); !unused[1].IsEvicted() || idleInbound.IsEvicted() {
+		t.Error("the evictable unused connection was not evicted, or another one was")
 	}
 	open(Inbound)
 	open(Inbound)
-	known.MarkIdle(0)
-	if open(Inbound); !known.IsEvicted() || server.IsEvicted() {
-		t.Error("not the idle one of their own has left for a seventh of them")
+	idleInbound.MarkIdle(0)
+	if open(Inbound); !idleInbound.IsEvicted() || idleOutbound.IsEvicted() {
+		t.Error("the idle inbound connection was not evicted for the seventh, or an outbound one was")
 	}
 	if b.Reserve(Inbound) {
-		t.Error("clients have more than half")
+		t.Error("inbound connections have more than half of the slots")
 	}
 	unused[0].MarkUnused(0)
 	for range 5 {
 		open(Outbound)
 	}
-	if open(Outbound); !unused[0].IsEvicted() || server.IsEvicted() {
-		t.Error("one that has been useful has left before an unused one")
+	if open(Outbound); !unused[0].IsEvicted() || idleOutbound.IsEvicted() {
+		t.Error("an idle connection was evicted before an unused one")
 	}
-	if unused[0].ExtendReadDeadline(time.Now()) || !server.ExtendReadDeadline(time.Now()) {
-		t.Error("one that is to leave may stay, or the other way round")
+	if unused[0].ExtendReadDeadline(time.Now()) || !idleOutbound.ExtendReadDeadline(time.Now()) {
+		t.Error("the deadline of an evicted connection can be extended, or that of another one can't")
 	}
 }
 
-// Clients' idle connections make room early, the oldest first: a client may have as many as it can, all but one of
-// them idle, and could not open another to make the room that it waits for. Busy ones are not in the way.
-func TestIdleClientsMakeRoomEarly(t *testing.T) {
+// Idle inbound connections are evicted before the limit is reached, the least recently used first: a client that has all
+// its sockets open to this process, all but one of them idle, can't open another to cause an eviction. Busy connections
+// don't prevent it.
+func TestIdleInboundConnectionsAreEvictedEarly(t *testing.T) {
 	b := NewBudget(16, nil)
-	var got []bool
+	var evicted []bool
 	var first *Socket
 	for i := range 6 {
 		if !b.Reserve(Inbound) {
-			t.Fatal("no place under the limit")
+			t.Fatal("no slot under the limit")
 		}
 		c, _ := net.Pipe()
 		s := b.Adopt(c, Inbound)
@@ -141,53 +142,53 @@
 			first = s
 			s.MarkIdle(0)
 		}
-		got = append(got, first.IsEvicted())
+		evicted = append(evicted, first.IsEvicted())
 	}
 	for i, want := range []bool{false, false, false, false, true, true} {
-		if got[i] != want {
-			t.Errorf("with %d connections: the idle one leaves: %t", i+1, got[i])
+		if evicted[i] != want {
+			t.Errorf("with %d connections: the idle one is evicted: %t", i+1, evicted[i])
 		}
 	}
 	if b.IsOverHalfUsed() {
-		t.Error("5 of 16 are scarce")
+		t.Error("5 of 16 slots count as over half")
 	}
 	for range 4 {
 		b.Reserve(Outbound)
 	}
 	if !b.IsOverHalfUsed() {
-		t.Error("9 of 16 are plenty")
+		t.Error("9 of 16 slots don't count as over half")
 	}
 }
 
-// BenchmarkLeft measures the look at whether a client has left, one for each attempt at least.
-func BenchmarkLeft(b *testing.B) {
+// BenchmarkHasPeerClosed measures the check whether a client has closed, which runs at least once per attempt.
+func BenchmarkHasPeerClosed(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
-	theirs, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer theirs.Close()
-	mine, err := l.Accept()
+	defer peer.Close()
+	conn, err := l.Accept()
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer mine.Close()
-	s := NewBudget(1, nil).Adopt(mine, Inbound)
+	defer conn.Close()
+	s := NewBudget(1, nil).Adopt(conn, Inbound)
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.HasPeerClosed() {
-			b.Fatal("it is there")
+			b.Fatal("an open connection counts as closed by the peer")
 		}
 	}
 }
 
-// Idle connections to servers make room for clients' up to the part of these, so that clients do not wait in the backlog while idle
-// connections have all places. Attempts keep the last places: neither clients nor probes take them.
-func TestIdleServersMakeRoomForClients(t *testing.T) {
+// Idle connections to servers are evicted for inbound ones up to the share of these, so that clients don't wait in the
+// backlog while idle connections occupy all slots. The last slots are left to attempts: neither clients nor probes take them.
+func TestIdleOutboundConnectionsAreEvictedForInbound(t *testing.T) {
 	pipe := func(context.Context, string) (net.Conn, error) { c, _ := net.Pipe(); return c, nil }
 	b := NewBudget(16, pipe)
 	var idle []*Socket
@@ -199,14 +200,14 @@
 		s.MarkIdle(0)
 		idle = append(idle, s)
 	}
-	for i := range 8 { // half of the places
+	for i := range 8 { // half of the slots
 		if !b.Reserve(Inbound) || !idle[i].IsEvicted() {
-			t.Fatalf("client %d waits for idle connections to servers", i+1)
+			t.Fatalf("inbound connection %d did not evict an idle one to a server", i+1)
 		}
 		_ = idle[i].Close()
 	}
 	if b.Reserve(Inbound) {
-		t.Error("clients have more than half")
+		t.Error("inbound connections have more than half of the slots")
 	}
 	for _, s := range idle[8:] {
 		_ = s.Close()
@@ -217,16 +218,16 @@
 		}
 	}
 	b.Release(Inbound)
-	b.Reserve(Outbound) // in its place
+	b.Reserve(Outbound) // takes the released slot
 	if b.Reserve(Inbound) {
-		t.Error("a client takes a place that is left to attempts")
+		t.Error("an inbound connection takes a slot that is left to attempts")
 	}
 	if _, err := b.DialOptional(t.Context(), "", time.Hour); !errors.Is(err, ErrLimitReached) {
-		t.Errorf("a probe takes a place that is left to attempts: %v", err)
+		t.Errorf("a probe takes a slot that is left to attempts: %v", err)
 	}
 	for range 2 {
 		if _, err := b.Dial(t.Context(), "", time.Hour); err != nil {
-			t.Errorf("an attempt finds no place: %v", err)
+			t.Errorf("no slot for an attempt: %v", err)
 		}
 	}
 	if _, err := b.Dial(t.Context(), "", time.Hour); !errors.Is(err, ErrLimitReached) {
--- a/internal/connlimit/dial.go
+++ b/internal/connlimit/dial.go
@@ -10,13 +10,13 @@
 	"plankrouter/internal/faultinjection"
 )
 
-// ErrLimitReached says that the limit leaves no place, and that no idle connection can make room.
-var ErrLimitReached = errors.New("limit on sockets reached")
+// ErrLimitReached is returned if the limit is reached and no connection can be evicted.
+var ErrLimitReached = errors.New("connlimit: socket limit reached")
 
 // Dialer opens a connection to host:port.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP dials plainly. It sends no keep-alive: that a machine is silent shows in the requests that it does not answer.
+// DialTCP opens a TCP connection without TCP keep-alive: an unresponsive host is detected by requests without a response.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	if err := faultinjection.Inject(faultinjection.Connect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
@@ -26,21 +26,22 @@
 		return nil, err
 	}
 	if err := faultinjection.Wait(ctx, faultinjection.SlowConnect); err != nil {
-		_ = c.Close() // what is reported is why
+		_ = c.Close() // the error to report is that of the wait
 		return nil, err
 	}
 	return c, nil
 }
 
-// Dial opens a connection under the limit, or fails with ErrLimitReached.
+// Dial opens a connection to a server within the given time. It returns ErrLimitReached if no slot can be reserved.
 func (b *Budget) Dial(ctx context.Context, address string, within time.Duration) (*Socket, error) {
 	return b.open(ctx, address, within, b.Reserve(Outbound))
 }
 
-// DialOptional is Dial for a connection that can be done without, as a probe's: it leaves the last places to attempts.
+// DialOptional is like Dial, but leaves the last free slots to attempts. It is for connections that are not essential, such
+// as those of probes.
 func (b *Budget) DialOptional(ctx context.Context, address string, within time.Duration) (*Socket, error) {
 	b.mu.Lock()
-	ok := b.used < b.limitBesideAttempts() || b.evictFirst(&b.unused, Outbound) || b.evictFirst(&b.idle, Outbound)
+	ok := b.used < b.limitExceptAttempts() || b.evictFirst(&b.unused, Outbound) || b.evictFirst(&b.idle, Outbound)
 	if ok {
 		b.addUsed(Outbound, 1)
 	}
@@ -48,7 +49,7 @@
 	return b.open(ctx, address, within, ok)
 }
 
-// open opens a connection in a place that has been reserved.
+// open dials if a slot has been reserved, and releases the slot if the dial fails.
 func (b *Budget) open(ctx context.Context, address string, within time.Duration, reserved bool) (*Socket, error) {
 	if !reserved {
 		return nil, ErrLimitReached
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// How the limit is shared out. A divisor of n means one place in n.
+// Shares of the limit. A divisor of n stands for a share of 1/n of the slots.
 const (
-	maxClosing          = 16               // connections that are being closed may exceed the limit by so many,
-	closingDivisor      = 4                // or by this part of the limit if that is less
-	inwardDivisor       = 2                // clients' connections may have this part of the places,
-	inwardEvictDivisor  = 4                // from this part on a new one takes the place of an idle one,
-	unusedDivisor       = 4                // and unused ones among them may have this part
-	minUnusedAge        = time.Millisecond // for what an unused connection has sent to be read, once the backlog is favored
-	rejectionDivisor    = 2                // connections that are only rejected may have this part of the places beyond the limit
-	attemptsOnlyDivisor = 8                // this part of the places is left to attempts: neither clients nor probes take a free one of them
+	closingCap          = 16               // upper bound of the connections beyond the limit that are being closed
+	closingDivisor      = 4                // share of the limit that bounds them as well
+	inboundDivisor      = 2                // maximum share of inbound connections
+	inboundEvictDivisor = 4                // share from which a new inbound connection evicts an unused or idle inbound one
+	unusedDivisor       = 4                // maximum share of unused inbound connections
+	minUnusedAge        = time.Millisecond // time left to read what an unused connection has sent, once the backlog is prioritized
+	rejectionDivisor    = 2                // maximum share, of the slots beyond the limit, of connections that are only rejected
+	attemptsOnlyDivisor = 8                // share reserved for attempts: neither inbound connections nor probes take free slots of it
 )
 
-// MaxClosing is how many connections may be open beyond the limit, while those that have made room are being closed.
-func MaxClosing(limit int) int { return min(maxClosing, max(1, limit/closingDivisor)) }
+// MaxClosing returns how many connections may be open beyond the limit while evicted ones are being closed.
+func MaxClosing(limit int) int { return min(closingCap, max(1, limit/closingDivisor)) }
 
-// MaxSocketsWithin is the highest limit under which so many descriptors suffice, including those of connections that are being closed; 0 = there
-// is none.
+// MaxSocketsWithin returns the highest limit for which the descriptors suffice, including those of connections being closed;
+// 0 if there is none.
 func MaxSocketsWithin(descriptors int) (limit int) {
 	for limit+1+MaxClosing(limit+1) <= descriptors {
 		limit++
@@ -26,14 +26,13 @@
 	return limit
 }
 
-// limitBesideAttempts is how many places may be used before the others are left to attempts.
-func (b *Budget) limitBesideAttempts() int { return b.limit - b.limit/attemptsOnlyDivisor }
+// limitExceptAttempts returns the number of slots in use from which the remaining ones are reserved for attempts.
+func (b *Budget) limitExceptAttempts() int { return b.limit - b.limit/attemptsOnlyDivisor }
 
-// Side says who opened a connection.
+// Side is the direction in which a connection was opened.
 type Side bool
 
-// The sides. Inbound connections, which clients opened, leave room for the outward ones, without which nothing could be done for them.
 const (
-	Outbound Side = false
-	Inbound  Side = true
+	Outbound Side = false // to a server
+	Inbound  Side = true  // from a client; limited to a share, because its requests need outbound connections
 )
--- a/internal/connlimit/limits_test.go
+++ b/internal/connlimit/limits_test.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// counted is a connection that stands for a descriptor.
-type counted struct {
+// countedConn is a connection that counts as one descriptor while open.
+type countedConn struct {
 	net.Conn
 	open *atomic.Int64
 }
 
-func (c counted) Close() error { c.open.Add(-1); return c.Conn.Close() }
+func (c countedConn) Close() error { c.open.Add(-1); return c.Conn.Close() }
 
-// However many want a place while readers are slow to close what has been evicted, no more are open than the limit and Closing allow;
-// and of the descriptors given to Within none is left over.
-func TestNoMoreIsOpenThanTheSum(t *testing.T) {
+// While readers are slow to close evicted connections, no more are open than the limit and MaxClosing allow. The limit of
+// MaxSocketsWithin uses all descriptors.
+func TestOpenConnectionsStayWithinDescriptors(t *testing.T) {
 	for _, descriptors := range []int{2, 3, 8, 23, 80, 200, 523} {
 		t.Run(fmt.Sprint(descriptors), func(t *testing.T) {
 			var open atomic.Int64
-			limit, worst := MaxSocketsWithin(descriptors), int64(0)
+			limit, maxOpen := MaxSocketsWithin(descriptors), int64(0)
 			b := NewBudget(limit, func(context.Context, string) (net.Conn, error) {
 				c, _ := net.Pipe()
 				open.Add(1)
-				return counted{c, &open}, nil
+				return countedConn{c, &open}, nil
 			})
 			var evicted []*Socket
 			var sockets []*Socket
 			for range 3 * descriptors {
 				s, err := b.Dial(t.Context(), "", time.Second)
-				if err != nil { // all that may be evicted are: one reader gets its turn
-					for i, one := range sockets {
-						if one.IsEvicted() {
-							evicted = append(evicted, one)
+				if err != nil { // no more can be evicted: one reader closes its connection
+					for i, candidate := range sockets {
+						if candidate.IsEvicted() {
+							evicted = append(evicted, candidate)
 							sockets = append(sockets[:i], sockets[i+1:]...)
 							break
 						}
@@ -49,13 +49,13 @@
 				}
 				s.MarkIdle(0)
 				sockets = append(sockets, s)
-				worst = max(worst, open.Load())
+				maxOpen = max(maxOpen, open.Load())
 			}
-			if worst > int64(descriptors) || worst < int64(descriptors)-1 {
-				t.Errorf("%d are open at most, a limit of %d", worst, limit)
+			if maxOpen > int64(descriptors) || maxOpen < int64(descriptors)-1 {
+				t.Errorf("up to %d are open with a limit of %d", maxOpen, limit)
 			}
 			if next := limit + 1; next+MaxClosing(next) <= descriptors {
-				t.Errorf("a limit of %d would do as well as %d", next, limit)
+				t.Errorf("the descriptors suffice for a limit of %d, got %d", next, limit)
 			}
 		})
 	}
--- a/internal/connlimit/socket.go
+++ b/internal/connlimit/socket.go
@@ -8,22 +8,22 @@
 	"plankrouter/internal/sockopt"
 )
 
-// Socket is a connection that counts under the limit until it is closed.
+// Socket is a connection that occupies a slot of its Budget until it is closed or evicted.
 type Socket struct {
 	net.Conn
 	budget       *Budget
 	side         Side
-	evictList    *list.List    // of the Budget's, on which the connection is while it can make room
-	evictElement *list.Element // its place there; nil = it can't make room
-	evictableAt  time.Time     // from when on it can
+	evictList    *list.List    // list of the Budget that holds the connection while it is evictable
+	evictElement *list.Element // its element of that list; nil = not evictable
+	evictableAt  time.Time     // time from which the connection can be evicted
 
 	evicted, closed bool
 }
 
-// MarkIdle lets the connection make room once it has been idle for so long.
+// MarkIdle makes the connection evictable after the given time.
 func (s *Socket) MarkIdle(after time.Duration) { s.markEvictable(&s.budget.idle, after) }
 
-// MarkUnused is MarkIdle for a connection that has brought nothing yet: it makes room before any other.
+// MarkUnused is like MarkIdle, for a connection from which no request has been received yet: it is evicted before idle ones.
 func (s *Socket) MarkUnused(after time.Duration) { s.markEvictable(&s.budget.unused, after) }
 
 func (s *Socket) markEvictable(evictList *list.List, after time.Duration) {
@@ -34,7 +34,7 @@
 		return
 	}
 	s.unmarkEvictable()
-	if b.backlogFavored && evictList == &b.unused {
+	if b.backlogPrioritized && evictList == &b.unused {
 		after = min(after, minUnusedAge)
 	}
 	s.evictList = evictList
@@ -43,7 +43,7 @@
 	b.notifyFreed()
 }
 
-// MarkBusy takes the mark back. False means that the connection has been closed meanwhile.
+// MarkBusy makes the connection not evictable. It reports false if the connection has been closed meanwhile.
 func (s *Socket) MarkBusy() bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
@@ -58,42 +58,43 @@
 	}
 }
 
-// evict gives the connection's place away and wakes its reader, which closes it. Only the reader can tell whether a
-// request has come in meanwhile, which would be lost if the connection were closed here.
+// evict frees the connection's slot and wakes its reader, which closes the connection. It is not closed here because only
+// the reader knows whether a request has arrived meanwhile, which would be lost.
 func (s *Socket) evict() {
 	s.unmarkEvictable()
 	s.evicted = true
 	s.budget.addUsed(s.side, -1)
 	s.budget.evicted++
-	_ = s.SetReadDeadline(time.Unix(1, 0)) // it fails on a closed connection, whose reader is awake
+	_ = s.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection, whose reader has returned already
 }
 
-// IsEvicted reports whether the connection's place has been given away.
+// IsEvicted reports whether the connection has lost its slot; its reader has to close it.
 func (s *Socket) IsEvicted() bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	return s.evicted
 }
 
-// ExtendReadDeadline sets the read deadline. On an evicted connection it reports false, and the reader has to end.
+// ExtendReadDeadline sets the read deadline. It reports false if the connection is evicted or the deadline can't be set; the
+// reader then has to close the connection.
 func (s *Socket) ExtendReadDeadline(t time.Time) bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	return !s.evicted && s.SetReadDeadline(t) == nil
 }
 
-// HasNothingUnread reports whether nothing is unread, neither bytes nor the other side's close or reset.
+// HasNothingUnread reports whether there is nothing to read, neither bytes nor a close or reset by the peer.
 func (s *Socket) HasNothingUnread() bool { return sockopt.HasNothingUnread(s.Conn) }
 
-// HasPeerClosed reports whether the other side has ended its sending or broken the connection.
+// HasPeerClosed reports whether the peer has closed its sending side or reset the connection.
 func (s *Socket) HasPeerClosed() bool { return sockopt.HasPeerClosed(s.Conn) }
 
-// SinceLastReceive is how long ago the last bytes came in, if that is known.
+// SinceLastReceive returns the time since the last bytes arrived, if it is known.
 func (s *Socket) SinceLastReceive() (since time.Duration, known bool) {
 	return sockopt.SinceLastReceive(s.Conn)
 }
 
-// Close closes the connection and gives its place back; further calls do nothing.
+// Close closes the connection and releases its slot; further calls do nothing.
 func (s *Socket) Close() error {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
@@ -116,7 +117,7 @@
 	return err
 }
 
-// CloseWrite ends the sending, on a connection that can do that.
+// CloseWrite closes the sending side, if the connection supports that.
 func (s *Socket) CloseWrite() error {
 	if c, ok := s.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
--- a/internal/sockopt/interrupted_test.go
+++ b/internal/sockopt/interrupted_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A look at a socket that a signal interrupts is made again: else a client that has left would get a server's work, and bytes that
-// nobody has asked for would pass for an answer.
-func TestInterruptedLooksAreRepeated(t *testing.T) {
+// System calls interrupted by a signal are retried. Otherwise a client that has closed would still cause work at a server,
+// and unsolicited bytes would count as a response.
+func TestInterruptedSystemCallsAreRetried(t *testing.T) {
 	realPeek, realPoll := peek, poll
 	defer func() { peek, poll = realPeek, realPoll }()
 	interruptions := 0
@@ -35,35 +35,35 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	theirs, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine, err := l.Accept()
+	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mine.Close()
+	defer conn.Close()
 	interruptions = 3
-	if !HasNothingUnread(mine) {
-		t.Error("nothing has come in, and it is not quiet")
+	if !HasNothingUnread(conn) {
+		t.Error("nothing has arrived, but something counts as unread")
 	}
 	interruptions = 3
-	if HasPeerClosed(mine) {
-		t.Error("it is there, and counts as left")
+	if HasPeerClosed(conn) {
+		t.Error("the peer is open, but counts as closed")
 	}
-	if _, err := theirs.Write([]byte("x")); err != nil {
+	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if err := theirs.Close(); err != nil {
+	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	interruptions = 3
-	if HasNothingUnread(mine) {
-		t.Error("a byte has come in, and it counts as quiet")
+	if HasNothingUnread(conn) {
+		t.Error("a byte has arrived, but nothing counts as unread")
 	}
 	interruptions = 3
-	if !HasPeerClosed(mine) {
-		t.Error("it has left, and counts as there")
+	if !HasPeerClosed(conn) {
+		t.Error("the peer has closed, but counts as open")
 	}
 }
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,5 +1,5 @@
-// Package sockopt has the system calls that look at one socket: whether something has come in, whether the other side has gone, what
-// lies in a listener's backlog. They neither read nor wait.
+// Package sockopt inspects sockets by system calls: whether there is something to read, whether the peer has closed, whether
+// a listener's backlog is empty. The calls neither consume data nor block.
 package sockopt
 
 import (
@@ -14,7 +14,7 @@
 	"plankrouter/internal/transient"
 )
 
-// The system calls themselves; a test puts others in their place.
+// The system calls, as variables for tests.
 var (
 	peek = func(fd int, b []byte) (n int, err error) {
 		if err := faultinjection.Inject(faultinjection.Peek); err != nil {
@@ -31,8 +31,8 @@
 	}
 )
 
-// HasNothingUnread reports whether nothing is unread, neither bytes nor the other side's close or reset. A connection without a descriptor
-// counts as quiet.
+// HasNothingUnread reports whether there is nothing to read, neither bytes nor a close or reset by the peer. It reports true
+// for a connection without a descriptor.
 func HasNothingUnread(c net.Conn) bool {
 	var err error
 	known := control(c, func(fd int) {
@@ -42,8 +42,8 @@
 	return !known || errors.Is(err, syscall.EAGAIN)
 }
 
-// HasPeerClosed reports whether the other side has ended its sending or broken the connection, even if what it sent before that is
-// still unread.
+// HasPeerClosed reports whether the peer has closed its sending side or reset the connection, even if bytes that it sent
+// before are still unread.
 func HasPeerClosed(c net.Conn) (left bool) {
 	control(c, func(fd int) {
 		_, events, err := pollNow(fd, unix.POLLRDHUP)
@@ -52,20 +52,21 @@
 	return left
 }
 
-// pollNow looks for the wanted events without waiting. It returns whether there are any, those of errors included, and which.
+// pollNow polls for the wanted events without blocking. It returns whether there are any, including errors, and which.
 func pollNow(fd int, wanted int16) (ready bool, events int16, err error) {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: wanted}}
 	n, err := transient.Interrupted(func() (int, error) { return poll(fds, 0) })
 	return n > 0, fds[0].Revents, err
 }
 
-// SinceLastReceive is how long ago the last bytes came in, read or not. It is not known if the kernel does not say: this process may have
-// paused before it read them. Bytes of a connection within the process arrive at once.
+// SinceLastReceive returns the time since the last bytes arrived, read or not, as reported by the kernel. The time of the read
+// is no substitute, since the process may have been suspended before it. known is false if the kernel doesn't report it. For
+// a connection without a descriptor the result is 0.
 func SinceLastReceive(c net.Conn) (since time.Duration, known bool) {
 	known = true
 	control(c, func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-		known = err == nil && info.State != 0 // a state of 0 is none of TCP's: the kernel has filled in nothing
+		known = err == nil && info.State != 0 // 0 is not a TCP state: the kernel has filled in nothing
 		if known {
 			since = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
@@ -73,7 +74,7 @@
 	return since, known
 }
 
-// control calls f with the connection's descriptor, and reports whether there is one.
+// control calls f with the descriptor of the connection and reports whether there is one.
 func control(c net.Conn, f func(fd int)) bool {
 	sys, ok := c.(syscall.Conn)
 	if !ok {
@@ -83,8 +84,8 @@
 	return err == nil && raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// HasBacklog reports whether connections wait in the listener's backlog. errors.ErrUnsupported says that the listener is not a socket
-// of the kernel's.
+// HasBacklog reports whether connections wait in the listener's backlog. The error is errors.ErrUnsupported if the listener
+// has no descriptor.
 func HasBacklog(l net.Listener) (waiting bool, err error) {
 	sys, ok := l.(syscall.Conn)
 	if !ok {
@@ -98,8 +99,8 @@
 	return waiting, errors.Join(controlErr, err)
 }
 
-// CloseIfBacklogEmpty closes the listener if its backlog is empty, and reports whether it has. Nothing else happens between the look
-// and the close, because a connection that arrives there is lost.
+// CloseIfBacklogEmpty closes the listener if its backlog is empty, and reports whether it did. It closes directly after the
+// check, because a connection that arrives in between is lost.
 func CloseIfBacklogEmpty(l net.Listener) (closed bool, err error) {
 	if waiting, err := HasBacklog(l); waiting || err != nil {
 		return false, err
