--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -11,7 +11,7 @@
 	unusedDivisor       = 4                // maximum share of unused inbound connections
 	minUnusedAge        = time.Millisecond // time left to read what an unused connection has sent, once the backlog is prioritized
 	rejectionDivisor    = 2                // maximum share, of the slots beyond the limit, of connections that are only rejected
-	attemptsOnlyDivisor = 8                // share reserved for attempts: neither inbound connections nor probes take free slots of it
+	attemptsOnlyDivisor = 8                // share reserved for attempts: inbound connections and probes take no free slot of it
 )
 
 // MaxClosing returns how many connections may be open beyond the limit while evicted ones are being closed.
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -27,7 +27,7 @@
 // whose prior is centered on the neighboring steps. The curve is then made monotone by pooling adjacent violators (Ayer et
 // al., 1955; Barlow et al., Statistical Inference under Order Restrictions, 1972). A break is attributed to the two curves
 // by how far the step of each exceeds the mean. The curves of a server shrink towards those of the fleet, which exclude the
-// servers with the most breaks: a fault at one server says nothing of the others, but the same fault at several does. A new
+// servers with the most breaks: a fault at one server is no evidence for the others, but the same fault at several is. A new
 // connection is expected to break as often as reused ones until there is evidence.
 //
 // Evidence fades with a half-life of Settings.HalfLifeAttempts attempts, bounded by Settings.MinHalfLife and MaxHalfLife, so
@@ -52,7 +52,7 @@
 
 func (u Use) isReused() bool { return u.Carried > 0 || u.Idle > 0 }
 
-// Outcome is how an attempt ended. Attempts that ended in other ways (refused, timed out, cancelled) are not reported.
+// Outcome is how an attempt ended. Attempts that ended in other ways (connection refused, timeout, cancellation) are not reported.
 type Outcome uint8
 
 const (
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -9,7 +9,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// BenchmarkEncoding compares the encoding, with its header and all checks, with those that need no further library.
+// BenchmarkEncoding compares the encoding, including its header and all checks, with gob and JSON.
 func BenchmarkEncoding(b *testing.B) {
 	json := jsoniter.ConfigCompatibleWithStandardLibrary
 	for _, size := range [][2]int{{23, 8}, {2000, 50}} {
@@ -34,8 +34,8 @@
 			},
 		} {
 			raw, err := l.encode()
-			run := func(what string, f func() error) {
-				b.Run(fmt.Sprintf("%dx%d/%s/%s", size[0], size[1], l.name, what), func(b *testing.B) {
+			run := func(operation string, f func() error) {
+				b.Run(fmt.Sprintf("%dx%d/%s/%s", size[0], size[1], l.name, operation), func(b *testing.B) {
 					b.ReportAllocs()
 					for b.Loop() {
 						if err = f(); err != nil {
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -9,29 +9,29 @@
 	"plankrouter/internal/endpoints"
 )
 
-// Bounds of a snapshot's parts.
+// Bounds of the parts of a snapshot.
 const (
-	maxServers    = maxElements
-	maxTenants    = 4096
-	maxClasses    = 1024
-	maxTextBytes  = 512     // bytes of a name or address
-	maxReuseBytes = 1 << 18 // bytes
-	maxNumber     = 1e15    // no time in ms, count or sum comes near it, and its square is still a number
-	maxUnixMs     = 253402300799999
+	maxServers        = maxElements
+	maxTenants        = 4096
+	maxClasses        = 1024
+	maxTextBytes      = 512 // bytes of a name or address
+	maxKeepaliveBytes = 1 << 18
+	maxNumber         = 1e15            // times in ms, counts and sums stay far below it, and its square is finite
+	maxUnixMs         = 253402300799999 // end of the year 9999
 )
 
-// check returns a *FieldError for a field with a value that no sidecar can have learned.
+// check returns a *FieldError for the first field whose value is out of bounds.
 func (s *Snapshot) check() error {
 	if t := s.TakenAt.UnixMilli(); t < 0 || t > maxUnixMs {
-		return &FieldError{"TakenAt", fmt.Sprintf("%d Unix ms is no time", t)}
+		return &FieldError{"TakenAt", fmt.Sprintf("%d Unix ms is out of range", t)}
 	}
-	if err := checkTexts("Program Deployment Discovery", s.Program, s.Deployment, s.Discovery); err != nil {
+	if err := checkStrings("Program Deployment Discovery", s.Program, s.Deployment, s.Discovery); err != nil {
 		return err
 	}
 	if err := checkCount("Members", len(s.Members), maxServers); err != nil {
 		return err
 	}
-	if err := checkCount("Keepalive", len(s.Keepalive), maxReuseBytes); err != nil {
+	if err := checkCount("Keepalive", len(s.Keepalive), maxKeepaliveBytes); err != nil {
 		return err
 	}
 	seen := make(map[string]bool, len(s.Members))
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// in puts the field of the error into an outer one. The checks below return a *FieldError, nil if all is well.
+// in returns the error with the path of its field prefixed. The checks below return nil if the values are valid.
 func (e *FieldError) in(format string, args ...any) *FieldError {
 	return &FieldError{fmt.Sprintf(format, args...) + e.Field, e.Problem}
 }
@@ -55,7 +55,7 @@
 	if err := checkName("ID", m.ID, seen); err != nil {
 		return err
 	}
-	if err := checkTexts("Address Zone Phase", m.Address, m.Zone, m.Phase); err != nil {
+	if err := checkStrings("Address Zone Phase", m.Address, m.Zone, m.Phase); err != nil {
 		return err
 	}
 	if _, _, err := net.SplitHostPort(m.Address); err != nil && m.Phase == endpoints.Serving {
@@ -124,17 +124,18 @@
 	return nil
 }
 
-// checkNumbers checks that values are finite and not negative. Their names are given in their order, with spaces between.
+// checkNumbers checks that values are within 0 and maxNumber. names lists their field names in the same order, separated by
+// spaces; the same holds for the checks below.
 func checkNumbers(names string, values ...float64) *FieldError {
 	for i, v := range values {
-		if !(v >= 0 && v <= maxNumber) { // which NaN is not either
-			return &FieldError{strings.Fields(names)[i], fmt.Sprintf("%g is negative, infinite or no number", v)}
+		if !(v >= 0 && v <= maxNumber) { // also true for NaN
+			return &FieldError{strings.Fields(names)[i], fmt.Sprintf("%g is negative, too large or not a number", v)}
 		}
 	}
 	return nil
 }
 
-// checkFractions checks that values lie within 0 and 1.
+// checkFractions checks that values are within 0 and 1.
 func checkFractions(names string, values ...float64) *FieldError {
 	for i, v := range values {
 		if !(v >= 0 && v <= 1) {
@@ -144,8 +145,8 @@
 	return nil
 }
 
-// checkTexts checks that values are of a moderate length and UTF-8.
-func checkTexts(names string, values ...string) *FieldError {
+// checkStrings checks that values are valid UTF-8 of at most maxTextBytes.
+func checkStrings(names string, values ...string) *FieldError {
 	for i, v := range values {
 		if len(v) > maxTextBytes || !utf8.ValidString(v) {
 			return &FieldError{strings.Fields(names)[i], fmt.Sprintf("over %d bytes or not UTF-8", maxTextBytes)}
@@ -154,19 +155,19 @@
 	return nil
 }
 
-// checkName checks that a name is there and was not seen before.
+// checkName checks that a name is valid, not empty and not in seen, and adds it there.
 func checkName(field, v string, seen map[string]bool) *FieldError {
 	if v == "" || seen[v] {
 		return &FieldError{field, fmt.Sprintf("%.64q is empty or given twice", v)}
 	}
 	seen[v] = true
-	return checkTexts(field, v)
+	return checkStrings(field, v)
 }
 
-// checkCount checks that a list is not too long.
+// checkCount checks that a list has at most limit elements.
 func checkCount(field string, n, limit int) *FieldError {
 	if n > limit {
-		return &FieldError{field, fmt.Sprintf("%d of them, the limit is %d", n, limit)}
+		return &FieldError{field, fmt.Sprintf("%d elements, the limit is %d", n, limit)}
 	}
 	return nil
 }
--- a/internal/snapshot/dropped.go
+++ b/internal/snapshot/dropped.go
@@ -7,10 +7,9 @@
 	"strings"
 )
 
-// Reason says why something was left out.
+// Reason says why a part of a snapshot was dropped.
 type Reason string
 
-// The reasons.
 const (
 	OtherProgram    Reason = "another program"
 	OtherDeployment Reason = "another deployment"
@@ -24,7 +23,7 @@
 	NewerList       Reason = "a newer list"
 )
 
-// What may be left out, as Summary names it.
+// Parts that can be dropped, as named in the output of Summary.
 const (
 	droppedMember      = "member"
 	droppedDrain       = "drain"
@@ -36,20 +35,20 @@
 	droppedFit         = "fit"
 	droppedTenants     = "tenants"
 	droppedRates       = "rates"
-	droppedReuse       = "reuse"
-	droppedServer      = "server"  // all that was learned of it
-	droppedLearned     = "learned" // all that was learned
+	droppedKeepalive   = "reuse"
+	droppedServer      = "server"  // everything learned about one server
+	droppedLearned     = "learned" // everything learned
 )
 
-// Dropped is something left out.
+// Dropped describes a part of a snapshot that was dropped.
 type Dropped struct {
 	What   string
-	Server string // id of the one that it concerns, "" = it concerns none or all
-	Count  int    // of pieces
+	Server string // id of the server concerned; "" = not specific to one server
+	Count  int    // number of elements dropped
 	Reason Reason
 }
 
-// Summary counts what was left out by kind and reason, as key=value pairs for a log line.
+// Summary returns the number of dropped elements by kind and reason, as key=value pairs for a log line.
 func Summary(all []Dropped) string {
 	type kind struct {
 		what string
--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -13,20 +13,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The version of the form. Fields may be added under a higher minor version, which older programs skip; all other
-// changes take a higher major one, which they refuse.
+// Version of the format. A higher minor version may add fields, which older programs skip. All other changes require a
+// higher major version, which older programs reject.
 const (
 	Major = 1
 	Minor = 0
 )
 
-// DefaultMaxBytes bounds an encoded snapshot.
+// DefaultMaxBytes is the default bound on the size of an encoded snapshot.
 const DefaultMaxBytes = 4 << 20
 
-// The header: magic, major and minor version, length of the payload, wall time in Unix ms, checksum of all that is
-// before it and of the payload. Numbers are big-endian.
+// Layout of the header: magic, major and minor version, length of the payload, wall clock time in Unix ms, checksum over the
+// preceding header fields and the payload. Numbers are big-endian.
 const (
-	magic          = "\x89PRSNAP\n" // no text begins like this, and a transfer as text would alter it
+	magic          = "\x89PRSNAP\n" // not the start of any text, and altered by a transfer in text mode
 	majorOffset    = len(magic)
 	minorOffset    = majorOffset + 2
 	lengthOffset   = minorOffset + 2
@@ -35,30 +35,30 @@
 	headerSize     = checksumOffset + 4
 )
 
-// Errors of Decode and Encode, wrapped. A field at fault is a *FieldError.
+// Errors of Decode and Encode, which wrap them. An invalid field is reported as a *FieldError.
 var (
 	ErrNotSnapshot = errors.New("not a snapshot")
-	ErrVersion     = errors.New("another major version")
-	ErrCutShort    = errors.New("cut short")
-	ErrChecksum    = errors.New("checksum wrong")
+	ErrVersion     = errors.New("unsupported major version")
+	ErrCutShort    = errors.New("file is truncated")
+	ErrChecksum    = errors.New("checksum mismatch")
 	ErrTooLarge    = errors.New("too large")
 )
 
-// FieldError names a field that is malformed.
+// FieldError reports a field with an invalid value.
 type FieldError struct {
-	Field   string // as in Members[3].Address
+	Field   string // path of the field, such as Members[3].Address
 	Problem string
 }
 
 func (e *FieldError) Error() string { return "snapshot: " + e.Field + ": " + e.Problem }
 
-// Limits of the decoder, before those of each list: even an array of the smallest elements stays a small multiple of
-// its input in memory.
+// Limits of the decoder, which apply before the checks of each list. They keep the memory for a decoded array to a small
+// multiple of its encoded size, even if it consists of the smallest elements.
 const (
 	maxElements   = 16384
 	maxPairs      = 1024
 	maxNesting    = 16
-	minTallyBytes = 5 // bytes: the head of an array and four numbers
+	minTallyBytes = 5 // header of an array and four numbers of 1 byte each
 )
 
 var (
@@ -82,14 +82,14 @@
 	return v
 }
 
-// Encode returns the snapshot's file, which has at most maxBytes (0 = DefaultMaxBytes); a larger one is
-// ErrTooLarge. What Decode would refuse is refused here. It is safe for concurrent use, like Decode.
+// Encode returns the contents of the snapshot's file. It returns ErrTooLarge if they exceed maxBytes (0 = DefaultMaxBytes),
+// and a *FieldError for values that Decode would reject. Encode and Decode are safe for concurrent use.
 func Encode(s *Snapshot, maxBytes int) ([]byte, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	maxBytes = orDefault(maxBytes)
-	b := bytes.NewBuffer(make([]byte, headerSize, min(maxBytes, s.usualSize())))
+	b := bytes.NewBuffer(make([]byte, headerSize, min(maxBytes, s.estimatedSize())))
 	if err := encoder.MarshalToBuffer(s, b); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -100,8 +100,8 @@
 	return b.Bytes(), nil
 }
 
-// usualSize is what a snapshot usually takes: a large one must not be copied again and again as it grows.
-func (s *Snapshot) usualSize() int {
+// estimatedSize returns an estimate of the encoded size, so that the buffer of a large snapshot is not reallocated repeatedly.
+func (s *Snapshot) estimatedSize() int {
 	n := 1024 + len(s.Keepalive) + 96*len(s.Members) + 20*len(s.Learned.Tenants)
 	for i := range s.Learned.Servers {
 		n += 80 + 32*len(s.Learned.Servers[i].Outcomes)
@@ -116,7 +116,7 @@
 	return maxBytes
 }
 
-// writeHeader fills in the header of b, whose payload is in place.
+// writeHeader writes the header of b, whose payload must be in place.
 func writeHeader(b []byte, major, minor uint16, taken int64) {
 	copy(b, magic)
 	binary.BigEndian.PutUint16(b[majorOffset:], major)
@@ -126,13 +126,13 @@
 	binary.BigEndian.PutUint32(b[checksumOffset:], checksum(b))
 }
 
-// checksum is that of all but itself. CRC-32C finds every change of up to 32 bits in a row.
+// checksum returns the CRC-32C of b without the checksum field. It detects every burst error of up to 32 bits.
 func checksum(b []byte) uint32 {
 	return crc32.Update(crc32.Checksum(b[:checksumOffset], castagnoli), castagnoli, b[headerSize:])
 }
 
-// Decode reads what Encode made. It holds nothing of b, never panics, and takes no more memory than a small multiple of
-// b's length; to bound that is up to the caller.
+// Decode decodes a result of Encode. It keeps no reference to b, never panics, and uses memory of at most a small multiple
+// of len(b), which the caller has to bound.
 func Decode(b []byte) (*Snapshot, error) {
 	payload, err := openPayload(b)
 	if err != nil {
@@ -164,41 +164,42 @@
 	if int64(len(payload)) < length {
 		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCutShort, len(payload), length)
 	}
-	if checksum(b) != binary.BigEndian.Uint32(b[checksumOffset:]) { // of all that follows the header, were it too long
+	if checksum(b) != binary.BigEndian.Uint32(b[checksumOffset:]) { // covers all bytes after the header, excess ones too
 		return nil, ErrChecksum
 	}
 	return payload, nil
 }
 
-// UnmarshalCBOR refuses a list that claims more elements than its bytes can hold, before there is room made for them:
-// the decoder looks at what each one is only afterwards, and a list for every server adds up.
+// UnmarshalCBOR rejects a list whose header states more elements than its bytes can hold, before memory for them is
+// allocated. The decoder checks the elements only after that, and there is one such list per server.
 func (t *Tallies) UnmarshalCBOR(b []byte) error {
 	if n := arrayLength(b); n > uint64(len(b)/minTallyBytes) {
-		return &FieldError{"Learned.Servers.Outcomes", fmt.Sprintf("%d of them in %d bytes", n, len(b))}
+		return &FieldError{"Learned.Servers.Outcomes", fmt.Sprintf("%d elements in %d bytes", n, len(b))}
 	}
 	if err := decoder.Unmarshal(b, (*[]Tally)(t)); err != nil {
-		*t = nil // the decoder goes on to the next list, whatever this one was
+		*t = nil // the decoder continues with the next list after an error
 		return &FieldError{"Learned.Servers.Outcomes", err.Error()}
 	}
 	return nil
 }
 
-// arrayLength reads the head of a well-formed array (RFC 8949, section 3); what is no array has none.
+// arrayLength returns the length in the header of a well-formed array (RFC 8949, section 3); 0 for any other item.
 func arrayLength(b []byte) (n uint64) {
 	if b[0]>>5 != 4 {
 		return 0
 	}
-	more := b[0] & 0x1f // below 24 the number itself, else that of the bytes that it has, as a power of two
-	if more < 24 {
-		return uint64(more)
+	info := b[0] & 0x1f // below 24 the length itself, else 24 + log2 of the number of bytes that encode the length
+	if info < 24 {
+		return uint64(info)
 	}
-	for _, digit := range b[1 : 1+1<<(more-24)] {
-		n = n<<8 | uint64(digit)
+	for _, next := range b[1 : 1+1<<(info-24)] {
+		n = n<<8 | uint64(next)
 	}
 	return n
 }
 
-// fieldError names the field of Snapshot that the decoder stumbled over, where it tells: it does so by the key.
+// fieldError converts an error of the decoder to a *FieldError. It derives the field of Snapshot from the key in the error,
+// if there is one.
 func fieldError(err error) error {
 	var field *FieldError
 	if errors.As(err, &field) {
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestGoldenSnapshot checks that a snapshot written by an earlier version is read in full and that this version writes the same bytes.
+// TestGoldenSnapshot checks that a snapshot written by an earlier version is decoded in full and encoded to the same bytes.
 func TestGoldenSnapshot(t *testing.T) {
 	stored, err := os.ReadFile(filepath.Join("testdata", "golden.snapshot"))
 	if err != nil {
@@ -23,6 +23,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written, stored) {
-		t.Errorf("written again as %x, stored as %x", written, stored)
+		t.Errorf("encoded again as %x, stored as %x", written, stored)
 	}
 }
--- a/internal/snapshot/list.go
+++ b/internal/snapshot/list.go
@@ -7,17 +7,17 @@
 	"plankrouter/internal/endpoints"
 )
 
-// List is discovery's list of servers.
+// List is the endpoint list of a discovery service.
 type List struct {
-	Discovery string // address of the discovery service that it is from
-	Revision  uint64 // 0 = not as it was sent: ask for the whole list
+	Discovery string // address of the discovery service
+	Revision  uint64 // 0 = differs from the list that discovery sent, so that the complete list has to be requested
 	Members   []Member
 }
 
-// List returns the snapshot's list.
+// List returns the endpoint list of the snapshot.
 func (s *Snapshot) List() List { return List{s.Discovery, s.Revision, s.Members} }
 
-// FromEndpoints is the list that the configuration knows of, whose phases count as listed at that moment.
+// FromEndpoints converts an endpoint list of the given discovery service. All phases count as first listed at listedAt.
 func FromEndpoints(l endpoints.List, discovery string, listedAt time.Time) List {
 	out := List{Discovery: discovery, Revision: l.Revision}
 	for _, m := range l.Endpoints {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// ToEndpoints is the list in the form in which the rest of the program takes it, whole.
+// ToEndpoints converts the list to a complete endpoints.List.
 func (l List) ToEndpoints() endpoints.List {
 	out := endpoints.List{Revision: l.Revision, Complete: true, Endpoints: make([]endpoints.Endpoint, 0, len(l.Members))}
 	for _, m := range l.Members {
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -8,60 +8,60 @@
 	"plankrouter/internal/config"
 )
 
-// Restored is what a start has to go by.
+// Restored is the state that a process starts with.
 type Restored struct {
 	List      List
 	Learned   Learned
 	Keepalive []byte
 }
 
-// Restore puts DropStale, Merge and Match together: what a start at now takes of a snapshot, nil for none, beside the list
-// that its configuration knows. known.Directory is the discovery service that will be asked.
+// Restore combines DropStale, Merge and Match. It returns the state to start with at now from a snapshot, nil for none, and
+// the list known from the configuration. known.Discovery is the discovery service that the process will use.
 func Restore(s *Snapshot, known List, now time.Time, rules ValidityRules) (Restored, []Dropped) {
 	if s == nil {
 		return Restored{List: known.clone()}, nil
 	}
 	s, dropped := DropStale(s, now, rules)
-	list, more := Merge(s.List(), known)
-	dropped = append(dropped, more...)
-	s.Learned.Servers, more = Match(s.Learned.Servers, list.Members)
-	return Restored{List: list, Learned: s.Learned, Keepalive: s.Keepalive}, append(dropped, more...)
+	list, alsoDropped := Merge(s.List(), known)
+	dropped = append(dropped, alsoDropped...)
+	s.Learned.Servers, alsoDropped = Match(s.Learned.Servers, list.Members)
+	return Restored{List: list, Learned: s.Learned, Keepalive: s.Keepalive}, append(dropped, alsoDropped...)
 }
 
-// DropStale returns what of s is still true at now, and what was left out. Times of the policy's clock come out as Unix ms
-// of the wall clock, none later than the snapshot or than now: nothing is taken for fresher than it is. A start time is
-// never altered, so that a server that was cold is as cold as that says. s stays as it is.
+// DropStale returns the parts of s that are still valid at now, and those that were dropped. It converts times of the policy's
+// clock to Unix ms of the wall clock, none later than the snapshot or now, so that nothing counts as fresher than it is. Start
+// times are unchanged, so that slow start continues from them. s is not modified.
 func DropStale(s *Snapshot, now time.Time, rules ValidityRules) (*Snapshot, []Dropped) {
 	v := validator{rules: rules, now: unixMs(now), takenAt: unixMs(s.TakenAt)}
 	if s.Learned.Now > 0 {
 		v.clockOffset = v.takenAt - s.Learned.Now
 	}
 	out := &Snapshot{TakenAt: s.TakenAt, Program: s.Program, Deployment: s.Deployment, Discovery: s.Discovery}
-	var foreign, otherDiscovery, future Reason
-	foreign = s.foreignReason(rules)
+	var mismatch, otherDiscovery, future Reason
+	mismatch = s.originMismatch(rules)
 	if s.Discovery != rules.Discovery {
 		otherDiscovery = OtherDiscovery
 	}
 	if s.TakenAt.Sub(now) > rules.MaxClockSkew {
 		future = FromTheFuture
 	}
-	v.keepMembers(s, out, cmp.Or(foreign, otherDiscovery, future), foreign != "" && otherDiscovery != "")
-	if reason := cmp.Or(foreign, future); reason != "" {
+	v.keepMembers(s, out, cmp.Or(mismatch, otherDiscovery, future), mismatch != "" && otherDiscovery != "")
+	if reason := cmp.Or(mismatch, future); reason != "" {
 		v.drop(droppedLearned, "", 1, reason)
-		v.drop(droppedReuse, "", min(1, len(s.Keepalive)), reason)
+		v.drop(droppedKeepalive, "", min(1, len(s.Keepalive)), reason)
 		return out, v.dropped
 	}
 	v.keepLearned(s, out, otherDiscovery)
-	if otherDiscovery != "" { // it is of single servers, too
-		v.drop(droppedReuse, "", min(1, len(s.Keepalive)), otherDiscovery)
-	} else if v.keepFresh(v.takenAt, rules.MaxKeepaliveAge, droppedReuse, "", min(1, len(s.Keepalive))) {
+	if otherDiscovery != "" { // it contains evidence about single servers, too
+		v.drop(droppedKeepalive, "", min(1, len(s.Keepalive)), otherDiscovery)
+	} else if v.keepFresh(v.takenAt, rules.MaxKeepaliveAge, droppedKeepalive, "", min(1, len(s.Keepalive))) {
 		out.Keepalive = slices.Clone(s.Keepalive)
 	}
 	return out, v.dropped
 }
 
-// foreignReason says why s is not of this program and deployment; "" = it is.
-func (s *Snapshot) foreignReason(rules ValidityRules) Reason {
+// originMismatch returns why s is not from this program and deployment; "" if it is.
+func (s *Snapshot) originMismatch(rules ValidityRules) Reason {
 	switch {
 	case s.Program != rules.Program:
 		return OtherProgram
@@ -71,16 +71,16 @@
 	return ""
 }
 
-// keepMembers keeps the list if no reason speaks against it, and unless foreign what it says of servers that drain or are gone: even
-// from the future, since that holds until discovery says otherwise.
-func (v *validator) keepMembers(s, out *Snapshot, reason Reason, foreign bool) {
+// keepMembers keeps the available servers if reason is empty and the list is not too old. It keeps draining and deleted ones
+// for MaxDrainAge unless otherFleet is set, even of a snapshot from the future: they stay so until discovery lists otherwise.
+func (v *validator) keepMembers(s, out *Snapshot, reason Reason, otherFleet bool) {
 	if reason == "" && v.now-v.takenAt > config.Millis(v.rules.MaxListAge) {
 		reason = TooOld
 	}
 	for _, m := range s.Members {
 		asOf := v.takenAt
 		if m.availability() == deleted && m.PhaseSince > 0 {
-			asOf = v.clampToPast(m.PhaseSince) // the list says no more of it; one that drains is in it until the end
+			asOf = v.clampToPast(m.PhaseSince) // deleted servers are no longer listed, while draining ones are listed until they end
 		}
 		if m.PhaseSince > 0 {
 			m.PhaseSince = max(0, v.clampToPast(m.PhaseSince))
@@ -91,7 +91,7 @@
 		switch {
 		case m.availability() == available && reason != "":
 			v.drop(droppedMember, m.ID, 1, reason)
-		case m.availability() != available && foreign:
+		case m.availability() != available && otherFleet:
 			v.drop(droppedDrain, m.ID, 1, reason)
 		case m.availability() == available || v.keepFresh(asOf, v.rules.MaxDrainAge, droppedDrain, m.ID, 1):
 			out.Members = append(out.Members, m)
@@ -102,7 +102,8 @@
 	}
 }
 
-// keepLearned keeps what the policy has learned; what concerns single servers only if otherDiscovery, the reason against that, is empty.
+// keepLearned keeps the valid parts of what the policy has learned. If otherDiscovery is not empty, it is the reason for
+// which everything about single servers is dropped.
 func (v *validator) keepLearned(s, out *Snapshot, otherDiscovery Reason) {
 	learned, kept := &s.Learned, &out.Learned
 	kept.Now = v.clampToPast(v.takenAt)
@@ -132,16 +133,16 @@
 		v.drop(droppedServer, "", len(learned.Servers), otherDiscovery)
 		return
 	}
-	matching, gone := Match(learned.Servers, s.Members)
-	v.dropped = append(v.dropped, gone...)
-	for i := range matching {
-		if one := v.keepServer(&matching[i]); one.Latency > 0 || one.RoundTrip > 0 || one.ErrorRate > 0 || len(one.Outcomes) > 0 {
-			kept.Servers = append(kept.Servers, one)
+	matched, unmatched := Match(learned.Servers, s.Members)
+	v.dropped = append(v.dropped, unmatched...)
+	for i := range matched {
+		if server := v.keepServer(&matched[i]); server.Latency > 0 || server.RoundTrip > 0 || server.ErrorRate > 0 || len(server.Outcomes) > 0 {
+			kept.Servers = append(kept.Servers, server)
 		}
 	}
 }
 
-// keepServer keeps what is still true of one server's process.
+// keepServer returns what is still valid of one server's process.
 func (v *validator) keepServer(in *LearnedServer) LearnedServer {
 	out := LearnedServer{Name: in.Name, StartedAt: in.StartedAt}
 	reportedAt := v.clampToPast(v.takenAt)
@@ -163,39 +164,39 @@
 			v.drop(droppedErrors, in.Name, 1, WeightTooLow)
 		}
 	}
-	if in.SlowStartBudget.At > 0 { // it fills by itself
+	if in.SlowStartBudget.At > 0 { // needs no age limit: the budget refills over time
 		out.SlowStartBudget = Rate{Value: in.SlowStartBudget.Value, At: v.toWallClock(in.SlowStartBudget.At)}
 	}
 	out.Outcomes = v.keepOutcomes(in)
 	return out
 }
 
-// keepOutcomes keeps the outcomes of tenants that there are, as long as they weigh something.
+// keepOutcomes returns the outcomes of configured tenants whose remaining weight is at least MinOutcomeWeight.
 func (v *validator) keepOutcomes(in *LearnedServer) (kept Tallies) {
-	beyond, faded := 0, 0
+	unknownTenant, faded := 0, 0
 	for _, t := range in.Outcomes {
 		t.At = v.toWallClock(t.At)
 		switch {
 		case int64(t.Tenant) > int64(v.rules.Tenants):
-			beyond++
+			unknownTenant++
 		case (t.Successes+t.Failures)*v.remainingWeight(t.At) < v.rules.MinOutcomeWeight:
 			faded++
 		default:
 			kept = append(kept, t)
 		}
 	}
-	v.drop(droppedOutcomes, in.Name, beyond, NoSuchPosition)
+	v.drop(droppedOutcomes, in.Name, unknownTenant, NoSuchPosition)
 	v.drop(droppedOutcomes, in.Name, faded, WeightTooLow)
 	return kept
 }
 
-// Match keeps what was learned of the processes that members still name: a server that has started anew is another
-// one.
+// Match returns what was learned about processes that are still listed in members, and drops the rest. A server with another
+// start time is another process.
 func Match(servers []LearnedServer, members []Member) (kept []LearnedServer, dropped []Dropped) {
 	listed := List{Members: members}.byID()
 	for _, s := range servers {
-		switch m, have := listed[s.Name]; {
-		case !have || m.availability() == deleted:
+		switch m, ok := listed[s.Name]; {
+		case !ok || m.availability() == deleted:
 			dropped = append(dropped, Dropped{What: droppedServer, Server: s.Name, Count: 1, Reason: NotListed})
 		case m.StartedAt != s.StartedAt:
 			dropped = append(dropped, Dropped{What: droppedServer, Server: s.Name, Count: 1, Reason: OtherProcess})
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -10,8 +10,8 @@
 	"plankrouter/internal/endpoints"
 )
 
-// smallFleet is a snapshot of a small fleet: a server that serves, one in slow start, one that drains and one that is gone.
-// The policy's clock lags 10 s behind the wall clock.
+// smallFleet returns a snapshot with one serving server, one in slow start, one draining and one deleted. The policy's clock
+// is 10 s behind the wall clock.
 func smallFleet() *Snapshot {
 	at, s := unixMs(testTakenAt), largeFleet(3, 1)
 	s.Members = append(s.Members, Member{ID: "gone", Phase: endpoints.Deleted, PhaseSince: at - 3600e3})
@@ -34,18 +34,18 @@
 	return r
 }
 
-// describe says what of smallFleet is left: its members, its parts, and of each server the latency, what it said of its
-// failures and the number of tallies.
+// describe lists what is left of smallFleet: the members, the parts, and for each server whether its latency and its reported
+// error rate are left and the number of tallies.
 func describe(s *Snapshot) (out string) {
 	for _, m := range s.Members {
 		out += m.ID + " "
 	}
 	l := &s.Learned
-	for i, have := range []bool{
+	for i, present := range []bool{
 		s.Revision > 0, l.FleetLatency > 0, l.Fit.SumLoadSquared > 0, len(l.Tenants) > 0,
 		l.Arrivals.Value > 0 && l.Sends.Value > 0, len(s.Keepalive) > 0,
 	} {
-		if have {
+		if present {
 			out += strings.Fields("list fleet fit tenants rates reuse")[i] + " "
 		}
 	}
@@ -62,24 +62,24 @@
 		age  time.Duration
 		set  func(*Snapshot, *ValidityRules)
 		want string
-		why  string // among others
+		why  string // expected part of the summary
 	}{
-		{"at once", 0, nil, all + learned + " s:++2 w:++2 d:++2", ""},
-		{"a clock a bit back", -time.Second, nil, all + learned + " s:++2 w:++2 d:++2", ""},
-		{"outcomes fade", 10 * time.Second, nil, all + learned + " s:++1 w:++1 d:++1", `outcomes=3 why="faded away"`},
-		{"seconds", 20 * time.Second, nil, all + " fleet fit reuse s:+-0 w:+-0 d:+-0", `tenants=1 why="too old"`},
-		{"minutes", 3 * time.Minute, nil, all + " fleet reuse s:+-0 w:+-0 d:+-0", `dropped_fit=1 why="too old"`},
-		{"more minutes", 6 * time.Minute, nil, all, `dropped_service_time=3 why="too old"`},
-		{"a day", 25 * time.Hour, nil, "drains gone", `dropped_member=2 why="too old"`},
-		{"a week", 8 * 24 * time.Hour, nil, "", `dropped_drain=2 why="too old"`},
-		{"the future", -time.Minute, nil, "drains gone", `dropped_learned=1 why="from the future"`},
+		{"no delay", 0, nil, all + learned + " s:++2 w:++2 d:++2", ""},
+		{"clock slightly behind", -time.Second, nil, all + learned + " s:++2 w:++2 d:++2", ""},
+		{"old outcomes", 10 * time.Second, nil, all + learned + " s:++1 w:++1 d:++1", `outcomes=3 why="faded away"`},
+		{"after seconds", 20 * time.Second, nil, all + " fleet fit reuse s:+-0 w:+-0 d:+-0", `tenants=1 why="too old"`},
+		{"after minutes", 3 * time.Minute, nil, all + " fleet reuse s:+-0 w:+-0 d:+-0", `dropped_fit=1 why="too old"`},
+		{"after more minutes", 6 * time.Minute, nil, all, `dropped_service_time=3 why="too old"`},
+		{"after a day", 25 * time.Hour, nil, "drains gone", `dropped_member=2 why="too old"`},
+		{"after a week", 8 * 24 * time.Hour, nil, "", `dropped_drain=2 why="too old"`},
+		{"from the future", -time.Minute, nil, "drains gone", `dropped_learned=1 why="from the future"`},
 		{
 			"another program", 0, func(_ *Snapshot, r *ValidityRules) { r.Program = "" }, "drains gone",
 			`dropped_member=2 why="another program"`,
 		},
 		{"another deployment", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment = "" }, "drains gone", ""},
 		{
-			"another fleet", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment, r.Discovery = "", "" }, "",
+			"another deployment and discovery service", 0, func(_ *Snapshot, r *ValidityRules) { r.Deployment, r.Discovery = "", "" }, "",
 			`dropped_drain=2 why="another deployment"`,
 		},
 		{
@@ -87,11 +87,11 @@
 			`dropped_server=3 why="another discovery service"`,
 		},
 		{
-			"fewer positions", 0, func(_ *Snapshot, r *ValidityRules) { r.Tenants, r.Classes = 0, 1 },
+			"fewer tenants and classes", 0, func(_ *Snapshot, r *ValidityRules) { r.Tenants, r.Classes = 0, 1 },
 			all + " fleet rates reuse s:++1 w:++1 d:++1", `dropped_outcomes=3 why="no such position"`,
 		},
 		{
-			"started anew", 0, func(s *Snapshot, _ *ValidityRules) { s.Members[0].StartedAt++; s.Learned.Servers[2].Name = "x" },
+			"restarted server", 0, func(s *Snapshot, _ *ValidityRules) { s.Members[0].StartedAt++; s.Learned.Servers[2].Name = "x" },
 			all + learned + " w:++2", `dropped_server=1 why="another process" dropped_server=1 why="not listed"`,
 		},
 	} {
@@ -105,13 +105,13 @@
 		if text := Summary(why); !strings.Contains(text, c.why) {
 			t.Errorf("%s: %s", c.what, text)
 		}
-		checkEqual(t, c.what+": the argument", before, must(Encode(s, 0)))
+		checkEqual(t, c.what+": argument modified", before, must(Encode(s, 0)))
 		for _, m := range got.Members {
-			if was := s.List().byID()[m.ID]; m.StartedAt != was.StartedAt || m.PhaseSince > min(was.PhaseSince, unixMs(now)) {
-				t.Errorf("%s: %+v was %+v", c.what, m, was)
+			if previous := s.List().byID()[m.ID]; m.StartedAt != previous.StartedAt || m.PhaseSince > min(previous.PhaseSince, unixMs(now)) {
+				t.Errorf("%s: %+v was %+v", c.what, m, previous)
 			}
 		}
-		for _, p := range got.Learned.Servers { // on the wall clock, as old as it was, and no younger than now
+		for _, p := range got.Learned.Servers { // converted to the wall clock, of the same age, and not later than now
 			checkEqual(t, c.what, min(unixMs(testTakenAt)-100, unixMs(now)), p.ReportedAt)
 			for _, e := range p.Outcomes {
 				checkEqual(t, c.what, min(unixMs(testTakenAt)-8e3*float64(e.Tenant), unixMs(now)), e.At)
@@ -120,7 +120,8 @@
 	}
 }
 
-// parseList reads "a7 1+52": of discovery service a in revision 7, server 1 serving (~ draining, x gone), started at 5, listed at 2.
+// parseList parses "a7 1+52": discovery service a, revision 7; server 1, serving (~ draining, x deleted), started at 5, phase
+// listed since 2.
 func parseList(text string) (l List) {
 	phases := map[byte]string{'+': endpoints.Serving, '~': endpoints.Draining, 'x': endpoints.Deleted}
 	for i, w := range strings.Fields(text) {
@@ -137,24 +138,24 @@
 }
 
 func TestMerge(t *testing.T) {
-	for _, c := range []struct{ what, snap, known, want, lost string }{
-		{"a newer snapshot", "a7 1+09 2x09", "a6 2+01 1~01 3+01", "a7 1+09 2x09", "a newer list"},
-		{"the same revision", "a7 1~59", "a7 1~51", "a7 1~59", ""},
-		{"nothing else known", "a0 1+59", "a3", "a0 1+59", ""},
-		{"a newer known list", "a7 1+59 4+09", "a8 1~51 2+01", "a8 1~51 2+01", "a newer list"},
-		{"a drain survives it", "a7 1~59", "a8 1+51", "a0 1~59", ""},
-		{"a deletion too", "a7 1x59", "a8 1~51", "a0 1x59", ""},
-		{"but not a new process", "a7 1~59", "a8 1+91", "a8 1+91", ""},
-		{"nor a new id", "a7 1x59", "a8 2+51", "a8 2+51 1x59", ""},
-		{"of one not listed", "a7 1~59", "a8 2+51", "a0 2+51 1~59", ""},
-		{"the newer one knows more", "a7 1~59", "a8 1x51", "a8 1x51", ""},
+	for _, c := range []struct{ what, snap, known, want, dropped string }{
+		{"newer snapshot", "a7 1+09 2x09", "a6 2+01 1~01 3+01", "a7 1+09 2x09", "a newer list"},
+		{"same revision", "a7 1~59", "a7 1~51", "a7 1~59", ""},
+		{"empty known list", "a0 1+59", "a3", "a0 1+59", ""},
+		{"newer known list", "a7 1+59 4+09", "a8 1~51 2+01", "a8 1~51 2+01", "a newer list"},
+		{"draining persists in a newer list", "a7 1~59", "a8 1+51", "a0 1~59", ""},
+		{"deleted persists in a newer list", "a7 1x59", "a8 1~51", "a0 1x59", ""},
+		{"not for a new process", "a7 1~59", "a8 1+91", "a8 1+91", ""},
+		{"not for a new id", "a7 1x59", "a8 2+51", "a8 2+51 1x59", ""},
+		{"draining server not listed", "a7 1~59", "a8 2+51", "a0 2+51 1~59", ""},
+		{"deleted in the newer list", "a7 1~59", "a8 1x51", "a8 1x51", ""},
 		{"another discovery service", "a9 1~59 2+59 3+59", "b2 1+51 2+01", "b0 1~59 2+59", "another discovery service"},
-		{"that knows nothing", "a9 1~59 2+59", "b0", "b0 1~59", "another discovery service"},
+		{"another discovery service, empty list", "a9 1~59 2+59", "b0", "b0 1~59", "another discovery service"},
 	} {
-		got, lost := Merge(parseList(c.snap), parseList(c.known))
+		got, dropped := Merge(parseList(c.snap), parseList(c.known))
 		checkEqual(t, c.what, parseList(c.want), got)
-		if len(lost) != min(len(c.lost), 1) || len(lost) > 0 && lost[0].Reason != Reason(c.lost) {
-			t.Errorf("%s: %v", c.what, lost)
+		if len(dropped) != min(len(c.dropped), 1) || len(dropped) > 0 && dropped[0].Reason != Reason(c.dropped) {
+			t.Errorf("%s: %v", c.what, dropped)
 		}
 	}
 }
@@ -180,10 +181,10 @@
 	b := config.Settings{Classes: []config.Class{{Name: "a"}, {Name: "bc"}}, Dcs: []string{"z"}}
 	c := config.Settings{Classes: a.Classes, Realms: []config.Realm{{Name: "z"}}}
 	if Fingerprint(&a) == Fingerprint(&b) || Fingerprint(&a) == Fingerprint(&c) {
-		t.Error("it stands for more than one deployment")
+		t.Error("equal for different deployments")
 	}
 	again := config.Settings{Classes: []config.Class{{Name: "ab"}, {Name: "c"}}, Dcs: []string{"z"}}
 	if first, second := Fingerprint(&a), Fingerprint(&a); first != second || first != Fingerprint(&again) {
-		t.Error("one deployment has more than one")
+		t.Error("differs for the same deployment")
 	}
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -10,13 +10,14 @@
 	"syscall"
 )
 
-// ErrBusy means that another writer, of this process or another, is at work on the file.
-var ErrBusy = errors.New("another writer is at work")
+// ErrBusy means that another writer, in this process or another one, holds the lock of the file.
+var ErrBusy = errors.New("another writer holds the lock")
 
-// Step is one of a write, in their order.
+// Step is a step of Store.Write.
 type Step string
 
-// The steps. StepListLeftovers and StepRemoveLeftover may fail without harm: what killed writers have left stays until the next write.
+// Steps in the order in which they run. StepListLeftovers and StepRemoveLeftover may fail: the temporary files of killed
+// writers then stay until the next write.
 const (
 	StepLock           Step = "lock"
 	StepListLeftovers  Step = "list leftovers"
@@ -25,19 +26,19 @@
 	StepWrite          Step = "write"
 	StepSync           Step = "sync"
 	StepRename         Step = "rename"
-	StepSyncDir        Step = "sync the folder"
+	StepSyncDir        Step = "sync the directory"
 )
 
-// Store keeps one snapshot in a file. It is safe for concurrent use.
+// Store reads and writes one snapshot file. It is safe for concurrent use.
 type Store struct {
 	Path     string
-	MaxBytes int // of the file; 0 = DefaultMaxBytes
-	// BeforeStep, if set, is called before each step on a file, and its error is the step's: a test's way to a disk that is
-	// full or hangs, and to a process that is killed.
+	MaxBytes int // bound on the size of the file; 0 = DefaultMaxBytes
+	// BeforeStep, if set, is called before each step; the step fails with its error. Tests use it to simulate a disk that is
+	// full or hangs, and a killed process.
 	BeforeStep func(step Step, path string) error
 }
 
-// runStep runs one step of a write.
+// runStep runs one step of a write and adds the path and the step to its error.
 func (s *Store) runStep(step Step, path string, run func() error) error {
 	var err error
 	if s.BeforeStep != nil {
@@ -52,9 +53,9 @@
 	return nil
 }
 
-// Write puts the snapshot in the place of the file, whole or not at all, and returns once the disk has it. After an
-// error the earlier file is in force, but for one of StepSyncDir: then the new one is, unless power fails. It leaves an
-// empty lock file beside it. A call of the disk may hang, and none can be called off: see Writer.
+// Write replaces the file atomically and returns once it is synced to disk. After an error the previous file is in place;
+// after one of StepSyncDir it is the new one, which a power failure may revert. Write leaves an empty lock file next to the
+// file. A system call on the disk may hang and can't be cancelled: see Writer.
 func (s *Store) Write(snap *Snapshot) error {
 	b, err := Encode(snap, s.MaxBytes)
 	if err != nil {
@@ -90,8 +91,9 @@
 	})
 }
 
-// lock takes the lock of flock(2), which ends with its process however that ends; a file that stands for a lock would
-// outlive a killed one. The file stays: to remove it could part two writers that both think they hold it.
+// lock locks the lock file by flock(2). The kernel releases the lock when the process ends in any way, while a lock that
+// consists in the existence of a file would outlive a killed process. The lock file is not removed: otherwise two writers
+// could each hold a lock, on the removed file and on a new one.
 func (s *Store) lock() (f *os.File, err error) {
 	path := s.Path + ".lock"
 	err = s.runStep(StepLock, path, func() error {
@@ -109,7 +111,7 @@
 	return f, err
 }
 
-// removeLeftovers removes what killed writers have left; the lock says that nobody else is writing.
+// removeLeftovers removes the temporary files of killed writers. The caller holds the lock, so that no other writer uses one.
 func (s *Store) removeLeftovers(dir, prefix string) {
 	var all []os.DirEntry
 	_ = s.runStep(StepListLeftovers, dir, func() (err error) {
@@ -117,16 +119,16 @@
 		return err
 	})
 	for _, e := range all {
-		number, ours := strings.CutPrefix(e.Name(), prefix)
-		if ours && number != "" && strings.Trim(number, "0123456789") == "" && e.Type().IsRegular() {
+		number, ok := strings.CutPrefix(e.Name(), prefix)
+		if ok && number != "" && strings.Trim(number, "0123456789") == "" && e.Type().IsRegular() {
 			path := filepath.Join(dir, e.Name())
 			_ = s.runStep(StepRemoveLeftover, path, func() error { return os.Remove(path) })
 		}
 	}
 }
 
-// writeAndSync writes, syncs and closes. The sync must come before the rename: else a crash may leave the new name with no
-// content.
+// writeAndSync writes b to f, syncs and closes it. The sync has to precede the rename: otherwise a crash may leave an empty
+// file under the new name.
 func (s *Store) writeAndSync(f *os.File, b []byte) error {
 	err := s.runStep(StepWrite, f.Name(), func() error {
 		_, err := f.Write(b)
@@ -138,8 +140,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// Read returns the snapshot in the file. Without one the error is an fs.ErrNotExist; else errors are those of Decode,
-// or of the disk.
+// Read returns the snapshot in the file. The error is fs.ErrNotExist if there is no file, else one of Decode or of the disk.
 func (s *Store) Read() (*Snapshot, error) {
 	f, err := os.Open(s.Path)
 	if err != nil {
@@ -154,9 +155,9 @@
 	if len(b) > maxBytes {
 		return nil, fmt.Errorf("snapshot: %s: %w: the limit is %d bytes", s.Path, ErrTooLarge, maxBytes)
 	}
-	out, err := Decode(b)
+	snap, err := Decode(b)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Path, err)
 	}
-	return out, nil
+	return snap, nil
 }
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -15,54 +15,54 @@
 	"time"
 )
 
-// disaster strikes at one step of a write. It knows what a loss of power would then undo.
-type disaster struct {
-	left     int // steps before it
-	err      error
-	crash    bool            // nothing happens after it
-	unsynced map[string]bool // files that the disk may not have whole
-	replaced []byte          // what the rename took the place of, until the folder is synced
+// faultInjector fails one step of a write and tracks what a power loss would then revert.
+type faultInjector struct {
+	stepsLeft int // steps before the fault
+	err       error
+	crash     bool            // all later steps fail, too
+	unsynced  map[string]bool // files that may not be complete on disk
+	replaced  []byte          // previous contents of the renamed file, until the directory is synced
 }
 
-func (d *disaster) before(path string) func(Step, string) error {
+func (f *faultInjector) before(path string) func(Step, string) error {
 	return func(step Step, at string) error {
-		if d.left--; d.left == -1 || d.left < -1 && d.crash {
+		if f.stepsLeft--; f.stepsLeft == -1 || f.stepsLeft < -1 && f.crash {
 			if step == StepWrite {
 				_ = os.WriteFile(at, []byte("half of it"), 0o600)
 			}
-			return d.err
+			return f.err
 		}
 		switch step {
 		case StepWrite, StepSync:
-			d.unsynced[at] = step == StepWrite
+			f.unsynced[at] = step == StepWrite
 		case StepRename:
-			d.replaced, _ = os.ReadFile(path)
-			d.unsynced[path] = d.unsynced[at]
+			f.replaced, _ = os.ReadFile(path)
+			f.unsynced[path] = f.unsynced[at]
 		case StepSyncDir:
-			d.replaced = nil
+			f.replaced = nil
 		}
 		return nil
 	}
 }
 
-func (d *disaster) powerLoss(path string) {
-	if d.unsynced[path] {
+func (f *faultInjector) powerLoss(path string) {
+	if f.unsynced[path] {
 		_ = os.Truncate(path, 50)
 	}
-	if d.replaced != nil {
-		_ = os.WriteFile(path, d.replaced, 0o600)
+	if f.replaced != nil {
+		_ = os.WriteFile(path, f.replaced, 0o600)
 	}
 }
 
-// At each step of a write in turn something happens. The file is whole all the time, and the next write clears up.
-func TestStoreIsOldOrNew(t *testing.T) {
+// A fault at any step of a write leaves a complete file, the previous or the new one, and the next write removes leftovers.
+func TestFaultyWriteLeavesCompleteFile(t *testing.T) {
 	before, after := largeFleet(3, 1), largeFleet(5, 2)
 	for _, c := range []struct {
 		err          error
 		crash, power bool
 	}{
 		{errors.New("killed"), true, false},
-		{errors.New("no power"), true, true},
+		{errors.New("power loss"), true, true},
 		{syscall.ENOSPC, false, false},
 		{syscall.EROFS, false, false},
 	} {
@@ -75,25 +75,25 @@
 			} {
 				checkEqual(t, what, nil, err)
 			}
-			d := &disaster{left: k, err: c.err, crash: c.crash, unsynced: map[string]bool{}}
-			s.BeforeStep = d.before(s.Path)
+			f := &faultInjector{stepsLeft: k, err: c.err, crash: c.crash, unsynced: map[string]bool{}}
+			s.BeforeStep = f.before(s.Path)
 			err := s.Write(after)
-			if (d.left == 0) != (k == 8) || err != nil && !errors.Is(err, c.err) { // the last run is one without fault
-				t.Fatalf("%s: %d steps left, %v", what, d.left, err)
+			if (f.stepsLeft == 0) != (k == 8) || err != nil && !errors.Is(err, c.err) { // the last run has no fault
+				t.Fatalf("%s: %d steps left, %v", what, f.stepsLeft, err)
 			}
-			if left := must(filepath.Glob(s.Path + ".tmp-[0-9]???*")); !c.crash && left != nil {
-				t.Errorf("%s: left %q", what, left)
+			if leftovers := must(filepath.Glob(s.Path + ".tmp-[0-9]???*")); !c.crash && leftovers != nil {
+				t.Errorf("%s: left %q", what, leftovers)
 			}
 			if c.power {
-				d.powerLoss(s.Path)
+				f.powerLoss(s.Path)
 			}
 			want := before
-			if err == nil || k == 7 && !c.power { // renamed, but the folder not synced
+			if err == nil || k == 7 && !c.power { // renamed, but the directory not synced
 				want = after
 			}
 			checkEqual(t, what, want, must(s.Read()))
 			if s.BeforeStep = nil; s.Write(after) != nil {
-				t.Errorf("%s: no write after it", what)
+				t.Errorf("%s: the next write fails", what)
 			}
 			checkEqual(t, what, []string{s.Path, s.Path + ".lock", s.Path + ".tmp-mine"}, must(filepath.Glob(s.Path+"*")))
 		}
@@ -111,14 +111,14 @@
 	read := func() error { _, err := s.Read(); return err }
 	check("without a file", os.ErrNotExist, read())
 	lock := must(s.lock())
-	check("beside another writer", ErrBusy, s.Write(largeFleet(1, 0)))
+	check("with another writer", ErrBusy, s.Write(largeFleet(1, 0)))
 	lock.Close()
-	check("after it", nil, s.Write(largeFleet(1, 0)))
+	check("after the other writer", nil, s.Write(largeFleet(1, 0)))
 	checkEqual(t, "mode", os.FileMode(0o600), must(os.Stat(s.Path)).Mode())
 	s.MaxBytes = 100
 	check("reading too much", ErrTooLarge, read())
 	check("writing too much", ErrTooLarge, s.Write(largeFleet(1, 0)))
-	check("in no folder", syscall.ENOTDIR, (&Store{Path: s.Path + "/below a file"}).Write(largeFleet(1, 0)))
+	check("not a directory", syscall.ENOTDIR, (&Store{Path: s.Path + "/below a file"}).Write(largeFleet(1, 0)))
 }
 
 func TestWriter(t *testing.T) {
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var logged []string
 		var takes atomic.Int64
-		var disk atomic.Value // func() error: what becomes of a write
+		var disk atomic.Value // func() error: the result of a write
 		disk.Store(func() error { return nil })
 		w := &Writer{
 			Interval: 10 * time.Second, Seed: 7, Store: &Store{Path: filepath.Join(dir, "state")},
@@ -164,26 +164,26 @@
 		counts("at intervals", 2, 0, 0)
 		disk.Store(func() error { return syscall.ENOSPC })
 		time.Sleep(9 * time.Minute) // after 10, 20, 40, 80, 160 and 160 s
-		counts("the disk fails", 2, 6, 0, "state=failed")
+		counts("disk fails", 2, 6, 0, "state=failed")
 		disk.Store(func() error { return nil })
 		time.Sleep(165 * time.Second)
 		checkEqual(t, "at the end", nil, stop())
 		n := w.Written.Load()
-		counts("it recovers", max(n, 4), 6, 0, "state=failed", "state=written_again")
+		counts("disk recovers", max(n, 4), 6, 0, "state=failed", "state=written_again")
 
 		for i, c := range []struct {
-			hangs, ends time.Duration // the first write, and Run
-			err         error
+			blocked, runTime time.Duration // duration of the first write, and of Run
+			err              error
 		}{{lastWriteTimeout / 2, lastWriteTimeout / 2, nil}, {time.Hour, lastWriteTimeout, ErrLastWriteTimeout}} {
-			hang := make(chan struct{})
-			disk.Store(func() error { <-hang; return nil })
+			block := make(chan struct{})
+			disk.Store(func() error { <-block; return nil })
 			stop = run()
 			time.Sleep(34 * time.Second)
-			counts("the disk hangs", n+2*int64(i), 6, 2+2*int64(i), "state=failed", "state=written_again")
+			counts("disk hangs", n+2*int64(i), 6, 2+2*int64(i), "state=failed", "state=written_again")
 			from := time.Now()
-			time.AfterFunc(c.hangs, func() { close(hang) })
-			if err := stop(); !errors.Is(err, c.err) || time.Since(from) != c.ends {
-				t.Errorf("a write that hangs for %v: after %v %v", c.hangs, time.Since(from), err)
+			time.AfterFunc(c.blocked, func() { close(block) })
+			if err := stop(); !errors.Is(err, c.err) || time.Since(from) != c.runTime {
+				t.Errorf("a write that hangs for %v: after %v %v", c.blocked, time.Since(from), err)
 			}
 		}
 		time.Sleep(2 * time.Hour)
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -7,26 +7,26 @@
 	"plankrouter/internal/config"
 )
 
-// ValidityRules say what a start accepts of a snapshot, and up to what age.
+// ValidityRules determine which parts of a snapshot a starting process accepts, and up to what age.
 type ValidityRules struct {
-	Program    string // of this start, like Deployment and Directory
+	Program    string // Program, Deployment and Discovery of the starting process
 	Deployment string
 	Discovery  string
-	Classes    int // positions that the settings have
-	Tenants    int
+	Classes    int // number of classes in the settings
+	Tenants    int // number of tenants in the settings
 
-	MaxClockSkew      time.Duration // by which a snapshot may lie ahead of the clock
-	MaxListAge        time.Duration // of the list of servers that take new work
-	MaxDrainAge       time.Duration // that servers drain, from the snapshot on; that they are gone, from when discovery said so
-	MaxServiceTimeAge time.Duration // of service times, round trips and the instance's part of the fleet's traffic
-	MaxFitAge         time.Duration // of the fit of latency to load
-	MaxRateAge        time.Duration // of tenants' tokens and all rates
-	MaxKeepaliveAge   time.Duration // of what was learned of how connections break
-	OutcomeHalfLife   time.Duration // in which outcomes lose half their weight
-	MinOutcomeWeight  float64       // of outcomes, below which they are left out
+	MaxClockSkew      time.Duration // maximum time by which a snapshot may be ahead of the clock
+	MaxListAge        time.Duration // of the available servers in the list
+	MaxDrainAge       time.Duration // of draining servers, from the snapshot on; of deleted ones, from when discovery listed them so
+	MaxServiceTimeAge time.Duration // of service times, round trips and the instance's share of the fleet's traffic
+	MaxFitAge         time.Duration // of the regression of latency on load
+	MaxRateAge        time.Duration // of tenants' tokens and of rates
+	MaxKeepaliveAge   time.Duration // of the evidence of how connections break
+	OutcomeHalfLife   time.Duration // time in which outcomes lose half their weight
+	MinOutcomeWeight  float64       // remaining weight below which outcomes and error rates are dropped
 }
 
-// DefaultValidityRules returns the age limits; who starts and with what positions is left to fill in.
+// DefaultValidityRules returns the default limits; the caller sets the origin and the numbers of classes and tenants.
 func DefaultValidityRules() ValidityRules {
 	return ValidityRules{
 		MaxClockSkew:      2 * time.Second,
@@ -41,26 +41,26 @@
 	}
 }
 
-// validator takes out of a snapshot what is no longer valid. Times are Unix ms.
+// validator selects the valid parts of a snapshot. Times are Unix ms of the wall clock.
 type validator struct {
 	rules       ValidityRules
 	now         float64
 	takenAt     float64
-	clockOffset float64 // of the wall clock from the policy's
+	clockOffset float64 // wall clock minus the policy's clock, in ms
 	dropped     []Dropped
 }
 
-// drop notes that so many pieces are left out.
-func (v *validator) drop(what, server string, pieces int, reason Reason) {
-	if pieces > 0 {
-		v.dropped = append(v.dropped, Dropped{What: what, Server: server, Count: pieces, Reason: reason})
+// drop records that count elements are dropped, unless that is 0.
+func (v *validator) drop(what, server string, count int, reason Reason) {
+	if count > 0 {
+		v.dropped = append(v.dropped, Dropped{What: what, Server: server, Count: count, Reason: reason})
 	}
 }
 
-// clampToPast puts a time of the wall clock no later than the snapshot and than now.
+// clampToPast returns t, but no later than the snapshot or now.
 func (v *validator) clampToPast(t float64) float64 { return min(t, v.takenAt, v.now) }
 
-// toWallClock turns a time of the policy's clock into one of the wall clock; 0 stays never.
+// toWallClock converts a time of the policy's clock to the wall clock; 0 (never) stays 0.
 func (v *validator) toWallClock(t float64) float64 {
 	if t <= 0 {
 		return 0
@@ -68,16 +68,16 @@
 	return max(0, v.clampToPast(t+v.clockOffset))
 }
 
-// keepFresh reports whether so many pieces of that time are within a limit of age; else they are dropped.
-func (v *validator) keepFresh(at float64, limit time.Duration, what, server string, pieces int) bool {
-	if pieces > 0 && v.now-at <= config.Millis(limit) {
+// keepFresh reports whether the age of count elements of the given time is within the limit, and drops them if not.
+func (v *validator) keepFresh(at float64, limit time.Duration, what, server string, count int) bool {
+	if count > 0 && v.now-at <= config.Millis(limit) {
 		return true
 	}
-	v.drop(what, server, pieces, TooOld)
+	v.drop(what, server, count, TooOld)
 	return false
 }
 
-// remainingWeight is what outcomes of that time have kept of their weight.
+// remainingWeight returns the share of their weight that outcomes of the given time still have.
 func (v *validator) remainingWeight(at float64) float64 {
 	return math.Exp2(-max(0, v.now-at) / config.Millis(max(1, v.rules.OutcomeHalfLife)))
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -11,56 +11,56 @@
 )
 
 const (
-	jitterShare      = 0.1 // of an interval, by which it may be longer or shorter: sidecars must not all write at once
-	maxBackoff       = 16  // intervals between two attempts while the disk fails
-	lastWriteTimeout = time.Second
+	jitterShare      = 0.1         // share by which an interval varies, so that sidecars don't all write at once
+	maxBackoff       = 16          // maximum number of intervals between two attempts while writes fail
+	lastWriteTimeout = time.Second // for the last snapshot, written when Run ends
 )
 
-// errNothingToWrite is what write says when there was nothing to write.
+// errNothingToWrite is returned by write if Take returned nil.
 var errNothingToWrite = errors.New("nothing to write")
 
-// ErrLastWriteTimeout means that the last snapshot was not written in time. The disk may still be at it.
-var ErrLastWriteTimeout = errors.New("snapshot: the last one was not written in time")
+// ErrLastWriteTimeout means that the last snapshot was not written in time. The write may still be in progress.
+var ErrLastWriteTimeout = errors.New("snapshot: the last snapshot was not written in time")
 
-// Writer writes a snapshot now and then. Fields are set before Run.
+// Writer writes snapshots periodically. Exported fields are set before Run.
 type Writer struct {
 	Store    *Store
-	Take     func() *Snapshot // called by a goroutine of the Writer's, one at a time; nil = nothing to write
-	Interval time.Duration    // between two, more than 0
+	Take     func() *Snapshot // returns the snapshot to write, nil = none; called from one goroutine at a time
+	Interval time.Duration    // time between two snapshots, more than 0
 	Seed     uint64
 	Logf     func(string, ...any) // nil = log.Printf
 
-	Written, Failed, Skipped atomic.Int64 // Skipped: the earlier one was still being written
+	Written, Failed, Skipped atomic.Int64 // Skipped: not taken since the previous one was still being written
 
 	rng      *rand.Rand
-	failures int // in a row
+	failures int // consecutive
 }
 
-// Run takes and writes snapshots until ctx ends, then a last one, whose error it returns. It returns ErrLate if that
-// takes longer than a second, or is not begun by then because the disk hangs in an earlier one; the goroutine that waits
-// for the disk is then left behind. The first failure is logged, and the first success after it.
+// Run takes and writes snapshots until ctx ends, then a last one, whose error it returns. It returns ErrLastWriteTimeout if
+// that takes longer than lastWriteTimeout or can't start within it because the previous write hangs; the goroutine blocked on
+// the disk is then abandoned. Run logs the first of consecutive failures and the first success after them.
 func (w *Writer) Run(ctx context.Context) error {
 	if w.Interval <= 0 {
 		return fmt.Errorf("snapshot: Writer.Every: %v is not positive", w.Interval)
 	}
 	w.rng = rand.New(rand.NewPCG(w.Seed, 0x51a95707))
-	done, busy := make(chan error, 1), false
+	done, writing := make(chan error, 1), false
 	write := func() {
-		busy = true
+		writing = true
 		go func() { done <- w.write() }()
 	}
-	alarm := time.NewTimer(w.nextInterval())
-	defer alarm.Stop()
+	timer := time.NewTimer(w.nextInterval())
+	defer timer.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case err := <-done:
-			busy = false
-			if w.record(err) != nil {
-				alarm.Reset(w.nextInterval())
+			writing = false
+			if w.recordResult(err) != nil {
+				timer.Reset(w.nextInterval())
 			}
-		case <-alarm.C:
-			if alarm.Reset(w.nextInterval()); busy {
+		case <-timer.C:
+			if timer.Reset(w.nextInterval()); writing {
 				w.Skipped.Add(1)
 				continue
 			}
@@ -70,10 +70,10 @@
 	limit := time.NewTimer(lastWriteTimeout)
 	defer limit.Stop()
 	for last := false; ; last = true {
-		if busy {
+		if writing {
 			select {
 			case err := <-done:
-				if err = w.record(err); last {
+				if err = w.recordResult(err); last {
 					return err
 				}
 			case <-limit.C:
@@ -84,7 +84,7 @@
 	}
 }
 
-// nextInterval is the time to the next snapshot, twice as long after each failure.
+// nextInterval returns the time to the next snapshot, with jitter and doubled after each failure up to maxBackoff.
 func (w *Writer) nextInterval() time.Duration {
 	every := float64(w.Interval) * float64(min(maxBackoff, 1<<min(w.failures, 10)))
 	return time.Duration(every * (1 + jitterShare*(2*w.rng.Float64()-1)))
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// record counts an outcome, logs it if it is a change, and returns it if it is an error.
-func (w *Writer) record(err error) error {
+// recordResult counts the result of a write, logs a change between success and failure, and returns the error.
+func (w *Writer) recordResult(err error) error {
 	if errors.Is(err, errNothingToWrite) {
 		return nil
 	}
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -44,12 +44,12 @@
 
 // HasPeerClosed reports whether the peer has closed its sending side or reset the connection, even if bytes that it sent
 // before are still unread.
-func HasPeerClosed(c net.Conn) (left bool) {
+func HasPeerClosed(c net.Conn) (closed bool) {
 	control(c, func(fd int) {
 		_, events, err := pollNow(fd, unix.POLLRDHUP)
-		left = err == nil && events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return left
+	return closed
 }
 
 // pollNow polls for the wanted events without blocking. It returns whether there are any, including errors, and which.
