--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -39,7 +39,7 @@
 var (
 	ErrNotSnapshot = errors.New("not a snapshot")
 	ErrVersion     = errors.New("unsupported major version")
-	ErrCutShort    = errors.New("file is truncated")
+	ErrTruncated   = errors.New("file is truncated")
 	ErrChecksum    = errors.New("checksum mismatch")
 	ErrTooLarge    = errors.New("too large")
 )
@@ -155,14 +155,14 @@
 		return nil, ErrNotSnapshot
 	}
 	if len(b) < headerSize {
-		return nil, fmt.Errorf("%w: %d bytes, the header has %d", ErrCutShort, len(b), headerSize)
+		return nil, fmt.Errorf("%w: %d bytes, the header has %d", ErrTruncated, len(b), headerSize)
 	}
 	if major := binary.BigEndian.Uint16(b[majorOffset:]); major != Major {
 		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, major, Major)
 	}
 	payload, length := b[headerSize:], int64(binary.BigEndian.Uint32(b[lengthOffset:]))
 	if int64(len(payload)) < length {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCutShort, len(payload), length)
+		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTruncated, len(payload), length)
 	}
 	if checksum(b) != binary.BigEndian.Uint32(b[checksumOffset:]) { // covers all bytes after the header, excess ones too
 		return nil, ErrChecksum
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -71,7 +71,7 @@
 		checkEqual(t, "decoded", s, must(Decode(b)))
 	}
 	for n := range b {
-		if _, err := Decode(b[:n]); !errors.Is(err, ErrCutShort) {
+		if _, err := Decode(b[:n]); !errors.Is(err, ErrTruncated) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
