--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -32,6 +32,7 @@
 // Side is the direction in which a connection was opened.
 type Side bool
 
+// Directions of connections.
 const (
 	Outbound Side = false // to a server
 	Inbound  Side = true  // from a client; limited to a share, because its requests need outbound connections
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -52,9 +52,11 @@
 
 func (u Use) isReused() bool { return u.Carried > 0 || u.Idle > 0 }
 
-// Outcome is how an attempt ended. Attempts that ended in other ways (connection refused, timeout, cancellation) are not reported.
+// Outcome is how an attempt ended. Those that ended in other ways (connection refused, timeout, cancellation) are not
+// reported.
 type Outcome uint8
 
+// Outcomes of attempts.
 const (
 	Responded            Outcome = iota // a response arrived, whatever its status
 	BrokenAfterLastByte                 // the connection was reset or closed after the attempt's last byte was written
@@ -89,7 +91,7 @@
 	doubleCounted       evidence // like all, but each break counts in full against both idle time and attempts carried
 	breaks              [breakKinds]breakStats
 	servers             map[string]*serverRecord
-	serverList          []*serverRecord // the same servers in insertion order, for deterministic results
+	serverList          []*serverRecord // the same servers in insertion order
 	exclusionCandidates []*serverRecord // buffer of recompute
 
 	fleet         posterior
--- a/internal/keepalive/estimator_test.go
+++ b/internal/keepalive/estimator_test.go
@@ -91,8 +91,8 @@
 	} {
 		e := newEstimator(t)
 		now, got := learnAll(e, startTime, c.observed...), ""
-		for _, s := range []AttemptCost{nonIdempotent, idempotent, probe} {
-			if e.ShouldReuse(now, c.use, s) {
+		for _, cost := range []AttemptCost{nonIdempotent, idempotent, probe} {
+			if e.ShouldReuse(now, c.use, cost) {
 				got += "k"
 			} else {
 				got += "n"
@@ -111,9 +111,9 @@
 	allBroken := onReused("a", 200*ms, 100, 100)
 	now := learnAll(e, startTime, observation{server: "a", attempts: 100}, allBroken)
 	var delays []time.Duration
-	for _, s := range []AttemptCost{idempotent, nonIdempotent} {
+	for _, cost := range []AttemptCost{idempotent, nonIdempotent} {
 		start := now
-		for !e.ShouldReuse(now, Use{"a", 200 * ms, 3}, s) && now.Sub(start) < 3*time.Hour {
+		for !e.ShouldReuse(now, Use{"a", 200 * ms, 3}, cost) && now.Sub(start) < 3*time.Hour {
 			now = now.Add(time.Minute)
 		}
 		delays = append(delays, now.Sub(start))
@@ -184,22 +184,22 @@
 		}
 		for _, w := range weights {
 			for _, upperLimit := range []time.Duration{0, 50 * ms, time.Minute} {
-				s := AttemptCost{NonIdempotent: rng.IntN(2) == 0, LatencyObjective: time.Duration(rng.IntN(3)-1) * time.Second, PriorityWeight: w}
-				p := fmt.Sprint(rng.IntN(5))
-				limit := e.IdleLimit(now, p, s, upperLimit)
+				cost := AttemptCost{NonIdempotent: rng.IntN(2) == 0, LatencyObjective: time.Duration(rng.IntN(3)-1) * time.Second, PriorityWeight: w}
+				server := fmt.Sprint(rng.IntN(5))
+				limit := e.IdleLimit(now, server, cost, upperLimit)
 				if limit < 0 || limit > upperLimit {
-					t.Fatalf("%+v: limit %s of %s", s, limit, upperLimit)
+					t.Fatalf("%+v: limit %s of %s", cost, limit, upperLimit)
 				}
-				below, above := Use{p, limit * 999 / 1000, 1}, Use{p, limit*1001/1000 + 1, 1}
-				if limit > 0 && !e.ShouldReuse(now, below, s) || limit < upperLimit && e.ShouldReuse(now, above, s) {
-					t.Fatalf("%+v: ShouldReuse disagrees with the limit %s", s, limit)
+				below, above := Use{server, limit * 999 / 1000, 1}, Use{server, limit*1001/1000 + 1, 1}
+				if limit > 0 && !e.ShouldReuse(now, below, cost) || limit < upperLimit && e.ShouldReuse(now, above, cost) {
+					t.Fatalf("%+v: ShouldReuse disagrees with the limit %s", cost, limit)
 				}
-				if d := e.LastByteDelay(now, Use{p, limit, 5}, s); d < 0 || d > e.settings.MaxLastByteDelay {
-					t.Fatalf("%+v: hold for %s", s, d)
+				if d := e.LastByteDelay(now, Use{server, limit, 5}, cost); d < 0 || d > e.settings.MaxLastByteDelay {
+					t.Fatalf("%+v: last-byte delay %s", cost, d)
 				}
-				s.NonIdempotent = false
-				if idempotentLimit := e.IdleLimit(now, p, s, upperLimit); idempotentLimit < e.IdleLimit(now, p, AttemptCost{true, s.LatencyObjective, w}, upperLimit) {
-					t.Fatalf("%+v: limit %s, less than for a non-idempotent request", s, idempotentLimit)
+				cost.NonIdempotent = false
+				if idempotentLimit := e.IdleLimit(now, server, cost, upperLimit); idempotentLimit < e.IdleLimit(now, server, AttemptCost{true, cost.LatencyObjective, w}, upperLimit) {
+					t.Fatalf("%+v: limit %s, less than for a non-idempotent request", cost, idempotentLimit)
 				}
 			}
 		}
@@ -214,9 +214,9 @@
 	now := startTime
 	for i := range 20 {
 		now = learnAll(e, now.Add(time.Hour), onReused(fmt.Sprint(i), 200*ms, 1000, 200))
-		k := e.posterior(now, fmt.Sprint(i)).idle[idleStep(200*ms)]
-		if k < 0.1 || k > 0.25 || len(e.serverList) > 3 || len(e.servers) > 3 {
-			t.Errorf("hour %d: probability %g, %d servers", i, k, len(e.serverList))
+		p := e.posterior(now, fmt.Sprint(i)).idle[idleStep(200*ms)]
+		if p < 0.1 || p > 0.25 || len(e.serverList) > 3 || len(e.servers) > 3 {
+			t.Errorf("hour %d: probability %g, %d servers", i, p, len(e.serverList))
 		}
 		if n := e.all.idle[idleStep(200*ms)].attempts / e.weight(); n > 1100 {
 			t.Errorf("hour %d: %g attempts count, though those of an hour ago must have faded", i, n)
@@ -230,12 +230,12 @@
 		t.Error("the only server with breaks is removed, and others are still estimated like it")
 	}
 	for range 3 { // alternating, so that all have the same evidence
-		for _, p := range []string{"a", "b", "c", "d"} {
-			now = learnAll(e, now, observation{server: p, attempts: 20}, onReused(p, 200*ms, 20, 10))
+		for _, server := range []string{"a", "b", "c", "d"} {
+			now = learnAll(e, now, observation{server: server, attempts: 20}, onReused(server, 200*ms, 20, 10))
 		}
 	}
-	for _, p := range []string{"a", "b", "c", "d"} {
-		e.RemoveServer(p)
+	for _, server := range []string{"a", "b", "c", "d"} {
+		e.RemoveServer(server)
 	}
 	if len(e.serverList)+len(e.servers) > 0 {
 		t.Errorf("%d servers after all are removed", len(e.serverList))
@@ -260,15 +260,15 @@
 	if err := next.Restore(later, data, 0); err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []string{"a", "b", "c", "d"} {
-		x, y := e.posterior(now, p), next.posterior(later, p)
+	for _, server := range []string{"a", "b", "c", "d"} {
+		x, y := e.posterior(now, server), next.posterior(later, server)
 		for i := range stepCount {
 			if off := math.Abs(eitherOf(x.idle[i], x.carried[i]) - eitherOf(y.idle[i], y.carried[i])); off > 0.01 {
-				t.Errorf("%s, step %d: %g off", p, i, off)
+				t.Errorf("%s, step %d: %g off", server, i, off)
 			}
 		}
 		if math.Abs(x.dial-y.dial) > 1e-4 {
-			t.Errorf("%s: dial time %g s, was %g", p, y.dial, x.dial)
+			t.Errorf("%s: dial time %g s, was %g", server, y.dial, x.dial)
 		}
 	}
 	old := Use{"b", 200 * ms, 3}
@@ -351,25 +351,25 @@
 }
 
 func BenchmarkEstimator(b *testing.B) {
-	k := newEstimator(b)
+	e := newEstimator(b)
 	now := startTime
 	for i := range fleetSize {
-		now = learnAll(k, now, onReused(serverNames[i], 200*ms, 50, 10))
+		now = learnAll(e, now, onReused(serverNames[i], 200*ms, 50, 10))
 	}
 	use := Use{serverNames[3], 150 * ms, 5}
 	b.Run("Take", func(b *testing.B) {
 		for b.Loop() {
-			k.ShouldReuse(now, use, nonIdempotent)
+			e.ShouldReuse(now, use, nonIdempotent)
 		}
 	})
 	b.Run("Hold", func(b *testing.B) {
 		for b.Loop() {
-			k.LastByteDelay(now, use, nonIdempotent)
+			e.LastByteDelay(now, use, nonIdempotent)
 		}
 	})
 	b.Run("Limit", func(b *testing.B) {
 		for b.Loop() {
-			k.IdleLimit(now, use.Server, nonIdempotent, time.Minute)
+			e.IdleLimit(now, use.Server, nonIdempotent, time.Minute)
 		}
 	})
 	for name, every := range map[string]int{"none broken": 1 << 30, "7% broken": 14, "all broken": 1} {
@@ -380,10 +380,10 @@
 				if i%every == every-1 {
 					outcome = BrokenAfterLastByte
 				}
-				k.ShouldReuse(now, use, nonIdempotent)
-				k.LastByteDelay(now, use, nonIdempotent)
-				k.Learn(now, use, outcome, 0, 0)
-				k.IdleLimit(now, use.Server, probe, time.Minute)
+				e.ShouldReuse(now, use, nonIdempotent)
+				e.LastByteDelay(now, use, nonIdempotent)
+				e.Learn(now, use, outcome, 0, 0)
+				e.IdleLimit(now, use.Server, probe, time.Minute)
 			}
 		})
 	}
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -34,7 +34,7 @@
 	baseProbability  float64          // probability for any attempt, on new connections too
 	addedProbability breakProbability // nil = 0
 	server0Only      bool             // only server 0 breaks connections; the fixed policies apply their limits to it alone
-	maxExtraLoss     [2]float64       // bound on the loss beyond the best fixed policy's, per 1,000 attempts, at rates of 100/s and 1/s
+	maxExtraLoss     [2]float64       // bound on the loss beyond the best fixed policy's, per 1,000 attempts, at 100/s and 1/s
 }
 
 // constantIf returns a probability of p where the condition holds, else 0.
@@ -64,11 +64,11 @@
 	}, false, [2]float64{0.5, 1.4}},
 	{"all after 100 attempts", 0, constantIf(1, carriedAtLeast(100)), false, [2]float64{0.6, 0.4}},
 	{"all after 10 attempts", 0, constantIf(1, carriedAtLeast(10)), false, [2]float64{1, 1.3}},
-	{"one server, all beyond 90 ms idle", 0, constantIf(1, func(_ time.Duration, p int, idle time.Duration, _ int) bool {
-		return p == 0 && idle > 90*ms
+	{"one server, all beyond 90 ms idle", 0, constantIf(1, func(_ time.Duration, server int, idle time.Duration, _ int) bool {
+		return server == 0 && idle > 90*ms
 	}), true, [2]float64{1.3, 1.2}},
-	{"one server, 20% of all reused", 0, constantIf(0.2, func(_ time.Duration, p int, _ time.Duration, _ int) bool {
-		return p == 0
+	{"one server, 20% of all reused", 0, constantIf(0.2, func(_ time.Duration, server int, _ time.Duration, _ int) bool {
+		return server == 0
 	}), true, [2]float64{0.3, 0.7}},
 	{"all beyond 90 ms idle, after 30 s", 0, constantIf(1, func(at time.Duration, _ int, idle time.Duration, _ int) bool {
 		return at > 30*time.Second && idle > 90*ms
--- a/internal/snapshot/dropped.go
+++ b/internal/snapshot/dropped.go
@@ -10,6 +10,7 @@
 // Reason says why a part of a snapshot was dropped.
 type Reason string
 
+// Reasons for dropping a part.
 const (
 	OtherProgram    Reason = "another program"
 	OtherDeployment Reason = "another deployment"
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -67,7 +67,7 @@
 	FleetLatency    float64         `cbor:"4,keyasint,omitempty"` // median service time in ms
 	MedianErrorRate float64         `cbor:"5,keyasint,omitempty"` // error rate of the median server
 	OwnInFlight     float64         `cbor:"6,keyasint,omitempty"` // requests of this instance in flight at probed servers
-	TotalInFlight   float64         `cbor:"7,keyasint,omitempty"` // requests of all instances in flight there
+	TotalInFlight   float64         `cbor:"7,keyasint,omitempty"` // all requests in flight there
 	Tenants         []Bucket        `cbor:"8,keyasint,omitempty"` // by position in the settings
 	Arrivals        Rate            `cbor:"9,keyasint"`
 	Sends           Rate            `cbor:"10,keyasint"`
