--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Shares of the limit. A divisor of n stands for a share of 1/n of the slots.
+// Shares of the limit. A divisor of n means a share of 1/n of the slots.
 const (
 	closingCap          = 16               // upper bound of the connections beyond the limit that are being closed
 	closingDivisor      = 4                // share of the limit that bounds them as well
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -30,8 +30,8 @@
 // servers with the most breaks: a fault at one server is no evidence for the others, but the same fault at several is. A new
 // connection is expected to break as often as reused ones until there is evidence.
 //
-// Evidence fades with a half-life of Settings.HalfLifeAttempts attempts, bounded by Settings.MinHalfLife and MaxHalfLife, so
-// that evidence from a few attempts an hour is not lost between them and a thousand attempts a second don't hide a change.
+// Evidence fades with a half-life of Settings.HalfLifeAttempts attempts, bounded by Settings.MinHalfLife and MaxHalfLife. That
+// way evidence from a few attempts an hour is not lost between them, and a thousand attempts a second don't hide a change.
 // Without breaks all estimates are exactly 0 and the Estimator acts like a plain connection pool: it reuses any connection
 // and holds back nothing. Connections that are no longer reused are tried again as the evidence fades, first by attempts
 // with the lowest loss: those of idempotent requests, and probes.
