--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -22,7 +22,7 @@
 
 // descriptorShares is the division of the descriptors that this process may have open.
 type descriptorShares struct {
-	conns int // for clients and servers, and connlimit.Closing more while connections are closed to make room
+	conns int // for clients and servers, and connlimit.MaxClosing more while connections are closed to make room
 	watch int // reserved for discovery
 	admin int // reserved for operators' connections
 }
@@ -41,7 +41,7 @@
 
 // total returns the most descriptors that may be open at a time, with open of them from the start.
 func (s descriptorShares) total(open int) int {
-	return open + transientDescriptors + s.watch + s.admin + s.conns + connlimit.Closing(s.conns)
+	return open + transientDescriptors + s.watch + s.admin + s.conns + connlimit.MaxClosing(s.conns)
 }
 
 // openDescriptors returns how many descriptors below limit this process has open: its own and those it was started with. It
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -90,7 +90,7 @@
 	p.stopRequested, p.requestStop = context.WithCancel(ctx)
 	defer p.requestStop()
 	if options.predecessor != nil && options.predecessor.TookOver() {
-		p.budget.Limit(p.shares.conns / standbyDivisor)
+		p.budget.SetLimit(p.shares.conns / standbyDivisor)
 	}
 	trace := startTracing(ctx, group, p.getenv)
 	listed, err := p.assemble(ctx, options, trace)
@@ -143,7 +143,7 @@
 	cordoned := p.readInitialCordons(ctx)
 	initial := p.cfg.Known
 	if restored != nil {
-		initial = restored.List.Config()
+		initial = restored.List.ToEndpoints()
 	}
 	p.watch, err = discovery.New(discovery.Options{
 		Address: p.cfg.Discovery, Watch: p.cfg.Watch, Seed: p.cfg.Seed,
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -33,7 +33,7 @@
 
 // serveAlone gives this process all sockets of the sidecar, and makes it the one that a second process finds.
 func (p *program) serveAlone(ctx context.Context, group *errgroup.Group) {
-	p.budget.Limit(p.shares.conns)
+	p.budget.SetLimit(p.shares.conns)
 	p.dispatcher.SetOpenInPredecessor(nil)
 	folder := rendezvousFolder(p.getenv)
 	if folder == "" {
@@ -61,10 +61,10 @@
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(p.stopRequested, cancel)() // a stop signal cancels a handover whose successor is not ready
-		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
+		p.budget.SetLimit(p.shares.conns - p.shares.conns/standbyDivisor)
 		successor, err := p.coordinator.Meet(ctx, c, own, options)
 		if err != nil {
-			p.budget.Limit(p.shares.conns)
+			p.budget.SetLimit(p.shares.conns)
 		}
 		return successor, err
 	})
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -46,7 +46,7 @@
 // process may have stalled before the read.
 func arrivalTime(s *connlimit.Socket) time.Time {
 	now := time.Now()
-	since, known := s.SinceArrival()
+	since, known := s.SinceLastReceive()
 	if !known {
 		since = shutdown.MaxStall
 	}
@@ -97,7 +97,7 @@
 
 // exchange sends poll and reads the whole response.
 func (w *Watch) exchange(ctx context.Context, poll watchpolicy.Poll) (raw []byte, firstByteAt time.Time, err error) {
-	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.IsQuiet()) { // the data would be taken for the response to this poll
+	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.HasNothingUnread()) { // the data would be taken for the response to this poll
 		return nil, firstByteAt, errConnNotIdle
 	}
 	if w.conn == nil {
