--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -35,7 +35,7 @@
 	case <-predecessor.Cancelled():
 	case <-ctx.Done():
 	}
-	if err := predecessor.Ready(); err != nil && predecessor.TookOver() {
+	if err := predecessor.Ready(); err != nil && predecessor.StartedByPlatform() {
 		log.Printf("name=%s handover=alone err=%q", p.cfg.Name, err)
 		p.lifecycle.on(mayServe)
 		p.serveAlone(ctx, group)
@@ -45,8 +45,8 @@
 	}
 	log.Printf("name=%s handover=taken_over predecessor=%q", p.cfg.Name, predecessor.Hello().Name)
 	p.lifecycle.on(mayServe)
-	p.dispatcher.SetOpenInPredecessor(predecessor.Open())
-	if predecessor.TookOver() {
+	p.dispatcher.SetOpenInPredecessor(predecessor.OpenRequests())
+	if predecessor.StartedByPlatform() {
 		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
 	}
 	predecessor.Stopped = func(stop hotrestart.Stop) {
@@ -69,10 +69,10 @@
 	err := predecessor.ReceiveConns(ctx, func(c *net.TCPConn, note []byte) { p.frontend.Adopt(c, note) })
 	switch {
 	case ctx.Err() != nil: // this process is at its end, whatever the other does
-	case err == nil || errors.Is(err, hotrestart.ErrGone):
+	case err == nil || errors.Is(err, hotrestart.ErrPredecessorLost):
 		log.Printf("name=%s handover=complete adopted=%d err=%v", p.cfg.Name, p.frontend.Adopted.Load(), err)
 		p.serveAlone(ctx, group)
-	case predecessor.TookOver(): // the other is as it is, and the platform ends it
+	case predecessor.StartedByPlatform(): // the other is as it is, and the platform ends it
 		log.Printf("name=%s handover=broken err=%q", p.cfg.Name, err)
 		_ = predecessor.Close() // nothing is left to be done about it
 		p.serveAlone(ctx, group)
@@ -114,8 +114,8 @@
 	log.Printf("name=%s handover=begun state_bytes=%d", p.cfg.Name, len(state))
 	startedAt := time.Now()
 	successor, err := prepare(listener, hotrestart.Options{
-		ReadyWithin: p.cfg.ReadyWithin, Name: p.cfg.Name, Address: p.cfg.Listen,
-		State: state, Env: p.successorEnvironment(), Open: p.dispatcher.OpenRequests,
+		ReadyTimeout: p.cfg.HandoverReadyTimeout, Name: p.cfg.Name, Address: p.cfg.Listen,
+		State: state, Env: p.successorEnvironment(), OpenRequests: p.dispatcher.OpenRequests,
 	})
 	if err != nil {
 		log.Printf("name=%s handover=failed err=%q", p.cfg.Name, err)
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if folder := rendezvousFolder(os.Getenv); predecessor == nil && folder != "" {
-		if predecessor, err = hotrestart.Find(folder); err != nil {
+		if predecessor, err = hotrestart.FindPredecessor(folder); err != nil {
 			log.Printf("name=%s handover=alone err=%q", cfg.Name, err)
 		}
 	}
@@ -83,13 +83,13 @@
 // listen returns the predecessor's listener, the one that the platform or the service manager holds for this process, or a
 // new one.
 func listen(cfg *config.Config, predecessor *hotrestart.Successor) (net.Listener, error) {
-	if predecessor != nil && !predecessor.TookOver() {
-		return predecessor.Listener(), predecessor.Check(cfg.Listen)
+	if predecessor != nil && !predecessor.StartedByPlatform() {
+		return predecessor.Listener(), predecessor.CheckAddress(cfg.Listen)
 	}
-	if l, err := hotrestart.Held(os.Getenv, cfg.Listen); err != nil || l != nil {
+	if l, err := hotrestart.PlatformListener(os.Getenv, cfg.Listen); err != nil || l != nil {
 		return l, err
 	}
-	if l, err := hotrestart.Listener(os.Getenv); err != nil || l != nil {
+	if l, err := hotrestart.SystemdListener(os.Getenv); err != nil || l != nil {
 		return l, err
 	}
 	var listener net.Listener
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -89,7 +89,7 @@
 	p.stop = stop
 	p.stopRequested, p.requestStop = context.WithCancel(ctx)
 	defer p.requestStop()
-	if options.predecessor != nil && options.predecessor.TookOver() {
+	if options.predecessor != nil && options.predecessor.StartedByPlatform() {
 		p.budget.Limit(p.shares.conns / standbyDivisor)
 	}
 	trace := startTracing(ctx, group, p.getenv)
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -40,7 +40,7 @@
 	}
 	var l *net.UnixListener
 	err := transient.Retry(rendezvousTimeout, func() (err error) {
-		l, err = hotrestart.Listen(folder)
+		l, err = hotrestart.ListenForSuccessor(folder)
 		return err
 	})
 	if err != nil {
@@ -61,7 +61,7 @@
 		defer cancel()
 		defer context.AfterFunc(p.stopRequested, cancel)() // a signal to stop calls off what is not ready
 		p.budget.Limit(p.shares.conns - p.shares.conns/standbyDivisor)
-		successor, err := p.coordinator.Meet(ctx, c, own, options)
+		successor, err := p.coordinator.HandOverTo(ctx, c, own, options)
 		if err != nil {
 			p.budget.Limit(p.shares.conns)
 		}
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -20,7 +20,7 @@
 	p.snapshotWriter = p.newSnapshotWriter()
 	var taken *snapshot.Snapshot
 	var err error
-	origin := p.cfg.Own.Snapshot.Path
+	origin := p.cfg.Extensions.Snapshot.Path
 	switch {
 	case predecessor != nil && len(predecessor.State()) > 0:
 		origin = "predecessor"
@@ -47,7 +47,7 @@
 
 // newSnapshotWriter returns what keeps snapshots, nil where the configuration names no file for them.
 func (p *program) newSnapshotWriter() *snapshot.Writer {
-	path := p.cfg.Own.Snapshot.Path
+	path := p.cfg.Extensions.Snapshot.Path
 	if path == "" {
 		return nil
 	}
@@ -57,7 +57,7 @@
 			BeforeStep: func(step snapshot.Step, _ string) error { return faultinjection.Inject(snapshotFaults[step]) },
 		},
 		Take:  p.takeSnapshot,
-		Every: p.cfg.SnapshotEvery,
+		Every: p.cfg.SnapshotInterval,
 		Seed:  p.cfg.Seed,
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,20 +30,20 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Known    endpoints.List `json:"known"`
-	Settings Settings       `json:"settings"`
-	Own      Own            `json:"plankrouter"`
+	Known      endpoints.List `json:"known"`
+	Settings   Settings       `json:"settings"`
+	Extensions Extensions     `json:"plankrouter"`
 
-	ShutdownSchedule shutdown.Schedule    `json:"-"`
-	SnapshotEvery    time.Duration        `json:"-"`
-	ReadyWithin      time.Duration        `json:"-"`
-	Watch            watchpolicy.Settings `json:"-"`
-	Seed             uint64               `json:"-"`
-	Policy           policy.Config        `json:"-"`
-	ConnIdle         time.Duration        `json:"-"` // a server closes a connection left idle this long
-	ConnectTimeout   time.Duration        `json:"-"`
-	DrainGrace       time.Duration        `json:"-"`
-	PollInterval     time.Duration        `json:"-"` // without a subscription all changes older than this count as listed; 0 = not said
+	ShutdownSchedule     shutdown.Schedule    `json:"-"`
+	SnapshotInterval     time.Duration        `json:"-"`
+	HandoverReadyTimeout time.Duration        `json:"-"`
+	Watch                watchpolicy.Settings `json:"-"`
+	Seed                 uint64               `json:"-"`
+	Policy               policy.Config        `json:"-"`
+	ConnIdle             time.Duration        `json:"-"` // a server closes a connection left idle this long
+	ConnectTimeout       time.Duration        `json:"-"`
+	DrainGrace           time.Duration        `json:"-"`
+	PollInterval         time.Duration        `json:"-"` // without a subscription all changes older than this count as listed; 0 = not said
 
 	fileKeys map[string]any // as they stand in the file, for Reload
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -57,7 +57,7 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(loaded{})); diff != "" {
 		t.Error(diff)
 	}
-	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != watchpolicy.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotEvery != defaultSnapshotEvery {
+	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != watchpolicy.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotInterval != defaultSnapshotEvery {
 		t.Errorf("an installation without keys of its own: %+v, %+v", c.ShutdownSchedule, c.Watch)
 	}
 	c, err = load(t, strings.Replace(validFile, withOwnKeys("")[0], withOwnKeys(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
@@ -127,7 +127,7 @@
 			t.Fatal(err)
 		}
 		var c Config
-		if err := json.Unmarshal(raw, &c); err != nil || c.Own == (Own{}) {
+		if err := json.Unmarshal(raw, &c); err != nil || c.Extensions == (Extensions{}) {
 			t.Errorf("%s: %v", file, err)
 		}
 		if err := c.checkOwn(2500 * time.Millisecond); err != nil {
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -17,12 +17,12 @@
 	tenants stableid.Table[struct{}]
 }
 
-// Numbered has the numbers that the classes and tenants of one configuration have got.
-type Numbered struct{ Classes, Tenants stableid.Mapping }
+// NumberMappings has the numbers that the classes and tenants of one configuration have got.
+type NumberMappings struct{ Classes, Tenants stableid.Mapping }
 
 // Apply puts the classes and tenants of c, which has been checked, in the order of their numbers, those that were dropped
 // among them.
-func (n *Numbering) Apply(now time.Time, c *Config) (Numbered, error) {
+func (n *Numbering) Apply(now time.Time, c *Config) (NumberMappings, error) {
 	s := &c.Settings
 	for i := range s.Classes {
 		s.Classes[i].Attempts = s.Limits.MaxAttempts
@@ -33,20 +33,20 @@
 		tenants = append(tenants, r.Name)
 		quotas[r.Name] = r.QuotaPerS
 	}
-	numbered := Numbered{
+	numbered := NumberMappings{
 		Classes: n.classes.Apply(now, numberHoldTime, s.ClassNames(), s.Classes),
 		Tenants: n.tenants.Apply(now, numberHoldTime, tenants, make([]struct{}, len(tenants))),
 	}
 	s.Classes = nil
 	for number := range n.classes.Len() {
 		_, class, live := n.classes.Rules(number)
-		class.Dropped = !live
+		class.Retired = !live
 		s.Classes = append(s.Classes, class)
 	}
 	s.Realms = nil
 	for number := range n.tenants.Len() {
 		name, _, live := n.tenants.Rules(number)
-		s.Realms = append(s.Realms, Realm{Name: name, QuotaPerS: quotas[name], Dropped: !live})
+		s.Realms = append(s.Realms, Tenant{Name: name, QuotaPerS: quotas[name], Retired: !live})
 	}
 	var err error
 	c.Policy, err = s.PolicyConfig()
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -16,9 +16,9 @@
 	maxOwnMs             = 24 * 3600 * 1000
 )
 
-// Own has the keys that an installation may add to the platform's, under one key of its own so that the two never clash.
+// Extensions has the keys that an installation may add to the platform's, under one key of its own so that the two never clash.
 // Times are in milliseconds; 0 or missing stands for the default.
-type Own struct {
+type Extensions struct {
 	Watch    WatchMs  `json:"watch"`
 	Snapshot struct { // what was learned is kept in a file
 		Path    string  `json:"path"` // "" = it is not
@@ -66,11 +66,11 @@
 
 // checkOwn fills in what follows from Own, and names the key of what makes no sense. longest is the longest deadline of a class.
 func (c *Config) checkOwn(longest time.Duration) error {
-	own := &c.Own
+	own := &c.Extensions
 	var kill time.Duration
 	if err := readDurations("plankrouter.", 100, maxOwnMs,
-		durationKey{"snapshot.every_ms", own.Snapshot.EveryMs, &c.SnapshotEvery, defaultSnapshotEvery},
-		durationKey{"handover.ready_within_ms", own.Handover.ReadyWithinMs, &c.ReadyWithin, defaultReadyWithin},
+		durationKey{"snapshot.every_ms", own.Snapshot.EveryMs, &c.SnapshotInterval, defaultSnapshotEvery},
+		durationKey{"handover.ready_within_ms", own.Handover.ReadyWithinMs, &c.HandoverReadyTimeout, defaultReadyWithin},
 		durationKey{"stop.kill_after_ms", own.Stop.KillAfterMs, &kill, 0},
 	); err != nil {
 		return err
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -56,7 +56,7 @@
 func (c Class) policyClass(prefix string) (policy.Class, error) {
 	class := policy.Class{
 		LatencyObjective: c.AimMs, Deadline: c.HardLimitMs, PriorityWeight: c.Credit, LateWeight: c.LateWorth,
-		KeyWindow: c.MemorySpanMs, Attempts: c.Attempts, Retired: c.Dropped,
+		KeyWindow: c.MemorySpanMs, Attempts: c.Attempts, Retired: c.Retired,
 	}
 	var known bool
 	if class.Idempotency, known = idempotencies[c.Repeat]; !known {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -51,7 +51,7 @@
 		{"admin_addr", c.AdminAddr == next.AdminAddr, func() { next.AdminAddr = c.AdminAddr }},
 		{"seed", c.Seed == next.Seed, func() { next.Seed = c.Seed }},
 		{"limits", c.Limits == next.Limits, func() { next.Limits = c.Limits }},
-		{"plankrouter", c.Own == next.Own, func() { next.Own = c.Own }},
+		{"plankrouter", c.Extensions == next.Extensions, func() { next.Extensions = c.Extensions }},
 		{"settings.Dcs", slices.Equal(was.Dcs, is.Dcs), func() { is.Dcs = was.Dcs }},
 		{"settings.Locality", was.Locality == is.Locality, func() { is.Locality = was.Locality }},
 		{"settings.Discovery", was.Discovery == is.Discovery, func() { is.Discovery = was.Discovery }},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -24,17 +24,17 @@
 		MayCancel, Probes            bool
 	}
 	Prices  struct{ CrossZone, Probe, Waste float64 }
-	Realms  []Realm
+	Realms  []Tenant
 	Report  struct{ Names []string }
 	Safety  struct{ StartCapacity, WarmWithinMs, TipMultiple, FallMs, DrainGraceMs, AskEveryMs float64 }
 	Classes []Class `json:"RequestClasses"`
 }
 
-// Realm is one tenant: a partner library.
-type Realm struct {
+// Tenant is one tenant: a partner library.
+type Tenant struct {
 	Name      string
 	QuotaPerS float64
-	Dropped   bool `json:"-"` // as of a class
+	Retired   bool `json:"-"` // as of a class
 }
 
 // Class is one class of requests.
@@ -43,7 +43,7 @@
 	AimMs, HardLimitMs, Credit, LateWorth, MemorySpanMs float64
 	KeyScope, Repeat                                    string
 	Attempts                                            int  `json:"-"` // Limits.MaxAttempts, as it was when the class got its number
-	Dropped                                             bool `json:"-"` // no further request is of it; see Numbering
+	Retired                                             bool `json:"-"` // no further request is of it; see Numbering
 }
 
 // Pure is the value of Repeat for a class that is safe to repeat.
@@ -61,7 +61,7 @@
 // ClassNames are the names of the classes in force.
 func (s *Settings) ClassNames() (names []string) {
 	for _, c := range s.Classes {
-		if !c.Dropped {
+		if !c.Retired {
 			names = append(names, c.Name)
 		}
 	}
--- a/internal/faultinjection/control.go
+++ b/internal/faultinjection/control.go
@@ -63,8 +63,8 @@
 // Close releases the file.
 func (c *Control) Close() error { return unix.Munmap(c.raw) }
 
-// Step puts the process's wall clock off by so much.
-func (c *Control) Step(offset time.Duration) { c.file[0].Store(uint64(offset)) }
+// StepClock puts the process's wall clock off by so much.
+func (c *Control) StepClock(offset time.Duration) { c.file[0].Store(uint64(offset)) }
 
 // Fail lets the next calls of the operation fail, so many times; below 0 until Heal.
 func (c *Control) Fail(o Op, errno syscall.Errno, times int) {
@@ -75,10 +75,10 @@
 	c.file[1+o].Store(n<<timesShift | uint64(errno))
 }
 
-// Hold lets each call of an operation that may be delayed take so much longer, in whole milliseconds, until Heal.
-func (c *Control) Hold(o Op, long time.Duration) {
+// Delay lets each call of an operation that may be delayed take so much longer, in whole milliseconds, until Heal.
+func (c *Control) Delay(o Op, long time.Duration) {
 	c.file[1+o].Store(uint64(untilHealed)<<timesShift | uint64(long.Milliseconds()))
 }
 
-// Heal ends the failures and the delay of an operation.
-func (c *Control) Heal(o Op) { c.file[1+o].Store(0) }
+// Clear ends the failures and the delay of an operation.
+func (c *Control) Clear(o Op) { c.file[1+o].Store(0) }
--- a/internal/faultinjection/control_test.go
+++ b/internal/faultinjection/control_test.go
@@ -28,19 +28,19 @@
 			t.Errorf("poll %d: %v", i, got)
 		}
 	}
-	if c.Heal(Poll); c.file.consume(Poll) != 0 || c.file.consume(SyncFile) != 0 {
+	if c.Clear(Poll); c.file.consume(Poll) != 0 || c.file.consume(SyncFile) != 0 {
 		t.Error("what is healed, or was never told to fail, fails")
 	}
 	for _, held := range []time.Duration{120 * time.Millisecond, 300 * time.Millisecond} {
-		if c.Hold(SlowConnect, held); time.Duration(c.file.consume(SlowConnect))*time.Millisecond != held {
+		if c.Delay(SlowConnect, held); time.Duration(c.file.consume(SlowConnect))*time.Millisecond != held {
 			t.Errorf("%s: not held for so long", held)
 		}
 	}
-	if c.Heal(SlowConnect); c.file.consume(SlowConnect) != 0 {
+	if c.Clear(SlowConnect); c.file.consume(SlowConnect) != 0 {
 		t.Error("what is healed is held")
 	}
 	for _, d := range []time.Duration{-time.Hour, time.Hour} {
-		if c.Step(d); c.file.wallOffset() != d {
+		if c.StepClock(d); c.file.wallOffset() != d {
 			t.Errorf("stepped by %s, read %s", d, c.file.wallOffset())
 		}
 	}
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -5,8 +5,8 @@
 // cell for each operation. Whoever writes it uses Control.
 package faultinjection
 
-// File names, in the environment of a program with the tag, the file that says what is to fail.
-const File = "PLANKROUTER_FAULTS"
+// FileVariable names, in the environment of a program with the tag, the file that says what is to fail.
+const FileVariable = "PLANKROUTER_FAULTS"
 
 // Op is a kind of system call that may be failed.
 type Op int
--- a/internal/faultinjection/on.go
+++ b/internal/faultinjection/on.go
@@ -12,7 +12,7 @@
 )
 
 // shared is the soak's file; nil = the environment names none.
-var shared = openShared(os.Getenv(File))
+var shared = openShared(os.Getenv(FileVariable))
 
 // openShared maps the file, which the program can't do without once it is named.
 func openShared(path string) *sharedFile {
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -30,7 +30,7 @@
 func newTranslator(settings *config.Settings) *translator {
 	t := &translator{classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range settings.Classes {
-		if !c.Dropped {
+		if !c.Retired {
 			t.classes[c.Name] = i
 		}
 		t.names = append(t.names, c.Name)
@@ -42,7 +42,7 @@
 		t.methods = append(t.methods, method)
 	}
 	for i, realm := range settings.Realms {
-		if !realm.Dropped {
+		if !realm.Retired {
 			t.tenants[realm.Name] = i
 		}
 	}
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -31,8 +31,8 @@
 const (
 	// Version is that of the protocol between the two processes. Only the same versions hand over to one another.
 	Version = 3
-	// Variable names, in a successor's environment, the descriptor of its control socket.
-	Variable = "GW_HANDOVER"
+	// ControlVariable names, in a successor's environment, the descriptor of its control socket.
+	ControlVariable = "GW_HANDOVER"
 
 	defaultReadyTimeout = 30 * time.Second // for a successor to become ready
 	defaultAckTimeout   = 10 * time.Second // without any answer that is due
@@ -41,11 +41,11 @@
 
 // What ends a handover. They come wrapped.
 var (
-	ErrUnderWay  = errors.New("a handover is under way")
-	ErrLost      = errors.New("the successor has ended before it had everything")
-	ErrFinished  = errors.New("the handover is finished")
-	ErrCancelled = errors.New("the predecessor has ended or called the handover off: this process must not serve")
-	ErrGone      = errors.New("the predecessor has ended before it was done: this process goes on alone")
+	ErrInProgress      = errors.New("a handover is under way")
+	ErrSuccessorLost   = errors.New("the successor has ended before it had everything")
+	ErrFinished        = errors.New("the handover is finished")
+	ErrCancelled       = errors.New("the predecessor has ended or called the handover off: this process must not serve")
+	ErrPredecessorLost = errors.New("the predecessor has ended before it was done: this process goes on alone")
 )
 
 // Coordinator is a process's one place in a line of processes: it lets only one handover be under way. It is safe for
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -93,7 +93,7 @@
 			if role == "late" {
 				waitForLine(t, out, "waiting")
 				askPid(b, "next node\n")
-				waitForLine(t, out, ErrUnderWay.Error())
+				waitForLine(t, out, ErrInProgress.Error())
 				old.Signal(syscall.SIGTERM)
 			}
 			waitForLine(t, out, says)
@@ -151,7 +151,7 @@
 	}
 	old.Kill()
 	servedBy(t, 0, held, "")
-	waitForLine(t, out, ErrGone.Error())
+	waitForLine(t, out, ErrPredecessorLost.Error())
 	for _, c := range []net.Conn{a, b, client(t, address)} {
 		servedBy(t, successor, c, "a\n")
 	}
@@ -239,7 +239,7 @@
 		_ = old.CloseWrite()
 		s, err := Inherited(getenv)
 		if err == nil {
-			err = s.Check("here")
+			err = s.CheckAddress("here")
 		}
 		m, _, _ := old.receive()
 		if err == nil || !strings.Contains(err.Error(), tc.want) || !strings.Contains(string(m.body), tc.want) {
@@ -248,10 +248,10 @@
 	}
 	for _, value := range []string{"x", "-1", "0"} {
 		if _, err := Inherited(func(string) string { return value }); err == nil {
-			t.Errorf("%s=%s is taken", Variable, value)
+			t.Errorf("%s=%s is taken", ControlVariable, value)
 		}
 	}
-	if l, err := Listener(func(string) string { return "1" }); l != nil || err != nil {
+	if l, err := SystemdListener(func(string) string { return "1" }); l != nil || err != nil {
 		t.Errorf("what is meant for process 1 is taken: %v", err)
 	}
 }
@@ -275,7 +275,7 @@
 		}
 		_ = old.Close()
 	})
-	if taken != 3 || !errors.Is(err, ErrGone) || !next.claim() {
+	if taken != 3 || !errors.Is(err, ErrPredecessorLost) || !next.claim() {
 		t.Errorf("%d taken, then %v", taken, err)
 	}
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -13,9 +13,9 @@
 // for whoever runs beside or after it.
 const ListenVariable = "GW_LISTEN_FD"
 
-// Held returns the listener that ListenVariable names; nil and nil if there is none. It has to listen on address, which
+// PlatformListener returns the listener that ListenVariable names; nil and nil if there is none. It has to listen on address, which
 // is the one in this process's configuration. Closing it leaves the platform's socket open.
-func Held(getenv func(string) string, address string) (*net.TCPListener, error) {
+func PlatformListener(getenv func(string) string, address string) (*net.TCPListener, error) {
 	value := getenv(ListenVariable)
 	if value == "" {
 		return nil, nil
--- a/internal/hotrestart/node_test.go
+++ b/internal/hotrestart/node_test.go
@@ -66,7 +66,7 @@
 	n := &node{coordinator: Coordinator{Inherited: s}, settled: make(chan struct{})}
 	if s == nil {
 		close(n.settled)
-		n.listener = must(Listener(os.Getenv))
+		n.listener = must(SystemdListener(os.Getenv))
 		n.run()
 		return nil
 	}
@@ -108,9 +108,9 @@
 	o := Options{Address: "here", State: state, Env: append(os.Environ(), roleVar+"="+role)}
 	switch role {
 	case "deaf":
-		o.ReadyWithin = 100 * time.Millisecond
+		o.ReadyTimeout = 100 * time.Millisecond
 	case "silent":
-		o.AckWithin = 100 * time.Millisecond
+		o.AckTimeout = 100 * time.Millisecond
 	case "wrapped":
 		o.Path, o.Args = "/bin/sh", []string{"-c", `"$0"; true`, os.Args[0]}
 	case "/nowhere":
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -18,15 +18,15 @@
 
 // Options says how to start the successor and what it gets. The zero value of each field but Address has a meaning.
 type Options struct {
-	Path        string          // the program, looked up anew: it may be a new binary; "" = as this one was started
-	Args        []string        // without the program's name; nil = this process's
-	Env         []string        // as KEY=value; nil = this process's
-	ReadyWithin time.Duration   // from Start on; 0 = 30 s
-	AckWithin   time.Duration   // without any answer that is due; then the successor is killed; 0 = 10 s
-	Name        string          // of the daemon, for the successor's log
-	Address     string          // that the daemon is configured to listen on; a successor with another one refuses
-	State       []byte          // for the successor; at most MaxState bytes
-	Open        func() []string // the ids of open requests, asked for once the successor is ready; nil = none are sent
+	Path         string          // the program, looked up anew: it may be a new binary; "" = as this one was started
+	Args         []string        // without the program's name; nil = this process's
+	Env          []string        // as KEY=value; nil = this process's
+	ReadyTimeout time.Duration   // from Start on; 0 = 30 s
+	AckTimeout   time.Duration   // without any answer that is due; then the successor is killed; 0 = 10 s
+	Name         string          // of the daemon, for the successor's log
+	Address      string          // that the daemon is configured to listen on; a successor with another one refuses
+	State        []byte          // for the successor; at most MaxState bytes
+	OpenRequests func() []string // the ids of open requests, asked for once the successor is ready; nil = none are sent
 }
 
 // Predecessor is the running process's side of a handover whose successor is ready.
@@ -64,7 +64,7 @@
 	case os.Getpid() == 1:
 		return nil, errors.New("handover: process 1 can't hand over: its end ends all others; run it under an init")
 	case !c.claim():
-		return nil, fmt.Errorf("handover: %w", ErrUnderWay)
+		return nil, fmt.Errorf("handover: %w", ErrInProgress)
 	}
 	p, err := startSuccessor(o)
 	if err != nil {
@@ -104,7 +104,7 @@
 		env = os.Environ()
 	}
 	cmd := exec.Command(cmp.Or(o.Path, os.Args[0]), args...)
-	cmd.Env = append(slices.Clip(env), Variable+"=3") // the first after the standard ones
+	cmd.Env = append(slices.Clip(env), ControlVariable+"=3") // the first after the standard ones
 	cmd.ExtraFiles = []*os.File{theirs}
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	if err := cmd.Start(); err != nil {
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	p := &Predecessor{
-		control: mine, cmd: cmd, pid: cmd.Process.Pid, ackTimeout: cmp.Or(o.AckWithin, defaultAckTimeout), exited: make(chan struct{}),
+		control: mine, cmd: cmd, pid: cmd.Process.Pid, ackTimeout: cmp.Or(o.AckTimeout, defaultAckTimeout), exited: make(chan struct{}),
 		lost: make(chan struct{}), answers: map[uint64]chan error{},
 	}
 	p.ackTimer = time.AfterFunc(p.ackTimeout, p.abort)
@@ -126,7 +126,7 @@
 
 // prepare takes the successor to the point where it serves, or returns an error before that.
 func (p *Predecessor) prepare(ctx context.Context, l *net.TCPListener, o Options) error {
-	within := cmp.Or(o.ReadyWithin, defaultReadyTimeout)
+	within := cmp.Or(o.ReadyTimeout, defaultReadyTimeout)
 	ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("not ready within %v", within))
 	defer cancel()
 	inTime := context.AfterFunc(ctx, func() { _ = p.control.SetDeadline(longAgo) })
@@ -139,8 +139,8 @@
 	case err != nil:
 		return err
 	}
-	if o.Open != nil {
-		if err := p.control.sendLines(kindOpen, o.Open()); err != nil {
+	if o.OpenRequests != nil {
+		if err := p.control.sendLines(kindOpen, o.OpenRequests()); err != nil {
 			return err
 		}
 	}
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -25,7 +25,7 @@
 		if err == nil && !complete {
 			continue
 		}
-		if err == nil || errors.Is(err, ErrGone) {
+		if err == nil || errors.Is(err, ErrPredecessorLost) {
 			s.hasAll.Store(true)
 			_ = s.Close() // the other end is closed, or about to be
 		}
@@ -43,7 +43,7 @@
 	case ctx.Err() != nil: // what may have come just now is not acknowledged: it stays the predecessor's
 		return false, ctx.Err()
 	case errors.Is(err, io.EOF):
-		return false, ErrGone
+		return false, ErrPredecessorLost
 	case err != nil:
 		return false, err
 	}
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), rendezvousName), func() { _ = d.Close() }, nil
 }
 
-// Listen makes this process the one that a second process finds in folder, in place of any earlier one.
-func Listen(folder string) (*net.UnixListener, error) {
+// ListenForSuccessor makes this process the one that a second process finds in folder, in place of any earlier one.
+func ListenForSuccessor(folder string) (*net.UnixListener, error) {
 	path, done, err := rendezvousPath(folder)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -51,9 +51,9 @@
 	return l, nil
 }
 
-// Find returns the successor's side of a handover by the process that listens in folder, nil and nil if there is none. An error
+// FindPredecessor returns the successor's side of a handover by the process that listens in folder, nil and nil if there is none. An error
 // says why there is one that can't hand over: this process goes on alone then.
-func Find(folder string) (*Successor, error) {
+func FindPredecessor(folder string) (*Successor, error) {
 	path, done, err := rendezvousPath(folder)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -83,13 +83,13 @@
 	return s, nil
 }
 
-// Meet hands over to a process that has found this one, over its connection, as Start does to one that it starts; but a
+// HandOverTo hands over to a process that has found this one, over its connection, as Start does to one that it starts; but a
 // successor that fails goes on living. What was passed to it without an answer is then nobody's: TransferConn returns
 // nil, and the caller closes its copy.
-func (c *Coordinator) Meet(ctx context.Context, conn *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
+func (c *Coordinator) HandOverTo(ctx context.Context, conn *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
 	pid, err := peerProcess(conn)
 	if err == nil && !c.claim() {
-		err = ErrUnderWay
+		err = ErrInProgress
 	}
 	if err != nil {
 		_ = conn.Close()
--- a/internal/hotrestart/rendezvous_test.go
+++ b/internal/hotrestart/rendezvous_test.go
@@ -29,7 +29,7 @@
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		if s, err := Find(folder); s != nil || err != nil {
+		if s, err := FindPredecessor(folder); s != nil || err != nil {
 			t.Fatalf("found %v, %v where nobody is", s, err)
 		}
 		var first, second Coordinator
@@ -37,23 +37,23 @@
 		for i := range 9000 { // more than one message holds
 			ids = append(ids, "request-"+strconv.Itoa(i))
 		}
-		place, own := must(Listen(folder)), testListener(t)
+		place, own := must(ListenForSuccessor(folder)), testListener(t)
 		ended := make(chan error, 1)
 		go func() {
-			p, err := first.Meet(t.Context(), must(place.AcceptUnix()), own,
-				Options{Name: "n1", State: state, Open: func() []string { return ids }})
+			p, err := first.HandOverTo(t.Context(), must(place.AcceptUnix()), own,
+				Options{Name: "n1", State: state, OpenRequests: func() []string { return ids }})
 			if err == nil {
 				err = errors.Join(p.TransferConn(client(t, own.Addr().String()), []byte("known")), p.Complete())
 			}
 			ended <- err
 		}()
-		s := must(Find(folder))
-		if second.Inherited = s; string(s.State()) != string(state) || !s.TookOver() || second.claim() {
-			t.Errorf("a state of %d bytes, met %t", len(s.State()), s.TookOver())
+		s := must(FindPredecessor(folder))
+		if second.Inherited = s; string(s.State()) != string(state) || !s.StartedByPlatform() || second.claim() {
+			t.Errorf("a state of %d bytes, met %t", len(s.State()), s.StartedByPlatform())
 		}
 		must(0, s.Ready())
-		if len(s.Open()) != len(ids) || s.Open()[8999] != ids[8999] {
-			t.Errorf("%d open ids, want %d", len(s.Open()), len(ids))
+		if len(s.OpenRequests()) != len(ids) || s.OpenRequests()[8999] != ids[8999] {
+			t.Errorf("%d open ids, want %d", len(s.OpenRequests()), len(ids))
 		}
 		notes := ""
 		must(0, s.ReceiveConns(t.Context(), func(c *net.TCPConn, note []byte) { notes += string(note); _ = c.Close() }))
@@ -61,12 +61,12 @@
 			t.Errorf("%v, %q", err, notes)
 		}
 		place.Close()
-		next := must(Listen(folder))
+		next := must(ListenForSuccessor(folder))
 		go func() {
-			_, err := second.Meet(t.Context(), must(next.AcceptUnix()), own, Options{})
+			_, err := second.HandOverTo(t.Context(), must(next.AcceptUnix()), own, Options{})
 			ended <- err
 		}()
-		third := must(Find(folder))
+		third := must(FindPredecessor(folder))
 		must(0, third.Ready())
 		if err := <-ended; err != nil {
 			t.Error(err)
@@ -78,7 +78,7 @@
 // A process that finds no sound predecessor goes on alone, and one whose successor fails serves on.
 func TestMeetingThatFails(t *testing.T) {
 	folder := t.TempDir()
-	place, own := must(Listen(folder)), testListener(t)
+	place, own := must(ListenForSuccessor(folder)), testListener(t)
 	defer place.Close()
 	for what, old := range map[string]func(c *control){
 		"another version": func(c *control) {
@@ -88,7 +88,7 @@
 		"no hello":     func(c *control) { _ = c.send(message{kind: kindDone}, noDescriptor) },
 	} {
 		go func() { old(&control{UnixConn: must(place.AcceptUnix())}) }()
-		if s, err := Find(folder); s != nil || err == nil {
+		if s, err := FindPredecessor(folder); s != nil || err == nil {
 			t.Errorf("%s: %v, %v", what, s, err)
 		}
 	}
@@ -98,7 +98,7 @@
 		_, _, _ = c.receive()
 		_ = c.Close()
 	}()
-	s := must(Find(folder))
+	s := must(FindPredecessor(folder))
 	alone := Coordinator{Inherited: s}
 	if err := s.Ready(); !errors.Is(err, ErrCancelled) || !alone.claim() {
 		t.Errorf("%v; it must hand over to others as if nothing had been", err)
@@ -109,32 +109,32 @@
 		"refuses":      func(s *Successor) { _ = s.Reject("bad configuration") },
 		"ends at once": func(s *Successor) { _ = s.Close() },
 	} {
-		go func() { young(must(Find(folder))) }()
-		if p, err := line.Meet(t.Context(), must(place.AcceptUnix()), own, Options{}); p != nil || err == nil {
+		go func() { young(must(FindPredecessor(folder))) }()
+		if p, err := line.HandOverTo(t.Context(), must(place.AcceptUnix()), own, Options{}); p != nil || err == nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var found atomic.Pointer[Successor]
-	go func() { found.Store(must(Find(folder))); cancel() }() // cancelled before the other is ready
-	if p, err := line.Meet(ctx, must(place.AcceptUnix()), own, Options{}); p != nil || !errors.Is(err, context.Canceled) {
+	go func() { found.Store(must(FindPredecessor(folder))); cancel() }() // cancelled before the other is ready
+	if p, err := line.HandOverTo(ctx, must(place.AcceptUnix()), own, Options{}); p != nil || !errors.Is(err, context.Canceled) {
 		t.Errorf("told to stop: %v", err)
 	}
 
 	// What was passed to one that is silent is nobody's: its copy is closed, and this process serves on.
 	c := make(chan *Successor, 1)
 	go func() {
-		s := must(Find(folder))
+		s := must(FindPredecessor(folder))
 		must(0, s.Ready())
 		c <- s
 	}()
-	p := must(line.Meet(t.Context(), must(place.AcceptUnix()), own, Options{}))
+	p := must(line.HandOverTo(t.Context(), must(place.AcceptUnix()), own, Options{}))
 	silent := <-c
 	if err := p.TransferConn(client(t, own.Addr().String()), nil); err != nil {
 		t.Errorf("without an answer: %v", err)
 	}
 	<-p.Lost()
-	if err := p.Complete(); !errors.Is(err, ErrLost) || !line.claim() {
+	if err := p.Complete(); !errors.Is(err, ErrSuccessorLost) || !line.claim() {
 		t.Errorf("it is to serve on: %v", err)
 	}
 	_ = silent.Close()
@@ -147,21 +147,21 @@
 	defer f.Close()
 	env := func(fd string) func(string) string { return func(string) string { return fd } }
 	for fd, want := range map[string]string{"x": "not the number", "1": "not the number", "900": "bad file descriptor"} {
-		if _, err := Held(env(fd), l.Addr().String()); err == nil || !strings.Contains(err.Error(), ListenVariable) ||
+		if _, err := PlatformListener(env(fd), l.Addr().String()); err == nil || !strings.Contains(err.Error(), ListenVariable) ||
 			!strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", fd, err)
 		}
 	}
 	another := must(syscall.Dup(int(f.Fd()))) // which Held takes over
-	if _, err := Held(env(strconv.Itoa(another)), "127.0.0.1:1"); err == nil || !strings.Contains(err.Error(), "listen says") {
+	if _, err := PlatformListener(env(strconv.Itoa(another)), "127.0.0.1:1"); err == nil || !strings.Contains(err.Error(), "listen says") {
 		t.Errorf("another address: %v", err)
 	}
 	another = must(syscall.Dup(int(f.Fd())))
-	mine := must(Held(env(strconv.Itoa(another)), l.Addr().String()))
+	mine := must(PlatformListener(env(strconv.Itoa(another)), l.Addr().String()))
 	mine.Close()
 	c := must(net.Dial("tcp", l.Addr().String())) // the platform's own is still open
 	c.Close()
-	if mine, err := Held(env(""), ""); mine != nil || err != nil {
+	if mine, err := PlatformListener(env(""), ""); mine != nil || err != nil {
 		t.Errorf("without the variable: %v, %v", mine, err)
 	}
 }
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -34,17 +34,17 @@
 // the predecessor's hello, listener and state. A hello that it can't work with is refused, and the error says why; so
 // does one for a variable that names no control socket.
 func Inherited(getenv func(string) string) (*Successor, error) {
-	value := getenv(Variable)
+	value := getenv(ControlVariable)
 	if value == "" {
 		return nil, nil
 	}
 	fd, err := strconv.Atoi(value)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %s=%q: not a descriptor's number", Variable, value)
+		return nil, fmt.Errorf("handover: %s=%q: not a descriptor's number", ControlVariable, value)
 	}
 	c, err := openControl(fd)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %s=%s: %w; unset it to start without a predecessor", Variable, value, err)
+		return nil, fmt.Errorf("handover: %s=%s: %w; unset it to start without a predecessor", ControlVariable, value, err)
 	}
 	s := &Successor{control: c, cancelled: make(chan struct{}), decided: make(chan struct{})}
 	if err := s.readHello(); err != nil {
@@ -107,11 +107,11 @@
 // has returned nil.
 func (s *Successor) Listener() *net.TCPListener { return s.listener }
 
-// TookOver reports whether the platform has started this process beside the other: if that one fails, this one serves alone.
-func (s *Successor) TookOver() bool { return s.foundPredecessor }
+// StartedByPlatform reports whether the platform has started this process beside the other: if that one fails, this one serves alone.
+func (s *Successor) StartedByPlatform() bool { return s.foundPredecessor }
 
-// Open are the ids of requests that the predecessor had open when it let this process serve.
-func (s *Successor) Open() []string { return s.open }
+// OpenRequests are the ids of requests that the predecessor had open when it let this process serve.
+func (s *Successor) OpenRequests() []string { return s.open }
 
 // State is the predecessor's state blob. It is released when Ready returns.
 func (s *Successor) State() []byte { return s.state }
@@ -120,9 +120,9 @@
 // then, whatever it is about: its copy of the listener keeps the address taken.
 func (s *Successor) Cancelled() <-chan struct{} { return s.cancelled }
 
-// Check refuses the handover, with an error that says so, unless this process is configured to listen on the address that
+// CheckAddress refuses the handover, with an error that says so, unless this process is configured to listen on the address that
 // the predecessor is.
-func (s *Successor) Check(address string) error {
+func (s *Successor) CheckAddress(address string) error {
 	if address == s.hello.Address {
 		return nil
 	}
--- a/internal/hotrestart/systemd.go
+++ b/internal/hotrestart/systemd.go
@@ -9,9 +9,9 @@
 	"github.com/coreos/go-systemd/v22/daemon"
 )
 
-// Listener returns the listener that a supervisor has opened for this process by systemd's protocol (LISTEN_PID and
+// SystemdListener returns the listener that a supervisor has opened for this process by systemd's protocol (LISTEN_PID and
 // LISTEN_FDS, sd_listen_fds(3)); nil and nil if there is none. A successor inherits its predecessor's instead.
-func Listener(getenv func(string) string) (*net.TCPListener, error) {
+func SystemdListener(getenv func(string) string) (*net.TCPListener, error) {
 	if getenv("LISTEN_PID") != strconv.Itoa(os.Getpid()) {
 		return nil, nil // meant for another process
 	}
--- a/internal/hotrestart/transfer.go
+++ b/internal/hotrestart/transfer.go
@@ -126,14 +126,14 @@
 func (p *Predecessor) markLost() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lostErr = ErrLost
+	p.lostErr = ErrSuccessorLost
 	p.ackTimer.Stop()
 	for number, to := range p.answers {
 		delete(p.answers, number)
 		if p.cmd == nil && number != p.doneNumber {
 			to <- nil // it may have the connection and live: nobody here may read that any more
 		} else {
-			to <- ErrLost
+			to <- ErrSuccessorLost
 		}
 	}
 	p.coordinator.release()
--- a/internal/snapshot/restore_test.go
+++ b/internal/snapshot/restore_test.go
@@ -178,7 +178,7 @@
 func TestFingerprint(t *testing.T) {
 	a := config.Settings{Classes: []config.Class{{Name: "ab"}, {Name: "c"}}, Dcs: []string{"z"}}
 	b := config.Settings{Classes: []config.Class{{Name: "a"}, {Name: "bc"}}, Dcs: []string{"z"}}
-	c := config.Settings{Classes: a.Classes, Realms: []config.Realm{{Name: "z"}}}
+	c := config.Settings{Classes: a.Classes, Realms: []config.Tenant{{Name: "z"}}}
 	if Fingerprint(&a) == Fingerprint(&b) || Fingerprint(&a) == Fingerprint(&c) {
 		t.Error("it stands for more than one deployment")
 	}
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -71,8 +71,8 @@
 		s.control.Fail(faultinjection.SyncFile, errno, -1)
 		s.control.Fail(faultinjection.ReadFile, syscall.EIO, -1)
 		w.fail(s, faultinjection.WriteFile, errno, pause)
-		s.control.Heal(faultinjection.SyncFile)
-		s.control.Heal(faultinjection.ReadFile)
+		s.control.Clear(faultinjection.SyncFile)
+		s.control.Clear(faultinjection.ReadFile)
 	}
 }
 
@@ -80,7 +80,7 @@
 func (w *world) stepClocks(step time.Duration) {
 	total := w.offset.Add(int64(step))
 	for _, s := range w.sidecars {
-		s.control.Step(time.Duration(total))
+		s.control.StepClock(time.Duration(total))
 	}
 }
 
@@ -90,8 +90,8 @@
 // that repeats go out on new ones.
 func (w *world) slowConnects(t Fault, s *sidecar, pause func()) {
 	late := (1 + t.Draw) / 2 * float64(min(w.variant.connect-slowConnectRest, maxSlowConnect))
-	s.control.Hold(faultinjection.SlowConnect, time.Duration(late))
-	defer s.control.Heal(faultinjection.SlowConnect)
+	s.control.Delay(faultinjection.SlowConnect, time.Duration(late))
+	defer s.control.Clear(faultinjection.SlowConnect)
 	if t.Target%2 == 0 {
 		for _, v := range w.servers {
 			v.ResetOpenConns()
@@ -104,7 +104,7 @@
 func (w *world) fail(s *sidecar, o faultinjection.Op, errno syscall.Errno, pause func()) {
 	s.control.Fail(o, errno, -1)
 	pause()
-	s.control.Heal(o)
+	s.control.Clear(o)
 }
 
 // interrupt has signals interrupt a sidecar's looks at its sockets, a few in a row now and then.
@@ -116,8 +116,8 @@
 			break
 		}
 	}
-	s.control.Heal(faultinjection.Poll)
-	s.control.Heal(faultinjection.Peek)
+	s.control.Clear(faultinjection.Poll)
+	s.control.Clear(faultinjection.Peek)
 }
 
 // playProcessFault plays what ends, replaces or reloads a sidecar's process.
@@ -135,7 +135,7 @@
 		s.control.Fail(faultinjection.ReadConfig, pick(t.Draw, syscall.ENFILE, syscall.EIO), -1)
 		w.reload(s, t)
 		_ = fakes.Pause(ctx, t.For)
-		s.control.Heal(faultinjection.ReadConfig)
+		s.control.Clear(faultinjection.ReadConfig)
 	case Reload:
 		w.reload(s, t)
 	case ReloadBurst:
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -278,8 +278,8 @@
 		leaving = 10 * time.Millisecond // after the stop
 	)
 	began := time.Now()
-	s.control.Hold(faultinjection.SlowConnect, slow)
-	defer s.control.Heal(faultinjection.SlowConnect)
+	s.control.Delay(faultinjection.SlowConnect, slow)
+	defer s.control.Clear(faultinjection.SlowConnect)
 	var all sync.WaitGroup
 	all.Go(func() { w.clients[n].sendAndLeaveAt(clients, began.Add(before+leaving)) })
 	_ = fakes.Pause(ctx, before)
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -126,7 +126,7 @@
 func (s *sidecar) start(ctx context.Context) error {
 	cmd := exec.Command(s.program)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.path("config.json"), "TMPDIR="+s.path("tmp"), "GW_TRACE=1",
-		faultinjection.File+"="+s.path("faults"))
+		faultinjection.FileVariable+"="+s.path("faults"))
 	cmd.Stdout, cmd.Stderr = s.log, s.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // its successors are killed with it
 	s.born()
