--- a/internal/hotrestart/control.go
+++ b/internal/hotrestart/control.go
@@ -9,36 +9,37 @@
 	"time"
 )
 
-// longAgo is a deadline that ends calls at once.
-var longAgo = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past: it makes pending and later I/O calls fail at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// noDescriptor says that a message goes without one.
+// noDescriptor is the fd argument of send for a message without a descriptor.
 const noDescriptor = -1
 
-// control is one end of the socket between the two processes. It carries packets: each message arrives whole, with its
-// descriptor, or not at all. send is safe for concurrent use; receive is for one goroutine at a time.
+// control is one end of the SOCK_SEQPACKET socket between the two processes. Each message arrives complete, with its
+// descriptor, or not at all. send is safe for concurrent use; receive must be called from one goroutine at a time.
 type control struct {
 	*net.UnixConn
 	buffer [headerLen + maxBody]byte
 }
 
-// socketPair returns this process's end and the one to be inherited.
+// socketPair returns this process's end of a new control socket and the end that the successor inherits.
 func socketPair() (*control, *os.File, error) {
-	const how = syscall.SOCK_SEQPACKET | syscall.SOCK_CLOEXEC | syscall.SOCK_NONBLOCK
-	ends, err := syscall.Socketpair(syscall.AF_UNIX, how, 0)
+	const socketType = syscall.SOCK_SEQPACKET | syscall.SOCK_CLOEXEC | syscall.SOCK_NONBLOCK
+	fds, err := syscall.Socketpair(syscall.AF_UNIX, socketType, 0)
 	if err != nil {
 		return nil, nil, os.NewSyscallError("socketpair", err)
 	}
-	theirs := os.NewFile(uintptr(ends[1]), "control socket")
-	mine, err := openControl(ends[0])
+	remote := os.NewFile(uintptr(fds[1]), "control socket")
+	local, err := openControl(fds[0])
 	if err != nil {
-		theirs.Close()
+		remote.Close()
 		return nil, nil, err
 	}
-	return mine, theirs, nil
+	return local, remote, nil
 }
 
-// openControl takes the descriptor over if it is an end of such a socket, and leaves it alone if it is anything else.
+// openControl takes ownership of the descriptor if it is an AF_UNIX SOCK_SEQPACKET socket. Any other descriptor it leaves open
+// and returns an error.
 func openControl(fd int) (*control, error) {
 	for option, want := range map[int]int{syscall.SO_DOMAIN: syscall.AF_UNIX, syscall.SO_TYPE: syscall.SOCK_SEQPACKET} {
 		got, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, option)
@@ -46,7 +47,7 @@
 			err = syscall.EPROTOTYPE
 		}
 		if err != nil {
-			return nil, fmt.Errorf("descriptor %d is no control socket: %w", fd, err)
+			return nil, fmt.Errorf("descriptor %d is not a control socket: %w", fd, err)
 		}
 	}
 	f := os.NewFile(uintptr(fd), "control socket")
@@ -58,8 +59,8 @@
 	return &control{UnixConn: c.(*net.UnixConn)}, nil
 }
 
-// send writes a message, and with it a copy of a descriptor unless fd is noDescriptor. Without an error it lies in the
-// other end's queue, where only the other process can still get at it, whatever becomes of this one.
+// send writes a message, together with a copy of a descriptor unless fd is noDescriptor. When it returns nil, the message is in
+// the receive queue of the other end and can be read there even after this process has exited.
 func (c *control) send(m message, fd int) error {
 	var rights []byte
 	if fd >= 0 {
@@ -69,21 +70,21 @@
 	return err
 }
 
-// sendConn sends a message with the descriptor of a socket, which stays in the non-blocking mode that its users share:
-// File().Fd() would change that for all of them.
+// sendConn sends a message with the descriptor of a socket. It doesn't use File().Fd(), which would switch the socket to
+// blocking mode for every process that shares it.
 func (c *control) sendConn(m message, s syscall.Conn) error {
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var sent error
-	if err := raw.Control(func(fd uintptr) { sent = c.send(m, int(fd)) }); err != nil {
+	var sendErr error
+	if err := raw.Control(func(fd uintptr) { sendErr = c.send(m, int(fd)) }); err != nil {
 		return err
 	}
-	return sent
+	return sendErr
 }
 
-// sendLines sends lines in as many messages as they need.
+// sendLines sends lines, each ended by a newline, in as many messages of kind k as maxBody requires.
 func (c *control) sendLines(k kind, lines []string) error {
 	var body []byte
 	for i, line := range lines {
@@ -98,14 +99,14 @@
 	return nil
 }
 
-// receive waits for the next message and the descriptor that came with it, if any. The message is good until the next
-// call. io.EOF, wrapped, says that the other end is closed and that nothing it sent is left.
+// receive waits for the next message and the descriptor that came with it, if any. The message is valid until the next
+// call. It returns a wrapped io.EOF once the other end is closed and everything it sent has been read.
 func (c *control) receive() (message, *os.File, error) {
 	rights := make([]byte, syscall.CmsgSpace(4))
 	for {
 		n, rn, flags, _, err := c.ReadMsgUnix(c.buffer[:], rights)
 		if errors.Is(err, syscall.ECONNRESET) {
-			continue // said once where the other end has left something unread; what it sent comes after that
+			continue // reported once if the other end closed with unread data; the messages it sent can still be read
 		}
 		if err != nil {
 			return message{}, nil, err
@@ -123,8 +124,8 @@
 	}
 }
 
-// firstDescriptor returns the first descriptor in the control data and closes any more. They are close-on-exec already. None
-// arrives where this process has no number left for it.
+// firstDescriptor returns the first descriptor in the control data and closes any others. The descriptors are close-on-exec
+// already. It returns nil if there is none, as when this process has reached its limit on open descriptors.
 func firstDescriptor(rights []byte) *os.File {
 	var first *os.File
 	parts, _ := syscall.ParseSocketControlMessage(rights)
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// goldenMessages are one message of each kind, as they go over the control socket.
+// goldenMessages returns one message of each kind, in the order of the stored file.
 func goldenMessages(t *testing.T) []message {
 	t.Helper()
 	encode := func(body any) []byte {
@@ -26,19 +26,20 @@
 		{kind: kindHello, body: encode(Hello{Version: Version, Name: "n1", Address: "127.0.0.1:3000", State: 7})},
 		{kind: kindState, body: []byte("a state")},
 		{kind: kindReady, number: 4321},
-		{kind: kindRefuse, body: []byte("the address is another")},
-		{kind: kindOpen, body: []byte("r-1\nr-2\n")},
+		{kind: kindReject, body: []byte("the address is another")},
+		{kind: kindOpenRequests, body: []byte("r-1\nr-2\n")},
 		{kind: kindServe},
 		{kind: kindConn, number: 17, body: []byte("a note")},
-		{kind: kindTaken, number: 17},
-		{kind: kindLeft, number: 18, body: []byte("too many open files")},
-		{kind: kindDone},
+		{kind: kindConnAccepted, number: 17},
+		{kind: kindConnFailed, number: 18, body: []byte("too many open files")},
+		{kind: kindComplete},
 		{kind: kindStop, body: encode(signalMessage{At: 1_234_567_890_123, Kill: 1_238_267_890_123})},
 		{kind: kindReload, body: encode(signalMessage{At: 1_234_567_890_123})},
 	}
 }
 
-// TestGoldenMessages checks that this version writes and reads the messages of a hot restart as an earlier version wrote them.
+// TestGoldenMessages checks that the messages of a hot restart are encoded as an earlier version encoded them, and that
+// the stored encoding is decoded.
 func TestGoldenMessages(t *testing.T) {
 	stored, err := os.ReadFile(filepath.Join("testdata", "golden_messages.txt"))
 	if err != nil {
@@ -61,10 +62,10 @@
 			t.Errorf("kind %q: %v", want.kind, err)
 		}
 		if got.kind != want.kind || got.number != want.number || !bytes.Equal(got.body, want.body) {
-			t.Errorf("read as %+v, want %+v", got, want)
+			t.Errorf("decoded as %+v, want %+v", got, want)
 		}
 	}
 	if diff := cmp.Diff(string(stored), written.String()); diff != "" {
-		t.Errorf("written in another form: %s", diff)
+		t.Errorf("the encoding has changed: %s", diff)
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,25 +1,25 @@
-// Package hotrestart replaces a running daemon by a new process, perhaps of a new binary, without a request lost. The
-// running process, the predecessor, starts its successor, which inherits a control socket. Over that come the listener,
-// a state blob and, once the successor is ready, the live connections one by one. Until then the predecessor serves on
-// as if nothing were, and it does so again if the successor ends before everything is its own. docs/design/handover.md
-// says who may use a connection at which step. Linux only.
+// Package hotrestart replaces a running daemon by a new process, possibly of a new binary, without losing a request. The
+// running process, the predecessor, starts its successor, which inherits a control socket. The predecessor sends the listener
+// and a state blob over it and, once the successor is ready, its open connections one by one. Until then the predecessor keeps
+// serving, and it resumes serving if the successor exits before the handover is complete. docs/design/handover.md
+// specifies which process may use a connection at which step. Linux only.
 //
 // The predecessor:
 //
 //	p, err := c.Start(ctx, listener, hotrestart.Options{State: snapshot, ...}) // returns when the successor is ready
-//	listener.SetDeadline(past)                                               // stop accepting, but keep the listener
-//	err = p.TransferConn(conn, note); conn.Close()                           // each, once it is idle
-//	err = p.Complete()                                                       // then exit; on Lost: accept again
+//	listener.SetDeadline(past)                                               // stop accepting, but keep the listener open
+//	err = p.TransferConn(conn, note); conn.Close()                           // for each connection once it is idle
+//	err = p.Complete()                                                       // then exit; if Lost is closed: accept again
 //
 // The successor:
 //
-//	s, err := hotrestart.Inherited(os.Getenv)           // nil, nil where there is no predecessor
-//	err = s.Check(address)                            // and read s.State()
+//	s, err := hotrestart.Inherited(os.Getenv)           // nil, nil without a predecessor
+//	err = s.CheckAddress(address)                     // and read s.State()
 //	err = s.Ready()                                   // then serve s.Listener()
 //	err = s.ReceiveConns(ctx, func(c *net.TCPConn, note []byte) { ... })
 //
-// Errors of a handover never concern connections other than the one in hand: a connection is either this side's or the
-// other's, and each method says which.
+// An error affects only the connection that the failed call was made for. Each connection belongs to exactly one of the two
+// processes, and each method documents to which one.
 package hotrestart
 
 import (
@@ -29,38 +29,39 @@
 )
 
 const (
-	// Version is that of the protocol between the two processes. Only the same versions hand over to one another.
+	// Version is the version of the protocol between the two processes. A handover requires the same version on both sides.
 	Version = 3
-	// ControlVariable names, in a successor's environment, the descriptor of its control socket.
+	// ControlVariable is the environment variable that holds the number of a successor's control socket descriptor.
 	ControlVariable = "GW_HANDOVER"
 
-	defaultReadyTimeout = 30 * time.Second // for a successor to become ready
-	defaultAckTimeout   = 10 * time.Second // without any answer that is due
-	terminateTimeout    = time.Second      // for a successor that has failed, to end by itself and say why in its log
+	defaultReadyTimeout = 30 * time.Second // from the start of a successor until it must be ready
+	defaultAckTimeout   = 10 * time.Second // without any response while one is pending
+	terminateTimeout    = time.Second      // for a failed successor to log the reason and exit before it is killed
 )
 
-// What ends a handover. They come wrapped.
+// Errors that end or prevent a handover. They are returned wrapped.
 var (
-	ErrInProgress      = errors.New("a handover is under way")
-	ErrSuccessorLost   = errors.New("the successor has ended before it had everything")
-	ErrFinished        = errors.New("the handover is finished")
-	ErrCancelled       = errors.New("the predecessor has ended or called the handover off: this process must not serve")
-	ErrPredecessorLost = errors.New("the predecessor has ended before it was done: this process goes on alone")
+	ErrInProgress      = errors.New("another handover is in progress")
+	ErrSuccessorLost   = errors.New("the successor exited before the handover was complete")
+	ErrFinished        = errors.New("the handover is already complete")
+	ErrCancelled       = errors.New("the predecessor exited or cancelled the handover: this process must not serve")
+	ErrPredecessorLost = errors.New("the predecessor exited before the handover was complete: this process continues alone")
 )
 
-// Coordinator is a process's one place in a line of processes: it lets only one handover be under way. It is safe for
-// concurrent use. The zero value is that of a process without a predecessor.
+// Coordinator allows one handover from this process at a time, and none before this process has received everything from
+// its own predecessor. It is safe for concurrent use. The zero value is for a process without a predecessor.
 type Coordinator struct {
-	Inherited *Successor // of a process that has a predecessor; it hands over only once it has everything
+	Inherited *Successor // the handover from the predecessor; nil = there is none
 
 	mu   sync.Mutex
 	busy bool
 }
 
+// claim reserves the Coordinator for a handover, and reports whether it was free to start one.
 func (c *Coordinator) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy || c.Inherited != nil && !c.Inherited.hasAll.Load() {
+	if c.busy || c.Inherited != nil && !c.Inherited.complete.Load() {
 		return false
 	}
 	c.busy = true
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -17,24 +17,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// start starts a node with a listener by socket activation. What it and its successors print comes line by line, until
-// the last of them has ended.
+// start starts a node that gets its listener by socket activation. out has the lines that the node and its successors
+// print, until the last of them exits.
 func start(t *testing.T) (process *os.Process, address string, out *bufio.Scanner) {
 	l := must(net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)}))
 	defer l.Close()
 	f := must(l.File())
 	defer f.Close()
 	cmd := exec.Command("/bin/sh", "-c", `LISTEN_FDS=1 LISTEN_PID=$$ exec "$0"`, os.Args[0])
-	cmd.Env, cmd.ExtraFiles, cmd.Stderr = append(os.Environ(), roleVar+"=node"), []*os.File{f}, os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // it and its successors can be ended together
-	r := must(cmd.StdoutPipe()).(*os.File)
-	_ = r.SetReadDeadline(time.Now().Add(time.Minute))
+	cmd.Env, cmd.ExtraFiles, cmd.Stderr = append(os.Environ(), roleVariable+"=node"), []*os.File{f}, os.Stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that the cleanup kills the node with its successors
+	stdout := must(cmd.StdoutPipe()).(*os.File)
+	_ = stdout.SetReadDeadline(time.Now().Add(time.Minute))
 	must(0, cmd.Start())
 	t.Cleanup(func() { _ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL); _ = cmd.Wait() })
-	return cmd.Process, l.Addr().String(), bufio.NewScanner(r)
+	return cmd.Process, l.Addr().String(), bufio.NewScanner(stdout)
 }
 
-// waitForLine reads on to a line with that.
+// waitForLine reads lines until one contains want.
 func waitForLine(t *testing.T, out *bufio.Scanner, want string) {
 	t.Helper()
 	var lines []string
@@ -46,7 +46,7 @@
 	t.Fatalf("want %q, got %q", want, lines)
 }
 
-// client is a connection on which nothing takes longer than a test may.
+// client returns a connection to address with a deadline of one minute.
 func client(t *testing.T, address string) *net.TCPConn {
 	c := must(net.Dial("tcp", address)).(*net.TCPConn)
 	t.Cleanup(func() { _ = c.Close() })
@@ -54,8 +54,9 @@
 	return c
 }
 
-// askPid sends what is asked, if anything, and returns who answers and with which number; zeros where nobody does.
-func askPid(c net.Conn, line string) (pid, number int) {
+// requestPid sends line, which may be empty, and returns the process id and the count of the response; zeros without a
+// response.
+func requestPid(c net.Conn, line string) (pid, number int) {
 	fmt.Fprint(c, line)
 	if _, err := fmt.Fscanln(c, &pid, &number); err != nil {
 		return 0, 0
@@ -63,68 +64,70 @@
 	return pid, number
 }
 
+// servedBy checks that the process pid responds to line.
 func servedBy(t *testing.T, pid int, c net.Conn, line string) {
 	t.Helper()
-	if got, _ := askPid(c, line); got != pid {
-		t.Errorf("answered by %d, not by %d", got, pid)
+	if got, _ := requestPid(c, line); got != pid {
+		t.Errorf("response of process %d, want process %d", got, pid)
 	}
 }
 
-// Whatever becomes of its first successor, the predecessor serves as before, and a second one takes over.
-func TestSuccessors(t *testing.T) {
-	for role, says := range map[string]string{
-		"refuses":         "(exit status 7): it refuses: no room",
-		"other version":   "(exit status 7): it refuses: another version",
-		"exits":           "(exit status 3): it ended before it was ready",
-		"deaf":            "(signal: killed): not ready within 100ms",
-		"late":            "(exit status 7): terminated",
-		"wrapped":         "start the program directly or by exec",
-		"/nowhere":        "start the successor: fork/exec /nowhere",
-		"dies":            "lost",
-		"dies passing":    "lost",
-		"dies at the end": "lost",
-		"silent":          "lost",
+// However its first successor fails, the predecessor keeps serving, and a second successor takes over.
+func TestFailedSuccessorThenReplacement(t *testing.T) {
+	for role, message := range map[string]string{
+		"rejects":                  "(exit status 7): it rejected the handover: no room",
+		"other version":            "(exit status 7): it rejected the handover: another version",
+		"exits":                    "(exit status 3): it exited before it was ready",
+		"hangs before ready":       "(signal: killed): not ready within 100ms",
+		"waits for cancellation":   "(exit status 7): terminated",
+		"wrapped in a shell":       "start the program directly or by exec",
+		"/nonexistent":             "start the successor: fork/exec /nonexistent",
+		"killed when ready":        "lost",
+		"killed during transfer":   "lost",
+		"killed before completion": "lost",
+		"hangs after ready":        "lost",
 	} {
 		t.Run(role, func(t *testing.T) {
 			old, address, out := start(t)
 			a, b := client(t, address), client(t, address)
-			askPid(b, "a\n")
+			requestPid(b, "a\n")
 			fmt.Fprintf(a, "next %s\n", role)
-			if role == "late" {
+			if role == "waits for cancellation" {
 				waitForLine(t, out, "waiting")
-				askPid(b, "next node\n")
+				requestPid(b, "next node\n")
 				waitForLine(t, out, ErrInProgress.Error())
 				old.Signal(syscall.SIGTERM)
 			}
-			waitForLine(t, out, says)
+			waitForLine(t, out, message)
 			servedBy(t, old.Pid, a, "")
-			left := []net.Conn{client(t, address)}
+			open := []net.Conn{client(t, address)}
 			for _, c := range []net.Conn{a, b} {
-				if pid, _ := askPid(c, "b\n"); pid != 0 {
-					left = append(left, c)
+				if pid, _ := requestPid(c, "b\n"); pid != 0 {
+					open = append(open, c)
 				}
 			}
-			// Those that were taken end with the successor: nobody can tell what that had done with them.
-			if lost := 3 - len(left); lost != map[string]int{"dies passing": 1, "dies at the end": 2}[role] {
+			// Connections that the successor had accepted are closed with it: the predecessor can't know how far it had
+			// used them.
+			if lost := 3 - len(open); lost != map[string]int{"killed during transfer": 1, "killed before completion": 2}[role] {
 				t.Errorf("%d connections lost", lost)
 			}
-			servedBy(t, old.Pid, left[0], "next node\n")
-			waitForLine(t, out, "all is mine: <nil>")
-			successor, _ := askPid(client(t, address), "c\n")
-			for _, c := range left {
+			servedBy(t, old.Pid, open[0], "next node\n")
+			waitForLine(t, out, "received all connections: <nil>")
+			successor, _ := requestPid(client(t, address), "c\n")
+			for _, c := range open {
 				servedBy(t, successor, c, "c\n")
 			}
 			if successor == old.Pid {
-				t.Error("there is no successor")
+				t.Error("served by the predecessor after the handover")
 			}
-			fmt.Fprintln(left[0], "end")
+			fmt.Fprintln(open[0], "end")
 		})
 	}
 }
 
 func TestPredecessorKilledBeforeReady(t *testing.T) {
 	old, address, out := start(t)
-	fmt.Fprintln(client(t, address), "next late")
+	fmt.Fprintln(client(t, address), "next waits for cancellation")
 	waitForLine(t, out, "waiting")
 	old.Kill()
 	waitForLine(t, out, ErrCancelled.Error())
@@ -132,21 +135,21 @@
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Error("somebody still listens")
+		t.Error("a process still listens on the address")
 	}
 }
 
-func TestPredecessorKilledWhilePassing(t *testing.T) {
+func TestPredecessorKilledDuringTransfer(t *testing.T) {
 	old, address, out := start(t)
 	a, b, held := client(t, address), client(t, address), client(t, address)
-	fmt.Fprintln(held, "hold") // keeps the predecessor from being done
+	fmt.Fprintln(held, "hold") // keeps the predecessor from completing the handover
 	waitForLine(t, out, "holding")
-	askPid(a, "a\n")
+	requestPid(a, "a\n")
 	servedBy(t, old.Pid, b, "next node\n")
 	var successor int
 	for _, c := range []net.Conn{a, b} {
-		for successor = old.Pid; successor == old.Pid; { // until it has been passed: a read under way comes first
-			successor, _ = askPid(c, "a\n")
+		for successor = old.Pid; successor == old.Pid; { // until its transfer, which may follow one more read
+			successor, _ = requestPid(c, "a\n")
 		}
 	}
 	old.Kill()
@@ -158,65 +161,66 @@
 	fmt.Fprintln(a, "end")
 }
 
-// One client has a request under way whenever the listener and its connection move on, and its next ones are sent
-// already; another one asks all the time, on a kept connection and on new ones. systemd gets the id of each main process.
-func TestTenGenerations(t *testing.T) {
+// Hot restarts one after another lose no request. One client has a request in progress at each handover and has already
+// sent its next ones; another one sends requests all the time, on one reused connection and on new ones. systemd is sent
+// the id of each main process.
+func TestTenConsecutiveRestarts(t *testing.T) {
 	supervisor := must(net.ListenUnixgram("unixgram", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "notify")}))
 	defer func() { _ = supervisor.Close() }()
 	_ = supervisor.SetReadDeadline(time.Now().Add(time.Minute))
 	t.Setenv("NOTIFY_SOCKET", supervisor.LocalAddr().String())
 	process, address, _ := start(t)
-	busy, kept := client(t, address), client(t, address)
-	over, asked := make(chan struct{}), make(chan int)
+	busy, reused := client(t, address), client(t, address)
+	done, requests := make(chan struct{}), make(chan int)
 	go func() {
 		for n := 1; ; n++ {
 			fresh := client(t, address)
-			_, one := askPid(fresh, "a\n")
-			if _, number := askPid(kept, "a\n"); one != 1 || number != n {
+			_, first := requestPid(fresh, "a\n")
+			if _, number := requestPid(reused, "a\n"); first != 1 || number != n {
 				t.Errorf("request %d: lost", n)
 			}
 			_ = fresh.Close()
 			select {
-			case <-over:
-				asked <- n
+			case <-done:
+				requests <- n
 				return
 			default:
 			}
 		}
 	}()
 	fmt.Fprint(busy, strings.Repeat("next node\n", 10))
-	told := fmt.Sprintf("MAINPID=%d", process.Pid)
+	mainPid := fmt.Sprintf("MAINPID=%d", process.Pid)
 	for i := 1; i <= 11; i++ {
-		pid, number := askPid(busy, "")
-		if number != i || told != fmt.Sprintf("MAINPID=%d", pid) {
-			t.Fatalf("answer %d comes from %d, number %d, and systemd was told %s", i, pid, number, told)
+		pid, number := requestPid(busy, "")
+		if number != i || mainPid != fmt.Sprintf("MAINPID=%d", pid) {
+			t.Fatalf("response %d has process id %d and count %d, and systemd was sent %s", i, pid, number, mainPid)
 		}
 		if i == 10 {
 			fmt.Fprintln(busy, "a")
 		}
 		if i <= 10 {
 			var b [64]byte
-			told = string(b[:must(supervisor.Read(b[:]))])
+			mainPid = string(b[:must(supervisor.Read(b[:]))])
 		}
 	}
-	close(over)
-	if n := <-asked; n < 10 {
-		t.Errorf("only %d requests beside", n)
+	close(done)
+	if n := <-requests; n < 10 {
+		t.Errorf("only %d requests of the second client", n)
 	}
 	fmt.Fprintln(busy, "end")
 }
 
-// successorPipe is the control socket of a successor in this process.
+// successorPipe returns the predecessor's end of a control socket, and an environment that makes this process the successor.
 func successorPipe() (old *control, getenv func(string) string) {
-	old, theirs, err := socketPair()
+	old, remote, err := socketPair()
 	must(0, err)
-	defer theirs.Close()
+	defer remote.Close()
 	_ = old.SetReadDeadline(time.Now().Add(time.Minute))
-	fd := must(syscall.Dup(int(theirs.Fd())))
+	fd := must(syscall.Dup(int(remote.Fd())))
 	return old, func(string) string { return strconv.Itoa(fd) }
 }
 
-func TestBadHellos(t *testing.T) {
+func TestInvalidHellos(t *testing.T) {
 	l := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	defer l.Close()
 	for _, tc := range []struct {
@@ -225,12 +229,12 @@
 		socket syscall.Conn
 		want   string
 	}{
-		{"another version", map[int]any{1: 1, 2: "n1", 9: []int{1}}, l, "speaks handover version 1, this program version 3"},
-		{"too long a state", Hello{Version: Version, State: MaxState + 1}, l, "state of 16777217 bytes, at most 16777216"},
-		{"a negative state", Hello{Version: Version, State: -1}, l, "state of -1 bytes"},
-		{"no CBOR map", "hello", l, "malformed"},
-		{"a connection for a listener", Hello{Version: Version}, client(t, l.Addr().String()), "no listening TCP socket"},
-		{"more state than was announced", Hello{Version: Version, State: 1}, l, "kind 's' with 2 bytes within the state"},
+		{"another version", map[int]any{1: 1, 2: "n1", 9: []int{1}}, l, "uses handover version 1, this program version 3"},
+		{"state too long", Hello{Version: Version, State: MaxState + 1}, l, "state of 16777217 bytes, at most 16777216"},
+		{"negative state length", Hello{Version: Version, State: -1}, l, "state of -1 bytes"},
+		{"not a CBOR map", "hello", l, "malformed"},
+		{"a connection instead of a listener", Hello{Version: Version}, client(t, l.Addr().String()), "not a listening TCP socket"},
+		{"more state than announced", Hello{Version: Version, State: 1}, l, "kind 's' with 2 bytes within the state"},
 		{"another address", Hello{Version: Version, Address: "there"}, l, `listen on "there", this one on "here"`},
 	} {
 		old, getenv := successorPipe()
@@ -243,21 +247,21 @@
 		}
 		m, _, _ := old.receive()
 		if err == nil || !strings.Contains(err.Error(), tc.want) || !strings.Contains(string(m.body), tc.want) {
-			t.Errorf("%s: the error is %v, the predecessor gets %c %q", tc.name, err, m.kind, m.body)
+			t.Errorf("%s: the error is %v, the predecessor receives %c %q", tc.name, err, m.kind, m.body)
 		}
 	}
 	for _, value := range []string{"x", "-1", "0"} {
 		if _, err := Inherited(func(string) string { return value }); err == nil {
-			t.Errorf("%s=%s is taken", ControlVariable, value)
+			t.Errorf("%s=%s is accepted", ControlVariable, value)
 		}
 	}
 	if l, err := SystemdListener(func(string) string { return "1" }); l != nil || err != nil {
-		t.Errorf("what is meant for process 1 is taken: %v", err)
+		t.Errorf("the listener for process 1 is accepted: %v", err)
 	}
 }
 
-// What a predecessor has sent is taken after its end too, even where that end has left answers unread.
-func TestQueueOutlivesPredecessor(t *testing.T) {
+// A successor receives the messages that its predecessor sent before it exited, even if the predecessor left responses unread.
+func TestQueuedMessagesReceivedAfterPredecessorExit(t *testing.T) {
 	old, getenv := successorPipe()
 	l := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	defer l.Close()
@@ -268,15 +272,15 @@
 	for range 3 {
 		must(0, old.sendConn(message{kind: kindConn}, client(t, l.Addr().String())))
 	}
-	taken, next := 0, Coordinator{Inherited: s}
+	received, next := 0, Coordinator{Inherited: s}
 	err := s.ReceiveConns(t.Context(), func(*net.TCPConn, []byte) {
-		if taken++; taken == 1 && next.claim() {
-			t.Error("it may hand over before it has everything")
+		if received++; received == 1 && next.claim() {
+			t.Error("it may hand over before its own handover is complete")
 		}
 		_ = old.Close()
 	})
-	if taken != 3 || !errors.Is(err, ErrPredecessorLost) || !next.claim() {
-		t.Errorf("%d taken, then %v", taken, err)
+	if received != 3 || !errors.Is(err, ErrPredecessorLost) || !next.claim() {
+		t.Errorf("%d connections received, then %v", received, err)
 	}
 }
 
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -9,12 +9,12 @@
 	"syscall"
 )
 
-// ListenVariable names, in a process's environment, the descriptor of the listening socket that a platform holds for it and
-// for whoever runs beside or after it.
+// ListenVariable is the environment variable that holds the descriptor number of the listening socket that the platform
+// keeps open for this process and for the processes that run beside or after it.
 const ListenVariable = "GW_LISTEN_FD"
 
-// PlatformListener returns the listener that ListenVariable names; nil and nil if there is none. It has to listen on address, which
-// is the one in this process's configuration. Closing it leaves the platform's socket open.
+// PlatformListener returns the listener whose descriptor ListenVariable holds, or nil and nil if the variable is empty. The
+// listener must listen on address, which is the configured one. Closing it leaves the platform's socket open.
 func PlatformListener(getenv func(string) string, address string) (*net.TCPListener, error) {
 	value := getenv(ListenVariable)
 	if value == "" {
@@ -28,20 +28,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s=%s: %w", ListenVariable, value, err)
 	}
-	if at := l.Addr().String(); at != address {
+	if actual := l.Addr().String(); actual != address {
 		l.Close()
-		return nil, fmt.Errorf("%s=%s: it listens on %s, but listen says %s", ListenVariable, value, at, address)
+		return nil, fmt.Errorf("%s=%s: the socket listens on %s, but listen is configured as %s", ListenVariable, value, actual, address)
 	}
 	return l, nil
 }
 
-// tcpListener makes a listener of its own of what was passed.
+// tcpListener returns a listener on a copy of the passed descriptor, and closes f. It returns errNoDescriptor if f is nil.
 func tcpListener(f *os.File) (*net.TCPListener, error) {
 	if f == nil {
 		return nil, errNoDescriptor
 	}
 	defer f.Close()
-	listens, err := syscall.GetsockoptInt(int(f.Fd()), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	listening, err := syscall.GetsockoptInt(int(f.Fd()), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
 		return nil, os.NewSyscallError("getsockopt", err)
 	}
@@ -50,9 +50,9 @@
 		return nil, err
 	}
 	t, ok := l.(*net.TCPListener)
-	if !ok || listens == 0 {
+	if !ok || listening == 0 {
 		l.Close()
-		return nil, errors.New("it is no listening TCP socket")
+		return nil, errors.New("not a listening TCP socket")
 	}
 	return t, nil
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -8,39 +8,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of what goes over the control socket, in bytes.
+// Maximum lengths of the data sent over the control socket, in bytes.
 const (
 	MaxState  = 16 << 20 // the state blob
-	MaxNote   = 4 << 10  // the note that goes with a connection
-	maxReason = 1 << 10
-	maxBody   = 32 << 10 // far below any usual send buffer: a larger packet would be refused, not split
+	MaxNote   = 4 << 10  // the note sent with a connection
+	maxReason = 1 << 10  // an error text or an encoded signal
+	maxBody   = 32 << 10 // far below usual send buffer sizes: the kernel rejects a larger packet instead of splitting it
 	headerLen = 1 + 8
 )
 
-// kind says what a message is. P is the predecessor, S the successor.
+// kind is the type of a message, as on the wire. In the comments, P is sent by the predecessor and S by the successor.
 type kind byte
 
 const (
-	kindHello  kind = 'h' // P: a Hello in CBOR, with the listener
-	kindState  kind = 's' // P: the next part of the state
-	kindReady  kind = 'r' // S: its process id is the number
-	kindRefuse kind = 'n' // S: why not
-	kindOpen   kind = 'o' // P: ids of requests that are open there, each with an end of line
-	kindServe  kind = 'g' // P: from now on S serves
-	kindConn   kind = 'c' // P: a connection and its note
-	kindTaken  kind = 'a' // S: the connection of that number is its own
-	kindLeft   kind = 'x' // S: the connection of that number did not arrive, and why
-	kindDone   kind = 'd' // P: that was all; S: so it was
-	kindStop   kind = 'e' // P: a Stop in CBOR
-	kindReload kind = 'f' // P: a Reload in CBOR
+	kindHello        kind = 'h' // P: a Hello in CBOR, with the listener's descriptor
+	kindState        kind = 's' // P: the next part of the state blob
+	kindReady        kind = 'r' // S: ready to serve; the number is its process id
+	kindReject       kind = 'n' // S: it can't take over; the body is the reason
+	kindOpenRequests kind = 'o' // P: ids of its open requests, each ended by a newline
+	kindServe        kind = 'g' // P: the successor may serve from now on
+	kindConn         kind = 'c' // P: a connection's descriptor and its note
+	kindConnAccepted kind = 'a' // S: it has accepted the connection of that number
+	kindConnFailed   kind = 'x' // S: it could not receive the connection of that number; the body is the reason
+	kindComplete     kind = 'd' // P: everything has been sent; S: acknowledges that
+	kindStop         kind = 'e' // P: a Stop in CBOR
+	kindReload       kind = 'f' // P: a Reload in CBOR
 )
 
 var errMalformed = errors.New("malformed message on the control socket")
 
-// message is one packet: the kind, a number and a body.
+// message is one packet on the control socket.
 type message struct {
 	kind   kind
-	number uint64 // by which an answer names its question
+	number uint64 // matches a response to its request; the process id in kindReady
 	body   []byte
 }
 
@@ -49,7 +49,7 @@
 	return append(binary.BigEndian.AppendUint64(b, m.number), m.body...)
 }
 
-// decode reads a packet. The body is part of b, not a copy.
+// decode parses a packet. The message's body aliases b.
 func decode(b []byte) (message, error) {
 	if len(b) < headerLen {
 		return message{}, fmt.Errorf("%w: %d bytes", errMalformed, len(b))
@@ -61,30 +61,31 @@
 	return m, nil
 }
 
-// maxBody is the longest body of that kind; less than none for a kind that does not exist.
+// maxBody returns the maximum length of the body in bytes, or -1 for an unknown kind.
 func (k kind) maxBody() int {
 	switch k {
-	case kindHello, kindState, kindOpen:
+	case kindHello, kindState, kindOpenRequests:
 		return maxBody
 	case kindConn:
 		return MaxNote
-	case kindRefuse, kindLeft, kindStop, kindReload:
+	case kindReject, kindConnFailed, kindStop, kindReload:
 		return maxReason
-	case kindReady, kindServe, kindTaken, kindDone:
+	case kindReady, kindServe, kindConnAccepted, kindComplete:
 		return 0
 	}
 	return -1
 }
 
-// Hello is what a predecessor says of itself first. It stays CBOR with the version under 1 in all versions, so that
-// each can tell what it does not understand.
+// Hello is the first message, in which the predecessor describes itself. In every protocol version it is a CBOR map with the
+// version under key 1, so that a successor can recognize a version that it doesn't support.
 type Hello struct {
 	Version int    `cbor:"1,keyasint"` // of this package's protocol
 	Name    string `cbor:"2,keyasint"` // of the daemon
-	Address string `cbor:"3,keyasint"` // that it is configured to listen on
+	Address string `cbor:"3,keyasint"` // that the predecessor is configured to listen on
 	State   int    `cbor:"4,keyasint"` // length of the state blob in bytes
 }
 
+// decodeHello parses and checks a hello.
 func decodeHello(b []byte) (Hello, error) {
 	var h Hello
 	err := cbor.Unmarshal(b, &h)
@@ -92,7 +93,7 @@
 	case err != nil:
 		return h, fmt.Errorf("%w: hello: %w", errMalformed, err)
 	case h.Version != Version:
-		return h, fmt.Errorf("the running process speaks handover version %d, this program version %d: restart instead",
+		return h, fmt.Errorf("the running process uses handover version %d, this program version %d: do a full restart instead",
 			h.Version, Version)
 	case h.State < 0 || h.State > MaxState:
 		return h, fmt.Errorf("%w: hello: state of %d bytes, at most %d", errMalformed, h.State, MaxState)
--- a/internal/hotrestart/node_test.go
+++ b/internal/hotrestart/node_test.go
@@ -17,12 +17,12 @@
 	"time"
 )
 
-const roleVar = "HANDOVER_TEST_ROLE" // the test binary is started anew as a process of that role
+const roleVariable = "HANDOVER_TEST_ROLE" // the test binary is started again as a process with this role
 
-var state = bytes.Repeat([]byte("learned"), 100_000) // more than a socket's buffer holds
+var state = bytes.Repeat([]byte("learned"), 100_000) // larger than a socket's buffer
 
 func TestMain(m *testing.M) {
-	role := os.Getenv(roleVar)
+	role := os.Getenv(roleVariable)
 	if role == "" {
 		os.Exit(m.Run())
 	}
@@ -32,30 +32,31 @@
 	}
 }
 
+// play runs a node with the given role. The roles other than "node" fail at the step that they are named after.
 func play(role string) error {
-	at := func(moment string, do func()) {
-		if role == moment {
+	at := func(step string, do func()) {
+		if role == step {
 			do()
 		}
 	}
-	hang, die := func() { time.Sleep(time.Hour) }, func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
+	hang, kill := func() { time.Sleep(time.Hour) }, func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	at("exits", func() { os.Exit(3) })
-	at("deaf", hang)
-	at("other version", func() { // one that does not even read the state
+	at("hangs before ready", hang)
+	at("other version", func() { // does not read the state
 		c := must(openControl(3))
 		_, _, _ = c.receive()
-		_ = c.send(message{kind: kindRefuse, body: []byte("another version")}, noDescriptor)
+		_ = c.send(message{kind: kindReject, body: []byte("another version")}, noDescriptor)
 		os.Exit(7)
 	})
-	at("dies at the end", func() {
+	at("killed before completion", func() {
 		for c := must(openControl(3)); ; {
 			switch m, _, _ := c.receive(); m.kind {
 			case kindHello:
 				_ = c.send(message{kind: kindReady, number: uint64(os.Getpid())}, noDescriptor)
 			case kindConn:
-				_ = c.send(message{kind: kindTaken, number: m.number}, noDescriptor)
-			case kindDone:
-				die()
+				_ = c.send(message{kind: kindConnAccepted, number: m.number}, noDescriptor)
+			case kindComplete:
+				kill()
 			}
 		}
 	})
@@ -71,49 +72,50 @@
 		return nil
 	}
 	n.listener = s.Listener()
-	if role == "refuses" || !bytes.Equal(s.State(), state) {
+	if role == "rejects" || !bytes.Equal(s.State(), state) {
 		return s.Reject("no room")
 	}
-	at("late", func() { fmt.Println("waiting"); <-s.Cancelled() })
+	at("waits for cancellation", func() { fmt.Println("waiting"); <-s.Cancelled() })
 	if err := s.Ready(); err != nil {
 		return err
 	}
-	at("dies", die)
-	at("silent", hang)
+	at("killed when ready", kill)
+	at("hangs after ready", hang)
 	go func() {
 		err := s.ReceiveConns(context.Background(), func(c *net.TCPConn, note []byte) {
-			at("dies passing", die)
+			at("killed during transfer", kill)
 			n.serving.Go(func() { n.serve(c, must(strconv.Atoi(string(note)))) })
 		})
-		fmt.Println("all is mine:", err)
+		fmt.Println("received all connections:", err)
 		close(n.settled)
 	}()
 	n.run()
 	return nil
 }
 
-// node is a daemon that answers each line with its process id and how many lines that makes on the connection.
-// "next ROLE" lets it hand over before it answers, "hold" is never answered, "end" ends it.
+// node is a daemon that responds to each line with its process id and the number of lines received on the connection so
+// far. On "next ROLE" it hands over to a successor of that role before it responds, "hold" gets no response, and "end"
+// makes it exit.
 type node struct {
 	coordinator Coordinator
 	listener    *net.TCPListener
-	settled     chan struct{} // all is its own
+	settled     chan struct{} // closed once no handover from a predecessor is in progress
 	serving     sync.WaitGroup
 	conns       sync.Map
-	next        atomic.Pointer[Predecessor]
+	next        atomic.Pointer[Predecessor] // the handover in progress; nil = none
 }
 
 func (n *node) handOver(role string) error {
 	<-n.settled
-	o := Options{Address: "here", State: state, Env: append(os.Environ(), roleVar+"="+role)}
+	o := Options{Address: "here", State: state, Env: append(os.Environ(), roleVariable+"="+role)}
 	switch role {
-	case "deaf":
+	case "hangs before ready":
 		o.ReadyTimeout = 100 * time.Millisecond
-	case "silent":
+	case "hangs after ready":
 		o.AckTimeout = 100 * time.Millisecond
-	case "wrapped":
+	case "wrapped in a shell":
 		o.Path, o.Args = "/bin/sh", []string{"-c", `"$0"; true`, os.Args[0]}
-	case "/nowhere":
+	case "/nonexistent":
 		o.Path = role
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -123,15 +125,15 @@
 		return err
 	}
 	if p.TransferConn(must(net.ListenUDP("udp", nil)), nil) == nil && role == "node" {
-		panic("what is no connection counts as passed")
+		panic("a UDP socket was transferred as a connection")
 	}
 	n.next.Store(p)
-	n.listener.SetDeadline(longAgo)
-	n.conns.Range(func(c, _ any) bool { return c.(*net.TCPConn).SetReadDeadline(longAgo) != nil || true })
+	n.listener.SetDeadline(expiredDeadline)
+	n.conns.Range(func(c, _ any) bool { return c.(*net.TCPConn).SetReadDeadline(expiredDeadline) != nil || true })
 	return nil
 }
 
-// run accepts until all has been handed over.
+// run accepts connections until everything has been handed over.
 func (n *node) run() {
 	for {
 		if c, err := n.listener.AcceptTCP(); err == nil {
@@ -163,7 +165,7 @@
 		if p := n.next.Load(); p != nil && line == "" && p.TransferConn(c, []byte(strconv.Itoa(count))) == nil {
 			return
 		}
-		var b [1]byte // nothing beyond a line's end may be read
+		var b [1]byte // reads no data beyond the end of a line, since it would be lost in a transfer
 		if _, err := c.Read(b[:]); errors.Is(err, os.ErrDeadlineExceeded) {
 			_ = c.SetReadDeadline(time.Time{})
 			continue
@@ -173,7 +175,7 @@
 		if line += string(b[:]); b[0] != '\n' {
 			continue
 		}
-		switch word, role, _ := strings.Cut(strings.TrimSpace(line), " "); word {
+		switch command, role, _ := strings.Cut(strings.TrimSpace(line), " "); command {
 		case "next":
 			if err := n.handOver(role); err != nil {
 				fmt.Println("failed:", err)
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -16,53 +16,54 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Options says how to start the successor and what it gets. The zero value of each field but Address has a meaning.
+// Options sets how the successor is started and what is sent to it. Every field but Address may be left at its zero value.
 type Options struct {
-	Path         string          // the program, looked up anew: it may be a new binary; "" = as this one was started
-	Args         []string        // without the program's name; nil = this process's
-	Env          []string        // as KEY=value; nil = this process's
-	ReadyTimeout time.Duration   // from Start on; 0 = 30 s
-	AckTimeout   time.Duration   // without any answer that is due; then the successor is killed; 0 = 10 s
+	Path         string          // of the program, which may be a new binary; "" = os.Args[0]
+	Args         []string        // without the program's name; nil = this process's arguments
+	Env          []string        // as KEY=value; nil = this process's environment
+	ReadyTimeout time.Duration   // from the call of Start or HandOverTo until the successor must be ready; 0 = 30 s
+	AckTimeout   time.Duration   // without any response while one is pending, until it is killed; 0 = 10 s; not for HandOverTo
 	Name         string          // of the daemon, for the successor's log
-	Address      string          // that the daemon is configured to listen on; a successor with another one refuses
-	State        []byte          // for the successor; at most MaxState bytes
-	OpenRequests func() []string // the ids of open requests, asked for once the successor is ready; nil = none are sent
+	Address      string          // that the daemon is configured to listen on; the successor's must be the same
+	State        []byte          // blob for the successor; at most MaxState bytes
+	OpenRequests func() []string // returns the ids of open requests; called once the successor is ready; nil = none are sent
 }
 
-// Predecessor is the running process's side of a handover whose successor is ready.
+// Predecessor is the running process's side of a handover to a successor that is ready.
 type Predecessor struct {
 	coordinator *Coordinator
 	control     *control
-	cmd         *exec.Cmd // nil = the platform has started it: it can't be ended from here
-	pid         int
-	exited      chan struct{} // the successor has been reaped
-	lost        chan struct{}
-	transfers   sync.WaitGroup // calls of TransferConn under way
+	cmd         *exec.Cmd      // nil = the platform started the successor, so this process can't kill it
+	pid         int            // of the successor
+	exited      chan struct{}  // closed when the successor has been reaped; nil if cmd is nil
+	lost        chan struct{}  // see Lost
+	transfers   sync.WaitGroup // calls of TransferConn in progress
 
-	mu         sync.Mutex
-	lastNumber uint64
-	answers    map[uint64]chan error // what is due for each message sent, by its number
-	ackTimeout time.Duration
-	ackTimer   *time.Timer // runs while an answer is due; aborts
-	finished   bool        // Complete has been called
-	doneNumber uint64      // the number of its message
-	lostErr    error       // ErrLost once the successor is
+	mu             sync.Mutex
+	lastNumber     uint64                // of the last request
+	pending        map[uint64]chan error // receives the result of each unanswered request, by its number
+	ackTimeout     time.Duration
+	ackTimer       *time.Timer // runs while a response is pending; calls abort when it fires
+	finished       bool        // Complete has been called
+	completeNumber uint64      // number of Complete's request
+	lostErr        error       // ErrSuccessorLost once the successor is lost; nil before
 }
 
-// Start starts the successor, hands it the listener and the state, and returns when it is ready to serve: from then on
-// it accepts connections too. Whatever else happens, the successor has ended when Start returns, has not served, and
-// the error says why: it could not be started, ended early (its exit status; its last words are in its log), refused
-// (its reason), was not ready in time, or ctx ended. That takes up to a second more. ErrUnderWay: another handover is.
+// Start starts the successor, sends it the listener and the state, and returns when it is ready to serve: from then on
+// it accepts connections, too. If Start returns an error, the successor has exited and has not served, and the error has the
+// reason: it could not be started, exited early (with its exit status; details are in its log), rejected the handover
+// (with its reason), was not ready in time, or ctx ended. Waiting for its exit takes up to another second. The error is
+// ErrInProgress if another handover is in progress.
 //
 // On success the caller stops accepting (with a deadline, since it may need the listener again), calls TransferConn for
-// its connections as they become idle, and then Complete. The program must be Path itself or be put in place by exec, and this
-// process must not be process 1, whose end would end the successor too.
+// each of its connections once it is idle, and then Complete. Path must be the program itself or a wrapper that execs it,
+// and this process must not be process 1, because the successor would be killed when it exits.
 func (c *Coordinator) Start(ctx context.Context, l *net.TCPListener, o Options) (*Predecessor, error) {
 	switch {
 	case len(o.State) > MaxState:
 		return nil, fmt.Errorf("handover: state of %d bytes, at most %d", len(o.State), MaxState)
 	case os.Getpid() == 1:
-		return nil, errors.New("handover: process 1 can't hand over: its end ends all others; run it under an init")
+		return nil, errors.New("handover: process 1 can't hand over: all other processes end with it; run it under an init process")
 	case !c.claim():
 		return nil, fmt.Errorf("handover: %w", ErrInProgress)
 	}
@@ -74,7 +75,8 @@
 	return c.prepare(ctx, p, l, o)
 }
 
-// prepare takes the successor to where it serves.
+// prepare waits until the successor is ready and allows it to serve. On an error it ends the successor and releases the
+// Coordinator.
 func (c *Coordinator) prepare(ctx context.Context, p *Predecessor, l *net.TCPListener, o Options) (*Predecessor, error) {
 	p.coordinator = c
 	if err := p.prepare(ctx, l, o); err != nil {
@@ -85,17 +87,17 @@
 		}
 		return nil, fmt.Errorf("handover: successor %d: %w", p.Pid(), err)
 	}
-	go p.readAnswers()
+	go p.readResponses()
 	return p, nil
 }
 
-// startSuccessor starts the program with its end of the control socket.
+// startSuccessor starts the successor's program with the remote end of a new control socket.
 func startSuccessor(o Options) (*Predecessor, error) {
-	mine, theirs, err := socketPair()
+	local, remote, err := socketPair()
 	if err != nil {
 		return nil, err
 	}
-	defer theirs.Close()
+	defer remote.Close()
 	args, env := o.Args, o.Env
 	if args == nil {
 		args = os.Args[1:]
@@ -104,60 +106,62 @@
 		env = os.Environ()
 	}
 	cmd := exec.Command(cmp.Or(o.Path, os.Args[0]), args...)
-	cmd.Env = append(slices.Clip(env), ControlVariable+"=3") // the first after the standard ones
-	cmd.ExtraFiles = []*os.File{theirs}
+	cmd.Env = append(slices.Clip(env), ControlVariable+"=3") // ExtraFiles start at descriptor 3
+	cmd.ExtraFiles = []*os.File{remote}
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	if err := cmd.Start(); err != nil {
-		_ = mine.Close()
+		_ = local.Close()
 		return nil, err
 	}
 	p := &Predecessor{
-		control: mine, cmd: cmd, pid: cmd.Process.Pid, ackTimeout: cmp.Or(o.AckTimeout, defaultAckTimeout), exited: make(chan struct{}),
-		lost: make(chan struct{}), answers: map[uint64]chan error{},
+		control: local, cmd: cmd, pid: cmd.Process.Pid, ackTimeout: cmp.Or(o.AckTimeout, defaultAckTimeout), exited: make(chan struct{}),
+		lost: make(chan struct{}), pending: map[uint64]chan error{},
 	}
 	p.ackTimer = time.AfterFunc(p.ackTimeout, p.abort)
 	p.ackTimer.Stop()
 	go func() {
-		_ = cmd.Wait() // how it ended is in ProcessState
+		_ = cmd.Wait() // the result is in ProcessState
 		close(p.exited)
 	}()
 	return p, nil
 }
 
-// prepare takes the successor to the point where it serves, or returns an error before that.
+// prepare does the handover up to kindServe, which allows the successor to serve. After an error the successor has not
+// been allowed to serve.
 func (p *Predecessor) prepare(ctx context.Context, l *net.TCPListener, o Options) error {
-	within := cmp.Or(o.ReadyTimeout, defaultReadyTimeout)
-	ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("not ready within %v", within))
+	timeout := cmp.Or(o.ReadyTimeout, defaultReadyTimeout)
+	ctx, cancel := context.WithTimeoutCause(ctx, timeout, fmt.Errorf("not ready within %v", timeout))
 	defer cancel()
-	inTime := context.AfterFunc(ctx, func() { _ = p.control.SetDeadline(longAgo) })
+	stopTimeout := context.AfterFunc(ctx, func() { _ = p.control.SetDeadline(expiredDeadline) })
 	err := p.awaitReady(l, o)
 	switch {
-	case !inTime(): // both at once is too late: it has to be the one or the other
+	case !stopTimeout(): // ready at the moment of the timeout counts as too late, since the deadline may be set already
 		return context.Cause(ctx)
 	case errors.Is(err, io.EOF):
-		return errors.New("it ended before it was ready")
+		return errors.New("it exited before it was ready")
 	case err != nil:
 		return err
 	}
 	if o.OpenRequests != nil {
-		if err := p.control.sendLines(kindOpen, o.OpenRequests()); err != nil {
+		if err := p.control.sendLines(kindOpenRequests, o.OpenRequests()); err != nil {
 			return err
 		}
 	}
 	return p.control.send(message{kind: kindServe}, noDescriptor)
 }
 
-// abort ends a successor that hangs, or at least the handover to it.
+// abort kills a successor that hangs, or ends the handover to it if this process did not start it.
 func (p *Predecessor) abort() {
 	if p.cmd != nil {
-		_ = p.cmd.Process.Kill() // an error says that it has ended
+		_ = p.cmd.Process.Kill() // fails only if it has exited
 	} else {
-		_ = p.control.SetDeadline(longAgo)
+		_ = p.control.SetDeadline(expiredDeadline)
 	}
 }
 
+// awaitReady sends the hello and waits for the successor's response.
 func (p *Predecessor) awaitReady(l *net.TCPListener, o Options) error {
-	// A successor that refuses may have read only a part of it.
+	// A successor that rejects the handover may close its end before it has read everything.
 	if err := p.sendHello(l, o); err != nil && !isClosedByPeer(err) {
 		return err
 	}
@@ -165,18 +169,18 @@
 	switch {
 	case err != nil:
 		return err
-	case m.kind == kindRefuse:
-		return fmt.Errorf("it refuses: %s", m.body)
+	case m.kind == kindReject:
+		return fmt.Errorf("it rejected the handover: %s", m.body)
 	case m.kind != kindReady:
 		return fmt.Errorf("%w: kind %q before it was ready", errMalformed, m.kind)
 	case m.number != uint64(p.Pid()):
-		// Neither its end could be seen nor could it be ended.
-		return fmt.Errorf("process %d is ready in its place: start the program directly or by exec", m.number)
+		// This process can neither wait for the exit of a process that it did not start nor kill it.
+		return fmt.Errorf("ready was sent by process %d instead: start the program directly or by exec", m.number)
 	}
 	return nil
 }
 
-// sendHello sends the hello, the listener and the state.
+// sendHello sends the hello with the listener, then the state.
 func (p *Predecessor) sendHello(l *net.TCPListener, o Options) error {
 	b, err := cbor.Marshal(Hello{Version: Version, Name: o.Name, Address: o.Address, State: len(o.State)})
 	if err != nil {
@@ -191,7 +195,8 @@
 	return err
 }
 
-// terminate ends a successor that must not serve: it learns that from its control socket, and is killed if it hangs.
+// terminate ends a successor that must not serve. Closing the control socket makes it exit; if it was started by this
+// process and has not exited within terminateTimeout, it is killed.
 func (p *Predecessor) terminate() {
 	_ = p.control.Close()
 	if p.cmd == nil {
@@ -200,14 +205,14 @@
 	select {
 	case <-p.exited:
 	case <-time.After(terminateTimeout):
-		_ = p.cmd.Process.Kill() // an error says that it has ended
+		_ = p.cmd.Process.Kill() // fails only if it has exited
 		<-p.exited
 	}
 }
 
-// Pid is the successor's process id.
+// Pid returns the successor's process id.
 func (p *Predecessor) Pid() int { return p.pid }
 
-// Lost is closed when the successor has ended, or has given the handover up, before Complete. What has not been passed by
-// then is this process's to serve, and so is the listener. A new handover may be started.
+// Lost returns a channel that is closed when the successor exits or abandons the handover before Complete has succeeded.
+// This process then serves the listener and all connections that it has not transferred. A new handover may be started.
 func (p *Predecessor) Lost() <-chan struct{} { return p.lost }
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -10,24 +10,25 @@
 	"os"
 )
 
-// ReceiveConns calls take, one at a time, with each connection that the predecessor passes and the note that came with it;
-// take should return soon: nothing is answered meanwhile, and a successor that does not answer is killed. Call it once,
-// after Ready. It returns nil when the predecessor has passed all and exits, and ErrGone when it has ended without
-// saying so: in both cases all is this process's own. After any other error, ctx's for one, the predecessor lives and serves
-// again as soon as Close has been called or this process has ended: it should stop accepting first, and end.
-func (s *Successor) ReceiveConns(ctx context.Context, take func(c *net.TCPConn, note []byte)) error {
-	defer context.AfterFunc(ctx, func() { _ = s.control.SetDeadline(longAgo) })()
-	if <-s.decided; s.refusal != nil {
-		return fmt.Errorf("handover: %w", s.refusal)
+// ReceiveConns calls accept, from one goroutine, with each connection that the predecessor transfers and the note sent
+// with it. While accept runs, no message is acknowledged, and the predecessor kills a successor that does not respond, so
+// it should return soon. Call ReceiveConns once, after Ready. It returns nil when the predecessor has transferred
+// everything and exits, and ErrPredecessorLost when the predecessor has exited before that: in both cases this process is
+// the only one that serves. After any other error, such as that of ctx, the predecessor is alive and serves again once
+// Close has been called or this process has exited: this process should stop accepting first, and then exit.
+func (s *Successor) ReceiveConns(ctx context.Context, accept func(c *net.TCPConn, note []byte)) error {
+	defer context.AfterFunc(ctx, func() { _ = s.control.SetDeadline(expiredDeadline) })()
+	if <-s.serveDecided; s.serveErr != nil {
+		return fmt.Errorf("handover: %w", s.serveErr)
 	}
 	for {
-		complete, err := s.receiveNext(ctx, take)
+		complete, err := s.receiveNext(ctx, accept)
 		if err == nil && !complete {
 			continue
 		}
 		if err == nil || errors.Is(err, ErrPredecessorLost) {
-			s.hasAll.Store(true)
-			_ = s.Close() // the other end is closed, or about to be
+			s.complete.Store(true)
+			_ = s.Close() // the predecessor has closed its end or is about to
 		}
 		if err != nil {
 			return fmt.Errorf("handover: %w", err)
@@ -36,11 +37,11 @@
 	}
 }
 
-// receiveNext acts on the predecessor's next message, and reports whether it was the last.
-func (s *Successor) receiveNext(ctx context.Context, take func(c *net.TCPConn, note []byte)) (complete bool, err error) {
+// receiveNext handles the predecessor's next message, and reports whether it was the last.
+func (s *Successor) receiveNext(ctx context.Context, accept func(c *net.TCPConn, note []byte)) (complete bool, err error) {
 	m, f, err := s.control.receive()
 	switch {
-	case ctx.Err() != nil: // what may have come just now is not acknowledged: it stays the predecessor's
+	case ctx.Err() != nil: // a connection that has just arrived is not acknowledged, so the predecessor keeps it
 		return false, ctx.Err()
 	case errors.Is(err, io.EOF):
 		return false, ErrPredecessorLost
@@ -49,47 +50,48 @@
 	}
 	switch m.kind {
 	case kindConn:
-		return false, s.acceptConn(m, f, take)
+		return false, s.acceptConn(m, f, accept)
 	case kindStop, kindReload:
 		return false, s.receiveSignal(m)
-	case kindDone:
-		return true, s.answer(message{kind: kindDone, number: m.number})
+	case kindComplete:
+		return true, s.respond(message{kind: kindComplete, number: m.number})
 	default:
-		return false, fmt.Errorf("%w: kind %q among the connections", errMalformed, m.kind)
+		return false, fmt.Errorf("%w: kind %q while connections are transferred", errMalformed, m.kind)
 	}
 }
 
-// acceptConn acknowledges a connection before it can be used: without an acknowledgement the predecessor keeps it.
-func (s *Successor) acceptConn(m message, f *os.File, take func(*net.TCPConn, []byte)) error {
+// acceptConn acknowledges a connection and then passes it to accept. The acknowledgement comes first: without it the
+// predecessor keeps the connection, and only one process may use it.
+func (s *Successor) acceptConn(m message, f *os.File, accept func(*net.TCPConn, []byte)) error {
 	note := bytes.Clone(m.body)
 	c, err := tcpConn(f)
 	if err != nil {
 		reason := err.Error()
-		return s.answer(message{kind: kindLeft, number: m.number, body: []byte(reason[:min(len(reason), maxReason)])})
+		return s.respond(message{kind: kindConnFailed, number: m.number, body: []byte(reason[:min(len(reason), maxReason)])})
 	}
-	if err := s.answer(message{kind: kindTaken, number: m.number}); err != nil {
+	if err := s.respond(message{kind: kindConnAccepted, number: m.number}); err != nil {
 		_ = c.Close()
 		return err
 	}
-	if c.RemoteAddr() == nil { // reset by its client meanwhile
+	if c.RemoteAddr() == nil { // the client has reset it
 		_ = c.Close()
 		return nil
 	}
-	take(c, note)
+	accept(c, note)
 	return nil
 }
 
-// answer sends an answer, which a predecessor that is gone needs no more.
-func (s *Successor) answer(m message) error {
+// respond sends a response. A predecessor that has closed its end no longer needs it, so that is not an error.
+func (s *Successor) respond(m message) error {
 	if err := s.control.send(m, -1); err != nil && !isClosedByPeer(err) {
 		return err
 	}
 	return nil
 }
 
-var errNoDescriptor = errors.New("no descriptor came with it: this process may have none left under its limit")
+var errNoDescriptor = errors.New("received without a descriptor: this process may have reached its limit on open files")
 
-// tcpConn makes a connection of its own of what was passed.
+// tcpConn returns a connection on a copy of the passed descriptor, and closes f. It returns errNoDescriptor if f is nil.
 func tcpConn(f *os.File) (*net.TCPConn, error) {
 	if f == nil {
 		return nil, errNoDescriptor
@@ -102,7 +104,7 @@
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		_ = c.Close()
-		return nil, errors.New("it is no TCP connection")
+		return nil, errors.New("not a TCP connection")
 	}
 	return t, nil
 }
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -14,13 +14,14 @@
 
 const (
 	rendezvousName    = "plankrouter.handover"
-	rendezvousTimeout = 1500 * time.Millisecond // for a predecessor's answer, else this process goes on alone
-	findTimeout       = 600 * time.Millisecond  // for one that is about to listen, as its own predecessor has just ended
-	findPause         = 20 * time.Millisecond
-	maxPathLen        = 100 // of a Unix socket, with something to spare
+	rendezvousTimeout = 1500 * time.Millisecond // for the other process's message; without it each process serves alone
+	findTimeout       = 600 * time.Millisecond  // for a process that is about to listen after its own predecessor's exit
+	findRetryInterval = 20 * time.Millisecond   // between two attempts to connect
+	maxPathLen        = 100                     // of a Unix socket in bytes, a few below the kernel's limit
 )
 
-// rendezvousPath is the socket in folder, by a path that is short enough; done is to be called when it is no longer needed.
+// rendezvousPath returns a path to the socket in folder that is short enough for a Unix socket address. The caller calls
+// done when it no longer uses the path.
 func rendezvousPath(folder string) (path string, done func(), err error) {
 	path = filepath.Join(folder, rendezvousName)
 	if len(path) <= maxPathLen {
@@ -33,7 +34,8 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), rendezvousName), func() { _ = d.Close() }, nil
 }
 
-// ListenForSuccessor makes this process the one that a second process finds in folder, in place of any earlier one.
+// ListenForSuccessor listens on the rendezvous socket in folder, on which FindPredecessor of a second process connects.
+// It replaces the socket of an earlier process.
 func ListenForSuccessor(folder string) (*net.UnixListener, error) {
 	path, done, err := rendezvousPath(folder)
 	if err != nil {
@@ -47,12 +49,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // a later process may have taken the name
+	l.SetUnlinkOnClose(false) // a later process may have replaced the socket
 	return l, nil
 }
 
-// FindPredecessor returns the successor's side of a handover by the process that listens in folder, nil and nil if there is none. An error
-// says why there is one that can't hand over: this process goes on alone then.
+// FindPredecessor returns the successor's side of a handover from the process that listens in folder, or nil and nil if
+// there is none. An error means that there is such a process but it can't hand over: this process then continues alone.
 func FindPredecessor(folder string) (*Successor, error) {
 	path, done, err := rendezvousPath(folder)
 	if err != nil {
@@ -60,32 +62,32 @@
 	}
 	defer done()
 	var c *net.UnixConn
-	for until := time.Now().Add(findTimeout); ; time.Sleep(findPause) {
+	for deadline := time.Now().Add(findTimeout); ; time.Sleep(findRetryInterval) {
 		c, err = net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
-		if err == nil || !errors.Is(err, syscall.ECONNREFUSED) || time.Now().After(until) {
+		if err == nil || !errors.Is(err, syscall.ECONNREFUSED) || time.Now().After(deadline) {
 			break
 		}
 	}
 	switch {
-	case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // that of a process that has ended
+	case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // refused: the listening process has exited
 		return nil, nil
 	case err != nil:
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	s := &Successor{control: &control{UnixConn: c}, foundPredecessor: true, cancelled: make(chan struct{}), decided: make(chan struct{})}
-	_ = c.SetReadDeadline(time.Now().Add(rendezvousTimeout)) // fails on a closed connection alone, which readHello sees
+	s := &Successor{control: &control{UnixConn: c}, startedByPlatform: true, cancelled: make(chan struct{}), serveDecided: make(chan struct{})}
+	_ = c.SetReadDeadline(time.Now().Add(rendezvousTimeout)) // fails only on a closed connection, which readHello detects
 	if err := s.readHello(); err != nil {
 		return nil, s.Reject(err.Error())
 	}
 	_ = c.SetReadDeadline(time.Time{})
-	_ = s.listener.Close() // this process has its own
+	_ = s.listener.Close() // this process has opened its own listener
 	go s.awaitServe()
 	return s, nil
 }
 
-// HandOverTo hands over to a process that has found this one, over its connection, as Start does to one that it starts; but a
-// successor that fails goes on living. What was passed to it without an answer is then nobody's: TransferConn returns
-// nil, and the caller closes its copy.
+// HandOverTo hands over to a process that has connected to this one by FindPredecessor. It differs from Start in that a
+// failed successor keeps running. Such a successor may be using a connection that it has not acknowledged, so this
+// process must not use it again: TransferConn returns nil, and the caller closes its copy.
 func (c *Coordinator) HandOverTo(ctx context.Context, conn *net.UnixConn, l *net.TCPListener, o Options) (*Predecessor, error) {
 	pid, err := peerProcess(conn)
 	if err == nil && !c.claim() {
@@ -97,14 +99,14 @@
 	}
 	p := &Predecessor{
 		control: &control{UnixConn: conn}, pid: pid, ackTimeout: rendezvousTimeout, lost: make(chan struct{}),
-		answers: map[uint64]chan error{},
+		pending: map[uint64]chan error{},
 	}
 	p.ackTimer = time.AfterFunc(p.ackTimeout, p.abort)
 	p.ackTimer.Stop()
 	return c.prepare(ctx, p, l, o)
 }
 
-// peerProcess is the other process, which must be of the same user.
+// peerProcess returns the id of the process at the other end of c. It returns an error if that process is of another user.
 func peerProcess(c *net.UnixConn) (pid int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/hotrestart/signals.go
+++ b/internal/hotrestart/signals.go
@@ -8,39 +8,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stop is a signal to stop that a predecessor has got and that is meant for its successor, too. Both moments are those of whoever sent it:
-// a successor that counted from when the message comes would reckon with a later kill.
+// Stop is a stop signal that a predecessor has received and forwards to its successor. Both times are those of the
+// signal, not of the message: a successor that counted from the arrival of the message would expect the kill too late.
 type Stop struct {
-	At   time.Time // that the signal was sent, at the earliest
-	Kill time.Time // by which the processes may be killed
+	At   time.Time // the earliest time at which the signal may have been sent
+	Kill time.Time // the earliest time at which the processes may be killed
 }
 
-// Reload is a signal to read the configuration anew that a predecessor has got after its successor may have read it.
+// Reload is a configuration reload signal that a predecessor has received after its successor may have read the configuration.
 type Reload struct {
-	At time.Time // that the signal was sent, at the earliest
+	At time.Time // the earliest time at which the signal may have been sent
 }
 
-// signalMessage is a Stop or a Reload as it goes over the control socket, in nanoseconds of the machine's monotonic clock, which all processes
-// share.
+// signalMessage is the body of a Stop or Reload message. Times are in nanoseconds of the machine's monotonic clock, which all
+// processes share.
 type signalMessage struct {
 	At   int64 `cbor:"1,keyasint"`
 	Kill int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// monotonic reads the clock.
+// monotonic reads the machine's monotonic clock, in nanoseconds.
 func monotonic() (int64, error) {
 	var t unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return t.Nano(), err
 }
 
-// clock places moments of this process on that clock, and back.
+// clock converts times of this process to nanoseconds of the monotonic clock, and back.
 type clock struct {
 	now   time.Time
 	nanos int64
 }
 
-// readClock reads both clocks. The process's own comes first: one that stalls between the two must not take a signal for later than it was.
+// readClock reads both clocks. It reads the process's own clock first, so that a stall between the two reads makes a
+// received signal seem earlier than it was, not later.
 func readClock() (clock, error) {
 	c := clock{now: time.Now()}
 	var err error
@@ -52,6 +53,7 @@
 
 func (c clock) decode(nanos int64) time.Time { return c.now.Add(time.Duration(nanos - c.nanos)) }
 
+// decodeSignal parses the body of a Stop or Reload message. kill has no meaning for a Reload.
 func decodeSignal(b []byte) (at, kill time.Time, err error) {
 	var m signalMessage
 	if err := cbor.Unmarshal(b, &m); err != nil {
@@ -61,17 +63,17 @@
 	return c.decode(m.At), c.decode(m.Kill), err
 }
 
-// Stop sends a signal to stop to the successor, which has begun to serve. An error says that it has not got it.
+// Stop forwards a stop signal to the successor, which has begun to serve. After an error the successor has not received it.
 func (p *Predecessor) Stop(s Stop) error {
 	return p.sendSignal(kindStop, func(c clock) signalMessage { return signalMessage{c.encode(s.At), c.encode(s.Kill)} })
 }
 
-// Reload is Stop for a signal to read the configuration anew.
+// Reload forwards a configuration reload signal to the successor, as Stop does a stop signal.
 func (p *Predecessor) Reload(r Reload) error {
 	return p.sendSignal(kindReload, func(c clock) signalMessage { return signalMessage{At: c.encode(r.At)} })
 }
 
-// sendSignal sends the message that encode makes by the machine's clock.
+// sendSignal sends the message that encode returns for the current clock.
 func (p *Predecessor) sendSignal(kind kind, encode func(clock) signalMessage) error {
 	c, err := readClock()
 	var body []byte
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// receiveSignal calls Stopped or Reloaded with a signal that the predecessor has sent.
+// receiveSignal calls Stopped or Reloaded with a signal that the predecessor has forwarded.
 func (s *Successor) receiveSignal(m message) error {
 	at, kill, err := decodeSignal(m.body)
 	switch {
--- a/internal/hotrestart/signals_test.go
+++ b/internal/hotrestart/signals_test.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A signal that is passed on keeps the moments at which it was sent and by which the kill may come, however late it is read.
-func TestSignalsKeepTheirMoments(t *testing.T) {
+// A forwarded signal keeps the times at which it was sent and after which the process may be killed, however late it is read.
+func TestForwardedSignalsKeepTheirTimes(t *testing.T) {
 	sent := time.Now().Add(-2 * time.Second)
 	var stop Stop
 	var reload Reload
@@ -23,17 +23,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(20 * time.Millisecond) // it is held up on its way
+		time.Sleep(20 * time.Millisecond) // delays the message
 		if err := s.receiveSignal(message{kind: kind, body: body}); err != nil {
 			t.Error(err)
 		}
 	}
-	for what, off := range map[string]time.Duration{"stop": stop.At.Sub(sent), "reload": reload.At.Sub(sent), "kill": stop.Kill.Sub(sent) - time.Minute} {
-		if off.Abs() > 10*time.Millisecond {
-			t.Errorf("%s: moved by %s", what, off)
+	for name, shift := range map[string]time.Duration{"stop": stop.At.Sub(sent), "reload": reload.At.Sub(sent), "kill": stop.Kill.Sub(sent) - time.Minute} {
+		if shift.Abs() > 10*time.Millisecond {
+			t.Errorf("%s: shifted by %s", name, shift)
 		}
 	}
 	if err := s.receiveSignal(message{kind: kindStop, body: []byte("x")}); !errors.Is(err, errMalformed) {
-		t.Errorf("a garbled signal: %v", err)
+		t.Errorf("a malformed signal: %v", err)
 	}
 }
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -13,26 +13,26 @@
 
 // Successor is the new process's side of a handover.
 type Successor struct {
-	// Stopped and Reloaded are called with signals that the predecessor has got, from within ReceiveConns; nil = nobody is. Set them
-	// before ReceiveConns.
+	// Stopped and Reloaded are called from ReceiveConns with signals that the predecessor forwards; nil = the signal is
+	// ignored. Set them before calling ReceiveConns.
 	Stopped  func(Stop)
 	Reloaded func(Reload)
 
-	control          *control
-	hello            Hello
-	listener         *net.TCPListener
-	state            []byte
-	cancelled        chan struct{}
-	decided          chan struct{} // closed when it is known whether this process may serve
-	refusal          error         // why it may not, once decided is closed; nil = it may
-	hasAll           atomic.Bool   // the handover is over, and all is this process's own
-	foundPredecessor bool          // the platform has started this process, which can do without the other
-	open             []string      // ids of requests that the predecessor has open
+	control           *control
+	hello             Hello
+	listener          *net.TCPListener
+	state             []byte
+	cancelled         chan struct{} // see Cancelled
+	serveDecided      chan struct{} // closed once it is known whether this process may serve
+	serveErr          error         // why it may not serve; nil = it may; valid once serveDecided is closed
+	complete          atomic.Bool   // the handover is over, and this process serves alone
+	startedByPlatform bool          // the platform started this process, which can serve without the predecessor
+	openRequests      []string      // ids of the predecessor's open requests
 }
 
-// Inherited returns the successor's side if this process was started by a predecessor, nil and nil if not. It waits for
-// the predecessor's hello, listener and state. A hello that it can't work with is refused, and the error says why; so
-// does one for a variable that names no control socket.
+// Inherited returns the successor's side of the handover if this process was started by a predecessor, and nil and nil if
+// not. It waits for the predecessor's hello, listener and state. If they are invalid, it rejects the handover and returns
+// the reason as an error. It also returns an error if the variable does not hold the descriptor of a control socket.
 func Inherited(getenv func(string) string) (*Successor, error) {
 	value := getenv(ControlVariable)
 	if value == "" {
@@ -40,13 +40,13 @@
 	}
 	fd, err := strconv.Atoi(value)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %s=%q: not a descriptor's number", ControlVariable, value)
+		return nil, fmt.Errorf("handover: %s=%q: not a descriptor number", ControlVariable, value)
 	}
 	c, err := openControl(fd)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %s=%s: %w; unset it to start without a predecessor", ControlVariable, value, err)
 	}
-	s := &Successor{control: c, cancelled: make(chan struct{}), decided: make(chan struct{})}
+	s := &Successor{control: c, cancelled: make(chan struct{}), serveDecided: make(chan struct{})}
 	if err := s.readHello(); err != nil {
 		return nil, s.Reject(err.Error())
 	}
@@ -54,7 +54,7 @@
 	return s, nil
 }
 
-// readHello reads the hello and the state.
+// readHello receives the hello, the listener and the state.
 func (s *Successor) readHello() error {
 	m, f, err := s.control.receive()
 	if err != nil {
@@ -69,7 +69,7 @@
 	if s.listener, err = tcpListener(f); err != nil {
 		return err
 	}
-	var state bytes.Buffer // grows with what comes, not with what is promised
+	var state bytes.Buffer // grows with the data received, not to the announced length
 	for err == nil && state.Len() < s.hello.State {
 		if m, _, err = s.control.receive(); err == nil {
 			if m.kind != kindState || len(m.body) == 0 || state.Len()+len(m.body) > s.hello.State {
@@ -82,74 +82,76 @@
 	return err
 }
 
-// awaitServe learns whether this process may serve.
+// awaitServe receives the ids of open requests and the decision whether this process may serve.
 func (s *Successor) awaitServe() {
 	m, _, err := s.control.receive()
-	for ; err == nil && m.kind == kindOpen; m, _, err = s.control.receive() {
-		s.open = append(s.open, strings.Split(strings.TrimSuffix(string(m.body), "\n"), "\n")...)
+	for ; err == nil && m.kind == kindOpenRequests; m, _, err = s.control.receive() {
+		s.openRequests = append(s.openRequests, strings.Split(strings.TrimSuffix(string(m.body), "\n"), "\n")...)
 	}
 	switch {
 	case err != nil:
-		s.refusal = ErrCancelled
+		s.serveErr = ErrCancelled
 	case m.kind != kindServe:
-		s.refusal = fmt.Errorf("%w: kind %q before this process was ready", errMalformed, m.kind)
+		s.serveErr = fmt.Errorf("%w: kind %q before this process was ready", errMalformed, m.kind)
 	}
-	if s.refusal != nil {
+	if s.serveErr != nil {
 		close(s.cancelled)
 	}
-	close(s.decided)
+	close(s.serveDecided)
 }
 
-// Hello is what the predecessor says of itself.
+// Hello returns the predecessor's hello.
 func (s *Successor) Hello() Hello { return s.hello }
 
-// Listener is the predecessor's listener, as a copy of this process's own. It must not be accepted from before Ready
-// has returned nil.
+// Listener returns this process's copy of the predecessor's listener. No connection may be accepted on it before Ready has
+// returned nil.
 func (s *Successor) Listener() *net.TCPListener { return s.listener }
 
-// StartedByPlatform reports whether the platform has started this process beside the other: if that one fails, this one serves alone.
-func (s *Successor) StartedByPlatform() bool { return s.foundPredecessor }
+// StartedByPlatform reports whether the platform, and not the predecessor, started this process. If the predecessor
+// fails, such a process serves alone.
+func (s *Successor) StartedByPlatform() bool { return s.startedByPlatform }
 
-// OpenRequests are the ids of requests that the predecessor had open when it let this process serve.
-func (s *Successor) OpenRequests() []string { return s.open }
+// OpenRequests returns the ids of the requests that were open in the predecessor when it allowed this process to serve.
+func (s *Successor) OpenRequests() []string { return s.openRequests }
 
-// State is the predecessor's state blob. It is released when Ready returns.
+// State returns the predecessor's state blob, or nil after Ready has returned.
 func (s *Successor) State() []byte { return s.state }
 
-// Cancelled is closed when the predecessor ends or calls the handover off before this process serves. It should exit
-// then, whatever it is about: its copy of the listener keeps the address taken.
+// Cancelled returns a channel that is closed when the predecessor exits or cancels the handover before this process
+// serves. This process should then exit immediately, because its copy of the listener keeps the address in use.
 func (s *Successor) Cancelled() <-chan struct{} { return s.cancelled }
 
-// CheckAddress refuses the handover, with an error that says so, unless this process is configured to listen on the address that
-// the predecessor is.
+// CheckAddress rejects the handover and returns an error unless address, on which this process is configured to listen, is the
+// predecessor's.
 func (s *Successor) CheckAddress(address string) error {
 	if address == s.hello.Address {
 		return nil
 	}
-	return s.Reject(fmt.Sprintf("the running process is configured to listen on %q, this one on %q: restart instead",
+	return s.Reject(fmt.Sprintf("the running process is configured to listen on %q, this one on %q: do a full restart instead",
 		s.hello.Address, address))
 }
 
-// Reject tells the predecessor why this process can't take over, of which it gets up to 1 KiB, and returns that as an
-// error. This process should exit then.
+// Reject sends the predecessor the reason why this process can't take over, cut off at 1 KiB, and returns the reason as an
+// error. This process should then exit.
 func (s *Successor) Reject(reason string) error {
-	// A predecessor that does not get the reason sees this process end.
-	_ = s.control.send(message{kind: kindRefuse, body: []byte(reason[:min(len(reason), maxReason)])}, noDescriptor)
+	// A predecessor that does not receive the reason notices that the socket is closed.
+	_ = s.control.send(message{kind: kindReject, body: []byte(reason[:min(len(reason), maxReason)])}, noDescriptor)
 	_ = s.Close()
-	return fmt.Errorf("handover refused: %s", reason)
+	return fmt.Errorf("handover rejected: %s", reason)
 }
 
-// Ready tells the predecessor that this process can serve, and returns nil when it may: the predecessor accepts no more
-// connections from then on. After an error, ErrCancelled for one, it must not serve and should exit.
+// Ready notifies the predecessor that this process can serve, and returns nil once it may: from then on the predecessor
+// accepts no more connections. After an error, such as ErrCancelled, this process must not serve and should exit, unless
+// StartedByPlatform.
 func (s *Successor) Ready() error {
 	err := s.control.send(message{kind: kindReady, number: uint64(os.Getpid())}, noDescriptor)
 	if err == nil || isClosedByPeer(err) {
-		if s.foundPredecessor {
-			defer time.AfterFunc(rendezvousTimeout, func() { _ = s.control.SetReadDeadline(longAgo) }).Stop()
+		if s.startedByPlatform {
+			defer time.AfterFunc(rendezvousTimeout, func() { _ = s.control.SetReadDeadline(expiredDeadline) }).Stop()
 		}
-		<-s.decided
-		if err = s.refusal; err != nil && s.foundPredecessor {
-			s.hasAll.Store(true)
+		<-s.serveDecided
+		if err = s.serveErr; err != nil && s.startedByPlatform {
+			s.complete.Store(true)
 			_ = s.Close()
 		}
 	}
@@ -160,5 +162,5 @@
 	return nil
 }
 
-// Close gives the handover up if it is under way: what the predecessor has not passed stays its own, and it serves on.
+// Close abandons a handover in progress: the predecessor keeps what it has not transferred and resumes serving.
 func (s *Successor) Close() error { return s.control.Close() }
--- a/internal/hotrestart/transfer.go
+++ b/internal/hotrestart/transfer.go
@@ -8,11 +8,12 @@
 	"syscall"
 )
 
-// TransferConn hands a connection over with a note of up to MaxNote bytes, and returns when the successor has taken it. From
-// before the call on nothing may be read from it or written to it, and all that has been read of it must have been
-// dealt with: what the kernel still holds goes along. After nil the connection is the successor's, and the caller
-// closes its own copy with nothing but Close (no CloseWrite, no linger). After an error, ErrLost for one, the successor
-// has never used it and never will: the caller serves on. It is safe for concurrent use.
+// TransferConn transfers a connection with a note of up to MaxNote bytes, and returns when the successor has accepted it.
+// The caller must have stopped reading from and writing to the connection and must have processed everything that it has
+// read: only data still in the kernel's buffers is transferred. After nil the connection belongs to the successor, and
+// the caller closes its own copy with Close alone (no CloseWrite, no linger). After an error, such as ErrSuccessorLost,
+// the successor has never used the connection and never will: the caller keeps serving it. TransferConn is safe for
+// concurrent use.
 func (p *Predecessor) TransferConn(c syscall.Conn, note []byte) error {
 	if len(note) > MaxNote {
 		return fmt.Errorf("handover: note of %d bytes, at most %d", len(note), MaxNote)
@@ -20,50 +21,52 @@
 	p.mu.Lock()
 	if p.finished {
 		p.mu.Unlock()
-		return fmt.Errorf("handover: pass: %w", ErrFinished)
+		return fmt.Errorf("handover: transfer a connection: %w", ErrFinished)
 	}
 	p.transfers.Add(1)
 	p.mu.Unlock()
 	defer p.transfers.Done()
 	err := p.request(message{kind: kindConn, body: note}, func(m message) error { return p.control.sendConn(m, c) })
 	if err != nil {
-		return fmt.Errorf("handover: pass: %w", err)
+		return fmt.Errorf("handover: transfer a connection: %w", err)
 	}
 	return nil
 }
 
-// Complete waits for the calls of TransferConn under way, tells the successor that this was all, and returns when it knows: then
-// everything is its own and this process should exit. systemd gets the successor's process id, if NOTIFY_SOCKET is
-// set. After ErrLost this process serves on; ErrFinished says that Complete has been called before.
+// Complete waits for calls of TransferConn in progress, notifies the successor that everything has been transferred, and
+// returns when the successor has acknowledged that: this process should then exit. If NOTIFY_SOCKET is set, systemd is
+// sent the successor's process id. After ErrSuccessorLost this process serves again; ErrFinished means that Complete has
+// been called before.
 func (p *Predecessor) Complete() error {
 	p.mu.Lock()
-	before := p.finished
+	finished := p.finished
 	p.finished = true
 	p.mu.Unlock()
-	if before {
-		return fmt.Errorf("handover: done: %w", ErrFinished)
+	if finished {
+		return fmt.Errorf("handover: complete: %w", ErrFinished)
 	}
 	p.transfers.Wait()
-	err := p.request(message{kind: kindDone}, func(m message) error {
+	err := p.request(message{kind: kindComplete}, func(m message) error {
 		p.mu.Lock()
-		p.doneNumber = m.number
+		p.completeNumber = m.number
 		p.mu.Unlock()
 		return p.control.send(m, -1)
 	})
 	if err != nil {
-		return fmt.Errorf("handover: done: %w", err)
+		return fmt.Errorf("handover: complete: %w", err)
 	}
-	// Not earlier: a main process that has ended takes the service's other processes along.
+	// Not earlier: if the main process exits, systemd stops the service's other processes.
 	if err := Notify(fmt.Sprintf("MAINPID=%d", p.Pid())); err != nil {
 		log.Printf("handover=done successor=%d err=%q", p.Pid(), err)
 	}
 	return nil
 }
 
-// request sends a message under a number of its own and waits for its answer. A successor that hangs is killed: only when
-// it has ended is it certain what it has taken. One that is slow is not, as long as it answers one message or another.
+// request sends a message with a new number and waits for the response. A successor that hangs is killed, because only
+// after its exit is it certain which connections it has accepted. A slow one is not, as long as it responds to any
+// message within ackTimeout.
 func (p *Predecessor) request(m message, send func(message) error) error {
-	answer := make(chan error, 1)
+	result := make(chan error, 1)
 	p.mu.Lock()
 	if p.lostErr != nil {
 		p.mu.Unlock()
@@ -71,32 +74,32 @@
 	}
 	p.lastNumber++
 	m.number = p.lastNumber
-	p.answers[m.number] = answer
-	if len(p.answers) == 1 {
+	p.pending[m.number] = result
+	if len(p.pending) == 1 {
 		p.ackTimer.Reset(p.ackTimeout)
 	}
 	p.mu.Unlock()
-	if err := send(m); err != nil && !isClosedByPeer(err) { // if it is gone, readAnswers is about to see that too
+	if err := send(m); err != nil && !isClosedByPeer(err) { // readResponses detects a closed socket as well
 		p.resolve(m.number, err)
 	}
-	return <-answer
+	return <-result
 }
 
-// resolve gives the request of that number its answer.
+// resolve ends the request of that number with err, if it is pending.
 func (p *Predecessor) resolve(number uint64, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if to := p.answers[number]; to != nil {
-		delete(p.answers, number)
-		to <- err
+	if result := p.pending[number]; result != nil {
+		delete(p.pending, number)
+		result <- err
 	}
-	if p.ackTimer.Stop(); len(p.answers) > 0 {
+	if p.ackTimer.Stop(); len(p.pending) > 0 {
 		p.ackTimer.Reset(p.ackTimeout)
 	}
 }
 
-// readAnswers reads the successor's answers until it has everything or its end of the socket is closed.
-func (p *Predecessor) readAnswers() {
+// readResponses reads the successor's responses until the handover is complete or the successor is lost.
+func (p *Predecessor) readResponses() {
 	defer func() { _ = p.control.Close() }()
 	for {
 		m, _, err := p.control.receive()
@@ -108,12 +111,12 @@
 			p.markLost()
 			return
 		case err != nil:
-			p.abort() // what it has is unknown; what it had acknowledged and its end follow
-		case m.kind == kindTaken:
+			p.abort() // what it has accepted is unknown; its remaining acknowledgements and EOF follow
+		case m.kind == kindConnAccepted:
 			p.resolve(m.number, nil)
-		case m.kind == kindLeft:
-			p.resolve(m.number, fmt.Errorf("the successor did not get it: %s", m.body))
-		case m.kind == kindDone:
+		case m.kind == kindConnFailed:
+			p.resolve(m.number, fmt.Errorf("the successor could not receive the connection: %s", m.body))
+		case m.kind == kindComplete:
 			p.resolve(m.number, nil)
 			return
 		default:
@@ -122,18 +125,18 @@
 	}
 }
 
-// markLost ends all requests: the successor is lost. Whatever it had taken it has acknowledged before.
+// markLost ends all pending requests when the successor is lost. Acknowledgements that it sent before have been read.
 func (p *Predecessor) markLost() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lostErr = ErrSuccessorLost
 	p.ackTimer.Stop()
-	for number, to := range p.answers {
-		delete(p.answers, number)
-		if p.cmd == nil && number != p.doneNumber {
-			to <- nil // it may have the connection and live: nobody here may read that any more
+	for number, result := range p.pending {
+		delete(p.pending, number)
+		if p.cmd == nil && number != p.completeNumber {
+			result <- nil // it may be alive and have the connection, which this process must not use then
 		} else {
-			to <- ErrSuccessorLost
+			result <- ErrSuccessorLost
 		}
 	}
 	p.coordinator.release()
