--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,21 +11,21 @@
 	"plankrouter/policy"
 )
 
-// Defaults for what the platform may leave out.
+// Defaults for keys that the platform may leave out.
 const (
 	defaultMemoryMB       = 192
-	defaultSockets        = 1024
+	defaultSockets        = 1024 // open at a time
 	defaultConnIdle       = 60 * time.Second
 	defaultConnectTimeout = 150 * time.Millisecond
 	defaultDrainGrace     = 750 * time.Millisecond
 )
 
 const (
-	maxSettingMs = 9e12 // a Duration can't hold more than this
-	minSockets   = 32   // below this nothing useful can be served
+	maxSettingMs = 9e12 // just below the longest time.Duration, in milliseconds
+	minSockets   = 32   // with fewer sockets the sidecar can't serve usefully
 )
 
-// check fills in defaults and rejects what the program can't work with.
+// check fills in defaults and returns an error for values that the program can't work with.
 func (c *Config) check() error {
 	if err := c.checkAddresses(); err != nil {
 		return err
@@ -43,13 +43,13 @@
 	if err != nil {
 		return err
 	}
-	if err := c.checkOwn(longestDeadline); err != nil {
+	if err := c.checkExtensions(longestDeadline); err != nil {
 		return err
 	}
 	if faults := c.Known.RemoveInvalid(); len(faults) > 0 {
 		return fmt.Errorf("known.%w", faults[0])
 	}
-	c.Known.Normalize() // discovery's own contradiction is no reason not to start
+	c.Known.Normalize() // contradictory entries from discovery must not prevent the start
 	if c.Policy, err = c.Settings.PolicyConfig(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checkAddresses checks the addresses, of which only the operators' may be missing.
+// checkAddresses checks the addresses, of which only admin_addr may be missing.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct {
 		key      string
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// checkSeed reads the seed.
+// checkSeed parses the seed; without one it stays 0.
 func (c *Config) checkSeed() error {
 	if c.SeedText == "" {
 		return nil
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// checkLimits fills in and checks the limits of the process.
+// checkLimits fills in defaults for the limits of the process and checks them.
 func (c *Config) checkLimits() error {
 	c.Limits.MemoryMB = cmp.Or(c.Limits.MemoryMB, defaultMemoryMB)
 	c.Limits.Sockets = cmp.Or(c.Limits.Sockets, defaultSockets)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// checkSettings takes the settings' times that the policy does not know.
+// checkSettings reads the settings that are not part of the policy's configuration.
 func (c *Config) checkSettings() error {
 	s := &c.Settings
 	if err := readDurations("settings.", 1, maxSettingMs,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where the program's configuration is read, checked and given defaults, and where the
-// platform's keys are mapped to the terms of the other packages. Messages name the key at fault.
+// Package config reads and checks the program's configuration, fills in defaults, and maps the platform's keys to the
+// terms of the other packages. Error messages name the invalid key.
 package config
 
 import (
@@ -16,7 +16,7 @@
 	"plankrouter/policy"
 )
 
-// readTimeout is for a file that can't be opened for a moment: a SIGHUP comes once.
+// readTimeout bounds the retries of a file that temporarily can't be read: a SIGHUP is sent only once.
 const readTimeout = 2 * time.Second
 
 // Config is the configuration of a sidecar.
@@ -24,7 +24,7 @@
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	AdminAddr string `json:"admin_addr"` // where operators call; "" = there is no such listener
+	AdminAddr string `json:"admin_addr"` // for operators' requests; "" = no such listener
 	SeedText  string `json:"seed"`
 	Limits    struct {
 		MemoryMB int `json:"memory_mb"`
@@ -40,15 +40,15 @@
 	Watch                watchpolicy.Settings `json:"-"`
 	Seed                 uint64               `json:"-"`
 	Policy               policy.Config        `json:"-"`
-	ConnIdle             time.Duration        `json:"-"` // a server closes a connection left idle this long
+	ConnIdle             time.Duration        `json:"-"` // after which a server closes an idle connection
 	ConnectTimeout       time.Duration        `json:"-"`
 	DrainGrace           time.Duration        `json:"-"`
-	PollInterval         time.Duration        `json:"-"` // without a subscription all changes older than this count as listed; 0 = not said
+	PollInterval         time.Duration        `json:"-"` // without a subscription, older changes count as listed; 0 = unknown
 
-	fileKeys map[string]any // as they stand in the file, for Reload
+	fileKeys map[string]any // the keys and values as they are in the file, for Reload
 }
 
-// Load reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR go before what it says.
+// Load reads and checks the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR override the file.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -80,7 +80,7 @@
 	return c, c.check()
 }
 
-// readFile reads the configuration; a test puts another in its place.
+// readFile reads the configuration file; a test replaces it.
 var readFile = func(path string) ([]byte, error) {
 	if err := faultinjection.Inject(faultinjection.ReadConfig); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
@@ -88,8 +88,8 @@
 	return os.ReadFile(path)
 }
 
-// Duration converts milliseconds.
+// Duration converts milliseconds to a duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Millis converts to milliseconds.
+// Millis converts a duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,7 @@
 		memory, sockets         int
 		idle, connect, grace    time.Duration
 		revision                uint64
-		advice                  float64
+		retryAfter              float64
 	}
 	got := loaded{
 		c.Name, c.Listen, c.Discovery, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, c.ConnIdle, c.ConnectTimeout,
@@ -58,11 +58,11 @@
 		t.Error(diff)
 	}
 	if c.ShutdownSchedule != shutdown.NewSchedule(2500*time.Millisecond, 0) || c.Watch.Wait != watchpolicy.PushedSettings(c.DrainGrace).Wait || c.Watch.DrainGrace != c.DrainGrace || c.SnapshotInterval != defaultSnapshotEvery {
-		t.Errorf("an installation without keys of its own: %+v, %+v", c.ShutdownSchedule, c.Watch)
+		t.Errorf("without extensions: %+v, %+v", c.ShutdownSchedule, c.Watch)
 	}
-	c, err = load(t, strings.Replace(validFile, withOwnKeys("")[0], withOwnKeys(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
+	c, err = load(t, strings.Replace(validFile, withExtensionKeys("")[0], withExtensionKeys(`"watch":{"wait_ms":100},"stop":{"kill_after_ms":9000}`)[1], 1), nil)
 	if err != nil || c.ShutdownSchedule.Kill != 9*time.Second || c.Watch.Wait != 100*time.Millisecond || c.Watch.MinWait != c.Watch.Wait {
-		t.Errorf("an installation with keys of its own: %+v, %+v, %v", c.ShutdownSchedule, c.Watch, err)
+		t.Errorf("with extensions: %+v, %+v, %v", c.ShutdownSchedule, c.Watch, err)
 	}
 	c, err = load(t, strings.NewReplacer(`"memory_mb":100,"sockets":512`, "", `"cores":1.0,`, "", `"ConnIdleMs":60000,`, "").Replace(validFile), nil)
 	if err != nil || c.Limits.MemoryMB != defaultMemoryMB || c.Limits.Sockets != defaultSockets || c.ConnIdle != defaultConnIdle {
@@ -70,12 +70,12 @@
 	}
 }
 
-// withOwnKeys adds an installation's keys.
-func withOwnKeys(keys string) [2]string {
+// withExtensionKeys returns the replacement that adds extension keys to validFile.
+func withExtensionKeys(keys string) [2]string {
 	return [2]string{`"unknown"`, `"plankrouter":{` + keys + `},"unknown"`}
 }
 
-func TestFaultyKeyIsNamed(t *testing.T) {
+func TestErrorNamesInvalidKey(t *testing.T) {
 	for want, swap := range map[string][2]string{
 		"GW_CONFIG":                          {`{"name"`, `["name"`},
 		"listen:":                            {"127.0.0.1:3000", "127.0.0.1"},
@@ -95,15 +95,15 @@
 		"settings.RequestClasses: missing":   {`"RequestClasses"`, `"Others"`},
 		"settings: policy: negative":         {`"RoundMs":5`, `"RoundMs":-5`},
 
-		"plankrouter.watch.wait_ms:":           withOwnKeys(`"watch":{"wait_ms":70000}`),
-		"plankrouter.watch.patience_ms:":       withOwnKeys(`"watch":{"patience_ms":-1}`),
-		"plankrouter.watch.least_wait_ms:":     withOwnKeys(`"watch":{"wait_ms":100,"least_wait_ms":200}`),
-		"plankrouter.watch.retry_ms:":          withOwnKeys(`"watch":{"retry_ms":500,"retry_most_ms":200}`),
-		"plankrouter.watch.ask_ms:":            withOwnKeys(`"watch":{"ask_ms":0.5}`),
-		"plankrouter.snapshot.every_ms:":       withOwnKeys(`"snapshot":{"every_ms":1}`),
-		"plankrouter.handover.ready_within_ms": withOwnKeys(`"handover":{"ready_within_ms":1e12}`),
-		"plankrouter.stop.kill_after_ms: 300":  withOwnKeys(`"stop":{"kill_after_ms":300}`),
-		"plankrouter.stop.kill_after_ms: -1":   withOwnKeys(`"stop":{"kill_after_ms":-1}`),
+		"plankrouter.watch.wait_ms:":           withExtensionKeys(`"watch":{"wait_ms":70000}`),
+		"plankrouter.watch.patience_ms:":       withExtensionKeys(`"watch":{"patience_ms":-1}`),
+		"plankrouter.watch.least_wait_ms:":     withExtensionKeys(`"watch":{"wait_ms":100,"least_wait_ms":200}`),
+		"plankrouter.watch.retry_ms:":          withExtensionKeys(`"watch":{"retry_ms":500,"retry_most_ms":200}`),
+		"plankrouter.watch.ask_ms:":            withExtensionKeys(`"watch":{"ask_ms":0.5}`),
+		"plankrouter.snapshot.every_ms:":       withExtensionKeys(`"snapshot":{"every_ms":1}`),
+		"plankrouter.handover.ready_within_ms": withExtensionKeys(`"handover":{"ready_within_ms":1e12}`),
+		"plankrouter.stop.kill_after_ms: 300":  withExtensionKeys(`"stop":{"kill_after_ms":300}`),
+		"plankrouter.stop.kill_after_ms: -1":   withExtensionKeys(`"stop":{"kill_after_ms":-1}`),
 	} {
 		text := strings.Replace(validFile, swap[0], swap[1], 1)
 		if _, err := load(t, text, nil); text == validFile || err == nil || !strings.Contains(err.Error(), want) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// The examples of installations can be used as they are.
-func TestExamplesOfInstallations(t *testing.T) {
+// The example configurations in deploy are valid and set extension keys.
+func TestDeploymentExamples(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no examples: %v", err)
@@ -130,7 +130,7 @@
 		if err := json.Unmarshal(raw, &c); err != nil || c.Extensions == (Extensions{}) {
 			t.Errorf("%s: %v", file, err)
 		}
-		if err := c.checkOwn(2500 * time.Millisecond); err != nil {
+		if err := c.checkExtensions(2500 * time.Millisecond); err != nil {
 			t.Errorf("%s: %v", file, err)
 		}
 	}
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -6,22 +6,22 @@
 	"plankrouter/internal/stableid"
 )
 
-// numberHoldTime is how long a number keeps its meaning for requests that came under it, after the class or tenant is dropped:
+// numberHoldTime is how long the number of a removed class or tenant stays reserved, for requests that still carry it:
 // longer than any deadline.
 const numberHoldTime = 2 * time.Minute
 
-// Numbering gives classes and tenants the numbers by which the program's parts know them. A class's rules belong to its number:
-// a request keeps those it was taken under, whatever a reload says.
+// Numbering assigns numbers to classes and tenants, by which the other packages refer to them. A class whose rules change
+// in a reload gets a new number, so that a request keeps the rules with which it was accepted.
 type Numbering struct {
 	classes stableid.Table[Class]
 	tenants stableid.Table[struct{}]
 }
 
-// NumberMappings has the numbers that the classes and tenants of one configuration have got.
+// NumberMappings has the numbers assigned to the classes and tenants of one configuration.
 type NumberMappings struct{ Classes, Tenants stableid.Mapping }
 
-// Apply puts the classes and tenants of c, which has been checked, in the order of their numbers, those that were dropped
-// among them.
+// Apply assigns numbers to the classes and tenants of c, which must have been checked, and replaces them by the lists in
+// the order of their numbers, in which removed ones are marked as Retired.
 func (n *Numbering) Apply(now time.Time, c *Config) (NumberMappings, error) {
 	s := &c.Settings
 	for i := range s.Classes {
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -9,31 +9,31 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// Defaults of Own: those of the platform, on which none of its keys is given.
+// Defaults of Extensions, for the platform, which sets none of its keys.
 const (
 	defaultSnapshotEvery = 10 * time.Second
 	defaultReadyWithin   = 10 * time.Second
-	maxOwnMs             = 24 * 3600 * 1000
+	maxExtensionMs       = 24 * 3600 * 1000
 )
 
-// Extensions has the keys that an installation may add to the platform's, under one key of its own so that the two never clash.
-// Times are in milliseconds; 0 or missing stands for the default.
+// Extensions has the keys that an installation may add to the platform's. They are under a key of their own, so that they can't
+// collide with the platform's. Times are in milliseconds; 0 or missing is the default.
 type Extensions struct {
 	Watch    WatchMs  `json:"watch"`
-	Snapshot struct { // what was learned is kept in a file
-		Path    string  `json:"path"` // "" = it is not
+	Snapshot struct { // of the learned state, in a file
+		Path    string  `json:"path"` // "" = no snapshots
 		EveryMs float64 `json:"every_ms"`
 	} `json:"snapshot"`
 	Handover struct { // to a successor, on SIGUSR2
-		ReadyWithinMs float64 `json:"ready_within_ms"` // the successor has so long to become ready
+		ReadyWithinMs float64 `json:"ready_within_ms"` // for the successor to become ready
 	} `json:"handover"`
-	Stop struct { // what follows SIGTERM
-		KillAfterMs float64 `json:"kill_after_ms"` // the process may be killed then; 0 = as on the platform
+	Stop struct { // shutdown after SIGTERM
+		KillAfterMs float64 `json:"kill_after_ms"` // from SIGTERM until the process may be killed; 0 = as on the platform
 	} `json:"stop"`
 }
 
-// WatchMs has the times of the watch in milliseconds; see watchpolicy.Settings. The defaults are those for a discovery service
-// on the own machine, which costs nothing to ask.
+// WatchMs has the times of the watch in milliseconds; see watchpolicy.Settings. The defaults suit a discovery service on
+// this machine, where a poll costs nothing.
 type WatchMs struct {
 	Wait       float64 `json:"wait_ms"`
 	MinWait    float64 `json:"least_wait_ms"`
@@ -45,15 +45,15 @@
 	MaxRefresh float64 `json:"ask_most_ms"`
 }
 
-// durationKey is a time in the file.
+// durationKey is a key of the file whose value is a time.
 type durationKey struct {
 	key      string
 	ms       float64        // in the file
-	target   *time.Duration // where it goes
-	fallback time.Duration  // what stands for 0
+	target   *time.Duration // where the result is stored
+	fallback time.Duration  // the result if ms is 0
 }
 
-// readDurations takes times in milliseconds, each of which is 0 or lies between minMs and maxMs.
+// readDurations converts and stores times in milliseconds. Each must be 0 or lie between minMs and maxMs.
 func readDurations(prefix string, minMs, maxMs float64, keys ...durationKey) error {
 	for _, f := range keys {
 		if !(f.ms >= 0) || f.ms > 0 && f.ms < minMs || f.ms > maxMs {
@@ -64,11 +64,12 @@
 	return nil
 }
 
-// checkOwn fills in what follows from Own, and names the key of what makes no sense. longest is the longest deadline of a class.
-func (c *Config) checkOwn(longest time.Duration) error {
+// checkExtensions sets the fields of c that are derived from Extensions, or returns an error that names the invalid key.
+// longest is the longest deadline of a class.
+func (c *Config) checkExtensions(longest time.Duration) error {
 	own := &c.Extensions
 	var kill time.Duration
-	if err := readDurations("plankrouter.", 100, maxOwnMs,
+	if err := readDurations("plankrouter.", 100, maxExtensionMs,
 		durationKey{"snapshot.every_ms", own.Snapshot.EveryMs, &c.SnapshotInterval, defaultSnapshotEvery},
 		durationKey{"handover.ready_within_ms", own.Handover.ReadyWithinMs, &c.HandoverReadyTimeout, defaultReadyWithin},
 		durationKey{"stop.kill_after_ms", own.Stop.KillAfterMs, &kill, 0},
@@ -82,7 +83,7 @@
 	var err error
 	defaults := watchpolicy.DefaultSettings()
 	defaults.Instances = c.Settings.Balancers
-	if c.Settings.Discovery == discoveryPushed { // to an agent on the own machine
+	if c.Settings.Discovery == discoveryPushed { // to an agent on this machine
 		defaults = watchpolicy.PushedSettings(c.DrainGrace)
 	}
 	defaults.EffectiveBy = c.PollInterval
@@ -91,13 +92,14 @@
 	return err
 }
 
-// toSettings fills in defaults, which stay on the right side of what is given, and checks.
+// toSettings returns the checked settings. A default for a missing bound is adjusted so that it doesn't contradict the
+// configured times.
 func (w *WatchMs) toSettings(defaults watchpolicy.Settings) (s watchpolicy.Settings, err error) {
 	s.Instances = defaults.Instances
 	s.EffectiveBy = defaults.EffectiveBy
 	s.DrainGrace = defaults.DrainGrace
 	s.Pushed = defaults.Pushed
-	if err := readDurations("plankrouter.watch.", 1, maxOwnMs,
+	if err := readDurations("plankrouter.watch.", 1, maxExtensionMs,
 		durationKey{"wait_ms", w.Wait, &s.Wait, defaults.Wait},
 		durationKey{"patience_ms", w.Timeout, &s.Timeout, defaults.Timeout},
 		durationKey{"retry_ms", w.Retry, &s.RetryBackoff, defaults.RetryBackoff},
@@ -105,7 +107,7 @@
 	); err != nil {
 		return s, err
 	}
-	if err := readDurations("plankrouter.watch.", 1, maxOwnMs,
+	if err := readDurations("plankrouter.watch.", 1, maxExtensionMs,
 		durationKey{"least_wait_ms", w.MinWait, &s.MinWait, min(defaults.MinWait, s.Wait)},
 		durationKey{"least_patience_ms", w.MinTimeout, &s.MinTimeout, min(defaults.MinTimeout, s.Timeout)},
 		durationKey{"retry_most_ms", w.MaxRetry, &s.MaxRetryBackoff, max(defaults.MaxRetryBackoff, s.RetryBackoff)},
@@ -114,7 +116,7 @@
 		return s, err
 	}
 	if s.Wait > time.Minute {
-		return s, fmt.Errorf("plankrouter.watch.wait_ms: discovery holds no call for longer than a minute, not for %s", s.Wait)
+		return s, fmt.Errorf("plankrouter.watch.wait_ms: discovery holds a poll for at most a minute, not for %s", s.Wait)
 	}
 	if err := s.Check(); err != nil {
 		return s, fmt.Errorf("plankrouter.watch.%w", err)
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -8,20 +8,20 @@
 	"plankrouter/policy"
 )
 
-// discoveryPushed is the value of Discovery for a list that is sent to an agent on the own machine.
+// discoveryPushed is the value of Discovery for an endpoint list that is pushed to an agent on this machine.
 const discoveryPushed = "pushed"
 
-// idempotencies are the values of Repeat.
+// idempotencies maps the values of Repeat.
 var idempotencies = map[string]policy.Idempotency{
 	Pure:          policy.Idempotent,
 	"token":       policy.WithIdempotencyKey,
 	"side_effect": policy.NonIdempotent,
 }
 
-// keyScopes are the values of KeyScope.
+// keyScopes maps the values of KeyScope.
 var keyScopes = map[string]policy.KeyScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
-// PolicyConfig maps the settings' keys to the policy's terms.
+// PolicyConfig maps the settings to the policy's configuration. Its error begins with the invalid key.
 func (s *Settings) PolicyConfig() (policy.Config, error) {
 	cfg := policy.Config{
 		OverQuotaWeight: s.OverShareWorth, Instances: s.Balancers, Zone: s.Locality,
@@ -31,7 +31,7 @@
 		OverloadMultiple: s.Safety.TipMultiple, OverloadWindow: s.Safety.FallMs,
 		CrossZoneCost: s.Prices.CrossZone, WastedWorkCost: s.Prices.Waste, ProbeCost: s.Prices.Probe,
 	}
-	cfg.MaxRetryAfter = s.Limits.MaxRetryAfterMs // always: where clients do not get a Retry-After it does no harm
+	cfg.MaxRetryAfter = s.Limits.MaxRetryAfterMs // always set: it has no effect if clients don't receive a Retry-After
 	switch s.Discovery {
 	case "on_request":
 		cfg.SubscribeToList = true
@@ -52,7 +52,7 @@
 	return cfg, nil
 }
 
-// policyClass maps the class's keys to the policy's terms. Errors begin with prefix and the key.
+// policyClass maps the class to the policy's. Its error begins with prefix and the invalid key.
 func (c Class) policyClass(prefix string) (policy.Class, error) {
 	class := policy.Class{
 		LatencyObjective: c.AimMs, Deadline: c.HardLimitMs, PriorityWeight: c.Credit, LateWeight: c.LateWorth,
@@ -68,11 +68,11 @@
 	return class, nil
 }
 
-// unknownValue is the error for a key whose value is none of its words.
-func unknownValue(key, value string) error { return fmt.Errorf("%s: unknown word %q", key, value) }
+// unknownValue returns the error for a key whose value is not one of the values defined for it.
+func unknownValue(key, value string) error { return fmt.Errorf("%s: unknown value %q", key, value) }
 
-// IsComplete reports whether a load report has what the policy can't do without, where the deployment's reports have it: a server
-// that has just started may have no latency to report, but it knows what it has in flight.
+// IsComplete reports whether a load report has the RIF, or the deployment's load reports don't include it. The policy
+// needs the RIF; other values may be missing, since a server that has just started may have no latency to report.
 func (s *Settings) IsComplete(r policy.Report) bool {
 	return r.HasRIF || !slices.Contains(loadreport.Fields(s.Report.Names), loadreport.RIF)
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
-// Reload reads the file anew and checks it whole. What it says of discovery goes before GW_DISCOVERY: the environment is
-// that of the start, and the file is newer. A key that the file had before must still be there: a file that is incomplete says
-// nothing. fixed names the keys that differ and can't change while the program runs: next has the values of c there.
+// Reload reads the file again and checks it completely. The file's discovery address overrides GW_DISCOVERY, because the
+// environment dates from the start of the process and the file is newer. A key that the file had before must still be
+// present: a truncated file is rejected, not read as a change. fixed has the keys that differ but can't change while the
+// program runs; next keeps c's values for them.
 func (c *Config) Reload(getenv func(string) string) (next *Config, fixed []string, err error) {
 	next, err = Load(func(key string) string {
 		if key == "GW_DISCOVERY" {
@@ -38,13 +39,13 @@
 // fixedKey is a key that can't change while the program runs.
 type fixedKey struct {
 	key  string
-	same bool   // next has the value of c
-	keep func() // gives next the value of c
+	same bool   // next has the same value as c
+	keep func() // copies the value of c to next
 }
 
-// fixedKeys compares next with c in the keys that are fixed.
+// fixedKeys returns all fixed keys, each with the result of comparing c and next.
 func (c *Config) fixedKeys(next *Config) []fixedKey {
-	was, is := &c.Settings, &next.Settings
+	before, after := &c.Settings, &next.Settings
 	return []fixedKey{
 		{"name", c.Name == next.Name, func() { next.Name = c.Name }},
 		{"listen", c.Listen == next.Listen, func() { next.Listen = c.Listen }},
@@ -52,33 +53,34 @@
 		{"seed", c.Seed == next.Seed, func() { next.Seed = c.Seed }},
 		{"limits", c.Limits == next.Limits, func() { next.Limits = c.Limits }},
 		{"plankrouter", c.Extensions == next.Extensions, func() { next.Extensions = c.Extensions }},
-		{"settings.Dcs", slices.Equal(was.Dcs, is.Dcs), func() { is.Dcs = was.Dcs }},
-		{"settings.Locality", was.Locality == is.Locality, func() { is.Locality = was.Locality }},
-		{"settings.Discovery", was.Discovery == is.Discovery, func() { is.Discovery = was.Discovery }},
-		{"settings.Report", slices.Equal(was.Report.Names, is.Report.Names), func() { is.Report = was.Report }},
+		{"settings.Dcs", slices.Equal(before.Dcs, after.Dcs), func() { after.Dcs = before.Dcs }},
+		{"settings.Locality", before.Locality == after.Locality, func() { after.Locality = before.Locality }},
+		{"settings.Discovery", before.Discovery == after.Discovery, func() { after.Discovery = before.Discovery }},
+		{"settings.Report", slices.Equal(before.Report.Names, after.Report.Names), func() { after.Report = before.Report }},
 	}
 }
 
-// checkNoKeyMissing returns an error that names a key which one has and the other has not. For entries of lists see requiredKeys.
-func checkNoKeyMissing(path string, one, other any) error {
-	switch was := one.(type) {
+// checkNoKeyMissing returns an error that names a key that oldValue has and newValue lacks. path is the prefix of the
+// keys. The entries of a list are compared as requiredKeys specifies.
+func checkNoKeyMissing(path string, oldValue, newValue any) error {
+	switch before := oldValue.(type) {
 	case map[string]any:
-		is, _ := other.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(was)) {
+		after, _ := newValue.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(before)) {
 			if path == "" && optionalKeys[key] {
 				continue
 			}
-			if _, have := is[key]; !have {
-				return fmt.Errorf("%s%s: missing, and it was there before: write the whole file", path, key)
+			if _, present := after[key]; !present {
+				return fmt.Errorf("%s%s: missing, but present before: write the complete file", path, key)
 			}
-			if err := checkNoKeyMissing(path+key+".", was[key], is[key]); err != nil {
+			if err := checkNoKeyMissing(path+key+".", before[key], after[key]); err != nil {
 				return err
 			}
 		}
 	case []any:
-		is, _ := other.([]any)
-		for i := 0; len(was) > 0 && path != "known.members." && i < len(is); i++ {
-			if err := checkNoKeyMissing(fmt.Sprintf("%s[%d].", strings.TrimSuffix(path, "."), i), requiredKeys(was, is[i]), is[i]); err != nil {
+		after, _ := newValue.([]any)
+		for i := 0; len(before) > 0 && path != "known.members." && i < len(after); i++ {
+			if err := checkNoKeyMissing(fmt.Sprintf("%s[%d].", strings.TrimSuffix(path, "."), i), requiredKeys(before, after[i]), after[i]); err != nil {
 				return err
 			}
 		}
@@ -86,22 +88,22 @@
 	return nil
 }
 
-// requiredKeys has the keys that an entry of a list can't be without: those that the entry of its name had or, where there was none,
-// those that all had. The order of the entries says nothing.
-func requiredKeys(was []any, entry any) map[string]any {
-	is, _ := entry.(map[string]any)
-	name, _ := is["Name"].(string)
-	first, _ := was[0].(map[string]any)
+// requiredKeys returns the keys that an entry of a list must have: those of the entry of the same name in before or, if
+// there is none, those that all entries of before have. The order of the entries doesn't matter.
+func requiredKeys(before []any, entry any) map[string]any {
+	after, _ := entry.(map[string]any)
+	name, _ := after["Name"].(string)
+	first, _ := before[0].(map[string]any)
 	common := maps.Clone(first)
-	for _, w := range was {
-		one, _ := w.(map[string]any)
-		if one["Name"] == name && name != "" {
-			return one
+	for _, b := range before {
+		keys, _ := b.(map[string]any)
+		if keys["Name"] == name && name != "" {
+			return keys
 		}
-		maps.DeleteFunc(common, func(key string, _ any) bool { _, have := one[key]; return !have })
+		maps.DeleteFunc(common, func(key string, _ any) bool { _, present := keys[key]; return !present })
 	}
 	return common
 }
 
-// optionalKeys are the keys that a file may leave out though it had them.
+// optionalKeys are the top-level keys that may be removed from the file in a reload.
 var optionalKeys = map[string]bool{"plankrouter": true, "admin_addr": true}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The environment is that of the start: what the file says of discovery since then goes before it.
+// The environment dates from the start, so that the discovery address in the file overrides it. An incomplete file is rejected.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1", "GW_NAME": "n7"}
@@ -36,12 +36,12 @@
 		t.Error(diff)
 	}
 
-	// A file that is cut anywhere, or has lost any one of its keys, is rejected with the key's name.
-	whole := strings.TrimRight(validFile, " \n")
-	for at := range len(whole) {
-		write(whole[:at])
+	// A file that is truncated at any byte is rejected, and so is one without any one of its keys, with the key's name.
+	complete := strings.TrimRight(validFile, " \n")
+	for at := range len(complete) {
+		write(complete[:at])
 		if _, _, err := old.Reload(getenv); err == nil {
-			t.Fatalf("cut at byte %d of %d, it was taken", at, len(whole))
+			t.Fatalf("truncated at byte %d of %d, it was accepted", at, len(complete))
 		}
 	}
 	for key := range map[string]bool{
@@ -50,42 +50,42 @@
 		"DrainGraceMs": true, "known": true,
 	} {
 		if text := strings.ReplaceAll(validFile, `"`+key+`"`, `"was`+key+`"`); text == validFile {
-			t.Errorf("%s is not in the file of this test", key)
+			t.Errorf("%s is not in validFile", key)
 		} else if write(text); true {
 			if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("without %s: %v", key, err)
 			}
 		}
 	}
-	for _, bad := range []string{"0", "-1", "1e999", `"many"`, "null", "2.5"} {
-		write(strings.Replace(validFile, `"MaxAttempts":3`, `"MaxAttempts":`+bad, 1))
+	for _, invalid := range []string{"0", "-1", "1e999", `"many"`, "null", "2.5"} {
+		write(strings.Replace(validFile, `"MaxAttempts":3`, `"MaxAttempts":`+invalid, 1))
 		if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), "MaxAttempts") {
-			t.Errorf("attempts %s: %v", bad, err)
+			t.Errorf("attempts %s: %v", invalid, err)
 		}
-		if bad == "2.5" {
+		if invalid == "2.5" {
 			continue
 		}
-		write(strings.Replace(validFile, `"HardLimitMs":2500`, `"HardLimitMs":`+bad, 1))
+		write(strings.Replace(validFile, `"HardLimitMs":2500`, `"HardLimitMs":`+invalid, 1))
 		if _, _, err := old.Reload(getenv); err == nil || !strings.Contains(err.Error(), "HardLimitMs") {
-			t.Errorf("deadline %s: %v", bad, err)
+			t.Errorf("deadline %s: %v", invalid, err)
 		}
 	}
 }
 
-// Classes need not have the same keys, in whatever order they stand; each must keep its own.
-func TestReloadOfUnlikeClasses(t *testing.T) {
+// Classes may have different keys and change their order in a reload; each must keep the keys that it had.
+func TestReloadOfClassesWithDifferentKeys(t *testing.T) {
 	const tile = `{"Name":"tile","AimMs":750,"HardLimitMs":2500,"Repeat":"pure"}`
 	const search = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all","MemorySpanMs":4000}`
-	const short = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all"}`
-	const fresh = `{"Name":"fresh","AimMs":500,"HardLimitMs":1500,"Repeat":"side_effect"}`
+	const searchLacksKey = `{"Name":"search","AimMs":500,"HardLimitMs":1500,"Repeat":"token","KeyScope":"all"}`
+	const added = `{"Name":"fresh","AimMs":500,"HardLimitMs":1500,"Repeat":"side_effect"}`
 	with := func(classes ...string) string { return strings.Replace(validFile, tile, strings.Join(classes, ","), 1) }
-	for _, tc := range []struct{ name, before, after, fault string }{
+	for _, tc := range []struct{ name, before, after, wantErr string }{
 		{"unchanged", with(search, tile), with(search, tile), ""},
-		{"in another order", with(search, tile), with(tile, search), ""},
-		{"one replaced by another", with(tile, search), with(fresh, search), ""},
-		{"one has lost a key", with(search, tile), with(tile, short), "RequestClasses[1].MemorySpanMs"},
-		{"one has lost a key and moved", with(tile, search), with(short, tile), "RequestClasses[0].MemorySpanMs"},
-		{"a new one lacks a key that all had", with(search), with(search, fresh), "RequestClasses[1].KeyScope"},
+		{"reordered", with(search, tile), with(tile, search), ""},
+		{"one replaced", with(tile, search), with(added, search), ""},
+		{"one lacks a key", with(search, tile), with(tile, searchLacksKey), "RequestClasses[1].MemorySpanMs"},
+		{"one lacks a key and has moved", with(tile, search), with(searchLacksKey, tile), "RequestClasses[0].MemorySpanMs"},
+		{"a new one lacks a key that all others have", with(search), with(search, added), "RequestClasses[1].KeyScope"},
 	} {
 		old, err := load(t, tc.before, nil)
 		if err != nil {
@@ -96,8 +96,8 @@
 			t.Fatal(err)
 		}
 		_, _, err = old.Reload(func(key string) string { return map[string]string{"GW_CONFIG": path}[key] })
-		if (err == nil) != (tc.fault == "") || err != nil && !strings.Contains(err.Error(), tc.fault) {
-			t.Errorf("%s: from %s\nto %s: %v, want %q", tc.name, tc.before, tc.after, err, tc.fault)
+		if (err == nil) != (tc.wantErr == "") || err != nil && !strings.Contains(err.Error(), tc.wantErr) {
+			t.Errorf("%s: from %s\nto %s: %v, want %q", tc.name, tc.before, tc.after, err, tc.wantErr)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,8 +8,8 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Settings are the settings of a deployment. Its fields without a tag, and those of Realm and Class, are named as the platform's
-// keys: to rename one is to rename a key. Keys that do not matter here are skipped.
+// Settings has the settings of a deployment. Its fields without a tag, and those of Tenant and Class, have the names of
+// the platform's keys, so they can't be renamed. Unknown keys are ignored.
 type Settings struct {
 	Balancers      int
 	Dcs            []string
@@ -34,22 +34,22 @@
 type Tenant struct {
 	Name      string
 	QuotaPerS float64
-	Retired   bool `json:"-"` // as of a class
+	Retired   bool `json:"-"` // removed by a reload
 }
 
-// Class is one class of requests.
+// Class is a request class.
 type Class struct {
 	Name                                                string
 	AimMs, HardLimitMs, Credit, LateWorth, MemorySpanMs float64
 	KeyScope, Repeat                                    string
-	Attempts                                            int  `json:"-"` // Limits.MaxAttempts, as it was when the class got its number
-	Retired                                             bool `json:"-"` // no further request is of it; see Numbering
+	Attempts                                            int  `json:"-"` // Limits.MaxAttempts when the class got its number
+	Retired                                             bool `json:"-"` // removed by a reload; see Numbering
 }
 
-// Pure is the value of Repeat for a class that is safe to repeat.
+// Pure is the value of Repeat for a class of idempotent requests.
 const Pure = "pure"
 
-// ParseSettings reads the settings; PolicyConfig says whether the policy can work with them.
+// ParseSettings parses the settings, without checking them as PolicyConfig does.
 func ParseSettings(raw []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// ClassNames are the names of the classes in force.
+// ClassNames returns the names of the classes that are not retired.
 func (s *Settings) ClassNames() (names []string) {
 	for _, c := range s.Classes {
 		if !c.Retired {
