--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter lets the simulator drive the policy: batches come in on standard input, each is answered by one
-// reply on standard output, and the end of input ends the program.
+// Command simadapter connects the simulator to the policy: it reads batches from standard input and writes one reply for
+// each to standard output. It exits at the end of input.
 package main
 
 import (
--- a/internal/faultinjection/control.go
+++ b/internal/faultinjection/control.go
@@ -11,39 +11,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// sharedFile is the file in memory: the offset of the wall clock, then a cell for each operation, which has the number of times in its
-// upper half and the error number, or the delay in ms, in its lower one.
+// sharedFile is the layout of the file: the offset of the wall clock in nanoseconds, then a cell for each operation. The
+// upper half of a cell has the number of failures left, the lower half the error number or, for a delayed operation, the
+// delay in milliseconds.
 type sharedFile [1 + opCount]atomic.Uint64
 
-// sharedFileOf is the mapped file.
-func sharedFileOf(raw []byte) *sharedFile {
+// asSharedFile returns the mapped bytes of the file as a sharedFile.
+func asSharedFile(raw []byte) *sharedFile {
 	return (*sharedFile)(unsafe.Pointer(unsafe.SliceData(raw)))
 }
 
-// wallOffset is by how much the wall clock is put off.
+// wallOffset returns the offset of the process's wall clock from the machine's.
 func (f *sharedFile) wallOffset() time.Duration { return time.Duration(f[0].Load()) }
 
-// consume uses up one failure of the operation and returns its error number; 0 = none is left.
+// consume decrements the operation's number of failures and returns its error number or delay; 0 = no failure is left.
 func (f *sharedFile) consume(o Op) uint32 {
 	for cell := &f[1+o]; ; {
 		value := cell.Load()
-		times, errno := value>>timesShift, uint32(value)
+		count, errno := value>>countShift, uint32(value)
 		switch {
-		case times == 0:
+		case count == 0:
 			return 0
-		case times == untilHealed || cell.CompareAndSwap(value, (times-1)<<timesShift|uint64(errno)):
+		case count == untilCleared || cell.CompareAndSwap(value, (count-1)<<countShift|uint64(errno)):
 			return errno
 		}
 	}
 }
 
-// Control is a soak's side of the file. It is safe for concurrent use.
+// Control is a soak test's access to the file. It is safe for concurrent use.
 type Control struct {
 	raw  []byte
 	file *sharedFile
 }
 
-// NewControl makes the file and returns its control, by which nothing fails yet.
+// NewControl creates the file, initially without faults, and returns its Control.
 func NewControl(path string) (*Control, error) {
 	if err := os.WriteFile(path, make([]byte, Size), 0o600); err != nil {
 		return nil, fmt.Errorf("faultinjection: %w", err)
@@ -57,27 +58,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("faultinjection: %s: %w", path, err)
 	}
-	return &Control{raw, sharedFileOf(raw)}, nil
+	return &Control{raw, asSharedFile(raw)}, nil
 }
 
-// Close releases the file.
+// Close unmaps the file, and leaves it in place.
 func (c *Control) Close() error { return unix.Munmap(c.raw) }
 
-// StepClock puts the process's wall clock off by so much.
+// StepClock sets the offset of the process's wall clock from the machine's.
 func (c *Control) StepClock(offset time.Duration) { c.file[0].Store(uint64(offset)) }
 
-// Fail lets the next calls of the operation fail, so many times; below 0 until Heal.
+// Fail makes the next calls of the operation fail with errno; times is their number, or below 0 for all calls until Clear.
 func (c *Control) Fail(o Op, errno syscall.Errno, times int) {
-	n := uint64(untilHealed)
+	n := uint64(untilCleared)
 	if times >= 0 {
 		n = uint64(times)
 	}
-	c.file[1+o].Store(n<<timesShift | uint64(errno))
+	c.file[1+o].Store(n<<countShift | uint64(errno))
 }
 
-// Delay lets each call of an operation that may be delayed take so much longer, in whole milliseconds, until Heal.
-func (c *Control) Delay(o Op, long time.Duration) {
-	c.file[1+o].Store(uint64(untilHealed)<<timesShift | uint64(long.Milliseconds()))
+// Delay makes each call of an operation that supports delays take longer by d, in whole milliseconds, until Clear.
+func (c *Control) Delay(o Op, d time.Duration) {
+	c.file[1+o].Store(uint64(untilCleared)<<countShift | uint64(d.Milliseconds()))
 }
 
 // Clear ends the failures and the delay of an operation.
--- a/internal/faultinjection/control_test.go
+++ b/internal/faultinjection/control_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What a soak says is what the process reads, and a failure is used up by the operation that it befalls.
+// The process reads the faults that a soak test sets, and each failure is consumed by the operation that it is set for.
 func TestControl(t *testing.T) {
 	c, err := NewControl(filepath.Join(t.TempDir(), "faults"))
 	if err != nil {
@@ -29,15 +29,15 @@
 		}
 	}
 	if c.Clear(Poll); c.file.consume(Poll) != 0 || c.file.consume(SyncFile) != 0 {
-		t.Error("what is healed, or was never told to fail, fails")
+		t.Error("a cleared operation, or one without a fault, fails")
 	}
-	for _, held := range []time.Duration{120 * time.Millisecond, 300 * time.Millisecond} {
-		if c.Delay(SlowConnect, held); time.Duration(c.file.consume(SlowConnect))*time.Millisecond != held {
-			t.Errorf("%s: not held for so long", held)
+	for _, delay := range []time.Duration{120 * time.Millisecond, 300 * time.Millisecond} {
+		if c.Delay(SlowConnect, delay); time.Duration(c.file.consume(SlowConnect))*time.Millisecond != delay {
+			t.Errorf("%s: another delay is read", delay)
 		}
 	}
 	if c.Clear(SlowConnect); c.file.consume(SlowConnect) != 0 {
-		t.Error("what is healed is held")
+		t.Error("a cleared operation is delayed")
 	}
 	for _, d := range []time.Duration{-time.Hour, time.Hour} {
 		if c.StepClock(d); c.file.wallOffset() != d {
@@ -46,8 +46,8 @@
 	}
 }
 
-// A program without the tag never fails by itself, and its clock is the machine's.
-func TestOff(t *testing.T) {
+// A program built without the tag injects no faults, and its wall clock is the machine's.
+func TestWithoutBuildTag(t *testing.T) {
 	if err := Inject(Accept); err != nil {
 		t.Error(err)
 	}
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,14 +1,15 @@
-// Package faultinjection lets a soak fail the system calls of a real process and step its wall clock. Only a program that is built with
-// the tag faultinjection does so: elsewhere Inject never fails, Wall is time.Now, and both cost nothing.
+// Package faultinjection makes system calls of a real process fail and steps its wall clock, for soak tests. It is active
+// only in a program built with the tag faultinjection: in others Inject never fails, Wall is time.Now, and both cost
+// nothing.
 //
-// The two processes share a file of Size bytes, which the environment variable File names: the offset of the wall clock, then a
-// cell for each operation. Whoever writes it uses Control.
+// The soak test and the process share a file of Size bytes, whose path is in the environment variable FileVariable. It
+// has the offset of the wall clock, then a cell for each operation. The soak test writes it by a Control.
 package faultinjection
 
-// FileVariable names, in the environment of a program with the tag, the file that says what is to fail.
+// FileVariable is the environment variable that holds the path of the shared file, for a program built with the tag.
 const FileVariable = "PLANKROUTER_FAULTS"
 
-// Op is a kind of system call that may be failed.
+// Op is a kind of system call that can be made to fail.
 type Op int
 
 // The operations.
@@ -19,25 +20,25 @@
 	Poll
 	Peek
 	ReadConfig
-	ReadFile  // of state that lasts: operators' cordons, snapshots
-	WriteFile // likewise, also creating and renaming
+	ReadFile  // of persistent state: operators' cordons, snapshots
+	WriteFile // of persistent state, also creating and renaming files
 	SyncFile
-	SlowConnect // not failed but delayed: see Control.Hold
+	SlowConnect // delayed instead of failed: see Control.Delay
 	opCount
 )
 
-var names = [opCount]string{
+var opNames = [opCount]string{
 	"accept", "listen", "connect", "poll", "peek", "read_config", "read_file", "write_file",
 	"sync_file", "slow_connect",
 }
 
-func (o Op) String() string { return names[o] }
+func (o Op) String() string { return opNames[o] }
 
 const (
-	cellBytes   = 8 // bytes of the offset, and of the cell of an operation
-	timesShift  = 32
-	untilHealed = 1<<timesShift - 1 // as a number of times
+	cellBytes    = 8 // size of the clock offset and of each operation's cell
+	countShift   = 32
+	untilCleared = 1<<countShift - 1 // a number of failures that is not decremented
 )
 
-// Size is the length of the file.
+// Size is the length of the shared file in bytes.
 const Size = cellBytes * (1 + int(opCount))
--- a/internal/faultinjection/off.go
+++ b/internal/faultinjection/off.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Inject returns the error with which the operation is to fail now; nil = it is not to.
+// Inject returns the error with which the operation must fail now; nil = it must not fail.
 func Inject(Op) error { return nil }
 
-// Wait delays an operation for as long as the soak says; an error is that of ctx, which has ended before.
+// Wait delays an operation by the time that the soak test has set. It returns an error only if ctx ends before that.
 func Wait(context.Context, Op) error { return nil }
 
-// Wall reads the wall clock.
+// Wall returns the time of the process's wall clock.
 func Wall() time.Time { return time.Now() }
--- a/internal/faultinjection/on.go
+++ b/internal/faultinjection/on.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// shared is the soak's file; nil = the environment names none.
+// shared is the file shared with the soak test; nil = FileVariable is not set.
 var shared = openShared(os.Getenv(FileVariable))
 
-// openShared maps the file, which the program can't do without once it is named.
+// openShared maps the file at path. It panics on an error: a soak test without its faults would be meaningless.
 func openShared(path string) *sharedFile {
 	if path == "" {
 		return nil
@@ -28,10 +28,10 @@
 	if err != nil {
 		panic("faultinjection: " + path + ": " + err.Error())
 	}
-	return sharedFileOf(raw)
+	return asSharedFile(raw)
 }
 
-// Inject returns the error with which the operation is to fail now; nil = it is not to.
+// Inject returns the error with which the operation must fail now; nil = it must not fail.
 func Inject(o Op) error {
 	if shared == nil {
 		return nil
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Wait delays an operation for as long as the soak says; an error is that of ctx, which has ended before.
+// Wait delays an operation by the time that the soak test has set. It returns an error only if ctx ends before that.
 func Wait(ctx context.Context, o Op) error {
 	if shared == nil {
 		return nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// Wall reads the wall clock.
+// Wall returns the time of the process's wall clock.
 func Wall() time.Time {
 	if shared == nil {
 		return time.Now()
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire is the simulator's binary protocol: frames of records. It translates them to and from the types of package
-// policy and decides nothing.
+// Package simwire implements the simulator's binary protocol, whose frames consist of records. It translates event records to
+// events of package policy and the policy's actions to action records, and makes no decisions.
 package simwire
 
 import (
@@ -15,72 +15,73 @@
 )
 
 const (
-	batchHeader = 16
-	replyHeader = 8
-	eventSize   = 48
-	actionSize  = 24
-	lineSize    = 23
-	maxFrame    = 1 << 30 // a longer frame is taken for a corrupt length
+	batchHeaderSize = 16
+	replyHeaderSize = 8
+	eventSize       = 48
+	actionSize      = 24
+	serverEntrySize = 23
+	maxFrame        = 1 << 30 // in bytes; a larger length is rejected as corrupt
 )
 
 // Event codes.
 const (
 	evConfigure = 1 + iota
-	evFleet
-	evInbound
+	evEndpoints
+	evRequestArrived
 	evHeadReceived
-	evEnded
-	evDropped
-	evDue
-	evCheckResult
+	evAttemptEnded
+	evClientGone
+	evTimerFired
+	evProbeEnded
 	evMessage
-	evPowerOff
-	evPage
+	evStop
+	evList
 )
 
 // Action codes.
 const (
-	acDispatch = 65 + iota
-	acRefuse
-	acEndFailed
-	acDropAttempt
-	acArm
-	acCheck
+	acStartAttempt = 65 + iota
+	acRejectRequest
+	acFailRequest
+	acCancelAttempt
+	acSetTimer
+	acSendProbe
 	acDisconnect
 	acSignal
-	acTrace
+	acLog
 	acCrash
-	acObserve
+	acSubscribe
 	acRefresh
 )
 
-var outcomes = map[uint16]policy.Status{
+var statuses = map[uint16]policy.Status{
 	0: policy.OK, 13: policy.Failed, 8: policy.Declined, 4: policy.TimedOut, 14: policy.ConnectFailed,
 	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
 }
 
+// instance is one simulated load balancer instance.
 type instance struct {
 	balancer *policy.Balancer
 	fields   []loadreport.Field
 }
 
-// Host runs the instances that one stream of batches speaks of.
+// Host runs the instances of one stream of batches.
 type Host struct {
-	live    map[uint16]*instance
-	pages   [16][]policy.ServerInfo
-	actions []policy.Action
-	reply   []byte
-	tail    []byte
+	instances map[uint16]*instance // by id
+	lists     [16][]policy.ServerInfo
+	actions   []policy.Action
+	reply     []byte
+	replyTail []byte
 }
 
 // NewHost returns a host without instances.
-func NewHost() *Host { return &Host{live: map[uint16]*instance{}} }
+func NewHost() *Host { return &Host{instances: map[uint16]*instance{}} }
 
-// Serve answers batches from r on w until r ends. A clean end between frames is no error.
+// Serve reads batches from r and writes the replies to w until r ends. An end between two frames is not an error.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	var frame []byte
 	for n := 0; ; n++ {
-		var head [batchHeader]byte
+		var head [batchHeaderSize]byte
 		if _, err := io.ReadFull(r, head[:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil
@@ -88,7 +89,7 @@
 			return fmt.Errorf("batch %d: header: %w", n, err)
 		}
 		size := int(binary.LittleEndian.Uint32(head[8:]))
-		if size < batchHeader || size > maxFrame {
+		if size < batchHeaderSize || size > maxFrame {
 			return fmt.Errorf("batch %d: length %d is out of bounds", n, size)
 		}
 		if cap(frame) < size {
@@ -96,8 +97,8 @@
 		}
 		frame = frame[:size]
 		copy(frame, head[:])
-		if _, err := io.ReadFull(r, frame[batchHeader:]); err != nil {
-			return fmt.Errorf("batch %d: body of %d bytes: %w", n, size-batchHeader, err)
+		if _, err := io.ReadFull(r, frame[batchHeaderSize:]); err != nil {
+			return fmt.Errorf("batch %d: body of %d bytes: %w", n, size-batchHeaderSize, err)
 		}
 		out, err := h.Batch(frame)
 		if err != nil {
@@ -109,67 +110,67 @@
 	}
 }
 
-// Batch answers one whole frame. The reply is valid until the next call.
+// Batch processes one complete frame and returns the reply, which is valid until the next call.
 func (h *Host) Batch(frame []byte) ([]byte, error) {
-	if len(frame) < batchHeader {
+	if len(frame) < batchHeaderSize {
 		return nil, fmt.Errorf("frame of %d bytes has no header", len(frame))
 	}
 	now := f64(frame, 0)
 	count := int(binary.LittleEndian.Uint32(frame[12:]))
-	if count > (len(frame)-batchHeader)/eventSize {
+	if count > (len(frame)-batchHeaderSize)/eventSize {
 		return nil, fmt.Errorf("%d records do not fit into %d bytes", count, len(frame))
 	}
-	tail := frame[batchHeader+count*eventSize:]
-	h.reply = append(h.reply[:0], make([]byte, replyHeader)...)
-	h.tail = h.tail[:0]
+	tail := frame[batchHeaderSize+count*eventSize:]
+	h.reply = append(h.reply[:0], make([]byte, replyHeaderSize)...)
+	h.replyTail = h.replyTail[:0]
 	written := 0
 	for i := range count {
-		record := frame[batchHeader+i*eventSize:][:eventSize]
-		n, err := h.event(now, record, tail)
+		record := frame[batchHeaderSize+i*eventSize:][:eventSize]
+		n, err := h.handleEvent(now, record, tail)
 		if err != nil {
-			return nil, fmt.Errorf("record %d at byte %d: %w", i, batchHeader+i*eventSize, err)
+			return nil, fmt.Errorf("record %d at byte %d: %w", i, batchHeaderSize+i*eventSize, err)
 		}
 		written += n
 	}
-	h.reply = append(h.reply, h.tail...)
+	h.reply = append(h.reply, h.replyTail...)
 	binary.LittleEndian.PutUint32(h.reply, uint32(len(h.reply)))
 	binary.LittleEndian.PutUint32(h.reply[4:], uint32(written))
 	return h.reply, nil
 }
 
-// event deals with one record, and returns how many actions it has led to.
-func (h *Host) event(now float64, record, tail []byte) (int, error) {
+// handleEvent processes one record, and returns the number of actions written to the reply.
+func (h *Host) handleEvent(now float64, record, tail []byte) (int, error) {
 	code := u16(record, 0)
 	id := u16(record, 2)
 	switch {
-	case code == evPage:
-		return 0, h.page(record, tail)
+	case code == evList:
+		return 0, h.storeList(record, tail)
 	case code == evConfigure:
 		return h.configure(now, id, record, tail)
-	case code < evConfigure || code > evPage:
+	case code < evConfigure || code > evList:
 		return 0, fmt.Errorf("unknown event code %d", code)
 	}
-	in := h.live[id]
-	if in == nil {
+	inst := h.instances[id]
+	if inst == nil {
 		return 0, fmt.Errorf("event code %d for instance %d, which is not running", code, id)
 	}
 	switch code {
-	case evPowerOff:
-		delete(h.live, id)
+	case evStop:
+		delete(h.instances, id)
 		return 0, nil
-	case evMessage, evHeadReceived: // no messages between instances and no streamed classes: nothing to decide on
+	case evMessage, evHeadReceived: // instances send no messages and no class is streamed, so the policy has no use for these
 		return 0, nil
 	}
-	e, err := h.decode(code, in, record)
+	e, err := h.decode(code, inst, record)
 	if err != nil {
 		return 0, err
 	}
-	return h.handle(now, id, in, &e)
+	return h.handle(now, id, inst, &e)
 }
 
-// configure starts an instance with its settings.
+// configure starts an instance with the settings in the tail.
 func (h *Host) configure(now float64, id uint16, record, tail []byte) (int, error) {
-	raw, err := cut(tail, record, 12, 1)
+	raw, err := tailSection(tail, record, 12, 1)
 	if err != nil {
 		return 0, fmt.Errorf("settings: %w", err)
 	}
@@ -181,23 +182,23 @@
 	if err != nil {
 		return 0, fmt.Errorf("settings: %w", err)
 	}
-	in := &instance{balancer, fields}
-	h.live[id] = in
-	return h.handle(now, id, in, &policy.Event{Kind: policy.Started})
+	inst := &instance{balancer, fields}
+	h.instances[id] = inst
+	return h.handle(now, id, inst, &policy.Event{Kind: policy.Started})
 }
 
-// decode makes a record an event of the policy.
-func (h *Host) decode(code uint16, in *instance, record []byte) (e policy.Event, err error) {
+// decode translates a record to an event of the policy.
+func (h *Host) decode(code uint16, inst *instance, record []byte) (e policy.Event, err error) {
 	switch code {
-	case evFleet:
+	case evEndpoints:
 		return h.decodeList(record)
-	case evInbound:
+	case evRequestArrived:
 		e = policy.Event{
 			Kind: policy.RequestArrived, Request: policy.RequestID(u32(record, 4)), TimeLeft: f64(record, 8),
 			Class: int(record[24]), Tenant: int(u32(record, 25)),
 			ClientRetry: record[29]&2 != 0,
 		}
-	case evEnded:
+	case evAttemptEnded:
 		e = policy.Event{
 			Kind: policy.AttemptEnded, Request: policy.RequestID(u32(record, 4)), Attempt: int(record[8]),
 			Server: policy.ServerID(u32(record, 9)), Elapsed: f64(record, 13), Final: record[21] != 0,
@@ -205,28 +206,28 @@
 		if e.Status, err = status(record, 22); err != nil {
 			return e, err
 		}
-		e.Report, err = in.report(record[24:])
-	case evDropped:
+		e.Report, err = inst.report(record[24:])
+	case evClientGone:
 		e = policy.Event{Kind: policy.ClientGone, Request: policy.RequestID(u32(record, 4))}
-	case evDue:
+	case evTimerFired:
 		e = policy.Event{Kind: policy.TimerFired, Timer: binary.LittleEndian.Uint64(record[4:])}
-	case evCheckResult:
+	case evProbeEnded:
 		e = policy.Event{Kind: policy.ProbeEnded, Server: policy.ServerID(u32(record, 4)), Elapsed: f64(record, 10)}
 		if e.Status, err = status(record, 8); err != nil {
 			return e, err
 		}
-		e.Report, err = in.report(record[18:])
+		e.Report, err = inst.report(record[18:])
 	}
 	return e, err
 }
 
-// The forms of a list's event.
+// Forms of an endpoint list event.
 const (
 	listPartial = 0
-	listFailed  = 3 // 1 and 2 are complete lists
+	listFailed  = 3 // forms 1 and 2 are complete lists
 )
 
-// decodeList makes a record with a list of servers an event of the policy.
+// decodeList translates a record with a list of servers to an event of the policy.
 func (h *Host) decodeList(record []byte) (policy.Event, error) {
 	form := record[8]
 	if form == listFailed {
@@ -236,74 +237,76 @@
 		return policy.Event{}, fmt.Errorf("unknown list form %d", form)
 	}
 	slot := u32(record, 4)
-	if slot >= uint32(len(h.pages)) {
+	if slot >= uint32(len(h.lists)) {
 		return policy.Event{}, fmt.Errorf("list number %d is out of bounds", slot)
 	}
-	return policy.Event{Kind: policy.EndpointsUpdated, Complete: form != listPartial, Servers: h.pages[slot]}, nil
+	return policy.Event{Kind: policy.EndpointsUpdated, Complete: form != listPartial, Servers: h.lists[slot]}, nil
 }
 
-func (h *Host) handle(now float64, id uint16, in *instance, e *policy.Event) (int, error) {
-	h.actions = in.balancer.Handle(now, e, h.actions[:0])
+// handle passes the event to the instance's balancer, appends the resulting actions to the reply and returns their number.
+func (h *Host) handle(now float64, id uint16, inst *instance, e *policy.Event) (int, error) {
+	h.actions = inst.balancer.Handle(now, e, h.actions[:0])
 	for i := range h.actions {
-		h.action(id, &h.actions[i])
+		h.appendAction(id, &h.actions[i])
 	}
 	return len(h.actions), nil
 }
 
-func (h *Host) action(id uint16, a *policy.Action) {
+// appendAction appends one action record to the reply.
+func (h *Host) appendAction(id uint16, a *policy.Action) {
 	var b [actionSize]byte
 	le := binary.LittleEndian
 	code := func(c uint16) { le.PutUint16(b[0:], c); le.PutUint16(b[2:], id) }
 	switch a.Kind {
 	case policy.StartAttempt:
-		code(acDispatch)
+		code(acStartAttempt)
 		le.PutUint32(b[4:], uint32(a.Request))
 		le.PutUint32(b[8:], uint32(a.Server))
 		le.PutUint64(b[12:], math.Float64bits(a.After))
 	case policy.CancelAttempt:
-		code(acDropAttempt)
+		code(acCancelAttempt)
 		le.PutUint32(b[4:], uint32(a.Request))
 		b[8] = byte(a.Attempt)
 	case policy.RejectRequest:
-		code(acRefuse)
+		code(acRejectRequest)
 		le.PutUint32(b[4:], uint32(a.Request))
 		le.PutUint64(b[8:], math.Float64bits(a.After))
 	case policy.FailRequest:
-		code(acEndFailed)
+		code(acFailRequest)
 		le.PutUint32(b[4:], uint32(a.Request))
 	case policy.SendProbe:
-		code(acCheck)
+		code(acSendProbe)
 		le.PutUint32(b[4:], uint32(a.Server))
 	case policy.SetTimer:
-		code(acArm)
+		code(acSetTimer)
 		le.PutUint64(b[4:], a.Timer)
 		le.PutUint64(b[12:], math.Float64bits(a.After))
 	case policy.Subscribe:
-		code(acObserve)
+		code(acSubscribe)
 		b[4] = 1
 	case policy.Log:
-		code(acTrace)
-		le.PutUint32(b[4:], uint32(len(h.tail)))
+		code(acLog)
+		le.PutUint32(b[4:], uint32(len(h.replyTail)))
 		le.PutUint32(b[8:], uint32(len(a.Text)))
-		h.tail = append(h.tail, a.Text...)
+		h.replyTail = append(h.replyTail, a.Text...)
 	default:
-		panic(fmt.Sprintf("wire: unknown action kind %d", a.Kind)) // a fault of this program, not of its input
+		panic(fmt.Sprintf("simwire: unknown action kind %d", a.Kind)) // a bug in this program, not invalid input
 	}
 	h.reply = append(h.reply, b[:]...)
 }
 
-// page stores a numbered list for the fleet events that follow. Each gets fresh memory only if it grows.
-func (h *Host) page(record, tail []byte) error {
+// storeList stores a numbered server list for later evEndpoints events. It reuses the memory of the slot's previous list.
+func (h *Host) storeList(record, tail []byte) error {
 	slot := u32(record, 2)
-	if slot >= uint32(len(h.pages)) {
+	if slot >= uint32(len(h.lists)) {
 		return fmt.Errorf("list number %d is out of bounds", slot)
 	}
-	raw, err := cut(tail, record, 6, lineSize)
+	raw, err := tailSection(tail, record, 6, serverEntrySize)
 	if err != nil {
 		return fmt.Errorf("list %d: %w", slot, err)
 	}
-	lines := h.pages[slot][:0]
-	for ; len(raw) >= lineSize; raw = raw[lineSize:] {
+	servers := h.lists[slot][:0]
+	for ; len(raw) >= serverEntrySize; raw = raw[serverEntrySize:] {
 		s := policy.ServerInfo{
 			ID: policy.ServerID(u32(raw, 0)), Zone: int(u16(raw, 4)), Cell: int(u16(raw, 8)),
 			StartedAt: f64(raw, 15),
@@ -318,34 +321,37 @@
 		default:
 			return fmt.Errorf("list %d: unknown health %d", slot, raw[10])
 		}
-		lines = append(lines, s)
+		servers = append(servers, s)
 	}
-	h.pages[slot] = lines
+	h.lists[slot] = servers
 	return nil
 }
 
-func (in *instance) report(b []byte) (policy.Report, error) {
+// report parses a load report, whose values are in the order of the instance's fields.
+func (inst *instance) report(b []byte) (policy.Report, error) {
 	var r policy.Report
 	n := int(b[0])
 	if n > 4 {
 		return r, fmt.Errorf("load report of %d values", n)
 	}
-	for i := range min(n, len(in.fields)) {
-		in.fields[i].Put(&r, float64(math.Float32frombits(u32(b, 1+4*i))))
+	for i := range min(n, len(inst.fields)) {
+		inst.fields[i].Put(&r, float64(math.Float32frombits(u32(b, 1+4*i))))
 	}
 	return r, nil
 }
 
+// status returns the status for the outcome code at the given offset.
 func status(record []byte, at int) (policy.Status, error) {
-	s, ok := outcomes[u16(record, at)]
+	s, ok := statuses[u16(record, at)]
 	if !ok {
 		return 0, fmt.Errorf("unknown outcome %d", u16(record, at))
 	}
 	return s, nil
 }
 
-// cut returns the part of the tail that the reference at rec[at] names, in units of size bytes.
-func cut(tail, record []byte, at, size int) ([]byte, error) {
+// tailSection returns the section of the tail that is described at record[at] by its offset in bytes and its number of
+// entries of size bytes each.
+func tailSection(tail, record []byte, at, size int) ([]byte, error) {
 	off, n := int(u32(record, at)), int(u32(record, at+4))
 	if off > len(tail) || n > (len(tail)-off)/size {
 		return nil, fmt.Errorf("%d entries at %d lie outside the tail of %d bytes", n, off, len(tail))
@@ -357,7 +363,8 @@
 func u32(b []byte, at int) uint32  { return binary.LittleEndian.Uint32(b[at:]) }
 func f64(b []byte, at int) float64 { return math.Float64frombits(binary.LittleEndian.Uint64(b[at:])) }
 
-// ParseConfig reads the settings of an instance and the order of the values in its load reports.
+// ParseConfig parses the settings of an instance, and returns the policy's configuration and the order of the values in
+// load reports.
 func ParseConfig(raw []byte) (policy.Config, []loadreport.Field, error) {
 	s, err := config.ParseSettings(raw)
 	if err != nil {
