--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the program's configuration, fills in defaults, and maps the platform's keys to the
-// terms of the other packages. Error messages name the invalid key.
+// Package config is the only place where the program's configuration is read, checked and given defaults, and where the
+// platform's keys are mapped to the terms of the other packages. Error messages name the invalid key.
 package config
 
 import (
--- a/internal/faultinjection/on.go
+++ b/internal/faultinjection/on.go
@@ -14,7 +14,7 @@
 // shared is the file shared with the soak test; nil = FileVariable is not set.
 var shared = openShared(os.Getenv(FileVariable))
 
-// openShared maps the file at path. It panics on an error: a soak test without its faults would be meaningless.
+// openShared maps the file at path. It panics on an error, because the program must not run without a file that is set.
 func openShared(path string) *sharedFile {
 	if path == "" {
 		return nil
