--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -6,23 +6,23 @@
 	"plankrouter/internal/stableid"
 )
 
-// numberHoldTime is how long a number keeps its meaning for requests that came under it, after the class or tenant is dropped:
+// numberHoldTime is how long the number of a removed class or tenant stays reserved, for requests that still carry it:
 // longer than any deadline.
 const numberHoldTime = 2 * time.Minute
 
-// Numbering gives classes and tenants the numbers by which the program's parts know them. A class's rules belong to its number:
-// a request keeps those it was taken under, whatever a reload says.
+// Numbering assigns numbers to classes and tenants, by which the other packages refer to them. A class whose rules change
+// in a reload gets a new number, so that a request keeps the rules with which it was accepted.
 type Numbering struct {
 	classes stableid.Table[Class]
 	tenants stableid.Table[struct{}]
 }
 
-// Numbered has the numbers that the classes and tenants of one configuration have got.
-type Numbered struct{ Classes, Tenants stableid.Mapping }
+// NumberMappings has the numbers assigned to the classes and tenants of one configuration.
+type NumberMappings struct{ Classes, Tenants stableid.Mapping }
 
-// Apply puts the classes and tenants of c, which has been checked, in the order of their numbers, those that were dropped
-// among them.
-func (n *Numbering) Apply(now time.Time, c *Config) (Numbered, error) {
+// Apply assigns numbers to the classes and tenants of c, which must have been checked, and replaces them by the lists in
+// the order of their numbers, in which removed ones are marked as Retired.
+func (n *Numbering) Apply(now time.Time, c *Config) (NumberMappings, error) {
 	s := &c.Settings
 	for i := range s.Classes {
 		s.Classes[i].Attempts = s.Limits.MaxAttempts
@@ -33,20 +33,20 @@
 		tenants = append(tenants, r.Name)
 		quotas[r.Name] = r.QuotaPerS
 	}
-	numbered := Numbered{
+	numbered := NumberMappings{
 		Classes: n.classes.Apply(now, numberHoldTime, s.ClassNames(), s.Classes),
 		Tenants: n.tenants.Apply(now, numberHoldTime, tenants, make([]struct{}, len(tenants))),
 	}
 	s.Classes = nil
 	for number := range n.classes.Len() {
 		_, class, live := n.classes.Rules(number)
-		class.Dropped = !live
+		class.Retired = !live
 		s.Classes = append(s.Classes, class)
 	}
 	s.Realms = nil
 	for number := range n.tenants.Len() {
 		name, _, live := n.tenants.Rules(number)
-		s.Realms = append(s.Realms, Realm{Name: name, QuotaPerS: quotas[name], Dropped: !live})
+		s.Realms = append(s.Realms, Tenant{Name: name, QuotaPerS: quotas[name], Retired: !live})
 	}
 	var err error
 	c.Policy, err = s.PolicyConfig()
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,8 +8,8 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Settings are the settings of a deployment. Its fields without a tag, and those of Realm and Class, are named as the platform's
-// keys: to rename one is to rename a key. Keys that do not matter here are skipped.
+// Settings has the settings of a deployment. Its fields without a tag, and those of Tenant and Class, have the names of
+// the platform's keys, so they can't be renamed. Unknown keys are ignored.
 type Settings struct {
 	Balancers      int
 	Dcs            []string
@@ -24,32 +24,32 @@
 		MayCancel, Probes            bool
 	}
 	Prices  struct{ CrossZone, Probe, Waste float64 }
-	Realms  []Realm
+	Realms  []Tenant
 	Report  struct{ Names []string }
 	Safety  struct{ StartCapacity, WarmWithinMs, TipMultiple, FallMs, DrainGraceMs, AskEveryMs float64 }
 	Classes []Class `json:"RequestClasses"`
 }
 
-// Realm is one tenant: a partner library.
-type Realm struct {
+// Tenant is one tenant: a partner library.
+type Tenant struct {
 	Name      string
 	QuotaPerS float64
-	Dropped   bool `json:"-"` // as of a class
+	Retired   bool `json:"-"` // removed by a reload
 }
 
-// Class is one class of requests.
+// Class is a request class.
 type Class struct {
 	Name                                                string
 	AimMs, HardLimitMs, Credit, LateWorth, MemorySpanMs float64
 	KeyScope, Repeat                                    string
-	Attempts                                            int  `json:"-"` // Limits.MaxAttempts, as it was when the class got its number
-	Dropped                                             bool `json:"-"` // no further request is of it; see Numbering
+	Attempts                                            int  `json:"-"` // Limits.MaxAttempts when the class got its number
+	Retired                                             bool `json:"-"` // removed by a reload; see Numbering
 }
 
-// Pure is the value of Repeat for a class that is safe to repeat.
+// Pure is the value of Repeat for a class of idempotent requests.
 const Pure = "pure"
 
-// ParseSettings reads the settings; PolicyConfig says whether the policy can work with them.
+// ParseSettings parses the settings, without checking them as PolicyConfig does.
 func ParseSettings(raw []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -58,10 +58,10 @@
 	return s, nil
 }
 
-// ClassNames are the names of the classes in force.
+// ClassNames returns the names of the classes that are not retired.
 func (s *Settings) ClassNames() (names []string) {
 	for _, c := range s.Classes {
-		if !c.Dropped {
+		if !c.Retired {
 			names = append(names, c.Name)
 		}
 	}
