--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -12,96 +12,96 @@
 	"plankrouter/internal/upstream"
 )
 
-// stage is how far an attempt has come.
+// stage is the progress of an attempt.
 type stage uint8
 
 const (
 	stageConnecting       stage = iota
 	stageLastByteHeld           // all but its last byte may have been written
-	stageWriting                // from here on its last byte may have been written
+	stageWriting                // its last byte may have been written
 	stageAwaitingResponse       // its last byte is written
 	stageEnded
 )
 
-// attempt is one attempt or one probe, the upstream.Attempt of this protocol. It ends exactly once: by the goroutine of its
-// connection, or by Cancel or Withdraw; the first of them wins.
+// attempt is one attempt or one probe, the upstream.Attempt for HTTP/1.1. It is ended exactly once, by the goroutine of its
+// connection or by Cancel or Withdraw, whichever is first.
 type attempt struct {
 	endpoint   *endpoint
 	message    []byte
 	isProbe    bool
 	request    *request.Request // nil for a probe
-	bodiless   bool             // its answer has no body, whatever the header says
+	bodiless   bool             // its response has no body, whatever the header says
 	onEnd      func(upstream.Result)
-	upload     request.Upload  // what follows message; nil = nothing
+	upload     request.Upload  // the rest of the body, which follows message; nil = message is complete
 	onBodySent func()          // called when the last byte of a streamed body is written
-	pause      time.Duration   // before the last byte, on the present connection
-	pauseOnNew time.Duration   // likewise, on a new one
+	pause      time.Duration   // before the last byte, on the current connection
+	pauseOnNew time.Duration   // before the last byte, on a new connection
 	ctx        context.Context // ends with the attempt
 	cancel     context.CancelFunc
 
-	// How its connections did, for the estimator. The goroutine of its connection writes them.
-	use      connUse       // the connection that it was sent on
-	dialTime time.Duration // of the connection, if it was new
-	deadConn *deadConn     // a reused connection that was found dead before; nil = there was none
+	// What the estimator learns from its connections. Written by the goroutine of its connection.
+	use      connUse       // of the connection that it was sent on
+	dialTime time.Duration // of its connection; zero = it was reused
+	deadConn *deadConn     // the reused connection that was found dead and replaced; nil = there was none
 
-	deadline    time.Time     // when this process stops waiting; zero = a probe, or the client is still sending
-	timeoutSent time.Duration // the server is given, in message
+	deadline    time.Time     // when it is cancelled; zero = a probe, or the client is still sending the body
+	timeoutSent time.Duration // in the deadline header of message
 
 	mu      sync.Mutex
 	stage   stage
 	conn    *conn
-	startBy invariant.Limit // on the first byte
-	expires invariant.Limit // on the first byte and the last
+	startBy invariant.Limit // on writing the first byte
+	expires invariant.Limit // on writing the first byte and the last
 }
 
-// firstByteLimit bounds the first byte to a server that drains.
+// firstByteLimit returns the limit on writing the first byte to a server that drains at startBy.
 func firstByteLimit(startBy time.Time) invariant.Limit {
 	return invariant.NewLimit(startBy, staleness.FirstByteLead+invariant.SocketSlack)
 }
 
-// begin moves the attempt to its first byte, or says why that may not be written.
+// begin assigns the connection to the attempt before its first byte is written, or returns why that may not be written.
 func (a *attempt) begin(conn *conn) outcome.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if how := a.expiredOrForbidden(now, true); how != outcome.Open {
+	if how := a.checkWriteAllowed(now, true); how != outcome.Open {
 		return how
 	}
 	a.refreshDeadline(now)
 	a.conn = conn
 	a.use = conn.use
-	if !conn.use.isKept() {
+	if !conn.use.isReused() {
 		a.dialTime = conn.dialTime
 	}
 	a.stage = stageWriting
-	if a.lastByteApart() {
+	if a.holdsBackLastByte() {
 		a.stage = stageLastByteHeld
 	}
 	return outcome.Open
 }
 
-// lastByteApart reports whether the last byte is written by itself, after a look for what has come in.
-func (a *attempt) lastByteApart() bool {
+// holdsBackLastByte reports whether the last byte is written separately, after a check that nothing was received.
+func (a *attempt) holdsBackLastByte() bool {
 	return len(a.message) > chunkSize || a.pause > 0 || a.upload != nil
 }
 
-// releaseLastByte moves the attempt to its last byte, or says why that may not be written.
+// releaseLastByte permits writing the last byte and returns Open, or returns why it may not be written.
 func (a *attempt) releaseLastByte() outcome.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	how := a.expiredOrForbidden(time.Now(), false)
+	how := a.checkWriteAllowed(time.Now(), false)
 	if how == outcome.Open {
 		a.stage = stageWriting
 	}
 	return how
 }
 
-// rewind takes the attempt back to where it has no connection, unless it has ended meanwhile, has lost one before or can't be sent
-// again. Its next connection is new.
-func (a *attempt) rewind(d deadConn) bool {
+// resetForNewConn resets the attempt to its stage without a connection, so that it is sent on a new one. It returns false if
+// the attempt has ended, has lost a connection before, or can't be sent again because part of its streamed body is consumed.
+func (a *attempt) resetForNewConn(d deadConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.isOver() || a.deadConn != nil || a.upload != nil && a.upload.Consumed() {
+	if a.isEndedOrClientGone() || a.deadConn != nil || a.upload != nil && a.upload.Consumed() {
 		return false
 	}
 	a.stage = stageConnecting
@@ -110,7 +110,7 @@
 	return true
 }
 
-// markSent notes that the last byte is written, and reports whether the attempt still waits for its answer.
+// markSent records that the last byte is written, and reports whether the attempt still waits for its response.
 func (a *attempt) markSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,7 +124,7 @@
 	return true
 }
 
-// StartBy forbids a first byte later than t.
+// StartBy forbids writing the first byte after t.
 func (a *attempt) StartBy(t time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,18 +133,18 @@
 	}
 }
 
-// Cancel gives the attempt up. Its connection is closed when Cancel returns, so that no later attempt can run beside this one. False
-// means that it had ended already and its Result is on the way.
+// Cancel ends the attempt. Its connection is closed when Cancel returns, so that nothing more of the attempt reaches the
+// server. False means that it has already ended: its Result has been reported or is about to be.
 func (a *attempt) Cancel(why outcome.Kind) (outcome.Kind, bool) {
 	return a.abort(why, stageAwaitingResponse)
 }
 
-// Withdraw is Cancel for an attempt whose last byte is not written.
+// Withdraw is Cancel for an attempt whose last byte is not written. It returns false if the byte may have been written.
 func (a *attempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) {
 	return a.abort(why, stageLastByteHeld)
 }
 
-// abort ends the attempt unless it has gone beyond lastStage.
+// abort ends the attempt unless its stage is beyond lastStage.
 func (a *attempt) abort(why outcome.Kind, lastStage stage) (outcome.Kind, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -17,8 +17,8 @@
 	"plankrouter/internal/upstream"
 )
 
-// BenchmarkAttempt measures an attempt on a reused loopback connection, with its message in one piece or in two, with and without
-// looks whether its client has left.
+// BenchmarkAttempt measures an attempt on a reused loopback connection, with its message written in one piece or in two, with
+// and without checks whether its client is gone.
 func BenchmarkAttempt(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,21 +41,21 @@
 					if _, err := io.Copy(io.Discard, req.Body); err != nil {
 						return
 					}
-					if _, err := io.WriteString(c, answer); err != nil {
+					if _, err := io.WriteString(c, okResponse); err != nil {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	theirs, err := net.Dial("tcp", l.Addr().String())
+	clientConn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer theirs.Close()
-	requester := connlimit.NewBudget(1, nil).Adopt(theirs, connlimit.Inward)
+	defer clientConn.Close()
+	clientSocket := connlimit.NewBudget(1, nil).Adopt(clientConn, connlimit.Inward)
 	for _, size := range []int{1, 2 * chunkSize} {
-		for _, gone := range []func() bool{nil, requester.HasPeerLeft} {
+		for _, gone := range []func() bool{nil, clientSocket.HasPeerLeft} {
 			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/chunkSize/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
 				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{ReloadableSettings: ReloadableSettings{Connect: time.Minute, ConnIdle: time.Hour}})
@@ -68,7 +68,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					r := &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: body, ClientGone: gone}
-					client.start(server.encode(upstream.AttemptOptions{Request: r, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixed(0))
+					client.start(server.encode(upstream.AttemptOptions{Request: r, Timeout: time.Minute, OnEnd: func(r upstream.Result) { ended <- r }}), fixedPause(0))
 					if result := <-ended; result.Outcome != outcome.Served {
 						b.Fatal(result.Outcome)
 					}
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,4 +1,4 @@
-// Package backend sends attempts and probes to the servers over HTTP/1.1, and keeps each server's idle connections.
+// Package backend sends attempts and probes to the servers over HTTP/1.1, and pools each server's idle connections.
 package backend
 
 import (
@@ -16,24 +16,24 @@
 	"plankrouter/policy"
 )
 
-// ReloadableSettings are the settings that may change while a Client works.
+// ReloadableSettings are the settings that may change while a Client is in use.
 type ReloadableSettings struct {
-	Connect    time.Duration         // for a connection to come up
-	ConnIdle   time.Duration         // after which a server closes an idle one
-	RetryCosts []keepalive.RetryCost // by class of requests
+	Connect    time.Duration         // timeout for establishing a connection
+	ConnIdle   time.Duration         // time after which a server closes an idle connection
+	RetryCosts []keepalive.RetryCost // of a broken connection, by request class
 }
 
-// Settings are what a Caller works by.
+// Settings are the settings of a Client.
 type Settings struct {
 	ReloadableSettings
-	Trace      func(format string, args ...any) // logs a line for every dial and for the end of every connection; nil = none
-	OnSent     func()                           // called for each attempt at a request, not a probe, once its last byte is written; nil = nothing is
-	Bounds     *streaming.Bounds                // of bodies that are streamed; nil = none is: an answer beyond 64 KiB is malformed
-	IsServed   func(status int) bool            // whether an answer with the status serves the request; nil = 200 alone does
-	Invariants *invariant.Recorder              // counts what was prevented and what got past; nil = nothing is counted
+	Trace      func(format string, args ...any) // logs a line for every dial and for every connection closed; nil = no log
+	OnSent     func()                           // called when the last byte of an attempt, not a probe, is written; may be nil
+	Bounds     *streaming.Bounds                // on streamed bodies; nil = none: a response above 64 KiB is malformed
+	IsServed   func(status int) bool            // whether a response with this status serves the request; nil = only 200
+	Invariants *invariant.Recorder              // counts prevented and actual rule violations; may be nil
 }
 
-// RetryCosts are the costs of a broken connection to a request, by the policy's classes.
+// RetryCosts returns, for each of the policy's classes, the cost of a broken connection to a request.
 func RetryCosts(classes []policy.Class) (out []keepalive.RetryCost) {
 	for _, c := range classes {
 		objective := time.Duration(c.LatencyObjective * float64(time.Millisecond))
@@ -42,23 +42,23 @@
 	return out
 }
 
-// Client is the upstream.Upstream of HTTP/1.1. Its methods and its endpoints may be used by any goroutine.
+// Client is the upstream.Upstream for HTTP/1.1. It and its endpoints are safe for concurrent use.
 type Client struct {
-	ctx      context.Context
-	budget   *connlimit.Budget
-	settings Settings
-	figures  atomic.Pointer[ReloadableSettings]
-	wg       sync.WaitGroup
-
-	mu           sync.Mutex           // guards what follows, and the endpoints' idle connections
-	estimator    *keepalive.Estimator // of how connections break
-	idleOutcomes outcome.Counts       // how idle connections have ended
+	ctx        context.Context
+	budget     *connlimit.Budget
+	settings   Settings
+	reloadable atomic.Pointer[ReloadableSettings]
+	wg         sync.WaitGroup
+
+	mu           sync.Mutex           // guards the fields below, and the endpoints' idle connections
+	estimator    *keepalive.Estimator // of the risk that a reused connection is broken
+	idleOutcomes outcome.Counts       // counts how idle connections have ended
 }
 
-// New returns a Caller whose connections end with ctx.
+// New returns a Client whose connections are closed when ctx ends.
 func New(ctx context.Context, budget *connlimit.Budget, settings Settings) (*Client, error) {
-	// A retry draws on a budget of one in ten requests, which is used up where connections break often; a handshake is a small
-	// part of a request's work.
+	// Retries are limited to a tenth of the requests, a budget that is used up where connections break often; a handshake is a
+	// small part of the work for a request.
 	costs := keepalive.Default()
 	costs.Handshake = 0.01
 	costs.Retry = 0.3
@@ -71,41 +71,41 @@
 	return c, nil
 }
 
-// Reconfigure replaces the reloadable settings from the next attempt on.
-func (c *Client) Reconfigure(f ReloadableSettings) { c.figures.Store(&f) }
+// Reconfigure replaces the reloadable settings; they apply from the next attempt on.
+func (c *Client) Reconfigure(f ReloadableSettings) { c.reloadable.Store(&f) }
 
-// Wait returns when the last goroutine has ended, soon after the context.
+// Wait waits until the last goroutine has returned, which is soon after the context ends.
 func (c *Client) Wait() { c.wg.Wait() }
 
-// IdleOutcomes counts how idle connections have ended so far.
+// IdleOutcomes returns the number of idle connections that have ended so far, by outcome.
 func (c *Client) IdleOutcomes() outcome.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleOutcomes
 }
 
-// Forget drops what was learned of a server that is gone for good.
+// Forget discards the estimator's data on a server that is permanently removed.
 func (c *Client) Forget(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.estimator.Forget(server)
 }
 
-// State returns what was learned of how connections break.
+// State returns the estimator's serialized state.
 func (c *Client) State(now time.Time) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.estimator.State(now)
 }
 
-// Restore takes what State returned.
+// Restore replaces the estimator's state by one that State returned, age ago.
 func (c *Client) Restore(now time.Time, state []byte, age time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.estimator.Restore(now, state, age)
 }
 
-// Endpoint returns a server's process at address.
+// Endpoint returns the endpoint for a server's process at address.
 func (c *Client) Endpoint(server, address string) upstream.Endpoint {
 	return &endpoint{client: c, name: server, address: address}
 }
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -16,7 +16,7 @@
 	"plankrouter/internal/upstream/upstreamtest"
 )
 
-func TestCaller(t *testing.T) {
+func TestClient(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Harness{
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
 			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{ReloadableSettings: ReloadableSettings{
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -12,24 +12,24 @@
 	"plankrouter/internal/outcome"
 )
 
-// conn is one connection to a server. One goroutine makes its attempts, one after another, and watches it between
-// them: whatever comes in while there is no attempt on it belongs to nobody, and so does what comes in before an attempt's last
-// byte is written.
+// conn is one connection to a server. One goroutine sends its attempts, one after another, and reads from it between them:
+// bytes that arrive while no attempt is in flight, or before an attempt's last byte is written, are no response, and make the
+// connection unusable.
 type conn struct {
 	endpoint    *endpoint
-	idleSince   time.Time // when it last became idle,
-	idleUntil   time.Time // and until when it may be reused; both guarded by the Caller's lock while it is on the endpoint's list
+	idleSince   time.Time // when it last became idle
+	idleUntil   time.Time // until when it may be reused; idleSince and idleUntil are guarded by Client.mu while it is idle
 	socket      *connlimit.Socket
 	reader      *bufio.Reader
 	dialTime    time.Duration
 	connectedAt time.Time
-	use         connUse // before its present attempt
+	use         connUse // before its current attempt
 
-	mu   sync.Mutex
-	next *attempt // offered, and begun once the goroutine has seen that nothing had come in
-	over bool     // no further attempt may use it
+	mu      sync.Mutex
+	next    *attempt // offered; it begins once the goroutine has checked that nothing has been received
+	closing bool     // no further attempt may use it
 
-	answering bool // an answer has begun and is not read yet; only the goroutine that reads uses it
+	readingResponse bool // a response has begun and is not read completely; used by the reading goroutine alone
 }
 
 func newConn(socket *connlimit.Socket, endpoint *endpoint) *conn {
@@ -38,37 +38,37 @@
 	return c
 }
 
-// Read reads from the socket, and extends the time of an answer that makes progress.
+// Read reads from the socket, and extends the read deadline of a response that makes progress.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.socket.Read(p)
-	if n > 0 && c.answering {
+	if n > 0 && c.readingResponse {
 		c.socket.SetReadDeadline(time.Now().Add(maxResponsePause))
 	}
 	return n, err
 }
 
-// offer gives the idle connection its next attempt, unless it has ended.
+// offer gives the idle connection its next attempt. It returns false if the connection is closed.
 func (c *conn) offer(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over {
+	if c.closing {
 		return false
 	}
 	c.next = a
-	c.socket.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine
+	c.socket.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine that waits in Peek
 	return true
 }
 
-// close ends the connection; an attempt on it is lost.
+// close closes the connection; an attempt in flight on it fails.
 func (c *conn) close() {
 	c.mu.Lock()
-	c.over = true
+	c.closing = true
 	c.mu.Unlock()
 	_ = c.socket.Close()
 }
 
-// waitForAttempt waits for the next attempt. How says why the connection can't be used for it, or has ended without one; Open = it
-// can.
+// waitForAttempt waits for the next attempt. The outcome Open means that the connection can be used for it; any other says
+// why not, or how the connection has ended without an attempt.
 func (c *conn) waitForAttempt() (next *attempt, how outcome.Kind) {
 	began := time.Now()
 	_, err := c.reader.Peek(1)
@@ -76,9 +76,9 @@
 	c.mu.Lock()
 	next = c.next
 	c.next = nil
-	c.over = c.over || next == nil
+	c.closing = c.closing || next == nil
 	c.mu.Unlock()
-	// This goroutine may have been woken late, and the server may be about to close the connection.
+	// If this goroutine was scheduled late, the idle time may be over and the server about to close the connection.
 	if next != nil && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.idleUntil) {
 		err = c.socket.SetReadDeadline(time.Time{})
 		if err == nil && c.socket.IsQuiet() {
@@ -88,8 +88,9 @@
 	return next, outcome.FromIdleError(err)
 }
 
-// remainsQuiet waits for the pause before the last byte, and reports whether nothing has come in, the connection's end included.
-func (c *conn) remainsQuiet(pause time.Duration) bool {
+// receivesNothingFor waits for the pause before the last byte, and reports whether nothing was received, neither bytes nor
+// the server's close.
+func (c *conn) receivesNothingFor(pause time.Duration) bool {
 	if pause <= 0 {
 		return c.socket.IsQuiet()
 	}
@@ -98,10 +99,10 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) && c.socket.SetReadDeadline(time.Time{}) == nil
 }
 
-// setAnswering starts or ends the bound on pauses within an answer.
-func (c *conn) setAnswering(answering bool) {
-	c.answering = answering
-	if answering {
+// setReadingResponse sets or removes the read deadline that bounds pauses within a response.
+func (c *conn) setReadingResponse(readingResponse bool) {
+	c.readingResponse = readingResponse
+	if readingResponse {
 		c.socket.SetReadDeadline(time.Now().Add(maxResponsePause))
 	} else {
 		c.socket.SetReadDeadline(time.Time{})
--- a/internal/backend/connchooser.go
+++ b/internal/backend/connchooser.go
@@ -7,35 +7,36 @@
 	"plankrouter/internal/outcome"
 )
 
-// probeCost is that of a probe: it may be sent again, and little depends on it.
+// probeCost is the retry cost of a probe, which is idempotent and unimportant compared to a request.
 var probeCost = keepalive.RetryCost{PriorityWeight: 0.05}
 
-// connChooser picks the connection for an attempt, and how it is written. It is called with the Caller's lock held.
+// connChooser decides which connection an attempt uses, and how long its last byte is held back. It is called with Client.mu
+// held.
 type connChooser interface {
-	mayReuse(connUse) bool                     // whether to take this idle connection, rather than another or a new one
-	pauseBeforeLastByte(connUse) time.Duration // how long the last byte is held back to see whether the connection is dead; 0 = not at all
+	mayReuse(connUse) bool                     // whether to reuse this idle connection, rather than another or a new one
+	pauseBeforeLastByte(connUse) time.Duration // how long the last byte is held back to detect a dead connection; 0 = not at all
 }
 
-// connUse is what a connection has behind it as an attempt gets it.
+// connUse is the use of a connection before an attempt is sent on it. The zero value is a new connection.
 type connUse struct {
-	idle     time.Duration // before the attempt
-	attempts int           // before this one
+	idle     time.Duration // how long it was idle before the attempt
+	attempts int           // the number of attempts before this one
 }
 
-func (u connUse) isKept() bool { return u.attempts > 0 || u.idle > 0 }
+func (u connUse) isReused() bool { return u.attempts > 0 || u.idle > 0 }
 
 func (u connUse) keepaliveUse(server string) keepalive.Use {
 	return keepalive.Use{Server: server, Idle: u.idle, Carried: u.attempts}
 }
 
-// deadConn is how a reused connection was found dead.
+// deadConn describes a reused connection that was found dead.
 type deadConn struct {
 	connUse
-	pause, tookUntilBreak time.Duration // as in attempt and result
-	early                 bool
+	pause, timeToBreak time.Duration // as in attempt and result
+	beforeLastByte     bool
 }
 
-// estimatorChooser chooses by what the estimator has learned.
+// estimatorChooser is the connChooser that follows the estimator.
 type estimatorChooser struct {
 	estimator *keepalive.Estimator
 	now       time.Time
@@ -51,18 +52,18 @@
 	return c.estimator.Hold(c.now, u.keepaliveUse(c.server), c.cost)
 }
 
-// learn tells the estimator how the connections of an attempt did.
-func (c *Client) learn(a *attempt, r *result) {
+// updateEstimator reports to the estimator which of an attempt's connections were broken.
+func (c *Client) updateEstimator(a *attempt, r *result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	name := a.endpoint.name
 	if d := a.deadConn; d != nil {
 		how := keepalive.Broken
-		if d.early {
+		if d.beforeLastByte {
 			how = keepalive.Early
 		}
-		c.estimator.Learn(now, d.keepaliveUse(name), how, d.pause, d.tookUntilBreak)
+		c.estimator.Learn(now, d.keepaliveUse(name), how, d.pause, d.timeToBreak)
 	}
 	if a.dialTime > 0 {
 		c.estimator.Dialed(name, a.dialTime)
@@ -71,10 +72,10 @@
 	case outcome.Served, outcome.ServerError, outcome.Declined, outcome.Malformed:
 		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Answered, a.pause, 0)
 	case outcome.ResetByPeer:
-		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Broken, a.pause, r.tookUntilBreak)
+		c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Broken, a.pause, r.timeToBreak)
 	case outcome.PartlyWritten:
-		if r.early {
-			c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Early, a.pause, r.tookUntilBreak)
+		if r.beforeLastByte {
+			c.estimator.Learn(now, a.use.keepaliveUse(name), keepalive.Early, a.pause, r.timeToBreak)
 		}
 	}
 }
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -16,21 +16,21 @@
 	"plankrouter/internal/upstream"
 )
 
-// deadlineSlack is by how much the deadline sent to a server may differ from what the client still waits.
+// deadlineSlack is by how much the timeout sent to a server may differ from the time that the client still waits.
 const deadlineSlack = 150 * time.Millisecond
 
-// The deadline that an attempt sends to its server is what the client still waits as the request is written, however long the dial
-// took and however many connections were found dead before.
+// The timeout that an attempt sends to its server is the time that the client still waits when the request is written,
+// however long the dial took and whether or not a connection was found dead before.
 func TestDeadlineSentIsWhatIsLeft(t *testing.T) {
 	const timeout = 2 * time.Second
 	for name, row := range map[string]struct {
-		late time.Duration // until a connection is up
-		dead bool          // the first one ends before the request's last byte
+		late time.Duration // until a connection is established
+		dead bool          // the first connection is closed before the request's last byte
 	}{
-		"connection up at once":       {0, false},
-		"connection late":             {900 * time.Millisecond, false},
-		"dead connection, then late":  {140 * time.Millisecond, true},
-		"dead connection, then later": {700 * time.Millisecond, true},
+		"fast dial":                         {0, false},
+		"slow dial":                         {900 * time.Millisecond, false},
+		"dead connection, then slow dial":   {140 * time.Millisecond, true},
+		"dead connection, then slower dial": {700 * time.Millisecond, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -49,19 +49,19 @@
 					t.Fatal(err)
 				}
 				results := make(chan upstream.Result, 2)
-				at := client.Endpoint("p1", "p1:1").(*endpoint)
-				begin := func(hold time.Duration) time.Time {
-					client.start(at.encode(upstream.AttemptOptions{
+				server := client.Endpoint("p1", "p1:1").(*endpoint)
+				begin := func(pause time.Duration) time.Time {
+					client.start(server.encode(upstream.AttemptOptions{
 						Timeout: timeout, OnEnd: func(r upstream.Result) { results <- r },
 						Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
-					}), fixed(hold))
+					}), fixedPause(pause))
 					return time.Now()
 				}
 				if row.dead {
 					begin(0)
 					first := <-serverConns
 					readDeadline(t, first)
-					if _, err := first.Write([]byte(answer)); err != nil {
+					if _, err := first.Write([]byte(okResponse)); err != nil {
 						t.Error(err)
 					}
 					<-results
@@ -84,16 +84,16 @@
 	}
 }
 
-// recordViolations reads a request and compares what it tells with what is left of the client's timeout.
+// checkDeadline reads a request and compares the timeout in it with what is left of the client's.
 func checkDeadline(t *testing.T, serverConn net.Conn, began time.Time, timeout time.Duration) {
 	t.Helper()
 	sent := readDeadline(t, serverConn)
 	if left := timeout - time.Since(began); sent > left+deadlineSlack || sent < left-deadlineSlack {
-		t.Errorf("the server is given %s, the client waits for another %s", sent, left)
+		t.Errorf("the timeout sent to the server is %s, the client still waits %s", sent, left)
 	}
 }
 
-// readDeadline reads a request and returns the deadline in it.
+// readDeadline reads a request and returns the timeout in its deadline header.
 func readDeadline(t *testing.T, serverConn net.Conn) time.Duration {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(serverConn))
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -7,36 +7,36 @@
 	"plankrouter/internal/outcome"
 )
 
-// isOver reports whether nothing of the attempt may be written any more: it has ended, or its client has left, which is looked up at
-// this moment. It is called with mu held.
-func (a *attempt) isOver() bool {
+// isEndedOrClientGone reports whether nothing more of the attempt may be written: it has ended, or its client is gone, which
+// is checked on the client's connection. It is called with mu held.
+func (a *attempt) isEndedOrClientGone() bool {
 	return a.stage == stageEnded || a.request != nil && a.request.CheckClientGone()
 }
 
-// expiredOrForbidden is the guard before the first byte of an attempt and before its last: it says why that may not be written;
-// Open = it may. It is called with mu held.
-func (a *attempt) expiredOrForbidden(now time.Time, first bool) outcome.Kind {
+// checkWriteAllowed is the check before the first byte of an attempt and before its last. It returns why that byte may not be
+// written, or Open if it may. It is called with mu held.
+func (a *attempt) checkWriteAllowed(now time.Time, first bool) outcome.Kind {
 	rules := a.endpoint.client.settings.Invariants
 	switch {
 	case a.stage == stageEnded:
 		return outcome.Withdrawn
-	case a.isOver():
+	case a.isEndedOrClientGone():
 		rules.Prevented(invariant.ClientGone)
 		return outcome.Withdrawn
 	case a.expires.GuardPassed(now):
 		rules.Prevented(invariant.RepeatWindow)
 		return outcome.Expired
-	case first && a.startBy.GuardPassed(now): // the list has said so while the connection came up
+	case first && a.startBy.GuardPassed(now): // the endpoint list has marked the server as draining meanwhile
 		rules.Prevented(invariant.DrainGrace)
 		return outcome.ServerDraining
-	case !a.deadline.IsZero() && !now.Before(a.deadline): // it is about to be cancelled
+	case !a.deadline.IsZero() && !now.Before(a.deadline): // the dispatcher is about to cancel it
 		return outcome.Withdrawn
 	}
 	return outcome.Open
 }
 
-// recordViolations checks, once the first byte or the last one is written, whether it was in time: a pause of the process between
-// guard and write lets it be late.
+// recordViolations checks, once the first byte or the last one is written, whether it was in time: a pause of the process
+// between the guard and the write makes it late.
 func (a *attempt) recordViolations(first bool) {
 	if a.request == nil {
 		return
@@ -55,7 +55,7 @@
 	if first && startBy.ViolatedAt(now) {
 		rules.Violated(invariant.DrainGrace, "request=%q server=%s", a.request.ID, a.endpoint.name)
 	}
-	if a.upload != nil { // a client that still sends does not wait yet
+	if a.upload != nil { // the deadline does not apply while the client is still sending the body
 		return
 	}
 	left := a.request.Timeout - now.Sub(a.request.SentAt)
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -17,7 +17,7 @@
 	"plankrouter/internal/upstream"
 )
 
-// body is a request's body that a client still sends.
+// body is the body of a request that a client is still sending.
 type body struct{ *strings.Reader }
 
 func (b body) Length() int64  { return int64(b.Len()) }
@@ -31,21 +31,21 @@
 	return n, err
 }
 
-// A server reads a long request so slowly that something has come by the time at which all but its last byte is written: that
-// byte is not written, and what the server has got can't run.
+// A server reads a long request so slowly that it has expired or its client is gone once all but its last byte is written:
+// that byte is not written, so that the request can't run.
 func TestLastByteOfLongRequest(t *testing.T) {
 	const size = 20 << 10
 	for name, c := range map[string]struct {
-		streamed bool          // the client still sends it
+		streamed bool          // the client is still sending the body
 		expires  time.Duration // after its start; 0 = never
-		gone     time.Duration // after that its client is gone, and nobody reports it; 0 = never
+		gone     time.Duration // when the client leaves unreported, after the start; 0 = never
 		want     outcome.Kind
 	}{
-		"here, in time":     {want: outcome.Served, expires: 2 * time.Second},
-		"here, expired":     {want: outcome.Expired, expires: time.Second / 2},
+		"complete, in time": {want: outcome.Served, expires: 2 * time.Second},
+		"complete, expired": {want: outcome.Expired, expires: time.Second / 2},
 		"streamed, in time": {want: outcome.Served, streamed: true, expires: 2 * time.Second},
 		"streamed, expired": {want: outcome.Expired, streamed: true, expires: time.Second / 2},
-		"here, gone":        {want: outcome.Withdrawn, gone: time.Second / 2},
+		"complete, gone":    {want: outcome.Withdrawn, gone: time.Second / 2},
 		"streamed, gone":    {want: outcome.Withdrawn, streamed: true, gone: time.Second / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -61,38 +61,38 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				sent := &request.Request{ID: "a", Method: "POST", Target: "/order/1"}
+				req := &request.Request{ID: "a", Method: "POST", Target: "/order/1"}
 				if content := strings.Repeat("x", size); c.streamed {
-					sent.Remainder = body{strings.NewReader(content)}
+					req.Remainder = body{strings.NewReader(content)}
 				} else {
-					sent.Body = []byte(content)
+					req.Body = []byte(content)
 				}
 				if began := time.Now(); c.gone > 0 {
-					sent.ClientGone = func() bool { return time.Since(began) > c.gone }
+					req.ClientGone = func() bool { return time.Since(began) > c.gone }
 				}
 				results := make(chan upstream.Result, 1)
-				task := upstream.AttemptOptions{
-					Request: sent, Timeout: time.Minute, OnBodySent: func() {},
+				options := upstream.AttemptOptions{
+					Request: req, Timeout: time.Minute, OnBodySent: func() {},
 					OnEnd: func(r upstream.Result) { results <- r },
 				}
 				if c.expires > 0 {
-					task.Expires = time.Now().Add(c.expires)
+					options.Expires = time.Now().Add(c.expires)
 				}
-				one := client.Endpoint("p1", "p1:1").(*endpoint).encode(task)
-				client.start(one, fixed(0))
-				head := len(one.message) - len(sent.Body)
+				a := client.Endpoint("p1", "p1:1").(*endpoint).encode(options)
+				client.start(a, fixedPause(0))
+				head := len(a.message) - len(req.Body)
 				complete := sync.OnceValue(func() bool {
 					if _, err := io.ReadFull(serverConn, make([]byte, head+size/2)); err != nil {
 						t.Error(err)
 					}
 					time.Sleep(time.Second)
-					_, _ = io.ReadFull(serverConn, make([]byte, size-size/2-1)) // it fails where the attempt is given up meanwhile
+					_, _ = io.ReadFull(serverConn, make([]byte, size-size/2-1)) // fails if the attempt has ended meanwhile
 					serverConn.SetReadDeadline(time.Now().Add(time.Second))
 					_, err := io.ReadFull(serverConn, make([]byte, 1))
 					return err == nil
 				})()
 				if complete {
-					if _, err := serverConn.Write([]byte(answer)); err != nil {
+					if _, err := serverConn.Write([]byte(okResponse)); err != nil {
 						t.Error(err)
 					}
 				}
--- a/internal/backend/message.go
+++ b/internal/backend/message.go
@@ -11,10 +11,11 @@
 	"plankrouter/internal/upstream"
 )
 
-// maxDeadlineDrift is how far the deadline in a message may be out of date before the message is encoded again.
+// maxDeadlineDrift is by how much the timeout in an encoded message may exceed the time left before the message is encoded
+// again.
 const maxDeadlineDrift = 10 * time.Millisecond
 
-// encode makes an attempt with its message.
+// encode returns an attempt with its encoded message, ready to be sent.
 func (e *endpoint) encode(options upstream.AttemptOptions) *attempt {
 	a := &attempt{
 		endpoint: e, onEnd: options.OnEnd, request: options.Request, startBy: firstByteLimit(options.StartBy),
@@ -29,7 +30,7 @@
 	a.upload = a.request.Remainder
 	a.onBodySent = options.OnBodySent
 	timeout := options.Timeout
-	if a.upload == nil { // a client that still sends does not wait yet
+	if a.upload == nil { // the deadline does not apply while the client is still sending the body
 		now := time.Now()
 		a.deadline = options.Deadline
 		if a.deadline.IsZero() {
@@ -41,10 +42,10 @@
 	return a
 }
 
-// minTimeoutSent is the shortest time that a server is given.
+// minTimeoutSent is the shortest timeout that is sent to a server.
 const minTimeoutSent = time.Millisecond
 
-// encodeMessage encodes the request with the time that the server has for it.
+// encodeMessage encodes the request, with timeout in the deadline header.
 func (a *attempt) encodeMessage(timeout time.Duration) {
 	r := a.request
 	a.timeoutSent = max(timeout, minTimeoutSent)
@@ -62,7 +63,7 @@
 	a.message = http1.AppendStreamedRequest(nil, r.Method, r.Target, cmp.Or(r.Host, a.endpoint.address), fields, r.Body, length)
 }
 
-// refreshDeadline encodes the message again if the deadline in it is out of date, as after a slow dial.
+// refreshDeadline encodes the message again if the timeout in it is out of date, for example after a slow dial.
 func (a *attempt) refreshDeadline(now time.Time) {
 	if a.deadline.IsZero() {
 		return
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -12,19 +12,19 @@
 // result is how an attempt ended.
 type result struct {
 	upstream.Result
-	download       *download     // the rest of its answer; nil = there is none
-	early          bool          // with PartlyWritten: the connection broke before the last byte was written
-	tookUntilBreak time.Duration // with early, from the first byte until it broke; with ResetByPeer, from the last
+	download       *download     // the rest of its response; nil = Body is all
+	beforeLastByte bool          // with PartlyWritten: the connection broke before the last byte was written
+	timeToBreak    time.Duration // with beforeLastByte, time from the first byte to the break; with ResetByPeer, from the last byte
 }
 
-// resultOf reads from an answer what the policy needs, and what is passed on to the client.
+// resultOf extracts from a response what the policy needs, and what is forwarded to the client.
 func (a *attempt) resultOf(r *http1.Response) upstream.Result {
 	out := upstream.Result{Outcome: outcome.ServerError, Body: r.Body}
 	switch {
 	case r.Status == 200, !a.isProbe && a.endpoint.client.settings.IsServed != nil && a.endpoint.client.settings.IsServed(r.Status):
 		out.Outcome, out.StatusCode = outcome.Served, r.Status
 		out.Fields = r.Header.EndToEnd(isHopHeader)
-		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" { // of the body that HEAD leaves out
+		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" { // of the body that a response to HEAD omits
 			out.Fields = append(out.Fields, http1.Field{Name: "Content-Length", Value: length})
 		}
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get(http1.HeaderDeclined) == "1":
@@ -33,11 +33,11 @@
 	if load := r.Header.Get(http1.HeaderLoad); load != "" {
 		out.Report = loadreport.Parse([]byte(load))
 	}
-	if a.isProbe && out.Outcome == outcome.Served { // the answer to a probe is the load itself
+	if a.isProbe && out.Outcome == outcome.Served { // the body of a response to a probe is the load report
 		out.Report = loadreport.Parse(r.Body)
 	}
 	return out
 }
 
-// isHopHeader reports whether the header is only between sidecar and server.
+// isHopHeader reports whether the header is meant for the sidecar and not forwarded to the client.
 func isHopHeader(name string) bool { return name == http1.HeaderLoad || name == http1.HeaderDeclined }
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -14,8 +14,8 @@
 	"plankrouter/internal/upstream"
 )
 
-// dialAndServe opens a connection for the attempt and serves it until it ends. An attempt that was offered to the connection but finds
-// it dead before the last byte is written can't have run, and gets another one.
+// dialAndServe opens a connection for the attempt and serves it until it is closed. An attempt that was offered to the
+// connection but finds it dead before its last byte is written can't have run; a new connection is opened for it.
 func (c *Client) dialAndServe(a *attempt) {
 	for a != nil {
 		a.pause = a.pauseOnNew
@@ -24,7 +24,7 @@
 		if a.isProbe {
 			dial = c.budget.DialOptional
 		}
-		socket, err := dial(a.ctx, a.endpoint.address, c.figures.Load().Connect)
+		socket, err := dial(a.ctx, a.endpoint.address, c.reloadable.Load().Connect)
 		if err != nil {
 			how := dialOutcome(err)
 			c.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, how, time.Since(began).Seconds()*1e3)
@@ -44,9 +44,10 @@
 	}
 }
 
-// serve makes attempts on the connection, one after another, until it ends, and returns the one that it could not begin.
+// serve sends attempts on the connection, one after another, until it is closed, and returns the attempt that needs another
+// connection.
 func (c *Client) serve(conn *conn, a *attempt) *attempt {
-	if !conn.socket.IsQuiet() { // a server that speaks first is no HTTP server
+	if !conn.socket.IsQuiet() { // an HTTP server sends nothing before a request
 		conn.close()
 		c.end(a, result{Result: upstream.Result{Outcome: outcome.PartlyWritten}})
 		return nil
@@ -54,13 +55,13 @@
 	for {
 		var r result
 		reported := true
-		if how := a.begin(conn); how != outcome.Open { // another attempt may use the connection
+		if how := a.begin(conn); how != outcome.Open { // the connection stays usable for another attempt
 			c.end(a, result{Result: upstream.Result{Outcome: how}})
 		} else {
 			var reusable bool
 			r, reusable = conn.exchange(a)
 			r.ConnectedAt = conn.connectedAt
-			if !reusable && conn.foundDead(a, &r) && a.rewind(deadConn{conn.use, a.pause, r.tookUntilBreak, r.early}) {
+			if !reusable && conn.foundDead(a, &r) && a.resetForNewConn(deadConn{conn.use, a.pause, r.timeToBreak, r.beforeLastByte}) {
 				conn.close()
 				return a
 			}
@@ -86,9 +87,10 @@
 	}
 }
 
-// endExchange ends an attempt, and says whether the connection is to be kept and whether the result has been reported. The attempt
-// ends before its connection is kept for others, so that a late Cancel can't close that. But it is reported after that, so that an
-// attempt that follows from the report finds the connection; unless a streamed answer still occupies it.
+// endExchange ends an attempt, and returns whether its result has been reported and whether to keep the connection for reuse.
+// The attempt ends before its connection becomes reusable, so that a late Cancel can't close the connection under another
+// attempt. But its result is reported only afterwards, so that an attempt started by the report finds the connection idle.
+// While a streamed response still occupies the connection, the result is reported at once instead.
 func (c *Client) endExchange(a *attempt, r *result, reusable bool) (reported, keep bool) {
 	if !c.finish(a, r) {
 		return true, false
@@ -109,7 +111,7 @@
 	switch {
 	case is(connlimit.ErrLimitReached):
 		return outcome.ConnectionLimit
-	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing has left this machine: it says nothing of the server
+	case transient.IsLocal(err), is(syscall.EACCES), is(syscall.EPERM): // nothing was sent: no evidence about the server
 		return outcome.LocalError
 	case is(os.ErrDeadlineExceeded), is(context.DeadlineExceeded):
 		return outcome.ConnectTimeout
@@ -117,14 +119,14 @@
 	return outcome.ConnectRefused
 }
 
-// end ends the attempt and reports the result, unless it has ended before.
+// end ends the attempt and reports the result, unless the attempt has already ended.
 func (c *Client) end(a *attempt, r result) {
 	if c.finish(a, &r) {
 		a.onEnd(r.Result)
 	}
 }
 
-// finish ends the attempt with a result that is still to be reported. False means that it has ended before.
+// finish ends the attempt with r, which the caller has to report. False means that the attempt has already ended.
 func (c *Client) finish(a *attempt, r *result) bool {
 	a.mu.Lock()
 	if a.stage == stageEnded {
@@ -134,6 +136,6 @@
 	a.stage = stageEnded
 	a.cancel()
 	a.mu.Unlock()
-	c.learn(a, r)
+	c.updateEstimator(a, r)
 	return true
 }
--- a/internal/backend/run_test.go
+++ b/internal/backend/run_test.go
@@ -10,7 +10,7 @@
 	"plankrouter/internal/outcome"
 )
 
-// An error in which nothing has left this machine says nothing of the server.
+// An error of this machine, for which nothing was sent, is not counted against the server.
 func TestLocalErrorsAreNotBlamedOnServer(t *testing.T) {
 	for err, want := range map[error]outcome.Kind{
 		syscall.EMFILE: outcome.LocalError, syscall.ENETUNREACH: outcome.LocalError, syscall.EADDRNOTAVAIL: outcome.LocalError,
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	idleTimeoutFraction = 0.8 // of the time after which a server closes an idle connection
-	maxSkippedConns     = 4   // idle connections that an attempt may pass over before it gets a new one: the others are older still
+	idleTimeoutFraction = 0.8 // the maximum idle time, as a fraction of the time after which a server closes an idle connection
+	maxSkippedConns     = 4   // idle connections skipped before a new one is opened: the others have been idle for longer
 )
 
-// endpoint is one server's process at one address, with its idle connections.
+// endpoint is one process of a server at one address, with its idle connections.
 type endpoint struct {
 	client        *Client
 	name, address string
 
-	idle   []*conn // the most recently used last; guarded by client.mu, like closed
+	idle   []*conn // the most recently used last; idle and closed are guarded by client.mu
 	closed bool
 }
 
@@ -29,7 +29,7 @@
 func (e *endpoint) Start(options upstream.AttemptOptions) upstream.Attempt {
 	cost := probeCost
 	if options.Request != nil {
-		cost = e.client.figures.Load().RetryCosts[options.Request.Class]
+		cost = e.client.reloadable.Load().RetryCosts[options.Request.Class]
 	}
 	a := e.encode(options)
 	e.client.start(a, estimatorChooser{e.client.estimator, time.Now(), e.name, cost})
@@ -47,14 +47,14 @@
 	}
 }
 
-// offer gives the attempt to the most recently used idle connection that the chooser permits, and reports whether one has taken it.
-// The connections that are passed over grow older and are closed. It is called with client.mu held.
+// offer gives the attempt to the most recently used idle connection that the chooser permits, and reports whether there was one.
+// Connections that are skipped stay idle until their idle timeout closes them. It is called with client.mu held.
 func (e *endpoint) offer(a *attempt, chooser connChooser) bool {
 	skipped := 0
 	for i := len(e.idle) - 1; i >= 0 && skipped < maxSkippedConns; i-- {
 		candidate := e.idle[i]
 		use := connUse{idle: time.Since(candidate.idleSince), attempts: candidate.use.attempts}
-		if !chooser.mayReuse(use) { // another attempt may use it
+		if !chooser.mayReuse(use) { // an attempt with a lower retry cost may
 			skipped++
 			continue
 		}
@@ -68,14 +68,14 @@
 	return false
 }
 
-// keepIdle lets the connection's endpoint use it again, for as long as the attempt with the lowest cost would. That time ends well
-// before the server closes the connection: an attempt that crosses the close is reset, and must not be sent again if it is not
-// idempotent.
+// keepIdle makes the connection available for reuse, for as long as the attempt with the lowest retry cost would reuse it.
+// That time ends well before the server closes the connection: an attempt that is sent while the server closes is reset, and
+// must not be retried if it is not idempotent.
 func (c *Client) keepIdle(conn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	maxIdle := time.Duration(idleTimeoutFraction * float64(c.figures.Load().ConnIdle))
+	maxIdle := time.Duration(idleTimeoutFraction * float64(c.reloadable.Load().ConnIdle))
 	idleTimeout := c.estimator.Limit(now, conn.endpoint.name, probeCost, maxIdle)
 	if conn.endpoint.closed || conn.socket.SetReadDeadline(now.Add(idleTimeout)) != nil {
 		conn.close()
@@ -87,7 +87,7 @@
 	conn.endpoint.idle = append(conn.endpoint.idle, conn)
 }
 
-// removeIdle removes a connection that has ended while it was idle.
+// removeIdle removes a connection that has ended while idle, and counts how.
 func (c *Client) removeIdle(conn *conn, how outcome.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,8 @@
 	}
 }
 
-// Close closes all idle connections, and those under way as they become idle: another server may have the address from now on.
+// Close closes all idle connections, and those in use once they become idle: the address may belong to another server from
+// now on.
 func (e *endpoint) Close() {
 	e.client.mu.Lock()
 	defer e.client.mu.Unlock()
--- a/internal/backend/server_test.go
+++ b/internal/backend/server_test.go
@@ -12,9 +12,9 @@
 	"plankrouter/internal/upstream"
 )
 
-// An idle connection is offered an attempt when its time is over and its goroutine, woken late, has not ended it yet: its server may
-// be closing it just then, so that the attempt goes on a new one.
-func TestIdleConnectionOfferedPastItsTime(t *testing.T) {
+// An idle connection is offered an attempt after its idle timeout, when its goroutine was scheduled late and has not closed
+// it yet. The server may be closing it at the same time, so the attempt is sent on a new one.
+func TestIdleConnectionOfferedPastItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -28,27 +28,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at, results := client.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
+		server, results := client.Endpoint("p1", "p1:1").(*endpoint), make(chan upstream.Result, 2)
 		for n := range 2 {
-			one := at.encode(upstream.AttemptOptions{
+			a := server.encode(upstream.AttemptOptions{
 				Timeout: time.Second, OnEnd: func(r upstream.Result) { results <- r },
 				Request: &request.Request{ID: "a", Method: "POST", Target: "/order/1", Body: []byte("x")},
 			})
-			client.start(one, fixed(0))
+			client.start(a, fixedPause(0))
 			synctest.Wait()
 			if len(serverConns) != n+1 {
 				t.Fatalf("attempt %d: %d connections", n, len(serverConns))
 			}
-			if _, err := serverConns[n].Read(make([]byte, len(one.message))); err != nil {
+			if _, err := serverConns[n].Read(make([]byte, len(a.message))); err != nil {
 				t.Fatalf("attempt %d: %v", n, err)
 			}
-			if _, err := serverConns[n].Write([]byte(answer)); err != nil {
+			if _, err := serverConns[n].Write([]byte(okResponse)); err != nil {
 				t.Fatal(err)
 			}
 			<-results
 			synctest.Wait()
 			if n == 0 {
-				at.idle[0].idleUntil = time.Now()
+				server.idle[0].idleUntil = time.Now()
 			}
 		}
 		cancel()
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -12,8 +12,8 @@
 	"plankrouter/internal/request"
 )
 
-// streamBody writes the request up to its last byte, which it returns: releaseLastByte decides whether that may be written. A nil last
-// says that the connection has failed or, with an error, that the client has.
+// streamBody writes the request up to its last byte, which it returns: releaseLastByte decides whether that may be written. A
+// nil last means that the connection to the server has failed or, with clientErr, that reading the body from the client has.
 func (c *conn) streamBody(a *attempt) (last []byte, clientErr error) {
 	buf, free := a.endpoint.client.settings.Bounds.Buffer()
 	defer free()
@@ -56,7 +56,7 @@
 	}
 }
 
-// download is the rest of a long answer. Its reader reads straight from the connection, whose goroutine waits meanwhile.
+// download is the rest of a long response. Its consumer reads directly from the connection, whose goroutine waits meanwhile.
 type download struct {
 	request.Stream
 	conn     *conn
@@ -64,41 +64,42 @@
 	complete bool
 	done     chan struct{}
 
-	mu   sync.Mutex // held during a Read
-	over bool       // the connection belongs to its goroutine again
+	mu       sync.Mutex // held during a Read
+	released bool       // the connection's goroutine uses the connection again
 }
 
-// Read reads what has arrived, and waits for at most maxStreamStall.
+// Read reads what has arrived, waiting for at most maxStreamStall.
 func (d *download) Read(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.released {
 		return 0, net.ErrClosed
 	}
 	d.conn.socket.SetReadDeadline(time.Now().Add(maxStreamStall))
 	return d.Stream.Read(p)
 }
 
-// Close ends the reading; whole says that the body was read to its end, so that the connection may be used again.
+// Close ends the reading. If complete, the body was read to its end, so that the connection may be reused; otherwise it is
+// closed.
 func (d *download) Close(complete bool) {
 	d.once.Do(func() {
 		d.complete = complete
 		if !complete {
-			d.conn.close() // wakes a Read
+			d.conn.close() // makes a blocked Read return
 		}
 		close(d.done)
 	})
 }
 
-// wait returns once nobody reads the connection any more, and reports whether it may be used again.
+// wait waits until the download is closed and no Read is in progress, and reports whether the connection may be reused.
 func (d *download) wait(ctx context.Context) bool {
 	select {
 	case <-d.done:
-	case <-ctx.Done(): // which closes the connection
+	case <-ctx.Done(): // the end of the context also closes the connection
 		d.Close(false)
 	}
-	d.mu.Lock() // a Read under way ends first
+	d.mu.Lock() // waits for a Read in progress
 	defer d.mu.Unlock()
-	d.over = true
+	d.released = true
 	return d.complete && d.conn.reader.Buffered() == 0 && d.conn.socket.SetReadDeadline(time.Time{}) == nil
 }
