--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/faultinjection"
 )
 
-// Serve accepts connections until Drain or the end of ctx, and returns when the last one has ended.
+// Serve accepts connections until Drain is called or ctx ends, and returns when the last connection has ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { s.closeAll(l) })()
 	defer func() { _ = s.running.Wait() }() // the connections' goroutines return no errors
@@ -20,51 +20,51 @@
 	s.mu.Lock()
 	s.serving = true
 	s.mu.Unlock()
-	a := acceptor{server: s, listener: l, lastPlaceAt: time.Now()}
+	a := acceptor{server: s, listener: l, lastSlotAt: time.Now()}
 	for !s.isDraining() {
-		var goOn bool
+		var proceed bool
 		if s.budget.Reserve(connlimit.Inward) {
-			goOn = a.accept(ctx)
+			proceed = a.accept(ctx)
 		} else {
-			goOn = a.waitForPlace(ctx)
+			proceed = a.waitForSlot(ctx)
 		}
-		if !goOn {
+		if !proceed {
 			return nil
 		}
 	}
-	s.acceptLast(ctx, l)
+	s.acceptBacklog(ctx, l)
 	return nil
 }
 
 // acceptor is the state of the goroutine that accepts connections.
 type acceptor struct {
-	server      *Server
-	listener    net.Listener
-	failures    int       // of accept, in a row
-	lastPlaceAt time.Time // when there was a place last
+	server     *Server
+	listener   net.Listener
+	failures   int       // consecutive failures of accept
+	lastSlotAt time.Time // when a slot was last available
 }
 
-// waitForPlace waits until there may be a place again; false = accepting is over. The kernel's backlog holds the clients meanwhile,
-// and those that wait there for long are rejected.
-func (a *acceptor) waitForPlace(ctx context.Context) (goOn bool) {
+// waitForSlot waits until a slot for a connection may be available; false = stop accepting. Meanwhile clients wait in the
+// kernel's backlog, and those that have waited there for too long are rejected.
+func (a *acceptor) waitForSlot(ctx context.Context) (proceed bool) {
 	s := a.server
-	if (time.Since(a.lastPlaceAt) > maxBacklogWait || s.rejectsAtOnce()) && s.rejectConnection(a.listener) {
+	if (time.Since(a.lastSlotAt) > maxBacklogWait || s.rejectsImmediately()) && s.rejectConnection(a.listener) {
 		return true
 	}
 	select {
 	case <-s.budget.Freed():
-	case <-time.After(acceptRetryInterval): // some connection may have been idle for long enough now
+	case <-time.After(acceptRetryInterval): // a connection may have become old enough to be evicted
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// accept accepts one connection in the place that has been reserved; false = accepting is over.
-func (a *acceptor) accept(ctx context.Context) (goOn bool) {
+// accept accepts one connection for the slot that has been reserved; false = stop accepting.
+func (a *acceptor) accept(ctx context.Context) (proceed bool) {
 	s := a.server
 	c, err := accept(a.listener)
-	a.lastPlaceAt = time.Now()
+	a.lastSlotAt = time.Now()
 	if err == nil {
 		if a.failures > 0 {
 			log.Printf("listen=%s state=accepts_again failures=%d", a.listener.Addr(), a.failures)
@@ -100,8 +100,8 @@
 	return true
 }
 
-// admitNew serves a connection that has just been accepted. If it has waited for long in the backlog, so do others: for a while those
-// that find no place are rejected at once.
+// admitNew serves a connection that has just been accepted. If it has waited in the backlog for too long, so have others: for a
+// rejectionPeriod connections beyond the limit are rejected immediately.
 func (s *Server) admitNew(nc net.Conn) {
 	s.Connections.Add(1)
 	s.mu.Lock()
@@ -112,7 +112,8 @@
 	}
 }
 
-// admit serves a connection, with the note of the predecessor that had it before. It is called with mu held.
+// admit serves a connection; note comes from the predecessor that transferred it, and is empty for a new one. It is called
+// with mu held.
 func (s *Server) admit(nc net.Conn, note string) *conn {
 	c := &conn{
 		server: s, socket: s.budget.Adopt(nc, connlimit.Inward), acceptedAt: time.Now(), hasSentMessage: note != "",
@@ -126,10 +127,10 @@
 	s.conns[c] = false
 	c.idleSince = c.acceptedAt
 	switch {
-	case s.draining && note != "": // it is between two messages, like those that Drain closes
+	case s.draining && note != "": // it is idle, like the connections that Drain closes
 		c.shortenIdle(0)
-	case s.draining: // accepted at the last moment: it may still send one request
-		c.acceptedLast = true
+	case s.draining: // accepted from the backlog: it may still send one request
+		c.awaitsFirstRequest = true
 		c.shortenIdle(time.Until(s.drainStartedAt) + drainLinger)
 	case s.handOver != nil:
 		c.shortenIdle(0)
@@ -140,7 +141,7 @@
 	return c
 }
 
-// accept is l.Accept, in which a soak may inject failures.
+// accept calls l.Accept; fault injection may make it fail.
 func accept(l net.Listener) (net.Conn, error) {
 	if err := faultinjection.Inject(faultinjection.Accept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
@@ -148,7 +149,7 @@
 	return l.Accept()
 }
 
-// pauseAccepting notes during a handover that no connection is accepted any more, and returns the channel that Resume closes; nil = there
+// pauseAccepting records that accepting has stopped for a handover, and returns the channel that Resume closes; nil = there
 // is no handover.
 func (s *Server) pauseAccepting() <-chan struct{} {
 	s.mu.Lock()
--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -14,23 +14,23 @@
 	"plankrouter/internal/streaming"
 )
 
-// stoppedDispatcher is a dispatcher that has stopped.
+// stoppedDispatcher is a dispatcher that accepts no requests, as after it has stopped.
 type stoppedDispatcher struct{ manualDispatcher }
 
 func (*stoppedDispatcher) Submit(*request.Request) bool { return false }
 
-// A connection that ends without the answer to a request that was read from it is counted, unless its client has gone.
-func TestMissingAnswersAreCounted(t *testing.T) {
+// A connection that is closed without a response to a request is counted as a violation, unless its client is gone.
+func TestMissingResponsesAreCounted(t *testing.T) {
 	for name, row := range map[string]struct {
 		dispatcher request.Dispatcher
-		reads      bool // whether the client reads the answer before all is closed
-		leave      bool // whether the client leaves
+		reads      bool // whether the client reads the response before the server is stopped
+		leave      bool // whether the client closes the connection
 		want       int64
 	}{
-		"answered":               {new(immediateDispatcher), true, false, 0},
+		"response written":       {new(immediateDispatcher), true, false, 0},
 		"dispatcher has stopped": {new(stoppedDispatcher), false, false, 1},
-		"client has gone":        {new(manualDispatcher), false, true, 0},
-		"all is closed":          {new(manualDispatcher), false, false, 1},
+		"client is gone":         {new(manualDispatcher), false, true, 0},
+		"server is stopped":      {new(manualDispatcher), false, false, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -61,7 +61,7 @@
 				t.Error(err)
 			}
 			if got := recorder.Counts()[invariant.Answer].Violations; got != row.want {
-				t.Errorf("%s: %d counted, want %d", name, got, row.want)
+				t.Errorf("%s: %d violations, want %d", name, got, row.want)
 			}
 		})
 	}
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -9,7 +9,7 @@
 	"plankrouter/internal/request"
 )
 
-// recordingDispatcher is a dispatcher that passes on the requests it gets.
+// recordingDispatcher is a dispatcher that sends the submitted requests to a channel.
 type recordingDispatcher struct {
 	manualDispatcher
 	requests chan *request.Request
@@ -20,11 +20,11 @@
 	return true
 }
 
-// A client's time runs from when its request arrived, not from when this process accepted its connection or read it.
-func TestTimeRunsFromArrival(t *testing.T) {
+// A request's timeout starts when the request arrived, not when this process accepted its connection or read it.
+func TestTimeoutRunsFromArrival(t *testing.T) {
 	const (
-		unread    = 300 * time.Millisecond // how long the request lies in the kernel
-		tolerance = 30 * time.Millisecond  // for the kernel's ticks
+		unread    = 300 * time.Millisecond // how long the request stays unread in the kernel
+		tolerance = 30 * time.Millisecond  // for the resolution of the kernel's timestamps
 	)
 	dispatcher := &recordingDispatcher{requests: make(chan *request.Request, 1)}
 	s, l, done := serveBehindGate(t, dispatcher, 16)
@@ -39,7 +39,7 @@
 	close(l.gate)
 	r := <-dispatcher.requests
 	if r.SentAt.Before(before.Add(-tolerance)) || r.SentAt.After(after.Add(tolerance)) {
-		t.Errorf("sent %s before it was read; its time runs from %s before that", time.Since(after), time.Since(r.SentAt))
+		t.Errorf("sent %s before it was read; SentAt is %s before that", time.Since(after), time.Since(r.SentAt))
 	}
 	c.Close()
 	s.Drain(l)
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -21,12 +21,12 @@
 	"plankrouter/internal/streaming"
 )
 
-// immediateDispatcher is a dispatcher that answers at once.
+// immediateDispatcher is a dispatcher that responds immediately.
 type immediateDispatcher struct{ manualDispatcher }
 
-func (i *immediateDispatcher) Submit(r *request.Request) bool {
-	i.manualDispatcher.Submit(r)
-	go i.answerAll()
+func (d *immediateDispatcher) Submit(r *request.Request) bool {
+	d.manualDispatcher.Submit(r)
+	go d.respondAll()
 	return true
 }
 
@@ -43,8 +43,9 @@
 	return g.TCPListener.Accept()
 }
 
-// serveBehindGate returns a server with so many places that accepts as soon as the gate opens, its listener, and what Serve returns.
-func serveBehindGate(t *testing.T, dispatcher request.Dispatcher, places int) (*Server, *gatedListener, <-chan error) {
+// serveBehindGate starts a server for at most sockets sockets, which accepts once the gate opens. It returns the server, its
+// listener, and a channel with the error that Serve returns.
+func serveBehindGate(t *testing.T, dispatcher request.Dispatcher, sockets int) (*Server, *gatedListener, <-chan error) {
 	t.Helper()
 	plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -53,15 +54,15 @@
 	l := &gatedListener{TCPListener: plain, reached: make(chan struct{}), gate: make(chan struct{})}
 	cfg := &config.Config{}
 	cfg.Settings.Classes = []config.Class{{Name: "tile", HardLimitMs: 2500, Repeat: config.Pure}}
-	s := New(cfg, dispatcher, connlimit.NewBudget(places, nil), new(metrics.Registry), streaming.New(1<<20, places))
+	s := New(cfg, dispatcher, connlimit.NewBudget(sockets, nil), new(metrics.Registry), streaming.New(1<<20, sockets))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(t.Context(), l) }()
 	<-l.reached
 	return s, l, done
 }
 
-// What the kernel has accepted when Drain is called is answered, however late Serve accepts it; connections that come after that are
-// refused.
+// A request in the backlog when Drain is called gets its response, however late Serve accepts the connection; later
+// connections are refused.
 func TestDrainServesTheBacklog(t *testing.T) {
 	for _, late := range []time.Duration{0, 15 * time.Millisecond} {
 		plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -101,12 +102,12 @@
 		}
 		if c, err := net.Dial("tcp", plain.Addr().String()); err == nil {
 			c.Close()
-			t.Error("it still listens")
+			t.Error("the listener is still open")
 		}
 	}
 }
 
-// deadlinePipes is a pipeListener with a deadline, past which nothing is accepted, as with a TCP listener.
+// deadlinePipes is a pipeListener with a deadline for Accept, like a TCP listener.
 type deadlinePipes struct {
 	*pipeListener
 	mu       sync.Mutex
@@ -117,7 +118,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deadline = at
-	time.AfterFunc(time.Until(at), func() { d.conns <- nil }) // wakes an Accept that waits
+	time.AfterFunc(time.Until(at), func() { d.conns <- nil }) // makes a blocked Accept return
 	return nil
 }
 
@@ -135,8 +136,9 @@
 	}
 }
 
-// A connection that waits for a place is accepted when the connections that Drain closes make room, and never beyond the limit.
-func TestDrainWaitsForAPlace(t *testing.T) {
+// A connection that waits in the backlog is accepted once the connections that Drain closes free a slot, and never beyond the
+// limit.
+func TestDrainWaitsForASlot(t *testing.T) {
 	for occupied, want := range map[int]int{0: 200, 1: 0} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -157,7 +159,7 @@
 				}
 			}
 			if occupied > 0 {
-				budget.ReserveBeyondLimit(connlimit.Inward) // for which nothing makes room
+				budget.ReserveBeyondLimit(connlimit.Inward) // occupies the last slot, which Drain can't free
 			}
 			serverEnd, clientEnd := net.Pipe()
 			l.conns <- serverEnd
@@ -184,7 +186,7 @@
 	}
 }
 
-// failingListener is a listener whose Accept fails so many times once its gate is open.
+// failingListener is a gatedListener whose Accept fails failuresLeft times once its gate is open.
 type failingListener struct {
 	*gatedListener
 	err          error
@@ -200,7 +202,7 @@
 	return f.TCPListener.Accept()
 }
 
-// An accept that fails for a moment while draining does not lose what waits in the backlog.
+// An accept that fails temporarily while draining does not lose the connections in the backlog.
 func TestDrainRetriesAFailingAccept(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS} {
 		plain, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -220,7 +222,7 @@
 		}
 		fmt.Fprint(c, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\n\r\n")
 		s.Drain(l)
-		time.Sleep(11 * time.Millisecond) // the last look is due
+		time.Sleep(11 * time.Millisecond) // the backlog has to be checked for the last time
 		close(l.gate)
 		c.SetDeadline(time.Now().Add(10 * time.Second))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
@@ -233,9 +235,10 @@
 	}
 }
 
-// Many connections that send nothing, or a part of a request, do not keep a request in the backlog from its answer while draining.
+// Many connections that send nothing, or an incomplete request, do not keep a request behind them in the backlog from its
+// response while draining.
 func TestDrainServesBacklogBehindUnusedConnections(t *testing.T) {
-	for name, sent := range map[string]string{"silent": "", "part of a request": "POST /order/1 HTTP/1.1\r\nHost: x\r\nContent-Le"} {
+	for name, sent := range map[string]string{"silent": "", "incomplete request": "POST /order/1 HTTP/1.1\r\nHost: x\r\nContent-Le"} {
 		t.Run(name, func(t *testing.T) { testDrainBehindOthers(t, sent) })
 	}
 }
@@ -243,12 +246,12 @@
 func testDrainBehindOthers(t *testing.T, sent string) {
 	s, l, done := serveBehindGate(t, new(immediateDispatcher), 48) // 12 of them for unused connections
 	for range 24 {
-		one, err := net.Dial("tcp", l.Addr().String())
+		other, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer one.Close()
-		fmt.Fprint(one, sent)
+		defer other.Close()
+		fmt.Fprint(other, sent)
 	}
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -20,62 +20,64 @@
 	"plankrouter/internal/streaming"
 )
 
-// conn is one client's connection. Its reader goroutine reads messages, answers those that it rejects, and watches for the client's
-// end while a request is under way; its writer goroutine, started with the first request, writes the dispatcher's answers.
+// conn is a client's connection. Its reader goroutine reads messages, responds to health checks and to messages that it
+// rejects, and detects while a request is in flight that the client is gone. Its writer goroutine, started with the first
+// request, writes the dispatcher's responses.
 type conn struct {
-	server         *Server
-	socket         *connlimit.Socket
-	reader         *bufio.Reader
-	acceptedAt     time.Time
-	hasSentMessage bool                   // the client has sent a whole message
-	hasSentRequest bool                   // and a message that was a request
-	class          string                 // of the present request,
-	metric         *metrics.Request       // its count,
-	reservedBytes  int                    // and the memory reserved for its body
-	unansweredID   atomic.Pointer[string] // the id of the request whose answer is not written yet; nil = there is none
-	upload         *upload                // the rest of its body; nil = the body is complete
-	pace           *streaming.Pace        // of the body that is being read; nil = no body is
-	idleSince      time.Time              // since when no message is under way; guarded by server.mu
-	acceptedLast   bool                   // accepted while draining; likewise
-	rejected       bool                   // there was no place for it
-	readingMessage bool                   // a part of a message has come; likewise
-	responses      chan pendingResponse   // at most one is under way; nil = the writer is not started
-	written        chan outcome.Kind      // how writing it ended; Open = the connection goes on
-	done           chan struct{}
-	writer         errgroup.Group
+	server             *Server
+	socket             *connlimit.Socket
+	reader             *bufio.Reader
+	acceptedAt         time.Time
+	hasSentMessage     bool                   // the client has sent a complete message
+	hasSentRequest     bool                   // at least one of the messages was a request
+	class              string                 // of the current request
+	metric             *metrics.Request       // counts the current request
+	reservedBytes      int                    // memory reserved for the body of the current message
+	pendingRequestID   atomic.Pointer[string] // the id of the request whose response is not written yet; nil = none
+	upload             *upload                // the rest of the current request's body; nil = the body is complete
+	pace               *streaming.Pace        // of the body that is being read; nil = no body is read
+	idleSince          time.Time              // when it last became idle; guarded by server.mu
+	awaitsFirstRequest bool                   // accepted while draining or for rejection: closeIdle skips it; guarded by server.mu
+	rejected           bool                   // it was accepted beyond the limit only to reject its request
+	readingMessage     bool                   // a message is received in part; guarded by server.mu
+	responses          chan pendingResponse   // to the writer, at most one at a time; nil = the writer is not started
+	written            chan outcome.Kind      // how writing each response ended; Open = the connection remains open
+	done               chan struct{}
+	writer             errgroup.Group
 
 	mu         sync.Mutex
-	writerGone bool               // no answer can be written any more
-	download   request.BodyStream // the rest of the present answer; nil = there is none
+	writerGone bool               // no further response can be written
+	download   request.BodyStream // the rest of the current response; nil = none
 }
 
 func (c *conn) run() {
 	c.reader = http1.NewReader(c)
 	c.done = make(chan struct{})
 	how := c.serveMessages()
-	c.checkAnswered(how)
+	c.checkResponded(how)
 	c.releaseMemory()
-	close(c.done) // not responses: the dispatcher may just be giving an answer to a client that is gone
+	close(c.done) // responses stays open, since the dispatcher may still deliver a response to a client that is gone
 	_ = c.socket.Close()
 	c.closeDownload()
 	_ = c.writer.Wait() // the writer returns no errors
 	if c.metric != nil {
-		c.metric.End(metrics.ClientGone) // no effect if it was answered, perhaps at the last moment
+		c.metric.End(metrics.ClientGone) // no effect if the response was written meanwhile
 	}
 	http1.Free(c.reader)
 	c.server.removeConn(c, how)
 }
 
-// checkAnswered records, as the connection is about to be closed, a request without answer whose client is still there.
-func (c *conn) checkAnswered(how outcome.Kind) {
-	id := c.unansweredID.Load()
+// checkResponded records a violation if the connection is about to be closed without a response to a request whose client is
+// still connected.
+func (c *conn) checkResponded(how outcome.Kind) {
+	id := c.pendingRequestID.Load()
 	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.HasPeerLeft() {
 		return
 	}
 	c.server.Invariants.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
 }
 
-// serveMessages serves one message after another, and returns how the connection has ended.
+// serveMessages serves one message after another, and returns the outcome of the connection.
 func (c *conn) serveMessages() outcome.Kind {
 	for {
 		switch err := c.waitForMessage(); {
@@ -108,12 +110,12 @@
 	}
 }
 
-// handleRequest submits the request, and returns how writing its answer has ended; or how the connection has.
+// handleRequest submits the request, and returns the outcome of writing its response, or of the connection if that ends first.
 func (c *conn) handleRequest(r *request.Request) outcome.Kind {
 	c.startWriter()
 	c.metric = c.server.metrics.RequestStarted(c.class)
 	defer c.releaseMemory()
-	if (c.reader.Buffered() > 0 || !c.socket.IsQuiet()) && c.socket.HasPeerLeft() { // it left while its request waited to be read
+	if (c.reader.Buffered() > 0 || !c.socket.IsQuiet()) && c.socket.HasPeerLeft() { // the client left before its request was read
 		return outcome.ClientGone
 	}
 	if !c.server.dispatcher.Submit(r) {
@@ -123,26 +125,26 @@
 		if how := c.awaitUpload(r); how != outcome.Open {
 			return how
 		}
-		if c.upload == nil { // it was answered before its body was complete
+		if c.upload == nil { // the response was written before the body was complete
 			return outcome.Open
 		}
 	}
 	return c.awaitResponse(r)
 }
 
-// awaitResponse returns how writing the answer has ended; or, if the client leaves before, how the connection has.
+// awaitResponse returns the outcome of writing the response or, if the client leaves before that, of the connection.
 func (c *conn) awaitResponse(r *request.Request) outcome.Kind {
-	_, err := c.reader.Peek(1) // the next message, or the client's end
+	_, err := c.reader.Peek(1) // returns with the next message, or when the client closes the connection
 	select {
 	case how := <-c.written:
 		return how
 	default:
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) { // only the writer ends the wait in this way: its outcome is about to come
+	if errors.Is(err, os.ErrDeadlineExceeded) { // only the writer sets a read deadline here: it is about to send its outcome
 		return <-c.written
 	}
 	check := time.Tick(clientCheckInterval)
-	for err == nil && !c.socket.HasPeerLeft() { // the client's end can't be read behind bytes that are still unread
+	for err == nil && !c.socket.HasPeerLeft() { // while bytes are unread, the client's close can't be detected by reading
 		select {
 		case how := <-c.written:
 			return how
@@ -152,7 +154,7 @@
 		}
 	}
 	select {
-	case <-c.server.stopped: // which has closed the connection
+	case <-c.server.stopped: // closeAll has closed the connection
 		return outcome.ShuttingDown
 	default:
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Drain closes the listener and the connections that are between two messages. The others end with their answer, which to a part of a
-// request is a refusal, since the rest may come at any time up to the kill. What waits in the backlog would be lost with the listener,
-// along with requests that count as accepted: Serve accepts that first, and closes the listener. During a handover the successor has
-// the backlog too.
+// Drain closes the listener and the idle connections. The others are closed after their response; an incomplete request is
+// rejected, since its rest may arrive at any time up to the kill. Closing the listener would reset the connections in its
+// backlog, whose requests count as accepted: Serve therefore accepts them first, and then closes the listener. During a
+// handover the successor shares the backlog, and Drain closes the listener itself.
 func (s *Server) Drain(l net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.draining {
 		s.draining = true
 		s.drainStartedAt = time.Now()
-		s.partialUntil = s.drainStartedAt.Add(partialRequestTimeout)
-		s.budget.FavorBacklog() // it is about to be closed
+		s.partialRequestDeadline = s.drainStartedAt.Add(partialRequestTimeout)
+		s.budget.FavorBacklog() // because the listener is about to be closed
 		close(s.drainStarted)
 	}
 	if d, ok := l.(deadlineListener); s.serving && ok && s.handOver == nil && d.SetDeadline(s.drainStartedAt) == nil {
-		return // Serve closes the listener, and then what is idle
+		return // Serve closes the listener and then the idle connections
 	}
 	l.Close()
 	s.closeIdle()
@@ -33,20 +33,20 @@
 	s.closeIdle()
 }
 
-// closeIdle ends the connections that are between two messages, and bounds the time for messages of which a part has come. A connection
-// that was accepted since draining started has a moment for its one request: see admit. It is called with mu held.
+// closeIdle closes the idle connections, and sets a deadline for messages that are received in part. A connection that was
+// accepted since draining started keeps the deadline that admit has set for its one request. It is called with mu held.
 func (s *Server) closeIdle() {
 	for c, busy := range s.conns {
 		switch {
-		case !busy && !c.acceptedLast:
+		case !busy && !c.awaitsFirstRequest:
 			c.shortenIdle(0)
 		case c.readingMessage:
-			c.socket.SetReadDeadline(s.partialUntil)
+			c.socket.SetReadDeadline(s.partialRequestDeadline)
 		}
 	}
 }
 
-// closeAll ends all connections at once: the dispatcher has stopped and answers no more.
+// closeAll closes all connections immediately: the dispatcher has stopped and sends no further responses.
 func (s *Server) closeAll(l net.Listener) {
 	l.Close()
 	s.Drain(l)
@@ -58,10 +58,10 @@
 	}
 }
 
-// boundByDrain bounds the time for a message while draining. It is called with mu held.
+// boundByDrain returns t, or the earlier deadline that applies to a message while draining. It is called with mu held.
 func (s *Server) boundByDrain(t time.Time) time.Time {
-	if s.draining && s.partialUntil.Before(t) {
-		return s.partialUntil
+	if s.draining && s.partialRequestDeadline.Before(t) {
+		return s.partialRequestDeadline
 	}
 	return t
 }
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -9,28 +9,29 @@
 	"plankrouter/internal/connlimit"
 )
 
-// The notes that go with a connection to a successor say what its client has sent so far. A new connection has none.
+// The notes that are transferred with a connection to a successor: what its client has sent so far. A new connection has an
+// empty note.
 const (
-	noteHasSentMessage = "brought" // a whole message
-	noteHasSentRequest = "known"   // a request
+	noteHasSentMessage = "brought" // a complete message, but no request
+	noteHasSentRequest = "known"   // at least one request
 )
 
-// KeepIdle keeps the connections that are open, however long they are idle, until Drain.
+// KeepIdle keeps idle connections open until Drain, regardless of how long they are idle.
 func (s *Server) KeepIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keepIdle = true
 }
 
-// Expect keeps Serve from returning until done is called: a predecessor may still pass connections to Adopt.
+// Expect keeps Serve from returning until done is called, because a predecessor may still transfer connections to Adopt.
 func (s *Server) Expect() (done func()) {
 	wait := make(chan struct{})
 	s.running.Go(func() error { <-wait; return nil })
 	return sync.OnceFunc(func() { close(wait) })
 }
 
-// Adopt serves a connection that a predecessor had, even beyond the limit on sockets: it is there already, and may bring a
-// request. It is called between Expect and its done.
+// Adopt serves a connection that a predecessor has transferred, even beyond the limit on sockets, since it is already
+// established and may carry a request. It must be called after Expect and before its done.
 func (s *Server) Adopt(nc net.Conn, note []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,9 +40,9 @@
 	s.admit(nc, string(note))
 }
 
-// HandOver passes every connection on as soon as it is between two messages, with a note for the successor's Adopt, and
-// returns a channel that is closed when none is left. Connections for which pass fails stay. The caller then stops the listener by
-// a deadline, which Resume's caller removes.
+// HandOver transfers every connection to a successor as soon as it is idle, by calling pass with a note for the successor's
+// Adopt. It returns a channel that is closed when no connection is left. Connections for which pass fails are kept. The
+// caller has to set a deadline on the listener afterwards, so that accepting stops, and to remove it before Resume.
 func (s *Server) HandOver(pass func(c net.Conn, note []byte) error) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	return allHandedOver
 }
 
-// Resume ends HandOver: the successor is gone, and this process serves on.
+// Resume cancels HandOver after the successor was lost: this process continues to serve.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,14 +68,14 @@
 	close(s.resumed)
 }
 
-// IsHandingOver reports whether a handover is under way.
+// IsHandingOver reports whether a handover is in progress.
 func (s *Server) IsHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOver != nil
 }
 
-// notifyIfAllHandedOver closes allHandedOver once no connection is left and none can be accepted. It is called with mu held.
+// notifyIfAllHandedOver closes allHandedOver if no connection is left and accepting has stopped. It is called with mu held.
 func (s *Server) notifyIfAllHandedOver() {
 	if s.allHandedOver != nil && s.acceptPaused && len(s.conns) == 0 {
 		close(s.allHandedOver)
@@ -82,11 +83,11 @@
 	}
 }
 
-// errHandedOver ends the reader of a connection that a successor has.
+// errHandedOver ends the reader of a connection that was transferred to a successor.
 var errHandedOver = errors.New("handed over")
 
-// handOver gives the connection to a successor, if there is one. It is called by the connection's reader, between two messages, so that
-// nothing touches the connection until the successor has it or pass has failed.
+// handOver transfers the idle connection to the successor, and reports whether it did. It is called by the connection's
+// reader, so that nothing else uses the connection until the successor has it or pass has failed.
 func (c *conn) handOver() bool {
 	c.server.mu.Lock()
 	pass := c.server.handOver
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -20,7 +20,7 @@
 	"plankrouter/internal/streaming"
 )
 
-// manualDispatcher is a dispatcher that answers when the test says so.
+// manualDispatcher is a dispatcher that responds when the test calls respondAll.
 type manualDispatcher struct {
 	mu      sync.Mutex
 	pending []*request.Request
@@ -35,7 +35,7 @@
 func (m *manualDispatcher) ClientGone(*request.Request) {}
 func (m *manualDispatcher) Ready() bool                 { return true }
 
-func (m *manualDispatcher) answerAll() {
+func (m *manualDispatcher) respondAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.pending {
@@ -44,11 +44,11 @@
 	m.pending = nil
 }
 
-// pipeListener is a listener of pipes that can be paused, like a TCP listener by a deadline.
+// pipeListener is a listener for pipes that can be paused, as a TCP listener can by a deadline.
 type pipeListener struct {
 	conns  chan net.Conn
 	mu     sync.Mutex
-	paused chan struct{} // closed while accepting must fail
+	paused chan struct{} // closed while Accept has to fail
 	closed chan struct{}
 	once   sync.Once
 }
@@ -91,7 +91,7 @@
 func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// testServer is a server with its listener and dispatcher.
+// testServer is a Server with its listener and dispatcher.
 type testServer struct {
 	*Server
 	manual   *manualDispatcher
@@ -109,7 +109,7 @@
 	return s
 }
 
-// sharedConn is a connection of which two processes may have a copy: it is closed when both are.
+// sharedConn is a connection of which two processes may have a copy: it is closed when both copies are.
 type sharedConn struct {
 	net.Conn
 	copies atomic.Int32
@@ -130,20 +130,21 @@
 
 func (s *testServer) connect() *testClient {
 	serverEnd, clientEnd := net.Pipe()
-	one := &sharedConn{Conn: serverEnd}
-	one.copies.Store(1)
-	s.listener.conns <- one
+	conn := &sharedConn{Conn: serverEnd}
+	conn.copies.Store(1)
+	s.listener.conns <- conn
 	synctest.Wait()
 	return &testClient{clientEnd, bufio.NewReader(clientEnd)}
 }
 
 func (c *testClient) sendRequest(id string) {
 	c.SetDeadline(time.Now().Add(time.Second))
-	_, _ = c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n\r\n")) // readStatus says whether it is closed
+	_, _ = c.Write([]byte("GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n\r\n")) // readStatus detects a close
 	synctest.Wait()
 }
 
-// readStatus is what the client gets: an answer's status, "closed", or "nothing".
+// readStatus returns what the client receives: the status of a response, "closed" or "nothing". " last" follows the status if
+// the response announces the close.
 func (c *testClient) readStatus() string {
 	synctest.Wait()
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -165,15 +166,15 @@
 	return "closed"
 }
 
-// Connections go to a successor one by one, between two messages, with a note of what their clients have sent, and are served there;
-// one whose request is under way goes after its answer, and no connection is accepted here any more.
+// Idle connections are transferred to a successor one by one, with a note of what their clients have sent, and are served
+// there. One with a request in flight is transferred after the response. The predecessor accepts no further connections.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		old, next := newTestServer(ctx, t), newTestServer(ctx, t)
 		fresh, idle, busy := old.connect(), old.connect(), old.connect()
 		idle.sendRequest("a")
-		old.manual.answerAll()
+		old.manual.respondAll()
 		if got := idle.readStatus(); got != "200" {
 			t.Fatalf("before: %s", got)
 		}
@@ -181,7 +182,7 @@
 		done := next.Expect()
 		var mu sync.Mutex
 		notes := map[string]int{}
-		left := old.HandOver(func(c net.Conn, note []byte) error {
+		handedOver := old.HandOver(func(c net.Conn, note []byte) error {
 			mu.Lock()
 			defer mu.Unlock()
 			notes[string(note)]++
@@ -189,47 +190,48 @@
 			next.Adopt(c, note)
 			return nil
 		})
-		late := old.connect() // it came before the listener was stopped
+		late := old.connect() // established before the listener was paused
 		old.listener.pause(true)
 		synctest.Wait()
 		select {
-		case <-left:
-			t.Error("nothing is left, with a request under way")
+		case <-handedOver:
+			t.Error("all connections are reported as handed over, with a request in flight")
 		default:
 		}
-		time.Sleep(3 * time.Second) // one that has sent a message may be idle for longer than one that has not
+		time.Sleep(3 * time.Second) // a connection that has sent a message may be idle for longer than one that has not
 		for _, c := range []*testClient{fresh, late} {
 			if got := c.readStatus(); got != "closed" {
-				t.Errorf("one that sends nothing: %s", got)
+				t.Errorf("connection without a message: %s", got)
 			}
 		}
 		if !old.IsHandingOver() || notes[""] != 2 || notes[noteHasSentRequest] != 1 || len(notes) != 2 {
-			t.Errorf("passing %t, with notes %v", old.IsHandingOver(), notes)
+			t.Errorf("handing over %t, with notes %v", old.IsHandingOver(), notes)
 		}
 		idle.sendRequest("c")
-		next.manual.answerAll()
+		next.manual.respondAll()
 		if got := idle.readStatus(); got != "200" {
-			t.Errorf("one that had sent a message, at the successor: %s", got)
+			t.Errorf("connection with an earlier message, at the successor: %s", got)
 		}
-		old.manual.answerAll()
+		old.manual.respondAll()
 		if got := busy.readStatus(); got != "200" {
-			t.Errorf("the request under way: %s", got)
+			t.Errorf("request in flight: %s", got)
 		}
 		synctest.Wait()
 		select {
-		case <-left:
+		case <-handedOver:
 		default:
-			t.Error("connections are left")
+			t.Error("connections are left after the last response")
 		}
 		busy.sendRequest("e")
-		next.manual.answerAll()
+		next.manual.respondAll()
 		if got := busy.readStatus(); got != "200" || notes[noteHasSentRequest] != 2 || next.Adopted.Load() != 4 {
-			t.Errorf("after its answer: %s, with notes %v", got, notes)
+			t.Errorf("after its response: %s, with notes %v", got, notes)
 		}
-		// Draining, the successor ends the adopted connections with their last answer, and waits for those that may still come.
+		// While draining, the successor closes the adopted connections after their last response, and waits for those still
+		// to be adopted.
 		next.Drain(next.listener)
 		if got := idle.readStatus(); got != "closed" {
-			t.Errorf("an idle one: %s", got)
+			t.Errorf("idle connection: %s", got)
 		}
 		serverEnd, clientEnd := net.Pipe()
 		c := &testClient{clientEnd, bufio.NewReader(clientEnd)}
@@ -237,13 +239,13 @@
 		synctest.Wait()
 		next.Adopt(serverEnd, []byte(noteHasSentRequest))
 		synctest.Wait()
-		next.manual.answerAll()
+		next.manual.respondAll()
 		if got := c.readStatus(); got != "200 last" && got != "closed" {
-			t.Errorf("one that came late: %s", got)
+			t.Errorf("connection adopted while draining: %s", got)
 		}
 		select {
 		case err := <-next.done:
-			t.Error("the successor's Serve has returned while more may come", err)
+			t.Error("the successor's Serve has returned while more connections may be adopted:", err)
 		default:
 		}
 		done()
@@ -258,32 +260,32 @@
 	})
 }
 
-// A successor that is lost, or does not take a connection, leaves everything as it was.
+// If the successor is lost, or accepts no connection, the predecessor keeps serving all connections, including new ones.
 func TestHandOverLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newTestServer(ctx, t)
 		fresh, idle := s.connect(), s.connect()
 		idle.sendRequest("a")
-		s.manual.answerAll()
+		s.manual.respondAll()
 		idle.readStatus()
 		var attempts atomic.Int32
-		left := s.HandOver(func(net.Conn, []byte) error { attempts.Add(1); return errors.New("lost") })
+		handedOver := s.HandOver(func(net.Conn, []byte) error { attempts.Add(1); return errors.New("lost") })
 		s.listener.pause(true)
 		synctest.Wait()
 		s.listener.pause(false)
 		s.Resume()
 		if synctest.Wait(); attempts.Load() != 2 || s.IsHandingOver() {
-			t.Errorf("%d tries, passing %t", attempts.Load(), s.IsHandingOver())
+			t.Errorf("%d transfers attempted, handing over %t", attempts.Load(), s.IsHandingOver())
 		}
 		select {
-		case <-left:
+		case <-handedOver:
 			t.Error("nothing is left")
 		default:
 		}
 		for i, c := range []*testClient{idle, fresh, s.connect()} {
 			c.sendRequest([]string{"b", "c", "d"}[i])
-			s.manual.answerAll()
+			s.manual.respondAll()
 			if got := c.readStatus(); got != "200" {
 				t.Errorf("connection %d: %s", i, got)
 			}
@@ -295,27 +297,27 @@
 	})
 }
 
-// After Stay connections remain open, however long they are idle and however scarce sockets are.
-func TestStayKeepsIdleConnections(t *testing.T) {
-	for stay, want := range map[bool]string{true: "200", false: "closed"} {
+// After KeepIdle, connections remain open however long they are idle and however scarce sockets are.
+func TestKeepIdleKeepsConnectionsOpen(t *testing.T) {
+	for keepIdle, want := range map[bool]string{true: "200", false: "closed"} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			s := newTestServer(ctx, t)
-			for range 9 { // more than half of the places
+			for range 9 { // more than half of the sockets
 				s.budget.Reserve(connlimit.Outward)
 			}
 			c := s.connect()
 			c.sendRequest("a")
-			s.manual.answerAll()
+			s.manual.respondAll()
 			c.readStatus()
-			if stay {
+			if keepIdle {
 				s.KeepIdle()
 			}
 			time.Sleep(3 * idleCheckInterval)
 			c.sendRequest("b")
-			s.manual.answerAll()
+			s.manual.respondAll()
 			if got := c.readStatus(); got != want {
-				t.Errorf("stay %t: %s, want %s", stay, got, want)
+				t.Errorf("KeepIdle %t: %s, want %s", keepIdle, got, want)
 			}
 			cancel()
 			if err := <-s.done; err != nil {
@@ -325,19 +327,19 @@
 	}
 }
 
-// Drain ends Serve during a handover, too.
+// Drain makes Serve return during a handover, too.
 func TestDrainEndsAPausedServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t.Context(), t)
-		left := s.HandOver(func(net.Conn, []byte) error { return nil })
+		handedOver := s.HandOver(func(net.Conn, []byte) error { return nil })
 		synctest.Wait()
 		select {
-		case <-left:
-			t.Error("nothing is left, while connections may still come in")
+		case <-handedOver:
+			t.Error("all connections are reported as handed over, while new ones may still be accepted")
 		default:
 		}
 		s.listener.pause(true)
-		<-left
+		<-handedOver
 		s.Drain(s.listener)
 		if err := <-s.done; err != nil {
 			t.Error(err)
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// waitForMessage waits for the first byte of a message. The read deadline passes when the idle connection has to end, or when it is
-// time for a look whether it has to. A message that has come in just before that is still served, as the last one.
+// waitForMessage waits for the first byte of a message. The read deadline expires when the idle connection has to be closed
+// or handed over, or when that has to be checked. A message that arrives just before the close is still served, as the last
+// one.
 func (c *conn) waitForMessage() error {
 	for {
 		_, err := c.reader.Peek(1)
@@ -28,25 +29,25 @@
 	}
 }
 
-// keepAlive reports whether the idle connection may stay until the next look. Once sockets are scarce it may not for long: a client
-// that has sent no request for a while can open another connection.
+// keepAlive reports whether the idle connection may stay open until the next check. While sockets are scarce, it may only up to
+// idleCheckInterval: a client that has sent no request for a while can open another connection.
 func (c *conn) keepAlive() bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	idle := time.Since(c.idleSince)
-	if !c.hasSentMessage { // it is here before its time only if a handover has failed
+	if !c.hasSentMessage { // a check before idleCheckInterval happens only after a failed handover
 		return idle < idleCheckInterval && !s.draining && c.socket.ExtendReadDeadline(c.idleSince.Add(idleCheckInterval))
 	}
-	mayStay := idle < maxIdle && (idle < idleCheckInterval || !s.budget.IsScarce())
-	return !s.draining && (mayStay || s.keepIdle) && c.socket.ExtendReadDeadline(time.Now().Add(idleCheckInterval))
+	mayKeepOpen := idle < maxIdle && (idle < idleCheckInterval || !s.budget.IsScarce())
+	return !s.draining && (mayKeepOpen || s.keepIdle) && c.socket.ExtendReadDeadline(time.Now().Add(idleCheckInterval))
 }
 
-// shortenIdle ends the connection once it has been idle for so long from now. Its reader closes it, not the caller: a request that
-// the reader has just got would be lost.
+// shortenIdle sets the read deadline of the idle connection to the given time from now. The connection is then closed by its
+// reader, not by the caller, so that a request that the reader has just received is not lost.
 func (c *conn) shortenIdle(after time.Duration) { c.socket.SetReadDeadline(time.Now().Add(after)) }
 
-// markIdle marks the connection as one between two messages.
+// markIdle marks the connection as idle, so that it may be evicted.
 func (c *conn) markIdle() {
 	if c.hasSentRequest {
 		c.socket.MarkIdle(minIdleAge)
@@ -56,7 +57,8 @@
 	c.setBusy(false)
 }
 
-// setBusy notes whether a message is under way. A connection without one ends while draining or handing over.
+// setBusy records whether a message is in progress. An idle connection is closed while draining, and handed over during a
+// handover.
 func (c *conn) setBusy(busy bool) {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/lastaccept.go
+++ b/internal/frontend/lastaccept.go
@@ -11,14 +11,15 @@
 	"plankrouter/internal/sockopt"
 )
 
-// acceptLast accepts what waits in the listener's backlog and closes the listener, then the connections that are idle: a client whose
-// connection is closed may connect again at once, and would be lost between the last look at the backlog and the close. If accepting
-// fails or places are short, idle connections make room first.
-func (s *Server) acceptLast(ctx context.Context, l net.Listener) {
+// acceptBacklog accepts the connections in the listener's backlog, closes the listener, and then closes the idle connections.
+// In the other order a client whose connection was closed could reconnect immediately, and be reset if it came between the
+// last check of the backlog and the close of the listener. If accepting fails or there are too few slots, idle connections
+// are closed earlier to free some.
+func (s *Server) acceptBacklog(ctx context.Context, l net.Listener) {
 	defer s.lockAndCloseIdle()
 	defer l.Close()
-	for !s.isDrainingFor(maxLastAccept) && ctx.Err() == nil {
-		if s.acceptRest(l) {
+	for !s.isDrainingFor(maxBacklogAccept) && ctx.Err() == nil {
+		if s.acceptUntilBacklogEmpty(l) {
 			return
 		}
 		s.lockAndCloseIdle()
@@ -30,26 +31,26 @@
 	}
 }
 
-// acceptRest accepts until the backlog is empty; false = it has to be tried again.
-func (s *Server) acceptRest(l net.Listener) (empty bool) {
-	for !s.isDrainingFor(maxLastAccept) {
+// acceptUntilBacklogEmpty accepts connections until the backlog is empty; false = it has to be called again.
+func (s *Server) acceptUntilBacklogEmpty(l net.Listener) (empty bool) {
+	for !s.isDrainingFor(maxBacklogAccept) {
 		closed, err := sockopt.CloseIfBacklogEmpty(l)
 		if closed {
 			return true
 		}
 		if !s.budget.Reserve(connlimit.Inward) {
-			if (s.isDrainingFor(maxBacklogWait) || s.rejectsAtOnce()) && s.rejectConnection(l) {
+			if (s.isDrainingFor(maxBacklogWait) || s.rejectsImmediately()) && s.rejectConnection(l) {
 				continue
 			}
 			return false
 		}
 		if d, ok := l.(deadlineListener); ok {
-			_ = d.SetDeadline(time.Now().Add(lastAcceptTimeout)) // it fails on a closed listener, which accept reports
+			_ = d.SetDeadline(time.Now().Add(lastAcceptTimeout)) // fails if the listener is closed, which accept reports below
 		}
 		c, acceptErr := accept(l)
 		if acceptErr != nil {
 			s.budget.Release(connlimit.Inward)
-			// Where the backlog can't be looked at, a time-out is what says that it is empty.
+			// Where the platform does not report the backlog's length, a timeout means that it is empty.
 			return errors.Is(acceptErr, net.ErrClosed) ||
 				errors.Is(err, errors.ErrUnsupported) && errors.Is(acceptErr, os.ErrDeadlineExceeded)
 		}
@@ -61,7 +62,7 @@
 // deadlineListener is a listener whose Accept can time out.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// isDrainingFor reports whether draining started at least so long ago.
+// isDrainingFor reports whether draining started at least duration ago.
 func (s *Server) isDrainingFor(duration time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -12,11 +12,11 @@
 	"plankrouter/internal/streaming"
 )
 
-// errNoMemory says that the bounds leave no memory for a body.
+// errNoMemory means that the bounds leave no memory for a body.
 var errNoMemory = errors.New("no memory left for the body")
 
-// readMessage reads one message: a request, or an answer to it that needs no server. Another outcome than Open says that there is
-// neither.
+// readMessage reads one message, and returns either a request or, if it needs no server, the response to it. An outcome other
+// than Open means that no message could be read.
 func (c *conn) readMessage() (*request.Request, *http1.Response, outcome.Kind) {
 	c.startReading()
 	message, err := c.readHTTP()
@@ -37,7 +37,7 @@
 	return r, nil, outcome.Open
 }
 
-// startReading sets the time for a message whose first byte has come.
+// startReading sets the read deadline for a message whose first byte was received.
 func (c *conn) startReading() {
 	began := time.Now()
 	until := began.Add(headTimeout)
@@ -59,10 +59,10 @@
 	}
 	c.upload = nil
 	c.pace = nil
-	c.releaseMemory() // of a message that was rejected
+	c.releaseMemory() // of a previous message that was rejected
 }
 
-// readHTTP reads a message with its body, or with the beginning of a long one.
+// readHTTP reads a message with its body, or with the beginning of a long body.
 func (c *conn) readHTTP() (*http1.Request, error) {
 	message, err := http1.ReadRequest(c.reader)
 	if err != nil {
@@ -79,7 +79,8 @@
 	return message, c.readBody(message)
 }
 
-// rejectionStatus is the status that says to the client why its message could not be read; 0 = the client is gone, or err is nil.
+// rejectionStatus returns the HTTP status for a message that could not be read because of err; 0 = the client is gone, or err
+// is nil.
 func (c *conn) rejectionStatus(err error) int {
 	switch {
 	case err == nil:
@@ -90,7 +91,7 @@
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, http1.ErrMalformed):
 		return http.StatusBadRequest
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isDraining(): // it was never sent to a server
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.server.isDraining(): // the request was not sent to a server
 		return http.StatusServiceUnavailable
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout
@@ -98,7 +99,7 @@
 	return 0
 }
 
-// healthResponse says whether this instance is ready.
+// healthResponse returns the response to a health check: 200 if this instance is ready, otherwise 503.
 func (c *conn) healthResponse(message *http1.Request) *http1.Response {
 	status := http.StatusServiceUnavailable
 	if c.server.dispatcher.Ready() {
@@ -107,7 +108,7 @@
 	return &http1.Response{Status: status, Close: message.Close}
 }
 
-// newRequest makes the message a request for the dispatcher, or returns nil and the status with which it is rejected.
+// newRequest translates the message into a request for the dispatcher, or returns nil and the status with which it is rejected.
 func (c *conn) newRequest(message *http1.Request) (*request.Request, int) {
 	translator := c.server.translator.Load()
 	now := time.Now()
@@ -116,7 +117,7 @@
 	if r == nil {
 		return nil, status
 	}
-	c.unansweredID.Store(&r.ID)
+	c.pendingRequestID.Store(&r.ID)
 	c.hasSentRequest = true
 	c.class = translator.names[r.Class]
 	r.ClientGone = c.socket.HasPeerLeft
@@ -128,37 +129,37 @@
 		r.Remainder = c.upload
 	}
 	c.pace = nil
-	r.Respond = func(a request.Response) { // never blocks: the channel has room for the one answer
-		response := encodeResponse(a)
-		response.Bodiless = a.Kind == request.Served && message.Method == http.MethodHead
-		response.Close = message.Close || a.Remainder != nil && a.Remainder.Length() < 0 && message.IsHTTP10
-		c.deliver(response, a.Remainder, message.IsHTTP10)
+	r.Respond = func(result request.Response) { // never blocks: the channel has room for the only response
+		response := encodeResponse(result)
+		response.Bodiless = result.Kind == request.Served && message.Method == http.MethodHead
+		response.Close = message.Close || result.Remainder != nil && result.Remainder.Length() < 0 && message.IsHTTP10
+		c.deliver(response, result.Remainder, message.IsHTTP10)
 	}
 	return r, 0
 }
 
-// Read reads from the socket, and extends the time of a body that makes progress.
+// Read reads from the socket, and extends the read deadline of a body that makes progress.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.socket.Read(p)
 	if c.pace != nil && n > 0 {
-		c.pace.Got += int64(n)
+		c.pace.Received += int64(n)
 		c.extendBodyDeadline(c.pace.Deadline(time.Now()))
 	}
 	return n, err
 }
 
-// readBody reads the body, or the beginning of a long one.
+// readBody reads the body, or the beginning of a long body.
 func (c *conn) readBody(message *http1.Request) error {
 	if message.Length() < 0 || message.Length() > int64(c.reader.Buffered()) {
 		now := time.Now()
-		c.pace = &streaming.Pace{Began: now}
+		c.pace = &streaming.Pace{StartedAt: now}
 		c.extendDeadline(c.pace.Deadline(now))
 	}
 	return message.ReadFirst(c.reader)
 }
 
-// reserveMemory reserves the memory for the part of the body that is kept, unless that is in the reader's buffer, and reports whether
-// the bounds leave it.
+// reserveMemory reserves memory for the part of the body that is read before the request is submitted, unless the reader's
+// buffer has the whole body already. It returns false if the bounds do not leave enough.
 func (c *conn) reserveMemory(message *http1.Request) bool {
 	n := message.Length()
 	if n < 0 || n > http1.MaxBody {
@@ -180,7 +181,8 @@
 	c.reservedBytes = 0
 }
 
-// extendDeadline gives the message that is being read until t, or less while draining. False means that the connection is evicted.
+// extendDeadline sets the read deadline of a message to t, or to an earlier time while draining. False means that the
+// connection is evicted.
 func (c *conn) extendDeadline(t time.Time) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -194,8 +196,8 @@
 	c.socket.SetReadDeadline(c.server.boundByDrain(t))
 }
 
-// extendBodyDeadline gives a body until t. While draining a body that belongs to no request yet gets less, see extendDeadline; one that
-// is streamed to a server goes on until its request is answered.
+// extendBodyDeadline sets the read deadline of a body to t. While draining, extendDeadline makes it earlier for a body whose
+// request is not submitted yet; a body that is streamed to a server may continue until the response to its request.
 func (c *conn) extendBodyDeadline(t time.Time) {
 	if c.upload == nil {
 		c.extendDeadline(t)
@@ -204,8 +206,8 @@
 	}
 }
 
-// finishReading notes that the message is complete, and removes its deadline. Both under one lock, so that closeIdle sets no deadline
-// in between.
+// finishReading records that the message is complete, and removes its deadline. It holds the lock for both, so that closeIdle
+// sets no deadline in between.
 func (c *conn) finishReading() error {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -213,7 +215,7 @@
 	return c.socket.SetReadDeadline(time.Time{})
 }
 
-// setReading notes whether a part of a message has come.
+// setReading records whether a message is received in part.
 func (c *conn) setReading(reading bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
--- a/internal/frontend/reject.go
+++ b/internal/frontend/reject.go
@@ -9,11 +9,11 @@
 	"plankrouter/internal/sockopt"
 )
 
-// rejectsAtOnce reports whether connections that find no place are rejected at once.
-func (s *Server) rejectsAtOnce() bool { return time.Now().Before(s.rejectUntil) }
+// rejectsImmediately reports whether connections beyond the limit are rejected immediately.
+func (s *Server) rejectsImmediately() bool { return time.Now().Before(s.rejectUntil) }
 
-// rejectConnection accepts a connection for which there is no place, to refuse the request that it sends. False means that none waits in
-// the backlog, or that there is no place for a rejection either.
+// rejectConnection accepts a connection beyond the limit in order to reject its request. It returns false if none waits in
+// the backlog, or if the limit on rejected connections is reached, too.
 func (s *Server) rejectConnection(l net.Listener) bool {
 	waiting, err := sockopt.HasBacklog(l)
 	if err != nil || !waiting || !s.budget.ReserveForRejection() {
@@ -28,7 +28,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &conn{
-		server: s, socket: s.budget.AdoptForRejection(accepted), acceptedAt: time.Now(), acceptedLast: true, rejected: true,
+		server: s, socket: s.budget.AdoptForRejection(accepted), acceptedAt: time.Now(), awaitsFirstRequest: true, rejected: true,
 	}
 	c.idleSince = c.acceptedAt
 	s.conns[c] = false
@@ -37,15 +37,15 @@
 	return true
 }
 
-// rejection is the answer to a message that is not submitted as a request.
+// rejection returns the response to a message that is not submitted as a request, and counts it.
 func (c *conn) rejection(status int, closeConn bool) *http1.Response {
 	c.server.Rejected.Add(1)
 	return &http1.Response{Status: status, Close: closeConn}
 }
 
-// lingerForClose waits a little for the client's close; meanwhile the connection makes room before any other. Bytes that the client has
-// sent beyond its request would turn a plain close into a reset, which could overtake the answer. A flood is not read to its end: the
-// answer gets a moment to arrive.
+// lingerForClose waits for the client to close the connection, which meanwhile is the first to be evicted. It discards what
+// the client has sent beyond its request, because closing with unread bytes sends a reset, which could overtake the response.
+// It stops reading after maxLingerBytes, and then waits for floodDelay so that the response can arrive.
 func (c *conn) lingerForClose() {
 	c.socket.MarkUnused(0)
 	if n, _ := io.CopyN(io.Discard, c.reader, maxLingerBytes); n == maxLingerBytes {
@@ -53,7 +53,7 @@
 	}
 }
 
-// lingerTime is how long the connection waits for its client's close.
+// lingerTime returns how long the connection waits for the client to close it.
 func (c *conn) lingerTime() time.Duration {
 	switch {
 	case c.rejected:
--- a/internal/frontend/reject_test.go
+++ b/internal/frontend/reject_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// pendingCount is how many requests have no answer yet.
+// pendingCount returns the number of requests without a response.
 func (m *manualDispatcher) pendingCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.pending)
 }
 
-// dialAndSend sends the listener a request with that number as its id on a new connection.
+// dialAndSend opens a connection to the listener and sends a request with the number as its id.
 func dialAndSend(t *testing.T, l net.Listener, number int) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -27,12 +27,12 @@
 	return c
 }
 
-// If a process has more clients than places, all of them busy, the others' connections wait in the kernel's backlog, where a request counts
-// as accepted. They are rejected while there is time to say so, not answered long after their clients have stopped waiting.
-func TestConnectionsBeyondAllPlacesAreRejected(t *testing.T) {
-	const places = 16 // eight of them for clients
+// While all sockets for clients are busy, further connections wait in the kernel's backlog, where a request counts as
+// accepted. They are rejected before their deadline, rather than served long after their clients have stopped waiting.
+func TestConnectionsBeyondLimitAreRejected(t *testing.T) {
+	const sockets = 16 // eight of them for clients
 	dispatcher := new(manualDispatcher)
-	s, l, done := serveBehindGate(t, dispatcher, places)
+	s, l, done := serveBehindGate(t, dispatcher, sockets)
 	close(l.gate)
 	var all []net.Conn
 	defer func() {
@@ -49,46 +49,46 @@
 		all = append(all, c)
 		return c
 	}
-	for i := range places / 2 {
+	for i := range sockets / 2 {
 		connect(i)
 	}
-	for began := time.Now(); dispatcher.pendingCount() < places/2; time.Sleep(time.Millisecond) {
+	for began := time.Now(); dispatcher.pendingCount() < sockets/2; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
-			t.Fatalf("%d of %d requests are submitted", dispatcher.pendingCount(), places/2)
+			t.Fatalf("%d of %d requests are submitted", dispatcher.pendingCount(), sockets/2)
 		}
 	}
 	began := time.Now()
 	var beyond []net.Conn
-	for i := range 3 * places {
-		beyond = append(beyond, connect(places+i))
+	for i := range 3 * sockets {
+		beyond = append(beyond, connect(sockets+i))
 	}
 	for i, c := range beyond {
-		c.SetDeadline(began.Add(2500 * time.Millisecond)) // the deadline
+		c.SetDeadline(began.Add(2500 * time.Millisecond)) // the client's deadline
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-			t.Fatalf("request %d beyond all places: %v, %v", i, resp, err)
+			t.Fatalf("request %d beyond the limit: %v, %v", i, resp, err)
 		}
 	}
-	if n := dispatcher.pendingCount(); n != places/2 {
-		t.Errorf("%d requests are submitted, %d have a place", n, places/2)
+	if n := dispatcher.pendingCount(); n != sockets/2 {
+		t.Errorf("%d requests are submitted, want %d", n, sockets/2)
 	}
 }
 
-// Clients that find no place after a quiet time wait in the backlog for a moment, since a place may become free: they are not rejected for
-// the time in which nobody came.
-func TestNoRejectionAtOnceAfterAQuietTime(t *testing.T) {
-	const places = 8 // four of them for clients
+// A client that finds no free slot after a time without new clients waits in the backlog for maxBacklogWait, since a slot may
+// become free: the time without clients does not count as waiting for a slot.
+func TestNoImmediateRejectionAfterIdlePeriod(t *testing.T) {
+	const sockets = 8 // four of them for clients
 	dispatcher := new(manualDispatcher)
-	s, l, done := serveBehindGate(t, dispatcher, places)
+	s, l, done := serveBehindGate(t, dispatcher, sockets)
 	close(l.gate)
 	var all []net.Conn
-	for i := range places/2 + 1 {
-		if i == places/2-1 {
-			time.Sleep(2 * maxBacklogWait) // nobody comes
+	for i := range sockets/2 + 1 {
+		if i == sockets/2-1 {
+			time.Sleep(2 * maxBacklogWait) // no client connects
 		}
 		c := dialAndSend(t, l, i)
 		defer c.Close()
-		for began := time.Now(); i < places/2 && dispatcher.pendingCount() < i+1; time.Sleep(time.Millisecond) {
+		for began := time.Now(); i < sockets/2 && dispatcher.pendingCount() < i+1; time.Sleep(time.Millisecond) {
 			if time.Since(began) > 10*time.Second {
 				t.Fatalf("request %d is not submitted", i)
 			}
@@ -99,10 +99,10 @@
 	last := all[len(all)-1]
 	last.SetReadDeadline(began.Add(10 * time.Second))
 	if _, err := http.ReadResponse(bufio.NewReader(last), nil); err != nil || time.Since(began) < maxBacklogWait/2 {
-		t.Errorf("the one without a place is rejected after %s: %v", time.Since(began), err)
+		t.Errorf("the connection beyond the limit is rejected after %s: %v", time.Since(began), err)
 	}
 	s.Drain(l)
-	dispatcher.answerAll()
+	dispatcher.respondAll()
 	for _, c := range all {
 		c.Close()
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,5 +1,5 @@
-// Package frontend serves the clients' connections: it turns what they send over HTTP/1.1 into requests for the dispatcher, and
-// the dispatcher's answers into HTTP.
+// Package frontend serves the clients' connections: it translates HTTP/1.1 messages into requests for the dispatcher, and the
+// dispatcher's responses into HTTP.
 package frontend
 
 import (
@@ -27,33 +27,33 @@
 	bounds     *streaming.Bounds
 	translator atomic.Pointer[translator]
 
-	// Invariants counts the requests whose connection was ended without their answer; nil = nothing does. Set it before Serve.
+	// Invariants counts the requests whose connection was closed without a response; may be nil. It must be set before Serve.
 	Invariants *invariant.Recorder
-	// Trace logs a line for each connection as it ends; nil = nothing does. Set it before Serve.
+	// Trace logs a line for each connection that ends; nil = no log. It must be set before Serve.
 	Trace func(format string, args ...any)
 
 	Connections, Adopted, Rejected atomic.Int64
 
-	mu             sync.Mutex
-	conns          map[*conn]bool               // true = a message is under way
-	keepIdle       bool                         // idle connections stay open: a client that lost one could not open another
-	handOver       func(net.Conn, []byte) error // passes an idle connection to a successor; nil = there is no successor
-	allHandedOver  chan struct{}                // closed when the last connection has ended, once there is a successor
-	resumed        chan struct{}                // closed when there is no successor any more
-	acceptPaused   bool                         // no connection is accepted during the handover
-	drainStarted   chan struct{}                // closed by Drain
-	stopped        chan struct{}                // closed by closeAll
-	running        errgroup.Group               // the connections' goroutines
-	serving        bool                         // Serve has been called
-	draining       bool
-	drainStartedAt time.Time
-	partialUntil   time.Time // while draining, requests of which a part has come are read until then
-	outcomes       outcome.Counts
+	mu                     sync.Mutex
+	conns                  map[*conn]bool               // true = a message is being received or responded to
+	keepIdle               bool                         // idle connections stay open, because clients can't open new ones
+	handOver               func(net.Conn, []byte) error // transfers a connection and its note to a successor; nil = no handover
+	allHandedOver          chan struct{}                // closed when no connection is left during a handover
+	resumed                chan struct{}                // closed by Resume; set by HandOver
+	acceptPaused           bool                         // accepting has stopped for the handover
+	drainStarted           chan struct{}                // closed by Drain
+	stopped                chan struct{}                // closed by closeAll
+	running                errgroup.Group               // the connections' goroutines
+	serving                bool                         // Serve has been called
+	draining               bool
+	drainStartedAt         time.Time
+	partialRequestDeadline time.Time // while draining, the deadline for requests that are received in part
+	outcomes               outcome.Counts
 
-	rejectUntil time.Time // until then connections that find no place are rejected at once; only the accepting goroutine uses it
+	rejectUntil time.Time // until when connections beyond the limit are rejected immediately; used by the accepting goroutine alone
 }
 
-// New returns a Server that submits requests to the dispatcher, and counts in registry how they end.
+// New returns a Server that submits requests to the dispatcher, and counts their outcomes in registry.
 func New(cfg *config.Config, dispatcher request.Dispatcher, budget *connlimit.Budget, registry *metrics.Registry, bounds *streaming.Bounds) *Server {
 	s := &Server{
 		dispatcher: dispatcher, budget: budget, metrics: registry, bounds: bounds, conns: map[*conn]bool{},
@@ -63,20 +63,20 @@
 	return s
 }
 
-// Reconfigure replaces the classes and tenants from the next request on.
+// Reconfigure replaces the classes and tenants; they apply from the next request on.
 func (s *Server) Reconfigure(settings *config.Settings) {
 	s.metrics.Classes(settings.ClassNames()...)
 	s.translator.Store(newTranslator(settings))
 }
 
-// Outcomes returns how the connections have ended so far.
+// Outcomes returns the number of connections that have ended so far, by outcome.
 func (s *Server) Outcomes() outcome.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outcomes
 }
 
-// Open is the number of clients' connections.
+// Open returns the number of open client connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	return s.serving && !s.draining && s.handOver == nil
 }
 
-// removeConn forgets a connection that has ended, and counts how.
+// removeConn removes a connection that has ended, and counts its outcome.
 func (s *Server) removeConn(c *conn, how outcome.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Idle connections, and what a client has time for.
+// Timeouts of idle connections and of messages.
 const (
-	idleCheckInterval   = 2 * time.Second // between looks whether an idle connection may stay; one that has sent nothing yet may not
+	idleCheckInterval   = 2 * time.Second // between checks of an idle connection; one that sent no message is closed
 	maxIdle             = time.Minute
-	headTimeout         = 2700 * time.Millisecond // for a request's head, from its first byte
-	firstHeadTimeout    = 2700 * time.Millisecond // for the first one's, from when its connection was accepted
-	writeTimeout        = 10 * time.Second        // for an answer, or for each piece of a streamed one
-	clientCheckInterval = 100 * time.Millisecond  // between looks whether a client has left whose bytes are still unread
+	headTimeout         = 2700 * time.Millisecond // for reading the head of a request, from its first byte
+	firstHeadTimeout    = 2700 * time.Millisecond // for the first request on a connection, from when that was accepted
+	writeTimeout        = 10 * time.Second        // for a response, or for each piece of a streamed one
+	clientCheckInterval = 100 * time.Millisecond  // interval of the check whether a client is gone while its bytes are unread
 )
 
-// The end of a connection, while the client still has to read the answer.
+// Closing a connection while the client still has to read the response.
 const (
-	maxLingerBytes = 128 << 10 // that are read and dropped
+	maxLingerBytes = 128 << 10 // the most that is read and discarded
 	lingerTimeout  = 500 * time.Millisecond
-	drainLinger    = 50 * time.Millisecond  // instead of lingerTimeout while draining: the process may be killed soon
-	floodDelay     = 100 * time.Millisecond // before the close if more than maxLingerBytes come
+	drainLinger    = 50 * time.Millisecond  // replaces lingerTimeout while draining, because the process may be killed soon
+	floodDelay     = 100 * time.Millisecond // before the close if maxLingerBytes or more arrive
 )
 
 // Accepting connections.
 const (
 	acceptRetryInterval = 5 * time.Millisecond
-	lastAcceptTimeout   = time.Millisecond       // for a look at the backlog while draining
-	maxLastAccept       = 300 * time.Millisecond // for retrying that look: the backlog has been accepted by then, or the kill is 0.5 s away or more
+	lastAcceptTimeout   = time.Millisecond       // while draining, for one accept, and between two attempts to empty the backlog
+	maxBacklogAccept    = 300 * time.Millisecond // for emptying the backlog: then it is empty, or the kill 0.5 s away or more
 )
 
-// Rejecting connections for which there is no place.
+// Rejecting connections beyond the limit.
 const (
-	maxBacklogWait          = 100 * time.Millisecond // after so long without a place those in the backlog are rejected, while there is time to say so
-	rejectionPeriod         = time.Second            // after a long wait in the backlog those that find no place are rejected at once, for so long
-	rejectionRequestTimeout = 50 * time.Millisecond  // for the request of a rejected connection to begin
-	rejectionReadTimeout    = 100 * time.Millisecond // and for the rest of it
-	rejectionLinger         = 10 * time.Millisecond  // instead of lingerTimeout: others wait for its place
+	maxBacklogWait          = 100 * time.Millisecond // without a free slot before rejections start, while clients still wait
+	rejectionPeriod         = time.Second            // of immediate rejections after a connection has waited for maxBacklogWait
+	rejectionRequestTimeout = 50 * time.Millisecond  // for the first byte of a rejected connection's request
+	rejectionReadTimeout    = 100 * time.Millisecond // for the rest of that request
+	rejectionLinger         = 10 * time.Millisecond  // replaces lingerTimeout, because other connections wait to be rejected
 )
 
-// partialRequestTimeout is for the rest of a request that has begun to come as draining starts.
+// partialRequestTimeout is the time for the rest of a request that is received in part when draining starts.
 const partialRequestTimeout = 20 * time.Millisecond
 
-// When a connection may be evicted to make room. A client opens a connection when all it has are busy, so that one that has just been
-// answered is about to carry a request, which would be lost if the connection were closed. But a new connection waits to carry one
-// now, so that the oldest idle one goes even if none has been idle for long. A connection that was just accepted is about to carry a
-// request too, but that comes at once: those that have sent nothing by then go first.
+// How long a connection must have been idle before it may be evicted for a new one. A client opens a connection when all that
+// it has are busy, so a connection that has just received a response is about to carry another request, which would be lost
+// if the connection were closed. But a request is also waiting on the new connection, so the one that has been idle for
+// longest is evicted even if that is not long. A connection that was just accepted is about to carry a request, too, but that
+// arrives immediately: connections that have sent nothing after minUnusedAge are evicted first.
 const (
 	minIdleAge    = 100 * time.Millisecond
 	minUnusedAge  = 25 * time.Millisecond
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	noTenant           = -1   // the Tenant of a request that names none that is known
-	maxDeadlineSeconds = 3600 // that a client may ask for; it keeps a larger number from overflowing
+	noTenant           = -1   // the Tenant of a request that names no known tenant
+	maxDeadlineSeconds = 3600 // the longest timeout that a client may request, which keeps larger numbers from overflowing
 )
 
-// translator translates between the platform's HTTP and requests of the dispatcher.
+// translator translates between the platform's HTTP messages and the dispatcher's requests and responses.
 type translator struct {
-	classes     map[string]int  // by the first part of the path
+	classes     map[string]int  // by the first segment of the path
 	names       []string        // by class
-	maxTimeouts []time.Duration // how long a client waits at most, by class
-	methods     []string        // the one that a class goes with, by class
+	maxTimeouts []time.Duration // the longest time that a client waits, by class
+	methods     []string        // the HTTP method that a class requires, by class
 	tenants     map[string]int
 }
 
@@ -49,7 +49,7 @@
 	return t
 }
 
-// request makes a message a request for the dispatcher, or returns nil and the status with which it is rejected.
+// request translates a message into a request for the dispatcher, or returns nil and the status with which it is rejected.
 func (t *translator) request(message *http1.Request, sentAt time.Time) (*request.Request, int) {
 	target := originForm(message.Target)
 	class, status := t.class(message, target)
@@ -75,7 +75,7 @@
 	}, 0
 }
 
-// originForm turns the absolute form of a request target, as sent to proxies, into a path with its query.
+// originForm converts the absolute form of a request target, as sent to proxies, into a path with its query.
 func originForm(target string) string {
 	if u, err := url.Parse(target); err == nil && u.Scheme == "http" && u.Host != "" {
 		return u.RequestURI()
@@ -83,7 +83,8 @@
 	return target
 }
 
-// class finds the class by the first part of the path, and checks the method; status 0 = they fit.
+// class returns the class that the first segment of the path names. Status is 0, or the HTTP status with
+// which the path, the method or the body is rejected.
 func (t *translator) class(message *http1.Request, target string) (class, status int) {
 	path, _, _ := strings.Cut(target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -104,7 +105,8 @@
 	return class, 0
 }
 
-// timeout is how long the client waits: what its header says, up to the class's limit. False means that the header is malformed.
+// timeout returns how long the client waits: the value in its header, at most the class's limit. False means that the header
+// is malformed.
 func (t *translator) timeout(class int, header http1.Header) (time.Duration, bool) {
 	limit := t.maxTimeouts[class]
 	value, given, err := header.Only(http1.HeaderDeadline)
@@ -118,7 +120,7 @@
 	return min(limit, time.Duration(min(seconds, maxDeadlineSeconds)*float64(time.Second))), true
 }
 
-// encodeResponse makes the dispatcher's answer one of HTTP.
+// encodeResponse translates the dispatcher's response into an HTTP response.
 func encodeResponse(r request.Response) *http1.Response {
 	switch r.Kind {
 	case request.Served:
--- a/internal/frontend/upload.go
+++ b/internal/frontend/upload.go
@@ -14,41 +14,41 @@
 	"plankrouter/internal/streaming"
 )
 
-// errAnsweredEarly says that the body is not needed any more.
-var errAnsweredEarly = errors.New("answered before the body was complete")
+// errRespondedEarly means that the body is no longer needed, because the response is written.
+var errRespondedEarly = errors.New("response was written before the body was complete")
 
-// upload is the rest of a long request, a request.Upload. The attempt under way reads it straight from the client's connection, whose
-// reader goroutine waits meanwhile.
+// upload is the request.Upload for the rest of a long body. The attempt in flight reads it directly from the client's
+// connection, whose reader goroutine waits meanwhile.
 type upload struct {
 	conn           *conn
 	body           *http1.Body
 	pace           *streaming.Pace
-	markClientGone func() // called as soon as it is known that the body will never be complete
+	markClientGone func() // called once the client is gone or has sent a malformed body, so that the body will never be complete
 
-	consumed atomic.Bool
-	taken    atomic.Bool // takeBody has been called
-	mu       sync.Mutex  // held during a Read
-	err      error       // why nothing more comes; io.EOF = the body is complete
-	done     chan struct{}
+	consumed        atomic.Bool
+	attemptsStopped atomic.Bool   // stopAttemptReads was called: attempts may not read any more
+	mu              sync.Mutex    // held during a Read
+	err             error         // why no more is read; io.EOF = the body is complete, nil = more may follow
+	done            chan struct{} // closed when err is set
 
-	state         sync.Mutex // guards what follows
-	complete      bool       // the body was read to its end
-	answered      bool       // the answer was written
-	completedLate bool       // the answer was written first
+	state                  sync.Mutex // guards the fields below
+	complete               bool       // the body was read to its end
+	responded              bool       // the response was written
+	completedAfterResponse bool       // the body was read to its end after the response was written
 }
 
-// Length is what is left of the body in bytes; -1 = not known.
+// Length returns the number of bytes left of the body; -1 = unknown.
 func (u *upload) Length() int64 { return u.body.Length() }
 
 // Consumed reports whether any of the body has been read.
 func (u *upload) Consumed() bool { return u.consumed.Load() }
 
-// Read reads what has come of the body.
+// Read reads what has arrived of the body, and waits if nothing has.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.err == nil && u.taken.Load() {
-		return 0, errAnsweredEarly
+	if u.err == nil && u.attemptsStopped.Load() {
+		return 0, errRespondedEarly
 	}
 	if u.err != nil {
 		return 0, u.err
@@ -60,8 +60,8 @@
 	if err == nil && u.body.Length() == 0 {
 		err = io.EOF
 	}
-	if u.taken.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, errAnsweredEarly
+	if u.attemptsStopped.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+		return n, errRespondedEarly
 	}
 	if err != nil {
 		u.conn.pace = nil
@@ -70,75 +70,76 @@
 	return n, err
 }
 
-// finish notes why nothing more comes. It is called with mu held.
+// finish records why no more is read. It is called with mu held.
 func (u *upload) finish(err error) {
 	if u.err != nil {
 		return
 	}
 	u.err = err
 	complete := errors.Is(err, io.EOF)
-	if !complete && !errors.Is(err, errAnsweredEarly) {
+	if !complete && !errors.Is(err, errRespondedEarly) {
 		u.markClientGone()
 	}
 	u.state.Lock()
 	u.complete = complete
-	u.completedLate = u.answered
+	u.completedAfterResponse = u.responded
 	u.state.Unlock()
 	u.conn.socket.SetReadDeadline(time.Time{})
 	close(u.done)
 }
 
-// markAnswered notes that the answer is written, and reports whether the body had been read to its end.
-func (u *upload) markAnswered() bool {
+// markResponded records that the response is written, and reports whether the body had been read to its end.
+func (u *upload) markResponded() bool {
 	u.state.Lock()
 	defer u.state.Unlock()
-	u.answered = true
+	u.responded = true
 	return u.complete
 }
 
-// takeBody ends the reading by attempts.
-func (u *upload) takeBody() {
-	u.taken.Store(true)
+// stopAttemptReads stops reads by attempts and waits for one in progress; from then on the connection's reader may read the
+// body.
+func (u *upload) stopAttemptReads() {
+	u.attemptsStopped.Store(true)
 	u.conn.socket.SetReadDeadline(time.Unix(1, 0))
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.conn.pace = nil
-	u.finish(errAnsweredEarly)
+	u.finish(errRespondedEarly)
 }
 
-// awaitUpload waits until the rest of the body has been read. Another outcome than Open says that the connection has ended. If the
-// answer came first, what is left of the body is read and dropped, and c.upload is nil then.
+// awaitUpload waits until the rest of the body has been read. An outcome other than Open means that the connection has ended.
+// If the response is written first, the rest of the body is read and discarded, and c.upload is nil afterwards.
 func (c *conn) awaitUpload(r *request.Request) outcome.Kind {
 	u := c.upload
-	check := time.Tick(clientCheckInterval) // while no attempt reads, nothing else notices the client's end
+	check := time.Tick(clientCheckInterval) // while no attempt reads the body, nothing else detects that the client is gone
 	for {
 		select {
 		case <-check:
 			if c.socket.HasPeerLeft() {
 				c.server.dispatcher.ClientGone(r)
-				u.takeBody()
+				u.stopAttemptReads()
 				return outcome.ClientGone
 			}
 		case <-u.done:
 			return c.endUpload(r)
 		case how := <-c.written:
-			u.takeBody() // first of all, since an attempt must not read beyond the connection's end
+			u.stopAttemptReads() // before anything else, because an attempt must not read from a connection that has ended
 			if how != outcome.Open {
 				return how
 			}
-			return c.dropUpload()
+			return c.discardUpload()
 		case <-c.server.stopped:
-			u.takeBody()
+			u.stopAttemptReads()
 			return outcome.ShuttingDown
 		}
 	}
 }
 
-// endUpload deals with a body that was read to its end, or that has broken off.
+// endUpload returns the outcome for a body that was read to its end or has failed.
 func (c *conn) endUpload(r *request.Request) outcome.Kind {
 	u := c.upload
 	switch {
-	case errors.Is(u.err, io.EOF) && !u.completedLate:
+	case errors.Is(u.err, io.EOF) && !u.completedAfterResponse:
 		return outcome.Open
 	case errors.Is(u.err, io.EOF):
 		if how := <-c.written; how != outcome.Open {
@@ -155,10 +156,10 @@
 	return outcome.ClientGone
 }
 
-// dropUpload reads and drops what is left of a body whose request has been answered.
-func (c *conn) dropUpload() outcome.Kind {
+// discardUpload reads and discards the rest of a body after the response to its request.
+func (c *conn) discardUpload() outcome.Kind {
 	u := c.upload
-	if errors.Is(u.err, errAnsweredEarly) {
+	if errors.Is(u.err, errRespondedEarly) {
 		c.pace = u.pace
 		c.socket.ExtendReadDeadline(u.pace.Deadline(time.Now()))
 		_, err := io.Copy(io.Discard, u.body)
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -12,20 +12,21 @@
 	"plankrouter/internal/request"
 )
 
-// pendingResponse is what the writer is to write.
+// pendingResponse is a response for the writer.
 type pendingResponse struct {
 	*http1.Response
-	download  request.BodyStream // the rest of its body; nil = there is none
-	oldClient bool               // HTTP/1.0: the client can't read chunks
+	download request.BodyStream // the rest of its body; nil = none
+	isHTTP10 bool               // the client uses HTTP/1.0 and can't read chunks
 }
 
-// metricOutcomes are what the statuses of the dispatcher's answers count as. Rejections of messages that were not submitted are not counted.
+// metricOutcomes maps the statuses of the dispatcher's responses to metrics. Rejections of messages that were not submitted
+// are not counted.
 var metricOutcomes = map[int]metrics.Outcome{
 	http.StatusOK: metrics.Success, http.StatusServiceUnavailable: metrics.Overload,
 	http.StatusBadGateway: metrics.Error, http.StatusConflict: metrics.ClientGone,
 }
 
-// startWriter starts the writer, once.
+// startWriter starts the writer goroutine if it is not running.
 func (c *conn) startWriter() {
 	if c.responses != nil {
 		return
@@ -52,8 +53,8 @@
 	})
 }
 
-// deliver gives the dispatcher's answer to the writer. If the client is gone, nothing reads the rest of it.
-func (c *conn) deliver(r *http1.Response, rest request.BodyStream, old bool) {
+// deliver passes the dispatcher's response to the writer. If the client is gone, it closes the rest, which nothing would read.
+func (c *conn) deliver(r *http1.Response, rest request.BodyStream, isHTTP10 bool) {
 	c.mu.Lock()
 	gone := c.writerGone
 	c.download = rest
@@ -61,10 +62,10 @@
 	if gone && rest != nil {
 		rest.Close(false)
 	}
-	c.responses <- pendingResponse{r, rest, old}
+	c.responses <- pendingResponse{r, rest, isHTTP10}
 }
 
-// closeDownload ends an answer that is being streamed: its client is gone.
+// closeDownload aborts a response that is being streamed, because its client is gone.
 func (c *conn) closeDownload() {
 	c.mu.Lock()
 	c.writerGone = true
@@ -75,26 +76,26 @@
 	}
 }
 
-// writeDirectly writes an answer that the reader itself gives.
+// writeDirectly writes a response of the reader goroutine itself.
 func (c *conn) writeDirectly(r *http1.Response) outcome.Kind {
 	return c.writeResponse(pendingResponse{Response: r})
 }
 
-// writeResponse writes an answer, and streams the rest of a long one.
-func (c *conn) writeResponse(a pendingResponse) outcome.Kind {
-	r := a.Response
+// writeResponse writes a response, and streams the rest of a long one.
+func (c *conn) writeResponse(pending pendingResponse) outcome.Kind {
+	r := pending.Response
 	r.Close = r.Close || c.server.isDraining() || c.socket.IsEvicted()
-	how := c.writePiece(http1.AppendResponse(nil, r, a.oldClient))
-	c.unansweredID.Store(nil) // even if the write failed: nobody is left to answer
-	if a.download != nil {
+	how := c.writePiece(http1.AppendResponse(nil, r, pending.isHTTP10))
+	c.pendingRequestID.Store(nil) // even if the write failed, since the client is gone then
+	if pending.download != nil {
 		if how == outcome.Open {
-			how = c.streamDownload(a)
+			how = c.streamDownload(pending)
 		}
-		a.download.Close(how == outcome.Open)
+		pending.download.Close(how == outcome.Open)
 	}
 	if how != outcome.Open {
-		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && how == outcome.ResponseAborted && a.oldClient {
-			_ = abrupt.SetLinger(0) // a reset: to an old client an orderly close would end the body
+		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && how == outcome.ResponseAborted && pending.isHTTP10 {
+			_ = abrupt.SetLinger(0) // sends a reset: a client of HTTP/1.0 would take an orderly close for the end of the body
 		}
 		_ = c.socket.Close()
 		return how
@@ -107,13 +108,13 @@
 		}
 		return outcome.ClosedAfterResponse
 	}
-	if c.upload == nil || c.upload.markAnswered() { // otherwise its body is still to be read
+	if c.upload == nil || c.upload.markResponded() { // otherwise the request's body is still to be read
 		c.markIdle()
 	}
 	return outcome.Open
 }
 
-// writePiece writes a piece of an answer.
+// writePiece writes a piece of a response.
 func (c *conn) writePiece(p []byte) outcome.Kind {
 	c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.socket.Write(p); err != nil {
@@ -122,14 +123,14 @@
 	return outcome.Open
 }
 
-// streamDownload writes what follows the beginning of a long answer, as it comes. If that breaks off, the end that the framing asks for
-// is not written, so that the client can tell.
-func (c *conn) streamDownload(a pendingResponse) outcome.Kind {
+// streamDownload writes the rest of a long response as it arrives. If the server breaks off, the response is left incomplete
+// by its framing, so that the client can detect it.
+func (c *conn) streamDownload(pending pendingResponse) outcome.Kind {
 	buf, free := c.server.bounds.Buffer()
 	defer free()
-	chunked := a.download.Length() < 0 && !a.oldClient
+	chunked := pending.download.Length() < 0 && !pending.isHTTP10
 	for {
-		n, err := a.download.Read(buf)
+		n, err := pending.download.Read(buf)
 		if n > 0 {
 			piece := buf[:n]
 			if chunked {
--- a/internal/streaming/bounds_test.go
+++ b/internal/streaming/bounds_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// All streams that the sockets allow have their buffer within an eighth of the memory, or a small one where that is too
-// little; and what is kept whole stays within a quarter.
+// The buffers of as many streams as the sockets allow fit into an eighth of the memory, or are of minimum size where that is
+// too little. Bodies that are held whole fit into a quarter.
 func TestBounds(t *testing.T) {
 	for _, tc := range []struct{ memory, sockets, size int }{
 		{64 << 20, 1024, 16 << 10}, {32 << 20, 1024, 8 << 10}, {192 << 20, 256, maxBuffer}, {8 << 20, 4096, minBuffer},
@@ -14,33 +14,33 @@
 		b := New(tc.memory, tc.sockets)
 		p, free := b.Buffer()
 		if len(p) != tc.size || tc.size > minBuffer && len(p)*tc.sockets/2 > tc.memory/8 {
-			t.Errorf("%+v: buffers of %d", tc, len(p))
+			t.Errorf("%+v: buffers of %d bytes", tc, len(p))
 		}
 		free()
-		taken := 0
+		reserved := 0
 		for b.Reserve(64 << 10) {
-			taken += 64 << 10
+			reserved += 64 << 10
 		}
-		if taken > tc.memory/4 || taken < tc.memory/4-64<<10 {
-			t.Errorf("%+v: %d bytes are kept whole", tc, taken)
+		if reserved > tc.memory/4 || reserved < tc.memory/4-64<<10 {
+			t.Errorf("%+v: %d bytes were reserved", tc, reserved)
 		}
 		if b.Release(64 << 10); !b.Reserve(64<<10) || b.Reserve(64<<10) {
-			t.Errorf("%+v: what is given back may be taken once", tc)
+			t.Errorf("%+v: released bytes can be reserved exactly once", tc)
 		}
 	}
 }
 
-// 64 kB a second in pieces is slow, a pause or a trickle is bad.
+// A body that arrives at 64 KiB/s in pieces is not timed out; a long pause or a rate below the minimum is.
 func TestPace(t *testing.T) {
 	began := time.Unix(1000, 0)
 	for _, tc := range []struct {
 		got       int64
 		now, want time.Duration
 	}{
-		{0, 0, maxPause}, {100, 1900 * time.Millisecond, 2004 * time.Millisecond}, // a trickle: 2 s in all
+		{0, 0, maxPause}, {100, 1900 * time.Millisecond, 2004 * time.Millisecond}, // below the minimum rate: timed out after about 2 s
 		{640 << 10, 10 * time.Second, 10*time.Second + maxPause}, {24 << 10, 2900 * time.Millisecond, 3 * time.Second},
 	} {
-		p := Pace{Began: began, Got: tc.got}
+		p := Pace{StartedAt: began, Received: tc.got}
 		if got := p.Deadline(began.Add(tc.now)).Sub(began).Round(time.Millisecond); got != tc.want {
 			t.Errorf("%d bytes after %s: until %s, want %s", tc.got, tc.now, got, tc.want)
 		}
--- a/internal/streaming/pace.go
+++ b/internal/streaming/pace.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// The least pace of a body: a sender that is slower is given up.
+// The minimum rate of a body. The read of a slower one times out.
 const (
-	maxPause  = 1200 * time.Millisecond
-	minPace   = 24 << 10        // bytes a second, on average,
-	paceGrace = 2 * time.Second // after this
+	maxPause  = 1200 * time.Millisecond // between two pieces
+	minPace   = 24 << 10                // bytes per second, on average after paceGrace
+	paceGrace = 2 * time.Second         // time by which a body may exceed the time that minPace allows
 )
 
-// Pace is how much of a body has come since it began. It reads no clock.
+// Pace records how much of a body has been received since it began. It reads no clock.
 type Pace struct {
-	Began time.Time
-	Got   int64 // bytes so far
+	StartedAt time.Time
+	Received  int64 // bytes
 }
 
-// Deadline is when more of the body must have come at the latest, seen from now.
+// Deadline returns the time by which more of the body must have been received, as of now.
 func (p *Pace) Deadline(now time.Time) time.Time {
-	least := p.Began.Add(paceGrace + time.Duration(p.Got)*time.Second/minPace)
-	if pause := now.Add(maxPause); pause.Before(least) {
+	rateDeadline := p.StartedAt.Add(paceGrace + time.Duration(p.Received)*time.Second/minPace)
+	if pause := now.Add(maxPause); pause.Before(rateDeadline) {
 		return pause
 	}
-	return least
+	return rateDeadline
 }
