--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -19,8 +19,8 @@
 // deadlineSlack is by how much the timeout sent to a server may differ from the time that the client still waits.
 const deadlineSlack = 150 * time.Millisecond
 
-// The timeout that an attempt sends to its server is the time that the client still waits when the request is written,
-// however long the dial took and whether or not a connection was found dead before.
+// The timeout that an attempt sends to its server is the time that the client still waits when the request is written. It is
+// reduced by the time for dialing, and by that for an earlier connection that was found dead.
 func TestDeadlineSentIsWhatIsLeft(t *testing.T) {
 	const timeout = 2 * time.Second
 	for name, row := range map[string]struct {
--- a/internal/field/field.go
+++ b/internal/field/field.go
@@ -1,6 +1,6 @@
-// Package field has the named value that travels with a request or an answer. Package request and the codecs of protocols share it, so that
-// neither needs the other and nothing is copied between them.
+// Package field defines the named attribute of requests and responses. Package request and the protocol codecs share the
+// type, so that they don't depend on each other and need no conversion.
 package field
 
-// Field is one named attribute of a request or of an answer.
+// Field is a named attribute of a request or of a response, such as a header line.
 type Field struct{ Name, Value string }
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -40,7 +40,7 @@
 const partialRequestTimeout = 20 * time.Millisecond
 
 // How long a connection must have been idle before it may be evicted for a new one. A client opens a connection when all that
-// it has are busy, so a connection that has just received a response is about to carry another request, which would be lost
+// it has are busy. So a connection that has just received a response is about to carry another request, which would be lost
 // if the connection were closed. But a request is also waiting on the new connection, so the one that has been idle for
 // longest is evicted even if that is not long. A connection that was just accepted is about to carry a request, too, but that
 // arrives immediately: connections that have sent nothing after minUnusedAge are evicted first.
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -56,7 +56,7 @@
 	if status != 0 {
 		return nil, status
 	}
-	id, _, err := message.Header.Only(http1.HeaderID)
+	id, _, err := message.Header.SingleValue(http1.HeaderID)
 	if id == "" || err != nil {
 		return nil, http.StatusBadRequest
 	}
@@ -109,7 +109,7 @@
 // is malformed.
 func (t *translator) timeout(class int, header http1.Header) (time.Duration, bool) {
 	limit := t.maxTimeouts[class]
-	value, given, err := header.Only(http1.HeaderDeadline)
+	value, given, err := header.SingleValue(http1.HeaderDeadline)
 	if !given {
 		return limit, true
 	}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -10,27 +10,28 @@
 	"strings"
 )
 
-// framing says how long a body is.
+// framing is how the end of a body is determined. If neither chunked nor sized, a request has no
+// body, and the body of a response ends with the connection.
 type framing struct {
 	chunked, sized bool
 	length         int64
 }
 
-// parseFraming decides on the framing. What two readers could understand differently is malformed: that is how one
-// request is smuggled inside another.
+// parseFraming returns the framing that the header describes. A framing that two recipients could interpret differently is
+// malformed, because it allows request smuggling.
 func parseFraming(h Header) (f framing, err error) {
-	coding, coded, err := h.Only("Transfer-Encoding")
+	coding, coded, err := h.SingleValue("Transfer-Encoding")
 	if err != nil {
 		return f, err
 	}
-	length, sized, err := h.Only("Content-Length")
+	length, sized, err := h.SingleValue("Content-Length")
 	switch {
 	case err != nil:
 		return f, err
 	case coded && sized:
 		return f, fmt.Errorf("%w: both Transfer-Encoding and Content-Length", ErrMalformed)
 	case coded && !strings.EqualFold(coding, "chunked"):
-		return f, fmt.Errorf("%w: transfer coding", ErrMalformed)
+		return f, fmt.Errorf("%w: unsupported transfer coding", ErrMalformed)
 	case coded:
 		f.chunked = true
 	case sized:
@@ -41,17 +42,17 @@
 	return f, nil
 }
 
-// parseLength reads an unsigned number of at most limit, digits only.
+// parseLength parses an unsigned number of digits only. A number above limit is ErrTooLarge.
 func parseLength(s string, base int, limit int64) (int64, error) {
 	if s == "" || s[0] == '+' {
-		return 0, fmt.Errorf("%w: length", ErrMalformed)
+		return 0, fmt.Errorf("%w: invalid length", ErrMalformed)
 	}
 	n, err := strconv.ParseUint(s, base, 63)
 	switch {
 	case errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(limit):
 		return 0, ErrTooLarge
 	case err != nil:
-		return 0, fmt.Errorf("%w: length", ErrMalformed)
+		return 0, fmt.Errorf("%w: invalid length", ErrMalformed)
 	}
 	return int64(n), nil
 }
@@ -60,19 +61,19 @@
 	return &Body{reader: reader, framing: f, left: f.length, untilEOF: toEOF && !f.chunked && !f.sized}
 }
 
-// Body reads a message's body as it arrives, without its framing. It ends with io.EOF once it is complete; any other error says
-// that it will never be.
+// Body reads a message's body as it arrives, without its framing. Its Read returns io.EOF once the body is complete; any
+// other error means that the body is incomplete.
 type Body struct {
 	reader *bufio.Reader
 	framing
 	untilEOF    bool
-	left        int64 // bytes of the body, or of the present chunk
-	insideChunk bool  // the present chunk's end is still to come
-	total       int64
+	left        int64 // bytes left of the body, or of the current chunk
+	insideChunk bool  // the line end after the current chunk is not read yet
+	total       int64 // bytes read
 	err         error
 }
 
-// Length is what is left of the body; -1 = that is not known.
+// Length returns the number of bytes left of the body; -1 = unknown.
 func (b *Body) Length() int64 {
 	if b.chunked || b.untilEOF {
 		return -1
@@ -103,13 +104,13 @@
 		b.left -= int64(n)
 		err = asUnexpectedEOF(err)
 	}
-	if b.chunked || !errors.Is(err, os.ErrDeadlineExceeded) { // after a time-out in any other body the caller may read on where it was
+	if b.chunked || !errors.Is(err, os.ErrDeadlineExceeded) { // after a timeout, the caller may continue to read any other body
 		b.err = err
 	}
 	return n, err
 }
 
-// nextChunk reads up to the next chunk's first byte, or up to the body's end, which is io.EOF.
+// nextChunk reads up to the first byte of the next chunk. It returns io.EOF at the end of the body.
 func (b *Body) nextChunk() error {
 	if b.insideChunk {
 		line, err := readLine(b.reader)
@@ -117,7 +118,7 @@
 			return asUnexpectedEOF(err)
 		}
 		if line != "" {
-			return fmt.Errorf("%w: chunk end", ErrMalformed)
+			return fmt.Errorf("%w: chunk is not followed by a line end", ErrMalformed)
 		}
 		b.insideChunk = false
 	}
@@ -133,16 +134,16 @@
 		b.insideChunk = true
 		return nil
 	}
-	if _, err = readHeader(b.reader); err != nil { // trailers are dropped
+	if _, err = readHeader(b.reader); err != nil { // trailers are discarded
 		return err
 	}
 	return io.EOF
 }
 
-// minBodyBuffer is the first buffer, in bytes, for a body of unknown length.
+// minBodyBuffer is the initial buffer size, in bytes, for a body of unknown length.
 const minBodyBuffer = 512
 
-// readFirst reads the first limit bytes; rest is nil if there are no others.
+// readFirst reads the first limit bytes of the body; rest is nil if that is all of it.
 func (b *Body) readFirst(limit int) (body []byte, rest *Body, err error) {
 	if n := b.Length(); n > 0 {
 		body = make([]byte, 0, min(n, int64(limit)))
@@ -152,7 +153,7 @@
 			return body, nil, nil
 		}
 		if len(body) >= limit {
-			if limit > 0 && b.Length() < 0 { // it may have ended just here
+			if limit > 0 && b.Length() < 0 { // the body may end exactly here
 				err := b.waitForMore()
 				if errors.Is(err, io.EOF) {
 					return body, nil, nil
@@ -179,7 +180,7 @@
 	}
 }
 
-// waitForMore waits for the next byte of the body, or for its end.
+// waitForMore waits for the next byte of the body, and returns nil, or for its end, and returns io.EOF.
 func (b *Body) waitForMore() error {
 	if b.err == nil && b.chunked && b.left == 0 {
 		b.err = b.nextChunk()
@@ -193,7 +194,7 @@
 	return b.err
 }
 
-// asUnexpectedEOF turns an end of the connection into one inside a message.
+// asUnexpectedEOF replaces io.EOF, the end of the connection, by io.ErrUnexpectedEOF, since it is inside a message.
 func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -8,13 +8,13 @@
 	"plankrouter/internal/field"
 )
 
-// Field is one header line.
+// Field is a header line.
 type Field = field.Field
 
-// Header is a message's header lines in order.
+// Header contains the header lines of a message, in order.
 type Header []Field
 
-// Get returns the value of the first line of that name.
+// Get returns the value of the first line with the name, or "".
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -24,12 +24,12 @@
 	return ""
 }
 
-// Only returns the value of a name that must not be given twice with different values.
-func (h Header) Only(name string) (value string, given bool, err error) {
+// SingleValue returns the value of a header that must not occur with different values. An error wraps ErrMalformed.
+func (h Header) SingleValue(name string) (value string, given bool, err error) {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
 			if given && f.Value != value {
-				return "", true, fmt.Errorf("%w: two different %s", ErrMalformed, name)
+				return "", true, fmt.Errorf("%w: conflicting values of %s", ErrMalformed, name)
 			}
 			value, given = f.Value, true
 		}
@@ -52,8 +52,8 @@
 	return false
 }
 
-// EndToEnd returns the lines that a proxy passes on: all but those of one connection or of framing (RFC 9110, 7.6.1),
-// and those for which drop reports true.
+// EndToEnd returns the lines that a proxy forwards: all except hop-by-hop and framing headers (RFC 9110, 7.6.1), and those
+// for which drop, which may be nil, returns true.
 func (h Header) EndToEnd(drop func(name string) bool) []Field {
 	out := make([]Field, 0, len(h))
 	for _, f := range h {
@@ -70,10 +70,10 @@
 	"content-length": true, "expect": true, "host": true,
 }
 
-// ValidField reports whether a header line can be written as it is.
+// ValidField reports whether a header line can be written without escaping.
 func ValidField(name, value string) bool { return isToken(name) && isText(value) }
 
-// ValidStart reports whether a request line can be written as it is.
+// ValidStart reports whether a request line can be written without escaping.
 func ValidStart(method, target string) bool { return isToken(method) && isVisible(target) }
 
 func readHeader(reader *bufio.Reader) (Header, error) {
@@ -91,7 +91,7 @@
 		value = strings.Trim(value, " \t")
 		size += len(line)
 		if !ok || !isToken(name) || !isText(value) || len(h) >= maxHeaderLines || size > maxHeaderBytes {
-			return nil, fmt.Errorf("%w: header", ErrMalformed)
+			return nil, fmt.Errorf("%w: header line is invalid, or the header too large", ErrMalformed)
 		}
 		h = append(h, Field{Name: name, Value: value})
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages within fixed bounds. It knows nothing of what they mean
-// to the sidecar. Neither a client nor a server can make it panic or use memory without limit.
+// Package http1 reads and writes HTTP/1.1 messages within fixed bounds, independently of how the sidecar uses them. Neither a
+// client nor a server can make it panic or use unbounded memory.
 package http1
 
 import (
@@ -12,40 +12,41 @@
 	"sync"
 )
 
-// The bounds, in bytes unless the name says otherwise. A line must also fit the reader's buffer, so readers come from NewReader.
+// The bounds, in bytes unless the name says otherwise. A line must also fit into the reader's buffer, so readers have to come
+// from NewReader.
 const (
-	MaxBody             = 64 << 10 // of a body that is read whole
-	MaxStreamedBody     = 48 << 20 // of one that is streamed: a longer one is taken for endless
+	MaxBody             = 64 << 10 // of a body that is held in memory whole
+	MaxStreamedBody     = 48 << 20 // of a streamed body: a longer one is treated as endless
 	maxLineBytes        = 8 << 10
 	maxHeaderLines      = 100
 	maxHeaderBytes      = 32 << 10
-	maxInterimResponses = 8 // 1xx answers before the real one
+	maxInterimResponses = 8 // 1xx responses before the final one
 )
 
-// ErrMalformed is wrapped by every error for which the other side is to blame: a breach of HTTP or of the bounds. Any
-// other error comes from the connection.
+// ErrMalformed is wrapped by every error that the message itself causes, because it violates HTTP or the bounds. Any other
+// error comes from the connection.
 var ErrMalformed = errors.New("malformed message")
 
-// ErrTooLarge says that a body exceeds MaxBody or MaxStreamedBody.
+// ErrTooLarge means that a body exceeds MaxBody or MaxStreamedBody.
 var ErrTooLarge = fmt.Errorf("%w: body too large", ErrMalformed)
 
-// idleReaders are kept for reuse: connections come and go by the hundred, and the buffer is most of what one costs.
-var idleReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
+// readerPool pools readers: connections are opened and closed by the hundred, and the buffer is most of the cost of one.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
 
-// NewReader returns a reader whose buffer holds the longest line. Free takes it back.
+// NewReader returns a reader whose buffer holds the longest line. Free returns the reader to the pool.
 func NewReader(r io.Reader) *bufio.Reader {
-	reader := idleReaders.Get().(*bufio.Reader)
+	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(r)
 	return reader
 }
 
-// Free takes back a reader that nobody uses any more.
+// Free returns a reader that is no longer used to the pool.
 func Free(reader *bufio.Reader) {
 	reader.Reset(nil)
-	idleReaders.Put(reader)
+	readerPool.Put(reader)
 }
 
-// readLine reads one line without its end. A bare LF ends a line too, a bare CR is malformed.
+// readLine reads a line, without its line end. A bare LF is a line end, too; a bare CR is malformed.
 func readLine(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -71,10 +72,10 @@
 	case "HTTP/1.0":
 		return 0, nil
 	}
-	return 0, fmt.Errorf("%w: version", ErrMalformed)
+	return 0, fmt.Errorf("%w: unsupported HTTP version", ErrMalformed)
 }
 
-// closesConnection reports whether the sender ends the connection after this message.
+// closesConnection reports whether the connection is closed after a message with this header and minor version of HTTP.
 func closesConnection(h Header, minor int) bool {
 	return h.hasListItem("Connection", "close") || minor == 0 && !h.hasListItem("Connection", "keep-alive")
 }
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// recordedMessages reads a file of recorded messages: each starts with "--- VERDICT", the bytes follow as in the exchange
-// files of cmd/plankrouter: CRLF for a line's end, none after a \.
+// recordedMessages reads a file of messages. Each starts with a line "--- VERDICT", which is the expected result; the bytes
+// of the message follow, with a CRLF for each line end unless a \ precedes it, as in the exchange files of cmd/plankrouter.
 func recordedMessages(t testing.TB, file string) (verdicts, texts []string) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestBoundsHold(t *testing.T) {
+func TestMessagesBeyondBoundsAreMalformed(t *testing.T) {
 	long := strings.Repeat("a", maxLineBytes)
 	for name, text := range map[string]string{
 		"line":    "GET /" + long + " HTTP/1.1\r\n",
@@ -93,7 +93,7 @@
 	}
 }
 
-// What can be read is read as the same message after it was written.
+// A request that can be read is the same after it was written and read again.
 func FuzzRequest(f *testing.F) {
 	_, texts := recordedMessages(f, "testdata/requests.txt")
 	for _, text := range texts {
@@ -108,7 +108,7 @@
 		again, err := request(NewReader(strings.NewReader(string(
 			AppendRequest(nil, r.Method, r.Target, "x", r.Header.EndToEnd(nil), r.Body)))))
 		if want := strings.Join([]string{r.Method, r.Target, string(r.Body)}, " "); err != nil || again != want {
-			t.Errorf("%q became %q, %v", want, again, err)
+			t.Errorf("%q was read again as %q, %v", want, again, err)
 		}
 	})
 }
--- a/internal/http1/names.go
+++ b/internal/http1/names.go
@@ -17,7 +17,8 @@
 	PathList = "/discovery/hosts"
 )
 
-// IsSetPerAttempt reports whether the header is set anew for each attempt, as the request's id and its deadline are.
+// IsSetPerAttempt reports whether the sidecar sets the header for each attempt, as it does for the request's id and its
+// deadline.
 func IsSetPerAttempt(name string) bool {
 	return strings.EqualFold(name, HeaderID) || strings.EqualFold(name, HeaderDeadline)
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -9,53 +9,54 @@
 	"strings"
 )
 
-// Stream is the part of a body that is read as it arrives.
+// Stream is the rest of a body, read as it arrives.
 type Stream interface {
-	io.Reader      // io.EOF says that the body is complete
-	Length() int64 // bytes that are left; -1 = not known
+	io.Reader      // io.EOF = the body is complete
+	Length() int64 // bytes left; -1 = unknown
 }
 
-// Response is an answer.
+// Response is an HTTP response.
 type Response struct {
 	Status   int
 	Header   Header
 	Body     []byte
-	Rest     Stream // what follows Body; nil = nothing does
-	Close    bool   // the connection ends with the answer
-	Bodiless bool   // it answers HEAD: Header says what a body would have had
+	Rest     Stream // what follows Body; nil = Body is complete
+	Close    bool   // the connection is closed after the response
+	Bodiless bool   // a response to HEAD: Header describes a body that is not sent
 }
 
-// ReadResponse reads a whole answer, whose body must not be longer than MaxBody, as ReadStreamedResponse does.
-func ReadResponse(reader *bufio.Reader, bodiless bool, begun func(bool)) (*Response, error) {
-	r, err := ReadStreamedResponse(reader, bodiless, begun, func(int) bool { return true })
+// ReadResponse reads a whole response like ReadStreamedResponse; a body longer than MaxBody is ErrTooLarge.
+func ReadResponse(reader *bufio.Reader, bodiless bool, onBegun func(bool)) (*Response, error) {
+	r, err := ReadStreamedResponse(reader, bodiless, onBegun, func(int) bool { return true })
 	if err == nil && r.Rest != nil {
 		return nil, ErrTooLarge
 	}
 	return r, err
 }
 
-// ReadStreamedResponse reads an answer and skips interim ones. One to HEAD is bodiless, whatever its header says. Before each it waits
-// for the first byte and then calls begun(true), and begun(false) once the answer is read. Of a body that is longer than MaxBody,
-// or for which mayKeep grants no memory, it reads only the beginning; Rest has what follows.
-func ReadStreamedResponse(reader *bufio.Reader, bodiless bool, begun func(bool), mayKeep func(int) bool) (*Response, error) {
+// ReadStreamedResponse reads a response, and skips interim ones. With bodiless, as for HEAD, it reads no body, whatever the
+// header says. For each response, it calls onBegun(true) after the first byte was received, and onBegun(false) once the
+// response is read. Of a body that is longer than MaxBody, or for which reserve returns false because there is no memory, it
+// reads only the beginning; Rest has what follows.
+func ReadStreamedResponse(reader *bufio.Reader, bodiless bool, onBegun func(bool), reserve func(int) bool) (*Response, error) {
 	for range maxInterimResponses {
 		if _, err := reader.Peek(1); err != nil {
 			return nil, err
 		}
-		begun(true)
-		r, err := readResponse(reader, bodiless, mayKeep)
+		onBegun(true)
+		r, err := readResponse(reader, bodiless, reserve)
 		if err != nil {
 			return nil, err
 		}
-		begun(false)
+		onBegun(false)
 		if r.Status >= http.StatusOK {
 			return r, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: more than %d interim answers", ErrMalformed, maxInterimResponses)
+	return nil, fmt.Errorf("%w: more than %d interim responses", ErrMalformed, maxInterimResponses)
 }
 
-func readResponse(reader *bufio.Reader, bodiless bool, mayKeep func(int) bool) (*Response, error) {
+func readResponse(reader *bufio.Reader, bodiless bool, reserve func(int) bool) (*Response, error) {
 	line, err := readLine(reader)
 	if err != nil {
 		return nil, err
@@ -76,10 +77,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !framing.chunked && !framing.sized { // then the end of the connection ends the body
+	if !framing.chunked && !framing.sized { // the body ends with the connection
 		r.Close = true
 	}
-	body, rest, err := framing.newBody(reader, true).readFirst(framing.bytesToKeep(mayKeep))
+	body, rest, err := framing.newBody(reader, true).readFirst(framing.bytesToBuffer(reserve))
 	r.Body = body
 	if rest != nil { // a nil *Body in Rest would not be a nil Stream
 		r.Rest = rest
@@ -96,7 +97,7 @@
 	}
 	status, err = strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 {
-		return 0, 0, fmt.Errorf("%w: status line", ErrMalformed)
+		return 0, 0, fmt.Errorf("%w: invalid status line", ErrMalformed)
 	}
 	return status, minor, nil
 }
@@ -105,13 +106,13 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// bytesToKeep is how much of the body is read before the answer is passed on. A body that can't be kept whole is streamed from its
-// first byte.
-func (f framing) bytesToKeep(mayKeep func(int) bool) int {
+// bytesToBuffer returns how many bytes of the body are read before the response is forwarded. A body that can't be held in
+// memory whole is streamed from its first byte.
+func (f framing) bytesToBuffer(reserve func(int) bool) int {
 	switch {
 	case f.sized && f.length > MaxBody:
 		return 0
-	case f.sized && !mayKeep(int(f.length)), !f.sized && !mayKeep(MaxBody):
+	case f.sized && !reserve(int(f.length)), !f.sized && !reserve(MaxBody):
 		return 0
 	}
 	return MaxBody
--- a/internal/http1/writer.go
+++ b/internal/http1/writer.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// AppendRequest appends a whole request. It has a Content-Length if there is a body or the method suggests one.
+// AppendRequest appends a whole request. It has a Content-Length if there is a body, or if the method usually has one.
 func AppendRequest(b []byte, method, target, host string, fields []Field, body []byte) []byte {
 	return AppendStreamedRequest(b, method, target, host, fields, body, int64(len(body)))
 }
 
-// AppendStreamedRequest appends a request whose body has this length in all and begins with body; a length of -1 sends it in chunks, of
-// which body is the first.
+// AppendStreamedRequest appends the head and the beginning of a request: length is that of the complete body, and body its
+// beginning. A length of -1 means that the body is sent in chunks, of which body is the first.
 func AppendStreamedRequest(b []byte, method, target, host string, fields []Field, body []byte, length int64) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\n"...)
@@ -22,9 +22,9 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// AppendResponse appends an answer, or its head and the beginning of its body where Rest follows. A body of unknown length is sent in
-// chunks, or to a client of HTTP/1.0 up to the end of the connection.
-func AppendResponse(b []byte, r *Response, old bool) []byte {
+// AppendResponse appends a response or, if it has a Rest, its head and the beginning of its body. A body of unknown length is
+// sent in chunks or, to a client of HTTP/1.0, ends with the connection.
+func AppendResponse(b []byte, r *Response, isHTTP10 bool) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(r.Status), 10)
 	b = append(append(append(b, ' '), reasonPhrases[r.Status]...), "\r\n"...)
 	b = appendFields(b, r.Header)
@@ -37,14 +37,14 @@
 		b = appendLength(b, int64(len(r.Body)))
 	case r.Rest.Length() >= 0:
 		b = appendLength(b, int64(len(r.Body))+r.Rest.Length())
-	case !old:
+	case !isHTTP10:
 		b = append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
 		return AppendChunk(b, r.Body)
 	}
 	return append(append(b, "\r\n"...), r.Body...)
 }
 
-// LastChunk ends a body in chunks.
+// LastChunk ends a chunked body.
 const LastChunk = "0\r\n\r\n"
 
 // AppendChunk appends p as a chunk. An empty p appends nothing, because an empty chunk would end the body.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream is the interface between the dispatcher and the protocol in which it talks to servers. The dispatcher asks an Upstream
-// to start an attempt and to cancel one; the upstream reports how it ended, once. Package upstreamtest is the suite that every Upstream has
-// to pass.
+// Package upstream defines the interface between the dispatcher and the protocol that is used with servers. The dispatcher
+// starts and cancels attempts through an Upstream, which reports the result of each exactly once. Package upstreamtest is the
+// conformance suite for implementations.
 package upstream
 
 import (
@@ -11,60 +11,61 @@
 	"plankrouter/policy"
 )
 
-// Upstream makes the attempts of one dispatcher. All methods are called by the dispatcher's goroutine alone and must not block.
+// Upstream sends the attempts of one dispatcher. Its methods are called by the dispatcher's goroutine alone and must not block.
 type Upstream interface {
-	// Endpoint returns the server's process at host:port.
+	// Endpoint returns the endpoint for the server's process at address, a host:port.
 	Endpoint(server, address string) Endpoint
-	// Forget says that the server is gone for good: what was learned of it may go, too.
+	// Forget permits discarding what was learned about a server, which is permanently removed.
 	Forget(server string)
-	// State returns what was learned of how connections do, in at most 256 KiB, for Restore by a later process; nil = nothing.
+	// State returns what was learned about the servers' connections, at most 256 KiB, for Restore in a later process; nil =
+	// nothing.
 	State(now time.Time) ([]byte, error)
-	// Restore takes a State that was returned a time of age ago. After an error all is as it was.
+	// Restore restores a State that was returned age ago. If it fails, nothing has changed.
 	Restore(now time.Time, state []byte, age time.Duration) error
 }
 
-// Endpoint is one process of a server at one address. A server that restarts or moves gets another.
+// Endpoint is one process of a server at one address. A server that restarts or changes its address gets a new one.
 type Endpoint interface {
-	// Start begins an attempt. Its end is reported by AttemptOptions.OnEnd, never before Start has returned.
+	// Start starts an attempt. Its result is reported by AttemptOptions.OnEnd, never before Start has returned.
 	Start(AttemptOptions) Attempt
-	// Close ends idle connections: the server drains, is gone or lives elsewhere. Attempts under way go on.
+	// Close closes idle connections, because the server drains, is removed or has moved. Attempts in flight continue.
 	Close()
-	// Address is the host:port.
+	// Address returns the host:port.
 	Address() string
 }
 
-// AttemptOptions is an attempt to be made.
+// AttemptOptions describe an attempt to start.
 type AttemptOptions struct {
-	// Request is what the attempt is for. Once its client has left, neither the first nor the last byte of the attempt may be written;
-	// Request.CheckClientGone says so at the moment. nil = a probe: the server is asked for its load.
+	// Request is the request to send. Once its client is gone, which Request.CheckClientGone checks, neither the first nor
+	// the last byte of the attempt may be written. nil = a probe for the server's load.
 	Request    *request.Request
-	Timeout    time.Duration // after which the attempt is going to be cancelled, for the server to know
-	Deadline   time.Time     // when it is going to be cancelled: no last byte later than this; zero = after Timeout from when it is sent
-	StartBy    time.Time     // no first byte later than this; zero = any time
-	Expires    time.Time     // neither the first nor the last byte later than this; zero = any time
-	OnBodySent func()        // with a Remainder: called when its last byte is written; nil = nobody asks
-	OnEnd      func(Result)  // called once from any goroutine, unless Cancel or Withdraw returned true; may wait for the dispatcher's goroutine
+	Timeout    time.Duration // after which the attempt will be cancelled, to be sent to the server
+	Deadline   time.Time     // when it will be cancelled: no last byte later; zero = Timeout after it is sent
+	StartBy    time.Time     // no first byte later; zero = no limit
+	Expires    time.Time     // neither the first nor the last byte later; zero = no limit
+	OnBodySent func()        // for a Request with a Remainder: called when its last byte is written
+	OnEnd      func(Result)  // called once from any goroutine, unless cancelled or withdrawn; may wait for the dispatcher
 }
 
-// Attempt is an attempt under way. Its methods are safe for concurrent use and do not block.
+// Attempt is an attempt in flight. Its methods are safe for concurrent use and do not block.
 type Attempt interface {
-	// Cancel gives the attempt up, for the reason why, and returns how that has ended it, and true; when it returns, nothing
-	// further of this attempt can reach the server. False means that it has ended already: OnEnd has been called or is about to be.
+	// Cancel ends the attempt for the reason why, and returns its outcome and true; from then on, nothing more of the attempt
+	// can reach the server. False means that it has already ended: OnEnd has been called or is about to be.
 	Cancel(why outcome.Kind) (outcome.Kind, bool)
-	// Withdraw is Cancel for an attempt whose last byte is not written. False means that it may have run, or has ended already. An attempt
-	// that was never sent does not run: withdrawing it is allowed where cancelling is not.
+	// Withdraw is Cancel for an attempt whose last byte is not written. False means that it may have run, or has already
+	// ended. An attempt that was not sent completely can't run: it may be withdrawn even where cancelling is not permitted.
 	Withdraw(why outcome.Kind) (outcome.Kind, bool)
-	// StartBy forbids a first byte later than t, in addition to what was forbidden before.
+	// StartBy forbids writing the first byte after t, in addition to earlier limits.
 	StartBy(t time.Time)
 }
 
 // Result is how an attempt ended.
 type Result struct {
 	Outcome     outcome.Kind
-	Report      policy.Report   // the server's load, where the answer has it
-	StatusCode  int             // the protocol's own status, where the request was Served
-	Fields      []request.Field // the answer's, where the request was Served
+	Report      policy.Report   // the server's load, if the response contains it
+	StatusCode  int             // the protocol's own status, if the request was Served
+	Fields      []request.Field // of the response, if the request was Served
 	Body        []byte
-	Remainder   request.BodyStream // what follows Body; nil = that is all. Whoever gets it closes it
-	ConnectedAt time.Time          // when the connection came up on which an answer came; zero = none did, or there are no connections
+	Remainder   request.BodyStream // what follows Body; nil = Body is complete. The receiver closes it
+	ConnectedAt time.Time          // when the connection of the response was established; zero = no response, or no connections
 }
--- a/internal/upstream/upstreamtest/scenarios.go
+++ b/internal/upstream/upstreamtest/scenarios.go
@@ -6,20 +6,20 @@
 	"plankrouter/internal/outcome"
 )
 
-// scenarios are what the suite plays, with what has to come of it.
+// scenarios are the suite's scenarios, with their expected results.
 var scenarios = map[string]struct {
-	play func(*scenario)
+	run  func(*scenario)
 	want result
 }{
 	"answers": {func(s *scenario) {
-		for i, answer := range [][]byte{s.harness.Served, s.harness.Failed, s.harness.Declined} {
+		for i, response := range [][]byte{s.harness.Served, s.harness.Failed, s.harness.Declined} {
 			s.start(i+1, time.Time{})
 			s.read(0)
-			s.write(0, answer)
+			s.write(0, response)
 			s.recordReports()
 		}
 	}, result{[]string{"1 served ok", "2 server_error", "3 declined"}, []string{"id1 id2 id3 "}}},
-	"two at once": {func(s *scenario) {
+	"two concurrent attempts": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
 		s.start(2, time.Time{})
@@ -41,7 +41,7 @@
 		s.recordReports()
 	}, result{[]string{"1 refused"}, nil}},
 	"cancelled while connecting": {func(s *scenario) {
-		s.connections = late
+		s.connections = delayed
 		attempt := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
 		s.cancel(attempt, outcome.Cancelled)
@@ -49,7 +49,7 @@
 		s.recordReports()
 	}, result{[]string{"1 withdrawn"}, nil}},
 	"withdrawn while connecting": {func(s *scenario) {
-		s.connections = late
+		s.connections = delayed
 		attempt := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
 		s.withdraw(attempt)
@@ -64,8 +64,8 @@
 		s.recordReports()
 		s.withdraw(attempt)
 	}, result{[]string{"1 served ok"}, []string{"id1 "}}},
-	"the client has left while connecting, and the event of it waits": {func(s *scenario) {
-		s.connections = late
+	"client gone while connecting, marked but not cancelled": {func(s *scenario) {
+		s.connections = delayed
 		s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
 		s.lastRequest.MarkClientGone()
@@ -73,8 +73,8 @@
 		s.recordReports()
 		s.read(0)
 	}, result{[]string{"1 withdrawn"}, []string{"nothing "}}},
-	"the client has left while connecting, and nobody knows": {func(s *scenario) {
-		s.connections = late
+	"client gone while connecting, unnoticed": {func(s *scenario) {
+		s.connections = delayed
 		s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
 		s.clientGone.Store(true)
@@ -82,43 +82,43 @@
 		s.recordReports()
 		s.read(0)
 		if !s.lastRequest.IsClientGone() {
-			s.t.Error("it was not noted that the client left")
+			s.t.Error("the request is not marked as client gone")
 		}
 	}, result{[]string{"1 withdrawn"}, []string{"nothing "}}},
 	"timed out while connecting": {func(s *scenario) {
-		s.connections = late
+		s.connections = delayed
 		attempt := s.start(1, time.Time{})
 		time.Sleep(50 * time.Millisecond)
 		s.cancel(attempt, outcome.TimedOut)
 		time.Sleep(time.Second)
 		s.recordReports()
 	}, result{[]string{"1 unwritten"}, nil}},
-	"too late for a drain": {func(s *scenario) {
-		s.connections = late
+	"drain grace ends while connecting": {func(s *scenario) {
+		s.connections = delayed
 		s.start(1, time.Now().Add(50*time.Millisecond))
 		time.Sleep(time.Second)
 		s.recordReports()
 		s.read(0)
 	}, result{[]string{"1 drained"}, []string{"nothing "}}},
-	"a drain while connecting": {func(s *scenario) {
-		s.connections = late
+	"drain starts while connecting": {func(s *scenario) {
+		s.connections = delayed
 		attempt := s.start(1, time.Time{})
 		attempt.StartBy(time.Now().Add(time.Hour))
-		attempt.StartBy(time.Now().Add(50 * time.Millisecond)) // the earliest counts, in whatever order
+		attempt.StartBy(time.Now().Add(50 * time.Millisecond)) // the earliest limit applies, in any order
 		attempt.StartBy(time.Now().Add(time.Hour))
 		time.Sleep(time.Second)
 		s.recordReports()
 		s.read(0)
 	}, result{[]string{"1 drained"}, []string{"nothing "}}},
 	"expired while connecting": {func(s *scenario) {
-		s.connections = late
+		s.connections = delayed
 		s.startExpiring(1, time.Time{}, time.Now().Add(50*time.Millisecond))
 		time.Sleep(time.Second)
 		s.recordReports()
 		s.read(0)
 	}, result{[]string{"1 expired"}, []string{"nothing "}}},
 	"sent before it expires": {func(s *scenario) {
-		s.connections = late
+		s.connections = delayed
 		s.startExpiring(1, time.Time{}, time.Now().Add(150*time.Millisecond))
 		time.Sleep(time.Second)
 		s.read(0)
@@ -131,7 +131,7 @@
 		time.Sleep(time.Second)
 		s.cancel(attempt, outcome.TimedOut)
 		s.recordReports()
-		s.write(0, s.harness.Served) // nobody listens any more
+		s.write(0, s.harness.Served) // the connection is closed
 		s.start(2, time.Time{})
 		s.read(1)
 		s.write(1, s.harness.Served)
@@ -149,30 +149,30 @@
 		s.write(0, s.harness.Served)
 		s.cancel(attempt, outcome.TimedOut)
 		s.recordReports()
-		s.start(2, time.Time{}) // and the connection is still good
+		s.start(2, time.Time{}) // the connection is still usable
 		s.read(0)
 		s.write(0, s.harness.Served)
 		s.recordReports()
 	}, result{[]string{"1 served ok", "2 served ok"}, []string{"id1 id2 "}}},
-	"broken after the request": {func(s *scenario) {
+	"closed after the request": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
 		s.serverConns[0].Close()
 		s.recordReports()
 	}, result{[]string{"1 reset"}, []string{"id1 "}}},
-	"broken in the answer": {func(s *scenario) {
+	"closed within the response": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
 		s.write(0, s.harness.Served[:len(s.harness.Served)-1])
 		s.serverConns[0].Close()
 		s.recordReports()
 	}, result{[]string{"1 reset"}, []string{"id1 "}}},
-	"no answer at all": {func(s *scenario) {
+	"malformed response": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
 		s.write(0, s.harness.Garbage)
 		s.recordReports()
-		s.start(2, time.Time{}) // the connection is of no further use
+		s.start(2, time.Time{}) // the connection must not be reused
 		s.read(1)
 		s.write(1, s.harness.Served)
 		s.recordReports()
@@ -193,7 +193,7 @@
 		s.read(0)
 		s.write(0, s.harness.Served)
 		s.recordReports()
-		s.write(0, s.harness.Served) // an answer to nothing must not be taken for the next one
+		s.write(0, s.harness.Served) // an unsolicited response must not be taken for that of the next attempt
 		s.start(2, time.Time{})
 		s.read(1)
 		s.write(1, s.harness.Served)
@@ -202,7 +202,7 @@
 	"endpoint closed": {func(s *scenario) {
 		s.start(1, time.Time{})
 		s.read(0)
-		s.endpoint.Close() // what is under way goes on, and its connection carries nothing else
+		s.endpoint.Close() // the attempt in flight continues, and its connection is not reused
 		s.write(0, s.harness.Served)
 		s.recordReports()
 		s.start(2, time.Time{})
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,5 +1,6 @@
-// Package upstreamtest is the suite that every upstream.Upstream has to pass, whatever its protocol. It plays servers that answer, refuse,
-// hang, break off and drain, in simulated time, and checks what reaches them and what is reported.
+// Package upstreamtest is the conformance suite for implementations of upstream.Upstream, of any protocol. It simulates
+// servers that respond, refuse connections, hang, reset and drain, in simulated time, and checks what they receive and which
+// results are reported.
 package upstreamtest
 
 import (
@@ -21,19 +22,20 @@
 	"plankrouter/internal/upstream"
 )
 
-// Harness is what the suite has to know of a protocol.
+// Harness is the protocol's part of the suite.
 type Harness struct {
-	// New returns an Upstream whose connections are opened by dial and end with ctx. wait returns when its last goroutine has.
+	// New returns an Upstream whose connections are opened by dial and closed when ctx ends; wait waits for its last goroutine.
 	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (u upstream.Upstream, wait func())
 	// Read reads one whole request and returns its id, or "" for a probe.
 	Read func(net.Conn) (id string, err error)
-	// What a server answers to a request: that it is served with the body "ok", has failed, is declined, or something that is no answer;
-	// and, to a probe, that it has 3 requests in flight.
+	// The responses of a server to a request: served with the body "ok", failed, declined, and malformed; and Load, its
+	// response to a probe while 3 requests are in flight.
 	Served, Failed, Declined, Garbage, Load []byte
 }
 
-// result is how each attempt of a scenario ended, and what each connection got, in the order in which they were opened. Attempts that were
-// never reported are missing.
+// result is the result of a scenario: Ends has the results of the attempts, in the order in which they were reported, and
+// Conns has what was received on each connection, in the order in which they were opened. Attempts without a reported result
+// are missing.
 type result struct {
 	Ends  []string
 	Conns []string
@@ -44,26 +46,27 @@
 	t           *testing.T
 	harness     Harness
 	endpoint    upstream.Endpoint
-	connections connectMode // how connections come up
+	connections connectMode // how connections are established
 	serverConns []net.Conn
 	reports     chan report
 	got         result
 	ended       map[int]bool
-	lastRequest *request.Request // that was started
-	clientGone  atomic.Bool      // its client is, and nobody has reported it
+	lastRequest *request.Request // the last request that was started
+	clientGone  atomic.Bool      // its client is gone, which is found only by checking
 }
 
-// connectMode is how connections come up.
+// connectMode is how connections are established.
 type connectMode uint8
 
 const (
-	atOnce connectMode = iota
+	immediate connectMode = iota
 	refused
-	late // after connectDelay
+	delayed // by connectDelay
 )
 
 const connectDelay = 100 * time.Millisecond
 
+// report is the result that was reported for an attempt.
 type report struct {
 	number int
 	upstream.Result
@@ -73,7 +76,7 @@
 	switch s.connections {
 	case refused:
 		return nil, errors.New("refused")
-	case late:
+	case delayed:
 		select {
 		case <-time.After(connectDelay):
 		case <-ctx.Done():
@@ -86,12 +89,12 @@
 	return clientEnd, nil
 }
 
-// start begins an attempt by its number; 0 is a probe.
+// start starts the attempt with the number; 0 is a probe.
 func (s *scenario) start(number int, startBy time.Time) upstream.Attempt {
 	return s.startExpiring(number, startBy, time.Time{})
 }
 
-// startExpiring is start for an attempt that expires.
+// startExpiring is start for an attempt that expires at a given time.
 func (s *scenario) startExpiring(number int, startBy, expires time.Time) upstream.Attempt {
 	options := upstream.AttemptOptions{
 		Timeout: time.Second, StartBy: startBy, Expires: expires,
@@ -107,7 +110,7 @@
 	return s.endpoint.Start(options)
 }
 
-// read reads a request on the n-th connection, as the server.
+// read reads a request on the n-th connection, as the server, and records its id.
 func (s *scenario) read(n int) {
 	synctest.Wait()
 	if n >= len(s.serverConns) {
@@ -126,16 +129,16 @@
 
 func (s *scenario) write(n int, b []byte) {
 	if n >= len(s.serverConns) {
-		return // read has reported it
+		return // read has reported an error
 	}
 	s.serverConns[n].SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := s.serverConns[n].Write(b); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, io.ErrClosedPipe) {
-		s.t.Errorf("connection %d: %v", n, err) // else nobody reads any more
+		s.t.Errorf("connection %d: %v", n, err) // with the excluded errors the client no longer reads
 	}
 	synctest.Wait()
 }
 
-// recordReports records what has been reported.
+// recordReports records the results that have been reported.
 func (s *scenario) recordReports() {
 	synctest.Wait()
 	for len(s.reports) > 0 {
@@ -146,7 +149,7 @@
 
 func (s *scenario) record(number int, how outcome.Kind, r upstream.Result) {
 	if s.ended[number] {
-		s.t.Errorf("attempt %d has ended twice, as %s", number, how)
+		s.t.Errorf("attempt %d has ended twice, the second time as %s", number, how)
 	}
 	s.ended[number] = true
 	end := fmt.Sprintf("%d %s", number, how)
@@ -159,27 +162,27 @@
 	s.got.Ends = append(s.got.Ends, end)
 }
 
-// cancel cancels the first attempt.
+// cancel cancels the first attempt, and checks that it can't be cancelled again.
 func (s *scenario) cancel(attempt upstream.Attempt, why outcome.Kind) {
 	if how, cancelled := attempt.Cancel(why); cancelled {
 		s.record(1, how, upstream.Result{})
 	}
 	if _, again := attempt.Cancel(why); again {
-		s.t.Error("the attempt was cancelled twice")
+		s.t.Error("an ended attempt was cancelled again")
 	}
 }
 
-// withdraw withdraws the first attempt.
+// withdraw withdraws the first attempt, and checks that it can't be withdrawn again.
 func (s *scenario) withdraw(attempt upstream.Attempt) {
 	if how, withdrawn := attempt.Withdraw(outcome.Cancelled); withdrawn {
 		s.record(1, how, upstream.Result{})
 	}
 	if _, again := attempt.Withdraw(outcome.Cancelled); again {
-		s.t.Error("the attempt was withdrawn twice")
+		s.t.Error("an ended attempt was withdrawn again")
 	}
 }
 
-// Test plays the suite.
+// Test runs the suite.
 func Test(t *testing.T, h Harness) {
 	for name, tc := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -190,7 +193,7 @@
 				if s.endpoint = u.Endpoint("p1", "p1:1"); s.endpoint.Address() != "p1:1" {
 					t.Errorf("address %q", s.endpoint.Address())
 				}
-				tc.play(s)
+				tc.run(s)
 				if diff := cmp.Diff(tc.want, s.got); diff != "" {
 					t.Error(diff)
 				}
@@ -212,10 +215,10 @@
 			}
 			if state != nil {
 				if err := u.Restore(time.Now(), state, time.Second); err != nil {
-					t.Errorf("its own state: %v", err)
+					t.Errorf("restore of its own state: %v", err)
 				}
 				if u.Restore(time.Now(), state[:len(state)/2], time.Second) == nil {
-					t.Error("half a state is accepted")
+					t.Error("a truncated state is accepted")
 				}
 			}
 			u.Forget("nobody")
