--- a/balancer.go
+++ b/balancer.go
@@ -73,9 +73,9 @@
 	cfg := o.policyConfig()
 	b.backend, err = backend.New(ctx, o.ConnectionLimit.budget, backend.Settings{
 		ReloadableSettings: backend.ReloadableSettings{
-			Connect:    o.ConnectTimeout,
-			ConnIdle:   o.ServerIdleTimeout,
-			RetryCosts: backend.RetryCosts(cfg.Classes),
+			ConnectTimeout:    o.ConnectTimeout,
+			ServerIdleTimeout: o.ServerIdleTimeout,
+			RetryCosts:        backend.RetryCosts(cfg.Classes),
 		},
 		IsServed: func(status int) bool { return status < 500 },
 	})
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -55,7 +55,7 @@
 	predecessor.Reloaded = func(reload hotrestart.Reload) {
 		p.signals.addReload(receivedSignal{Signal: syscall.SIGHUP, earliestSent: reload.At, readAt: time.Now()})
 	}
-	received := p.frontend.Expect()
+	received := p.frontend.ExpectAdoptions()
 	group.Go(func() error {
 		defer received()
 		p.receiveConnections(ctx, group, predecessor)
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -59,5 +59,5 @@
 
 // backendTimes are the backend's times and what a lost connection costs it.
 func backendTimes(cfg *config.Config) backend.ReloadableSettings {
-	return backend.ReloadableSettings{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, RetryCosts: backend.RetryCosts(cfg.Policy.Classes)}
+	return backend.ReloadableSettings{ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ConnIdle, RetryCosts: backend.RetryCosts(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -123,7 +123,7 @@
 	if s.program.lifecycle.current() != shuttingDown {
 		return
 	}
-	s.maxConnections = max(s.maxConnections, s.program.frontend.Open())
+	s.maxConnections = max(s.maxConnections, s.program.frontend.OpenConnections())
 	if schedule := s.configured.ForConnections(s.maxConnections); schedule.LastForward < s.adjusted.LastForward-advanceInterval {
 		s.apply(schedule)
 	}
@@ -139,7 +139,7 @@
 // drain closes the listener and idle connections so long after the signal to stop. What has been taken is answered.
 func (p *program) drain(sinceSignal time.Duration) {
 	p.lifecycle.on(lastForwardReached)
-	log.Printf("name=%s state=draining after_ms=%d clients=%d sockets=%d", p.cfg.Name, sinceSignal.Milliseconds(), p.frontend.Open(), p.budget.Used())
+	log.Printf("name=%s state=draining after_ms=%d clients=%d sockets=%d", p.cfg.Name, sinceSignal.Milliseconds(), p.frontend.OpenConnections(), p.budget.Used())
 	go p.writeLastSnapshot() // while there is time: what is still under way matters less than that it is there
 	p.frontend.Drain(p.listener)
 }
--- a/do.go
+++ b/do.go
@@ -93,7 +93,7 @@
 	switch {
 	case !known && r.Class != "":
 		return nil, &RequestError{"Class", fmt.Sprintf("there is none named %q", r.Class)}
-	case !http1.ValidStart(method, target) || target[0] != '/' && target != "*":
+	case !http1.ValidRequestLine(method, target) || target[0] != '/' && target != "*":
 		return nil, &RequestError{"Method and Target", fmt.Sprintf("%q %q can't be sent", method, target)}
 	case method == http.MethodConnect:
 		return nil, &RequestError{"Method", "CONNECT makes a tunnel, which has no outcome"}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -129,7 +129,7 @@
 func (s *Server) serve(conn net.Conn, position *list.Element) {
 	conn.SetDeadline(time.Now().Add(requestTimeout))
 	br := http1.NewReader(conn)
-	defer http1.Free(br)
+	defer http1.FreeReader(br)
 	req, err := http1.ReadRequest(br)
 	if err == nil && req.WantsContinue() {
 		_, err = conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -58,7 +58,7 @@
 		for _, gone := range []func() bool{nil, clientSocket.HasPeerLeft} {
 			b.Run(fmt.Sprintf("pieces=%d/look=%t", 1+size/chunkSize/2, gone != nil), func(b *testing.B) {
 				ctx, cancel := context.WithCancel(b.Context())
-				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{ReloadableSettings: ReloadableSettings{Connect: time.Minute, ConnIdle: time.Hour}})
+				client, err := New(ctx, connlimit.NewBudget(8, connlimit.TCP), Settings{ReloadableSettings: ReloadableSettings{ConnectTimeout: time.Minute, ServerIdleTimeout: time.Hour}})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -18,9 +18,9 @@
 
 // ReloadableSettings are the settings that may change while a Client is in use.
 type ReloadableSettings struct {
-	Connect    time.Duration         // timeout for establishing a connection
-	ConnIdle   time.Duration         // time after which a server closes an idle connection
-	RetryCosts []keepalive.RetryCost // of a broken connection, by request class
+	ConnectTimeout    time.Duration         // timeout for establishing a connection
+	ServerIdleTimeout time.Duration         // time after which a server closes an idle connection
+	RetryCosts        []keepalive.RetryCost // of a broken connection, by request class
 }
 
 // Settings are the settings of a Client.
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -20,7 +20,7 @@
 	upstreamtest.Test(t, upstreamtest.Harness{
 		New: func(ctx context.Context, dial func(context.Context, string) (net.Conn, error)) (upstream.Upstream, func()) {
 			client, err := New(ctx, connlimit.NewBudget(8, dial), Settings{ReloadableSettings: ReloadableSettings{
-				Connect: time.Second, ConnIdle: time.Hour,
+				ConnectTimeout: time.Second, ServerIdleTimeout: time.Hour,
 				RetryCosts: []keepalive.RetryCost{{NonIdempotent: true, PriorityWeight: 1}},
 			}})
 			if err != nil {
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -63,7 +63,7 @@
 		opened <- serverConn
 		return clientConn, nil
 	})
-	client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
+	client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{ConnectTimeout: time.Second, ServerIdleTimeout: time.Hour}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/deadconn_test.go
+++ b/internal/backend/deadconn_test.go
@@ -85,7 +85,7 @@
 					}
 					return clientConn, nil
 				})
-				client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
+				client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{ConnectTimeout: time.Second, ServerIdleTimeout: time.Hour}})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -44,7 +44,7 @@
 					serverConns <- serverConn
 					return clientConn, nil
 				})
-				client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
+				client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{ConnectTimeout: time.Second, ServerIdleTimeout: time.Hour}})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -55,7 +55,7 @@
 				clientConn, serverConn := net.Pipe()
 				budget := connlimit.NewBudget(8, func(context.Context, string) (net.Conn, error) { return clientConn, nil })
 				client, err := New(ctx, budget, Settings{
-					ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour},
+					ReloadableSettings: ReloadableSettings{ConnectTimeout: time.Second, ServerIdleTimeout: time.Hour},
 					Bounds:             streaming.New(1<<20, 8),
 				})
 				if err != nil {
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -24,7 +24,7 @@
 		if a.isProbe {
 			dial = c.budget.DialOptional
 		}
-		socket, err := dial(a.ctx, a.endpoint.address, c.reloadable.Load().Connect)
+		socket, err := dial(a.ctx, a.endpoint.address, c.reloadable.Load().ConnectTimeout)
 		if err != nil {
 			how := dialOutcome(err)
 			c.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, how, time.Since(began).Seconds()*1e3)
@@ -40,7 +40,7 @@
 		a = c.serve(conn, a)
 		stop()
 		c.trace("trace=closed provider=%s", name)
-		http1.Free(conn.reader)
+		http1.FreeReader(conn.reader)
 	}
 }
 
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -75,7 +75,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	maxIdle := time.Duration(idleTimeoutFraction * float64(c.reloadable.Load().ConnIdle))
+	maxIdle := time.Duration(idleTimeoutFraction * float64(c.reloadable.Load().ServerIdleTimeout))
 	idleTimeout := c.estimator.Limit(now, conn.endpoint.name, probeCost, maxIdle)
 	if conn.endpoint.closed || conn.socket.SetReadDeadline(now.Add(idleTimeout)) != nil {
 		conn.close()
--- a/internal/backend/server_test.go
+++ b/internal/backend/server_test.go
@@ -24,7 +24,7 @@
 			serverConns = append(serverConns, serverConn)
 			return clientConn, nil
 		})
-		client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{Connect: time.Second, ConnIdle: time.Hour}})
+		client, err := New(ctx, budget, Settings{ReloadableSettings: ReloadableSettings{ConnectTimeout: time.Second, ServerIdleTimeout: time.Hour}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -63,7 +63,7 @@
 	if c.metric != nil {
 		c.metric.End(metrics.ClientGone) // no effect if the response was written meanwhile
 	}
-	http1.Free(c.reader)
+	http1.FreeReader(c.reader)
 	c.server.removeConn(c, how)
 }
 
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -23,8 +23,9 @@
 	s.keepIdle = true
 }
 
-// Expect keeps Serve from returning until done is called, because a predecessor may still transfer connections to Adopt.
-func (s *Server) Expect() (done func()) {
+// ExpectAdoptions keeps Serve from returning until done is called, because a predecessor may still transfer connections to
+// Adopt.
+func (s *Server) ExpectAdoptions() (done func()) {
 	wait := make(chan struct{})
 	s.running.Go(func() error { <-wait; return nil })
 	return sync.OnceFunc(func() { close(wait) })
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -179,7 +179,7 @@
 			t.Fatalf("before: %s", got)
 		}
 		busy.sendRequest("b")
-		done := next.Expect()
+		done := next.ExpectAdoptions()
 		var mu sync.Mutex
 		notes := map[string]int{}
 		handedOver := old.HandOver(func(c net.Conn, note []byte) error {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -76,8 +76,8 @@
 	return s.outcomes
 }
 
-// Open returns the number of open client connections.
-func (s *Server) Open() int {
+// OpenConnections returns the number of open client connections.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -73,8 +73,8 @@
 // ValidField reports whether a header line can be written without escaping.
 func ValidField(name, value string) bool { return isToken(name) && isText(value) }
 
-// ValidStart reports whether a request line can be written without escaping.
-func ValidStart(method, target string) bool { return isToken(method) && isVisible(target) }
+// ValidRequestLine reports whether a request line can be written without escaping.
+func ValidRequestLine(method, target string) bool { return isToken(method) && isVisible(target) }
 
 func readHeader(reader *bufio.Reader) (Header, error) {
 	var h Header
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -33,15 +33,15 @@
 // readerPool pools readers: connections are opened and closed by the hundred, and the buffer is most of the cost of one.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
 
-// NewReader returns a reader whose buffer holds the longest line. Free returns the reader to the pool.
+// NewReader returns a reader whose buffer holds the longest line. FreeReader returns the reader to the pool.
 func NewReader(r io.Reader) *bufio.Reader {
 	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(r)
 	return reader
 }
 
-// Free returns a reader that is no longer used to the pool.
-func Free(reader *bufio.Reader) {
+// FreeReader returns a reader that is no longer used to the pool.
+func FreeReader(reader *bufio.Reader) {
 	reader.Reset(nil)
 	readerPool.Put(reader)
 }
