--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -64,8 +64,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if how := a.checkWriteAllowed(now, true); how != outcome.Open {
-		return how
+	if kind := a.checkWriteAllowed(now, true); kind != outcome.Open {
+		return kind
 	}
 	a.refreshDeadline(now)
 	a.conn = conn
@@ -89,11 +89,11 @@
 func (a *attempt) releaseLastByte() outcome.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	how := a.checkWriteAllowed(time.Now(), false)
-	if how == outcome.Open {
+	kind := a.checkWriteAllowed(time.Now(), false)
+	if kind == outcome.Open {
 		a.stage = stageWriting
 	}
-	return how
+	return kind
 }
 
 // resetForNewConn resets the attempt to its stage without a connection, so that it is sent on a new one. It returns false if
@@ -135,29 +135,29 @@
 
 // Cancel ends the attempt. Its connection is closed when Cancel returns, so that nothing more of the attempt reaches the
 // server. False means that it has already ended: its Result has been reported or is about to be.
-func (a *attempt) Cancel(why outcome.Kind) (outcome.Kind, bool) {
-	return a.abort(why, stageAwaitingResponse)
+func (a *attempt) Cancel(reason outcome.Kind) (outcome.Kind, bool) {
+	return a.abort(reason, stageAwaitingResponse)
 }
 
 // Withdraw is Cancel for an attempt whose last byte is not written. It returns false if the byte may have been written.
-func (a *attempt) Withdraw(why outcome.Kind) (outcome.Kind, bool) {
-	return a.abort(why, stageLastByteHeld)
+func (a *attempt) Withdraw(reason outcome.Kind) (outcome.Kind, bool) {
+	return a.abort(reason, stageLastByteHeld)
 }
 
 // abort ends the attempt unless its stage is beyond lastStage.
-func (a *attempt) abort(why outcome.Kind, lastStage stage) (outcome.Kind, bool) {
+func (a *attempt) abort(reason outcome.Kind, lastStage stage) (outcome.Kind, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.stage > lastStage {
 		return outcome.Open, false
 	}
 	if a.stage <= stageLastByteHeld {
-		why = why.Unsent()
+		reason = reason.Unsent()
 	}
 	a.stage = stageEnded
 	a.cancel()
 	if a.conn != nil {
 		a.conn.close()
 	}
-	return why, true
+	return reason, true
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -69,7 +69,7 @@
 
 // waitForAttempt waits for the next attempt. The outcome Open means that the connection can be used for it; any other says
 // why not, or how the connection has ended without an attempt.
-func (c *conn) waitForAttempt() (next *attempt, how outcome.Kind) {
+func (c *conn) waitForAttempt() (next *attempt, kind outcome.Kind) {
 	began := time.Now()
 	_, err := c.reader.Peek(1)
 	c.use.idle = time.Since(began)
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -43,9 +43,9 @@
 	if !conn.offer(server.encode(upstream.AttemptOptions{})) {
 		t.Fatal("an idle connection does not accept an attempt")
 	}
-	next, how := conn.waitForAttempt()
-	if next == nil || how != outcome.UnexpectedBytes {
-		t.Errorf("offered while idle: attempt %v, %s", next, how)
+	next, kind := conn.waitForAttempt()
+	if next == nil || kind != outcome.UnexpectedBytes {
+		t.Errorf("offered while idle: attempt %v, %s", next, kind)
 	}
 	a := server.encode(upstream.AttemptOptions{Request: &request.Request{ID: "a", Method: "POST", Body: make([]byte, chunkSize)}, Timeout: time.Second})
 	go func() { _, _ = io.Copy(io.Discard, in) }()
@@ -81,8 +81,8 @@
 		if _, err := io.WriteString(reused, okResponse); err != nil {
 			t.Fatal(err)
 		}
-		if how := <-ends; how != outcome.Served {
-			t.Errorf("attempt %d: %s", i, how)
+		if kind := <-ends; kind != outcome.Served {
+			t.Errorf("attempt %d: %s", i, kind)
 		}
 	}
 }
--- a/internal/backend/connchooser.go
+++ b/internal/backend/connchooser.go
@@ -59,11 +59,11 @@
 	now := time.Now()
 	name := a.endpoint.name
 	if d := a.deadConn; d != nil {
-		how := keepalive.Broken
+		connOutcome := keepalive.Broken
 		if d.beforeLastByte {
-			how = keepalive.Early
+			connOutcome = keepalive.Early
 		}
-		c.estimator.Learn(now, d.keepaliveUse(name), how, d.pause, d.timeToBreak)
+		c.estimator.Learn(now, d.keepaliveUse(name), connOutcome, d.pause, d.timeToBreak)
 	}
 	if a.dialTime > 0 {
 		c.estimator.Dialed(name, a.dialTime)
--- a/internal/backend/deadconn_test.go
+++ b/internal/backend/deadconn_test.go
@@ -41,8 +41,8 @@
 	for name, c := range map[string]struct {
 		pause        time.Duration
 		probe        bool
-		serverCloses bool // the server closes the connection, before the last byte if that is held back
-		stop         time.Duration
+		serverCloses bool          // the server closes the connection, before the last byte if that is held back
+		stop         time.Duration // after the start of the second attempt; 0 = never
 		leave        bool          // after stop the client's departure is reported,
 		withdraw     bool          // or the attempt is withdrawn,
 		gone         bool          // or the client leaves unreported; none of the three = the attempt times out
@@ -135,7 +135,7 @@
 				if c.stop > 0 {
 					go func() {
 						time.Sleep(c.stop)
-						end, why := second.Cancel, outcome.TimedOut
+						end, reason := second.Cancel, outcome.TimedOut
 						switch {
 						case c.gone:
 							gone.Store(true)
@@ -144,10 +144,10 @@
 							second.request.MarkClientGone()
 							return
 						case c.withdraw:
-							end, why = second.Withdraw, outcome.Cancelled
+							end, reason = second.Withdraw, outcome.Cancelled
 						}
-						if how, stopped := end(why); stopped {
-							results <- upstream.Result{Outcome: how}
+						if kind, stopped := end(reason); stopped {
+							results <- upstream.Result{Outcome: kind}
 						}
 					}()
 				}
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -53,15 +53,15 @@
 // writeRequest writes the whole request. If it is not sent, failed is the reason, or empty if the attempt has ended meanwhile.
 func (c *conn) writeRequest(a *attempt) (failed result, sent bool) {
 	began := time.Now()
-	lastPart, how := c.writeUpToLastByte(a)
-	if how == outcome.PartlyWritten {
+	lastPart, kind := c.writeUpToLastByte(a)
+	if kind == outcome.PartlyWritten {
 		return brokenBeforeLastByte(began), false
 	}
-	if how == outcome.Open && a.holdsBackLastByte() {
-		how = a.releaseLastByte()
+	if kind == outcome.Open && a.holdsBackLastByte() {
+		kind = a.releaseLastByte()
 	}
-	if how != outcome.Open { // a guard has forbidden the last byte, which is not written
-		return result{Result: upstream.Result{Outcome: how}}, false
+	if kind != outcome.Open { // a guard has forbidden the last byte, which is not written
+		return result{Result: upstream.Result{Outcome: kind}}, false
 	}
 	if _, err := c.socket.Write(lastPart); err != nil {
 		return brokenBeforeLastByte(began), false
@@ -78,7 +78,7 @@
 
 // writeUpToLastByte writes what precedes the last byte, if that is written separately, and returns what is left to write.
 // PartlyWritten means that the connection is broken, or that something was received.
-func (c *conn) writeUpToLastByte(a *attempt) (lastPart []byte, how outcome.Kind) {
+func (c *conn) writeUpToLastByte(a *attempt) (lastPart []byte, kind outcome.Kind) {
 	if a.upload != nil {
 		lastPart, clientErr := c.streamBody(a)
 		switch {
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -26,9 +26,9 @@
 		}
 		socket, err := dial(a.ctx, a.endpoint.address, c.reloadable.Load().ConnectTimeout)
 		if err != nil {
-			how := dialOutcome(err)
-			c.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, how, time.Since(began).Seconds()*1e3)
-			c.end(a, result{Result: upstream.Result{Outcome: how}})
+			kind := dialOutcome(err)
+			c.trace("trace=dial provider=%s ending=%s took_ms=%.1f", a.endpoint.name, kind, time.Since(began).Seconds()*1e3)
+			c.end(a, result{Result: upstream.Result{Outcome: kind}})
 			return
 		}
 		name := a.endpoint.name
@@ -55,8 +55,8 @@
 	for {
 		var r result
 		reported := true
-		if how := a.begin(conn); how != outcome.Open { // the connection stays usable for another attempt
-			c.end(a, result{Result: upstream.Result{Outcome: how}})
+		if kind := a.begin(conn); kind != outcome.Open { // the connection stays usable for another attempt
+			c.end(a, result{Result: upstream.Result{Outcome: kind}})
 		} else {
 			var reusable bool
 			r, reusable = conn.exchange(a)
@@ -77,10 +77,10 @@
 		if !reported {
 			a.onEnd(r.Result)
 		}
-		next, how := conn.waitForAttempt()
-		if how != outcome.Open {
+		next, kind := conn.waitForAttempt()
+		if kind != outcome.Open {
 			conn.close()
-			c.removeIdle(conn, how)
+			c.removeIdle(conn, kind)
 			return next
 		}
 		a = next
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -88,10 +88,10 @@
 }
 
 // removeIdle removes a connection that has ended while idle, and counts how.
-func (c *Client) removeIdle(conn *conn, how outcome.Kind) {
+func (c *Client) removeIdle(conn *conn, kind outcome.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idleOutcomes[how]++
+	c.idleOutcomes[kind]++
 	if i := slices.Index(conn.endpoint.idle, conn); i >= 0 {
 		conn.endpoint.idle = slices.Delete(conn.endpoint.idle, i, i+1)
 	}
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -53,8 +53,8 @@
 func (c *conn) run() {
 	c.reader = http1.NewReader(c)
 	c.done = make(chan struct{})
-	how := c.serveMessages()
-	c.checkResponded(how)
+	kind := c.serveMessages()
+	c.checkResponded(kind)
 	c.releaseMemory()
 	close(c.done) // responses stays open, since the dispatcher may still deliver a response to a client that is gone
 	_ = c.socket.Close()
@@ -64,17 +64,17 @@
 		c.metric.End(metrics.ClientGone) // no effect if the response was written meanwhile
 	}
 	http1.FreeReader(c.reader)
-	c.server.removeConn(c, how)
+	c.server.removeConn(c, kind)
 }
 
 // checkResponded records a violation if the connection is about to be closed without a response to a request whose client is
 // still connected.
-func (c *conn) checkResponded(how outcome.Kind) {
+func (c *conn) checkResponded(kind outcome.Kind) {
 	id := c.pendingRequestID.Load()
-	if id == nil || how == outcome.ClientGone || how == outcome.WriteFailed || c.socket.HasPeerLeft() {
+	if id == nil || kind == outcome.ClientGone || kind == outcome.WriteFailed || c.socket.HasPeerLeft() {
 		return
 	}
-	c.server.Invariants.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), how)
+	c.server.Invariants.Violated(invariant.Answer, "request=%q client=%s ending=%s", *id, c.socket.RemoteAddr(), kind)
 }
 
 // serveMessages serves one message after another, and returns the outcome of the connection.
@@ -87,25 +87,25 @@
 			return outcome.FromIdleError(err)
 		}
 		c.setBusy(true)
-		r, direct, how := c.readMessage()
+		r, direct, kind := c.readMessage()
 		c.setReading(false)
 		switch {
-		case how != outcome.Open:
-			return how
+		case kind != outcome.Open:
+			return kind
 		case direct != nil:
-			how = c.writeDirectly(direct)
+			kind = c.writeDirectly(direct)
 		case c.rejected:
 			c.releaseMemory()
-			how = c.writeDirectly(c.rejection(http.StatusServiceUnavailable, true))
+			kind = c.writeDirectly(c.rejection(http.StatusServiceUnavailable, true))
 		default:
-			how = c.handleRequest(r)
-			if how == outcome.ClientGone || how == outcome.ShuttingDown {
-				return how
+			kind = c.handleRequest(r)
+			if kind == outcome.ClientGone || kind == outcome.ShuttingDown {
+				return kind
 			}
 		}
-		if how != outcome.Open {
+		if kind != outcome.Open {
 			c.lingerForClose()
-			return how
+			return kind
 		}
 	}
 }
@@ -122,8 +122,8 @@
 		return outcome.ShuttingDown
 	}
 	if c.upload != nil {
-		if how := c.awaitUpload(r); how != outcome.Open {
-			return how
+		if kind := c.awaitUpload(r); kind != outcome.Open {
+			return kind
 		}
 		if c.upload == nil { // the response was written before the body was complete
 			return outcome.Open
@@ -136,8 +136,8 @@
 func (c *conn) awaitResponse(r *request.Request) outcome.Kind {
 	_, err := c.reader.Peek(1) // returns with the next message, or when the client closes the connection
 	select {
-	case how := <-c.written:
-		return how
+	case kind := <-c.written:
+		return kind
 	default:
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) { // only the writer sets a read deadline here: it is about to send its outcome
@@ -146,8 +146,8 @@
 	check := time.Tick(clientCheckInterval)
 	for err == nil && !c.socket.HasPeerLeft() { // while bytes are unread, the client's close can't be detected by reading
 		select {
-		case how := <-c.written:
-			return how
+		case kind := <-c.written:
+			return kind
 		case <-c.server.stopped:
 			return outcome.ShuttingDown
 		case <-check:
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -91,17 +91,17 @@
 }
 
 // removeConn removes a connection that has ended, and counts its outcome.
-func (s *Server) removeConn(c *conn, how outcome.Kind) {
+func (s *Server) removeConn(c *conn, kind outcome.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	s.notifyIfAllHandedOver()
-	if s.draining && how == outcome.IdleRetired {
-		how = outcome.ShuttingDown
+	if s.draining && kind == outcome.IdleRetired {
+		kind = outcome.ShuttingDown
 	}
-	s.outcomes[how]++
+	s.outcomes[kind]++
 	if s.Trace != nil {
-		s.Trace("trace=client remote=%s ending=%s lived_ms=%d", c.socket.RemoteAddr(), how, time.Since(c.acceptedAt).Milliseconds())
+		s.Trace("trace=client remote=%s ending=%s lived_ms=%d", c.socket.RemoteAddr(), kind, time.Since(c.acceptedAt).Milliseconds())
 	}
 }
 
--- a/internal/frontend/upload.go
+++ b/internal/frontend/upload.go
@@ -122,10 +122,10 @@
 			}
 		case <-u.done:
 			return c.endUpload(r)
-		case how := <-c.written:
+		case kind := <-c.written:
 			u.stopAttemptReads() // before anything else, because an attempt must not read from a connection that has ended
-			if how != outcome.Open {
-				return how
+			if kind != outcome.Open {
+				return kind
 			}
 			return c.discardUpload()
 		case <-c.server.stopped:
@@ -142,8 +142,8 @@
 	case errors.Is(u.err, io.EOF) && !u.completedAfterResponse:
 		return outcome.Open
 	case errors.Is(u.err, io.EOF):
-		if how := <-c.written; how != outcome.Open {
-			return how
+		if kind := <-c.written; kind != outcome.Open {
+			return kind
 		}
 		c.upload = nil
 		c.markIdle()
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -37,15 +37,15 @@
 		for {
 			select {
 			case p := <-c.responses:
-				how := c.writeResponse(p)
-				switch how {
+				kind := c.writeResponse(p)
+				switch kind {
 				case outcome.WriteFailed:
 				case outcome.ResponseAborted:
 					c.metric.End(metrics.Error)
 				default:
 					c.metric.End(metricOutcomes[p.Status])
 				}
-				c.written <- how
+				c.written <- kind
 			case <-c.done:
 				return nil
 			}
@@ -85,20 +85,20 @@
 func (c *conn) writeResponse(pending pendingResponse) outcome.Kind {
 	r := pending.Response
 	r.Close = r.Close || c.server.isDraining() || c.socket.IsEvicted()
-	how := c.writePiece(http1.AppendResponse(nil, r, pending.isHTTP10))
+	kind := c.writePiece(http1.AppendResponse(nil, r, pending.isHTTP10))
 	c.pendingRequestID.Store(nil) // even if the write failed, since the client is gone then
 	if pending.download != nil {
-		if how == outcome.Open {
-			how = c.streamDownload(pending)
+		if kind == outcome.Open {
+			kind = c.streamDownload(pending)
 		}
-		pending.download.Close(how == outcome.Open)
+		pending.download.Close(kind == outcome.Open)
 	}
-	if how != outcome.Open {
-		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && how == outcome.ResponseAborted && pending.isHTTP10 {
+	if kind != outcome.Open {
+		if abrupt, ok := c.socket.Conn.(interface{ SetLinger(int) error }); ok && kind == outcome.ResponseAborted && pending.isHTTP10 {
 			_ = abrupt.SetLinger(0) // sends a reset: a client of HTTP/1.0 would take an orderly close for the end of the body
 		}
 		_ = c.socket.Close()
-		return how
+		return kind
 	}
 	if r.Close {
 		_ = c.socket.CloseWrite()
@@ -136,8 +136,8 @@
 			if chunked {
 				piece = http1.AppendChunk(nil, piece)
 			}
-			if how := c.writePiece(piece); how != outcome.Open {
-				return how
+			if kind := c.writePiece(piece); kind != outcome.Open {
+				return kind
 			}
 		}
 		switch {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -49,12 +49,12 @@
 
 // Attempt is an attempt in flight. Its methods are safe for concurrent use and do not block.
 type Attempt interface {
-	// Cancel ends the attempt for the reason why, and returns its outcome and true; from then on, nothing more of the attempt
+	// Cancel ends the attempt for the given reason, and returns its outcome and true; from then on, nothing more of the attempt
 	// can reach the server. False means that it has already ended: OnEnd has been called or is about to be.
-	Cancel(why outcome.Kind) (outcome.Kind, bool)
+	Cancel(reason outcome.Kind) (outcome.Kind, bool)
 	// Withdraw is Cancel for an attempt whose last byte is not written. False means that it may have run, or has already
 	// ended. An attempt that was not sent completely can't run: it may be withdrawn even where cancelling is not permitted.
-	Withdraw(why outcome.Kind) (outcome.Kind, bool)
+	Withdraw(reason outcome.Kind) (outcome.Kind, bool)
 	// StartBy forbids writing the first byte after t, in addition to earlier limits.
 	StartBy(t time.Time)
 }
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -147,13 +147,13 @@
 	}
 }
 
-func (s *scenario) record(number int, how outcome.Kind, r upstream.Result) {
+func (s *scenario) record(number int, kind outcome.Kind, r upstream.Result) {
 	if s.ended[number] {
-		s.t.Errorf("attempt %d has ended twice, the second time as %s", number, how)
+		s.t.Errorf("attempt %d has ended twice, the second time as %s", number, kind)
 	}
 	s.ended[number] = true
-	end := fmt.Sprintf("%d %s", number, how)
-	if how == outcome.Served && number > 0 {
+	end := fmt.Sprintf("%d %s", number, kind)
+	if kind == outcome.Served && number > 0 {
 		end += " " + string(r.Body)
 	}
 	if r.Report.HasRIF {
@@ -163,19 +163,19 @@
 }
 
 // cancel cancels the first attempt, and checks that it can't be cancelled again.
-func (s *scenario) cancel(attempt upstream.Attempt, why outcome.Kind) {
-	if how, cancelled := attempt.Cancel(why); cancelled {
-		s.record(1, how, upstream.Result{})
+func (s *scenario) cancel(attempt upstream.Attempt, reason outcome.Kind) {
+	if kind, cancelled := attempt.Cancel(reason); cancelled {
+		s.record(1, kind, upstream.Result{})
 	}
-	if _, again := attempt.Cancel(why); again {
+	if _, again := attempt.Cancel(reason); again {
 		s.t.Error("an ended attempt was cancelled again")
 	}
 }
 
 // withdraw withdraws the first attempt, and checks that it can't be withdrawn again.
 func (s *scenario) withdraw(attempt upstream.Attempt) {
-	if how, withdrawn := attempt.Withdraw(outcome.Cancelled); withdrawn {
-		s.record(1, how, upstream.Result{})
+	if kind, withdrawn := attempt.Withdraw(outcome.Cancelled); withdrawn {
+		s.record(1, kind, upstream.Result{})
 	}
 	if _, again := attempt.Withdraw(outcome.Cancelled); again {
 		s.t.Error("an ended attempt was withdrawn again")
