--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -60,5 +60,5 @@
 
 // backendTimes returns the backend's timeouts and the costs of a retry by class.
 func backendTimes(cfg *config.Config) backend.ReloadableSettings {
-	return backend.ReloadableSettings{Connect: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, RetryCosts: backend.RetryCosts(cfg.Policy.Classes)}
+	return backend.ReloadableSettings{ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ConnIdle, RetryCosts: backend.RetryCosts(cfg.Policy.Classes)}
 }
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -127,7 +127,7 @@
 	if s.program.lifecycle.current() != shuttingDown {
 		return
 	}
-	s.maxConnections = max(s.maxConnections, s.program.frontend.Open())
+	s.maxConnections = max(s.maxConnections, s.program.frontend.OpenConnections())
 	if schedule := s.configured.ForConnections(s.maxConnections); schedule.LastForward < s.adjusted.LastForward-advanceInterval {
 		s.apply(schedule)
 	}
@@ -144,7 +144,7 @@
 // responses.
 func (p *program) drain(sinceSignal time.Duration) {
 	p.lifecycle.on(lastForwardReached)
-	log.Printf("name=%s state=draining after_ms=%d clients=%d sockets=%d", p.cfg.Name, sinceSignal.Milliseconds(), p.frontend.Open(), p.budget.Used())
+	log.Printf("name=%s state=draining after_ms=%d clients=%d sockets=%d", p.cfg.Name, sinceSignal.Milliseconds(), p.frontend.OpenConnections(), p.budget.Used())
 	go p.writeLastSnapshot() // now, while there is time: a snapshot without the requests in flight is better than none
 	p.frontend.Drain(p.listener)
 }
