--- a/balancer.go
+++ b/balancer.go
@@ -16,26 +16,26 @@
 	"plankrouter/policy"
 )
 
-// Balancer is one pool of servers. Its methods are safe for concurrent use.
+// Balancer sends requests to one pool of servers. Its methods are safe for concurrent use.
 type Balancer struct {
 	options    Options
 	dispatcher *dispatch.Dispatcher
 	backend    *backend.Client
 	watch      *discovery.Watch // nil = no discovery service is watched
-	classes    map[string]int   // positions in options, by name
-	tenants    map[string]int   // likewise
+	classes    map[string]int   // indexes in options.Classes, by name
+	tenants    map[string]int   // indexes in options.Tenants, by name
 	log        *logger
 	stop       context.CancelFunc
 	ended      chan struct{} // closed when all goroutines have ended
 
 	mu     sync.Mutex
 	closed bool
-	calls  sync.WaitGroup // of Do, in flight; added to only while not closed
+	calls  sync.WaitGroup // calls of Do in flight; none is added once closed
 
-	cancelled atomic.Int64
+	cancelled atomic.Int64 // number of calls of Do whose context ended
 }
 
-// New returns a Balancer, which needs a Close. An error is an *OptionError, or the dispatcher's.
+// New returns a running Balancer, which must be closed after use. The error is an *OptionError or an error of the dispatcher.
 func New(o Options) (*Balancer, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-// assemble makes the parts that carry requests; none of them runs yet.
+// assemble creates the backend client, the watch and the dispatcher, without starting them.
 func (b *Balancer) assemble(ctx context.Context, initial endpoints.List) (err error) {
 	o := &b.options
 	cfg := o.policyConfig()
@@ -116,12 +116,12 @@
 	return nil
 }
 
-// run starts the goroutines; ended is closed when all of them have ended.
+// run starts the goroutines. b.ended is closed when all of them have ended.
 func (b *Balancer) run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { _ = b.dispatcher.Run(ctx) }) // its only error would be that of ctx
+	running.Go(func() { _ = b.dispatcher.Run(ctx) }) // returns only ctx's error
 	if b.watch != nil {
-		running.Go(func() { _ = b.watch.Run(ctx) }) // likewise
+		running.Go(func() { _ = b.watch.Run(ctx) }) // returns only ctx's error
 	}
 	go func() {
 		running.Wait()
@@ -130,11 +130,11 @@
 	}()
 }
 
-// hasRIF is the dispatcher's IsComplete: a probe's response without the requests in flight says nothing.
+// hasRIF is the dispatcher's IsComplete: a probe's load report is of use only if it has the RIF.
 func hasRIF(r policy.Report) bool { return r.HasRIF }
 
-// Update adds, changes or takes out endpoints; those that it does not name stay as they are. With Options.Discovery set, what
-// the discovery service says of the same ids goes on counting. An error is an *OptionError, and then nothing has changed.
+// Update adds, changes or removes endpoints; others stay unchanged. With Options.Discovery set, later updates of the discovery
+// service for the same ids apply as well. The error is an *OptionError, and then nothing has changed.
 func (b *Balancer) Update(changed ...Endpoint) error {
 	list, err := toEndpointList(changed, false)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Replace names all endpoints: those that it does not name are gone. An error is as that of Update.
+// Replace sets the complete endpoint list: endpoints that are not in it are gone. Its error is as that of Update.
 func (b *Balancer) Replace(all ...Endpoint) error {
 	list, err := toEndpointList(all, true)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// Ready reports whether there is a server to send to.
+// Ready reports whether a request can be sent to at least one server.
 func (b *Balancer) Ready() bool { return b.dispatcher.Ready() }
 
 // isNonIdempotent reports whether requests of the class must not run twice.
@@ -162,29 +162,29 @@
 	return b.options.Classes[b.classes[class]].Idempotency == NonIdempotent
 }
 
-// Close rejects further calls, waits for those in flight, each of which has its outcome by its own deadline, and ends
-// connections and goroutines. If ctx ends first, what is in flight ends at once with an error that says whether it may have
-// run, and ctx's error is returned. Further calls of Close wait for the same. From within a callback it needs a ctx that
-// ends, or to be called from a goroutine of its own, if calls in flight depend on that callback. A logger or a dial function
-// that is being called when Close returns is not waited for.
+// Close makes further calls of Do fail with ErrClosed, waits for the calls in flight, each of which ends by its own deadline,
+// then closes all connections and ends all goroutines. If ctx ends first, the calls in flight end at once with an error that
+// says whether the request may have run, and Close returns ctx's error. Concurrent and later calls of Close wait for the same
+// end. If calls in flight depend on a callback of the application, a Close within that callback must have a ctx that ends, or
+// must run in a goroutine of its own. Close does not wait for a logger or a dial function that is still running.
 func (b *Balancer) Close(ctx context.Context) error {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
-	answered := make(chan struct{})
+	callsEnded := make(chan struct{})
 	go func() {
 		b.calls.Wait()
-		close(answered)
+		close(callsEnded)
 	}()
 	var err error
 	select {
-	case <-answered:
-	case <-b.ended: // by an earlier Close
+	case <-callsEnded:
+	case <-b.ended: // by another Close
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
 	b.stop()
 	<-b.ended
-	<-answered
+	<-callsEnded
 	return err
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -18,8 +18,8 @@
 
 const ms = time.Millisecond
 
-// fleet is some servers in a bubble, and a balancer over them.
-func fleet(t *testing.T, n int, edit func(*plankrouter.Options)) (*fakes.Fleet, *plankrouter.Balancer) {
+// newFleet starts n simulated servers on an in-memory network, and a balancer over them. It runs in a synctest bubble.
+func newFleet(t *testing.T, n int, edit func(*plankrouter.Options)) (*fakes.Fleet, *plankrouter.Balancer) {
 	t.Helper()
 	net := fakes.NewMemory()
 	f, err := fakes.NewFleet(net, n, fakes.ServerOptions{
@@ -51,7 +51,7 @@
 
 func TestDo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, b := fleet(t, 3, nil)
+		f, b := newFleet(t, 3, nil)
 		defer f.Close()
 		for i := range 30 {
 			r, err := b.Do(t.Context(), &plankrouter.Request{Class: "tile", ID: fmt.Sprint("t", i), Target: "/tile/roma?z=3"})
@@ -76,21 +76,22 @@
 	})
 }
 
-// A call whose context ends in the moment in which its connection comes up is not sent, even if the dispatcher has not seen that end yet.
+// A request whose context ends while its connection is being established is not sent, even if the dispatcher has not yet
+// handled the end of the context.
 func TestCancelledJustBeforeTheFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var got atomic.Int32
+		var bytesReceived atomic.Int32
 		b, err := plankrouter.New(plankrouter.Options{
 			Endpoints: []plankrouter.Endpoint{{Address: "s:1"}},
 			ConnectionLimit: plankrouter.NewConnectionLimit(8, func(context.Context, string) (net.Conn, error) {
-				mine, theirs := net.Pipe()
+				clientEnd, serverEnd := net.Pipe()
 				go func() {
-					n, _ := theirs.Read(make([]byte, 1))
-					got.Add(int32(n))
+					n, _ := serverEnd.Read(make([]byte, 1))
+					bytesReceived.Add(int32(n))
 				}()
 				cancel()
-				return mine, nil
+				return clientEnd, nil
 			}),
 		})
 		if err != nil {
@@ -101,8 +102,8 @@
 			t.Error(err)
 		}
 		synctest.Wait()
-		if got.Load() > 0 {
-			t.Error("it was sent")
+		if bytesReceived.Load() > 0 {
+			t.Error("the request was sent")
 		}
 		if err := b.Close(t.Context()); err != nil {
 			t.Error(err)
@@ -110,10 +111,10 @@
 	})
 }
 
-// A call whose context ends has its one outcome at once, and that says whether the request may have run.
+// A call whose context ends returns at once, and its error says whether the request may have run.
 func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, b := fleet(t, 1, func(o *plankrouter.Options) { o.Probes = false })
+		f, b := newFleet(t, 1, func(o *plankrouter.Options) { o.Probes = false })
 		defer f.Close()
 		defer func() {
 			if err := b.Close(t.Context()); err != nil {
@@ -127,12 +128,12 @@
 				cancel()
 			}
 			time.AfterFunc(after, cancel)
-			began := time.Now()
+			startedAt := time.Now()
 			_, err := b.Do(ctx, &plankrouter.Request{Class: "order", Method: "POST"})
 			var cancelled *plankrouter.CancelledError
 			if !errors.As(err, &cancelled) || cancelled.MayHaveRun != (after > 0) || !errors.Is(err, context.Canceled) ||
-				time.Since(began) != after {
-				t.Errorf("after %s: %v, %s later", after, err, time.Since(began))
+				time.Since(startedAt) != after {
+				t.Errorf("after %s: %v, %s later", after, err, time.Since(startedAt))
 			}
 		}
 	})
--- a/bench_test.go
+++ b/bench_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// servers are so many that 1,024 callers crowd none of them.
+// servers is the number of servers: enough that 1,024 callers overload none of them.
 const servers = 64
 
 // BenchmarkCall measures a call to one of 64 servers on loopback, in time, allocations and this process's CPU: through the
@@ -76,58 +76,58 @@
 	}
 }
 
-// measure makes b.N calls by so many callers side by side.
+// measure makes b.N calls from so many goroutines, and reports this process's CPU time and the failures per call.
 func measure(b *testing.B, callers int, call func() error) {
 	b.ReportAllocs()
-	var left, failed atomic.Int64
-	left.Store(int64(b.N))
-	var all sync.WaitGroup
+	var remaining, failed atomic.Int64
+	remaining.Store(int64(b.N))
+	var running sync.WaitGroup
 	b.ResetTimer()
-	began := cpubench.Own()
+	cpuBefore := cpubench.Own()
 	for range callers {
-		all.Go(func() {
-			for left.Add(-1) >= 0 {
+		running.Go(func() {
+			for remaining.Add(-1) >= 0 {
 				if call() != nil {
 					failed.Add(1)
 				}
 			}
 		})
 	}
-	all.Wait()
-	b.ReportMetric(float64(cpubench.Own()-began)/float64(b.N), "cpu-ns/op")
+	running.Wait()
+	b.ReportMetric(float64(cpubench.Own()-cpuBefore)/float64(b.N), "cpu-ns/op")
 	if n := failed.Load(); n > 0 {
 		b.ReportMetric(float64(n)/float64(b.N), "failed/op")
 	}
 }
 
-// BenchmarkIdle measures what a thousand idle balancers in one process cost: memory, goroutines and CPU of each, and what is
-// left when all are closed.
+// BenchmarkIdle measures the memory, goroutines and CPU time of each of 1,000 idle balancers in one process, and the goroutines
+// that remain after all are closed.
 func BenchmarkIdle(b *testing.B) {
 	const instances, watched = 1000, 5 * time.Second
 	for b.Loop() {
 		goroutines, heap := runtime.NumGoroutine(), heapInUse()
-		all := make([]*plankrouter.Balancer, instances)
-		for i := range all {
+		balancers := make([]*plankrouter.Balancer, instances)
+		for i := range balancers {
 			o := plankrouter.Options{Name: fmt.Sprint("b", i)}
 			for s := range 8 {
 				o.Endpoints = append(o.Endpoints, plankrouter.Endpoint{Address: fmt.Sprintf("127.0.0.1:%d", 1+s)})
 			}
 			var err error
-			if all[i], err = plankrouter.New(o); err != nil {
+			if balancers[i], err = plankrouter.New(o); err != nil {
 				b.Fatal(err)
 			}
 		}
 		b.ReportMetric(float64(heapInUse()-heap)/instances/1024, "KB/instance")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/instances, "goroutines/instance")
-		cpu := cpubench.Own()
+		cpuBefore := cpubench.Own()
 		time.Sleep(watched)
-		b.ReportMetric(float64((cpubench.Own()-cpu).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
-		for _, one := range all {
-			if err := one.Close(context.Background()); err != nil {
+		b.ReportMetric(float64((cpubench.Own()-cpuBefore).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
+		for _, balancer := range balancers {
+			if err := balancer.Close(context.Background()); err != nil {
 				b.Fatal(err)
 			}
 		}
-		time.Sleep(time.Second) // for goroutines that end by themselves
+		time.Sleep(time.Second) // goroutines that Close does not wait for may still be ending
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines), "goroutines-left")
 	}
 }
--- a/dial.go
+++ b/dial.go
@@ -14,8 +14,8 @@
 	err  error
 }
 
-// guardDial calls an application's dial function so that one that panics, or does not heed its context, ends or holds up
-// nobody else.
+// guardDial wraps an application's dial function: a panic becomes an error, and a dial that ignores its context does not
+// block the caller beyond it.
 func guardDial(dial connlimit.Dialer) connlimit.Dialer {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		done := make(chan dialResult, 1)
@@ -34,7 +34,7 @@
 	}
 }
 
-// callDial sends what dial returns to done: exactly once, also if dial panics or ends its goroutine, as a test's FailNow does.
+// callDial sends dial's result to done, exactly once, even if dial panics or calls runtime.Goexit, as testing's FailNow does.
 func callDial(ctx context.Context, dial connlimit.Dialer, address string, done chan<- dialResult) {
 	result := dialResult{err: errors.New("the dial function panicked")}
 	defer func() {
--- a/do.go
+++ b/do.go
@@ -12,19 +12,19 @@
 	"plankrouter/internal/request"
 )
 
-// MaxBody bounds the bodies of requests and responses, in bytes.
+// MaxBody is the largest size of a request's or a response's body, in bytes.
 const MaxBody = http1.MaxBody
 
-// contextGrace is how much longer than its context a request lives in the dispatcher: it is the context that ends the request,
-// and the error is then the context's.
+// contextGrace is how much later than ctx's deadline a request times out in the dispatcher, so that the context ends first and
+// Do returns the context's error.
 const contextGrace = 5 * time.Millisecond
 
-// noTenant is the position that stands for a request without a tenant.
+// noTenant is the tenant index of a request without a tenant.
 const noTenant = -1
 
-// Do sends the request and returns its one outcome, at the latest when ctx ends or the class's deadline has passed. The
-// error is a *RejectedError, a *FailedError, a *CancelledError, a *RequestError, or one of ErrClosed, ErrDuplicate and
-// ErrTooLarge, by which nothing has been sent.
+// Do sends the request and returns its only outcome, at the latest when ctx ends or the class's deadline has passed. The
+// error is a *RejectedError, *FailedError, *CancelledError or *RequestError, or one of ErrClosed, ErrDuplicate and
+// ErrTooLarge. After a *RequestError or one of these three, nothing has been sent.
 func (b *Balancer) Do(ctx context.Context, r *Request) (*Response, error) {
 	if !b.beginCall() {
 		return nil, ErrClosed
@@ -35,7 +35,7 @@
 		return nil, &CancelledError{Cause: err}
 	}
 	if r == nil {
-		return nil, &RequestError{"Request", "it is nil"}
+		return nil, &RequestError{"Request", "is nil"}
 	}
 	req, err := b.toRequest(r)
 	if err != nil {
@@ -60,11 +60,11 @@
 	return b.cancel(ctx, req, responses)
 }
 
-// cancel gives up a request whose context has ended, or whose balancer was closed, and returns what has become of it.
+// cancel cancels a request whose context has ended, or whose balancer was closed, and returns its outcome.
 func (b *Balancer) cancel(ctx context.Context, req *request.Request, responses <-chan request.Response) (*Response, error) {
 	mayHaveRun := b.dispatcher.Cancel(req)
 	select {
-	case resp := <-responses: // it had come by then
+	case resp := <-responses: // arrived before the cancellation
 		return toResponse(resp)
 	default:
 	}
@@ -72,10 +72,10 @@
 		b.cancelled.Add(1)
 		return nil, &CancelledError{MayHaveRun: mayHaveRun, Cause: err}
 	}
-	return nil, &FailedError{MayHaveRun: mayHaveRun} // the balancer was closed, and its Close did not wait
+	return nil, &FailedError{MayHaveRun: mayHaveRun} // the ctx of Close ended before this call did
 }
 
-// beginCall counts a call as in flight, unless the balancer is closed.
+// beginCall adds a call of Do to those in flight; it returns false if the balancer is closed.
 func (b *Balancer) beginCall() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,11 +92,11 @@
 	target := cmp.Or(r.Target, "/")
 	switch {
 	case !known && r.Class != "":
-		return nil, &RequestError{"Class", fmt.Sprintf("there is none named %q", r.Class)}
+		return nil, &RequestError{"Class", fmt.Sprintf("no class is named %q", r.Class)}
 	case !http1.ValidStart(method, target) || target[0] != '/' && target != "*":
-		return nil, &RequestError{"Method and Target", fmt.Sprintf("%q %q can't be sent", method, target)}
+		return nil, &RequestError{"Method and Target", fmt.Sprintf("%q %q is not a valid request line", method, target)}
 	case method == http.MethodConnect:
-		return nil, &RequestError{"Method", "CONNECT makes a tunnel, which has no outcome"}
+		return nil, &RequestError{"Method", "CONNECT is not supported: a tunnel has no single outcome"}
 	case len(r.Body) > MaxBody:
 		return nil, ErrTooLarge
 	}
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	if !http1.ValidField(http1.HeaderID, id) {
-		return nil, &RequestError{"ID", fmt.Sprintf("%q can't be sent", id)}
+		return nil, &RequestError{"ID", fmt.Sprintf("%q is not a valid header value", id)}
 	}
 	tenant, named := b.tenants[r.Tenant]
 	if !named {
@@ -121,12 +121,12 @@
 	}, nil
 }
 
-// toFields converts a header and returns the Host that it names, if any.
+// toFields converts a header; host is its Host field, if any.
 func toFields(header http.Header) (fields http1.Header, host string, err error) {
 	for name, values := range header {
 		for _, value := range values {
 			if !http1.ValidField(name, value) {
-				return nil, "", &RequestError{"Header", fmt.Sprintf("%q: %q can't be sent", name, value)}
+				return nil, "", &RequestError{"Header", fmt.Sprintf("%q: %q is not a valid header field", name, value)}
 			}
 			fields = append(fields, http1.Field{Name: name, Value: value})
 			if name == "Host" {
@@ -137,7 +137,7 @@
 	return fields, host, nil
 }
 
-// toResponse converts the dispatcher's final answer to the outcome of Do.
+// toResponse converts the dispatcher's final response to the outcome of Do.
 func toResponse(resp request.Response) (*Response, error) {
 	switch resp.Kind {
 	case request.Served:
--- a/example_test.go
+++ b/example_test.go
@@ -13,8 +13,8 @@
 	"plankrouter"
 )
 
-// server starts a server of the fleet for an example, which says what it was asked.
-func server(name string) (address string, stop func()) {
+// startServer starts a server that responds with its name and the request.
+func startServer(name string) (address string, stop func()) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprint(w, strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", name, r.Method, r.URL, body)))
@@ -22,9 +22,9 @@
 	return s.Listener.Addr().String(), s.Close
 }
 
-// A fleet with two classes: tiles may be fetched any number of times, an order must not be printed twice.
+// Two classes of requests: tile requests are idempotent, order requests are not.
 func Example() {
-	address, stop := server("s-1")
+	address, stop := startServer("s-1")
 	defer stop()
 
 	b, err := plankrouter.New(plankrouter.Options{
@@ -49,7 +49,7 @@
 	// Output: 200 s-1: GET /tile/roma?z=3
 }
 
-// An option that makes no sense is named.
+// The error for an invalid option names it.
 func ExampleNew() {
 	_, err := plankrouter.New(plankrouter.Options{
 		Classes: []plankrouter.Class{{Name: "tile", LatencyObjective: time.Second, Deadline: 500 * time.Millisecond}},
@@ -63,7 +63,7 @@
 	// true Classes[0].Deadline
 }
 
-// Every call ends in a response or in an error that says what the application must know.
+// The type of the error says how the call ended, and whether the request may have run.
 func ExampleBalancer_Do() {
 	failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -91,34 +91,34 @@
 		)
 		switch {
 		case errors.As(err, &rejected):
-			fmt.Println("trying again is harmless, in", rejected.RetryAfter)
+			fmt.Println("rejected; retry after", rejected.RetryAfter)
 		case errors.As(err, &failed):
 			fmt.Println("failed; may have run:", failed.MayHaveRun)
 		case errors.As(err, &cancelled):
-			fmt.Println("given up; may have run:", cancelled.MayHaveRun, "because", cancelled.Cause)
+			fmt.Println("cancelled; may have run:", cancelled.MayHaveRun, "because", cancelled.Cause)
 		case errors.As(err, &request):
-			fmt.Println("can't be sent:", request.Field, request.Reason)
+			fmt.Println("invalid request:", request.Field, request.Reason)
 		default: // ErrClosed, ErrDuplicate, ErrTooLarge
 			fmt.Println(err)
 		}
 	}
 	order(context.Background(), "order")
-	gone, cancel := context.WithCancel(context.Background())
+	cancelledCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	order(gone, "order")
+	order(cancelledCtx, "order")
 	order(context.Background(), "ordre")
 	_ = b.Close(context.Background())
 	order(context.Background(), "order")
 	// Output:
 	// failed; may have run: true
-	// given up; may have run: false because context canceled
-	// can't be sent: Class there is none named "ordre"
+	// cancelled; may have run: false because context canceled
+	// invalid request: Class no class is named "ordre"
 	// plankrouter: the balancer is closed
 }
 
-// An http.Client sends through the balancer, under whatever host the URL names.
+// An http.Client sends its requests through the balancer; the URL's host becomes the Host header.
 func ExampleTransport() {
-	address, stop := server("s-1")
+	address, stop := startServer("s-1")
 	defer stop()
 	b, err := plankrouter.New(plankrouter.Options{Endpoints: []plankrouter.Endpoint{{Address: address}}})
 	if err != nil {
@@ -137,7 +137,7 @@
 	body, _ := io.ReadAll(resp.Body)
 	fmt.Println(resp.Status, string(body))
 
-	// The errors of Do are in the chain of the client's own.
+	// The client's error wraps that of Do.
 	ctx := plankrouter.WithClass(context.Background(), "nothing")
 	req, _ := http.NewRequestWithContext(ctx, "GET", "http://orders.internal/", nil)
 	_, err = client.Do(req)
@@ -148,11 +148,11 @@
 	// true Class
 }
 
-// An application that knows its servers itself names them to the balancer as they change.
+// An application without a discovery service updates the endpoint list itself.
 func ExampleBalancer_Update() {
-	first, stopFirst := server("s-1")
+	first, stopFirst := startServer("s-1")
 	defer stopFirst()
-	second, stopSecond := server("s-2")
+	second, stopSecond := startServer("s-2")
 	defer stopSecond()
 	b, err := plankrouter.New(plankrouter.Options{Endpoints: []plankrouter.Endpoint{{ID: "s-1", Address: first}}})
 	if err != nil {
@@ -182,14 +182,14 @@
 	// s-2: GET /tile/roma
 }
 
-// Two fleets of one application share a limit on connections.
+// Two balancers of one application share a limit on connections.
 func ExampleNewConnectionLimit() {
-	both := plankrouter.NewConnectionLimit(8, nil)
+	limit := plankrouter.NewConnectionLimit(8, nil)
 	for _, name := range []string{"tiles", "orders"} {
-		address, stop := server(name)
+		address, stop := startServer(name)
 		defer stop()
 		b, err := plankrouter.New(plankrouter.Options{
-			Name: name, ConnectionLimit: both,
+			Name: name, ConnectionLimit: limit,
 			Endpoints: []plankrouter.Endpoint{{Address: address}},
 		})
 		if err != nil {
@@ -200,9 +200,9 @@
 		if _, err := b.Do(context.Background(), &plankrouter.Request{}); err != nil {
 			fmt.Println(err)
 		}
-		fmt.Println(name, "sees", b.Stats().Connections, "of 8")
+		fmt.Println(name, "connections in use:", b.Stats().Connections, "of 8")
 	}
 	// Output:
-	// tiles sees 1 of 8
-	// orders sees 2 of 8
+	// tiles connections in use: 1 of 8
+	// orders connections in use: 2 of 8
 }
--- a/logger.go
+++ b/logger.go
@@ -7,14 +7,14 @@
 	"sync/atomic"
 )
 
-// maxWaitingLines is how many log lines may wait for an application's logger.
-const maxWaitingLines = 256
+// maxQueuedLines is the largest number of log lines that are queued for an application's logger; further lines are dropped.
+const maxQueuedLines = 256
 
-// logger passes log lines on to an application's *slog.Logger from a goroutine of its own: one that is slow, panics or calls
-// back holds up nothing.
+// logger passes log lines to an application's *slog.Logger from a goroutine of its own, so that a handler that is slow, panics
+// or calls the Balancer blocks nothing else.
 type logger struct {
-	lines chan string // nil = nobody listens
-	lost  atomic.Int64
+	lines chan string  // nil = logging is off
+	lost  atomic.Int64 // number of lines dropped, or lost in a handler that panicked
 }
 
 func newLogger(ctx context.Context, to *slog.Logger, name string) *logger {
@@ -25,7 +25,7 @@
 	if name != "" {
 		to = to.With("balancer", name)
 	}
-	l.lines = make(chan string, maxWaitingLines)
+	l.lines = make(chan string, maxQueuedLines)
 	go l.run(ctx, to)
 	return l
 }
@@ -33,7 +33,7 @@
 func (l *logger) run(ctx context.Context, to *slog.Logger) {
 	ended := false
 	defer func() {
-		if !ended { // the application's handler has ended this goroutine, as a test's FailNow does
+		if !ended { // the application's handler called runtime.Goexit, as testing's FailNow does
 			l.lost.Add(1)
 			go l.run(ctx, to)
 		}
--- a/options.go
+++ b/options.go
@@ -10,11 +10,11 @@
 	"plankrouter/internal/connlimit"
 )
 
-// Idempotency says what may happen if a request runs twice.
+// Idempotency says whether a request may safely run more than once.
 type Idempotency uint8
 
-// Idempotent requests may run any number of times; NonIdempotent ones are sent again, or rejected, only where no earlier
-// attempt can have run.
+// Idempotent requests may run any number of times. NonIdempotent requests are retried, or rejected, only if no earlier attempt
+// can have run.
 const (
 	Idempotent Idempotency = iota
 	NonIdempotent
@@ -23,22 +23,23 @@
 // Class is a class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // within which a response has its full value; more than 0
-	Deadline         time.Duration // no call waits for longer; at least LatencyObjective
-	PriorityWeight   float64       // value of a response in time, compared with other classes; 0 = 1
+	LatencyObjective time.Duration // a response within this time has its full value; above 0
+	Deadline         time.Duration // longest time that a call of Do waits for its outcome; at least LatencyObjective
+	PriorityWeight   float64       // value of a response within LatencyObjective, relative to other classes; 0 = 1
 	Idempotency      Idempotency
 }
 
-// Tenant is one of those who share the servers. Requests beyond its quota count for less and are the first to be rejected.
+// Tenant is one of several users of the servers. Requests beyond its quota have a lower value and are rejected first.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests a second, over all instances together, that are within its quota; more than 0
+	QuotaPerSecond float64 // requests per second within the quota, over all instances together; above 0
 }
 
-// Phase is the state in which an endpoint is listed.
+// Phase is the state of an endpoint in the endpoint list.
 type Phase uint8
 
-// The phases. A Draining endpoint completes what it has and gets nothing new. Gone is for Update alone.
+// The phases. A Draining endpoint completes the requests in flight and is sent no new ones. Gone takes an endpoint out of the
+// list, for Update.
 const (
 	Serving Phase = iota
 	Draining
@@ -47,17 +48,17 @@
 
 // Endpoint is one server.
 type Endpoint struct {
-	ID        string // the same at every instance and in every life of its process; "" = Address
+	ID        string // the same for all balancer instances, and kept when the server restarts; "" = Address
 	Address   string // host:port
 	Zone      string
 	Phase     Phase
-	StartedAt time.Time // of its process; zero = long ago. A process that started lately is sent less, by Options.SlowStart
+	StartedAt time.Time // start of the server's process, for Options.SlowStart; zero = long ago
 }
 
-// ConnectionLimit is a limit on connections that several balancers may share.
+// ConnectionLimit limits the number of connections to servers. Several balancers may share one.
 type ConnectionLimit struct{ budget *connlimit.Budget }
 
-// NewConnectionLimit returns a limit of maxConnections, at least 1, which dial opens; nil = plain TCP.
+// NewConnectionLimit returns a limit of maxConnections connections (at least 1), which are opened with dial; nil = plain TCP.
 func NewConnectionLimit(maxConnections int, dial func(ctx context.Context, address string) (net.Conn, error)) *ConnectionLimit {
 	if dial == nil {
 		return &ConnectionLimit{connlimit.NewBudget(max(1, maxConnections), connlimit.TCP)}
@@ -65,47 +66,47 @@
 	return &ConnectionLimit{connlimit.NewBudget(max(1, maxConnections), guardDial(dial))}
 }
 
-// SlowStart says what a server that has just started can bear. The application has to know it: it can't be learned from the
-// servers while they are still starting.
+// SlowStart describes the capacity of a server that has just started. The application must know these values: they can't be
+// learned from the servers while they are still starting.
 type SlowStart struct {
-	StartCapacity    float64       // part of its capacity with which a server starts, above 0
-	WarmUpTime       time.Duration // after which it has its whole capacity
-	OverloadMultiple float64       // more than so many times its present capacity, for OverloadWindow, makes it fail; above 1
-	OverloadWindow   time.Duration
+	StartCapacity    float64       // fraction of its full capacity that a server has when it starts; above 0, at most 1
+	WarmUpTime       time.Duration // time from its start until a server has its full capacity; above 0
+	OverloadMultiple float64       // a load above this multiple of its present capacity for OverloadWindow makes it fail; above 1
+	OverloadWindow   time.Duration // time for which such a load must last; above 0
 }
 
-// Options configure a Balancer. The zero value serves a plain fleet of HTTP/1.1 servers with one class of idempotent requests;
-// only Endpoints, Discovery or a later Update has to say where the servers are.
+// Options configure a Balancer. The zero value is for a fleet of plain HTTP/1.1 servers with one class of idempotent requests;
+// the servers must be given by Endpoints, Discovery or a later Update.
 type Options struct {
 	Name    string   // of this balancer, in log lines
 	Classes []Class  // none = one named "default": idempotent, latency objective 1 s, deadline 10 s
 	Tenants []Tenant // none = requests have no tenant
-	Zone    string   // of this process: servers in other zones are used where that helps, at CrossZoneCost
+	Zone    string   // zone of this process; attempts in other zones have the CrossZoneCost
 
-	Endpoints []Endpoint // at the start
-	Discovery string     // host:port of a discovery service in the platform's form, which is watched; "" = none
+	Endpoints []Endpoint // the initial endpoint list
+	Discovery string     // host:port of a discovery service, in the platform's format, to watch; "" = none
 
-	Probes    bool // the servers report their load at GET /metrics/load, and a probe costs them little
-	Instances int  // balancers that share the servers, this one included; 0 = 1
+	Probes    bool // whether the servers are probed: they report their load at GET /metrics/load, at little cost
+	Instances int  // number of balancers that share the servers, this one included; 0 = 1
 
-	MaxAttempts       int              // for a request; 0 = 3
-	ConnectionLimit   *ConnectionLimit // nil = 256 connections of its own
+	MaxAttempts       int              // per request; 0 = 3
+	ConnectionLimit   *ConnectionLimit // nil = 256 connections, for this balancer alone
 	ConnectTimeout    time.Duration    // 0 = 150 ms
-	ServerIdleTimeout time.Duration    // after which the servers close an idle connection; 0 = 60 s
-	DrainGrace        time.Duration    // from the announcement of a drain until nothing new is sent; 0 = 750 ms
-	SlowStart         SlowStart        // zero = servers have their whole capacity at once
-	CrossZoneCost     float64          // part of a request's value that an attempt in another zone costs, 0 to 1
-	WastedWorkCost    float64          // part of all value that it costs if all work of the servers is in vain, 0 to 1
+	ServerIdleTimeout time.Duration    // idle time after which the servers close a connection; 0 = 60 s
+	DrainGrace        time.Duration    // time from the announcement of a drain until no new attempt is sent; 0 = 750 ms
+	SlowStart         SlowStart        // zero = servers have their full capacity at once
+	CrossZoneCost     float64          // cost of an attempt in another zone, as a fraction of the request's value; 0 to 1
+	WastedWorkCost    float64          // cost if all work of the servers is wasted, as a fraction of the total value; 0 to 1
 	MaxRetryAfter     time.Duration    // longest RetryAfter of a RejectedError; 0 = 1 s
-	OverQuotaWeight   float64          // value of a request beyond its tenant's quota, as a part of the full one, 0 to 1
-	Seed              uint64           // of random choices; 0 = one is drawn
+	OverQuotaWeight   float64          // value of a request beyond its tenant's quota, as a fraction of its full value; 0 to 1
+	Seed              uint64           // seed of random choices; 0 = a random one
 	Logger            *slog.Logger     // nil = nothing is logged
 }
 
-// OptionError is an option that makes no sense.
+// OptionError reports an invalid option.
 type OptionError struct {
-	Option string // its name, such as "Classes[1].LatencyObjective"
-	Reason string // what is wrong and what would do
+	Option string // name of the option, such as "Classes[1].LatencyObjective"
+	Reason string // what is wrong with its value
 }
 
 func (e *OptionError) Error() string { return "plankrouter: " + e.Option + ": " + e.Reason }
--- a/plankrouter.go
+++ b/plankrouter.go
@@ -1,6 +1,5 @@
-// Package plankrouter balances requests over the servers of a fleet from within an application, by the dispatcher
-// and the policy of the plankrouter daemon: asynchronous Prequal over probed load, outlier detection, admission control, a retry
-// budget and slow start.
+// Package plankrouter is a client-side load balancer for applications. It uses the dispatcher and the policy of the plankrouter
+// daemon: asynchronous Prequal over probed load, outlier detection, admission control, a retry budget and slow start.
 //
 //	b, err := plankrouter.New(plankrouter.Options{
 //		Classes: []plankrouter.Class{
@@ -13,12 +12,13 @@
 //	defer b.Close(ctx)
 //	response, err := b.Do(ctx, &plankrouter.Request{Class: "tile", Method: "GET", Target: "/tile/roma?z=3"})
 //
-// Each call of Do has exactly one outcome: a response or an error, which says whether the request may have run. What it
-// promises beside that is what the daemon promises: one attempt in flight at a time; a request of a non-idempotent class is
-// sent again only where no earlier attempt can have run; nothing new reaches a draining server once the grace is over.
+// Each call of Do has exactly one outcome: a response, or an error that says whether the request may have run. The other
+// guarantees are those of the daemon: a request has at most one attempt in flight at a time; a request of a non-idempotent
+// class is retried only if no earlier attempt can have run; no new attempt reaches a draining server after the drain grace
+// period.
 //
-// Balancers share nothing with one another but a ConnectionLimit that several are given, and change nothing of the process: no
-// signal handler, no default logger, no limit of the runtime.
+// Balancers share no state except a ConnectionLimit that is passed to several of them. They change no global state of the
+// process: they install no signal handler, set no default logger and change no runtime limits.
 package plankrouter
 
 import (
@@ -29,52 +29,52 @@
 	"time"
 )
 
-// Request is what Do sends. It is not changed, and not used once Do has returned.
+// Request is a request for Do to send. Do does not modify it, and does not use it after it has returned.
 type Request struct {
-	Class  string      // by name; "" = the first
-	Tenant string      // by name; "" or an unknown one = none
-	ID     string      // no two open requests may have the same; "" = one is drawn
+	Class  string      // name of the class; "" = the first class
+	Tenant string      // name of the tenant; "" or an unknown name = no tenant
+	ID     string      // unique among the open requests; "" = a random one
 	Method string      // "" = GET
 	Target string      // path and query, such as "/tile/roma?z=3"; "" = "/"
-	Header http.Header // hop-by-hop ones are left out
-	Body   []byte      // at most MaxBody
+	Header http.Header // hop-by-hop headers are not sent
+	Body   []byte      // at most MaxBody bytes
 }
 
 // Response is a server's response.
 type Response struct {
-	Status int // any but 5xx
+	Status int // never 5xx
 	Header http.Header
-	Body   []byte // at most MaxBody
+	Body   []byte // at most MaxBody bytes
 }
 
-// The errors of Do that carry no details, for errors.Is. The others come as pointers to the types below, for errors.As.
+// The errors of Do without details, for errors.Is. The other errors are pointers to the types below, for errors.As.
 var (
 	ErrClosed    = errors.New("plankrouter: the balancer is closed")
 	ErrDuplicate = errors.New("plankrouter: a request with the same id is open")
 	ErrTooLarge  = fmt.Errorf("plankrouter: the body is larger than %d bytes", MaxBody)
 )
 
-// RejectedError says that the request was rejected, and that sending it again is harmless.
+// RejectedError reports that the request was rejected and can safely be sent again.
 type RejectedError struct {
-	RetryAfter time.Duration // after which that makes sense; 0 = not known
-	MayHaveRun bool          // only of an idempotent class
+	RetryAfter time.Duration // how long to wait before sending it again; 0 = unknown
+	MayHaveRun bool          // an attempt may have run; true only for a request of an idempotent class
 }
 
-// FailedError says that the request was given up.
+// FailedError reports that the request failed and is not retried any more.
 type FailedError struct {
-	MayHaveRun bool // an attempt may have run, or may yet: a request of a non-idempotent class must not be sent again then
+	MayHaveRun bool // an attempt may have run, or may still run: a request of a non-idempotent class must not be sent again
 }
 
-// CancelledError says that the context ended first. It wraps the context's error.
+// CancelledError reports that the context ended before the request had an outcome. It wraps the context's error.
 type CancelledError struct {
-	MayHaveRun bool // as in FailedError
-	Cause      error
+	MayHaveRun bool  // as in FailedError
+	Cause      error // the context's error
 }
 
-// RequestError is a request that can't be sent as it is.
+// RequestError reports an invalid request, which was not sent.
 type RequestError struct {
-	Field  string // its name, such as "Class"
-	Reason string
+	Field  string // name of the invalid field, such as "Class"
+	Reason string // what is wrong with it
 }
 
 func (e *RejectedError) Error() string {
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("plankrouter: %v, %s", e.Cause, describeRun(e.MayHaveRun))
 }
 
-// Timeout reports whether it was the context's deadline that passed, as net.Error does.
+// Timeout reports whether the context's deadline was exceeded, like the method of net.Error.
 func (e *CancelledError) Timeout() bool { return errors.Is(e.Cause, context.DeadlineExceeded) }
 
 // Unwrap returns the context's error.
@@ -98,7 +98,7 @@
 
 func (e *RequestError) Error() string { return "plankrouter: request: " + e.Field + ": " + e.Reason }
 
-// describeRun words MayHaveRun for an error's message.
+// describeRun returns the text for MayHaveRun in an error message.
 func describeRun(mayHaveRun bool) string {
 	if mayHaveRun {
 		return "the request may have run"
--- a/stats.go
+++ b/stats.go
@@ -2,9 +2,9 @@
 
 import "plankrouter/internal/outcome"
 
-// Stats are counts since New, and what there is at the moment.
+// Stats are counts since New, except Connections, which is a current number.
 type Stats struct {
-	Accepted        int // requests handed to the dispatcher
+	Accepted        int // requests that the dispatcher accepted
 	Served          int
 	Rejected        int
 	Failed          int
@@ -12,14 +12,14 @@
 	Duplicates      int
 	Attempts        int
 	Probes          int
-	EndpointUpdates int            // changes of the endpoints
-	AttemptOutcomes map[string]int // by the names of the daemon's log
-	ProbeOutcomes   map[string]int // likewise
-	Connections     int            // under the limit, those of others who share it included
-	LogLinesLost    int            // log lines left out because the logger was slow
+	EndpointUpdates int            // updates of the endpoint list
+	AttemptOutcomes map[string]int // by name, as in the daemon's log
+	ProbeOutcomes   map[string]int // by name, as in the daemon's log
+	Connections     int            // open under the ConnectionLimit, those of other balancers that share it included
+	LogLinesLost    int            // log lines dropped because the logger was slow, or lost in a handler that panicked
 }
 
-// Stats returns the present counts, also after Close.
+// Stats returns the current counts. It may be called after Close.
 func (b *Balancer) Stats() Stats {
 	counts := b.dispatcher.Counts()
 	return Stats{
--- a/transport.go
+++ b/transport.go
@@ -10,12 +10,12 @@
 	"strconv"
 )
 
-// Transport is an http.RoundTripper that sends requests through a Balancer, whatever host their URL names; the URL's host goes along as
-// the Host. Only http URLs are taken: there is no TLS to the servers.
+// Transport is an http.RoundTripper that sends requests through a Balancer. The host of a request's URL does not select the
+// server; it is sent as the Host header. Only the http scheme is supported: there is no TLS to the servers.
 //
 // The class and the tenant of a request are those that WithClass and WithTenant put into its context, else those of the
-// Transport. A request of a non-idempotent class is never sent again by a Transport, and a redirect that would make http.Client
-// send it again (307, 308) fails it.
+// Transport. A request of a non-idempotent class fails if its response is a redirect after which http.Client would send it
+// again (307 or 308).
 type Transport struct {
 	Balancer      *Balancer
 	Class, Tenant string
@@ -28,20 +28,20 @@
 	tenantKey
 )
 
-// WithClass returns a context under which a Transport's requests belong to the class of that name.
+// WithClass returns a context that makes a Transport send its requests in the class of that name.
 func WithClass(ctx context.Context, class string) context.Context {
 	return context.WithValue(ctx, classKey, class)
 }
 
-// WithTenant returns a context under which a Transport's requests are that tenant's.
+// WithTenant returns a context that makes a Transport send its requests for the tenant of that name.
 func WithTenant(ctx context.Context, tenant string) context.Context {
 	return context.WithValue(ctx, tenantKey, tenant)
 }
 
-// ClassOf returns the class that WithClass has put into ctx; "" = none.
+// ClassOf returns the name of the class that WithClass put into ctx; "" = none.
 func ClassOf(ctx context.Context) string { return valueOf(ctx, classKey) }
 
-// TenantOf returns the tenant that WithTenant has put into ctx; "" = none.
+// TenantOf returns the name of the tenant that WithTenant put into ctx; "" = none.
 func TenantOf(ctx context.Context) string { return valueOf(ctx, tenantKey) }
 
 func valueOf(ctx context.Context, key contextKey) string {
@@ -49,8 +49,8 @@
 	return s
 }
 
-// RoundTrip sends the request and returns the response, whose body is there as a whole. It closes the request's body in every
-// case, and neither changes nor keeps the request. Errors are those of Do, and one of a body that can't be read.
+// RoundTrip sends the request and returns the response, whose whole body is in memory. It always closes the request's body, and
+// does not modify the request. Its errors are those of Do, or an error of reading the request's body.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	r, err := t.toRequest(req)
 	if err != nil {
@@ -62,12 +62,12 @@
 	}
 	repeats := response.Status == http.StatusTemporaryRedirect || response.Status == http.StatusPermanentRedirect
 	if repeats && t.Balancer.isNonIdempotent(r.Class) {
-		return nil, fmt.Errorf("a redirect would send a request of class %q again: %w", r.Class, &FailedError{MayHaveRun: true})
+		return nil, fmt.Errorf("redirect would resend a request of the non-idempotent class %q: %w", r.Class, &FailedError{MayHaveRun: true})
 	}
 	return response.toHTTP(req), nil
 }
 
-// toHTTP converts the response to req.
+// toHTTP converts the response, which is that to req.
 func (r *Response) toHTTP(req *http.Request) *http.Response {
 	resp := &http.Response{
 		StatusCode: r.Status, Status: fmt.Sprintf("%d %s", r.Status, http.StatusText(r.Status)),
@@ -77,7 +77,7 @@
 	if len(r.Body) == 0 {
 		resp.Body = http.NoBody
 	}
-	if length := r.Header.Get("Content-Length"); length != "" { // of a response to HEAD, which has no body
+	if length := r.Header.Get("Content-Length"); length != "" { // in a response to HEAD, the length of a body that was not sent
 		if n, err := strconv.ParseInt(length, 10, 64); err == nil {
 			resp.ContentLength = n
 		}
@@ -85,7 +85,7 @@
 	return resp
 }
 
-// toRequest converts the request, and closes its body.
+// toRequest converts the request and closes its body.
 func (t *Transport) toRequest(req *http.Request) (*Request, error) {
 	if err := checkSendable(req); err != nil {
 		if req.Body != nil {
@@ -117,21 +117,21 @@
 	}, nil
 }
 
-// checkSendable returns an error for what a Transport can't send, before the body is read.
+// checkSendable returns an error for a request that a Transport can't send, without reading its body.
 func checkSendable(req *http.Request) error {
 	switch {
 	case req.URL == nil:
 		return &RequestError{"URL", "missing"}
 	case req.URL.Scheme != "http":
-		return &RequestError{"URL.Scheme", fmt.Sprintf("%q: only http is served", req.URL.Scheme)}
+		return &RequestError{"URL.Scheme", fmt.Sprintf("%q is not supported, only http", req.URL.Scheme)}
 	case req.ContentLength > MaxBody:
 		return ErrTooLarge
 	}
 	return nil
 }
 
-// readBody reads a body to its end, or to more than MaxBody, until ctx ends: whoever still writes it must not hold this
-// up, and neither its Close need end a read, nor a read let it close.
+// readBody reads a body to its end, or up to MaxBody+1 bytes. It returns when ctx ends even if the body blocks: both Read and
+// Close run in goroutines of their own then, as Close need not interrupt a Read and may block until that returns.
 func readBody(ctx context.Context, from io.ReadCloser) ([]byte, error) {
 	type result struct {
 		body []byte
--- a/validate.go
+++ b/validate.go
@@ -23,11 +23,11 @@
 	defaultMaxAttempts       = 3
 )
 
-// policyRoundMs is, in ms, within which time the policy takes up what has happened, on a machine that is not overloaded. A
-// request is given up a little more than twice that before its deadline, so that its outcome is there in time.
+// policyRoundMs is the time, in ms, within which the policy handles an event on a machine that is not overloaded. A request
+// that is still pending gets its outcome a little more than twice this time before its deadline, so as not to miss it.
 const policyRoundMs = 1.0
 
-// validate fills in defaults and returns an *OptionError for the first option that makes no sense.
+// validate fills in defaults and returns an *OptionError for the first invalid option.
 func (o *Options) validate() error {
 	for _, check := range []func() error{
 		o.validateClasses, o.validateTenants, o.validateFractions, o.validateDurations, o.validateCounts, o.SlowStart.validate,
@@ -48,7 +48,7 @@
 	if len(o.Classes) == 0 {
 		o.Classes = []Class{{Name: "default", LatencyObjective: time.Second, Deadline: 10 * time.Second}}
 	}
-	o.Classes = slices.Clone(o.Classes) // the application's own slice stays as it is
+	o.Classes = slices.Clone(o.Classes) // the application's slice is not modified
 	seen := map[string]bool{}
 	for i := range o.Classes {
 		c := &o.Classes[i]
@@ -56,7 +56,7 @@
 		option := fmt.Sprintf("Classes[%d]", i)
 		switch {
 		case c.Name == "" || seen[c.Name]:
-			return optionErrorf(option+".Name", "%q is empty or given twice", c.Name)
+			return optionErrorf(option+".Name", "%q is empty or a duplicate", c.Name)
 		case c.LatencyObjective <= 0:
 			return optionErrorf(option+".LatencyObjective", "%s is not above 0", c.LatencyObjective)
 		case c.Deadline < c.LatencyObjective:
@@ -76,7 +76,7 @@
 	for i, t := range o.Tenants {
 		switch {
 		case t.Name == "" || seen[t.Name]:
-			return optionErrorf(fmt.Sprintf("Tenants[%d].Name", i), "%q is empty or given twice", t.Name)
+			return optionErrorf(fmt.Sprintf("Tenants[%d].Name", i), "%q is empty or a duplicate", t.Name)
 		case !isPositive(t.QuotaPerSecond):
 			return optionErrorf(fmt.Sprintf("Tenants[%d].QuotaPerSecond", i), "%g is not above 0", t.QuotaPerSecond)
 		}
@@ -98,7 +98,7 @@
 		{"OverQuotaWeight", o.OverQuotaWeight},
 	} {
 		if !(f.value >= 0 && f.value <= 1) {
-			return optionErrorf(f.option, "%g does not lie between 0 and 1", f.value)
+			return optionErrorf(f.option, "%g is not between 0 and 1", f.value)
 		}
 	}
 	return nil
@@ -140,13 +140,13 @@
 	return nil
 }
 
-// validate accepts the zero value, by which servers have their whole capacity at once.
+// validate accepts the zero value, with which servers have their full capacity at once.
 func (s *SlowStart) validate() error {
 	switch {
 	case *s == SlowStart{}:
 		return nil
 	case !(s.StartCapacity > 0 && s.StartCapacity <= 1):
-		return optionErrorf("SlowStart.StartCapacity", "%g does not lie above 0 and up to 1", s.StartCapacity)
+		return optionErrorf("SlowStart.StartCapacity", "%g is not above 0 and at most 1", s.StartCapacity)
 	case s.WarmUpTime <= 0:
 		return optionErrorf("SlowStart.WarmUpTime", "%s is not above 0", s.WarmUpTime)
 	case !(s.OverloadMultiple > 1) || math.IsInf(s.OverloadMultiple, 1):
@@ -175,12 +175,12 @@
 		o.ConnectionLimit = NewConnectionLimit(defaultConnections, nil)
 	}
 	if o.ConnectionLimit.budget == nil {
-		return optionErrorf("ConnectionLimit", "it was not made by NewConnectionLimit")
+		return optionErrorf("ConnectionLimit", "not created by NewConnectionLimit")
 	}
 	return nil
 }
 
-// withOptionPrefix puts prefix before the option that err names, if it is an *OptionError.
+// withOptionPrefix prepends prefix to the option's name in err, if it is an *OptionError.
 func withOptionPrefix(prefix string, err error) error {
 	var invalid *OptionError
 	if errors.As(err, &invalid) {
@@ -189,8 +189,8 @@
 	return err
 }
 
-// toEndpointList converts endpoints to the dispatcher's type. The *OptionError that it may return names an option by its
-// position, such as "[1].ID".
+// toEndpointList converts endpoints to the dispatcher's type; complete says that they are the whole list. In its error, an
+// *OptionError, the option is an index and a field, such as "[1].ID".
 func toEndpointList(in []Endpoint, complete bool) (endpoints.List, error) {
 	list := endpoints.List{Complete: complete}
 	seen := map[string]bool{}
@@ -201,7 +201,7 @@
 		case !known:
 			return list, optionErrorf(fmt.Sprintf("[%d].Phase", i), "%d is none of Serving, Draining and Gone", e.Phase)
 		case id == "" || seen[id]:
-			return list, optionErrorf(fmt.Sprintf("[%d].ID", i), "%q is empty or given twice", id)
+			return list, optionErrorf(fmt.Sprintf("[%d].ID", i), "%q is empty or a duplicate", id)
 		case e.Phase == Serving && !hasPort(e.Address):
 			return list, optionErrorf(fmt.Sprintf("[%d].Address", i), "%q is not host:port", e.Address)
 		}
@@ -217,7 +217,7 @@
 
 var phases = map[Phase]string{Serving: endpoints.Serving, Draining: endpoints.Draining, Gone: endpoints.Deleted}
 
-// policyConfig converts the options to those of the policy.
+// policyConfig converts the options to the policy's configuration.
 func (o *Options) policyConfig() policy.Config {
 	cfg := policy.Config{
 		Instances:        o.Instances,
