--- a/middleware/errors.go
+++ b/middleware/errors.go
@@ -12,18 +12,18 @@
 	"plankrouter"
 )
 
-// Status returns the status that stands for an error of Do, of a plankrouter.Transport or of this package:
+// Status returns the HTTP status for an error of Balancer.Do, of a plankrouter.Transport or of this package.
 //
-//	400  the request can't be sent as it is, or says something that makes no sense
-//	404  its class is unknown
-//	408  its body did not come within the http.Server's time
-//	409  a request of the same id is open
-//	413  its body is too large
+//	400  the request is invalid
+//	404  the request's class is unknown
+//	408  the request's body did not arrive within the http.Server's read timeout
+//	409  a request with the same id is open
+//	413  the request's body is too large
 //	500  a function in Options panicked
-//	501  CONNECT
-//	502  it failed, by its class's deadline, say, and may have run; or err is none of these
-//	503  it was rejected: sending it again is harmless; or the Balancer is closed
-//	504  its context's deadline has passed
+//	501  the method is CONNECT
+//	502  the request failed and may have run, for instance at its class's deadline; or err is none of the errors listed here
+//	503  the request was rejected and can safely be sent again; or the Balancer is closed
+//	504  the deadline of the request's context was exceeded
 func Status(err error) int {
 	var rejected *plankrouter.RejectedError
 	var request *plankrouter.RequestError
@@ -53,8 +53,7 @@
 	return http.StatusBadRequest
 }
 
-// WriteError answers with err's Status, in plain words, and after a RejectedError with Retry-After: whole seconds, rounded
-// up.
+// WriteError responds with err's Status and its text, and for a RejectedError with Retry-After in whole seconds, rounded up.
 func WriteError(w http.ResponseWriter, _ *http.Request, err error) {
 	var rejected *plankrouter.RejectedError
 	status := Status(err)
@@ -64,7 +63,7 @@
 	http.Error(w, http.StatusText(status), status)
 }
 
-// respondError answers the request for err, or aborts it where its client has gone.
+// respondError writes the response for err, or aborts the request if it was cancelled because its client is gone.
 func (o *Options) respondError(w http.ResponseWriter, r *http.Request, err error) {
 	var cancelled *plankrouter.CancelledError
 	if errors.As(err, &cancelled) && !errors.Is(err, context.DeadlineExceeded) {
@@ -82,31 +81,31 @@
 	if err = o.callErrorFunc(tracked, r, err); err == nil {
 		return
 	}
-	_ = errors.As(err, &panicked) // callErrorFunc returns nothing else
+	_ = errors.As(err, &panicked) // callErrorFunc returns no other type
 	logPanic(r, panicked)
-	if tracked.written { // a part of an answer must not pass for the whole
+	if tracked.written { // a partial response must not look complete
 		panic(http.ErrAbortHandler)
 	}
 	WriteError(w, r, err)
 }
 
-// callErrorFunc calls the application's function; the error is a *PanicError.
+// callErrorFunc calls Options.Error. It returns a *PanicError if that panics, else nil.
 func (o *Options) callErrorFunc(w http.ResponseWriter, r *http.Request, cause error) (err error) {
 	defer func() { err = panicError(recover(), nil) }()
 	o.Error(w, r, cause)
 	return nil
 }
 
-// logPanic logs where net/http logs the panics that it recovers itself.
+// logPanic logs a panic to the logger of the http.Server, as net/http does with the panics that it recovers.
 func logPanic(r *http.Request, p *PanicError) {
-	to := log.Default()
+	logger := log.Default()
 	if s, _ := r.Context().Value(http.ServerContextKey).(*http.Server); s != nil && s.ErrorLog != nil {
-		to = s.ErrorLog
+		logger = s.ErrorLog
 	}
-	to.Printf("%v, serving %s\n%s", p, r.RemoteAddr, p.Stack)
+	logger.Printf("%v, serving %s\n%s", p, r.RemoteAddr, p.Stack)
 }
 
-// trackingWriter notes whether anything has been written.
+// trackingWriter records whether a status or any part of a body has been written.
 type trackingWriter struct {
 	http.ResponseWriter
 	written bool
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -12,8 +12,8 @@
 	"plankrouter/middleware"
 )
 
-// fleet starts one server, which says what it was asked, and a balancer over it, for an example.
-func fleet() (b *plankrouter.Balancer, stop func()) {
+// startFleet starts a server that responds with the request line, and a balancer over it.
+func startFleet() (b *plankrouter.Balancer, stop func()) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "%s %s", r.Method, r.URL)
 	}))
@@ -33,7 +33,7 @@
 	}
 }
 
-// get asks the application.
+// get sends a request to the application and prints the response.
 func get(app *httptest.Server, path string) {
 	resp, err := http.Get(app.URL + path)
 	if err != nil {
@@ -45,18 +45,18 @@
 	fmt.Printf("%d %s\n", resp.StatusCode, body)
 }
 
-// The application serves tiles by the fleet, and all else itself.
+// The application forwards requests for tiles to the fleet and serves all others itself.
 func ExampleHandler() {
-	b, stop := fleet()
+	b, stop := startFleet()
 	defer stop()
 
-	tiles, err := middleware.Handler(b, middleware.Options{Class: middleware.Always("tile"), Forwarded: true})
+	tileHandler, err := middleware.Handler(b, middleware.Options{Class: middleware.Always("tile"), Forwarded: true})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /maps/", http.StripPrefix("/maps", tiles))
+	mux.Handle("GET /maps/", http.StripPrefix("/maps", tileHandler))
 	mux.HandleFunc("/about", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "served by the application")
 	})
@@ -70,9 +70,9 @@
 	// 200 served by the application
 }
 
-// What the application asks of the fleet for a request has that request's class, tenant and deadline.
+// A request that the application sends to the fleet under the context of an incoming request has its class, tenant and deadline.
 func ExampleMiddleware() {
-	b, stop := fleet()
+	b, stop := startFleet()
 	defer stop()
 	client := &http.Client{Transport: &plankrouter.Transport{Balancer: b}}
 
@@ -85,14 +85,14 @@
 			return
 		}
 		defer resp.Body.Close()
-		_, ends := ctx.Deadline()
+		_, hasDeadline := ctx.Deadline()
 		fmt.Fprintf(w, "class %s, tenant %s, a deadline: %t; got ",
-			plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), ends)
+			plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), hasDeadline)
 		if _, err := io.Copy(w, resp.Body); err != nil {
-			panic(http.ErrAbortHandler) // a part of the body must not pass for the whole
+			panic(http.ErrAbortHandler) // a partial response must not look complete
 		}
 	})
-	with, err := middleware.Middleware(middleware.Options{
+	wrap, err := middleware.Middleware(middleware.Options{
 		Class:          middleware.Always("tile"),
 		Tenant:         func(r *http.Request) string { return r.URL.Query().Get("library") },
 		DeadlineHeader: "Req-Deadline",
@@ -101,7 +101,7 @@
 		fmt.Println(err)
 		return
 	}
-	app := httptest.NewServer(with(page))
+	app := httptest.NewServer(wrap(page))
 	defer app.Close()
 
 	get(app, "/page?library=padova")
--- a/middleware/gin/example_test.go
+++ b/middleware/gin/example_test.go
@@ -14,7 +14,7 @@
 	plankroutergin "plankrouter/middleware/gin"
 )
 
-// A Gin application serves tiles by the fleet, and asks it for what its own pages need.
+// A Gin application forwards requests for tiles to the fleet, and sends requests of its own to it for its pages.
 func Example() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "%s %s", r.Method, r.URL)
@@ -29,20 +29,20 @@
 	}
 	defer func() { _ = b.Close(context.Background()) }()
 
-	tiles, err := plankroutergin.Handler(b, middleware.Options{Class: middleware.Always("default")})
+	tileHandler, err := plankroutergin.Handler(b, middleware.Options{Class: middleware.Always("default")})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	tenants, err := plankroutergin.Middleware(middleware.Options{TenantHeader: "Req-Owner"})
+	tenantMiddleware, err := plankroutergin.Middleware(middleware.Options{TenantHeader: "Req-Owner"})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	client := &http.Client{Transport: &plankrouter.Transport{Balancer: b}}
 	engine := gin.New()
-	engine.GET("/tile/*name", tiles)
-	engine.GET("/page", tenants, func(c *gin.Context) {
+	engine.GET("/tile/*name", tileHandler)
+	engine.GET("/page", tenantMiddleware, func(c *gin.Context) {
 		ctx := c.Request.Context()
 		req, _ := http.NewRequestWithContext(ctx, "GET", "http://tiles.internal/tile/roma", nil)
 		resp, err := client.Do(req)
--- a/middleware/gin/plankroutergin.go
+++ b/middleware/gin/plankroutergin.go
@@ -1,5 +1,5 @@
-// Package plankroutergin is package middleware for applications that serve HTTP by Gin. It adds
-// nothing but what Gin needs, and is a module of its own, so that nobody else carries Gin's dependencies.
+// Package plankroutergin adapts package middleware to applications that serve HTTP with Gin. It is a module of its own, so that
+// other users of plankrouter don't depend on Gin.
 package plankroutergin
 
 import (
@@ -11,9 +11,8 @@
 	"plankrouter/middleware"
 )
 
-// Handler is middleware.Handler. Where the request was cancelled nothing is written by it, but Gin ends such a request
-// with an answer all the same, which is 502 and empty: nobody reads it, except where the application has cancelled it
-// itself.
+// Handler is middleware.Handler for Gin. A cancelled request is aborted with an empty 502, as Gin always sends a response. Only
+// a client whose request was cancelled by the application itself sees it; other clients are gone.
 func Handler(b *plankrouter.Balancer, o middleware.Options) (gin.HandlerFunc, error) {
 	h, err := middleware.Handler(b, o)
 	if err != nil {
@@ -35,20 +34,20 @@
 	h.ServeHTTP(c.Writer, c.Request)
 }
 
-// Middleware is middleware.Middleware. Calls have to be made under the context of c.Request; the gin.Context itself
-// passes for it only where the engine's ContextWithFallback is set.
+// Middleware is middleware.Middleware for Gin. The handler must send its requests under the context of c.Request; the
+// gin.Context itself can be used in its place only if the engine's ContextWithFallback is set.
 func Middleware(o middleware.Options) (gin.HandlerFunc, error) {
 	m, err := middleware.Middleware(o)
 	if err != nil {
 		return nil, err
 	}
 	return func(c *gin.Context) {
-		incoming, passed := c.Request, false
+		incoming, nextCalled := c.Request, false
 		m(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-			c.Request, passed = r, true
+			c.Request, nextCalled = r, true
 			c.Next()
 		})).ServeHTTP(c.Writer, incoming)
-		if c.Request = incoming; !passed {
+		if c.Request = incoming; !nextCalled {
 			c.Abort()
 		}
 	}, nil
--- a/middleware/gin/plankroutergin_test.go
+++ b/middleware/gin/plankroutergin_test.go
@@ -18,23 +18,23 @@
 	m.Run()
 }
 
-// keeps sees to it that whoever comes before finds the request as it was.
-func keeps(c *gin.Context) {
-	came := c.Request
-	if c.Next(); c.Request != came {
-		panic("another request is left behind")
+// checkRequestRestored panics if a later handler leaves another request in the context.
+func checkRequestRestored(c *gin.Context) {
+	before := c.Request
+	if c.Next(); c.Request != before {
+		panic("a later handler left another request in the context")
 	}
 }
 
-// Routes are served where Gin finds them and where it finds none, with Recovery and without.
+// The adapter works on a route and as the engine's NoRoute handler, with and without Gin's Recovery.
 func TestAdapter(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		recovers bool
-		more     []gin.HandlerFunc
-		put      func(*gin.Engine, ...gin.HandlerFunc)
+		name           string
+		recoversPanics bool
+		global         []gin.HandlerFunc // handlers before the adapter's
+		register       func(*gin.Engine, ...gin.HandlerFunc)
 	}{
-		{"routed", false, []gin.HandlerFunc{keeps}, func(e *gin.Engine, h ...gin.HandlerFunc) {
+		{"routed", false, []gin.HandlerFunc{checkRequestRestored}, func(e *gin.Engine, h ...gin.HandlerFunc) {
 			e.Any("/*path", h...)
 		}},
 		{"recovery", true, []gin.HandlerFunc{gin.RecoveryWithWriter(io.Discard)}, (*gin.Engine).NoRoute},
@@ -42,12 +42,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			serve := func(h ...gin.HandlerFunc) http.Handler {
 				e := gin.New()
-				e.Use(c.more...)
-				c.put(e, h...)
+				e.Use(c.global...)
+				c.register(e, h...)
 				return e
 			}
 			middlewaretest.Run(t, middlewaretest.Adapter{
-				RecoversPanics: c.recovers, AbortedStatus: http.StatusBadGateway,
+				RecoversPanics: c.recoversPanics, AbortedStatus: http.StatusBadGateway,
 				Handler: func(b *plankrouter.Balancer, o middleware.Options) (http.Handler, error) {
 					h, err := plankroutergin.Handler(b, o)
 					return serve(h), err
--- a/middleware/handler.go
+++ b/middleware/handler.go
@@ -9,19 +9,18 @@
 	"plankrouter"
 )
 
-// Handler returns a handler that serves each request by one of b's servers, with one Do under the request's context. An
+// Handler returns a handler that forwards each request to one of b's servers, with one Do under the request's context. The
 // error is a *plankrouter.OptionError.
 //
-// Method, path, query, body (up to plankrouter.MaxBody) and end-to-end headers go to the server as they came; those of
-// one connection, which Connection names among others, do not, and Upgrade is not served. The Host is the server's
-// address, unless a handler around this one puts a Host into the request's Header. The server's response goes back with
-// its status, its headers and its body unchanged. What else Do may end in is answered by Options.Error or WriteError.
-// Where the request was cancelled, which is to say that its client is gone, nothing is written: the handler panics with
-// http.ErrAbortHandler, by which net/http ends the connection without a response; were it to return, net/http would make
-// that a 200.
+// Method, path, query, body (up to plankrouter.MaxBody) and end-to-end headers are forwarded unchanged. Hop-by-hop headers,
+// such as those that Connection names, are not, and Upgrade is not supported. The Host is the server's address, unless a
+// handler that wraps this one sets a Host in the request's Header. The server's status, headers and body are returned
+// unchanged. For an error of Do, the response is written by Options.Error or WriteError. If the request was cancelled, which
+// means that its client is gone, nothing is written: the handler panics with http.ErrAbortHandler, at which net/http closes
+// the connection without a response. Without the panic, net/http would send a 200.
 //
-// A class says whether its requests may run twice, not their method: where a class of idempotent requests is served, route to
-// it only methods that may run twice, as by the pattern "GET /tile/".
+// Whether a request may run twice depends on its class, not on its method: route to a handler of an idempotent class only
+// methods that may run twice, for instance with the pattern "GET /tile/".
 func Handler(b *plankrouter.Balancer, o Options) (http.Handler, error) {
 	if b == nil {
 		return nil, &plankrouter.OptionError{Option: "Balancer", Reason: "missing"}
@@ -48,13 +47,13 @@
 		head[name] = append(head[name], values...)
 	}
 	if _, given := head["Content-Type"]; !given {
-		head["Content-Type"] = nil // else net/http would guess one
+		head["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	if len(response.Body) > 0 {
 		head.Set("Content-Length", strconv.Itoa(len(response.Body)))
 	}
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // fails where the client has gone
+	_, _ = w.Write(response.Body) // fails if the client is gone
 }
 
 func (h *handler) do(w http.ResponseWriter, r *http.Request) (*plankrouter.Response, error) {
@@ -82,18 +81,18 @@
 	})
 }
 
-// header returns what goes to the server; Do leaves out what is of one connection.
+// header returns the headers to forward; Do removes the hop-by-hop ones.
 func (h *handler) header(r *http.Request) http.Header {
 	if h.options.DeadlineHeader == "" && h.options.IDHeader == "" && !h.options.Forwarded {
 		return r.Header
 	}
 	out := r.Header.Clone()
-	out.Del(h.options.DeadlineHeader) // both are written anew for each attempt
+	out.Del(h.options.DeadlineHeader) // deadline and id are set for each attempt
 	out.Del(h.options.IDHeader)
 	if !h.options.Forwarded {
 		return out
 	}
-	// What Connection names goes first, or a client could take out by it what is written here.
+	// The headers that Connection names are removed before X-Forwarded-* are set, or a client could have those removed.
 	for _, line := range out["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			out.Del(strings.TrimSpace(name))
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -6,9 +6,9 @@
 	"plankrouter"
 )
 
-// Middleware returns what wraps a handler so that requests come to it with their class, tenant and deadline in their
-// context: calls that it makes under that context through a plankrouter.Transport carry them, and all others made under
-// it end by that deadline. An error is a *plankrouter.OptionError.
+// Middleware returns a function that wraps a handler so that each request's context has its class, tenant and deadline. A
+// request that the handler sends through a plankrouter.Transport under that context has that class and tenant, and the deadline
+// applies to everything done under it. The error is a *plankrouter.OptionError.
 func Middleware(o Options) (func(http.Handler) http.Handler, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -23,11 +23,11 @@
 	})
 }
 
-func TestBadOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	tenant := func(*http.Request) string { return "" }
 	for _, c := range []struct {
-		option string
-		set    middleware.Options
+		invalid string
+		options middleware.Options
 	}{
 		{"TenantHeader", middleware.Options{TenantHeader: "no name"}},
 		{"DeadlineHeader", middleware.Options{DeadlineHeader: "X:"}},
@@ -35,16 +35,16 @@
 		{"DeadlineHeader", middleware.Options{TenantHeader: "X-One", DeadlineHeader: "x-one"}},
 		{"TenantHeader", middleware.Options{Tenant: tenant, TenantHeader: "X-Tenant"}},
 	} {
-		_, one := middleware.Handler(new(plankrouter.Balancer), c.set)
-		_, other := middleware.Middleware(c.set)
-		for _, err := range []error{one, other} {
-			var bad *plankrouter.OptionError
-			if !errors.As(err, &bad) || bad.Option != c.option || bad.Reason == "" {
-				t.Errorf("%+v: %v, want %s named", c.set, err, c.option)
+		_, handlerErr := middleware.Handler(new(plankrouter.Balancer), c.options)
+		_, middlewareErr := middleware.Middleware(c.options)
+		for _, err := range []error{handlerErr, middlewareErr} {
+			var invalid *plankrouter.OptionError
+			if !errors.As(err, &invalid) || invalid.Option != c.invalid || invalid.Reason == "" {
+				t.Errorf("%+v: %v, want an error that names %s", c.options, err, c.invalid)
 			}
 		}
 	}
 	if _, err := middleware.Handler(nil, middleware.Options{}); err == nil {
-		t.Error("no balancer, and no error")
+		t.Error("got no error without a balancer")
 	}
 }
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -1,14 +1,14 @@
-// Package middleware puts a plankrouter.Balancer to work in an application that serves HTTP by net/http.
+// Package middleware connects a plankrouter.Balancer to an application that serves HTTP with net/http.
 //
-// Handler serves routes of the application by the servers of a Balancer; Middleware tells the calls that the
-// application makes for a request, through a plankrouter.Transport, what class, tenant and deadline that request has.
-// Of what the client says of itself they take only what Options name.
+// Handler forwards requests to the servers of a Balancer. Middleware puts a request's class, tenant and deadline into its
+// context, so that they apply to the requests that the application sends under it through a plankrouter.Transport. Of the
+// client's headers, only those named in Options are trusted.
 //
 //	tiles, err := middleware.Handler(b, middleware.Options{Class: middleware.Always("tile")})
 //	...
 //	mux.Handle("GET /tile/", tiles)
 //
-// Adapters of frameworks are thin over these two, and prove themselves by the table in middlewaretest.
+// Adapters for frameworks wrap these two functions and are tested with package middlewaretest.
 package middleware
 
 import (
@@ -27,65 +27,65 @@
 	"plankrouter/internal/http1"
 )
 
-// Options say what is read from a request that comes in, and what is made of it. The zero value reads no header. The
-// functions are called by many requests at once. A panic of one of them is answered by 500 and goes to the log of the
-// http.Server; http.ErrAbortHandler is passed on.
+// Options say how the class, tenant, deadline and id of an incoming request are determined, and how errors are handled. The zero
+// value trusts no header. The functions must be safe for concurrent use. If one of them panics, the response is a 500 and the
+// panic is logged by the http.Server's logger; a panic with http.ErrAbortHandler is passed on.
 type Options struct {
-	// Class names the request's class. nil: for a Handler what plankrouter.WithClass has put into the request's
-	// context, else FirstSegment; for a Middleware the request's context stays as it is. A Handler takes "" for the
-	// Balancer's first class, a Middleware for none.
+	// Class returns the name of the request's class. nil: a Handler takes the class that plankrouter.WithClass put into the
+	// request's context, else FirstSegment; a Middleware leaves the context unchanged. "" is the Balancer's first class for a
+	// Handler, and leaves the context unchanged for a Middleware.
 	Class func(*http.Request) string
 
-	// Tenant names the request's tenant, from a checked token, say; TenantHeader is the header that does. Only one of
-	// them may be given. Without either a Handler takes what plankrouter.WithTenant has put into the context. One that
-	// the Balancer does not know counts as none.
+	// Tenant returns the name of the request's tenant, for instance from a verified token. TenantHeader is the header that has
+	// the name. At most one of the two may be set. Without either, a Handler takes the tenant that plankrouter.WithTenant put
+	// into the context. A name that the Balancer does not know counts as no tenant.
 	Tenant       func(*http.Request) string
 	TenantHeader string
 
-	// DeadlineHeader is the header that says for how long the client waits, in seconds with decimals: from when the
-	// head of the request has been read. "" = the class's deadline counts alone. What is
-	// not a number, not above 0 or infinite is answered by 400; more than a day counts as one.
+	// DeadlineHeader is the header with the client's timeout in seconds, as a decimal number, counted from when the request's
+	// headers were read. "" = only the class's deadline applies. If the value is not a number, not above 0 or infinite, the
+	// response is a 400; one of more than a day counts as a day.
 	DeadlineHeader string
 
-	// Error answers a request for err, in place of WriteError; Status says what that would have sent. A request that
-	// was cancelled does not come here. nil = WriteError.
+	// Error writes the response for err, in place of WriteError. Status returns the status that WriteError would send. It is
+	// not called for a cancelled request. nil = WriteError.
 	Error func(w http.ResponseWriter, r *http.Request, err error)
 
-	// What follows is for a Handler alone.
+	// The fields below apply to a Handler only.
 
-	// IDHeader is the header with the request's id, of which no two open requests may have the same (409); where it is
-	// missing one is drawn. "" = always.
+	// IDHeader is the header with the request's id. A request with the id of an open request fails (409); one without the
+	// header gets a random id. "" = every request gets a random id.
 	IDHeader string
 
-	// Forwarded writes X-Forwarded-For, X-Forwarded-Host and X-Forwarded-Proto anew, for clients that connect directly:
-	// what they send in these and in Forwarded is dropped. Else all four are passed on as they came,
-	// as is right behind a proxy.
+	// Forwarded sets X-Forwarded-For, X-Forwarded-Host and X-Forwarded-Proto from the client's connection and drops what the
+	// client sent in these and in Forwarded. It is for clients that connect directly. If false, all four headers are forwarded
+	// unchanged, as is right behind a proxy.
 	Forwarded bool
 }
 
-// maxClientTimeout bounds how long a client may say that it waits.
+// maxClientTimeout is the largest timeout that a client may ask for; longer ones are shortened to it.
 const maxClientTimeout = 24 * time.Hour
 
-// ErrBody is in the chain of the error by which the request's body could not be read.
+// ErrBody is wrapped by the error for a request body that could not be read.
 var ErrBody = errors.New("plankrouter: request: its body could not be read")
 
-// PanicError is a panic of a function in Options.
+// PanicError reports a panic in a function in Options.
 type PanicError struct {
-	Value any
-	Stack []byte
+	Value any    // the value that it panicked with
+	Stack []byte // the stack trace, as from debug.Stack
 }
 
 func (e *PanicError) Error() string {
 	return fmt.Sprintf("plankrouter: a function in Options panicked: %v", e.Value)
 }
 
-// FirstSegment is an Options.Class: the first segment of the path, as with the daemon.
+// FirstSegment is a function for Options.Class: it returns the first segment of the path, as the daemon does.
 func FirstSegment(r *http.Request) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return first
 }
 
-// Always returns an Options.Class for routes of one class.
+// Always returns a function for Options.Class that always returns class.
 func Always(class string) func(*http.Request) string {
 	return func(*http.Request) string { return class }
 }
@@ -94,7 +94,7 @@
 	return &plankrouter.OptionError{Option: option, Reason: reason}
 }
 
-// validate returns a *plankrouter.OptionError for the first option that makes no sense.
+// validate returns a *plankrouter.OptionError for the first invalid option.
 func (o *Options) validate() error {
 	seen := map[string]bool{}
 	for _, h := range []struct{ option, name string }{
@@ -105,27 +105,27 @@
 		case h.name == "":
 			continue
 		case !http1.ValidField(h.name, ""):
-			return invalidOption(h.option, fmt.Sprintf("%q is not the name of a header", h.name))
+			return invalidOption(h.option, fmt.Sprintf("%q is not a valid header name", h.name))
 		case key == "Host":
-			return invalidOption(h.option, "net/http keeps Host elsewhere; a function can read it from there")
+			return invalidOption(h.option, "net/http does not keep Host in the header; use a function that reads Request.Host")
 		case seen[key]:
-			return invalidOption(h.option, fmt.Sprintf("%q has another meaning already", h.name))
+			return invalidOption(h.option, fmt.Sprintf("%q is already used by another option", h.name))
 		}
 		seen[key] = true
 	}
 	if o.Tenant != nil && o.TenantHeader != "" {
-		return invalidOption("TenantHeader", "there is a Tenant too; give one of them")
+		return invalidOption("TenantHeader", "Tenant is set as well; set only one of them")
 	}
 	return nil
 }
 
-// claims is what a request says of itself, as far as the options let it.
+// claims are what the options read from a request; "" = not read, or missing in the request.
 type claims struct {
 	class, tenant, id string
-	timeout           time.Duration // 0 = it does not say
+	timeout           time.Duration // 0 = none
 }
 
-// parseClaims reads what the request says of itself. The error is a *plankrouter.RequestError or a *PanicError.
+// parseClaims reads what the options name from the request. The error is a *plankrouter.RequestError or a *PanicError.
 func (o *Options) parseClaims(r *http.Request) (claimed claims, err error) {
 	defer func() { err = panicError(recover(), err) }()
 	if o.Class != nil {
@@ -152,18 +152,19 @@
 	return claimed, err
 }
 
-// readHeader stores the header's one value in value, which it leaves alone where there is none.
+// readHeader stores the header's value in value, or leaves value unchanged if the request does not have the header. A header
+// that has several different values is an error.
 func readHeader(r *http.Request, name string, value *string) error {
 	for i, v := range r.Header.Values(name) {
 		if i > 0 && v != *value {
-			return &plankrouter.RequestError{Field: name, Reason: "given twice, with different values"}
+			return &plankrouter.RequestError{Field: name, Reason: "repeated with different values"}
 		}
 		*value = v
 	}
 	return nil
 }
 
-// parseTimeout reads the seconds that the header of that name says.
+// parseTimeout parses the value of the header of that name, in seconds.
 func parseTimeout(header, value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
@@ -172,7 +173,7 @@
 	return max(1, time.Duration(min(seconds, maxClientTimeout.Seconds())*float64(time.Second))), nil
 }
 
-// withTimeout returns ctx with the deadline that the request has named.
+// withTimeout returns ctx with the request's timeout, or ctx itself if it has none.
 func (c *claims) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if c.timeout == 0 {
 		return ctx, func() {}
@@ -180,7 +181,7 @@
 	return context.WithTimeout(ctx, c.timeout)
 }
 
-// panicError turns a recovered panic into an error.
+// panicError returns a *PanicError for p, a recovered value; err if p is nil; and panics again with http.ErrAbortHandler.
 func panicError(p any, err error) error {
 	switch p {
 	case nil:
@@ -191,7 +192,7 @@
 	return &PanicError{p, debug.Stack()}
 }
 
-// readBody reads the request's body, of at most plankrouter.MaxBody.
+// readBody reads the request's body. A body larger than plankrouter.MaxBody is plankrouter.ErrTooLarge.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	switch {
 	case r.ContentLength == 0 || r.Body == nil:
