--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -1,5 +1,5 @@
-// Package middlewaretest is the table by which adapters of package middleware are tested: whoever writes one, for a
-// framework of their own, runs it.
+// Package middlewaretest is a table of tests for adapters of package middleware to web frameworks. The author of an adapter
+// runs it as follows.
 //
 //	func TestAdapter(t *testing.T) {
 //		middlewaretest.Run(t, middlewaretest.Adapter{
@@ -8,8 +8,8 @@
 //		})
 //	}
 //
-// Each row plays in a bubble of testing/synctest: a real http.Server with the adapter, a Balancer and a server behind
-// it, connected within the process.
+// Each row runs in a synctest bubble, with an http.Server that uses the adapter, a Balancer and a server behind it, connected
+// by an in-memory network.
 package middlewaretest
 
 import (
@@ -32,64 +32,63 @@
 	"plankrouter/middleware"
 )
 
-// Adapter is what is tested. Both functions return the whole application as an http.Handler, such as a framework's
+// Adapter is an adapter under test. Both functions return the whole application as an http.Handler, such as a framework's
 // engine.
 type Adapter struct {
-	// Handler serves every method and path by the balancer.
+	// Handler returns an application that forwards every method and path to the balancer.
 	Handler func(*plankrouter.Balancer, middleware.Options) (http.Handler, error)
-	// Middleware serves every method and path by next, behind the middleware.
+	// Middleware returns an application that serves every method and path with next, wrapped in the middleware.
 	Middleware func(o middleware.Options, next http.Handler) (http.Handler, error)
-	// AbortedStatus is the status of a request that was cancelled, or aborted by a function in Options; 0 = its connection ends
-	// without an answer, as it does by net/http.
+	// AbortedStatus is the status of the response to a request that was cancelled, or aborted by a function in Options; 0 = the
+	// connection is closed without a response, as net/http does.
 	AbortedStatus int
-	// RecoversPanics says that no panic gets as far as net/http: an answer that one has broken off then passes for a whole
-	// one.
+	// RecoversPanics says that panics don't reach net/http: a response that a panic cuts short then looks complete.
 	RecoversPanics bool
 }
 
-// Run plays all rows, as subtests.
+// Run runs all rows as subtests.
 func Run(t *testing.T, a Adapter) {
 	for _, r := range append(handlerRows, middlewareRows...) {
-		if r.breaksOff && a.RecoversPanics {
+		if r.responseCutShort && a.RecoversPanics {
 			continue
 		}
 		t.Run(r.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { r.play(t, a) })
+			synctest.Test(t, func(t *testing.T) { r.run(t, a) })
 		})
 	}
 }
 
 const (
-	ms             = time.Millisecond
-	connectionEnds = 0 // in place of a status: the connection ends without a whole answer
+	ms         = time.Millisecond
+	noResponse = 0 // in place of a status: the connection was closed without a complete response
 )
 
-// row is one request and what must come of it.
+// row is a test case: one request and what is expected of it.
 type row struct {
 	name              string
 	options           middleware.Options
-	balancer          func(*plankrouter.Options)
-	throughMiddleware bool // the middleware, whose next handler answers with what it finds; else the handler
+	balancer          func(*plankrouter.Options) // changes the balancer's options; nil = no change
+	throughMiddleware bool                       // tests the middleware, with echoContext as the next handler; else the handler
 
-	wrap              func(http.Handler) http.Handler // a wrapper of the application's own
-	serverHandler     http.HandlerFunc                // the server's; nil = 200, "made by the server"
-	balancerClosed    bool                            // the balancer
-	requestsBefore    int                             // so many of its like have gone out 10 ms before
-	breaksOff         bool                            // the answer breaks off in the middle
-	clientLeavesAfter time.Duration                   // the client does, so long after it has asked; 0 = it does not
+	wrap              func(http.Handler) http.Handler // wraps the application; nil = nothing does
+	serverHandler     http.HandlerFunc                // of the server; nil = it responds with 200, "made by the server"
+	balancerClosed    bool                            // the balancer is closed before the request is sent
+	requestsBefore    int                             // number of equal requests that are sent 10 ms earlier
+	responseCutShort  bool                            // the connection is closed in the middle of the response
+	clientLeavesAfter time.Duration                   // time after which the client closes its connection; 0 = it does not
 
 	request string // without Host and Content-Length
 
-	status         int
-	responseHeader map[string]string // of the answer; "" = there is no such line
-	body           string            // of the answer; "" = any
-	serverRequest  map[string]string // to the server, likewise; "" under the name "line" or "body" = any
-	logged         string            // by the http.Server
+	status         int               // expected status, or noResponse
+	responseHeader map[string]string // expected headers of the response; "" = it must not have the header
+	body           string            // expected body of the response; "" = any
+	serverRequest  map[string]string // expected fields of recordingServer.request; "" = it must not have the field
+	logged         string            // text that the http.Server's log must contain; "" = the log must be empty
 	stats          func(plankrouter.Stats) bool
 }
 
-func (r *row) play(t *testing.T, a Adapter) {
-	defer time.Sleep(time.Second) // in which an http.Server ends a connection that it has not read to its end
+func (r *row) run(t *testing.T, a Adapter) {
+	defer time.Sleep(time.Second) // time for an http.Server to close a connection that it has not read to the end
 	net := fakes.NewMemory()
 	server := &recordingServer{respond: r.serverHandler, request: map[string]string{}}
 	listening, address := listen(t, net, nil, server)
@@ -105,21 +104,21 @@
 		app = r.wrap(app)
 	}
 	var logged bytes.Buffer
-	front, at := listen(t, net, &logged, app)
-	defer front.Close()
+	appServer, appAddress := listen(t, net, &logged, app)
+	defer appServer.Close()
 	if r.balancerClosed {
 		closeBalancer(t, b)
 	}
 	for range r.requestsBefore {
-		go r.send(t, net, at)
+		go r.send(t, net, appAddress)
 	}
 	time.Sleep(10 * ms)
-	status, header, body := r.send(t, net, at)
-	time.Sleep(10 * ms) // until what has ended is known to have
+	status, header, body := r.send(t, net, appAddress)
+	time.Sleep(10 * ms) // time for the balancer to handle the end of the request
 
 	r.checkResponse(t, a, status, header, body)
 	server.check(t, r.serverRequest)
-	front.Close()
+	appServer.Close()
 	if log := logged.String(); !strings.Contains(log, r.logged) || r.logged == "" && log != "" {
 		t.Errorf("logged %q, want %q", log, r.logged)
 	}
@@ -128,7 +127,7 @@
 	}
 }
 
-// newBalancer returns a balancer of two classes over the server at address.
+// newBalancer returns a balancer with two classes over the server at address.
 func (r *row) newBalancer(t *testing.T, net *fakes.Memory, address string) *plankrouter.Balancer {
 	t.Helper()
 	o := plankrouter.Options{
@@ -149,7 +148,7 @@
 	return b
 }
 
-// closeBalancer may be called twice.
+// closeBalancer closes the balancer. It may be called again for the same one.
 func closeBalancer(t *testing.T, b *plankrouter.Balancer) {
 	t.Helper()
 	if err := b.Close(t.Context()); err != nil {
@@ -157,11 +156,11 @@
 	}
 }
 
-// checkResponse compares what came back with what the row wants.
+// checkResponse compares the response with the row's expectation.
 func (r *row) checkResponse(t *testing.T, a Adapter, status int, header http.Header, body string) {
 	t.Helper()
 	wantStatus := r.status
-	if wantStatus == connectionEnds && !r.breaksOff && r.clientLeavesAfter == 0 {
+	if wantStatus == noResponse && !r.responseCutShort && r.clientLeavesAfter == 0 {
 		wantStatus = a.AbortedStatus
 	}
 	if status != wantStatus || r.body != "" && body != r.body {
@@ -169,17 +168,17 @@
 	}
 	for name, want := range r.responseHeader {
 		if got := strings.Join(header.Values(name), "|"); got != want {
-			t.Errorf("%s: %q came back, want %q", name, got, want)
+			t.Errorf("response header %s: %q, want %q", name, got, want)
 		}
 	}
 }
 
-// recordingServer is the server behind the balancer.
+// recordingServer is the server behind the balancer. It records the last request.
 type recordingServer struct {
 	respond http.HandlerFunc // nil = 200, "made by the server"
 
 	mu      sync.Mutex
-	request map[string]string // the last one's headers, and its "line" and "body"
+	request map[string]string // headers of the last request, and under "line" its method and URI, under "body" its body
 }
 
 func (s *recordingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -201,19 +200,19 @@
 	for name, values := range r.Header {
 		s.request[name] = strings.Join(values, "|")
 	}
-	if seconds, err := strconv.ParseFloat(s.request["Req-Deadline"], 64); err == nil { // some ms are the balancer's
+	if seconds, err := strconv.ParseFloat(s.request["Req-Deadline"], 64); err == nil { // the balancer has used some ms
 		s.request["Req-Deadline"] = fmt.Sprintf("%.2f", seconds)
 	}
 }
 
-// check compares what went to the server with want.
+// check compares the last request to the server with want; "" = it must not have the field.
 func (s *recordingServer) check(t *testing.T, want map[string]string) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, value := range want {
 		if got := s.request[name]; got != value {
-			t.Errorf("%s: %q went to the server, want %q", name, got, value)
+			t.Errorf("request to the server: %s: %q, want %q", name, got, value)
 		}
 	}
 }
@@ -225,14 +224,14 @@
 	return a.Middleware(r.options, echoContext(b))
 }
 
-// echoContext answers with the class, the tenant and the time left that it finds in the request's context, and with what an
-// http.Client gets under it.
+// echoContext sends a request through b under the request's context. If that succeeds, it responds with the class, the tenant
+// and the time left of the context.
 func echoContext(b *plankrouter.Balancer) http.Handler {
 	client := &http.Client{Transport: &plankrouter.Transport{Balancer: b}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		ctx, left := r.Context(), "no end"
-		if until, ends := ctx.Deadline(); ends {
-			left = time.Until(until).String()
+		ctx, timeLeft := r.Context(), "no deadline"
+		if deadline, ok := ctx.Deadline(); ok {
+			timeLeft = time.Until(deadline).String()
 		}
 		req, err := http.NewRequestWithContext(ctx, "GET", "http://tiles.internal/tile/7", nil)
 		if err == nil {
@@ -246,7 +245,7 @@
 			return
 		}
 		w.WriteHeader(http.StatusOK)
-		fmt.Fprint(w, strings.Join([]string{plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), left}, ","))
+		fmt.Fprint(w, strings.Join([]string{plankrouter.ClassOf(ctx), plankrouter.TenantOf(ctx), timeLeft}, ","))
 	})
 }
 
@@ -261,36 +260,37 @@
 	if logs != nil {
 		s.ErrorLog = log.New(logs, "", 0)
 	}
-	go func() { _ = s.Serve(l) }() // until it is closed, which is its error
+	go func() { _ = s.Serve(l) }() // returns http.ErrServerClosed
 	return s, l.Addr().String()
 }
 
-// send sends the request as it stands, on a connection of its own.
-func (r *row) send(t *testing.T, n *fakes.Memory, at string) (status int, head http.Header, body string) {
-	c, err := n.Dial(context.Background(), at)
+// send sends the request on a connection of its own and returns the response; its status is noResponse if there is no complete
+// one.
+func (r *row) send(t *testing.T, n *fakes.Memory, address string) (status int, head http.Header, body string) {
+	c, err := n.Dial(context.Background(), address)
 	if err != nil {
 		t.Error(err)
-		return connectionEnds, nil, ""
+		return noResponse, nil, ""
 	}
 	defer c.Close()
 	fmt.Fprint(c, wire(r.request))
 	if r.clientLeavesAfter > 0 {
 		time.Sleep(r.clientLeavesAfter)
-		return connectionEnds, nil, ""
+		return noResponse, nil, ""
 	}
 	method, _, _ := strings.Cut(r.request, " ")
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: method})
 	if err != nil {
-		return connectionEnds, nil, ""
+		return noResponse, nil, ""
 	}
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return connectionEnds, nil, ""
+		return noResponse, nil, ""
 	}
 	return resp.StatusCode, resp.Header, string(raw)
 }
 
-// wire completes a request's head.
+// wire adds a Host header and, for a body that is not chunked, Content-Length to a request, with CRLF line ends.
 func wire(request string) string {
 	head, body, _ := strings.Cut(request, "\n\n")
 	line, rest, _ := strings.Cut(head, "\n")
--- a/middleware/middlewaretest/rows.go
+++ b/middleware/middlewaretest/rows.go
@@ -12,9 +12,9 @@
 	"plankrouter/middleware"
 )
 
-var big = strings.Repeat("x", plankrouter.MaxBody)
+var largestBody = strings.Repeat("x", plankrouter.MaxBody)
 
-// respondAfter answers 200 so much later, unless whoever asked has gone.
+// respondAfter responds with 200 after d, unless the request is cancelled before.
 func respondAfter(d time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -27,14 +27,14 @@
 
 func panicking(*http.Request) string { panic("boom") }
 
-// teapot answers every error by 418 and names it.
+// teapot responds with 418 and the error's text.
 func teapot(w http.ResponseWriter, _ *http.Request, err error) {
 	w.WriteHeader(http.StatusTeapot)
 	fmt.Fprint(w, err.Error())
 }
 
-// cancelling gives up requests by itself, so long after they came.
-func cancelling(d time.Duration) func(http.Handler) http.Handler {
+// cancelAfter returns a wrapper that cancels each request's context after d.
+func cancelAfter(d time.Duration) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			ctx, cancel := context.WithCancel(r.Context())
@@ -47,7 +47,7 @@
 
 func withoutServers(o *plankrouter.Options) { o.Endpoints = nil }
 
-// overQuota leaves the tenant acme a share that its first five requests use up.
+// overQuota has no servers, and a quota for the tenant acme that its first five requests use up.
 func overQuota(o *plankrouter.Options) {
 	o.Endpoints, o.MaxRetryAfter = nil, 2100*ms
 	o.Tenants = []plankrouter.Tenant{{Name: "acme", QuotaPerSecond: 1e-6}}
@@ -102,36 +102,36 @@
 		},
 	},
 	{
-		name: "largest body", request: "POST /order/7 HTTP/1.1\n\n" + big, status: 200,
-		serverRequest: map[string]string{"body": big},
+		name: "largest body", request: "POST /order/7 HTTP/1.1\n\n" + largestBody, status: 200,
+		serverRequest: map[string]string{"body": largestBody},
 	},
 	{
-		name: "body too large", request: "POST /order/7 HTTP/1.1\n\n" + big + "x", status: 413,
+		name: "body too large", request: "POST /order/7 HTTP/1.1\n\n" + largestBody + "x", status: 413,
 		serverRequest: map[string]string{"line": ""},
 	},
 	{
-		name: "chunked body too large, and no end of it", status: 413, serverRequest: map[string]string{"line": ""},
-		request: "POST /order/7 HTTP/1.1\nTransfer-Encoding: chunked\n\n20000\r\n" + big + "x",
+		name: "chunked body too large, without an end", status: 413, serverRequest: map[string]string{"line": ""},
+		request: "POST /order/7 HTTP/1.1\nTransfer-Encoding: chunked\n\n20000\r\n" + largestBody + "x",
 	},
 	{
 		name: "chunked body", status: 200, serverRequest: map[string]string{"body": "print", "Transfer-Encoding": ""},
 		request: "POST /order/7 HTTP/1.1\nTransfer-Encoding: chunked\n\n5\r\nprint\r\n0\r\n\r\n",
 	},
 	{name: "bad chunk", status: 400, request: "POST /order/7 HTTP/1.1\nTransfer-Encoding: chunked\n\nzz\r\n"},
-	{name: "body does not come", status: 408, request: "POST /order/7 HTTP/1.1\nContent-Length: 9\n\nprint"},
+	{name: "incomplete body", status: 408, request: "POST /order/7 HTTP/1.1\nContent-Length: 9\n\nprint"},
 
 	{name: "unknown class", request: "GET /nothing/a HTTP/1.1", status: 404, serverRequest: map[string]string{"line": ""}},
 	{
-		name: "class of the options", request: "GET /any HTTP/1.1", status: 200,
+		name: "class from the options", request: "GET /any HTTP/1.1", status: 200,
 		options:       middleware.Options{Class: middleware.Always("order")},
 		serverRequest: map[string]string{"Req-Deadline": "1.00"},
 	},
 	{
-		name: "no class named", request: "GET /any HTTP/1.1", status: 200,
+		name: "empty class", request: "GET /any HTTP/1.1", status: 200,
 		options: middleware.Options{Class: middleware.Always("")}, serverRequest: map[string]string{"Req-Deadline": "2.50"},
 	},
 	{
-		name: "class of the context", request: "GET /any HTTP/1.1", status: 200,
+		name: "class from the context", request: "GET /any HTTP/1.1", status: 200,
 		serverRequest: map[string]string{"Req-Deadline": "1.00"},
 		wrap: func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -140,7 +140,7 @@
 		},
 	},
 	{
-		name: "host of a wrapper", request: "GET /tile/a HTTP/1.1", status: 200,
+		name: "host set by a wrapper", request: "GET /tile/a HTTP/1.1", status: 200,
 		serverRequest: map[string]string{"Host": "tiles.internal"},
 		wrap: func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -151,12 +151,12 @@
 	},
 
 	{
-		name: "forwarded as it came", request: "GET /tile/a HTTP/1.1\nX-Forwarded-For: 9.9.9.9\nX-Forwarded-Proto: https",
+		name: "forwarded headers unchanged", request: "GET /tile/a HTTP/1.1\nX-Forwarded-For: 9.9.9.9\nX-Forwarded-Proto: https",
 		status:        200,
 		serverRequest: map[string]string{"X-Forwarded-For": "9.9.9.9", "X-Forwarded-Proto": "https", "X-Forwarded-Host": ""},
 	},
 	{
-		name: "forwarded anew", options: middleware.Options{Forwarded: true}, status: 200,
+		name: "forwarded headers replaced", options: middleware.Options{Forwarded: true}, status: 200,
 		request: "GET /tile/a HTTP/1.1\nX-Forwarded-For: 9.9.9.9\nForwarded: for=9.9.9.9\nX-Hop: 1\n" +
 			"Connection: X-Forwarded-Host, X-Hop",
 		serverRequest: map[string]string{
@@ -183,17 +183,17 @@
 		request: "GET /tile/a HTTP/1.1\nX-Wait: 1e-300", status: 504, serverRequest: map[string]string{"line": ""},
 	},
 	{
-		name: "deadline of a safe request passes", options: middleware.Options{DeadlineHeader: "X-Wait"},
+		name: "client's deadline passes, idempotent class", options: middleware.Options{DeadlineHeader: "X-Wait"},
 		serverHandler: respondAfter(time.Second), request: "GET /tile/a HTTP/1.1\nX-Wait: 0.1", status: 504,
 		responseHeader: map[string]string{"Retry-After": ""},
 	},
 	{name: "class's deadline passes", serverHandler: respondAfter(time.Second), request: "GET /order/a HTTP/1.1", status: 502},
 	{
-		name: "deadline passes", options: middleware.Options{DeadlineHeader: "X-Wait"}, serverHandler: respondAfter(time.Second),
+		name: "client's deadline passes, non-idempotent class", options: middleware.Options{DeadlineHeader: "X-Wait"}, serverHandler: respondAfter(time.Second),
 		request: "GET /order/a HTTP/1.1\nX-Wait: 0.1", status: 504,
 	},
 	{
-		name: "wrapper's deadline has passed", request: "GET /tile/a HTTP/1.1", status: 504,
+		name: "wrapper's deadline passed", request: "GET /tile/a HTTP/1.1", status: 504,
 		serverRequest: map[string]string{"line": ""},
 		wrap: func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -219,7 +219,7 @@
 		status: 200,
 	},
 	{
-		name: "two ids", options: middleware.Options{IDHeader: "X-Id"}, request: "GET /tile/a HTTP/1.1\nX-Id: 7\nX-Id: 8",
+		name: "two different ids", options: middleware.Options{IDHeader: "X-Id"}, request: "GET /tile/a HTTP/1.1\nX-Id: 7\nX-Id: 8",
 		status: 400,
 	},
 
@@ -229,11 +229,11 @@
 		body:           "Service Unavailable\n",
 	},
 	{
-		name: "refused beyond the share", balancer: overQuota, request: "GET /tile/a HTTP/1.1\nX-Tenant: acme", status: 503,
+		name: "rejected beyond the quota", balancer: overQuota, request: "GET /tile/a HTTP/1.1\nX-Tenant: acme", status: 503,
 		options: middleware.Options{TenantHeader: "X-Tenant"}, responseHeader: map[string]string{"Retry-After": "3"}, requestsBefore: 5,
 	},
 	{
-		name: "refused beyond the share of the context's tenant", balancer: overQuota, request: "GET /tile/a HTTP/1.1",
+		name: "rejected beyond the quota of the context's tenant", balancer: overQuota, request: "GET /tile/a HTTP/1.1",
 		status: 503, responseHeader: map[string]string{"Retry-After": "3"}, requestsBefore: 5,
 		wrap: func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -242,7 +242,7 @@
 		},
 	},
 	{
-		name: "failed of a safe request", request: "GET /tile/a HTTP/1.1", status: 503,
+		name: "failed, idempotent class", request: "GET /tile/a HTTP/1.1", status: 503,
 		responseHeader: map[string]string{"Retry-After": "1"},
 		serverHandler:  func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
 	},
@@ -256,19 +256,19 @@
 	},
 	{name: "CONNECT", request: "CONNECT /tile/a HTTP/1.1", status: 501},
 	{
-		name: "errors of the application", options: middleware.Options{Error: teapot}, balancerClosed: true,
+		name: "application's error function", options: middleware.Options{Error: teapot}, balancerClosed: true,
 		request: "GET /tile/a HTTP/1.1",
 		status:  418, body: plankrouter.ErrClosed.Error(),
 	},
 
 	{
-		name: "client leaves", request: "GET /tile/a HTTP/1.1", serverHandler: respondAfter(time.Second), clientLeavesAfter: 50 * ms, status: connectionEnds,
+		name: "client leaves", request: "GET /tile/a HTTP/1.1", serverHandler: respondAfter(time.Second), clientLeavesAfter: 50 * ms, status: noResponse,
 		stats: cancelled,
 	},
 	{
 		name: "cancelled by a wrapper", request: "GET /tile/a HTTP/1.1", serverHandler: respondAfter(time.Second),
-		wrap:    cancelling(50 * ms),
-		options: middleware.Options{Error: teapot}, status: connectionEnds, stats: cancelled,
+		wrap:    cancelAfter(50 * ms),
+		options: middleware.Options{Error: teapot}, status: noResponse, stats: cancelled,
 	},
 
 	{
@@ -280,11 +280,11 @@
 		logged: "boom",
 	},
 	{
-		name: "class aborts", request: "GET /tile/a HTTP/1.1", status: connectionEnds,
+		name: "class aborts", request: "GET /tile/a HTTP/1.1", status: noResponse,
 		options: middleware.Options{Class: func(*http.Request) string { panic(http.ErrAbortHandler) }},
 	},
 	{
-		name: "a panic told to the application", request: "GET /tile/a HTTP/1.1", status: 418, logged: "boom",
+		name: "panic passed to the application's error function", request: "GET /tile/a HTTP/1.1", status: 418, logged: "boom",
 		options: middleware.Options{Class: panicking, Error: func(w http.ResponseWriter, r *http.Request, err error) {
 			if p := new(middleware.PanicError); errors.As(err, &p) && p.Value == "boom" && len(p.Stack) > 0 {
 				teapot(w, r, err)
@@ -292,11 +292,11 @@
 		}},
 	},
 	{
-		name: "error panics", balancerClosed: true, request: "GET /tile/a HTTP/1.1", status: 500, logged: "boom",
+		name: "error function panics", balancerClosed: true, request: "GET /tile/a HTTP/1.1", status: 500, logged: "boom",
 		options: middleware.Options{Error: func(http.ResponseWriter, *http.Request, error) { panic("boom") }},
 	},
 	{
-		name: "error panics in the middle", breaksOff: true, balancerClosed: true, request: "GET /tile/a HTTP/1.1", status: connectionEnds,
+		name: "error function panics in mid-response", responseCutShort: true, balancerClosed: true, request: "GET /tile/a HTTP/1.1", status: noResponse,
 		logged: "boom",
 		options: middleware.Options{Error: func(w http.ResponseWriter, r *http.Request, err error) {
 			teapot(w, r, err)
@@ -305,12 +305,12 @@
 	},
 }
 
-// trusting trusts all that a middleware can.
-var trusting = middleware.Options{Class: middleware.FirstSegment, TenantHeader: "X-Tenant", DeadlineHeader: "X-Wait"}
+// allClaims takes class, tenant and deadline from the request.
+var allClaims = middleware.Options{Class: middleware.FirstSegment, TenantHeader: "X-Tenant", DeadlineHeader: "X-Wait"}
 
 var middlewareRows = []row{
 	{
-		name: "middleware/all", throughMiddleware: true, options: trusting,
+		name: "middleware/all", throughMiddleware: true, options: allClaims,
 		request: "GET /order/a HTTP/1.1\nX-Tenant: acme\nX-Wait: 0.5",
 		status:  200, body: "order,acme,500ms",
 		serverRequest: map[string]string{"Req-Deadline": "0.50", "Host": "tiles.internal"},
@@ -318,57 +318,57 @@
 	{
 		name: "middleware/nothing", throughMiddleware: true, request: "GET /order/a HTTP/1.1\nX-Tenant: acme\nX-Wait: no number",
 		status: 200,
-		body:   ",,no end", serverRequest: map[string]string{"Req-Deadline": "2.50"},
+		body:   ",,no deadline", serverRequest: map[string]string{"Req-Deadline": "2.50"},
 	},
 	{
-		name: "middleware/tenant by a function", throughMiddleware: true, request: "GET /any HTTP/1.1", status: 200,
-		body:    ",of the token,no end",
-		options: middleware.Options{Tenant: func(*http.Request) string { return "of the token" }},
+		name: "middleware/tenant from a function", throughMiddleware: true, request: "GET /any HTTP/1.1", status: 200,
+		body:    ",from the token,no deadline",
+		options: middleware.Options{Tenant: func(*http.Request) string { return "from the token" }},
 	},
 	{
-		name: "middleware/two tenants", throughMiddleware: true, options: trusting, status: 400,
+		name: "middleware/two tenants", throughMiddleware: true, options: allClaims, status: 400,
 		request: "GET /tile/a HTTP/1.1\nX-Tenant: acme\nX-Tenant: umbra",
 	},
 	{
-		name: "middleware/one tenant twice", throughMiddleware: true, options: trusting, status: 200, body: "tile,acme,no end",
+		name: "middleware/one tenant twice", throughMiddleware: true, options: allClaims, status: 200, body: "tile,acme,no deadline",
 		request: "GET /tile/a HTTP/1.1\nX-Tenant: acme\nX-Tenant: acme",
 	},
 	{
-		name: "middleware/unknown class", throughMiddleware: true, options: trusting, request: "GET /nothing/a HTTP/1.1",
+		name: "middleware/unknown class", throughMiddleware: true, options: allClaims, request: "GET /nothing/a HTTP/1.1",
 		status: 404,
 	},
 	{
-		name: "middleware/a day", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait: 1e300",
+		name: "middleware/deadline cut to a day", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait: 1e300",
 		status: 200, body: "tile,,24h0m0s",
 	},
 	{
-		name: "middleware/negative", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait: -1",
+		name: "middleware/negative", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait: -1",
 		status: 400,
 	},
 	{
-		name: "middleware/zero", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait: 0",
+		name: "middleware/zero", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait: 0",
 		status: 400,
 	},
 	{
-		name: "middleware/infinite", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait: Inf",
+		name: "middleware/infinite", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait: Inf",
 		status: 400,
 	},
 	{
-		name: "middleware/too large", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait: 1e999",
+		name: "middleware/out of range", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait: 1e999",
 		status: 400,
 	},
 	{
-		name: "middleware/not a number", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait: NaN",
+		name: "middleware/not a number", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait: NaN",
 		status: 400,
 	},
-	{name: "middleware/empty", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1\nX-Wait:", status: 400},
+	{name: "middleware/empty", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1\nX-Wait:", status: 400},
 	{
-		name: "middleware/two deadlines", throughMiddleware: true, options: trusting,
+		name: "middleware/two deadlines", throughMiddleware: true, options: allClaims,
 		request: "GET /tile/a HTTP/1.1\nX-Wait: 1\nX-Wait: 2",
 		status:  400,
 	},
 	{
-		name: "middleware/errors of the application", throughMiddleware: true, request: "GET /tile/a HTTP/1.1\nX-Wait: soon",
+		name: "middleware/application's error function", throughMiddleware: true, request: "GET /tile/a HTTP/1.1\nX-Wait: soon",
 		status:  418,
 		options: middleware.Options{DeadlineHeader: "X-Wait", Error: teapot},
 		body:    `plankrouter: request: X-Wait: "soon" is not a number of seconds above 0`,
@@ -379,8 +379,8 @@
 		status:  500, logged: "boom",
 	},
 	{
-		name: "middleware/client leaves", throughMiddleware: true, options: trusting, request: "GET /tile/a HTTP/1.1",
+		name: "middleware/client leaves", throughMiddleware: true, options: allClaims, request: "GET /tile/a HTTP/1.1",
 		serverHandler:     respondAfter(time.Second),
-		clientLeavesAfter: 50 * ms, status: connectionEnds, stats: cancelled,
+		clientLeavesAfter: 50 * ms, status: noResponse, stats: cancelled,
 	},
 }
