--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -18,12 +18,12 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// servers starts servers that end with the test.
-func servers(t *testing.T, names ...string) (all []*scriptedServer) {
+// startServers starts servers that are closed at the end of the test.
+func startServers(t *testing.T, names ...string) (all []*scriptedServer) {
 	t.Helper()
 	network := fakes.Loopback()
 	for _, name := range names {
-		p := newScriptedServer(network, name, new(queue))
+		p := newScriptedServer(network, name, new(actionQueue))
 		if err := p.up(false); err != nil {
 			t.Fatal(err)
 		}
@@ -33,9 +33,9 @@
 	return all
 }
 
-// usual are options that most tests start from: two classes, a long wait for connections, and the servers by their
-// names.
-func usual(all ...*scriptedServer) plankrouter.Options {
+// baseOptions returns the options that most tests start from: two classes, a long connect timeout, and the servers, whose ids
+// are their names.
+func baseOptions(all ...*scriptedServer) plankrouter.Options {
 	o := plankrouter.Options{Name: "n1", Seed: 1, ConnectTimeout: 10 * time.Second, Classes: []plankrouter.Class{
 		{Name: "tile", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second},
 		{Name: "order", LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, Idempotency: plankrouter.NonIdempotent},
@@ -46,21 +46,20 @@
 	return o
 }
 
-// balancer starts one that is closed with the test, if not before.
-func balancer(t *testing.T, o plankrouter.Options) *plankrouter.Balancer {
+// newBalancer returns a balancer that is closed at the end of the test, if not before.
+func newBalancer(t *testing.T, o plankrouter.Options) *plankrouter.Balancer {
 	t.Helper()
 	b, err := plankrouter.New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = b.Close(ended()) }) // its error is that of the context that has ended
+	t.Cleanup(func() { _ = b.Close(cancelledContext()) }) // its error is the context's
 	return b
 }
 
-// ended returns a context that has ended.
-func ended() context.Context {
-	ctx, end := context.WithCancel(context.Background())
-	end()
+func cancelledContext() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	return ctx
 }
 
@@ -71,16 +70,16 @@
 	}
 }
 
-// sees waits until the server has seen n requests whole.
-func (s *scriptedServer) sees(t *testing.T, n int) {
+// waitForRequests waits until the server has received n complete requests.
+func (s *scriptedServer) waitForRequests(t *testing.T, n int) {
 	t.Helper()
 	must(t, await(t.Context(), func() bool {
-		return len(slices.DeleteFunc(s.seen(), func(a seenAttempt) bool { return a.action == "part" })) >= n
+		return len(slices.DeleteFunc(s.seen(), func(a seenAttempt) bool { return a.result == "part" })) >= n
 	}))
 }
 
-// later runs f in a goroutine and returns a function that waits for what it returns.
-func later[T any](t *testing.T, f func() T) func() T {
+// runAsync runs f in a goroutine and returns a function that waits for its result.
+func runAsync[T any](t *testing.T, f func() T) func() T {
 	done := make(chan T, 1)
 	go func() { done <- f() }()
 	return func() (v T) {
@@ -88,18 +87,18 @@
 		select {
 		case v = <-done:
 		case <-time.After(waitLimit):
-			t.Fatal("it did not return")
+			t.Fatal("the function did not return")
 		}
 		return v
 	}
 }
 
-// logLines are the lines that a logger was given.
+// logLines is a slog.Handler that records the messages.
 type logLines struct {
 	slog.Handler
 	mu     sync.Mutex
 	all    []string
-	onLine func() // called with each
+	onLine func() // called for each line; nil = nothing is
 }
 
 func (l *logLines) Enabled(context.Context, slog.Level) bool { return true }
@@ -121,56 +120,56 @@
 	return len(l.all)
 }
 
-// Two balancers of one name, with endpoints and requests of the same ids, settings and fleets of their own, started and
-// closed in every order: each counts and answers what is its own.
+// Two balancers in one process with the same name, endpoint ids and request ids, but different options and servers, don't
+// affect each other, in whatever order they are started and closed.
 func TestTwoBalancers(t *testing.T) {
 	for _, order := range []string{
 		"+a +b -a -b", "+a +b -b -a", "+a -a +b -b", "+b +a -a -b", "+b +a -b -a",
 		"+b -b +a -a",
 	} {
 		t.Run(order, func(t *testing.T) {
-			all := servers(t, "s-1", "s-1")
-			sides := map[string]*balancerWithServer{"a": {server: all[0]}, "b": {server: all[1]}}
-			for word := range strings.FieldsSeq(order) {
-				h := sides[word[1:]]
-				if word[0] == '+' {
-					o := usual(h.server)
-					if word == "+a" {
+			all := startServers(t, "s-1", "s-1")
+			pairs := map[string]*balancerWithServer{"a": {server: all[0]}, "b": {server: all[1]}}
+			for op := range strings.FieldsSeq(order) {
+				h := pairs[op[1:]]
+				if op[0] == '+' {
+					o := baseOptions(h.server)
+					if op == "+a" {
 						o.MaxAttempts, o.Classes = 1, o.Classes[:1]
 					}
-					h.balancer = balancer(t, o)
+					h.balancer = newBalancer(t, o)
 				} else {
 					must(t, h.balancer.Close(t.Context()))
 					h.closed = true
 				}
-				for _, h := range sides {
+				for _, h := range pairs {
 					h.sendOne(t)
 				}
-				if a, b := sides["a"], sides["b"]; a.open() && b.open() {
+				if a, b := pairs["a"], pairs["b"]; a.open() && b.open() {
 					a.hold(t)
-					b.hold(t) // the same id is open at both
+					b.hold(t) // a request with the same id is open at both
 					a.release(t)
 					b.release(t)
 				}
 			}
-			for name, h := range sides {
+			for name, h := range pairs {
 				s := h.balancer.Stats()
 				if s.Accepted != h.sent || s.Served != h.sent || s.Attempts != h.sent || s.Connections != 0 ||
 					len(h.server.seen()) != h.sent {
-					t.Errorf("%s was asked %d times, its server %d: %+v", name, h.sent, len(h.server.seen()), s)
+					t.Errorf("balancer %s: %d requests, %d at its server: %+v", name, h.sent, len(h.server.seen()), s)
 				}
 			}
 		})
 	}
 }
 
-// balancerWithServer is one of two balancers, with its server.
+// balancerWithServer is a balancer with one server.
 type balancerWithServer struct {
 	server   *scriptedServer
 	balancer *plankrouter.Balancer
 	closed   bool
-	sent     int
-	answer   func() error
+	sent     int          // number of requests sent
+	result   func() error // waits for the result of the request that hold sent
 }
 
 func (h *balancerWithServer) open() bool { return h.balancer != nil && !h.closed }
@@ -188,31 +187,32 @@
 		must(t, h.send("1"))
 	case h.closed:
 		if err := h.send("1"); !errors.Is(err, plankrouter.ErrClosed) {
-			t.Errorf("after its close: %v", err)
+			t.Errorf("after Close: %v", err)
 		}
 	}
 }
 
+// hold sends a request that the server holds until release.
 func (h *balancerWithServer) hold(t *testing.T) {
-	h.server.ownDeeds.add(deed{name: "answer", hold: true}, 1)
+	h.server.ownActions.add(action{name: "answer", hold: true}, 1)
 	h.sent++
-	h.answer = later(t, func() error { return h.send("2") })
-	h.server.sees(t, h.sent)
+	h.result = runAsync(t, func() error { return h.send("2") })
+	h.server.waitForRequests(t, h.sent)
 }
 
 func (h *balancerWithServer) release(t *testing.T) {
 	t.Helper()
 	must(t, h.server.release(t.Context(), ""))
-	must(t, h.answer())
+	must(t, h.result())
 }
 
-// The picks of one balancer are those of its own seed, whatever another does meanwhile.
-func TestRandomOfItsOwn(t *testing.T) {
+// The random choices of a balancer depend only on its own seed, not on what another balancer does at the same time.
+func TestIndependentRandomChoices(t *testing.T) {
 	picks := func(seed uint64) (picks string) {
-		all := servers(t, "1", "2", "3", "4")
-		o := usual(all...)
+		all := startServers(t, "1", "2", "3", "4")
+		o := baseOptions(all...)
 		o.Seed = seed
-		b := balancer(t, o)
+		b := newBalancer(t, o)
 		for range 40 {
 			before := make([]int, len(all))
 			for i, p := range all {
@@ -229,10 +229,10 @@
 		}
 		return picks
 	}
-	alone, other := picks(1), picks(2)
-	busy := balancer(t, usual(servers(t, "1", "2", "3", "4")...))
+	picksAlone, otherPicks := picks(1), picks(2)
+	busy := newBalancer(t, baseOptions(startServers(t, "1", "2", "3", "4")...))
 	var stop atomic.Bool
-	done := later(t, func() error {
+	done := runAsync(t, func() error {
 		for !stop.Load() {
 			if _, err := busy.Do(context.Background(), &plankrouter.Request{}); err != nil {
 				return err
@@ -240,103 +240,102 @@
 		}
 		return nil
 	})
-	beside := picks(1)
+	picksBeside := picks(1)
 	stop.Store(true)
 	must(t, done())
-	if alone != beside || alone == other {
-		t.Errorf("seed 1 alone: %s, beside another: %s; seed 2: %s", alone, beside, other)
+	if picksAlone != picksBeside || picksAlone == otherPicks {
+		t.Errorf("seed 1 alone: %s, beside another balancer: %s; seed 2: %s", picksAlone, picksBeside, otherPicks)
 	}
 }
 
-// What one logs, and the limit on its connections, is not the other's.
-func TestLogsAndLimitsOfTheirOwn(t *testing.T) {
-	all := servers(t, "s-1", "s-1")
+// Two balancers have separate loggers and connection limits.
+func TestSeparateLogsAndLimits(t *testing.T) {
+	all := startServers(t, "s-1", "s-1")
 	quiet, loud := new(logLines), new(logLines)
-	a, b := usual(all[0]), usual(all[1])
+	a, b := baseOptions(all[0]), baseOptions(all[1])
 	a.Logger, b.Logger = slog.New(quiet), slog.New(loud)
 	b.ConnectionLimit = plankrouter.NewConnectionLimit(1, nil)
-	one, two := balancerWithServer{balancer: balancer(t, a), server: all[0]}, balancerWithServer{balancer: balancer(t, b), server: all[1]}
-	two.hold(t)
-	var refused *plankrouter.RejectedError
-	if err := two.send("other"); !errors.As(err, &refused) {
-		t.Errorf("beyond its limit of one connection: %v", err)
+	first, second := balancerWithServer{balancer: newBalancer(t, a), server: all[0]}, balancerWithServer{balancer: newBalancer(t, b), server: all[1]}
+	second.hold(t)
+	var rejected *plankrouter.RejectedError
+	if err := second.send("other"); !errors.As(err, &rejected) {
+		t.Errorf("beyond the limit of one connection: %v", err)
 	}
-	must(t, await(t.Context(), func() bool { return loud.count() > 0 })) // of the refusal
+	must(t, await(t.Context(), func() bool { return loud.count() > 0 })) // the rejection is logged
 	for range 20 {
-		one.sendOne(t)
+		first.sendOne(t)
 	}
-	two.release(t)
+	second.release(t)
 	if quiet.count() > 0 {
-		t.Errorf("it logged what is not its own: %q", quiet.all)
+		t.Errorf("it logged lines of the other balancer: %q", quiet.all)
 	}
 }
 
-// Close waits for what is out, however often and from however many goroutines it is called.
-func TestCloseTwice(t *testing.T) {
-	h := balancerWithServer{server: servers(t, "s-1")[0]}
-	h.balancer = balancer(t, usual(h.server))
+// Close may be called repeatedly and concurrently, and every call waits for the requests in flight.
+func TestCloseRepeatedly(t *testing.T) {
+	h := balancerWithServer{server: startServers(t, "s-1")[0]}
+	h.balancer = newBalancer(t, baseOptions(h.server))
 	h.hold(t)
 	var closes []func() error
 	for range 8 {
-		closes = append(closes, later(t, func() error { return h.balancer.Close(context.Background()) }))
+		closes = append(closes, runAsync(t, func() error { return h.balancer.Close(context.Background()) }))
 	}
-	closed := func() bool { return errors.Is(h.send("2"), plankrouter.ErrClosed) } // before, it is a duplicate
+	closed := func() bool { return errors.Is(h.send("2"), plankrouter.ErrClosed) } // until then, the id is a duplicate
 	must(t, await(t.Context(), closed))
 	h.release(t)
 	for _, wait := range closes {
 		must(t, wait())
 	}
 	must(t, h.balancer.Close(context.Background()))
-	_ = h.balancer.Close(ended()) // which may say that its context has ended, but returns
+	_ = h.balancer.Close(cancelledContext()) // may return the context's error, but must return
 }
 
-// With a context that has ended Close waits for nothing: what is out has its outcome at once, and its connection is
-// gone.
-func TestCloseAtOnce(t *testing.T) {
-	h := balancerWithServer{server: servers(t, "s-1")[0]}
-	h.balancer = balancer(t, usual(h.server))
+// Close with a cancelled context ends the requests in flight at once and closes their connections.
+func TestCloseWithCancelledContext(t *testing.T) {
+	h := balancerWithServer{server: startServers(t, "s-1")[0]}
+	h.balancer = newBalancer(t, baseOptions(h.server))
 	h.hold(t)
-	waiting := later(t, func() error { return h.balancer.Close(context.Background()) }) // one that waits is no hindrance
-	if err := h.balancer.Close(ended()); !errors.Is(err, context.Canceled) {
+	waiting := runAsync(t, func() error { return h.balancer.Close(context.Background()) }) // must not delay the other Close
+	if err := h.balancer.Close(cancelledContext()); !errors.Is(err, context.Canceled) {
 		t.Errorf("Close: %v", err)
 	}
 	var failed *plankrouter.FailedError
-	if err := h.answer(); !errors.As(err, &failed) || !failed.MayHaveRun {
-		t.Errorf("the call that was out: %v", err)
+	if err := h.result(); !errors.As(err, &failed) || !failed.MayHaveRun {
+		t.Errorf("the request in flight: %v", err)
 	}
 	must(t, waiting())
 	must(t, await(t.Context(), func() bool { return h.server.seen()[0].clientLeft }))
 	if n := h.balancer.Stats().Connections; n != 0 {
-		t.Errorf("%d connections are left", n)
+		t.Errorf("%d connections are still open", n)
 	}
 }
 
-// dials returns the options with a dial function of the test's own.
-func dials(o plankrouter.Options, dial func(context.Context, string) (net.Conn, error)) plankrouter.Options {
+// withDial returns the options with a dial function.
+func withDial(o plankrouter.Options, dial func(context.Context, string) (net.Conn, error)) plankrouter.Options {
 	o.ConnectionLimit = plankrouter.NewConnectionLimit(64, dial)
 	return o
 }
 
-// Close may be called from within the dial function, with a context that ends or without.
+// Close may be called from within the dial function, with a cancelled context or with one that never ends.
 func TestCloseFromDial(t *testing.T) {
-	for name, ctx := range map[string]context.Context{"ended": ended(), "background": context.Background()} {
+	for name, ctx := range map[string]context.Context{"cancelled": cancelledContext(), "background": context.Background()} {
 		t.Run(name, func(t *testing.T) {
 			var b atomic.Pointer[plankrouter.Balancer]
 			closed := make(chan error, 10)
-			o := dials(usual(servers(t, "s-1")...), func(context.Context, string) (net.Conn, error) {
+			o := withDial(baseOptions(startServers(t, "s-1")...), func(context.Context, string) (net.Conn, error) {
 				closed <- b.Load().Close(ctx)
-				return nil, errors.New("it is closed")
+				return nil, errors.New("the balancer is closed")
 			})
-			o.ConnectTimeout = 200 * time.Millisecond // after which nobody waits for the dial function: the close can end
-			b.Store(balancer(t, o))
-			answer := later(t, func() error {
+			o.ConnectTimeout = 200 * time.Millisecond // then the balancer no longer waits for dial, and Close can return
+			b.Store(newBalancer(t, o))
+			result := runAsync(t, func() error {
 				_, err := b.Load().Do(context.Background(), &plankrouter.Request{Class: "order"})
 				return err
 			})
-			if err := answer(); err == nil || errors.Is(err, plankrouter.ErrClosed) {
-				t.Errorf("the call that dialled: %v", err)
+			if err := result(); err == nil || errors.Is(err, plankrouter.ErrClosed) {
+				t.Errorf("the request that dialled: %v", err)
 			}
-			if err := later(t, func() error { return <-closed })(); err != nil && ctx.Err() == nil {
+			if err := runAsync(t, func() error { return <-closed })(); err != nil && ctx.Err() == nil {
 				t.Errorf("Close: %v", err)
 			}
 		})
@@ -349,84 +348,84 @@
 	closed := make(chan error, 100)
 	log := new(logLines)
 	log.onLine = func() { closed <- b.Load().Close(context.Background()) }
-	o := usual()
+	o := baseOptions()
 	o.Logger = slog.New(log)
-	b.Store(balancer(t, o))
+	b.Store(newBalancer(t, o))
 	_, err := b.Load().Do(t.Context(), &plankrouter.Request{})
-	var rejected *plankrouter.RejectedError // which is logged
+	var rejected *plankrouter.RejectedError // a rejection is logged
 	if !errors.As(err, &rejected) {
 		t.Errorf("without a server: %v", err)
 	}
-	must(t, later(t, func() error { return <-closed })())
+	must(t, runAsync(t, func() error { return <-closed })())
 	if _, err := b.Load().Do(t.Context(), &plankrouter.Request{}); !errors.Is(err, plankrouter.ErrClosed) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
 }
 
-// A dial function that panics, or ends its goroutine, fails its attempt alone. One that does not heed its context is
-// not waited for, and what it brings too late is closed.
+// A dial function that panics or calls runtime.Goexit fails only its own attempt. The balancer does not wait for one that
+// ignores its context, and closes a connection that it returns too late.
 func TestDialPanics(t *testing.T) {
-	all := servers(t, "s-1", "s-2")
+	all := startServers(t, "s-1", "s-2")
 	release := make(chan struct{})
-	var how atomic.Pointer[string]
-	set := func(s string) { how.Store(&s) }
-	set("well")
+	var behavior atomic.Pointer[string]
+	setBehavior := func(s string) { behavior.Store(&s) }
+	setBehavior("normal")
 	late := make(chan net.Conn, 1)
-	o := dials(usual(all[:1]...), func(_ context.Context, address string) (net.Conn, error) {
+	o := withDial(baseOptions(all[:1]...), func(_ context.Context, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", address)
-		if err != nil || *how.Load() == "well" {
+		if err != nil || *behavior.Load() == "normal" {
 			return c, err
 		}
-		if *how.Load() == "late" {
+		if *behavior.Load() == "late" {
 			<-release
 			late <- c
 			return c, nil
 		}
 		c.Close()
-		if *how.Load() == "exits" {
+		if *behavior.Load() == "exits" {
 			runtime.Goexit()
 		}
 		panic("in the dial function")
 	})
-	o.ConnectTimeout = 2 * time.Second // only what is late has to pass it
-	h := balancerWithServer{server: all[0], balancer: balancer(t, o)}
-	h.hold(t) // a call of its own connection, which must not notice
-	var refused *plankrouter.RejectedError
+	o.ConnectTimeout = 2 * time.Second // only the late connection exceeds it
+	h := balancerWithServer{server: all[0], balancer: newBalancer(t, o)}
+	h.hold(t) // a request on a connection of its own, which must not be affected
+	var rejected *plankrouter.RejectedError
 	for _, s := range []string{"panics", "exits", "late"} {
-		set(s)
-		if err := h.send(s); !errors.As(err, &refused) {
-			t.Errorf("a dial function that %s: %v", s, err)
+		setBehavior(s)
+		if err := h.send(s); !errors.As(err, &rejected) {
+			t.Errorf("dial function, %s: %v", s, err)
 		}
 	}
 	close(release)
-	closed := later(t, func() error { // it would wait for ever if it were open
+	closed := runAsync(t, func() error { // blocks if the connection is open
 		_, err := (<-late).Read(make([]byte, 1))
 		return err
 	})
 	if err := closed(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the connection that came too late: %v", err)
+		t.Errorf("the late connection: %v", err)
 	}
-	set("well")
+	setBehavior("normal")
 	h.release(t)
 	must(t, h.send("again"))
 }
 
-// A logger that panics, or ends its goroutine, loses its line alone.
+// If the logger panics or calls runtime.Goexit, only that line is lost.
 func TestLoggerPanics(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(){"panics": func() { panic("in the logger") }, "exits": runtime.Goexit} {
 		t.Run(name, func(t *testing.T) {
-			p := servers(t, "s-1")[0]
+			p := startServers(t, "s-1")[0]
 			log := &logLines{onLine: end}
-			o := usual()
+			o := baseOptions()
 			o.Logger = slog.New(log)
-			b := balancer(t, o)
-			first := func() bool { // a rejection is logged at once, and the next one some seconds later
+			b := newBalancer(t, o)
+			rejectAndCheckLogged := func() bool { // the first rejection is logged at once, the next one some seconds later
 				_, _ = b.Do(t.Context(), &plankrouter.Request{})
 				return log.count() > 0
 			}
-			must(t, await(t.Context(), first))
-			must(t, await(t.Context(), func() bool { return first() && log.count() > 1 })) // and goes on getting lines
+			must(t, await(t.Context(), rejectAndCheckLogged))
+			must(t, await(t.Context(), func() bool { return rejectAndCheckLogged() && log.count() > 1 })) // still gets lines
 			must(t, b.Update(plankrouter.Endpoint{Address: p.address}))
 			if _, err := b.Do(t.Context(), &plankrouter.Request{}); err != nil {
 				t.Error(err)
@@ -435,16 +434,16 @@
 	}
 }
 
-// A thousand callers at once, all given up together: each has its one outcome, and there is no attempt more than
+// 1,000 concurrent requests are cancelled at the same time: each has exactly one outcome, and there are no more attempts than
 // requests.
 func TestCancelledTogether(t *testing.T) {
-	all := servers(t, "s-1", "s-2", "s-3", "s-4")
+	all := startServers(t, "s-1", "s-2", "s-3", "s-4")
 	for _, p := range all {
-		p.ownDeeds.add(deed{name: "silent"}, 5000)
+		p.ownActions.add(action{name: "silent"}, 5000)
 	}
-	o := usual(all...)
+	o := baseOptions(all...)
 	o.Probes, o.ConnectionLimit = true, plankrouter.NewConnectionLimit(2000, nil)
-	b := balancer(t, o)
+	b := newBalancer(t, o)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	const callers = 1000
@@ -459,7 +458,7 @@
 	cancel()
 	kinds := map[string]int{}
 	for range callers {
-		err := later(t, func() error { return <-outcomes })()
+		err := runAsync(t, func() error { return <-outcomes })()
 		kinds[fmt.Sprintf("%T", err)]++
 	}
 	if n := kinds["*plankrouter.CancelledError"] + kinds["*plankrouter.RejectedError"]; n != callers {
@@ -468,7 +467,7 @@
 	if s := b.Stats(); s.Attempts > callers || s.Cancelled+s.Rejected != callers {
 		t.Errorf("%+v", s)
 	}
-	must(t, await(t.Context(), func() bool { // no connection is left that carried one of them
+	must(t, await(t.Context(), func() bool { // until all connections of these requests are closed
 		for _, p := range all {
 			if slices.ContainsFunc(p.seen(), func(s seenAttempt) bool { return !s.clientLeft }) {
 				return false
@@ -478,12 +477,12 @@
 	}))
 }
 
-// All methods are safe for concurrent use, the close included.
-func TestEverythingAtOnce(t *testing.T) {
-	all := servers(t, "s-1", "s-2", "s-3")
-	o := usual(all...)
+// All methods are safe for concurrent use, Close included.
+func TestConcurrentUse(t *testing.T) {
+	all := startServers(t, "s-1", "s-2", "s-3")
+	o := baseOptions(all...)
 	o.Probes, o.Logger = true, slog.New(new(logLines))
-	b := balancer(t, o)
+	b := newBalancer(t, o)
 	var wait sync.WaitGroup
 	for i := range 12 {
 		wait.Go(func() {
@@ -498,8 +497,8 @@
 					b.Ready()
 				default:
 					_, err := b.Do(t.Context(), &plankrouter.Request{Class: "order", Method: "POST"})
-					var refused *plankrouter.RejectedError // as when all are being replaced
-					if err != nil && !errors.As(err, &refused) && !errors.Is(err, plankrouter.ErrClosed) {
+					var rejected *plankrouter.RejectedError // may happen while the endpoints are replaced
+					if err != nil && !errors.As(err, &rejected) && !errors.Is(err, plankrouter.ErrClosed) {
 						t.Error(err)
 					}
 				}
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -18,10 +18,10 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-var update = flag.Bool("update", false, "record what the sides do as what they should do")
+var update = flag.Bool("update", false, "replace the recorded outcomes by those of this run")
 
-// maxParallel is how many scenarios are played at a time: they wait for their gates and for the daemon's end, and hardly
-// ever for the processor.
+// maxParallel is the number of scenarios that run at a time. They mostly wait, for held requests and for the daemon's end, and
+// use little CPU.
 const maxParallel = 8
 
 func TestMain(m *testing.M) {
@@ -42,10 +42,10 @@
 	os.Exit(code)
 }
 
-// sides are the two, in the order of the table.
+// sides are the names of the two sides, in the order of the table.
 var sides = []string{"daemon", "library"}
 
-// TestConformance plays every scenario against both sides and prints the table of their outcomes.
+// TestConformance runs every scenario against both sides and logs a table of the outcomes.
 func TestConformance(t *testing.T) {
 	scripts, err := readScripts()
 	if err != nil {
@@ -65,15 +65,15 @@
 		}
 		network := fakes.Loopback()
 		for _, f := range scripts {
-			plays, err := f.plays()
+			expanded, err := f.expand()
 			must(t, err)
-			for _, s := range plays {
+			for _, s := range expanded {
 				row := table.add(strings.TrimSuffix(filepath.Base(f.path), ".txt")+"/"+s.name, s)
 				t.Run(row.name, func(t *testing.T) {
-					if !s.has("alone") { // those run before all others
+					if !s.has("alone") { // scenarios that are alone run before all others
 						t.Parallel()
 					}
-					row.play(t, network)
+					row.run(t, network)
 				})
 			}
 		}
@@ -85,17 +85,17 @@
 	name     string
 	scenario *scenario
 	got      map[string][]string // by side
-	verdict  string              // "" = it was not played
+	verdict  string              // "" = not run
 }
 
-// play plays the scenario on both sides: together, or one after the other if it is alone.
-func (r *row) play(t *testing.T, network fakes.Network) {
+// run runs the scenario on both sides: concurrently, or one after the other if it is alone.
+func (r *row) run(t *testing.T, network fakes.Network) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	r.got, r.verdict = map[string][]string{}, "same"
 	for _, side := range sides {
-		one := func() {
-			got, err := playOn(t, side, r.scenario, network)
+		runSide := func() {
+			got, err := runOn(t, side, r.scenario, network)
 			mu.Lock()
 			defer mu.Unlock()
 			if r.got[side] = got; err != nil {
@@ -104,55 +104,55 @@
 			}
 		}
 		if r.scenario.has("alone") {
-			one()
+			runSide()
 		} else {
-			wait.Go(one)
+			wait.Go(runSide)
 		}
 	}
 	wait.Wait()
 	if r.verdict != "same" {
 		return
 	}
-	if *update && len(r.scenario.known) == 0 && !r.scenario.generated { // what is right of these is written by hand
+	if *update && len(r.scenario.knownDefects) == 0 && !r.scenario.generated { // other outcomes are written by hand
 		r.scenario.want = merge(r.got["daemon"], r.got["library"])
 	}
 	for _, side := range sides {
 		want := r.scenario.wanted(side)
 		diff := cmp.Diff(want, r.got[side])
-		known := r.scenario.known[side]
+		known := r.scenario.knownDefects[side]
 		if len(want) != len(r.scenario.want) && r.verdict == "same" {
 			r.verdict = "by design"
 		}
 		switch {
 		case diff == "" && known != "":
 			r.verdict = "MENDED"
-			t.Errorf("%s: it is as the file says: take out the line \"known %s %s\"", side, side, known)
+			t.Errorf("%s: the outcome matches the file: remove the line \"known %s %s\"", side, side, known)
 		case diff != "" && known != "":
 			if r.verdict != "DIFFERS" {
 				r.verdict = "known defect"
 			}
-			t.Logf("%s: known: %s: as the file says (-), as played (+):\n%s", side, known, diff)
+			t.Logf("%s: known defect: %s: recorded outcome (-), actual outcome (+):\n%s", side, known, diff)
 		case diff != "":
 			r.verdict = "DIFFERS"
-			t.Errorf("%s: as the file says (-), as played (+):\n%s", side, diff)
+			t.Errorf("%s: recorded outcome (-), actual outcome (+):\n%s", side, diff)
 		}
 	}
 }
 
-// playOn plays the scenario on one side.
-func playOn(t *testing.T, side string, s *scenario, network fakes.Network) ([]string, error) {
+// runOn runs the scenario on one side and returns its outcome lines.
+func runOn(t *testing.T, side string, s *scenario, network fakes.Network) ([]string, error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if side == "library" {
 		before := goleak.IgnoreCurrent()
-		got, err := newPlayer(ctx, s, &library{ctx: ctx}, network, t.TempDir()).play()
+		got, err := newRunner(ctx, s, &library{ctx: ctx}, network, t.TempDir()).run()
 		if err == nil && s.has("alone") {
 			err = goleak.Find(before)
 		}
 		return got, err
 	}
 	d := &daemon{ctx: ctx}
-	got, err := newPlayer(ctx, s, d, network, t.TempDir()).play()
+	got, err := newRunner(ctx, s, d, network, t.TempDir()).run()
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("the daemon's log:\n%s", d.tail())
@@ -161,32 +161,32 @@
 	return got, err
 }
 
-// unknown takes out of a line what the daemon can't tell.
-var unknown = strings.NewReplacer(" (may have run)", "", " (not run)", "")
+// libraryOnly removes from an outcome line what the daemon does not report.
+var libraryOnly = strings.NewReplacer(" (may have run)", "", " (not run)", "")
 
-// wanted is what the file says of a side: the lines of both, and those that begin with its name.
+// wanted returns the expected outcome of a side: the lines for both sides, and those that begin with its name.
 func (s *scenario) wanted(side string) (lines []string) {
 	for _, line := range s.want {
-		of, rest, is := strings.Cut(line, ": ")
+		prefix, remainder, hasPrefix := strings.Cut(line, ": ")
 		switch {
-		case is && of == side:
-			line = rest
-		case is && (of == "daemon" || of == "library"):
+		case hasPrefix && prefix == side:
+			line = remainder
+		case hasPrefix && (prefix == "daemon" || prefix == "library"):
 			continue
 		}
 		if side == "daemon" {
-			line = unknown.Replace(line)
+			line = libraryOnly.Replace(line)
 		}
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-// merge is the reverse of wanted.
+// merge returns the outcome lines of a scenario from those of the two sides; it is the inverse of wanted.
 func merge(daemon, library []string) (lines []string) {
 	for len(daemon) > 0 || len(library) > 0 {
 		switch {
-		case len(daemon) > 0 && len(library) > 0 && daemon[0] == unknown.Replace(library[0]):
+		case len(daemon) > 0 && len(library) > 0 && daemon[0] == libraryOnly.Replace(library[0]):
 			lines = append(lines, library[0])
 			daemon, library = daemon[1:], library[1:]
 			continue
@@ -202,7 +202,7 @@
 	return lines
 }
 
-// table is all scenarios that were played.
+// table has a row for each scenario.
 type table struct{ rows []*row }
 
 func (t *table) add(name string, s *scenario) *row {
@@ -214,38 +214,38 @@
 func (t *table) String() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
-	n := map[string]int{}
+	counts := map[string]int{}
 	fmt.Fprintf(w, "\nscenario\tdaemon\tlibrary\tverdict\n")
 	for _, r := range t.rows {
 		if r.verdict == "" {
 			continue
 		}
-		n[r.verdict]++
+		counts[r.verdict]++
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", r.name, brief(r.got["daemon"]), brief(r.got["library"]), r.verdict)
 	}
 	if err := w.Flush(); err != nil {
 		return err.Error()
 	}
-	fmt.Fprintf(&b, "scenarios: %v\n", n)
+	fmt.Fprintf(&b, "scenarios: %v\n", counts)
 	return b.String()
 }
 
-// brief words an outcome in one line: what became of the requests, without bodies, and the number of attempts.
+// brief returns an outcome in one line: the outcomes of the requests, without bodies, and each server's number of attempts.
 func brief(lines []string) string {
 	var all []string
 	for _, line := range lines {
 		before, _, _ := strings.Cut(line, ` "`)
-		name, saw, is := strings.Cut(line, " saw ")
+		name, saw, isServer := strings.Cut(line, " saw ")
 		switch {
 		case strings.HasPrefix(line, "orders run"):
-		case !is:
+		case !isServer:
 			all = append(all, before)
 		case saw != "nothing":
 			n := 0
-			for one := range strings.SplitSeq(saw, ", ") {
-				_, many, _ := strings.Cut(strings.Fields(one)[0], "*")
-				more, _ := strconv.Atoi(many)
-				n += max(1, more)
+			for attempt := range strings.SplitSeq(saw, ", ") {
+				_, count, _ := strings.Cut(strings.Fields(attempt)[0], "*")
+				parsed, _ := strconv.Atoi(count)
+				n += max(1, parsed)
 			}
 			all = append(all, fmt.Sprintf("%s: %d", name, n))
 		}
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -22,7 +22,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// program builds the daemon once, into a folder that TestMain removes.
+// program builds the daemon once, in programDir, which TestMain removes.
 var (
 	programDir string
 	program    = sync.OnceValues(func() (path string, err error) {
@@ -38,15 +38,15 @@
 	})
 )
 
-// daemon is the real program, as a process.
+// daemon is the driver of the daemon, which runs as a process.
 type daemon struct {
 	ctx      context.Context
 	settings *settings
 	cmd      *exec.Cmd
 	address  string
 	ended    chan error
-	sockets  int // descriptors after the start
-	reported int // lines of counters asked for
+	idleFDs  int // open descriptors after the start
+	reports  int // lines of counters requested by SIGUSR1
 
 	mu  sync.Mutex
 	log []string
@@ -72,10 +72,10 @@
 		Known: fakes.List{Revision: 1, Endpoints: s.endpoints}, Classes: classes, MaxConns: s.connections, NoProbes: !s.probes,
 		MaxAttempts: s.maxAttempts, ConnIdle: s.connIdle, ConnectTimeout: s.connect, DrainGrace: s.drainGrace,
 		Edit: func(document map[string]any) {
-			set := document["settings"].(map[string]any)
-			set["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.maxRetryAfter)
-			set["OverShareWorth"] = s.overQuotaWeight
-			set["Safety"] = map[string]any{
+			settings := document["settings"].(map[string]any)
+			settings["Limits"].(map[string]any)["MaxRetryAfterMs"] = ms(s.maxRetryAfter)
+			settings["OverShareWorth"] = s.overQuotaWeight
+			settings["Safety"] = map[string]any{
 				"StartCapacity": s.slowStart.StartCapacity, "WarmWithinMs": ms(s.slowStart.WarmUpTime),
 				"TipMultiple": s.slowStart.OverloadMultiple, "FallMs": ms(s.slowStart.OverloadWindow), "DrainGraceMs": ms(s.drainGrace),
 			}
@@ -83,7 +83,7 @@
 			for _, t := range s.tenants {
 				realms = append(realms, map[string]any{"Name": t.Name, "QuotaPerS": t.QuotaPerSecond})
 			}
-			set["Realms"] = realms
+			settings["Realms"] = realms
 		},
 	})
 }
@@ -126,11 +126,11 @@
 	if err := awaitRevision(d.ctx, s.discovery); err != nil {
 		return err
 	}
-	d.sockets, err = d.descriptors()
+	d.idleFDs, err = d.descriptors()
 	return err
 }
 
-// logMatches returns what a pattern finds in the log, line by line.
+// logMatches returns the pattern's first group for each log line that matches.
 func (d *daemon) logMatches(pattern *regexp.Regexp) (found []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,29 +151,30 @@
 	return updateDiscovery(d.ctx, d.settings.discovery, changed, all)
 }
 
-func (d *daemon) Taken() (n int, err error) {
-	d.reported++
+func (d *daemon) Accepted() (n int, err error) {
+	d.reports++
 	if err := d.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		return 0, err
 	}
-	if err := await(d.ctx, func() bool { return len(d.logMatches(acceptedLine)) >= d.reported }); err != nil {
-		return 0, fmt.Errorf("no counters: %w", err)
+	if err := await(d.ctx, func() bool { return len(d.logMatches(acceptedLine)) >= d.reports }); err != nil {
+		return 0, fmt.Errorf("the daemon logged no counters: %w", err)
 	}
-	return strconv.Atoi(d.logMatches(acceptedLine)[d.reported-1])
+	return strconv.Atoi(d.logMatches(acceptedLine)[d.reports-1])
 }
 
-func (d *daemon) Left() (int, error) {
+func (d *daemon) ExtraConnections() (int, error) {
 	n, err := d.descriptors()
-	return n - d.sockets, err
+	return n - d.idleFDs, err
 }
 
-// Stop sends SIGTERM, after which it serves on for some seconds; after a second SIGTERM for half a second.
+// Stop sends SIGTERM, after which the daemon serves requests for some more seconds. If soon is true, it sends a second SIGTERM,
+// which shortens that to half a second.
 func (d *daemon) Stop(soon bool) error {
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil || !soon {
 		return err
 	}
 	if err := await(d.ctx, func() bool { return len(d.logMatches(shutdownLine)) > 0 }); err != nil {
-		return fmt.Errorf("the daemon does not heed SIGTERM: %w", err)
+		return fmt.Errorf("the daemon does not stop on SIGTERM: %w", err)
 	}
 	return d.cmd.Process.Signal(syscall.SIGTERM)
 }
@@ -191,7 +192,7 @@
 	case err := <-d.ended:
 		return err
 	case <-time.After(waitLimit):
-		return fmt.Errorf("it has not ended within %s", waitLimit)
+		return fmt.Errorf("the daemon has not ended within %s", waitLimit)
 	}
 }
 
@@ -201,7 +202,7 @@
 	}
 }
 
-// message words the request as a client of the platform does.
+// message returns the request as a client of the platform sends it.
 func (r *request) message() []byte {
 	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: api.internal\r\n", r.method, r.target)
 	if !r.withoutID {
@@ -232,17 +233,17 @@
 		return outcome{kind: "closed"}
 	}
 	defer c.Close()
-	// Who gives a request up closes the connection. Its other half stays open here, to see that the daemon has noticed.
-	leave := func() { _ = c.(*net.TCPConn).CloseWrite() } // fails where the daemon has ended the connection before
+	// A client cancels a request by closing its connection. Here the read half stays open, to see that the daemon closes its end.
+	leave := func() { _ = c.(*net.TCPConn).CloseWrite() } // fails if the daemon has closed the connection before
 	defer context.AfterFunc(ctx, leave)()
 	message := r.message()
 	if r.cancelledEarly {
 		_, _ = c.Write(message[:len(message)/2])
 		leave()
-		_, _ = io.Copy(io.Discard, c) // until the daemon ends the connection, by whatever error
+		_, _ = io.Copy(io.Discard, c) // returns when the daemon has closed the connection, with or without an error
 		return outcome{kind: "cancelled"}
 	}
-	_, _ = c.Write(message) // what is wrong with it shows in the answer, which may come before the end
+	_, _ = c.Write(message) // may fail after an early response, which is read below
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: r.method})
 	var body []byte
 	if err == nil {
@@ -252,7 +253,7 @@
 	case ctx.Err() != nil && err != nil:
 		return outcome{kind: "cancelled"}
 	case err != nil:
-		return outcome{kind: fmt.Sprintf("lost: %v", err)}
+		return outcome{kind: fmt.Sprintf("no response: %v", err)}
 	}
 	return daemonOutcome(r, resp, body)
 }
@@ -272,7 +273,7 @@
 		return served(200, fields, body)
 	case 429, 503:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		return refused(r, time.Duration(s*float64(time.Second)))
+		return rejected(r, time.Duration(s*float64(time.Second)))
 	case 502:
 		return outcome{kind: "failed"}
 	case 409:
@@ -285,7 +286,7 @@
 	return outcome{kind: "status " + strconv.Itoa(resp.StatusCode)}
 }
 
-// tail is the end of the log, for the report of a failure.
+// tail returns the last 20 lines of the log, for the report of a failure.
 func (d *daemon) tail() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -10,44 +10,44 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// driver plays one side. All but Do are called by one goroutine.
+// driver runs one side: the daemon or the library. Do is safe for concurrent use; the other methods are called by one goroutine.
 type driver interface {
-	// Start starts it.
+	// Start starts the side.
 	Start(*settings) error
-	// Do sends a request and returns its outcome. The end of ctx is that of the caller's interest.
+	// Do sends a request and returns its outcome. The caller cancels the request by cancelling ctx.
 	Do(ctx context.Context, r *request) outcome
-	// Update tells of endpoints that have changed, or of all. What is sent from its return on is decided by that.
+	// Update applies changes to the endpoint list, or replaces it if all is true. When it returns, the new list is in effect.
 	Update(changed []fakes.Endpoint, all bool) error
-	// Taken returns how many requests have been taken so far.
-	Taken() (int, error)
-	// Left returns how many connections there are beyond those of an idle start.
-	Left() (int, error)
-	// Stop tells it to end, in its own time or soon. Closed reports whether nothing new is taken any more, and Wait
-	// waits until it has ended, which must be without an error.
+	// Accepted returns the number of requests accepted so far.
+	Accepted() (int, error)
+	// ExtraConnections returns the number of open connections, or descriptors, beyond those right after Start.
+	ExtraConnections() (int, error)
+	// Stop starts a shutdown, a short one if soon is true. Closed reports whether new requests are no longer accepted. Wait
+	// waits until the shutdown has ended and returns its error.
 	Stop(soon bool) error
 	Closed() bool
 	Wait() error
-	// Kill ends it at once, where something has gone wrong.
+	// Kill ends the side at once, after an error.
 	Kill()
 }
 
-// settings are what a scenario says of a side.
+// settings are a scenario's settings of a side.
 type settings struct {
 	classes         []plankrouter.Class
 	tenants         []plankrouter.Tenant
 	endpoints       []fakes.Endpoint
-	discovery       *fakes.Discovery // the same endpoints; the daemon asks it, and the library if fed is "directory"
-	endpointSource  string
+	discovery       *fakes.Discovery // serves the endpoints to the daemon, and to the library if endpointSource is "directory"
+	endpointSource  string           // for the library; "directory" = discovery, "" = Update and Replace
 	probes          bool
 	maxAttempts     int
-	connections     int
-	connect         time.Duration
-	connIdle        time.Duration
+	connections     int           // largest number of connections to servers
+	connect         time.Duration // connect timeout
+	connIdle        time.Duration // idle time after which servers close a connection
 	drainGrace      time.Duration
-	maxRetryAfter   time.Duration // longest
-	overQuotaWeight float64       // value of a request beyond its tenant's quota
+	maxRetryAfter   time.Duration
+	overQuotaWeight float64 // value of a request beyond its tenant's quota
 	slowStart       plankrouter.SlowStart
-	dir             string // for files
+	dir             string // directory for files
 }
 
 // isNonIdempotent reports whether requests of the class must not run twice.
@@ -57,24 +57,24 @@
 	})
 }
 
-// request is one request of a script.
+// request is a request of a scenario.
 type request struct {
 	id, class, tenant string
 	method, target    string
 	fields            [][2]string
 	body              []byte
-	deadline          time.Duration // 0 = none of its own
-	deadlinePassed    bool          // the deadline has passed
-	cancelledEarly    bool          // given up before it is whole
-	withoutID         bool          // without an id
+	deadline          time.Duration // timeout of the request; 0 = that of its class
+	deadlinePassed    bool          // the deadline passed before the request is sent
+	cancelledEarly    bool          // cancelled before it is completely sent
+	withoutID         bool          // sent without an id
 }
 
-// outcome is what became of a request. Kind and detail are compared between the sides; whether it may have run only the library
-// knows.
+// outcome is the outcome of a request. The kind and detail are compared between the sides. Only the library reports whether the
+// request may have run.
 type outcome struct {
 	kind   string // served, refused, failed, cancelled, conflict, too large, turned away, closed
 	detail string
-	ran    string // "may have run" or "not run"; "" = it can't tell
+	ran    string // "may have run" or "not run"; "" = unknown
 }
 
 func (o outcome) String() string {
@@ -85,14 +85,14 @@
 	return s
 }
 
-func mayRun(may bool) string {
-	if may {
+func describeRun(mayHaveRun bool) string {
+	if mayHaveRun {
 		return "may have run"
 	}
 	return "not run"
 }
 
-// served words an answer: its status, its fields but for those of framing, and its body.
+// served returns the outcome for a response; its detail is the status, the header fields and the body.
 func served(status int, fields []string, body []byte) outcome {
 	o := outcome{kind: "served", detail: fmt.Sprintf(" %d", status)}
 	for _, f := range fields {
@@ -102,9 +102,9 @@
 	return o
 }
 
-// refused words a refusal. The advice is left out where the request's own deadline decided, which each side may be the
-// first to notice.
-func refused(r *request, after time.Duration) outcome {
+// rejected returns the outcome for a rejected request. The detail has no retry-after time for a request with a deadline of its
+// own: when that passes, the side or the caller may be the first to notice.
+func rejected(r *request, after time.Duration) outcome {
 	o := outcome{kind: "refused"}
 	if after > 0 && r.deadline == 0 {
 		o.detail = fmt.Sprintf(", back in %s", after.Round(time.Millisecond))
@@ -112,17 +112,17 @@
 	return o
 }
 
-// awaitRevision waits until the daemon, or a library that watches it, has taken discovery's present revision: it has asked
-// for what is newer. What asks is the only one that does.
+// awaitRevision waits until the side, which is the discovery service's only client, has received its current revision: the side
+// then polls for a newer one.
 func awaitRevision(ctx context.Context, d *fakes.Discovery) error {
-	now := d.Revision()
+	current := d.Revision()
 	return await(ctx, func() bool {
-		calls := d.Calls()
-		return len(calls) > 0 && calls[len(calls)-1].Index >= now
+		polls := d.Calls()
+		return len(polls) > 0 && polls[len(polls)-1].Index >= current
 	})
 }
 
-// updateDiscovery changes the list of the fake discovery service, and waits until the side has taken it.
+// updateDiscovery changes the list of the fake discovery service, and waits until the side has received it.
 func updateDiscovery(ctx context.Context, d *fakes.Discovery, changed []fakes.Endpoint, all bool) error {
 	if all {
 		d.Set(changed...)
--- a/conformance/library_test.go
+++ b/conformance/library_test.go
@@ -12,16 +12,16 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// library is a Balancer in this process.
+// library is the driver of the library: a Balancer in this process.
 type library struct {
 	ctx      context.Context
 	settings *settings
 	balancer *plankrouter.Balancer
-	ends     chan error
+	closed   chan error // result of the balancer's Close
 }
 
 func (l *library) Start(s *settings) (err error) {
-	l.settings, l.ends = s, make(chan error, 1)
+	l.settings, l.closed = s, make(chan error, 1)
 	initial := toEndpoints(s.endpoints)
 	o := plankrouter.Options{
 		Name: "n1", Classes: s.classes, Tenants: s.tenants, Endpoints: initial, Probes: s.probes,
@@ -43,11 +43,11 @@
 		fakes.Deleted: plankrouter.Gone,
 	}
 	for _, m := range in {
-		one := plankrouter.Endpoint{ID: m.ID, Address: m.Address, Phase: phases[m.Phase]}
+		endpoint := plankrouter.Endpoint{ID: m.ID, Address: m.Address, Phase: phases[m.Phase]}
 		if m.UpSince > 0 {
-			one.StartedAt = time.UnixMilli(m.UpSince)
+			endpoint.StartedAt = time.UnixMilli(m.UpSince)
 		}
-		out = append(out, one)
+		out = append(out, endpoint)
 	}
 	return out
 }
@@ -65,12 +65,12 @@
 
 func (l *library) Do(ctx context.Context, r *request) outcome {
 	if r.deadline > 0 {
-		until := time.Now().Add(r.deadline)
+		deadline := time.Now().Add(r.deadline)
 		if r.deadlinePassed {
-			until = time.Now().Add(-r.deadline)
+			deadline = time.Now().Add(-r.deadline)
 		}
 		var stop context.CancelFunc
-		ctx, stop = context.WithDeadline(ctx, until)
+		ctx, stop = context.WithDeadline(ctx, deadline)
 		defer stop()
 	}
 	if r.cancelledEarly {
@@ -89,41 +89,41 @@
 	if r.withoutID {
 		req.ID = ""
 	}
-	answer, err := l.balancer.Do(ctx, &req)
+	response, err := l.balancer.Do(ctx, &req)
 	if err != nil {
 		return l.outcome(r, err)
 	}
 	var fields []string
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		for _, v := range values {
 			fields = append(fields, name+"="+v)
 		}
 	}
 	slices.Sort(fields)
-	return served(answer.Status, fields, answer.Body)
+	return served(response.Status, fields, response.Body)
 }
 
-// outcome words an error. Where the context's deadline ended a call before its answer could, that is what the answer
-// would have been: a refusal if trying again is harmless, else a failure.
+// outcome returns the outcome for an error of Do. If the context's deadline passed before Do had another outcome, it returns
+// the outcome that the daemon has then: rejected if the request can safely be sent again, else failed.
 func (l *library) outcome(r *request, err error) outcome {
 	var (
-		refusal *plankrouter.RejectedError
-		failure *plankrouter.FailedError
-		given   *plankrouter.CancelledError
-		request *plankrouter.RequestError
+		rejection *plankrouter.RejectedError
+		failure   *plankrouter.FailedError
+		cancelled *plankrouter.CancelledError
+		invalid   *plankrouter.RequestError
 	)
 	switch {
-	case errors.As(err, &refusal):
-		return refused(r, refusal.RetryAfter)
+	case errors.As(err, &rejection):
+		return rejected(r, rejection.RetryAfter)
 	case errors.As(err, &failure):
-		return outcome{kind: "failed", ran: mayRun(failure.MayHaveRun)}
-	case errors.As(err, &given) && errors.Is(err, context.Canceled):
-		return outcome{kind: "cancelled", ran: mayRun(given.MayHaveRun)}
-	case errors.As(err, &given) && given.MayHaveRun && l.settings.isNonIdempotent(r.class):
-		return outcome{kind: "failed", ran: mayRun(true)}
-	case errors.As(err, &given):
-		return refused(r, 0)
-	case errors.As(err, &request):
+		return outcome{kind: "failed", ran: describeRun(failure.MayHaveRun)}
+	case errors.As(err, &cancelled) && errors.Is(err, context.Canceled):
+		return outcome{kind: "cancelled", ran: describeRun(cancelled.MayHaveRun)}
+	case errors.As(err, &cancelled) && cancelled.MayHaveRun && l.settings.isNonIdempotent(r.class):
+		return outcome{kind: "failed", ran: describeRun(true)}
+	case errors.As(err, &cancelled):
+		return rejected(r, 0)
+	case errors.As(err, &invalid):
 		return outcome{kind: "turned away"}
 	case errors.Is(err, plankrouter.ErrClosed):
 		return outcome{kind: "closed"}
@@ -132,12 +132,12 @@
 	case errors.Is(err, plankrouter.ErrTooLarge):
 		return outcome{kind: "too large"}
 	}
-	return outcome{kind: fmt.Sprintf("an error of no kind: %v", err)}
+	return outcome{kind: fmt.Sprintf("unexpected error: %v", err)}
 }
 
-func (l *library) Taken() (int, error) { return l.balancer.Stats().Accepted, nil }
+func (l *library) Accepted() (int, error) { return l.balancer.Stats().Accepted, nil }
 
-func (l *library) Left() (int, error) {
+func (l *library) ExtraConnections() (int, error) {
 	n := l.balancer.Stats().Connections
 	if l.settings.endpointSource == "directory" {
 		n--
@@ -146,11 +146,11 @@
 }
 
 func (l *library) Stop(bool) error {
-	go func() { l.ends <- l.balancer.Close(context.Background()) }()
+	go func() { l.closed <- l.balancer.Close(context.Background()) }()
 	return await(l.ctx, l.Closed)
 }
 
-// Closed asks with a request that can't be sent: nothing comes of it before the close.
+// Closed tests the balancer with an invalid request, which is never sent.
 func (l *library) Closed() bool {
 	_, err := l.balancer.Do(l.ctx, &plankrouter.Request{Method: "?"})
 	return errors.Is(err, plankrouter.ErrClosed)
@@ -158,18 +158,18 @@
 
 func (l *library) Wait() error {
 	select {
-	case err := <-l.ends:
+	case err := <-l.closed:
 		if n := l.balancer.Stats().Connections; n != 0 && err == nil {
-			err = fmt.Errorf("%d connections are left", n)
+			err = fmt.Errorf("%d connections are still open", n)
 		}
 		return err
 	case <-time.After(waitLimit):
-		return fmt.Errorf("it has not ended within %s", waitLimit)
+		return fmt.Errorf("the balancer has not closed within %s", waitLimit)
 	}
 }
 
 func (l *library) Kill() {
 	if l.balancer != nil {
-		_ = l.balancer.Close(ended()) // its error is that of the context that has ended
+		_ = l.balancer.Close(cancelledContext()) // its error is the context's
 	}
 }
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -15,16 +15,16 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// call is a request under way.
-type call struct {
+// sentRequest is a request that has been sent, and its outcome once it has ended.
+type sentRequest struct {
 	request
-	group  string // the name that the script gave it, alone or with others
+	group  string // name in the script, which several requests may share
 	cancel context.CancelFunc
 	ended  chan struct{}
 	out    outcome
 }
 
-func (c *call) over() bool {
+func (c *sentRequest) hasEnded() bool {
 	select {
 	case <-c.ended:
 		return true
@@ -33,27 +33,27 @@
 	}
 }
 
-// player plays a scenario against one side.
-type player struct {
-	ctx         context.Context
-	scenario    *scenario
-	side        driver
-	network     fakes.Network
-	settings    settings
-	servers     map[string]*scriptedServer
-	order       []string // of the servers, as in the file
-	sharedDeeds *queue
-	endpoints   map[string]fakes.Endpoint // as they were last listed, by id
-	calls       []*call
-	running     sync.WaitGroup
-	closed      bool
-	findings    []string // what the steps found out, for the outcome
+// runner runs a scenario against one side.
+type runner struct {
+	ctx           context.Context
+	scenario      *scenario
+	side          driver
+	network       fakes.Network
+	settings      settings
+	servers       map[string]*scriptedServer
+	serverNames   []string // in the order of the file
+	sharedActions *actionQueue
+	endpoints     map[string]fakes.Endpoint // as last listed, by id
+	requests      []*sentRequest
+	running       sync.WaitGroup
+	stopped       bool     // a step has called side.Stop
+	findings      []string // results of at-most steps, which replace the rest of the outcome
 }
 
-func newPlayer(ctx context.Context, s *scenario, side driver, n fakes.Network, dir string) *player {
+func newRunner(ctx context.Context, s *scenario, side driver, n fakes.Network, dir string) *runner {
 	ms := time.Millisecond
-	return &player{
-		ctx: ctx, scenario: s, side: side, network: n, servers: map[string]*scriptedServer{}, sharedDeeds: new(queue),
+	return &runner{
+		ctx: ctx, scenario: s, side: side, network: n, servers: map[string]*scriptedServer{}, sharedActions: new(actionQueue),
 		endpoints: map[string]fakes.Endpoint{}, settings: settings{
 			dir: dir, maxAttempts: 3, connections: 512, connect: time.Minute,
 			connIdle: time.Minute, drainGrace: 750 * ms, maxRetryAfter: 1200 * ms,
@@ -61,26 +61,26 @@
 	}
 }
 
-// play plays all steps, ends the side and returns the outcome in the words of the file.
-func (p *player) play() (lines []string, err error) {
+// run runs all steps, stops the side and returns the outcome as lines of the file.
+func (p *runner) run() (lines []string, err error) {
 	defer func() {
-		for _, c := range p.calls {
+		for _, c := range p.requests {
 			c.cancel()
 		}
 		if err != nil {
 			p.side.Kill()
 		}
-		for _, one := range p.servers {
-			one.close()
+		for _, server := range p.servers {
+			server.close()
 		}
 		if p.settings.discovery != nil {
 			p.settings.discovery.Close()
 		}
 		p.running.Wait()
 	}()
-	for _, words := range p.scenario.setup {
-		if err := p.applySetup(words); err != nil {
-			return nil, fmt.Errorf("%s: %w", strings.Join(words, " "), err)
+	for _, tokens := range p.scenario.setup {
+		if err := p.applySetup(tokens); err != nil {
+			return nil, fmt.Errorf("%s: %w", strings.Join(tokens, " "), err)
 		}
 	}
 	if p.settings.classes == nil {
@@ -98,34 +98,34 @@
 		return nil, err
 	}
 	for _, s := range p.scenario.steps {
-		if err := p.step(s.words); err != nil {
-			return nil, fmt.Errorf("line %d: %s: %w", s.line, strings.Join(s.words, " "), err)
+		if err := p.step(s.tokens); err != nil {
+			return nil, fmt.Errorf("line %d: %s: %w", s.line, strings.Join(s.tokens, " "), err)
 		}
 	}
 	if err := p.await("", 0); err != nil {
 		return nil, err
 	}
-	if !p.closed {
+	if !p.stopped {
 		if err := errors.Join(p.side.Stop(true), p.side.Wait()); err != nil {
-			return nil, fmt.Errorf("end: %w", err)
+			return nil, fmt.Errorf("shutdown: %w", err)
 		}
 	}
-	for _, one := range p.servers {
-		one.close()
+	for _, server := range p.servers {
+		server.close()
 	}
 	return p.outcome()
 }
 
-// applySetup takes a line that says what there is before the first step.
-func (p *player) applySetup(words []string) error {
-	plain, o := splitOptions(words)
+// applySetup applies a setup line.
+func (p *runner) applySetup(tokens []string) error {
+	plain, o := splitOptions(tokens)
 	switch plain[0] {
 	case "provider":
 		name := plain[1]
-		one := newScriptedServer(p.network, name, p.sharedDeeds)
-		p.servers[name] = one
-		p.order = append(p.order, name)
-		if err := one.up(slices.Contains(plain, "narrow")); err != nil {
+		server := newScriptedServer(p.network, name, p.sharedActions)
+		p.servers[name] = server
+		p.serverNames = append(p.serverNames, name)
+		if err := server.up(slices.Contains(plain, "narrow")); err != nil {
 			return err
 		}
 		m, err := p.endpoint(name, name, o)
@@ -140,7 +140,7 @@
 			p.settings.endpoints = append(p.settings.endpoints, m)
 		}
 		if slices.Contains(plain, "down") {
-			one.down()
+			server.down()
 		}
 	case "class":
 		c := plankrouter.Class{Name: plain[1], PriorityWeight: 1}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// duration reads an option that is one, if it is given.
+// duration parses the option of that key into to, if it is given.
 func duration(o options, key string, to *time.Duration) (err error) {
 	if v := o.get(key); v != "" {
 		*to, err = time.ParseDuration(v)
@@ -170,44 +170,45 @@
 	return err
 }
 
-func (p *player) applySettings(o options) error {
+func (p *runner) applySettings(o options) error {
 	s := &p.settings
 	errs := []error{
 		duration(o, "connect", &s.connect), duration(o, "idle", &s.connIdle),
 		duration(o, "grace", &s.drainGrace), duration(o, "advice", &s.maxRetryAfter),
 	}
-	for _, one := range o {
+	for _, setting := range o {
 		var err error
-		switch one.key {
+		switch setting.key {
 		case "connect", "idle", "grace", "advice":
 		case "probes":
-			s.probes = one.value == "yes"
+			s.probes = setting.value == "yes"
 		case "fed":
-			s.endpointSource = one.value
+			s.endpointSource = setting.value
 		case "attempts":
-			s.maxAttempts, err = strconv.Atoi(one.value)
+			s.maxAttempts, err = strconv.Atoi(setting.value)
 		case "sockets":
-			s.connections, err = strconv.Atoi(one.value)
+			s.connections, err = strconv.Atoi(setting.value)
 		case "over":
-			s.overQuotaWeight, err = strconv.ParseFloat(one.value, 64)
+			s.overQuotaWeight, err = strconv.ParseFloat(setting.value, 64)
 		case "cold":
 			s.slowStart = plankrouter.SlowStart{WarmUpTime: time.Hour, OverloadMultiple: 4, OverloadWindow: 3 * time.Second}
-			s.slowStart.StartCapacity, err = strconv.ParseFloat(one.value, 64)
+			s.slowStart.StartCapacity, err = strconv.ParseFloat(setting.value, 64)
 		default:
-			err = fmt.Errorf("there is no setting %q", one.key)
+			err = fmt.Errorf("unknown setting %q", setting.key)
 		}
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
 }
 
-// endpoint words a server for the list: it serves, and has for long or for the time that since says.
-func (p *player) endpoint(id, at string, o options) (m fakes.Endpoint, err error) {
-	one := p.servers[at]
-	if one == nil {
-		return m, fmt.Errorf("there is no provider %q", at)
+// endpoint returns the list entry, in phase serving, for a server. Its process started long ago, or as long ago as the option
+// since says.
+func (p *runner) endpoint(id, serverName string, o options) (m fakes.Endpoint, err error) {
+	server := p.servers[serverName]
+	if server == nil {
+		return m, fmt.Errorf("unknown provider %q", serverName)
 	}
-	m = fakes.Endpoint{ID: id, Address: one.address, Locality: fakes.LocalZone, Phase: fakes.Serving}
+	m = fakes.Endpoint{ID: id, Address: server.address, Locality: fakes.LocalZone, Phase: fakes.Serving}
 	var age time.Duration
 	if o.get("since") != "" {
 		err = duration(o, "since", &age)
@@ -216,25 +217,26 @@
 	return m, err
 }
 
-// minWords is how many words a line has at least, by its first one, or by that of what a server does.
-var minWords = map[string]int{
+// minTokens is the least number of plain tokens of a step, by its keyword. The number for a step of one server is without the
+// server's name.
+var minTokens = map[string]int{
 	"any": 2, "tell": 3, "send": 3, "ask": 3, "ask-kept": 3, "cancel-half": 3, "cancel": 2,
 	"await": 2, "elsewhere": 2, "taken": 2, "at-most": 4, "probes": 2, "sees": 2, "begins": 2, "loses": 2, "fresh": 2,
 	"dialled": 2,
 }
 
-// step takes one line.
-func (p *player) step(words []string) error {
-	plain, o := splitOptions(words)
-	if one := p.servers[plain[0]]; one != nil && len(plain) > 1 {
-		return p.serverStep(one, plain[1:], words[1:])
+// step runs one step.
+func (p *runner) step(tokens []string) error {
+	plain, o := splitOptions(tokens)
+	if server := p.servers[plain[0]]; server != nil && len(plain) > 1 {
+		return p.serverStep(server, plain[1:], tokens[1:])
 	}
-	if len(plain) < minWords[plain[0]] {
-		return errors.New("there are words missing")
+	if len(plain) < minTokens[plain[0]] {
+		return errors.New("missing arguments")
 	}
 	switch plain[0] {
 	case "any":
-		return p.anyServerStep(plain[1:], words[1:])
+		return p.anyServerStep(plain[1:], tokens[1:])
 	case "tell":
 		return p.changeEndpoint(plain[1:], o)
 	case "list":
@@ -247,11 +249,11 @@
 		}
 		return p.await(strings.Split(plain[1], "*")[0], 0)
 	case "ask-kept":
-		return p.sendOnKept(plain[1:], o)
+		return p.sendOnReused(plain[1:], o)
 	case "cancel-half":
 		return p.cancelHalf(plain[1:], o)
 	case "cancel":
-		for _, c := range p.callsNamed(plain[1]) {
+		for _, c := range p.requestsNamed(plain[1]) {
 			c.cancel()
 		}
 		return p.await(plain[1], 0)
@@ -262,51 +264,51 @@
 		}
 		return p.await(plain[1], n)
 	case "elsewhere":
-		for _, one := range p.servers {
-			if n := len(slices.DeleteFunc(one.seen(), func(s seenAttempt) bool { return s.id != plain[1] })); n != 1 {
-				return fmt.Errorf("%s has seen it %d times", one.name, n)
+		for _, server := range p.servers {
+			if n := len(slices.DeleteFunc(server.seen(), func(s seenAttempt) bool { return s.id != plain[1] })); n != 1 {
+				return fmt.Errorf("%s received the request %d times", server.name, n)
 			}
 		}
 		return nil
 	case "taken":
-		return p.until(func() bool {
-			n, err := p.side.Taken()
+		return p.waitUntil(func() bool {
+			n, err := p.side.Accepted()
 			return err == nil && strconv.Itoa(n) == plain[1]
 		})
 	case "at-most":
 		return p.boundAttempts(plain[1], plain[2], plain[3:])
 	case "nothing-left":
 		n := 0
-		err := p.until(func() bool {
-			n, _ = p.side.Left()
+		err := p.waitUntil(func() bool {
+			n, _ = p.side.ExtraConnections()
 			return n <= 0
 		})
 		if err != nil {
-			return fmt.Errorf("%d connections are left", n)
+			return fmt.Errorf("%d connections are still open", n)
 		}
 		return nil
 	case "closing":
-		p.closed = true
+		p.stopped = true
 		return p.side.Stop(false)
 	case "close":
-		p.closed = true
-		return errors.Join(p.side.Stop(true), p.until(p.side.Closed))
+		p.stopped = true
+		return errors.Join(p.side.Stop(true), p.waitUntil(p.side.Closed))
 	case "closed":
 		return p.side.Wait()
 	}
-	return errors.New("there is no such step")
+	return errors.New("unknown step")
 }
 
-func (p *player) until(come func() bool) error { return await(p.ctx, come) }
+func (p *runner) waitUntil(condition func() bool) error { return await(p.ctx, condition) }
 
-// serverStep takes a line about one server.
-func (p *player) serverStep(one *scriptedServer, plain, words []string) error {
-	count := func(enough func(seenAttempt) bool) func() bool {
+// serverStep runs a step of one server.
+func (p *runner) serverStep(server *scriptedServer, plain, tokens []string) error {
+	seenEnough := func(counts func(seenAttempt) bool) func() bool {
 		want, err := strconv.Atoi(plain[len(plain)-1])
 		return func() bool {
 			n := 0
-			for _, s := range one.seen() {
-				if err == nil && enough(s) || s.id == plain[len(plain)-1] && enough(s) {
+			for _, s := range server.seen() {
+				if err == nil && counts(s) || s.id == plain[len(plain)-1] && counts(s) {
 					n++
 				}
 			}
@@ -315,102 +317,102 @@
 	}
 	switch strings.Join(plain[:min(2, len(plain))], " ") {
 	case "lets go":
-		return one.release(p.ctx, strings.Join(plain[2:], ""))
+		return server.release(p.ctx, strings.Join(plain[2:], ""))
 	case "closes kept", "resets kept":
-		one.drop(plain[0] == "resets")
-		return p.until(func() bool { return one.sockets(established) == 0 }) // what is sent now does not cross it
+		server.drop(plain[0] == "resets")
+		return p.waitUntil(func() bool { return server.sockets(established) == 0 }) // the next request can't cross the close
 	}
-	if len(plain) < minWords[plain[0]] {
-		return errors.New("there are words missing")
+	if len(plain) < minTokens[plain[0]] {
+		return errors.New("missing arguments")
 	}
 	switch plain[0] {
 	case "does":
-		return p.does(one.ownDeeds, words[1:])
+		return p.does(server.ownActions, tokens[1:])
 	case "down":
-		one.down()
-		return p.until(func() bool { return one.sockets(established) == 0 })
+		server.down()
+		return p.waitUntil(func() bool { return server.sockets(established) == 0 })
 	case "up":
-		return one.up(false)
+		return server.up(false)
 	case "hangs":
-		return one.freeze(true)
+		return server.freeze(true)
 	case "thaws":
-		return one.freeze(false)
+		return server.freeze(false)
 	case "probes":
-		one.mu.Lock()
-		defer one.mu.Unlock()
-		one.probing, one.probes = plain[1], 0
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		server.probeResult, server.probes = plain[1], 0
 		return nil
-	case "probed": // since the line that says what becomes of probes
-		return p.until(func() bool { return one.probeCount() > 0 })
-	case "sees": // N, or the request of that name
-		return p.until(count(func(s seenAttempt) bool { return s.action != "part" }))
+	case "probed": // since the last "probes" step of this server
+		return p.waitUntil(func() bool { return server.probeCount() > 0 })
+	case "sees": // N requests, or the request of that name
+		return p.waitUntil(seenEnough(func(s seenAttempt) bool { return s.result != "part" }))
 	case "begins":
-		return p.until(count(func(seenAttempt) bool { return true }))
+		return p.waitUntil(seenEnough(func(seenAttempt) bool { return true }))
 	case "loses":
-		return p.until(count(func(s seenAttempt) bool { return s.clientLeft }))
+		return p.waitUntil(seenEnough(func(s seenAttempt) bool { return s.clientLeft }))
 	case "fresh":
-		for _, s := range one.seen() {
+		for _, s := range server.seen() {
 			if s.id == plain[1] && s.carried > 0 {
-				return fmt.Errorf("it came on a connection that had carried %d others", s.carried)
+				return fmt.Errorf("the request came on a connection that had carried %d others", s.carried)
 			}
 		}
 		return nil
 	case "unconnected":
-		return p.until(func() bool { return one.sockets(established)+one.sockets(opening) == 0 })
+		return p.waitUntil(func() bool { return server.sockets(established)+server.sockets(opening) == 0 })
 	case "dialled":
 		want, _ := strconv.Atoi(plain[1])
-		return p.until(func() bool { return one.sockets(opening) >= want })
+		return p.waitUntil(func() bool { return server.sockets(opening) >= want })
 	}
-	return errors.New("there is no such step of a provider")
+	return errors.New("unknown step of a provider")
 }
 
-// anyServerStep takes a line about whichever server it is.
-func (p *player) anyServerStep(plain, words []string) error {
+// anyServerStep runs a step that applies to any of the servers.
+func (p *runner) anyServerStep(plain, tokens []string) error {
 	switch plain[0] {
 	case "does":
-		return p.does(p.sharedDeeds, words[1:])
+		return p.does(p.sharedActions, tokens[1:])
 	case "sees":
-		return p.until(func() bool {
-			for _, one := range p.servers {
-				if slices.ContainsFunc(one.seen(), func(s seenAttempt) bool { return s.id == plain[1] && s.action != "part" }) {
+		return p.waitUntil(func() bool {
+			for _, server := range p.servers {
+				if slices.ContainsFunc(server.seen(), func(s seenAttempt) bool { return s.id == plain[1] && s.result != "part" }) {
 					return true
 				}
 			}
 			return false
 		})
-	case "lets": // go
-		for _, one := range p.servers {
-			if one.release(p.ctx, "") == nil {
+	case "lets": // "lets go"
+		for _, server := range p.servers {
+			if server.release(p.ctx, "") == nil {
 				return nil
 			}
 		}
 	}
-	return errors.New("there is no such step of any provider, or none holds anything")
+	return errors.New("unknown step of any provider, or no provider holds a request")
 }
 
-// does reads a deed, which a word such as x3 repeats.
-func (p *player) does(q *queue, words []string) error {
+// does parses an action, with an optional repeat count such as x3 as the last token, and adds it to the queue.
+func (p *runner) does(q *actionQueue, tokens []string) error {
 	times := 1
-	if at := len(words) - 1; at >= 0 && strings.HasPrefix(words[at], "x") {
-		if n, err := strconv.Atoi(words[at][1:]); err == nil {
-			times, words = n, words[:at]
+	if last := len(tokens) - 1; last >= 0 && strings.HasPrefix(tokens[last], "x") {
+		if n, err := strconv.Atoi(tokens[last][1:]); err == nil {
+			times, tokens = n, tokens[:last]
 		}
 	}
-	q.add(readDeed(words), times)
+	q.add(parseAction(tokens), times)
 	return nil
 }
 
-// changeEndpoint tells a change of one member: "ID serving|draining|gone [at PROVIDER] [since=AGE]".
-func (p *player) changeEndpoint(plain []string, o options) error {
-	id, at := plain[0], plain[0]
+// changeEndpoint updates one endpoint: "ID serving|draining|gone [at PROVIDER] [since=AGE]".
+func (p *runner) changeEndpoint(plain []string, o options) error {
+	id, serverName := plain[0], plain[0]
 	if len(plain) > 3 {
-		at = plain[3]
+		serverName = plain[3]
 	}
 	m := p.endpoints[id]
 	var err error
 	switch plain[1] {
 	case "serving":
-		if m, err = p.endpoint(id, at, o); err != nil {
+		if m, err = p.endpoint(id, serverName, o); err != nil {
 			return err
 		}
 	case "draining":
@@ -418,14 +420,14 @@
 	case "gone":
 		m.Phase = fakes.Deleted
 	default:
-		return errors.New("there is no such phase")
+		return errors.New("unknown phase")
 	}
 	p.endpoints[id] = m
 	return p.side.Update([]fakes.Endpoint{m}, false)
 }
 
-// replaceEndpoints makes the whole list: these ids, as they were last listed, and no others.
-func (p *player) replaceEndpoints(ids []string) error {
+// replaceEndpoints replaces the whole list by these ids, each as it was last listed.
+func (p *runner) replaceEndpoints(ids []string) error {
 	var all []fakes.Endpoint
 	for _, id := range ids {
 		m, known := p.endpoints[id]
@@ -441,33 +443,33 @@
 	return p.side.Update(all, true)
 }
 
-// send sends one request, "NAME CLASS", or many together, "NAME*N CLASS".
-func (p *player) send(plain []string, o options) error {
-	name, many, isMany := strings.Cut(plain[0], "*")
+// send sends one request, "NAME CLASS", or N concurrent requests, "NAME*N CLASS".
+func (p *runner) send(plain []string, o options) error {
+	name, count, hasCount := strings.Cut(plain[0], "*")
 	n := 1
-	if isMany {
+	if hasCount {
 		var err error
-		if n, err = strconv.Atoi(many); err != nil {
+		if n, err = strconv.Atoi(count); err != nil {
 			return err
 		}
 	}
-	r, err := p.request(name, plain[1], o)
+	r, err := p.parseRequest(name, plain[1], o)
 	if err != nil {
 		return err
 	}
 	r.cancelledEarly = slices.Contains(plain[2:], "early")
 	for i := range n {
-		c := &call{request: r, group: name, ended: make(chan struct{})}
-		if isMany {
+		c := &sentRequest{request: r, group: name, ended: make(chan struct{})}
+		if hasCount {
 			c.id = fmt.Sprintf("%s.%d", name, i+1)
 		}
-		p.begin(c)
+		p.start(c)
 	}
 	return nil
 }
 
-func (p *player) begin(c *call) {
-	p.calls = append(p.calls, c)
+func (p *runner) start(c *sentRequest) {
+	p.requests = append(p.requests, c)
 	var ctx context.Context
 	ctx, c.cancel = context.WithCancel(p.ctx)
 	p.running.Go(func() {
@@ -476,44 +478,44 @@
 	})
 }
 
-// request reads what is said of one; by default it is a GET, or a POST of a class that must not run twice, without a
-// body.
-func (p *player) request(name, class string, o options) (request, error) {
+// parseRequest returns the request that the options describe. By default it is a GET without a body, or a POST if its class is
+// non-idempotent.
+func (p *runner) parseRequest(name, class string, o options) (request, error) {
 	r := request{id: name, class: class, method: "GET", target: "/" + class + "/" + name}
 	if p.settings.isNonIdempotent(class) {
 		r.method = "POST"
 	}
-	for _, one := range o {
-		switch one.key {
+	for _, opt := range o {
+		switch opt.key {
 		case "id":
-			r.id, r.withoutID = one.value, one.value == ""
+			r.id, r.withoutID = opt.value, opt.value == ""
 		case "method":
-			r.method = one.value
+			r.method = opt.value
 		case "target":
-			r.target = one.value
+			r.target = opt.value
 		case "tenant":
-			r.tenant = one.value
+			r.tenant = opt.value
 		case "header":
-			key, value, _ := strings.Cut(one.value, ": ")
+			key, value, _ := strings.Cut(opt.value, ": ")
 			r.fields = append(r.fields, [2]string{key, value})
 		case "body":
-			r.body = parseBody(one.value)
+			r.body = parseBody(opt.value)
 		case "deadline":
-			if r.deadlinePassed = one.value == "past"; r.deadlinePassed {
+			if r.deadlinePassed = opt.value == "past"; r.deadlinePassed {
 				r.deadline = time.Second
 			} else if err := duration(o, "deadline", &r.deadline); err != nil {
 				return r, err
 			}
 		default:
-			return r, fmt.Errorf("a request has no %q", one.key)
+			return r, fmt.Errorf("unknown option %q of a request", opt.key)
 		}
 	}
 	return r, nil
 }
 
-// callsNamed returns the calls of that name; "" = all.
-func (p *player) callsNamed(name string) (all []*call) {
-	for _, c := range p.calls {
+// requestsNamed returns the requests of that name; "" = all.
+func (p *runner) requestsNamed(name string) (all []*sentRequest) {
+	for _, c := range p.requests {
 		if name == "" || c.group == name {
 			all = append(all, c)
 		}
@@ -521,101 +523,103 @@
 	return all
 }
 
-// await waits until n of the calls of that name have ended; 0 = all.
-func (p *player) await(name string, n int) error {
-	all := p.callsNamed(name)
+// await waits until n requests of that name have ended; 0 = all of them.
+func (p *runner) await(name string, n int) error {
+	all := p.requestsNamed(name)
 	if n == 0 {
 		n = len(all)
 	}
-	return p.until(func() bool {
-		over := 0
+	return p.waitUntil(func() bool {
+		ended := 0
 		for _, c := range all {
-			if c.over() {
-				over++
+			if c.hasEnded() {
+				ended++
 			}
 		}
-		return over >= n
+		return ended >= n
 	})
 }
 
-// sendOnKept asks until the request has gone out on a connection that had carried others. A side keeps a connection a
-// moment after it has given the answer, and nobody can see when.
-func (p *player) sendOnKept(plain []string, o options) error {
-	return p.again(plain[0], func() error {
+// sendOnReused repeats the request until it is sent on a connection that has carried others. A side makes a connection
+// available for reuse shortly after it has returned the response, at a time that the test can't observe.
+func (p *runner) sendOnReused(plain []string, o options) error {
+	return p.repeatUntil(plain[0], func() error {
 		return errors.Join(p.send(plain, o), p.await(plain[0], 0))
 	}, func(s seenAttempt) bool { return s.carried > 0 })
 }
 
-// cancelHalf sends a request, has half of the answer sent and gives the request up then, until that is in time: an
-// answer that has begun is not waited for for long.
-func (p *player) cancelHalf(plain []string, o options) error {
+// cancelHalf sends a request, has the server send half of the response, and then cancels the request. It repeats this until
+// the cancellation is in time, as a side soon fails a request whose response has begun and does not go on.
+func (p *runner) cancelHalf(plain []string, o options) error {
 	name := plain[0]
-	return p.again(name, func() error {
-		p.sharedDeeds.add(deed{name: "halve", hold: true}, 1)
+	return p.repeatUntil(name, func() error {
+		p.sharedActions.add(action{name: "halve", hold: true}, 1)
 		if err := errors.Join(p.send(plain, o), p.anyServerStep([]string{"sees", name}, nil)); err != nil {
 			return err
 		}
 		err := p.anyServerStep([]string{"lets", "go"}, nil)
-		for _, c := range p.callsNamed(name) {
+		for _, c := range p.requestsNamed(name) {
 			c.cancel()
 		}
 		return errors.Join(err, p.await(name, 0))
-	}, func(seenAttempt) bool { return p.callsNamed(name)[0].out.kind == "cancelled" })
+	}, func(seenAttempt) bool { return p.requestsNamed(name)[0].out.kind == "cancelled" })
 }
 
-// again sends a request until an attempt was such as the scenario is about; what came of the others is forgotten.
-func (p *player) again(name string, try func() error, such func(seenAttempt) bool) error {
+// repeatUntil sends the request of that name with send until an attempt meets the condition, and removes the records of earlier
+// ones.
+func (p *runner) repeatUntil(name string, send func() error, condition func(seenAttempt) bool) error {
 	for range 1000 {
-		if err := try(); err != nil {
+		if err := send(); err != nil {
 			return err
 		}
-		for _, one := range p.servers {
-			for _, s := range one.seen() {
-				if s.id == name && such(s) {
+		for _, server := range p.servers {
+			for _, s := range server.seen() {
+				if s.id == name && condition(s) {
 					return nil
 				}
 			}
-			one.forget(name)
+			server.removeAttempts(name)
 		}
-		p.calls = slices.DeleteFunc(p.calls, func(c *call) bool { return c.group == name })
+		p.requests = slices.DeleteFunc(p.requests, func(c *sentRequest) bool { return c.group == name })
 	}
-	return errors.New("it never came to that")
+	return errors.New("no attempt met the condition in 1000 repetitions")
 }
 
-// boundAttempts bounds the attempts of all requests and says which outcomes those of one name may have: how many have which
-// depends on who was quicker, so the counts are left out of the outcome.
-func (p *player) boundAttempts(limit, name string, words []string) error {
+// boundAttempts checks that the attempts of all requests are at most limit, and that each request of one name has one of the
+// given outcomes. How many requests have which outcome depends on timing, so the recorded outcome has no counts.
+func (p *runner) boundAttempts(limit, name string, tokens []string) error {
 	if err := p.await(name, 0); err != nil {
 		return err
 	}
 	n := 0
-	for _, one := range p.servers {
-		n += len(one.seen())
+	for _, server := range p.servers {
+		n += len(server.seen())
 	}
 	if bound, err := strconv.Atoi(limit); err != nil || n > bound {
 		return fmt.Errorf("there were %d attempts", n)
 	}
-	for _, c := range p.callsNamed(name) {
-		if !slices.Contains(words, c.out.kind) {
+	for _, c := range p.requestsNamed(name) {
+		if !slices.Contains(tokens, c.out.kind) {
 			return fmt.Errorf("%s was %s", c.id, c.out)
 		}
 	}
-	p.findings = append(p.findings, fmt.Sprintf("%s %s, in at most %s attempts", name, strings.Join(words, " or "), limit))
+	p.findings = append(p.findings, fmt.Sprintf("%s %s, in at most %s attempts", name, strings.Join(tokens, " or "), limit))
 	return nil
 }
 
-// outcome words what became of the requests, what each server saw, and which orders have run.
-func (p *player) outcome() (lines []string, err error) {
+// outcome returns the outcome lines of the requests, of the attempts that each server received and of the requests of
+// non-idempotent classes that ran. Such a request that ran more than once is an error.
+func (p *runner) outcome() (lines []string, err error) {
 	var all, orders []string
 	runs := map[string]int{}
-	for _, name := range p.order {
+	for _, name := range p.serverNames {
 		var saw []string
 		for _, s := range p.servers[name].seen() {
-			saw = append(saw, p.group(s.id)+" "+s.action)
+			saw = append(saw, p.group(s.id)+" "+s.result)
 			if s.ran && p.settings.isNonIdempotent(s.class) {
 				orders = append(orders, p.group(s.id))
 				if runs[s.id]++; runs[s.id] > 1 {
-					err = errors.Join(err, fmt.Errorf("order %s has run %d times", s.id, runs[s.id]))
+					err = errors.Join(err, fmt.Errorf("order %s ran %d times", s.id, runs[s.id]))
 				}
 			}
 		}
@@ -637,13 +641,14 @@
 	return append(p.outcomes(), lines...), err
 }
 
-// outcomes words those of the requests, in the order in which they were sent; those of one name are counted.
-func (p *player) outcomes() (lines []string) {
+// outcomes returns the outcome lines of the requests, in the order in which they were sent. Equal outcomes of one name are
+// counted.
+func (p *runner) outcomes() (lines []string) {
 	done := map[string]bool{}
-	for _, c := range p.calls {
+	for _, c := range p.requests {
 		var group []string
-		for _, one := range p.callsNamed(c.group) {
-			group = append(group, one.group+" "+one.out.String())
+		for _, sent := range p.requestsNamed(c.group) {
+			group = append(group, sent.group+" "+sent.out.String())
 		}
 		if !done[c.group] {
 			slices.Sort(group)
@@ -654,9 +659,9 @@
 	return lines
 }
 
-// group is the name by which the script knows a request's id.
-func (p *player) group(id string) string {
-	for _, c := range p.calls {
+// group returns the name in the script of the request with that id.
+func (p *runner) group(id string) string {
+	for _, c := range p.requests {
 		if c.id == id && !c.withoutID {
 			return c.group
 		}
@@ -664,14 +669,15 @@
 	return "one"
 }
 
-func joinOrNothing(words []string) string {
-	if len(words) == 0 {
+// joinOrNothing joins the parts of an outcome line.
+func joinOrNothing(parts []string) string {
+	if len(parts) == 0 {
 		return "nothing"
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// fold counts equal lines; each stands where it came first.
+// fold replaces equal lines by one line with a count, in the place of the first.
 func fold(lines []string) (out []string) {
 	count := map[string]int{}
 	for _, line := range lines {
@@ -681,8 +687,8 @@
 	}
 	for i, line := range out {
 		if n := count[line]; n > 1 {
-			name, rest, _ := strings.Cut(line, " ")
-			out[i] = strings.TrimSpace(fmt.Sprintf("%s*%d %s", name, n, rest))
+			name, remainder, _ := strings.Cut(line, " ")
+			out[i] = strings.TrimSpace(fmt.Sprintf("%s*%d %s", name, n, remainder))
 		}
 	}
 	return out
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -11,33 +11,33 @@
 // script is a file of scenarios.
 type script struct {
 	path      string
-	head      string // what stands before the first scenario
+	head      string // text before the first scenario
 	scenarios []*scenario
-	faults    [][]string // words of the lines in front that begin with it: name, deed, and what the server then says it did
+	faults    [][]string // arguments of the fault lines in the head: name, server action and the action's recorded result
 }
 
-// scenario is one of them. Its text is kept, so that -update replaces the outcome alone.
+// scenario is one scenario of a file. Its text is kept so that -update replaces only the outcome.
 type scenario struct {
-	name       string
-	text       string // from its first line up to and with the line "outcome"
-	tail       string // behind the outcome
-	hasComment bool   // there is a comment
-	setup      [][]string
-	steps      []step
-	want       []string
-	known      map[string]string // by side, the defect because of which it is not as the file says
-	line       int
-	generated  bool // of one that stands for many
+	name         string
+	text         string // from its first line to the line "outcome", inclusive
+	tail         string // text after the outcome
+	hasComment   bool
+	setup        [][]string        // tokens of the setup lines
+	steps        []step            // steps to run after the setup
+	want         []string          // expected outcome lines
+	knownDefects map[string]string // by side: description of a known defect because of which the outcome differs
+	line         int               // number of its first line in the file
+	generated    bool              // created from a scenario with $fault in its name
 }
 
-// step is one line.
+// step is one line of a scenario that is neither setup nor outcome.
 type step struct {
-	line  int
-	words []string
+	line   int
+	tokens []string
 }
 
-// setups are the first words of lines that say what there is before the first step.
-var setups = map[string]bool{
+// setupKeywords are the first tokens of the setup lines.
+var setupKeywords = map[string]bool{
 	"provider": true, "class": true, "tenant": true, "set": true, "alone": true,
 	"merged": true,
 }
@@ -46,7 +46,7 @@
 func readScripts() (all []*script, err error) {
 	paths, err := filepath.Glob("testdata/*.txt")
 	if err == nil && len(paths) == 0 {
-		err = fmt.Errorf("testdata: there is no scenario")
+		err = fmt.Errorf("testdata: no scenario files")
 	}
 	for _, path := range paths {
 		raw, err := os.ReadFile(path)
@@ -63,60 +63,60 @@
 }
 
 func (s *script) parse(text string) error {
-	var now *scenario
-	inOutcome := false // it goes on
+	var current *scenario
+	inOutcome := false // the line is after "outcome"
 	for i, line := range strings.SplitAfter(text, "\n") {
-		words, err := split(line)
+		tokens, err := split(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", i+1, err)
 		}
 		switch {
-		case len(words) > 0 && words[0] == "scenario":
-			now = &scenario{name: strings.Join(words[1:], " "), text: line, known: map[string]string{}, line: i}
-			s.scenarios, inOutcome = append(s.scenarios, now), false
+		case len(tokens) > 0 && tokens[0] == "scenario":
+			current = &scenario{name: strings.Join(tokens[1:], " "), text: line, knownDefects: map[string]string{}, line: i}
+			s.scenarios, inOutcome = append(s.scenarios, current), false
 			continue
-		case now == nil:
+		case current == nil:
 			s.head += line
-			if len(words) == 4 && words[0] == "fault" {
-				s.faults = append(s.faults, words[1:])
-			} else if len(words) > 0 {
+			if len(tokens) == 4 && tokens[0] == "fault" {
+				s.faults = append(s.faults, tokens[1:])
+			} else if len(tokens) > 0 {
 				return fmt.Errorf("line %d: want \"fault NAME DEED SAW\" or a scenario", i+1)
 			}
 			continue
-		case inOutcome && len(words) > 0 && strings.HasPrefix(line, " "):
-			now.want = append(now.want, strings.TrimSpace(line))
+		case inOutcome && len(tokens) > 0 && strings.HasPrefix(line, " "):
+			current.want = append(current.want, strings.TrimSpace(line))
 			continue
 		case inOutcome:
-			now.tail += line
+			current.tail += line
 			continue
 		}
-		now.text += line
+		current.text += line
 		switch {
-		case len(words) == 0:
-			now.hasComment = now.hasComment || strings.HasPrefix(line, "#")
-		case words[0] == "outcome":
+		case len(tokens) == 0:
+			current.hasComment = current.hasComment || strings.HasPrefix(line, "#")
+		case tokens[0] == "outcome":
 			inOutcome = true
-		case words[0] == "known" && len(words) > 2:
-			now.known[words[1]] = strings.Join(words[2:], " ")
-		case setups[words[0]]:
-			now.setup = append(now.setup, words)
+		case tokens[0] == "known" && len(tokens) > 2:
+			current.knownDefects[tokens[1]] = strings.Join(tokens[2:], " ")
+		case setupKeywords[tokens[0]]:
+			current.setup = append(current.setup, tokens)
 		default:
-			now.steps = append(now.steps, step{i + 1, words})
+			current.steps = append(current.steps, step{i + 1, tokens})
 		}
 	}
 	for _, scen := range s.scenarios {
 		switch {
 		case scen.name == "" || !scen.hasComment:
-			return fmt.Errorf("scenario %q: it needs a name, and a comment that says what it guards against", scen.name)
+			return fmt.Errorf("scenario %q: needs a name, and a comment that says which failure it guards against", scen.name)
 		case !strings.HasSuffix(scen.text, "\noutcome\n"):
-			return fmt.Errorf("scenario %q: it does not end in a line \"outcome\"", scen.name)
+			return fmt.Errorf("scenario %q: its text does not end in a line \"outcome\"", scen.name)
 		}
 	}
 	return nil
 }
 
-// plays returns the scenarios that are to be played: one with $fault in its name once for each fault.
-func (s *script) plays() (all []*scenario, err error) {
+// expand returns the scenarios to run. A scenario with $fault in its name is repeated for each fault of the file.
+func (s *script) expand() (all []*scenario, err error) {
 	for _, scen := range s.scenarios {
 		if !strings.Contains(scen.name, "$fault") {
 			all = append(all, scen)
@@ -124,25 +124,25 @@
 		}
 		text := scen.text + "  " + strings.Join(scen.want, "\n  ") + "\n"
 		if len(s.faults) == 0 {
-			return nil, fmt.Errorf("%s: scenario %q: there is no line \"fault NAME DEED SAW\"", s.path, scen.name)
+			return nil, fmt.Errorf("%s: scenario %q: the file has no line \"fault NAME DEED SAW\"", s.path, scen.name)
 		}
-		for _, w := range s.faults {
-			var one script
-			if err := one.parse(strings.NewReplacer("$fault", w[0], "$deed", w[1], "$saw", w[2]).Replace(text)); err != nil {
-				return nil, fmt.Errorf("%s: %s: %w", s.path, w[0], err)
+		for _, fault := range s.faults {
+			var single script
+			if err := single.parse(strings.NewReplacer("$fault", fault[0], "$deed", fault[1], "$saw", fault[2]).Replace(text)); err != nil {
+				return nil, fmt.Errorf("%s: %s: %w", s.path, fault[0], err)
 			}
-			made := one.scenarios[0]
-			made.generated = true
-			for i := range made.steps {
-				made.steps[i].line += scen.line
+			generated := single.scenarios[0]
+			generated.generated = true
+			for i := range generated.steps {
+				generated.steps[i].line += scen.line
 			}
-			all = append(all, made)
+			all = append(all, generated)
 		}
 	}
 	return all, nil
 }
 
-// write replaces the outcomes.
+// write writes the file with the scenarios' current outcomes.
 func (s *script) write() error {
 	var b strings.Builder
 	b.WriteString(s.head)
@@ -158,60 +158,60 @@
 
 // has reports whether the setup has a line that begins with the keyword.
 func (s *scenario) has(keyword string) bool {
-	for _, w := range s.setup {
-		if w[0] == keyword {
+	for _, line := range s.setup {
+		if line[0] == keyword {
 			return true
 		}
 	}
 	return false
 }
 
-// split splits a line into words at blanks. What stands in double quotes, with Go's escapes, is part of one word.
-func split(line string) (words []string, err error) {
-	word, open := "", false
+// split splits a line into tokens at blanks. Text in double quotes, with Go's escapes, belongs to one token.
+func split(line string) (tokens []string, err error) {
+	token, inToken := "", false
 	for line = strings.TrimSpace(line); line != "" && line[0] != '#'; {
 		switch line[0] {
 		case ' ', '\t':
-			if open {
-				words = append(words, word)
+			if inToken {
+				tokens = append(tokens, token)
 			}
-			word, open, line = "", false, line[1:]
+			token, inToken, line = "", false, line[1:]
 		case '"':
 			quoted, err := strconv.QuotedPrefix(line)
 			if err != nil {
-				return nil, fmt.Errorf("a quote that does not end: %s", line)
+				return nil, fmt.Errorf("missing closing quote: %s", line)
 			}
-			plain, _ := strconv.Unquote(quoted)
-			word, open, line = word+plain, true, line[len(quoted):]
+			unquoted, _ := strconv.Unquote(quoted)
+			token, inToken, line = token+unquoted, true, line[len(quoted):]
 		default:
-			word, open, line = word+line[:1], true, line[1:]
+			token, inToken, line = token+line[:1], true, line[1:]
 		}
 	}
-	if open {
-		words = append(words, word)
+	if inToken {
+		tokens = append(tokens, token)
 	}
-	return words, nil
+	return tokens, nil
 }
 
-// option is a word such as "header=X-A: 1".
+// option is a KEY=VALUE token, such as "header=X-A: 1".
 type option struct{ key, value string }
 
-// options are what is said by key, in order.
+// options are the options of a line, in order. A key may occur several times.
 type options []option
 
-// splitOptions takes the options out of words.
-func splitOptions(words []string) (plain []string, o options) {
-	for _, w := range words {
-		if key, value, is := strings.Cut(w, "="); is {
+// splitOptions separates the options from the plain tokens.
+func splitOptions(tokens []string) (plain []string, o options) {
+	for _, token := range tokens {
+		if key, value, isOption := strings.Cut(token, "="); isOption {
 			o = append(o, option{key, value})
 		} else {
-			plain = append(plain, w)
+			plain = append(plain, token)
 		}
 	}
 	return plain, o
 }
 
-// get returns the last value of a key; "" = there is none.
+// get returns the last value of a key; "" = the key is missing.
 func (o options) get(key string) (value string) {
 	for _, one := range o {
 		if one.key == key {
@@ -231,11 +231,11 @@
 	return values
 }
 
-// parseBody reads a body: a number asks for so many bytes that look like nothing else, any other word is the body itself.
-func parseBody(word string) []byte {
-	n, err := strconv.Atoi(word)
+// parseBody returns the body that a token stands for: for a number, a pattern of that many bytes; else the token itself.
+func parseBody(token string) []byte {
+	n, err := strconv.Atoi(token)
 	if err != nil {
-		return []byte(word)
+		return []byte(token)
 	}
 	return pattern(n)
 }
@@ -248,7 +248,7 @@
 	return b
 }
 
-// describe words a body in short.
+// describe returns a short description of a body.
 func describe(body []byte) string {
 	switch {
 	case len(body) <= 200:
--- a/conformance/server_test.go
+++ b/conformance/server_test.go
@@ -21,37 +21,37 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// waitLimit bounds every wait for something that has to come. Nothing is asserted of how long it takes.
+// waitLimit is the longest time that a test waits for a condition. It is no assertion about how long anything takes.
 const waitLimit = time.Minute
 
-// await polls until what is waited for has come.
+// await polls until the condition holds, for at most waitLimit.
 func await(ctx context.Context, condition func() bool) error {
 	const maxPause = 20 * time.Millisecond
-	for pause, end := time.Millisecond, time.Now().Add(waitLimit); !condition(); pause = min(2*pause, maxPause) {
-		if ctx.Err() != nil || time.Now().After(end) {
-			return fmt.Errorf("it did not come within %s", waitLimit)
+	for pause, deadline := time.Millisecond, time.Now().Add(waitLimit); !condition(); pause = min(2*pause, maxPause) {
+		if ctx.Err() != nil || time.Now().After(deadline) {
+			return fmt.Errorf("the condition did not hold within %s", waitLimit)
 		}
 		time.Sleep(pause)
 	}
 	return nil
 }
 
-// deed is what a server does with a request.
-type deed struct {
+// action is what a server does with a request.
+type action struct {
 	name    string // see scriptedServer.act
-	slow    bool   // it reads the head, and the body only once it is let go
-	hold    bool   // it has the whole request, and goes on once it is let go
-	kept    bool   // this befalls only a request on a connection that has carried others; any other is answered
+	slow    bool   // reads the body only once it is released
+	hold    bool   // waits, with the whole request, until it is released
+	kept    bool   // applies only to a request on a connection that has carried others; other requests get a response
 	args    []string
 	options options
 }
 
-// readDeed reads "[kept] [slow] [hold] WORD ..."; without a word it is "answer".
-func readDeed(words []string) deed {
-	var d deed
-	words, d.options = splitOptions(words)
-	for ; len(words) > 0; words = words[1:] {
-		switch words[0] {
+// parseAction parses "[kept] [slow] [hold] NAME ..."; the default name is "answer".
+func parseAction(tokens []string) action {
+	var d action
+	tokens, d.options = splitOptions(tokens)
+	for ; len(tokens) > 0; tokens = tokens[1:] {
+		switch tokens[0] {
 		case "slow":
 			d.slow = true
 		case "hold":
@@ -59,7 +59,7 @@
 		case "kept":
 			d.kept = true
 		default:
-			d.name, d.args = words[0], words[1:]
+			d.name, d.args = tokens[0], tokens[1:]
 			return d
 		}
 	}
@@ -67,65 +67,66 @@
 	return d
 }
 
-// seenAttempt is an attempt as a server has seen it.
+// seenAttempt is an attempt that a server has received.
 type seenAttempt struct {
 	id, class  string
 	posted     bool   // it is a POST
-	carried    int    // requests on its connection before
-	ran        bool   // its last byte has come, and the server did not say that it had not run
-	clientLeft bool   // the caller has ended the connection, or used it again
-	action     string // what the server did
+	carried    int    // number of earlier requests on its connection
+	ran        bool   // the whole request was received, and the server did not decline it
+	clientLeft bool   // the client has closed the connection, or sent more on it
+	result     string // what the server did, as in the outcome lines
 	released   chan struct{}
-	actionDone bool // that is done
+	actionDone bool // result is final
 }
 
-// queue is deeds for the requests to come, one each.
-type queue struct {
-	mu    sync.Mutex
-	deeds []deed
+// actionQueue has actions for the next requests, one for each.
+type actionQueue struct {
+	mu      sync.Mutex
+	actions []action
 }
 
-func (q *queue) add(d deed, times int) {
+func (q *actionQueue) add(d action, times int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for range times {
-		q.deeds = append(q.deeds, d)
+		q.actions = append(q.actions, d)
 	}
 }
 
-func (q *queue) next(carried int) (deed, bool) {
+// next returns the action for the next request on a connection that has carried so many, and whether it is from the queue.
+func (q *actionQueue) next(carried int) (action, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.deeds) == 0 || q.deeds[0].kept && carried == 0 {
-		return deed{name: "answer"}, false
+	if len(q.actions) == 0 || q.actions[0].kept && carried == 0 {
+		return action{name: "answer"}, false
 	}
-	d := q.deeds[0]
-	q.deeds = q.deeds[1:]
+	d := q.actions[0]
+	q.actions = q.actions[1:]
 	return d, true
 }
 
-// scriptedServer is a server that does with each request what the script says.
+// scriptedServer is a server that handles each request as the script says.
 type scriptedServer struct {
-	name                  string
-	network               fakes.Network
-	ownDeeds, sharedDeeds *queue // sharedDeeds is for all servers of the scenario
-	running               sync.WaitGroup
+	name                      string
+	network                   fakes.Network
+	ownActions, sharedActions *actionQueue // sharedActions is shared by all servers of the scenario
+	running                   sync.WaitGroup
 
-	mu       sync.Mutex
-	address  string
-	listener fakes.Listener // nil = nobody listens
-	conns    map[*clientConn]bool
-	attempts []*seenAttempt
-	probing  string // what becomes of probes: "answer", "hold", "fail" or "reset"
-	probes   int
+	mu          sync.Mutex
+	address     string
+	listener    fakes.Listener // nil = not listening
+	conns       map[*clientConn]bool
+	attempts    []*seenAttempt
+	probeResult string // how probes are handled: "answer", "hold", "fail" or "reset"
+	probes      int
 }
 
 // clientConn is a connection from a side.
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
-	carried int
-	closed  chan struct{} // closed when this end is
+	carried int           // number of requests so far
+	closed  chan struct{} // closed when the server has closed the connection
 	once    sync.Once
 }
 
@@ -139,12 +140,14 @@
 	})
 }
 
-func newScriptedServer(n fakes.Network, name string, shared *queue) *scriptedServer {
-	return &scriptedServer{name: name, network: n, ownDeeds: new(queue), sharedDeeds: shared, conns: map[*clientConn]bool{}, probing: "answer"}
+func newScriptedServer(n fakes.Network, name string, shared *actionQueue) *scriptedServer {
+	return &scriptedServer{
+		name: name, network: n, ownActions: new(actionQueue), sharedActions: shared, conns: map[*clientConn]bool{}, probeResult: "answer",
+	}
 }
 
-// up listens, where it did before if it did. A narrow one takes a body of 64 KiB only as it reads it: without that the
-// kernels between would take it at once.
+// up starts to listen, at the same address as before if there is one. A narrow server has such small socket buffers that a client
+// can't write a body of 64 KiB before the server reads it.
 func (s *scriptedServer) up(narrow bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// shrinkBuffers makes the kernel hold little of what comes in on a listener's connections.
+// shrinkBuffers makes the kernel buffer little of what is received on a listener's connections.
 func shrinkBuffers(l syscall.Conn) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -178,7 +181,7 @@
 	return errors.Join(err, set)
 }
 
-// down is the end of the process: connections are reset, new ones refused.
+// down simulates the end of the server's process: connections are reset and new ones refused.
 func (s *scriptedServer) down() {
 	s.mu.Lock()
 	l := s.listener
@@ -190,7 +193,7 @@
 	s.drop(true)
 }
 
-// drop ends all connections.
+// drop closes or resets all connections.
 func (s *scriptedServer) drop(reset bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,13 +202,13 @@
 	}
 }
 
-// close is down for good.
+// close stops the server and waits for its goroutines.
 func (s *scriptedServer) close() {
 	s.down()
 	s.running.Wait()
 }
 
-// freeze lets new connections neither come up nor fail, or takes that back.
+// freeze keeps new connections from being either established or refused, or ends that state.
 func (s *scriptedServer) freeze(on bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +226,7 @@
 		s.conns[c] = true
 		stale := s.listener != l
 		s.mu.Unlock()
-		if stale { // down has not seen it
+		if stale { // accepted after down has reset the others
 			c.end(true)
 		}
 		s.running.Go(func() { s.serve(c) })
@@ -255,15 +258,15 @@
 	}
 }
 
-// probe answers one, always with the same load.
+// probe handles a probe and reports whether the connection may carry another request. The reported load is always the same.
 func (s *scriptedServer) probe(c *clientConn) bool {
 	s.mu.Lock()
-	how := s.probing
+	result := s.probeResult
 	s.probes++
 	s.mu.Unlock()
-	switch how {
+	switch result {
 	case "hold":
-		_, _ = c.reader.Peek(1) // until the connection ends
+		_, _ = c.reader.Peek(1) // returns when the connection is closed
 		return false
 	case "reset":
 		c.end(true)
@@ -274,21 +277,21 @@
 	return s.write(c, httpResponse(200, nil, []byte(`{"active":0,"avg_ms":5}`)))
 }
 
-// request does with a request what the script says, and reports whether the connection may carry another.
+// request handles a request as the script says, and reports whether the connection may carry another.
 func (s *scriptedServer) request(c *clientConn, req *http.Request) bool {
-	d, scripted := s.ownDeeds.next(c.carried)
+	d, scripted := s.ownActions.next(c.carried)
 	if !scripted {
-		d, _ = s.sharedDeeds.next(c.carried)
+		d, _ = s.sharedActions.next(c.carried)
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	a := &seenAttempt{
 		id: req.Header.Get("Req-Id"), class: class, posted: req.Method == "POST", carried: c.carried,
-		action: "part", released: make(chan struct{}),
+		result: "part", released: make(chan struct{}),
 	}
 	s.mu.Lock()
 	s.attempts = append(s.attempts, a)
 	s.mu.Unlock()
-	if d.name == "break" { // before the last byte: the rest of the body is not read
+	if d.name == "break" { // reset without reading the body to its end
 		c.end(true)
 		return s.record(a, "broken", false)
 	}
@@ -299,27 +302,27 @@
 	if err != nil {
 		return s.record(a, "part", false)
 	}
-	gone := make(chan struct{}) // closed by the next byte or the end
+	gone := make(chan struct{}) // closed when the client closes the connection or sends another byte
 	s.running.Go(func() {
-		_, _ = c.reader.Peek(1) // its error is the end that is waited for
+		_, _ = c.reader.Peek(1) // an error means that the connection is closed
 		close(gone)
 	})
 	s.mu.Lock()
-	a.ran, a.action = d.name != "decline", "held"
+	a.ran, a.result = d.name != "decline", "held"
 	s.mu.Unlock()
 	if d.hold && !s.wait(c, a, gone) {
 		return false
 	}
-	more := s.act(c, a, &d, req, body)
+	reusable := s.act(c, a, &d, req, body)
 	<-gone
 	s.mu.Lock()
 	a.clientLeft = true
 	s.mu.Unlock()
-	return more
+	return reusable
 }
 
-// wait waits until the request is let go. False = this end of the connection was closed first. That the other end was
-// is noted.
+// wait waits until the request is released; it returns false if the server has closed the connection before. It records in
+// clientLeft that the client has left meanwhile.
 func (s *scriptedServer) wait(c *clientConn, a *seenAttempt, gone <-chan struct{}) bool {
 	for {
 		select {
@@ -335,35 +338,36 @@
 	}
 }
 
-// record notes what was done, and returns more.
-func (s *scriptedServer) record(a *seenAttempt, what string, more bool) bool {
+// record records the final result of an attempt. It returns reusable: whether the connection may carry another request.
+func (s *scriptedServer) record(a *seenAttempt, result string, reusable bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.action, a.actionDone = what, true
-	return more
+	a.result, a.actionDone = result, true
+	return reusable
 }
 
-// act does the deed with a whole request:
+// act performs the action for a completely received request, and reports whether the connection may carry another:
 //
 //	answer [status=N] [header="Name: value"] [body=SIZE|TEXT] [chunked] [last] [before=RAW] [after=RAW]
-//	decline [status=N]     says that it has not run
+//	                       sends a response
+//	decline [status=N]     responds that the request has not run
 //	reset                  resets the connection
-//	end                    ends it in order, without a word
-//	cut N|half [reset]     ends the connection after so much of the answer
-//	halve                  sends half of the answer, and nothing more
-//	stall                  sends the answer's head, and nothing more
+//	end                    closes the connection without a response
+//	cut N|half [reset]     closes or resets the connection after N bytes, or half, of the response
+//	halve                  sends half of the response, and nothing more
+//	stall                  sends the response's head, and nothing more
 //	silent                 sends nothing
-//	raw RAW                sends this, and ends the connection
-func (s *scriptedServer) act(c *clientConn, a *seenAttempt, d *deed, req *http.Request, body []byte) bool {
-	head, message := d.answer(req, body)
+//	raw RAW                sends RAW and closes the connection
+func (s *scriptedServer) act(c *clientConn, a *seenAttempt, d *action, req *http.Request, body []byte) bool {
+	head, message := d.response(req, body)
 	switch d.name {
 	case "answer":
 		s.record(a, strings.TrimSpace("answered "+d.options.get("status")), true)
-		more := s.write(c, []byte(d.options.get("before")), message, []byte(d.options.get("after")))
-		if more = more && !slices.Contains(d.args, "last"); !more {
+		reusable := s.write(c, []byte(d.options.get("before")), message, []byte(d.options.get("after")))
+		if reusable = reusable && !slices.Contains(d.args, "last"); !reusable {
 			c.end(false)
 		}
-		return more
+		return reusable
 	case "decline":
 		status, _ := strconv.Atoi(d.options.get("status"))
 		s.record(a, "declined", true)
@@ -399,7 +403,7 @@
 		c.end(false)
 		return false
 	}
-	return s.record(a, "can't do: "+d.name, false)
+	return s.record(a, "unknown action: "+d.name, false)
 }
 
 func (s *scriptedServer) write(c *clientConn, parts ...[]byte) bool {
@@ -407,25 +411,25 @@
 	return err == nil
 }
 
-// answer words the answer, and says how long its head is. Its body, if the script gives none, says what came: method,
+// response returns the response and the length of its head. If the script sets no body, the body describes the request: method,
 // target, the fields that begin with X-, and the body.
-func (d *deed) answer(req *http.Request, body []byte) (head int, message []byte) {
+func (d *action) response(req *http.Request, body []byte) (head int, message []byte) {
 	status, _ := strconv.Atoi(d.options.get("status"))
 	if status == 0 {
 		status = 200
 	}
-	made := []byte(d.options.get("body"))
-	if len(made) > 0 {
-		made = parseBody(string(made))
+	responseBody := []byte(d.options.get("body"))
+	if len(responseBody) > 0 {
+		responseBody = parseBody(string(responseBody))
 	} else {
-		made = fmt.Appendf(nil, "%s %s", req.Method, req.RequestURI)
+		responseBody = fmt.Appendf(nil, "%s %s", req.Method, req.RequestURI)
 		for _, name := range slices.Sorted(maps.Keys(req.Header)) {
 			if strings.HasPrefix(name, "X-") {
-				made = fmt.Appendf(made, " %s=%s", name, strings.Join(req.Header[name], "+"))
+				responseBody = fmt.Appendf(responseBody, " %s=%s", name, strings.Join(req.Header[name], "+"))
 			}
 		}
 		if len(body) > 0 {
-			made = fmt.Appendf(made, " with %s", describe(body))
+			responseBody = fmt.Appendf(responseBody, " with %s", describe(body))
 		}
 	}
 	fields := d.options.all("header")
@@ -439,14 +443,14 @@
 		}
 		message = append(message, "\r\n"...)
 		head = len(message)
-		for rest := made; len(rest) > 0; rest = rest[min(1000, len(rest)):] {
-			part := rest[:min(1000, len(rest))]
+		for remaining := responseBody; len(remaining) > 0; remaining = remaining[min(1000, len(remaining)):] {
+			part := remaining[:min(1000, len(remaining))]
 			message = fmt.Appendf(message, "%x\r\n%s\r\n", len(part), part)
 		}
 		return head, append(message, "0\r\n\r\n"...)
 	}
-	message = httpResponse(status, fields, made)
-	if head = len(message) - len(made); req.Method == "HEAD" {
+	message = httpResponse(status, fields, responseBody)
+	if head = len(message) - len(responseBody); req.Method == "HEAD" {
 		return head, message[:head]
 	}
 	return head, message
@@ -460,7 +464,7 @@
 	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// release lets go what is held, all of it or what has that id, and returns once the rest of the deed is done.
+// release releases the held requests, all of them or those with that id, and returns once their actions are done.
 func (s *scriptedServer) release(ctx context.Context, id string) error {
 	var held []*seenAttempt
 	s.mu.Lock()
@@ -472,7 +476,7 @@
 	}
 	s.mu.Unlock()
 	if len(held) == 0 {
-		return fmt.Errorf("%s holds nothing", s.name)
+		return fmt.Errorf("%s holds no such request", s.name)
 	}
 	return await(ctx, func() bool {
 		s.mu.Lock()
@@ -481,7 +485,7 @@
 	})
 }
 
-// seen returns copies of the attempts so far.
+// seen returns copies of the attempts received so far.
 func (s *scriptedServer) seen() (all []seenAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -491,15 +495,15 @@
 	return all
 }
 
-// probeCount counts the probes so far.
+// probeCount returns the number of probes since the last "probes" step.
 func (s *scriptedServer) probeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.probes
 }
 
-// forget strikes a request's attempts from what was seen.
-func (s *scriptedServer) forget(id string) {
+// removeAttempts removes a request's attempts from the records.
+func (s *scriptedServer) removeAttempts(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts = slices.DeleteFunc(s.attempts, func(a *seenAttempt) bool { return a.id == id })
@@ -508,11 +512,11 @@
 // The states of a connection in /proc/net/tcp.
 const (
 	established = "01"
-	opening     = "02" // its SYN is unanswered
+	opening     = "02" // SYN sent, not acknowledged yet
 )
 
-// sockets counts the connections to the server that are in that state at the other end, in any process of this
-// machine, but for those that fakes fills a frozen listener's queue with.
+// sockets returns the number of connections to the server whose client end is in that state, in any process of this machine. It
+// leaves out those with which package fakes fills the queue of a frozen listener.
 func (s *scriptedServer) sockets(state string) (n int) {
 	host, port, _ := net.SplitHostPort(s.address)
 	ip := net.ParseIP(host).To4()
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -18,7 +18,7 @@
 	"plankrouter"
 )
 
-// body is a request's that takes note of its end.
+// body is a request body that counts the calls of Close.
 type body struct {
 	io.Reader
 	closed atomic.Int32
@@ -32,24 +32,24 @@
 	return nil
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errors.New("it can't be read") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("can't be read") }
 
-// The body of a request is closed whatever becomes of it, and the request is as it was.
+// RoundTrip closes the request's body, whatever its outcome, and does not change the request.
 func TestTransportClosesBodies(t *testing.T) {
-	p := servers(t, "s-1")[0]
-	b := balancer(t, usual(p))
-	closed := balancer(t, usual(p))
+	p := startServers(t, "s-1")[0]
+	b := newBalancer(t, baseOptions(p))
+	closed := newBalancer(t, baseOptions(p))
 	must(t, closed.Close(t.Context()))
-	empty := balancer(t, usual())
-	p.ownDeeds.add(deed{name: "reset"}, 1) // of the first that comes
+	empty := newBalancer(t, baseOptions())
+	p.ownActions.add(action{name: "reset"}, 1) // for the first request
 	for _, row := range []struct {
 		name      string
 		transport plankrouter.Transport
 		reader    io.Reader
 		edit      func(*http.Request)
-		want      string // in the error; "" = none
+		want      string // text that the error must contain; "" = no error
 	}{
 		{name: "reset", transport: plankrouter.Transport{Balancer: b, Class: "order"}, want: "failed"},
 		{name: "served", transport: plankrouter.Transport{Balancer: b, Class: "order"}},
@@ -62,7 +62,7 @@
 			name: "too large of unknown length", transport: plankrouter.Transport{Balancer: b},
 			reader: io.MultiReader(bytes.NewReader(pattern(65537))), want: "larger",
 		},
-		{name: "unreadable", transport: plankrouter.Transport{Balancer: b}, reader: failing{}, want: "can't be read"},
+		{name: "unreadable", transport: plankrouter.Transport{Balancer: b}, reader: failingReader{}, want: "can't be read"},
 		{
 			name: "no URL", transport: plankrouter.Transport{Balancer: b}, edit: func(r *http.Request) { r.URL = nil },
 			want: "URL",
@@ -72,16 +72,16 @@
 			want: "https",
 		},
 		{
-			name: "a field that can't be sent", transport: plankrouter.Transport{Balancer: b},
+			name: "invalid header field", transport: plankrouter.Transport{Balancer: b},
 			edit: func(r *http.Request) { r.Header.Set("X-A", "1\r\nX-B: 2") }, want: "X-A",
 		},
 		{
-			name: "a method that can't be sent", transport: plankrouter.Transport{Balancer: b},
+			name: "invalid method", transport: plankrouter.Transport{Balancer: b},
 			edit: func(r *http.Request) { r.Method = "GET /x HTTP/1.1\r\n" }, want: "Method",
 		},
 		{
-			name: "given up", transport: plankrouter.Transport{Balancer: b},
-			edit: func(r *http.Request) { *r = *r.WithContext(ended()) }, want: "canceled",
+			name: "context cancelled", transport: plankrouter.Transport{Balancer: b},
+			edit: func(r *http.Request) { *r = *r.WithContext(cancelledContext()) }, want: "canceled",
 		},
 		{name: "closed", transport: plankrouter.Transport{Balancer: closed}, want: "closed"},
 		{name: "rejected", transport: plankrouter.Transport{Balancer: empty}, want: "rejected"},
@@ -108,35 +108,36 @@
 				t.Errorf("%v, %v", resp, err)
 			}
 			if sent.closed.Load() == 0 {
-				t.Error("its body is open")
+				t.Error("the request's body was not closed")
 			}
 			if row.want != "" && row.want != "failed" && len(p.seen()) > seen {
-				t.Error("it was sent all the same")
+				t.Error("the request was sent")
 			}
 			after := req.Clone(req.Context())
 			after.Body, before.Body = nil, nil
 			if !reflect.DeepEqual(before, after) {
-				t.Errorf("it has been changed from %+v to %+v", before, after)
+				t.Errorf("the request was changed from %+v to %+v", before, after)
 			}
 		})
 	}
 }
 
-// A body that goes on coming when its request is given up keeps nobody waiting.
-func TestTransportHeedsContextWhileReading(t *testing.T) {
+// RoundTrip returns when its context is cancelled even if a read of the request's body blocks and closing the body does not
+// unblock it.
+func TestTransportCancelWhileReadingBody(t *testing.T) {
 	t.Parallel()
-	b := balancer(t, usual(servers(t, "s-1")...))
+	b := newBalancer(t, baseOptions(startServers(t, "s-1")...))
 	ctx, cancel := context.WithCancel(t.Context())
 	read, write := io.Pipe()
-	defer func() { _ = write.Close() }()           // of a pipe: it never fails
-	var deaf io.Reader = struct{ io.Reader }{read} // closing it ends nothing
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://orders.internal/", deaf)
+	defer func() { _ = write.Close() }()               // never fails for a pipe
+	var blocking io.Reader = struct{ io.Reader }{read} // has no Close that would end a read
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://orders.internal/", blocking)
 	must(t, err)
-	done := later(t, func() error {
+	done := runAsync(t, func() error {
 		_, err := (&plankrouter.Transport{Balancer: b}).RoundTrip(req)
 		return err
 	})
-	_, err = write.Write([]byte("half of it"))
+	_, err = write.Write([]byte("first half"))
 	must(t, err)
 	cancel()
 	if err := done(); !errors.Is(err, context.Canceled) {
@@ -144,15 +145,15 @@
 	}
 }
 
-// Answers can be read late, by half or not at all, by many at once, and none is in the way of another.
-func TestTransportAnswers(t *testing.T) {
-	p := servers(t, "s-1")[0]
-	b := balancer(t, usual(p))
+// Responses to concurrent requests may be read after the balancer is closed, in part or not at all, without effect on others.
+func TestTransportResponses(t *testing.T) {
+	p := startServers(t, "s-1")[0]
+	b := newBalancer(t, baseOptions(p))
 	tr := &plankrouter.Transport{Balancer: b, Class: "order"}
 	client := &http.Client{Transport: tr}
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	held := map[string]*http.Response{}
+	unread := map[string]*http.Response{}
 	for i := range 20 {
 		wait.Go(func() {
 			target := fmt.Sprintf("/order/%d", i)
@@ -164,7 +165,7 @@
 			switch i % 4 {
 			case 0:
 				mu.Lock()
-				held[target] = resp // read late
+				unread[target] = resp // read after Close
 				mu.Unlock()
 			case 1:
 				resp.Body.Close()
@@ -172,13 +173,13 @@
 				if _, err := resp.Body.Read(make([]byte, 3)); err != nil {
 					t.Error(err)
 				}
-			case 3: // left as it is
+			case 3: // neither read nor closed
 			}
 		})
 	}
 	wait.Wait()
 	must(t, b.Close(t.Context()))
-	for target, resp := range held {
+	for target, resp := range unread {
 		raw, err := io.ReadAll(resp.Body)
 		if want := "POST " + target + ` with "n"`; err != nil || string(raw) != want || resp.Body.Close() != nil ||
 			resp.ContentLength != int64(len(want)) || resp.Request == nil || resp.Header == nil {
@@ -190,12 +191,12 @@
 	}
 }
 
-// What must not run twice is not sent again by http.Client, which follows redirects on its own; what may is.
+// http.Client follows redirects. A redirect that would resend a request of a non-idempotent class fails; others are followed.
 func TestTransportRedirects(t *testing.T) {
 	for _, c := range []struct {
 		class  string
 		status int
-		seen   int // by the server
+		seen   int // number of requests at the server
 		fails  bool
 	}{
 		{"order", 307, 1, true},
@@ -206,9 +207,9 @@
 		{"tile", 308, 2, false},
 	} {
 		t.Run(fmt.Sprint(c.class, c.status), func(t *testing.T) {
-			p := servers(t, "s-1")[0]
-			b := balancer(t, usual(p))
-			p.ownDeeds.add(readDeed([]string{"answer", fmt.Sprint("status=", c.status), "header=Location: /order/again"}), 1)
+			p := startServers(t, "s-1")[0]
+			b := newBalancer(t, baseOptions(p))
+			p.ownActions.add(parseAction([]string{"answer", fmt.Sprint("status=", c.status), "header=Location: /order/again"}), 1)
 			client := &http.Client{Transport: &plankrouter.Transport{Balancer: b, Class: c.class}}
 			resp, err := client.Post("http://orders.internal/order/7", "text/plain", strings.NewReader("print"))
 			var failed *plankrouter.FailedError
@@ -222,21 +223,22 @@
 				}
 			}
 			if len(seen) != c.seen || c.class == "order" && posts != 1 {
-				t.Errorf("the server saw %+v", seen)
+				t.Errorf("the server received %+v", seen)
 			}
 		})
 	}
 }
 
-// What meets a dead kept connection, or no answer, is not sent again by http.Client either.
+// A request of a non-idempotent class that fails on a reused connection is not resent, neither by the Transport nor by
+// http.Client.
 func TestTransportSendsOnce(t *testing.T) {
-	p := servers(t, "s-1")[0]
-	b := balancer(t, usual(p))
+	p := startServers(t, "s-1")[0]
+	b := newBalancer(t, baseOptions(p))
 	client := &http.Client{Transport: &plankrouter.Transport{Balancer: b, Class: "order"}}
 	post := func() error {
 		req, err := http.NewRequest("POST", "http://orders.internal/order/7", strings.NewReader("print"))
 		must(t, err)
-		req.Header.Set("Idempotency-Key", "7") // net/http's own transport would take it for leave to send it again
+		req.Header.Set("Idempotency-Key", "7") // with it, http.Transport would resend the request
 		resp, err := client.Do(req)
 		if err == nil {
 			resp.Body.Close()
@@ -244,48 +246,48 @@
 		return err
 	}
 	n := 15
-	for range n { // further attempts are saved up
+	for range n { // fills the retry budget
 		must(t, post())
 	}
-	p.ownDeeds.add(deed{name: "reset", kept: true}, 1)
+	p.ownActions.add(action{name: "reset", kept: true}, 1)
 	var failed *plankrouter.FailedError
-	must(t, await(t.Context(), func() bool { // the first that goes out on a connection which had carried others
+	must(t, await(t.Context(), func() bool { // until a request is sent on a reused connection
 		n++
 		return errors.As(post(), &failed)
 	}))
 	if seen := len(p.seen()); seen != n || !failed.MayHaveRun {
-		t.Errorf("%d requests, and the server saw %d; the last: %v", n, seen, failed)
+		t.Errorf("%d requests, the server received %d; last error: %v", n, seen, failed)
 	}
 }
 
-// Class, tenant and deadline come from the request's context.
+// The class and the tenant in the request's context take precedence over those of the Transport.
 func TestTransportContext(t *testing.T) {
 	t.Parallel()
-	p := servers(t, "s-1")[0]
-	o := usual(p)
+	p := startServers(t, "s-1")[0]
+	o := baseOptions(p)
 	o.Classes[1].Deadline, o.Classes[1].LatencyObjective = time.Second, time.Second
-	b := balancer(t, o)
-	p.ownDeeds.add(deed{name: "silent"}, 1)
+	b := newBalancer(t, o)
+	p.ownActions.add(action{name: "silent"}, 1)
 	ctx := plankrouter.WithTenant(plankrouter.WithClass(t.Context(), "order"), "acme")
 	to := &url.URL{Scheme: "http", Host: "orders.internal", Path: "/order/7"}
 	req := (&http.Request{Method: "POST", URL: to}).WithContext(ctx)
 	_, err := (&plankrouter.Transport{Balancer: b, Class: "tile"}).RoundTrip(req)
 	var failed *plankrouter.FailedError
-	if !errors.As(err, &failed) { // by the deadline of "order": that of "tile" is far away
+	if !errors.As(err, &failed) { // at the deadline of "order", long before that of "tile"
 		t.Errorf("%v", err)
 	}
 	if plankrouter.ClassOf(ctx) != "order" || plankrouter.TenantOf(ctx) != "acme" ||
 		plankrouter.ClassOf(t.Context()) != "" {
-		t.Error("the context does not say what it was given")
+		t.Error("the context does not have the class and tenant that were put into it")
 	}
-	o = usual()
+	o = baseOptions()
 	o.MaxRetryAfter, o.Tenants = 2100*time.Millisecond, []plankrouter.Tenant{{Name: "acme", QuotaPerSecond: 1e-6}}
-	tr := &plankrouter.Transport{Balancer: balancer(t, o), Class: "tile"}
-	var refused *plankrouter.RejectedError
-	for range 6 { // its first five use up the share
+	tr := &plankrouter.Transport{Balancer: newBalancer(t, o), Class: "tile"}
+	var rejected *plankrouter.RejectedError
+	for range 6 { // the first five use up the quota
 		_, err = tr.RoundTrip((&http.Request{URL: to}).WithContext(plankrouter.WithTenant(t.Context(), "acme")))
 	}
-	if !errors.As(err, &refused) || refused.RetryAfter != o.MaxRetryAfter {
-		t.Errorf("a tenant beyond its share: %v", err)
+	if !errors.As(err, &rejected) || rejected.RetryAfter != o.MaxRetryAfter {
+		t.Errorf("request beyond the tenant's quota: %v", err)
 	}
 }
--- a/plankrouter.go
+++ b/plankrouter.go
@@ -4,7 +4,10 @@
 //	b, err := plankrouter.New(plankrouter.Options{
 //		Classes: []plankrouter.Class{
 //			{Name: "tile", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond},
-//			{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Idempotency: plankrouter.NonIdempotent},
+//			{
+//				Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second,
+//				PriorityWeight: 5, Idempotency: plankrouter.NonIdempotent,
+//			},
 //		},
 //		Endpoints: []plankrouter.Endpoint{{Address: "10.0.0.4:3000"}, {Address: "10.0.0.5:3000"}},
 //	})
