--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -26,8 +26,8 @@
 func TestInvalidOptions(t *testing.T) {
 	tenant := func(*http.Request) string { return "" }
 	for _, c := range []struct {
-		invalid string
-		options middleware.Options
+		wantOption string
+		options    middleware.Options
 	}{
 		{"TenantHeader", middleware.Options{TenantHeader: "no name"}},
 		{"DeadlineHeader", middleware.Options{DeadlineHeader: "X:"}},
@@ -39,8 +39,8 @@
 		_, middlewareErr := middleware.Middleware(c.options)
 		for _, err := range []error{handlerErr, middlewareErr} {
 			var invalid *plankrouter.OptionError
-			if !errors.As(err, &invalid) || invalid.Option != c.invalid || invalid.Reason == "" {
-				t.Errorf("%+v: %v, want an error that names %s", c.options, err, c.invalid)
+			if !errors.As(err, &invalid) || invalid.Option != c.wantOption || invalid.Reason == "" {
+				t.Errorf("%+v: %v, want an error that names %s", c.options, err, c.wantOption)
 			}
 		}
 	}
