--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Comparison is the same days played with two settings.
+// Comparison is the result of the same days simulated with two settings.
 type Comparison struct {
-	A       string       `json:"a"` // the policy, as B
+	A       string       `json:"a"` // name of the policy, as B
 	B       string       `json:"b"`
 	Days    int          `json:"days"`
 	Metrics []Difference `json:"figures"`
@@ -21,24 +21,24 @@
 	BrokenB int          `json:"broken_b"`
 }
 
-// Difference is that of one metric. B's median less A's need not be the median difference, which is of the pairs.
+// Difference compares one metric. Median is that of the differences of the pairs, which need not be B minus A.
 type Difference struct {
 	Name        string     `json:"name"`
 	A           float64    `json:"a"` // median over the days, as B
 	B           float64    `json:"b"`
-	SpreadA     float64    `json:"spread_a"` // distance of the quartiles, as SpreadB
+	SpreadA     float64    `json:"spread_a"` // interquartile range, as SpreadB
 	SpreadB     float64    `json:"spread_b"`
-	Median      float64    `json:"median"`      // of B less A, day by day
-	Quartiles   [2]float64 `json:"quartiles"`   // of the same
-	More        int        `json:"more"`        // days on which B has more
-	Less        int        `json:"less"`        // or less
-	Discernible bool       `json:"discernible"` // a sign test rejects, at 5%, that either is as likely
+	Median      float64    `json:"median"`      // of B minus A of the same day
+	Quartiles   [2]float64 `json:"quartiles"`   // of B minus A of the same day
+	More        int        `json:"more"`        // days on which B is higher
+	Less        int        `json:"less"`        // days on which B is lower
+	Discernible bool       `json:"discernible"` // a two-sided sign test rejects at 5% that higher and lower are equally likely
 }
 
-// comparedMetrics are what is compared.
+// comparedMetrics lists the metrics of a comparison and how to read them from a report.
 var comparedMetrics = []struct {
-	name string
-	of   func(*Report) float64
+	name  string
+	value func(*Report) float64
 }{
 	{"service", func(r *Report) float64 { return r.Service }},
 	{"worst 10 s", func(r *Report) float64 { return r.WorstWindow }},
@@ -53,8 +53,8 @@
 	{"jams", func(r *Report) float64 { return float64(r.Jams) }},
 }
 
-// Compare plays days, whose seeds follow on a's, with the settings of a and of b, workers of them side by side. Load,
-// servers and faults of a day are the same for both where the settings are.
+// Compare simulates a number of days, with consecutive seeds from a.Seed on, each with a and with b, in up to workers
+// goroutines. Load, servers and faults of a day are the same for both where their settings are the same.
 func Compare(ctx context.Context, a, b Config, days, workers int) (*Comparison, error) {
 	reports := make([][2]*Report, days)
 	g, ctx := errgroup.WithContext(ctx)
@@ -80,17 +80,18 @@
 			c.BrokenB++
 		}
 	}
-	for _, f := range comparedMetrics {
+	for _, m := range comparedMetrics {
 		var as, bs []float64
 		for _, r := range reports {
-			as, bs = append(as, f.of(r[0])), append(bs, f.of(r[1]))
+			as, bs = append(as, m.value(r[0])), append(bs, m.value(r[1]))
 		}
-		c.Metrics = append(c.Metrics, differ(f.name, as, bs))
+		c.Metrics = append(c.Metrics, newDifference(m.name, as, bs))
 	}
 	return c, nil
 }
 
-func differ(name string, as, bs []float64) Difference {
+// newDifference compares the values as of setting A with the values bs of setting B, paired by index.
+func newDifference(name string, as, bs []float64) Difference {
 	d := Difference{Name: name}
 	var diffs []float64
 	for i := range as {
@@ -109,7 +110,7 @@
 	return d
 }
 
-// quantile interpolates between the two nearest.
+// quantile returns the q-quantile of v, interpolated between the two nearest values.
 func quantile(v []float64, q float64) float64 {
 	v = slices.Sorted(slices.Values(v))
 	at := q * float64(len(v)-1)
@@ -120,13 +121,14 @@
 	return v[low] + (at-float64(low))*(v[low+1]-v[low])
 }
 
-// pairedSignTest is the probability, on both sides, of a split as uneven as this if either way is as likely.
+// pairedSignTest returns the two-sided p-value of a sign test: the probability of a split at least as uneven if both signs are
+// equally likely.
 func pairedSignTest(more, less int) float64 {
-	n, few := more+less, min(more, less)
+	n, smaller := more+less, min(more, less)
 	sum := 0.0
-	for k := range few + 1 {
-		lg := func(x int) float64 { v, _ := math.Lgamma(float64(x + 1)); return v }
-		sum += math.Exp(lg(n) - lg(k) - lg(n-k) - float64(n)*math.Ln2)
+	for k := range smaller + 1 {
+		logFactorial := func(x int) float64 { v, _ := math.Lgamma(float64(x + 1)); return v }
+		sum += math.Exp(logFactorial(n) - logFactorial(k) - logFactorial(n-k) - float64(n)*math.Ln2)
 	}
 	return min(1, 2*sum)
 }
@@ -134,9 +136,9 @@
 // WriteJSON writes the comparison as JSON.
 func (c *Comparison) WriteJSON(out io.Writer) error { return writeJSON(out, c) }
 
-// Write writes a table.
+// Write writes the comparison as a table.
 func (c *Comparison) Write(out io.Writer) error {
-	fmt.Fprintf(out, "%d days; a = %s, b = %s; medians, and in brackets the distance of the quartiles\n", c.Days, c.A,
+	fmt.Fprintf(out, "%d days; a = %s, b = %s; medians, and in brackets the interquartile range\n", c.Days, c.A,
 		c.B)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\ta\tb\tb-a, by days\tquartiles\tb more/less\tdiscernible\t")
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -12,17 +12,18 @@
 	"plankrouter/policy"
 )
 
-// Config is a whole day: the world, its load, what goes wrong and which policy decides. In plans its keys are those of the tags.
+// Config describes a whole run: the fleet, its load, the injected faults and the policy of the sidecars. The JSON tags are the
+// keys of a plan.
 type Config struct {
 	Sidecars   int     `json:"sidecars"`
 	Servers    int     `json:"servers"`
 	Zones      int     `json:"zones"`
-	Rate       float64 `json:"rate"` // first tries a second, over all sidecars
+	Rate       float64 `json:"rate"` // client requests per second over all sidecars, without retries
 	Seconds    float64 `json:"seconds"`
-	Skew       float64 `json:"skew"`        // the i-th sidecar gets a part of the traffic in proportion to i^-skew
-	ZoneSkew   float64 `json:"zone_skew"`   // the first zone's sidecars get so much more than their part, the last one's less
-	Seed       uint64  `json:"seed"`        // of the world
-	PolicySeed uint64  `json:"policy_seed"` // of the sidecars' own choices
+	Skew       float64 `json:"skew"`        // the i-th sidecar gets a share of the traffic proportional to i^-Skew
+	ZoneSkew   float64 `json:"zone_skew"`   // fraction of the mean by which the first zone gets more traffic, and the last one less
+	Seed       uint64  `json:"seed"`        // of load, network, servers, clients and faults
+	PolicySeed uint64  `json:"policy_seed"` // of the policies' random choices
 	Policy     string  `json:"policy"`      // one of Policies
 
 	Kinds     []Kind    `json:"kinds"`
@@ -36,94 +37,94 @@
 	Faults    []Fault   `json:"troubles"`
 }
 
-// Kind is a model of machine.
+// Kind is a hardware type of servers.
 type Kind struct {
-	Fraction float64    `json:"share"` // of the servers
+	Fraction float64    `json:"share"` // of the servers, relative to the other kinds
 	Cores    float64    `json:"cores"`
-	Speed    [2]float64 `json:"speed"` // of a core, drawn between the two for each server
+	Speed    [2]float64 `json:"speed"` // range of a core's speed, drawn uniformly for each server
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name               string  `json:"name"`
-	Fraction           float64 `json:"share"`   // of the first tries
-	WorkMs             float64 `json:"work_ms"` // mean; exponential, or lognormal where there is a Spread
-	WaitMs             float64 `json:"wait_ms"` // mean of what it then waits for others: it holds its slot, but no core
+	Fraction           float64 `json:"share"`   // of the client requests, relative to the other classes
+	WorkMs             float64 `json:"work_ms"` // mean CPU work; exponentially distributed, or lognormally if Spread is above 0
+	WaitMs             float64 `json:"wait_ms"` // mean wait for other services after the work; it holds the slot, but no core
 	Spread             float64 `json:"spread"`  // coefficient of variation of WorkMs and of WaitMs; 0 = both are exponential
-	Noise              float64 `json:"noise"`   // the same of a factor to the work, drawn for each attempt; 0 = none
+	Noise              float64 `json:"noise"`   // coefficient of variation of a factor on an attempt's work; 0 = none
 	LatencyObjectiveMs float64 `json:"aim_ms"`
-	DeadlineMs         float64 `json:"deadline_ms"` // for all tries together
+	DeadlineMs         float64 `json:"deadline_ms"` // of a client request including its retries
 	PriorityWeight     float64 `json:"worth"`
-	LateWeight         float64 `json:"late_worth"` // part of Worth that an answer after the latency objective still earns
-	NonIdempotent      bool    `json:"unsafe"`     // must never run twice; else any number of times
+	LateWeight         float64 `json:"late_worth"` // fraction of PriorityWeight that counts after the latency objective
+	NonIdempotent      bool    `json:"unsafe"`     // it must not run twice; otherwise it may run any number of times
 }
 
-// Tenant is a sharer of the fleet.
+// Tenant is one of the tenants that share the fleet.
 type Tenant struct {
 	Name     string  `json:"name"`
-	Fraction float64 `json:"share"` // of the traffic
-	Quota    float64 `json:"quota"` // first tries a second that count in full
+	Fraction float64 `json:"share"` // of the traffic, relative to the other tenants
+	Quota    float64 `json:"quota"` // client requests per second that count at full weight; 0 = 1.25 times its part of Rate
 }
 
-// Server is how every server works. Lengths of time are in ms.
+// Server is the model of every server. Durations are in ms.
 type Server struct {
-	Slots           int     `json:"slots"`      // requests that share the cores
-	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; what comes beyond is rejected unseen
-	OverloadFrom    float64 `json:"crowd_from"` // requests held for each core from which efficiency falls
-	OverloadLoss    float64 `json:"crowd_loss"` // by so much for each further one
-	MaxOverloadLoss float64 `json:"crowd_most"` // but by no more
+	Slots           int     `json:"slots"`      // requests that are processed at once and share the cores
+	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; further ones are rejected
+	OverloadFrom    float64 `json:"crowd_from"` // requests in flight per core above which the capacity falls
+	OverloadLoss    float64 `json:"crowd_loss"` // fraction of the capacity lost with each further one
+	MaxOverloadLoss float64 `json:"crowd_most"` // upper limit of that loss
 
-	JamWaiting float64 `json:"jam_waiting"` // requests waiting for each core that jam it,
-	JamAfter   float64 `json:"jam_after_ms"`
-	JamSlow    float64 `json:"jam_slow"` // times slower, until
-	JamIdle    float64 `json:"jam_idle"` // it holds no more for each core
-	JamClears  float64 `json:"jam_clears_ms"`
-	MaxJam     float64 `json:"jam_most_ms"` // or until this has passed
+	JamWaiting float64 `json:"jam_waiting"`   // requests in flight per core, beyond the one it runs, above which a server may jam
+	JamAfter   float64 `json:"jam_after_ms"`  // time above JamWaiting until it jams
+	JamSlow    float64 `json:"jam_slow"`      // factor by which a jammed server is slower
+	JamIdle    float64 `json:"jam_idle"`      // requests in flight per core up to which a jam may clear
+	JamClears  float64 `json:"jam_clears_ms"` // time at or below JamIdle until the jam clears
+	MaxJam     float64 `json:"jam_most_ms"`   // time after which a jam clears in any case
 
-	Connections int     `json:"connections"` // beyond which none is accepted
-	TableLoss   float64 `json:"table_loss"`  // part of the capacity that a full table takes
-	Handshake   float64 `json:"handshake_ms"`
-	Idle        float64 `json:"idle_ms"` // after which an idle connection is closed
-	ProbeWork   float64 `json:"probe_ms"`
-	MaxProbes   float64 `json:"probes_most"`  // a second, beyond which they are rejected
-	ReportEvery float64 `json:"report_ms"`    // between two refreshes of what probes report
-	ReportNoise float64 `json:"report_noise"` // standard deviation, as a part of the figure
-	NoReport    bool    `json:"no_report"`    // probes are answered without any load report
-	ProbesQueue bool    `json:"probes_queue"` // where there is none: they wait among the requests in the slots
+	Connections int     `json:"connections"`  // open connections above which further ones are refused
+	TableLoss   float64 `json:"table_loss"`   // fraction of the capacity lost at Connections, proportionally less below
+	Handshake   float64 `json:"handshake_ms"` // work of accepting a connection
+	Idle        float64 `json:"idle_ms"`      // time after which an idle connection is closed
+	ProbeWork   float64 `json:"probe_ms"`     // work of a probe
+	MaxProbes   float64 `json:"probes_most"`  // probes per second above which further ones are rejected
+	ReportEvery float64 `json:"report_ms"`    // interval between two updates of the RIF that probes report
+	ReportNoise float64 `json:"report_noise"` // standard deviation of reported values, as a fraction of them
+	NoReport    bool    `json:"no_report"`    // probe responses have no load report
+	ProbesQueue bool    `json:"probes_queue"` // with NoReport: a probe shares the cores with the requests in the slots
 
-	DropsCancelled bool `json:"drops_cancelled"` // what waits for a slot leaves when its attempt ends at the sidecar
+	DropsCancelled bool `json:"drops_cancelled"` // a queued request is removed when its attempt is cancelled or times out
 }
 
-// Network is what lies between. Delays are one way, in ms.
+// Network is the network between sidecars and servers. Delays are one-way, in ms.
 type Network struct {
 	Near           float64    `json:"near_ms"`   // within a zone
 	Far            [2]float64 `json:"far_ms"`    // between two zones, drawn for each pair
-	Jitter         float64    `json:"jitter_ms"` // mean of what is added to each message
+	Jitter         float64    `json:"jitter_ms"` // mean of the exponential delay added to each message
 	ConnectTimeout float64    `json:"connect_timeout_ms"`
 }
 
-// Discovery is how changes of the list reach the sidecars.
+// Discovery is how changes of the endpoint list reach the sidecars.
 type Discovery struct {
-	Late   [2]float64 `json:"late_ms"` // drawn for each change and sidecar
-	Lossy  float64    `json:"lossy"`   // part of the changes that a sidecar does not get
-	Repair float64    `json:"repair_ms"`
+	Late   [2]float64 `json:"late_ms"`   // range of the delay, drawn for each change and sidecar
+	Lossy  float64    `json:"lossy"`     // fraction of the changes that a sidecar does not receive
+	Repair float64    `json:"repair_ms"` // delay after which it receives the complete list instead
 }
 
-// Clients says how clients behave.
+// Clients is how clients retry and give up. A client attempt is one transmission of a client request to a sidecar.
 type Clients struct {
-	Retries   int        `json:"retries"`
-	Wait      float64    `json:"wait_ms"`
-	Timeout   [2]float64 `json:"patience"`  // part of the deadline until a try is given up, drawn for each request
-	Impatient float64    `json:"impatient"` // part of the tries that are given up at a random moment before
+	Retries   int        `json:"retries"`   // of a client request, at most
+	Wait      float64    `json:"wait_ms"`   // ms before each retry
+	Timeout   [2]float64 `json:"patience"`  // range of a client attempt's timeout, as a fraction of the deadline
+	Impatient float64    `json:"impatient"` // fraction of client attempts abandoned at a random time before the timeout
 }
 
-// Rules are the limits of the rules, and further settings of the policy.
+// Rules are the limits that the judge and the servers apply, and further settings of the policy. Durations are in ms.
 type Rules struct {
-	DrainGrace       float64 `json:"grace_ms"`        // of a drain
-	AnswerSlack      float64 `json:"answer_slack_ms"` // after a try's end within which an answer still counts as given
-	StartCapacity    float64 `json:"cold_share"`
-	WarmUpTime       float64 `json:"warm_within_ms"`
-	OverloadMultiple float64 `json:"tip_multiple"`
+	DrainGrace       float64 `json:"grace_ms"`        // from the notification of a drain; requests may be sent until its end
+	ResponseSlack    float64 `json:"answer_slack_ms"` // after a client attempt's timeout; a final response is due by its end
+	StartCapacity    float64 `json:"cold_share"`      // least fraction of its capacity that a server starts with
+	WarmUpTime       float64 `json:"warm_within_ms"`  // longest slow start of a server
+	OverloadMultiple float64 `json:"tip_multiple"`    // times the capacity; more work in OverloadWindow ends a cold process
 	OverloadWindow   float64 `json:"tip_window_ms"`
 	MaxAttempts      int     `json:"max_attempts"`
 	OverQuotaWeight  float64 `json:"over_share_worth"`
@@ -133,8 +134,8 @@
 	Round            float64 `json:"round_ms"`
 }
 
-// Default is an ordinary world of that size: every further key has the value that docs/operate/emulator.md lists. Its
-// servers are a little over half used.
+// Default returns the default configuration for that number of sidecars and servers, with the values that
+// docs/operate/emulator.md lists. Its servers are a little over half utilized.
 func Default(sidecars, servers int) Config {
 	c := Config{
 		Sidecars: sidecars, Servers: servers, Zones: 5, Rate: 20 * float64(servers), Seconds: 30, Skew: 0.5, Seed: 1,
@@ -158,7 +159,7 @@
 		Discovery: Discovery{Late: [2]float64{500, 3000}, Lossy: 0.02, Repair: 6000},
 		Clients:   Clients{Retries: 3, Wait: 50, Timeout: [2]float64{0.33, 0.55}, Impatient: 0.01},
 		Rules: Rules{
-			DrainGrace: 750, AnswerSlack: 20, StartCapacity: 0.3, WarmUpTime: 8100, OverloadMultiple: 4, OverloadWindow: 3000,
+			DrainGrace: 750, ResponseSlack: 20, StartCapacity: 0.3, WarmUpTime: 8100, OverloadMultiple: 4, OverloadWindow: 3000,
 			MaxAttempts: 3, OverQuotaWeight: 0.2, CrossZoneCost: 0.01, WastedWorkCost: 0.1, Round: 5,
 		},
 	}
@@ -168,68 +169,69 @@
 	return c
 }
 
-// ReadPlan reads a plan, in JSON, over what into holds: keys that the plan does not name stay as they are, and lists
-// are replaced. An unknown key is an error that names it, and then into stays as it was.
+// ReadPlan reads a JSON plan into into: keys that are not in the plan keep their values, and lists are replaced as a
+// whole. An unknown key is an error that names it. On any error into is unchanged.
 func ReadPlan(r io.Reader, into *Config) error {
 	raw, err := io.ReadAll(r)
 	if err != nil {
-		return fmt.Errorf("the plan: %w", err)
+		return fmt.Errorf("read plan: %w", err)
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	c := *into
-	c.Kinds, c.Classes, c.Tenants, c.Faults = nil, nil, nil, nil // the decoder would write into the old ones
+	c.Kinds, c.Classes, c.Tenants, c.Faults = nil, nil, nil, nil // the decoder would overwrite the elements of the present ones
 	if err := d.Decode(&c); err != nil {
-		return fmt.Errorf("the plan%s: %w", place(raw, err), err)
+		return fmt.Errorf("parse plan%s: %w", errorLine(raw, err), err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("the plan: more follows behind its closing brace; one object is expected")
+		return errors.New("parse plan: unexpected data after the JSON object")
 	}
-	keep(&c.Kinds, into.Kinds)
-	keep(&c.Classes, into.Classes)
-	keep(&c.Tenants, into.Tenants)
-	keep(&c.Faults, into.Faults)
+	restoreMissing(&c.Kinds, into.Kinds)
+	restoreMissing(&c.Classes, into.Classes)
+	restoreMissing(&c.Tenants, into.Tenants)
+	restoreMissing(&c.Faults, into.Faults)
 	*into = c
 	return nil
 }
 
-// place names the line of an error that has one. An unknown key has none, but its name can be searched for.
-func place(raw []byte, err error) string {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	var at int64
+// errorLine returns ", line N" for an error with an offset, and "" otherwise. The error of an unknown key has no offset, but
+// names the key.
+func errorLine(raw []byte, err error) string {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
+	var offset int64
 	switch {
-	case errors.As(err, &syntax):
-		at = syntax.Offset
-	case errors.As(err, &kind):
-		at = kind.Offset
+	case errors.As(err, &syntaxErr):
+		offset = syntaxErr.Offset
+	case errors.As(err, &typeErr):
+		offset = typeErr.Offset
 	default:
 		return ""
 	}
-	return fmt.Sprintf(", line %d", 1+bytes.Count(raw[:at], []byte("\n")))
+	return fmt.Sprintf(", line %d", 1+bytes.Count(raw[:offset], []byte("\n")))
 }
 
-// keep leaves a list as it was where the plan has none.
-func keep[T any](list *[]T, was []T) {
+// restoreMissing sets a list that the plan does not have to its previous value.
+func restoreMissing[T any](list *[]T, previous []T) {
 	if *list == nil {
-		*list = was
+		*list = previous
 	}
 }
 
-// unbounded is the upper bound of what has none.
+// unbounded is the upper bound of values without a limit.
 const unbounded = math.MaxFloat64
 
-// bound is the range in which the value of a plan's key has to lie.
+// bound is the value of a plan's key and its valid range.
 type bound struct {
 	key       string
 	value     float64
 	low, high float64
 }
 
-// Check says what is wrong, by the plan's key.
+// Check returns an error that names the plan's key of the first invalid value, or nil.
 func (c *Config) Check() error {
-	for _, b := range slices.Concat(c.dayBounds(), c.serverBounds(), c.environmentBounds(), c.ruleBounds(), c.listBounds()) {
-		if !(b.value >= b.low && b.value <= b.high) { // so that NaN is refused, too
+	for _, b := range slices.Concat(c.fleetBounds(), c.serverBounds(), c.environmentBounds(), c.ruleBounds(), c.listBounds()) {
+		if !(b.value >= b.low && b.value <= b.high) { // written so that NaN is invalid, too
 			return fmt.Errorf("%s: %v; want %v to %v", b.key, b.value, b.low, b.high)
 		}
 	}
@@ -244,10 +246,10 @@
 		tenants += t.Fraction
 	}
 	if kinds == 0 || classes == 0 || len(c.Tenants) > 0 && tenants == 0 {
-		return errors.New("kinds, classes, tenants: one of the first two at least, with a share above 0, is needed")
+		return errors.New("kinds, classes, tenants: each list needs an entry with a share above 0; only tenants may be empty")
 	}
 	if !slices.Contains(Policies(), c.Policy) {
-		return fmt.Errorf("policy: there is no %q; there are %v", c.Policy, Policies())
+		return fmt.Errorf("policy: unknown policy %q; want one of %v", c.Policy, Policies())
 	}
 	for i := range c.Faults {
 		if err := c.Faults[i].check(c); err != nil {
@@ -257,8 +259,8 @@
 	return nil
 }
 
-// dayBounds are those of the size of the world and of its load.
-func (c *Config) dayBounds() []bound {
+// fleetBounds returns the bounds of the fleet's size and its load.
+func (c *Config) fleetBounds() []bound {
 	return []bound{
 		{"sidecars", float64(c.Sidecars), 1, 1e5},
 		{"servers", float64(c.Servers), 1, 1e4},
@@ -270,7 +272,7 @@
 	}
 }
 
-// serverBounds are those of how servers work.
+// serverBounds returns the bounds of the server model.
 func (c *Config) serverBounds() []bound {
 	return []bound{
 		{"server.slots", float64(c.Server.Slots), 1, 1e9},
@@ -295,7 +297,7 @@
 	}
 }
 
-// environmentBounds are those of network, discovery and clients.
+// environmentBounds returns the bounds of network, discovery and clients.
 func (c *Config) environmentBounds() []bound {
 	return []bound{
 		{"network.near_ms", c.Network.Near, 0, 1e4},
@@ -313,7 +315,7 @@
 	}
 }
 
-// ruleBounds are those of the rules' figures.
+// ruleBounds returns the bounds of the rules' limits.
 func (c *Config) ruleBounds() []bound {
 	return []bound{
 		{"rules.grace_ms", c.Rules.DrainGrace, 0, unbounded},
@@ -327,32 +329,32 @@
 		{"rules.max_attempts", float64(c.Rules.MaxAttempts), 1, 100},
 		{"rules.round_ms", c.Rules.Round, 0, 1e3},
 		{"rules.over_share_worth", c.Rules.OverQuotaWeight, 0, 1},
-		{"rules.answer_slack_ms", c.Rules.AnswerSlack, 0, unbounded},
+		{"rules.answer_slack_ms", c.Rules.ResponseSlack, 0, unbounded},
 	}
 }
 
-// listBounds are those of the elements of lists.
+// listBounds returns the bounds of the elements of kinds, classes and tenants.
 func (c *Config) listBounds() (bounds []bound) {
 	for i, k := range c.Kinds {
-		at := fmt.Sprintf("kinds[%d].", i)
-		bounds = append(bounds, bound{at + "share", k.Fraction, 0, unbounded}, bound{at + "cores", k.Cores, 1, 1e4},
-			bound{at + "speed", k.Speed[0], 0.01, k.Speed[1]})
+		prefix := fmt.Sprintf("kinds[%d].", i)
+		bounds = append(bounds, bound{prefix + "share", k.Fraction, 0, unbounded}, bound{prefix + "cores", k.Cores, 1, 1e4},
+			bound{prefix + "speed", k.Speed[0], 0.01, k.Speed[1]})
 	}
 	for i, k := range c.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
-		bounds = append(bounds, bound{at + "share", k.Fraction, 0, unbounded}, bound{at + "work_ms", k.WorkMs, 0.001, unbounded},
-			bound{at + "wait_ms", k.WaitMs, 0, unbounded}, bound{at + "spread", k.Spread, 0, 10},
-			bound{at + "noise", k.Noise, 0, 10}, bound{at + "aim_ms", k.LatencyObjectiveMs, 1, unbounded}, bound{at + "deadline_ms", k.DeadlineMs, 1, unbounded},
-			bound{at + "worth", k.PriorityWeight, 0, unbounded}, bound{at + "late_worth", k.LateWeight, 0, 1})
+		prefix := fmt.Sprintf("classes[%d].", i)
+		bounds = append(bounds, bound{prefix + "share", k.Fraction, 0, unbounded}, bound{prefix + "work_ms", k.WorkMs, 0.001, unbounded},
+			bound{prefix + "wait_ms", k.WaitMs, 0, unbounded}, bound{prefix + "spread", k.Spread, 0, 10},
+			bound{prefix + "noise", k.Noise, 0, 10}, bound{prefix + "aim_ms", k.LatencyObjectiveMs, 1, unbounded}, bound{prefix + "deadline_ms", k.DeadlineMs, 1, unbounded},
+			bound{prefix + "worth", k.PriorityWeight, 0, unbounded}, bound{prefix + "late_worth", k.LateWeight, 0, 1})
 	}
 	for i, t := range c.Tenants {
-		at := fmt.Sprintf("tenants[%d].", i)
-		bounds = append(bounds, bound{at + "share", t.Fraction, 0, unbounded}, bound{at + "quota", t.Quota, 0, unbounded})
+		prefix := fmt.Sprintf("tenants[%d].", i)
+		bounds = append(bounds, bound{prefix + "share", t.Fraction, 0, unbounded}, bound{prefix + "quota", t.Quota, 0, unbounded})
 	}
 	return bounds
 }
 
-// quota is a tenant's; 0 in the plan stands for a quarter more than its part of the traffic.
+// quota returns a tenant's quota in requests per second; 0 in the plan means 1.25 times its part of the traffic.
 func (c *Config) quota(t int) float64 {
 	if q := c.Tenants[t].Quota; q > 0 {
 		return q
@@ -364,8 +366,8 @@
 	return 1.25 * c.Rate * c.Tenants[t].Fraction / all
 }
 
-// logic is what a sidecar in that zone is told.
-func (c *Config) logic(zone int) policy.Config {
+// policyConfig returns the policy's configuration for a sidecar in that zone.
+func (c *Config) policyConfig(zone int) policy.Config {
 	l := policy.Config{
 		OverQuotaWeight: c.Rules.OverQuotaWeight, Instances: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
 		MaxAttempts: c.Rules.MaxAttempts, MaxRetryAfter: 0, Round: c.Rules.Round, StartCapacity: c.Rules.StartCapacity,
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -2,39 +2,39 @@
 
 import "plankrouter/policy"
 
-// discovery sends the sidecars which processes run, drain or are gone. It does not notice servers that are silent.
+// discovery notifies the sidecars which processes run, drain or are gone. It does not notice silent servers.
 type discovery struct {
 	world           *world
-	endpoints       []policy.ServerInfo // of all that are not gone, in order of their first mention
+	endpoints       []policy.ServerInfo // of all that are not gone, in order of their first update
 	down            bool
-	endpointsBefore []policy.ServerInfo // lines when it went down
+	endpointsBefore []policy.ServerInfo // endpoints when it went down
 }
 
 func (m *machine) info(h policy.Health) policy.ServerInfo {
 	return policy.ServerInfo{ID: m.id, Zone: m.zone, Health: h, StartedAt: m.startedAt}
 }
 
-// change takes news of a server's process and passes it on.
-func (d *discovery) change(m *machine, h policy.Health) {
-	line := m.info(h)
-	remaining := d.endpoints[:0:0] // what has been sent may still be on its way
+// update records the health of a server's process and notifies the sidecars.
+func (d *discovery) update(m *machine, h policy.Health) {
+	updated := m.info(h)
+	remaining := d.endpoints[:0:0] // a new slice, since the present one may still be in use
 	known := false
 	for _, l := range d.endpoints {
-		if l.ID == line.ID {
-			l, known = line, true
+		if l.ID == updated.ID {
+			l, known = updated, true
 		}
 		if l.Health != policy.Gone {
 			remaining = append(remaining, l)
 		}
 	}
 	if !known && h != policy.Gone {
-		remaining = append(remaining, line)
+		remaining = append(remaining, updated)
 	}
 	d.endpoints = remaining
 	if d.down {
 		return
 	}
-	changes := []policy.ServerInfo{line}
+	changes := []policy.ServerInfo{updated}
 	set, rng := &d.world.cfg.Discovery, d.world.rngDiscovery
 	for _, sc := range d.world.sidecars {
 		if rng.Float64() < set.Lossy {
@@ -45,7 +45,8 @@
 	}
 }
 
-// notify brings news, or the whole list as it is by then if there is none, in the order in which it was sent.
+// notify sends a sidecar changes or, if changes is nil, the complete list as it is on arrival. Notifications arrive in the order
+// in which they are sent.
 func (d *discovery) notify(sc *sidecar, changes []policy.ServerInfo, delay policy.Ms) {
 	sc.notifiedUntil = max(sc.notifiedUntil, d.world.now+delay)
 	incarnation := sc.incarnation
@@ -60,17 +61,18 @@
 	})
 }
 
-// stop loses all that is still on its way; restart sends everyone the complete list.
+// stop takes discovery down; notifications that would arrive while it is down are lost.
 func (d *discovery) stop() { d.down, d.endpointsBefore = true, d.endpoints }
 
-// known is the list that a process begins with: it asks nobody who is down.
-func (d *discovery) known() []policy.ServerInfo {
+// initialEndpoints returns the list that a sidecar's process starts with; while discovery is down, the last one before.
+func (d *discovery) initialEndpoints() []policy.ServerInfo {
 	if d.down {
 		return d.endpointsBefore
 	}
 	return d.endpoints
 }
 
+// restart takes discovery up again and sends the complete list to every sidecar.
 func (d *discovery) restart() {
 	d.down = false
 	set := &d.world.cfg.Discovery
--- a/internal/testbench/emulator/discovery_test.go
+++ b/internal/testbench/emulator/discovery_test.go
@@ -20,25 +20,25 @@
 	}
 	until(1500)
 	m := w.machines[1]
-	w.discovery.change(m, policy.Draining)
+	w.discovery.update(m, policy.Draining)
 	until(1550)
-	w.discovery.stop() // with that still on its way
+	w.discovery.stop() // with that update in transit
 	until(3000)
-	w.discovery.change(m, policy.Gone)
+	w.discovery.update(m, policy.Gone)
 	until(4000)
 	if h := w.sidecars[0].known[m.id].health; h != policy.Ready {
-		t.Errorf("a directory that is down has told %v", h)
+		t.Errorf("discovery has notified of %v while it is down", h)
 	}
 	w.sidecars[1].kill()
 	w.sidecars[1].start()
 	if k := w.sidecars[1].known[m.id]; k == nil || k.health != policy.Draining {
-		t.Errorf("a sidecar that starts meanwhile knows %+v", k)
+		t.Errorf("a sidecar that starts meanwhile has %+v, want the last state before", k)
 	}
 	w.discovery.restart()
 	until(4200)
 	for _, sc := range w.sidecars {
 		if h := sc.known[m.id].health; h != policy.Gone {
-			t.Errorf("after its restart sidecar %d has %v", sc.number, h)
+			t.Errorf("after the restart of discovery sidecar %d has %v", sc.number, h)
 		}
 	}
 }
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// play runs a day that must not fail.
+// play simulates a run, which must not fail.
 func play(t *testing.T, cfg Config, wrap func(int, Policy) Policy) *Report {
 	t.Helper()
 	r, err := Run(context.Background(), cfg, Options{Wrap: wrap})
@@ -21,7 +21,7 @@
 	return r
 }
 
-// text is all that a report writes.
+// text returns the report in all its formats.
 func text(t *testing.T, r *Report) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -36,16 +36,16 @@
 	return b.String()
 }
 
-// brief is the part of a report that says why a test has failed.
+// brief returns the part of a report that explains a failed test.
 func brief(r *Report) string {
-	return fmt.Sprintf("requests %d, service %.3f, %.1f ms, %.3f attempts, %.3f handshakes, turned away %d, lost %d, "+
+	return fmt.Sprintf("requests %d, service %.3f, %.1f ms, %.3f attempts, %.3f handshakes, rejected %d, lost %d, "+
 		"broken %v; %v", r.Requests, r.Service, r.MeanMs, r.Attempts, r.Handshakes, r.Rejected, r.Lost, r.Broken,
 		r.Timeline)
 }
 
-// plain is a world without delays, limits and losses: one server with so many cores of speed 1 and slots, and one class
-// of 10 ms.
-func plain(cores float64, slots int, load float64) Config {
+// idealQueue returns a configuration without network delays, limits and losses: one server with that many cores of speed 1 and
+// slots, and one class with 10 ms of work.
+func idealQueue(cores float64, slots int, load float64) Config {
 	c := Default(1, 1)
 	c.Policy, c.Seed, c.Zones, c.Rate, c.Seconds = "random", 2, 1, load*cores*100, 400/cores
 	c.Kinds = []Kind{{Fraction: 1, Cores: cores, Speed: [2]float64{1, 1}}}
@@ -60,20 +60,20 @@
 
 func TestScheduleKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var a schedule
-	type due struct{ at, entered int }
-	var got, want []due
+	var s schedule
+	type entry struct{ time, seq int }
+	var got, want []entry
 	for i := range 5000 {
-		d := due{rng.IntN(50), i}
+		d := entry{rng.IntN(50), i}
 		want = append(want, d)
-		a.at(float64(d.at), func() { got = append(got, d) })
+		s.at(float64(d.time), func() { got = append(got, d) })
 	}
-	slices.SortStableFunc(want, func(x, y due) int { return x.at - y.at })
-	for len(a.heap) > 0 {
-		a.next()()
+	slices.SortStableFunc(want, func(x, y entry) int { return x.time - y.time })
+	for len(s.heap) > 0 {
+		s.next()()
 	}
 	if !slices.Equal(got, want) {
-		t.Error("events come in another order than by time, then by entry")
+		t.Error("events are not in order of time, then of scheduling")
 	}
 }
 
@@ -83,20 +83,20 @@
 	for _, name := range []string{"deploy", "silence", "restart", "neighbour", "directory"} {
 		cfg.Faults = append(cfg.Faults, Fault{Name: name})
 	}
-	cfg.Faults[2].For = 0.02 // back before the clients' next tries, whose order could show a map's
+	cfg.Faults[2].For = 0.02 // restarts before the clients' retries, whose order would show an iteration over a map
 	first := text(t, play(t, cfg, nil))
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	if text(t, play(t, cfg, nil)) != first {
-		t.Error("one processor: another report")
+		t.Error("the report differs with GOMAXPROCS 1")
 	}
 	cfg.Seed++
 	if text(t, play(t, cfg, nil)) == first {
-		t.Error("another seed: the same report")
+		t.Error("another seed gives the same report")
 	}
 }
 
-// dayWith is a world for faults and mutants: the calm part, the fault from 3 s on.
-func dayWith(policy string, faults ...Fault) Config {
+// configWith returns a configuration of 12 s with faults that begin at 3 s.
+func configWith(policy string, faults ...Fault) Config {
 	c := Default(4, 10)
 	c.Policy, c.Seconds, c.Faults = policy, 12, faults
 	for i := range faults {
@@ -105,15 +105,15 @@
 	return c
 }
 
-func TestEmptyDays(t *testing.T) {
-	none := dayWith("module")
+func TestEmptyRuns(t *testing.T) {
+	none := configWith("module")
 	none.Rate = 0
 	if r := play(t, none, nil); r.Requests != 0 || r.Service != 1 || !r.Ok() || strings.Contains(text(t, r), "NaN") {
-		t.Errorf("no arrivals: %s", brief(r))
+		t.Errorf("without arrivals: %s", brief(r))
 	}
-	all := dayWith("module", Fault{Name: "silence", For: 20, Part: 1})
+	all := configWith("module", Fault{Name: "silence", For: 20, Part: 1})
 	if r := play(t, all, nil); r.Rows[8].Service != 0 || !r.Ok() {
-		t.Errorf("all servers silent: %s", brief(r))
+		t.Errorf("with all servers silent: %s", brief(r))
 	}
 }
 
@@ -122,7 +122,7 @@
 		`{"servrs":3}`:                              "servrs",
 		"{\n\"rate\":\"x\"}":                        "line 2",
 		"{\"rate\":1\n\n]":                          "line 3",
-		`{} {}`:                                     "more follows",
+		`{} {}`:                                     "after the JSON object",
 		`{"rate":-1}`:                               "rate",
 		`{"policy":"tea"}`:                          "tea",
 		`{"kinds":[]}`:                              "kinds",
@@ -140,11 +140,11 @@
 			t.Errorf("%s: %v", plan, err)
 		}
 	}
-	was := Default(1, 1)
-	got := was
+	before := Default(1, 1)
+	got := before
 	plan := `{"zones":2,"kinds":[{"share":1,"cores":8,"speed":[1,1]}]}`
 	if err := ReadPlan(strings.NewReader(plan), &got); err != nil ||
-		got.Zones != 2 || len(got.Kinds) != 1 || len(got.Classes) != 3 || was.Kinds[0].Cores != 4 {
-		t.Errorf("%+v %v; before it %+v", got, err, was)
+		got.Zones != 2 || len(got.Kinds) != 1 || len(got.Classes) != 3 || before.Kinds[0].Cores != 4 {
+		t.Errorf("%+v %v; before it %+v", got, err, before)
 	}
 }
--- a/internal/testbench/emulator/fault.go
+++ b/internal/testbench/emulator/fault.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Fault is something that goes wrong. What is 0 in a plan is drawn from the day's seed; Troubles says what Part, Size
-// and Every mean for each.
+// Fault is a fault that is injected into a run. Values that are 0 are drawn from the run's seed; FaultKind.About says what Part,
+// Size and Every mean for each kind.
 type Fault struct {
 	Name  string  `json:"name"`
-	At    float64 `json:"at_s"`
-	For   float64 `json:"for_s"`
+	At    float64 `json:"at_s"`  // start, from the first arrival on
+	For   float64 `json:"for_s"` // duration
 	Part  float64 `json:"part"`
 	Size  float64 `json:"size"`
 	Every float64 `json:"every_s"`
 	Class string  `json:"class"` // of costly requests
-	Zone  int     `json:"zone"`  // with silence: this zone, from 1, whose processes live on; 0 = a part of all servers
+	Zone  int     `json:"zone"`  // of silence: number, from 1, of the zone, whose processes keep running; 0 = by Part
 }
 
 func (f Fault) String() string {
@@ -40,14 +40,14 @@
 	return s
 }
 
-// FaultKind is a kind of fault, and the ranges from which it is drawn; a range of zeros is not used.
+// FaultKind is a kind of fault, with the ranges from which values are drawn; a range of zeros is unused.
 type FaultKind struct {
 	Name, About            string
 	For, Part, Size, Every [2]float64
-	play                   func(w *world, t Fault, rng *rand.Rand)
+	inject                 func(w *world, f Fault, rng *rand.Rand)
 }
 
-// FaultKinds lists the kinds, by name.
+// FaultKinds returns all kinds, sorted by name.
 func FaultKinds() []FaultKind {
 	kinds := make([]FaultKind, 0, len(faultKinds))
 	for _, k := range faultKinds {
@@ -61,7 +61,7 @@
 	byName := map[string]FaultKind{}
 	for _, k := range []FaultKind{
 		{
-			"silence", "a part of the servers says nothing at all, and is back with cold processes",
+			"silence", "a part of the servers is unreachable, unknown to discovery, and returns with cold processes",
 			[2]float64{8, 20},
 			[2]float64{0.05, 0.2},
 			[2]float64{},
@@ -69,7 +69,7 @@
 			silence,
 		},
 		{
-			"failures", "a part of the servers quickly fails a part (size) of what it gets",
+			"failures", "a part of the servers quickly fails a part (size) of its requests",
 			[2]float64{5, 15},
 			[2]float64{0.05, 0.2},
 			[2]float64{0.4, 1},
@@ -77,7 +77,7 @@
 			failRequests,
 		},
 		{
-			"neighbour", "another program takes a part (size) of the machine of a part of the servers, on and off (every)",
+			"neighbour", "another program takes a part (size) of the capacity of a part of the servers, on and off (every)",
 			[2]float64{10, 20},
 			[2]float64{0.1, 0.5},
 			[2]float64{0.3, 0.7},
@@ -85,7 +85,7 @@
 			neighbour,
 		},
 		{
-			"costly", "a part of one class's requests needs many times (size) the work",
+			"costly", "a part of one class's requests needs a multiple (size) of the work",
 			[2]float64{8, 15},
 			[2]float64{0.01, 0.03},
 			[2]float64{5, 30},
@@ -109,7 +109,7 @@
 			releaseSlow,
 		},
 		{
-			"release-mute", "a deploy whose successors refuse probes; batches are a tenth of all",
+			"release-mute", "a deploy whose successors reject probes; batches are a tenth of all",
 			[2]float64{12, 20},
 			[2]float64{0.2, 0.6},
 			[2]float64{},
@@ -117,7 +117,7 @@
 			releaseMute,
 		},
 		{
-			"cutoff", "nothing gets into a zone or out of it",
+			"cutoff", "a network partition isolates a zone",
 			[2]float64{4, 12},
 			[2]float64{},
 			[2]float64{},
@@ -125,7 +125,7 @@
 			cutoff,
 		},
 		{
-			"restart", "a part of the sidecars is killed at once; each is back within a time (for)",
+			"restart", "a part of the sidecars is killed at once; each restarts within a time (for)",
 			[2]float64{0.5, 2},
 			[2]float64{0.5, 0.5},
 			[2]float64{},
@@ -133,7 +133,7 @@
 			restart,
 		},
 		{
-			"pause", "a part of the servers does nothing for a while; connections still come up",
+			"pause", "a part of the servers stops processing for a while, but still accepts connections",
 			[2]float64{0.5, 3},
 			[2]float64{0.1, 0.4},
 			[2]float64{},
@@ -141,7 +141,7 @@
 			pauseServers,
 		},
 		{
-			"resets", "a part of what is sent ends in a reset",
+			"resets", "a part of the requests and probes ends in a connection reset",
 			[2]float64{5, 15},
 			[2]float64{0.01, 0.1},
 			[2]float64{},
@@ -149,7 +149,7 @@
 			resets,
 		},
 		{
-			"directory", "discovery is down, and lists all changes when it is back",
+			"directory", "discovery is down, and sends the complete list when it is back",
 			[2]float64{8, 15},
 			[2]float64{},
 			[2]float64{},
@@ -171,28 +171,28 @@
 }()
 
 func (f *Fault) check(c *Config) error {
-	_, have := faultKinds[f.Name]
+	_, known := faultKinds[f.Name]
 	switch {
-	case !have:
+	case !known:
 		var names []string
 		for _, k := range FaultKinds() {
 			names = append(names, k.Name)
 		}
-		return fmt.Errorf("name: there is no %q; there are %s", f.Name, strings.Join(names, ", "))
+		return fmt.Errorf("name: unknown fault %q; want one of %s", f.Name, strings.Join(names, ", "))
 	case min(f.At, f.For, f.Part, f.Size, f.Every) < 0 || f.Part > 1:
-		return fmt.Errorf("%s: a figure is below 0, or part above 1: %v", f.Name, *f)
-	case !f.sizeIsPart():
-		return fmt.Errorf("%s: size: %v; it is a part, below 1", f.Name, f.Size)
+		return fmt.Errorf("%s: a value is below 0, or part above 1: %v", f.Name, *f)
+	case !f.sizeValid():
+		return fmt.Errorf("%s: size: %v; want a fraction below 1", f.Name, f.Size)
 	case f.Zone < 0 || f.Zone > c.Zones:
 		return fmt.Errorf("%s: zone: %d; want 0 to %d", f.Name, f.Zone, c.Zones)
 	case f.Class != "" && !slices.ContainsFunc(c.Classes, func(k Class) bool { return k.Name == f.Class }):
-		return fmt.Errorf("%s: class: there is no %q", f.Name, f.Class)
+		return fmt.Errorf("%s: class: unknown class %q", f.Name, f.Class)
 	}
 	return nil
 }
 
-// sizeIsPart reports whether the size is a part below 1 where the kind wants one.
-func (f *Fault) sizeIsPart() bool {
+// sizeValid reports whether Size is below 1, or up to 1 for failures, for the kinds for which it is a fraction.
+func (f *Fault) sizeValid() bool {
 	switch f.Name {
 	case "neighbour", "deploy":
 		return f.Size < 1
@@ -202,7 +202,7 @@
 	return true
 }
 
-// Random names up to three kinds, drawn from seed.
+// Random returns the names of one to three kinds, drawn from seed.
 func Random(seed uint64) (names []string) {
 	rng := rand.New(rand.NewPCG(seed, mix(seed, 77)))
 	kinds := FaultKinds()
@@ -212,23 +212,23 @@
 	return names
 }
 
-// drawn fills in what a plan has left open.
+// drawn returns f with values for the fields that are 0, drawn at random.
 func (f Fault) drawn(c *Config, rng *rand.Rand) Fault {
 	k := faultKinds[f.Name]
-	timed := f.For > 0
+	hasDuration := f.For > 0
 	at := (0.2 + 0.2*rng.Float64()) * c.Seconds
 	for _, field := range []struct {
-		to *float64
-		in [2]float64
+		value  *float64
+		bounds [2]float64
 	}{{&f.For, k.For}, {&f.Part, k.Part}, {&f.Size, k.Size}, {&f.Every, k.Every}} {
-		if v := between(rng, field.in); *field.to == 0 { // drawn in any case: a figure that is given must not move the others
-			*field.to = v
+		if v := uniform(rng, field.bounds); *field.value == 0 { // always drawn, so that a given value does not change the others
+			*field.value = v
 		}
 	}
 	if f.At == 0 {
 		f.At = at
 	}
-	if !timed {
+	if !hasDuration {
 		f.For = min(f.For, 0.6*c.Seconds)
 	}
 	class := c.Classes[rng.IntN(len(c.Classes))].Name
--- a/internal/testbench/emulator/fault_servers.go
+++ b/internal/testbench/emulator/fault_servers.go
@@ -10,7 +10,7 @@
 	"plankrouter/policy"
 )
 
-// someServers are a part of the servers, one at least, and their numbers.
+// someServers returns a random part of the servers, at least one, and their ids as text.
 func (w *world) someServers(part float64, rng *rand.Rand) ([]*machine, string) {
 	all := w.alive()
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -22,118 +22,118 @@
 	return all, strings.Join(ids, " ")
 }
 
-// forSomeServers does something to a part of the servers, and undoes it when the fault is over, where the process is the same.
-func forSomeServers(w *world, t Fault, rng *rand.Rand, do, undo func(*machine)) {
-	some, ids := w.someServers(t.Part, rng)
-	w.note("%s begins at servers %s", t.Name, ids)
+// forSomeServers calls do for the processes of a random part of the servers, and undo for the same processes when the fault ends.
+func forSomeServers(w *world, f Fault, rng *rand.Rand, do, undo func(*machine)) {
+	some, ids := w.someServers(f.Part, rng)
+	w.note("%s begins at servers %s", f.Name, ids)
 	for _, m := range some {
 		do(m)
-		m.settle()
-		m.resume()
-		w.after(t.For*1000, func() {
+		m.advance()
+		m.reschedule()
+		w.after(f.For*1000, func() {
 			undo(m)
-			m.settle()
-			m.resume()
+			m.advance()
+			m.reschedule()
 		})
 	}
-	w.after(t.For*1000, func() { w.note("%s ends", t.Name) })
+	w.after(f.For*1000, func() { w.note("%s ends", f.Name) })
 }
 
-func silence(w *world, t Fault, rng *rand.Rand) {
-	if t.Zone > 0 {
-		silentZone(w, t)
+func silence(w *world, f Fault, rng *rand.Rand) {
+	if f.Zone > 0 {
+		silentZone(w, f)
 		return
 	}
-	forSomeServers(w, t, rng, func(m *machine) { m.phase = silent }, func(m *machine) {
+	forSomeServers(w, f, rng, func(m *machine) { m.phase = silent }, func(m *machine) {
 		if m.phase == silent {
 			m.start()
 		}
 	})
 }
 
-// silentZone lets nothing into or out of the servers of a zone. They work on meanwhile.
-func silentZone(w *world, t Fault) {
-	w.note("silence begins in zone %d", t.Zone)
+// silentZone makes the servers of a zone unreachable for the duration of the fault. They continue to process requests.
+func silentZone(w *world, f Fault) {
+	w.note("silence begins in zone %d", f.Zone)
 	for _, m := range w.alive() {
-		if m.zone != t.Zone-1 || m.phase != serving {
+		if m.zone != f.Zone-1 || m.phase != serving {
 			continue
 		}
 		m.phase = silent
-		w.after(t.For*1000, func() {
+		w.after(f.For*1000, func() {
 			if m.phase == silent {
 				m.phase = serving
 			}
 		})
 	}
-	w.after(t.For*1000, func() { w.note("silence ends") })
+	w.after(f.For*1000, func() { w.note("silence ends") })
 }
 
-func failRequests(w *world, t Fault, rng *rand.Rand) {
-	forSomeServers(w, t, rng, func(m *machine) { m.failing = t.Size }, func(m *machine) { m.failing = 0 })
+func failRequests(w *world, f Fault, rng *rand.Rand) {
+	forSomeServers(w, f, rng, func(m *machine) { m.failing = f.Size }, func(m *machine) { m.failing = 0 })
 }
 
-func pauseServers(w *world, t Fault, rng *rand.Rand) {
-	forSomeServers(w, t, rng, func(m *machine) { m.settle(); m.paused = true }, func(m *machine) { m.settle(); m.paused = false })
+func pauseServers(w *world, f Fault, rng *rand.Rand) {
+	forSomeServers(w, f, rng, func(m *machine) { m.advance(); m.paused = true }, func(m *machine) { m.advance(); m.paused = false })
 }
 
-func neighbour(w *world, t Fault, rng *rand.Rand) {
-	until := w.now + t.For*1000
-	forSomeServers(w, t, rng, func(m *machine) {
-		h, place := m.host, len(m.host.taken) // the process may be replaced meanwhile: the neighbour stays
+func neighbour(w *world, f Fault, rng *rand.Rand) {
+	until := w.now + f.For*1000
+	forSomeServers(w, f, rng, func(m *machine) {
+		h, index := m.host, len(m.host.taken) // the process may be replaced meanwhile, but the neighbour stays on the host
 		h.taken = append(h.taken, 0)
 		set := func(part float64) {
-			h.current.settle()
-			h.taken[place] = part
-			h.current.resume()
+			h.current.advance()
+			h.taken[index] = part
+			h.current.reschedule()
 		}
 		var toggle func()
 		toggle = func() {
 			if w.now < until {
-				set(t.Size - h.taken[place])
-				w.after(t.Every*1000*(0.5+rng.Float64()), toggle)
+				set(f.Size - h.taken[index])
+				w.after(f.Every*1000*(0.5+rng.Float64()), toggle)
 			}
 		}
-		w.after(rng.Float64()*t.Every*1000, toggle)
-		w.after(t.For*1000, func() { set(0) })
+		w.after(rng.Float64()*f.Every*1000, toggle)
+		w.after(f.For*1000, func() { set(0) })
 	}, func(*machine) {})
 }
 
-func costlyRequests(w *world, t Fault, _ *rand.Rand) {
-	class := slices.IndexFunc(w.cfg.Classes, func(k Class) bool { return k.Name == t.Class })
-	w.costly = append(w.costly, costly{class, t.Part, t.Size})
-	w.note("costly begins: %.1f%% of %s need %.1f times the work", 100*t.Part, t.Class, t.Size)
-	w.after(t.For*1000, func() {
-		w.costly = slices.DeleteFunc(w.costly, func(c costly) bool { return c == costly{class, t.Part, t.Size} })
+func costlyRequests(w *world, f Fault, _ *rand.Rand) {
+	class := slices.IndexFunc(w.cfg.Classes, func(k Class) bool { return k.Name == f.Class })
+	w.costly = append(w.costly, costly{class, f.Part, f.Size})
+	w.note("costly begins: %.1f%% of %s need %.1f times the work", 100*f.Part, f.Class, f.Size)
+	w.after(f.For*1000, func() {
+		w.costly = slices.DeleteFunc(w.costly, func(c costly) bool { return c == costly{class, f.Part, f.Size} })
 		w.note("costly ends")
 	})
 }
 
-func deploy(w *world, t Fault, rng *rand.Rand) { replace(w, t, rng, t.Size, func(*machine) {}) }
+func deploy(w *world, f Fault, rng *rand.Rand) { replace(w, f, rng, f.Size, func(*machine) {}) }
 
-func releaseSlow(w *world, t Fault, rng *rand.Rand) {
-	replace(w, t, rng, 0.1, func(m *machine) { m.slow = t.Size })
+func releaseSlow(w *world, f Fault, rng *rand.Rand) {
+	replace(w, f, rng, 0.1, func(m *machine) { m.slow = f.Size })
 }
 
-func releaseMute(w *world, t Fault, rng *rand.Rand) {
-	replace(w, t, rng, 0.1, func(m *machine) { m.rejectsProbes = true })
+func releaseMute(w *world, f Fault, rng *rand.Rand) {
+	replace(w, f, rng, 0.1, func(m *machine) { m.rejectsProbes = true })
 }
 
-// replace drains servers in batches, ends each after its drain and starts one with a new id in its place.
-func replace(w *world, t Fault, rng *rand.Rand, batch float64, change func(*machine)) {
-	some, ids := w.someServers(t.Part, rng)
+// replace drains servers in batches, ends each process after its drain and starts one with a new id in its place.
+func replace(w *world, f Fault, rng *rand.Rand, batch float64, change func(*machine)) {
+	some, ids := w.someServers(f.Part, rng)
 	n := max(1, int(math.Round(batch*float64(len(w.alive())))))
 	batches := float64((len(some) + n - 1) / n)
-	w.note("%s begins: %d at a time of servers %s", t.Name, n, ids)
+	w.note("%s begins: %d at a time of servers %s", f.Name, n, ids)
 	for i, old := range some {
-		w.after(t.For*1000*math.Floor(float64(i)/float64(n))/batches, func() {
+		w.after(f.For*1000*math.Floor(float64(i)/float64(n))/batches, func() {
 			if old.phase != serving {
 				return
 			}
 			old.phase = draining
-			w.discovery.change(old, policy.Draining)
-			w.after(t.Every*1000, func() {
-				old.die()
-				w.discovery.change(old, policy.Gone)
+			w.discovery.update(old, policy.Draining)
+			w.after(f.Every*1000, func() {
+				old.exit()
+				w.discovery.update(old, policy.Gone)
 				m := &machine{
 					world: w, id: policy.ServerID(len(w.machines) + 1), zone: old.zone, cores: old.cores,
 					speed: old.speed, slow: old.slow, host: old.host, probeTokens: w.cfg.Server.MaxProbes,
@@ -146,5 +146,5 @@
 			})
 		})
 	}
-	w.after((t.For+t.Every)*1000, func() { w.note("%s ends", t.Name) })
+	w.after((f.For+f.Every)*1000, func() { w.note("%s ends", f.Name) })
 }
--- a/internal/testbench/emulator/fault_test.go
+++ b/internal/testbench/emulator/fault_test.go
@@ -5,14 +5,14 @@
 )
 
 func TestEachFaultChangesWhatItShould(t *testing.T) {
-	calm := map[string]*Report{}
+	baseline := map[string]*Report{}
 	for _, p := range []string{"random", "module"} {
-		calm[p] = play(t, dayWith(p), nil)
+		baseline[p] = play(t, configWith(p), nil)
 	}
 	for _, c := range []struct {
 		policy string
-		t      Fault
-		shows  func(r, calm *Report) bool
+		fault  Fault
+		shows  func(r, baseline *Report) bool
 	}{
 		{"random", Fault{Name: "silence", For: 5, Part: 0.2}, func(r, c *Report) bool {
 			return r.Rows[5].Silent == 2 && r.Rows[9].Silent == 0 && r.Service < c.Service-0.02
@@ -45,21 +45,21 @@
 			return r.Rows[4].Requests > 2*c.Rows[4].Requests && r.Rows[4].Service < c.Rows[4].Service
 		}},
 	} {
-		if r := play(t, dayWith(c.policy, c.t), nil); !c.shows(r, calm[c.policy]) || !r.Ok() {
-			t.Errorf("%s does not show, or a rule is broken: %s", c.t.Name, brief(r))
+		if r := play(t, configWith(c.policy, c.fault), nil); !c.shows(r, baseline[c.policy]) || !r.Ok() {
+			t.Errorf("%s has no effect, or a rule is broken: %s", c.fault.Name, brief(r))
 		}
 	}
 	deploy := Fault{Name: "deploy", For: 3, Part: 0.5, Size: 0.1, Every: 1}
-	deployed := play(t, dayWith("module", deploy), nil)
-	slow := play(t, dayWith("module", Fault{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
-	mute := play(t, dayWith("module", Fault{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
+	deployed := play(t, configWith("module", deploy), nil)
+	slow := play(t, configWith("module", Fault{Name: "release-slow", For: 3, Part: 0.5, Size: 2, Every: 1}), nil)
+	mute := play(t, configWith("module", Fault{Name: "release-mute", For: 3, Part: 0.5, Every: 1}), nil)
 	if slow.MeanMs < deployed.MeanMs+10 || slow.Requests != deployed.Requests || mute.Probes < deployed.Probes+0.1 {
-		t.Errorf("a deploy: %s, %.3f probes; a slow one: %s; a mute one: %.3f probes", brief(deployed), deployed.Probes,
+		t.Errorf("deploy: %s, %.3f probes; release-slow: %s; release-mute: %.3f probes", brief(deployed), deployed.Probes,
 			brief(slow), mute.Probes)
 	}
-	hidden := play(t, dayWith("module", deploy, Fault{Name: "directory", For: 8}), nil)
+	hidden := play(t, configWith("module", deploy, Fault{Name: "directory", For: 8}), nil)
 	if hidden.Service >= deployed.Service-0.02 {
-		t.Errorf("a deploy that the directory hides: %.3f are served, one that it tells: %.3f", hidden.Service,
+		t.Errorf("service during a deploy with discovery down: %.3f, with discovery up: %.3f", hidden.Service,
 			deployed.Service)
 	}
 }
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	breachesKept = 20 // of each rule; all are counted
-	pushesShown  = 12 // of those that felled a server
-	notifiedPart = 2.0 / 3
-	slackMs      = 0.5 // a sidecar's last moment for a first byte is its grace, give or take what a clock shows
+	maxBreaches         = 20      // that are reported for each rule; all are counted
+	maxArrivalsShown    = 12      // in the breach of an overloaded cold server, the last ones
+	minNotifiedFraction = 2.0 / 3 // of the work, from notified sidecars, for the overload of a cold server to break a rule
+	drainSlack          = 0.5     // ms beyond a drain's grace in which a request may be sent, for the rounding of clocks
 )
 
-// Rule is one of the rules that no day may break.
+// Rule is an invariant of every run. Its text is its name in reports.
 type Rule string
 
-// The rules.
+// The rules, with their texts in reports.
 const (
-	OneAnswer  Rule = "one final answer for each request, in time"
-	NoRerun    Rule = "nothing unsafe is sent again, or refused, after an attempt that may have run"
-	OneAttempt Rule = "one attempt of a request out at a time"
-	Drained    Rule = "nothing new to a server that drains or is gone, after the grace"
-	ColdServer Rule = "no cold server pushed over"
+	OneResponse Rule = "one final answer for each request, in time"
+	NoRerun     Rule = "nothing unsafe is sent again, or refused, after an attempt that may have run"
+	OneAttempt  Rule = "one attempt of a request out at a time"
+	Drained     Rule = "nothing new to a server that drains or is gone, after the grace"
+	ColdServer  Rule = "no cold server pushed over"
 )
 
-// Breach is one case of a broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule    Rule     `json:"rule"`
 	At      float64  `json:"at_s"`
-	Sidecar int      `json:"sidecar"` // -1 = not one alone
-	Request uint32   `json:"request"` // the sidecar's number of it; 0 = none
+	Sidecar int      `json:"sidecar"` // -1 = no single one
+	Request uint32   `json:"request"` // its number at the sidecar; 0 = none
 	Server  uint32   `json:"server"`  // 0 = none
 	What    string   `json:"what"`
-	Steps   []string `json:"steps"` // what led to it
+	Steps   []string `json:"steps"` // events that led to it
 }
 
-// step is a line of a request's story.
+// step is an event in the history of a request.
 type step struct {
 	time   policy.Ms
 	what   string
@@ -48,7 +48,7 @@
 var statusNames = [...]string{"ok", "failed", "full", "timed out", "no connection", "reset", "cancelled", "not sent"}
 
 func (s step) String() string {
-	line := fmt.Sprintf("%.4f s %s", (s.time-lead)/1000, s.what)
+	line := fmt.Sprintf("%.4f s %s", (s.time-leadTime)/1000, s.what)
 	if s.server != 0 {
 		line += fmt.Sprintf(" server %d", s.server)
 	}
@@ -58,15 +58,16 @@
 	return line
 }
 
+// steps returns the history of a request as text.
 func (j *judge) steps(r *request) []string {
-	out := []string{fmt.Sprintf("class %s, try %d", j.world.cfg.Classes[r.origin.class].Name, r.number)}
+	out := []string{fmt.Sprintf("class %s, client attempt %d", j.world.cfg.Classes[r.origin.class].Name, r.number)}
 	for _, s := range r.log {
 		out = append(out, s.String())
 	}
 	return out
 }
 
-// servedFraction is how much was requested, by weight, and how much of that was answered in time.
+// servedFraction sums the weights of requests and of those that were served in time.
 type servedFraction struct{ requested, served float64 }
 
 func (s servedFraction) ratio() float64 {
@@ -76,7 +77,7 @@
 	return s.served / s.requested
 }
 
-// judge sees every event, checks the rules and counts.
+// judge observes every event, checks the rules and counts.
 type judge struct {
 	world    *world
 	breaches []Breach
@@ -85,29 +86,29 @@
 
 	all           servedFraction
 	seconds       []servedFraction // by the second of the arrival
-	inTime        []servedFraction // the same, each request counting for one
+	inTime        []servedFraction // the same with a weight of 1 for each request
 	classes       []servedFraction
-	tenants       []servedFraction // within their shares
+	tenants       []servedFraction // within their quotas
 	quota         []bucket
 	rows          []Row
-	tally         Row // of the second that runs
+	tally         Row // of the current second
 	late          int
-	left          int
+	clientsLeft   int
 	lost          int
 	servedCount   int
 	requestCount  int
 	inObjective   int
-	took          float64 // sum over what was served, from the first try on
+	latencySum    float64 // of served requests, from the first client attempt on
 	workDone      float64
 	workUsed      float64
 	workRequested float64
-	waits         float64
-	begun         int
+	waitSum       float64 // of started jobs, for a slot
+	startedJobs   int
 
-	attempts, crossZone, probes, handshakes, rejected, jams, falls int
+	attempts, crossZone, probes, handshakes, rejected, jams, coldOverloads int
 }
 
-// bucket is a tenant's share: a second's quota may come at once.
+// bucket is the token bucket of a tenant's quota. It holds the quota of one second, but at least 5 requests.
 type bucket struct {
 	tokens     float64
 	refilledAt policy.Ms
@@ -121,7 +122,7 @@
 		inTime:  make([]servedFraction, int(math.Ceil(w.cfg.Seconds))),
 	}
 	for t := range j.quota {
-		j.quota[t] = bucket{max(5, w.cfg.quota(t)), lead}
+		j.quota[t] = bucket{max(5, w.cfg.quota(t)), leadTime}
 	}
 	return j
 }
@@ -129,11 +130,11 @@
 func (j *judge) breach(rule Rule, sc *sidecar, r *request, server policy.ServerID, steps []string, format string,
 	args ...any,
 ) {
-	if j.broken[rule]++; j.broken[rule] > breachesKept {
+	if j.broken[rule]++; j.broken[rule] > maxBreaches {
 		return
 	}
 	b := Breach{
-		Rule: rule, At: (j.world.now - lead) / 1000, Sidecar: -1, Server: uint32(server), Steps: steps,
+		Rule: rule, At: (j.world.now - leadTime) / 1000, Sidecar: -1, Server: uint32(server), Steps: steps,
 		What: fmt.Sprintf(format, args...),
 	}
 	if sc != nil {
@@ -147,7 +148,7 @@
 
 // ---- What is requested and served.
 
-// requestArrived notes a first try and says whether it is within its tenant's share.
+// requestArrived counts a client request and returns whether it is within its tenant's quota.
 func (j *judge) requestArrived(a *clientRequest) (withinQuota bool) {
 	withinQuota = true
 	if a.tenant >= 0 {
@@ -161,12 +162,12 @@
 	j.requestCount++
 	j.tally.Requests++
 	j.workRequested += a.work
-	j.inTime[int((a.arrivedAt-lead)/1000)].requested++
-	j.addOutcome(a, func(p *servedFraction, worth float64) { p.requested += worth })
+	j.inTime[int((a.arrivedAt-leadTime)/1000)].requested++
+	j.addOutcome(a, func(p *servedFraction, weight float64) { p.requested += weight })
 	return withinQuota
 }
 
-// addOutcome does do for all that a request counts to.
+// addOutcome calls do with the request's weight for each sum that includes the request.
 func (j *judge) addOutcome(a *clientRequest, do func(p *servedFraction, weight float64)) {
 	weight := j.world.cfg.Classes[a.class].PriorityWeight
 	if !a.withinQuota {
@@ -174,13 +175,13 @@
 	}
 	do(&j.all, weight)
 	do(&j.classes[a.class], weight)
-	do(&j.seconds[int((a.arrivedAt-lead)/1000)], weight)
+	do(&j.seconds[int((a.arrivedAt-leadTime)/1000)], weight)
 	if a.tenant >= 0 && a.withinQuota {
 		do(&j.tenants[a.tenant], weight)
 	}
 }
 
-// served notes the answer that a client got for its request.
+// served counts a server's response that a client has received.
 func (j *judge) served(r *request) {
 	a := r.origin
 	class := &j.world.cfg.Classes[a.class]
@@ -189,7 +190,7 @@
 		return
 	}
 	j.servedCount++
-	j.took += took
+	j.latencySum += took
 	j.workUsed += r.work
 	fraction := 1.0
 	if took > class.LatencyObjectiveMs {
@@ -199,14 +200,14 @@
 	} else {
 		j.inObjective++
 		j.tally.InObjective++
-		j.inTime[int((a.arrivedAt-lead)/1000)].served++
+		j.inTime[int((a.arrivedAt-leadTime)/1000)].served++
 	}
-	j.addOutcome(a, func(p *servedFraction, worth float64) { p.served += worth * fraction })
+	j.addOutcome(a, func(p *servedFraction, weight float64) { p.served += weight * fraction })
 }
 
 func (j *judge) waited(ms float64) {
-	j.waits += ms
-	j.begun++
+	j.waitSum += ms
+	j.startedJobs++
 }
 
 func (j *judge) probed() {
@@ -218,7 +219,7 @@
 
 // ---- The rules.
 
-func (j *judge) arrived(r *request) {
+func (j *judge) requestReceived(r *request) {
 	j.log(r, step{what: "taken"})
 }
 
@@ -227,51 +228,51 @@
 	r.log = append(r.log, s)
 }
 
-// sent is the policy's Send, before it is carried out.
-func (j *judge) sent(sc *sidecar, a *policy.Action, r *request) {
+// attemptStarted checks a StartAttempt action before it is executed.
+func (j *judge) attemptStarted(sc *sidecar, a *policy.Action, r *request) {
 	if r == nil {
-		j.breach(OneAnswer, sc, nil, a.Server, nil, "request %d is sent, but it has ended", a.Request)
+		j.breach(OneResponse, sc, nil, a.Server, nil, "request %d is sent, but it has ended", a.Request)
 		return
 	}
 	j.log(r, step{what: "sent to", server: a.Server})
 	switch {
 	case r.answered:
-		j.breach(OneAnswer, sc, r, a.Server, j.steps(r), "sent after its final answer")
+		j.breach(OneResponse, sc, r, a.Server, j.steps(r), "sent after its final response")
 	case r.attemptsInFlight > 0:
-		j.breach(OneAttempt, sc, r, a.Server, j.steps(r), "sent while an attempt is out")
+		j.breach(OneAttempt, sc, r, a.Server, j.steps(r), "sent while an attempt is in flight")
 	case r.mayRun && j.world.cfg.Classes[r.origin.class].NonIdempotent:
 		j.breach(NoRerun, sc, r, a.Server, j.steps(r), "sent again, though an attempt may have run")
 	}
 	j.attempts++
 	j.tally.Attempts++
 	if k := sc.known[a.Server]; k != nil {
-		j.drained(sc, r, k, "it is sent")
+		j.checkDrain(sc, r, k, "attempt started")
 		if k.machine.zone != sc.zone {
 			j.crossZone++
 		}
 	}
 }
 
-// drained looks at a send, both when it is decided and when its first byte goes out.
-func (j *judge) drained(sc *sidecar, r *request, k *knownServer, what string) {
-	if late := j.world.now - k.notifiedAt - j.world.cfg.Rules.DrainGrace; k.health != policy.Ready && late > slackMs {
-		notified := step{time: k.notifiedAt, what: "told to leave", server: k.machine.id}
+// checkDrain checks that an attempt respects the server's drain, both when it is started and when its first byte is sent.
+func (j *judge) checkDrain(sc *sidecar, r *request, k *knownServer, what string) {
+	if late := j.world.now - k.notifiedAt - j.world.cfg.Rules.DrainGrace; k.health != policy.Ready && late > drainSlack {
+		notified := step{time: k.notifiedAt, what: "notified of the drain", server: k.machine.id}
 		j.breach(Drained, sc, r, k.machine.id, append([]string{notified.String()}, j.steps(r)...),
-			"%s %.0f ms after the grace", what, late)
+			"%s %.0f ms after the drain's grace", what, late)
 	}
 }
 
-func (j *judge) ended(a *attempt, s policy.Status) {
+func (j *judge) attemptEnded(a *attempt, s policy.Status) {
 	j.log(a.request, step{what: "ended", server: a.machine.id, status: s})
 	if s == policy.TimedOut {
 		j.tally.TimedOut++
 	}
 }
 
-// answer is the policy's Refuse or Fail, before it is carried out.
-func (j *judge) answer(sc *sidecar, id policy.RequestID, r *request, kind policy.ActionKind) {
+// finalResponse checks a RejectRequest or FailRequest action before it is executed.
+func (j *judge) finalResponse(sc *sidecar, id policy.RequestID, r *request, kind policy.ActionKind) {
 	if r == nil {
-		j.breach(OneAnswer, sc, nil, 0, nil, "request %d is answered again, though it has ended", id)
+		j.breach(OneResponse, sc, nil, 0, nil, "another final response to request %d, which has ended", id)
 		return
 	}
 	what := "failed"
@@ -281,10 +282,10 @@
 	j.log(r, step{what: what})
 	switch {
 	case r.answered:
-		j.breach(OneAnswer, sc, r, 0, j.steps(r), "answered a second time")
+		j.breach(OneResponse, sc, r, 0, j.steps(r), "a second final response")
 		return
 	case kind == policy.RejectRequest && (r.mayRun || r.attemptsInFlight > 0) && j.world.cfg.Classes[r.origin.class].NonIdempotent:
-		j.breach(NoRerun, sc, r, 0, j.steps(r), "refused, though an attempt may have run: its client will ask again")
+		j.breach(NoRerun, sc, r, 0, j.steps(r), "rejected, though an attempt may have run: its client will retry")
 	}
 	if kind == policy.RejectRequest {
 		j.tally.Rejected++
@@ -293,33 +294,33 @@
 	}
 }
 
-// overdue is a request without an answer when its try is over.
+// overdue records a request without a final response after the timeout of its client.
 func (j *judge) overdue(sc *sidecar, r *request) {
-	j.breach(OneAnswer, sc, r, 0, j.steps(r), "no answer %.0f ms after its time", j.world.cfg.Rules.AnswerSlack)
+	j.breach(OneResponse, sc, r, 0, j.steps(r), "no final response %.0f ms after its timeout", j.world.cfg.Rules.ResponseSlack)
 }
 
-// fallen is a cold server that got too much. The rule is broken where two thirds of it came from sidecars that had been
-// told of its start.
-func (j *judge) fallen(m *machine) {
-	j.falls++
+// coldServerOverloaded records the overload of a server in slow start. It breaks the rule if two thirds of the work came from
+// sidecars that had been notified of the server's start.
+func (j *judge) coldServerOverloaded(m *machine) {
+	j.coldOverloads++
 	notifiedWork := 0.0
 	for _, p := range m.arrivals {
 		if p.notified {
 			notifiedWork += p.work
 		}
 	}
-	j.world.note("server %d is pushed over: %.0f ms of work in %.1f s at %.2f of its capacity", m.id, m.arrivedWork,
+	j.world.note("server %d overloaded in slow start: %.0f ms of work in %.1f s at %.2f of its capacity", m.id, m.arrivedWork,
 		j.world.cfg.Rules.OverloadWindow/1000, m.slowStartFraction())
-	if notifiedWork < notifiedPart*m.arrivedWork {
+	if notifiedWork < minNotifiedFraction*m.arrivedWork {
 		return
 	}
 	var lines []string
-	for _, p := range m.arrivals[max(0, len(m.arrivals)-pushesShown):] {
-		lines = append(lines, fmt.Sprintf("%.4f s sidecar %d brings %.1f ms of work", (p.time-lead)/1000, p.from.number,
+	for _, p := range m.arrivals[max(0, len(m.arrivals)-maxArrivalsShown):] {
+		lines = append(lines, fmt.Sprintf("%.4f s sidecar %d sends %.1f ms of work", (p.time-leadTime)/1000, p.from.number,
 			p.work))
 	}
 	j.breach(ColdServer, nil, nil, m.id, lines,
-		"started %.2f s ago, %.0f ms of work in %.1f s where %.0f fell it, by %d sends",
+		"started %.2f s ago, %.0f ms of work in %.1f s, above the limit of %.0f, in %d attempts",
 		(j.world.now-m.startedAt)/1000, m.arrivedWork, j.world.cfg.Rules.OverloadWindow/1000,
 		j.world.cfg.Rules.OverloadMultiple*m.capacity()*j.world.cfg.Rules.OverloadWindow, len(m.arrivals))
 }
--- a/internal/testbench/emulator/judge_test.go
+++ b/internal/testbench/emulator/judge_test.go
@@ -8,7 +8,7 @@
 	"plankrouter/policy"
 )
 
-// mutant is a host's module with one fault.
+// mutant wraps a policy and breaks one rule, by changing its events or its actions.
 type mutant struct {
 	Policy
 	event  func(*policy.Event)
@@ -27,7 +27,7 @@
 }
 
 func TestJudgeNamesEachBrokenRule(t *testing.T) {
-	const victim = 7 // of sidecar 0's requests
+	const victim = 7 // id of the request of sidecar 0 that is mishandled
 	for _, c := range []struct {
 		name    string
 		rule    Rule
@@ -36,21 +36,21 @@
 		request uint32 // 0 = any
 		what    string
 	}{
-		{"forgets a request", OneAnswer, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
+		{"never responds", OneResponse, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				return slices.DeleteFunc(acts, func(a policy.Action) bool { return a.Request == victim })
 			}}
-		}, victim, "no answer"},
-		{"answers twice", OneAnswer, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
+		}, victim, "no final response"},
+		{"responds twice", OneResponse, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
-				if e.Kind == policy.RequestArrived && e.Request == victim { // the attempt is out
+				if e.Kind == policy.RequestArrived && e.Request == victim { // the attempt is in flight
 					acts = append(acts, policy.Action{Kind: policy.FailRequest, Request: victim},
 						policy.Action{Kind: policy.FailRequest, Request: victim})
 				}
 				return acts
 			}}
-		}, victim, "second time"},
-		{"sends two copies", OneAttempt, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
+		}, victim, "second final response"},
+		{"two concurrent attempts", OneAttempt, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
 			return mutant{Policy: p, action: func(_ policy.Ms, _ *policy.Event, acts []policy.Action) []policy.Action {
 				for _, a := range acts {
 					if a.Kind == policy.StartAttempt && a.Request == victim {
@@ -59,8 +59,8 @@
 				}
 				return acts
 			}}
-		}, victim, "an attempt is out"},
-		{"repeats orders", NoRerun, Fault{Name: "failures", For: 5, Part: 0.5, Size: 1}, func(p Policy) mutant {
+		}, victim, "an attempt is in flight"},
+		{"retries non-idempotent requests", NoRerun, Fault{Name: "failures", For: 5, Part: 0.5, Size: 1}, func(p Policy) mutant {
 			orders := map[policy.RequestID]bool{}
 			return mutant{Policy: p, action: func(_ policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
 				if e.Kind == policy.RequestArrived && e.Class == 2 {
@@ -76,7 +76,7 @@
 			}}
 		}, 0, "order"},
 		{
-			"forgets drains", Drained,
+			"ignores drains", Drained,
 			Fault{Name: "deploy", For: 4, Part: 0.4, Size: 0.2, Every: 4},
 			func(p Policy) mutant {
 				return mutant{Policy: p, event: func(e *policy.Event) {
@@ -84,9 +84,9 @@
 					e.Servers = slices.DeleteFunc(slices.Clone(e.Servers),
 						func(s policy.ServerInfo) bool { return s.Health != policy.Ready })
 				}}
-			}, 0, "after the grace",
+			}, 0, "after the drain's grace",
 		},
-		{"runs to the newest server", ColdServer, Fault{Name: "silence", For: 2, Part: 0.1}, func(p Policy) mutant {
+		{"sends all to the newest server", ColdServer, Fault{Name: "silence", For: 2, Part: 0.1}, func(p Policy) mutant {
 			var newest policy.ServerInfo
 			return mutant{p, func(e *policy.Event) {
 				for _, s := range e.Servers {
@@ -102,13 +102,13 @@
 				}
 				return acts
 			}}
-		}, 0, "fell it"},
+		}, 0, "above the limit"},
 	} {
-		cfg := dayWith("random", c.fault)
-		cfg.Rate = 100 // so few that no cold server is pushed over by chance
+		cfg := configWith("random", c.fault)
+		cfg.Rate = 100 // so low that no cold server is overloaded by chance
 		cfg.Discovery.Late = [2]float64{100, 300}
-		if sound := play(t, cfg, nil); !sound.Ok() {
-			t.Errorf("%s: the sound host breaks a rule, too: %s", c.name, brief(sound))
+		if unchanged := play(t, cfg, nil); !unchanged.Ok() {
+			t.Errorf("%s: the unchanged policy breaks a rule, too: %s", c.name, brief(unchanged))
 		}
 		r := play(t, cfg, func(n int, p Policy) Policy {
 			if n == 0 || c.request == 0 {
@@ -121,14 +121,14 @@
 				strings.Contains(b.What+strings.Join(b.Steps, "\n"), c.what) && len(b.Steps) > 0
 		})
 		if i < 0 {
-			t.Errorf("%s: not found among %v", c.name, r.Breaches)
+			t.Errorf("%s: no such breach among %v", c.name, r.Breaches)
 		} else if len(r.Broken) != 1 {
-			t.Errorf("%s: other rules are held broken, too: %v", c.name, r.Broken)
+			t.Errorf("%s: other rules are reported as broken, too: %v", c.name, r.Broken)
 		}
 		if c.rule == ColdServer {
 			cfg.Rules.OverloadMultiple = 1e6
-			if r := play(t, cfg, func(_ int, p Policy) Policy { return c.make(p) }); r.Falls > 0 || !r.Ok() {
-				t.Errorf("a server that bears any load falls %d times", r.Falls)
+			if r := play(t, cfg, func(_ int, p Policy) Policy { return c.make(p) }); r.ColdOverloads > 0 || !r.Ok() {
+				t.Errorf("a server without a limit in slow start is overloaded %d times", r.ColdOverloads)
 			}
 		}
 	}
--- a/internal/testbench/emulator/network.go
+++ b/internal/testbench/emulator/network.go
@@ -5,13 +5,13 @@
 // conn is a connection of a sidecar to a server's process.
 type conn struct {
 	machine *machine
-	index   int // among at.conns
+	index   int // in machine.conns
 	attempt *attempt
 	idleAt  policy.Ms
-	closed  bool // its end, or its process, is gone
+	closed  bool // by either end, or with the process
 }
 
-// close ends the connection at both ends; what runs at the server runs on.
+// close closes the connection at both ends; the server continues to process a request on it.
 func (c *conn) close() {
 	if c.closed {
 		return
@@ -24,39 +24,40 @@
 	c.machine.conns = all[:len(all)-1]
 }
 
-// reaches reports whether anything gets from one to the other.
-func (w *world) reaches(m *machine, sc *sidecar) bool {
+// reachable reports whether messages get through between the machine and the sidecar.
+func (w *world) reachable(m *machine, sc *sidecar) bool {
 	return m.phase != silent && (m.zone == sc.zone || !w.cut[m.zone] && !w.cut[sc.zone])
 }
 
-// delay is that of one message.
+// delay returns the one-way delay of one message between two zones.
 func (w *world) delay(from, to int) policy.Ms {
 	return w.far[from][to] + w.rngNetwork.ExpFloat64()*w.cfg.Network.Jitter
 }
 
-// attempt is one try of a request, or a probe, at a server.
+// attempt is an attempt of a request, or a probe, at a server.
 type attempt struct {
 	sidecar     *sidecar
-	incarnation int // of sc
-	request     *request
+	incarnation int      // of the sidecar when it started
+	request     *request // nil = a probe
 	number      int
 	machine     *machine
 	conn        *conn
 	startedAt   policy.Ms
-	connectedAt policy.Ms // when its connection came up, if it was new
-	work        float64   // that the server puts into it
-	queued      *job      // of it, while that waits for a slot
-	written     bool      // its last byte is on its way: it may run from here on
+	connectedAt policy.Ms // when its connection was established, if it was new
+	work        float64   // that the server does for it
+	queued      *job      // its job while that waits for a slot, else nil
+	written     bool      // it has been sent completely, so that it may run
 	ended       bool
 }
 
-// connect opens a connection for a, which is refused where there is no process or no room, and lost on a silent way.
+// connect opens a connection for a. It is refused without a process or above Server.Connections, and times out if the server
+// is unreachable.
 func (w *world) connect(a *attempt) {
 	sc, m := a.sidecar, a.machine
 	w.after(w.delay(sc.zone, m.zone), func() {
 		switch {
 		case a.ended:
-		case !w.reaches(m, sc):
+		case !w.reachable(m, sc):
 			w.at(a.startedAt+w.cfg.Network.ConnectTimeout, func() { sc.finish(a, policy.ConnectFailed, policy.Report{}) })
 		case m.phase == dead || len(m.conns) >= w.cfg.Server.Connections:
 			w.after(w.delay(m.zone, sc.zone), func() { sc.finish(a, policy.ConnectFailed, policy.Report{}) })
@@ -71,15 +72,15 @@
 	})
 }
 
-// carry takes a's last byte to the server.
-func (w *world) carry(a *attempt) {
+// transmit delivers a to the server.
+func (w *world) transmit(a *attempt) {
 	m, incarnation := a.machine, a.machine.incarnation
-	spoilt := w.resets > 0 && w.rngNetwork.Float64() < w.resets
+	reset := w.resets > 0 && w.rngNetwork.Float64() < w.resets
 	w.after(w.delay(a.sidecar.zone, m.zone), func() {
 		switch {
-		case incarnation != m.incarnation || !w.reaches(m, a.sidecar): // reset already, or lost on the way
-		case spoilt:
-			w.after(w.delay(m.zone, a.sidecar.zone), func() { a.sidecar.broke(a) })
+		case incarnation != m.incarnation || !w.reachable(m, a.sidecar): // already reset, or lost
+		case reset:
+			w.after(w.delay(m.zone, a.sidecar.zone), func() { a.sidecar.connReset(a) })
 		case a.request == nil:
 			m.probe(a)
 		default:
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -13,42 +13,42 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Overload is one run of the scale test of overload: the same servers and the same traffic in all, shared by so many
-// sidecars. docs/operate/emulator.md describes its world.
+// Overload is one run of the overload scale test, in which a varying number of sidecars share the same servers and the same
+// traffic. docs/operate/emulator.md describes the test.
 type Overload struct {
 	Sidecars         int     `json:"sidecars"`
 	Servers          int     `json:"servers"`
-	Load             float64 `json:"load"`    // first tries over the servers' usable capacity, both a second
+	Load             float64 `json:"load"`    // rate of client requests as a fraction of the servers' usable capacity
 	Reports          string  `json:"reports"` // one of OverloadReports
 	Event            string  `json:"event"`   // one of OverloadEvents
-	Seed             uint64  `json:"seed"`    // of the day
+	Seed             uint64  `json:"seed"`    // of the run
 	Policy           string  `json:"policy"`
-	PriorityFraction float64 `json:"worthy"`    // part of the first tries that is worth five times the others
-	ZoneSkew         float64 `json:"zone_skew"` // as of Config
-	Drawn            bool    `json:"drawn"`     // the servers' and clients' ways are drawn from the seed, around what they else are
+	PriorityFraction float64 `json:"worthy"`    // fraction of the client requests with five times the priority weight
+	ZoneSkew         float64 `json:"zone_skew"` // as in Config
+	Drawn            bool    `json:"drawn"`     // settings of servers and clients are drawn from the seed, around their defaults
 	Free             bool    `json:"free"`      // probes and connections cost the servers nothing
 }
 
-// OverloadEvents are what can happen on a day of the scale test: nothing; three times the traffic for two seconds; half
-// as much again for five; a zone, of five, out of reach for five.
+// OverloadEvents returns the names of the events of the scale test: none; three times the traffic for 2 s (burst); 1.5 times the
+// traffic for 5 s (swell); one of five zones unreachable for 5 s (zone).
 func OverloadEvents() []string { return []string{"none", "burst", "swell", "zone"} }
 
-// OverloadReports are what probes can report of a server's load: nothing; nothing, but that they wait among its requests; what
-// is in flight there.
+// OverloadReports returns the names of what probes report: nothing (none); nothing, but the probe shares the cores with the
+// running requests (queued); RIF and latency (full).
 func OverloadReports() []string { return []string{"none", "queued", "full"} }
 
 const (
-	overloadSeconds         = 30.0 // s
-	overloadCalmStart       = 4.0  // s from which the calm part counts,
-	overloadEventStart      = 10.0 // to the event, also where there is none
-	overloadRecoverySeconds = 5.0  // s after the event's end from which the part after it counts
-	overloadAverageSeconds  = 2    // s over which a share is averaged to say when it is back
-	overloadStream          = 2000 // of the day's streams
-	overloadRecoveredMargin = 0.05 // of the calm part's share, at which it is
-	overloadUsableCapacity  = 0.88 // of what the cores can do: more, and even a policy that sees all chokes servers or turns away
+	overloadSeconds         = 30.0 // length of a run in s
+	overloadBeforeStart     = 4.0  // s at which OverloadResult.Before starts
+	overloadEventStart      = 10.0 // s at which the event starts and Before ends, also without an event
+	overloadRecoverySeconds = 5.0  // s after the event's end at which OverloadResult.After starts
+	overloadAverageSeconds  = 2    // s over which the share is averaged to find its recovery
+	overloadStream          = 2000 // index of the random stream of Overload.Drawn
+	overloadRecoveredMargin = 0.05 // the share has recovered when it is this close to the one before the event
+	overloadUsableCapacity  = 0.88 // fraction of the cores' capacity; above it, even the oracle jams servers or rejects requests
 )
 
-// overloadEvent is the fault of an event, and how long it lasts in s.
+// overloadEvent returns the faults of an event and its duration in s.
 func overloadEvent(name string) (faults []Fault, duration float64, err error) {
 	switch name {
 	case "none":
@@ -60,11 +60,12 @@
 	case "zone":
 		return []Fault{{Name: "silence", At: overloadEventStart, For: 5, Zone: 1}}, 5, nil
 	}
-	return nil, 0, fmt.Errorf("event: there is no %q; there are %v", name, OverloadEvents())
+	return nil, 0, fmt.Errorf("event: unknown event %q; want one of %v", name, OverloadEvents())
 }
 
-// Config is the run's day: servers of two cores that queue hundreds and that choke when too much is in flight, requests
-// that may not be repeated, half of whose time is a wait for others, and clients that come again after a refusal.
+// Config returns the configuration of the run. Its servers have two cores, queue hundreds of requests and jam when too many are
+// in flight. Its requests are non-idempotent and spend half of their time waiting for other services. Its clients retry after a
+// rejection.
 func (o Overload) Config() (Config, error) {
 	c := Default(o.Sidecars, o.Servers)
 	c.Seconds, c.Seed, c.Policy, c.ZoneSkew = overloadSeconds, o.Seed, o.Policy, o.ZoneSkew
@@ -73,35 +74,35 @@
 		{Fraction: 0.56, Cores: 2, Speed: [2]float64{0.77, 1}},
 	}
 	work, wait, spread, noise := 139.0, 139.0, 0.5, 0.45
-	chokesAt, chokeSlow, slots, backoff, retries := 5.5, 2.9, 19, 100.0, 3 // chokesAt: in flight for each core
+	jamAt, jamSlow, slots, backoff, retries := 5.5, 2.9, 19, 100.0, 3 // jamAt: requests in flight per core
 	if o.Drawn {
 		rng := c.stream(overloadStream)
-		work, wait = between(rng, [2]float64{97, 180}), between(rng, [2]float64{98, 180})
-		spread, noise = between(rng, [2]float64{0.25, 0.8}), between(rng, [2]float64{0.31, 0.59})
-		chokesAt, chokeSlow = between(rng, [2]float64{4, 7}), between(rng, [2]float64{2.5, 3.3})
+		work, wait = uniform(rng, [2]float64{97, 180}), uniform(rng, [2]float64{98, 180})
+		spread, noise = uniform(rng, [2]float64{0.25, 0.8}), uniform(rng, [2]float64{0.31, 0.59})
+		jamAt, jamSlow = uniform(rng, [2]float64{4, 7}), uniform(rng, [2]float64{2.5, 3.3})
 		slots, retries = 12+rng.IntN(15), 2+rng.IntN(2)
-		backoff = float64(rng.IntN(2)) * between(rng, [2]float64{50, 400})
+		backoff = float64(rng.IntN(2)) * uniform(rng, [2]float64{50, 400})
 	}
-	bear := c.capacity() / work * 1000 // requests a second
-	c.Rate = o.Load * overloadUsableCapacity * bear
+	maxRate := c.capacity() / work * 1000 // requests per second that the cores can process
+	c.Rate = o.Load * overloadUsableCapacity * maxRate
 	c.Classes = []Class{{
 		Name: "hold", Fraction: 1, WorkMs: work, WaitMs: wait, Spread: spread, Noise: noise, LatencyObjectiveMs: 1000,
 		DeadlineMs: 5000, PriorityWeight: 1, NonIdempotent: true,
 	}}
 	if o.PriorityFraction > 0 {
-		worthy := c.Classes[0]
-		worthy.Name, worthy.Fraction, worthy.PriorityWeight = "order", o.PriorityFraction, 5
+		priority := c.Classes[0]
+		priority.Name, priority.Fraction, priority.PriorityWeight = "order", o.PriorityFraction, 5
 		c.Classes[0].Fraction -= o.PriorityFraction
-		c.Classes = append(c.Classes, worthy)
+		c.Classes = append(c.Classes, priority)
 	}
 	c.Tenants = nil
 	for i, fraction := range []float64{0.24, 0.22, 0.22, 0.1, 0.08, 0.05, 0.05, 0.04} {
-		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Fraction: fraction, Quota: 0.785 * bear * fraction})
+		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("tenant-", i+1), Fraction: fraction, Quota: 0.785 * maxRate * fraction})
 	}
 	s := &c.Server
 	s.Slots, s.QueueCapacity, s.OverloadLoss = slots, 1000, 0
-	s.JamWaiting, s.JamAfter, s.JamSlow = chokesAt-1, 2000, chokeSlow
-	s.JamIdle, s.JamClears, s.MaxJam = chokesAt/3, 3500, 25000
+	s.JamWaiting, s.JamAfter, s.JamSlow = jamAt-1, 2000, jamSlow
+	s.JamIdle, s.JamClears, s.MaxJam = jamAt/3, 3500, 25000
 	s.Connections, s.TableLoss, s.Handshake, s.ProbeWork = 3600, 0.09, 2, 1
 	if o.Free {
 		s.TableLoss, s.Handshake, s.ProbeWork = 0, 0, 0
@@ -117,37 +118,37 @@
 		return c, err
 	}
 	if !slices.Contains(OverloadReports(), o.Reports) {
-		return c, fmt.Errorf("reports: there are no %q; there are %v", o.Reports, OverloadReports())
+		return c, fmt.Errorf("reports: unknown value %q; want one of %v", o.Reports, OverloadReports())
 	}
 	return c, c.Check()
 }
 
-// OverloadResult is what became of a run. Shares are of first tries, answered within the latency objective.
+// OverloadResult is the result of a run. Shares are fractions of the client requests, served within the latency objective.
 type OverloadResult struct {
 	Overload
-	Share           float64 `json:"share"` // of the whole day
-	WeightedShare   float64 `json:"worth"` // the same by worth: what is beyond a tenant's share counts a tenth
-	Best            float64 `json:"best"`  // the same of the worthiest class
-	Before          float64 `json:"before"`
-	During          float64 `json:"during"`  // up to 5 s after the event's end
+	Share           float64 `json:"share"`   // of the whole run
+	WeightedShare   float64 `json:"worth"`   // the same by priority weight; requests above a tenant's quota count a tenth
+	BestClass       float64 `json:"best"`    // the same of the class with the highest priority weight
+	Before          float64 `json:"before"`  // from 4 s on to the event's start
+	During          float64 `json:"during"`  // from the event's start to 5 s after its end
 	After           float64 `json:"after"`   // from then on
-	RecoverySeconds float64 `json:"back_s"`  // after the event's end until it is within 0.05 of Before for good; -1 = never
-	Rejected        float64 `json:"refused"` // answers of sidecars for each first try, as the next
+	RecoverySeconds float64 `json:"back_s"`  // s after the event's end until the share stays within 0.05 of Before; -1 = never
+	Rejected        float64 `json:"refused"` // final responses of sidecars per client request, as Failed
 	Failed          float64 `json:"failed"`
-	Tries           float64 `json:"tries"`     // for each first try, as the next three
-	Attempts        float64 `json:"attempts"`  //
-	TimedOut        float64 `json:"timed_out"` // attempts
+	Tries           float64 `json:"tries"` // client attempts per client request, as are the next four per client request
+	Attempts        float64 `json:"attempts"`
+	TimedOut        float64 `json:"timed_out"` // attempts at servers
 	Probes          float64 `json:"probes"`
 	Handshakes      float64 `json:"handshakes"`
-	Conns           float64 `json:"connections"` // for each server, on average
-	Choked          float64 `json:"choked"`      // part of the servers, on average from the event on
+	Conns           float64 `json:"connections"` // mean per server
+	Jammed          float64 `json:"choked"`      // mean fraction of the servers from the event on
 	Waste           float64 `json:"waste"`
-	Broken          int     `json:"broken"` // breaches
+	Broken          int     `json:"broken"` // violations of rules
 	Rows            []Row   `json:"rows"`
 	Report          *Report `json:"-"`
 }
 
-// Play plays the run.
+// Play simulates the run and returns its result.
 func (o Overload) Play(ctx context.Context) (*OverloadResult, error) {
 	cfg, err := o.Config()
 	if err != nil {
@@ -159,23 +160,23 @@
 	}
 	r := &OverloadResult{
 		Overload: o, WeightedShare: report.Service,
-		Best: report.Classes[len(report.Classes)-1].Service, Attempts: report.Attempts, Probes: report.Probes,
+		BestClass: report.Classes[len(report.Classes)-1].Service, Attempts: report.Attempts, Probes: report.Probes,
 		Handshakes: report.Handshakes, Conns: report.ConnsMean, Waste: report.Waste, Rows: report.Rows, Report: report,
 	}
 	requests := math.Max(1, float64(report.Requests))
 	r.Share = float64(report.InObjective) / requests
-	ends := o.eventEnd()
-	r.Before = inTime(report.Rows, overloadCalmStart, overloadEventStart)
-	r.During = inTime(report.Rows, overloadEventStart, ends+overloadRecoverySeconds)
-	r.After = inTime(report.Rows, ends+overloadRecoverySeconds, overloadSeconds)
-	r.RecoverySeconds = secondsUntilRecovered(report.Rows, int(ends), r.Before-overloadRecoveredMargin)
+	eventEnd := o.eventEnd()
+	r.Before = inTime(report.Rows, overloadBeforeStart, overloadEventStart)
+	r.During = inTime(report.Rows, overloadEventStart, eventEnd+overloadRecoverySeconds)
+	r.After = inTime(report.Rows, eventEnd+overloadRecoverySeconds, overloadSeconds)
+	r.RecoverySeconds = secondsUntilRecovered(report.Rows, int(eventEnd), r.Before-overloadRecoveredMargin)
 	for i, row := range report.Rows {
 		r.Rejected += float64(row.Rejected) / requests
 		r.Failed += float64(row.Failed) / requests
 		r.Tries += float64(row.Tries) / requests
 		r.TimedOut += float64(row.TimedOut) / requests
 		if i >= overloadEventStart && i < overloadSeconds {
-			r.Choked += float64(row.Jammed) / float64(o.Servers) / (overloadSeconds - overloadEventStart)
+			r.Jammed += float64(row.Jammed) / float64(o.Servers) / (overloadSeconds - overloadEventStart)
 		}
 	}
 	for _, n := range report.Broken {
@@ -184,13 +185,13 @@
 	return r, nil
 }
 
-// eventEnd is when the event is over, in s.
+// eventEnd returns the second at which the event ends.
 func (o Overload) eventEnd() float64 {
-	_, long, _ := overloadEvent(o.Event)
-	return overloadEventStart + long
+	_, duration, _ := overloadEvent(o.Event)
+	return overloadEventStart + duration
 }
 
-// inTime is the share of the first tries of those seconds that were answered within the latency objective.
+// inTime returns the fraction of the client requests of those seconds that were served within the latency objective.
 func inTime(rows []Row, from, to float64) float64 {
 	p := servedFraction{}
 	for _, r := range rows[min(len(rows), int(from)):min(len(rows), int(to))] {
@@ -199,7 +200,7 @@
 	return p.ratio()
 }
 
-// secondsUntilRecovered is how long after a second the share, averaged, reaches want and stays; -1 if it doesn't.
+// secondsUntilRecovered returns how many seconds after from the averaged share reaches want and stays there; -1 if it doesn't.
 func secondsUntilRecovered(rows []Row, from int, want float64) float64 {
 	last := int(overloadSeconds) - overloadAverageSeconds
 	for at := last; at >= from; at-- {
@@ -214,8 +215,8 @@
 	return 0
 }
 
-// PlayOverloads plays runs, workers of them side by side, in the order given. done, if there is one, is called with each
-// that has ended, one at a time.
+// PlayOverloads simulates runs in up to workers goroutines and returns their results in the same order. done, if not nil, is
+// called with each result as soon as it is there, but not concurrently.
 func PlayOverloads(ctx context.Context, runs []Overload, workers int, done func(*OverloadResult)) ([]*OverloadResult,
 	error,
 ) {
@@ -252,16 +253,16 @@
 	return results, nil
 }
 
-// WriteOverloads writes a table, a line for each run, and one of means over the seeds, a column for each number of
-// sidecars.
+// WriteOverloads writes a table with a line for each run, and one of means over the seeds with a column for each number of
+// sidecars. With bySecond it also writes the seconds of each run.
 func WriteOverloads(out io.Writer, results []*OverloadResult, bySecond bool) error {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "event\treports\tload\tseed\tsidecars\tshare\tworth\tbest class\tbefore\tduring\tafter\tback s\trefused\tfailed\t"+
 		"tries\tattempts\ttimed out\tchoked\twaste\tprobes\thandshakes\tconns\tbroken\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.2f\t"+
-			"%.2f\t%.2f\t%.2f\t%.0f\t%d\t\n", r.Event, r.Reports, r.Load, r.Seed, r.Sidecars, r.Share, r.WeightedShare, r.Best, r.Before,
-			r.During, r.After, r.RecoverySeconds, r.Rejected, r.Failed, r.Tries, r.Attempts, r.TimedOut, r.Choked, r.Waste, r.Probes,
+			"%.2f\t%.2f\t%.2f\t%.0f\t%d\t\n", r.Event, r.Reports, r.Load, r.Seed, r.Sidecars, r.Share, r.WeightedShare, r.BestClass, r.Before,
+			r.During, r.After, r.RecoverySeconds, r.Rejected, r.Failed, r.Tries, r.Attempts, r.TimedOut, r.Jammed, r.Waste, r.Probes,
 			r.Handshakes, r.Conns, r.Broken)
 	}
 	if err := t.Flush(); err != nil {
@@ -275,7 +276,7 @@
 		if !bySecond {
 			break
 		}
-		fmt.Fprintf(out, "\n%s, reports %s, load %g, seed %d, %d sidecars, by second of the first try (share) or of the happening:\n",
+		fmt.Fprintf(out, "\n%s, reports %s, load %g, seed %d, %d sidecars, by second of the client request (share) or of the event:\n",
 			r.Event, r.Reports, r.Load, r.Seed, r.Sidecars)
 		fmt.Fprintln(t, "second\tasked\tshare\ttries\tattempts\trefused\tfailed\ttimed out\theld/server\tmost\tchoked\tprobes\tconns\t")
 		for _, w := range r.Rows {
@@ -290,11 +291,11 @@
 	return nil
 }
 
-// writeMeans writes, by number of sidecars, the means over the seeds of the share that was served in time after the
-// event and, in brackets, of the whole day, and behind the slash how many of the runs were back in time.
+// writeMeans writes, by number of sidecars, the mean share after the event over the seeds and, in brackets, that of the whole
+// run. Behind them it writes how many of the runs recovered in time, and of how many.
 func writeMeans(out io.Writer, t *tabwriter.Writer, results []*OverloadResult) {
 	sizes, rows := sizesAndRows(results)
-	fmt.Fprintln(out, "\nmeans over the seeds: share after the event (of the whole day), runs back to the best share "+
+	fmt.Fprintln(out, "\nmeans over the seeds: share after the event (of the whole run), runs recovered to the best share "+
 		"before it within 5 s of its end")
 	fmt.Fprint(t, "event\treports\tload\t")
 	for _, n := range sizes {
@@ -314,7 +315,7 @@
 	}
 }
 
-// sizesAndRows returns the numbers of sidecars, sorted, and what tells the runs apart otherwise, in the order of the runs.
+// sizesAndRows returns the sorted numbers of sidecars, and the distinct other settings in the order of the runs.
 func sizesAndRows(results []*OverloadResult) (sizes []int, rows []Overload) {
 	for _, r := range results {
 		sizes = append(sizes, r.Sidecars)
@@ -326,7 +327,8 @@
 	return slices.Compact(sizes), rows
 }
 
-// bestBefore is the best share before the event among the sizes, each on average: a run far below it has not recovered.
+// bestBefore returns the highest mean share before the event of any size. It is the reference for the recovery of all sizes, so
+// that one with a low share all along does not count as recovered.
 func bestBefore(results []*OverloadResult, row Overload, sizes []int) (best float64) {
 	for _, n := range sizes {
 		var before, runs float64
@@ -343,30 +345,30 @@
 
 // writeMean writes a cell of the table of means and returns the mean share after the event.
 func writeMean(t *tabwriter.Writer, results []*OverloadResult, row Overload, sidecars int, target float64) float64 {
-	var after, allDay, runs float64
+	var after, overall, runs float64
 	recovered := 0
 	for _, r := range results {
 		if r.Sidecars != sidecars || r.row() != row {
 			continue
 		}
 		after += r.After
-		allDay += r.Share
+		overall += r.Share
 		runs++
-		if late := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target); late >= 0 && late <= overloadRecoverySeconds {
+		if seconds := secondsUntilRecovered(r.Rows, int(r.eventEnd()), target); seconds >= 0 && seconds <= overloadRecoverySeconds {
 			recovered++
 		}
 	}
-	fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, allDay/runs, recovered, runs)
+	fmt.Fprintf(t, "%.3f (%.3f) %d/%.0f\t", after/runs, overall/runs, recovered, runs)
 	return after / runs
 }
 
-// row is what runs of several sizes and seeds share.
+// row returns the settings that the runs of a row of the table of means have in common.
 func (o Overload) row() Overload {
 	o.Sidecars, o.Servers, o.Seed = 0, 0, 0
 	return o
 }
 
-// WriteOverloadsJSON writes all runs with their seconds.
+// WriteOverloadsJSON writes all results, with their rows, as JSON.
 func WriteOverloadsJSON(out io.Writer, results []*OverloadResult) error {
 	return json.NewEncoder(out).Encode(results)
 }
--- a/internal/testbench/emulator/overload_scale_test.go
+++ b/internal/testbench/emulator/overload_scale_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Where probes wait among the requests and the servers bear the traffic, what a fleet serves after an event hangs on the number
-// of its sidecars by no more than 0.05, and is back within 5 s. It is the scale test in small; testbench overload has it at full
-// size, and docs/design/overload.md says where that is not so.
+// TestOverloadIsFlatInSidecars checks that the share of served requests after an event does not drop by more than 0.05 with the
+// number of sidecars, and recovers within 5 s. Probes share the cores with the requests, and the servers can process the
+// traffic. The command testbench overload runs the same test at full size; docs/design/overload.md lists where it does not hold.
 func TestOverloadIsFlatInSidecars(t *testing.T) {
-	const near = 0.05
+	const tolerance = 0.05
 	for _, c := range []struct {
 		event string
 		load  float64
@@ -27,9 +27,9 @@
 			t.Fatal(err)
 		}
 		for _, r := range results {
-			t.Logf("%s, load %g, %d sidecars: %.3f before, %.3f after, back in %.0f s", c.event, c.load, r.Sidecars, r.Before, r.After, r.RecoverySeconds)
-			if r.After < results[0].After-near || r.RecoverySeconds < 0 || r.RecoverySeconds > overloadRecoverySeconds || r.Broken > 0 {
-				t.Errorf("%s, load %g, %d sidecars: %.3f after it, %d sidecars serve %.3f; back in %.0f s; broken: %v", c.event,
+			t.Logf("%s, load %g, %d sidecars: %.3f before, %.3f after, recovered in %.0f s", c.event, c.load, r.Sidecars, r.Before, r.After, r.RecoverySeconds)
+			if r.After < results[0].After-tolerance || r.RecoverySeconds < 0 || r.RecoverySeconds > overloadRecoverySeconds || r.Broken > 0 {
+				t.Errorf("%s, load %g, %d sidecars: %.3f after the event, with %d sidecars %.3f; recovered in %.0f s; broken: %v", c.event,
 					c.load, r.Sidecars, r.After, results[0].Sidecars, results[0].After, r.RecoverySeconds, r.Report.Broken)
 			}
 		}
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -8,81 +8,81 @@
 	"plankrouter/policy"
 )
 
-const jamMargin = 3 // requests that may be on their way to a server unseen
+const jamMargin = 3 // requests that may be in transit to a server, which its RIF does not include
 
-// Policy decides for one sidecar. policy.Balancer is one; the textbook ones are there to compare with.
+// Policy decides for one sidecar. policy.Balancer implements it; the baseline policies are for comparison.
 type Policy interface {
 	Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action
 }
 
-// Policies lists what a day's sidecars can decide by: the module; a server at random; each in turn; the one that holds
-// the fewest of the sidecar's own requests; and the one that is best by the true state of all servers, which no real
-// sidecar can know.
+// Policies returns the names of the policies: policy.Balancer (module); a random server (random); the servers in turn
+// (round-robin); the server with the fewest requests of this sidecar (least); and the best server by the actual state of all
+// servers, which no real sidecar can know (oracle).
 func Policies() []string { return []string{"module", "random", "round-robin", "least", "oracle"} }
 
 func newPolicy(w *world, sc *sidecar, seed uint64) (Policy, error) {
-	cfg := w.cfg.logic(sc.zone)
+	cfg := w.cfg.policyConfig(sc.zone)
 	if w.cfg.Policy == "module" {
 		return policy.New(cfg, seed)
 	}
-	t := &textbook{
+	b := &baseline{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), inFlight: map[policy.ServerID]int{},
 		open: map[policy.RequestID]*openRequest{},
 	}
 	switch w.cfg.Policy {
 	case "random":
-		t.rank = func(policy.ServerID) float64 { return 0 }
+		b.rank = func(policy.ServerID) float64 { return 0 }
 	case "round-robin":
 		lastPick := map[policy.ServerID]int{}
-		t.rank = func(id policy.ServerID) float64 { return float64(lastPick[id]) }
-		t.onPick = func(id policy.ServerID) {
-			lastPick[id] = t.picks
-			t.picks++
+		b.rank = func(id policy.ServerID) float64 { return float64(lastPick[id]) }
+		b.onPick = func(id policy.ServerID) {
+			lastPick[id] = b.picks
+			b.picks++
 		}
-		t.picks = 1
+		b.picks = 1
 	case "least":
-		t.rank = func(id policy.ServerID) float64 { return float64(t.inFlight[id]) }
+		b.rank = func(id policy.ServerID) float64 { return float64(b.inFlight[id]) }
 	case "oracle":
-		t.rank = func(id policy.ServerID) float64 { return w.truth(sc, id) }
-		t.seesTruth = true
+		b.rank = func(id policy.ServerID) float64 { return w.trueLatency(sc, id) }
+		b.rankIsLatency = true
 	default:
-		return nil, fmt.Errorf("there is no policy %q", w.cfg.Policy)
+		return nil, fmt.Errorf("unknown policy %q", w.cfg.Policy)
 	}
-	return t, nil
+	return b, nil
 }
 
-// truth is how long a request of mean work would take at a server, in ms, as things really are.
-func (w *world) truth(sc *sidecar, id policy.ServerID) float64 {
-	const out = 1e9
+// trueLatency returns how long a request of mean work would take at a server, in ms, by the actual state of the server.
+func (w *world) trueLatency(sc *sidecar, id policy.ServerID) float64 {
+	const unavailable = 1e9
 	m := w.byID[id]
-	if m.phase != serving || m.paused || !w.reaches(m, sc) || m.failing > 0 {
-		return out
+	if m.phase != serving || m.paused || !w.reachable(m, sc) || m.failing > 0 {
+		return unavailable
 	}
 	if float64(m.inFlight()+jamMargin) > m.cores*(1+w.cfg.Server.JamWaiting) {
-		return out // one more could jam it
+		return unavailable // one more request could jam it
 	}
-	work, shares := 0.0, 0.0
+	work, fractions := 0.0, 0.0
 	for _, c := range w.cfg.Classes {
-		work, shares = work+c.Fraction*c.WorkMs*m.slow, shares+c.Fraction
+		work, fractions = work+c.Fraction*c.WorkMs*m.slow, fractions+c.Fraction
 	}
-	return work/shares*max(m.cores, float64(m.inFlight()+1))/m.power() + 2*w.far[sc.zone][m.zone]
+	return work/fractions*max(m.cores, float64(m.inFlight()+1))/m.power() + 2*w.far[sc.zone][m.zone]
 }
 
-// textbook sends each request to the server of the lowest rank and retries what may run again. Only the oracle rejects
-// requests while there is a server. It keeps the rules on answers, retries and drains; it has none for slow start.
-type textbook struct {
-	cfg       policy.Config
-	rng       *rand.Rand
-	rank      func(policy.ServerID) float64
-	onPick    func(policy.ServerID) // may be nil
-	picks     int
-	seesTruth bool // rank is the time to an answer, so that what would come after the latency objective is rejected
-	ready     []policy.ServerID
-	inFlight  map[policy.ServerID]int
-	open      map[policy.RequestID]*openRequest
+// baseline sends each request to the server of the lowest rank and retries where that is safe. Only the oracle rejects requests
+// while a server is ready. It respects the rules on responses, retries and drains, but ignores slow start.
+type baseline struct {
+	cfg           policy.Config
+	rng           *rand.Rand
+	rank          func(policy.ServerID) float64
+	onPick        func(policy.ServerID) // may be nil
+	picks         int
+	rankIsLatency bool // rank is the expected latency in ms; requests that would miss the latency objective are rejected
+	ready         []policy.ServerID
+	inFlight      map[policy.ServerID]int
+	open          map[policy.RequestID]*openRequest
 }
 
-// openRequest is an open request.
+// openRequest is a request without a final response.
 type openRequest struct {
 	class, attempts       int
 	inFlight, mayRun      bool
@@ -90,84 +90,84 @@
 	objectiveAt, deadline policy.Ms
 }
 
-func (t *textbook) Handle(now policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
+func (b *baseline) Handle(now policy.Ms, e *policy.Event, acts []policy.Action) []policy.Action {
 	switch e.Kind {
 	case policy.EndpointsUpdated:
-		t.list(e)
+		b.updateEndpoints(e)
 	case policy.RequestArrived:
-		end := max(0, e.TimeLeft-2*t.cfg.Round-1)
-		c := &openRequest{class: e.Class, objectiveAt: now + t.cfg.Classes[e.Class].LatencyObjective, deadline: now + end}
-		t.open[e.Request] = c
+		end := max(0, e.TimeLeft-2*b.cfg.Round-1)
+		c := &openRequest{class: e.Class, objectiveAt: now + b.cfg.Classes[e.Class].LatencyObjective, deadline: now + end}
+		b.open[e.Request] = c
 		acts = append(acts, policy.Action{Kind: policy.SetTimer, Timer: uint64(e.Request), After: end})
-		return t.send(now, e.Request, c, acts)
+		return b.send(now, e.Request, c, acts)
 	case policy.AttemptEnded:
-		t.inFlight[e.Server]--
-		c := t.open[e.Request]
+		b.inFlight[e.Server]--
+		c := b.open[e.Request]
 		if c == nil {
 			return acts
 		}
 		c.inFlight = false
 		if e.Final {
-			delete(t.open, e.Request)
+			delete(b.open, e.Request)
 			return acts
 		}
 		c.mayRun = c.mayRun || !e.Status.NeverRan()
-		return t.send(now, e.Request, c, acts)
+		return b.send(now, e.Request, c, acts)
 	case policy.ClientGone:
-		return t.drop(e.Request, acts)
+		return b.drop(e.Request, acts)
 	case policy.TimerFired:
-		if c := t.open[policy.RequestID(e.Timer)]; c != nil {
-			return t.finish(policy.RequestID(e.Timer), c, acts)
+		if c := b.open[policy.RequestID(e.Timer)]; c != nil {
+			return b.finish(policy.RequestID(e.Timer), c, acts)
 		}
 	}
 	return acts
 }
 
-func (t *textbook) list(e *policy.Event) {
+func (b *baseline) updateEndpoints(e *policy.Event) {
 	if e.Complete {
-		t.ready = t.ready[:0]
+		b.ready = b.ready[:0]
 	}
 	for _, s := range e.Servers {
-		t.ready = slices.DeleteFunc(t.ready, func(id policy.ServerID) bool { return id == s.ID })
+		b.ready = slices.DeleteFunc(b.ready, func(id policy.ServerID) bool { return id == s.ID })
 		if s.Health == policy.Ready {
-			t.ready = append(t.ready, s.ID)
+			b.ready = append(b.ready, s.ID)
 		}
 	}
 }
 
-// send makes the next attempt, if one is allowed.
-func (t *textbook) send(now policy.Ms, id policy.RequestID, c *openRequest, acts []policy.Action) []policy.Action {
-	unsafe := t.cfg.Classes[c.class].Idempotency == policy.NonIdempotent
-	if c.attempts >= t.cfg.MaxAttempts || c.mayRun && unsafe || len(t.ready) == 0 || c.deadline-now < 1 {
-		return t.finish(id, c, acts)
+// send starts the next attempt if one is allowed, and gives the final response otherwise.
+func (b *baseline) send(now policy.Ms, id policy.RequestID, c *openRequest, acts []policy.Action) []policy.Action {
+	nonIdempotent := b.cfg.Classes[c.class].Idempotency == policy.NonIdempotent
+	if c.attempts >= b.cfg.MaxAttempts || c.mayRun && nonIdempotent || len(b.ready) == 0 || c.deadline-now < 1 {
+		return b.finish(id, c, acts)
 	}
-	best, lowest := t.lowestRanked(c)
-	if t.seesTruth && now+lowest > min(c.objectiveAt, c.deadline) {
-		return t.finish(id, c, acts)
+	best, lowest := b.lowestRanked(c)
+	if b.rankIsLatency && now+lowest > min(c.objectiveAt, c.deadline) {
+		return b.finish(id, c, acts)
 	}
-	if t.onPick != nil {
-		t.onPick(best)
+	if b.onPick != nil {
+		b.onPick(best)
 	}
 	c.inFlight, c.last = true, best
 	c.attempts++
-	t.inFlight[best]++
+	b.inFlight[best]++
 	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.deadline - now})
 }
 
-// lowestRanked returns a random one of the servers of the lowest rank, and that rank. The server of the last attempt is left out while there
-// is another.
-func (t *textbook) lowestRanked(c *openRequest) (best policy.ServerID, lowest float64) {
-	seen := 0
-	for _, s := range t.ready {
-		if s == c.last && c.attempts > 0 && len(t.ready) > 1 {
+// lowestRanked returns a random one of the servers of the lowest rank, and that rank. It skips the server of the last attempt
+// while there is another.
+func (b *baseline) lowestRanked(c *openRequest) (best policy.ServerID, lowest float64) {
+	ties := 0
+	for _, s := range b.ready {
+		if s == c.last && c.attempts > 0 && len(b.ready) > 1 {
 			continue
 		}
-		r := t.rank(s)
-		if seen == 0 || r < lowest {
-			lowest, seen = r, 0
+		r := b.rank(s)
+		if ties == 0 || r < lowest {
+			lowest, ties = r, 0
 		}
 		if r == lowest {
-			if seen++; t.rng.IntN(seen) == 0 {
+			if ties++; b.rng.IntN(ties) == 0 {
 				best = s
 			}
 		}
@@ -175,19 +175,20 @@
 	return best, lowest
 }
 
-// finish gives the final answer.
-func (t *textbook) finish(id policy.RequestID, c *openRequest, acts []policy.Action) []policy.Action {
+// finish gives the final response: a rejection if the client may safely retry, and a failure otherwise.
+func (b *baseline) finish(id policy.RequestID, c *openRequest, acts []policy.Action) []policy.Action {
 	act := policy.Action{Kind: policy.FailRequest, Request: id}
-	if t.cfg.Classes[c.class].Idempotency == policy.Idempotent || !c.mayRun && !c.inFlight {
+	if b.cfg.Classes[c.class].Idempotency == policy.Idempotent || !c.mayRun && !c.inFlight {
 		act.Kind = policy.RejectRequest
 	}
-	return t.drop(id, append(acts, act))
+	return b.drop(id, append(acts, act))
 }
 
-func (t *textbook) drop(id policy.RequestID, acts []policy.Action) []policy.Action {
-	if c := t.open[id]; c != nil && c.inFlight {
+// drop removes a request and cancels its attempt in flight.
+func (b *baseline) drop(id policy.RequestID, acts []policy.Action) []policy.Action {
+	if c := b.open[id]; c != nil && c.inFlight {
 		acts = append(acts, policy.Action{Kind: policy.CancelAttempt, Request: id, Attempt: c.attempts - 1})
 	}
-	delete(t.open, id)
+	delete(b.open, id)
 	return acts
 }
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Report is what became of a day. Shares lie between 0 and 1; a share of nothing is 1.
+// Report is the result of a run. Fractions lie between 0 and 1; a fraction of nothing is 1.
 type Report struct {
 	Policy   string   `json:"policy"`
 	Seed     uint64   `json:"seed"`
@@ -20,79 +20,79 @@
 	Seconds  float64  `json:"seconds"`
 	Faults   []string `json:"troubles"`
 
-	Requests      int            `json:"requests"` // first tries
+	Requests      int            `json:"requests"` // of clients, without retries
 	InObjective   int            `json:"in_aim"`
-	Late          int            `json:"late"` // answered within the deadline, but after the latency objective
-	Service       float64        `json:"service"`
-	WorstWindow   float64        `json:"worst_window"` // of 10 s, or the day if that is shorter
+	Late          int            `json:"late"`         // served within the deadline, but after the latency objective
+	Service       float64        `json:"service"`      // fraction of the requests that were served in time, by weight
+	WorstWindow   float64        `json:"worst_window"` // lowest service of any 10 s, or of the whole run if that is shorter
 	WorstWindowAt float64        `json:"worst_window_at_s"`
 	Classes       []NamedService `json:"classes"`
-	Tenants       []NamedService `json:"tenants"` // within their shares
+	Tenants       []NamedService `json:"tenants"` // within their quotas
 	WorstClass    float64        `json:"worst_class"`
 	WorstTenant   float64        `json:"worst_tenant"`
-	MeanMs        float64        `json:"mean_ms"` // of what was served, from the first try's intended send to the answer
-	WaitMs        float64        `json:"wait_ms"` // mean wait for a slot
+	MeanMs        float64        `json:"mean_ms"` // of served requests, from the first client attempt's intended start
+	WaitMs        float64        `json:"wait_ms"` // mean wait of an attempt for a slot
 
-	Waste       float64 `json:"waste"`     // work that served nobody, as a part of what was asked for
-	Attempts    float64 `json:"attempts"`  // for each request, as the next three
-	Probes      float64 `json:"probes"`    //
-	CrossZone   float64 `json:"crossings"` // attempts in another zone
-	Handshakes  float64 `json:"handshakes"`
-	ProbesEach  float64 `json:"probes_each"`  // for each server and second
-	MaxProbes   float64 `json:"probes_most"`  // of the server that got the most
-	ConnsMean   float64 `json:"conns_mean"`   // for each server
-	MaxConns    int     `json:"conns_most"`   // of any server at any time
-	Rejected    int     `json:"turned_away"`  // attempts, by full or draining servers
-	Jams        int     `json:"jams"`         // of servers
-	Falls       int     `json:"falls"`        // of cold servers
-	ClientsLeft int     `json:"clients_left"` // tries that impatient clients gave up
-	Lost        int     `json:"lost"`         // tries that were open in a sidecar that was killed
-	Events      uint64  `json:"events"`       // of the emulator
+	Waste         float64 `json:"waste"`    // work that did not lead to a served request, as a fraction of the work requested
+	Attempts      float64 `json:"attempts"` // per request, as are the next three
+	Probes        float64 `json:"probes"`
+	CrossZone     float64 `json:"crossings"` // attempts in another zone
+	Handshakes    float64 `json:"handshakes"`
+	ProbesEach    float64 `json:"probes_each"`  // per server and second
+	MaxProbes     float64 `json:"probes_most"`  // per second, of the server that received the most
+	ConnsMean     float64 `json:"conns_mean"`   // per server
+	MaxConns      int     `json:"conns_most"`   // of any server at any time
+	Rejected      int     `json:"turned_away"`  // attempts rejected by full or draining servers
+	Jams          int     `json:"jams"`         // of servers
+	ColdOverloads int     `json:"falls"`        // servers whose process was ended by overload in slow start
+	ClientsLeft   int     `json:"clients_left"` // client attempts abandoned before their timeout
+	Lost          int     `json:"lost"`         // client attempts in flight at a sidecar that was killed
+	Events        uint64  `json:"events"`       // processed by the emulator
 
 	Broken   map[Rule]int `json:"broken"`
 	Breaches []Breach     `json:"breaches"` // the first 20 of each rule
 	Timeline []string     `json:"timeline"`
 	Rows     []Row        `json:"-"`
 
-	InPolicy time.Duration `json:"-"` // spent in policies, by Options.Clock: it depends on the machine, not on the day
+	InPolicy time.Duration `json:"-"` // time spent in policies by Options.Clock, which depends on the machine
 }
 
-// NamedService is how a class or a tenant was served.
+// NamedService is the service of a class or a tenant.
 type NamedService struct {
 	Name    string  `json:"name"`
 	Service float64 `json:"service"`
 }
 
-// Row is one second of a day.
+// Row is one second of a run.
 type Row struct {
 	Second      int
-	Requests    int // first tries
+	Requests    int // of clients, without retries
 	InObjective int
 	Late        int
-	Rejected    int // answers of sidecars, as the next
+	Rejected    int // final responses of sidecars, as Failed
 	Failed      int
-	Attempts    int // attempts
+	Attempts    int
 	Probes      int
-	InFlight    int // by all servers, at the end of the second, as all that follows
-	MaxInFlight int // by any server
+	InFlight    int // at all servers at the end of the second, as are the next four
+	MaxInFlight int // at any server
 	Conns       int
 	Jammed      int // servers
 	Silent      int // servers
 	Service     float64
-	InTime      float64 // part of the first tries of that second that were answered within the latency objective
+	InTime      float64 // fraction of the requests of that second that were served within the latency objective
 
-	Tries    int // that reached a sidecar, first ones included
-	TimedOut int // attempts
+	Tries    int // client attempts, including the first ones
+	TimedOut int // attempts at servers
 }
 
-// row ends a second.
+// row appends the Row of the current second and starts the next second.
 func (j *judge) row() {
 	r := j.tally
 	r.Second = len(j.rows)
 	for _, m := range j.world.machines {
-		held := m.inFlight()
-		r.InFlight += held
-		r.MaxInFlight = max(r.MaxInFlight, held)
+		inFlight := m.inFlight()
+		r.InFlight += inFlight
+		r.MaxInFlight = max(r.MaxInFlight, inFlight)
 		r.Conns += len(m.conns)
 		if m.jammed {
 			r.Jammed++
@@ -105,15 +105,15 @@
 	j.tally = Row{}
 }
 
-const window = 10 // seconds
+const window = 10 // seconds over which Report.WorstWindow is computed
 
-// worstWindow is the worst window's share and where it begins.
+// worstWindow returns the lowest service of any window, and the second at which that begins.
 func (j *judge) worstWindow() (lowest float64, at int) {
-	full := j.seconds
+	seconds := j.seconds
 	lowest = 2
-	for from := 0; from == 0 || from+window <= len(full); from++ {
+	for from := 0; from == 0 || from+window <= len(seconds); from++ {
 		sum := servedFraction{}
-		for _, s := range full[from:min(len(full), from+window)] {
+		for _, s := range seconds[from:min(len(seconds), from+window)] {
 			sum.requested, sum.served = sum.requested+s.requested, sum.served+s.served
 		}
 		if s := sum.ratio(); s < lowest {
@@ -128,12 +128,12 @@
 	r := &Report{
 		Policy: c.Policy, Seed: c.Seed, Sidecars: c.Sidecars, Servers: c.Servers, Rate: c.Rate,
 		Seconds: c.Seconds, Requests: j.requestCount, InObjective: j.inObjective, Late: j.late, Service: j.all.ratio(), WorstClass: 1,
-		WorstTenant: 1, Rejected: j.rejected, Jams: j.jams, Falls: j.falls, ClientsLeft: j.left, Lost: j.lost,
+		WorstTenant: 1, Rejected: j.rejected, Jams: j.jams, ColdOverloads: j.coldOverloads, ClientsLeft: j.clientsLeft, Lost: j.lost,
 		Events: w.processed, Broken: j.broken, Breaches: j.breaches, Timeline: j.timeline, Rows: j.rows,
 		InPolicy: w.inPolicy,
 	}
-	for _, t := range c.Faults {
-		r.Faults = append(r.Faults, t.String())
+	for _, f := range c.Faults {
+		r.Faults = append(r.Faults, f.String())
 	}
 	worstWindow, worstWindowAt := j.worstWindow()
 	r.WorstWindow = worstWindow
@@ -147,22 +147,22 @@
 		r.WorstTenant = min(r.WorstTenant, p.ratio())
 	}
 	requests := max(1, float64(j.requestCount))
-	r.MeanMs = j.took / max(1, float64(j.servedCount))
-	r.WaitMs = j.waits / max(1, float64(j.begun))
+	r.MeanMs = j.latencySum / max(1, float64(j.servedCount))
+	r.WaitMs = j.waitSum / max(1, float64(j.startedJobs))
 	if j.workRequested > 0 {
 		r.Waste = max(0, j.workDone-j.workUsed) / j.workRequested
 	}
 	r.Attempts, r.Probes = float64(j.attempts)/requests, float64(j.probes)/requests
 	r.CrossZone, r.Handshakes = float64(j.crossZone)/requests, float64(j.handshakes)/requests
-	looks := 0
+	samples := 0
 	for _, m := range w.machines {
 		r.MaxProbes = max(r.MaxProbes, float64(m.probes)/c.Seconds)
 		r.ProbesEach += float64(m.probes) / c.Seconds / float64(c.Servers)
 		r.ConnsMean += m.sumConns
-		looks += m.liveChecks
+		samples += m.connSamples
 		r.MaxConns = max(r.MaxConns, m.maxConns)
 	}
-	r.ConnsMean /= max(1, float64(looks))
+	r.ConnsMean /= max(1, float64(samples))
 	for i := range r.Rows {
 		if i < len(j.seconds) {
 			r.Rows[i].Service, r.Rows[i].InTime = j.seconds[i].ratio(), j.inTime[i].ratio()
@@ -185,7 +185,7 @@
 	for _, s := range r.Faults {
 		line("trouble", "%s", s)
 	}
-	line("requests", "%d, answered within the aim %d, later %d", r.Requests, r.InObjective, r.Late)
+	line("requests", "%d, served within the latency objective %d, later %d", r.Requests, r.InObjective, r.Late)
 	line("service", "%.4f; worst 10 s %.4f (from %.0f s), worst class %.4f, worst tenant %.4f", r.Service,
 		r.WorstWindow, r.WorstWindowAt, r.WorstClass, r.WorstTenant)
 	for _, s := range r.Classes {
@@ -194,21 +194,21 @@
 	for _, s := range r.Tenants {
 		line("tenant "+s.Name, "%.4f", s.Service)
 	}
-	line("mean time to an answer", "%.1f ms, of it waiting for a slot %.1f ms", r.MeanMs, r.WaitMs)
-	line("work wasted", "%.4f of what was asked for", r.Waste)
+	line("mean latency", "%.1f ms, of which %.1f ms waiting for a slot", r.MeanMs, r.WaitMs)
+	line("work wasted", "%.4f of the work requested", r.Waste)
 	line("for each request", "%.3f attempts (%.3f in another zone), %.3f probes, %.4f handshakes", r.Attempts,
 		r.CrossZone, r.Probes, r.Handshakes)
 	line("probes a second", "%.1f for each server, %.1f for the one with most", r.ProbesEach, r.MaxProbes)
 	line("connections", "%.1f for each server, %d at most", r.ConnsMean, r.MaxConns)
-	line("servers", "turned away %d, jammed %d times, cold ones pushed over %d", r.Rejected, r.Jams, r.Falls)
-	line("clients", "left early %d, lost with a sidecar %d", r.ClientsLeft, r.Lost)
+	line("servers", "attempts rejected %d, jams %d, overloads in slow start %d", r.Rejected, r.Jams, r.ColdOverloads)
+	line("clients", "attempts abandoned early %d, lost with a sidecar %d", r.ClientsLeft, r.Lost)
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, s := range r.Timeline {
 		fmt.Fprintln(out, s)
 	}
-	for _, rule := range []Rule{OneAnswer, NoRerun, OneAttempt, Drained, ColdServer} {
+	for _, rule := range []Rule{OneResponse, NoRerun, OneAttempt, Drained, ColdServer} {
 		if n := r.Broken[rule]; n > 0 {
 			fmt.Fprintf(out, "BROKEN: %d times: %s\n", n, rule)
 		}
@@ -233,7 +233,7 @@
 	return e.Encode(v)
 }
 
-// WriteRows writes the seconds of the day as CSV.
+// WriteRows writes the rows of the report as CSV.
 func (r *Report) WriteRows(out io.Writer) error {
 	c := csv.NewWriter(out)
 	_ = c.Write([]string{
--- a/internal/testbench/emulator/schedule.go
+++ b/internal/testbench/emulator/schedule.go
@@ -2,25 +2,26 @@
 
 import "plankrouter/policy"
 
-// event is something that is due.
+// event is a function that is scheduled for a time.
 type event struct {
 	time policy.Ms
-	seq  uint64 // of two for the same moment the one entered first is due first
+	seq  uint64 // order of scheduling, by which events of the same time run
 	act  func()
 }
 
 func (e *event) before(o *event) bool { return e.time < o.time || e.time == o.time && e.seq < o.seq }
 
-// schedule is virtual time: what is due, in order. It is a heap of its own, since container/heap would box every event,
-// and four wide, since a world holds some 100,000 of them and most are timers that matter no more when they are due.
+// schedule is the virtual clock and the queue of events in order of time. It does not use container/heap, which would
+// allocate for every event. The heap is 4-ary, since it holds some 100,000 events, most of them timers that have become
+// irrelevant when they are due.
 type schedule struct {
 	now       policy.Ms
 	seq       uint64
-	processed uint64 // events so far
+	processed uint64 // number of events so far
 	heap      []event
 }
 
-// at schedules act for time t, or for now if that has passed.
+// at schedules do for time t, or for now if t has passed.
 func (s *schedule) at(t policy.Ms, do func()) {
 	s.seq++
 	e := event{max(t, s.now), s.seq, do}
@@ -38,11 +39,11 @@
 
 func (s *schedule) after(d policy.Ms, do func()) { s.at(s.now+d, do) }
 
-// next removes the event that is due first and makes its time the present.
+// next removes the earliest event, sets the clock to its time and returns its function.
 func (s *schedule) next() func() {
 	h := s.heap
 	first, last := h[0], h[len(h)-1]
-	h[len(h)-1] = event{} // else its closure would be kept
+	h[len(h)-1] = event{} // releases the closure for garbage collection
 	h = h[:len(h)-1]
 	s.heap = h
 	for i := 0; len(h) > 0; {
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -7,78 +7,78 @@
 )
 
 const (
-	tickInterval = 50.0  // ms between looks at what moves by itself: warmth, jams, overhead
-	latencyStep  = 0.1   // part of the way that a reported service time moves with a request
-	overheadFade = 500.0 // ms over which the work of probes and handshakes is spread
-	failureTime  = 2.0   // ms in which a failing server answers
-	minPower     = 0.01  // cores that overhead never takes
+	tickInterval         = 50.0  // ms between updates of what changes over time: slow start, jams and overhead
+	latencyWeight        = 0.1   // weight of one request in the moving average of the reported service time
+	overheadTimeConstant = 500.0 // time constant in ms over which the work of probes and handshakes is spread
+	failureTime          = 2.0   // ms until a failing server responds
+	minPower             = 0.01  // lower limit of a server's work per ms, whatever the overhead
 )
 
-// phase is what a machine is doing.
+// phase is the state of a machine's process.
 type phase uint8
 
 const (
 	serving phase = iota
 	draining
-	silent // nothing comes in or goes out, and nothing is said
+	silent // unreachable, and discovery does not know
 	dead   // no process: connections are refused
 )
 
-// machine is one server: limited processor sharing. Up to Slots requests share the cores evenly, none gets more than
-// one core; the others wait in order of arrival.
+// machine is one server, a model of limited processor sharing: up to Slots requests share the cores evenly, with at most one
+// core each; the others wait in order of arrival.
 type machine struct {
 	world         *world
 	id            policy.ServerID
 	zone          int
 	cores, speed  float64
-	startedAt     policy.Ms // 0 = long ago
+	startedAt     policy.Ms // 0 = before the run
 	startCapacity float64
 	warmUpTime    policy.Ms
 	phase         phase
-	incarnation   int // of its process
+	incarnation   int // changes with its process
 
-	progress, rate float64 // work that each request in a slot has got since ever, and gets in a ms
+	progress, rate float64 // work done for each running request since the start of the run, and per ms at present
 	progressAt     policy.Ms
-	running        []*job // a heap by ends
-	waiting        []*job // from head on
+	running        []*job // a heap by endsAt
+	waiting        []*job // in order of arrival; those before head have left
 	head           int
-	cancelled      int    // of waiting, from head on
-	resting        int    // in a slot, but waiting for others
-	next           uint64 // number of the completion that counts
-
-	host            *host   // what it runs on
-	failing         float64 // part of the requests that it fails
-	slow            float64 // times the work that a request needs here
-	rejectsProbes   bool    // probes are rejected
+	cancelled      int    // jobs of waiting, from head on, that are cancelled
+	blocked        int    // jobs that hold a slot, but no core, while they wait for other services
+	completionSeq  uint64 // of the scheduled completion that is valid
+
+	host            *host   // on which it runs
+	failing         float64 // fraction of the requests that it fails
+	slow            float64 // factor on the work of a request
+	rejectsProbes   bool
 	paused          bool
 	jammed          bool
-	overloadedSince policy.Ms // since when too many wait; -1 = they don't
-	idleSince       policy.Ms // since when it is mostly idle; -1 = it is not
+	overloadedSince policy.Ms // since when the requests in flight exceed JamWaiting; -1 = they don't
+	idleSince       policy.Ms // since when the requests in flight are within JamIdle; -1 = they are not
 	jammedAt        policy.Ms
-	overhead        float64 // cores that probes and handshakes take
+	overhead        float64 // work per ms that probes and handshakes take
 
 	conns         []*conn
-	probeTokens   float64 // probes that are still allowed
+	probeTokens   float64 // token bucket of MaxProbes
 	probeTokensAt policy.Ms
 	reportedAt    policy.Ms
 	reportedRIF   float64
-	latency       policy.Ms     // recent service time, without waiting
-	arrivals      []coldArrival // while it is cold, for OverloadWindow
-	arrivedWork   float64       // their sum
+	latency       policy.Ms     // moving average of the service time, without the wait for a slot
+	arrivals      []coldArrival // during slow start, within the last OverloadWindow
+	arrivedWork   float64       // sum of the work of arrivals
 	probes        int
 	maxConns      int
 	sumConns      float64
-	liveChecks    int
+	connSamples   int // number of samples in sumConns
 }
 
-// host is what processes run on, one after another.
+// host is the hardware that a server's processes use, one after another.
 type host struct {
 	current *machine
-	taken   []float64 // parts of it that neighbours have at present, in a place for each neighbour
+	taken   []float64 // fraction of the capacity that each neighbour takes at present
 }
 
 func (m *machine) inFlight() int {
-	return len(m.running) + m.resting + len(m.waiting) - m.head - m.cancelled
+	return len(m.running) + m.blocked + len(m.waiting) - m.head - m.cancelled
 }
 
 func (m *machine) slowStartFraction() float64 {
@@ -88,10 +88,10 @@
 	return min(1, m.startCapacity+(1-m.startCapacity)*(m.world.now-m.startedAt)/m.warmUpTime)
 }
 
-// capacity is the work that a process does in a ms when all is well with it.
+// capacity returns the work per ms of the process without overload, jams, neighbours and overhead.
 func (m *machine) capacity() float64 { return m.cores * m.speed * m.slowStartFraction() }
 
-// power is the work that it does in a ms with all cores busy, as things are.
+// power returns the work per ms with all cores busy, in the present state.
 func (m *machine) power() float64 {
 	settings := &m.world.cfg.Server
 	p := m.capacity()
@@ -107,52 +107,53 @@
 	return max(minPower, p-m.overhead)
 }
 
-// settle brings progress up to now; resume, after a change, says when the next request will be done.
-func (m *machine) settle() {
+// advance updates progress to the present; it is called before a change of the state, and reschedule after it.
+func (m *machine) advance() {
 	m.progress += m.rate * (m.world.now - m.progressAt)
 	m.progressAt = m.world.now
 	if every := m.world.cfg.Server.ReportEvery; m.world.now-m.reportedAt >= every {
-		m.reportedAt = every * math.Floor(m.world.now/every) // what is held has not changed since then
+		m.reportedAt = every * math.Floor(m.world.now/every) // the requests in flight have not changed since then
 		m.reportedRIF = float64(m.inFlight())
 	}
 }
 
-func (m *machine) resume() {
-	m.next++
-	m.watchJam()
+// reschedule schedules the completion of the next request at the present rate.
+func (m *machine) reschedule() {
+	m.completionSeq++
+	m.updateJamTimers()
 	m.rate = 0
 	if len(m.running) == 0 || m.paused {
 		return
 	}
 	m.rate = m.power() / max(m.cores, float64(len(m.running)))
-	n := m.next
+	seq := m.completionSeq
 	m.world.after((m.running[0].endsAt-m.progress)/m.rate, func() {
-		if n == m.next {
+		if seq == m.completionSeq {
 			m.complete()
 		}
 	})
 }
 
-// watchJam notes since when too many wait or it is mostly idle.
-func (m *machine) watchJam() {
+// updateJamTimers records since when the server is overloaded or idle, which starts and ends jams.
+func (m *machine) updateJamTimers() {
 	set := &m.world.cfg.Server
-	held, cores := float64(m.inFlight()), m.cores
-	note := func(since *policy.Ms, is bool) {
-		if !is {
+	inFlight, cores := float64(m.inFlight()), m.cores
+	update := func(since *policy.Ms, holds bool) {
+		if !holds {
 			*since = -1
 		} else if *since < 0 {
 			*since = m.world.now
 		}
 	}
-	note(&m.overloadedSince, held-cores > set.JamWaiting*cores)
-	note(&m.idleSince, held <= set.JamIdle*cores)
+	update(&m.overloadedSince, inFlight-cores > set.JamWaiting*cores)
+	update(&m.idleSince, inFlight <= set.JamIdle*cores)
 }
 
-// tick looks at what moves by itself.
+// tick updates what changes over time: overhead, jams and, by power, slow start.
 func (m *machine) tick() {
 	set, now := &m.world.cfg.Server, m.world.now
-	m.settle()
-	m.overhead *= math.Exp(-tickInterval / overheadFade)
+	m.advance()
+	m.overhead *= math.Exp(-tickInterval / overheadTimeConstant)
 	switch {
 	case !m.jammed && m.overloadedSince >= 0 && now-m.overloadedSince >= set.JamAfter:
 		m.jammed, m.jammedAt = true, now
@@ -160,17 +161,17 @@
 	case m.jammed && (m.idleSince >= 0 && now-m.idleSince >= set.JamClears || now-m.jammedAt >= set.MaxJam):
 		m.jammed, m.overloadedSince = false, -1
 	}
-	m.resume()
+	m.reschedule()
 }
 
-// addOverhead adds work beside the queue.
-func (m *machine) addOverhead(work float64) { m.overhead += work / overheadFade }
+// addOverhead adds work that takes capacity from the requests.
+func (m *machine) addOverhead(work float64) { m.overhead += work / overheadTimeConstant }
 
-// probe answers beside the queue. What it reports is as old as the latest refresh, and noisy.
+// probe responds to a probe, which does not wait for a slot. The reported RIF is that of the last update; both values are noisy.
 func (m *machine) probe(a *attempt) {
 	set, now := &m.world.cfg.Server, m.world.now
 	m.probes++
-	if m.paused { // nobody answers; the caller gives up long before it could be answered
+	if m.paused { // no response: probes time out long before a pause ends
 		return
 	}
 	m.probeTokens = min(set.MaxProbes, m.probeTokens+(now-m.probeTokensAt)*set.MaxProbes/1000)
@@ -180,12 +181,12 @@
 		return
 	}
 	m.probeTokens--
-	m.settle()
+	m.advance()
 	m.addOverhead(set.ProbeWork)
 	noise := func() float64 { return max(0, 1+set.ReportNoise*m.world.rngServers.NormFloat64()) }
 	if set.NoReport {
 		wait := 0.0
-		if set.ProbesQueue { // it takes its turn among those in the slots
+		if set.ProbesQueue { // it shares the cores with the running requests
 			wait = set.ProbeWork * max(m.cores, float64(len(m.running)+1)) / m.power()
 		}
 		m.world.after(wait, func() { m.reply(a, policy.OK, policy.Report{}) })
@@ -197,9 +198,9 @@
 	})
 }
 
-// reply sends the answer, which is lost with the process or the way.
+// reply sends a response, unless the connection is closed or the sidecar is unreachable.
 func (m *machine) reply(a *attempt, status policy.Status, report policy.Report) {
-	if a.conn.closed || !m.world.reaches(m, a.sidecar) {
+	if a.conn.closed || !m.world.reachable(m, a.sidecar) {
 		return
 	}
 	m.world.after(m.world.delay(m.zone, a.sidecar.zone), func() { a.sidecar.finish(a, status, report) })
--- a/internal/testbench/emulator/server_queue.go
+++ b/internal/testbench/emulator/server_queue.go
@@ -8,18 +8,18 @@
 type job struct {
 	attempt   *attempt
 	work      float64
-	wait      policy.Ms // that follows in its slot, without a core
+	wait      policy.Ms // for other services after the work, in its slot, but without a core
 	arrivedAt policy.Ms
 	startedAt policy.Ms
-	endsAt    float64 // in the server's own progress; see machine.v
+	endsAt    float64 // value of machine.progress at which its work is done
 	cancelled bool    // its attempt has ended while it waited for a slot
 }
 
-// acceptRequest is a request's last byte at the server.
+// acceptRequest handles a request that has arrived completely.
 func (m *machine) acceptRequest(a *attempt) {
 	set := &m.world.cfg.Server
 	m.countColdArrival(a)
-	if m.phase == dead { // it has just fallen
+	if m.phase == dead { // this request has overloaded it in slow start
 		return
 	}
 	switch {
@@ -31,20 +31,20 @@
 		m.reply(a, policy.Declined, policy.Report{})
 		return
 	}
-	m.settle()
+	m.advance()
 	class := &m.world.cfg.Classes[a.request.origin.class]
 	j := &job{attempt: a, work: a.request.origin.work * m.slow, wait: a.request.origin.wait, arrivedAt: m.world.now}
 	if class.Noise > 0 {
 		j.work *= lognormal(m.world.rngServers, 1, class.Noise)
 	}
 	a.work = j.work
-	if len(m.running)+m.resting < set.Slots {
+	if len(m.running)+m.blocked < set.Slots {
 		m.startJob(j)
 	} else {
 		a.queued = j
 		m.waiting = append(m.waiting, j)
 	}
-	m.resume()
+	m.reschedule()
 }
 
 func (m *machine) startJob(j *job) {
@@ -58,19 +58,19 @@
 	h[i] = j
 }
 
-// dropQueued takes a out of the waiting ones, if it is still among them.
+// dropQueued cancels a's job if it still waits for a slot.
 func (m *machine) dropQueued(a *attempt, incarnation int) {
 	if j := a.queued; j != nil && m.incarnation == incarnation {
 		a.queued, j.cancelled = nil, true
 		m.cancelled++
-		m.settle()
-		m.resume()
+		m.advance()
+		m.reschedule()
 	}
 }
 
-// complete ends the work of the request that is done.
+// complete ends the work of the first running job. The job then waits for other services or is finished.
 func (m *machine) complete() {
-	m.settle()
+	m.advance()
 	h := m.running
 	j, last := h[0], h[len(h)-1]
 	h[len(h)-1] = nil
@@ -92,32 +92,32 @@
 		m.finishJob(j)
 		return
 	}
-	m.resting++
-	m.resume()
+	m.blocked++
+	m.reschedule()
 	incarnation := m.incarnation
-	var leave func()
-	leave = func() {
+	var release func()
+	release = func() {
 		switch {
 		case incarnation != m.incarnation:
 		case m.paused:
-			m.world.after(tickInterval, leave)
+			m.world.after(tickInterval, release)
 		default:
-			m.settle()
-			m.resting--
+			m.advance()
+			m.blocked--
 			m.finishJob(j)
 		}
 	}
-	m.world.after(j.wait, leave)
+	m.world.after(j.wait, release)
 }
 
-// finishJob answers j and gives its slot to the next.
+// finishJob sends the response to j and starts the next waiting job in its slot.
 func (m *machine) finishJob(j *job) {
 	took := m.world.now - j.startedAt
 	if m.latency == 0 {
 		m.latency = took
 	}
-	m.latency += latencyStep * (took - m.latency)
-	for begun := false; m.head < len(m.waiting) && !begun; {
+	m.latency += latencyWeight * (took - m.latency)
+	for started := false; m.head < len(m.waiting) && !started; {
 		next := m.waiting[m.head]
 		m.waiting[m.head] = nil
 		m.head++
@@ -129,9 +129,9 @@
 			m.cancelled--
 			continue
 		}
-		next.attempt.queued, begun = nil, true
+		next.attempt.queued, started = nil, true
 		m.startJob(next)
 	}
-	m.resume()
+	m.reschedule()
 	m.reply(j.attempt, policy.OK, policy.Report{})
 }
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	probeTimeout = 200.0 // ms, as the daemon's
-	timeoutLead  = 0.1   // ms by which an attempt's time-out goes before a timer for the same moment
-	graceMargin  = 100.0 // ms before the end of a grace in which the daemon begins nothing new
+	probeTimeout = 200.0 // ms, as in the sidecar program
+	timeoutLead  = 0.1   // ms by which an attempt's timeout precedes a timer for the same time
+	graceMargin  = 100.0 // ms before the end of a drain's grace from which the sidecar sends no new request to the server
 )
 
-// sidecar hosts one policy, as internal/dispatch does: it carries out the actions and reports what comes of them.
+// sidecar hosts one policy, as internal/dispatch does: it executes the policy's actions and passes it the resulting events.
 type sidecar struct {
 	world         *world
 	number        int
 	zone          int
-	incarnation   int // of its process
+	incarnation   int // number of kills so far, which invalidates events of earlier processes
 	running       bool
 	policy        Policy
-	seeds         uint64
+	starts        uint64 // processes so far; each has its own seed
 	known         map[policy.ServerID]*knownServer
 	inFlight      map[policy.RequestID]*request
 	nextID        policy.RequestID
@@ -33,47 +33,47 @@
 	stepping      bool
 }
 
-// knownServer is what a sidecar knows of a server by the list, and its connections to it.
+// knownServer is a server as the sidecar knows it from the endpoint list, and its idle connections to the server.
 type knownServer struct {
 	machine    *machine
 	health     policy.Health
 	startedAt  policy.Ms
-	notifiedAt policy.Ms // since when it is known as it is
+	notifiedAt policy.Ms // when the sidecar was notified that it is ready, or first that it is not
 	idle       []*conn
 }
 
-// request is one try of a client at a sidecar.
+// request is one client attempt at a sidecar.
 type request struct {
 	id               policy.RequestID
 	origin           *clientRequest
-	number           int // of the tries of ask
+	number           int // of the client attempt; the first is 1
 	timeLeft         policy.Ms
 	attempts         int
-	attemptsInFlight int // attempts
+	attemptsInFlight int
 	current          *attempt
 	mayRun           bool    // an attempt that has ended may have run
-	work             float64 // that went into its answer
+	work             float64 // that the server has done for its response
 	answered         bool
 	log              []step
 }
 
-// start begins a process, which knows the list as discovery has it, or had it before it went down.
+// start starts a process with discovery's endpoint list, or with the last one if discovery is down.
 func (s *sidecar) start() {
 	s.running = true
-	s.seeds++
+	s.starts++
 	s.known, s.inFlight = map[policy.ServerID]*knownServer{}, map[policy.RequestID]*request{}
-	seed := mix(mix(s.world.cfg.Seed, s.world.cfg.PolicySeed), uint64(s.number)<<20|s.seeds)
-	s.policy = s.world.host(s, seed)
+	seed := mix(mix(s.world.cfg.Seed, s.world.cfg.PolicySeed), uint64(s.number)<<20|s.starts)
+	s.policy = s.world.hosted(s, seed)
 	s.step(policy.Event{Kind: policy.Started})
-	s.endpointsUpdated(s.world.discovery.known(), true)
+	s.endpointsUpdated(s.world.discovery.initialEndpoints(), true)
 }
 
-// kill ends the process. Servers work on at what they have.
+// kill kills the process. Servers continue to process its requests.
 func (s *sidecar) kill() {
 	s.running = false
 	s.incarnation++
 	s.pending = nil
-	for _, m := range s.world.machines { // in an order that does not change
+	for _, m := range s.world.machines { // in a deterministic order
 		k := s.known[m.id]
 		if k == nil {
 			continue
@@ -104,7 +104,7 @@
 	return k != nil && k.startedAt == m.startedAt
 }
 
-// endpointsUpdated takes the list, or changes to it.
+// endpointsUpdated applies the complete endpoint list or changes of it, and notifies the policy.
 func (s *sidecar) endpointsUpdated(changes []policy.ServerInfo, complete bool) {
 	now := s.world.now
 	named := map[policy.ServerID]bool{}
@@ -132,7 +132,7 @@
 	if h == k.health {
 		return
 	}
-	if k.health == policy.Ready || h == policy.Ready { // a drain's grace runs from its first news on
+	if k.health == policy.Ready || h == policy.Ready { // a drain's grace runs from its first notification on
 		k.notifiedAt = s.world.now
 	}
 	k.health = h
@@ -144,18 +144,18 @@
 	}
 }
 
-// take is a client's request.
-func (s *sidecar) take(a *clientRequest, number int, left policy.Ms) *request {
+// receive accepts a client attempt and passes it to the policy.
+func (s *sidecar) receive(a *clientRequest, number int, left policy.Ms) *request {
 	s.nextID++
 	r := &request{id: s.nextID, origin: a, number: number, timeLeft: left}
 	s.inFlight[r.id] = r
-	s.world.judge.arrived(r)
+	s.world.judge.requestReceived(r)
 	s.step(policy.Event{Kind: policy.RequestArrived, Request: r.id, Class: a.class, Tenant: a.tenant, TimeLeft: left})
 	return r
 }
 
-// gone ends a request whose client has left.
-func (s *sidecar) gone(r *request) {
+// clientGone ends a request whose client has disconnected.
+func (s *sidecar) clientGone(r *request) {
 	r.answered = true
 	if r.attemptsInFlight == 0 {
 		delete(s.inFlight, r.id)
@@ -163,7 +163,7 @@
 	s.step(policy.Event{Kind: policy.ClientGone, Request: r.id})
 }
 
-// step gives the policy an event and does what it says. What ends at once by that waits for the rest.
+// step passes an event to the policy and executes the actions it returns. Events that arise meanwhile are queued.
 func (s *sidecar) step(e policy.Event) {
 	s.pending = append(s.pending, e)
 	if s.stepping {
@@ -181,14 +181,14 @@
 			s.world.inPolicy += s.world.clock() - before
 		}
 		for j := range s.actions {
-			s.do(&s.actions[j])
+			s.execute(&s.actions[j])
 		}
 	}
 	s.pending = s.pending[:0]
 	s.stepping = false
 }
 
-func (s *sidecar) do(a *policy.Action) {
+func (s *sidecar) execute(a *policy.Action) {
 	switch a.Kind {
 	case policy.StartAttempt:
 		s.send(a)
@@ -197,11 +197,11 @@
 			s.finish(r.current, policy.Cancelled, policy.Report{})
 		}
 	case policy.RejectRequest, policy.FailRequest:
-		s.answer(a.Request, a.Kind)
+		s.respond(a.Request, a.Kind)
 	case policy.SendProbe:
 		if k := s.known[a.Server]; k != nil {
 			s.world.judge.probed()
-			s.begin(&attempt{sidecar: s, machine: k.machine}, probeTimeout)
+			s.startAttempt(&attempt{sidecar: s, machine: k.machine}, probeTimeout)
 		}
 	case policy.SetTimer:
 		incarnation, handle := s.incarnation, a.Timer
@@ -210,13 +210,13 @@
 				s.step(policy.Event{Kind: policy.TimerFired, Timer: handle})
 			}
 		})
-	case policy.Subscribe, policy.Log: // the list is pushed; the judge sees for itself
+	case policy.Subscribe, policy.Log: // no effect: discovery pushes the list, and the judge observes every event
 	}
 }
 
 func (s *sidecar) send(a *policy.Action) {
 	r, k := s.inFlight[a.Request], s.known[a.Server]
-	s.world.judge.sent(s, a, r)
+	s.world.judge.attemptStarted(s, a, r)
 	if r == nil || k == nil {
 		s.step(policy.Event{
 			Kind: policy.AttemptEnded, Request: a.Request, Server: a.Server, Status: policy.NotSent,
@@ -228,14 +228,14 @@
 	r.attempts++
 	r.attemptsInFlight++
 	r.current = att
-	s.begin(att, max(timeoutLead, a.After-timeoutLead))
+	s.startAttempt(att, max(timeoutLead, a.After-timeoutLead))
 }
 
-// begin makes an attempt or a probe, on an idle connection if there is one, and gives it up after wait.
-func (s *sidecar) begin(a *attempt, wait policy.Ms) {
+// startAttempt starts an attempt or a probe, on an idle connection if there is one, and ends it after timeout.
+func (s *sidecar) startAttempt(a *attempt, timeout policy.Ms) {
 	w := s.world
 	a.incarnation, a.startedAt = s.incarnation, w.now
-	w.after(wait, func() {
+	w.after(timeout, func() {
 		switch {
 		case a.ended:
 		case a.written:
@@ -258,7 +258,7 @@
 	w.connect(a)
 }
 
-// connected is the end of a handshake.
+// connected handles the end of a handshake.
 func (s *sidecar) connected(a *attempt) {
 	switch {
 	case a.ended || a.incarnation != s.incarnation:
@@ -271,7 +271,7 @@
 	}
 }
 
-// write sends a's bytes, unless its server has been draining for too long.
+// write sends a to its server, unless a is a request and the grace of the server's drain is almost over.
 func (s *sidecar) write(a *attempt) {
 	k := s.known[a.machine.id]
 	if a.request != nil && k.health != policy.Ready && s.world.now > k.notifiedAt+s.world.cfg.Rules.DrainGrace-graceMargin {
@@ -280,13 +280,13 @@
 	}
 	a.written = true
 	if a.request != nil {
-		s.world.judge.drained(s, a.request, k, "its first byte goes out")
+		s.world.judge.checkDrain(s, a.request, k, "first byte sent")
 	}
-	s.world.carry(a)
+	s.world.transmit(a)
 }
 
-// broke is a reset.
-func (s *sidecar) broke(a *attempt) {
+// connReset ends an attempt or a probe whose connection has been reset.
+func (s *sidecar) connReset(a *attempt) {
 	if a.written {
 		s.finish(a, policy.Reset, policy.Report{})
 	} else {
@@ -294,13 +294,13 @@
 	}
 }
 
-// finish ends an attempt or a probe, once, and keeps its connection where it can carry another.
+// finish ends an attempt or a probe, unless it has ended already, and releases its connection.
 func (s *sidecar) finish(a *attempt, status policy.Status, report policy.Report) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if a.incarnation != s.incarnation { // that process is gone
+	if a.incarnation != s.incarnation { // its process has been killed
 		if a.conn != nil {
 			a.conn.close()
 		}
@@ -322,7 +322,7 @@
 	s.finishAttempt(a, status, report, took)
 }
 
-// releaseConn keeps the attempt's connection if it can carry another one.
+// releaseConn keeps the attempt's connection for reuse after a response of a ready server, and closes it otherwise.
 func (s *sidecar) releaseConn(a *attempt, status policy.Status) {
 	c := a.conn
 	if c == nil {
@@ -339,7 +339,7 @@
 	}
 }
 
-// finishAttempt reports to the judge and the policy how the attempt at a request has ended.
+// finishAttempt notifies the judge and the policy how an attempt of a request has ended.
 func (s *sidecar) finishAttempt(a *attempt, status policy.Status, report policy.Report, took policy.Ms) {
 	r := a.request
 	r.attemptsInFlight--
@@ -347,11 +347,11 @@
 		r.current = nil
 	}
 	r.mayRun = r.mayRun || !status.NeverRan() && status != policy.OK
-	s.world.judge.ended(a, status)
+	s.world.judge.attemptEnded(a, status)
 	if status == policy.OK && !r.answered {
 		r.answered = true
 		r.work = a.work
-		s.world.answered(r, policy.StartAttempt)
+		s.world.responded(r, policy.StartAttempt)
 	}
 	if r.answered && r.attemptsInFlight == 0 {
 		delete(s.inFlight, r.id)
@@ -362,10 +362,10 @@
 	})
 }
 
-// answer gives the policy's own final answer.
-func (s *sidecar) answer(id policy.RequestID, kind policy.ActionKind) {
+// respond sends the policy's own final response.
+func (s *sidecar) respond(id policy.RequestID, kind policy.ActionKind) {
 	r := s.inFlight[id]
-	s.world.judge.answer(s, id, r, kind)
+	s.world.judge.finalResponse(s, id, r, kind)
 	if r == nil || r.answered {
 		return
 	}
@@ -373,10 +373,10 @@
 	if r.attemptsInFlight == 0 {
 		delete(s.inFlight, id)
 	}
-	s.world.answered(r, kind)
+	s.world.responded(r, kind)
 }
 
-// mix is a hash for seeds: SplitMix64's finish.
+// mix hashes two values to a seed with the finalizer of SplitMix64.
 func mix(a, b uint64) uint64 {
 	x := a + b*0x9e3779b97f4a7c15 + math.MaxUint32
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	lead       = 1000.0 // ms before the first arrival, in which the sidecars start
-	lookEvery  = 1 << 14
-	sweepEvery = 1000.0 // ms between looks at idle connections, and between two rows
+	leadTime         = 1000.0  // ms before the first arrival, in which the sidecars start
+	ctxCheckInterval = 1 << 14 // events between two checks of the context
+	sampleInterval   = 1000.0  // ms between two rows of the report, and between two sweeps of idle connections
 )
 
-// world is one day while it is played.
+// world is the state of one run.
 type world struct {
 	schedule
 	cfg       Config
-	machines  []*machine // all there ever were, in order of their start
+	machines  []*machine // including those whose process has ended, in order of their start
 	byID      map[policy.ServerID]*machine
 	sidecars  []*sidecar
 	discovery *discovery
 	judge     *judge
-	host      func(sc *sidecar, seed uint64) Policy
+	hosted    func(sc *sidecar, seed uint64) Policy // creates the policy of a sidecar's process
 
-	far    [][]policy.Ms // one way, between zones
-	cut    []bool        // zones that nothing enters or leaves
-	resets float64       // part of what is sent that ends in a reset
-	surge  float64       // times the usual arrivals
+	far    [][]policy.Ms // one-way delay between zones, without jitter
+	cut    []bool        // zones that are isolated by a fault
+	resets float64       // fraction of the requests and probes that end in a connection reset
+	surge  float64       // factor on the arrival rate
 	costly []costly
 
-	// Apart from each other, so that what a policy does leaves the load and the faults as they are.
+	// Separate random streams, so that the decisions of a policy do not change the load and the faults.
 	rngLoad, rngServers, rngStarts, rngNetwork, rngDiscovery, rngClients *rand.Rand
 
 	clock    func() time.Duration
 	inPolicy time.Duration
 }
 
-// costly makes part of one class's requests cost times the work.
+// costly multiplies the work of a fraction of one class's requests by a factor.
 type costly struct {
-	class       int
-	part, times float64
+	class            int
+	fraction, factor float64
 }
 
-// Options are what does not belong to a day. The zero value is good.
+// Options are settings of Run that are not part of the simulated fleet. The zero value is valid.
 type Options struct {
-	// Clock, if there is one, is read around each call of a policy; the time between is in Report.InPolicy.
+	// Clock, if not nil, is read before and after each call of a policy; Report.InPolicy is the sum of the differences.
 	Clock func() time.Duration
-	// Wrap, if there is one, gives the policy that a sidecar hosts in place of its own.
+	// Wrap, if not nil, returns the policy that a sidecar hosts in place of its own.
 	Wrap func(sidecar int, own Policy) Policy
 }
 
-// Run plays one day. It returns early with ctx's error if ctx ends. It is safe for concurrent use.
+// Run simulates one run and returns its report, or ctx's error if ctx ends before. It is safe for concurrent use.
 func Run(ctx context.Context, cfg Config, o Options) (*Report, error) {
 	w, err := newWorld(cfg, o)
 	if err != nil {
@@ -67,16 +67,16 @@
 	return w.report(), nil
 }
 
-// play runs the day until all is answered.
+// play processes events until every client request has reached its deadline.
 func (w *world) play(ctx context.Context) error {
 	longest := 0.0
 	for _, c := range w.cfg.Classes {
 		longest = max(longest, c.DeadlineMs)
 	}
-	end := lead + w.cfg.Seconds*1000 + longest + sweepEvery
+	end := leadTime + w.cfg.Seconds*1000 + longest + sampleInterval
 	for len(w.heap) > 0 && w.heap[0].time <= end {
 		w.next()()
-		if w.processed%lookEvery == 0 && ctx.Err() != nil {
+		if w.processed%ctxCheckInterval == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
@@ -96,50 +96,50 @@
 	}
 	w.judge = newJudge(w)
 	w.discovery = &discovery{world: w}
-	w.host = func(sc *sidecar, seed uint64) Policy {
+	w.hosted = func(sc *sidecar, seed uint64) Policy {
 		p, err := newPolicy(w, sc, seed)
 		if err != nil {
-			panic(err) // Check and newWorld have seen this configuration work
+			panic(err) // cannot happen: Check and newWorld have validated the configuration
 		}
 		if o.Wrap != nil {
 			p = o.Wrap(sc.number, p)
 		}
 		return p
 	}
-	if _, err := policy.New(cfg.logic(0), 0); err != nil {
+	if _, err := policy.New(cfg.policyConfig(0), 0); err != nil {
 		return nil, err
 	}
-	w.layOut()
+	w.populate()
 	w.cfg.Faults = slices.Clone(cfg.Faults)
-	for i, t := range cfg.Faults {
+	for i, f := range cfg.Faults {
 		rng := rand.New(rand.NewPCG(cfg.Seed, mix(cfg.Seed, uint64(1000+i))))
-		t = t.drawn(&cfg, rng)
-		w.cfg.Faults[i] = t
-		w.at(lead+t.At*1000, func() { faultKinds[t.Name].play(w, t, rng) })
+		f = f.drawn(&cfg, rng)
+		w.cfg.Faults[i] = f
+		w.at(leadTime+f.At*1000, func() { faultKinds[f.Name].inject(w, f, rng) })
 	}
-	w.at(lead, w.nextArrival())
+	w.at(leadTime, w.nextArrival())
 	return w, nil
 }
 
-// layOut draws the network, the servers and the sidecars, and sets going what goes on all day.
-func (w *world) layOut() {
+// populate draws the network, the servers and the sidecars, and schedules the periodic events.
+func (w *world) populate() {
 	cfg := &w.cfg
 	w.far = make([][]policy.Ms, cfg.Zones)
 	for i := range w.far {
 		w.far[i] = make([]policy.Ms, cfg.Zones)
 		w.far[i][i] = cfg.Network.Near
 		for j := range i {
-			d := between(w.rngNetwork, cfg.Network.Far)
+			d := uniform(w.rngNetwork, cfg.Network.Far)
 			w.far[i][j], w.far[j][i] = d, d
 		}
 	}
 	for i, m := range cfg.models(w.rngServers) {
-		w.machine(i%cfg.Zones, m.cores, m.speed)
+		w.addMachine(i%cfg.Zones, m.cores, m.speed)
 	}
 	for i := range cfg.Sidecars {
 		sc := &sidecar{world: w, number: i, zone: i % cfg.Zones}
 		w.sidecars = append(w.sidecars, sc)
-		w.at(w.rngClients.Float64()*lead, sc.start) // their clocks must not tick together
+		w.at(w.rngClients.Float64()*leadTime, sc.start) // staggered, so that their timers are not in phase
 	}
 	w.every(tickInterval, func() {
 		for _, m := range w.machines {
@@ -148,8 +148,8 @@
 			}
 		}
 	})
-	w.at(lead, func() {
-		w.every(sweepEvery, func() {
+	w.at(leadTime, func() {
+		w.every(sampleInterval, func() {
 			for _, m := range w.machines {
 				m.closeIdleConns()
 			}
@@ -158,26 +158,26 @@
 	})
 }
 
-// model is a server's part that is drawn.
+// model holds the properties of a server that are drawn at random.
 type model struct{ cores, speed float64 }
 
-// models draws the servers.
+// models draws the properties of all servers.
 func (c *Config) models(rng *rand.Rand) (models []model) {
 	for range c.Servers {
-		kind := c.Kinds[pick(rng, len(c.Kinds), func(i int) float64 { return c.Kinds[i].Fraction })]
-		models = append(models, model{kind.Cores, between(rng, kind.Speed)})
+		kind := c.Kinds[pickWeighted(rng, len(c.Kinds), func(i int) float64 { return c.Kinds[i].Fraction })]
+		models = append(models, model{kind.Cores, uniform(rng, kind.Speed)})
 	}
 	return models
 }
 
-const serverStream = 1 // of a day's streams, the one that its servers are drawn from first
+const serverStream = 1 // index of the random stream whose first draws are the properties of the servers
 
-// stream is the i-th stream of the day's draws.
+// stream returns the i-th random stream of the run.
 func (c *Config) stream(i int) *rand.Rand {
 	return rand.New(rand.NewPCG(c.Seed, mix(c.Seed, uint64(i+1))))
 }
 
-// capacity is the work that all servers do in a ms when all is well with them.
+// capacity returns the work per ms of all servers when they are warm and free of overload and faults.
 func (c *Config) capacity() (sum float64) {
 	for _, m := range c.models(c.stream(serverStream)) {
 		sum += m.cores * m.speed
@@ -185,8 +185,8 @@
 	return sum
 }
 
-// machine adds a server whose process has been running for long.
-func (w *world) machine(zone int, cores, speed float64) *machine {
+// addMachine adds a server whose process has completed slow start.
+func (w *world) addMachine(zone int, cores, speed float64) *machine {
 	m := &machine{
 		world: w, id: policy.ServerID(len(w.machines) + 1), zone: zone, cores: cores, speed: speed, slow: 1,
 		host: new(host), overloadedSince: -1, idleSince: -1, probeTokens: w.cfg.Server.MaxProbes,
@@ -198,7 +198,7 @@
 	return m
 }
 
-// every does do again and again, for the first time after one period.
+// every calls do once per period, for the first time after one period.
 func (w *world) every(period policy.Ms, do func()) {
 	w.after(period, func() {
 		do()
@@ -206,14 +206,15 @@
 	})
 }
 
-// alive are the machines with a process that serves or is thought to.
+// alive returns the machines whose process serves or is silent.
 func (w *world) alive() []*machine {
 	return slices.DeleteFunc(slices.Clone(w.machines), func(m *machine) bool {
 		return m.phase == dead || m.phase == draining
 	})
 }
 
-func between(rng *rand.Rand, r [2]float64) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
+// uniform draws from the range r.
+func uniform(rng *rand.Rand, r [2]float64) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
 // lognormal draws from the distribution with that mean and coefficient of variation.
 func lognormal(rng *rand.Rand, mean, cv float64) float64 {
@@ -221,8 +222,8 @@
 	return mean * math.Exp(math.Sqrt(variance)*rng.NormFloat64()-variance/2)
 }
 
-// pick draws one of n by weight.
-func pick(rng *rand.Rand, n int, weight func(int) float64) int {
+// pickWeighted returns an index below n, drawn by weight.
+func pickWeighted(rng *rand.Rand, n int, weight func(int) float64) int {
 	all := 0.0
 	for i := range n {
 		all += weight(i)
@@ -236,15 +237,15 @@
 	return n - 1
 }
 
-// note adds a line to the day's time line.
+// note adds a line to the timeline of the report.
 func (w *world) note(format string, args ...any) {
-	line := fmt.Sprintf("%7.2f s  ", (w.now-lead)/1000) + fmt.Sprintf(format, args...)
+	line := fmt.Sprintf("%7.2f s  ", (w.now-leadTime)/1000) + fmt.Sprintf(format, args...)
 	w.judge.timeline = append(w.judge.timeline, line)
 }
 
-// ---- Clients: arrivals that wait for nothing, deadlines, and tries that are repeated.
+// ---- Clients: open-loop arrivals, deadlines and retries.
 
-// clientRequest is a first try with all that repeats it.
+// clientRequest is a request of a client, which may take several client attempts.
 type clientRequest struct {
 	arrivedAt, deadline policy.Ms
 	class, tenant       int
@@ -254,59 +255,59 @@
 	wait                policy.Ms
 	withinQuota         bool
 	tries               int
-	settled             bool
+	settled             bool // the client has its result or sends no more attempts
 }
 
-// nextArrival returns what brings the next request and enters itself again.
+// nextArrival returns a function that sends the next client request and schedules itself for the one after it.
 func (w *world) nextArrival() func() {
 	cfg := &w.cfg
-	cumulated := make([]float64, cfg.Sidecars) // cumulated, of the sidecars' traffic
+	cumulative := make([]float64, cfg.Sidecars) // weights of the sidecars' traffic
 	sum := 0.0
-	for i := range cumulated {
+	for i := range cumulative {
 		weight := math.Pow(float64(i+1), -cfg.Skew)
 		if cfg.Zones > 1 {
 			weight *= 1 + cfg.ZoneSkew*(1-2*float64(i%cfg.Zones)/float64(cfg.Zones-1))
 		}
 		sum += weight
-		cumulated[i] = sum
+		cumulative[i] = sum
 	}
 	rng := w.rngLoad
 	var next func()
 	next = func() {
-		if w.now >= lead+cfg.Seconds*1000 || cfg.Rate == 0 {
+		if w.now >= leadTime+cfg.Seconds*1000 || cfg.Rate == 0 {
 			return
 		}
 		a := &clientRequest{
 			arrivedAt: w.now, tenant: -1,
-			class: pick(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Fraction }),
+			class: pickWeighted(rng, len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Fraction }),
 		}
-		a.sidecar, _ = slices.BinarySearch(cumulated, rng.Float64()*sum)
+		a.sidecar, _ = slices.BinarySearch(cumulative, rng.Float64()*sum)
 		if len(cfg.Tenants) > 0 {
-			a.tenant = pick(rng, len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Fraction })
+			a.tenant = pickWeighted(rng, len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Fraction })
 		}
 		class := &cfg.Classes[a.class]
 		a.deadline = a.arrivedAt + class.DeadlineMs
-		a.timeout = between(rng, cfg.Clients.Timeout) * class.DeadlineMs
+		a.timeout = uniform(rng, cfg.Clients.Timeout) * class.DeadlineMs
 		if class.Spread > 0 {
 			a.work, a.wait = lognormal(rng, class.WorkMs, class.Spread), lognormal(rng, class.WaitMs, class.Spread)
 		} else if a.work = rng.ExpFloat64() * class.WorkMs; class.WaitMs > 0 {
 			a.wait = rng.ExpFloat64() * class.WaitMs
 		}
-		costlyDraw := rng.Float64() // drawn on every day, so that days with and without costly ones are otherwise the same
+		costlyDraw := rng.Float64() // always drawn, so that runs with and without costly requests are otherwise the same
 		for _, c := range w.costly {
-			if c.class == a.class && costlyDraw < c.part {
-				a.work *= c.times
+			if c.class == a.class && costlyDraw < c.fraction {
+				a.work *= c.factor
 			}
 		}
 		a.withinQuota = w.judge.requestArrived(a)
-		w.sendTry(a)
+		w.sendClientAttempt(a)
 		w.after(rng.ExpFloat64()*1000/(cfg.Rate*w.surge), next)
 	}
 	return next
 }
 
-// sendTry brings a to its sidecar.
-func (w *world) sendTry(a *clientRequest) {
+// sendClientAttempt sends a to its sidecar and schedules the client's timeout.
+func (w *world) sendClientAttempt(a *clientRequest) {
 	left := min(a.timeout, a.deadline-w.now)
 	a.tries++
 	w.judge.tally.Tries++
@@ -315,29 +316,30 @@
 		w.retry(a, true)
 		return
 	}
-	r := sc.take(a, a.tries, left)
+	r := sc.receive(a, a.tries, left)
 	incarnation := sc.incarnation
-	w.after(left+w.cfg.Rules.AnswerSlack, func() {
+	w.after(left+w.cfg.Rules.ResponseSlack, func() {
 		if r.answered || sc.incarnation != incarnation {
 			return
 		}
 		w.judge.overdue(sc, r)
-		sc.gone(r)
+		sc.clientGone(r)
 		w.retry(a, !w.cfg.Classes[a.class].NonIdempotent)
 	})
 	if w.rngClients.Float64() < w.cfg.Clients.Impatient {
 		w.after(w.rngClients.Float64()*left, func() {
 			if !r.answered && sc.incarnation == incarnation {
-				w.judge.left++
+				w.judge.clientsLeft++
 				a.settled = true
-				sc.gone(r)
+				sc.clientGone(r)
 			}
 		})
 	}
 }
 
-// answered is a final answer at the client: kind is Send for the server's own, Refuse or Fail for the sidecar's.
-func (w *world) answered(r *request, kind policy.ActionKind) {
+// responded handles a final response at the client: kind is StartAttempt for that of a server, RejectRequest or FailRequest for
+// that of the sidecar.
+func (w *world) responded(r *request, kind policy.ActionKind) {
 	a := r.origin
 	switch {
 	case a.settled:
@@ -351,22 +353,22 @@
 	}
 }
 
-// lost is a try whose sidecar has died with it.
+// lost handles a client attempt that was in flight at a sidecar that has been killed.
 func (w *world) lost(r *request) {
 	w.judge.lost++
 	w.retry(r.origin, !w.cfg.Classes[r.origin.class].NonIdempotent)
 }
 
-// retry tries once more where that is harmless and there is time, or gives up.
-func (w *world) retry(a *clientRequest, harmless bool) {
+// retry schedules another client attempt if that is safe and retries and time are left; otherwise the client gives up.
+func (w *world) retry(a *clientRequest, safe bool) {
 	wait := w.cfg.Clients.Wait
-	if a.settled || !harmless || a.tries > w.cfg.Clients.Retries || w.now+wait >= a.deadline-1 {
+	if a.settled || !safe || a.tries > w.cfg.Clients.Retries || w.now+wait >= a.deadline-1 {
 		a.settled = true
 		return
 	}
 	w.after(wait, func() {
 		if !a.settled {
-			w.sendTry(a)
+			w.sendClientAttempt(a)
 		}
 	})
 }
