--- a/internal/testbench/capacity/capacity_test.go
+++ b/internal/testbench/capacity/capacity_test.go
@@ -26,28 +26,28 @@
 		}
 	}
 	if l := Fit([]float64{2, 2}, []float64{1, 3}); !math.IsNaN(l.Slope) {
-		t.Errorf("one size alone has a slope: %+v", l)
+		t.Errorf("the line through a single size has a slope: %+v", l)
 	}
 }
 
-// The module alone is played in virtual time: all but its CPU is the same every time.
+// TestModule checks that a run of the policy alone is deterministic: it is in virtual time, so that only its CPU time varies.
 func TestModule(t *testing.T) {
-	point := Point{Servers: 60, Instances: fleetSize, Rate: usualCalls, Price: cheap}
-	_, probes, requests, err := module(point, 2)
+	point := Point{Servers: 60, Instances: fleetSize, Rate: usualRate, Price: lowProbePrice}
+	_, probes, requests, err := runModule(point, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, again, _, err := module(point, 2)
+	_, again, _, err := runModule(point, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if requests != 80 || probes != again || probes < requests {
-		t.Errorf("%d requests, %d probes, and then %d", requests, probes, again)
+		t.Errorf("%d requests, %d probes, in a second run %d", requests, probes, again)
 	}
 }
 
-// program is built once.
-func program(t *testing.T) string {
+// buildProgram builds the sidecar program and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "plankrouter")
 	if out, err := exec.Command("go", "build", "-o", file, "plankrouter/cmd/plankrouter").CombinedOutput(); err != nil {
@@ -56,7 +56,7 @@
 	return file
 }
 
-// TestRun plays a small plan against the real program. Nothing here depends on the machine's pace.
+// TestRun runs a small plan with the real program. Its checks do not depend on the speed of the machine.
 func TestRun(t *testing.T) {
 	plan := Quick()
 	plan.Sweeps = plan.Sweeps[:0]
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	r, err := Run(t.Context(), Setup{Program: program(t), Dir: t.TempDir(), Core: -1}, plan)
+	r, err := Run(t.Context(), Setup{Program: buildProgram(t), Dir: t.TempDir(), Core: -1}, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 				t.Errorf("%s, %d: %+v", s.Name, i, p)
 			}
 			if p.Unknown && m.StartCompleteLists == 0 {
-				t.Errorf("%s, %d: ready without a list", s.Name, i)
+				t.Errorf("%s, %d: ready without a complete list", s.Name, i)
 			}
 			if m.Served > m.Requests || p.Rate == 0 && m.Requests > 0 {
 				t.Errorf("%s, %d: served %d of %d", s.Name, i, m.Served, m.Requests)
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -15,55 +15,55 @@
 const (
 	headerID        = "Req-Id:"
 	pathProbe       = "/metrics/load"
-	meanServiceTime = 20 * time.Millisecond // that a call takes at a server
-	responseBody    = 512                   // bytes of an answer's body
+	meanServiceTime = 20 * time.Millisecond // of a request at a server
+	responseBody    = 512                   // size of a response's body in bytes
 )
 
-// tally counts what has passed over a fake's connections.
-type tally struct {
-	messages, bytes atomic.Int64 // of both directions, without TCP's and below
+// trafficCounter counts the messages and bytes on the connections of a fake.
+type trafficCounter struct {
+	messages, bytes atomic.Int64 // bytes: in both directions, without TCP and lower layers
 }
 
-// Traffic is a tally read at one moment, or the difference of two.
+// Traffic is the value of a trafficCounter at one time, or the difference of two values.
 type Traffic struct{ Messages, Bytes int64 }
 
-func (t *tally) add(bytes int) {
+func (t *trafficCounter) add(bytes int) {
 	t.messages.Add(1)
 	t.bytes.Add(int64(bytes))
 }
 
-func (t *tally) read() Traffic { return Traffic{t.messages.Load(), t.bytes.Load()} }
+func (t *trafficCounter) read() Traffic { return Traffic{t.messages.Load(), t.bytes.Load()} }
 
 func (t Traffic) since(before Traffic) Traffic {
 	return Traffic{t.Messages - before.Messages, t.Bytes - before.Bytes}
 }
 
-// fakeServers are many servers in this process, each at an address of its own.
+// fakeServers are servers in this process, each at its own address.
 type fakeServers struct {
 	listeners                 []net.Listener
-	probes, calls             tally
-	accepted, open, contacted atomic.Int64 // connections; met = servers that ever had one
-	serviceTimes              sync.Map     // string to time.Duration: of calls, by id, from their last byte to their answer
+	probes, attempts          trafficCounter
+	accepted, open, contacted atomic.Int64 // connections; contacted: servers that ever had one
+	serviceTimes              sync.Map     // string to time.Duration: time from a request's last byte to its response, by id
 	mutex                     sync.Mutex
 	conns                     map[net.Conn]struct{}
 	running                   sync.WaitGroup
 }
 
 func newFakeServers(n fakes.Network, servers int) (*fakeServers, error) {
-	t := &fakeServers{conns: map[net.Conn]struct{}{}}
+	f := &fakeServers{conns: map[net.Conn]struct{}{}}
 	for range servers {
 		l, err := n.Listen("")
 		if err != nil {
-			t.close()
+			f.close()
 			return nil, err
 		}
-		t.listeners = append(t.listeners, l)
-		t.running.Go(func() { t.accept(l) })
+		f.listeners = append(f.listeners, l)
+		f.running.Go(func() { f.accept(l) })
 	}
-	return t, nil
+	return f, nil
 }
 
-// endpoints are the lines of the list.
+// endpoints returns the endpoint list of the servers.
 func (f *fakeServers) endpoints() (all []fakes.Endpoint) {
 	for i, l := range f.listeners {
 		all = append(all, fakes.Endpoint{
@@ -88,14 +88,14 @@
 
 func (f *fakeServers) accept(l net.Listener) {
 	var active atomic.Int64
-	met := false
+	contacted := false
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		if !met {
-			met = true
+		if !contacted {
+			contacted = true
 			f.contacted.Add(1)
 		}
 		f.accepted.Add(1)
@@ -116,7 +116,7 @@
 	}
 }
 
-// serve answers one request after another, probes at once and calls after their time.
+// serve responds to the requests on a connection, probes at once and other requests after meanServiceTime.
 func (f *fakeServers) serve(c net.Conn, active *atomic.Int64) {
 	br := bufio.NewReader(c)
 	for {
@@ -139,7 +139,7 @@
 		active.Add(-1)
 		body := id + "\n" + strings.Repeat("x", max(0, responseBody-len(id)-1))
 		raw := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		f.calls.add(size + len(raw))
+		f.attempts.add(size + len(raw))
 		f.serviceTimes.Store(id, time.Since(start))
 		if _, err := c.Write([]byte(raw)); err != nil {
 			return
@@ -147,7 +147,7 @@
 	}
 }
 
-// readHead reads a request without a body: its target, its id and its size in bytes.
+// readHead reads a request without a body and returns its target, its id and its size in bytes.
 func readHead(br *bufio.Reader) (target, id string, size int, err error) {
 	for n := 0; ; n++ {
 		line, err := br.ReadString('\n')
@@ -168,7 +168,7 @@
 	}
 }
 
-// fakeDiscovery is the scripted one, counted.
+// fakeDiscovery is a fakes.Discovery whose bytes are counted.
 type fakeDiscovery struct {
 	*fakes.Discovery
 	count fakes.Counter
@@ -184,7 +184,7 @@
 	return d, err
 }
 
-// lists returns the traffic so far, and how many of its messages asked for the whole list.
+// lists returns the traffic so far, and how many of the calls requested the complete list.
 func (d *fakeDiscovery) lists() (t Traffic, complete int64) {
 	for _, c := range d.Calls() {
 		t.Messages++
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -19,24 +19,24 @@
 	"plankrouter/internal/testbench/process"
 )
 
-// world is what surrounds the sidecar of one point.
+// world holds the sidecar of one point and the fakes around it.
 type world struct {
-	point     Point // as before anything is measured
+	point     Point // without results
 	network   fakes.Network
 	servers   *fakeServers
 	discovery *fakeDiscovery
 	sidecar   *sidecar
 	clients   []net.Conn
-	open      atomic.Int64 // of clients
+	open      atomic.Int64 // client connections
 
-	changed atomic.Int64
+	changed atomic.Int64 // endpoint changes so far
 }
 
-// reading is all counters at one moment.
+// reading holds the values of all counters at one time.
 type reading struct {
 	time                            time.Time
 	cpu                             time.Duration
-	probes, calls, lists            Traffic
+	probes, attempts, lists         Traffic
 	completeLists, accepted, logged int64
 	changed, reloaded, rssKB        int64
 }
@@ -46,7 +46,7 @@
 	if r.cpu, err = w.sidecar.cpu(); err != nil {
 		return r, err
 	}
-	r.probes, r.calls, r.accepted = w.servers.probes.read(), w.servers.calls.read(), w.servers.accepted.Load()
+	r.probes, r.attempts, r.accepted = w.servers.probes.read(), w.servers.attempts.read(), w.servers.accepted.Load()
 	r.lists, r.completeLists = w.discovery.lists()
 	r.logged, r.changed = w.sidecar.log.bytes.Load(), w.changed.Load()
 	rss, err := w.sidecar.resident()
@@ -54,7 +54,7 @@
 	return r, err
 }
 
-// measure runs one point.
+// measure runs one point and sets point.Measured.
 func measure(ctx context.Context, s Setup, p Plan, point *Point) (err error) {
 	dir, err := os.MkdirTemp(s.Dir, "point-")
 	if err != nil {
@@ -70,19 +70,19 @@
 		return err
 	}
 	defer log.Close()
-	if w.sidecar, err = prepare(w.network, dir); err != nil {
+	if w.sidecar, err = newSidecar(w.network, dir); err != nil {
 		return err
 	}
 	if err := w.configure(0); err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	defer func() { err = errors.Join(err, w.sidecar.stop()) }()
 	if err := w.sidecar.start(ctx, w.network, s.Program, s.Core, log); err != nil {
 		return err
 	}
 	m := &point.Measured
-	if err := w.recordStart(m, began); err != nil {
+	if err := w.recordStart(m, startedAt); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -94,12 +94,12 @@
 		return err
 	}
 	load := w.newLoad(p.Settle + p.Window)
-	loaded, endLoad := context.WithCancel(ctx)
+	loadCtx, endLoad := context.WithCancel(ctx)
 	defer endLoad()
 	var tries []fakes.Try
-	var calling sync.WaitGroup
-	calling.Go(func() { tries = load.Run(loaded) })
-	w.every(ctx, &running, point.Changes, func(n int) error { w.change(n); return nil })
+	var loadRunning sync.WaitGroup
+	loadRunning.Go(func() { tries = load.Run(loadCtx) })
+	w.every(ctx, &running, point.Changes, func(n int) error { w.changeEndpoint(n); return nil })
 	w.every(ctx, &running, point.Reloads, w.reload)
 
 	from, to, err := w.readWindow(ctx, p, m)
@@ -107,7 +107,7 @@
 		return err
 	}
 	endLoad()
-	calling.Wait()
+	loadRunning.Wait()
 	cancel()
 	running.Wait()
 	m.recordBetween(from, to)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// startFakes starts the point's servers and the discovery that lists them.
+// startFakes starts the point's fake servers and the fake discovery that lists them.
 func (w *world) startFakes() (err error) {
 	if w.servers, err = newFakeServers(w.network, w.point.Servers); err != nil {
 		return err
@@ -134,13 +134,13 @@
 	}
 }
 
-// recordStart records what the start of the sidecar took, which has just become ready.
-func (w *world) recordStart(m *Measured, began time.Time) error {
+// recordStart records the cost of the sidecar's start, right after it has become ready.
+func (w *world) recordStart(m *Measured, startedAt time.Time) error {
 	ready, err := w.read()
 	if err != nil {
 		return err
 	}
-	m.ReadyMs = ms(time.Since(began))
+	m.ReadyMs = ms(time.Since(startedAt))
 	m.StartCPU = ms(ready.cpu)
 	m.StartLists = ready.lists.Messages
 	m.StartBytes = ready.lists.Bytes
@@ -151,10 +151,10 @@
 }
 
 // newLoad returns the point's clients, whose load lasts a little longer than the measurement.
-func (w *world) newLoad(measured time.Duration) *fakes.Clients {
+func (w *world) newLoad(measurement time.Duration) *fakes.Clients {
 	return fakes.NewClients(fakes.Load{
 		Network: w.network, Address: w.sidecar.address, Seed: 1,
-		Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: w.point.Rate}}, Duration: measured + 2*time.Second,
+		Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: w.point.Rate}}, Duration: measurement + 2*time.Second,
 	})
 }
 
@@ -168,9 +168,9 @@
 	}
 	busy := process.WatchBusy()
 	err = fakes.Pause(ctx, p.Window)
-	late, _ := busy.Sample()
+	stall, _ := busy.Sample()
 	busy.Close()
-	if m.StallMs = ms(late); err != nil {
+	if m.StallMs = ms(stall); err != nil {
 		return from, to, err
 	}
 	if to, err = w.read(); err != nil {
@@ -190,7 +190,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// readAll reads what the sidecar has to say, too.
+// readAll returns a reading that includes the sidecar's own metrics.
 func (w *world) readAll(ctx context.Context) (reading, error) {
 	_, body, err := w.sidecar.scrape(ctx, w.network)
 	if err != nil {
@@ -207,21 +207,21 @@
 	return r, err
 }
 
-// recordBetween notes what happened between two readings.
+// recordBetween records the rates between two readings.
 func (m *Measured) recordBetween(from, to reading) {
 	m.Seconds = to.time.Sub(from.time).Seconds()
-	each := func(n int64) float64 { return float64(n) / m.Seconds }
+	rate := func(n int64) float64 { return float64(n) / m.Seconds }
 	m.CPU = ms(to.cpu-from.cpu) / m.Seconds
 	m.RSS = float64(to.rssKB)
-	probes, calls, lists := to.probes.since(from.probes), to.calls.since(from.calls), to.lists.since(from.lists)
-	m.Probes, m.ProbeBytes = each(probes.Messages), each(probes.Bytes)
-	m.Attempts, m.AttemptBytes = each(calls.Messages), each(calls.Bytes)
-	m.Lists, m.ListBytes = each(lists.Messages), each(lists.Bytes)
-	m.Connects, m.LogBytes = each(to.accepted-from.accepted), each(to.logged-from.logged)
-	m.Changed, m.Reloaded = each(to.changed-from.changed), each(to.reloaded-from.reloaded)
+	probes, attempts, lists := to.probes.since(from.probes), to.attempts.since(from.attempts), to.lists.since(from.lists)
+	m.Probes, m.ProbeBytes = rate(probes.Messages), rate(probes.Bytes)
+	m.Attempts, m.AttemptBytes = rate(attempts.Messages), rate(attempts.Bytes)
+	m.Lists, m.ListBytes = rate(lists.Messages), rate(lists.Bytes)
+	m.Connects, m.LogBytes = rate(to.accepted-from.accepted), rate(to.logged-from.logged)
+	m.Changed, m.Reloaded = rate(to.changed-from.changed), rate(to.reloaded-from.reloaded)
 }
 
-// countRequests counts the requests due in the window, and what was added to each that was served.
+// countRequests counts the requests that were due in the window, and computes the latency added to those that were served.
 func (m *Measured) countRequests(tries []fakes.Try, serviceTimes *sync.Map, from, to time.Time) {
 	var added []float64
 	for _, t := range tries {
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -20,59 +20,59 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// TestPage holds what docs/CAPACITY.md counts against what the code does: the page's figures are products of these.
+// TestPage compares the table of counts in docs/CAPACITY.md, from which the other figures of the page follow, with the code.
 func TestPage(t *testing.T) {
-	page := counts(t)
-	near := func(key string, got, within float64) {
+	page := pageCounts(t)
+	compare := func(key string, got, tolerance float64) {
 		t.Helper()
 		want, ok := page[key]
 		if !ok {
-			t.Errorf("docs/CAPACITY.md counts no %q", key)
+			t.Errorf("docs/CAPACITY.md has no count %q", key)
 			return
 		}
-		if delete(page, key); math.Abs(got-want) > within {
-			t.Errorf("%s: %g by the code, %g on the page", key, got, want)
+		if delete(page, key); math.Abs(got-want) > tolerance {
+			t.Errorf("%s: %g by the code, %g in docs/CAPACITY.md", key, got, want)
 		}
 	}
-	for _, price := range []float64{cheap, 0.02, dear, 0.32} {
-		near(fmt.Sprintf("probes a request, price %g", price), probing.PerRequest(price, fleetSize, usualCalls/1000.0), 0.005)
+	for _, price := range []float64{lowProbePrice, 0.02, highProbePrice, 0.32} {
+		compare(fmt.Sprintf("probes a request, price %g", price), probing.PerRequest(price, fleetSize, usualRate/1000.0), 0.005)
 	}
 	for _, servers := range []int{13, 600, 2000, 6000} {
-		near(fmt.Sprintf("servers chosen among, of %d", servers), float64(subset.Size(servers, fleetSize)), 0)
+		compare(fmt.Sprintf("servers chosen among, of %d", servers), float64(subset.Size(servers, fleetSize)), 0)
 	}
-	near("ms that a watch is held, agent", ms(watchpolicy.PushedSettings(drainGrace).Wait), 0)
-	near("ms that a watch is held, on request", ms(watchpolicy.DefaultSettings().Wait), 0)
+	compare("ms that a watch is held, agent", ms(watchpolicy.PushedSettings(drainGrace).Wait), 0)
+	compare("ms that a watch is held, on request", ms(watchpolicy.DefaultSettings().Wait), 0)
 
-	w := start(t, Point{Servers: 10, Instances: fleetSize, Price: cheap})
-	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // addresses differ in length
-	near("whole lists of a start that knows one", w.firstCallIsComplete(t), 0)
-	near("answers that tell of a change", w.answersPerChange(t), 0)
-	for i := 0; w.servers.probes.read().Messages == 0; i++ { // a request that is refused brings no probe
+	w := startWorld(t, Point{Servers: 10, Instances: fleetSize, Price: lowProbePrice})
+	address := float64(len("127.123.123.123:12345") - len("127.1.1.1:1234")) // the difference in length of addresses
+	compare("whole lists of a start that knows one", w.firstCallIsComplete(t), 0)
+	compare("answers that tell of a change", w.responsesPerChange(t), 0)
+	for i := 0; w.servers.probes.read().Messages == 0; i++ { // a rejected request may cause no probe
 		w.sendRequest(t, i)
 	}
 	w.await(t, func() bool { return w.servers.probes.read().Messages > 0 })
 	sent := w.servers.probes.read()
-	near("bytes of a probe and its answer", float64(sent.Bytes)/float64(sent.Messages), address)
+	compare("bytes of a probe and its answer", float64(sent.Bytes)/float64(sent.Messages), address)
 	_, body, err := w.sidecar.scrape(t.Context(), w.network)
 	if err != nil {
 		t.Fatal(err)
 	}
-	near("bytes of the figures", float64(len(body)), 20) // as many digits as the counts have
+	compare("bytes of the figures", float64(len(body)), 20) // the number of digits varies
 
-	w = start(t, Point{Servers: 100, Instances: fleetSize, Price: cheap, OnRequest: true, Unknown: true})
-	near("whole lists of a start that knows none", w.firstCallIsComplete(t), 0)
+	w = startWorld(t, Point{Servers: 100, Instances: fleetSize, Price: lowProbePrice, OnRequest: true, Unknown: true})
+	compare("whole lists of a start that knows none", w.firstCallIsComplete(t), 0)
 	raw, err := json.MarshalIndent(fakes.List{Revision: 1, Complete: true, Endpoints: w.servers.endpoints()}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	near("bytes of a list's line", float64(len(raw))/100, address+2)
+	compare("bytes of a list's line", float64(len(raw))/100, address+2)
 	for key := range page {
-		t.Errorf("docs/CAPACITY.md counts %q, and nothing here does", key)
+		t.Errorf("docs/CAPACITY.md has a count %q that this test does not check", key)
 	}
 }
 
-// counts reads the page's table of counts.
-func counts(t *testing.T) map[string]float64 {
+// pageCounts returns the table of counts in docs/CAPACITY.md.
+func pageCounts(t *testing.T) map[string]float64 {
 	t.Helper()
 	raw, err := os.ReadFile("../../../docs/CAPACITY.md")
 	if err != nil {
@@ -90,13 +90,13 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Fatal("docs/CAPACITY.md counts nothing")
+		t.Fatal("docs/CAPACITY.md has no counts")
 	}
 	return all
 }
 
-// start starts a sidecar and what surrounds it.
-func start(t *testing.T, point Point) *world {
+// startWorld starts a sidecar with fake servers and discovery.
+func startWorld(t *testing.T, point Point) *world {
 	t.Helper()
 	dir := t.TempDir()
 	w := &world{point: point, network: fakes.Loopback()}
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.discovery.Close)
-	if w.sidecar, err = prepare(w.network, dir); err != nil {
+	if w.sidecar, err = newSidecar(w.network, dir); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.configure(0); err != nil {
@@ -121,24 +121,24 @@
 			t.Errorf("%v: %s", err, log.String())
 		}
 	})
-	if err := w.sidecar.start(t.Context(), w.network, program(t), -1, &log); err != nil {
+	if err := w.sidecar.start(t.Context(), w.network, buildProgram(t), -1, &log); err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-func (w *world) await(t *testing.T, is func() bool) {
+func (w *world) await(t *testing.T, condition func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), readyWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), readyTimeout)
 	defer cancel()
-	for !is() {
+	for !condition() {
 		if fakes.Pause(ctx, time.Millisecond) != nil {
-			t.Fatal("it has not come to it")
+			t.Fatal("timeout while waiting for a condition")
 		}
 	}
 }
 
-// sendRequest sends a request and ignores its answer.
+// sendRequest sends a request and discards the response.
 func (w *world) sendRequest(t *testing.T, n int) {
 	t.Helper()
 	c, err := w.network.Dial(t.Context(), w.sidecar.address)
@@ -152,38 +152,38 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-// firstCallIsComplete is 1 where the first call to discovery is for the whole list. Later ones may be for it where a busy machine makes a
-// call time out.
+// firstCallIsComplete returns 1 if the first call to discovery requests the complete list, and 0 otherwise. Later calls may
+// request it when a call times out on a busy machine.
 func (w *world) firstCallIsComplete(t *testing.T) float64 {
 	t.Helper()
-	w.await(t, func() bool { return len(w.discovery.Calls()) > 0 }) // one that knows a list is ready before that
+	w.await(t, func() bool { return len(w.discovery.Calls()) > 0 }) // a sidecar with a list is ready before its first call
 	if w.discovery.Calls()[0].Complete {
 		return 1
 	}
 	return 0
 }
 
-// answersPerChange is how many answers bring a change to the sidecar. Where a busy machine makes a call time out, so that the complete
-// list is requested, another change is looked at.
-func (w *world) answersPerChange(t *testing.T) float64 {
+// responsesPerChange returns in how many responses of discovery the sidecar receives a change. When a call times out on a busy
+// machine, so that the sidecar requests the complete list, it repeats this with another change.
+func (w *world) responsesPerChange(t *testing.T) float64 {
 	t.Helper()
 	for n := range 20 {
-		from := len(w.discovery.Calls()) - 1 // the call that is held, unless it has just been answered
+		from := len(w.discovery.Calls()) - 1 // the pending call, unless discovery has just responded to it
 		one := w.servers.endpoints()[n%len(w.servers.listeners)]
 		one.UpSince = time.Now().UnixMilli()
 		revision := w.discovery.Change(one)
-		known := func(c fakes.DiscoveryCall) bool { return c.Index >= revision }
-		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Calls(), known) })
-		answers, complete := 0, false
+		acknowledges := func(c fakes.DiscoveryCall) bool { return c.Index >= revision }
+		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Calls(), acknowledges) })
+		responses, complete := 0, false
 		for _, c := range w.discovery.Calls()[from:] {
 			if complete = complete || c.Complete; c.Endpoints > 0 && c.Revision == revision {
-				answers++
+				responses++
 			}
 		}
 		if !complete {
-			return float64(answers)
+			return float64(responses)
 		}
 	}
-	t.Error("the whole list was asked for again and again")
+	t.Error("the sidecar requested the complete list after each of 20 changes")
 	return 0
 }
--- a/internal/testbench/capacity/run.go
+++ b/internal/testbench/capacity/run.go
@@ -11,41 +11,41 @@
 	"time"
 )
 
-const maxStall = 100 * time.Millisecond // by which a timer may come late: beyond it a point is measured again
+const maxStall = 100 * time.Millisecond // longest delay of a timer in a valid run; a point with a longer one is run again
 
-// Setup is what a run needs to know.
+// Setup holds the environment of a run.
 type Setup struct {
-	Program  string // path of the sidecar's program
-	Dir      string // an existing folder for configurations and logs
-	Core     int    // of the machine, for the sidecar alone to use; below 0 = it may use all
-	Only     string // sweeps whose name holds this; "" = all
-	Progress func(format string, args ...any)
+	Program  string                           // path of the sidecar program
+	Dir      string                           // existing directory for configurations and logs
+	Core     int                              // CPU core to which the sidecar is pinned; below 0 = none
+	Only     string                           // runs only sweeps whose name contains this; "" = all
+	Progress func(format string, args ...any) // called after each point; may be nil
 }
 
-// SweepReport is a sweep with its points measured.
+// SweepReport is the result of a sweep.
 type SweepReport struct {
 	Name   string          `json:"name"`
 	Unit   string          `json:"unit"`
 	Points []Point         `json:"points"`
-	Sizes  []float64       `json:"sizes"` // of the points, as measured
-	Lines  map[string]Line `json:"lines"` // by figure
-	order  []Figure
+	Sizes  []float64       `json:"sizes"` // size of each point, in Unit; some are measured
+	Lines  map[string]Line `json:"lines"` // by name of the metric
+	order  []Metric
 }
 
-// Report is a whole run.
+// Report is the result of a run.
 type Report struct {
-	Began    time.Time     `json:"began"`
-	Cores    int           `json:"cores"`
-	Core     int           `json:"core"` // that the sidecar was kept to; -1 = none
-	LoadFrom string        `json:"load_before"`
-	LoadTo   string        `json:"load_after"`
-	Sweeps   []SweepReport `json:"sweeps"`
-	Module   []ModulePoint `json:"module"`
-	PerLook  Line          `json:"module_idle"`    // ms a second for each server
-	PerCall  Line          `json:"module_request"` // us a request for each server
+	Began         time.Time     `json:"began"`
+	Cores         int           `json:"cores"`
+	Core          int           `json:"core"` // to which the sidecar was pinned; -1 = none
+	LoadBefore    string        `json:"load_before"`
+	LoadAfter     string        `json:"load_after"`
+	Sweeps        []SweepReport `json:"sweeps"`
+	Module        []ModulePoint `json:"module"`
+	ModuleIdle    Line          `json:"module_idle"`    // CPU ms per second and server
+	ModuleRequest Line          `json:"module_request"` // CPU us per request and server
 }
 
-// Run runs the plan. It returns what it has if ctx ends, with an error.
+// Run runs the plan. On an error, or if ctx ends, it returns the results so far with the error.
 func Run(ctx context.Context, s Setup, p Plan) (*Report, error) {
 	if s.Progress == nil {
 		s.Progress = func(string, ...any) {}
@@ -54,12 +54,12 @@
 	if s.Program, err = filepath.Abs(s.Program); err != nil {
 		return nil, err
 	}
-	r := &Report{Began: time.Now(), Cores: runtime.NumCPU(), Core: max(-1, s.Core), LoadFrom: loadAverage()}
+	r := &Report{Began: time.Now(), Cores: runtime.NumCPU(), Core: max(-1, s.Core), LoadBefore: loadAverage()}
 	for _, sweep := range p.Sweeps {
 		if !strings.Contains(sweep.Name, s.Only) {
 			continue
 		}
-		got := SweepReport{Name: sweep.Name, Unit: sweep.Unit, Lines: map[string]Line{}, order: sweep.Figure}
+		got := SweepReport{Name: sweep.Name, Unit: sweep.Unit, Lines: map[string]Line{}, order: sweep.Metrics}
 		for i, point := range sweep.Points {
 			if err := measureUntilCalm(ctx, s, p, &point); err != nil {
 				return r, fmt.Errorf("%s, point %d of %d: %w", sweep.Name, i+1, len(sweep.Points), err)
@@ -67,10 +67,10 @@
 			got.Points = append(got.Points, point)
 			got.Sizes = append(got.Sizes, sweep.X(&point))
 			m := &point.Measured
-			s.Progress("%s: %g %s: cpu %.2f ms/s, rss %.1f MB, probes %.1f/s, served %d of %d, load %.1f, stall %.0f ms, tries %d", sweep.Name, sweep.X(&point),
-				sweep.Unit, m.CPU, m.RSS/1024, m.Probes, m.Served, m.Requests, m.Load, m.StallMs, m.Tries)
+			s.Progress("%s: %g %s: cpu %.2f ms/s, rss %.1f MB, probes %.1f/s, served %d of %d, load %.1f, stall %.0f ms, runs %d", sweep.Name, sweep.X(&point),
+				sweep.Unit, m.CPU, m.RSS/1024, m.Probes, m.Served, m.Requests, m.Load, m.StallMs, m.Runs)
 		}
-		for _, f := range sweep.Figure {
+		for _, f := range sweep.Metrics {
 			y := make([]float64, len(got.Points))
 			for i := range y {
 				y[i] = f.Y(&got.Points[i].Measured)
@@ -91,32 +91,32 @@
 			r.Module = append(r.Module, m)
 			x, idle, request = append(x, float64(m.Servers)), append(idle, m.IdleMs), append(request, m.RequestUs)
 		}
-		r.PerLook, r.PerCall = Fit(x, idle), Fit(x, request)
+		r.ModuleIdle, r.ModuleRequest = Fit(x, idle), Fit(x, request)
 	}
-	r.LoadTo = loadAverage()
+	r.LoadAfter = loadAverage()
 	return r, ctx.Err()
 }
 
-// loadAverage is the machine's, of 1, 5 and 15 minutes.
+// loadAverage returns the machine's load averages of 1, 5 and 15 minutes.
 func loadAverage() string {
 	raw, _ := os.ReadFile("/proc/loadavg")
 	return strings.Join(strings.Fields(string(raw))[:min(3, len(strings.Fields(string(raw))))], " ")
 }
 
-// measureUntilCalm measures a point, again where the machine has stalled the test bench, and so the sidecar, for too long: of those runs the one
-// that was stalled least.
+// measureUntilCalm measures a point, and repeats that while the machine stalls the test bench, and so the sidecar, for longer
+// than maxStall. It keeps the run with the shortest stall.
 func measureUntilCalm(ctx context.Context, s Setup, p Plan, point *Point) error {
-	for tries := 1; ; tries++ {
+	for runs := 1; ; runs++ {
 		once := *point
 		once.Measured = Measured{}
 		if err := measure(ctx, s, p, &once); err != nil {
 			return err
 		}
-		if tries == 1 || once.Measured.StallMs < point.Measured.StallMs {
+		if runs == 1 || once.Measured.StallMs < point.Measured.StallMs {
 			*point = once
 		}
-		point.Measured.Tries = tries
-		if time.Duration(point.Measured.StallMs*float64(time.Millisecond)) <= maxStall || tries > p.MaxRepeats {
+		point.Measured.Runs = runs
+		if time.Duration(point.Measured.StallMs*float64(time.Millisecond)) <= maxStall || runs > p.MaxRepeats {
 			return nil
 		}
 	}
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -16,17 +16,17 @@
 	"plankrouter/internal/testbench/process"
 )
 
-const readyWithin = 30 * time.Second
+const readyTimeout = 30 * time.Second
 
-// sidecar is one process of the program, and its settings.
+// sidecar is one process of the sidecar program, with its configuration.
 type sidecar struct {
-	process        *process.Program // nil = it has not begun
+	process        *process.Program // nil = it has not been started
 	address, admin string
-	file           string
+	file           string // path of the configuration
 	log            logCounter
 }
 
-// logCounter counts what the program logs, and keeps it.
+// logCounter counts the bytes that the program logs and passes them on.
 type logCounter struct {
 	next  io.Writer
 	bytes atomic.Int64
@@ -37,19 +37,19 @@
 	return l.next.Write(p)
 }
 
-// configure writes the configuration file: whole or not at all, since the sidecar may read it at any time.
-func (s *sidecar) configure(of Point, discovery string, known fakes.List, latencyObjective time.Duration) error {
-	idempotent := fakes.TileClass()
-	idempotent.LatencyObjective = latencyObjective
+// configure writes the configuration file atomically, since the sidecar may read it at any time.
+func (s *sidecar) configure(point Point, discovery string, known fakes.List, latencyObjective time.Duration) error {
+	class := fakes.TileClass()
+	class.LatencyObjective = latencyObjective
 	raw, err := fakes.Config(fakes.SidecarConfig{
 		Name: "lab", Listen: s.address, Seed: 1, Discovery: discovery, Known: known,
-		Classes: []fakes.Class{idempotent, fakes.OrderClass()}, MaxConns: sockets, MemoryMB: memoryMB, Instances: of.Instances,
+		Classes: []fakes.Class{class, fakes.OrderClass()}, MaxConns: maxConns, MemoryMB: memoryMB, Instances: point.Instances,
 		ConnIdle: time.Minute, ConnectTimeout: 150 * time.Millisecond, DrainGrace: drainGrace,
 		Edit: func(document map[string]any) {
 			document["admin_addr"] = s.admin
 			settings := document["settings"].(map[string]any)
-			settings["Prices"] = map[string]any{"CrossZone": 0.01, "Probe": of.Price, "Waste": 0.1}
-			if of.OnRequest {
+			settings["Prices"] = map[string]any{"CrossZone": 0.01, "Probe": point.Price, "Waste": 0.1}
+			if point.OnRequest {
 				settings["Discovery"] = "on_request"
 			}
 		},
@@ -64,8 +64,8 @@
 	return os.Rename(next, s.file)
 }
 
-// free returns an address that is free on a host of this process's own.
-func free(n fakes.Network) (string, error) {
+// freeAddress returns an address with a free port, on a loopback host of this process.
+func freeAddress(n fakes.Network) (string, error) {
 	l, err := n.Listen("")
 	if err != nil {
 		return "", err
@@ -74,19 +74,19 @@
 	return l.Addr().String(), nil
 }
 
-// prepare chooses the sidecar's addresses; nothing runs yet.
-func prepare(n fakes.Network, dir string) (s *sidecar, err error) {
+// newSidecar chooses the addresses and the configuration file of a sidecar. It does not start it.
+func newSidecar(n fakes.Network, dir string) (s *sidecar, err error) {
 	s = &sidecar{file: filepath.Join(dir, "config.json")}
-	if s.address, err = free(n); err != nil {
+	if s.address, err = freeAddress(n); err != nil {
 		return nil, err
 	}
-	if s.admin, err = free(n); err != nil {
+	if s.admin, err = freeAddress(n); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// start starts the program, on one core of the machine if that is given, and returns when it is ready.
+// start starts the program, pinned to core unless that is below 0, and returns when the sidecar is ready.
 func (s *sidecar) start(ctx context.Context, n fakes.Network, program string, core int, log io.Writer) error {
 	s.log.next = log
 	cmd := exec.Command(program)
@@ -95,12 +95,12 @@
 	if s.process, err = process.Start(cmd, core); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return fakes.AwaitReady(ctx, n, s.address)
 }
 
-// stop ends it, if it has begun.
+// stop stops the process, if it has been started.
 func (s *sidecar) stop() error {
 	if s.process == nil {
 		return nil
@@ -108,13 +108,13 @@
 	return s.process.Stop()
 }
 
-// cpu is the processor time that it has used so far.
+// cpu returns the CPU time that the process has used so far.
 func (s *sidecar) cpu() (time.Duration, error) { return process.CPU(s.process.Pid()) }
 
-// resident is the memory that it holds, in bytes.
+// resident returns the resident memory of the process, in bytes.
 func (s *sidecar) resident() (int64, error) { return process.Resident(s.process.Pid()) }
 
-// scrape reads /metrics and returns how many bytes that took, both ways.
+// scrape reads /metrics and returns the number of bytes transferred, in both directions, and the body.
 func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
 	var count fakes.Counter
 	counted := count.Wrap(n)
--- a/internal/testbench/capacity/slope.go
+++ b/internal/testbench/capacity/slope.go
@@ -4,31 +4,31 @@
 
 // Line is a least-squares line through measured points.
 type Line struct {
-	Slope     float64 `json:"slope"`     // of the figure's unit for one of the size's
-	Intercept float64 `json:"intercept"` // of the figure's unit
-	Residual  float64 `json:"residual"`  // root of the mean square of what the line leaves, in the figure's unit
+	Slope     float64 `json:"slope"`     // change of the metric per unit of the size
+	Intercept float64 `json:"intercept"` // value of the metric at size 0
+	Residual  float64 `json:"residual"`  // root mean square of the residuals, in the unit of the metric
 }
 
-// Fit returns the line through (x[i], y[i]). Where all x are the same there is none, and its slope is NaN.
+// Fit returns the least-squares line through the points (x[i], y[i]). Its slope is NaN if all x are the same.
 func Fit(x, y []float64) Line {
 	n := float64(len(x))
-	var mx, my, xx, xy float64
+	var meanX, meanY, sumXX, sumXY float64
 	for i := range x {
-		mx, my = mx+x[i]/n, my+y[i]/n
+		meanX, meanY = meanX+x[i]/n, meanY+y[i]/n
 	}
 	for i := range x {
-		xx, xy = xx+(x[i]-mx)*(x[i]-mx), xy+(x[i]-mx)*(y[i]-my)
+		sumXX, sumXY = sumXX+(x[i]-meanX)*(x[i]-meanX), sumXY+(x[i]-meanX)*(y[i]-meanY)
 	}
-	if xx == 0 {
-		return Line{math.NaN(), my, 0}
+	if sumXX == 0 {
+		return Line{math.NaN(), meanY, 0}
 	}
-	l := Line{Slope: xy / xx}
-	l.Intercept = my - l.Slope*mx
-	var left float64
+	l := Line{Slope: sumXY / sumXX}
+	l.Intercept = meanY - l.Slope*meanX
+	var meanSquare float64
 	for i := range x {
 		d := y[i] - l.Intercept - l.Slope*x[i]
-		left += d * d / n
+		meanSquare += d * d / n
 	}
-	l.Residual = math.Sqrt(left)
+	l.Residual = math.Sqrt(meanSquare)
 	return l
 }
--- a/internal/testbench/capacity/table.go
+++ b/internal/testbench/capacity/table.go
@@ -6,13 +6,13 @@
 	"text/tabwriter"
 )
 
-// Write prints a table of the points and one of the lines.
+// Write writes a table of the points of each sweep and one of the fitted lines.
 func (r *Report) Write(to io.Writer) error {
 	core := "all"
 	if r.Core >= 0 {
 		core = fmt.Sprintf("number %d", r.Core)
 	}
-	fmt.Fprintf(to, "load average %s before, %s after; cores %d, for the sidecar %s\n", r.LoadFrom, r.LoadTo, r.Cores, core)
+	fmt.Fprintf(to, "load average %s before, %s after; cores %d, for the sidecar %s\n", r.LoadBefore, r.LoadAfter, r.Cores, core)
 	for _, s := range r.Sweeps {
 		fmt.Fprintf(to, "\n%s\n", s.Name)
 		t := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
@@ -23,7 +23,7 @@
 			fmt.Fprintf(t, "%.4g\t%.2f\t%.1f\t%.1f\t%.0f\t%.1f\t%.1f\t%d\t%d\t%.1f\t%.0f\t%.0f\t%d/%d\t%.2f\t%.2f\t%.0f\t%.1f\t%d\t%d\t%d\t%.1f\t%.0f\t%d\t\n",
 				s.Sizes[i], m.CPU, m.RSS/1024, m.Probes, m.ProbeBytes, m.Attempts, m.Connects, m.Open, m.Contacted, m.Lists, m.ListBytes,
 				m.LogBytes, m.Served, m.Requests, m.AddedP50, m.AddedP99, m.ReadyMs, m.StartCPU, m.StartLists, m.StartCompleteLists, m.StartBytes, m.Load,
-				m.StallMs, m.Tries)
+				m.StallMs, m.Runs)
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -40,14 +40,14 @@
 		}
 	}
 	if len(r.Module) > 0 {
-		fmt.Fprintf(t, "the module alone\tidle ms/s\t%.4g\tserver\t%.4g\t%.3g\n", r.PerLook.Slope, r.PerLook.Intercept, r.PerLook.Residual)
-		fmt.Fprintf(t, "the module alone\tus/request\t%.4g\tserver\t%.4g\t%.3g\n", r.PerCall.Slope, r.PerCall.Intercept, r.PerCall.Residual)
+		fmt.Fprintf(t, "the module alone\tidle ms/s\t%.4g\tserver\t%.4g\t%.3g\n", r.ModuleIdle.Slope, r.ModuleIdle.Intercept, r.ModuleIdle.Residual)
+		fmt.Fprintf(t, "the module alone\tus/request\t%.4g\tserver\t%.4g\t%.3g\n", r.ModuleRequest.Slope, r.ModuleRequest.Intercept, r.ModuleRequest.Residual)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, m := range r.Module {
-		fmt.Fprintf(to, "the module alone, %d servers: %.2f ms of CPU a second idle, %.0f us and %.2f probes a request\n", m.Servers, m.IdleMs,
+		fmt.Fprintf(to, "the module alone, %d servers: %.2f ms of CPU per second when idle, %.0f us and %.2f probes per request\n", m.Servers, m.IdleMs,
 			m.RequestUs, m.ProbesEach)
 	}
 	return nil
--- a/internal/testbench/capacity/world.go
+++ b/internal/testbench/capacity/world.go
@@ -13,7 +13,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// configure writes the sidecar's configuration, whose n-th version differs from the one before.
+// configure writes the n-th version of the sidecar's configuration, which differs from the previous one.
 func (w *world) configure(n int) error {
 	known := fakes.List{}
 	if !w.point.Unknown {
@@ -23,7 +23,7 @@
 	return w.sidecar.configure(w.point, w.discovery.Address(), known, latencyObjective)
 }
 
-// reload gives the sidecar its next configuration.
+// reload writes the n-th configuration and sends SIGHUP to the sidecar.
 func (w *world) reload(n int) error {
 	if err := w.configure(n); err != nil {
 		return err
@@ -31,8 +31,8 @@
 	return w.sidecar.process.Signal(syscall.SIGHUP)
 }
 
-// change has discovery list one server as started anew.
-func (w *world) change(n int) {
+// changeEndpoint updates one server in the endpoint list, as if it had restarted.
+func (w *world) changeEndpoint(n int) {
 	all := w.servers.endpoints()
 	one := all[n%len(all)]
 	one.UpSince = time.Now().UnixMilli()
@@ -40,7 +40,7 @@
 	w.changed.Add(1)
 }
 
-// every does something so often a second until ctx ends.
+// every calls do at the rate, per second, in the background until ctx ends or do fails. A rate of 0 never calls it.
 func (w *world) every(ctx context.Context, running *sync.WaitGroup, rate float64, do func(n int) error) {
 	if rate <= 0 {
 		return
@@ -56,7 +56,7 @@
 	})
 }
 
-// connect opens client connections, each of which sends one request and stays open.
+// connect opens n client connections, each of which sends one request and stays open.
 func (w *world) connect(ctx context.Context, n int) error {
 	for i := range n {
 		c, err := w.network.Dial(ctx, w.sidecar.address)
