--- a/internal/testbench/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -18,71 +18,71 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// class is one of the requests that clients send.
+// class is a request class that clients send.
 type class struct {
 	name        string
 	method      string
-	idempotency string // in the settings
+	idempotency string // as in the settings: pure, token or side_effect
 	deadline    time.Duration
-	fraction    float64 // of all requests
+	fraction    float64 // share of all requests
 }
 
-// classesFor are the classes of a deployment whose longest deadline is that.
-func classesFor(longest time.Duration) []class {
+// classesFor returns the request classes of a deployment whose longest deadline is longestDeadline.
+func classesFor(longestDeadline time.Duration) []class {
 	return []class{
-		{"tile", "GET", "pure", longest, 0.6},
-		{"claim", "POST", "token", longest * 4 / 5, 0.2},
-		{"order", "POST", "side_effect", longest * 2 / 3, 0.2},
+		{"tile", "GET", "pure", longestDeadline, 0.6},
+		{"claim", "POST", "token", longestDeadline * 4 / 5, 0.2},
+		{"order", "POST", "side_effect", longestDeadline * 2 / 3, 0.2},
 	}
 }
 
-// behaviour is how a client sends a request and waits for its answer.
+// behaviour is how a client sends a request and waits for its response.
 type behaviour uint8
 
 const (
 	waitsForResponse   behaviour = iota
-	closesEarly                  // ends its connection before the answer
-	resetsEarly                  // likewise, with a reset
-	sendsInPieces                // sends it slowly, in pieces
-	sendsLastBytesLate           // sends its last bytes at a given moment, unless it has an answer or an end by then
+	closesEarly                  // closes its connection before the response
+	resetsEarly                  // resets its connection before the response
+	sendsInPieces                // sends the request slowly, in pieces
+	sendsLastBytesLate           // sends the last bytes at lastBytesAt, unless it got a response or the connection was closed before
 )
 
-// request is one as its client has seen it.
+// request is a request and its result as seen by its client.
 type request struct {
-	id            string
-	class         class
-	sidecar       int
-	behaviour     behaviour
-	newConnection bool      // on a new connection, at last
-	resent        bool      // sent once more, behind a kept connection that was closed
-	dialedAt      time.Time // its new connection was up; zero = it went out on a kept one
-	firstSend     span      // from when it was first sent until that connection ended; zero = it was not sent twice
-	leaveAt       time.Time // when a client that leaves does; zero = after a while
-	lastBytesAt   time.Time // with sendsLastBytesLate: of its last bytes
-	seed          uint64    // of how it is sent
-	begunAt       time.Time // its first byte
-	sentAt        time.Time // its last byte was written; zero = it was not
-	leftAt        time.Time // the client ended its connection; zero = it did not
-	answeredAt    time.Time
-	status        int // 0 = no whole answer
-	unreachable   bool
-	err           string
-	truncated     bool // the answer began and did not end as its framing says
+	id             string
+	class          class
+	sidecar        int
+	behaviour      behaviour
+	newConnection  bool      // the last attempt used a new connection
+	resent         bool      // sent again because its connection was closed without a response
+	dialedAt       time.Time // its new connection was established; zero = sent on a reused one
+	firstSend      span      // from the first send until that connection was closed; zero = not sent twice
+	disconnectAt   time.Time // when a client with closesEarly disconnects; zero = after a random delay
+	lastBytesAt    time.Time // with sendsLastBytesLate: when its last bytes are sent
+	seed           uint64    // of the random choices while sending
+	startedAt      time.Time // its first byte was sent; with sendsLastBytesLate, its last bytes
+	sentAt         time.Time // its last byte was written; zero = not written
+	disconnectedAt time.Time // the client closed its connection; zero = it did not
+	respondedAt    time.Time
+	status         int  // 0 = no complete response
+	unreachable    bool // no connection could be established
+	err            string
+	truncated      bool // the response ended before its framing says
 }
 
-// clients are those of one sidecar.
+// clients are the clients of one sidecar.
 type clients struct {
 	sidecar *sidecar
-	rate    float64
+	rate    float64 // requests per second
 	classes []class
 
-	mutex    sync.Mutex
-	rng      *rand.Rand
-	idle     []*clientConn
-	all      []*request
-	count    int
-	pending  sync.WaitGroup
-	allLeave bool // all that wait leave
+	mutex         sync.Mutex
+	rng           *rand.Rand
+	idle          []*clientConn
+	all           []*request
+	count         int
+	pending       sync.WaitGroup
+	allDisconnect bool // each new request gets closesEarly
 }
 
 type clientConn struct {
@@ -94,7 +94,7 @@
 	return &clients{sidecar: s, rng: rand.New(rand.NewPCG(seed, uint64(s.number))), rate: rate, classes: classes}
 }
 
-// run sends requests until ctx ends, and returns once all are answered.
+// run sends requests until ctx is done, and returns once all have finished.
 func (c *clients) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r, pause := c.draw()
@@ -111,7 +111,7 @@
 	}
 }
 
-// sendSteadily has so many clients send one request after another with a pause, each on a connection that it keeps, until then.
+// sendSteadily has number clients send one request after another until the given time, with a pause after each response.
 func (c *clients) sendSteadily(number int, pause time.Duration, until time.Time) {
 	var all sync.WaitGroup
 	for range number {
@@ -127,27 +127,27 @@
 	all.Wait()
 }
 
-// sendAndLeaveAt has so many clients send a request at once and leave at that moment.
-func (c *clients) sendAndLeaveAt(number int, at time.Time) {
+// sendAndDisconnectAt has number clients send a request at once, and disconnect at the given time.
+func (c *clients) sendAndDisconnectAt(number int, at time.Time) {
 	var all sync.WaitGroup
 	for range number {
 		all.Go(func() {
 			r, _ := c.draw()
-			r.behaviour, r.leaveAt = closesEarly, at
+			r.behaviour, r.disconnectAt = closesEarly, at
 			c.send(r)
 		})
 	}
 	all.Wait()
 }
 
-// sendLastBytesAt has a client send a request on a new connection, its last bytes at that moment.
+// sendLastBytesAt has a client send a request on a new connection, and its last bytes at the given time.
 func (c *clients) sendLastBytesAt(at time.Time) {
 	r, _ := c.draw()
 	r.behaviour, r.lastBytesAt = sendsLastBytesLate, at
 	c.send(r)
 }
 
-// draw makes the next request, and the pause after it.
+// draw returns the next request, drawn at random, and the pause after it.
 func (c *clients) draw() (r *request, pause time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -161,7 +161,7 @@
 		p -= k.fraction
 	}
 	switch p := c.rng.Float64(); {
-	case c.allLeave || p < 0.06:
+	case c.allDisconnect || p < 0.06:
 		r.behaviour = closesEarly
 	case p < 0.09:
 		r.behaviour = resetsEarly
@@ -172,8 +172,8 @@
 	return r, time.Duration(c.rng.ExpFloat64() / c.rate * float64(time.Second))
 }
 
-// send sends the request and waits for the answer. It sends it once more on a new connection if a kept connection ended without an answer, or a
-// new one that the sidecar closed before it read the request.
+// send sends the request and waits for the response. It resends the request on a new connection if a reused connection was
+// closed without a response, or if the sidecar closed a new one before it read the request.
 func (c *clients) send(r *request) {
 	rng := rand.New(rand.NewPCG(r.seed, 1))
 	until := time.Now().Add(r.class.deadline)
@@ -189,11 +189,11 @@
 		return
 	}
 	end := c.attempt(r, k, until, rng)
-	mayResend := end == endedUnread || end == endedUnanswered && !r.newConnection
-	if !mayResend || c.sidecar.wasKilled(r.begunAt, time.Now()) {
+	mayResend := end == closedUnread || end == closedUnanswered && !r.newConnection
+	if !mayResend || c.sidecar.wasKilled(r.startedAt, time.Now()) {
 		return
 	}
-	if !r.sentAt.IsZero() { // it crossed the end of its connection, or was lost with it: see judgeResent
+	if !r.sentAt.IsZero() { // it crossed the close of its connection, or was lost with it: see judgeResent
 		r.firstSend = span{r.sentAt, time.Now()}
 	}
 	if k = c.dial(r, until); k != nil {
@@ -223,16 +223,16 @@
 	return &clientConn{nc, bufio.NewReader(nc)}
 }
 
-// connectionEnd is what a connection came to while it carried a request.
+// connectionEnd says whether and how the sidecar closed the connection of a request.
 type connectionEnd uint8
 
 const (
-	notEnded        connectionEnd = iota // by the sidecar, before the answer began
-	endedUnanswered                      // without a byte of an answer
-	endedUnread                          // likewise, and before the sidecar read the request
+	notClosed        connectionEnd = iota // the sidecar did not close it before the response began
+	closedUnanswered                      // closed without a byte of a response
+	closedUnread                          // closed before the sidecar read the request
 )
 
-// attempt sends the request over the connection.
+// attempt sends the request over the connection, waits for the response and returns how the connection was closed.
 func (c *clients) attempt(r *request, k *clientConn, until time.Time, rng *rand.Rand) connectionEnd {
 	keep := false
 	defer func() {
@@ -245,23 +245,23 @@
 		k.Close()
 	}()
 	left := time.Until(until)
-	r.begunAt = time.Now()
-	k.SetDeadline(until.Add(answerSlack + time.Second))
+	r.startedAt = time.Now()
+	k.SetDeadline(until.Add(responseSlack + time.Second))
 	if err := c.write(r, k, left, rng); err != nil {
 		r.err = err.Error()
 		return r.endAfter(k, err)
 	}
 	r.sentAt = time.Now()
 	if r.behaviour == closesEarly || r.behaviour == resetsEarly {
-		if r.leaveAt.IsZero() {
+		if r.disconnectAt.IsZero() {
 			time.Sleep(time.Duration(rng.Float64() * float64(left) / 3))
 		}
-		time.Sleep(time.Until(r.leaveAt))
+		time.Sleep(time.Until(r.disconnectAt))
 		if r.behaviour == resetsEarly {
 			k.Conn.(*net.TCPConn).SetLinger(0)
 		}
-		r.leftAt = time.Now()
-		return notEnded
+		r.disconnectedAt = time.Now()
+		return notClosed
 	}
 	resp, err := http.ReadResponse(k.reader, &http.Request{Method: r.class.method})
 	if err != nil {
@@ -269,34 +269,35 @@
 		return r.endAfter(k, err)
 	}
 	body, err := io.ReadAll(resp.Body)
-	r.answeredAt = time.Now()
+	r.respondedAt = time.Now()
 	if err != nil {
 		r.truncated, r.err = true, err.Error()
-		return notEnded
+		return notClosed
 	}
 	r.status = resp.StatusCode
 	if r.status == http.StatusOK && !strings.HasPrefix(string(body), r.id+"\n") {
-		r.err = fmt.Sprintf("an answer of another request: %.40q", body)
+		r.err = fmt.Sprintf("response to another request: %.40q", body)
 	}
 	keep = !resp.Close && k.reader.Buffered() == 0
-	return notEnded
+	return notClosed
 }
 
-// endAfter says how the connection ended whose write or first read failed with err. A request in one piece that met a closed connection was
-// answered with a reset, and so is what is written next; of one in several pieces the sidecar may have read the first.
+// endAfter returns how the connection k was closed, whose write or first read failed with err. If a request written in one
+// piece reached a closed connection, the kernel responds to it, or to the next write, with a reset. Of a request written in
+// several pieces the sidecar may have read the first.
 func (r *request) endAfter(k *clientConn, err error) connectionEnd {
 	switch {
 	case timedOut(err):
-		return notEnded
+		return notClosed
 	case r.behaviour == sendsInPieces || r.behaviour == sendsLastBytesLate:
-		return endedUnanswered
+		return closedUnanswered
 	case errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
-		return endedUnread
+		return closedUnread
 	}
 	if _, err := io.WriteString(k, "\n"); err != nil {
-		return endedUnread
+		return closedUnread
 	}
-	return endedUnanswered
+	return closedUnanswered
 }
 
 func timedOut(err error) bool {
@@ -304,7 +305,7 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// write writes the request.
+// write writes the request according to its behaviour; left is the time until its deadline.
 func (c *clients) write(r *request, k *clientConn, left time.Duration, rng *rand.Rand) error {
 	body := ""
 	if r.class.method == "POST" {
@@ -334,10 +335,10 @@
 	return nil
 }
 
-// errEndedEarly is why a client does not send the rest of its request.
-var errEndedEarly = errors.New("answered or ended before it was whole")
+// errClosedEarly is returned by writeLate if the rest of the request is not sent.
+var errClosedEarly = errors.New("response received or connection closed before the request was complete")
 
-// writeLate writes the request but for its last bytes, and those at their moment.
+// writeLate writes the request without its last bytes, and those at lastBytesAt.
 func (c *clients) writeLate(r *request, k *clientConn, text string) error {
 	const rest = 3
 	if _, err := io.WriteString(k, text[:len(text)-rest]); err != nil {
@@ -345,44 +346,44 @@
 	}
 	k.SetReadDeadline(r.lastBytesAt)
 	if _, err := k.reader.Peek(1); !timedOut(err) {
-		return errEndedEarly
+		return errClosedEarly
 	}
-	k.SetDeadline(r.lastBytesAt.Add(r.class.deadline + answerSlack + time.Second))
-	r.begunAt = time.Now()
+	k.SetDeadline(r.lastBytesAt.Add(r.class.deadline + responseSlack + time.Second))
+	r.startedAt = time.Now()
 	_, err := io.WriteString(k, text[len(text)-rest:])
 	return err
 }
 
-// setAllLeave has the clients that send from now on leave, until it is called with false.
-func (c *clients) setAllLeave(on bool) {
+// setAllDisconnect sets whether each request drawn from now on is abandoned by its client (closesEarly).
+func (c *clients) setAllDisconnect(on bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.allLeave = on
+	c.allDisconnect = on
 }
 
-// flood opens connections that say nothing or half a request, and stay for so long. It returns how many of those that sent half a
-// request had neither an answer nor an end in time.
-func (c *clients) flood(ctx context.Context, n int, long time.Duration) (unanswered int) {
-	type visit struct {
+// flood opens n connections that send nothing or a partial request, and holds them for the given duration. It returns how
+// many of those with a partial request got neither a response nor a close in time.
+func (c *clients) flood(ctx context.Context, n int, duration time.Duration) (unanswered int) {
+	type floodConn struct {
 		net.Conn
-		half bool
+		partial bool // sent a partial request
 	}
-	var all []visit
+	var all []floodConn
 	for i := range n {
 		nc, err := net.DialTimeout("tcp", c.sidecar.address, time.Second)
 		if err != nil {
 			break
 		}
-		half := i%4 == 0
-		if half {
+		partial := i%4 == 0
+		if partial {
 			_, _ = io.WriteString(nc, "POST /order/x HTTP/1.1\r\nHost: api.internal\r\nReq-Id: half\r\nContent-Length: 10\r\n\r\nxx")
 		}
-		all = append(all, visit{nc, half})
+		all = append(all, floodConn{nc, partial})
 	}
 	began := time.Now()
-	_ = fakes.Pause(ctx, long)
+	_ = fakes.Pause(ctx, duration)
 	for _, v := range all {
-		if v.half {
+		if v.partial {
 			v.SetReadDeadline(began.Add(badClientWithin + time.Second))
 			if _, err := io.Copy(io.Discard, v); timedOut(err) {
 				unanswered++
@@ -393,7 +394,7 @@
 	return unanswered
 }
 
-// requests returns all so far.
+// requests returns all requests drawn so far.
 func (c *clients) requests() []*request {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/testbench/soak/client_test.go
+++ b/internal/testbench/soak/client_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// TestRequestUnreadOnNewConnectionIsResent has a sidecar close a client's first, new connection. The client sends once more on another one
-// if the request was not read, and only then.
+// TestRequestUnreadOnNewConnectionIsResent closes a client's first connection, which is new, without a response. The client
+// must resend the request on another connection if the request was not read, and only then.
 func TestRequestUnreadOnNewConnectionIsResent(t *testing.T) {
 	for name, test := range map[string]struct {
-		read   bool // the request, before its connection is closed
+		read   bool // the request is read before its connection is closed
 		resent bool
 	}{
 		"closed unread":         {read: false, resent: true},
@@ -36,11 +36,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := bufio.NewReader(first).Peek(1); err != nil { // all of it is there
+			if _, err := bufio.NewReader(first).Peek(1); err != nil { // the request has arrived
 				t.Fatal(err)
 			}
 			if !test.read {
-				first.(*net.TCPConn).SetLinger(0) // as the kernel does where a close leaves something unread
+				first.(*net.TCPConn).SetLinger(0) // the kernel does so if data is unread at the close
 			}
 			first.Close()
 			if test.resent {
@@ -59,7 +59,7 @@
 				t.Errorf("resent %t, status %d, %q; want resent %t", r.resent, r.status, r.err, test.resent)
 			}
 			if crossed := !r.firstSend.from.IsZero(); crossed != test.resent {
-				t.Errorf("judged as crossing the end of its connection: %t, want %t", crossed, test.resent)
+				t.Errorf("judged as crossing the close of its connection: %t, want %t", crossed, test.resent)
 			}
 		})
 	}
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -1,6 +1,6 @@
 package soak
 
-// How each kind of fault is played; drawn ends of processes stand in shutdownfaults.go.
+// How each kind of fault is injected; ShutdownFaults is in shutdownfaults.go.
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// playFault plays a fault and returns when it is over.
+// playFault injects a fault and returns once it is over.
 func (w *world) playFault(ctx context.Context, t Fault) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
 	pause := func() { _ = fakes.Pause(ctx, t.For) }
 	switch t.Kind {
-	case Terminate, Crash, HandOver, AimedEnd:
+	case Terminate, Crash, HandOver, ShutdownFaults:
 		if !s.claim() {
 			return
 		}
@@ -30,34 +30,34 @@
 		w.failSystemCalls(ctx, t, s, pause)
 	case SlowConnects:
 		w.slowConnects(t, s, pause)
-	case LeaveHeld:
-		w.leaveHeld(ctx, n, s)
+	case DisconnectDuringStall:
+		w.disconnectDuringStall(ctx, n, s)
 	case Pause:
-		p := s.present()
+		p := s.currentProcess()
 		p.Signal(syscall.SIGSTOP)
 		pause()
 		p.Signal(syscall.SIGCONT)
-	case OperatorsOrder:
-		w.playOperatorOrder(ctx, t, n, s, v)
+	case CordonOrder:
+		w.playCordonOrder(ctx, t, n, s, v)
 	case ClockStep:
 		w.stepClocks(pick(t.Draw, -time.Hour, -5*time.Second, 5*time.Second, time.Hour))
 	case Silent, Down, Late:
 		w.outage(t.Kind, pause)
 	case CutAnswers, Dribble:
-		w.spoil(t.Kind, v, pause)
-	case Leave:
-		w.clients[n].setAllLeave(true)
+		w.corruptResponses(t.Kind, v, pause)
+	case Disconnect:
+		w.clients[n].setAllDisconnect(true)
 		pause()
-		w.clients[n].setAllLeave(false)
+		w.clients[n].setAllDisconnect(false)
 	case Flood:
-		owed := w.clients[n].flood(ctx, int(t.Draw*maxFlood), badClientWithin)
-		w.note(func(r *record) { r.unansweredPartial += owed })
+		unanswered := w.clients[n].flood(ctx, int(t.Draw*maxFlood), badClientWithin)
+		w.updateRecord(func(r *record) { r.unansweredPartial += unanswered })
 	default:
 		w.playServerFault(t, v, pause)
 	}
 }
 
-// failSystemCalls has system calls of a sidecar fail, or be interrupted, for the time of the fault.
+// failSystemCalls makes system calls of a sidecar fail, or be interrupted, for the duration of the fault.
 func (w *world) failSystemCalls(ctx context.Context, t Fault, s *sidecar, pause func()) {
 	switch t.Kind {
 	case AcceptFails:
@@ -86,11 +86,11 @@
 
 func pick[T any](draw float64, from ...T) T { return from[int(draw*float64(len(from)))] }
 
-// slowConnects has connections to a sidecar's servers come up late, half of the time as those that it has are reset under their next request, so
-// that repeats go out on new ones.
+// slowConnects delays the establishment of connections to a sidecar's servers. In half of the cases it also resets the open
+// connections under their next request, so that retries are sent on new ones.
 func (w *world) slowConnects(t Fault, s *sidecar, pause func()) {
-	late := (1 + t.Draw) / 2 * float64(min(w.variant.connect-slowConnectRest, maxSlowConnect))
-	s.control.Hold(faultinjection.SlowConnect, time.Duration(late))
+	delay := (1 + t.Draw) / 2 * float64(min(w.variant.connectTimeout-slowConnectMargin, maxSlowConnect))
+	s.control.Hold(faultinjection.SlowConnect, time.Duration(delay))
 	defer s.control.Heal(faultinjection.SlowConnect)
 	if t.Target%2 == 0 {
 		for _, v := range w.servers {
@@ -100,16 +100,17 @@
 	pause()
 }
 
-// fail lets a sidecar's operation fail until pause returns.
+// fail makes an operation of a sidecar fail with errno until pause returns.
 func (w *world) fail(s *sidecar, o faultinjection.Op, errno syscall.Errno, pause func()) {
 	s.control.Fail(o, errno, -1)
 	pause()
 	s.control.Heal(o)
 }
 
-// interrupt has signals interrupt a sidecar's looks at its sockets, a few in a row now and then.
-func (w *world) interrupt(ctx context.Context, s *sidecar, long time.Duration) {
-	for began := time.Now(); time.Since(began) < long; {
+// interrupt makes a sidecar's polls and peeks of sockets fail with EINTR for the given duration, a few in a row every
+// interruptEvery.
+func (w *world) interrupt(ctx context.Context, s *sidecar, duration time.Duration) {
+	for began := time.Now(); time.Since(began) < duration; {
 		s.control.Fail(faultinjection.Poll, syscall.EINTR, interruptions)
 		s.control.Fail(faultinjection.Peek, syscall.EINTR, interruptions)
 		if fakes.Pause(ctx, interruptEvery) != nil {
@@ -120,13 +121,13 @@
 	s.control.Heal(faultinjection.Peek)
 }
 
-// playProcessFault plays what ends, replaces or reloads a sidecar's process.
+// playProcessFault injects a fault that ends, replaces or reloads a sidecar's process.
 func (w *world) playProcessFault(ctx context.Context, t Fault, s *sidecar) {
 	switch t.Kind {
 	case Terminate:
 		s.terminate(ctx)
-	case AimedEnd:
-		w.aimedEnd(ctx, t, s)
+	case ShutdownFaults:
+		w.shutdownUnderFaults(ctx, t, s)
 	case Crash:
 		s.crash(ctx, time.Duration(t.Draw*float64(time.Second)))
 	case HandOver:
@@ -146,13 +147,13 @@
 	}
 }
 
-// reload gives the sidecar another configuration.
+// reload writes a changed configuration and sends the sidecar SIGHUP.
 func (w *world) reload(s *sidecar, t Fault) {
 	w.reconfigure(s, t, w.classes)
 	s.signal(syscall.SIGHUP)
 }
 
-// reconfigure writes the sidecar another configuration, with these classes.
+// reconfigure writes a changed configuration with the given classes, without a reload.
 func (w *world) reconfigure(s *sidecar, t Fault, classes []class) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -163,19 +164,19 @@
 	}
 }
 
-// playOperatorOrder has operators take a server out at a sidecar, and put it back.
-func (w *world) playOperatorOrder(ctx context.Context, t Fault, n int, s *sidecar, v *serverPlace) {
+// playCordonOrder cordons a server at a sidecar through its admin interface, and uncordons it after the fault's duration.
+func (w *world) playCordonOrder(ctx context.Context, t Fault, n int, s *sidecar, v *serverSlot) {
 	server := v.ID()
-	of := learnedServer{n, server}
-	if _, under := w.ordered.LoadOrStore(of, true); under { // one order's end is not another's
+	key := serverAtSidecar{n, server}
+	if _, active := w.ordered.LoadOrStore(key, true); active { // at most one order for a sidecar and a server at a time, since the first to end would revoke the other
 		return
 	}
-	defer w.ordered.Delete(of)
+	defer w.ordered.Delete(key)
 	if s.order("disable", server) != 200 {
 		return
 	}
 	var number int
-	w.note(func(r *record) {
+	w.updateRecord(func(r *record) {
 		number = len(r.orders)
 		r.orders = append(r.orders, order{sidecar: n, server: server, acknowledgedAt: time.Now()})
 	})
@@ -183,7 +184,7 @@
 	now := time.Now()
 	for range 40 { // the sidecar may be starting, or its disk may fail
 		if s.order("enable", server) == 200 {
-			w.note(func(r *record) { r.orders[number].revokedAt = now })
+			w.updateRecord(func(r *record) { r.orders[number].revokedAt = now })
 			return
 		}
 		_ = fakes.Pause(ctx, 100*time.Millisecond)
@@ -191,7 +192,7 @@
 	}
 }
 
-// outage keeps discovery from telling what it has.
+// outage keeps both discoveries from sending changes, or delays them, until pause returns.
 func (w *world) outage(kind Kind, pause func()) {
 	from := time.Now()
 	set := func(on bool) {
@@ -213,11 +214,11 @@
 	set(true)
 	pause()
 	set(false)
-	w.note(func(r *record) { r.outages = append(r.outages, outage{kind, from, time.Now()}) })
+	w.updateRecord(func(r *record) { r.outages = append(r.outages, outage{kind, from, time.Now()}) })
 }
 
-// spoil has a server's proxy spoil answers, or all proxies where the server has none.
-func (w *world) spoil(kind Kind, v *serverPlace, pause func()) {
+// corruptResponses makes a server's proxy corrupt responses until pause returns, or all proxies if the server has none.
+func (w *world) corruptResponses(kind Kind, v *serverSlot, pause func()) {
 	set := func(on bool) {
 		for _, s := range w.servers {
 			if s.proxy == nil || v.proxy != nil && s != v {
@@ -235,8 +236,8 @@
 	set(false)
 }
 
-// playServerFault plays a server's fault. A server has one at a time.
-func (w *world) playServerFault(t Fault, v *serverPlace, pause func()) {
+// playServerFault injects a fault of a server, which has at most one at a time.
+func (w *world) playServerFault(t Fault, v *serverSlot, pause func()) {
 	if !v.faulty.CompareAndSwap(false, true) {
 		return
 	}
@@ -255,7 +256,7 @@
 		_ = v.SetSilent(true)
 		pause()
 		_ = v.SetSilent(false)
-	case ResetKept:
+	case ResetOpenConns:
 		v.ResetOpenConns()
 		if v.proxy != nil {
 			v.proxy.reset()
@@ -271,12 +272,12 @@
 	}
 }
 
-// restart ends a server's process and starts one, cold, and discovery lists it at once.
-func (w *world) restart(v *serverPlace, id string, pause func()) {
+// restart ends a server's process and starts a cold one, which discovery lists at once.
+func (w *world) restart(v *serverSlot, id string, pause func()) {
 	v.Kill()
 	pause()
 	err := v.Start(id)
-	for range startTries { // its address may be held for a moment by what has just ended there
+	for range startAttempts { // its address may still be in use by the process that has just ended
 		if err == nil {
 			break
 		}
@@ -284,19 +285,19 @@
 		err = v.Start(id)
 	}
 	if err != nil {
-		w.note(func(r *record) { r.faults["harness"] = append(r.faults["harness"], err.Error()) })
+		w.updateRecord(func(r *record) { r.faults["harness"] = append(r.faults["harness"], err.Error()) })
 		return
 	}
-	w.note(func(r *record) { r.starts[id] = append(r.starts[id], time.Now()) })
+	w.updateRecord(func(r *record) { r.starts[id] = append(r.starts[id], time.Now()) })
 	w.updateDiscovery(w.endpoint(v, fakes.Serving, w.wall().UnixMilli()))
 }
 
-// replace has a server drain, ends it, and starts another under a new id in its place.
-func (w *world) replace(v *serverPlace, pause func()) {
-	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // as one that drains does, which serves what it gets
+// replace drains a server, ends it, and starts another with a new id in its place.
+func (w *world) replace(v *serverSlot, pause func()) {
+	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // a draining server fails probes, but serves the requests it receives
 	defer v.SetBehaviour(fakes.Behaviour{})
 	leave := w.endpoint(v, fakes.Draining, 0)
-	w.note(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
+	w.updateRecord(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
 	w.updateDiscovery(leave)
 	pause()
 	v.Kill()
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -11,40 +11,40 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// What the rules allow, measured at clients and servers.
+// Tolerances of the rules, as measured at clients and servers.
 const (
-	answerSlack     = 500 * time.Millisecond // an answer that comes later is as good as none
-	drainSlack      = 50 * time.Millisecond
-	goneSlack       = 100 * time.Millisecond
-	deadlineSlack   = 150 * time.Millisecond
-	maxNotifyDelay  = 6 * time.Second // of a change, while the watch is silent
-	badClientWithin = 3 * time.Second
-	stallNear       = 300 * time.Millisecond // of a moment, in which a stall of this process blurs it
+	responseSlack   = 500 * time.Millisecond // after the deadline; a later response counts as lost
+	drainSlack      = 50 * time.Millisecond  // after the drain grace, and after a retry window
+	disconnectSlack = 100 * time.Millisecond // from a client's disconnect to the last attempt for it
+	deadlineSlack   = 150 * time.Millisecond // by which the deadline that an attempt carries may exceed the time left
+	maxNotifyDelay  = 6 * time.Second        // within which a change of discovery is known to all while the watch is silent
+	badClientWithin = 3 * time.Second        // within which a partial request gets an error or its connection is closed
+	stallRange      = 300 * time.Millisecond // of a measured time, within which a stall of this process adds to its slack
 )
 
-// Rule is one that the judge looks at.
+// Rule is a rule that the judge checks.
 type Rule string
 
 // The rules.
 const (
-	Lost           Rule = "lost"      // a request without its final answer
-	RunTwice       Rule = "twice"     // an order that may have run goes out again
-	FalseRejection Rule = "promise"   // a refusal of an order that may have run
-	RetryWindow    Rule = "window"    // a repeat with a token beyond its window
-	ClientGone     Rule = "gone"      // an attempt for a client that has left
-	Deadline       Rule = "deadline"  // an attempt carries more time than its client has left
-	Drain          Rule = "drain"     // an attempt at a server that drains or is gone
-	Order          Rule = "order"     // an attempt at a server that operators have taken out
-	SlowStart      Rule = "slowstart" // too much for a cold server
-	WrongResponse  Rule = "foreign"   // an answer of another request
-	BadClient      Rule = "badclient" // half a request without an error or an end
-	Process        Rule = "process"   // a crash, a late start, or what a sidecar logs of its own guards
+	Lost           Rule = "lost"      // a request got no final response, or a late one
+	RunTwice       Rule = "twice"     // a request with side effects that may have run was sent again
+	FalseRejection Rule = "promise"   // a request with side effects that may have run was rejected
+	RetryWindow    Rule = "window"    // a request with a token was retried after its retry window
+	ClientGone     Rule = "gone"      // an attempt was made for a client that had disconnected
+	Deadline       Rule = "deadline"  // an attempt carried a later deadline than its client's
+	Drain          Rule = "drain"     // an attempt was sent to a server that was draining or deleted
+	Order          Rule = "order"     // an attempt was sent to a server that operators had cordoned
+	SlowStart      Rule = "slowstart" // a cold server got too many requests
+	WrongResponse  Rule = "foreign"   // a response belongs to another request
+	BadClient      Rule = "badclient" // a partial request got neither an error nor a close
+	Process        Rule = "process"   // a process crashed, started late or logged a violated internal check
 )
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
-	At     time.Duration // from the run's start
+	At     time.Duration // since the start of the run
 	Detail string
 }
 
@@ -52,60 +52,60 @@
 	return fmt.Sprintf("%-9s at %8.3fs  %s", v.Rule, v.At.Seconds(), v.Detail)
 }
 
-// learnedServer is a sidecar and a server.
-type learnedServer struct {
+// serverAtSidecar identifies a server as known to one sidecar.
+type serverAtSidecar struct {
 	sidecar int
 	server  string
 }
 
-// attempt is a request as a server has seen it.
+// attempt is a request as received by a server, and the number of the sidecar that sent it.
 type attempt struct {
 	fakes.Request
 	sidecar int
 }
 
-// drainingServer is a server that drains or is gone.
+// drainingServer is a server that drains or is deleted.
 type drainingServer struct {
 	server string
-	since  time.Time // discovery had it
+	since  time.Time // when discovery listed it as draining
 }
 
-// order is an operator's order that a sidecar has acknowledged.
+// order is an operator's order to cordon a server that a sidecar has acknowledged.
 type order struct {
 	sidecar                   int
 	server                    string
-	acknowledgedAt, revokedAt time.Time // to: it was taken back; zero = it was not
+	acknowledgedAt, revokedAt time.Time // revokedAt: zero = not revoked
 }
 
-// outage is a time in which discovery did not send its changes.
+// outage is a period in which discovery sent no changes, or sent them late.
 type outage struct {
 	kind     Kind
 	from, to time.Time
 }
 
-// record is what a run has left behind.
+// record is what clients, servers and processes have recorded in a run.
 type record struct {
 	start             time.Time
-	window            time.Duration // of repeats with a token
-	onRequest         bool          // discovery is polled on request: its changes count as known later
-	slack             time.Duration // by which the machine's load blurs what is measured at the other end of a socket
-	stalls            []span        // in which this process itself was stalled
+	window            time.Duration // within which requests with a token may be retried
+	onRequest         bool          // discovery is polled on request, so its changes count as known later
+	slack             time.Duration // added to each tolerance, since measurements at the other end of a socket are late on a busy machine
+	stalls            []span        // in which this process was stalled
 	requests          []*request
 	attempts          []attempt
 	draining          []drainingServer
 	outages           []outage
 	orders            []order
-	starts            map[string][]time.Time        // of servers' processes that were cold, by id
-	processStarts     map[int][]time.Time           // of sidecars' processes, by number
-	learnedAt         map[learnedServer][]time.Time // when a sidecar has logged that a server leaves
+	starts            map[string][]time.Time          // of cold server processes, by server id
+	processStarts     map[int][]time.Time             // of sidecar processes, by number
+	learnedAt         map[serverAtSidecar][]time.Time // when a sidecar logged that a server is draining or gone
 	killed            func(sidecar int, from, to time.Time) bool
-	shutdowns         map[int][]span // from SIGTERM to the kill in its time, by sidecar
-	longStalls        int            // stalls that this process made longer than they were to be
-	unansweredPartial int            // clients that sent half a request and had neither answer nor end
-	faults            map[string][]string
+	shutdowns         map[int][]span      // from SIGTERM to the kill of a process that had not exited, by sidecar
+	longStalls        int                 // injected stalls that lasted longer than maxStallLength since this process was late
+	unansweredPartial int                 // clients that sent a partial request and got neither a response nor a close
+	faults            map[string][]string // of processes and of the harness, by name
 }
 
-// judge returns what was broken, in the order of time.
+// judge returns the violations in order of time.
 func (r *record) judge() (all []Violation) {
 	add := func(rule Rule, at time.Time, format string, args ...any) {
 		all = append(all, Violation{rule, at.Sub(r.start), fmt.Sprintf(format, args...)})
@@ -115,18 +115,18 @@
 		byID[a.ID] = append(byID[a.ID], a)
 	}
 	for _, q := range r.requests {
-		tries := byID[q.id]
-		slices.SortFunc(tries, func(a, b attempt) int { return a.Sent.Compare(b.Sent) })
-		r.judgeAnswer(q, add)
-		r.judgeResent(q, tries, add)
-		r.judgeEffect(q, tries, add)
-		r.judgeTimes(q, tries, add)
+		attempts := byID[q.id]
+		slices.SortFunc(attempts, func(a, b attempt) int { return a.Sent.Compare(b.Sent) })
+		r.judgeResponse(q, add)
+		r.judgeResent(q, attempts, add)
+		r.judgeIdempotency(q, attempts, add)
+		r.judgeTimes(q, attempts, add)
 	}
 	r.judgeDraining(add)
 	r.judgeOrders(add)
 	r.judgeStarts(add)
 	if r.unansweredPartial > 0 {
-		add(BadClient, r.start, "%d clients that sent half a request had neither an error nor an end within %s", r.unansweredPartial, badClientWithin)
+		add(BadClient, r.start, "%d clients that sent a partial request got neither an error nor a close within %s", r.unansweredPartial, badClientWithin)
 	}
 	for name, lines := range r.faults {
 		for _, line := range lines {
@@ -137,106 +137,110 @@
 	return all
 }
 
+// adder records a violation of a rule.
 type adder func(rule Rule, at time.Time, format string, args ...any)
 
-// judgeAnswer looks for the one final answer.
-func (r *record) judgeAnswer(q *request, add adder) {
-	latest := q.begunAt.Add(q.class.deadline + answerSlack)
+// judgeResponse checks that the request got one final response of its own in time.
+func (r *record) judgeResponse(q *request, add adder) {
+	latest := q.startedAt.Add(q.class.deadline + responseSlack)
 	latest = latest.Add(r.slackAt(latest))
 	switch {
-	case q.unreachable || q.sentAt.IsZero() || !q.leftAt.IsZero() || r.killed(q.sidecar, q.begunAt, latest):
+	case q.unreachable || q.sentAt.IsZero() || !q.disconnectedAt.IsZero() || r.killed(q.sidecar, q.startedAt, latest):
 	case q.status == 0 && !q.truncated:
-		add(Lost, q.sentAt, "%s: no answer (%s), new connection %t, sent again %t, %s after it had connected", q.id, q.err, q.newConnection, q.resent,
+		add(Lost, q.sentAt, "%s: no response (%s), new connection %t, resent %t, sent %s after the connection was established", q.id, q.err, q.newConnection, q.resent,
 			q.sentAt.Sub(q.dialedAt))
-	case q.answeredAt.After(latest):
-		add(Lost, q.sentAt, "%s: answered %s after its deadline", q.id, q.answeredAt.Sub(q.begunAt)-q.class.deadline)
+	case q.respondedAt.After(latest):
+		add(Lost, q.sentAt, "%s: response %s after its deadline", q.id, q.respondedAt.Sub(q.startedAt)-q.class.deadline)
 	case q.err != "" && q.status == 200:
-		add(WrongResponse, q.answeredAt, "%s: %s", q.id, q.err)
+		add(WrongResponse, q.respondedAt, "%s: %s", q.id, q.err)
 	}
 }
 
-// judgeResent looks at a request whose kept connection ended without an answer, so that its client sent it again. It may have crossed the
-// end of a connection that was at rest; but what was forwarded had been read, and what was open when its process was killed is lost.
-func (r *record) judgeResent(q *request, tries []attempt, add adder) {
+// judgeResent checks a request that its client resent because its connection was closed without a response. The request may
+// have crossed the close of an idle connection. It counts as lost if the first send was forwarded, so the sidecar had read
+// it, or if its connection was open when the process was killed.
+func (r *record) judgeResent(q *request, attempts []attempt, add adder) {
 	first := q.firstSend
 	if first.from.IsZero() || r.killed(q.sidecar, first.from, first.to) {
 		return
 	}
-	for _, a := range tries {
+	for _, a := range attempts {
 		if a.Sent.Before(first.to) {
-			add(Lost, first.from, "%s: forwarded to %s, and its connection ended without an answer %s after it was sent", q.id, a.Server, first.to.Sub(first.from))
+			add(Lost, first.from, "%s: forwarded to %s, but its connection was closed without a response %s after it was sent", q.id, a.Server, first.to.Sub(first.from))
 			return
 		}
 	}
 	for _, e := range r.shutdowns[q.sidecar] {
 		if first.from.Before(e.to) && !first.to.Before(e.to) {
-			add(Lost, first.from, "%s: sent %s after the word to end, open as the process was killed", q.id, first.from.Sub(e.from))
+			add(Lost, first.from, "%s: sent %s after SIGTERM, its connection open when the process was killed", q.id, first.from.Sub(e.from))
 			return
 		}
 	}
 }
 
-// slackAt is what is allowed for at a moment: more where this process was stalled then.
+// slackAt returns the tolerance of a measurement at the given time, which is larger if this process was stalled around then.
 func (r *record) slackAt(at time.Time) time.Duration {
 	slack := r.slack
 	for _, s := range r.stalls {
-		if s.from.Before(at.Add(stallNear)) && s.to.After(at.Add(-stallNear)) {
+		if s.from.Before(at.Add(stallRange)) && s.to.After(at.Add(-stallRange)) {
 			slack = max(slack, r.slack+2*s.to.Sub(s.from))
 		}
 	}
 	return slack
 }
 
-// mayRun reports whether an attempt may have run, as far as its sidecar can tell.
+// mayRun reports whether the attempt may have run, as far as its sidecar can know.
 func (a *attempt) mayRun() bool { return a.Outcome != fakes.Declined && a.Outcome != fakes.MissingID }
 
-// judgeEffect looks at what may not run twice.
-func (r *record) judgeEffect(q *request, tries []attempt, add adder) {
+// judgeIdempotency checks that a request that may have run was not sent again where its idempotency forbids it, and not
+// rejected.
+func (r *record) judgeIdempotency(q *request, attempts []attempt, add adder) {
 	var ran []attempt
-	for _, a := range tries {
+	for _, a := range attempts {
 		if a.mayRun() {
 			ran = append(ran, a)
 		}
 	}
 	switch {
-	case len(ran) == 0 || r.killed(q.sidecar, q.begunAt, q.begunAt.Add(q.class.deadline)):
+	case len(ran) == 0 || r.killed(q.sidecar, q.startedAt, q.startedAt.Add(q.class.deadline)):
 		return
 	case q.class.idempotency == "side_effect":
-		if last := tries[len(tries)-1]; last.Sent.After(ran[0].Sent) {
+		if last := attempts[len(attempts)-1]; last.Sent.After(ran[0].Sent) {
 			add(RunTwice, last.Sent, "%s: %s by %s, then sent to %s", q.id, ran[0].Outcome, ran[0].Server, last.Server)
 		}
 		if q.status == 429 || q.status == 503 {
-			add(FalseRejection, q.answeredAt, "%s: refused with %d, %s by %s", q.id, q.status, ran[0].Outcome, ran[0].Server)
+			add(FalseRejection, q.respondedAt, "%s: rejected with %d, but %s by %s", q.id, q.status, ran[0].Outcome, ran[0].Server)
 		}
 	case q.class.idempotency == "token":
-		if late := tries[len(tries)-1].Sent.Sub(ran[0].Sent) - r.window; late > drainSlack+r.slackAt(tries[len(tries)-1].Sent) {
-			add(RetryWindow, tries[len(tries)-1].Sent, "%s: repeated %s beyond its window", q.id, late)
+		if late := attempts[len(attempts)-1].Sent.Sub(ran[0].Sent) - r.window; late > drainSlack+r.slackAt(attempts[len(attempts)-1].Sent) {
+			add(RetryWindow, attempts[len(attempts)-1].Sent, "%s: retried %s after its window", q.id, late)
 		}
 	}
 }
 
-// judgeTimes checks when each attempt was sent, and the deadline that it carries.
-func (r *record) judgeTimes(q *request, tries []attempt, add adder) {
-	for _, a := range tries {
-		if late := a.Sent.Sub(q.leftAt); !q.leftAt.IsZero() && late > goneSlack+r.slackAt(a.Sent) {
-			add(ClientGone, a.Sent, "%s: begun %s after its client had left", q.id, late)
+// judgeTimes checks that no attempt was sent after its client disconnected, or with a deadline later than the client's.
+func (r *record) judgeTimes(q *request, attempts []attempt, add adder) {
+	for _, a := range attempts {
+		if late := a.Sent.Sub(q.disconnectedAt); !q.disconnectedAt.IsZero() && late > disconnectSlack+r.slackAt(a.Sent) {
+			add(ClientGone, a.Sent, "%s: sent %s after its client disconnected", q.id, late)
 		}
 		sentDeadline, err := strconv.ParseFloat(a.Deadline, 64)
-		left := q.class.deadline - a.Sent.Sub(q.begunAt)
+		left := q.class.deadline - a.Sent.Sub(q.startedAt)
 		if over := time.Duration(sentDeadline*float64(time.Second)) - left; err == nil && over > deadlineSlack+r.slackAt(a.Sent) {
-			add(Deadline, a.Sent, "%s: %s is told %s, %s are left", q.id, a.Server, a.Deadline, left)
+			add(Deadline, a.Sent, "%s: %s was sent deadline %s, but %s were left", q.id, a.Server, a.Deadline, left)
 		}
 	}
 }
 
-// notifiedAt is when everybody counts as notified of a change that discovery has had since at. A watch that falls silent is given its time
-// from when it did; a sidecar that was notified before that has logged it, see heard.
+// notifiedAt returns when every sidecar must know of a change that discovery has had since at. If the watch falls silent,
+// sidecars have maxNotifyDelay from then on; a sidecar that learned of the change earlier has logged it, see
+// record.learnedAt.
 func (r *record) notifiedAt(at time.Time) time.Time {
 	notified := at
 	if r.onRequest {
 		notified = at.Add(maxNotifyDelay)
 	}
-	for _, o := range r.outages { // in the order of their beginnings
+	for _, o := range r.outages { // sorted by from
 		if notified.Before(o.from) || !notified.Before(o.to) {
 			continue
 		}
@@ -254,14 +258,14 @@
 	return notified
 }
 
-// processStart is when the sidecar's process began that lived at that moment.
-func (r *record) processStart(sidecar int, at time.Time) (born time.Time) {
+// processStart returns when the sidecar's process started that ran at the given time.
+func (r *record) processStart(sidecar int, at time.Time) (start time.Time) {
 	for _, b := range r.processStarts[sidecar] {
 		if b.Before(at) {
-			born = b
+			start = b
 		}
 	}
-	return born
+	return start
 }
 
 func later(a, b time.Time) time.Time {
@@ -271,6 +275,8 @@
 	return b
 }
 
+// judgeDraining checks that no attempt is sent to a draining or deleted server once its sidecar knows and the drain grace
+// has passed.
 func (r *record) judgeDraining(add adder) {
 	for _, l := range r.draining {
 		notified := r.notifiedAt(l.since)
@@ -279,58 +285,61 @@
 				continue
 			}
 			since := notified
-			for _, heard := range r.learnedAt[learnedServer{a.sidecar, l.server}] { // by operators' orders, too, before it left
-				if !heard.Before(l.since) && heard.Before(since) {
-					since = heard
+			for _, learned := range r.learnedAt[serverAtSidecar{a.sidecar, l.server}] { // may include a cordon by operators, from before it drained
+				if !learned.Before(l.since) && learned.Before(since) {
+					since = learned
 				}
 			}
 			since = later(since, r.processStart(a.sidecar, a.Sent))
 			if late := a.Sent.Sub(since) - drainGrace; late > drainSlack+r.slackAt(a.Sent) {
-				add(Drain, a.Sent, "%s: begun at %s %s after the grace", a.ID, a.Server, late)
+				add(Drain, a.Sent, "%s: sent to %s %s after the drain grace", a.ID, a.Server, late)
 			}
 		}
 	}
 }
 
+// judgeOrders checks that no attempt is sent to a server that operators have cordoned once the drain grace has passed.
 func (r *record) judgeOrders(add adder) {
 	for _, o := range r.orders {
 		for _, a := range r.attempts {
 			late := a.Sent.Sub(o.acknowledgedAt) - drainGrace
 			if a.sidecar == o.sidecar && a.Server == o.server && late > drainSlack+r.slackAt(a.Sent) && (o.revokedAt.IsZero() || a.Sent.Before(o.revokedAt)) {
-				add(Order, a.Sent, "%s: n%d sends to %s, which operators have taken out %s before", a.ID, o.sidecar, o.server,
+				add(Order, a.Sent, "%s: n%d sent to %s, which operators had cordoned %s before", a.ID, o.sidecar, o.server,
 					a.Sent.Sub(o.acknowledgedAt))
 			}
 		}
 	}
 }
 
-// slowStartBudget is how many requests of mean work a server in slow start may get within fallFor, from age on.
+// slowStartBudget returns how many requests of mean work a server in slow start may get within overloadWindow, starting at
+// the given age.
 func slowStartBudget(age time.Duration) int {
 	steps, sum := 100, 0.0
 	for i := range steps {
-		t := age + fallFor*time.Duration(i)/time.Duration(steps)
-		warmth := min(1, startCapacity+(1-startCapacity)*float64(t)/float64(warmIn))
-		sum += warmth * capacity * fallFor.Seconds() / float64(steps)
+		t := age + overloadWindow*time.Duration(i)/time.Duration(steps)
+		fraction := min(1, startCapacity+(1-startCapacity)*float64(t)/float64(warmUpTime))
+		sum += fraction * capacity * overloadWindow.Seconds() / float64(steps)
 	}
-	n := tipMultiple * sum
+	n := overloadMultiple * sum
 	if n < 30 {
 		return int(n + 3*math.Sqrt(n) + 3)
 	}
 	return int(n + 2*math.Sqrt(n) + 2)
 }
 
-// arrival is a request that has reached a cold server, and whether its sidecar had been notified of the server's start.
+// arrival is the arrival of a request at a cold server, and whether its sidecar must have known of the server's start.
 type arrival struct {
 	time     time.Time
 	notified bool
 }
 
-// judgeStarts looks for what is too much for a server in slow start. Sidecars whose watch was silent have not been notified: the
-// rule is broken where over two thirds came from those that had.
+// judgeStarts checks that no server in slow start gets more requests than its budget. Sidecars whose watch was silent may
+// not know of the start, so the rule is violated only if over two thirds of the requests came from sidecars that had been
+// notified.
 func (r *record) judgeStarts(add adder) {
 	for server, starts := range r.starts {
 		for i, began := range starts {
-			end := began.Add(warmIn)
+			end := began.Add(warmUpTime)
 			if i+1 < len(starts) && starts[i+1].Before(end) {
 				end = starts[i+1]
 			}
@@ -342,27 +351,27 @@
 				}
 			}
 			slices.SortFunc(got, func(a, b arrival) int { return a.time.Compare(b.time) })
-			if w := worstSpan(got, began); w.count > w.allowed && w.notified > w.count*2/3 {
-				add(SlowStart, w.start, "%s: %d requests within %s from %s after its start, at most %d; %d by sidecars that were told", server, w.count,
-					fallFor, w.start.Sub(began), w.allowed, w.notified)
+			if w := worstWindow(got, began); w.count > w.allowed && w.notified > w.count*2/3 {
+				add(SlowStart, w.start, "%s: %d requests within %s from %s after its start, at most %d; %d by notified sidecars", server, w.count,
+					overloadWindow, w.start.Sub(began), w.allowed, w.notified)
 			}
 		}
 	}
 }
 
-// window is what a cold server got within fallFor, and what it may get.
-type window struct {
+// arrivalWindow counts the requests that a cold server got within overloadWindow from start, and how many are allowed.
+type arrivalWindow struct {
 	start                    time.Time
 	count, notified, allowed int
 }
 
-// worstSpan is the window in which a cold server got most beyond what it may get.
-func worstSpan(got []arrival, began time.Time) (worst window) {
+// worstWindow returns the window in which a cold server, which started at began, got most requests above what is allowed.
+func worstWindow(got []arrival, began time.Time) (worst arrivalWindow) {
 	over := math.MinInt
 	for i, from := range got {
-		w := window{start: from.time, allowed: slowStartBudget(from.time.Sub(began))}
+		w := arrivalWindow{start: from.time, allowed: slowStartBudget(from.time.Sub(began))}
 		for _, a := range got[i:] {
-			if a.time.Sub(from.time) >= fallFor {
+			if a.time.Sub(from.time) >= overloadWindow {
 				break
 			}
 			if w.count++; a.notified {
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -10,42 +10,42 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds: of sidecars, of their system calls and clocks, of servers, of discovery and of the proxy.
+// The kinds of fault: of sidecars, of their system calls and clocks, of servers, of discovery and of the proxy.
 const (
-	Terminate      Kind = "terminate"       // SIGTERM, SIGKILL at its time, and a start
-	AimedEnd       Kind = "aimed_end"       // likewise, with stalls, failing calls and other signals on the edges: see shutdownfaults.go
-	Crash          Kind = "crash"           // SIGKILL and a start
-	Reload         Kind = "reload"          // SIGHUP, with another discovery or other targets
-	ReloadBurst    Kind = "reload_burst"    // several in a row
-	HandOver       Kind = "hand_over"       // SIGUSR2
-	Pause          Kind = "pause"           // SIGSTOP for a moment
-	OperatorsOrder Kind = "operators_order" // operators cordon a server and put it back
-	AcceptFails    Kind = "accept_fails"
-	ConnectFails   Kind = "connect_fails"
-	SlowConnects   Kind = "slow_connects" // connections to servers come up late
-	Interrupted    Kind = "interrupted"   // polls end with EINTR
-	DiskFails      Kind = "disk_fails"
-	ConfigFails    Kind = "config_fails" // the configuration can't be read as SIGHUP comes
-	ClockStep      Kind = "clock_step"   // of all machines
-	Restart        Kind = "restart"      // a server ends and is back under its id, cold
-	Replace        Kind = "replace"      // a server drains, goes, and another comes
-	Vanish         Kind = "vanish"
-	ResetKept      Kind = "reset_kept"
-	Stall          Kind = "stall"
-	Decline        Kind = "decline"
-	ProbesFail     Kind = "probes_fail"
-	Slow           Kind = "slow"
-	Silent         Kind = "discovery_silent"
-	Down           Kind = "discovery_down"
-	Late           Kind = "discovery_late"
-	CutAnswers     Kind = "cut_answers" // the proxy resets connections within an answer
-	Dribble        Kind = "dribble"     // it passes answers on in pieces
-	LeaveHeld      Kind = "leave_held"  // clients leave while their sidecar is stopped and its connections come up
-	Leave          Kind = "leave"       // many clients leave
-	Flood          Kind = "flood"       // many connections that say nothing, or half a request
+	Terminate             Kind = "terminate"       // SIGTERM, SIGKILL once killAfter has passed, and a new process
+	ShutdownFaults        Kind = "aimed_end"       // likewise, with stalls, failing calls and other signals at critical times: see shutdownfaults.go
+	Crash                 Kind = "crash"           // SIGKILL and a new process
+	Reload                Kind = "reload"          // SIGHUP, with another discovery or other targets
+	ReloadBurst           Kind = "reload_burst"    // several in a row
+	HandOver              Kind = "hand_over"       // SIGUSR2
+	Pause                 Kind = "pause"           // SIGSTOP for a short time
+	CordonOrder           Kind = "operators_order" // operators cordon a server and uncordon it
+	AcceptFails           Kind = "accept_fails"
+	ConnectFails          Kind = "connect_fails"
+	SlowConnects          Kind = "slow_connects" // connections to servers are established late
+	Interrupted           Kind = "interrupted"   // polls end with EINTR
+	DiskFails             Kind = "disk_fails"
+	ConfigFails           Kind = "config_fails" // the configuration can't be read on SIGHUP
+	ClockStep             Kind = "clock_step"   // of all machines
+	Restart               Kind = "restart"      // a server process ends and a cold one starts under the same id
+	Replace               Kind = "replace"      // a server drains and ends, and another starts
+	Vanish                Kind = "vanish"
+	ResetOpenConns        Kind = "reset_kept"
+	Stall                 Kind = "stall"
+	Decline               Kind = "decline"
+	ProbesFail            Kind = "probes_fail"
+	Slow                  Kind = "slow"
+	Silent                Kind = "discovery_silent"
+	Down                  Kind = "discovery_down"
+	Late                  Kind = "discovery_late"
+	CutAnswers            Kind = "cut_answers" // the proxy resets connections within a response
+	Dribble               Kind = "dribble"     // the proxy forwards responses in small pieces
+	DisconnectDuringStall Kind = "leave_held"  // clients disconnect while their sidecar is stopped and its connections are being established
+	Disconnect            Kind = "leave"       // many clients disconnect
+	Flood                 Kind = "flood"       // many connections that send nothing or a partial request
 )
 
-// kindWeight is how often a kind is drawn, and for how long it lasts.
+// kindWeight is the relative frequency of a kind of fault, and the range of its duration.
 type kindWeight struct {
 	kind                 Kind
 	weight               float64
@@ -53,27 +53,27 @@
 }
 
 const (
-	// A fault begins every so often for each five sidecars, so that two or three overlap.
+	// Mean interval between the beginnings of faults for each five sidecars, such that two or three faults overlap.
 	faultInterval = 700 * time.Millisecond
-	// Nothing begins in the last part of a run: what is under way ends.
+	// No fault begins in the last part of a run, so that running ones can end.
 	quietEnd = 3 * time.Second
-	// Nor before load and connections are there.
+	// No fault begins before there are load and open connections.
 	quietStart = 1500 * time.Millisecond
 )
 
-// kindWeights are all kinds. Accepts fail for a moment, as the operators' terms have it: what lies in the kernel until its client has long
-// stopped waiting, or until its process is killed, can't be answered by anybody.
+// kindWeights lists all kinds. Accept failures are short, as the operators' terms require: a connection that stays in the
+// kernel's accept queue until its client has given up, or until the process is killed, can't be answered.
 var kindWeights = []kindWeight{
 	{Terminate, 2, 0, 0},
-	{AimedEnd, 5, 0, 0},
+	{ShutdownFaults, 5, 0, 0},
 	{SlowConnects, 3, 300 * time.Millisecond, 1500 * time.Millisecond},
-	{LeaveHeld, 3, 0, 0},
+	{DisconnectDuringStall, 3, 0, 0},
 	{Crash, 2, 0, 0},
 	{Reload, 2, 0, 0},
 	{ReloadBurst, 1, 0, 0},
 	{HandOver, 2, 0, 0},
 	{Pause, 2, 50 * time.Millisecond, 150 * time.Millisecond},
-	{OperatorsOrder, 3, time.Second, 3 * time.Second},
+	{CordonOrder, 3, time.Second, 3 * time.Second},
 	{AcceptFails, 4, 5 * time.Millisecond, 60 * time.Millisecond},
 	{ConnectFails, 2, 20 * time.Millisecond, 600 * time.Millisecond},
 	{Interrupted, 2, 500 * time.Millisecond, 3 * time.Second},
@@ -83,7 +83,7 @@
 	{Restart, 3, 100 * time.Millisecond, time.Second},
 	{Replace, 3, 1500 * time.Millisecond, 2500 * time.Millisecond},
 	{Vanish, 1, 500 * time.Millisecond, 3 * time.Second},
-	{ResetKept, 2, 0, 0},
+	{ResetOpenConns, 2, 0, 0},
 	{Stall, 1, 500 * time.Millisecond, 2 * time.Second},
 	{Decline, 1, 500 * time.Millisecond, 2 * time.Second},
 	{ProbesFail, 1, 500 * time.Millisecond, 2 * time.Second},
@@ -93,20 +93,20 @@
 	{Late, 1, time.Second, 3 * time.Second},
 	{CutAnswers, 2, 500 * time.Millisecond, 2 * time.Second},
 	{Dribble, 1, 500 * time.Millisecond, 3 * time.Second},
-	{Leave, 3, 200 * time.Millisecond, time.Second},
+	{Disconnect, 3, 200 * time.Millisecond, time.Second},
 	{Flood, 1, 500 * time.Millisecond, 2 * time.Second},
 }
 
-// Fault is one that begins at a moment of the run and lasts for a while.
+// Fault is a fault that begins at a time of the run and lasts for a duration.
 type Fault struct {
-	At, For time.Duration
+	At, For time.Duration // At is the time since the start of the run
 	Kind    Kind
-	Target  int     // a sidecar or a server, by its number
-	Draw    float64 // decides the rest, from 0 up to 1
+	Target  int     // number of a sidecar or a server, modulo their count
+	Draw    float64 // random number in [0, 1) that determines the variant of the fault
 }
 
-// Draw returns the faults of a run in the order of their beginning.
-func Draw(seed uint64, long time.Duration, sidecars, servers int, only []Kind) (all []Fault) {
+// Draw returns the faults of a run of the given duration, sorted by their beginning; only restricts their kinds (none = all).
+func Draw(seed uint64, duration time.Duration, sidecars, servers int, only []Kind) (all []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
 	from := slices.Clone(kindWeights)
 	if len(only) > 0 {
@@ -117,7 +117,7 @@
 		sum += s.weight
 	}
 	every := float64(faultInterval) * 5 / float64(max(1, sidecars))
-	for at := quietStart; at < long-quietEnd; at += time.Duration(every * rng.ExpFloat64()) {
+	for at := quietStart; at < duration-quietEnd; at += time.Duration(every * rng.ExpFloat64()) {
 		pick, chosen := rng.Float64()*sum, from[0]
 		for _, s := range from {
 			if chosen = s; pick < s.weight {
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	pieceBytes = 7
-	piecePause = 4 * time.Millisecond
-	cutBytes   = 60 // of an answer, behind which its connection is reset
+	pieceBytes = 7                    // length of a piece while responses are dribbled
+	piecePause = 4 * time.Millisecond // after each piece
+	cutBytes   = 60                   // of a response that are forwarded before its connection is reset
 )
 
-// proxy stands before a server and spoils its answers. What sidecars send it passes on at once.
+// proxy forwards connections to a server and can corrupt its responses. It forwards what sidecars send at once.
 type proxy struct {
 	listener      net.Listener
-	serverAddress func() string // where the server is
-	cut           atomic.Bool
-	dribble       atomic.Bool
+	serverAddress func() string // returns the server's current address
+	cut           atomic.Bool   // reset connections within a response
+	dribble       atomic.Bool   // forward responses in small pieces
 
 	mutex       sync.Mutex
 	conns       map[net.Conn]bool
@@ -57,15 +57,15 @@
 		fakes.Abort(c)
 		return
 	}
-	p.hold(c, s)
-	defer p.drop(c, s)
+	p.track(c, s)
+	defer p.untrack(c, s)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		copyAll(s, c)
 		_ = s.(*net.TCPConn).CloseWrite()
 	}()
-	p.answers(c, s)
+	p.copyResponses(c, s)
 	c.Close()
 	s.Close()
 	<-done
@@ -86,8 +86,8 @@
 	}
 }
 
-// answers passes on what the server says.
-func (p *proxy) answers(c, s net.Conn) {
+// copyResponses forwards what the server s sends to the client c.
+func (p *proxy) copyResponses(c, s net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := s.Read(buf)
@@ -112,7 +112,7 @@
 			}
 		}
 		if err != nil {
-			if !errors.Is(err, io.EOF) { // a reset is no end
+			if !errors.Is(err, io.EOF) { // the server reset the connection, so reset the client's, too
 				fakes.Abort(c)
 			}
 			return
@@ -120,7 +120,7 @@
 	}
 }
 
-func (p *proxy) hold(conns ...net.Conn) {
+func (p *proxy) track(conns ...net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, c := range conns {
@@ -128,7 +128,7 @@
 	}
 }
 
-func (p *proxy) drop(conns ...net.Conn) {
+func (p *proxy) untrack(conns ...net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, c := range conns {
@@ -136,7 +136,7 @@
 	}
 }
 
-// reset resets all connections.
+// reset resets all open connections.
 func (p *proxy) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	stallTick = 5 * time.Millisecond
-	minStall  = 3 * time.Millisecond  // below that it is no stall
-	baseSlack = 30 * time.Millisecond // of what is measured at the other end of a socket, on a busy machine
+	stallTick = 5 * time.Millisecond  // interval at which stalls of this process are measured
+	minStall  = 3 * time.Millisecond  // a shorter delay does not count as a stall
+	baseSlack = 30 * time.Millisecond // tolerance for measurements at the other end of a socket on a busy machine
 )
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
 	variant
-	Faults                             map[Kind]int
-	Requests, Served, Rejected, Failed int
-	Left, Unreachable, Attempts        int
-	Stall                              time.Duration // by which this process was stalled, at most: slack of the judge
-	Violations                         []Violation
+	Faults                              map[Kind]int // number of injected faults
+	Requests, Served, Rejected, Failed  int
+	Disconnected, Unreachable, Attempts int           // Disconnected counts clients that did so before the response
+	Stall                               time.Duration // longest stall of this process
+	Violations                          []Violation
 }
 
-// Run plays a run and judges it.
+// Run executes a run and judges it.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -74,13 +74,14 @@
 	return out, ctx.Err()
 }
 
+// count counts the requests by their result.
 func (r *Report) count(recorded *record) {
 	r.Attempts = len(recorded.attempts)
 	for _, q := range recorded.requests {
 		r.Requests++
 		switch {
-		case !q.leftAt.IsZero():
-			r.Left++
+		case !q.disconnectedAt.IsZero():
+			r.Disconnected++
 		case q.unreachable:
 			r.Unreachable++
 		case q.status == 200:
@@ -93,11 +94,11 @@
 	}
 }
 
-// Write prints the report.
+// Write writes the report as text.
 func (r *Report) Write(to io.Writer) {
-	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connections within %s, repeats within %s, crowds %t: %d requests, %d served, %d refused, %d failed, %d left, %d found nobody; %d attempts; held up %s at most\n",
-		r.Seed, r.sockets, r.onRequest, r.longest, r.connect, r.window, r.manyClients, r.Requests, r.Served, r.Rejected, r.Failed, r.Left, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
-	fmt.Fprint(to, "  troubles:")
+	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connect timeout %s, retry window %s, many clients %t: %d requests, %d served, %d rejected, %d failed, %d disconnected, %d without a connection; %d attempts; longest stall %s\n",
+		r.Seed, r.sockets, r.onRequest, r.longestDeadline, r.connectTimeout, r.window, r.manyClients, r.Requests, r.Served, r.Rejected, r.Failed, r.Disconnected, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
+	fmt.Fprint(to, "  faults:")
 	for _, k := range slices.Sorted(maps.Keys(r.Faults)) {
 		fmt.Fprintf(to, " %s %d", k, r.Faults[k])
 	}
--- a/internal/testbench/soak/run_test.go
+++ b/internal/testbench/soak/run_test.go
@@ -12,23 +12,23 @@
 )
 
 func TestMain(m *testing.M) {
-	if err := recovery.AdoptOrphans(); err != nil { // as successors are, once their predecessor has ended
+	if err := recovery.AdoptOrphans(); err != nil { // successors become orphans once their predecessor has exited
 		fmt.Println(err)
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
 
-// TestShortSoak plays some short runs, over a minute in all: two of all faults, the others of the ends of processes alone, with deadlines
-// short and long and with a crowd. The limits on time are wide, since the machine that runs a suite may be crowded; all other rules are the
-// soak's.
+// TestShortSoak executes some short runs, over a minute in all: two with all kinds of fault, the others with those around
+// the shutdown of processes, with short and long deadlines and with many clients. The time limits are wide, since the
+// machine may be busy with other tests; all other rules are as in a full soak.
 func TestShortSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "plankrouter")
 	build := exec.Command("go", "build", "-tags", "faultinjection", "-o", program, "plankrouter/cmd/plankrouter")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	ends := []Kind{AimedEnd, LeaveHeld, SlowConnects, Reload, CutAnswers}
+	ends := []Kind{ShutdownFaults, DisconnectDuringStall, SlowConnects, Reload, CutAnswers}
 	for _, run := range []struct {
 		seed uint64
 		only []Kind
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if report.Served == 0 || len(report.Faults) == 0 {
-			t.Errorf("seed %d: nothing was played: %+v", run.seed, report)
+			t.Errorf("seed %d: nothing served or no fault injected: %+v", run.seed, report)
 		}
 		for _, v := range report.Violations {
 			t.Errorf("seed %d: %s", run.seed, v)
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -18,65 +18,66 @@
 )
 
 const (
-	denseClients     = 12
-	densePause       = 20 * time.Millisecond // after each answer
-	overloadClients  = 150
-	overloadPause    = 100 * time.Millisecond
-	denseBefore      = 300 * time.Millisecond // of SIGTERM
-	lateRests        = 4
-	lateWithin       = 700 * time.Millisecond // of the kill, that the rest of a request comes
-	stallLength      = shutdown.MaxStall
-	maxStallLength   = 165 * time.Millisecond // what was stalled for longer, by the harness's own fault, says nothing
-	minStallGap      = 20 * time.Millisecond
-	endBeforeKill    = 100 * time.Millisecond // that a last stall ends, at the earliest,
-	endAfterKill     = 140 * time.Millisecond // and at the latest
-	minSlice         = 2 * time.Millisecond   // for which a process runs between two stalls in a row
-	maxSlice         = 30 * time.Millisecond
-	unresponsiveLead = 200 * time.Millisecond // before the last accept
-	seriesWithin     = 150 * time.Millisecond // of SIGTERM, before or after it, in which other signals come
-	seriesClose      = 5 * time.Millisecond   // half of them so close to it
-	failAcceptMax    = 60 * time.Millisecond
-	lookAfter        = 60 * time.Millisecond // after SIGTERM, at which a hot restart may have happened meanwhile
-	shorterPart      = 2                     // one part in so many of the deadlines, where a reload makes them shorter
-	groupGone        = 2 * time.Second
+	steadyClients      = 12
+	steadyPause        = 20 * time.Millisecond // after each response
+	overloadClients    = 150
+	overloadPause      = 100 * time.Millisecond
+	steadyLead         = 300 * time.Millisecond // before SIGTERM, when the load begins
+	lateRequests       = 4                      // clients that send the rest of a request late
+	lateRequestWindow  = 700 * time.Millisecond // before the kill, within which they send it
+	stallLength        = shutdown.MaxStall
+	maxStallLength     = 165 * time.Millisecond // of a stall that the harness prolonged: what is lost in a longer one is not judged
+	minStallGap        = 20 * time.Millisecond  // between two stalls
+	endBeforeKill      = 100 * time.Millisecond // earliest end of the last stall, before the kill
+	endAfterKill       = 140 * time.Millisecond // latest end of the last stall, after the kill
+	minSlice           = 2 * time.Millisecond   // shortest time that a process runs between two consecutive stalls
+	maxSlice           = 30 * time.Millisecond  // longest such time
+	unresponsiveLead   = 200 * time.Millisecond // before the last accept, when half of the servers stop responding
+	signalWindow       = 150 * time.Millisecond // before or after SIGTERM, within which other signals are sent
+	closeSignalWindow  = 5 * time.Millisecond   // likewise, for half of the other signals
+	failAcceptMax      = 60 * time.Millisecond  // longest time for which accepts fail
+	handoverCheckDelay = 60 * time.Millisecond  // after SIGTERM, when followHandover checks for a completed hot restart
+	shorterDivisor     = 2                      // divisor of the deadlines where a reload shortens them
+	groupExitTimeout   = 2 * time.Second        // after SIGKILL, within which all processes of a group must have exited
 )
 
-// signalAfter is a signal that comes so long after SIGTERM, or before it.
+// signalAfter is a signal and when it is sent: the time after SIGTERM, negative = before it.
 type signalAfter struct {
 	signal syscall.Signal
 	after  time.Duration
 }
 
-// shutdownFault is how the end of a process is aimed at.
+// shutdownFault is the set of faults injected around the shutdown of a process.
 type shutdownFault struct {
-	series      []signalAfter
-	stalls      []time.Duration // after SIGTERM, at which the process is stopped for stallLength
-	failAccepts time.Duration   // for so long around the last accept; 0 = none does
-	failFrom    time.Duration
-	hanging     bool // half of the servers hang from shortly before the last accept until the kill
-	interrupted bool // looks at sockets end with EINTR around the last accept
-	shorter     bool // a reload before SIGTERM makes deadlines shorter
-	killAfter   time.Duration
-	clients     int           // that send until the kill
-	pause       time.Duration // of each, after an answer
-	lateRests   int           // clients that have sent half a request, and send its rest shortly before the kill
+	signals      []signalAfter   // other signals
+	stalls       []time.Duration // times after SIGTERM at which the process is stopped for stallLength
+	failAccepts  time.Duration   // how long accepts fail around the last one; 0 = they don't
+	failFrom     time.Duration   // when failAccepts begins, after SIGTERM
+	hanging      bool            // half of the servers don't respond from shortly before the last accept until the kill
+	interrupted  bool            // polls and peeks of sockets fail with EINTR around the last accept
+	shorter      bool            // a reload before SIGTERM shortens the deadlines
+	killAfter    time.Duration   // from SIGTERM to SIGKILL
+	clients      int             // number of clients that send until the kill
+	pause        time.Duration   // of each client, after a response
+	lateRequests int             // number of clients that send a partial request, and its rest shortly before the kill
 }
 
-// drawShutdownFault draws the end of a process with that longest deadline. Its edges are SIGTERM, the last accept, the last answer and the kill.
-func drawShutdownFault(rng *rand.Rand, longest time.Duration, manyClients bool) shutdownFault {
-	e := shutdownFault{clients: denseClients, pause: densePause, lateRests: lateRests, shorter: rng.IntN(6) == 0}
+// drawShutdownFault draws the faults around the shutdown of a process whose longest deadline is longestDeadline. They are
+// placed around SIGTERM, the last accept, the last response and the kill.
+func drawShutdownFault(rng *rand.Rand, longestDeadline time.Duration, manyClients bool) shutdownFault {
+	e := shutdownFault{clients: steadyClients, pause: steadyPause, lateRequests: lateRequests, shorter: rng.IntN(6) == 0}
 	if manyClients {
 		e.clients, e.pause = overloadClients, overloadPause
 	}
 	if e.shorter {
-		longest /= shorterPart
-		e.series = append(e.series, signalAfter{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(seriesWithin))})
+		longestDeadline /= shorterDivisor
+		e.signals = append(e.signals, signalAfter{syscall.SIGHUP, -time.Duration(rng.Float64() * float64(signalWindow))})
 	}
-	plan := shutdown.NewSchedule(longest, 0)
-	e.killAfter = killAfter(longest)
+	plan := shutdown.NewSchedule(longestDeadline, 0)
+	e.killAfter = killAfter(longestDeadline)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2} {
 		if rng.IntN(5) < 2 {
-			e.series = append(e.series, signalAfter{s, nearby(rng)})
+			e.signals = append(e.signals, signalAfter{s, drawSignalTime(rng)})
 		}
 	}
 	if rng.IntN(2) == 0 { // across SIGTERM
@@ -84,7 +85,7 @@
 	}
 	if rng.IntN(4) > 0 {
 		e.addStallsBeforeKill(rng)
-	} else { // across the last accept or the last answer
+	} else { // across the last accept or the last response
 		e.addStall(pickOne(rng, plan.LastForward, plan.LastResponse) - time.Duration(rng.Float64()*float64(stallLength)))
 	}
 	e.hanging = rng.IntN(3) > 0
@@ -96,17 +97,17 @@
 	return e
 }
 
-// nearby is a time around SIGTERM, half of the time very close to it.
-func nearby(rng *rand.Rand) time.Duration {
-	within := seriesWithin
+// drawSignalTime returns a time around SIGTERM, in half of the cases within closeSignalWindow.
+func drawSignalTime(rng *rand.Rand) time.Duration {
+	within := signalWindow
 	if rng.IntN(2) == 0 {
-		within = seriesClose
+		within = closeSignalWindow
 	}
 	return time.Duration((2*rng.Float64() - 1) * float64(within))
 }
 
-// addStallsBeforeKill adds one to three stalls with little time between them, the last of which ends around the kill: one for each step that a
-// last answer takes.
+// addStallsBeforeKill adds one to three stalls with little time between them, the last of which ends around the kill: one
+// for each step of writing a last response.
 func (s *shutdownFault) addStallsBeforeKill(rng *rand.Rand) {
 	end := s.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
 	for range 1 + rng.IntN(3) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// addStall adds a stall unless it would run into another one.
+// addStall adds a stall unless it would come within minStallGap of another one.
 func (s *shutdownFault) addStall(at time.Duration) {
 	for _, other := range s.stalls {
 		if at < other+stallLength+minStallGap && other < at+stallLength+minStallGap {
@@ -125,12 +126,12 @@
 	s.stalls = append(s.stalls, at)
 }
 
-// aimedEnd sends a process SIGTERM among many clients while the drawn faults happen, kills it as early as operators may
-// and starts another.
-func (w *world) aimedEnd(ctx context.Context, t Fault, s *sidecar) {
+// shutdownUnderFaults sends a process SIGTERM while many clients send requests and the drawn faults are injected, kills it
+// at the earliest time that operators may, and starts another.
+func (w *world) shutdownUnderFaults(ctx context.Context, t Fault, s *sidecar) {
 	rng := rand.New(rand.NewPCG(w.options.Seed, uint64(t.At)))
-	e := drawShutdownFault(rng, w.variant.longest, w.variant.manyClients)
-	p := s.present()
+	e := drawShutdownFault(rng, w.variant.longestDeadline, w.variant.manyClients)
+	p := s.currentProcess()
 	group, err := syscall.Getpgid(p.Pid)
 	if err != nil {
 		s.fault("process %d: %v", p.Pid, err)
@@ -140,19 +141,19 @@
 	p.signalled = true
 	s.mutex.Unlock()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
-	signalAt := time.Now().Add(denseBefore)
+	signalAt := time.Now().Add(steadyLead)
 	var all sync.WaitGroup
 	all.Go(func() { w.clients[s.number].sendSteadily(e.clients, e.pause, signalAt.Add(e.killAfter)) })
-	for range e.lateRests {
+	for range e.lateRequests {
 		all.Go(func() {
-			w.clients[s.number].sendLastBytesAt(signalAt.Add(e.killAfter - time.Duration(rand.Float64()*float64(lateWithin))))
+			w.clients[s.number].sendLastBytesAt(signalAt.Add(e.killAfter - time.Duration(rand.Float64()*float64(lateRequestWindow))))
 		})
 	}
-	w.playAround(ctx, &all, signalAt, e, t, s, p)
+	w.scheduleFaults(ctx, &all, signalAt, e, t, s, p)
 	time.Sleep(time.Until(signalAt))
 	sent := time.Now()
 	_ = p.Signal(syscall.SIGTERM)
-	if slices.ContainsFunc(e.series, func(one signalAfter) bool { return one.signal == syscall.SIGUSR2 }) {
+	if slices.ContainsFunc(e.signals, func(one signalAfter) bool { return one.signal == syscall.SIGUSR2 }) {
 		sent = s.followHandover(p, offset, sent)
 	}
 	time.Sleep(time.Until(sent.Add(e.killAfter)))
@@ -164,22 +165,22 @@
 	_ = s.start(ctx)
 }
 
-// playAround starts what was drawn to happen around the time of SIGTERM.
-func (w *world) playAround(ctx context.Context, all *sync.WaitGroup, signalAt time.Time, e shutdownFault, t Fault, s *sidecar, p *process) {
+// scheduleFaults schedules the drawn faults, each relative to the time of SIGTERM, in goroutines of all.
+func (w *world) scheduleFaults(ctx context.Context, all *sync.WaitGroup, signalAt time.Time, e shutdownFault, t Fault, s *sidecar, p *process) {
 	at := func(after time.Duration, do func()) {
 		all.Go(func() {
 			time.Sleep(time.Until(signalAt.Add(after)))
 			do()
 		})
 	}
-	lastForward := shutdown.NewSchedule(w.variant.longest, 0).LastForward
-	for i, one := range e.series {
+	lastForward := shutdown.NewSchedule(w.variant.longestDeadline, 0).LastForward
+	for i, one := range e.signals {
 		at(one.after, func() {
 			if i == 0 && e.shorter {
-				w.reconfigure(s, t, classesFor(w.variant.longest/shorterPart))
+				w.reconfigure(s, t, classesFor(w.variant.longestDeadline/shorterDivisor))
 			}
 			if one.signal == syscall.SIGUSR2 {
-				s.born()
+				s.onProcessStart()
 			}
 			_ = p.Signal(one.signal)
 		})
@@ -196,27 +197,28 @@
 		at(lastForward-minStallGap, func() { w.interrupt(ctx, s, 4*minStallGap) })
 	}
 	if e.hanging {
-		at(lastForward-unresponsiveLead, func() { w.stopHalfOfServersAnswering(signalAt.Add(e.killAfter)) })
+		at(lastForward-unresponsiveLead, func() { w.stallHalfOfServers(signalAt.Add(e.killAfter)) })
 	}
 }
 
-// stopHalfOfServersAnswering has half of the servers stop answering until then, except those that have another fault.
-func (w *world) stopHalfOfServersAnswering(until time.Time) {
-	var hung []*serverPlace
+// stallHalfOfServers makes half of the servers unresponsive until the given time, except those that have another fault.
+func (w *world) stallHalfOfServers(until time.Time) {
+	var unresponsive []*serverSlot
 	for _, v := range w.servers[:len(w.servers)/2] {
 		if v.faulty.CompareAndSwap(false, true) {
 			v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Unresponsive = true })
-			hung = append(hung, v)
+			unresponsive = append(unresponsive, v)
 		}
 	}
 	time.Sleep(time.Until(until))
-	for _, v := range hung {
+	for _, v := range unresponsive {
 		v.SetBehaviour(fakes.Behaviour{})
 		v.faulty.Store(false)
 	}
 }
 
-// stallProcess stops a process for stallLength. One that this process has made longer counts as a crash: what was lost then says nothing.
+// stallProcess stops a process for stallLength. If the harness prolonged the stall beyond maxStallLength it counts as a
+// crash, since requests lost in it are not the sidecar's fault.
 func (w *world) stallProcess(s *sidecar, p *process) {
 	from := time.Now()
 	p.Signal(syscall.SIGSTOP)
@@ -226,16 +228,16 @@
 		s.mutex.Lock()
 		s.killed = append(s.killed, span{from, to.Add(stallLength)})
 		s.mutex.Unlock()
-		w.note(func(r *record) { r.longStalls++ })
+		w.updateRecord(func(r *record) { r.longStalls++ })
 	}
 }
 
-// followHandover returns when the serving process got SIGTERM. Where the signalled one has just handed over and ended, its successor
-// is signalled.
+// followHandover returns when the serving process got SIGTERM. If the signalled process exited after a handover, it sends
+// SIGTERM to the successor.
 func (s *sidecar) followHandover(p *process, offset int64, sent time.Time) time.Time {
 	select {
 	case <-p.exited:
-	case <-time.After(lookAfter):
+	case <-time.After(handoverCheckDelay):
 		return sent
 	}
 	raw, _ := os.ReadFile(s.path("log"))
@@ -252,7 +254,7 @@
 	return now
 }
 
-// killGroup kills what is left of the process and its successors, and returns once all are gone.
+// killGroup kills the process and its successors, and returns once all have exited.
 func (s *sidecar) killGroup(p *process, group int, signalledAt time.Time) {
 	now := time.Now()
 	if err := syscall.Kill(-group, syscall.SIGKILL); err == nil || err == syscall.EPERM {
@@ -261,28 +263,29 @@
 		s.mutex.Unlock()
 	}
 	<-p.exited
-	for began := time.Now(); time.Since(began) < groupGone; time.Sleep(time.Millisecond) { // successors are this process's to reap
+	for began := time.Now(); time.Since(began) < groupExitTimeout; time.Sleep(time.Millisecond) { // successors are reaped by this process, which adopted them
 		if _, err := syscall.Wait4(-group, nil, syscall.WNOHANG, nil); err == syscall.ECHILD {
 			return
 		}
 	}
-	s.fault("processes of group %d are left %s after SIGKILL", group, groupGone)
+	s.fault("processes of group %d still exist %s after SIGKILL", group, groupExitTimeout)
 }
 
-// leaveHeld has clients leave while their sidecar is stopped, and the connections to servers come up over which their requests would go.
-func (w *world) leaveHeld(ctx context.Context, n int, s *sidecar) {
+// disconnectDuringStall has clients disconnect while their sidecar is stopped, and meanwhile the connections to servers for
+// their requests are established.
+func (w *world) disconnectDuringStall(ctx context.Context, n int, s *sidecar) {
 	const (
 		clients = 40
-		slow    = 100 * time.Millisecond
-		before  = 60 * time.Millisecond // the requests are read, connections are on their way
-		leaving = 10 * time.Millisecond // after the stop
+		slow    = 100 * time.Millisecond // time to establish a connection
+		before  = 60 * time.Millisecond  // until the stop: the requests are read and their connections are being established
+		leaving = 10 * time.Millisecond  // from the stop until the clients disconnect
 	)
 	began := time.Now()
 	s.control.Hold(faultinjection.SlowConnect, slow)
 	defer s.control.Heal(faultinjection.SlowConnect)
 	var all sync.WaitGroup
-	all.Go(func() { w.clients[n].sendAndLeaveAt(clients, began.Add(before+leaving)) })
+	all.Go(func() { w.clients[n].sendAndDisconnectAt(clients, began.Add(before+leaving)) })
 	_ = fakes.Pause(ctx, before)
-	w.stallProcess(s, s.present())
+	w.stallProcess(s, s.currentProcess())
 	all.Wait()
 }
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -24,47 +24,47 @@
 )
 
 const (
-	readyWithin = 10 * time.Second
-	adminWithin = 3 * time.Second
+	readyWithin = 10 * time.Second // within which a started process must serve
+	adminWithin = 3 * time.Second  // timeout of an order at the admin interface
 
-	listenFailures     = 3                      // of a process that starts after a crash
-	afterLongest       = 700 * time.Millisecond // of the longest deadline, the kill after SIGTERM
-	maxCountedDeadline = 3 * time.Second        // of the longest deadline
+	listenFailures     = 3                      // the first listen calls of a process that starts after a crash
+	afterLongest       = 700 * time.Millisecond // added to the longest deadline: the earliest kill after SIGTERM
+	maxCountedDeadline = 3 * time.Second        // part of the longest deadline that killAfter takes into account
 )
 
-// identity is what a sidecar is from its first process to its last.
+// identity holds what all processes of a sidecar share.
 type identity struct {
 	number       int
-	program, dir string // dir: of all sidecars
-	known        fakes.List
+	program, dir string     // dir holds the folders of all sidecars
+	known        fakes.List // endpoint list in the configuration
 	variant
 }
 
-// killAfter is when the process may be killed after SIGTERM at the earliest, by its longest deadline.
-func killAfter(longest time.Duration) time.Duration {
-	return min(longest, maxCountedDeadline) + afterLongest
+// killAfter returns how long after SIGTERM a process with the given longest deadline may be killed at the earliest.
+func killAfter(longestDeadline time.Duration) time.Duration {
+	return min(longestDeadline, maxCountedDeadline) + afterLongest
 }
 
-// sidecar is one real process after another under one name, with its folder, its configuration and its faults.
+// sidecar is a sequence of real processes under one name, with a folder, a configuration and injected faults.
 type sidecar struct {
 	identity
 	name, address, admin string
 	folder               string
 	control              *faultinjection.Control
 	log                  *os.File
-	writing              sync.Mutex // of the configuration
-	edits                int        // of it, so far
-	born                 func()     // called before a process starts
+	writing              sync.Mutex // guards edits and the configuration file
+	edits                int        // number of changes to the configuration so far
+	onProcessStart       func()     // called before a process is started
 
 	mutex         sync.Mutex
 	current       *process
-	busy          bool // being ended, started or handed over
-	killed        []span
-	shutdownSpans []span   // from SIGTERM until the process was killed in its time, since it had not ended by itself
-	faults        []string // what a process did that it must not
+	busy          bool     // being ended, started or handed over
+	killed        []span   // see wasKilled
+	shutdownSpans []span   // from SIGTERM to the kill of a process that had not exited by itself
+	faults        []string // forbidden behaviour of processes, as text
 }
 
-// span is a time from which a sidecar was killed until another process served.
+// span is a period of time.
 type span struct{ from, to time.Time }
 
 // process is one process of a sidecar.
@@ -72,7 +72,7 @@
 	*os.Process
 	exited    chan struct{}
 	state     *os.ProcessState
-	signalled bool // to end, or killed
+	signalled bool // sent SIGTERM or SIGKILL
 }
 
 func newSidecar(is identity, seed uint64, network fakes.Network, edit func(map[string]any), discovery string) (*sidecar, error) {
@@ -101,11 +101,11 @@
 
 func (s *sidecar) path(name string) string { return filepath.Join(s.folder, name) }
 
-// configure writes the configuration in one step, as whoever replaces a file that others read.
+// configure replaces the configuration file atomically, since a process may be reading it.
 func (s *sidecar) configure(discovery string, seed uint64, edit func(map[string]any)) error {
 	raw, err := fakes.Config(fakes.SidecarConfig{
 		Name: s.name, Listen: s.address, Seed: seed, Discovery: discovery, Known: s.known,
-		MaxConns: s.sockets, ConnIdle: connIdle, ConnectTimeout: s.connect, DrainGrace: drainGrace, WarmUpTime: warmIn,
+		MaxConns: s.sockets, ConnIdle: connIdle, ConnectTimeout: s.connectTimeout, DrainGrace: drainGrace, WarmUpTime: warmUpTime,
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = s.admin
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": s.path("snapshot"), "every_ms": 500}}
@@ -122,14 +122,14 @@
 	return os.Rename(next, s.path("config.json"))
 }
 
-// start starts a process and returns once it serves.
+// start starts a process and returns once it serves requests.
 func (s *sidecar) start(ctx context.Context) error {
 	cmd := exec.Command(s.program)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.path("config.json"), "TMPDIR="+s.path("tmp"), "GW_TRACE=1",
 		faultinjection.File+"="+s.path("faults"))
 	cmd.Stdout, cmd.Stderr = s.log, s.log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // its successors are killed with it
-	s.born()
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // lets killGroup kill its successors, too
+	s.onProcessStart()
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -147,13 +147,14 @@
 		one.state, _ = p.Wait()
 		s.mutex.Lock()
 		if one.state != nil && !one.state.Success() && !one.signalled {
-			s.faults = append(s.faults, fmt.Sprintf("process %d ended by itself: %s", p.Pid, one.state))
+			s.faults = append(s.faults, fmt.Sprintf("process %d exited without a signal: %s", p.Pid, one.state))
 		}
 		s.mutex.Unlock()
 		close(one.exited)
 	}()
 }
 
+// ready waits until the sidecar serves requests.
 func (s *sidecar) ready(ctx context.Context) error {
 	began := time.Now()
 	for time.Since(began) < readyWithin {
@@ -165,7 +166,7 @@
 		}
 	}
 	s.fault("not ready within %s of its start", readyWithin)
-	return errors.New("a sidecar is not ready")
+	return errors.New("sidecar is not ready")
 }
 
 func (s *sidecar) up(ctx context.Context) bool {
@@ -189,7 +190,7 @@
 	s.faults = append(s.faults, fmt.Sprintf(format, args...))
 }
 
-// claim reserves the process for one fault at a time.
+// claim reserves the process for one fault and reports whether it was free.
 func (s *sidecar) claim() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -206,18 +207,18 @@
 	s.busy = false
 }
 
-func (s *sidecar) present() *process {
+func (s *sidecar) currentProcess() *process {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.current
 }
 
-// signal sends a signal to the present process.
-func (s *sidecar) signal(sig syscall.Signal) { s.present().Signal(sig) }
+// signal sends a signal to the current process.
+func (s *sidecar) signal(sig syscall.Signal) { s.currentProcess().Signal(sig) }
 
-// terminate sends the process SIGTERM, kills it as early as the platform may, and starts another.
+// terminate sends the process SIGTERM, kills it at the earliest time that the platform may, and starts another.
 func (s *sidecar) terminate(ctx context.Context) {
-	p := s.present()
+	p := s.currentProcess()
 	s.mutex.Lock()
 	p.signalled = true
 	s.mutex.Unlock()
@@ -226,22 +227,22 @@
 	select {
 	case <-p.exited:
 		if p.state != nil && !p.state.Success() {
-			s.fault("process %d, told to end: %s", p.Pid, p.state)
+			s.fault("process %d, sent SIGTERM: %s", p.Pid, p.state)
 		}
-	case <-time.After(killAfter(s.longest)):
+	case <-time.After(killAfter(s.longestDeadline)):
 		s.mutex.Lock()
 		s.shutdownSpans = append(s.shutdownSpans, span{from, time.Now()})
 		s.mutex.Unlock()
 		_ = p.Kill()
 		<-p.exited
 	}
-	_ = fakes.Pause(ctx, killAfter(s.longest)-time.Since(from))
+	_ = fakes.Pause(ctx, killAfter(s.longestDeadline)-time.Since(from))
 	_ = s.start(ctx)
 }
 
-// crash kills the process, and starts another after a while, whose first tries to listen fail.
+// crash kills the process, and after a pause starts another whose first listen calls fail.
 func (s *sidecar) crash(ctx context.Context, pause time.Duration) {
-	p := s.present()
+	p := s.currentProcess()
 	s.mutex.Lock()
 	p.signalled = true
 	s.mutex.Unlock()
@@ -259,14 +260,14 @@
 	s.mutex.Unlock()
 }
 
-// shutdowns returns the times from SIGTERM to the kill of a process that had not ended by itself.
+// shutdowns returns the periods from SIGTERM to the kill of processes that had not exited by themselves.
 func (s *sidecar) shutdowns() []span {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.shutdownSpans)
 }
 
-// wasKilled reports whether the process was killed between two moments, or was being started again.
+// wasKilled reports whether between from and to the process was killed and not yet replaced, or stalled beyond maxStallLength.
 func (s *sidecar) wasKilled(from, to time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -278,14 +279,15 @@
 	return false
 }
 
+// successor matches the log line of a completed handover and captures the successor's process id.
 var successor = regexp.MustCompile(`handover=done successor=(\d+)`)
 
-// handOver has the process hand over to a successor, and takes that for the present process if it has. A process that goes on is
-// no fault: the hot restart may be refused.
+// handOver sends the process SIGUSR2 and makes its successor the current process if the hot restart succeeds. It is no fault
+// if the process keeps running, since it may reject the hot restart.
 func (s *sidecar) handOver(ctx context.Context) {
-	p := s.present()
+	p := s.currentProcess()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
-	s.born()
+	s.onProcessStart()
 	p.Signal(syscall.SIGUSR2)
 	select {
 	case <-p.exited:
@@ -297,7 +299,7 @@
 	raw, _ := os.ReadFile(s.path("log"))
 	all := successor.FindAllSubmatch(raw[min(int(offset), len(raw)):], -1)
 	if len(all) == 0 {
-		s.fault("process %d ended at a handover without a successor", p.Pid)
+		s.fault("process %d exited at a handover without a successor", p.Pid)
 		_ = s.start(ctx)
 		return
 	}
@@ -310,7 +312,7 @@
 	s.watch(next)
 }
 
-// order gives an operator's order and returns the status of the answer; 0 = there was none.
+// order sends an operator's order and returns the status of the response; 0 = no response.
 func (s *sidecar) order(what, server string) int {
 	c, err := net.DialTimeout("tcp", s.admin, adminWithin)
 	if err != nil {
@@ -327,9 +329,9 @@
 	return resp.StatusCode
 }
 
-// close ends the process as a planned stop does, and returns what its processes did that they must not.
+// close shuts the process down, and returns the faults of all processes of the sidecar.
 func (s *sidecar) close() (faults []string) {
-	if p := s.present(); p != nil {
+	if p := s.currentProcess(); p != nil {
 		s.mutex.Lock()
 		p.signalled = true
 		s.mutex.Unlock()
@@ -338,12 +340,12 @@
 		select {
 		case <-p.exited:
 			if p.state != nil && !p.state.Success() {
-				s.fault("process %d, told to end: %s", p.Pid, p.state)
+				s.fault("process %d, sent SIGTERM: %s", p.Pid, p.state)
 			}
-		case <-time.After(killAfter(s.longest) + time.Second):
+		case <-time.After(killAfter(s.longestDeadline) + time.Second):
 			_ = p.Kill()
 			<-p.exited
-			s.fault("process %d has not ended by itself %s after SIGTERM", p.Pid, killAfter(s.longest)+time.Second)
+			s.fault("process %d had not exited %s after SIGTERM", p.Pid, killAfter(s.longestDeadline)+time.Second)
 		}
 	}
 	if s.control != nil {
@@ -354,39 +356,39 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append(s.faults, s.logged()...)
+	return append(s.faults, s.loggedFaults()...)
 }
 
-// bad are the lines of a log that report a fault.
-var bad = regexp.MustCompile(`(?m)^.*(state=broken|panic:|fatal error:|DATA RACE|rule=\w+ state=held_back).*$`)
+// faultLine matches log lines that report a fault.
+var faultLine = regexp.MustCompile(`(?m)^.*(state=broken|panic:|fatal error:|DATA RACE|rule=\w+ state=held_back).*$`)
 
-// logged returns the lines of the log that report faults.
-func (s *sidecar) logged() (lines []string) {
+// loggedFaults returns the lines of the log that report faults.
+func (s *sidecar) loggedFaults() (lines []string) {
 	raw, err := os.ReadFile(s.path("log"))
 	if err != nil {
 		return []string{err.Error()}
 	}
-	for _, line := range bad.FindAll(raw, -1) {
+	for _, line := range faultLine.FindAll(raw, -1) {
 		lines = append(lines, string(bytes.TrimSpace(line)))
 	}
 	return lines
 }
 
-// leavingLine is the line of the log by which a server leaves.
-var leavingLine = regexp.MustCompile(`(?m)^(\S+ \S+) trace=server provider=(\S+) was=ready is=(?:draining|gone) `)
+// drainingLine matches the log line by which a ready server becomes draining or gone.
+var drainingLine = regexp.MustCompile(`(?m)^(\S+ \S+) trace=server provider=(\S+) was=ready is=(?:draining|gone) `)
 
-// leavesLogged returns when the sidecar has logged, of each server, that it leaves.
-func (s *sidecar) leavesLogged() map[string][]time.Time {
+// loggedDrains returns for each server when the sidecar logged that it became draining or gone.
+func (s *sidecar) loggedDrains() map[string][]time.Time {
 	raw, _ := os.ReadFile(s.path("log"))
-	heard := map[string][]time.Time{}
-	for _, m := range leavingLine.FindAllSubmatch(raw, -1) {
+	leaves := map[string][]time.Time{}
+	for _, m := range drainingLine.FindAllSubmatch(raw, -1) {
 		at, err := time.ParseInLocation("2006/01/02 15:04:05.000000", string(m[1]), time.Local)
 		if err == nil {
-			heard[string(m[2])] = append(heard[string(m[2])], at)
+			leaves[string(m[2])] = append(leaves[string(m[2])], at)
 		}
 	}
-	return heard
+	return leaves
 }
 
-// at is the sidecar of that number, whatever the number.
+// at returns the element at the given number modulo the length of all.
 func at[T any](all []T, number int) T { return all[number%len(all)] }
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -13,68 +13,68 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// The nature of servers and the settings of sidecars. A server in slow start bears so little that one which is taken for warm gets
-// more than it may.
+// Properties of the servers and settings of the sidecars. The start capacity is so low that a server in slow start gets more
+// than its budget if sidecars treat it as warm.
 const (
-	cores           = 2
-	queue           = 24
-	meanWork        = 15 * time.Millisecond
-	capacity        = float64(cores) / 0.015 // requests of mean work a second
-	startCapacity   = 0.05
-	tipMultiple     = 1.5
-	fallFor         = 3 * time.Second
-	warmIn          = 9 * time.Second
-	connIdle        = 10 * time.Second
-	drainGrace      = 750 * time.Millisecond
-	listDelay       = 200 * time.Millisecond // of discovery, while it is late
-	proxied         = 3                      // one in so many servers stands behind a proxy
-	slowTimes       = 6
-	maxSlowConnect  = 1150 * time.Millisecond
-	slowConnectRest = 20 * time.Millisecond // of the time that a connection has to come up
-	maxFlood        = 120
+	cores             = 2                      // of a server
+	queue             = 24                     // length of a server's queue
+	meanWork          = 15 * time.Millisecond  // of a request
+	capacity          = float64(cores) / 0.015 // requests of mean work a second
+	startCapacity     = 0.05
+	overloadMultiple  = 1.5
+	overloadWindow    = 3 * time.Second
+	warmUpTime        = 9 * time.Second
+	connIdle          = 10 * time.Second
+	drainGrace        = 750 * time.Millisecond
+	listDelay         = 200 * time.Millisecond  // delay of discovery's changes while it is late
+	proxied           = 3                       // every third server is behind a proxy
+	slowTimes         = 6                       // factor on service times of a slow server
+	maxSlowConnect    = 1150 * time.Millisecond // longest delay of a connection
+	slowConnectMargin = 20 * time.Millisecond   // between the delay of a connection and the connect timeout
+	maxFlood          = 120                     // connections
 
-	startTries = 100 // of a server that comes back
-	startPause = 20 * time.Millisecond
+	startAttempts = 100                   // attempts to start a server again on its address
+	startPause    = 20 * time.Millisecond // after a failed attempt
 
-	interruptions  = 3 // in a row
+	interruptions  = 3 // consecutive calls that fail with EINTR
 	interruptEvery = 2 * time.Millisecond
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
 	Program           string // built with the tag faultinjection
-	Dir               string // for configurations, logs and what lasts
+	Dir               string // for configurations, logs and persistent state
 	Seed              uint64
 	Sidecars, Servers int
-	Rate              float64 // requests a second for each sidecar
+	Rate              float64 // requests per second for each sidecar
 	For               time.Duration
-	Only              []Kind        // of faults; none = all
-	Slack             time.Duration // of the judge's time limits, beside what this process was stalled; 0 = baseSlack
+	Only              []Kind        // kinds of fault; none = all
+	Slack             time.Duration // added to the judge's time limits, besides stalls of this process; 0 = baseSlack
 }
 
-// variant is what the seed decides of the deployment.
+// variant holds the properties of the deployment that are drawn from the seed.
 type variant struct {
-	sockets     int
-	onRequest   bool          // discovery is asked, and not an agent on the own machine
-	longest     time.Duration // deadline of a class
-	connect     time.Duration // within which a connection has to come up
-	manyClients bool          // many clients at a process that ends
-	window      time.Duration // of repeats with a token
+	sockets         int           // most connections of a sidecar
+	onRequest       bool          // discovery is polled on request, instead of an agent on the same machine
+	longestDeadline time.Duration // longest deadline of a class
+	connectTimeout  time.Duration // connect timeout to servers
+	manyClients     bool          // many clients send to a process during ShutdownFaults
+	window          time.Duration // retry window of requests with a token
 }
 
 func (o Options) variant() variant {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x7a))
 	return variant{
 		sockets: pickOne(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
-		longest: pickOne(rng, 500*time.Millisecond, 1500*time.Millisecond, 1500*time.Millisecond, 3*time.Second),
-		connect: pickOne(rng, 150*time.Millisecond, 400*time.Millisecond, 1200*time.Millisecond), manyClients: rng.IntN(3) == 0,
+		longestDeadline: pickOne(rng, 500*time.Millisecond, 1500*time.Millisecond, 1500*time.Millisecond, 3*time.Second),
+		connectTimeout:  pickOne(rng, 150*time.Millisecond, 400*time.Millisecond, 1200*time.Millisecond), manyClients: rng.IntN(3) == 0,
 		window: pickOne(rng, 300*time.Millisecond, 900*time.Millisecond),
 	}
 }
 
 func pickOne[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
 
-// Check says what makes no sense.
+// Check returns an error if an option is out of range.
 func (o Options) Check() error {
 	switch {
 	case o.Sidecars < 1 || o.Sidecars > 40:
@@ -82,52 +82,55 @@
 	case o.Servers < 3 || o.Servers > 64:
 		return fmt.Errorf("servers: %d; want 3 to 64", o.Servers)
 	case !(o.Rate > 0 && o.Rate <= 200):
-		return fmt.Errorf("rate: %g requests a second for each sidecar; want up to 200", o.Rate)
+		return fmt.Errorf("rate: %g requests per second for each sidecar; want up to 200", o.Rate)
 	case o.For < quietStart+quietEnd || o.For > 10*time.Minute:
 		return fmt.Errorf("for: %s; want %s to 10m", o.For, quietStart+quietEnd)
 	}
 	return nil
 }
 
-// serverPlace is a server's place, where one process after another lives.
-type serverPlace struct {
+// serverSlot is the place of a server, whose process may be replaced.
+type serverSlot struct {
 	*fakes.Server
-	proxy     *proxy // nil = none
-	processes int
-	faulty    atomic.Bool
+	proxy     *proxy      // nil = none
+	processes int         // number of replacements so far
+	faulty    atomic.Bool // has an injected fault
 }
 
-func (s *serverPlace) address() string {
+// address returns the address at which sidecars reach the server: its proxy's, if it has one.
+func (s *serverSlot) address() string {
 	if s.proxy != nil {
 		return s.proxy.address()
 	}
 	return s.Address()
 }
 
-// world is a run.
+// world holds the state of a run.
 type world struct {
 	options     Options
 	variant     variant
 	classes     []class
 	network     fakes.Network
-	servers     []*serverPlace
+	servers     []*serverSlot
 	discoveries []*fakes.Discovery
 	sidecars    []*sidecar
 	clients     []*clients
-	offset      atomic.Int64 // of the wall clock
+	offset      atomic.Int64 // of the stepped wall clock from the real one
 	running     sync.WaitGroup
-	ordered     sync.Map // by learnedServer: operators' orders under way
+	ordered     sync.Map // by serverAtSidecar: operators' orders in effect
 
 	mutex   sync.Mutex
 	record  record
-	listing sync.Mutex
+	listing sync.Mutex // serializes changes of the endpoint lists
 }
 
+// wall returns the stepped wall clock time.
 func (w *world) wall() time.Time { return time.Now().Add(time.Duration(w.offset.Load())) }
 
+// build starts the servers, discoveries and sidecars of a run.
 func build(ctx context.Context, o Options) (w *world, err error) {
 	w = &world{options: o, network: fakes.Loopback(), variant: o.variant()}
-	w.classes = classesFor(w.variant.longest)
+	w.classes = classesFor(w.variant.longestDeadline)
 	w.record = record{onRequest: w.variant.onRequest, window: w.variant.window, starts: map[string][]time.Time{}, processStarts: map[int][]time.Time{}, faults: map[string][]string{}}
 	defer func() {
 		if err != nil {
@@ -143,7 +146,7 @@
 		if err != nil {
 			return w, err
 		}
-		s := &serverPlace{Server: p}
+		s := &serverSlot{Server: p}
 		w.servers = append(w.servers, s)
 		if i%proxied == 0 {
 			if s.proxy, err = newProxy(w.network, p.Address); err != nil {
@@ -169,7 +172,7 @@
 		}
 		w.sidecars = append(w.sidecars, s)
 		w.clients = append(w.clients, newClients(s, o.Seed, o.Rate, w.classes))
-		s.born = func() { w.recordProcessStart(i) }
+		s.onProcessStart = func() { w.recordProcessStart(i) }
 		if err := s.start(ctx); err != nil {
 			return w, fmt.Errorf("%s: %w; see %s", s.name, err, s.path("log"))
 		}
@@ -177,15 +180,15 @@
 	return w, nil
 }
 
-// endpoint is the server's line in a list.
-func (w *world) endpoint(s *serverPlace, phase string, upSince int64) fakes.Endpoint {
+// endpoint returns the server's entry in an endpoint list.
+func (w *world) endpoint(s *serverSlot, phase string, upSince int64) fakes.Endpoint {
 	return fakes.Endpoint{ID: s.ID(), Address: s.address(), Locality: fakes.LocalZone, Phase: phase, UpSince: upSince}
 }
 
-// edit returns a change of a sidecar's configuration; times makes one configuration differ from another.
+// edit returns a function that adapts a sidecar's configuration; different values of times yield different configurations.
 func (w *world) edit(times int) func(map[string]any) { return w.editWith(times, w.classes) }
 
-// editWith is edit with other classes.
+// editWith is like edit, with other classes.
 func (w *world) editWith(times int, classes []class) func(map[string]any) {
 	return func(d map[string]any) {
 		settings := d["settings"].(map[string]any)
@@ -194,7 +197,7 @@
 			settings["Discovery"] = "on_request"
 		}
 		safety := settings["Safety"].(map[string]any)
-		safety["StartCapacity"], safety["TipMultiple"], safety["FallMs"] = startCapacity, tipMultiple, fallFor.Milliseconds()
+		safety["StartCapacity"], safety["TipMultiple"], safety["FallMs"] = startCapacity, overloadMultiple, overloadWindow.Milliseconds()
 		all := []any{}
 		for _, c := range classes {
 			all = append(all, map[string]any{
@@ -206,14 +209,14 @@
 	}
 }
 
-// recordProcessStart records that a sidecar's process begins.
+// recordProcessStart records that a process of the sidecar is started.
 func (w *world) recordProcessStart(sidecar int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.record.processStarts[sidecar] = append(w.record.processStarts[sidecar], time.Now())
 }
 
-// updateDiscovery changes the lists of both discoveries, one of which each sidecar watches.
+// updateDiscovery changes the endpoint lists of both discoveries; each sidecar watches one of them.
 func (w *world) updateDiscovery(endpoints ...fakes.Endpoint) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
@@ -222,13 +225,14 @@
 	}
 }
 
-func (w *world) note(how func(*record)) {
+// updateRecord calls how with the record while it holds the lock.
+func (w *world) updateRecord(how func(*record)) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	how(&w.record)
 }
 
-// finish collects what the run has left behind.
+// finish completes the record after the run with what clients, servers and sidecars have recorded.
 func (w *world) finish() *record {
 	r := &w.record
 	for _, c := range w.clients {
@@ -242,10 +246,10 @@
 			r.attempts = append(r.attempts, attempt{q, sidecar})
 		}
 	}
-	r.learnedAt = map[learnedServer][]time.Time{}
+	r.learnedAt = map[serverAtSidecar][]time.Time{}
 	for _, c := range w.sidecars {
-		for server, at := range c.leavesLogged() {
-			r.learnedAt[learnedServer{c.number, server}] = at
+		for server, at := range c.loggedDrains() {
+			r.learnedAt[serverAtSidecar{c.number, server}] = at
 		}
 	}
 	r.shutdowns = map[int][]span{}
@@ -262,7 +266,7 @@
 	for _, s := range w.sidecars {
 		all.Go(func() {
 			if found := s.close(); len(found) > 0 {
-				w.note(func(r *record) { r.faults[s.name] = append(r.faults[s.name], found...) })
+				w.updateRecord(func(r *record) { r.faults[s.name] = append(r.faults[s.name], found...) })
 			}
 		})
 	}
