--- a/cmd/testbench/handover.go
+++ b/cmd/testbench/handover.go
@@ -23,7 +23,7 @@
 func (c *handoverCommand) plan() recovery.HandoverPlan {
 	return recovery.HandoverPlan{
 		Setup: c.setup(c.Program, c.Seed), Restarts: c.Restarts, Pause: c.Pause,
-		Kill: recovery.Victim(c.Kill), At: recovery.KillPhase(c.At), Nth: c.Nth,
+		Kill: recovery.KillTarget(c.Kill), At: recovery.KillPhase(c.At), Nth: c.Nth,
 	}
 }
 
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -1,5 +1,5 @@
-// Package cpubench has what the benchmarks of cost share: servers in a process of their own, so that their work is not taken for
-// that of what is measured, and the CPU time of a process.
+// Package cpubench holds helpers for CPU benchmarks: servers and proxies in processes of their own, so that their work
+// doesn't count as work of the measured code, and the CPU time of a process.
 package cpubench
 
 import (
@@ -21,21 +21,21 @@
 	"plankrouter/internal/testbench/process"
 )
 
-// RoleVariable makes a process that calls Serve a server or a proxy.
+// RoleVariable is the environment variable with the role that Serve executes, followed by its arguments.
 const RoleVariable = "PLANKROUTER_COST_ROLE"
 
-// The roles.
+// Roles for Serve.
 const (
-	RoleServers = "servers" // as many as the second word says; their addresses go to standard output, one a line
-	RoleProxy   = "proxy"   // net/http/httputil's, which picks at random among the addresses that follow
-	RoleRelay   = "relay"   // copies bytes between each connection and one to a random address
+	RoleServers = "servers" // servers, their number given by the first argument; their addresses are written to standard output, one per line
+	RoleProxy   = "proxy"   // net/http/httputil's reverse proxy, to a random one of the addresses that follow
+	RoleRelay   = "relay"   // copies bytes between each connection and one to a random one of the addresses that follow
 )
 
-// Body is a server's answer to a request.
+// Body is the body of a server's response.
 const Body = "a tile of 1 KB is what most answers are like; this one is shorter, since the relay of bytes is not the point\n"
 
-// Serve plays the role that the environment names, until standard input ends, and then ends the process. Without a role it
-// returns. It belongs into TestMain.
+// Serve executes the role in RoleVariable until the end of standard input, and then exits the process. It returns if there
+// is no role. TestMain calls it.
 func Serve() {
 	role := strings.Fields(os.Getenv(RoleVariable))
 	if len(role) == 0 {
@@ -51,7 +51,7 @@
 				break
 			}
 			fmt.Println(l.Addr())
-			go serveAll(l, answer)
+			go serveAll(l, respond)
 		}
 	case RoleProxy, RoleRelay:
 		var l net.Listener
@@ -72,8 +72,10 @@
 	os.Exit(0)
 }
 
+// pick returns a random address.
 func pick(addresses []string) string { return addresses[rand.IntN(len(addresses))] }
 
+// serveAll accepts connections until l is closed, and calls serve for each in a goroutine.
 func serveAll(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
@@ -84,20 +86,20 @@
 	}
 }
 
-// answer is as little of a server as can be: it reads heads, and answers each with the same bytes.
-func answer(c net.Conn) {
+// respond is a minimal server: it reads request headers and responds to each request with the same bytes, or with a load report.
+func respond(c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReaderSize(c, 4096)
-	reply := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(Body), Body)
-	load := []byte("HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\n{\"active\":1,\"avg_ms\":10.0}")
+	response := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(Body), Body)
+	loadReport := []byte("HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\n{\"active\":1,\"avg_ms\":10.0}")
 	for {
-		first, err := br.ReadSlice('\n')
+		requestLine, err := br.ReadSlice('\n')
 		if err != nil {
 			return
 		}
-		out := reply
-		if strings.Contains(string(first), "/metrics/load") {
-			out = load
+		out := response
+		if strings.Contains(string(requestLine), "/metrics/load") {
+			out = loadReport
 		}
 		for {
 			line, err := br.ReadSlice('\n')
@@ -114,6 +116,7 @@
 	}
 }
 
+// relay copies bytes between c and a connection to the address to.
 func relay(c net.Conn, to string) {
 	defer c.Close()
 	d, err := net.Dial("tcp", to)
@@ -121,10 +124,11 @@
 		return
 	}
 	defer d.Close()
-	go func() { _, _ = io.Copy(d, c) }() // a benchmark's client notices a relay that broke
+	go func() { _, _ = io.Copy(d, c) }() // the error is ignored, since the benchmark's client sees that the connection is closed
 	_, _ = io.Copy(c, d)
 }
 
+// proxy returns a reverse proxy to random addresses.
 func proxy(addresses []string) http.Handler {
 	transport := Transport()
 	return &httputil.ReverseProxy{Transport: transport, Rewrite: func(r *httputil.ProxyRequest) {
@@ -132,19 +136,19 @@
 	}}
 }
 
-// Transport is net/http's with room for the connections of a benchmark.
+// Transport returns a net/http transport that keeps enough idle connections for a benchmark.
 func Transport() *http.Transport {
 	return &http.Transport{MaxIdleConns: 4096, MaxIdleConnsPerHost: 1024, DisableCompression: true}
 }
 
-// Process is a child that plays a role.
+// Process is a child process that executes a role.
 type Process struct {
-	Addresses []string
+	Addresses []string // that it listens on
 	cmd       *exec.Cmd
-	in        io.WriteCloser
+	stdin     io.WriteCloser
 }
 
-// Start starts this program again in a role and reads its first n lines.
+// Start starts this program as a child process in a role and reads n addresses from its output.
 func Start(role string, n int, env ...string) (*Process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -153,7 +157,7 @@
 	return Run(exec.Command(self), n, append(env, RoleVariable+"="+role)...)
 }
 
-// Run starts a command whose first n lines are addresses.
+// Run starts a command and reads n addresses from its output, one per line.
 func Run(cmd *exec.Cmd, n int, env ...string) (*Process, error) {
 	cmd.Env = append(os.Environ(), env...)
 	if cmd.Stderr == nil {
@@ -161,7 +165,7 @@
 	}
 	p := &Process{cmd: cmd}
 	var err error
-	if p.in, err = cmd.StdinPipe(); err != nil {
+	if p.stdin, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, err := cmd.StdoutPipe()
@@ -182,17 +186,17 @@
 	return p, nil
 }
 
-// Stop ends the child.
+// Stop kills the child process.
 func (p *Process) Stop() {
-	p.in.Close()
+	p.stdin.Close()
 	p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
 }
 
-// CPU is the time that the child has used so far.
+// CPU returns the CPU time that the child process has used so far.
 func (p *Process) CPU() (time.Duration, error) { return process.CPU(p.cmd.Process.Pid) }
 
-// Own is the CPU time that this process has used so far.
+// Own returns the CPU time that this process has used so far; 0 if it can't be read.
 func Own() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet counts what all sidecars of a fleet did together: at each server, at discovery and in each moment, from
-// the lines that they log with GW_TRACE=1. What is harmless alone shows only in the sum.
+// Package fleet adds up what all sidecars of a fleet did at each server and at discovery over time, from the lines that they
+// log with GW_TRACE=1. Load that is harmless from one sidecar may be too much in total.
 package fleet
 
 import (
@@ -17,51 +17,52 @@
 )
 
 const (
-	stale   = 1000 // ms of age from which the news behind a send is old
-	longest = 1 << 20
+	staleAge     = 1000    // ms; an attempt based on an older load report counts as stale
+	maxLineBytes = 1 << 20 // of a log
 )
 
-// Row is what all did in one stretch of time.
+// Row counts what all sidecars did in one interval.
 type Row struct {
-	Attempts, Retries, Stale, Cold int // Stale: on news older than a second, or none; Cold: to processes that may be cold
+	Attempts, Retries, Stale, Cold int // Stale: on a load report older than a second, or none; Cold: at processes that may be cold
 	Probes, ProbesFailed           int
-	Dials, DialsFailed, Open       int // Open: connections at its end
-	Lists, ListsFull, ListsWrong   int // Full: rejected; Wrong: failed otherwise
+	Dials, DialsFailed, Open       int // Open: connections open at the end of the interval
+	Lists, ListsFull, ListsWrong   int // ListsFull: rejected polls; ListsWrong: failed otherwise
 }
 
-// Count is the whole count.
+// Count holds the counts of a fleet.
 type Count struct {
 	Sidecars       int
-	Rows           []Row // by stretch of Every
+	Rows           []Row // one for each interval of length Every
 	Every          time.Duration
 	Total          Row
-	MaxAtOneServer map[string]Peak // of calls, probes and dials: the most at one server in any stretch
-	ReportAges     []float64       // ms of age behind each send that had any, sorted
-	Waits          []float64       // ms that list calls took beyond their wait, sorted
-	CPU            []float64       // ms of each sidecar's processes, sorted
+	MaxAtOneServer map[string]Peak // of attempts, probes and dials: the most at one server in any interval
+	ReportAges     []float64       // ms of age of the load report behind each attempt that had one, sorted
+	Waits          []float64       // ms that polls of discovery took beyond their wait, sorted
+	CPU            []float64       // ms used by each sidecar's processes, sorted
 }
 
-// Peak is a most, and where and when.
+// Peak is the most at one server in any interval, with the server and the beginning of the interval.
 type Peak struct {
 	Count  int
 	Server string
 	At     time.Duration
 }
 
-// line is one trace line.
+// line is a trace line.
 type line struct {
 	time    time.Time
 	sidecar string
 	field   map[string]string
 }
 
-// stamp is the standard logger's; a log collector may put its own prefix before it.
-var stamp = regexp.MustCompile(`\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}`)
+// timestamp matches the standard logger's time, which a log collector may precede with its own prefix.
+var timestamp = regexp.MustCompile(`\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}`)
 
-// Read counts over the logs in dir, one *.log for each sidecar. warm is the time that a process is taken to be cold.
+// Read counts over the logs in dir, one *.log for each sidecar, in intervals of length every. A server process counts as
+// cold for the time warm after its start.
 func Read(dir string, every, warm time.Duration) (*Count, error) {
 	if every <= 0 || warm < 0 {
-		return nil, fmt.Errorf("stretches of %s and %s to be warm: want above 0, and 0 or more", every, warm)
+		return nil, fmt.Errorf("interval %s, time to be warm %s: want above 0, and 0 or more", every, warm)
 	}
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -84,6 +85,7 @@
 	return c, c.count(lines, float64(warm.Milliseconds()))
 }
 
+// read appends the trace lines of a log to lines.
 func read(name string, lines []line) ([]line, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -91,15 +93,15 @@
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, longest)
+	in.Buffer(nil, maxLineBytes)
 	for n := 1; in.Scan(); n++ {
 		_, text, has := strings.Cut(in.Text(), "trace=")
 		if !has {
 			continue
 		}
 		l := line{sidecar: filepath.Base(name), field: map[string]string{}}
-		if l.time, err = time.Parse("2006/01/02 15:04:05.000000", stamp.FindString(in.Text())); err != nil {
-			return nil, fmt.Errorf("%s, line %d: no time in it: %w", name, n, err)
+		if l.time, err = time.Parse("2006/01/02 15:04:05.000000", timestamp.FindString(in.Text())); err != nil {
+			return nil, fmt.Errorf("%s, line %d: no timestamp: %w", name, n, err)
 		}
 		for i, word := range strings.Fields("trace=" + text) {
 			key, value, is := strings.Cut(word, "=")
@@ -119,7 +121,7 @@
 func (l *line) number(key string) (float64, error) {
 	v, err := strconv.ParseFloat(l.field[key], 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s at %s: %s: %q is no number", l.sidecar, l.time.Format(time.TimeOnly), key, l.field[key])
+		return 0, fmt.Errorf("%s at %s: %s: %q is not a number", l.sidecar, l.time.Format(time.TimeOnly), key, l.field[key])
 	}
 	return v, nil
 }
@@ -127,17 +129,17 @@
 // counter adds lines to a Count.
 type counter struct {
 	*Count
-	warm    float64 // ms within which a server's process is cold
-	open    int     // connections
+	warm    float64 // ms for which a server's process counts as cold
+	open    int     // connections now
 	perRow  map[rowKey]int
 	cpu     map[string]float64 // ms used, by sidecar
 	invalid error
 }
 
-// rowKey is a server in one stretch of time, for one kind of traffic.
+// rowKey is a server in one interval, for one kind of traffic: calls, probes or connects.
 type rowKey struct {
-	what, server string
-	stretch      int
+	kind, server string
+	interval     int
 }
 
 func (c *Count) count(lines []line, warm float64) error {
@@ -157,28 +159,28 @@
 	return k.invalid
 }
 
-// number reads a field, and remembers that it is none.
+// number returns the value of a field, and records an error if it is not a number.
 func (c *counter) number(l *line, key string) float64 {
 	value, err := l.number(key)
 	c.invalid = errors.Join(c.invalid, err)
 	return value
 }
 
-// add counts a line of that stretch.
-func (c *counter) add(l *line, stretch int) {
-	for len(c.Rows) <= stretch {
+// add counts a line of the given interval.
+func (c *counter) add(l *line, interval int) {
+	for len(c.Rows) <= interval {
 		c.Rows = append(c.Rows, Row{Open: c.open})
 	}
-	row := &c.Rows[stretch]
+	row := &c.Rows[interval]
 	switch l.field["trace"] {
 	case "start":
 		if l.field["of"] == "probe" {
 			row.Probes++
-			c.notePeak(l, "probes", stretch)
+			c.updatePeak(l, "probes", interval)
 			break
 		}
 		c.addAttempt(l, row)
-		c.notePeak(l, "calls", stretch)
+		c.updatePeak(l, "calls", interval)
 	case "end":
 		if l.field["of"] == "probe" && l.field["ending"] != "served" {
 			row.ProbesFailed++
@@ -190,7 +192,7 @@
 		} else {
 			row.DialsFailed++
 		}
-		c.notePeak(l, "connects", stretch)
+		c.updatePeak(l, "connects", interval)
 	case "closed":
 		c.open--
 	case "list":
@@ -201,14 +203,14 @@
 	row.Open = c.open
 }
 
-// addAttempt counts an attempt that begins.
+// addAttempt counts the start of an attempt.
 func (c *counter) addAttempt(l *line, row *Row) {
 	row.Attempts++
 	if c.number(l, "try") > 0 {
 		row.Retries++
 	}
 	reportAge := c.number(l, "news_ms")
-	if reportAge < 0 || reportAge > stale {
+	if reportAge < 0 || reportAge > staleAge {
 		row.Stale++
 	}
 	if reportAge >= 0 {
@@ -219,7 +221,7 @@
 	}
 }
 
-// addPoll counts an answered poll of discovery.
+// addPoll counts a completed poll of discovery.
 func (c *counter) addPoll(l *line, row *Row) {
 	row.Lists++
 	switch {
@@ -231,12 +233,12 @@
 	c.Waits = append(c.Waits, max(0, c.number(l, "took_ms")-c.number(l, "wait_ms")))
 }
 
-// notePeak keeps the stretch in which one server got most.
-func (c *counter) notePeak(l *line, what string, stretch int) {
-	key := rowKey{what, l.field["provider"], stretch}
+// updatePeak counts one event of a kind at a server in an interval, and updates the peak of the kind.
+func (c *counter) updatePeak(l *line, kind string, interval int) {
+	key := rowKey{kind, l.field["provider"], interval}
 	c.perRow[key]++
-	if n := c.perRow[key]; n > c.MaxAtOneServer[what].Count {
-		c.MaxAtOneServer[what] = Peak{n, key.server, time.Duration(stretch) * c.Every}
+	if n := c.perRow[key]; n > c.MaxAtOneServer[kind].Count {
+		c.MaxAtOneServer[kind] = Peak{n, key.server, time.Duration(interval) * c.Every}
 	}
 }
 
@@ -247,8 +249,8 @@
 	r.Lists, r.ListsFull, r.ListsWrong = r.Lists+o.Lists, r.ListsFull+o.ListsFull, r.ListsWrong+o.ListsWrong
 }
 
-// Write prints the count, with a row for each stretch of shown.
-func (c *Count) Write(to io.Writer, shown time.Duration) error {
+// Write writes the counts as text, with a row for each interval of length rowLength.
+func (c *Count) Write(to io.Writer, rowLength time.Duration) error {
 	var err error
 	printf := func(format string, args ...any) {
 		if err == nil {
@@ -262,25 +264,25 @@
 		printf(row, at, r.Attempts, r.Retries, r.Stale, r.Cold, r.Probes, r.ProbesFailed, r.Dials, r.DialsFailed, r.Open, r.Lists,
 			r.ListsFull, r.ListsWrong)
 	}
-	each := max(1, int(shown/c.Every))
-	for i := 0; i < len(c.Rows); i += each {
+	rowsEach := max(1, int(rowLength/c.Every))
+	for i := 0; i < len(c.Rows); i += rowsEach {
 		var sum Row
-		for _, r := range c.Rows[i:min(i+each, len(c.Rows))] {
+		for _, r := range c.Rows[i:min(i+rowsEach, len(c.Rows))] {
 			sum.add(r)
 		}
 		line(fmt.Sprintf("%.1f", (time.Duration(i)*c.Every).Seconds()), sum)
 	}
 	line("all", c.Total)
-	for _, what := range []string{"calls", "probes", "connects"} {
-		p := c.MaxAtOneServer[what]
-		printf("most %s at one server within %s: %d, %s at %.1f s\n", what, c.Every, p.Count, p.Server, p.At.Seconds())
+	for _, kind := range []string{"calls", "probes", "connects"} {
+		p := c.MaxAtOneServer[kind]
+		printf("most %s at one server within %s: %d, %s at %.1f s\n", kind, c.Every, p.Count, p.Server, p.At.Seconds())
 	}
 	for _, v := range []struct {
-		what string
-		ms   []float64
-	}{{"age of the news behind a send", c.ReportAges}, {"list calls beyond their wait", c.Waits}, {"CPU of a sidecar", c.CPU}} {
+		label string
+		ms    []float64
+	}{{"age of the load report behind an attempt", c.ReportAges}, {"list calls beyond their wait", c.Waits}, {"CPU of a sidecar", c.CPU}} {
 		if n := len(v.ms); n > 0 {
-			printf("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.what, v.ms[(n-1)/2], v.ms[(n-1)*9/10], v.ms[n-1])
+			printf("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.label, v.ms[(n-1)/2], v.ms[(n-1)*9/10], v.ms[n-1])
 		}
 	}
 	return err
--- a/internal/testbench/fleet/fleet_test.go
+++ b/internal/testbench/fleet/fleet_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// logs writes the files to a new folder and returns it.
 func logs(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -64,12 +65,12 @@
 	if err := c.Write(&out, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	for _, said := range []string{
+	for _, text := range []string{
 		"    all       3       1       2       1", "most calls at one server within 100ms: 2, a at 0.0 s",
 		"list calls beyond their wait, ms: median 2,",
 	} {
-		if !strings.Contains(out.String(), said) {
-			t.Errorf("%q is missing in\n%s", said, out.String())
+		if !strings.Contains(out.String(), text) {
+			t.Errorf("%q is missing in\n%s", text, out.String())
 		}
 	}
 }
@@ -78,20 +79,20 @@
 	const good = "2026/12/01 15:00:00.000000 trace=start of=call provider=a try=0 news_ms=-1 age_ms=-1\n"
 	for name, c := range map[string]struct {
 		files map[string]string
-		say   string
+		want  string
 	}{
-		"none":       {map[string]string{"n0.txt": good}, "no *.log"},
-		"no trace":   {map[string]string{"n0.log": "2026/12/01 15:00:00.000000 name=n0 state=started\n"}, "GW_TRACE=1"},
-		"no time":    {map[string]string{"n0.log": good + "trace=closed provider=a\n"}, "n0.log, line 2: no time"},
-		"no key":     {map[string]string{"n0.log": strings.Replace(good, "try=0", "try", 1)}, `line 1: word 4, "try"`},
-		"no number":  {map[string]string{"n0.log": strings.Replace(good, "news_ms=-1", "news_ms=x", 1)}, `news_ms: "x" is no number`},
-		"cut a line": {map[string]string{"n0.log": good + good[:len(good)-6]}, `"age_", is not key=value`},
+		"none":         {map[string]string{"n0.txt": good}, "no *.log"},
+		"no trace":     {map[string]string{"n0.log": "2026/12/01 15:00:00.000000 name=n0 state=started\n"}, "GW_TRACE=1"},
+		"no timestamp": {map[string]string{"n0.log": good + "trace=closed provider=a\n"}, "n0.log, line 2: no timestamp"},
+		"no key":       {map[string]string{"n0.log": strings.Replace(good, "try=0", "try", 1)}, `line 1: word 4, "try"`},
+		"no number":    {map[string]string{"n0.log": strings.Replace(good, "news_ms=-1", "news_ms=x", 1)}, `news_ms: "x" is not a number`},
+		"truncated":    {map[string]string{"n0.log": good + good[:len(good)-6]}, `"age_", is not key=value`},
 	} {
-		if _, err := Read(logs(t, c.files), time.Second, 0); err == nil || !strings.Contains(err.Error(), c.say) {
-			t.Errorf("%s: %v, want %q in it", name, err, c.say)
+		if _, err := Read(logs(t, c.files), time.Second, 0); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q in it", name, err, c.want)
 		}
 	}
 	if _, err := Read(t.TempDir(), 0, 0); err == nil {
-		t.Error("stretches of 0 are taken")
+		t.Error("intervals of 0 are accepted")
 	}
 }
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	loadPerHandover = 3 * time.Second  // of load drawn ahead
-	maxServiceGap   = 5 * time.Second  // after a kill some request must be served
-	clientTimeout   = 10 * time.Second // of clients: who gets no answer then has been forgotten
-	passSpan        = 20 * time.Millisecond
-	startSpan       = 50 * time.Millisecond // in which a kill falls, as long as nothing has been measured
+	loadPerHandover  = 3 * time.Second       // duration of load that is drawn in advance for each hot restart
+	maxServiceGap    = 5 * time.Second       // after a kill, within which some request must be served
+	clientTimeout    = 10 * time.Second      // client deadline: a request without a response by then is lost
+	assumedPassTime  = 20 * time.Millisecond // assumed duration of passing connections until one was measured
+	assumedStartTime = 50 * time.Millisecond // assumed duration of the successor's start until one was measured
 )
 
-// HandoverPlan is a line of processes that hand over to one another under load.
+// HandoverPlan describes a series of hot restarts under load.
 type HandoverPlan struct {
 	Setup
 	Restarts int
-	Pause    time.Duration // between a hot restart's end and the next
-	Kill     Victim        // one of the two is killed in the middle
-	At       KillPhase     // of the hot restart; needed with Kill
-	Nth      int           // of each Nth hot restart; 0 = of each
+	Pause    time.Duration // between the end of a hot restart and the next one
+	Kill     KillTarget    // which of the two processes is killed during a hot restart
+	At       KillPhase     // phase of the hot restart in which it is killed; needed with Kill
+	Nth      int           // kill in every Nth hot restart; 0 = in each
 }
 
-// Check says what is wrong with the plan.
+// Check returns an error if the plan is invalid.
 func (h HandoverPlan) Check() error {
 	switch {
 	case h.Restarts < 1 || h.Restarts > 10000:
@@ -37,93 +37,93 @@
 		return fmt.Errorf("pause: %s; want 0 to 1 s", h.Pause)
 	case h.Nth < 0:
 		return fmt.Errorf("nth: %d is negative", h.Nth)
-	case h.Kill != Nobody && h.Kill != Successor && h.Kill != Predecessor:
+	case h.Kill != NoKill && h.Kill != Successor && h.Kill != Predecessor:
 		return fmt.Errorf("kill: %q; want %q or %q", h.Kill, Successor, Predecessor)
-	case h.Kill != Nobody && h.At != AtStart && h.At != Passing:
+	case h.Kill != NoKill && h.At != AtStart && h.At != Passing:
 		return fmt.Errorf("at: %q; want %q or %q", h.At, AtStart, Passing)
 	}
 	return h.Setup.Check()
 }
 
-// HandoverReport is what became of a line of processes. Times are in seconds.
+// HandoverReport is the result of a HandoverPlan. Times are in seconds.
 type HandoverReport struct {
 	Program     string  `json:"program"`
-	Restarts    int     `json:"restarts"` // hot restarts that were done
+	Restarts    int     `json:"restarts"` // completed hot restarts without a kill
 	Requests    int     `json:"requests"`
 	Served      int     `json:"served"`
-	Lost        int     `json:"lost"` // or not answered
+	Lost        int     `json:"lost"` // includes requests without a response
 	Failed      int     `json:"failed"`
 	Rejected    int     `json:"refused"`
 	Unreachable int     `json:"unreachable"`
-	Twice       int     `json:"twice"`
-	LongestGap  float64 `json:"longest_gap_s"` // without an answer to anyone
-	Median      float64 `json:"median_s"`      // from the signal to the end of the predecessor
+	ExtraRuns   int     `json:"twice"`
+	LongestGap  float64 `json:"longest_gap_s"` // longest time without a response to any client
+	Median      float64 `json:"median_s"`      // from the signal to the exit of the predecessor
 	Worst       float64 `json:"worst_s"`
-	Start       float64 `json:"median_start_s"` // until the successor was ready
-	Stall       float64 `json:"stall_s"`        // as in Figures
+	Start       float64 `json:"median_start_s"` // from the signal until the successor was ready
+	Stall       float64 `json:"stall_s"`        // as in Metrics
 
-	Kills      map[string]int `json:"kills,omitempty"` // by what they met
-	Afresh     int            `json:"afresh"`          // kills that left nobody, so that a process had to be started
-	LostToKill int            `json:"lost_to_kills"`   // under way at a kill, so that the killed one may have had them
-	Broken     []string       `json:"broken,omitempty"`
+	Kills       map[string]int `json:"kills,omitempty"` // by the phase in which they took effect
+	FreshStarts int            `json:"afresh"`          // kills after which no process served, so that one had to be started
+	LostToKill  int            `json:"lost_to_kills"`   // requests lost that were in flight at a kill, so that the killed process may have had them
+	Broken      []string       `json:"broken,omitempty"`
 }
 
-// patientClasses are the usual classes with clients that wait for long.
-func patientClasses() []fakes.Class {
+// longDeadlineClasses returns the usual classes with the deadline clientTimeout.
+func longDeadlineClasses() []fakes.Class {
 	idempotent, order := fakes.TileClass(), fakes.OrderClass()
 	idempotent.Deadline, order.Deadline = clientTimeout, clientTimeout
 	return []fakes.Class{idempotent, order}
 }
 
-// Handovers runs the plan: SIGUSR2, until the successor serves alone, and again. An error says that it could not be run
-// to its end. AdoptOrphans must have been called.
+// Handovers runs the plan: it sends SIGUSR2, waits until the successor serves alone, and repeats. It returns an error if the
+// plan could not be completed. AdoptOrphans must have been called.
 func Handovers(ctx context.Context, p HandoverPlan) (HandoverReport, error) {
 	out := HandoverReport{Program: p.Program, Kills: map[string]int{}}
 	if err := p.Check(); err != nil {
 		return out, err
 	}
 	if p.Classes == nil {
-		p.Classes = patientClasses()
+		p.Classes = longDeadlineClasses()
 	}
 	r, err := build(ctx, p.Setup, nil)
 	if err != nil {
 		return out, err
 	}
 	defer r.close()
-	long := time.Duration(p.Restarts+5) * loadPerHandover
-	r.begin(ctx, long)
+	duration := time.Duration(p.Restarts+5) * loadPerHandover
+	r.startLoad(ctx, duration)
 	took, kills, err := p.run(ctx, r)
 	if err != nil {
 		return out, err
 	}
-	if time.Since(r.start) > long {
-		return out, fmt.Errorf("a handover takes more than %s: the load has ended before the last", loadPerHandover)
+	if time.Since(r.start) > duration {
+		return out, fmt.Errorf("handovers take more than %s on average: the load ended before the last one", loadPerHandover)
 	}
 	if err := fakes.Pause(ctx, time.Second); err != nil {
 		return out, err
 	}
-	r.end()
+	r.stopLoad()
 	out.Broken = r.finish(ctx)
 	out.fill(r, took, kills)
 	return out, nil
 }
 
-// run does all hot restarts and returns how long the undisturbed ones took, and the kills.
+// run performs all hot restarts and returns the phases of those without a kill, and the kills.
 func (h HandoverPlan) run(ctx context.Context, r *rig) (took []phases, kills []kill, err error) {
 	draw := rand.New(rand.NewPCG(h.Seed, 0))
 	for n := 1; n <= h.Restarts; n++ {
 		if err := fakes.Pause(ctx, h.Pause); err != nil {
 			return nil, nil, err
 		}
-		if h.Kill != Nobody && n%max(1, h.Nth) == 0 {
-			k, err := r.line.handOverKilling(ctx, h.Kill, h.At, h.killDelay(draw.Float64(), took))
+		if h.Kill != NoKill && n%max(1, h.Nth) == 0 {
+			k, err := r.processes.handOverWithKill(ctx, h.Kill, h.At, h.killDelay(draw.Float64(), took))
 			if err != nil {
 				return nil, nil, fmt.Errorf("handover %d, with a kill: %w", n, err)
 			}
 			kills = append(kills, k)
 			continue
 		}
-		t, err := r.line.handOver(ctx)
+		t, err := r.processes.handOver(ctx)
 		if err != nil {
 			return nil, nil, fmt.Errorf("handover %d: %w", n, err)
 		}
@@ -132,26 +132,25 @@
 	return took, kills, nil
 }
 
-// killDelay is how long after the beginning of its part of a hot restart a kill comes: somewhere in the time that the part
-// usually takes.
-func (h HandoverPlan) killDelay(part float64, took []phases) time.Duration {
-	usual := startSpan
+// killDelay returns how long after the beginning of its phase a kill takes place: the given fraction of the phase's usual duration.
+func (h HandoverPlan) killDelay(fraction float64, took []phases) time.Duration {
+	usual := assumedStartTime
 	if h.At == Passing {
-		usual = passSpan
+		usual = assumedPassTime
 	}
 	if len(took) > 0 {
-		usual = middle(took, func(t phases) time.Duration {
+		usual = median(took, func(t phases) time.Duration {
 			if h.At == Passing {
 				return t.pass
 			}
 			return t.start
 		})
 	}
-	return time.Duration(part * float64(usual))
+	return time.Duration(fraction * float64(usual))
 }
 
-// middle is the median of what is picked; 0 where there is none.
-func middle(all []phases, pick func(phases) time.Duration) time.Duration {
+// median returns the median of the durations that pick returns; 0 if there are none.
+func median(all []phases, pick func(phases) time.Duration) time.Duration {
 	var times []time.Duration
 	for _, t := range all {
 		times = append(times, pick(t))
@@ -163,16 +162,16 @@
 	return times[len(times)/2]
 }
 
-// fill counts, and says which rules are broken.
+// fill computes the figures and the broken rules.
 func (h *HandoverReport) fill(r *rig, took []phases, kills []kill) {
 	complete := func(t phases) time.Duration { return t.total }
-	h.Restarts, h.Median = len(took), middle(took, complete).Seconds()
-	h.Start = middle(took, func(t phases) time.Duration { return t.start }).Seconds()
+	h.Restarts, h.Median = len(took), median(took, complete).Seconds()
+	h.Start = median(took, func(t phases) time.Duration { return t.start }).Seconds()
 	for _, t := range took {
 		h.Worst = max(h.Worst, t.total.Seconds())
 	}
 	var all Metrics
-	var strays []fakes.Try
+	var unexplained []fakes.Try
 	for i := range r.tries {
 		t := &r.tries[i]
 		all.count(t)
@@ -183,51 +182,51 @@
 		case slices.ContainsFunc(kills, func(k kill) bool { return k.affects(t) }):
 			h.LostToKill++
 		default:
-			strays = append(strays, *t)
+			unexplained = append(unexplained, *t)
 		}
 	}
 	h.Requests, h.Lost, h.Failed = len(r.tries), all.Lost+all.Unanswered, all.Failed
 	h.Rejected, h.Unreachable = all.Rejected, all.Unreachable
-	h.Twice = r.extraRuns()
+	h.ExtraRuns = r.extraRuns()
 	h.LongestGap, h.Stall = longestGap(r.tries).Seconds(), r.stall.Seconds()
 	for _, k := range kills {
 		h.Kills[k.phase]++
 		if k.noSurvivor {
-			h.Afresh++
+			h.FreshStarts++
 		}
 		if !servedAfter(r.tries, k.until) {
 			h.Broken = append(h.Broken, fmt.Sprintf("nothing was served in the %s after a kill", maxServiceGap))
 		}
 	}
-	h.Broken = append(h.Broken, noneLost(strays)...)
-	h.Broken = append(h.Broken, none(h.Twice, ruleTwice)...)
+	h.Broken = append(h.Broken, describeLost(unexplained)...)
+	h.Broken = append(h.Broken, violations(h.ExtraRuns, ruleTwice)...)
 }
 
-// affects reports whether the request was under way when the process was killed, or until another served alone: a
-// connection that came up meanwhile may have been the killed one's, or in the queue of a listener that then had no
-// process.
+// affects reports whether the request was in flight between the kill and the time when another process served alone. A
+// connection that was established meanwhile may have belonged to the killed process, or to the accept queue of a listener
+// without a process.
 func (k kill) affects(t *fakes.Try) bool {
 	return t.EndedAt.After(k.killedAt) && !t.DueAt.After(k.until)
 }
 
-// servedAfter reports whether a request that was due soon after a moment was served.
+// servedAfter reports whether a request due after the given time was served within maxServiceGap of it.
 func servedAfter(tries []fakes.Try, at time.Time) bool {
 	return slices.ContainsFunc(tries, func(t fakes.Try) bool {
 		return t.Result == fakes.Served && t.DueAt.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
 	})
 }
 
-// longestGap is the longest time between two answers, whoever got them.
+// longestGap returns the longest time between two consecutive responses to any client.
 func longestGap(tries []fakes.Try) (gap time.Duration) {
-	var answers []time.Time
+	var responses []time.Time
 	for i := range tries {
 		if tries[i].Status != 0 {
-			answers = append(answers, tries[i].EndedAt)
+			responses = append(responses, tries[i].EndedAt)
 		}
 	}
-	slices.SortFunc(answers, time.Time.Compare)
-	for i := 1; i < len(answers); i++ {
-		gap = max(gap, answers[i].Sub(answers[i-1]))
+	slices.SortFunc(responses, time.Time.Compare)
+	for i := 1; i < len(responses); i++ {
+		gap = max(gap, responses[i].Sub(responses[i-1]))
 	}
 	return gap
 }
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	firstSpan  = 2 * time.Second        // of a second life
-	minSpan    = 2 * time.Second        // in which probes and calls are counted
-	minWidth   = 250 * time.Millisecond // of a window, which also holds windowAsked requests
-	windowWith = 50
-	noticeIn   = 50 * time.Millisecond // in which the test bench may notice what has come
+	afterRestartSpan  = 2 * time.Second        // after a restart, for which AfterRestart is computed
+	minCountSpan      = 2 * time.Second        // shortest time for which probes and list calls are counted
+	minWidth          = 250 * time.Millisecond // least width of a window, which also spans requestsPerWindow requests on average
+	requestsPerWindow = 50
+	noticeTolerance   = 50 * time.Millisecond // within which the test bench may notice an arrival
 )
 
-// Metrics is what a run has shown. Seconds count from the event. What became of tries is counted of those that ended
-// after it, twice and late sends of the whole run.
+// Metrics holds the results of a run. Seconds count from the event. Results of attempts count if they ended after the event;
+// ExtraRuns and Late count over the whole run.
 type Metrics struct {
 	Requests     int      `json:"requests"`   // of the whole run
 	Normal       float64  `json:"normal"`     // share served within the latency objective before the event
-	Recovery     *float64 `json:"back_s"`     // until 95% of normal holds for a second; nil = never
-	Below        float64  `json:"below_s"`    // spent below that, in all
-	Worst        float64  `json:"worst"`      // share in the worst window
-	AfterRestart *float64 `json:"first_2s"`   // share in the first 2 s of a second life; nil = there was none
-	Lost         int      `json:"lost"`       // the connection ended without an answer, or brought another's
-	Unanswered   int      `json:"unanswered"` // nothing came while the client waited
-	Failed       int      `json:"failed"`     // an error or a broken answer
+	Recovery     *float64 `json:"back_s"`     // until 95% of normal is reached for a second; nil = never
+	Below        float64  `json:"below_s"`    // total time below that
+	Worst        float64  `json:"worst"`      // served share in the worst window
+	AfterRestart *float64 `json:"first_2s"`   // served share in the first 2 s after a restart; nil = no restart
+	Lost         int      `json:"lost"`       // connection closed without a response, or response to another request
+	Unanswered   int      `json:"unanswered"` // no response before the client's deadline
+	Failed       int      `json:"failed"`     // an error or an invalid response
 	Rejected     int      `json:"refused"`
-	Unreachable  int      `json:"unreachable"`      // no connection came up
-	ExtraRuns    int      `json:"twice"`            // runs of what must not run twice beyond the first
-	Late         int      `json:"late"`             // sends to a server after the grace of its drain
-	Probes       float64  `json:"probes_per_s"`     // during the fault
+	Unreachable  int      `json:"unreachable"`      // no connection was established
+	ExtraRuns    int      `json:"twice"`            // further runs of requests that must run only once
+	Late         int      `json:"late"`             // requests sent to a server after its drain grace
+	Probes       float64  `json:"probes_per_s"`     // per second during the degradation
 	Lists        float64  `json:"list_calls_per_s"` // likewise
-	Stall        float64  `json:"stall_s"`          // the longest time for which the test bench itself was stalled
+	Stall        float64  `json:"stall_s"`          // longest stall of the test bench itself
 }
 
-// isLost reports whether the sidecar had the request, or might have, and its client was left without an answer.
+// isLost reports whether the sidecar received the request, or may have, and its client got no response to it.
 func isLost(t *fakes.Try) bool {
 	return t.Result == fakes.Lost || t.Result == fakes.Wrong || t.Result == fakes.TimedOut && !t.SentAt.IsZero()
 }
 
-// count adds what became of a try.
+// count counts the result of an attempt.
 func (m *Metrics) count(t *fakes.Try) {
 	switch {
 	case t.Result == fakes.Failed:
@@ -57,7 +57,7 @@
 	}
 }
 
-// servedFraction is the part of the requests due in a span that was served within the latency objective.
+// servedFraction returns the fraction of the requests due from from until to that was served within the latency objective.
 func servedFraction(tries []fakes.Try, from, to time.Time) float64 {
 	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.RequestedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
@@ -66,26 +66,27 @@
 	return 1
 }
 
-// width is that of windows for a load of rate requests a second.
-func width(rate float64) time.Duration {
-	return max(minWidth, time.Duration(windowWith/rate*float64(time.Second)))
+// windowWidth returns the width of windows for a load of rate requests per second.
+func windowWidth(rate float64) time.Duration {
+	return max(minWidth, time.Duration(requestsPerWindow/rate*float64(time.Second)))
 }
 
-// degradation is what an event did to service.
+// degradation describes how an event degraded service.
 type degradation struct {
-	back      time.Duration // from the event until service is back; 0 = it was never away
-	recovered bool          // it came back
-	below     time.Duration // in windows below 95% of normal
-	worst     float64       // share of the worst window
+	back      time.Duration // from the event until service recovered; 0 = it never degraded
+	recovered bool          // service recovered
+	below     time.Duration // total width of windows below 95% of normal
+	worst     float64       // served share in the worst window
 }
 
-// faultAfter looks for the first window after the event that is below 95% of normal: after SIGTERM,
-// for example, service stays normal for a while. From there on it is fakes.Recovered that says when service is back. A fault that begins
-// in the last second is only counted: how it ends can't be seen.
-func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
+// degradationAfter searches for the first window after the event that is below 95% of normal, since service may degrade
+// late: after SIGTERM, for example, it stays normal for a while. From that window on, fakes.RecoveryTime determines when
+// service has recovered. A degradation that begins in the last second only adds to below, since the load ends before its
+// recovery can be observed.
+func degradationAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
 	out := degradation{recovered: true, worst: 1}
 	windows := fakes.Tally(tries, event, width)
-	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
+	windows = windows[:max(0, len(windows)-1)] // the last one may be incomplete
 	seen := len(windows) - int(fakes.RecoveredFor/width)
 	first := -1
 	for i, w := range windows {
@@ -105,7 +106,7 @@
 	return out
 }
 
-// extraRuns counts how often requests that must not run twice were run beyond the first time.
+// extraRuns counts the runs of requests that must not run twice, beyond the first run of each.
 func (r *rig) extraRuns() (n int) {
 	for _, c := range r.setup.classes() {
 		if c.Idempotent {
@@ -121,7 +122,7 @@
 	return n
 }
 
-// notifiedAt returns when each drain was first sent to a sidecar, given the revisions that list them.
+// notifiedAt returns when discovery first sent each drain to a sidecar; drains holds the revision that lists it, by server id.
 func notifiedAt(drains map[string]uint64, calls []fakes.DiscoveryCall) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
@@ -135,30 +136,30 @@
 	return notifiedAt
 }
 
-// lateSends counts the requests whose first byte came to a server after the grace of its drain.
+// lateSends counts the requests whose first byte reached a server after its drain grace.
 func lateSends(notifiedAt map[string]time.Time, requests []fakes.Request) (n int) {
 	for _, q := range requests {
-		if at, drained := notifiedAt[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeIn)) {
+		if at, drained := notifiedAt[q.Server]; drained && q.FirstByte.After(at.Add(drainGrace+noticeTolerance)) {
 			n++
 		}
 	}
 	return n
 }
 
-// metrics measures a run whose load has ended.
+// metrics computes the metrics of a run whose load has ended.
 func (r *rig) metrics(event time.Time) Metrics {
-	w := width(r.setup.Rate)
-	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.tries, event.Add(-calmFrom), event.Add(-calmTo))}
-	t := faultAfter(r.tries, event, f.Normal, w)
+	w := windowWidth(r.setup.Rate)
+	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.tries, event.Add(-baselineFrom), event.Add(-baselineTo))}
+	t := degradationAfter(r.tries, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
 	until := r.tries[len(r.tries)-1].DueAt
 	if t.recovered {
 		back := t.back.Seconds()
 		f.Recovery = &back
-		until = event.Add(max(minSpan, t.back))
+		until = event.Add(max(minCountSpan, t.back))
 	}
 	if !r.restartedAt.IsZero() {
-		first := servedFraction(r.tries, r.restartedAt, r.restartedAt.Add(firstSpan))
+		first := servedFraction(r.tries, r.restartedAt, r.restartedAt.Add(afterRestartSpan))
 		f.AfterRestart = &first
 	}
 	for i := range r.tries {
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -14,7 +14,7 @@
 
 func after(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// windowsOf returns 20 tries in each window of 250 ms, of which so many are served in time.
+// windowsOf returns 20 attempts for each argument, in consecutive windows of 250 ms; the argument is the number of those served.
 func windowsOf(served ...int) (tries []fakes.Try) {
 	for w, n := range served {
 		for i := range 20 {
@@ -32,31 +32,31 @@
 	return tries
 }
 
-func TestFault(t *testing.T) {
+func TestDegradation(t *testing.T) {
 	ms := time.Millisecond
-	well := slices.Repeat([]int{20}, 8)
+	healthy := slices.Repeat([]int{20}, 8)
 	for name, test := range map[string]struct {
 		served []int
 		normal float64
 		want   degradation
 	}{
-		"none":            {well, 1, degradation{0, true, 0, 1}},
-		"at once":         {slices.Concat([]int{5, 10}, well), 1, degradation{500 * ms, true, 500 * ms, 0.25}},
-		"later":           {slices.Concat(well, []int{0}, well), 1, degradation{2250 * ms, true, 250 * ms, 0}},
-		"again too soon":  {slices.Concat([]int{10, 20, 20, 10}, well), 1, degradation{1000 * ms, true, 500 * ms, 0.5}},
-		"for ever":        {slices.Repeat([]int{18}, 9), 1, degradation{0, false, 2000 * ms, 0.9}},
-		"normal is less":  {slices.Repeat([]int{18}, 9), 0.94, degradation{0, true, 0, 0.9}},
-		"at the very end": {slices.Concat(well, []int{0, 20, 20}), 1, degradation{0, true, 250 * ms, 0}},
+		"none":                           {healthy, 1, degradation{0, true, 0, 1}},
+		"immediate":                      {slices.Concat([]int{5, 10}, healthy), 1, degradation{500 * ms, true, 500 * ms, 0.25}},
+		"delayed":                        {slices.Concat(healthy, []int{0}, healthy), 1, degradation{2250 * ms, true, 250 * ms, 0}},
+		"degraded again within a second": {slices.Concat([]int{10, 20, 20, 10}, healthy), 1, degradation{1000 * ms, true, 500 * ms, 0.5}},
+		"never recovers":                 {slices.Repeat([]int{18}, 9), 1, degradation{0, false, 2000 * ms, 0.9}},
+		"low baseline":                   {slices.Repeat([]int{18}, 9), 0.94, degradation{0, true, 0, 0.9}},
+		"in the last second":             {slices.Concat(healthy, []int{0, 20, 20}), 1, degradation{0, true, 250 * ms, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := faultAfter(windowsOf(test.served...), epoch, test.normal, 250*ms); got != test.want {
+			if got := degradationAfter(windowsOf(test.served...), epoch, test.normal, 250*ms); got != test.want {
 				t.Errorf("%+v, want %+v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestServedFractionIsOfWhatWasDue(t *testing.T) {
+func TestServedFractionCountsByDueTime(t *testing.T) {
 	tries := windowsOf(0, 10, 20, 0)
 	if got := servedFraction(tries, after(250), after(750)); got != 0.75 {
 		t.Errorf("%g, want 0.75", got)
@@ -79,7 +79,7 @@
 	}
 }
 
-// A drain counts from the first answer that told it, and only for the process that it is about.
+// TestLateSends checks that the grace of a drain counts from the first response that lists it, and only for its server.
 func TestLateSends(t *testing.T) {
 	notifiedAt := notifiedAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DiscoveryCall{
 		{Answered: true, AnsweredAt: after(0), Revision: 2},
@@ -94,7 +94,7 @@
 		{Server: "c", FirstByte: after(5000)},
 	}
 	if n := lateSends(notifiedAt, sent); n != 1 {
-		t.Errorf("%d late sends, want that at 901 ms alone; told: %v", n, notifiedAt)
+		t.Errorf("%d late sends, want only the one at 901 ms; notified at: %v", n, notifiedAt)
 	}
 }
 
@@ -110,8 +110,8 @@
 	}
 }
 
-// What a kill may cost was under way then; all else that is lost breaks the rule.
-func TestKillMeets(t *testing.T) {
+// TestKillAffects checks that a kill excuses the loss of exactly the requests in flight between it and the recovery.
+func TestKillAffects(t *testing.T) {
 	k := kill{killedAt: after(100), until: after(200)}
 	for _, test := range []struct {
 		due, ended int
@@ -123,17 +123,17 @@
 	}
 }
 
-func TestLostRequestsAreNamed(t *testing.T) {
+func TestLostRequestsAreListed(t *testing.T) {
 	tries := []fakes.Try{{ID: "a", Result: fakes.Served}, {ID: "b", Result: fakes.Lost}, {ID: "c", Result: fakes.Wrong}}
-	got := noneLost(tries)
-	if len(got) != 3 || got[0] != "2 requests lost or not answered" || noneLost(tries[:1]) != nil {
+	got := describeLost(tries)
+	if len(got) != 3 || got[0] != "2 requests lost or without a response" || describeLost(tries[:1]) != nil {
 		t.Errorf("%q", got)
 	}
 }
 
 func TestPlansAreChecked(t *testing.T) {
 	good := HandoverPlan{Setup: Setup{Servers: 4, Rate: 100}, Restarts: 1}
-	for name, spoil := range map[string]func(*HandoverPlan){
+	for name, change := range map[string]func(*HandoverPlan){
 		"providers": func(p *HandoverPlan) { p.Servers = 3 },
 		"rate":      func(p *HandoverPlan) { p.Rate = 0 },
 		"restarts":  func(p *HandoverPlan) { p.Restarts = 0 },
@@ -143,7 +143,7 @@
 		"at":        func(p *HandoverPlan) { p.Kill = Successor },
 	} {
 		bad := good
-		spoil(&bad)
+		change(&bad)
 		if good.Check() != nil || bad.Check() == nil {
 			t.Error(name, errors.Join(good.Check(), bad.Check()))
 		}
--- a/internal/testbench/recovery/process.go
+++ b/internal/testbench/recovery/process.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// AdoptOrphans makes this process the parent of those whose own parent ends, as a successor's does: otherwise their exit
-// status would be lost. It concerns the whole process; call it once, at the start of the program.
+// AdoptOrphans makes this process the parent of descendants whose own parent exits, as a successor's does; otherwise their exit
+// status would be lost. It affects the whole process: call it once, at the start of the program.
 func AdoptOrphans() error {
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("prctl: adopt orphans: %w", err)
@@ -25,14 +25,14 @@
 type process struct {
 	*os.Process
 	exited  chan struct{}
-	state   *os.ProcessState // once it has ended, as the rest
-	err     error            // that its end could not be seen
+	state   *os.ProcessState // this and the following are set once it has exited
+	err     error            // from waiting for its exit
 	endedAt time.Time
-	killed  atomic.Bool // by this side
+	killed  atomic.Bool // by the test bench
 }
 
-// watch waits for its end, in a goroutine of its own, and notes that in the log. It must be this process's child, or
-// have become so.
+// watch starts a goroutine that waits for the process's exit and records it in the log. The process must be a child of this one,
+// if only through AdoptOrphans.
 func (p *process) watch(log *processLog) {
 	go func() {
 		p.state, p.err = p.Wait()
@@ -42,10 +42,10 @@
 	}()
 }
 
-// lastLine is what the log says when it has ended.
+// lastLine returns the line that end writes to the log when the process has exited.
 func (p *process) lastLine() string { return fmt.Sprintf("testbench: process %d has ended", p.Pid) }
 
-// kill sends SIGKILL, unless the process has ended by itself.
+// kill sends SIGKILL, unless the process has exited.
 func (p *process) kill() {
 	if p.running() {
 		p.killed.Store(true)
@@ -62,8 +62,8 @@
 	}
 }
 
-// fate describes how it ended.
-func (p *process) fate() string {
+// status describes whether the process runs, or how it exited.
+func (p *process) status() string {
 	switch {
 	case p.running():
 		return "running"
@@ -73,30 +73,30 @@
 	return p.state.String()
 }
 
-// fault says how it ended in a way that it should not have.
+// fault returns an error if the process exited unexpectedly.
 func (p *process) fault() error {
 	if p.running() || p.killed.Load() || p.err == nil && p.state.Success() {
 		return nil
 	}
-	return fmt.Errorf("process %d ended by itself: %s", p.Pid, p.fate())
+	return fmt.Errorf("process %d exited unexpectedly: %s", p.Pid, p.status())
 }
 
-// The fields of /proc/PID/stat behind the name in brackets, which may hold anything.
+// Indexes of fields in /proc/PID/stat after the name in brackets, which may contain anything.
 const (
-	statParent   = 1
-	statFlags    = 6
-	notYetItself = 0x40 // PF_FORKNOEXEC: it runs its parent's program, as one that Go tries out pidfds with
+	statParent = 1
+	statFlags  = 6
+	forkNoExec = 0x40 // PF_FORKNOEXEC: still runs its parent's program, like the child with which the Go runtime checks for pidfd support
 )
 
-// childOf returns the id of the program that a process has started, 0 if it has started none. It looks at the newest
-// processes first: the child is mostly a moment old, and what is done about it should not come too late.
+// childOf returns the id of a child process that runs its own program, 0 if there is none. It checks the newest processes
+// first, since the child has usually just been started and must be found before the handover proceeds.
 func childOf(parent int) int {
 	folder, err := os.Open("/proc")
 	if err != nil {
 		return 0
 	}
 	defer folder.Close()
-	names, _ := folder.Readdirnames(0) // by id
+	names, _ := folder.Readdirnames(0) // sorted by id
 	for _, name := range slices.Backward(names) {
 		pid, err := strconv.Atoi(name)
 		if err != nil {
@@ -104,13 +104,13 @@
 		}
 		raw, err := os.ReadFile("/proc/" + name + "/stat")
 		if err != nil {
-			continue // it has ended
+			continue // it has exited
 		}
 		fields := bytes.Fields(raw[bytes.LastIndexByte(raw, ')')+1:])
 		if len(fields) <= statFlags || string(fields[statParent]) != strconv.Itoa(parent) {
 			continue
 		}
-		if flags, err := strconv.Atoi(string(fields[statFlags])); err == nil && flags&notYetItself == 0 {
+		if flags, err := strconv.Atoi(string(fields[statFlags])); err == nil && flags&forkNoExec == 0 {
 			return pid
 		}
 	}
--- a/internal/testbench/recovery/processlog.go
+++ b/internal/testbench/recovery/processlog.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	maxAwait  = 15 * time.Second // for a line of the log
-	maxClose  = 2 * time.Second  // for a writer that has not ended
-	tailLines = 5
+	maxAwait  = 15 * time.Second // timeout of await and of the start of a process
+	maxClose  = 2 * time.Second  // for the end of file, which a process that still runs would prevent
+	tailLines = 5                // log lines in an error message
 )
 
-// processLog keeps what processes print: in a file, and line by line for those who wait for a line. All print into one
-// pipe, and the end of a process is written there, too, so that it comes after its last line.
+// processLog records the output of processes in a file and as lines in memory, for which callers can wait. All processes
+// write to one pipe. The exit of a process is written there, too, so that it follows the process's last line.
 type processLog struct {
 	file           io.Writer
 	reader, writer *os.File
-	done           chan struct{} // closed when nobody writes any more
+	done           chan struct{} // closed once all writers have closed the pipe
 
 	mutex   sync.Mutex
 	lines   []string
-	changed chan struct{} // closed with the next line
+	changed chan struct{} // closed when the next line is added
 }
 
 func newProcessLog(file io.Writer) (*processLog, error) {
@@ -39,6 +39,7 @@
 	return b, nil
 }
 
+// read adds the lines of the pipe until its end.
 func (l *processLog) read() {
 	defer close(l.done)
 	for br := bufio.NewReader(l.reader); ; {
@@ -61,7 +62,7 @@
 	l.changed = make(chan struct{})
 }
 
-// close returns when all that processes have printed is kept. All must have ended.
+// close returns once all output is recorded. All processes must have exited.
 func (l *processLog) close() {
 	l.writer.Close()
 	_ = l.reader.SetReadDeadline(time.Now().Add(maxClose))
@@ -69,18 +70,18 @@
 	l.reader.Close()
 }
 
-// mark is the place behind the last line.
+// mark returns the position after the last line.
 func (l *processLog) mark() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.lines)
 }
 
-// end notes that a process has ended.
+// end records that a process has exited.
 func (l *processLog) end(p *process) { fmt.Fprintln(l.writer, p.lastLine()) }
 
-// await returns the first line from a mark on that holds one of the texts. It gives up at the end of ctx, after
-// maxAwait, or when p, which should log it, has ended.
+// await returns the first line at or after the position from that contains one of the texts. It fails once ctx is done, after
+// maxAwait, or when p, which should log the line, has exited.
 func (l *processLog) await(ctx context.Context, from int, p *process, texts ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
@@ -100,19 +101,19 @@
 			case <-ctx.Done():
 			}
 		}
-		return "", fmt.Errorf("process %d (%s) has not logged %q; the last words: %s", p.Pid, p.fate(), texts,
+		return "", fmt.Errorf("process %d (%s) has not logged %q; last lines: %s", p.Pid, p.status(), texts,
 			strings.Join(lines[max(from, len(lines)-tailLines):], "; "))
 	}
 }
 
-// look returns the first line from a mark on that holds the text, if there is one by now.
-func (l *processLog) look(from int, text string) (string, bool) {
+// lookup returns the first line at or after the position from that contains the text, if there is one yet.
+func (l *processLog) lookup(from int, text string) (string, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return find(l.lines[from:], []string{text})
 }
 
-// find returns the first line that holds one of the texts.
+// find returns the first line that contains one of the texts.
 func find(lines, texts []string) (string, bool) {
 	for _, line := range lines {
 		for _, w := range texts {
--- a/internal/testbench/recovery/program_test.go
+++ b/internal/testbench/recovery/program_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// TestProgram runs the real program, built once. What it asserts are rules: a slow machine breaks none of them.
+// TestProgram runs the real program, built once. It asserts only rules that hold on a slow machine, too.
 func TestProgram(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "plankrouter")
 	build := exec.Command("go", "build", "-o", program, "plankrouter/cmd/plankrouter")
@@ -35,22 +35,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got.Restarts != 5 || got.Lost != 0 || got.Twice != 0 || len(got.Broken) > 0 || got.Served == 0 {
+		if got.Restarts != 5 || got.Lost != 0 || got.ExtraRuns != 0 || len(got.Broken) > 0 || got.Served == 0 {
 			t.Errorf("%+v", got)
 		}
 	})
-	for _, victim := range []Victim{Successor, Predecessor} {
+	for _, victim := range []KillTarget{Successor, Predecessor} {
 		t.Run("killed "+string(victim), func(t *testing.T) {
 			t.Parallel()
 			plan := HandoverPlan{Setup: setup(t), Restarts: 2, Kill: victim, At: AtStart}
-			plan.Seed = 119 // it draws a very early kill and a late one
+			plan.Seed = 119 // draws a very early kill and a late one
 			got, err := Handovers(t.Context(), plan)
 			if err != nil {
 				t.Fatal(err)
 			}
 			kills := got.Kills[beforeReady] + got.Kills[whilePassing] + got.Kills[afterDone]
-			nobody := map[Victim]string{Successor: afterDone, Predecessor: beforeReady} // is left
-			if kills != 2 || got.Afresh != got.Kills[nobody[victim]] || got.Lost != got.LostToKill || got.Twice != 0 ||
+			noSurvivor := map[KillTarget]string{Successor: afterDone, Predecessor: beforeReady} // when a kill leaves no process
+			if kills != 2 || got.FreshStarts != got.Kills[noSurvivor[victim]] || got.Lost != got.LostToKill || got.ExtraRuns != 0 ||
 				got.Served == 0 {
 				t.Errorf("%+v", got)
 			}
@@ -58,13 +58,13 @@
 	}
 	t.Run("crash", func(t *testing.T) {
 		t.Parallel()
-		die := func(_ context.Context, r *rig) error { return r.line.main.Kill() }
-		got, err := Run(t.Context(), Scenario{Name: "crash", event: die, after: time.Second}, setup(t))
+		kill := func(_ context.Context, r *rig) error { return r.processes.main.Kill() }
+		got, err := Run(t.Context(), Scenario{Name: "crash", event: kill, after: time.Second}, setup(t))
 		if err != nil {
 			t.Fatal(err)
 		}
-		notifiedAt := strings.Join(got.Broken, "; ")
-		if got.Unreachable == 0 || got.ExtraRuns != 0 || !strings.Contains(notifiedAt, "killed") {
+		broken := strings.Join(got.Broken, "; ")
+		if got.Unreachable == 0 || got.ExtraRuns != 0 || !strings.Contains(broken, "killed") {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	calm = 3 * time.Second // of load before the event
+	baselineLoad = 3 * time.Second // duration of load before the event
 
-	// What is normal is measured in a part of that: a sidecar that has just started knows nothing yet, and what is
-	// under way at the event is a part of the fault.
-	calmFrom = 2500 * time.Millisecond // before the event
-	calmTo   = 500 * time.Millisecond
+	// Metrics.Normal covers the part of it between these times before the event: a sidecar that has just started knows
+	// nothing about its servers yet, and the event affects the requests in flight.
+	baselineFrom = 2500 * time.Millisecond
+	baselineTo   = 500 * time.Millisecond
 
-	clock    = "15:04:05.000000" // as in the sidecar's log
-	examples = 3                 // of lost requests
+	clockFormat = "15:04:05.000000" // time format of the sidecar's log
+	examples    = 3                 // of lost requests in a report
 )
 
-// Report is a run of a scenario.
+// Report is the result of one run of a scenario.
 type Report struct {
 	Scenario string `json:"scenario"`
 	Program  string `json:"program"`
 	Seed     uint64 `json:"seed"`
 	Metrics
-	Broken []string `json:"broken,omitempty"` // rules, and processes that ended in another way than they should
+	Broken []string `json:"broken,omitempty"` // violated rules and unexpected exits of processes
 }
 
-// Run runs a scenario once, which takes under 20 s. An error says that nothing could be measured. AdoptOrphans must
-// have been called. Only one run at a time gives figures to go by.
+// Run runs a scenario once, which takes under 20 s. It returns an error if nothing could be measured. AdoptOrphans must have
+// been called. Figures of concurrent runs are not meaningful.
 func Run(ctx context.Context, s Scenario, o Setup) (Report, error) {
 	out := Report{Scenario: s.Name, Program: o.Program, Seed: o.Seed}
 	var edit func(map[string]any)
@@ -45,8 +45,8 @@
 	if s.prepare != nil {
 		s.prepare(r)
 	}
-	r.begin(ctx, calm+s.after)
-	if err := fakes.Pause(ctx, calm); err != nil {
+	r.startLoad(ctx, baselineLoad+s.after)
+	if err := fakes.Pause(ctx, baselineLoad); err != nil {
 		return out, err
 	}
 	event := time.Now()
@@ -60,50 +60,51 @@
 	}
 	out.Metrics = r.metrics(event)
 	out.Broken = append(out.Broken, r.finish(ctx)...)
-	out.Broken = append(out.Broken, none(out.ExtraRuns, ruleTwice)...)
-	out.Broken = append(out.Broken, none(out.Late, ruleLate)...)
+	out.Broken = append(out.Broken, violations(out.ExtraRuns, ruleTwice)...)
+	out.Broken = append(out.Broken, violations(out.Late, ruleLate)...)
 	if s.strict {
-		out.Broken = append(out.Broken, noneLost(r.tries)...)
+		out.Broken = append(out.Broken, describeLost(r.tries)...)
 	}
 	return out, nil
 }
 
-// What a report says of a broken rule.
+// Texts for violated rules, after their count.
 const (
-	ruleTwice = "further runs of requests that must not run twice"
-	ruleLate  = "sends to a provider after the grace of its drain"
+	ruleTwice = "extra runs of requests that must not run twice"
+	ruleLate  = "requests sent to a provider after its drain grace"
 )
 
-// none says that a rule is broken unless n is 0.
-func none(n int, rule string) []string {
+// violations returns the text for a rule that was violated n times; nil if n is 0.
+func violations(n int, rule string) []string {
 	if n == 0 {
 		return nil
 	}
 	return []string{fmt.Sprintf("%d %s", n, rule)}
 }
 
-// noneLost says that a rule is broken if a request is lost, and which: its id and times are those of the sidecar's log.
-func noneLost(tries []fakes.Try) (broken []string) {
+// describeLost returns the number of lost requests and a few of them, with id and times as in the sidecar's log; nil if
+// there are none.
+func describeLost(tries []fakes.Try) (broken []string) {
 	for i := range tries {
 		if t := &tries[i]; isLost(t) {
 			broken = append(broken, fmt.Sprintf("request %s: %s, due %s, sent %s, ended %s on connection %d: %v",
-				t.ID, t.Result, t.DueAt.Format(clock), t.SentAt.Format(clock), t.EndedAt.Format(clock), t.Conn, t.Err))
+				t.ID, t.Result, t.DueAt.Format(clockFormat), t.SentAt.Format(clockFormat), t.EndedAt.Format(clockFormat), t.Conn, t.Err))
 		}
 	}
 	if n := len(broken); n > 0 {
-		broken = append([]string{fmt.Sprintf("%d requests lost or not answered", n)}, broken[:min(n, examples)]...)
+		broken = append([]string{fmt.Sprintf("%d requests lost or without a response", n)}, broken[:min(n, examples)]...)
 	}
 	return broken
 }
 
-// finish ends the process that serves and says which have ended in another way than they should.
+// finish stops the serving process and describes the processes that exited unexpectedly.
 func (r *rig) finish(ctx context.Context) (faults []string) {
-	if r.line.main.running() {
-		if err := r.line.stop(ctx); err != nil {
+	if r.processes.main.running() {
+		if err := r.processes.stop(ctx); err != nil {
 			faults = append(faults, err.Error())
 		}
-	} else if r.line.main.fault() == nil {
-		faults = append(faults, fmt.Sprintf("process %d had ended: %s", r.line.main.Pid, r.line.main.fate()))
+	} else if r.processes.main.fault() == nil {
+		faults = append(faults, fmt.Sprintf("process %d had exited: %s", r.processes.main.Pid, r.processes.main.status()))
 	}
-	return append(faults, r.line.faults()...)
+	return append(faults, r.processes.faults()...)
 }
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	muffleEvery  = 500 * time.Millisecond
-	silentFor    = 4 * time.Second
-	downFor      = 8 * time.Second
-	snapshotName = "learned.snapshot"
-	snapshotMs   = 500
+	loseResponsesEvery = 500 * time.Millisecond // in releaseHidden
+	silentFor          = 4 * time.Second        // of servers
+	downFor            = 8 * time.Second        // of discovery
+	snapshotName       = "learned.snapshot"
+	snapshotMs         = 500 // interval between snapshots, in milliseconds
 
-	// What the platform grants between SIGTERM and SIGKILL: the longest deadline, or this if that is longer, and a bit.
+	// The platform grants the longest deadline, but at most maxDeadline, plus killAfter between SIGTERM and SIGKILL.
 	maxDeadline = 3 * time.Second
 	killAfter   = 700 * time.Millisecond
 )
 
-// Scenario is something that happens to a fleet or a sidecar.
+// Scenario is an event that affects a fleet or a sidecar.
 type Scenario struct {
 	Name  string
-	About string // in a few words
+	About string // short description
 
 	event   func(context.Context, *rig) error
-	after   time.Duration                         // of load, from the event on
-	prepare func(*rig)                            // before the load; nil = nothing
-	edit    func(dir string) func(map[string]any) // of the configuration; nil = none
-	strict  bool                                  // nothing may be lost
+	after   time.Duration                         // duration of load from the event on
+	prepare func(*rig)                            // called before the load; nil = none
+	edit    func(dir string) func(map[string]any) // returns a change of the configuration; nil = none
+	strict  bool                                  // no request may be lost
 }
 
-// Scenarios returns all of them, in the order in which they are worth reading.
+// Scenarios returns all scenarios, in the order of the report.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "release-hidden", About: "every provider is replaced while connections to the directory go silent",
+			Name: "release-hidden", About: "every provider is replaced while open connections to the directory lose responses",
 			event: releaseHidden, after: 11 * time.Second,
 		},
-		{Name: "release-told", About: "the same, told", event: releaseAnnounced, after: 11 * time.Second},
+		{Name: "release-told", About: "the same, while the directory sends all changes", event: releaseAnnounced, after: 11 * time.Second},
 		{
 			Name: "silence", About: "a quarter of the machines vanish for 4 s and come back cold",
 			event: silence, after: 8 * time.Second,
@@ -57,23 +57,25 @@
 			event: handOver, after: 4 * time.Second, strict: true,
 		},
 		{
-			Name: "start-cold", About: "a crash with providers that fail; the next process knows nothing",
-			event: startCold, after: 4 * time.Second, prepare: someFail, edit: keepSnapshot,
+			Name: "start-cold", About: "a crash while some providers fail; the next process has no snapshot",
+			event: startCold, after: 4 * time.Second, prepare: failSomeServers, edit: keepSnapshot,
 		},
 		{
 			Name: "start-from-snapshot", About: "the same; the next process has a snapshot",
-			event: crash, after: 4 * time.Second, prepare: someFail, edit: keepSnapshot,
+			event: crash, after: 4 * time.Second, prepare: failSomeServers, edit: keepSnapshot,
 		},
 		{
-			Name: "directory-down", About: "the directory is down for 8 s, misses a release and then tells all",
+			Name: "directory-down", About: "the directory is down for 8 s during a release, then lists all changes",
 			event: discoveryDown, after: 11 * time.Second,
 		},
 	}
 }
 
+// releaseAnnounced performs a release while discovery works.
 func releaseAnnounced(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
 
-// releaseHidden loses the answers on every connection that has been open for a moment. New ones are fine.
+// releaseHidden performs a release while discovery's responses are lost on each connection opened before the last
+// loseResponsesEvery. New connections work.
 func releaseHidden(ctx context.Context, r *rig) error {
 	released := make(chan error, 1)
 	go func() { released <- r.release(ctx, r.setup.Servers) }()
@@ -82,11 +84,12 @@
 		select {
 		case err := <-released:
 			return err
-		case <-time.After(muffleEvery):
+		case <-time.After(loseResponsesEvery):
 		}
 	}
 }
 
+// silence makes the faulty servers unreachable for silentFor, then restarts them.
 func silence(ctx context.Context, r *rig) error {
 	for _, p := range r.faultyServers() {
 		if err := p.SetSilent(true); err != nil {
@@ -108,44 +111,49 @@
 	return nil
 }
 
+// restart terminates the sidecar and starts the next process when the platform may kill the first one.
 func restart(ctx context.Context, r *rig) error {
 	var longest time.Duration
 	for _, c := range r.setup.classes() {
 		longest = max(longest, c.Deadline)
 	}
-	if err := r.line.main.Signal(syscall.SIGTERM); err != nil {
-		return fmt.Errorf("signal process %d: %w", r.line.main.Pid, err)
+	if err := r.processes.main.Signal(syscall.SIGTERM); err != nil {
+		return fmt.Errorf("signal process %d: %w", r.processes.main.Pid, err)
 	}
 	if err := fakes.Pause(ctx, min(longest, maxDeadline)+killAfter); err != nil {
 		return err
 	}
-	return crash(ctx, r) // however early the first one has ended, the next one starts only now
+	return crash(ctx, r) // the next process starts only now even if the first one exited earlier
 }
 
+// crash kills the sidecar and starts another process at once.
 func crash(ctx context.Context, r *rig) error {
-	r.line.main.kill()
-	if err := ended(ctx, r.line.main); err != nil {
+	r.processes.main.kill()
+	if err := awaitExit(ctx, r.processes.main); err != nil {
 		return err
 	}
-	return r.again(ctx)
+	return r.startAgain(ctx)
 }
 
+// startCold is like crash, without a snapshot for the next process.
 func startCold(ctx context.Context, r *rig) error {
-	r.line.main.kill()
-	if err := ended(ctx, r.line.main); err != nil {
+	r.processes.main.kill()
+	if err := awaitExit(ctx, r.processes.main); err != nil {
 		return err
 	}
 	if err := os.Remove(filepath.Join(r.setup.Dir, snapshotName)); err != nil && !os.IsNotExist(err) {
 		return err
 	}
-	return r.again(ctx)
+	return r.startAgain(ctx)
 }
 
+// handOver performs a hot restart.
 func handOver(ctx context.Context, r *rig) error {
-	_, err := r.line.handOver(ctx)
+	_, err := r.processes.handOver(ctx)
 	return err
 }
 
+// discoveryDown takes discovery down for downFor and replaces the faulty servers meanwhile.
 func discoveryDown(ctx context.Context, r *rig) error {
 	if err := r.fleet.Discovery.SetDown(true); err != nil {
 		return err
@@ -163,16 +171,18 @@
 	return r.fleet.Discovery.SetDown(false)
 }
 
-// someFail makes a part of the fleet answer nine of ten requests with an error, and quickly: only a sidecar that has sent requests knows.
-func someFail(r *rig) {
+// failSomeServers makes a quarter of the fleet fail nine of ten requests, and quickly, which a sidecar learns only by
+// sending requests.
+func failSomeServers(r *rig) {
 	for _, p := range r.faultyServers() {
 		p.SetBehaviour(fakes.Behaviour{FailFraction: 0.9, Slowdown: 0.3})
 	}
 }
 
+// keepSnapshot returns a change of the configuration that enables snapshots.
 func keepSnapshot(dir string) func(map[string]any) {
 	return func(document map[string]any) {
-		kept := map[string]any{"path": filepath.Join(dir, snapshotName), "every_ms": snapshotMs}
-		document["plankrouter"] = map[string]any{"snapshot": kept}
+		snapshot := map[string]any{"path": filepath.Join(dir, snapshotName), "every_ms": snapshotMs}
+		document["plankrouter"] = map[string]any{"snapshot": snapshot}
 	}
 }
--- a/internal/testbench/recovery/table.go
+++ b/internal/testbench/recovery/table.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// head names the columns, which are those of Figures.
-const head = "scenario\tseed\tprogram\trequests\tnormal\tback s\tbelow s\tworst\tfirst 2 s\tlost\tunansw.\t" +
+// tableHeader holds the names of the columns, which are those of Report.
+const tableHeader = "scenario\tseed\tprogram\trequests\tnormal\tback s\tbelow s\tworst\tfirst 2 s\tlost\tunansw.\t" +
 	"failed\trefused\tunreach.\ttwice\tlate\tprobes/s\tlists/s\tstall ms\t\n"
 
-// WriteTable writes a line for each report, and below them what was broken.
+// WriteTable writes a row for each report, followed by the violated rules.
 func WriteTable(w io.Writer, reports []Report) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(t, head)
+	fmt.Fprint(t, tableHeader)
 	for _, r := range reports {
 		back, first := "never", "-"
 		if r.Recovery != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Write writes the report, a line for each figure.
+// Write writes the report, one line for each figure.
 func (h HandoverReport) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	seconds := func(s float64) string {
@@ -58,12 +58,12 @@
 		{"failed", h.Failed},
 		{"refused", h.Rejected},
 		{"unreachable", h.Unreachable},
-		{"further runs of orders", h.Twice},
-		{"longest time without an answer", seconds(h.LongestGap)},
+		{"extra runs of orders", h.ExtraRuns},
+		{"longest time without a response", seconds(h.LongestGap)},
 		{"handover, median", seconds(h.Median)},
 		{"handover, worst", seconds(h.Worst)},
-		{"of it until the successor is ready, median", seconds(h.Start)},
-		{"the lab itself held up, longest", seconds(h.Stall)},
+		{"handover until the successor is ready, median", seconds(h.Start)},
+		{"longest stall of the test bench", seconds(h.Stall)},
 	} {
 		fmt.Fprintf(t, "%s\t%v\n", row.name, row.value)
 	}
@@ -71,7 +71,7 @@
 		for _, met := range []string{beforeReady, whilePassing, afterDone} {
 			fmt.Fprintf(t, "killed %s\t%d\n", met, h.Kills[met])
 		}
-		fmt.Fprintf(t, "started afresh\t%d\nlost to kills\t%d\n", h.Afresh, h.LostToKill)
+		fmt.Fprintf(t, "processes started after a kill\t%d\nlost to kills\t%d\n", h.FreshStarts, h.LostToKill)
 	}
 	if err := t.Flush(); err != nil {
 		return err
