--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -86,7 +86,7 @@
 			return err
 		}
 	}
-	plan := simulated.Usual()
+	plan := simulated.DefaultPlan()
 	plan.Window, plan.CallsAll, plan.Restart, plan.Only = c.Window, c.CallsAll, c.Restart, c.Scene
 	var f fleetResults
 	if c.Program != "" {
@@ -107,7 +107,7 @@
 				continue
 			}
 			set.Kind, set.Sidecars = kind, n
-			rows, failed := simulated.Play(ctx, set, plan)
+			rows, failed := simulated.RunScenes(ctx, set, plan)
 			f.Rows = append(f.Rows, rows...)
 			if err := c.save(f); err != nil { // what has been played is kept, whatever comes after
 				return err
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxQueueTime = 2 * time.Second  // for which a call that needs a slot waits for it, before it is rejected
-	maxPollTime  = 60 * time.Second // for which a call is held
+	maxSlotWait = 2 * time.Second  // longest wait for a slot; a poll that would wait longer is rejected
+	maxPollTime = 60 * time.Second // longest time for which a poll is held open
 )
 
-// Traffic is what discovery has seen. Bytes are those of TCP's payload.
+// Traffic counts the polls of discovery, those for the complete list, those rejected, connections, and bytes of TCP payload.
 type Traffic struct {
 	Calls, Complete, Rejected, Connections int64
 	BytesIn, BytesOut                      int64
@@ -34,18 +34,18 @@
 
 func (t Traffic) plus(o Traffic) Traffic { return t.minus(Traffic{}.minus(o)) }
 
-// discoveryServer is a stand-in: one service for all, or, with several listeners, an agent for each sidecar that the list is pushed
-// to. It speaks the platform's protocol and shares no code with the program.
+// discoveryServer is a fake discovery: one service for all sidecars or, with several listeners, an agent for each sidecar to
+// which the list is pushed. It implements the platform's protocol and shares no code with the program.
 type discoveryServer struct {
-	rate float64 // calls a second that get a slot: those for the whole list, and the first of a connection; 0 = all at once
+	rate float64 // slots per second, for polls of the complete list and the first poll of a connection; 0 = unlimited
 
 	mutex        sync.Mutex
 	revision     uint64
-	lines        []line
-	lineIndex    map[string]int // in lines
-	changed      chan struct{}  // closed with the next revision
-	complete     []byte         // the whole list as of now; nil = not encoded yet
-	nextFreeSlot time.Time      // the next free slot
+	entries      []entry
+	entryIndex   map[string]int // index in entries, by server id
+	changed      chan struct{}  // closed when the next revision is available
+	complete     []byte         // current complete list as JSON; nil = not encoded yet
+	nextFreeSlot time.Time      // when the next slot is free
 
 	server                         http.Server
 	calls, completeCalls, rejected atomic.Int64
@@ -53,18 +53,18 @@
 	addresses                      []string
 }
 
-// line is the last that is known of a server.
-type line struct {
+// entry is the latest state of a server, and the revision since when it has been so.
+type entry struct {
 	fakes.Endpoint
 	revision uint64
 }
 
-// newDiscovery listens at so many addresses of 127.0.0.0/8 with a first revision.
+// newDiscovery starts a discovery server that listens on the given number of addresses in 127.0.0.0/8, with revision 1.
 func newDiscovery(listeners int, rate float64, endpoints []fakes.Endpoint) (*discoveryServer, error) {
-	d := &discoveryServer{rate: rate, lineIndex: map[string]int{}, changed: make(chan struct{})}
+	d := &discoveryServer{rate: rate, entryIndex: map[string]int{}, changed: make(chan struct{})}
 	d.change(endpoints)
 	d.server.Handler = d
-	d.server.ConnContext = withFirst
+	d.server.ConnContext = markNewConnection
 	network := d.count.Wrap(fakes.Loopback())
 	for range listeners {
 		l, err := network.Listen("")
@@ -87,19 +87,19 @@
 	}
 }
 
-// change replaces or adds lines in a new revision, which it returns, and wakes all that wait.
+// change updates or adds endpoints in a new revision, which it returns, and wakes all waiting polls.
 func (d *discoveryServer) change(endpoints []fakes.Endpoint) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.revision++
 	for _, m := range endpoints {
-		i, known := d.lineIndex[m.ID]
+		i, known := d.entryIndex[m.ID]
 		if !known {
-			i = len(d.lines)
-			d.lineIndex[m.ID] = i
-			d.lines = append(d.lines, line{})
+			i = len(d.entries)
+			d.entryIndex[m.ID] = i
+			d.entries = append(d.entries, entry{})
 		}
-		d.lines[i] = line{m, d.revision}
+		d.entries[i] = entry{m, d.revision}
 	}
 	d.complete = nil
 	close(d.changed)
@@ -107,7 +107,7 @@
 	return d.revision
 }
 
-// update returns what a poll gets, and whether there is anything; changed is closed when there is.
+// update returns the response to a poll, and whether it contains anything new; changed is closed at the next revision.
 func (d *discoveryServer) update(complete bool, after uint64) (raw []byte, available bool, changed <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -115,7 +115,7 @@
 		return d.complete, true, nil
 	}
 	l := fakes.List{Revision: d.revision, Complete: complete, Endpoints: []fakes.Endpoint{}}
-	for _, e := range d.lines {
+	for _, e := range d.entries {
 		if complete && e.Phase != fakes.Deleted || !complete && e.revision > after {
 			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
@@ -127,7 +127,7 @@
 	return raw, complete || d.revision > after, d.changed
 }
 
-// reserveSlot returns how long a call waits for its slot; false = it is rejected.
+// reserveSlot returns how long a poll has to wait for its slot; false = it is rejected.
 func (d *discoveryServer) reserveSlot(now time.Time) (time.Duration, bool) {
 	if d.rate <= 0 {
 		return 0, true
@@ -138,21 +138,21 @@
 		d.nextFreeSlot = now
 	}
 	wait := d.nextFreeSlot.Sub(now)
-	if wait > maxQueueTime {
+	if wait > maxSlotWait {
 		return 0, false
 	}
 	d.nextFreeSlot = d.nextFreeSlot.Add(time.Duration(float64(time.Second) / d.rate))
 	return wait, true
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP handles a poll.
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
 	query := r.URL.Query()
 	complete := !query.Has("index")
 	after, _ := strconv.ParseUint(query.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
-	if first := isFirst(r.Context()); complete || first {
+	if first := isFirstPoll(r.Context()); complete || first {
 		wait, ok := d.reserveSlot(time.Now())
 		if !ok {
 			d.rejected.Add(1)
@@ -169,8 +169,8 @@
 	until := time.NewTimer(min(maxPollTime, time.Duration(ms)*time.Millisecond))
 	defer until.Stop()
 	for expired := ms == 0; ; {
-		raw, is, changed := d.update(complete, after)
-		if is || expired {
+		raw, available, changed := d.update(complete, after)
+		if available || expired {
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 			_, _ = w.Write(raw) // a client that has closed the connection polls again
@@ -186,6 +186,7 @@
 	}
 }
 
+// pause waits for the duration d, and reports whether the client stayed connected.
 func pause(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -197,15 +198,16 @@
 	}
 }
 
-type firstKey struct{}
+// newConnectionKey is the context key of the mark of markNewConnection.
+type newConnectionKey struct{}
 
-// withFirst marks a connection of which no call has come yet.
-func withFirst(ctx context.Context, _ net.Conn) context.Context {
-	return context.WithValue(ctx, firstKey{}, new(atomic.Bool))
+// markNewConnection marks a new connection, which has had no poll yet.
+func markNewConnection(ctx context.Context, _ net.Conn) context.Context {
+	return context.WithValue(ctx, newConnectionKey{}, new(atomic.Bool))
 }
 
-// isFirst reports whether it is the first call of its connection.
-func isFirst(ctx context.Context) bool {
-	called, _ := ctx.Value(firstKey{}).(*atomic.Bool)
+// isFirstPoll reports whether this is the first poll on its connection.
+func isFirstPoll(ctx context.Context) bool {
+	called, _ := ctx.Value(newConnectionKey{}).(*atomic.Bool)
 	return called != nil && called.CompareAndSwap(false, true)
 }
--- a/internal/testbench/simulated/doc.go
+++ b/internal/testbench/simulated/doc.go
@@ -1,11 +1,11 @@
-// Package simulated plays a fleet of simulated sidecars, some hundreds to a process, to see what thousands of them cost and how
-// soon a change of the endpoint list is in force at the last one.
+// Package simulated runs fleets of simulated sidecars, several hundred per process. It measures the resources that thousands
+// of them use, and how long it takes until a change of the endpoint list is in force at the last one.
 //
 // A simulated sidecar has the real configuration, dispatcher, policy, staleness and watch of discovery, the last over real
-// loopback connections to a fake discovery. It has no front end and no connections to servers: requests are drawn in the process,
-// and attempts and probes are answered in memory after a fixed time. Also missing are the parser and writer of HTTP, what is
-// learned of kept connections (package keepalive), snapshots, hot restarts, and the operators' address and log. Compare measures
-// a real and a simulated one side by side, which shows what that leaves out.
+// loopback connections to a fake discovery. It has no front end and no connections to servers: requests are generated in the
+// process, and attempts and probes get their responses in memory after a fixed time. It also lacks the HTTP parser and writer,
+// the idle timeouts learned from servers (package keepalive), snapshots, hot restarts, the admin interface and the log. Compare
+// runs a real and a simulated sidecar under the same load, which shows what the simulation leaves out.
 //
-// The fleet is a few processes, Parts, each with either discovery or sidecars. One process controls them over pipes.
+// A fleet consists of a few processes, Parts, each with either discovery or sidecars. One process controls them over pipes.
 package simulated
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -20,57 +20,59 @@
 )
 
 const (
-	discoveryMark = "discovery-of-this-one:1" // in a template, for a sidecar's own
-	inForceLook   = 5 * time.Millisecond      // between two looks at whether a revision is in force; its time is noted as it comes
-	startedAtOnce = 64                        // sidecars of a part that read their configuration side by side
+	discoveryPlaceholder  = "discovery-of-this-one:1" // placeholder in a template for a sidecar's own discovery address
+	inForceCheckInterval  = 5 * time.Millisecond      // interval at which a part checks whether a revision is in force; its time is recorded exactly
+	maxConcurrentSidecars = 64                        // sidecars of a part that start, stop or read their configuration concurrently
 )
 
-// order is one command to a part. Op says which fields count.
-type order struct {
+// command is a command to a part. Op determines which fields are used.
+type command struct {
 	Op string
 
-	// listen: a discovery with so many addresses; 0 Rate = no bound.
+	// listen: start a discovery server. Listeners is the number of its addresses, Rate its slots per second (0 = unlimited).
 	Listeners int
 	Rate      float64
-	Endpoints []fakes.Endpoint // change, too
+	Endpoints []fakes.Endpoint // also for change
 
-	// build: simulated sidecars by the template, each with a discovery of its own or with one for all.
+	// build: create Count simulated sidecars, numbered from First, with the template as configuration. They use the addresses in
+	// Discovery in turn.
 	First     int
 	Count     int
-	Template  []byte // prepare, too
+	Template  []byte // also for prepare
 	Discovery []string
-	Cores     int // 0 = as many as there are
-	MemoryMB  int // of the collector's limit, 0 = none
+	Cores     int // GOMAXPROCS; 0 = unchanged
+	MemoryMB  int // memory limit of the garbage collector; 0 = none
 
-	Known    bool          // start, restart: with the list in the configuration
-	Within   time.Duration // start, restart, await
+	Known    bool          // start, restart: start with the endpoint list in the configuration
+	Within   time.Duration // start, restart, await: timeout
 	Revision uint64        // await
-	PerS     float64       // calls: of each sidecar
-	Down     bool          // down
-	At       []string      // down: addresses
+	PerS     float64       // calls: requests per second of each sidecar
+	Down     bool          // down: whether the servers refuse connections
+	At       []string      // down: addresses of the servers
 }
 
-// reply is a part's answer.
-type reply struct {
+// response is a part's response to a command.
+type response struct {
 	Error     string
 	Addresses []string
 	Revision  uint64
-	Times     []float64 // by sidecar, in ms: from its start or, of await and reload, Unix time; 0 = not within the time
+	Times     []float64 // by sidecar, in ms: since its start or, for await and reload, Unix time; 0 = not within the timeout
 	Counts    Counts
-	Sent      map[string]int64 // calls by address
+	Sent      map[string]int64 // requests by server address
 }
 
-// Counts is what a part has used and done since its start.
+// Counts holds the resources that a part has used, and what it has done, since its start.
 type Counts struct {
 	CPU                        time.Duration
-	MemoryMB, HeapMB           float64 // resident, and what the collector has found in use
-	Calls, Probes, Unreached   int64   // attempts and probes that reached servers, and those of either that were refused there
+	MemoryMB, HeapMB           float64 // resident memory, and heap and stacks in use
+	Calls, Probes, Unreached   int64   // attempts and probes that reached servers, and those refused because a server was down
 	Served, Refused, Failed    int64
 	WatchFailures, WatchDoubts int64
 	Discovery                  Traffic
-	Late                       time.Duration // by which a timer came late at most, since the last count; of a sum the most
+	Late                       time.Duration // longest delay of a timer since the last count; the maximum in a sum
 }
 
+// minus returns the counts since o; MemoryMB, HeapMB and Late stay.
 func (c Counts) minus(o Counts) Counts {
 	c.CPU -= o.CPU
 	c.Calls, c.Probes, c.Unreached = c.Calls-o.Calls, c.Probes-o.Probes, c.Unreached-o.Unreached
@@ -80,7 +82,7 @@
 	return c
 }
 
-// plus adds another part's.
+// plus returns the sum of the counts of two parts.
 func (c Counts) plus(o Counts) Counts {
 	c.CPU += o.CPU
 	c.MemoryMB, c.HeapMB = c.MemoryMB+o.MemoryMB, c.HeapMB+o.HeapMB
@@ -92,7 +94,7 @@
 	return c
 }
 
-// worker is what a part's process has.
+// worker holds the state of a part's process.
 type worker struct {
 	dir       string
 	discovery *discoveryServer
@@ -101,28 +103,28 @@
 	busy      *process.BusyWatch
 }
 
-// Serve is the life of a part: it obeys the orders that it reads until they end.
+// Serve runs a part: it executes the commands that it reads from in, and writes a response to each, until in ends.
 func Serve(_ context.Context, in io.Reader, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "testbench-hollow-")
 	if err != nil {
 		return err
 	}
-	h := &worker{dir: dir, servers: newFakeServers(), busy: process.WatchBusy()}
-	defer h.close()
-	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
+	w := &worker{dir: dir, servers: newFakeServers(), busy: process.WatchBusy()}
+	defer w.close()
+	commands, responses := json.NewDecoder(in), json.NewEncoder(out)
 	for {
-		var o order
-		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
+		var o command
+		if err := commands.Decode(&o); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("orders: %w", err)
+			return fmt.Errorf("commands: %w", err)
 		}
-		r, err := h.execute(&o)
+		r, err := w.execute(&o)
 		if err != nil {
 			r.Error = o.Op + ": " + err.Error()
 		}
-		if err := replies.Encode(r); err != nil {
-			return fmt.Errorf("replies: %w", err)
+		if err := responses.Encode(r); err != nil {
+			return fmt.Errorf("responses: %w", err)
 		}
 	}
 }
@@ -138,7 +140,7 @@
 	_ = os.RemoveAll(w.dir)
 }
 
-func (w *worker) execute(o *order) (r reply, err error) {
+func (w *worker) execute(o *command) (r response, err error) {
 	switch o.Op {
 	case "listen":
 		if w.discovery, err = newDiscovery(o.Listeners, o.Rate, o.Endpoints); err == nil {
@@ -169,13 +171,13 @@
 	case "sent":
 		r.Sent = w.servers.sent()
 	default:
-		err = errors.New("unknown order")
+		err = errors.New("unknown command")
 	}
 	return r, err
 }
 
-// restart ends the first so many and starts them all at once.
-func (w *worker) restart(o *order) ([]float64, error) {
+// restart stops the first Count sidecars and starts them all at once.
+func (w *worker) restart(o *command) ([]float64, error) {
 	count := min(o.Count, len(w.sidecars))
 	if err := w.each(count, func(_ int, s *sidecar) error { s.end(); return nil }); err != nil {
 		return nil, err
@@ -183,7 +185,7 @@
 	return w.start(count, o)
 }
 
-// reload has all read their configuration again, and returns when each had.
+// reload makes all sidecars reload their configuration, and returns when each had done so.
 func (w *worker) reload() ([]float64, error) {
 	times := make([]float64, len(w.sidecars))
 	err := w.each(len(w.sidecars), func(i int, s *sidecar) error {
@@ -194,17 +196,18 @@
 	return times, err
 }
 
-// setDown has servers refuse connections, or take them again.
+// setDown sets whether the servers at the addresses refuse connections.
 func (w *worker) setDown(addresses []string, down bool) {
 	for _, address := range addresses {
 		w.servers.at(address).down.Store(down)
 	}
 }
 
+// unixMs returns t as Unix time in milliseconds.
 func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1e3 }
 
-// build makes the sidecars' configurations.
-func (w *worker) build(o *order) error {
+// build creates the sidecars and writes their configurations.
+func (w *worker) build(o *command) error {
 	if o.Cores > 0 {
 		runtime.GOMAXPROCS(o.Cores)
 	}
@@ -224,27 +227,27 @@
 	return nil
 }
 
-// each does something to the first so many, some side by side.
+// each calls do for the first count sidecars, up to maxConcurrentSidecars of them concurrently.
 func (w *worker) each(count int, do func(int, *sidecar) error) error {
 	var group errgroup.Group
-	group.SetLimit(startedAtOnce)
+	group.SetLimit(maxConcurrentSidecars)
 	for i, s := range w.sidecars[:count] {
 		group.Go(func() error { return do(i, s) })
 	}
 	return group.Wait()
 }
 
-// start starts the first so many and returns after how long each had discovery's first answer in force.
-func (w *worker) start(count int, o *order) ([]float64, error) {
+// start starts the first count sidecars, and returns how long it took until discovery's first response was in force at each.
+func (w *worker) start(count int, o *command) ([]float64, error) {
 	if err := w.each(count, func(_ int, s *sidecar) error { return s.start(o.Known) }); err != nil {
 		return nil, err
 	}
 	times := make([]float64, count)
-	for until := time.Now().Add(o.Within); ; time.Sleep(inForceLook) {
+	for until := time.Now().Add(o.Within); ; time.Sleep(inForceCheckInterval) {
 		missing := false
 		for i, s := range w.sidecars[:count] {
 			if times[i] == 0 {
-				times[i] = s.firstAfter(o.Known)
+				times[i] = s.firstUpdateAfter(o.Known)
 				missing = missing || times[i] == 0
 			}
 		}
@@ -254,10 +257,10 @@
 	}
 }
 
-// await returns when a revision came into force at each.
+// await returns when the revision, or a later one, came into force at each sidecar.
 func (w *worker) await(revision uint64, within time.Duration) []float64 {
 	times := make([]float64, len(w.sidecars))
-	for until := time.Now().Add(within); ; time.Sleep(inForceLook) {
+	for until := time.Now().Add(within); ; time.Sleep(inForceCheckInterval) {
 		missing := false
 		for i, s := range w.sidecars {
 			if times[i] > 0 {
@@ -275,6 +278,7 @@
 	}
 }
 
+// counts returns the part's counts.
 func (w *worker) counts() (c Counts, err error) {
 	if c.CPU, err = process.CPU(os.Getpid()); err != nil {
 		return c, err
@@ -304,7 +308,7 @@
 	return c, nil
 }
 
-// resident is the memory of a process in MB.
+// resident returns the resident memory of a process in MB.
 func resident(pid int) (float64, error) {
 	bytes, err := process.Resident(pid)
 	return float64(bytes) / (1 << 20), err
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -13,34 +13,34 @@
 	"plankrouter/internal/testbench/process"
 )
 
-// Comparison is one real sidecar or one simulated one, alone in a process, in the same world.
+// Comparison holds the results of one real or one simulated sidecar, alone in a process, in the same environment.
 type Comparison struct {
 	Which             string  `json:"which"` // real or hollow
 	Servers           int     `json:"servers"`
-	RequestsPerSecond float64 `json:"asked_s"` // calls a second that were drawn
+	RequestsPerSecond float64 `json:"asked_s"` // requests per second that were generated
 	CPUPct            float64 `json:"cpu_pct"` // of a core
 	MemoryMB          float64 `json:"memory_mb"`
-	CallsS            float64 `json:"calls_s"` // that servers got
+	CallsS            float64 `json:"calls_s"` // attempts that servers received, per second
 	ProbesS           float64 `json:"probes_s"`
 	ListCalls         float64 `json:"list_calls_s"`
 	ListIn            float64 `json:"list_bytes_in_s"`
 	ListOut           float64 `json:"list_bytes_out_s"`
 	CompleteLists     int64   `json:"list_whole"`
-	StallMs           float64 `json:"stall_ms"`           // see process.Neighbours
-	Machine           float64 `json:"machine_cores_busy"` // likewise
+	StallMs           float64 `json:"stall_ms"`           // see process.BusyWatch
+	Machine           float64 `json:"machine_cores_busy"` // see process.BusyWatch
 }
 
 const (
-	readyWithin = 10 * time.Second
-	endWithin   = 10 * time.Second
-	warmUp      = 2 * time.Second // before the window
+	readyWithin = 10 * time.Second // for a sidecar to be ready
+	exitTimeout = 10 * time.Second // for a part to exit
+	warmUp      = 2 * time.Second  // load before the measured window
 )
 
-// Compare measures one of each side by side in time: a window of the real one, then one of the simulated one, in a world of an
-// agent, a list and, for the real one, servers that answer as quickly as the simulated one's do in memory.
+// Compare measures a real sidecar for the given window, and then a simulated one. Each has an agent and an endpoint list;
+// the servers of the real one respond as quickly as the simulated ones do in memory.
 func Compare(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (out []Comparison, err error) {
 	if set.Spawn == nil {
-		set.Spawn = Here
+		set.Spawn = InProcess
 	}
 	set.Sidecars, set.Kind = 1, Pushed
 	measured, err := measureReal(ctx, program, set, rate, window)
@@ -49,26 +49,27 @@
 	}
 	simulatedSidecar, err := measureSimulated(ctx, set, rate, window)
 	if err != nil {
-		return nil, fmt.Errorf("hollow: %w", err)
+		return nil, fmt.Errorf("simulated: %w", err)
 	}
 	return []Comparison{measured, simulatedSidecar}, nil
 }
 
-// startDiscovery is a world with an agent and nobody else.
-func startDiscovery(ctx context.Context, set Setup, endpoints []fakes.Endpoint) (w *world, agent string, template []byte, err error) {
-	w = &world{set: set, endpoints: endpoints, latencyObjective: fakes.TileClass().LatencyObjective, known: fakes.List{Revision: 1, Endpoints: endpoints}}
-	addresses, err := w.listen(ctx, 1)
+// startDiscovery starts a fleet that consists of an agent alone.
+func startDiscovery(ctx context.Context, set Setup, endpoints []fakes.Endpoint) (f *fleetControl, agent string, template []byte, err error) {
+	f = &fleetControl{set: set, endpoints: endpoints, latencyObjective: fakes.TileClass().LatencyObjective, known: fakes.List{Revision: 1, Endpoints: endpoints}}
+	addresses, err := f.listen(ctx, 1)
 	if err != nil {
-		return w, "", nil, err
+		return f, "", nil, err
 	}
-	template, err = w.template()
-	return w, addresses[0], template, err
+	template, err = f.template()
+	return f, addresses[0], template, err
 }
 
+// measureSimulated measures a simulated sidecar.
 func measureSimulated(ctx context.Context, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
-	w, agent, template, err := startDiscovery(ctx, set, servers(set.Servers))
+	f, agent, template, err := startDiscovery(ctx, set, servers(set.Servers))
 	defer func() {
-		if ended := w.close(); err == nil {
+		if ended := f.close(); err == nil {
 			err = ended
 		}
 	}()
@@ -79,8 +80,8 @@
 	if err != nil {
 		return c, err
 	}
-	w.simulatedFleet, w.counts = []*Part{p}, []int{1}
-	for _, o := range []order{
+	f.simulatedFleet, f.counts = []*Part{p}, []int{1}
+	for _, o := range []command{
 		{Op: "build", Count: 1, Template: template, Discovery: []string{agent}, Cores: 1, MemoryMB: memoryMB * 7 / 10},
 		{Op: "start", Known: true, Within: readyWithin},
 		{Op: "calls", PerS: rate},
@@ -92,31 +93,32 @@
 	time.Sleep(warmUp)
 	busy := process.WatchBusy()
 	defer busy.Close()
-	u, long, err := w.during(func() error { time.Sleep(window); return nil })
+	u, duration, err := f.measure(func() error { time.Sleep(window); return nil })
 	if err != nil {
 		return c, err
 	}
 	c = Comparison{
-		Which: "hollow", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * u.Simulated.CPU.Seconds() / long.Seconds(),
-		MemoryMB: u.Simulated.MemoryMB, CallsS: float64(u.Simulated.Calls) / long.Seconds(),
-		ProbesS: float64(u.Simulated.Probes) / long.Seconds(),
+		Which: "hollow", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * u.Simulated.CPU.Seconds() / duration.Seconds(),
+		MemoryMB: u.Simulated.MemoryMB, CallsS: float64(u.Simulated.Calls) / duration.Seconds(),
+		ProbesS: float64(u.Simulated.Probes) / duration.Seconds(),
 	}
-	c.addDiscoveryTraffic(u, long, busy)
+	c.addDiscoveryTraffic(u, duration, busy)
 	return c, nil
 }
 
-func (c *Comparison) addDiscoveryTraffic(u used, long time.Duration, busy *process.BusyWatch) {
+// addDiscoveryTraffic sets the fields on discovery's traffic and on the machine's load.
+func (c *Comparison) addDiscoveryTraffic(u usage, duration time.Duration, busy *process.BusyWatch) {
 	late, cores := busy.Sample()
 	c.StallMs, c.Machine = ms(late), cores
-	t, s := u.Discovery.Discovery, long.Seconds()
+	t, s := u.Discovery.Discovery, duration.Seconds()
 	c.ListCalls, c.ListIn, c.ListOut, c.CompleteLists = float64(t.Calls)/s, float64(t.BytesIn)/s, float64(t.BytesOut)/s, t.Complete
 }
 
-// startWarmFleet starts servers that are past slow start, as those of simulated sidecars are, in all zones by turns.
+// startWarmFleet starts servers that are past slow start, as those of simulated sidecars are, spread evenly over all zones.
 func startWarmFleet(network fakes.Network, servers int) (*fakes.Fleet, []fakes.Endpoint, error) {
 	fleet, err := fakes.NewFleet(network, servers, fakes.ServerOptions{
 		ID: "t", Seed: 1, Cores: 64, Queue: 64,
-		MaxIdle: time.Minute, Default: fakes.Service{Mean: callTakes, Body: 64},
+		MaxIdle: time.Minute, Default: fakes.Service{Mean: requestDuration, Body: 64},
 	})
 	if err != nil {
 		return nil, nil, err
@@ -129,6 +131,7 @@
 	return fleet, endpoints, nil
 }
 
+// measureReal measures a real sidecar.
 func measureReal(ctx context.Context, program string, set Setup, rate float64, window time.Duration) (c Comparison, err error) {
 	network := fakes.Loopback()
 	fleet, endpoints, err := startWarmFleet(network, set.Servers)
@@ -136,9 +139,9 @@
 		return c, err
 	}
 	defer fleet.Close()
-	w, agent, template, err := startDiscovery(ctx, set, endpoints)
+	f, agent, template, err := startDiscovery(ctx, set, endpoints)
 	defer func() {
-		if ended := w.close(); err == nil {
+		if ended := f.close(); err == nil {
 			err = ended
 		}
 	}()
@@ -174,7 +177,7 @@
 	}
 	busy := process.WatchBusy()
 	defer busy.Close()
-	u, long, err := w.during(func() error { time.Sleep(window); return nil })
+	u, duration, err := f.measure(func() error { time.Sleep(window); return nil })
 	if err != nil {
 		return c, err
 	}
@@ -182,38 +185,38 @@
 	if err != nil {
 		return c, err
 	}
-	calls2, probes2 := reached(fleet)
+	callsAfter, probesAfter := reached(fleet)
 	c = Comparison{
-		Which: "real", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * (after - before).Seconds() / long.Seconds(),
-		CallsS: float64(calls2-calls) / long.Seconds(), ProbesS: float64(probes2-probes) / long.Seconds(),
+		Which: "real", Servers: set.Servers, RequestsPerSecond: rate, CPUPct: 100 * (after - before).Seconds() / duration.Seconds(),
+		CallsS: float64(callsAfter-calls) / duration.Seconds(), ProbesS: float64(probesAfter-probes) / duration.Seconds(),
 	}
-	c.addDiscoveryTraffic(u, long, busy)
+	c.addDiscoveryTraffic(u, duration, busy)
 	c.MemoryMB, err = resident(sidecar.program.Pid())
 	return c, err
 }
 
-// realSidecar is the program, running as a process.
+// realSidecar is a process of the sidecar's program.
 type realSidecar struct {
 	address string
-	dir     string // of its configuration
+	dir     string // for its configuration
 	program *process.Program
 	log     bytes.Buffer
 }
 
 // startReal starts the program and waits until it is ready.
 func startReal(ctx context.Context, network fakes.Network, program, agent string, template []byte) (_ *realSidecar, err error) {
-	front, err := network.Listen("")
+	listener, err := network.Listen("")
 	if err != nil {
 		return nil, err
 	}
-	r := &realSidecar{address: front.Addr().String()}
-	front.Close()
+	r := &realSidecar{address: listener.Addr().String()}
+	listener.Close()
 	if r.dir, err = os.MkdirTemp("", "testbench-real-"); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			_ = r.stop() // the error that ended the start says more
+			_ = r.stop() // the error of the start is returned instead
 		}
 	}()
 	s := sidecar{discovery: agent, file: filepath.Join(r.dir, "config.json")}
@@ -231,19 +234,19 @@
 	return r, fakes.AwaitReady(ready, network, r.address)
 }
 
-// stop ends the process, if it was started, and removes its files.
+// stop stops the process, if it was started, and removes its files.
 func (r *realSidecar) stop() error {
 	defer func() { _ = os.RemoveAll(r.dir) }()
 	if r.program == nil {
 		return nil
 	}
 	if err := r.program.Stop(); err != nil {
-		return fmt.Errorf("the program: %w: %s", err, r.log.String())
+		return fmt.Errorf("sidecar program: %w: %s", err, r.log.String())
 	}
 	return nil
 }
 
-// reached counts the requests and probes that the servers got.
+// reached counts the requests and probes that the servers received.
 func reached(f *fakes.Fleet) (calls, probes int) {
 	for _, p := range f.Servers {
 		calls, probes = calls+len(p.Requests()), probes+len(p.Probes())
--- a/internal/testbench/simulated/report.go
+++ b/internal/testbench/simulated/report.go
@@ -8,24 +8,24 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes a table for each scene, in the order in which they first come.
+// WriteTable writes a table for each scene, in the order of their first row.
 func WriteTable(out io.Writer, rows []Row) error {
 	var scenes []string
-	by := map[string][]Row{}
+	byScene := map[string][]Row{}
 	for _, r := range rows {
-		if by[r.Scene] == nil {
+		if byScene[r.Scene] == nil {
 			scenes = append(scenes, r.Scene)
 		}
-		by[r.Scene] = append(by[r.Scene], r)
+		byScene[r.Scene] = append(byScene[r.Scene], r)
 	}
 	for _, scene := range scenes {
 		t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		var head []string
-		for _, f := range by[scene][0].Metrics {
+		for _, f := range byScene[scene][0].Metrics {
 			head = append(head, f.Name)
 		}
 		fmt.Fprintf(t, "%s\tsidecars\tservers\t%s\n", scene, strings.Join(head, "\t"))
-		for _, r := range by[scene] {
+		for _, r := range byScene[scene] {
 			fmt.Fprintf(t, "%s\t%d\t%d", r.Kind, r.Sidecars, r.Servers)
 			for _, f := range r.Metrics {
 				fmt.Fprint(t, "\t", strconv.FormatFloat(f.Value, 'g', 4, 64))
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// WriteComparison writes a table of what was measured side by side.
+// WriteComparison writes a table of comparisons.
 func WriteComparison(out io.Writer, all []Comparison) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "side by side\tservers\tasked_s\tcpu_pct\tmemory_mb\tcalls_s\tprobes_s\tlist_calls_s\tlist_bytes_in_s\t"+
--- a/internal/testbench/simulated/scenes_restart.go
+++ b/internal/testbench/simulated/scenes_restart.go
@@ -7,27 +7,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const maxRestartTime = 30 * time.Second // for which a restarted sidecar is waited for
+const maxRestartTime = 30 * time.Second // timeout for a restarted sidecar to have the endpoint list
 
-// restart ends some sidecars and starts them all at once: with the list of their configuration, then without.
-func (p *play) restart() error {
+// restart stops some sidecars and starts them all at once: first with the endpoint list in their configuration, then without.
+func (p *sceneRun) restart() error {
 	for _, known := range []bool{true, false} {
 		var times []float64
-		u, _, err := p.during(func() error {
-			replies, left := make([]reply, len(p.simulatedFleet)), min(p.plan.Restart, p.set.Sidecars)
+		u, _, err := p.measure(func() error {
+			responses, left := make([]response, len(p.simulatedFleet)), min(p.plan.Restart, p.set.Sidecars)
 			var group errgroup.Group
 			for i, part := range p.simulatedFleet {
 				n := min(left, p.counts[i])
 				left -= n
 				group.Go(func() (err error) {
-					replies[i], err = part.send(order{Op: "restart", Count: n, Known: known, Within: maxRestartTime})
+					responses[i], err = part.send(command{Op: "restart", Count: n, Known: known, Within: maxRestartTime})
 					return err
 				})
 			}
 			if err := group.Wait(); err != nil {
 				return err
 			}
-			for _, r := range replies {
+			for _, r := range responses {
 				times = append(times, r.Times...)
 			}
 			return nil
--- a/internal/testbench/simulated/scenes_zone.go
+++ b/internal/testbench/simulated/scenes_zone.go
@@ -7,25 +7,25 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// zone loses a zone, an eighth of the servers, under calls: they refuse connections and discovery knows at once. Then they come
-// back as new processes.
-func (p *play) zone() error {
-	if _, err := all(p.simulatedFleet, order{Op: "calls", PerS: p.rate()}); err != nil {
+// zone takes a zone, an eighth of the servers, down under load: the servers refuse connections, and discovery deletes them
+// at once. Then it restores the zone.
+func (p *sceneRun) zone() error {
+	if _, err := sendAll(p.simulatedFleet, command{Op: "calls", PerS: p.rate()}); err != nil {
 		return err
 	}
 	time.Sleep(p.plan.Settle)
 	var lost []fakes.Endpoint
-	var gone []string
+	var addresses []string
 	for _, m := range p.endpoints {
 		if m.Locality == zone(zones-1) {
-			gone = append(gone, m.Address)
+			addresses = append(addresses, m.Address)
 			m.Phase = fakes.Deleted
 			lost = append(lost, m)
 		}
 	}
 	var times []float64
-	u, long, err := p.during(func() (err error) {
-		if _, err = all(p.simulatedFleet, order{Op: "down", At: gone, Down: true}); err != nil {
+	u, duration, err := p.measure(func() (err error) {
+		if _, err = sendAll(p.simulatedFleet, command{Op: "down", At: addresses, Down: true}); err != nil {
 			return err
 		}
 		times, err = p.change(lost, p.plan.Within)
@@ -42,24 +42,24 @@
 		{"failed", float64(u.Simulated.Failed)},
 		{"unreached", float64(u.Simulated.Unreached)},
 	},
-		p.cpu(u, long)[:2], p.traffic(u, 0)))
-	return p.returnZone(lost)
+		p.cpu(u, duration)[:2], p.traffic(u, 0)))
+	return p.restoreZone(lost)
 }
 
-// returnZone brings a lost zone back as new processes, which start cold, and ends the calls.
-func (p *play) returnZone(lost []fakes.Endpoint) error {
-	back := slices.Clone(lost)
-	for i := range back {
-		back[i].Phase, back[i].UpSince = fakes.Serving, time.Now().UnixMilli()
-		back[i].Address = serverAddress(1, slices.IndexFunc(p.endpoints, func(m fakes.Endpoint) bool { return m.ID == back[i].ID }))
+// restoreZone restores a lost zone with new processes, which start cold, and stops the load.
+func (p *sceneRun) restoreZone(lost []fakes.Endpoint) error {
+	restored := slices.Clone(lost)
+	for i := range restored {
+		restored[i].Phase, restored[i].UpSince = fakes.Serving, time.Now().UnixMilli()
+		restored[i].Address = serverAddress(1, slices.IndexFunc(p.endpoints, func(m fakes.Endpoint) bool { return m.ID == restored[i].ID }))
 	}
 	before, err := p.sent()
 	if err != nil {
 		return err
 	}
 	var times []float64
-	u, long, err := p.during(func() (err error) {
-		times, err = p.change(back, p.plan.Within)
+	u, duration, err := p.measure(func() (err error) {
+		times, err = p.change(restored, p.plan.Within)
 		time.Sleep(p.plan.Zone)
 		return err
 	})
@@ -89,16 +89,16 @@
 		{"refused", float64(u.Simulated.Refused)},
 		{"failed", float64(u.Simulated.Failed)},
 	},
-		p.cpu(u, long)[:2], p.traffic(u, 0)))
-	_, err = all(p.simulatedFleet, order{Op: "calls"})
+		p.cpu(u, duration)[:2], p.traffic(u, 0)))
+	_, err = sendAll(p.simulatedFleet, command{Op: "calls"})
 	return err
 }
 
-// sent returns the calls that each address has had.
-func (p *play) sent() (map[string]int64, error) {
-	replies, err := all(p.simulatedFleet, order{Op: "sent"})
+// sent returns the requests that each server address has received.
+func (p *sceneRun) sent() (map[string]int64, error) {
+	responses, err := sendAll(p.simulatedFleet, command{Op: "sent"})
 	sum := map[string]int64{}
-	for _, r := range replies {
+	for _, r := range responses {
 		for address, n := range r.Sent {
 			sum[address] += n
 		}
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -10,134 +10,136 @@
 	"plankrouter/policy"
 )
 
-// The times that a stand-in server takes, from an attempt's start to its end.
+// How long attempts at a fake server take, from start to end.
 const (
-	probeTakes  = 500 * time.Microsecond
-	callTakes   = 10 * time.Millisecond
-	refuseTakes = 200 * time.Microsecond
+	probeDuration   = 500 * time.Microsecond
+	requestDuration = 10 * time.Millisecond
+	refusalDuration = 200 * time.Microsecond
 )
 
-// fakeServers are the servers as the sidecars of one process see them: they answer in memory, and count.
+// fakeServers are the servers of the sidecars in one process. They respond in memory and count requests.
 type fakeServers struct {
 	mutex sync.Mutex
 	all   map[string]*fakeServer // by address
 }
 
-// fakeServer is one process of a server.
+// fakeServer is a server process.
 type fakeServer struct {
-	down                             atomic.Bool // it refuses connections
+	down                             atomic.Bool // refuses connections
 	inFlight, calls, probes, refused atomic.Int64
 }
 
 func newFakeServers() *fakeServers { return &fakeServers{all: map[string]*fakeServer{}} }
 
+// at returns the server at an address, and creates it if there is none.
 func (f *fakeServers) at(address string) *fakeServer {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	one := f.all[address]
-	if one == nil {
-		one = new(fakeServer)
-		f.all[address] = one
+	server := f.all[address]
+	if server == nil {
+		server = new(fakeServer)
+		f.all[address] = server
 	}
-	return one
+	return server
 }
 
-// sent returns the calls that each address got.
+// sent returns the requests that each address has received.
 func (f *fakeServers) sent() map[string]int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	out := make(map[string]int64, len(f.all))
-	for address, one := range f.all {
-		out[address] = one.calls.Load()
+	for address, server := range f.all {
+		out[address] = server.calls.Load()
 	}
 	return out
 }
 
-// counts returns the calls and probes of all, and what was refused of either.
+// counts returns the requests and probes that all servers received, and how many of either were refused.
 func (f *fakeServers) counts() (calls, probes, refused int64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, one := range f.all {
-		calls += one.calls.Load()
-		probes += one.probes.Load()
-		refused += one.refused.Load()
+	for _, server := range f.all {
+		calls += server.calls.Load()
+		probes += server.probes.Load()
+		refused += server.refused.Load()
 	}
 	return calls, probes, refused
 }
 
-// Endpoint, Forget, State and Restore make fakeServers an upstream.Upstream. Its conformance tests do not apply: there are no
+// Endpoint, Forget, State and Restore implement upstream.Upstream. Its conformance tests do not apply, since there are no
 // connections.
 func (f *fakeServers) Endpoint(_, address string) upstream.Endpoint {
 	return &endpoint{address: address, server: f.at(address)}
 }
 
-// Forget does nothing: the counts outlive the server.
+// Forget does nothing, so that the counts are kept.
 func (f *fakeServers) Forget(string) {}
 
-// State is nothing.
+// State returns no state.
 func (f *fakeServers) State(time.Time) ([]byte, error) { return nil, nil }
 
-// Restore takes nothing.
+// Restore ignores the state.
 func (f *fakeServers) Restore(time.Time, []byte, time.Duration) error { return nil }
 
-// endpoint stands for one sidecar's connections to a server: a single one, established with the first attempt.
+// endpoint simulates one sidecar's connections to a server as a single one, established with the first attempt.
 type endpoint struct {
-	address string
-	server  *fakeServer
-	since   time.Time
+	address     string
+	server      *fakeServer
+	connectedAt time.Time // zero = not connected
 }
 
 func (e *endpoint) Address() string { return e.address }
-func (e *endpoint) Close()          { e.since = time.Time{} }
+func (e *endpoint) Close()          { e.connectedAt = time.Time{} }
 
-// Start answers the attempt later, as a real one's end: from a goroutine of its own.
+// Start starts an attempt and reports its result later from another goroutine, as for a real one.
 func (e *endpoint) Start(task upstream.AttemptOptions) upstream.Attempt {
 	now := time.Now()
-	if e.since.IsZero() {
-		e.since = now
+	if e.connectedAt.IsZero() {
+		e.connectedAt = now
 	}
-	c := &attempt{server: e.server}
-	result, takes := upstream.Result{Outcome: outcome.Served, ConnectedAt: e.since}, probeTakes
+	a := &attempt{server: e.server}
+	result, duration := upstream.Result{Outcome: outcome.Served, ConnectedAt: e.connectedAt}, probeDuration
 	request := task.Request
 	switch {
 	case request != nil && request.IsClientGone():
-		result, takes = upstream.Result{Outcome: outcome.Withdrawn}, 0
+		result, duration = upstream.Result{Outcome: outcome.Withdrawn}, 0
 	case !task.StartBy.IsZero() && now.After(task.StartBy):
-		result, takes = upstream.Result{Outcome: outcome.ServerDraining}, 0
+		result, duration = upstream.Result{Outcome: outcome.ServerDraining}, 0
 	case e.server.down.Load():
 		e.server.refused.Add(1)
-		result, takes = upstream.Result{Outcome: outcome.ConnectRefused}, refuseTakes
+		result, duration = upstream.Result{Outcome: outcome.ConnectRefused}, refusalDuration
 	case request != nil:
-		takes = callTakes
+		duration = requestDuration
 		e.server.calls.Add(1)
 		e.server.inFlight.Add(1)
-		c.counted = true
+		a.counted = true
 		result.StatusCode = 200
 	default:
 		e.server.probes.Add(1)
 	}
-	time.AfterFunc(takes, func() {
-		if !c.end() {
+	time.AfterFunc(duration, func() {
+		if !a.end() {
 			return
 		}
 		if result.Outcome == outcome.Served {
 			result.Report = policy.Report{
 				HasRIF: true, HasLatency: true, RIF: float64(e.server.inFlight.Load()),
-				Latency: float64(callTakes) / float64(time.Millisecond),
+				Latency: float64(requestDuration) / float64(time.Millisecond),
 			}
 		}
 		task.OnEnd(result)
 	})
-	return c
+	return a
 }
 
-// attempt is one under way: it counts as written from its start.
+// attempt is an attempt in flight. Its request counts as written from the start, so that it can't be withdrawn.
 type attempt struct {
 	server  *fakeServer
 	ended   atomic.Bool
-	counted bool
+	counted bool // in the server's inFlight
 }
 
+// end ends the attempt, and reports whether it had not ended before.
 func (a *attempt) end() bool {
 	if !a.ended.CompareAndSwap(false, true) {
 		return false
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -21,7 +21,7 @@
 	"plankrouter/internal/staleness"
 )
 
-// sidecar is a simulated one, assembled of the program's own parts.
+// sidecar is a simulated sidecar, built from the program's own packages.
 type sidecar struct {
 	name, file, discovery string
 	seed                  uint64
@@ -33,24 +33,25 @@
 	dispatcher *dispatch.Dispatcher
 	watch      *discovery.Watch
 	stop       context.CancelFunc
-	ended      sync.WaitGroup
-	began      time.Time
+	goroutines sync.WaitGroup
+	startedAt  time.Time
 
 	mutex   sync.Mutex
-	updates []listUpdate // in order
-	first   time.Time    // when the first answer was known to be in force; it may hold no change
+	updates []listUpdate // in order of time
+	first   time.Time    // when discovery's first response was processed; it may contain no change
 
-	rate                    atomic.Uint64 // of calls a second, in thousandths
+	rate                    atomic.Uint64 // requests per 1000 seconds
 	served, refused, failed atomic.Int64
-	failures, fullRefreshes int64 // of the watch, in earlier lives
+	failures, fullRefreshes int64 // of the watch, before the last start
 }
 
-// listUpdate is a revision that came into force.
+// listUpdate is a revision of the endpoint list, and when it came into force.
 type listUpdate struct {
 	revision uint64
 	time     time.Time
 }
 
+// getenv returns the sidecar's environment variables.
 func (s *sidecar) getenv(key string) string {
 	switch key {
 	case "GW_CONFIG":
@@ -61,9 +62,10 @@
 	return ""
 }
 
-// start begins a life. Without the list that the configuration knows it has to ask for the whole one.
+// start starts the sidecar. If known is false it ignores the endpoint list in the configuration and has to poll for the
+// complete one.
 func (s *sidecar) start(known bool) (err error) {
-	s.began = time.Now()
+	s.startedAt = time.Now()
 	if s.cfg, err = config.Load(s.getenv); err != nil {
 		return err
 	}
@@ -84,7 +86,7 @@
 		MaxListBytes: discovery.MaxListBytes(int64(cfg.Limits.MemoryMB) << 20), Budget: budget,
 		OnUpdate: func(l endpoints.List, at time.Time) {
 			pool.UpdateEndpoints(l, at)
-			pool.Counts() // answered once the list is in force
+			pool.Counts() // returns once the list is in force
 			s.recordUpdate(l.Revision)
 		},
 		OnValidity: func(t staleness.Validity) { pool.SetListValidity(t) },
@@ -104,32 +106,33 @@
 	s.mutex.Lock()
 	s.updates, s.first = nil, time.Time{}
 	s.mutex.Unlock()
-	s.ended.Go(func() { _ = pool.Run(ctx) })
-	s.ended.Go(func() { _ = s.watch.Run(ctx) })
-	s.ended.Go(func() { s.awaitFirstUpdate(ctx, s.watch.FirstResponse()) })
-	s.ended.Go(func() { s.call(ctx, pool, cfg) })
+	s.goroutines.Go(func() { _ = pool.Run(ctx) })
+	s.goroutines.Go(func() { _ = s.watch.Run(ctx) })
+	s.goroutines.Go(func() { s.awaitFirstUpdate(ctx, s.watch.FirstResponse()) })
+	s.goroutines.Go(func() { s.generateLoad(ctx, pool, cfg) })
 	return nil
 }
 
-// end ends a life; its counts stay.
+// end stops the sidecar; its counts stay.
 func (s *sidecar) end() {
 	if s.stop == nil {
 		return
 	}
 	s.stop()
-	s.ended.Wait()
+	s.goroutines.Wait()
 	s.failures += s.watch.Failures.Load()
 	s.fullRefreshes += s.watch.FullRefreshes.Load()
 	s.stop = nil
 }
 
+// recordUpdate records that a revision is in force.
 func (s *sidecar) recordUpdate(revision uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.updates = append(s.updates, listUpdate{revision, time.Now()})
 }
 
-// awaitFirstUpdate notes when the first answer has come, which may hold no change.
+// awaitFirstUpdate records when discovery's first response has been processed, which may contain no change.
 func (s *sidecar) awaitFirstUpdate(ctx context.Context, first <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -140,8 +143,9 @@
 	}
 }
 
-// firstAfter is how long after its start the first answer came or, where no list was known, was in force; 0 = not yet.
-func (s *sidecar) firstAfter(known bool) float64 {
+// firstUpdateAfter returns how many ms after the start discovery's first update was in force; if the sidecar started with a
+// known list, a first response without a change counts, too. 0 = not yet.
+func (s *sidecar) firstUpdateAfter(known bool) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	at := s.first
@@ -154,22 +158,22 @@
 	if at.IsZero() {
 		return 0
 	}
-	return float64(at.Sub(s.began).Microseconds()) / 1e3
+	return float64(at.Sub(s.startedAt).Microseconds()) / 1e3
 }
 
-// inForce returns when a revision, or a later one, came into force; zero = it has not.
+// inForce returns when the revision, or a later one, came into force; zero = it has not.
 func (s *sidecar) inForce(revision uint64) time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, h := range s.updates {
-		if h.revision >= revision {
-			return h.time
+	for _, u := range s.updates {
+		if u.revision >= revision {
+			return u.time
 		}
 	}
 	return time.Time{}
 }
 
-// reload does what the program does on SIGHUP, as far as a simulated sidecar has the parts.
+// reload reloads the configuration as the program does on SIGHUP, without the parts that a simulated sidecar lacks.
 func (s *sidecar) reload() error {
 	next, _, err := s.cfg.Reload(s.getenv)
 	if err != nil {
@@ -191,10 +195,10 @@
 	return nil
 }
 
-const callLook = 200 * time.Millisecond // between two looks at the rate while there are no calls
+const rateCheckInterval = 200 * time.Millisecond // interval at which generateLoad checks the rate while it is 0
 
-// call draws calls at the rate that was ordered.
-func (s *sidecar) call(ctx context.Context, pool *dispatch.Dispatcher, cfg *config.Config) {
+// generateLoad submits requests at the commanded rate until ctx is done.
+func (s *sidecar) generateLoad(ctx context.Context, pool *dispatch.Dispatcher, cfg *config.Config) {
 	rng := rand.New(rand.NewPCG(s.seed, 0x63616c6c))
 	timeout := config.Duration(cfg.Settings.Classes[0].HardLimitMs)
 	timer := time.NewTimer(0)
@@ -203,9 +207,9 @@
 	for n := 0; ; n++ {
 		rate := float64(s.rate.Load()) / 1e3
 		if rate > 0 {
-			next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))) // whatever the last one took
+			next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))) // independent of the duration of earlier requests
 		} else {
-			next = time.Now().Add(callLook)
+			next = time.Now().Add(rateCheckInterval)
 		}
 		timer.Reset(time.Until(next))
 		select {
@@ -216,13 +220,14 @@
 		if rate > 0 {
 			pool.Submit(&request.Request{
 				ID: s.name + "-" + strconv.Itoa(n), Tenant: -1, SentAt: time.Now(), Timeout: timeout,
-				Method: "GET", Target: "/tile/1", Respond: s.answered,
+				Method: "GET", Target: "/tile/1", Respond: s.countResponse,
 			})
 		}
 	}
 }
 
-func (s *sidecar) answered(a request.Response) {
+// countResponse counts a response by its kind.
+func (s *sidecar) countResponse(a request.Response) {
 	switch a.Kind {
 	case request.Served:
 		s.served.Add(1)
@@ -233,10 +238,10 @@
 	}
 }
 
-// write puts its configuration in place: that of all, with its own discovery.
+// write writes the sidecar's configuration: the template with its own discovery address and zone.
 func (s *sidecar) write(template []byte) error {
-	raw := bytes.ReplaceAll(template, []byte(discoveryMark), []byte(s.discovery))
-	raw = bytes.ReplaceAll(raw, []byte(zoneMark), []byte(strconv.Itoa(s.zone)))
+	raw := bytes.ReplaceAll(template, []byte(discoveryPlaceholder), []byte(s.discovery))
+	raw = bytes.ReplaceAll(raw, []byte(zonePlaceholder), []byte(strconv.Itoa(s.zone)))
 	if err := os.WriteFile(s.file, raw, 0o600); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
