--- a/internal/testbench/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -24,7 +24,7 @@
 	method      string
 	idempotency string // as in the settings: pure, token or side_effect
 	deadline    time.Duration
-	fraction    float64 // share of all requests
+	fraction    float64 // of all requests
 }
 
 // classesFor returns the request classes of a deployment whose longest deadline is longestDeadline.
@@ -44,7 +44,7 @@
 	closesEarly                  // closes its connection before the response
 	resetsEarly                  // resets its connection before the response
 	sendsInPieces                // sends the request slowly, in pieces
-	sendsLastBytesLate           // sends the last bytes at lastBytesAt, unless it got a response or the connection was closed before
+	sendsLastBytesLate           // sends the last bytes at lastBytesAt, unless it gets a response or a close before
 )
 
 // request is a request and its result as seen by its client.
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -13,8 +13,8 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// playFault injects a fault and returns once it is over.
-func (w *world) playFault(ctx context.Context, t Fault) {
+// injectFault injects a fault and returns once it is over.
+func (w *environment) injectFault(ctx context.Context, t Fault) {
 	n, s, v := t.Target%len(w.sidecars), at(w.sidecars, t.Target), at(w.servers, t.Target)
 	pause := func() { _ = fakes.Pause(ctx, t.For) }
 	switch t.Kind {
@@ -23,9 +23,9 @@
 			return
 		}
 		defer s.release()
-		w.playProcessFault(ctx, t, s)
+		w.injectProcessFault(ctx, t, s)
 	case Reload, ReloadBurst, ConfigFails: // these may coincide with any other fault of the process
-		w.playProcessFault(ctx, t, s)
+		w.injectProcessFault(ctx, t, s)
 	case AcceptFails, ConnectFails, Interrupted, DiskFails:
 		w.failSystemCalls(ctx, t, s, pause)
 	case SlowConnects:
@@ -38,7 +38,7 @@
 		pause()
 		p.Signal(syscall.SIGCONT)
 	case CordonOrder:
-		w.playCordonOrder(ctx, t, n, s, v)
+		w.injectCordonOrder(ctx, t, n, s, v)
 	case ClockStep:
 		w.stepClocks(pick(t.Draw, -time.Hour, -5*time.Second, 5*time.Second, time.Hour))
 	case Silent, Down, Late:
@@ -53,12 +53,12 @@
 		unanswered := w.clients[n].flood(ctx, int(t.Draw*maxFlood), badClientWithin)
 		w.updateRecord(func(r *record) { r.unansweredPartial += unanswered })
 	default:
-		w.playServerFault(t, v, pause)
+		w.injectServerFault(t, v, pause)
 	}
 }
 
 // failSystemCalls makes system calls of a sidecar fail, or be interrupted, for the duration of the fault.
-func (w *world) failSystemCalls(ctx context.Context, t Fault, s *sidecar, pause func()) {
+func (w *environment) failSystemCalls(ctx context.Context, t Fault, s *sidecar, pause func()) {
 	switch t.Kind {
 	case AcceptFails:
 		w.fail(s, faultinjection.Accept, pick(t.Draw, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.EPROTO), pause)
@@ -77,7 +77,7 @@
 }
 
 // stepClocks steps the wall clock of all sidecars.
-func (w *world) stepClocks(step time.Duration) {
+func (w *environment) stepClocks(step time.Duration) {
 	total := w.offset.Add(int64(step))
 	for _, s := range w.sidecars {
 		s.control.Step(time.Duration(total))
@@ -88,7 +88,7 @@
 
 // slowConnects delays the establishment of connections to a sidecar's servers. In half of the cases it also resets the open
 // connections under their next request, so that retries are sent on new ones.
-func (w *world) slowConnects(t Fault, s *sidecar, pause func()) {
+func (w *environment) slowConnects(t Fault, s *sidecar, pause func()) {
 	delay := (1 + t.Draw) / 2 * float64(min(w.variant.connectTimeout-slowConnectMargin, maxSlowConnect))
 	s.control.Hold(faultinjection.SlowConnect, time.Duration(delay))
 	defer s.control.Heal(faultinjection.SlowConnect)
@@ -101,7 +101,7 @@
 }
 
 // fail makes an operation of a sidecar fail with errno until pause returns.
-func (w *world) fail(s *sidecar, o faultinjection.Op, errno syscall.Errno, pause func()) {
+func (w *environment) fail(s *sidecar, o faultinjection.Op, errno syscall.Errno, pause func()) {
 	s.control.Fail(o, errno, -1)
 	pause()
 	s.control.Heal(o)
@@ -109,7 +109,7 @@
 
 // interrupt makes a sidecar's polls and peeks of sockets fail with EINTR for the given duration, a few in a row every
 // interruptEvery.
-func (w *world) interrupt(ctx context.Context, s *sidecar, duration time.Duration) {
+func (w *environment) interrupt(ctx context.Context, s *sidecar, duration time.Duration) {
 	for began := time.Now(); time.Since(began) < duration; {
 		s.control.Fail(faultinjection.Poll, syscall.EINTR, interruptions)
 		s.control.Fail(faultinjection.Peek, syscall.EINTR, interruptions)
@@ -121,8 +121,8 @@
 	s.control.Heal(faultinjection.Peek)
 }
 
-// playProcessFault injects a fault that ends, replaces or reloads a sidecar's process.
-func (w *world) playProcessFault(ctx context.Context, t Fault, s *sidecar) {
+// injectProcessFault injects a fault that ends, replaces or reloads a sidecar's process.
+func (w *environment) injectProcessFault(ctx context.Context, t Fault, s *sidecar) {
 	switch t.Kind {
 	case Terminate:
 		s.terminate(ctx)
@@ -148,27 +148,27 @@
 }
 
 // reload writes a changed configuration and sends the sidecar SIGHUP.
-func (w *world) reload(s *sidecar, t Fault) {
+func (w *environment) reload(s *sidecar, t Fault) {
 	w.reconfigure(s, t, w.classes)
 	s.signal(syscall.SIGHUP)
 }
 
 // reconfigure writes a changed configuration with the given classes, without a reload.
-func (w *world) reconfigure(s *sidecar, t Fault, classes []class) {
+func (w *environment) reconfigure(s *sidecar, t Fault, classes []class) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	s.edits++
 	to := w.discoveries[(int(t.Draw*10)+s.edits)%len(w.discoveries)]
 	if err := s.configure(to.Address(), w.options.Seed+uint64(s.number), w.editWith(s.edits, classes)); err != nil {
-		s.fault("configuration: %v", err)
+		s.addFault("configuration: %v", err)
 	}
 }
 
-// playCordonOrder cordons a server at a sidecar through its admin interface, and uncordons it after the fault's duration.
-func (w *world) playCordonOrder(ctx context.Context, t Fault, n int, s *sidecar, v *serverSlot) {
+// injectCordonOrder cordons a server at a sidecar through its admin interface, and uncordons it after the fault's duration.
+func (w *environment) injectCordonOrder(ctx context.Context, t Fault, n int, s *sidecar, v *serverSlot) {
 	server := v.ID()
 	key := serverAtSidecar{n, server}
-	if _, active := w.ordered.LoadOrStore(key, true); active { // at most one order for a sidecar and a server at a time, since the first to end would revoke the other
+	if _, active := w.ordered.LoadOrStore(key, true); active { // the first of two orders to end would revoke the other
 		return
 	}
 	defer w.ordered.Delete(key)
@@ -193,7 +193,7 @@
 }
 
 // outage keeps both discoveries from sending changes, or delays them, until pause returns.
-func (w *world) outage(kind Kind, pause func()) {
+func (w *environment) outage(kind Kind, pause func()) {
 	from := time.Now()
 	set := func(on bool) {
 		for _, d := range w.discoveries {
@@ -218,7 +218,7 @@
 }
 
 // corruptResponses makes a server's proxy corrupt responses until pause returns, or all proxies if the server has none.
-func (w *world) corruptResponses(kind Kind, v *serverSlot, pause func()) {
+func (w *environment) corruptResponses(kind Kind, v *serverSlot, pause func()) {
 	set := func(on bool) {
 		for _, s := range w.servers {
 			if s.proxy == nil || v.proxy != nil && s != v {
@@ -236,8 +236,8 @@
 	set(false)
 }
 
-// playServerFault injects a fault of a server, which has at most one at a time.
-func (w *world) playServerFault(t Fault, v *serverSlot, pause func()) {
+// injectServerFault injects a fault of a server, which has at most one at a time.
+func (w *environment) injectServerFault(t Fault, v *serverSlot, pause func()) {
 	if !v.faulty.CompareAndSwap(false, true) {
 		return
 	}
@@ -273,7 +273,7 @@
 }
 
 // restart ends a server's process and starts a cold one, which discovery lists at once.
-func (w *world) restart(v *serverSlot, id string, pause func()) {
+func (w *environment) restart(v *serverSlot, id string, pause func()) {
 	v.Kill()
 	pause()
 	err := v.Start(id)
@@ -293,8 +293,8 @@
 }
 
 // replace drains a server, ends it, and starts another with a new id in its place.
-func (w *world) replace(v *serverSlot, pause func()) {
-	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // a draining server fails probes, but serves the requests it receives
+func (w *environment) replace(v *serverSlot, pause func()) {
+	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // but it serves requests
 	defer v.SetBehaviour(fakes.Behaviour{})
 	leave := w.endpoint(v, fakes.Draining, 0)
 	w.updateRecord(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -17,7 +17,7 @@
 	drainSlack      = 50 * time.Millisecond  // after the drain grace, and after a retry window
 	disconnectSlack = 100 * time.Millisecond // from a client's disconnect to the last attempt for it
 	deadlineSlack   = 150 * time.Millisecond // by which the deadline that an attempt carries may exceed the time left
-	maxNotifyDelay  = 6 * time.Second        // within which a change of discovery is known to all while the watch is silent
+	maxNotifyDelay  = 6 * time.Second        // within which all sidecars know of a change of discovery while the watch is silent
 	badClientWithin = 3 * time.Second        // within which a partial request gets an error or its connection is closed
 	stallRange      = 300 * time.Millisecond // of a measured time, within which a stall of this process adds to its slack
 )
@@ -32,7 +32,7 @@
 	FalseRejection Rule = "promise"   // a request with side effects that may have run was rejected
 	RetryWindow    Rule = "window"    // a request with a token was retried after its retry window
 	ClientGone     Rule = "gone"      // an attempt was made for a client that had disconnected
-	Deadline       Rule = "deadline"  // an attempt carried a later deadline than its client's
+	Deadline       Rule = "deadline"  // an attempt carried a longer deadline than its client had left
 	Drain          Rule = "drain"     // an attempt was sent to a server that was draining or deleted
 	Order          Rule = "order"     // an attempt was sent to a server that operators had cordoned
 	SlowStart      Rule = "slowstart" // a cold server got too many requests
@@ -86,10 +86,10 @@
 // record is what clients, servers and processes have recorded in a run.
 type record struct {
 	start             time.Time
-	window            time.Duration // within which requests with a token may be retried
+	retryWindow       time.Duration // within which requests with a token may be retried
 	onRequest         bool          // discovery is polled on request, so its changes count as known later
-	slack             time.Duration // added to each tolerance, since measurements at the other end of a socket are late on a busy machine
-	stalls            []span        // in which this process was stalled
+	slack             time.Duration // added to each tolerance for late measurements on a busy machine
+	stalls            []span        // periods in which this process was stalled
 	requests          []*request
 	attempts          []attempt
 	draining          []drainingServer
@@ -100,7 +100,7 @@
 	learnedAt         map[serverAtSidecar][]time.Time // when a sidecar logged that a server is draining or gone
 	killed            func(sidecar int, from, to time.Time) bool
 	shutdowns         map[int][]span      // from SIGTERM to the kill of a process that had not exited, by sidecar
-	longStalls        int                 // injected stalls that lasted longer than maxStallLength since this process was late
+	longStalls        int                 // injected stalls that lasted longer than maxStallLength because this process was late
 	unansweredPartial int                 // clients that sent a partial request and got neither a response nor a close
 	faults            map[string][]string // of processes and of the harness, by name
 }
@@ -137,11 +137,11 @@
 	return all
 }
 
-// adder records a violation of a rule.
-type adder func(rule Rule, at time.Time, format string, args ...any)
+// addFunc records a violation of a rule.
+type addFunc func(rule Rule, at time.Time, format string, args ...any)
 
 // judgeResponse checks that the request got one final response of its own in time.
-func (r *record) judgeResponse(q *request, add adder) {
+func (r *record) judgeResponse(q *request, add addFunc) {
 	latest := q.startedAt.Add(q.class.deadline + responseSlack)
 	latest = latest.Add(r.slackAt(latest))
 	switch {
@@ -159,7 +159,7 @@
 // judgeResent checks a request that its client resent because its connection was closed without a response. The request may
 // have crossed the close of an idle connection. It counts as lost if the first send was forwarded, so the sidecar had read
 // it, or if its connection was open when the process was killed.
-func (r *record) judgeResent(q *request, attempts []attempt, add adder) {
+func (r *record) judgeResent(q *request, attempts []attempt, add addFunc) {
 	first := q.firstSend
 	if first.from.IsZero() || r.killed(q.sidecar, first.from, first.to) {
 		return
@@ -194,7 +194,7 @@
 
 // judgeIdempotency checks that a request that may have run was not sent again where its idempotency forbids it, and not
 // rejected.
-func (r *record) judgeIdempotency(q *request, attempts []attempt, add adder) {
+func (r *record) judgeIdempotency(q *request, attempts []attempt, add addFunc) {
 	var ran []attempt
 	for _, a := range attempts {
 		if a.mayRun() {
@@ -212,14 +212,14 @@
 			add(FalseRejection, q.respondedAt, "%s: rejected with %d, but %s by %s", q.id, q.status, ran[0].Outcome, ran[0].Server)
 		}
 	case q.class.idempotency == "token":
-		if late := attempts[len(attempts)-1].Sent.Sub(ran[0].Sent) - r.window; late > drainSlack+r.slackAt(attempts[len(attempts)-1].Sent) {
+		if late := attempts[len(attempts)-1].Sent.Sub(ran[0].Sent) - r.retryWindow; late > drainSlack+r.slackAt(attempts[len(attempts)-1].Sent) {
 			add(RetryWindow, attempts[len(attempts)-1].Sent, "%s: retried %s after its window", q.id, late)
 		}
 	}
 }
 
 // judgeTimes checks that no attempt was sent after its client disconnected, or with a deadline later than the client's.
-func (r *record) judgeTimes(q *request, attempts []attempt, add adder) {
+func (r *record) judgeTimes(q *request, attempts []attempt, add addFunc) {
 	for _, a := range attempts {
 		if late := a.Sent.Sub(q.disconnectedAt); !q.disconnectedAt.IsZero() && late > disconnectSlack+r.slackAt(a.Sent) {
 			add(ClientGone, a.Sent, "%s: sent %s after its client disconnected", q.id, late)
@@ -277,7 +277,7 @@
 
 // judgeDraining checks that no attempt is sent to a draining or deleted server once its sidecar knows and the drain grace
 // has passed.
-func (r *record) judgeDraining(add adder) {
+func (r *record) judgeDraining(add addFunc) {
 	for _, l := range r.draining {
 		notified := r.notifiedAt(l.since)
 		for _, a := range r.attempts {
@@ -285,7 +285,7 @@
 				continue
 			}
 			since := notified
-			for _, learned := range r.learnedAt[serverAtSidecar{a.sidecar, l.server}] { // may include a cordon by operators, from before it drained
+			for _, learned := range r.learnedAt[serverAtSidecar{a.sidecar, l.server}] { // includes earlier cordons by operators
 				if !learned.Before(l.since) && learned.Before(since) {
 					since = learned
 				}
@@ -299,7 +299,7 @@
 }
 
 // judgeOrders checks that no attempt is sent to a server that operators have cordoned once the drain grace has passed.
-func (r *record) judgeOrders(add adder) {
+func (r *record) judgeOrders(add addFunc) {
 	for _, o := range r.orders {
 		for _, a := range r.attempts {
 			late := a.Sent.Sub(o.acknowledgedAt) - drainGrace
@@ -327,7 +327,7 @@
 	return int(n + 2*math.Sqrt(n) + 2)
 }
 
-// arrival is the arrival of a request at a cold server, and whether its sidecar must have known of the server's start.
+// arrival is a request at a cold server, and whether its sidecar must have known of the server's start.
 type arrival struct {
 	time     time.Time
 	notified bool
@@ -336,7 +336,7 @@
 // judgeStarts checks that no server in slow start gets more requests than its budget. Sidecars whose watch was silent may
 // not know of the start, so the rule is violated only if over two thirds of the requests came from sidecars that had been
 // notified.
-func (r *record) judgeStarts(add adder) {
+func (r *record) judgeStarts(add addFunc) {
 	for server, starts := range r.starts {
 		for i, began := range starts {
 			end := began.Add(warmUpTime)
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -18,7 +18,7 @@
 // validRecord returns a record without violations: a request with side effects, served by s1.
 func validRecord() *record {
 	return &record{
-		start: epoch, slack: ms(10), window: ms(900),
+		start: epoch, slack: ms(10), retryWindow: ms(900),
 		requests: []*request{{id: "n0-1", class: classesFor(1500 * time.Millisecond)[2], startedAt: after(100), sentAt: after(101), respondedAt: after(130), status: 200}},
 		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Answered}, 0}},
 		starts:   map[string][]time.Time{}, processStarts: map[int][]time.Time{0: {epoch}}, learnedAt: map[serverAtSidecar][]time.Time{},
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -13,7 +13,7 @@
 // The kinds of fault: of sidecars, of their system calls and clocks, of servers, of discovery and of the proxy.
 const (
 	Terminate             Kind = "terminate"       // SIGTERM, SIGKILL once killAfter has passed, and a new process
-	ShutdownFaults        Kind = "aimed_end"       // likewise, with stalls, failing calls and other signals at critical times: see shutdownfaults.go
+	ShutdownFaults        Kind = "aimed_end"       // Terminate with other faults around it: see shutdownfaults.go
 	Crash                 Kind = "crash"           // SIGKILL and a new process
 	Reload                Kind = "reload"          // SIGHUP, with another discovery or other targets
 	ReloadBurst           Kind = "reload_burst"    // several in a row
@@ -40,7 +40,7 @@
 	Late                  Kind = "discovery_late"
 	CutAnswers            Kind = "cut_answers" // the proxy resets connections within a response
 	Dribble               Kind = "dribble"     // the proxy forwards responses in small pieces
-	DisconnectDuringStall Kind = "leave_held"  // clients disconnect while their sidecar is stopped and its connections are being established
+	DisconnectDuringStall Kind = "leave_held"  // clients disconnect while their sidecar is stopped and connects to servers
 	Disconnect            Kind = "leave"       // many clients disconnect
 	Flood                 Kind = "flood"       // many connections that send nothing or a partial request
 )
@@ -62,7 +62,7 @@
 )
 
 // kindWeights lists all kinds. Accept failures are short, as the operators' terms require: a connection that stays in the
-// kernel's accept queue until its client has given up, or until the process is killed, can't be answered.
+// kernel's accept queue until its client has timed out, or until the process is killed, can't be answered.
 var kindWeights = []kindWeight{
 	{Terminate, 2, 0, 0},
 	{ShutdownFaults, 5, 0, 0},
@@ -97,7 +97,7 @@
 	{Flood, 1, 500 * time.Millisecond, 2 * time.Second},
 }
 
-// Fault is a fault that begins at a time of the run and lasts for a duration.
+// Fault is a fault with its time in a run.
 type Fault struct {
 	At, For time.Duration // At is the time since the start of the run
 	Kind    Kind
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -62,7 +62,7 @@
 			break
 		}
 		out.Faults[t.Kind]++
-		w.running.Go(func() { w.playFault(ctx, t) })
+		w.running.Go(func() { w.injectFault(ctx, t) })
 	}
 	w.running.Wait()
 	<-stalled
@@ -97,7 +97,7 @@
 // Write writes the report as text.
 func (r *Report) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d sockets, on request %t, deadlines up to %s, connect timeout %s, retry window %s, many clients %t: %d requests, %d served, %d rejected, %d failed, %d disconnected, %d without a connection; %d attempts; longest stall %s\n",
-		r.Seed, r.sockets, r.onRequest, r.longestDeadline, r.connectTimeout, r.window, r.manyClients, r.Requests, r.Served, r.Rejected, r.Failed, r.Disconnected, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
+		r.Seed, r.maxConns, r.onRequest, r.longestDeadline, r.connectTimeout, r.retryWindow, r.manyClients, r.Requests, r.Served, r.Rejected, r.Failed, r.Disconnected, r.Unreachable, r.Attempts, r.Stall.Round(time.Millisecond))
 	fmt.Fprint(to, "  faults:")
 	for _, k := range slices.Sorted(maps.Keys(r.Faults)) {
 		fmt.Fprintf(to, " %s %d", k, r.Faults[k])
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	steadyClients      = 12
-	steadyPause        = 20 * time.Millisecond // after each response
-	overloadClients    = 150
-	overloadPause      = 100 * time.Millisecond
+	steadyClients      = 12                     // clients that send around a shutdown
+	steadyPause        = 20 * time.Millisecond  // after each response
+	overloadClients    = 150                    // the same with variant.manyClients
+	overloadPause      = 100 * time.Millisecond // after each response, with variant.manyClients
 	steadyLead         = 300 * time.Millisecond // before SIGTERM, when the load begins
 	lateRequests       = 4                      // clients that send the rest of a request late
 	lateRequestWindow  = 700 * time.Millisecond // before the kill, within which they send it
-	stallLength        = shutdown.MaxStall
-	maxStallLength     = 165 * time.Millisecond // of a stall that the harness prolonged: what is lost in a longer one is not judged
+	stallLength        = shutdown.MaxStall      // of an injected stall
+	maxStallLength     = 165 * time.Millisecond // longest actual stall for which lost requests are judged; a busy machine may prolong stalls
 	minStallGap        = 20 * time.Millisecond  // between two stalls
 	endBeforeKill      = 100 * time.Millisecond // earliest end of the last stall, before the kill
 	endAfterKill       = 140 * time.Millisecond // latest end of the last stall, after the kill
-	minSlice           = 2 * time.Millisecond   // shortest time that a process runs between two consecutive stalls
-	maxSlice           = 30 * time.Millisecond  // longest such time
+	minRunTime         = 2 * time.Millisecond   // shortest time that a process runs between two consecutive stalls
+	maxRunTime         = 30 * time.Millisecond  // longest such time
 	unresponsiveLead   = 200 * time.Millisecond // before the last accept, when half of the servers stop responding
 	signalWindow       = 150 * time.Millisecond // before or after SIGTERM, within which other signals are sent
-	closeSignalWindow  = 5 * time.Millisecond   // likewise, for half of the other signals
+	closeSignalWindow  = 5 * time.Millisecond   // the same for half of these signals
 	failAcceptMax      = 60 * time.Millisecond  // longest time for which accepts fail
 	handoverCheckDelay = 60 * time.Millisecond  // after SIGTERM, when followHandover checks for a completed hot restart
 	shorterDivisor     = 2                      // divisor of the deadlines where a reload shortens them
@@ -53,7 +53,7 @@
 	stalls       []time.Duration // times after SIGTERM at which the process is stopped for stallLength
 	failAccepts  time.Duration   // how long accepts fail around the last one; 0 = they don't
 	failFrom     time.Duration   // when failAccepts begins, after SIGTERM
-	hanging      bool            // half of the servers don't respond from shortly before the last accept until the kill
+	unresponsive bool            // half of the servers don't respond from shortly before the last accept until the kill
 	interrupted  bool            // polls and peeks of sockets fail with EINTR around the last accept
 	shorter      bool            // a reload before SIGTERM shortens the deadlines
 	killAfter    time.Duration   // from SIGTERM to SIGKILL
@@ -88,7 +88,7 @@
 	} else { // across the last accept or the last response
 		e.addStall(pickOne(rng, plan.LastForward, plan.LastResponse) - time.Duration(rng.Float64()*float64(stallLength)))
 	}
-	e.hanging = rng.IntN(3) > 0
+	e.unresponsive = rng.IntN(3) > 0
 	if rng.IntN(3) == 0 {
 		e.failFrom = plan.LastForward - time.Duration(rng.Float64()*float64(minStallGap))
 		e.failAccepts = time.Duration(rng.Float64() * float64(failAcceptMax))
@@ -112,7 +112,7 @@
 	end := s.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
 	for range 1 + rng.IntN(3) {
 		s.stalls = append(s.stalls, end-stallLength)
-		end -= stallLength + minSlice + time.Duration(rng.Float64()*float64(maxSlice-minSlice))
+		end -= stallLength + minRunTime + time.Duration(rng.Float64()*float64(maxRunTime-minRunTime))
 	}
 }
 
@@ -128,13 +128,13 @@
 
 // shutdownUnderFaults sends a process SIGTERM while many clients send requests and the drawn faults are injected, kills it
 // at the earliest time that operators may, and starts another.
-func (w *world) shutdownUnderFaults(ctx context.Context, t Fault, s *sidecar) {
+func (w *environment) shutdownUnderFaults(ctx context.Context, t Fault, s *sidecar) {
 	rng := rand.New(rand.NewPCG(w.options.Seed, uint64(t.At)))
 	e := drawShutdownFault(rng, w.variant.longestDeadline, w.variant.manyClients)
 	p := s.currentProcess()
 	group, err := syscall.Getpgid(p.Pid)
 	if err != nil {
-		s.fault("process %d: %v", p.Pid, err)
+		s.addFault("process %d: %v", p.Pid, err)
 		return
 	}
 	s.mutex.Lock()
@@ -166,7 +166,7 @@
 }
 
 // scheduleFaults schedules the drawn faults, each relative to the time of SIGTERM, in goroutines of all.
-func (w *world) scheduleFaults(ctx context.Context, all *sync.WaitGroup, signalAt time.Time, e shutdownFault, t Fault, s *sidecar, p *process) {
+func (w *environment) scheduleFaults(ctx context.Context, all *sync.WaitGroup, signalAt time.Time, e shutdownFault, t Fault, s *sidecar, p *process) {
 	at := func(after time.Duration, do func()) {
 		all.Go(func() {
 			time.Sleep(time.Until(signalAt.Add(after)))
@@ -196,13 +196,13 @@
 	if e.interrupted {
 		at(lastForward-minStallGap, func() { w.interrupt(ctx, s, 4*minStallGap) })
 	}
-	if e.hanging {
+	if e.unresponsive {
 		at(lastForward-unresponsiveLead, func() { w.stallHalfOfServers(signalAt.Add(e.killAfter)) })
 	}
 }
 
 // stallHalfOfServers makes half of the servers unresponsive until the given time, except those that have another fault.
-func (w *world) stallHalfOfServers(until time.Time) {
+func (w *environment) stallHalfOfServers(until time.Time) {
 	var unresponsive []*serverSlot
 	for _, v := range w.servers[:len(w.servers)/2] {
 		if v.faulty.CompareAndSwap(false, true) {
@@ -219,7 +219,7 @@
 
 // stallProcess stops a process for stallLength. If the harness prolonged the stall beyond maxStallLength it counts as a
 // crash, since requests lost in it are not the sidecar's fault.
-func (w *world) stallProcess(s *sidecar, p *process) {
+func (w *environment) stallProcess(s *sidecar, p *process) {
 	from := time.Now()
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(stallLength)
@@ -263,29 +263,29 @@
 		s.mutex.Unlock()
 	}
 	<-p.exited
-	for began := time.Now(); time.Since(began) < groupExitTimeout; time.Sleep(time.Millisecond) { // successors are reaped by this process, which adopted them
+	for began := time.Now(); time.Since(began) < groupExitTimeout; time.Sleep(time.Millisecond) { // this process adopts successors and reaps them
 		if _, err := syscall.Wait4(-group, nil, syscall.WNOHANG, nil); err == syscall.ECHILD {
 			return
 		}
 	}
-	s.fault("processes of group %d still exist %s after SIGKILL", group, groupExitTimeout)
+	s.addFault("processes of group %d still exist %s after SIGKILL", group, groupExitTimeout)
 }
 
 // disconnectDuringStall has clients disconnect while their sidecar is stopped, and meanwhile the connections to servers for
 // their requests are established.
-func (w *world) disconnectDuringStall(ctx context.Context, n int, s *sidecar) {
+func (w *environment) disconnectDuringStall(ctx context.Context, n int, s *sidecar) {
 	const (
-		clients = 40
-		slow    = 100 * time.Millisecond // time to establish a connection
-		before  = 60 * time.Millisecond  // until the stop: the requests are read and their connections are being established
-		leaving = 10 * time.Millisecond  // from the stop until the clients disconnect
+		clients         = 40
+		connectDelay    = 100 * time.Millisecond // time to establish a connection
+		stallDelay      = 60 * time.Millisecond  // until the stop: the requests are read and their connections are being established
+		disconnectDelay = 10 * time.Millisecond  // from the stop until the clients disconnect
 	)
 	began := time.Now()
-	s.control.Hold(faultinjection.SlowConnect, slow)
+	s.control.Hold(faultinjection.SlowConnect, connectDelay)
 	defer s.control.Heal(faultinjection.SlowConnect)
 	var all sync.WaitGroup
-	all.Go(func() { w.clients[n].sendAndDisconnectAt(clients, began.Add(before+leaving)) })
-	_ = fakes.Pause(ctx, before)
+	all.Go(func() { w.clients[n].sendAndDisconnectAt(clients, began.Add(stallDelay+disconnectDelay)) })
+	_ = fakes.Pause(ctx, stallDelay)
 	w.stallProcess(s, s.currentProcess())
 	all.Wait()
 }
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -28,7 +28,7 @@
 	adminWithin = 3 * time.Second  // timeout of an order at the admin interface
 
 	listenFailures     = 3                      // the first listen calls of a process that starts after a crash
-	afterLongest       = 700 * time.Millisecond // added to the longest deadline: the earliest kill after SIGTERM
+	killMargin         = 700 * time.Millisecond // added to the longest deadline: the earliest kill after SIGTERM
 	maxCountedDeadline = 3 * time.Second        // part of the longest deadline that killAfter takes into account
 )
 
@@ -42,7 +42,7 @@
 
 // killAfter returns how long after SIGTERM a process with the given longest deadline may be killed at the earliest.
 func killAfter(longestDeadline time.Duration) time.Duration {
-	return min(longestDeadline, maxCountedDeadline) + afterLongest
+	return min(longestDeadline, maxCountedDeadline) + killMargin
 }
 
 // sidecar is a sequence of real processes under one name, with a folder, a configuration and injected faults.
@@ -101,11 +101,11 @@
 
 func (s *sidecar) path(name string) string { return filepath.Join(s.folder, name) }
 
-// configure replaces the configuration file atomically, since a process may be reading it.
+// configure replaces the configuration file atomically, since a process may read it at any time.
 func (s *sidecar) configure(discovery string, seed uint64, edit func(map[string]any)) error {
 	raw, err := fakes.Config(fakes.SidecarConfig{
 		Name: s.name, Listen: s.address, Seed: seed, Discovery: discovery, Known: s.known,
-		MaxConns: s.sockets, ConnIdle: connIdle, ConnectTimeout: s.connectTimeout, DrainGrace: drainGrace, WarmUpTime: warmUpTime,
+		MaxConns: s.maxConns, ConnIdle: connIdle, ConnectTimeout: s.connectTimeout, DrainGrace: drainGrace, WarmUpTime: warmUpTime,
 		Edit: func(d map[string]any) {
 			d["admin_addr"] = s.admin
 			d["plankrouter"] = map[string]any{"snapshot": map[string]any{"path": s.path("snapshot"), "every_ms": 500}}
@@ -128,7 +128,7 @@
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.path("config.json"), "TMPDIR="+s.path("tmp"), "GW_TRACE=1",
 		faultinjection.File+"="+s.path("faults"))
 	cmd.Stdout, cmd.Stderr = s.log, s.log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // lets killGroup kill its successors, too
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // killGroup kills its successors, too
 	s.onProcessStart()
 	if err := cmd.Start(); err != nil {
 		return err
@@ -147,7 +147,7 @@
 		one.state, _ = p.Wait()
 		s.mutex.Lock()
 		if one.state != nil && !one.state.Success() && !one.signalled {
-			s.faults = append(s.faults, fmt.Sprintf("process %d exited without a signal: %s", p.Pid, one.state))
+			s.faults = append(s.faults, fmt.Sprintf("process %d exited unexpectedly: %s", p.Pid, one.state))
 		}
 		s.mutex.Unlock()
 		close(one.exited)
@@ -165,10 +165,11 @@
 			return ctx.Err()
 		}
 	}
-	s.fault("not ready within %s of its start", readyWithin)
+	s.addFault("not ready within %s of its start", readyWithin)
 	return errors.New("sidecar is not ready")
 }
 
+// up reports whether the sidecar responds to a request with 200.
 func (s *sidecar) up(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -184,7 +185,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (s *sidecar) fault(format string, args ...any) {
+// addFault records forbidden behaviour of a process.
+func (s *sidecar) addFault(format string, args ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf(format, args...))
@@ -227,7 +229,7 @@
 	select {
 	case <-p.exited:
 		if p.state != nil && !p.state.Success() {
-			s.fault("process %d, sent SIGTERM: %s", p.Pid, p.state)
+			s.addFault("process %d, sent SIGTERM: %s", p.Pid, p.state)
 		}
 	case <-time.After(killAfter(s.longestDeadline)):
 		s.mutex.Lock()
@@ -299,14 +301,14 @@
 	raw, _ := os.ReadFile(s.path("log"))
 	all := successor.FindAllSubmatch(raw[min(int(offset), len(raw)):], -1)
 	if len(all) == 0 {
-		s.fault("process %d exited at a handover without a successor", p.Pid)
+		s.addFault("process %d exited at a handover without a successor", p.Pid)
 		_ = s.start(ctx)
 		return
 	}
 	pid, _ := strconv.Atoi(string(all[len(all)-1][1]))
 	next, err := os.FindProcess(pid)
 	if err != nil {
-		s.fault("successor %d: %v", pid, err)
+		s.addFault("successor %d: %v", pid, err)
 		return
 	}
 	s.watch(next)
@@ -340,12 +342,12 @@
 		select {
 		case <-p.exited:
 			if p.state != nil && !p.state.Success() {
-				s.fault("process %d, sent SIGTERM: %s", p.Pid, p.state)
+				s.addFault("process %d, sent SIGTERM: %s", p.Pid, p.state)
 			}
 		case <-time.After(killAfter(s.longestDeadline) + time.Second):
 			_ = p.Kill()
 			<-p.exited
-			s.fault("process %d had not exited %s after SIGTERM", p.Pid, killAfter(s.longestDeadline)+time.Second)
+			s.addFault("process %d had not exited %s after SIGTERM", p.Pid, killAfter(s.longestDeadline)+time.Second)
 		}
 	}
 	if s.control != nil {
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -20,10 +20,10 @@
 	queue             = 24                     // length of a server's queue
 	meanWork          = 15 * time.Millisecond  // of a request
 	capacity          = float64(cores) / 0.015 // requests of mean work a second
-	startCapacity     = 0.05
-	overloadMultiple  = 1.5
-	overloadWindow    = 3 * time.Second
-	warmUpTime        = 9 * time.Second
+	startCapacity     = 0.05                   // of a server that has just started, as a fraction of its capacity
+	overloadMultiple  = 1.5                    // multiple of its current capacity that overloads a server in slow start
+	overloadWindow    = 3 * time.Second        // within which that much load counts as overload
+	warmUpTime        = 9 * time.Second        // duration of slow start
 	connIdle          = 10 * time.Second
 	drainGrace        = 750 * time.Millisecond
 	listDelay         = 200 * time.Millisecond  // delay of discovery's changes while it is late
@@ -36,8 +36,8 @@
 	startAttempts = 100                   // attempts to start a server again on its address
 	startPause    = 20 * time.Millisecond // after a failed attempt
 
-	interruptions  = 3 // consecutive calls that fail with EINTR
-	interruptEvery = 2 * time.Millisecond
+	interruptions  = 3                    // consecutive calls that fail with EINTR
+	interruptEvery = 2 * time.Millisecond // interval between them
 )
 
 // Options configure a run.
@@ -54,21 +54,21 @@
 
 // variant holds the properties of the deployment that are drawn from the seed.
 type variant struct {
-	sockets         int           // most connections of a sidecar
+	maxConns        int           // most connections of a sidecar
 	onRequest       bool          // discovery is polled on request, instead of an agent on the same machine
 	longestDeadline time.Duration // longest deadline of a class
 	connectTimeout  time.Duration // connect timeout to servers
 	manyClients     bool          // many clients send to a process during ShutdownFaults
-	window          time.Duration // retry window of requests with a token
+	retryWindow     time.Duration // retry window of requests with a token
 }
 
 func (o Options) variant() variant {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x7a))
 	return variant{
-		sockets: pickOne(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
+		maxConns: pickOne(rng, 96, 192, 512), onRequest: rng.IntN(3) == 0,
 		longestDeadline: pickOne(rng, 500*time.Millisecond, 1500*time.Millisecond, 1500*time.Millisecond, 3*time.Second),
 		connectTimeout:  pickOne(rng, 150*time.Millisecond, 400*time.Millisecond, 1200*time.Millisecond), manyClients: rng.IntN(3) == 0,
-		window: pickOne(rng, 300*time.Millisecond, 900*time.Millisecond),
+		retryWindow: pickOne(rng, 300*time.Millisecond, 900*time.Millisecond),
 	}
 }
 
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// serverSlot is the place of a server, whose process may be replaced.
+// serverSlot is a server address at which one process after another runs.
 type serverSlot struct {
 	*fakes.Server
 	proxy     *proxy      // nil = none
@@ -105,8 +105,8 @@
 	return s.Address()
 }
 
-// world holds the state of a run.
-type world struct {
+// environment holds the state of a run.
+type environment struct {
 	options     Options
 	variant     variant
 	classes     []class
@@ -125,13 +125,13 @@
 }
 
 // wall returns the stepped wall clock time.
-func (w *world) wall() time.Time { return time.Now().Add(time.Duration(w.offset.Load())) }
+func (w *environment) wall() time.Time { return time.Now().Add(time.Duration(w.offset.Load())) }
 
 // build starts the servers, discoveries and sidecars of a run.
-func build(ctx context.Context, o Options) (w *world, err error) {
-	w = &world{options: o, network: fakes.Loopback(), variant: o.variant()}
+func build(ctx context.Context, o Options) (w *environment, err error) {
+	w = &environment{options: o, network: fakes.Loopback(), variant: o.variant()}
 	w.classes = classesFor(w.variant.longestDeadline)
-	w.record = record{onRequest: w.variant.onRequest, window: w.variant.window, starts: map[string][]time.Time{}, processStarts: map[int][]time.Time{}, faults: map[string][]string{}}
+	w.record = record{onRequest: w.variant.onRequest, retryWindow: w.variant.retryWindow, starts: map[string][]time.Time{}, processStarts: map[int][]time.Time{}, faults: map[string][]string{}}
 	defer func() {
 		if err != nil {
 			w.close()
@@ -181,15 +181,15 @@
 }
 
 // endpoint returns the server's entry in an endpoint list.
-func (w *world) endpoint(s *serverSlot, phase string, upSince int64) fakes.Endpoint {
+func (w *environment) endpoint(s *serverSlot, phase string, upSince int64) fakes.Endpoint {
 	return fakes.Endpoint{ID: s.ID(), Address: s.address(), Locality: fakes.LocalZone, Phase: phase, UpSince: upSince}
 }
 
 // edit returns a function that adapts a sidecar's configuration; different values of times yield different configurations.
-func (w *world) edit(times int) func(map[string]any) { return w.editWith(times, w.classes) }
+func (w *environment) edit(times int) func(map[string]any) { return w.editWith(times, w.classes) }
 
 // editWith is like edit, with other classes.
-func (w *world) editWith(times int, classes []class) func(map[string]any) {
+func (w *environment) editWith(times int, classes []class) func(map[string]any) {
 	return func(d map[string]any) {
 		settings := d["settings"].(map[string]any)
 		settings["Balancers"] = w.options.Sidecars
@@ -202,7 +202,7 @@
 		for _, c := range classes {
 			all = append(all, map[string]any{
 				"Name": c.name, "AimMs": 300 + 10*(times%5), "HardLimitMs": c.deadline.Milliseconds(), "Credit": 1,
-				"Repeat": c.idempotency, "KeyScope": "all", "MemorySpanMs": w.variant.window.Milliseconds(),
+				"Repeat": c.idempotency, "KeyScope": "all", "MemorySpanMs": w.variant.retryWindow.Milliseconds(),
 			})
 		}
 		settings["RequestClasses"] = all
@@ -210,14 +210,14 @@
 }
 
 // recordProcessStart records that a process of the sidecar is started.
-func (w *world) recordProcessStart(sidecar int) {
+func (w *environment) recordProcessStart(sidecar int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.record.processStarts[sidecar] = append(w.record.processStarts[sidecar], time.Now())
 }
 
 // updateDiscovery changes the endpoint lists of both discoveries; each sidecar watches one of them.
-func (w *world) updateDiscovery(endpoints ...fakes.Endpoint) {
+func (w *environment) updateDiscovery(endpoints ...fakes.Endpoint) {
 	w.listing.Lock()
 	defer w.listing.Unlock()
 	for _, d := range w.discoveries {
@@ -226,14 +226,14 @@
 }
 
 // updateRecord calls how with the record while it holds the lock.
-func (w *world) updateRecord(how func(*record)) {
+func (w *environment) updateRecord(how func(*record)) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	how(&w.record)
 }
 
 // finish completes the record after the run with what clients, servers and sidecars have recorded.
-func (w *world) finish() *record {
+func (w *environment) finish() *record {
 	r := &w.record
 	for _, c := range w.clients {
 		r.requests = append(r.requests, c.requests()...)
@@ -261,7 +261,7 @@
 	return r
 }
 
-func (w *world) close() {
+func (w *environment) close() {
 	var all sync.WaitGroup
 	for _, s := range w.sidecars {
 		all.Go(func() {
