--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -132,7 +132,8 @@
 	return took, kills, nil
 }
 
-// killDelay returns how long after the beginning of its phase a kill takes place: the given fraction of the phase's usual duration.
+// killDelay returns how long after the beginning of its phase a kill takes place: the given fraction of the phase's usual
+// duration.
 func (h HandoverPlan) killDelay(fraction float64, took []phases) time.Duration {
 	usual := assumedStartTime
 	if h.At == Passing {
@@ -172,8 +173,8 @@
 	}
 	var all Metrics
 	var unexplained []fakes.Try
-	for i := range r.tries {
-		t := &r.tries[i]
+	for i := range r.attempts {
+		t := &r.attempts[i]
 		all.count(t)
 		switch {
 		case t.Result == fakes.Served:
@@ -185,16 +186,16 @@
 			unexplained = append(unexplained, *t)
 		}
 	}
-	h.Requests, h.Lost, h.Failed = len(r.tries), all.Lost+all.Unanswered, all.Failed
+	h.Requests, h.Lost, h.Failed = len(r.attempts), all.Lost+all.Unanswered, all.Failed
 	h.Rejected, h.Unreachable = all.Rejected, all.Unreachable
 	h.ExtraRuns = r.extraRuns()
-	h.LongestGap, h.Stall = longestGap(r.tries).Seconds(), r.stall.Seconds()
+	h.LongestGap, h.Stall = longestGap(r.attempts).Seconds(), r.stall.Seconds()
 	for _, k := range kills {
 		h.Kills[k.phase]++
 		if k.noSurvivor {
 			h.FreshStarts++
 		}
-		if !servedAfter(r.tries, k.until) {
+		if !servedAfter(r.attempts, k.until) {
 			h.Broken = append(h.Broken, fmt.Sprintf("nothing was served in the %s after a kill", maxServiceGap))
 		}
 	}
@@ -210,18 +211,18 @@
 }
 
 // servedAfter reports whether a request due after the given time was served within maxServiceGap of it.
-func servedAfter(tries []fakes.Try, at time.Time) bool {
-	return slices.ContainsFunc(tries, func(t fakes.Try) bool {
+func servedAfter(attempts []fakes.Try, at time.Time) bool {
+	return slices.ContainsFunc(attempts, func(t fakes.Try) bool {
 		return t.Result == fakes.Served && t.DueAt.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
 	})
 }
 
 // longestGap returns the longest time between two consecutive responses to any client.
-func longestGap(tries []fakes.Try) (gap time.Duration) {
+func longestGap(attempts []fakes.Try) (gap time.Duration) {
 	var responses []time.Time
-	for i := range tries {
-		if tries[i].Status != 0 {
-			responses = append(responses, tries[i].EndedAt)
+	for i := range attempts {
+		if attempts[i].Status != 0 {
+			responses = append(responses, attempts[i].EndedAt)
 		}
 	}
 	slices.SortFunc(responses, time.Time.Compare)
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	afterRestartSpan  = 2 * time.Second        // after a restart, for which AfterRestart is computed
-	minCountSpan      = 2 * time.Second        // shortest time for which probes and list calls are counted
-	minWidth          = 250 * time.Millisecond // least width of a window, which also spans requestsPerWindow requests on average
-	requestsPerWindow = 50
-	noticeTolerance   = 50 * time.Millisecond // within which the test bench may notice an arrival
+	afterRestartWindow = 2 * time.Second        // after a restart, for which AfterRestart is computed
+	minCountTime       = 2 * time.Second        // shortest time for which probes and list calls are counted
+	minWidth           = 250 * time.Millisecond // least width of a window, which also spans requestsPerWindow requests on average
+	requestsPerWindow  = 50
+	noticeTolerance    = 50 * time.Millisecond // within which the test bench may notice an arrival
 )
 
 // Metrics holds the results of a run. Seconds count from the event. Results of attempts count if they ended after the event;
@@ -29,7 +29,7 @@
 	Failed       int      `json:"failed"`     // an error or an invalid response
 	Rejected     int      `json:"refused"`
 	Unreachable  int      `json:"unreachable"`      // no connection was established
-	ExtraRuns    int      `json:"twice"`            // further runs of requests that must run only once
+	ExtraRuns    int      `json:"twice"`            // extra runs of requests that must run only once
 	Late         int      `json:"late"`             // requests sent to a server after its drain grace
 	Probes       float64  `json:"probes_per_s"`     // per second during the degradation
 	Lists        float64  `json:"list_calls_per_s"` // likewise
@@ -58,8 +58,8 @@
 }
 
 // servedFraction returns the fraction of the requests due from from until to that was served within the latency objective.
-func servedFraction(tries []fakes.Try, from, to time.Time) float64 {
-	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.RequestedAt.Before(to) })
+func servedFraction(attempts []fakes.Try, from, to time.Time) float64 {
+	early := slices.DeleteFunc(slices.Clone(attempts), func(t fakes.Try) bool { return !t.RequestedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
 		return all.ServedFraction()
 	}
@@ -73,19 +73,19 @@
 
 // degradation describes how an event degraded service.
 type degradation struct {
-	back      time.Duration // from the event until service recovered; 0 = it never degraded
-	recovered bool          // service recovered
-	below     time.Duration // total width of windows below 95% of normal
-	worst     float64       // served share in the worst window
+	recoveryTime time.Duration // from the event until service recovered; 0 = it never degraded
+	recovered    bool          // false = service was still degraded at the end
+	below        time.Duration // total width of windows below 95% of normal
+	worst        float64       // served share in the worst window
 }
 
 // degradationAfter searches for the first window after the event that is below 95% of normal, since service may degrade
 // late: after SIGTERM, for example, it stays normal for a while. From that window on, fakes.RecoveryTime determines when
 // service has recovered. A degradation that begins in the last second only adds to below, since the load ends before its
 // recovery can be observed.
-func degradationAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
+func degradationAfter(attempts []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
 	out := degradation{recovered: true, worst: 1}
-	windows := fakes.Tally(tries, event, width)
+	windows := fakes.Tally(attempts, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last one may be incomplete
 	seen := len(windows) - int(fakes.RecoveredFor/width)
 	first := -1
@@ -100,8 +100,8 @@
 	}
 	if first >= 0 {
 		begin := time.Duration(first) * width
-		out.back, out.recovered = fakes.RecoveryTime(tries, event.Add(begin), normal, width)
-		out.back += begin
+		out.recoveryTime, out.recovered = fakes.RecoveryTime(attempts, event.Add(begin), normal, width)
+		out.recoveryTime += begin
 	}
 	return out
 }
@@ -149,25 +149,25 @@
 // metrics computes the metrics of a run whose load has ended.
 func (r *rig) metrics(event time.Time) Metrics {
 	w := windowWidth(r.setup.Rate)
-	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.tries, event.Add(-baselineFrom), event.Add(-baselineTo))}
-	t := degradationAfter(r.tries, event, f.Normal, w)
+	f := Metrics{Stall: r.stall.Seconds(), Normal: servedFraction(r.attempts, event.Add(-baselineFrom), event.Add(-baselineTo))}
+	t := degradationAfter(r.attempts, event, f.Normal, w)
 	f.Below, f.Worst = t.below.Seconds(), t.worst
-	until := r.tries[len(r.tries)-1].DueAt
+	until := r.attempts[len(r.attempts)-1].DueAt
 	if t.recovered {
-		back := t.back.Seconds()
+		back := t.recoveryTime.Seconds()
 		f.Recovery = &back
-		until = event.Add(max(minCountSpan, t.back))
+		until = event.Add(max(minCountTime, t.recoveryTime))
 	}
 	if !r.restartedAt.IsZero() {
-		first := servedFraction(r.tries, r.restartedAt, r.restartedAt.Add(afterRestartSpan))
+		first := servedFraction(r.attempts, r.restartedAt, r.restartedAt.Add(afterRestartWindow))
 		f.AfterRestart = &first
 	}
-	for i := range r.tries {
-		if t := &r.tries[i]; t.Number == 0 {
+	for i := range r.attempts {
+		if t := &r.attempts[i]; t.Number == 0 {
 			f.Requests++
 		}
-		if r.tries[i].EndedAt.After(event) {
-			f.count(&r.tries[i])
+		if r.attempts[i].EndedAt.After(event) {
+			f.count(&r.attempts[i])
 		}
 	}
 	f.ExtraRuns = r.extraRuns()
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -15,7 +15,7 @@
 func after(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 // windowsOf returns 20 attempts for each argument, in consecutive windows of 250 ms; the argument is the number of those served.
-func windowsOf(served ...int) (tries []fakes.Try) {
+func windowsOf(served ...int) (attempts []fakes.Try) {
 	for w, n := range served {
 		for i := range 20 {
 			due := epoch.Add(time.Duration(w*20+i) * 12500 * time.Microsecond)
@@ -26,10 +26,10 @@
 			if i >= n {
 				t.Result = fakes.Rejected
 			}
-			tries = append(tries, t)
+			attempts = append(attempts, t)
 		}
 	}
-	return tries
+	return attempts
 }
 
 func TestDegradation(t *testing.T) {
@@ -57,8 +57,8 @@
 }
 
 func TestServedFractionCountsByDueTime(t *testing.T) {
-	tries := windowsOf(0, 10, 20, 0)
-	if got := servedFraction(tries, after(250), after(750)); got != 0.75 {
+	attempts := windowsOf(0, 10, 20, 0)
+	if got := servedFraction(attempts, after(250), after(750)); got != 0.75 {
 		t.Errorf("%g, want 0.75", got)
 	}
 }
@@ -99,13 +99,13 @@
 }
 
 func TestLongestGap(t *testing.T) {
-	tries := []fakes.Try{
+	attempts := []fakes.Try{
 		{Status: 200, EndedAt: after(50)},
 		{Status: 503, EndedAt: after(10)},
 		{EndedAt: after(70)},
 		{Status: 200, EndedAt: after(95)},
 	}
-	if got := longestGap(tries); got != 45*time.Millisecond {
+	if got := longestGap(attempts); got != 45*time.Millisecond {
 		t.Errorf("%s, want 45ms", got)
 	}
 }
@@ -124,9 +124,9 @@
 }
 
 func TestLostRequestsAreListed(t *testing.T) {
-	tries := []fakes.Try{{ID: "a", Result: fakes.Served}, {ID: "b", Result: fakes.Lost}, {ID: "c", Result: fakes.Wrong}}
-	got := describeLost(tries)
-	if len(got) != 3 || got[0] != "2 requests lost or without a response" || describeLost(tries[:1]) != nil {
+	attempts := []fakes.Try{{ID: "a", Result: fakes.Served}, {ID: "b", Result: fakes.Lost}, {ID: "c", Result: fakes.Wrong}}
+	got := describeLost(attempts)
+	if len(got) != 3 || got[0] != "2 requests lost or without a response" || describeLost(attempts[:1]) != nil {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -65,12 +65,12 @@
 	processes *processChain
 	file      *os.File // the log
 
-	load    *fakes.Clients
-	running sync.WaitGroup // the load and the stall measurement
-	cancel  context.CancelFunc
-	start   time.Time
-	tries   []fakes.Try   // this and stall are set once the load has ended
-	stall   time.Duration // longest delay of a timer
+	load     *fakes.Clients
+	running  sync.WaitGroup // the load and the stall measurement
+	cancel   context.CancelFunc
+	start    time.Time
+	attempts []fakes.Try   // this and stall are set once the load has ended
+	stall    time.Duration // longest delay of a timer
 
 	drains      map[string]uint64 // by server id, the discovery revision that lists its drain
 	restartedAt time.Time         // when startAgain started a process; zero = it did not
@@ -151,7 +151,7 @@
 	r.start = time.Now()
 	r.running.Go(func() {
 		defer r.cancel()
-		r.tries = r.load.Run(ctx)
+		r.attempts = r.load.Run(ctx)
 	})
 	r.running.Go(func() { r.stall = stall(ctx) })
 }
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -63,7 +63,7 @@
 	out.Broken = append(out.Broken, violations(out.ExtraRuns, ruleTwice)...)
 	out.Broken = append(out.Broken, violations(out.Late, ruleLate)...)
 	if s.strict {
-		out.Broken = append(out.Broken, describeLost(r.tries)...)
+		out.Broken = append(out.Broken, describeLost(r.attempts)...)
 	}
 	return out, nil
 }
@@ -84,9 +84,9 @@
 
 // describeLost returns the number of lost requests and a few of them, with id and times as in the sidecar's log; nil if
 // there are none.
-func describeLost(tries []fakes.Try) (broken []string) {
-	for i := range tries {
-		if t := &tries[i]; isLost(t) {
+func describeLost(attempts []fakes.Try) (broken []string) {
+	for i := range attempts {
+		if t := &attempts[i]; isLost(t) {
 			broken = append(broken, fmt.Sprintf("request %s: %s, due %s, sent %s, ended %s on connection %d: %v",
 				t.ID, t.Result, t.DueAt.Format(clockFormat), t.SentAt.Format(clockFormat), t.EndedAt.Format(clockFormat), t.Conn, t.Err))
 		}
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	loseResponsesEvery = 500 * time.Millisecond // in releaseHidden
+	loseResponsesEvery = 500 * time.Millisecond // interval in releaseHidden
 	silentFor          = 4 * time.Second        // of servers
 	downFor            = 8 * time.Second        // of discovery
 	snapshotName       = "learned.snapshot"
@@ -58,11 +58,11 @@
 		},
 		{
 			Name: "start-cold", About: "a crash while some providers fail; the next process has no snapshot",
-			event: startCold, after: 4 * time.Second, prepare: failSomeServers, edit: keepSnapshot,
+			event: startCold, after: 4 * time.Second, prepare: failSomeServers, edit: enableSnapshot,
 		},
 		{
 			Name: "start-from-snapshot", About: "the same; the next process has a snapshot",
-			event: crash, after: 4 * time.Second, prepare: failSomeServers, edit: keepSnapshot,
+			event: crash, after: 4 * time.Second, prepare: failSomeServers, edit: enableSnapshot,
 		},
 		{
 			Name: "directory-down", About: "the directory is down for 8 s during a release, then lists all changes",
@@ -179,8 +179,8 @@
 	}
 }
 
-// keepSnapshot returns a change of the configuration that enables snapshots.
-func keepSnapshot(dir string) func(map[string]any) {
+// enableSnapshot returns a change of the configuration that enables snapshots.
+func enableSnapshot(dir string) func(map[string]any) {
 	return func(document map[string]any) {
 		snapshot := map[string]any{"path": filepath.Join(dir, snapshotName), "every_ms": snapshotMs}
 		document["plankrouter"] = map[string]any{"snapshot": snapshot}
--- a/internal/testbench/recovery/table.go
+++ b/internal/testbench/recovery/table.go
@@ -68,8 +68,8 @@
 		fmt.Fprintf(t, "%s\t%v\n", row.name, row.value)
 	}
 	if len(h.Kills) > 0 {
-		for _, met := range []string{beforeReady, whilePassing, afterDone} {
-			fmt.Fprintf(t, "killed %s\t%d\n", met, h.Kills[met])
+		for _, phase := range []string{beforeReady, whilePassing, afterDone} {
+			fmt.Fprintf(t, "killed %s\t%d\n", phase, h.Kills[phase])
 		}
 		fmt.Fprintf(t, "processes started after a kill\t%d\nlost to kills\t%d\n", h.FreshStarts, h.LostToKill)
 	}
