--- a/cmd/testbench/capacity.go
+++ b/cmd/testbench/capacity.go
@@ -10,22 +10,22 @@
 	"plankrouter/internal/testbench/capacity"
 )
 
-// capacityCommand measures what a sidecar costs as its world grows.
+// capacityCommand measures the cost of a sidecar by the size of the deployment.
 type capacityCommand struct {
 	Program string        `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program."`
-	Quick   bool          `help:"Few servers and short windows: under a minute, and no results to go by."`
-	Only    string        `placeholder:"WORDS" help:"Only the sizes whose name holds these words, or module."`
-	Core    int           `default:"-1" help:"Keep the sidecar to this core of the machine, so that results repeat; -1 = to none."`
-	MaxTime time.Duration `name:"most" default:"15m" help:"End after this time, with what there is."`
+	Quick   bool          `help:"Few servers and short windows: takes under a minute, but results are not meaningful."`
+	Only    string        `placeholder:"WORDS" help:"Only the sizes whose name contains these words, or module."`
+	Core    int           `default:"-1" help:"Pin the sidecar to this CPU core, for repeatable results; -1 = don't pin."`
+	MaxTime time.Duration `name:"most" default:"15m" help:"Stop after this time, and report what was measured until then."`
 	Keep    string        `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
-	JSON    string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
+	JSON    string        `name:"json" placeholder:"FILE" help:"Also write the results to this file, as JSON."`
 }
 
 // Help describes the sweeps.
 func (*capacityCommand) Help() string {
-	return "One real sidecar, between a fake discovery and fake servers that count, with one size changed at a time: servers in the " +
-		"list, requests, probes by their price, client connections, changes of the list and of the configuration, and its start. " +
-		"docs/CAPACITY.md works the fleet out from the lines."
+	return "Runs one real sidecar with a fake discovery and fake servers, and varies one size at a time: servers in the " +
+		"endpoint list, requests, probes by their price, client connections, changes of the list and of the configuration, and starts. " +
+		"docs/CAPACITY.md derives the needs of a fleet from the results."
 }
 
 // Validate checks the arguments.
@@ -36,12 +36,12 @@
 	return executable(c.Program)
 }
 
-// Run measures, and prints what there is also where it was cut short.
+// Run measures and prints the report, a partial one if the measurement was interrupted.
 func (c *capacityCommand) Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.MaxTime)
 	defer cancel()
-	kept := experiment{Keep: c.Keep, JSON: c.JSON}
-	dir, done, err := kept.folder()
+	outputs := experiment{Keep: c.Keep, JSON: c.JSON}
+	dir, done, err := outputs.folder()
 	if err != nil {
 		return err
 	}
@@ -57,11 +57,11 @@
 	if report == nil {
 		return err
 	}
-	if wrong := report.Write(out); wrong != nil {
-		return wrong
+	if writeErr := report.Write(out); writeErr != nil {
+		return writeErr
 	}
-	if wrong := kept.save(report); wrong != nil {
-		return wrong
+	if writeErr := outputs.save(report); writeErr != nil {
+		return writeErr
 	}
 	return err
 }
--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -14,26 +14,26 @@
 	"plankrouter/internal/testbench/emulator"
 )
 
-// emulateCommand plays a day in virtual time, or compares days.
+// emulateCommand runs a scenario in virtual time, called a day, or compares two settings over several days.
 type emulateCommand struct {
-	Sidecars   *int           `placeholder:"N" help:"Sidecars (4)."`
-	Servers    *int           `placeholder:"M" help:"Servers (16)."`
-	Rate       *float64       `placeholder:"R" help:"First tries a second over all sidecars (20 for each server)."`
+	Sidecars   *int           `placeholder:"N" help:"Number of sidecars (4)."`
+	Servers    *int           `placeholder:"M" help:"Number of servers (16)."`
+	Rate       *float64       `placeholder:"R" help:"First attempts per second, total of all sidecars (20 for each server)."`
 	For        *time.Duration `placeholder:"D" help:"Length of the day in virtual time (30s)."`
-	Faults     []string       `name:"trouble" placeholder:"NAME" help:"What goes wrong: those below, or random."`
-	Seed       *uint64        `placeholder:"S" help:"Of the day (1)."`
-	PolicySeed *uint64        `placeholder:"S" help:"Of the sidecars' own choices, for the same day (0)."`
-	Policy     *string        `placeholder:"NAME" help:"module, random, round-robin, least or oracle (module)."`
-	Plan       string         `type:"existingfile" placeholder:"FILE" help:"Settings and faults; flags go first."`
-	JSON       string         `name:"json" placeholder:"FILE" help:"Write the report as JSON, too."`
+	Faults     []string       `name:"trouble" placeholder:"NAME" help:"Faults to inject: names listed below, or random."`
+	Seed       *uint64        `placeholder:"S" help:"Seed of the day (1)."`
+	PolicySeed *uint64        `placeholder:"S" help:"Seed of the sidecars' random choices, for the same day (0)."`
+	Policy     *string        `placeholder:"NAME" help:"Policy: module, random, round-robin, least or oracle (module)."`
+	Plan       string         `type:"existingfile" placeholder:"FILE" help:"Settings and faults; flags override them."`
+	JSON       string         `name:"json" placeholder:"FILE" help:"Also write the report to this file, as JSON."`
 	CSV        string         `name:"csv" placeholder:"FILE" help:"Write a row for each second."`
-	Measure    bool           `help:"Say how long it took on this machine, and how much of that in the policy."`
+	Measure    bool           `help:"Report the time and memory used on this machine, and the time spent in the policy."`
 
-	Days        int    `default:"20" help:"Days of a comparison, whose seeds follow on --seed."`
-	Against     string `type:"existingfile" placeholder:"FILE" help:"Compare with a second plan, over the first one."`
+	Days        int    `default:"20" help:"Days of a comparison, with consecutive seeds from --seed on."`
+	Against     string `type:"existingfile" placeholder:"FILE" help:"Compare with a second plan, applied on top of the first one."`
 	AgainstWith string `placeholder:"NAME" help:"Compare with another policy."`
-	AgainstSeed uint64 `placeholder:"S" help:"Compare with other choices of the sidecars: another --policy-seed."`
-	Workers     int    `placeholder:"N" help:"Days of a comparison that run side by side (GOMAXPROCS)."`
+	AgainstSeed uint64 `placeholder:"S" help:"Compare with other random choices of the sidecars: another --policy-seed."`
+	Workers     int    `placeholder:"N" help:"Days of a comparison that run concurrently (GOMAXPROCS)."`
 }
 
 // Help shows examples and lists the faults.
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// config reads the plan and puts the flags over it.
+// config reads the plan and overrides it by the flags.
 func (c *emulateCommand) config() (emulator.Config, error) {
 	size := emulator.Default(4, 16)
 	if err := read(c.Plan, &size); err != nil {
@@ -55,8 +55,8 @@
 	}
 	set(&size.Servers, c.Servers)
 	set(&size.Sidecars, c.Sidecars)
-	cfg := emulator.Default(size.Sidecars, size.Servers) // whose load goes with its size,
-	if err := read(c.Plan, &cfg); err != nil {           // unless the plan has one
+	cfg := emulator.Default(size.Sidecars, size.Servers) // the default load depends on the size,
+	if err := read(c.Plan, &cfg); err != nil {           // unless the plan sets it
 		return cfg, err
 	}
 	cfg.Servers, cfg.Sidecars = size.Servers, size.Sidecars
@@ -79,12 +79,14 @@
 	return cfg, cfg.Check()
 }
 
+// set assigns the value of a flag, if it was given.
 func set[T any](to *T, flag *T) {
 	if flag != nil {
 		*to = *flag
 	}
 }
 
+// read reads a plan file into the settings; an empty name leaves them unchanged.
 func read(plan string, into *emulator.Config) error {
 	if plan == "" {
 		return nil
@@ -100,13 +102,13 @@
 	return nil
 }
 
-// compares reports whether two settings are to be compared.
+// compares reports whether two settings are compared.
 func (c *emulateCommand) compares() bool {
 	return c.Against != "" || c.AgainstWith != "" || c.AgainstSeed != 0
 }
 
-// other is the second setting of a comparison.
-func (c *emulateCommand) other(cfg emulator.Config) (emulator.Config, error) {
+// otherConfig returns the second settings of a comparison.
+func (c *emulateCommand) otherConfig(cfg emulator.Config) (emulator.Config, error) {
 	if err := read(c.Against, &cfg); err != nil {
 		return cfg, err
 	}
@@ -126,16 +128,16 @@
 		return err
 	}
 	if c.compares() && (c.CSV != "" || c.Measure) {
-		return errors.New("--csv and --measure are for a single day")
+		return errors.New("--csv and --measure apply to a single day only")
 	}
 	if c.Days < 1 {
 		return fmt.Errorf("--days: %d; want 1 or more", c.Days)
 	}
-	_, err = c.other(cfg)
+	_, err = c.otherConfig(cfg)
 	return err
 }
 
-// Run plays the day, or the days.
+// Run runs the day, or the days of a comparison.
 func (c *emulateCommand) Run(ctx context.Context, out io.Writer) error {
 	cfg, err := c.config()
 	if err != nil {
@@ -158,7 +160,7 @@
 		return err
 	}
 	if c.Measure {
-		measured(out, r, took)
+		writeUsage(out, r, took)
 	}
 	if err := save(c.JSON, r.WriteJSON); err != nil {
 		return err
@@ -172,11 +174,12 @@
 	return nil
 }
 
-// module is the policy that has to keep all rules; the textbook ones have none on cold servers.
+// module is the policy that must obey all rules; the textbook policies do not treat cold servers specially.
 const module = "module"
 
+// compare runs the days with both settings and writes the comparison.
 func (c *emulateCommand) compare(ctx context.Context, cfg emulator.Config, out io.Writer) error {
-	other, err := c.other(cfg)
+	other, err := c.otherConfig(cfg)
 	if err != nil {
 		return err
 	}
@@ -200,20 +203,20 @@
 	return nil
 }
 
-// measured writes the time and memory that the day took on this machine.
-func measured(out io.Writer, r *emulator.Report, took time.Duration) {
+// writeUsage writes the time and memory that the day took on this machine.
+func writeUsage(out io.Writer, r *emulator.Report, took time.Duration) {
 	var use syscall.Rusage
 	memory := "unknown"
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) == nil {
 		memory = fmt.Sprintf("%d MB", use.Maxrss/1024)
 	}
 	requests := max(1, r.Requests)
-	fmt.Fprintf(out, "measured  %.2f s for %.0f s: %.1f times real time, %.0f requests a second, %d events; "+
-		"in the policy %.1f us a request; memory at most %s\n", took.Seconds(), r.Seconds, r.Seconds/took.Seconds(),
+	fmt.Fprintf(out, "measured  %.2f s for %.0f s: %.1f times real time, %.0f requests per second, %d events; "+
+		"in the policy %.1f us per request; peak memory %s\n", took.Seconds(), r.Seconds, r.Seconds/took.Seconds(),
 		float64(r.Requests)/took.Seconds(), r.Events, float64(r.InPolicy.Microseconds())/float64(requests), memory)
 }
 
-// save writes a file, if it has a name.
+// save writes a file, unless its name is empty.
 func save(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
--- a/cmd/testbench/fleetscenes.go
+++ b/cmd/testbench/fleetscenes.go
@@ -13,25 +13,25 @@
 	"plankrouter/internal/testbench/simulated"
 )
 
-// fleetScenesCommand plays fleets of simulated sidecars.
+// fleetScenesCommand runs scenes on fleets of simulated sidecars.
 type fleetScenesCommand struct {
 	Kind       []string      `default:"pushed,on_request" enum:"pushed,on_request" help:"Kinds of discovery: an agent for each sidecar, one service for all."`
-	Sidecars   []int         `default:"250,500,1000,2000" help:"Fleets, by their sidecars."`
-	Servers    int           `default:"64" help:"Servers in the list."`
-	PerPart    int           `default:"250" help:"Sidecars in a process."`
-	ProbePrice float64       `default:"0.0046" help:"Prices.Probe of the settings."`
-	SlotRate   float64       `name:"turn-rate" default:"200" help:"On request: calls a second that get a slot, of those for the complete list and the first of a connection; others wait up to 2 s and are rejected then."`
-	Watch      string        `type:"existingfile" placeholder:"FILE" help:"On request: a configuration whose plankrouter.watch is taken, such as deploy/shared-directory.json."`
-	Scene      []string      `placeholder:"NAME" help:"Only these, after the start: idle, calls, list, burst, configuration, zone, restart."`
-	Window     time.Duration `default:"10s" help:"Stretch of an ordinary minute that is looked at."`
-	CallsAll   float64       `default:"4000" help:"Calls a second of a whole fleet, while there are calls; of a sidecar at most 40."`
-	Restart    int           `default:"300" help:"Sidecars that are restarted together."`
-	MaxMemory  float64       `name:"memory-most" default:"11000" help:"Memory of a fleet in MB beyond which it is not played."`
-	Program    string        `placeholder:"FILE" help:"The sidecar's program: one real and one simulated sidecar are measured side by side first, and no fleet where --sidecars is 0."`
-	JSON       string        `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
+	Sidecars   []int         `default:"250,500,1000,2000" help:"Sizes of the fleets, in sidecars."`
+	Servers    int           `default:"64" help:"Servers in the endpoint list."`
+	PerPart    int           `default:"250" help:"Sidecars per process."`
+	ProbePrice float64       `default:"0.0046" help:"Prices.Probe in the settings."`
+	SlotRate   float64       `name:"turn-rate" default:"200" help:"On request: slots per second for polls of the complete list and the first poll of a connection; a poll that would wait over 2 s for a slot is rejected."`
+	Watch      string        `type:"existingfile" placeholder:"FILE" help:"On request: a configuration whose plankrouter.watch is used, such as deploy/shared-directory.json."`
+	Scene      []string      `placeholder:"NAME" help:"Only these scenes after the start: idle, calls, list, burst, configuration, zone, restart."`
+	Window     time.Duration `default:"10s" help:"Measured duration of scenes with constant load."`
+	CallsAll   float64       `default:"4000" help:"Requests per second of a whole fleet in scenes with load; at most 40 of a sidecar."`
+	Restart    int           `default:"300" help:"Sidecars that are restarted at the same time."`
+	MaxMemory  float64       `name:"memory-most" default:"11000" help:"Memory of a fleet in MB above which no scene is run on it."`
+	Program    string        `placeholder:"FILE" help:"The sidecar's program: first one real and one simulated sidecar are compared; with --sidecars 0 no fleet is run."`
+	JSON       string        `name:"json" placeholder:"FILE" help:"Also write the results to this file, as JSON."`
 }
 
-// Help says how to read it.
+// Help shows an example.
 func (*fleetScenesCommand) Help() string {
 	return "testbench fleet-scenes --sidecars 250,500 --json figures.json. See docs/design/simulated-fleet.md."
 }
@@ -65,13 +65,13 @@
 	return nil
 }
 
-// fleetResults is what goes into the file.
+// fleetResults is the content of the JSON file.
 type fleetResults struct {
 	SideBySide []simulated.Comparison `json:"side_by_side,omitempty"`
 	Rows       []simulated.Row        `json:"rows"`
 }
 
-// Run measures and plays.
+// Run compares a real and a simulated sidecar, if a program is given, and runs the scenes on each fleet.
 func (c *fleetScenesCommand) Run(ctx context.Context, out io.Writer) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -93,7 +93,7 @@
 		for _, rate := range []float64{0, plan.CallsOne} {
 			both, err := simulated.Compare(ctx, c.Program, set, rate, c.Window)
 			if err != nil {
-				return fmt.Errorf("side by side, %g calls a second: %w", rate, err)
+				return fmt.Errorf("comparison at %g requests per second: %w", rate, err)
 			}
 			f.SideBySide = append(f.SideBySide, both...)
 		}
@@ -109,7 +109,7 @@
 			set.Kind, set.Sidecars = kind, n
 			rows, failed := simulated.RunScenes(ctx, set, plan)
 			f.Rows = append(f.Rows, rows...)
-			if err := c.save(f); err != nil { // what has been played is kept, whatever comes after
+			if err := c.save(f); err != nil { // saved after each fleet, so that a later failure loses no results
 				return err
 			}
 			if failed != nil {
@@ -124,6 +124,7 @@
 	return c.save(f)
 }
 
+// save writes the results to the file of --json, if it is given.
 func (c *fleetScenesCommand) save(f fleetResults) error { return (&experiment{JSON: c.JSON}).save(f) }
 
 // readWatch reads plankrouter.watch of a configuration.
@@ -132,24 +133,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("--watch: %w", err)
 	}
-	var has struct {
+	var document struct {
 		Own struct {
 			Watch *config.WatchMs `json:"watch"`
 		} `json:"plankrouter"`
 	}
-	if err := json.Unmarshal(raw, &has); err != nil {
+	if err := json.Unmarshal(raw, &document); err != nil {
 		return nil, fmt.Errorf("--watch: %s: %w", path, err)
 	}
-	if has.Own.Watch == nil {
+	if document.Own.Watch == nil {
 		return nil, fmt.Errorf("--watch: %s: plankrouter.watch: missing", path)
 	}
-	return has.Own.Watch, nil
+	return document.Own.Watch, nil
 }
 
-// fleetPartCommand is a process of a fleet, which fleet-scenes starts.
+// fleetPartCommand is a process of a fleet, started by fleet-scenes.
 type fleetPartCommand struct{}
 
-// Run obeys.
+// Run executes the commands of fleet-scenes from standard input.
 func (*fleetPartCommand) Run(ctx context.Context, out io.Writer) error {
 	return simulated.Serve(ctx, os.Stdin, out)
 }
--- a/cmd/testbench/handover.go
+++ b/cmd/testbench/handover.go
@@ -8,18 +8,19 @@
 	"plankrouter/internal/testbench/recovery"
 )
 
-// handoverCommand runs a line of processes.
+// handoverCommand runs a series of hot restarts under load.
 type handoverCommand struct {
 	experiment
 	Program  string        `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program."`
-	Restarts int           `default:"200" help:"Hot restarts, one after another."`
-	Pause    time.Duration `default:"100ms" help:"Between two of them."`
-	Seed     uint64        `default:"1" help:"Of the load, the servers and the times of kills."`
-	Kill     string        `enum:",successor,predecessor" default:"" help:"Kill one of the two in the middle: ${enum}."`
-	At       string        `enum:"start,passing" default:"passing" help:"In which part: ${enum}."`
-	Nth      int           `default:"2" help:"Kill in each Nth hot restart."`
+	Restarts int           `default:"200" help:"Number of consecutive hot restarts."`
+	Pause    time.Duration `default:"100ms" help:"Pause between two hot restarts."`
+	Seed     uint64        `default:"1" help:"Seed of the load, the servers and the times of kills."`
+	Kill     string        `enum:",successor,predecessor" default:"" help:"Kill one of the two processes during a hot restart: ${enum}."`
+	At       string        `enum:"start,passing" default:"passing" help:"Phase in which it is killed: ${enum}."`
+	Nth      int           `default:"2" help:"Kill in every Nth hot restart."`
 }
 
+// plan returns the plan for the flags.
 func (c *handoverCommand) plan() recovery.HandoverPlan {
 	return recovery.HandoverPlan{
 		Setup: c.setup(c.Program, c.Seed), Restarts: c.Restarts, Pause: c.Pause,
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -17,40 +17,40 @@
 	"plankrouter/internal/testbench/loadgen"
 )
 
-// errLate says that a report is about the generator.
+// Errors after a report that is invalid or partial.
 var (
-	errLate        = errors.New("the generator fell behind its plan, so that the run is invalid: see above")
-	errInterrupted = errors.New("interrupted: the report is a partial one")
+	errLate        = errors.New("the generator fell behind its plan, so the run is invalid: see above")
+	errInterrupted = errors.New("interrupted: the report is partial")
 )
 
-// loadCommand sends load.
+// loadCommand sends load and measures it, or runs a server for it.
 type loadCommand struct {
-	Plan    string        `arg:"" optional:"" placeholder:"PLAN" help:"The file that says what to ask for."`
-	To      string        `placeholder:"HOST:PORT" help:"Where to send it."`
-	Rate    float64       `help:"Instead of a plan: requests a second for /tile, by GET."`
-	For     time.Duration `help:"For how long; goes before the plan's for_s."`
-	Spacing string        `enum:"poisson,even" default:"poisson" help:"Of the requests of --rate: ${enum}."`
-	Seed    *uint64       `help:"Goes before the plan's seed."`
-	Workers int           `default:"1" help:"Processes that share the plan."`
-	JSON    string        `name:"json" placeholder:"FILE" help:"Write the report to this file, too."`
+	Plan    string        `arg:"" optional:"" placeholder:"PLAN" help:"File that describes the load."`
+	To      string        `placeholder:"HOST:PORT" help:"Address to send the load to."`
+	Rate    float64       `help:"Instead of a plan: GET requests per second for /tile."`
+	For     time.Duration `help:"Duration; overrides the plan's for_s."`
+	Spacing string        `enum:"poisson,even" default:"poisson" help:"Spacing of the requests of --rate: ${enum}."`
+	Seed    *uint64       `help:"Overrides the plan's seed."`
+	Workers int           `default:"1" help:"Processes that share the load."`
+	JSON    string        `name:"json" placeholder:"FILE" help:"Also write the report to this file, as JSON."`
 	CSV     string        `name:"csv" placeholder:"FILE" help:"Write a row for each second and class."`
-	Plot    string        `placeholder:"FILE" help:"Draw the seconds: .svg or .png."`
-	Trace   string        `placeholder:"FILE" help:"Write what is due: .csv or .jsonl. Without --to nothing is sent."`
-	Serve   bool          `help:"Instead: be a server that answers all at once, until standard input ends."`
+	Plot    string        `placeholder:"FILE" help:"Plot the results by second: .svg or .png."`
+	Trace   string        `placeholder:"FILE" help:"Write the planned requests: .csv or .jsonl. Without --to nothing is sent."`
+	Serve   bool          `help:"Instead: run a server that responds to each request at once, until standard input ends."`
 	Work    bool          `hidden:""`
 
 	plan *loadgen.Plan
 }
 
-// Help shows how to begin.
+// Help shows examples.
 func (*loadCommand) Help() string {
-	return `Requests go out when they are due, whatever has become of those before, and latency counts from then.
+	return `Requests are sent when they are due, regardless of earlier ones, and latency counts from then.
 
     testbench load --to 127.0.0.1:3000 --rate 200 --for 30s
 
     testbench load evening.json --to 127.0.0.1:3000 --workers 2 --plot evening.svg
 
-The exit code is 1 if the generator itself was late, beyond the plan's bounds, or the run was interrupted. ` +
+The exit code is 1 if the generator itself was later than the plan allows, or the run was interrupted. ` +
 		`docs/operate/load.md describes plans, traces and the report.`
 }
 
@@ -71,18 +71,19 @@
 	return c.protectInputs()
 }
 
+// validateFlags checks the combination and the values of the flags.
 func (c *loadCommand) validateFlags() error {
 	switch {
 	case (c.Plan == "") == (c.Rate == 0):
 		return errors.New("want a plan, or --rate and --for")
 	case c.Rate != 0 && c.For == 0:
-		return errors.New("--for: say for how long, as in --for 30s")
+		return errors.New("--for is missing; want a duration, as in --for 30s")
 	case c.For < 0 || c.Rate < 0:
 		return fmt.Errorf("--for, --rate: %v, %v; want more than 0", c.For, c.Rate)
 	case c.To == "" && c.Trace == "":
 		return errors.New("--to: say where to send the load, as in --to 127.0.0.1:3000")
 	case c.To == "" && c.JSON+c.CSV+c.Plot != "":
-		return errors.New("--json, --csv, --plot: they are of a run; say where to send the load by --to")
+		return errors.New("--json, --csv, --plot need a run; give its address by --to")
 	case c.Workers < 1 || c.Workers > 64:
 		return fmt.Errorf("--workers: %d; want from 1 to 64", c.Workers)
 	}
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// validateOutputs checks the forms of the files to write, by their names.
+// validateOutputs checks the formats of the output files, given by their names.
 func (c *loadCommand) validateOutputs() error {
 	if c.Trace != "" {
 		if _, err := loadgen.TraceForm(c.Trace); err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// protectInputs refuses to write over a file that the run reads.
+// protectInputs returns an error if an output would overwrite a file that the run reads.
 func (c *loadCommand) protectInputs() error {
 	sources := []string{c.Plan}
 	if c.plan.Trace != nil {
@@ -116,18 +117,18 @@
 	for _, name := range []string{c.JSON, c.CSV, c.Plot, c.Trace} {
 		to, err := os.Stat(name)
 		if err != nil {
-			continue // there is nothing yet
+			continue // the file does not exist yet
 		}
 		for _, source := range sources {
 			if from, err := os.Stat(source); err == nil && os.SameFile(from, to) {
-				return fmt.Errorf("%s: the run reads it, so that it can't be written; choose another name", name)
+				return fmt.Errorf("%s: the run reads this file, so it can't be written; choose another name", name)
 			}
 		}
 	}
 	return nil
 }
 
-// makePlan reads the plan, or makes one of the arguments.
+// makePlan reads the plan, or creates one from the flags.
 func (c *loadCommand) makePlan() (err error) {
 	if c.Plan == "" {
 		c.plan = &loadgen.Plan{
@@ -146,18 +147,17 @@
 	return c.plan.Check()
 }
 
-// collectLater is how far garbage may grow, in percent of what is in use: that is little, and a collection makes sends
-// late.
-const collectLater = 1000
+// gcPercent lets the heap grow to many times the memory in use, which is small, since a garbage collection delays sends.
+const gcPercent = 1000
 
-// Run sends the load, or plays one of the other parts.
+// Run sends the load, or runs a server or a worker process.
 func (c *loadCommand) Run(ctx context.Context, out io.Writer) error {
-	debug.SetGCPercent(collectLater)
+	debug.SetGCPercent(gcPercent)
 	switch {
 	case c.Serve:
 		context.AfterFunc(ctx, func() { os.Exit(0) })
 		_ = os.Setenv(cpubench.RoleVariable, cpubench.RoleServers+" 1")
-		cpubench.Serve() // ends the process
+		cpubench.Serve() // exits the process
 	case c.Work:
 		return loadgen.Work(ctx, os.Stdin, out)
 	}
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// send runs the plan in this process, or in several.
+// send runs the plan in this process, or in several worker processes.
 func (c *loadCommand) send(ctx context.Context) (*loadgen.Result, error) {
 	if c.Workers == 1 {
 		return loadgen.Run(ctx, c.plan, loadgen.Options{Address: c.To})
@@ -210,10 +210,10 @@
 	return loadgen.Spread(ctx, c.plan, c.To, commands)
 }
 
-// loadFiles are what is written besides the report; nil = not asked for.
+// loadFiles are the files that are written besides the report; nil = not requested.
 type loadFiles struct{ json, csv, plot, trace *os.File }
 
-// files makes them before anything is sent, so that a run is not lost to a name that can't be written.
+// files creates the output files before anything is sent, so that a run is not lost because a file can't be created.
 func (c *loadCommand) files() (f loadFiles, err error) {
 	for _, file := range []struct {
 		name string
@@ -238,22 +238,23 @@
 	}
 }
 
+// write writes the report to the files; plot is the format of the plot.
 func (f *loadFiles) write(r *loadgen.Report, plot string) error {
-	var problems []error
+	var errs []error
 	if f.json != nil {
 		e := json.NewEncoder(f.json)
 		e.SetIndent("", "  ")
-		problems = append(problems, e.Encode(r))
+		errs = append(errs, e.Encode(r))
 	}
 	if f.csv != nil {
-		problems = append(problems, r.WriteCSV(f.csv))
+		errs = append(errs, r.WriteCSV(f.csv))
 	}
 	if f.plot != nil {
 		form, err := loadgen.PlotForm(plot)
 		if err == nil {
 			err = r.Plot(f.plot, form)
 		}
-		problems = append(problems, err)
+		errs = append(errs, err)
 	}
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
--- a/cmd/testbench/main.go
+++ b/cmd/testbench/main.go
@@ -1,5 +1,5 @@
-// Command testbench starts the sidecar's program between scripted fakes and measures.
-// docs/operate/measuring.md explains its results.
+// Command testbench measures the sidecar's program with scripted fake clients, servers and discovery.
+// docs/operate/measuring.md explains the results.
 package main
 
 import (
@@ -18,57 +18,58 @@
 
 // The exit codes.
 const (
-	exitBroken = 1 // a rule is broken, a process has crashed, or nothing could be measured
+	exitBroken = 1 // a rule was violated, a process crashed, or nothing could be measured
 	exitUsage  = 2
 )
 
-// errBroken says that a report names what is broken.
-var errBroken = errors.New("a rule is broken, or a process has crashed: see above")
+// errBroken is returned after a report that contains violations.
+var errBroken = errors.New("a rule was violated or a process crashed: see above")
 
 // commands are the subcommands.
 type commands struct {
-	Recover     recoverCommand     `cmd:"" help:"How long until service is back after a release, a crash and more."`
-	Handover    handoverCommand    `cmd:"" help:"What a long line of hot restarts costs."`
-	Soak        soakCommand        `cmd:"" help:"Hunts rare faults: real sidecars, faults that overlap in time, and a judge."`
-	Load        loadCommand        `cmd:"" help:"Sends load that does not wait for answers, and measures it."`
-	Fleet       fleetCommand       `cmd:"" help:"Counts what a whole fleet sent to servers and discovery, from its sidecars' logs."`
-	Capacity    capacityCommand    `cmd:"" help:"What a sidecar costs for each server, call, probe, change and connection."`
-	Emulate     emulateCommand     `cmd:"" help:"A fleet in virtual time: faults, a judge, and policies to compare."`
-	FleetScenes fleetScenesCommand `cmd:"" help:"Plays fleets of thousands of simulated sidecars in a few processes."`
-	FleetPart   fleetPartCommand   `cmd:"" hidden:"" help:"A process of fleet-scenes, which starts it."`
-	Overload    overloadCommand    `cmd:"" help:"The scale test of overload, in virtual time: the same traffic by ever more sidecars."`
+	Recover     recoverCommand     `cmd:"" help:"Measures how long service takes to recover after a release, a crash and other events."`
+	Handover    handoverCommand    `cmd:"" help:"Measures the effect of a long series of hot restarts."`
+	Soak        soakCommand        `cmd:"" help:"Searches for rare bugs: real sidecars, injected faults that overlap in time, and a judge."`
+	Load        loadCommand        `cmd:"" help:"Sends load that does not wait for responses, and measures it."`
+	Fleet       fleetCommand       `cmd:"" help:"Adds up what a whole fleet sent to servers and discovery, from its sidecars' logs."`
+	Capacity    capacityCommand    `cmd:"" help:"Measures the cost of a sidecar for each server, request, probe, change and connection."`
+	Emulate     emulateCommand     `cmd:"" help:"Runs a fleet in virtual time, with faults and a judge, and compares policies."`
+	FleetScenes fleetScenesCommand `cmd:"" help:"Runs fleets of thousands of simulated sidecars in a few processes."`
+	FleetPart   fleetPartCommand   `cmd:"" hidden:"" help:"A process started by fleet-scenes."`
+	Overload    overloadCommand    `cmd:"" help:"Runs the overload test in virtual time: the same traffic from more and more sidecars."`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(args []string, out, problems io.Writer) int {
+// run executes the command line and returns the exit code.
+func run(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	var c commands
-	helped := false
-	parser, err := kong.New(&c, kong.Name("testbench"), kong.Description("Measures the sidecar's program and plays fleets of it."),
-		kong.Writers(out, problems), kong.Exit(func(int) { helped = true }),
+	helpShown := false
+	parser, err := kong.New(&c, kong.Name("testbench"), kong.Description("Measures the sidecar's program, and runs fleets of sidecars."),
+		kong.Writers(out, errOut), kong.Exit(func(int) { helpShown = true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		fmt.Fprintln(problems, "testbench:", err)
+		fmt.Fprintln(errOut, "testbench:", err)
 		return exitBroken
 	}
 	chosen, err := parser.Parse(args)
 	switch {
-	case helped:
+	case helpShown:
 		return 0
 	case err != nil:
-		fmt.Fprintf(problems, "testbench: %v; see testbench --help\n", err)
+		fmt.Fprintf(errOut, "testbench: %v; see testbench --help\n", err)
 		return exitUsage
 	}
 	if err := recovery.AdoptOrphans(); err != nil {
-		fmt.Fprintln(problems, "testbench:", err)
+		fmt.Fprintln(errOut, "testbench:", err)
 		return exitBroken
 	}
 	chosen.BindTo(ctx, (*context.Context)(nil))
 	chosen.BindTo(out, (*io.Writer)(nil))
 	if err := chosen.Run(); err != nil {
-		fmt.Fprintln(problems, "testbench:", err)
+		fmt.Fprintln(errOut, "testbench:", err)
 		return exitBroken
 	}
 	return 0
--- a/cmd/testbench/main_test.go
+++ b/cmd/testbench/main_test.go
@@ -24,7 +24,7 @@
 	for _, test := range []struct {
 		args string
 		code int
-		say  string
+		want string
 	}{
 		{"--help", 0, "handover"},
 		{"recover --help", 0, "directory-down"},
@@ -63,11 +63,11 @@
 	} {
 		var out bytes.Buffer
 		args := strings.Fields(strings.NewReplacer("HERE", here, "DIR", dir).Replace(test.args))
-		if code := run(args, &out, &out); code != test.code || !strings.Contains(out.String(), test.say) {
-			t.Errorf("testbench %s: exit code %d, want %d; it says %s", test.args, code, test.code, out.String())
+		if code := run(args, &out, &out); code != test.code || !strings.Contains(out.String(), test.want) {
+			t.Errorf("testbench %s: exit code %d, want %d; output %s", test.args, code, test.code, out.String())
 		}
 	}
 	if left, err := os.ReadFile(filepath.Join(dir, "recorded.csv")); err != nil || string(left) != recorded {
-		t.Errorf("a trace that was to be played is now %q, %v", left, err)
+		t.Errorf("the input trace was overwritten: %q, %v", left, err)
 	}
 }
--- a/cmd/testbench/overload.go
+++ b/cmd/testbench/overload.go
@@ -10,23 +10,23 @@
 	"plankrouter/internal/testbench/emulator"
 )
 
-// overloadCommand plays the scale test of overload in virtual time.
+// overloadCommand runs the overload test in virtual time: the same traffic from different numbers of sidecars.
 type overloadCommand struct {
 	Sidecars         []int     `default:"4,40,300,2000,6000" placeholder:"N,..." help:"Sidecars that share the traffic (${default})."`
 	Servers          int       `default:"50" placeholder:"M" help:"Servers; 0 = as many as sidecars (${default})."`
-	Loads            []float64 `default:"0.5,0.9,1.2,2" placeholder:"L,..." help:"First tries over what the servers bear (${default})."`
-	Reports          []string  `default:"none,full" placeholder:"R,..." help:"Whether probes report a load: none, queued (by the time they wait), full (${default})."`
-	Events           []string  `default:"burst,zone" placeholder:"E,..." help:"What happens: none, burst, swell, zone (${default})."`
-	Seeds            []uint64  `default:"1" placeholder:"S,..." help:"Of the days (${default})."`
-	Policy           string    `default:"module" placeholder:"NAME" help:"As of emulate (${default})."`
-	PriorityFraction float64   `name:"worthy" placeholder:"P" help:"Part of the requests that is worth five times the others (${default})." default:"0"`
-	ZoneSkew         float64   `placeholder:"P" help:"So much more traffic in the first zone, and less in the last (${default})." default:"0"`
-	Drawn            bool      `help:"Draw work, queues, chokes and the clients' ways from the seed, too."`
-	Free             bool      `help:"Probes and connections cost the servers nothing: what deciding alone does."`
-	JSON             string    `name:"json" placeholder:"FILE" help:"Write the runs with their seconds as JSON, too."`
-	BySecond         bool      `help:"Write each run's seconds."`
-	Workers          int       `placeholder:"N" help:"Runs side by side (GOMAXPROCS)."`
-	Progress         bool      `help:"Write a line for each run as it ends, with the time so far."`
+	Loads            []float64 `default:"0.5,0.9,1.2,2" placeholder:"L,..." help:"Rate of first attempts, relative to the servers' capacity (${default})."`
+	Reports          []string  `default:"none,full" placeholder:"R,..." help:"Load reports of probes: none, queued (by queueing time), full (${default})."`
+	Events           []string  `default:"burst,zone" placeholder:"E,..." help:"Events: none, burst, swell, zone (${default})."`
+	Seeds            []uint64  `default:"1" placeholder:"S,..." help:"Seeds of the days (${default})."`
+	Policy           string    `default:"module" placeholder:"NAME" help:"Policy, as for emulate (${default})."`
+	PriorityFraction float64   `name:"worthy" placeholder:"P" help:"Fraction of requests with five times the priority weight of the others (${default})." default:"0"`
+	ZoneSkew         float64   `placeholder:"P" help:"Fraction by which the first zone has more traffic, and the last zone less (${default})." default:"0"`
+	Drawn            bool      `help:"Draw work, queues, chokes and the clients' behaviour from the seed, too."`
+	Free             bool      `help:"Probes and connections cost the servers nothing, to show the effect of decisions alone."`
+	JSON             string    `name:"json" placeholder:"FILE" help:"Also write the runs, with results by second, to this file, as JSON."`
+	BySecond         bool      `help:"Write the results of each run by second."`
+	Workers          int       `placeholder:"N" help:"Concurrent runs (GOMAXPROCS)."`
+	Progress         bool      `help:"Write a line with the elapsed time at the end of each run."`
 }
 
 // Help shows examples.
@@ -35,7 +35,7 @@
 		"testbench overload --servers 0 --sidecars 6,40,300 --loads 0.57 --events swell --reports none\n"
 }
 
-// runs lists what is to be played, the most expensive first, since they last longest.
+// runs lists the runs to execute.
 func (c *overloadCommand) runs() (runs []emulator.Overload, err error) {
 	for _, event := range c.Events {
 		for _, reports := range c.Reports {
@@ -68,7 +68,7 @@
 	return err
 }
 
-// Run plays the days and writes the table.
+// Run executes the runs and writes the table.
 func (c *overloadCommand) Run(ctx context.Context, out io.Writer) error {
 	runs, err := c.runs()
 	if err != nil {
--- a/cmd/testbench/recover.go
+++ b/cmd/testbench/recover.go
@@ -14,19 +14,21 @@
 	"plankrouter/internal/testbench/recovery"
 )
 
-// experiment has the flags that all experiments share.
+// experiment holds the flags that recover and handover share.
 type experiment struct {
 	Servers int     `name:"providers" default:"8" help:"Servers in the fleet."`
-	Rate    float64 `default:"400" help:"Requests a second."`
+	Rate    float64 `default:"400" help:"Requests per second."`
 	Keep    string  `placeholder:"DIR" help:"Keep the sidecars' logs and configurations in this folder."`
-	JSON    string  `name:"json" placeholder:"FILE" help:"Write the results to this file, too."`
+	JSON    string  `name:"json" placeholder:"FILE" help:"Also write the results to this file, as JSON."`
 }
 
+// setup returns the setup for a program and a seed.
 func (e *experiment) setup(program string, seed uint64) recovery.Setup {
 	return recovery.Setup{Program: program, Servers: e.Servers, Rate: e.Rate, Seed: seed}
 }
 
-// folder returns the folder for what is kept, and what to do with it at the end.
+// folder returns the folder for logs and configurations, and a function to call at the end, which removes it unless --keep
+// is given.
 func (e *experiment) folder() (string, func(), error) {
 	if e.Keep != "" {
 		return e.Keep, func() {}, os.MkdirAll(e.Keep, 0o755)
@@ -35,7 +37,7 @@
 	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
-// save writes the results to the file of --json, if there is one.
+// save writes the results to the file of --json, if it is given.
 func (e *experiment) save(results any) error {
 	if e.JSON == "" {
 		return nil
@@ -47,11 +49,11 @@
 	return os.WriteFile(e.JSON, append(raw, '\n'), 0o644)
 }
 
-// recoverCommand runs scenarios.
+// recoverCommand runs recovery scenarios.
 type recoverCommand struct {
 	experiment
-	Program  []string `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program, or several."`
-	Scenario []string `placeholder:"NAME" help:"Only this one, of those that are listed below; may be given again."`
+	Program  []string `default:"bin/plankrouter" placeholder:"FILE" help:"The sidecar's program; several are run in turn."`
+	Scenario []string `placeholder:"NAME" help:"Run only this scenario of those listed below; may be repeated."`
 	Seeds    int      `default:"3" help:"Runs of each scenario."`
 }
 
@@ -82,14 +84,14 @@
 	return c.setup("", 1).Check()
 }
 
-// executable checks that a program can be started.
+// executable returns an error if a program can't be started.
 func executable(program string) error {
 	path, err := filepath.Abs(program) // a bare name is a file here, not one of PATH
 	if err == nil {
 		_, err = exec.LookPath(path)
 	}
 	if err != nil {
-		return fmt.Errorf("--program: %w; build it by make build, or name another", err)
+		return fmt.Errorf("--program: %w; build it with make build, or give another", err)
 	}
 	return nil
 }
--- a/cmd/testbench/soak.go
+++ b/cmd/testbench/soak.go
@@ -12,20 +12,20 @@
 	"plankrouter/internal/testbench/soak"
 )
 
-// soakCommand hunts rare faults.
+// soakCommand searches for rare bugs by fault injection.
 type soakCommand struct {
 	Program  string        `default:"bin/plankrouter-faults" placeholder:"FILE" help:"The sidecar's program, built with the tag faultinjection (make soak does)."`
-	Seed     uint64        `default:"1" help:"Of the first run; each further one has the next."`
-	Seeds    int           `default:"5" help:"Runs."`
+	Seed     uint64        `default:"1" help:"Seed of the first run; each further run has the next one."`
+	Seeds    int           `default:"5" help:"Number of runs."`
 	For      time.Duration `default:"25s" help:"Length of a run."`
-	Sidecars int           `default:"12" help:"Real sidecars."`
-	Servers  int           `default:"8" help:"Fake servers."`
-	Rate     float64       `default:"25" help:"Requests a second for each sidecar."`
-	Only     []soak.Kind   `placeholder:"KIND" help:"Only these kinds of fault; may be given again."`
-	Keep     string        `placeholder:"DIR" help:"Keep the folders of runs that broke a rule here."`
+	Sidecars int           `default:"12" help:"Number of real sidecars."`
+	Servers  int           `default:"8" help:"Number of fake servers."`
+	Rate     float64       `default:"25" help:"Requests per second for each sidecar."`
+	Only     []soak.Kind   `placeholder:"KIND" help:"Inject only this kind of fault; may be repeated."`
+	Keep     string        `placeholder:"DIR" help:"Copy the folders of runs with violations here."`
 }
 
-// Run plays the runs one after another.
+// Run executes the runs one after another.
 func (c *soakCommand) Run(ctx context.Context, out io.Writer) error {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
@@ -58,7 +58,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "%d of %d runs broke a rule\n", broken, c.Seeds)
+	fmt.Fprintf(out, "%d of %d runs violated a rule\n", broken, c.Seeds)
 	if broken > 0 {
 		return errBroken
 	}
