--- a/bench_test.go
+++ b/bench_test.go
@@ -83,7 +83,7 @@
 	left.Store(int64(b.N))
 	var all sync.WaitGroup
 	b.ResetTimer()
-	began := cpubench.Own()
+	began := cpubench.OwnCPU()
 	for range callers {
 		all.Go(func() {
 			for left.Add(-1) >= 0 {
@@ -94,7 +94,7 @@
 		})
 	}
 	all.Wait()
-	b.ReportMetric(float64(cpubench.Own()-began)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpubench.OwnCPU()-began)/float64(b.N), "cpu-ns/op")
 	if n := failed.Load(); n > 0 {
 		b.ReportMetric(float64(n)/float64(b.N), "failed/op")
 	}
@@ -119,9 +119,9 @@
 		}
 		b.ReportMetric(float64(heapInUse()-heap)/instances/1024, "KB/instance")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/instances, "goroutines/instance")
-		cpu := cpubench.Own()
+		cpu := cpubench.OwnCPU()
 		time.Sleep(watched)
-		b.ReportMetric(float64((cpubench.Own()-cpu).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
+		b.ReportMetric(float64((cpubench.OwnCPU()-cpu).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
 		for _, one := range all {
 			if err := one.Close(context.Background()); err != nil {
 				b.Fatal(err)
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -196,8 +196,8 @@
 // CPU returns the CPU time that the child process has used so far.
 func (p *Process) CPU() (time.Duration, error) { return process.CPU(p.cmd.Process.Pid) }
 
-// Own returns the CPU time that this process has used so far; 0 if it can't be read.
-func Own() time.Duration {
+// OwnCPU returns the CPU time that this process has used so far; 0 if it can't be read.
+func OwnCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
