--- a/bench_test.go
+++ b/bench_test.go
@@ -83,7 +83,7 @@
 	remaining.Store(int64(b.N))
 	var running sync.WaitGroup
 	b.ResetTimer()
-	cpuBefore := cpubench.Own()
+	cpuBefore := cpubench.OwnCPU()
 	for range callers {
 		running.Go(func() {
 			for remaining.Add(-1) >= 0 {
@@ -94,7 +94,7 @@
 		})
 	}
 	running.Wait()
-	b.ReportMetric(float64(cpubench.Own()-cpuBefore)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpubench.OwnCPU()-cpuBefore)/float64(b.N), "cpu-ns/op")
 	if n := failed.Load(); n > 0 {
 		b.ReportMetric(float64(n)/float64(b.N), "failed/op")
 	}
@@ -119,9 +119,9 @@
 		}
 		b.ReportMetric(float64(heapInUse()-heap)/instances/1024, "KB/instance")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/instances, "goroutines/instance")
-		cpuBefore := cpubench.Own()
+		cpuBefore := cpubench.OwnCPU()
 		time.Sleep(watched)
-		b.ReportMetric(float64((cpubench.Own()-cpuBefore).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
+		b.ReportMetric(float64((cpubench.OwnCPU()-cpuBefore).Microseconds())/watched.Seconds()/instances, "cpu-us/s/instance")
 		for _, balancer := range balancers {
 			if err := balancer.Close(context.Background()); err != nil {
 				b.Fatal(err)
