--- a/cmd/plankrouter/cordons.go
+++ b/cmd/plankrouter/cordons.go
@@ -18,7 +18,7 @@
 )
 
 // newCordonStore returns the store of operators' cordons: a file in TMPDIR, the folder that the platform gives the sidecar's
-// processes. The set is kept in memory only if there is no such folder or no admin address.
+// processes. Without such a folder or an admin address, the set is kept only in memory.
 func newCordonStore(cfg *config.Config, getenv func(string) string) *cordon.Store {
 	if folder := getenv("TMPDIR"); folder != "" && cfg.AdminAddr != "" {
 		return &cordon.Store{
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -150,7 +150,7 @@
 	return f
 }
 
-// The shares add up to the limit. Only with minConns connections and many inherited descriptors the total exceeds it.
+// The shares add up to the limit. The total exceeds it only with minConns connections and many inherited descriptors.
 func TestSharesAddUp(t *testing.T) {
 	for _, withAdmin := range []bool{false, true} {
 		for limit := 32; limit <= 4096; limit++ {
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -127,7 +127,7 @@
 	log.Printf("name=%s handover=passing successor=%d", p.cfg.Name, successor.Pid())
 	if rendezvousFolder(p.getenv) != "" {
 		p.budget.SetLimit(p.shares.conns / standbyDivisor)
-		defer p.budget.SetLimit(p.shares.conns) // if this process continues to serve
+		defer p.budget.SetLimit(p.shares.conns) // has an effect only if the handover fails
 	}
 	transferred := p.beginTransfer(successor, listener)
 	stopForwarded := p.forwardStop(successor, listener)
--- a/cmd/plankrouter/lifecycle.go
+++ b/cmd/plankrouter/lifecycle.go
@@ -10,7 +10,7 @@
 	starting     phase = iota // may not serve yet
 	serving                   // accepts connections
 	handingOver               // a successor is ready, and receives the listener and the connections
-	retiring                  // the handover failed and the predecessor continues to serve: it finishes its requests and accepts nothing
+	retiring                  // the handover from the predecessor failed: finishes its requests and accepts nothing
 	shuttingDown              // has received a stop signal: it serves until LastForward of its schedule
 	draining                  // has closed its listener, and finishes its requests
 	finished                  // serves nothing any more: the process exits
--- a/cmd/plankrouter/main.go
+++ b/cmd/plankrouter/main.go
@@ -24,7 +24,8 @@
 	// memoryLimitFraction is the fraction of limits.memory_mb that is set as the soft memory limit of the Go runtime.
 	memoryLimitFraction = 0.7
 
-	// listenTimeout bounds the retries of a listen that fails temporarily. The platform waits for 10 s.
+	// listenTimeout bounds the retries of a listen that fails temporarily. It is below the 10 s that the platform waits for
+	// the process to become ready.
 	listenTimeout = 5 * time.Second
 )
 
@@ -63,7 +64,8 @@
 		return err
 	}
 	adminListener, err := listenAdmin(cfg)
-	if errno := syscall.Errno(0); errors.As(err, &errno) { // a predecessor or another program uses the address: serve requests without it for now
+	// An address in use, by a predecessor or another program, must not keep this process from serving requests.
+	if errno := syscall.Errno(0); errors.As(err, &errno) {
 		log.Printf("name=%s state=admin_waiting err=%q", cfg.Name, err)
 	} else if err != nil {
 		return err
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -74,8 +74,8 @@
 	return listedAt
 }
 
-// Processes restart together without an endpoint list, and discovery makes complete lists for a third of them in a second,
-// but for no fewer than 20. Nine in ten are ready within 10 s, with or without a queue for polls.
+// Processes restart together without an endpoint list, and discovery makes complete lists for at least a third of them in a
+// second, but for no fewer than 20. Nine in ten are ready within 10 s, with or without a queue for polls.
 func TestInstancesRestartedTogetherAreReady(t *testing.T) {
 	const within = 10 * time.Second
 	for _, c := range []struct{ processes, perSecond int }{{20, 20}, {300, 100}, {300, 1000}, {6000, 2000}, {6000, 5000}} {
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -22,8 +22,8 @@
 type recoveryCase struct {
 	known    func(fakes.List) fakes.List // edits the configured endpoint list; nil = unchanged
 	steps    func(*world) fakes.Timeline
-	event    time.Duration                // the time from which within counts
-	within   time.Duration                // bounds the time until service is back at 95%; 0 = it must stay there
+	event    time.Duration                // start of the interval whose length is within
+	within   time.Duration                // from event until service is back at 95%; 0 = it must stay there
 	worst    float64                      // least fraction of requests to be served in any second
 	check    func(t *testing.T, w *world) // further checks; nil = none
 	duration time.Duration                // duration of the load; 0 = 20 s
@@ -106,7 +106,8 @@
 				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: second, Between: 2 * second, NewAddresses: true})
 			}}}
 		},
-		event: 5 * second, within: 6 * second, worst: 0.8, // a fault had only 0.41 served in each of five seconds, with idle servers
+		// With a fault, only 0.41 of the requests were served in each of five seconds, although servers were idle.
+		event: 5 * second, within: 6 * second, worst: 0.8,
 	},
 	"discovery down for 30 s, then a complete list": {
 		duration: 42 * second,
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// standbyDivisor is the divisor of the socket limit for the process, of two, that does not accept connections.
+	// standbyDivisor divides the socket limit of the process that does not accept connections while two of them run.
 	standbyDivisor = 4
 	// rendezvousTimeout bounds the retries of a listen on the rendezvous socket that fails temporarily.
 	rendezvousTimeout = 2 * time.Second
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -92,8 +92,8 @@
 	return run
 }
 
-// signalRepeated handles a further stop signal. It expedites the shutdown, unless the two are one signal, received directly
-// and from a predecessor.
+// signalRepeated handles a further stop signal. It expedites the shutdown, unless it is the first signal once more: a
+// successor may receive a signal both directly and from its predecessor.
 func (s *shutdownRun) signalRepeated(signal receivedSignal) {
 	if signal.isForwarded() != s.forwarded {
 		s.forwarded = false
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -1,9 +1,9 @@
 package main
 
-// Guards against requests that never get a response because their process is stopped on a busy machine. Such requests were
-// accepted late in the shutdown, forwarded to slow servers, and still open at the kill: the process stalled for 0.15 s around
-// SIGTERM and counted its schedule from when it read the signal. It failed the open requests 0.1 s before its estimate of the
-// kill, in several steps that may stall too, and was killed first.
+// Guards against requests without a response, of which users saw dozens whenever a process was shut down on a busy machine.
+// These requests were accepted late in the shutdown, forwarded to slow servers, and still open at the kill: the process
+// stalled for 0.15 s around SIGTERM and counted its schedule from when it read the signal. It failed the open requests 0.1 s
+// before its estimate of the kill, in several steps that may stall too, and was killed first.
 //
 // Each row stops a real process at one point of its shutdown. With the code before the fix, every stop at the signal or in
 // the last 0.15 s lost requests that servers had received, and no other stop did.
@@ -17,7 +17,7 @@
 
 const (
 	pauseLength     = 150 * time.Millisecond // length of each stop of the process
-	maxPauseLength  = 165 * time.Millisecond // a longer stop, by a stall of the test's own machine, makes the row's run invalid
+	maxPauseLength  = 165 * time.Millisecond // a run with a longer stop is invalid: the test's own machine has stalled
 	defaultDeadline = 400 * time.Millisecond // longest class deadline of rows without their own
 	killMargin      = 700 * time.Millisecond // SIGKILL is sent this long after SIGTERM plus the longest deadline
 	maxRowAttempts  = 5                      // runs of a row, until one has stops of the right length
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// endProcess sends the row's signals, stops the process at the row's pauses and kills it at the earliest time. It reports
-// whether all stops were shorter than maxPauseLength.
+// endProcess sends the row's signals, stops the process at the row's pauses and kills it at the earliest time at which the
+// platform may. It reports whether all stops were shorter than maxPauseLength.
 func (w *shutdownRunner) endProcess() (valid bool) {
 	pid, longest := w.cmd.Process.Pid, w.row.deadline
 	if w.row.reloadedDeadline > 0 {
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -46,7 +46,7 @@
 // listen queues this process's signals from now on.
 func (q signalQueues) listen() {
 	reload, stop := make(chan os.Signal, cap(q.reload)), make(chan os.Signal, cap(q.stop))
-	signal.Notify(reload, syscall.SIGHUP) // first: unhandled it ends the process, unless the deploy file has it ignored until here
+	signal.Notify(reload, syscall.SIGHUP) // first: unhandled it ends the process, unless started with it ignored
 	signal.Notify(q.report, syscall.SIGUSR1)
 	signal.Notify(q.handOver, syscall.SIGUSR2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/plankrouter/trace.go
+++ b/cmd/plankrouter/trace.go
@@ -13,7 +13,7 @@
 const cpuInterval = time.Second
 
 // startTracing returns the function that logs each operation on servers and discovery, and starts logging the CPU time, if
-// GW_TRACE is 1; else it returns nil. testbench fleet counts such lines over a fleet.
+// GW_TRACE is 1; else it returns nil. The command "testbench fleet" counts these lines in the logs of a whole fleet.
 func startTracing(ctx context.Context, group *errgroup.Group, getenv func(string) string) func(string, ...any) {
 	if getenv("GW_TRACE") != "1" {
 		return nil
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -41,9 +41,9 @@
 	})
 }
 
-// Servers leave while discovery does not respond, and the drain grace counts although no list reports it: one server drains,
-// one restarts under its id, and one is replaced by another server at its address. One of 300 instances sends nothing new to
-// them once the grace is over, whether it has been running or has just been stopped and started.
+// While discovery does not respond, one server drains, one restarts under its id, and one is replaced by another server at its
+// address. Although no list reports that, one of 300 instances sends nothing new to them once the drain grace is over, whether
+// it has been running or has just been stopped and started.
 func TestDrainsAreObeyedWithoutDiscovery(t *testing.T) {
 	const silent, leave, over = 3 * second, 8 * second, 14 * second
 	for _, grace := range []time.Duration{200 * time.Millisecond, 750 * time.Millisecond, 2 * second} {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The environment dates from the start, so that the discovery address in the file overrides it. An incomplete file is rejected.
+// In a reload, the discovery address in the file overrides that of the environment, which is as it was at the start of the
+// process. An incomplete file is rejected.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1", "GW_NAME": "n7"}
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -26,7 +26,7 @@
 	return limit
 }
 
-// limitExceptAttempts returns the number of slots in use from which the remaining ones are reserved for attempts.
+// limitExceptAttempts returns the limit without the slots reserved for attempts.
 func (b *Budget) limitExceptAttempts() int { return b.limit - b.limit/attemptsOnlyDivisor }
 
 // Side is the direction in which a connection was opened.
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -18,7 +18,7 @@
 
 // Options sets how the successor is started and what is sent to it. Every field but Address may be left at its zero value.
 type Options struct {
-	Path         string          // of the program, which may be a new binary; "" = os.Args[0]
+	Path         string          // of the program, looked up again, so that it may be a new binary; "" = os.Args[0]
 	Args         []string        // without the program's name; nil = this process's arguments
 	Env          []string        // as KEY=value; nil = this process's environment
 	ReadyTimeout time.Duration   // from the call of Start or HandOverTo until the successor must be ready; 0 = 30 s
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -15,7 +15,7 @@
 const (
 	rendezvousName    = "plankrouter.handover"
 	rendezvousTimeout = 1500 * time.Millisecond // for the other process's message; without it each process serves alone
-	findTimeout       = 600 * time.Millisecond  // for a process that is about to listen after its own predecessor's exit
+	findTimeout       = 600 * time.Millisecond  // to connect: a process whose predecessor has just exited may listen soon
 	findRetryInterval = 20 * time.Millisecond   // between two attempts to connect
 	maxPathLen        = 100                     // of a Unix socket in bytes, a few below the kernel's limit
 )
--- a/internal/hotrestart/signals_test.go
+++ b/internal/hotrestart/signals_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A forwarded signal keeps the times at which it was sent and after which the process may be killed, however late it is read.
+// However late a forwarded signal is read, the times of the signal and of the kill stay those that were sent.
 func TestForwardedSignalsKeepTheirTimes(t *testing.T) {
 	sent := time.Now().Add(-2 * time.Second)
 	var stop Stop
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -57,7 +57,7 @@
 	p += 0.01
 	raised := 3*p + 0.05
 	switch {
-	case raised > 0.9: // p is so high that an increase would go undetected
+	case raised > 0.9: // p is so high that it can't rise by much: there is no change to detect
 		e.changeLogOdds = 0
 	case outcome == Responded:
 		e.changeLogOdds = max(0, e.changeLogOdds+math.Log((1-raised)/(1-p)))
--- a/internal/keepalive/cost.go
+++ b/internal/keepalive/cost.go
@@ -75,12 +75,12 @@
 	return delay
 }
 
-// IdleLimit returns the idle time, at most limit, beyond which a new connection to the server has the lower expected loss.
+// IdleLimit returns the idle time, at most limit, from which a new connection to the server has the lower expected loss.
 // Connections that are idle for longer than the result for the lowest cost in use can be closed.
 func (e *Estimator) IdleLimit(now time.Time, server string, cost AttemptCost, limit time.Duration) time.Duration {
 	post := e.posterior(now, server)
 	newLoss := e.newConnLoss(&cost, post)
-	step := sort.Search(stepCount, func(i int) bool { // the loss is monotone in the idle time
+	step := sort.Search(stepCount, func(i int) bool { // the loss does not fall as the idle time grows
 		p, baseline := post.onReusedConn(i, stepOf(1))
 		loss, _ := e.loss(&cost, post, p, baseline)
 		return p > baseline && loss > newLoss
--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -12,12 +12,12 @@
 	idleUnit  = 5 * time.Millisecond // unit of idle time; the unit of attempts carried is 1
 )
 
-// Strengths of the priors, in attempts.
+// Strengths of the priors, as the number of attempts that a prior counts as, and other weights of the estimates.
 const (
 	stepPrior          = 8.0  // of a step of the fleet's curves, centered on the neighboring steps
 	serverPrior        = 16.0 // of a step of a server's curves, centered on the neighboring steps
-	neighborWeight     = 0.5  // weight of an adjacent step, not a strength; a step at distance n weighs neighborWeight^n
-	neighborPriorShare = 0.25 // share of a step's strength with which the neighbors' mean is centered on the fleet's curve
+	neighborWeight     = 0.5  // factor on the attempts at an adjacent step; neighborWeight^n at distance n
+	neighborPriorShare = 0.25 // prior strength of the neighbors' mean, as a share of the step's; centered on the fleet's curve
 	newConnPrior       = 8.0  // of the break probability on new connections, centered on that on reused ones
 	detectedPrior      = 2.0  // of the share of breaks detected within a last-byte delay
 	meanPrior          = 4.0  // of a server's mean dial time, centered on the fleet's
@@ -37,7 +37,7 @@
 	}()
 )
 
-// stepOf returns the step of a value in units.
+// stepOf returns the step of the curves that covers v: an idle time in idleUnits, or a number of attempts carried.
 func stepOf(v float64) int {
 	if !(v >= 1) {
 		return 0
--- a/internal/keepalive/settings.go
+++ b/internal/keepalive/settings.go
@@ -14,7 +14,7 @@
 	MaxHalfLife      time.Duration // upper bound of the half-life of evidence
 	HalfLifeAttempts float64       // half-life of evidence in attempts, within the two bounds
 	MaxLastByteDelay time.Duration // upper bound of the time for which the last byte is held back; 0 = never held back
-	MaxServers       int           // servers with records of their own, of 1.2 KB each
+	MaxServers       int           // maximum number of servers with evidence of their own, which takes 1.2 KB each
 }
 
 // Default returns the settings for requests of about 100 ms at servers that can hold a few hundred connections.
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -255,7 +255,7 @@
 	return f
 }
 
-// In every scenario the loss of an Estimator exceeds that of the best fixed policy, chosen for that scenario, by little.
+// In every scenario the loss of an Estimator is at most slightly above that of the best fixed policy for that scenario.
 func TestLossNearBestFixedPolicy(t *testing.T) {
 	const n, seeds = 6000, 2
 	for _, s := range scenarios {
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -12,7 +12,7 @@
 // the sum of the steps that follow it.
 //
 // The platform starts the successor only after the kill, even if this process exits earlier. Nobody serves from LastForward
-// to the kill: no lead is longer than its sum.
+// to the kill, so no lead is longer than its sum.
 package shutdown
 
 import (
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -32,7 +32,7 @@
 // Each lead is long enough for a stall at every step that follows it: connections are closed, a last request is read and
 // rejected, and open requests fail and get their responses before the kill, with any number of connections.
 func TestLeadsCoverStalls(t *testing.T) {
-	for longest := 250 * ms; longest < 6*time.Second; longest += 70 * ms { // with shorter ones new clients would hardly be accepted
+	for longest := 250 * ms; longest < 6*time.Second; longest += 70 * ms { // with shorter ones few new clients are accepted
 		for _, connections := range []int{0, 10, 100, 300, 1000, 10000} {
 			schedule := NewSchedule(longest, 0).ForConnections(connections)
 			work := min(time.Duration(connections)*CloseTimePerConnection, schedule.Kill/10)
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -30,7 +30,7 @@
 
 // DropStale returns the parts of s that are still valid at now, and those that were dropped. It converts times of the policy's
 // clock to Unix ms of the wall clock, none later than the snapshot or now, so that nothing counts as fresher than it is. Start
-// times are unchanged, so that slow start continues from them. s is not modified.
+// times are unchanged, so that slow start continues from them. The Age of a member is advanced to now. s is not modified.
 func DropStale(s *Snapshot, now time.Time, rules ValidityRules) (*Snapshot, []Dropped) {
 	v := validator{rules: rules, now: unixMs(now), takenAt: unixMs(s.TakenAt)}
 	if s.Learned.Now > 0 {
@@ -72,7 +72,8 @@
 }
 
 // keepMembers keeps the available servers if reason is empty and the list is not too old. It keeps draining and deleted ones
-// for MaxDrainAge unless otherFleet is set, even of a snapshot from the future: they stay so until discovery lists otherwise.
+// for MaxDrainAge unless otherFleet is set. It does so even if reason is FromTheFuture, since these servers stay draining or
+// deleted until discovery lists them otherwise.
 func (v *validator) keepMembers(s, out *Snapshot, reason Reason, otherFleet bool) {
 	if reason == "" && v.now-v.takenAt > config.Millis(v.rules.MaxListAge) {
 		reason = TooOld
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -35,7 +35,7 @@
 	Phase      string  `cbor:"5,keyasint"`           // a phase of package endpoints; any other value counts as draining
 	StartedAt  float64 `cbor:"6,keyasint,omitempty"` // process start time in Unix ms, from discovery; 0 = long ago
 	PhaseSince float64 `cbor:"7,keyasint,omitempty"` // Unix ms at which the current phase was first listed; 0 = unknown
-	Age        float64 `cbor:"8,keyasint,omitempty"` // ms since StartedAt, at TakenAt or, once restored, at the start; 0 = unknown
+	Age        float64 `cbor:"8,keyasint,omitempty"` // ms of real time since StartedAt, as of TakenAt; 0 = unknown
 }
 
 // availability says whether a server takes new work. In Merge a higher value takes precedence.
