--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -42,7 +42,7 @@
 	os.Exit(code)
 }
 
-// sides are the names of the two sides, in the order of the table.
+// sides are the names of the two implementations that every scenario runs against, in the order of the table.
 var sides = []string{"daemon", "library"}
 
 // TestConformance runs every scenario against both sides and logs a table of the outcomes.
@@ -113,7 +113,7 @@
 	if r.verdict != "same" {
 		return
 	}
-	if *update && len(r.scenario.knownDefects) == 0 && !r.scenario.generated { // other outcomes are written by hand
+	if *update && len(r.scenario.knownDefects) == 0 && !r.scenario.generated { // with a known defect, or generated: written by hand
 		r.scenario.want = merge(r.got["daemon"], r.got["library"])
 	}
 	for _, side := range sides {
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -112,8 +112,8 @@
 	return o
 }
 
-// awaitRevision waits until the side, which is the discovery service's only client, has received its current revision: the side
-// then polls for a newer one.
+// awaitRevision waits until the daemon or the library, which is the discovery service's only client, has received its current
+// revision: it then polls for a newer one.
 func awaitRevision(ctx context.Context, d *fakes.Discovery) error {
 	current := d.Revision()
 	return await(ctx, func() bool {
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -25,7 +25,7 @@
 	setup        [][]string        // tokens of the setup lines
 	steps        []step            // steps to run after the setup
 	want         []string          // expected outcome lines
-	knownDefects map[string]string // by side: description of a known defect because of which the outcome differs
+	knownDefects map[string]string // by "daemon" or "library": the known defect because of which its outcome differs
 	line         int               // number of its first line in the file
 	generated    bool              // created from a scenario with $fault in its name
 }
--- a/conformance/transport_test.go
+++ b/conformance/transport_test.go
@@ -130,7 +130,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	read, write := io.Pipe()
 	defer func() { _ = write.Close() }()               // never fails for a pipe
-	var blocking io.Reader = struct{ io.Reader }{read} // has no Close that would end a read
+	var blocking io.Reader = struct{ io.Reader }{read} // without a Close method, so that closing it can't unblock a Read
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://orders.internal/", blocking)
 	must(t, err)
 	done := runAsync(t, func() error {
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -134,7 +134,8 @@
 }
 
 // Cancel ends the attempt. Its connection is closed when Cancel returns, so that nothing more of the attempt reaches the
-// server. False means that it has already ended: its Result has been reported or is about to be.
+// server while a later attempt is in flight. False means that it has already ended: its Result has been reported or is
+// about to be.
 func (a *attempt) Cancel(reason outcome.Kind) (outcome.Kind, bool) {
 	return a.abort(reason, stageAwaitingResponse)
 }
--- a/internal/backend/deadconn_test.go
+++ b/internal/backend/deadconn_test.go
@@ -43,9 +43,9 @@
 		probe        bool
 		serverCloses bool          // the server closes the connection, before the last byte if that is held back
 		stop         time.Duration // after the start of the second attempt; 0 = never
-		leave        bool          // after stop the client's departure is reported,
-		withdraw     bool          // or the attempt is withdrawn,
-		gone         bool          // or the client leaves unreported; none of the three = the attempt times out
+		leave        bool          // at stop the client is reported as gone; without leave, withdraw and gone the attempt times out
+		withdraw     bool          // at stop the attempt is withdrawn
+		gone         bool          // at stop the client leaves, which is not reported
 		expires      time.Duration // after its start; 0 = never
 		late         bool          // a new connection takes a second to be established
 		want         seen
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -127,7 +127,7 @@
 	s.conns[c] = false
 	c.idleSince = c.acceptedAt
 	switch {
-	case s.draining && note != "": // it is idle, like the connections that Drain closes
+	case s.draining && note != "": // transferred while idle: closed like the idle connections of this process
 		c.shortenIdle(0)
 	case s.draining: // accepted from the backlog: it may still send one request
 		c.awaitsFirstRequest = true
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -235,8 +235,8 @@
 	}
 }
 
-// Many connections that send nothing, or an incomplete request, do not keep a request behind them in the backlog from its
-// response while draining.
+// While draining, a request gets its response even if many connections that send nothing, or an incomplete request, are ahead
+// of it in the backlog.
 func TestDrainServesBacklogBehindUnusedConnections(t *testing.T) {
 	for name, sent := range map[string]string{"silent": "", "incomplete request": "POST /order/1 HTTP/1.1\r\nHost: x\r\nContent-Le"} {
 		t.Run(name, func(t *testing.T) { testDrainBehindOthers(t, sent) })
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -32,7 +32,7 @@
 }
 
 // Adopt serves a connection that a predecessor has transferred, even beyond the limit on sockets, since it is already
-// established and may carry a request. It must be called after Expect and before its done.
+// established and may carry a request. It must be called after ExpectAdoptions and before its done.
 func (s *Server) Adopt(nc net.Conn, note []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// keepAlive reports whether the idle connection may stay open until the next check. While sockets are scarce, it may only up to
-// idleCheckInterval: a client that has sent no request for a while can open another connection.
+// keepAlive reports whether the idle connection may stay open until the next check. While sockets are scarce, it may stay for
+// idleCheckInterval at most: a client that has sent no request for a while can open another connection.
 func (c *conn) keepAlive() bool {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -36,8 +36,8 @@
 
 	mu                     sync.Mutex
 	conns                  map[*conn]bool               // true = a message is being received or responded to
-	keepIdle               bool                         // idle connections stay open, because clients can't open new ones
-	handOver               func(net.Conn, []byte) error // transfers a connection and its note to a successor; nil = no handover
+	keepIdle               bool                         // idle connections stay open: a client that lost one couldn't open another
+	handOver               func(net.Conn, []byte) error // transfers a connection and a note on its requests; nil = no handover
 	allHandedOver          chan struct{}                // closed when no connection is left during a handover
 	resumed                chan struct{}                // closed by Resume; set by HandOver
 	acceptPaused           bool                         // accepting has stopped for the handover
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -27,10 +27,10 @@
 	maxBacklogAccept    = 300 * time.Millisecond // for emptying the backlog: then it is empty, or the kill 0.5 s away or more
 )
 
-// Rejecting connections beyond the limit.
+// Rejecting connections beyond the limit, early enough that their clients still wait for a response.
 const (
-	maxBacklogWait          = 100 * time.Millisecond // without a free slot before rejections start, while clients still wait
-	rejectionPeriod         = time.Second            // of immediate rejections after a connection has waited for maxBacklogWait
+	maxBacklogWait          = 100 * time.Millisecond // time without a free slot after which connections in the backlog are rejected
+	rejectionPeriod         = time.Second            // of immediate rejections, after a connection has waited for maxBacklogWait
 	rejectionRequestTimeout = 50 * time.Millisecond  // for the first byte of a rejected connection's request
 	rejectionReadTimeout    = 100 * time.Millisecond // for the rest of that request
 	rejectionLinger         = 10 * time.Millisecond  // replaces lingerTimeout, because other connections wait to be rejected
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -123,8 +123,8 @@
 	return outcome.Open
 }
 
-// streamDownload writes the rest of a long response as it arrives. If the server breaks off, the response is left incomplete
-// by its framing, so that the client can detect it.
+// streamDownload writes the rest of a long response as it arrives. If the server breaks off, the end that the framing requires
+// is not written, so that the client can detect that the response is incomplete.
 func (c *conn) streamDownload(pending pendingResponse) outcome.Kind {
 	buf, free := c.server.bounds.Buffer()
 	defer free()
--- a/internal/testbench/capacity/sweep.go
+++ b/internal/testbench/capacity/sweep.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	maxConns   = 8192 // of the sidecar's configuration, as the next two
+	maxConns   = 8192 // of the sidecar's configuration, as are the next two
 	memoryMB   = 64
 	drainGrace = 750 * time.Millisecond
 )
--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -13,20 +13,20 @@
 
 // Comparison is the result of the same days simulated with two settings.
 type Comparison struct {
-	A       string       `json:"a"` // name of the policy, as B
+	A       string       `json:"a"` // name of the first policy; B is that of the second
 	B       string       `json:"b"`
 	Days    int          `json:"days"`
 	Metrics []Difference `json:"figures"`
-	BrokenA int          `json:"broken_a"` // days on which a rule was broken, as BrokenB
+	BrokenA int          `json:"broken_a"` // number of days on which a rule was broken, as is BrokenB
 	BrokenB int          `json:"broken_b"`
 }
 
 // Difference compares one metric. Median is that of the differences of the pairs, which need not be B minus A.
 type Difference struct {
 	Name        string     `json:"name"`
-	A           float64    `json:"a"` // median over the days, as B
+	A           float64    `json:"a"` // median over the days, as is B
 	B           float64    `json:"b"`
-	SpreadA     float64    `json:"spread_a"` // interquartile range, as SpreadB
+	SpreadA     float64    `json:"spread_a"` // interquartile range, as is SpreadB
 	SpreadB     float64    `json:"spread_b"`
 	Median      float64    `json:"median"`      // of B minus A of the same day
 	Quartiles   [2]float64 `json:"quartiles"`   // of B minus A of the same day
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -121,7 +121,7 @@
 // Rules are the limits that the judge and the servers apply, and further settings of the policy. Durations are in ms.
 type Rules struct {
 	DrainGrace       float64 `json:"grace_ms"`        // from the notification of a drain; requests may be sent until its end
-	ResponseSlack    float64 `json:"answer_slack_ms"` // after a client attempt's timeout; a final response is due by its end
+	ResponseSlack    float64 `json:"answer_slack_ms"` // time after a client attempt's timeout by which a final response is due
 	StartCapacity    float64 `json:"cold_share"`      // least fraction of its capacity that a server starts with
 	WarmUpTime       float64 `json:"warm_within_ms"`  // longest slow start of a server
 	OverloadMultiple float64 `json:"tip_multiple"`    // times the capacity; more work in OverloadWindow ends a cold process
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -133,9 +133,9 @@
 	During          float64 `json:"during"`  // from the event's start to 5 s after its end
 	After           float64 `json:"after"`   // from then on
 	RecoverySeconds float64 `json:"back_s"`  // s after the event's end until the share stays within 0.05 of Before; -1 = never
-	Rejected        float64 `json:"refused"` // final responses of sidecars per client request, as Failed
+	Rejected        float64 `json:"refused"` // final responses of sidecars per client request, as are Failed
 	Failed          float64 `json:"failed"`
-	Tries           float64 `json:"tries"` // client attempts per client request, as are the next four per client request
+	Tries           float64 `json:"tries"` // client attempts per client request; the next four are per client request, too
 	Attempts        float64 `json:"attempts"`
 	TimedOut        float64 `json:"timed_out"` // attempts at servers
 	Probes          float64 `json:"probes"`
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -54,7 +54,7 @@
 	Timeline []string     `json:"timeline"`
 	Rows     []Row        `json:"-"`
 
-	InPolicy time.Duration `json:"-"` // time spent in policies by Options.Clock, which depends on the machine
+	InPolicy time.Duration `json:"-"` // time spent in policies, measured with Options.Clock; it depends on the machine
 }
 
 // NamedService is the service of a class or a tenant.
@@ -69,15 +69,15 @@
 	Requests    int // of clients, without retries
 	InObjective int
 	Late        int
-	Rejected    int // final responses of sidecars, as Failed
+	Rejected    int // final responses of sidecars, as are Failed
 	Failed      int
 	Attempts    int
 	Probes      int
 	InFlight    int // at all servers at the end of the second, as are the next four
 	MaxInFlight int // at any server
 	Conns       int
-	Jammed      int // servers
-	Silent      int // servers
+	Jammed      int // number of jammed servers
+	Silent      int // number of unreachable servers
 	Service     float64
 	InTime      float64 // fraction of the requests of that second that were served within the latency objective
 
@@ -107,7 +107,7 @@
 
 const window = 10 // seconds over which Report.WorstWindow is computed
 
-// worstWindow returns the lowest service of any window, and the second at which that begins.
+// worstWindow returns the lowest service of any window, and the second at which that window begins.
 func (j *judge) worstWindow() (lowest float64, at int) {
 	seconds := j.seconds
 	lowest = 2
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -20,7 +20,7 @@
 const (
 	serving phase = iota
 	draining
-	silent // unreachable, and discovery does not know
+	silent // unreachable, which discovery does not notice
 	dead   // no process: connections are refused
 )
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -39,11 +39,11 @@
 	// Request is the request to send. Once its client is gone, which Request.CheckClientGone checks, neither the first nor
 	// the last byte of the attempt may be written. nil = a probe for the server's load.
 	Request    *request.Request
-	Timeout    time.Duration // after which the attempt will be cancelled, to be sent to the server
-	Deadline   time.Time     // when it will be cancelled: no last byte later; zero = Timeout after it is sent
-	StartBy    time.Time     // no first byte later; zero = no limit
-	Expires    time.Time     // neither the first nor the last byte later; zero = no limit
-	OnBodySent func()        // for a Request with a Remainder: called when its last byte is written
+	Timeout    time.Duration // after which the attempt will be cancelled; it is sent to the server
+	Deadline   time.Time     // when it will be cancelled: its last byte must not be written later; zero = Timeout after it is sent
+	StartBy    time.Time     // its first byte must not be written later; zero = no limit
+	Expires    time.Time     // neither its first nor its last byte may be written later; zero = no limit
+	OnBodySent func()        // called when the last byte of a Request with a Remainder is written
 	OnEnd      func(Result)  // called once from any goroutine, unless cancelled or withdrawn; may wait for the dispatcher
 }
 
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -181,7 +181,8 @@
 	return context.WithTimeout(ctx, c.timeout)
 }
 
-// panicError returns a *PanicError for p, a recovered value; err if p is nil; and panics again with http.ErrAbortHandler.
+// panicError returns a *PanicError for p, a recovered value, or err if p is nil. If p is http.ErrAbortHandler, it panics with it
+// again.
 func panicError(p any, err error) error {
 	switch p {
 	case nil:
--- a/options.go
+++ b/options.go
@@ -38,8 +38,8 @@
 // Phase is the state of an endpoint in the endpoint list.
 type Phase uint8
 
-// The phases. A Draining endpoint completes the requests in flight and is sent no new ones. Gone takes an endpoint out of the
-// list, for Update.
+// The phases. A Draining endpoint completes the requests in flight and is sent no new ones. Gone, which is
+// for Update only, takes an endpoint out of the list.
 const (
 	Serving Phase = iota
 	Draining
--- a/transport.go
+++ b/transport.go
@@ -14,8 +14,8 @@
 // server; it is sent as the Host header. Only the http scheme is supported: there is no TLS to the servers.
 //
 // The class and the tenant of a request are those that WithClass and WithTenant put into its context, else those of the
-// Transport. A request of a non-idempotent class fails if its response is a redirect after which http.Client would send it
-// again (307 or 308).
+// Transport. Each RoundTrip is one call of Do: a Transport resends nothing by itself. A request of a non-idempotent class fails
+// if its response is a redirect after which http.Client would send it again (307 or 308).
 type Transport struct {
 	Balancer      *Balancer
 	Class, Tenant string
