--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package outcome defines the kinds of ends of connections, attempts and probes.
+// Package outcome defines the ways in which connections, attempts and probes end.
 package outcome
 
 import (
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -33,7 +33,7 @@
 
 // The reasons.
 const (
-	NoEligibleServer Reason = "no_server"  // no server is allowed by the rules, or all that are have been ejected
+	NoEligibleServer Reason = "no_server"  // the list, the retry rules and slow start allow no server
 	ListStale        Reason = "list_stale" // the same while the list is stale
 	NoCapacity       Reason = "crowded"    // no server has capacity for a request of this value
 	DeadlineReached  Reason = "time_up"    // the client's deadline is near
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Just after the start only quick requests have ended, so that reported service times are too short and response times, by
-// comparison, too long. With those as samples many requests would be rejected in the next seconds.
+// Just after the start only quick requests have ended. The service times that servers report are too short then, and response
+// times look too long in comparison. If these counted as samples, many requests of the next seconds would be rejected.
 func TestStartupResponsesAreNotSamples(t *testing.T) {
 	g := newRig(t, testConfig(), 4)
 	for id, want := range map[RequestID]bool{1: false, 2: true} {
--- a/policy/config.go
+++ b/policy/config.go
@@ -67,7 +67,7 @@
 
 	StartCapacity    float64 // lowest fraction of its full capacity that a server has when it starts
 	WarmUpTime       Ms      // time from its start until a server has its full capacity; 0 = no slow start
-	OverloadMultiple float64 // a starting server is overloaded by this multiple of its current capacity, sent over OverloadWindow
+	OverloadMultiple float64 // this many times its current capacity within OverloadWindow overloads a starting server
 	OverloadWindow   Ms
 	CrossZoneCost    float64 // cost of an attempt in another zone, as a fraction of a request's value
 	WastedWorkCost   float64 // cost if all work of the servers is wasted, as a fraction of a request's value
--- a/policy/events.go
+++ b/policy/events.go
@@ -19,7 +19,7 @@
 	ClientGone                           // Request
 	TimerFired                           // Timer
 	ProbeEnded                           // Server, Status, Elapsed, ConnectTime, ProbeSentAt, Report
-	ListValidityChanged                  // TimeLeft: until the list is stale; Elapsed: for how long unproven servers are probed
+	ListValidityChanged                  // TimeLeft: until the list is stale; Elapsed: for how long any server may still be probed
 	BodyProgressed                       // Server: a request body was still being sent to it, so that no response was due
 )
 
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -16,7 +16,7 @@
 	maxAgeMultiple        = 2.0  // lower bound of that age, as a multiple of the time after which the attempt is slow
 	maxRecent             = 20   // maximum number of recent attempts that are evaluated
 	minRecent             = 3    // minimum number of recent attempts to detect an overload
-	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer are the same ones in several updates
+	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer are mostly the same ones each time
 	medianErrorFactor     = 0.4  // 0.8 standard errors of the median as a quantile, 0.8*0.5/sqrt(n), times sqrt(n)
 )
 
@@ -28,7 +28,7 @@
 	recoveryRate          = 0.4   // decrease of the rejected fraction per second once attempts are no longer slow
 	lowSampleRecoveryRate = 0.125 // the same while there are fewer than minRecent attempts
 	valueExponent         = 0.4   // how quickly the rejected fraction rises as a request's value falls
-	minValue              = 0.01  // lower bound of a request's value in that
+	minValue              = 0.01  // lower bound of the value that this is computed from
 	minAdmittedFraction   = 0.02  // always admitted: only responses show that the overload is over
 )
 
--- a/policy/internal/overload/probes_test.go
+++ b/policy/internal/overload/probes_test.go
@@ -8,7 +8,7 @@
 	for _, c := range []struct { // in this order
 		name           string
 		zone           int
-		duration, want float64 // want: queueing time over the shortest duration, which Model takes for the stretch
+		duration, want float64 // want: queueing time divided by the shortest duration
 	}{
 		{"first probe of all", 0, 1, 0},
 		{"queueing in units of the shortest", 0, 11, 10},
--- a/policy/internal/reachability/reachability.go
+++ b/policy/internal/reachability/reachability.go
@@ -19,7 +19,8 @@
 	NextProbeAt         float64
 }
 
-// Failed records that a probe or a connection has failed. Failures before the next probe is due count as one.
+// Failed records that a probe or a connection has failed. Failures before the next probe is due are not counted, so that those
+// of probes and connections in flight at the same time count as one.
 func (s *State) Failed(now float64, rng *rand.Rand) {
 	s.Unreachable = true
 	if now >= s.NextProbeAt {
--- a/policy/internal/slowstart/slowstart.go
+++ b/policy/internal/slowstart/slowstart.go
@@ -3,9 +3,11 @@
 package slowstart
 
 const (
-	unreportedFraction  = 0.375 // fraction of the overload limit that a starting server is sent without a report of free capacity
-	reportedFraction    = 0.5   // the same if it has reported free capacity
-	allStartingFraction = 0.5   // fraction of arriving requests taken as the full capacity of a fleet of starting servers
+	// unreportedFraction is the fraction of the overload limit that a starting server is sent without a report of free capacity:
+	// a server usually has more than the lowest capacity that its age guarantees.
+	unreportedFraction  = 0.375
+	reportedFraction    = 0.5 // the same if it has reported free capacity
+	allStartingFraction = 0.5 // fraction of arriving requests taken as the full capacity of a fleet of starting servers
 )
 
 // Fraction returns the lowest fraction of its full capacity that a process of the given age has. It grows linearly from initial
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -14,7 +14,7 @@
 func TestShortPoolWaitsForItsProbes(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		responses int // number of probes with a response, the second of them from an idle server
+		responses int // number of probes with a response; the second one shows an idle server
 		best      bool
 	}{{"responses", 3, true}, {"no responses", 0, false}} {
 		g := newRig(t, testConfig(), 8)
@@ -179,7 +179,7 @@
 	down := func(s ServerID) bool { return s > 50 || s%2 == 0 }
 	found, healthy := map[ServerID]Ms{}, 0
 	start := g.now
-	probesInFlight := map[ServerID]Ms{} // probes in flight: when they time out
+	probesInFlight := map[ServerID]Ms{} // when each probe in flight times out
 	for ; g.now < start+60e3; g.now += tickInterval {
 		for id := range ServerID(61) {
 			if timeoutAt, inFlight := probesInFlight[id]; inFlight && g.now >= timeoutAt {
@@ -202,7 +202,7 @@
 			}
 		}
 		if g.now == start {
-			for id := range ServerID(60) { // the failure of each server that is down has been noticed
+			for id := range ServerID(60) { // report a failed probe of each server that is down
 				if down(id + 1) {
 					g.do(Event{Kind: ProbeEnded, Server: id + 1, Status: ConnectFailed, Elapsed: 1})
 				}
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -83,7 +83,7 @@
 	s.latencyReported = stored.LatencyReported
 	s.roundTrip = stored.RoundTrip
 	s.reportedErrorRate = stored.ErrorRate
-	s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // rif is not restored: 0 must not look idle
+	s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // the load is not restored: 0 must not count as reported
 	s.slowStartBudget = tokenbucket.Bucket(stored.SlowStartBudget)
 	copy(s.outcomesByTenant, stored.Outcomes)
 }
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// If reports are sparse a server needs more free capacity to be admitted, and a report older than a pool entry may be counts as
-// no capacity.
+// If reports are sparse, a server needs more free capacity to admit a request, and one whose report is older than the maximum
+// age of a pool entry counts as having none.
 func TestSparseReportsNeedMoreCapacity(t *testing.T) {
 	cfg := testConfig()
 	cfg.WastedWorkCost = 0.1
--- a/policy/stalelist_test.go
+++ b/policy/stalelist_test.go
@@ -60,7 +60,7 @@
 	cfg.Probes = false
 	g := newRig(t, cfg, 4)
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: -1}); find(g.arrive(1, 0), RejectRequest) == nil {
-		t.Error("without probes per request is sent by a stale list")
+		t.Error("without probes, a request is sent although the list is stale")
 	}
 	if g.do(Event{Kind: ListValidityChanged, TimeLeft: 1}); find(g.arrive(2, 0), StartAttempt) == nil {
 		t.Error("rejected after a new list")
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		name                     string
 		ownRIF, otherRIF         float64 // in the own zone and in the others
-		unreachable              bool    // probes of other zones time otherZoneSent
+		unreachable              bool    // probes of other zones time out
 		minProbes, maxProbes     float64 // fraction of probes sent to other zones
 		minRequests, maxRequests float64 // fraction of requests sent to other zones
 	}{
