--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -46,7 +46,7 @@
 	mu      sync.Mutex
 	open    int
 	reading list.List     // of net.Conn whose request is not complete yet, oldest first
-	freed   chan struct{} // receives an element when a connection was closed
+	freed   chan struct{} // receives an element after a connection has been closed
 	running errgroup.Group
 }
 
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -99,7 +99,9 @@
 		d.uploads[id] = attempt
 		timeout = d.waitLimit(req)
 	}
-	if !attempt.expires.IsZero() && attempt.expires.Before(attempt.timeout.fireAt) { // else the client would wait in vain
+	// An attempt that expires before it is written ends at once. Otherwise the client would wait until the timeout for a request
+	// that is not sent any more.
+	if !attempt.expires.IsZero() && attempt.expires.Before(attempt.timeout.fireAt) {
 		heap.Push(&d.timers, &timer{kind: attemptExpiry, fireAt: attempt.expires, attempt: id})
 	}
 	return timeout
--- a/internal/dispatch/cordons.go
+++ b/internal/dispatch/cordons.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// effectiveHealth returns the health of a listed server and when it took effect. A ready server that is cordoned counts as
-// draining, since its cordon or listedAt, whichever is earlier.
+// effectiveHealth returns the health of a listed server and the time from which it applies. A ready server that is cordoned
+// counts as draining from listedAt or from the time of its cordon, whichever is earlier.
 func (d *Dispatcher) effectiveHealth(endpoint endpoints.Endpoint, listedAt, now time.Time) (health policy.Health, since time.Time) {
 	health = healthOfPhase(endpoint.Phase)
 	since = listedAt
@@ -54,9 +54,9 @@
 	return health, since
 }
 
-// reportServers reports, at most once per reportInterval or after an update of the list, how many servers are listed and how
-// many of those are cordoned or excluded by the policy. It also sends the policy a BodyProgressed event for each request body
-// that is still being sent: its server can't respond yet.
+// reportServers reports how many servers are listed and how many of those are cordoned or excluded by the policy. It does so
+// after each update of the list, and otherwise at most once per reportInterval. It also sends the policy a BodyProgressed event
+// for each request body that is still being sent: its server can't respond yet.
 func (d *Dispatcher) reportServers(now time.Time) {
 	if now.Sub(d.serversReportedAt) < reportInterval {
 		return
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -49,8 +49,8 @@
 	Trace func(format string, args ...any)
 	// OnEvidence receives observations of servers that confirm or contradict the list. It must not block; nil = they are dropped.
 	OnEvidence func(server string, evidence staleness.Evidence)
-	// OnServerCounts receives, at most every 100 ms and after each update of the list, the number of listed servers and how many of
-	// those are ejected or cordoned. It must not block; nil = the numbers are dropped.
+	// OnServerCounts receives the number of listed servers, and how many of those are ejected or cordoned. It is called after each
+	// update of the list, and otherwise at most every 100 ms. It must not block; nil = the numbers are dropped.
 	OnServerCounts func(listed, excluded int)
 	// Cordons are the operators' cordons at the start.
 	Cordons cordon.Set
@@ -94,7 +94,7 @@
 	requestIDs        map[*request.Request]policy.RequestID
 	lastRequest       policy.RequestID
 	openIDs           map[string]bool // the clients' ids of the requests without a final response
-	openInPredecessor map[string]bool // likewise, of the predecessor
+	openInPredecessor map[string]bool // the clients' ids of the requests that are open in the predecessor
 	attempts          map[attemptID]*attemptRecord
 	uploads           map[attemptID]*attemptRecord // attempts whose request body is still being sent
 	lastAttempt       attemptID
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -241,7 +241,7 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { _ = d.Run(ctx) }() // it ends with ctx, and has no other error
+		go func() { _ = d.Run(ctx) }() // returns nil when ctx ends
 		d.SetListValidity(staleness.Validity{ListUntil: time.Now().Add(time.Second)})
 		for i, want := range []int{1, 1} {
 			req := &request.Request{
@@ -279,7 +279,7 @@
 		}
 		d.UpdateEndpoints(endpoints.List{Endpoints: []endpoints.Endpoint{endpoint("a", endpoints.Draining)}}, time.Now())
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { _ = d.Run(ctx) }() // it ends with ctx, and has no other error
+		go func() { _ = d.Run(ctx) }() // returns nil when ctx ends
 		synctest.Wait()
 		cancel()
 		<-d.Done()
--- a/internal/dispatch/servers.go
+++ b/internal/dispatch/servers.go
@@ -20,7 +20,7 @@
 	name              string             // id in the list
 	endpoint          endpoints.Endpoint // as last listed
 	processStart      processStart       // of the listed process
-	phaseSince        time.Time          // when the present phase was listed
+	phaseSince        time.Time          // when the current phase was listed
 	process           upstream.Endpoint
 	health            policy.Health
 	firstByteDeadline time.Time // if it drains or is gone: no first byte of an attempt later than this; zero = no limit
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -28,7 +28,7 @@
 		attempt.number, reportAge, processAge, d.traceRequestID(attempt))
 }
 
-// traceEnd logs the end of an attempt or probe, and records when a probe was answered for later calls of traceStart.
+// traceEnd logs the end of an attempt or probe, and records the time of a probe's response for later calls of traceStart.
 func (d *Dispatcher) traceEnd(attempt *attemptRecord, server *serverRecord, kind outcome.Kind, elapsed policy.Ms) {
 	if d.options.Trace == nil || server == nil {
 		return
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -10,7 +10,7 @@
 // Outcome is the outcome of an accepted request.
 type Outcome uint8
 
-// The outcomes. A request whose client is gone is counted by none of them; it only ceases to be concurrent.
+// The outcomes. ClientGone increments no counter: the request only ceases to be concurrent.
 const (
 	ClientGone Outcome = iota
 	Success
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// CheckClientGone calls ClientGone and records the result, and returns what IsClientGone does then.
+// CheckClientGone calls ClientGone, records the result and returns whether the client is now known to be gone.
 func (r *Request) CheckClientGone() bool {
 	if !r.IsClientGone() && r.ClientGone != nil && r.ClientGone() {
 		r.MarkClientGone()
