--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -15,7 +15,7 @@
 )
 
 // A response that stalls at any point times out as early as one that never begins, and the complete list is requested again
-// within the drain grace. A response that arrives slowly is used.
+// within the drain grace. A response that arrives slowly is used if it is complete within maxTransferTime.
 func TestStallWithinResponse(t *testing.T) {
 	const grace, head = 750 * time.Millisecond, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
 	const chunked, interim = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 103 Early Hints\r\n\r\n"
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -97,7 +97,7 @@
 }
 
 // A source whose responses are lost, late or wrong is polled again. Wrong responses are not used, and the first good response
-// after the fault is used within the longest delay between polls and the duration of one poll.
+// after the fault is used no later than the longest delay between polls plus the duration of one poll.
 func TestUpdatesAfterFaults(t *testing.T) {
 	const within = 2*time.Second + 3*time.Second
 	for name, c := range map[string]struct {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -22,8 +22,8 @@
 	errTooLong = errors.New("list too long")
 )
 
-// MaxListBytes returns the maximum size in bytes of a response that a process accepts which may use that much memory, in
-// bytes; 0 = unknown.
+// MaxListBytes returns the maximum size of a response that a process with the given memory limit accepts. Both are in bytes; a
+// memory limit of 0 means unknown.
 func MaxListBytes(memory int64) int64 { return max(minListBytes, memory/memoryDivisor) }
 
 // readBody returns the whole body of a response, or an error if it is longer than maxBytes.
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -269,7 +269,7 @@
 				x.onValidity = func() { once.Do(move) }
 			}
 			x.proceed <- struct{}{}
-			if c.at != "poll" { // canceled before the request is sent
+			if c.at != "poll" { // cancelled before the request is sent
 				conn.nextTarget()
 			}
 			switch c.at {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -29,12 +29,12 @@
 	mu         sync.Mutex
 	scheduler  *watchpolicy.Scheduler
 	address    string             // of the source for the next poll
-	cancelPoll context.CancelFunc // cancels the present poll; nil = none
+	cancelPoll context.CancelFunc // cancels the current poll; nil = none
 	source     string             // address of the source of the last list
 	responded  chan struct{}      // closed by the first response
 
 	// Used by Run alone.
-	polledAddress string // of the source for the present poll
+	polledAddress string // of the source for the current poll
 	revision      uint64
 	conn          *sourceConn // nil = none
 	reader        *bufio.Reader
@@ -92,7 +92,7 @@
 	}
 }
 
-// Address returns the address of the source of the present list.
+// Address returns the address of the source of the current list.
 func (w *Watch) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +102,7 @@
 // FirstResponse returns a channel that is closed by the first valid response, even one without changes.
 func (w *Watch) FirstResponse() <-chan struct{} { return w.responded }
 
-// Observe records evidence about a server. If enough servers contradict the list at the same time, it cancels the present
+// Observe records evidence about a server. If enough servers contradict the list at the same time, it cancels the current
 // poll and the next one requests the complete list. It is safe for concurrent use and does not block.
 func (w *Watch) Observe(server string, evidence staleness.Evidence) {
 	w.mu.Lock()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// nextPoll returns the next poll, a context whose end cancels it, and until when the list may be relied on.
+// nextPoll returns the next poll, a context whose end cancels it, and how long the list may be relied on.
 func (w *Watch) nextPoll(ctx context.Context) (context.Context, watchpolicy.Poll, staleness.Validity) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -148,7 +148,7 @@
 	return ctx, poll, w.scheduler.Validity()
 }
 
-// poll sends poll and handles its result. A canceled poll does not count as failed, but its connection is closed, since the
+// poll sends poll and handles its result. A cancelled poll does not count as failed, but its connection is closed, since the
 // response might still arrive on it.
 func (w *Watch) poll(ctx context.Context, poll watchpolicy.Poll) {
 	startedAt := time.Now()
@@ -177,7 +177,7 @@
 	if w.Responses.Add(1) == 1 {
 		close(w.responded)
 	}
-	if ctx.Err() != nil { // canceled as the response arrived
+	if ctx.Err() != nil { // cancelled as the response arrived
 		w.closeConn()
 	}
 	w.revision = list.Revision
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -57,7 +57,7 @@
 	return problems
 }
 
-// Normalize removes duplicate entries of a server, and returns an error for each two that contradict each other. It keeps the
+// Normalize removes duplicate entries of a server, and returns an error for each pair that contradict each other. It keeps the
 // last entry, unless that alone is Serving and not for a newer process: no entry returns a server to service that an earlier
 // one takes out of it.
 func (l *List) Normalize() (problems []error) {
--- a/internal/stableid/stableid.go
+++ b/internal/stableid/stableid.go
@@ -13,7 +13,7 @@
 type entry[R comparable] struct {
 	name          string
 	rules         R
-	live          bool      // in the present set of items
+	live          bool      // in the current set of items
 	reservedUntil time.Time // when the number may be reassigned, if not live; zero = never set
 }
 
@@ -23,9 +23,10 @@
 	PredecessorOf []int // by number: the number whose state this one inherits; its own where nothing changed; -1 = none
 }
 
-// Apply replaces the set of items. An item keeps the number that it has with the same name and rules, or had and that was not
-// reassigned. One with new rules gets another number, whose predecessor is the last number of its name. A number that Apply
-// drops is not reassigned within keepFor from now, since its holders may still use it.
+// Apply replaces the set of items. An item with the same name and rules as before keeps its number; one that had been dropped
+// gets its old number again if that was not reassigned. An item with new rules gets another number, whose predecessor is the
+// last number of its name. A number that Apply drops is not reassigned within keepFor from now, since its holders may still use
+// it.
 func (t *Table[R]) Apply(now time.Time, keepFor time.Duration, names []string, rules []R) Mapping {
 	mapping := Mapping{ByPosition: make([]int, len(names)), PredecessorOf: make([]int, len(t.entries))}
 	current := map[int]bool{}
@@ -93,7 +94,7 @@
 // Len returns how many numbers are assigned or reserved.
 func (t *Table[R]) Len() int { return len(t.entries) }
 
-// Rules returns the name and the rules of number n, and whether they are in the present set of items.
+// Rules returns the name and the rules of number n, and whether they are in the current set of items.
 func (t *Table[R]) Rules(n int) (name string, rules R, live bool) {
 	e := t.entries[n]
 	return e.name, e.rules, e.live
--- a/internal/stableid/stableid_test.go
+++ b/internal/stableid/stableid_test.go
@@ -21,7 +21,7 @@
 		{1, []string{"b", "a"}, []string{"2", "1"}, Mapping{[]int{2, 0}, []int{0, 1, 1}}},     // other rules, same predecessor
 		{2, []string{"b", "c"}, []string{"1", "1"}, Mapping{[]int{1, 3}, []int{0, 1, 2, -1}}}, // one restored, one dropped, one added
 		{5, []string{"d", "c"}, []string{"1", "1"}, Mapping{[]int{4, 3}, []int{0, 1, 2, 3, -1}}},
-		{12, []string{"a", "c"}, []string{"2", "1"}, Mapping{[]int{0, 3}, []int{0, 1, 2, 3, 4}}}, // 0 is free again; it was of a
+		{12, []string{"a", "c"}, []string{"2", "1"}, Mapping{[]int{0, 3}, []int{0, 1, 2, 3, 4}}}, // 0 is free again; a had it last
 		{30, []string{"e", "c"}, []string{"1", "1"}, Mapping{[]int{1, 3}, []int{0, -1, 2, 3, 4}}},
 	} {
 		got := table.Apply(at.Add(tc.after*time.Second), 10*time.Second, tc.names, tc.rules)
--- a/internal/staleness/validity.go
+++ b/internal/staleness/validity.go
@@ -12,14 +12,14 @@
 // stall in between, and it has only a part of a core. A connection is usually established within it, too.
 const FirstByteLead = shutdown.MaxStall + 50*time.Millisecond
 
-// A drain grace that is hardly longer than FirstByteLead, or shorter, still leaves up to one part in shortGraceDivisor of it
-// for first bytes, but always reserves minFirstByteLead.
+// With a drain grace shorter than FirstByteLead, or hardly longer, first bytes may be written for grace/shortGraceDivisor, but
+// never in the last minFirstByteLead of the grace. A grace of minFirstByteLead or less leaves no time for them.
 const (
 	shortGraceDivisor = 4
 	minFirstByteLead  = 100 * time.Millisecond
 )
 
-// Validity holds until when the list in force may be relied on.
+// Validity holds the times until which the list in force may be relied on.
 type Validity struct {
 	// ListUntil is the time until which the list shows every change that has taken effect; zero = always. After that a server
 	// that the list names as in service may have begun to drain. That drain may have taken effect although its change never
@@ -29,7 +29,7 @@
 	ProcessUntil time.Time
 }
 
-// StartBy returns until when the first byte of a request may be written to a server whose drain would have the given grace;
+// StartBy returns the time until which the first byte of a request may be written to a server with the given drain grace;
 // zero = at any time, since the list never becomes stale.
 func (v Validity) StartBy(l Liveness, grace time.Duration) time.Time {
 	if v.ListUntil.IsZero() {
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -20,7 +20,7 @@
 // Timeline is a monotonic timeline and the observed offsets of the wall clock from it. Times are in milliseconds. The zero value
 // is a timeline whose initial offset is 0.
 type Timeline struct {
-	offset  float64   // present offset
+	offset  float64   // current offset
 	earlier []float64 // previous offsets, oldest first
 }
 
--- a/internal/watchpolicy/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -66,7 +66,7 @@
 }
 
 // mustKeepWatch reports whether a refresh must wait because other instances poll the same source and the response to the
-// present watch is not overdue. All instances see the same evidence at the same time. One that abandons its watch for the
+// current watch is not overdue. All instances see the same evidence at the same time. One that abandons its watch for the
 // complete list loses the change that is about to arrive and joins the end of the queue. With 32 instances, four servers that
 // refuse connections would leave most instances without any list for 10 to 20 s.
 func (s *Scheduler) mustKeepWatch(now time.Time) bool {
--- a/internal/watchpolicy/contradictions_test.go
+++ b/internal/watchpolicy/contradictions_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Refreshes become rarer while discovery confirms its list, because the list is wrong or the fault is on this machine,
-// although a server that responds in between counts as a new contradiction each time.
+// While discovery confirms its list, refreshes become rarer, whether the list is wrong or the fault is on this machine, although
+// a server that has responded in between counts as a new contradiction each time.
 func TestRefreshesAreBounded(t *testing.T) {
 	scheduler := newScheduler(t, 15)
 	now := time.Unix(1e9, 0)
--- a/internal/watchpolicy/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -14,7 +14,7 @@
 	maxPropagationDelay = 2 * time.Second
 )
 
-// Validity returns until when the list may be relied on, as computed when the last poll, or the delay before it, began. A
+// Validity returns how long the list may be relied on, as computed when the last poll, or the delay before it, began. A
 // polled list may lack the changes of the last 6 s: at any time after it was sent a server may have stopped, and another
 // process may have started under its id. No request may be sent to that process between the change that reports the stop and
 // the one that reports the start.
@@ -45,7 +45,7 @@
 	s.abandonedWatch = false
 }
 
-// freshUntilAfter returns until when the list is fresh if poll gets no response.
+// freshUntilAfter returns the time until which the list is fresh if poll gets no response.
 func (s *Scheduler) freshUntilAfter(now time.Time, poll Poll) time.Time {
 	pausedAgent := poll.Delay > 0 && s.settings.Pushed // it may have received a change since the last poll
 	switch {
--- a/internal/watchpolicy/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -23,8 +23,8 @@
 	queuePerInstance    = 50 * time.Millisecond   // time of one poll in a queue for complete lists: 20 per second
 	maxInstanceDelay    = 30 * time.Second        // bounds what grows with the number of instances
 	slotDuration        = 200 * time.Millisecond  // time of one poll in the queue of a shared discovery service
-	queueDrainTime      = 2200 * time.Millisecond // bounds their sum for a complete list: a queue limited to 2 s is empty then
-	maxWatchQueueTime   = 1900 * time.Millisecond // bounds their sum for a new watch: a little less than effectiveAfterWait
+	queueDrainTime      = 2200 * time.Millisecond // bounds the slots' sum for a complete list: a queue limited to 2 s is empty then
+	maxWatchQueueTime   = 1900 * time.Millisecond // bounds the slots' sum for a new watch: a little less than effectiveAfterWait
 )
 
 // Poll describes the next request to discovery.
@@ -46,8 +46,8 @@
 	sourceChanged     bool      // the source was replaced, and the new one has not responded yet
 	failures          int       // consecutive failed or rejected polls
 	sourceOverloaded  bool      // the source has rejected a poll and not responded to a watch since
-	pollStart         time.Time // when the present poll is sent
-	overdueAt         time.Time // when the response to the present poll becomes overdue
+	pollStart         time.Time // when the current poll is sent
+	overdueAt         time.Time // when the response to the current poll becomes overdue
 
 	meanLateness      time.Duration // of a response, counted from the end of the poll's wait
 	latenessDeviation time.Duration // mean deviation of the lateness
@@ -64,7 +64,7 @@
 	refreshes          int                       // consecutive refreshes that did not change the list
 	nextRefreshAt      time.Time                 // earliest time of the next refresh
 	refreshWanted      bool                      // a refresh is in progress or to be made
-	pollIsRefresh      bool                      // the present poll is that refresh
+	pollIsRefresh      bool                      // the current poll is that refresh
 	refreshOutstanding bool                      // the last response was to an earlier poll, so the refresh is still to be made
 }
 
@@ -129,8 +129,8 @@
 }
 
 // responseTimeout returns how long after its wait a poll times out. The learned lateness applies only to a watch that
-// continues at the same source. A new watch may be queued there, and an instance that times out in the queue has to join its
-// end again.
+// continues at the same source. A new watch may be queued there, and an instance that times out in the queue has to start
+// again at the end of it.
 func (s *Scheduler) responseTimeout(complete bool) time.Duration {
 	instances := time.Duration(s.settings.Instances)
 	isNewWatch := !s.latenessKnown || s.sourceOverloaded || s.failures > 0
