--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -74,7 +74,7 @@
 		s := start(t, n, fleet.Discovery, nil)
 		record := fakes.TileClass()
 		record.Name = "record"
-		load := func(streams ...fakes.Stream) []fakes.Try {
+		load := func(streams ...fakes.Stream) []fakes.Attempt {
 			return fakes.NewClients(fakes.Load{Network: n, Address: s.front, Seed: 1, Duration: 6 * second, Streams: streams}).Run(t.Context())
 		}
 		if f := s.counters(); f.Success["order"] != 0 || len(f.Success) != 2 || f.Targets != 6 || f.TargetsDisabled != 0 {
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -193,7 +193,7 @@
 				})
 				down := func(on bool) {
 					if hangs {
-						discovery.HoldAnswers(on)
+						discovery.HoldResponses(on)
 					} else if err := discovery.SetDown(on); err != nil {
 						t.Fatal(err)
 					}
@@ -244,7 +244,7 @@
 				time.Sleep(3 * time.Second)
 				synctest.Wait()
 				polls := 0
-				for _, poll := range discovery.Calls() {
+				for _, poll := range discovery.Requests() {
 					if poll.At.After(backAt) {
 						polls++
 					}
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -35,7 +35,7 @@
 	start     time.Time
 	dialsFail atomic.Bool // dials fail with EMFILE, before they leave the program's machine
 	net       *fakes.Memory
-	attempts  []fakes.Try
+	attempts  []fakes.Attempt
 }
 
 func (w *world) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -64,7 +64,7 @@
 }
 
 func (w *world) polls(from, to time.Duration) (n, complete int) {
-	for _, c := range w.Discovery.Calls() {
+	for _, c := range w.Discovery.Requests() {
 		if at := c.At.Sub(w.start); at >= from && at < to {
 			if n++; c.Complete {
 				complete++
@@ -86,7 +86,7 @@
 var recoveryCases = map[string]recoveryCase{
 	"release while responses of discovery are lost": {
 		steps: func(w *world) fakes.Timeline {
-			return fakes.Timeline{{At: 5 * second, Act: w.Discovery.LoseAnswersOnOpenConns}, {At: 5 * second, Act: func() {
+			return fakes.Timeline{{At: 5 * second, Act: w.Discovery.DropResponsesOnOpenConns}, {At: 5 * second, Act: func() {
 				_ = w.Release(context.Background(), fakes.Release{Batch: 2, MaxServers: 4, Grace: second, NewAddresses: true})
 			}}}
 		},
@@ -131,11 +131,11 @@
 	"responses of discovery come after the poll has timed out": {
 		steps: func(w *world) fakes.Timeline {
 			return fakes.Timeline{
-				{At: 3 * second, Act: func() { w.Discovery.AnswerAfterClose(true) }},
+				{At: 3 * second, Act: func() { w.Discovery.RespondAfterClose(true) }},
 				{At: 4 * second, Act: func() {
 					_ = w.Release(context.Background(), fakes.Release{Batch: 2, MaxServers: 4, Grace: second, NewAddresses: true})
 				}},
-				{At: 8 * second, Act: func() { w.Discovery.AnswerAfterClose(false) }},
+				{At: 8 * second, Act: func() { w.Discovery.RespondAfterClose(false) }},
 			}
 		},
 		event: 4 * second, within: 4 * second, worst: 0.5,
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -60,7 +60,7 @@
 						}
 					}
 					startedAt, s := time.Now(), start(t, n, fleet.Discovery, edit)
-					load := func(from, to time.Duration) []fakes.Try {
+					load := func(from, to time.Duration) []fakes.Attempt {
 						return fakes.NewClients(fakes.Load{
 							Network: n, Address: s.front, Seed: 1, Duration: to - from,
 							Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 40}, {Class: fakes.OrderClass(), Rate: 20}},
@@ -68,7 +68,7 @@
 					}
 					go func() {
 						time.Sleep(silent)
-						fleet.Discovery.HoldAnswers(true)
+						fleet.Discovery.HoldResponses(true)
 						time.Sleep(leave - silent)
 						leaving := fleet.Servers[:3]
 						leaving[0].SetBehaviour(fakes.Behaviour{Drain: true})
@@ -117,7 +117,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			withFleet(t, 9, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 				if c.silent == 0 {
-					fleet.Discovery.HoldAnswers(true)
+					fleet.Discovery.HoldResponses(true)
 				}
 				startedAt, restarted := time.Now(), fleet.Servers[:3]
 				s := start(t, n, fleet.Discovery, func(c *fakes.SidecarConfig) {
@@ -130,7 +130,7 @@
 				})
 				go func() {
 					time.Sleep(c.silent)
-					fleet.Discovery.HoldAnswers(true)
+					fleet.Discovery.HoldResponses(true)
 					time.Sleep(c.leaves - c.silent)
 					for _, p := range restarted {
 						p.Kill()
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -117,7 +117,7 @@
 func awaitRevision(ctx context.Context, d *fakes.Discovery) error {
 	now := d.Revision()
 	return await(ctx, func() bool {
-		calls := d.Calls()
+		calls := d.Requests()
 		return len(calls) > 0 && calls[len(calls)-1].Index >= now
 	})
 }
--- a/internal/discovery/arrival_test.go
+++ b/internal/discovery/arrival_test.go
@@ -64,7 +64,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	respondedAt := d.Calls()[0].AnsweredAt
+	respondedAt := d.Requests()[0].RespondedAt
 	if late := at.Sub(respondedAt); late > tolerance || late < -tolerance {
 		t.Errorf("update is dated %s after the response of discovery", late)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -106,12 +106,12 @@
 		logged string                       // part of the log; "" = nothing is logged
 	}{
 		"lost responses": {
-			func(d *fakes.Discovery) error { d.LoseAnswers(true); return nil },
-			func(d *fakes.Discovery) error { d.LoseAnswers(false); return nil }, "timeout",
+			func(d *fakes.Discovery) error { d.DropResponses(true); return nil },
+			func(d *fakes.Discovery) error { d.DropResponses(false); return nil }, "timeout",
 		},
 		"held responses": {
-			func(d *fakes.Discovery) error { d.HoldAnswers(true); return nil },
-			func(d *fakes.Discovery) error { d.HoldAnswers(false); return nil }, "timeout",
+			func(d *fakes.Discovery) error { d.HoldResponses(true); return nil },
+			func(d *fakes.Discovery) error { d.HoldResponses(false); return nil }, "timeout",
 		},
 		"late beyond the timeout": {
 			func(d *fakes.Discovery) error { d.SetDelay(4 * time.Second); return nil },
@@ -123,10 +123,10 @@
 		}, func(d *fakes.Discovery) error { d.PartialForComplete(false); return nil }, "got changes"},
 		"malformed": {
 			func(d *fakes.Discovery) error {
-				d.ReplaceAnswers([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
+				d.ReplaceResponses([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnews"))
 				return nil
 			},
-			func(d *fakes.Discovery) error { d.ReplaceAnswers(nil); return nil }, "state=failed",
+			func(d *fakes.Discovery) error { d.ReplaceResponses(nil); return nil }, "state=failed",
 		},
 		"connections without traffic": {
 			func(d *fakes.Discovery) error { return d.SetSilent(true) },
@@ -185,8 +185,8 @@
 					r.watch.SetAddress("e:1")
 				}
 				r.wait(500 * time.Millisecond)
-				calls := other.Calls()
-				if len(calls) == 0 || !calls[0].Complete || slices.ContainsFunc(calls[1:], func(c fakes.DiscoveryCall) bool { return c.Complete }) {
+				calls := other.Requests()
+				if len(calls) == 0 || !calls[0].Complete || slices.ContainsFunc(calls[1:], func(c fakes.DiscoveryRequest) bool { return c.Complete }) {
 					t.Errorf("requests to the new source: %+v", calls)
 				}
 				if r.watch.Address() != "e:1" || len(r.phases) != 2 {
--- a/internal/testbench/capacity/fakes.go
+++ b/internal/testbench/capacity/fakes.go
@@ -186,7 +186,7 @@
 
 // lists returns the traffic so far, and how many of its messages asked for the whole list.
 func (d *fakeDiscovery) lists() (t Traffic, complete int64) {
-	for _, c := range d.Calls() {
+	for _, c := range d.Requests() {
 		t.Messages++
 		if c.Complete {
 			complete++
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -96,7 +96,7 @@
 	load := w.newLoad(p.Settle + p.Window)
 	loaded, endLoad := context.WithCancel(ctx)
 	defer endLoad()
-	var tries []fakes.Try
+	var tries []fakes.Attempt
 	var calling sync.WaitGroup
 	calling.Go(func() { tries = load.Run(loaded) })
 	w.every(ctx, &running, point.Changes, func(n int) error { w.change(n); return nil })
@@ -222,7 +222,7 @@
 }
 
 // countRequests counts the requests due in the window, and what was added to each that was served.
-func (m *Measured) countRequests(tries []fakes.Try, serviceTimes *sync.Map, from, to time.Time) {
+func (m *Measured) countRequests(tries []fakes.Attempt, serviceTimes *sync.Map, from, to time.Time) {
 	var added []float64
 	for _, t := range tries {
 		if t.DueAt.Before(from) || !t.DueAt.Before(to) {
--- a/internal/testbench/capacity/page_test.go
+++ b/internal/testbench/capacity/page_test.go
@@ -156,8 +156,8 @@
 // call time out.
 func (w *world) firstCallIsComplete(t *testing.T) float64 {
 	t.Helper()
-	w.await(t, func() bool { return len(w.discovery.Calls()) > 0 }) // one that knows a list is ready before that
-	if w.discovery.Calls()[0].Complete {
+	w.await(t, func() bool { return len(w.discovery.Requests()) > 0 }) // one that knows a list is ready before that
+	if w.discovery.Requests()[0].Complete {
 		return 1
 	}
 	return 0
@@ -168,14 +168,14 @@
 func (w *world) answersPerChange(t *testing.T) float64 {
 	t.Helper()
 	for n := range 20 {
-		from := len(w.discovery.Calls()) - 1 // the call that is held, unless it has just been answered
+		from := len(w.discovery.Requests()) - 1 // the call that is held, unless it has just been answered
 		one := w.servers.endpoints()[n%len(w.servers.listeners)]
 		one.UpSince = time.Now().UnixMilli()
 		revision := w.discovery.Change(one)
-		known := func(c fakes.DiscoveryCall) bool { return c.Index >= revision }
-		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Calls(), known) })
+		known := func(c fakes.DiscoveryRequest) bool { return c.Index >= revision }
+		w.await(t, func() bool { return slices.ContainsFunc(w.discovery.Requests(), known) })
 		answers, complete := 0, false
-		for _, c := range w.discovery.Calls()[from:] {
+		for _, c := range w.discovery.Requests()[from:] {
 			if complete = complete || c.Complete; c.Endpoints > 0 && c.Revision == revision {
 				answers++
 			}
--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -42,13 +42,13 @@
 
 // Exchange is how the sending of a request went, as its client has seen it.
 type Exchange struct {
-	SentAt time.Time      // its first byte; zero = it got no connection
-	Conn   int            // the last connection's number, from 1; 0 = none
-	Resent bool           // it crossed the close of a kept connection and went out again on a new one
-	Answer *http.Response // read to its end; nil = none
-	Body   []byte
-	Err    error  // that there was no answer
-	Result Result // by the answer's status alone, so that none is Wrong
+	SentAt   time.Time      // its first byte; zero = it got no connection
+	Conn     int            // the last connection's number, from 1; 0 = none
+	Resent   bool           // it crossed the close of a kept connection and went out again on a new one
+	Response *http.Response // read to its end; nil = none
+	Body     []byte
+	Err      error  // that there was no answer
+	Result   Result // by the answer's status alone, so that none is Wrong
 }
 
 // Send sends a request and waits for its answer until a moment. A request on a kept connection that the other side has
@@ -69,7 +69,7 @@
 		got := conn.exchange(message(), until)
 		if got.response != nil {
 			conn.finish(!got.response.Close)
-			x.Answer, x.Body, x.Result = got.response, got.body, got.result()
+			x.Response, x.Body, x.Result = got.response, got.body, got.result()
 			return x
 		}
 		again := conn.carried > 0 && !x.Resent && conn.closedUnread(&got)
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -77,8 +77,8 @@
 
 func (r Result) String() string { return resultNames[r] }
 
-// Try is one sending of a request.
-type Try struct {
+// Attempt is one sending of a request.
+type Attempt struct {
 	ID          string
 	RequestID   string // id of the request's first try
 	Class       Class
@@ -96,10 +96,10 @@
 }
 
 // Took is the time from the moment when the try was due.
-func (t *Try) Took() time.Duration { return t.EndedAt.Sub(t.DueAt) }
+func (t *Attempt) Took() time.Duration { return t.EndedAt.Sub(t.DueAt) }
 
 // InObjective reports whether the try served its request within the latency objective, counted from when the request was first due.
-func (t *Try) InObjective() bool {
+func (t *Attempt) InObjective() bool {
 	return t.Result == Served && t.EndedAt.Sub(t.RequestedAt) <= t.Class.LatencyObjective
 }
 
@@ -110,7 +110,7 @@
 	client ConnPool
 
 	mutex sync.Mutex
-	tries []Try
+	tries []Attempt
 }
 
 // NewClients returns clients that Run sets going.
@@ -146,7 +146,7 @@
 
 // Run sends all requests and returns every try, in the order in which they were due, once the last has ended. The end
 // of ctx is the end of arrivals.
-func (c *Clients) Run(ctx context.Context) []Try {
+func (c *Clients) Run(ctx context.Context) []Attempt {
 	start := time.Now()
 	var requests sync.WaitGroup
 	for _, a := range c.load.arrivals() {
@@ -155,25 +155,25 @@
 			break
 		}
 		requests.Go(func() {
-			c.sendRequest(Try{ID: a.id, RequestID: a.id, Class: a.flow.Class, Tenant: a.flow.Tenant, RequestedAt: at, DueAt: at})
+			c.sendRequest(Attempt{ID: a.id, RequestID: a.id, Class: a.flow.Class, Tenant: a.flow.Tenant, RequestedAt: at, DueAt: at})
 		})
 	}
 	requests.Wait()
 	c.client.Close()
-	return c.Tries()
+	return c.Attempts()
 }
 
-// Tries returns those that have ended so far, in the order in which they were due.
-func (c *Clients) Tries() []Try {
+// Attempts returns those that have ended so far, in the order in which they were due.
+func (c *Clients) Attempts() []Attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	tries := slices.Clone(c.tries)
-	slices.SortStableFunc(tries, func(a, b Try) int { return cmp.Or(a.DueAt.Compare(b.DueAt), cmp.Compare(a.ID, b.ID)) })
+	slices.SortStableFunc(tries, func(a, b Attempt) int { return cmp.Or(a.DueAt.Compare(b.DueAt), cmp.Compare(a.ID, b.ID)) })
 	return tries
 }
 
 // sendRequest makes its first try and those that follow.
-func (c *Clients) sendRequest(t Try) {
+func (c *Clients) sendRequest(t Attempt) {
 	until := t.RequestedAt.Add(t.Class.Deadline)
 	for {
 		c.sendTry(&t, until)
@@ -191,7 +191,7 @@
 			return
 		}
 		time.Sleep(time.Until(at))
-		t = Try{
+		t = Attempt{
 			ID: repeatID(t.RequestID, t.Number+1), RequestID: t.RequestID, Class: t.Class, Tenant: t.Tenant, Number: t.Number + 1,
 			RequestedAt: t.RequestedAt, DueAt: at,
 		}
@@ -205,11 +205,11 @@
 }
 
 // sendTry sends the request and says how that ended.
-func (c *Clients) sendTry(t *Try, until time.Time) {
+func (c *Clients) sendTry(t *Attempt, until time.Time) {
 	x := c.client.Send(func() []byte { return t.encode(until) }, until)
 	t.SentAt, t.Conn, t.Resent, t.Err, t.Result = x.SentAt, x.Conn, x.Resent, x.Err, x.Result
-	if x.Answer != nil {
-		t.Status = x.Answer.StatusCode
+	if x.Response != nil {
+		t.Status = x.Response.StatusCode
 	}
 	if t.Result == Served && !strings.HasPrefix(string(x.Body), t.ID+"\n") {
 		t.Result = Wrong
@@ -217,7 +217,7 @@
 }
 
 // encode returns the request's bytes.
-func (t *Try) encode(until time.Time) []byte {
+func (t *Attempt) encode(until time.Time) []byte {
 	method, body := "GET", ""
 	if !t.Class.Idempotent {
 		method, body = "POST", "take "+t.RequestID
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -132,8 +132,8 @@
 			Network: n, Address: p.Address(), Seed: 1, Duration: 20 * time.Second, MaxConns: 2,
 			Streams: []Stream{{Class: TileClass(), Rate: 2}, {Class: OrderClass(), Rate: 2}},
 		}).Run(t.Context())
-		late := slices.ContainsFunc(tries, func(t Try) bool { return t.Result == Served && t.Took() > 3*time.Second/2 })
-		unsent := slices.ContainsFunc(tries, func(t Try) bool { return t.Result == TimedOut && t.SentAt.IsZero() })
+		late := slices.ContainsFunc(tries, func(t Attempt) bool { return t.Result == Served && t.Took() > 3*time.Second/2 })
+		unsent := slices.ContainsFunc(tries, func(t Attempt) bool { return t.Result == TimedOut && t.SentAt.IsZero() })
 		if !late || !unsent {
 			t.Errorf("none has waited, or none in vain: %s", Tally(tries, start, 0)[0])
 		}
@@ -228,13 +228,13 @@
 		"9 20 20 20 20":                  "0s false",
 		"18 18 18 18 18":                 "0s false",
 	} {
-		var tries []Try
+		var tries []Attempt
 		for i, word := range strings.Fields(script) {
 			served, err := strconv.Atoi(word)
 			ok(t, err)
 			for j := range 20 {
 				at := start.Add(time.Duration(i) * 250 * time.Millisecond)
-				try := Try{RequestID: fmt.Sprint(i, j), Class: TileClass(), RequestedAt: at, DueAt: at, EndedAt: at, Result: Rejected}
+				try := Attempt{RequestID: fmt.Sprint(i, j), Class: TileClass(), RequestedAt: at, DueAt: at, EndedAt: at, Result: Rejected}
 				if j < served { // by a second try
 					tries = append(tries, try)
 					try.Number, try.Result = 1, Served
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -38,17 +38,17 @@
 	lateAnswerDelay = time.Millisecond // after the caller has hung up
 )
 
-// DiscoveryCall is one call as discovery has seen it.
-type DiscoveryCall struct {
-	At         time.Time // of its last byte
-	Conn       int       // the connection's number, from 1
-	Complete   bool      // the whole list was asked for
-	Index      uint64
-	Wait       time.Duration
-	Answered   bool
-	AnsweredAt time.Time
-	Revision   uint64 // that it was answered with
-	Endpoints  int    // lines of the answer
+// DiscoveryRequest is one call as discovery has seen it.
+type DiscoveryRequest struct {
+	At          time.Time // of its last byte
+	Conn        int       // the connection's number, from 1
+	Complete    bool      // the whole list was asked for
+	Index       uint64
+	Wait        time.Duration
+	Responded   bool
+	RespondedAt time.Time
+	Revision    uint64 // that it was answered with
+	Endpoints   int    // lines of the answer
 }
 
 // entry is the last that is known of one id.
@@ -77,7 +77,7 @@
 	entries  []entry
 	changed  chan struct{} // closed with the next revision
 	faults   discoveryFaults
-	calls    []DiscoveryCall
+	calls    []DiscoveryRequest
 }
 
 // NewDiscovery starts discovery at address (see Network.Listen) whose first revision holds the members.
@@ -167,15 +167,17 @@
 	return l
 }
 
-// LoseAnswers takes calls and never answers them, those under way included; their connections stay open and silent.
+// DropResponses takes calls and never answers them, those under way included; their connections stay open and silent.
 // Calls that come after it has been switched off are answered.
-func (d *Discovery) LoseAnswers(on bool) { d.setFault(func(f *discoveryFaults) { f.loseAnswers = on }) }
+func (d *Discovery) DropResponses(on bool) {
+	d.setFault(func(f *discoveryFaults) { f.loseAnswers = on })
+}
 
-// LoseAnswersOnOpenConns loses the answers to all calls on connections that are open now, for good. New connections are fine.
-func (d *Discovery) LoseAnswersOnOpenConns() { d.markOpenConns() }
+// DropResponsesOnOpenConns loses the answers to all calls on connections that are open now, for good. New connections are fine.
+func (d *Discovery) DropResponsesOnOpenConns() { d.markOpenConns() }
 
-// HoldAnswers takes connections and calls and says nothing until it is switched off. Then it answers all that still wait.
-func (d *Discovery) HoldAnswers(on bool) {
+// HoldResponses takes connections and calls and says nothing until it is switched off. Then it answers all that still wait.
+func (d *Discovery) HoldResponses(on bool) {
 	d.setFault(func(f *discoveryFaults) {
 		if f.muted != nil {
 			close(f.muted)
@@ -202,8 +204,8 @@
 // SetDelay sends each answer so much later than it is made.
 func (d *Discovery) SetDelay(by time.Duration) { d.setFault(func(f *discoveryFaults) { f.delay = by }) }
 
-// AnswerAfterClose answers a call only a moment after its caller has hung up, or has ended its sending.
-func (d *Discovery) AnswerAfterClose(on bool) {
+// RespondAfterClose answers a call only a moment after its caller has hung up, or has ended its sending.
+func (d *Discovery) RespondAfterClose(on bool) {
 	d.setFault(func(f *discoveryFaults) { f.answerLate = on })
 }
 
@@ -222,8 +224,8 @@
 	d.setFault(func(f *discoveryFaults) { f.indented, f.chunked = indented, chunked })
 }
 
-// ReplaceAnswers sends these bytes in place of each answer; nil = no longer.
-func (d *Discovery) ReplaceAnswers(with []byte) {
+// ReplaceResponses sends these bytes in place of each answer; nil = no longer.
+func (d *Discovery) ReplaceResponses(with []byte) {
 	d.setFault(func(f *discoveryFaults) { f.replacement = with })
 }
 
@@ -251,8 +253,8 @@
 	return d.Address(), err
 }
 
-// Calls returns all calls so far.
-func (d *Discovery) Calls() []DiscoveryCall {
+// Requests returns all calls so far.
+func (d *Discovery) Requests() []DiscoveryRequest {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return slices.Clone(d.calls)
@@ -276,7 +278,7 @@
 		return c.write(encodeResponse(404, "", nil))
 	}
 	query := m.URL.Query()
-	call := DiscoveryCall{At: m.last, Conn: c.number, Complete: !query.Has("index")}
+	call := DiscoveryRequest{At: m.last, Conn: c.number, Complete: !query.Has("index")}
 	call.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
 	call.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
@@ -307,7 +309,7 @@
 	c.waitWhileSilent()
 	d.state.Lock()
 	record := &d.calls[index]
-	record.Answered, record.AnsweredAt, record.Revision, record.Endpoints = true, time.Now(), list.Revision, len(list.Endpoints)
+	record.Responded, record.RespondedAt, record.Revision, record.Endpoints = true, time.Now(), list.Revision, len(list.Endpoints)
 	d.state.Unlock()
 	return c.write(raw)
 }
@@ -330,7 +332,7 @@
 }
 
 // awaitList waits for what the call asks for. False means that its connection has ended.
-func (d *Discovery) awaitList(c *hostConn, call *DiscoveryCall) (List, bool) {
+func (d *Discovery) awaitList(c *hostConn, call *DiscoveryRequest) (List, bool) {
 	until := time.NewTimer(call.Wait)
 	defer until.Stop()
 	for pollExpired := call.Complete; ; {
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -93,7 +93,7 @@
 	const complete, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
 	then := func(d *Discovery, do func()) { // once there is a call
 		go func() {
-			for len(d.Calls()) == 0 {
+			for len(d.Requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			do()
@@ -112,20 +112,20 @@
 		},
 		"set":            {func(d *Discovery) { then(d, func() { d.Set(b) }) }, watch, "2+aD"},
 		"news of before": {func(d *Discovery) { d.Change(Endpoint{ID: "c", Phase: Draining}) }, watch, "2+cD"},
-		"lost":           {func(d *Discovery) { d.LoseAnswers(true) }, complete + " new " + complete, "silence silence"},
+		"lost":           {func(d *Discovery) { d.DropResponses(true) }, complete + " new " + complete, "silence silence"},
 		"lost in the wait": {
-			func(d *Discovery) { then(d, func() { d.LoseAnswers(true); d.Set(b) }) },
+			func(d *Discovery) { then(d, func() { d.DropResponses(true); d.Set(b) }) },
 			watch, "silence",
 		},
 		"lost for a while": {func(d *Discovery) {
-			d.LoseAnswers(true)
-			then(d, func() { d.LoseAnswers(false); d.Set(b) })
+			d.DropResponses(true)
+			then(d, func() { d.DropResponses(false); d.Set(b) })
 		}, watch, "silence"},
-		"present lost": {func(d *Discovery) { d.LoseAnswersOnOpenConns() }, complete + " new " + complete, "silence 1=aSbS"},
-		"mute":         {func(d *Discovery) { d.HoldAnswers(true) }, complete, "silence"},
+		"present lost": {func(d *Discovery) { d.DropResponsesOnOpenConns() }, complete + " new " + complete, "silence 1=aSbS"},
+		"mute":         {func(d *Discovery) { d.HoldResponses(true) }, complete, "silence"},
 		"mute, then all": {func(d *Discovery) {
-			d.HoldAnswers(true)
-			then(d, func() { d.Change(gone); d.HoldAnswers(false) })
+			d.HoldResponses(true)
+			then(d, func() { d.Change(gone); d.HoldResponses(false) })
 		}, watch, "2+aD"},
 		"vanished": {func(d *Discovery) { _ = d.SetSilent(true) }, complete, "silence"},
 		"vanished and back": {func(d *Discovery) {
@@ -138,10 +138,10 @@
 			_ = d.SetDown(false)
 		}, complete + " new " + complete, "reset 1=aSbS"},
 		"delay":             {func(d *Discovery) { d.SetDelay(2 * answerTimeout) }, complete, "silence"},
-		"late":              {func(d *Discovery) { d.AnswerAfterClose(true) }, complete, "silence"},
+		"late":              {func(d *Discovery) { d.RespondAfterClose(true) }, complete, "silence"},
 		"whole for a watch": {func(d *Discovery) { d.CompleteForWatch(true); d.Change(gone) }, watch, "2=bS"},
 		"part for whole":    {func(d *Discovery) { d.PartialForComplete(true) }, complete, "1+aS"},
-		"spoilt":            {func(d *Discovery) { d.ReplaceAnswers(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
+		"spoilt":            {func(d *Discovery) { d.ReplaceResponses(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
 		"lower revision": {
 			func(d *Discovery) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
 			"new " + listPath + "?index=3&wait=50", "1=aSbS",
@@ -181,14 +181,14 @@
 		defer d.Close()
 		c := call(t, n, d.Address())
 		c.get(listPath, "")
-		d.AnswerAfterClose(true)
+		d.RespondAfterClose(true)
 		c.get(listPath+"?index=1&wait=100000", "")
-		calls := d.Calls()
+		calls := d.Requests()
 		for i := range calls {
-			calls[i].At, calls[i].AnsweredAt = time.Time{}, time.Time{}
+			calls[i].At, calls[i].RespondedAt = time.Time{}, time.Time{}
 		}
-		want := []DiscoveryCall{
-			{Conn: 1, Complete: true, Answered: true, Revision: 1, Endpoints: 1},
+		want := []DiscoveryRequest{
+			{Conn: 1, Complete: true, Responded: true, Revision: 1, Endpoints: 1},
 			{Conn: 1, Index: 1, Wait: maxWait},
 		}
 		if !slices.Equal(calls, want) {
@@ -197,7 +197,7 @@
 		hungUp := time.Now()
 		ok(t, c.Conn.(interface{ CloseWrite() error }).CloseWrite())
 		c.SetDeadline(time.Now().Add(answerTimeout))
-		if got := summarizeList(c.readAnswer()); got != "1+" || d.Calls()[1].AnsweredAt.Sub(hungUp) < lateAnswerDelay {
+		if got := summarizeList(c.readAnswer()); got != "1+" || d.Requests()[1].RespondedAt.Sub(hungUp) < lateAnswerDelay {
 			t.Errorf("after the caller's end: %q", got)
 		}
 	})
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -110,7 +110,7 @@
 	for i := from; i < to; i++ {
 		p := f.Servers[i]
 		if r.NewAddresses {
-			p.ForgetAddress()
+			p.ClearAddress()
 		}
 		if err := p.Restart(f.nextID(i)); err != nil {
 			return err
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -109,8 +109,8 @@
 	return p.Start(id)
 }
 
-// ForgetAddress lets the next Start choose another address. The process must have been killed.
-func (p *Server) ForgetAddress() {
+// ClearAddress lets the next Start choose another address. The process must have been killed.
+func (p *Server) ClearAddress() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.address = ""
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -227,7 +227,7 @@
 	default:
 	}
 	how := p.currentBehaviour()
-	outcome, full := Answered, encodeResponse(200, "", body)
+	outcome, full := Responded, encodeResponse(200, "", body)
 	if failed {
 		outcome, full = Errored, encodeResponse(500, "", nil)
 	}
--- a/internal/testbench/fakes/server_types.go
+++ b/internal/testbench/fakes/server_types.go
@@ -45,7 +45,7 @@
 
 // How probes are answered, apart from draining.
 const (
-	ProbesAnswered ProbeFault = iota
+	ProbesOK ProbeFault = iota
 	ProbesUnavailable
 	ProbesReset // the connection is reset
 )
@@ -79,7 +79,7 @@
 // The outcomes.
 const (
 	Pending    Outcome = iota // waiting or running
-	Answered                  // 200 and its whole body
+	Responded                 // 200 and its whole body
 	Errored                   // 500
 	Declined                  // declined: never ran
 	MissingID                 // 404: it had no id
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -37,7 +37,7 @@
 
 // Tally sorts tries into windows that follow one another from a moment on. What was due before it is left out. A width
 // of 0 makes one window of all.
-func Tally(tries []Try, from time.Time, width time.Duration) (windows []Window) {
+func Tally(tries []Attempt, from time.Time, width time.Duration) (windows []Window) {
 	inObjective := map[string]bool{}
 	for i := range tries {
 		if tries[i].InObjective() {
@@ -77,7 +77,7 @@
 // normal in every window for at least a second; normal is a share from 0 to 1, as Window.Share gives it for a quiet
 // time. False means that the tries show no such second. The time is a multiple of the window's width, which must be
 // wide enough for some twenty requests, since one that fails by chance must not hide a recovery.
-func RecoveryTime(tries []Try, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
+func RecoveryTime(tries []Attempt, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
 	windows := Tally(tries, event, width)
 	if len(windows) > 0 { // the last may be cut short by the end of the load
 		windows = windows[:len(windows)-1]
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -77,7 +77,7 @@
 	t.late = time.Since(at)
 	t.Exchange = c.conns.Send(func() []byte { return c.message(q, number, until) }, until)
 	if t.Result == fakes.Rejected {
-		s, err := strconv.ParseFloat(t.Answer.Header.Get("Retry-After"), 64)
+		s, err := strconv.ParseFloat(t.Response.Header.Get("Retry-After"), 64)
 		if err == nil && s > 0 && s < 1e6 {
 			t.advice = time.Duration(s * float64(time.Second))
 		}
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -172,7 +172,7 @@
 		h.Worst = max(h.Worst, t.total.Seconds())
 	}
 	var all Metrics
-	var strays []fakes.Try
+	var strays []fakes.Attempt
 	for i := range r.tries {
 		t := &r.tries[i]
 		all.count(t)
@@ -206,19 +206,19 @@
 // affects reports whether the request was under way when the process was killed, or until another served alone: a
 // connection that came up meanwhile may have been the killed one's, or in the queue of a listener that then had no
 // process.
-func (k kill) affects(t *fakes.Try) bool {
+func (k kill) affects(t *fakes.Attempt) bool {
 	return t.EndedAt.After(k.killedAt) && !t.DueAt.After(k.until)
 }
 
 // servedAfter reports whether a request that was due soon after a moment was served.
-func servedAfter(tries []fakes.Try, at time.Time) bool {
-	return slices.ContainsFunc(tries, func(t fakes.Try) bool {
+func servedAfter(tries []fakes.Attempt, at time.Time) bool {
+	return slices.ContainsFunc(tries, func(t fakes.Attempt) bool {
 		return t.Result == fakes.Served && t.DueAt.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
 	})
 }
 
 // longestGap is the longest time between two answers, whoever got them.
-func longestGap(tries []fakes.Try) (gap time.Duration) {
+func longestGap(tries []fakes.Attempt) (gap time.Duration) {
 	var answers []time.Time
 	for i := range tries {
 		if tries[i].Status != 0 {
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -37,12 +37,12 @@
 }
 
 // isLost reports whether the sidecar had the request, or might have, and its client was left without an answer.
-func isLost(t *fakes.Try) bool {
+func isLost(t *fakes.Attempt) bool {
 	return t.Result == fakes.Lost || t.Result == fakes.Wrong || t.Result == fakes.TimedOut && !t.SentAt.IsZero()
 }
 
 // count adds what became of a try.
-func (m *Metrics) count(t *fakes.Try) {
+func (m *Metrics) count(t *fakes.Attempt) {
 	switch {
 	case t.Result == fakes.Failed:
 		m.Failed++
@@ -58,8 +58,8 @@
 }
 
 // servedFraction is the part of the requests due in a span that was served within the latency objective.
-func servedFraction(tries []fakes.Try, from, to time.Time) float64 {
-	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Try) bool { return !t.RequestedAt.Before(to) })
+func servedFraction(tries []fakes.Attempt, from, to time.Time) float64 {
+	early := slices.DeleteFunc(slices.Clone(tries), func(t fakes.Attempt) bool { return !t.RequestedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
 		return all.ServedFraction()
 	}
@@ -82,7 +82,7 @@
 // faultAfter looks for the first window after the event that is below 95% of normal: after SIGTERM,
 // for example, service stays normal for a while. From there on it is fakes.Recovered that says when service is back. A fault that begins
 // in the last second is only counted: how it ends can't be seen.
-func faultAfter(tries []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
+func faultAfter(tries []fakes.Attempt, event time.Time, normal float64, width time.Duration) degradation {
 	out := degradation{recovered: true, worst: 1}
 	windows := fakes.Tally(tries, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last may be cut short
@@ -122,13 +122,13 @@
 }
 
 // notifiedAt returns when each drain was first sent to a sidecar, given the revisions that list them.
-func notifiedAt(drains map[string]uint64, calls []fakes.DiscoveryCall) map[string]time.Time {
+func notifiedAt(drains map[string]uint64, calls []fakes.DiscoveryRequest) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
 			before, known := notifiedAt[id]
-			if c.Answered && c.Revision >= revision && (!known || c.AnsweredAt.Before(before)) {
-				notifiedAt[id] = c.AnsweredAt
+			if c.Responded && c.Revision >= revision && (!known || c.RespondedAt.Before(before)) {
+				notifiedAt[id] = c.RespondedAt
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 		}
 	}
 	f.ExtraRuns = r.extraRuns()
-	calls := r.fleet.Discovery.Calls()
+	calls := r.fleet.Discovery.Requests()
 	notifiedAt := notifiedAt(r.drains, calls)
 	within := func(at time.Time) float64 {
 		if at.Before(event) || at.After(until) {
--- a/internal/testbench/recovery/metrics_test.go
+++ b/internal/testbench/recovery/metrics_test.go
@@ -15,11 +15,11 @@
 func after(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 // windowsOf returns 20 tries in each window of 250 ms, of which so many are served in time.
-func windowsOf(served ...int) (tries []fakes.Try) {
+func windowsOf(served ...int) (tries []fakes.Attempt) {
 	for w, n := range served {
 		for i := range 20 {
 			due := epoch.Add(time.Duration(w*20+i) * 12500 * time.Microsecond)
-			t := fakes.Try{
+			t := fakes.Attempt{
 				ID: fmt.Sprint(w, i), RequestID: fmt.Sprint(w, i), Class: fakes.TileClass(), RequestedAt: due, DueAt: due,
 				EndedAt: due.Add(time.Millisecond), Result: fakes.Served,
 			}
@@ -70,10 +70,10 @@
 		fakes.TimedOut: 5, fakes.Unreachable: 6, fakes.Wrong: 7,
 	} {
 		for range n {
-			got.count(&fakes.Try{Result: r, SentAt: epoch})
+			got.count(&fakes.Attempt{Result: r, SentAt: epoch})
 		}
 	}
-	got.count(&fakes.Try{Result: fakes.TimedOut}) // it was never sent
+	got.count(&fakes.Attempt{Result: fakes.TimedOut}) // it was never sent
 	if want := (Metrics{Lost: 11, Unanswered: 5, Failed: 3, Rejected: 2, Unreachable: 6}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -81,11 +81,11 @@
 
 // A drain counts from the first answer that told it, and only for the process that it is about.
 func TestLateSends(t *testing.T) {
-	notifiedAt := notifiedAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DiscoveryCall{
-		{Answered: true, AnsweredAt: after(0), Revision: 2},
-		{Answered: false, AnsweredAt: after(10), Revision: 3},
-		{Answered: true, AnsweredAt: after(200), Revision: 3},
-		{Answered: true, AnsweredAt: after(100), Revision: 3},
+	notifiedAt := notifiedAt(map[string]uint64{"a": 3, "b": 4}, []fakes.DiscoveryRequest{
+		{Responded: true, RespondedAt: after(0), Revision: 2},
+		{Responded: false, RespondedAt: after(10), Revision: 3},
+		{Responded: true, RespondedAt: after(200), Revision: 3},
+		{Responded: true, RespondedAt: after(100), Revision: 3},
 	})
 	sent := []fakes.Request{
 		{Server: "a", FirstByte: after(900)},
@@ -99,7 +99,7 @@
 }
 
 func TestLongestGap(t *testing.T) {
-	tries := []fakes.Try{
+	tries := []fakes.Attempt{
 		{Status: 200, EndedAt: after(50)},
 		{Status: 503, EndedAt: after(10)},
 		{EndedAt: after(70)},
@@ -117,14 +117,14 @@
 		due, ended int
 		want       bool
 	}{{0, 99, false}, {0, 101, true}, {150, 400, true}, {201, 400, false}} {
-		if got := k.affects(&fakes.Try{DueAt: after(test.due), EndedAt: after(test.ended)}); got != test.want {
+		if got := k.affects(&fakes.Attempt{DueAt: after(test.due), EndedAt: after(test.ended)}); got != test.want {
 			t.Errorf("due at %d ms, ended at %d ms: %t, want %t", test.due, test.ended, got, test.want)
 		}
 	}
 }
 
 func TestLostRequestsAreNamed(t *testing.T) {
-	tries := []fakes.Try{{ID: "a", Result: fakes.Served}, {ID: "b", Result: fakes.Lost}, {ID: "c", Result: fakes.Wrong}}
+	tries := []fakes.Attempt{{ID: "a", Result: fakes.Served}, {ID: "b", Result: fakes.Lost}, {ID: "c", Result: fakes.Wrong}}
 	got := noneLost(tries)
 	if len(got) != 3 || got[0] != "2 requests lost or not answered" || noneLost(tries[:1]) != nil {
 		t.Errorf("%q", got)
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -69,8 +69,8 @@
 	running sync.WaitGroup // the load
 	cancel  context.CancelFunc
 	start   time.Time
-	tries   []fakes.Try   // once the load has ended, as the next
-	stall   time.Duration // the longest time by which a timer has come late
+	tries   []fakes.Attempt // once the load has ended, as the next
+	stall   time.Duration   // the longest time by which a timer has come late
 
 	drains      map[string]uint64 // by a process's id, discovery's revision that lists its drain
 	restartedAt time.Time         // when a second life was started
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -83,7 +83,7 @@
 }
 
 // noneLost says that a rule is broken if a request is lost, and which: its id and times are those of the sidecar's log.
-func noneLost(tries []fakes.Try) (broken []string) {
+func noneLost(tries []fakes.Attempt) (broken []string) {
 	for i := range tries {
 		if t := &tries[i]; isLost(t) {
 			broken = append(broken, fmt.Sprintf("request %s: %s, due %s, sent %s, ended %s on connection %d: %v",
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -78,7 +78,7 @@
 	released := make(chan error, 1)
 	go func() { released <- r.release(ctx, r.setup.Servers) }()
 	for {
-		r.fleet.Discovery.LoseAnswersOnOpenConns()
+		r.fleet.Discovery.DropResponsesOnOpenConns()
 		select {
 		case err := <-released:
 			return err
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -198,7 +198,7 @@
 		for _, d := range w.discoveries {
 			switch kind {
 			case Silent:
-				d.LoseAnswers(on)
+				d.DropResponses(on)
 			case Down:
 				_ = d.SetDown(on)
 			case Late:
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -20,7 +20,7 @@
 	return &record{
 		start: epoch, slack: ms(10), window: ms(900),
 		requests: []*request{{id: "n0-1", class: classesFor(1500 * time.Millisecond)[2], begunAt: after(100), sentAt: after(101), answeredAt: after(130), status: 200}},
-		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Answered}, 0}},
+		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Responded}, 0}},
 		starts:   map[string][]time.Time{}, processStarts: map[int][]time.Time{0: {epoch}}, learnedAt: map[learnedServer][]time.Time{},
 		killed: func(int, time.Time, time.Time) bool { return false }, faults: map[string][]string{},
 	}
@@ -28,7 +28,7 @@
 
 // addAttemptAtS2 adds an answered attempt at a second server, sent so many milliseconds after the record's start.
 func (r *record) addAttemptAtS2(at int) {
-	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: "s2", Sent: after(at), Deadline: "0.1", Outcome: fakes.Answered}, 0})
+	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: "s2", Sent: after(at), Deadline: "0.1", Outcome: fakes.Responded}, 0})
 }
 
 // The judge sees each rule broken, and nothing where it is kept.
