--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -95,12 +95,12 @@
 // validateOutputs checks the forms of the files to write, by their names.
 func (c *loadCommand) validateOutputs() error {
 	if c.Trace != "" {
-		if _, err := loadgen.TraceForm(c.Trace); err != nil {
+		if _, err := loadgen.TraceFormat(c.Trace); err != nil {
 			return fmt.Errorf("--trace: %w", err)
 		}
 	}
 	if c.Plot != "" {
-		if _, err := loadgen.PlotForm(filepath.Ext(c.Plot)); err != nil {
+		if _, err := loadgen.PlotFormat(filepath.Ext(c.Plot)); err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
@@ -159,7 +159,7 @@
 		_ = os.Setenv(cpubench.RoleVariable, cpubench.RoleServers+" 1")
 		cpubench.Serve() // ends the process
 	case c.Work:
-		return loadgen.Work(ctx, os.Stdin, out)
+		return loadgen.RunWorker(ctx, os.Stdin, out)
 	}
 	files, err := c.files()
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 	defer files.close()
 	if files.trace != nil {
-		form, _ := loadgen.TraceForm(c.Trace)
+		form, _ := loadgen.TraceFormat(c.Trace)
 		if err := loadgen.WriteTrace(files.trace, form, c.plan.Requests()); err != nil {
 			return fmt.Errorf("%s: %w", c.Trace, err)
 		}
@@ -207,7 +207,7 @@
 		cmd.Stderr = os.Stderr
 		commands = append(commands, cmd)
 	}
-	return loadgen.Spread(ctx, c.plan, c.To, commands)
+	return loadgen.RunDistributed(ctx, c.plan, c.To, commands)
 }
 
 // loadFiles are what is written besides the report; nil = not asked for.
@@ -249,7 +249,7 @@
 		problems = append(problems, r.WriteCSV(f.csv))
 	}
 	if f.plot != nil {
-		form, err := loadgen.PlotForm(plot)
+		form, err := loadgen.PlotFormat(plot)
 		if err == nil {
 			err = r.Plot(f.plot, form)
 		}
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -166,7 +166,7 @@
 	if from, err = w.readAll(ctx); err != nil {
 		return from, to, err
 	}
-	busy := process.WatchBusy()
+	busy := process.StartLoadMonitor()
 	err = fakes.Pause(ctx, p.Window)
 	late, _ := busy.Sample()
 	busy.Close()
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -109,10 +109,10 @@
 }
 
 // cpu is the processor time that it has used so far.
-func (s *sidecar) cpu() (time.Duration, error) { return process.CPU(s.process.Pid()) }
+func (s *sidecar) cpu() (time.Duration, error) { return process.CPUTime(s.process.Pid()) }
 
 // resident is the memory that it holds, in bytes.
-func (s *sidecar) resident() (int64, error) { return process.Resident(s.process.Pid()) }
+func (s *sidecar) resident() (int64, error) { return process.ResidentMemory(s.process.Pid()) }
 
 // scrape reads /metrics and returns how many bytes that took, both ways.
 func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -190,7 +190,7 @@
 }
 
 // CPU is the time that the child has used so far.
-func (p *Process) CPU() (time.Duration, error) { return process.CPU(p.cmd.Process.Pid) }
+func (p *Process) CPU() (time.Duration, error) { return process.CPUTime(p.cmd.Process.Pid) }
 
 // Own is the CPU time that this process has used so far.
 func Own() time.Duration {
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(workVariable) != "" {
-		if err := Work(context.Background(), os.Stdin, os.Stdout); err != nil {
+		if err := RunWorker(context.Background(), os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -19,8 +19,8 @@
 	neverMs               = 1e6 // stands for requests that were never served, above all that were
 )
 
-// PlotForm returns how to draw a plot by the ending of its file's name, .svg or .png.
-func PlotForm(extension string) (chart.RendererProvider, error) {
+// PlotFormat returns how to draw a plot by the ending of its file's name, .svg or .png.
+func PlotFormat(extension string) (chart.RendererProvider, error) {
 	switch extension {
 	case ".svg":
 		return chart.SVG, nil
--- a/internal/testbench/loadgen/report_test.go
+++ b/internal/testbench/loadgen/report_test.go
@@ -45,7 +45,7 @@
 		".png": func(b []byte) error { _, err := png.Decode(bytes.NewReader(b)); return err },
 	} {
 		var plot bytes.Buffer
-		form, err := PlotForm(ending)
+		form, err := PlotFormat(ending)
 		ok(t, err)
 		ok(t, report.Plot(&plot, form))
 		ok(t, check(plot.Bytes()))
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -26,10 +26,10 @@
 	startIn   = 50 * time.Millisecond // from when all are ready
 )
 
-// Spread sends a checked plan from several processes at once, each a part of it, and merges what they report. Each
+// RunDistributed sends a checked plan from several processes at once, each a part of it, and merges what they report. Each
 // command must call Work with its standard input and output. The end of ctx interrupts them; what they have sent by
 // then is reported.
-func Spread(ctx context.Context, p *Plan, address string, commands []*exec.Cmd) (*Result, error) {
+func RunDistributed(ctx context.Context, p *Plan, address string, commands []*exec.Cmd) (*Result, error) {
 	workers := make([]*worker, len(commands))
 	defer func() {
 		for _, w := range workers {
@@ -114,8 +114,8 @@
 	return w.cmd.Wait()
 }
 
-// Work is one process of Spread, on its standard input and output. It calls arrivals off when its input or ctx ends.
-func Work(ctx context.Context, in io.Reader, out io.Writer) error {
+// RunWorker is one process of Spread, on its standard input and output. It calls arrivals off when its input or ctx ends.
+func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	d := json.NewDecoder(in)
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -65,7 +65,7 @@
 		}
 		return all
 	}
-	r, err := Spread(t.Context(), p, server.Address(), workers())
+	r, err := RunDistributed(t.Context(), p, server.Address(), workers())
 	ok(t, err)
 	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(server.Requests()) != 50 {
 		t.Errorf("%+v", r)
@@ -73,11 +73,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	p.ForS = 1000 // none of which is waited for
-	if r, err := Spread(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
+	if r, err := RunDistributed(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
 		t.Errorf("interrupted: %+v, %v", r, err)
 	}
 	for _, name := range []string{"/bin/true", "/bin/cat", "/nowhere"} {
-		if _, err := Spread(t.Context(), p, "", []*exec.Cmd{exec.Command(name)}); err == nil {
+		if _, err := RunDistributed(t.Context(), p, "", []*exec.Cmd{exec.Command(name)}); err == nil {
 			t.Errorf("%s got ready", name)
 		}
 	}
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -59,8 +59,8 @@
 	return out.Flush()
 }
 
-// TraceForm returns the form of a trace by its file's name: ".csv" or ".jsonl".
-func TraceForm(name string) (string, error) {
+// TraceFormat returns the form of a trace by its file's name: ".csv" or ".jsonl".
+func TraceFormat(name string) (string, error) {
 	form := filepath.Ext(name)
 	if form != ".csv" && form != ".jsonl" {
 		return "", fmt.Errorf("%s: a trace is .csv or .jsonl; rename it", name)
@@ -89,7 +89,7 @@
 func (t *TraceSource) check(p *Plan) error {
 	setDefault(&t.Speed, 1)
 	setDefault(&t.Repeat, 1)
-	if _, err := TraceForm(t.File); err != nil {
+	if _, err := TraceFormat(t.File); err != nil {
 		return fmt.Errorf("trace.file: %w", err)
 	}
 	if !(t.Speed > 0 && t.Speed <= 1e6) || t.Repeat < 1 || !(t.EveryS >= 0 && t.EveryS <= maxOffset.Seconds()) {
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// CPU is the processor time that a process has used so far, user and system: the clock that /proc/PID/stat shows in ticks
+// CPUTime is the processor time that a process has used so far, user and system: the clock that /proc/PID/stat shows in ticks
 // of 10 ms, read in nanoseconds.
-func CPU(pid int) (time.Duration, error) {
+func CPUTime(pid int) (time.Duration, error) {
 	const cpuClock, perProcess = 2, 3 // clock_gettime(2): a process's CPU clock has its id's complement above three bits
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<perProcess|cpuClock), &t); err != nil {
@@ -24,8 +24,8 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Resident is the memory that a process holds, in bytes.
-func Resident(pid int) (int64, error) {
+// ResidentMemory is the memory that a process holds, in bytes.
+func ResidentMemory(pid int) (int64, error) {
 	file := fmt.Sprintf("/proc/%d/statm", pid)
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -44,8 +44,8 @@
 	userTick = 10 * time.Millisecond // the unit of /proc/stat: USER_HZ is 100 on Linux
 )
 
-// BusyWatch sees how busy the machine is with all that runs on it. Its methods are for one goroutine.
-type BusyWatch struct {
+// LoadMonitor sees how busy the machine is with all that runs on it. Its methods are for one goroutine.
+type LoadMonitor struct {
 	late atomic.Int64 // by so many ns a timer has come late, at most, since the last look
 	stop chan struct{}
 
@@ -53,9 +53,9 @@
 	busy     time.Duration // of all processors, until then
 }
 
-// WatchBusy begins to look, until Close.
-func WatchBusy() *BusyWatch {
-	n := &BusyWatch{stop: make(chan struct{}), lastLook: time.Now(), busy: machineBusy()}
+// StartLoadMonitor begins to look, until Close.
+func StartLoadMonitor() *LoadMonitor {
+	n := &LoadMonitor{stop: make(chan struct{}), lastLook: time.Now(), busy: machineBusy()}
 	go func() {
 		for before := time.Now(); ; before = time.Now() {
 			select {
@@ -75,11 +75,11 @@
 }
 
 // Close ends it.
-func (b *BusyWatch) Close() { close(b.stop) }
+func (b *LoadMonitor) Close() { close(b.stop) }
 
 // Sample returns, since the last look, by how much a timer has come late at most, and how many processors were busy; 0 = not
 // known.
-func (b *BusyWatch) Sample() (late time.Duration, cores float64) {
+func (b *LoadMonitor) Sample() (late time.Duration, cores float64) {
 	now, busy := time.Now(), machineBusy()
 	cores = max(0, (busy-b.busy).Seconds()/now.Sub(b.lastLook).Seconds())
 	b.lastLook, b.busy = now, busy
--- a/internal/testbench/process/process_test.go
+++ b/internal/testbench/process/process_test.go
@@ -11,16 +11,16 @@
 
 // This process has figures, and one that does not exist is an error.
 func TestOfAProcess(t *testing.T) {
-	if used, err := CPU(os.Getpid()); err != nil || used <= 0 {
+	if used, err := CPUTime(os.Getpid()); err != nil || used <= 0 {
 		t.Errorf("CPU %s, %v", used, err)
 	}
-	if held, err := Resident(os.Getpid()); err != nil || held < 1<<20 {
+	if held, err := ResidentMemory(os.Getpid()); err != nil || held < 1<<20 {
 		t.Errorf("%d bytes, %v", held, err)
 	}
-	if _, err := CPU(math.MaxInt32 >> 3); err == nil {
+	if _, err := CPUTime(math.MaxInt32 >> 3); err == nil {
 		t.Error("a process that there is not has used CPU")
 	}
-	if _, err := Resident(math.MaxInt32); !errors.Is(err, os.ErrNotExist) {
+	if _, err := ResidentMemory(math.MaxInt32); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the memory of a process that there is not: %v", err)
 	}
 }
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -98,7 +98,7 @@
 	discovery *discoveryServer
 	servers   *fakeServers
 	sidecars  []*sidecar
-	busy      *process.BusyWatch
+	busy      *process.LoadMonitor
 }
 
 // Serve is the life of a part: it obeys the orders that it reads until they end.
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	h := &worker{dir: dir, servers: newFakeServers(), busy: process.WatchBusy()}
+	h := &worker{dir: dir, servers: newFakeServers(), busy: process.StartLoadMonitor()}
 	defer h.close()
 	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
 	for {
@@ -276,7 +276,7 @@
 }
 
 func (w *worker) counts() (c Counts, err error) {
-	if c.CPU, err = process.CPU(os.Getpid()); err != nil {
+	if c.CPU, err = process.CPUTime(os.Getpid()); err != nil {
 		return c, err
 	}
 	if c.MemoryMB, err = resident(os.Getpid()); err != nil {
@@ -306,6 +306,6 @@
 
 // resident is the memory of a process in MB.
 func resident(pid int) (float64, error) {
-	bytes, err := process.Resident(pid)
+	bytes, err := process.ResidentMemory(pid)
 	return float64(bytes) / (1 << 20), err
 }
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -90,7 +90,7 @@
 		}
 	}
 	time.Sleep(warmUp)
-	busy := process.WatchBusy()
+	busy := process.StartLoadMonitor()
 	defer busy.Close()
 	u, long, err := w.during(func() error { time.Sleep(window); return nil })
 	if err != nil {
@@ -105,7 +105,7 @@
 	return c, nil
 }
 
-func (c *Comparison) addDiscoveryTraffic(u used, long time.Duration, busy *process.BusyWatch) {
+func (c *Comparison) addDiscoveryTraffic(u used, long time.Duration, busy *process.LoadMonitor) {
 	late, cores := busy.Sample()
 	c.StallMs, c.Machine = ms(late), cores
 	t, s := u.Discovery.Discovery, long.Seconds()
@@ -168,17 +168,17 @@
 	defer func() { stop(); <-done }()
 	time.Sleep(warmUp)
 	calls, probes := reached(fleet)
-	before, err := process.CPU(sidecar.program.Pid())
+	before, err := process.CPUTime(sidecar.program.Pid())
 	if err != nil {
 		return c, err
 	}
-	busy := process.WatchBusy()
+	busy := process.StartLoadMonitor()
 	defer busy.Close()
 	u, long, err := w.during(func() error { time.Sleep(window); return nil })
 	if err != nil {
 		return c, err
 	}
-	after, err := process.CPU(sidecar.program.Pid())
+	after, err := process.CPUTime(sidecar.program.Pid())
 	if err != nil {
 		return c, err
 	}
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -60,12 +60,12 @@
 	*world
 	plan Plan
 	rows []Row
-	busy *process.BusyWatch
+	busy *process.LoadMonitor
 }
 
 // Play plays all scenes with one fleet.
 func Play(ctx context.Context, set Setup, plan Plan) (rows []Row, err error) {
-	began, busy := time.Now(), process.WatchBusy()
+	began, busy := time.Now(), process.StartLoadMonitor()
 	defer busy.Close()
 	w, times, err := startFleet(ctx, set)
 	defer func() {
