--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -38,7 +38,7 @@
 			d.late = t.late
 		}
 		d.tries++
-		end := End(t.Result)
+		end := Outcome(t.Result)
 		d.tryEnds[end]++
 		if t.Resent {
 			d.resent++
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -14,27 +14,27 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// End is how a try ended, as its client has seen it, and a request by its last try.
-type End uint8
+// Outcome is how a try ended, as its client has seen it, and a request by its last try.
+type Outcome uint8
 
 // The ends. Each try has exactly one.
 const (
-	Served      = End(fakes.Served)      // 200
-	Refused     = End(fakes.Rejected)    // 429 or 503
-	Failed      = End(fakes.Failed)      // any other answer, or one that broke off
-	Lost        = End(fakes.Lost)        // the connection ended without an answer
-	TimedOut    = End(fakes.TimedOut)    // nothing came while the client waited, or it got no connection in that time
-	Unreachable = End(fakes.Unreachable) // no connection came up
+	Served      = Outcome(fakes.Served)      // 200
+	Rejected     = Outcome(fakes.Rejected)    // 429 or 503
+	Failed      = Outcome(fakes.Failed)      // any other answer, or one that broke off
+	Lost        = Outcome(fakes.Lost)        // the connection ended without an answer
+	TimedOut    = Outcome(fakes.TimedOut)    // nothing came while the client waited, or it got no connection in that time
+	Unreachable = Outcome(fakes.Unreachable) // no connection came up
 	ends        = Unreachable + 1
 )
 
 var endNames = [ends]string{"served", "refused", "failed", "lost", "timed_out", "unreachable"}
 
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return endNames[e] }
 
-func endNamed(name string) (End, bool) {
+func endNamed(name string) (Outcome, bool) {
 	i := slices.Index(endNames[:], name)
-	return End(i), i >= 0
+	return Outcome(i), i >= 0
 }
 
 const (
@@ -43,21 +43,21 @@
 	longestUs    = int64(time.Hour / time.Microsecond)
 )
 
-// Hist is a histogram of durations in microseconds. Only what occurs takes memory. It is not safe for concurrent use.
-type Hist struct{ packed *hdrhistogram.PackedHistogram }
+// Histogram is a histogram of durations in microseconds. Only what occurs takes memory. It is not safe for concurrent use.
+type Histogram struct{ packed *hdrhistogram.PackedHistogram }
 
-func newHist(digits int) Hist { return Hist{hdrhistogram.NewPacked(1, longestUs, digits)} }
+func newHist(digits int) Histogram { return Histogram{hdrhistogram.NewPacked(1, longestUs, digits)} }
 
-func (h Hist) record(d time.Duration) {
+func (h Histogram) record(d time.Duration) {
 	_ = h.packed.RecordValue(min(max(0, d.Microseconds()), longestUs)) // in range, so that it can't fail
 }
 
 // Count is how many were recorded.
-func (h Hist) Count() uint64 { return uint64(h.packed.TotalCount()) }
+func (h Histogram) Count() uint64 { return uint64(h.packed.TotalCount()) }
 
 // Quantile is the duration that a share q of total is not above, where what was not recorded counts as endless: false
 // says that it is. total is at least Count. It is the nearest rank, as exact as the histogram is.
-func (h Hist) Quantile(q float64, total uint64) (time.Duration, bool) {
+func (h Histogram) Quantile(q float64, total uint64) (time.Duration, bool) {
 	rank := max(1, math.Ceil(q*float64(total)-1e-6)) // 0.99*1000 is a little above 990
 	if rank > float64(h.Count()) {
 		return 0, false
@@ -67,7 +67,7 @@
 }
 
 // MarshalJSON writes the library's own encoding, which is compressed and known to other HdrHistogram tools.
-func (h Hist) MarshalJSON() ([]byte, error) {
+func (h Histogram) MarshalJSON() ([]byte, error) {
 	raw, err := h.packed.Encode()
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // UnmarshalJSON reads what MarshalJSON wrote.
-func (h *Hist) UnmarshalJSON(raw []byte) error {
+func (h *Histogram) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return err
@@ -92,11 +92,11 @@
 	Attempts    uint64       `json:"tries"`    // sendings, or attempts to
 	Resent      uint64       `json:"resent"`   // tries that crossed the close of a kept connection and went out once more
 	InObjective uint64       `json:"in_aim"`   // requests served within their latency objective, from when they were due
-	Ends        [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
-	AttemptEnds [ends]uint64 `json:"try_ends"` // of tries
+	Outcomes        [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
+	AttemptOutcomes [ends]uint64 `json:"try_ends"` // of tries
 
-	Due  Hist `json:"due"`  // from when a request was due to its answer; requests that were served
-	Sent Hist `json:"sent"` // from when the try that was served was sent to its answer: what a tool that waits reports
+	Due  Histogram `json:"due"`  // from when a request was due to its answer; requests that were served
+	Sent Histogram `json:"sent"` // from when the try that was served was sent to its answer: what a tool that waits reports
 }
 
 func newTally(digits int) Tally { return Tally{Due: newHist(digits), Sent: newHist(digits)} }
@@ -108,7 +108,7 @@
 	late             time.Duration
 	tries, resent    uint64
 	tryEnds          [ends]uint64
-	last             End
+	last             Outcome
 	latencyObjective time.Duration
 }
 
@@ -117,9 +117,9 @@
 	t.Attempts += d.tries
 	t.Resent += d.resent
 	for i, n := range d.tryEnds {
-		t.AttemptEnds[i] += n
+		t.AttemptOutcomes[i] += n
 	}
-	t.Ends[d.last]++
+	t.Outcomes[d.last]++
 	if d.last != Served {
 		return
 	}
@@ -132,9 +132,9 @@
 
 func (t *Tally) merge(o *Tally) {
 	t.Requests, t.Attempts, t.Resent, t.InObjective = t.Requests+o.Requests, t.Attempts+o.Attempts, t.Resent+o.Resent, t.InObjective+o.InObjective
-	for i := range t.Ends {
-		t.Ends[i] += o.Ends[i]
-		t.AttemptEnds[i] += o.AttemptEnds[i]
+	for i := range t.Outcomes {
+		t.Outcomes[i] += o.Outcomes[i]
+		t.AttemptOutcomes[i] += o.AttemptOutcomes[i]
 	}
 	t.Due.packed.Merge(o.Due.packed)
 	t.Sent.packed.Merge(o.Sent.packed)
@@ -150,11 +150,11 @@
 type Result struct {
 	Partial    bool          `json:"partial"` // arrivals were called off
 	Ran        time.Duration `json:"ran_ns"`  // until the last request had ended
-	Late       Hist          `json:"late"`    // of first tries, beyond waits for a connection
+	Late       Histogram          `json:"late"`    // of first tries, beyond waits for a connection
 	Stall      time.Duration `json:"stall_ns"`
-	Held       uint64        `json:"held"` // tries that waited because no further connection was allowed
-	HeldLonger time.Duration `json:"held_longest_ns"`
-	Opened     uint64        `json:"opened"`  // connections
+	ConnWaits       uint64        `json:"held"` // tries that waited because no further connection was allowed
+	LongestConnWait time.Duration `json:"held_longest_ns"`
+	ConnsOpened     uint64        `json:"opened"`  // connections
 	Classes    []Tally       `json:"classes"` // in the plan's order
 	Seconds    []Second      `json:"seconds"` // by when requests were due
 }
@@ -195,8 +195,8 @@
 		}
 		all.Partial = all.Partial || p.Partial
 		all.Ran, all.Stall = max(all.Ran, p.Ran), max(all.Stall, p.Stall)
-		all.Held, all.HeldLonger = all.Held+p.Held, max(all.HeldLonger, p.HeldLonger)
-		all.Opened += p.Opened
+		all.ConnWaits, all.LongestConnWait = all.ConnWaits+p.ConnWaits, max(all.LongestConnWait, p.LongestConnWait)
+		all.ConnsOpened += p.ConnsOpened
 		all.Late.packed.Merge(p.Late.packed)
 		for i := range all.Classes {
 			all.Classes[i].merge(&p.Classes[i])
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -18,14 +18,14 @@
 // means that fewer than that were served at all.
 type Latency [5]*float64
 
-func newLatency(h Hist, total uint64) (l Latency) {
+func newLatency(h Histogram, total uint64) (l Latency) {
 	for i, q := range quantiles {
 		l[i] = quantileMs(h, q, total)
 	}
 	return l
 }
 
-func quantileMs(h Hist, q float64, total uint64) *float64 {
+func quantileMs(h Histogram, q float64, total uint64) *float64 {
 	if d, ok := h.Quantile(q, total); ok {
 		ms := d.Seconds() * 1000
 		return &ms
@@ -41,8 +41,8 @@
 	Resent      uint64            `json:"resent"`
 	InObjective uint64            `json:"in_aim"`
 	Goodput     float64           `json:"goodput_per_s"` // requests served within their latency objective a second of due time
-	Ends        map[string]uint64 `json:"ends"`          // of requests
-	AttemptEnds map[string]uint64 `json:"try_ends"`
+	Outcomes        map[string]uint64 `json:"ends"`          // of requests
+	AttemptOutcomes map[string]uint64 `json:"try_ends"`
 	Due         Latency           `json:"latency_from_due_ms"`
 	Sent        Latency           `json:"latency_from_send_ms"`
 }
@@ -50,14 +50,14 @@
 func newRow(class string, t *Tally, lasted float64) Row {
 	row := Row{
 		Class: class, Requests: t.Requests, Attempts: t.Attempts, Resent: t.Resent, InObjective: t.InObjective,
-		Ends: map[string]uint64{}, AttemptEnds: map[string]uint64{},
+		Outcomes: map[string]uint64{}, AttemptOutcomes: map[string]uint64{},
 		Due: newLatency(t.Due, t.Requests), Sent: newLatency(t.Sent, t.Requests),
 	}
 	if lasted > 0 {
 		row.Goodput = float64(t.InObjective) / lasted
 	}
 	for i, name := range endNames {
-		row.Ends[name], row.AttemptEnds[name] = t.Ends[i], t.AttemptEnds[i]
+		row.Outcomes[name], row.AttemptOutcomes[name] = t.Outcomes[i], t.AttemptOutcomes[i]
 	}
 	return row
 }
@@ -69,7 +69,7 @@
 	Requests    uint64            `json:"asked"`
 	Attempts    uint64            `json:"tries"`
 	InObjective uint64            `json:"in_aim"`
-	Ends        map[string]uint64 `json:"ends"`
+	Outcomes        map[string]uint64 `json:"ends"`
 	Due         Latency           `json:"latency_from_due_ms"`
 	Sent        Latency           `json:"latency_from_send_ms"`
 	LateMs      float64           `json:"late_longest_ms"` // of all classes
@@ -87,9 +87,9 @@
 	Partial   bool        `json:"partial"`           // it was interrupted
 	LateMs    Latency     `json:"late_ms"`
 	StallMs   float64     `json:"stall_ms"` // by which the generator's own clock was late at most
-	Held      uint64      `json:"held"`     // tries that had to wait for a connection
-	HeldMs    float64     `json:"held_longest_ms"`
-	Opened    uint64      `json:"connections_opened"`
+	ConnWaits      uint64      `json:"held"`     // tries that had to wait for a connection
+	LongestConnWaitMs    float64     `json:"held_longest_ms"`
+	ConnsOpened    uint64      `json:"connections_opened"`
 	Classes   []Row       `json:"classes"` // the last one is all of them
 	Seconds   []SecondRow `json:"seconds"`
 }
@@ -99,8 +99,8 @@
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
 	out := &Report{
 		Address: address, Seed: p.Seed, Processes: processes, LastedS: p.ForS, RanS: r.Ran.Seconds(),
-		Partial: r.Partial, LateMs: newLatency(r.Late, r.Late.Count()), StallMs: ms(r.Stall), Held: r.Held,
-		HeldMs: ms(r.HeldLonger), Opened: r.Opened,
+		Partial: r.Partial, LateMs: newLatency(r.Late, r.Late.Count()), StallMs: ms(r.Stall), ConnWaits: r.ConnWaits,
+		LongestConnWaitMs: ms(r.LongestConnWait), ConnsOpened: r.ConnsOpened,
 	}
 	if n := float64(len(r.Seconds)); r.Partial {
 		out.LastedS = min(n, out.RanS)
@@ -119,7 +119,7 @@
 			if t := &s.Classes[j]; t.Requests > 0 {
 				row := newRow(p.Classes[j].Name, t, 1)
 				out.Seconds = append(out.Seconds, SecondRow{
-					i, row.Class, row.Requests, row.Attempts, row.InObjective, row.Ends,
+					i, row.Class, row.Requests, row.Attempts, row.InObjective, row.Outcomes,
 					row.Due, row.Sent, float64(s.LateUs) / 1000,
 				})
 			}
@@ -154,7 +154,7 @@
 func (r *Report) Write(w io.Writer) error {
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "%.1f s of load on %s, seed %d; processes: %d, connections: %d; all over after %.1f s\n", r.LastedS,
-		r.Address, r.Seed, r.Processes, r.Opened, r.RanS)
+		r.Address, r.Seed, r.Processes, r.ConnsOpened, r.RanS)
 	if r.Partial {
 		fmt.Fprintln(b, "PARTIAL: the run was interrupted, and the requests that were due later are not in it")
 	}
@@ -165,9 +165,9 @@
 		fmt.Fprintf(b, "taken up late: p50 %s ms, p99 %s ms, at most %s ms; own clock late by at most %.3f ms\n",
 			text(r.LateMs[0]), text(r.LateMs[2]), text(r.LateMs[4]), r.StallMs)
 	}
-	if r.Held > 0 {
+	if r.ConnWaits > 0 {
 		fmt.Fprintf(b, "%d tries waited for a connection, for up to %.3f ms: raise the plan's connections, unless "+
-			"clients have that limit\n", r.Held, r.HeldMs)
+			"clients have that limit\n", r.ConnWaits, r.LongestConnWaitMs)
 	}
 	r.tables(b)
 	_, err := io.WriteString(w, b.String())
@@ -182,7 +182,7 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.1f\t", c.Class, c.Requests, c.InObjective,
 			float64(c.InObjective)/math.Max(1, float64(c.Requests)), c.Goodput)
 		for _, name := range endNames {
-			fmt.Fprintf(t, "%d\t", c.Ends[name])
+			fmt.Fprintf(t, "%d\t", c.Outcomes[name])
 		}
 		fmt.Fprintf(t, "%d\t%d\t\n", c.Attempts, c.Resent)
 	}
@@ -218,7 +218,7 @@
 	for _, s := range r.Seconds {
 		row := []string{strconv.Itoa(s.Second), s.Class, fmt.Sprint(s.Requests), fmt.Sprint(s.Attempts), fmt.Sprint(s.InObjective)}
 		for _, name := range endNames {
-			row = append(row, fmt.Sprint(s.Ends[name]))
+			row = append(row, fmt.Sprint(s.Outcomes[name]))
 		}
 		for _, ms := range append(s.Due[:], s.Sent[:]...) {
 			if ms == nil {
--- a/internal/testbench/loadgen/report_test.go
+++ b/internal/testbench/loadgen/report_test.go
@@ -20,7 +20,7 @@
 			late: 2 * time.Millisecond, latencyObjective: 500 * time.Millisecond,
 		}
 		if i >= 17 {
-			d.last = Refused
+			d.last = Rejected
 		}
 		rec.done(&d)
 	}
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -62,7 +62,7 @@
 	used := c.conns.Close()
 	close(stop)
 	watch.Wait()
-	rec.result.Opened, rec.result.Held, rec.result.HeldLonger = uint64(used.Opened), used.Waits, used.LongestWait
+	rec.result.ConnsOpened, rec.result.ConnWaits, rec.result.LongestConnWait = uint64(used.Opened), used.Waits, used.LongestWait
 	rec.result.Partial = ctx.Err() != nil || err != nil
 	rec.result.Ran = time.Since(o.Start)
 	return rec.result, err
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -49,12 +49,12 @@
 			})
 			report := NewReport(p, r, "", 1)
 			row := report.Classes[0]
-			if row.Requests != 1000 || row.Ends["served"] != 1000 || row.InObjective != 850 || row.Goodput != 85 ||
+			if row.Requests != 1000 || row.Outcomes["served"] != 1000 || row.InObjective != 850 || row.Goodput != 85 ||
 				!report.Valid {
 				t.Errorf("%+v", row)
 			}
-			if report.Held != test.held {
-				t.Errorf("%d waited for a connection", report.Held)
+			if report.ConnWaits != test.held {
+				t.Errorf("%d waited for a connection", report.ConnWaits)
 			}
 			for i, q := range quantiles {
 				byHand := 0.0
@@ -88,7 +88,7 @@
 		}
 	})
 	report := NewReport(p, r, "", 1)
-	if report.Valid || len(report.Invalid) != 2 || report.Classes[0].Ends["served"] != 300 {
+	if report.Valid || len(report.Invalid) != 2 || report.Classes[0].Outcomes["served"] != 300 {
 		t.Errorf("%+v", report)
 	}
 	near(t, "late at most", report.LateMs[4], 298)
@@ -162,9 +162,9 @@
 				test.answer(w, n)
 			})
 			row := NewReport(p, r, "", 1).Classes[0]
-			maps.DeleteFunc(row.Ends, func(_ string, n uint64) bool { return n == 0 })
-			maps.DeleteFunc(row.AttemptEnds, func(_ string, n uint64) bool { return n == 0 })
-			if got := fmt.Sprint(row.Requests, row.Attempts, row.InObjective, row.Ends, row.AttemptEnds); got != test.want {
+			maps.DeleteFunc(row.Outcomes, func(_ string, n uint64) bool { return n == 0 })
+			maps.DeleteFunc(row.AttemptOutcomes, func(_ string, n uint64) bool { return n == 0 })
+			if got := fmt.Sprint(row.Requests, row.Attempts, row.InObjective, row.Outcomes, row.AttemptOutcomes); got != test.want {
 				t.Errorf("%s, want %s", got, test.want)
 			}
 			if test.due >= 0 {
@@ -186,7 +186,7 @@
 			Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
 			Pause: time.Sleep,
 		})
-		if err != nil || !r.Partial || r.Classes[0].Ends[Unreachable] != 15 {
+		if err != nil || !r.Partial || r.Classes[0].Outcomes[Unreachable] != 15 {
 			t.Errorf("%+v, %v", r, err)
 		}
 		p := constantPlan(t, constant(0), Poisson, 100)
@@ -214,9 +214,9 @@
 		r, err := Run(t.Context(), p, Options{Dialer: n, Address: server.Address(), Pause: time.Sleep})
 		ok(t, err)
 		c := r.Classes[0]
-		if seen := uint64(len(server.Requests())); c.Ends[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
+		if seen := uint64(len(server.Requests())); c.Outcomes[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
 			seen != c.Requests {
-			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Ends, c.Resent, seen)
+			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Outcomes, c.Resent, seen)
 		}
 	})
 }
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -67,7 +67,7 @@
 	}
 	r, err := RunDistributed(t.Context(), p, server.Address(), workers())
 	ok(t, err)
-	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(server.Requests()) != 50 {
+	if c := r.Classes[0]; c.Requests != 50 || c.Outcomes[Served] != 50 || r.Partial || len(server.Requests()) != 50 {
 		t.Errorf("%+v", r)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
