--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -13,51 +13,51 @@
 	"time"
 )
 
-// ConnPool sends requests by HTTP/1.1 to one address. Connections are kept and carry one request at a time: the idle one
-// most lately used, and a further one when all are busy. Its fields are set before its methods are called, which are
-// safe for concurrent use.
+// ConnPool sends HTTP/1.1 requests to one address over keepalive connections, one request at a time on each. A request
+// takes the idle connection used most recently, or opens a new one if all are busy. Set the exported fields before the
+// first call; the methods are safe for concurrent use.
 type ConnPool struct {
 	Dial     func(ctx context.Context, address string) (net.Conn, error)
 	Address  string // host:port
 	MaxConns int    // a request waits when all are busy; 0 = no limit
 
-	// Read reads one answer to its end, and returns what is wanted of its body.
+	// Read reads one whole response and returns as much of its body as the caller needs.
 	Read func(*bufio.Reader) (*http.Response, []byte, error)
 
 	readers sync.WaitGroup
 
 	mutex   sync.Mutex
-	idle    []*clientConn // most lately used last
-	open    int           // or coming up
+	idle    []*clientConn // most recently used last
+	open    int           // or being dialed
 	waiters []chan *clientConn
 	usage   Usage
 }
 
-// Usage is what a Client's connections came to.
+// Usage is the connection statistics of a ConnPool.
 type Usage struct {
 	Opened      int           // connections
-	Waits       uint64        // waits because no further connection was allowed
-	LongestWait time.Duration // the longest of them
+	Waits       uint64        // requests that waited because MaxConns connections were open
+	LongestWait time.Duration // the longest of these waits
 }
 
-// Exchange is how the sending of a request went, as its client has seen it.
+// Exchange is the outcome of one request as its client saw it.
 type Exchange struct {
-	SentAt   time.Time      // its first byte; zero = it got no connection
+	SentAt   time.Time      // when the first byte was written; zero = no connection was available
 	Conn     int            // the last connection's number, from 1; 0 = none
-	Resent   bool           // it crossed the close of a kept connection and went out again on a new one
-	Response *http.Response // read to its end; nil = none
+	Resent   bool           // the server closed the reused connection without reading it, and it was sent again on a new one
+	Response *http.Response // fully read; nil = none
 	Body     []byte
-	Err      error  // that there was no answer
-	Result   Result // by the answer's status alone, so that none is Wrong
+	Err      error  // why there was no response
+	Result   Result // derived from the status alone, so it is never Wrong
 }
 
-// Send sends a request and waits for its answer until a moment. A request on a kept connection that the other side has
-// closed without reading it is sent once more, on a new one; message encodes it each time.
+// Send sends a request and waits for its response until the given time. If the server closed a reused connection without
+// reading the request, Send sends it once more on a new connection; message encodes it each time.
 func (c *ConnPool) Send(message func() []byte, until time.Time) (x Exchange) {
 	for {
 		conn, err := c.connect(until, x.Resent)
 		if err != nil {
-			if x.Err, x.Result = err, Unreachable; errors.Is(err, errBusy) {
+			if x.Err, x.Result = err, Unreachable; errors.Is(err, errAllConnsBusy) {
 				x.Result = TimedOut
 			}
 			return x
@@ -72,7 +72,7 @@
 			x.Response, x.Body, x.Result = got.response, got.body, got.result()
 			return x
 		}
-		again := conn.carried > 0 && !x.Resent && conn.closedUnread(&got)
+		again := conn.requestsServed > 0 && !x.Resent && conn.closedUnread(&got)
 		conn.close()
 		if !again {
 			x.Err, x.Result = got.err, got.result()
@@ -82,7 +82,8 @@
 	}
 }
 
-// Close ends idle connections and waits until all readers have ended. Nothing may be sent any more.
+// Close closes idle connections, waits for all reading goroutines to end, and returns the statistics. Send must not be
+// called afterwards.
 func (c *ConnPool) Close() Usage {
 	c.mutex.Lock()
 	idle := slices.Clone(c.idle)
@@ -94,9 +95,10 @@
 	return c.usage
 }
 
-var errBusy = errors.New("every connection that the consumers may have is busy")
+var errAllConnsBusy = errors.New("all connections that the client may open are busy")
 
-// connect takes an idle connection, or opens one, or waits for its turn until a moment.
+// connect returns an idle connection, a new one, or, with MaxConns open, the next that becomes free before the given time.
+// With fresh set it returns a new connection only.
 func (c *ConnPool) connect(until time.Time, fresh bool) (*clientConn, error) {
 	c.mutex.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -126,7 +128,7 @@
 	return k, nil
 }
 
-// waitForConn waits for a turn: a connection, or nil for a place to open one.
+// waitForConn waits until a connection becomes free and returns it, or returns nil if the caller may open one instead.
 func (c *ConnPool) waitForConn(connReady chan *clientConn, until time.Time) (k *clientConn, err error) {
 	start := time.Now()
 	late := time.NewTimer(time.Until(until))
@@ -134,7 +136,7 @@
 	select {
 	case k = <-connReady:
 	case <-late.C:
-		err = errBusy
+		err = errAllConnsBusy
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -153,7 +155,7 @@
 	return nil, err
 }
 
-// releaseSlot gives a place to the next who waits. Its caller holds the mutex, as that of offer does.
+// releaseSlot lets the first waiting request open a connection, or lowers the count of open ones. The caller holds the mutex.
 func (c *ConnPool) releaseSlot() {
 	if len(c.waiters) == 0 {
 		c.open--
@@ -163,7 +165,7 @@
 	c.waiters = c.waiters[1:]
 }
 
-// offer gives a connection to the next who waits.
+// offer passes a free connection to the first waiting request, or adds it to the idle ones. The caller holds the mutex.
 func (c *ConnPool) offer(k *clientConn) {
 	switch {
 	case k.closed:
@@ -186,39 +188,39 @@
 		return nil, err
 	}
 	c.usage.Opened++
-	k := &clientConn{Conn: nc, client: c, number: c.usage.Opened, replies: make(chan reply), done: make(chan struct{})}
+	k := &clientConn{Conn: nc, client: c, number: c.usage.Opened, results: make(chan exchangeResult), done: make(chan struct{})}
 	c.readers.Go(k.readLoop)
 	return k, nil
 }
 
-// clientConn is one connection.
+// clientConn is one connection of a ConnPool.
 type clientConn struct {
 	net.Conn
-	client  *ConnPool
-	number  int
-	carried int // requests answered
-	replies chan reply
-	done    chan struct{} // closed when no further request is sent
+	client         *ConnPool
+	number         int
+	requestsServed int // requests that got a response
+	results        chan exchangeResult
+	done           chan struct{} // closed with the connection, after which no request is sent
 
-	closed bool // guarded by of.mu
+	closed bool // guarded by client.mutex
 }
 
-// reply is an answer, or how the connection ended without one.
-type reply struct {
-	response *http.Response // nil = none
-	body     []byte
-	begun    bool // its first byte came
-	unsent   bool // the request could not be written
-	err      error
+// exchangeResult is a response, or the error that ended the connection without one.
+type exchangeResult struct {
+	response    *http.Response // nil = none
+	body        []byte
+	started     bool // the first byte of the response was received
+	writeFailed bool // the request could not be written
+	err         error
 }
 
-func (r *reply) timedOut() bool { return errors.Is(r.err, context.DeadlineExceeded) }
+func (r *exchangeResult) timedOut() bool { return errors.Is(r.err, context.DeadlineExceeded) }
 
-func (r *reply) result() Result {
+func (r *exchangeResult) result() Result {
 	switch {
 	case r.timedOut():
 		return TimedOut
-	case !r.begun:
+	case !r.started:
 		return Lost
 	case r.response == nil:
 		return Failed
@@ -232,15 +234,15 @@
 	return Failed
 }
 
-// readLoop reads answers until the connection ends. Whatever comes while nobody asks is the end of it.
+// readLoop reads responses until the connection ends. Data or an error on an idle connection closes it.
 func (c *clientConn) readLoop() {
 	br := bufio.NewReader(c)
 	for {
-		var r reply
+		var r exchangeResult
 		_, r.err = br.Peek(1)
 		c.closeIfIdle()
 		if r.err == nil {
-			r.begun = true
+			r.started = true
 			r.response, r.body, r.err = c.client.Read(br)
 		}
 		switch {
@@ -249,16 +251,16 @@
 		case r.err != nil:
 			r.response = nil
 		}
-		c.SetReadDeadline(time.Time{}) // it was this request's
+		c.SetReadDeadline(time.Time{}) // the deadline applied to this request only
 		select {
-		case c.replies <- r:
+		case c.results <- r:
 		case <-c.done:
 			return
 		}
 	}
 }
 
-// closeIfIdle ends the connection if it is idle.
+// closeIfIdle closes the connection if it is idle.
 func (c *clientConn) closeIfIdle() {
 	client := c.client
 	client.mutex.Lock()
@@ -269,7 +271,7 @@
 	}
 }
 
-// closeLocked closes the connection and leaves its place. Its caller holds the mutex.
+// closeLocked closes the connection and releases its slot. The caller holds the mutex.
 func (c *clientConn) closeLocked() {
 	if c.closed {
 		return
@@ -286,33 +288,33 @@
 	c.closeLocked()
 }
 
-// finish ends the connection's request; it may carry another if it is to be kept.
+// finish marks the connection's request as done. With keep set the connection is reused, otherwise it is closed.
 func (c *clientConn) finish(keep bool) {
 	c.client.mutex.Lock()
 	defer c.client.mutex.Unlock()
-	if c.carried++; keep {
+	if c.requestsServed++; keep {
 		c.client.offer(c)
 	} else {
 		c.closeLocked()
 	}
 }
 
-// exchange sends a request and waits for what comes, until a moment.
-func (c *clientConn) exchange(message []byte, until time.Time) reply {
+// exchange sends a request and waits until the given time for the response or the end of the connection.
+func (c *clientConn) exchange(message []byte, until time.Time) exchangeResult {
 	c.SetDeadline(until)
 	_, err := c.Write(message)
-	r := <-c.replies
-	r.unsent = err != nil
+	r := <-c.results
+	r.writeFailed = err != nil
 	return r
 }
 
-// closedUnread reports whether the other side had closed the connection before it read the request: then the request was
-// answered with a reset, and so is what is written next. Else the other side has read it, and may have run it.
-func (c *clientConn) closedUnread(r *reply) bool {
-	if r.begun || r.timedOut() {
+// closedUnread reports whether the server closed the connection before it read the request. In that case the request, and
+// the next write, trigger a reset. Otherwise the server has read the request and may have executed it.
+func (c *clientConn) closedUnread(r *exchangeResult) bool {
+	if r.started || r.timedOut() {
 		return false
 	}
-	if r.unsent || errors.Is(r.err, syscall.ECONNRESET) {
+	if r.writeFailed || errors.Is(r.err, syscall.ECONNRESET) {
 		return true
 	}
 	_, err := c.Write([]byte("\n"))
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -15,61 +15,61 @@
 	"time"
 )
 
-// Class is a class of requests.
+// Class is a request class as the clients and the sidecar's configuration have it.
 type Class struct {
 	Name                       string
-	Idempotent                 bool // to repeat: sent by GET, else by POST
+	Idempotent                 bool // sent as GET, else as POST
 	LatencyObjective, Deadline time.Duration
 	PriorityWeight             float64
 }
 
-// TileClass is a class that is safe to repeat.
+// TileClass returns an idempotent class.
 func TileClass() Class {
 	return Class{Name: "tile", Idempotent: true, LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1}
 }
 
-// OrderClass is a class that must not run twice.
+// OrderClass returns a class whose requests must not be executed twice.
 func OrderClass() Class {
 	return Class{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5}
 }
 
-// Stream is the requests of one class and owner.
+// Stream is the requests of one class and tenant.
 type Stream struct {
 	Class  Class
 	Tenant string
-	Rate   float64 // a second, Poisson
+	Rate   float64 // requests per second, as a Poisson process
 }
 
-// Retry is what clients do about an answer that is not the one they asked for: after a refusal, or where they could not
-// connect, they ask again; after a failure, or a lost answer, only where the class is safe.
+// Retry is the clients' retry policy. They retry a rejected request and a failed connect in every class, and a failed
+// request or a lost response only if the class is idempotent.
 type Retry struct {
-	Wait       time.Duration // before each
-	MaxRetries int           // for each request
+	Wait       time.Duration // before each retry
+	MaxRetries int           // per request
 }
 
-// Load is what clients send.
+// Load describes the requests that clients send.
 type Load struct {
 	Network  Network
 	Address  string // of the sidecar
 	Seed     uint64 // of arrivals and ids
 	Streams  []Stream
-	Duration time.Duration // from the first moment to the last arrival
-	Retry    Retry         // zero = never
+	Duration time.Duration // from the start to the last arrival
+	Retry    Retry         // zero = no retries
 	MaxConns int           // a request waits when all are busy; 0 = no limit
 }
 
-// Result is how a try ended, as its client has seen it.
+// Result is the outcome of an attempt as its client saw it.
 type Result uint8
 
-// The results. Each try has exactly one.
+// The results; each attempt has exactly one.
 const (
-	Served      Result = iota // 200 and the body made for this request
+	Served      Result = iota // 200 with the body generated for this request
 	Rejected                  // 429 or 503
-	Failed                    // any other answer, or one that ended too early
-	Lost                      // the connection ended without an answer
-	TimedOut                  // nothing came before the deadline; SentAt is zero where it waited for a connection
-	Unreachable               // no connection came up
-	Wrong                     // 200 with a body that was not made for this request
+	Failed                    // any other status, or an incomplete response
+	Lost                      // the connection ended without a response
+	TimedOut                  // no response before the deadline; SentAt is zero if it was still waiting for a connection
+	Unreachable               // no connection could be established
+	Wrong                     // 200 with a body that does not belong to this request
 	results
 )
 
@@ -77,55 +77,56 @@
 
 func (r Result) String() string { return resultNames[r] }
 
-// Attempt is one sending of a request.
+// Attempt is one attempt of a request.
 type Attempt struct {
 	ID          string
-	RequestID   string // id of the request's first try
+	RequestID   string // id of the request's first attempt
 	Class       Class
 	Tenant      string
-	Number      int       // tries of the request before this one
-	RequestedAt time.Time // when the first try was due
-	DueAt       time.Time // when this one was due
-	SentAt      time.Time // its first byte
+	Number      int       // attempts of the request before this one
+	RequestedAt time.Time // when the first attempt was due
+	DueAt       time.Time // when this attempt was due
+	SentAt      time.Time // when the first byte was written; zero = not sent
 	EndedAt     time.Time
 	Conn        int   // the connection's number, from 1; 0 = none
-	Resent      bool  // it crossed the close of a kept connection and went out again on a new one
-	Status      int   // of the answer; 0 = none
-	Err         error // that there was none
+	Resent      bool  // the server closed the reused connection without reading it, and it was sent again on a new one
+	Status      int   // of the response; 0 = none
+	Err         error // why there was no response
 	Result      Result
 }
 
-// Took is the time from the moment when the try was due.
+// Took returns the time from when the attempt was due to its end.
 func (t *Attempt) Took() time.Duration { return t.EndedAt.Sub(t.DueAt) }
 
-// InObjective reports whether the try served its request within the latency objective, counted from when the request was first due.
+// InObjective reports whether the attempt served its request within the latency objective, counted from when the request's
+// first attempt was due.
 func (t *Attempt) InObjective() bool {
 	return t.Result == Served && t.EndedAt.Sub(t.RequestedAt) <= t.Class.LatencyObjective
 }
 
-// Clients are a sidecar's clients, which share the connections of one Client. Arrivals don't wait for answers. Its
-// methods are safe for concurrent use.
+// Clients generates open-loop load on a sidecar through one ConnPool: arrivals do not wait for responses. Its methods are
+// safe for concurrent use.
 type Clients struct {
-	load   Load
-	client ConnPool
+	load  Load
+	conns ConnPool
 
-	mutex sync.Mutex
-	tries []Attempt
+	mutex    sync.Mutex
+	attempts []Attempt
 }
 
-// NewClients returns clients that Run sets going.
+// NewClients returns clients that send the load when Run is called.
 func NewClients(l Load) *Clients {
 	return &Clients{
-		load:   l,
-		client: ConnPool{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readResponse},
+		load:  l,
+		conns: ConnPool{Dial: l.Network.Dial, Address: l.Address, MaxConns: l.MaxConns, Read: readResponse},
 	}
 }
 
-// arrival is a request drawn ahead.
+// arrival is a request generated before the run starts.
 type arrival struct {
-	after time.Duration
-	flow  Stream
-	id    string
+	offset time.Duration
+	stream Stream
+	id     string
 }
 
 func (l *Load) arrivals() (all []arrival) {
@@ -140,46 +141,46 @@
 			all = append(all, arrival{after, f, fmt.Sprintf("%016x", draw.Uint64())})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b arrival) int { return cmp.Compare(a.after, b.after) })
+	slices.SortStableFunc(all, func(a, b arrival) int { return cmp.Compare(a.offset, b.offset) })
 	return all
 }
 
-// Run sends all requests and returns every try, in the order in which they were due, once the last has ended. The end
-// of ctx is the end of arrivals.
+// Run sends all requests and, once the last has ended, returns every attempt ordered by due time. When ctx ends, no further
+// requests are sent.
 func (c *Clients) Run(ctx context.Context) []Attempt {
 	start := time.Now()
 	var requests sync.WaitGroup
 	for _, a := range c.load.arrivals() {
-		at := start.Add(a.after)
+		at := start.Add(a.offset)
 		if Pause(ctx, time.Until(at)) != nil {
 			break
 		}
 		requests.Go(func() {
-			c.sendRequest(Attempt{ID: a.id, RequestID: a.id, Class: a.flow.Class, Tenant: a.flow.Tenant, RequestedAt: at, DueAt: at})
+			c.sendRequest(Attempt{ID: a.id, RequestID: a.id, Class: a.stream.Class, Tenant: a.stream.Tenant, RequestedAt: at, DueAt: at})
 		})
 	}
 	requests.Wait()
-	c.client.Close()
+	c.conns.Close()
 	return c.Attempts()
 }
 
-// Attempts returns those that have ended so far, in the order in which they were due.
+// Attempts returns the attempts that have ended so far, ordered by due time.
 func (c *Clients) Attempts() []Attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	tries := slices.Clone(c.tries)
+	tries := slices.Clone(c.attempts)
 	slices.SortStableFunc(tries, func(a, b Attempt) int { return cmp.Or(a.DueAt.Compare(b.DueAt), cmp.Compare(a.ID, b.ID)) })
 	return tries
 }
 
-// sendRequest makes its first try and those that follow.
+// sendRequest sends the first attempt t and the retries that the policy allows.
 func (c *Clients) sendRequest(t Attempt) {
 	until := t.RequestedAt.Add(t.Class.Deadline)
 	for {
-		c.sendTry(&t, until)
+		c.sendAttempt(&t, until)
 		t.EndedAt = time.Now()
 		c.mutex.Lock()
-		c.tries = append(c.tries, t)
+		c.attempts = append(c.attempts, t)
 		c.mutex.Unlock()
 		at := t.EndedAt.Add(c.load.Retry.Wait)
 		switch {
@@ -192,21 +193,21 @@
 		}
 		time.Sleep(time.Until(at))
 		t = Attempt{
-			ID: repeatID(t.RequestID, t.Number+1), RequestID: t.RequestID, Class: t.Class, Tenant: t.Tenant, Number: t.Number + 1,
+			ID: retryID(t.RequestID, t.Number+1), RequestID: t.RequestID, Class: t.Class, Tenant: t.Tenant, Number: t.Number + 1,
 			RequestedAt: t.RequestedAt, DueAt: at,
 		}
 	}
 }
 
-func repeatID(first string, again int) string {
+func retryID(first string, again int) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %d", first, again)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// sendTry sends the request and says how that ended.
-func (c *Clients) sendTry(t *Attempt, until time.Time) {
-	x := c.client.Send(func() []byte { return t.encode(until) }, until)
+// sendAttempt sends the attempt and records its outcome in t.
+func (c *Clients) sendAttempt(t *Attempt, until time.Time) {
+	x := c.conns.Send(func() []byte { return t.encode(until) }, until)
 	t.SentAt, t.Conn, t.Resent, t.Err, t.Result = x.SentAt, x.Conn, x.Resent, x.Err, x.Result
 	if x.Response != nil {
 		t.Status = x.Response.StatusCode
@@ -236,7 +237,7 @@
 	return fmt.Appendf(b, "\r\n%s", body)
 }
 
-// readResponse reads an answer and keeps its body.
+// readResponse reads a response and returns it with its body.
 func readResponse(br *bufio.Reader) (*http.Response, []byte, error) {
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
@@ -246,7 +247,7 @@
 	return resp, body, err
 }
 
-// AwaitReady waits until the sidecar at address answers GET /up with 200, or for the end of ctx.
+// AwaitReady waits until the sidecar at address responds to GET /up with 200. If ctx ends first, it returns the last error.
 func AwaitReady(ctx context.Context, n Network, address string) error {
 	for {
 		err := checkUp(ctx, n, address)
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -46,7 +46,7 @@
 		"wrong":           {Behaviour{ReplaceWith: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, n Network) {
+			onBothNetworks(t, func(t *testing.T, n Network) {
 				p, err := NewServer(n, ServerOptions{Cores: 100, Default: Service{10 * time.Millisecond, true, 0}})
 				ok(t, err)
 				defer p.Close()
@@ -101,8 +101,8 @@
 func TestUnreadRequestsAreNoticed(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, n Network) {
-				a, b := pair(t, n)
+			onBothNetworks(t, func(t *testing.T, n Network) {
+				a, b := connPair(t, n)
 				if read {
 					send(t, a, "order")
 					_, err := io.ReadFull(b, make([]byte, 5))
@@ -113,7 +113,7 @@
 					send(t, a, "order")
 				}
 				_, err := a.Read(make([]byte, 1))
-				if k := (&clientConn{Conn: a}); k.closedUnread(&reply{err: err}) == read {
+				if k := (&clientConn{Conn: a}); k.closedUnread(&exchangeResult{err: err}) == read {
 					t.Errorf("the connection ended with %v, and the request counts as read: %t", err, !read)
 				}
 			})
--- a/internal/testbench/fakes/config.go
+++ b/internal/testbench/fakes/config.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// SidecarConfig is what a sidecar's configuration says. Zero figures are left to its defaults.
+// SidecarConfig is the configuration of a sidecar. Zero numbers leave the sidecar's defaults, unless noted otherwise.
 type SidecarConfig struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
-	Known                   List    // the list as the sidecar last had it
-	Classes                 []Class // nil = Tile and Order
+	Known                   List    // the endpoint list that the sidecar starts with
+	Classes                 []Class // nil = TileClass and OrderClass
 	Tenants                 []string
 	MaxConns, MemoryMB      int
 	NoProbes                bool
@@ -21,13 +21,13 @@
 	ConnIdle                time.Duration
 	ConnectTimeout          time.Duration
 	DrainGrace              time.Duration
-	WarmUpTime              time.Duration // in which a server that starts gets warm
+	WarmUpTime              time.Duration // duration of a server's slow start; 0 = 8 s
 
-	// Edit changes anything else: it is given the whole document before it is written.
+	// Edit, if not nil, may change the whole document before it is encoded.
 	Edit func(document map[string]any)
 }
 
-// Config returns the sidecar's configuration file.
+// Config returns the content of the sidecar's configuration file.
 func Config(s SidecarConfig) ([]byte, error) {
 	if s.Classes == nil {
 		s.Classes = []Class{TileClass(), OrderClass()}
--- a/internal/testbench/fakes/count.go
+++ b/internal/testbench/fakes/count.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 )
 
-// Counter counts the connections of a network that listeners have accepted, and the bytes of those and of dialled ones, as
-// this side sees them and without TCP's.
+// Counter counts the connections that the listeners of a network accept, and the payload bytes read and written by this
+// side on accepted and dialed connections.
 type Counter struct{ Accepted, In, Out atomic.Int64 }
 
-// Wrap returns the network, counted.
+// Wrap returns a network whose traffic on n is counted in c.
 func (c *Counter) Wrap(n Network) Network { return counted{n, c} }
 
 type counted struct {
@@ -60,6 +60,6 @@
 }
 
 func (c countedConn) Write(p []byte) (int, error) {
-	c.counter.Out.Add(int64(len(p))) // before the other side can have answered
+	c.counter.Out.Add(int64(len(p))) // before the write, so that a response never precedes the count
 	return c.Conn.Write(p)
 }
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// The phases of a member.
+// The phases of an endpoint.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// Endpoint is one line of discovery's list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID       string `json:"id"`
 	Address  string `json:"host_port"`
 	Locality string `json:"locality"`
 	Phase    string `json:"phase"`
-	UpSince  int64  `json:"up_since_ms"` // Unix milliseconds; 0 = long ago
+	UpSince  int64  `json:"up_since_ms"` // Unix milliseconds; 0 = started long ago, so not in slow start
 }
 
-// List is what discovery answers.
+// List is the body of discovery's responses.
 type List struct {
 	Revision  uint64     `json:"revision"`
 	Complete  bool       `json:"complete"`
@@ -33,70 +33,70 @@
 }
 
 const (
-	listPath        = "/discovery/hosts"
-	maxWait         = 60 * time.Second
-	lateAnswerDelay = time.Millisecond // after the caller has hung up
+	listPath                = "/discovery/hosts"
+	maxWait                 = 60 * time.Second
+	responseAfterCloseDelay = time.Millisecond // after the client has closed the connection
 )
 
-// DiscoveryRequest is one call as discovery has seen it.
+// DiscoveryRequest is one request as discovery received it.
 type DiscoveryRequest struct {
-	At          time.Time // of its last byte
-	Conn        int       // the connection's number, from 1
-	Complete    bool      // the whole list was asked for
+	At          time.Time // when its last byte was received
+	Conn        int       // number of the connection, from 1
+	Complete    bool      // a request for the complete list, not a watch
 	Index       uint64
 	Wait        time.Duration
 	Responded   bool
 	RespondedAt time.Time
-	Revision    uint64 // that it was answered with
-	Endpoints   int    // lines of the answer
+	Revision    uint64 // revision of the response
+	Endpoints   int    // number of endpoints in the response
 }
 
-// entry is the last that is known of one id.
+// entry is the latest state of one endpoint and the revision in which it last changed.
 type entry struct {
 	Endpoint
 	revision uint64
 }
 
-// discoveryFaults are those that act on an answer.
+// discoveryFaults are the faults that affect responses.
 type discoveryFaults struct {
-	loseAnswers, answerLate, wholeForWatch, partForWhole bool
-	indented, chunked                                    bool
-	delay                                                time.Duration
-	replacement                                          []byte
-	muted                                                chan struct{} // closed when it ends; nil = none
+	dropResponses, respondAfterClose, completeForWatch, partialForComplete bool
+	indented, chunked                                                      bool
+	delay                                                                  time.Duration
+	replacement                                                            []byte
+	held                                                                   chan struct{} // closed when HoldResponses(false) is called; nil = responses are not held
 }
 
-// Discovery serves the list of servers, in whole and by a watch, and misbehaves on request. It is safe for
-// concurrent use; each method acts at once.
+// Discovery serves the complete endpoint list and watches, and injects faults on request. It is safe for concurrent use;
+// each method takes effect at once.
 type Discovery struct {
 	host
 
-	state    sync.Mutex
-	revision uint64
-	since    uint64 // the oldest revision from which changes are known
-	entries  []entry
-	changed  chan struct{} // closed with the next revision
-	faults   discoveryFaults
-	calls    []DiscoveryRequest
+	state       sync.Mutex
+	revision    uint64
+	oldestKnown uint64 // oldest revision from which changes are known
+	entries     []entry
+	changed     chan struct{} // closed when the next revision is published
+	faults      discoveryFaults
+	requests    []DiscoveryRequest
 }
 
-// NewDiscovery starts discovery at address (see Network.Listen) whose first revision holds the members.
+// NewDiscovery starts discovery at address (see Network.Listen) with the given endpoints as revision 1.
 func NewDiscovery(n Network, address string, endpoints ...Endpoint) (*Discovery, error) {
-	d := &Discovery{host: newHost(n, address, 0), revision: 1, since: 1, changed: make(chan struct{})}
-	d.handle = d.serveCall
+	d := &Discovery{host: newHost(n, address, 0), revision: 1, oldestKnown: 1, changed: make(chan struct{})}
+	d.handle = d.serveRequest
 	for _, m := range endpoints {
 		d.put(m)
 	}
 	return d, d.startListening()
 }
 
-// Close ends it and waits for all that it has under way.
+// Close resets all connections and waits for the goroutines to end.
 func (d *Discovery) Close() { d.stop() }
 
-// Address is host:port.
+// Address returns the listening address as host:port.
 func (d *Discovery) Address() string { return d.currentAddress() }
 
-// Set replaces the whole list in a new revision, which it returns.
+// Set replaces the complete list and returns the new revision.
 func (d *Discovery) Set(endpoints ...Endpoint) uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
@@ -113,7 +113,7 @@
 	return d.publish()
 }
 
-// Change replaces or adds members in a new revision, which it returns. Those with phase Deleted are gone.
+// Change adds or replaces endpoints and returns the new revision. An endpoint with phase Deleted is removed from the list.
 func (d *Discovery) Change(endpoints ...Endpoint) uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
@@ -124,7 +124,7 @@
 	return d.publish()
 }
 
-// put notes what is new of a member in the present revision.
+// put stores an endpoint; if it differs from the stored one, it counts as changed in the current revision.
 func (d *Discovery) put(m Endpoint) {
 	i := slices.IndexFunc(d.entries, func(e entry) bool { return e.ID == m.ID })
 	if i < 0 {
@@ -142,21 +142,21 @@
 	return d.revision
 }
 
-// Revision is the present one.
+// Revision returns the current revision.
 func (d *Discovery) Revision() uint64 {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return d.revision
 }
 
-// Endpoints returns the whole list.
+// Endpoints returns the complete list.
 func (d *Discovery) Endpoints() []Endpoint {
 	d.state.Lock()
 	defer d.state.Unlock()
 	return d.list(true, 0).Endpoints
 }
 
-// list returns the complete list or the changes after a revision.
+// list returns the complete list, or the changes after the given revision.
 func (d *Discovery) list(complete bool, after uint64) List {
 	l := List{Revision: d.revision, Complete: complete, Endpoints: []Endpoint{}}
 	for _, e := range d.entries {
@@ -167,29 +167,30 @@
 	return l
 }
 
-// DropResponses takes calls and never answers them, those under way included; their connections stay open and silent.
-// Calls that come after it has been switched off are answered.
+// DropResponses makes discovery accept requests and never respond, also to pending ones; their connections stay open.
+// Requests received after it is switched off get a response.
 func (d *Discovery) DropResponses(on bool) {
-	d.setFault(func(f *discoveryFaults) { f.loseAnswers = on })
+	d.setFault(func(f *discoveryFaults) { f.dropResponses = on })
 }
 
-// DropResponsesOnOpenConns loses the answers to all calls on connections that are open now, for good. New connections are fine.
+// DropResponsesOnOpenConns permanently drops all responses on connections that are open now. New connections work.
 func (d *Discovery) DropResponsesOnOpenConns() { d.markOpenConns() }
 
-// HoldResponses takes connections and calls and says nothing until it is switched off. Then it answers all that still wait.
+// HoldResponses makes discovery accept connections and requests without responding until it is switched off. Then it
+// responds to all pending requests.
 func (d *Discovery) HoldResponses(on bool) {
 	d.setFault(func(f *discoveryFaults) {
-		if f.muted != nil {
-			close(f.muted)
-			f.muted = nil
+		if f.held != nil {
+			close(f.held)
+			f.held = nil
 		}
 		if on {
-			f.muted = make(chan struct{})
+			f.held = make(chan struct{})
 		}
 	})
 }
 
-// SetDown refuses connections, after resetting those that are open, until it is switched off.
+// SetDown resets open connections and refuses new ones until it is switched off.
 func (d *Discovery) SetDown(on bool) error {
 	if on {
 		d.resetAll()
@@ -198,43 +199,44 @@
 	return d.startListening()
 }
 
-// SetSilent is the end of its machine, or its return: nothing is answered, refused or reset, and connections hang.
+// SetSilent makes the machine unreachable, or reachable again: packets are dropped, so nothing is answered, refused or
+// reset, and connections hang.
 func (d *Discovery) SetSilent(on bool) error { return d.setSilent(on) }
 
-// SetDelay sends each answer so much later than it is made.
+// SetDelay delays each response by the given time after it is generated.
 func (d *Discovery) SetDelay(by time.Duration) { d.setFault(func(f *discoveryFaults) { f.delay = by }) }
 
-// RespondAfterClose answers a call only a moment after its caller has hung up, or has ended its sending.
+// RespondAfterClose delays each response until 1 ms after the client has closed the connection or its sending side.
 func (d *Discovery) RespondAfterClose(on bool) {
-	d.setFault(func(f *discoveryFaults) { f.answerLate = on })
+	d.setFault(func(f *discoveryFaults) { f.respondAfterClose = on })
 }
 
-// CompleteForWatch answers watches with the whole list.
+// CompleteForWatch responds to watches with the complete list.
 func (d *Discovery) CompleteForWatch(on bool) {
-	d.setFault(func(f *discoveryFaults) { f.wholeForWatch = on })
+	d.setFault(func(f *discoveryFaults) { f.completeForWatch = on })
 }
 
-// PartialForComplete answers calls for the whole list with the first half of it, as changes.
+// PartialForComplete responds to requests for the complete list with its first half, marked as changes.
 func (d *Discovery) PartialForComplete(on bool) {
-	d.setFault(func(f *discoveryFaults) { f.partForWhole = on })
+	d.setFault(func(f *discoveryFaults) { f.partialForComplete = on })
 }
 
-// SetEncoding encodes answers indented, and in chunks.
+// SetEncoding selects indented JSON and chunked transfer encoding for responses.
 func (d *Discovery) SetEncoding(indented, chunked bool) {
 	d.setFault(func(f *discoveryFaults) { f.indented, f.chunked = indented, chunked })
 }
 
-// ReplaceResponses sends these bytes in place of each answer; nil = no longer.
+// ReplaceResponses sends the given bytes in place of each response; nil switches it off.
 func (d *Discovery) ReplaceResponses(with []byte) {
 	d.setFault(func(f *discoveryFaults) { f.replacement = with })
 }
 
-// RestartAt ends all connections with a reset and starts anew, at the same address, with the list at another revision,
-// which may be lower. It no longer knows what was deleted or changed before.
+// RestartAt resets all connections and restarts discovery at the same address with the same list at another revision,
+// which may be lower. Deletions and changes from before the restart are no longer known.
 func (d *Discovery) RestartAt(revision uint64) error {
 	d.resetAll()
 	d.state.Lock()
-	d.revision, d.since = revision, revision
+	d.revision, d.oldestKnown = revision, revision
 	d.entries = slices.DeleteFunc(d.entries, func(e entry) bool { return e.Phase == Deleted })
 	for i := range d.entries {
 		d.entries[i].revision = revision
@@ -243,7 +245,7 @@
 	return d.startListening()
 }
 
-// Move ends all connections with a reset and goes on at another address, which it returns.
+// Move resets all connections and restarts discovery at another address, which it returns.
 func (d *Discovery) Move() (string, error) {
 	d.resetAll()
 	d.mutex.Lock()
@@ -253,11 +255,11 @@
 	return d.Address(), err
 }
 
-// Requests returns all calls so far.
+// Requests returns all requests received so far.
 func (d *Discovery) Requests() []DiscoveryRequest {
 	d.state.Lock()
 	defer d.state.Unlock()
-	return slices.Clone(d.calls)
+	return slices.Clone(d.requests)
 }
 
 func (d *Discovery) setFault(set func(*discoveryFaults)) {
@@ -272,19 +274,19 @@
 	return d.faults
 }
 
-// serveCall records a call and answers it, as the faults have it.
-func (d *Discovery) serveCall(c *hostConn, m *message) bool {
+// serveRequest records a request and responds to it subject to the active faults.
+func (d *Discovery) serveRequest(c *hostConn, m *message) bool {
 	if m.URL.Path != listPath || m.Method != "GET" {
 		return c.write(encodeResponse(404, "", nil))
 	}
 	query := m.URL.Query()
-	call := DiscoveryRequest{At: m.last, Conn: c.number, Complete: !query.Has("index")}
+	call := DiscoveryRequest{At: m.last, Conn: c.connNumber, Complete: !query.Has("index")}
 	call.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
 	call.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
 	d.state.Lock()
-	d.calls = append(d.calls, call)
-	index, lost := len(d.calls)-1, d.faults.loseAnswers
+	d.requests = append(d.requests, call)
+	index, lost := len(d.requests)-1, d.faults.dropResponses
 	d.state.Unlock()
 
 	list, ok := d.awaitList(c, &call)
@@ -295,26 +297,26 @@
 	if faults.delay > 0 && !c.wait(faults.delay) {
 		return false
 	}
-	if lost || d.currentFaults().loseAnswers || d.isMarked(c) {
+	if lost || d.currentFaults().dropResponses || d.isMarked(c) {
 		return c.waitForClose()
 	}
 	raw := faults.replacement
 	if raw == nil {
 		raw = faults.encode(list)
 	}
-	if faults.answerLate {
+	if faults.respondAfterClose {
 		c.waitForClose()
-		c.wait(lateAnswerDelay)
+		c.wait(responseAfterCloseDelay)
 	}
 	c.waitWhileSilent()
 	d.state.Lock()
-	record := &d.calls[index]
+	record := &d.requests[index]
 	record.Responded, record.RespondedAt, record.Revision, record.Endpoints = true, time.Now(), list.Revision, len(list.Endpoints)
 	d.state.Unlock()
 	return c.write(raw)
 }
 
-// encode returns the answer's bytes.
+// encode returns the encoded response.
 func (f *discoveryFaults) encode(l List) []byte {
 	const kind = "Content-Type: application/json\r\n"
 	body, _ := json.Marshal(l)
@@ -331,22 +333,23 @@
 	return append(raw, "0\r\n\r\n"...)
 }
 
-// awaitList waits for what the call asks for. False means that its connection has ended.
+// awaitList waits until the list has changed or the request's wait has expired. False means that the connection ended
+// first and no response is due.
 func (d *Discovery) awaitList(c *hostConn, call *DiscoveryRequest) (List, bool) {
 	until := time.NewTimer(call.Wait)
 	defer until.Stop()
 	for pollExpired := call.Complete; ; {
 		d.state.Lock()
 		faults, changed := d.faults, d.changed
-		forgot := call.Index > d.revision || call.Index < d.since // it can't say what has changed since then
-		l := d.list(call.Complete || forgot || faults.wholeForWatch, call.Index)
-		if call.Complete && faults.partForWhole {
+		forgot := call.Index > d.revision || call.Index < d.oldestKnown // changes since that revision are not known
+		l := d.list(call.Complete || forgot || faults.completeForWatch, call.Index)
+		if call.Complete && faults.partialForComplete {
 			l.Complete, l.Endpoints = false, l.Endpoints[:len(l.Endpoints)/2]
 		}
 		changedSinceIndex := pollExpired || forgot || d.revision > call.Index
 		d.state.Unlock()
-		if faults.muted != nil {
-			changed = faults.muted
+		if faults.held != nil {
+			changed = faults.held
 		} else if changedSinceIndex {
 			return l, true
 		}
@@ -355,7 +358,7 @@
 		case <-until.C:
 			pollExpired = true
 		case <-c.clientDone:
-			return l, faults.answerLate
+			return l, faults.respondAfterClose
 		case <-c.closed:
 			return l, false
 		}
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -22,7 +22,7 @@
 	reader *bufio.Reader
 }
 
-func call(t *testing.T, n Network, address string) *testConn {
+func dialTest(t *testing.T, n Network, address string) *testConn {
 	t.Helper()
 	c, err := n.Dial(t.Context(), address)
 	ok(t, err)
@@ -30,7 +30,7 @@
 	return &testConn{c, bufio.NewReader(c)}
 }
 
-const answerTimeout = time.Second // after which get returns "silence"
+const responseTimeout = time.Second // after which get returns "silence"
 
 // get sends a GET, with an id if there is one, and describes what comes: "200 body", or else "200 reset" where the answer
 // did not end well, or "nothing end" where none began.
@@ -38,17 +38,17 @@
 	if id != "" {
 		id = "Req-Id: " + id + "\r\n"
 	}
-	c.SetDeadline(time.Now().Add(answerTimeout))
+	c.SetDeadline(time.Now().Add(responseTimeout))
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n%s\r\n", target, id); err != nil {
-		return "nothing " + ended(err)
+		return "nothing " + describeError(err)
 	}
-	return c.readAnswer()
+	return c.readResponse()
 }
 
-func (c *testConn) readAnswer() string {
+func (c *testConn) readResponse() string {
 	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return "nothing " + ended(err)
+		return "nothing " + describeError(err)
 	}
 	status := fmt.Sprint(r.StatusCode)
 	if r.Header.Get("Srv-Declined") != "" {
@@ -56,12 +56,12 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return status + " " + ended(err)
+		return status + " " + describeError(err)
 	}
 	return strings.TrimSpace(status + " " + strings.Trim(string(body), "\x00\n"))
 }
 
-func ended(err error) string {
+func describeError(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "silence"
@@ -137,7 +137,7 @@
 			_ = d.SetDown(true)
 			_ = d.SetDown(false)
 		}, complete + " new " + complete, "reset 1=aSbS"},
-		"delay":             {func(d *Discovery) { d.SetDelay(2 * answerTimeout) }, complete, "silence"},
+		"delay":             {func(d *Discovery) { d.SetDelay(2 * responseTimeout) }, complete, "silence"},
 		"late":              {func(d *Discovery) { d.RespondAfterClose(true) }, complete, "silence"},
 		"whole for a watch": {func(d *Discovery) { d.CompleteForWatch(true); d.Change(gone) }, watch, "2=bS"},
 		"part for whole":    {func(d *Discovery) { d.PartialForComplete(true) }, complete, "1+aS"},
@@ -150,17 +150,17 @@
 		"moved":             {func(d *Discovery) { _, _ = d.Move() }, complete + " new " + complete, "reset 1=aSbS"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, n Network) {
+			onBothNetworks(t, func(t *testing.T, n Network) {
 				d, err := NewDiscovery(n, "", a, b)
 				ok(t, err)
 				defer d.Close()
-				c := call(t, n, d.Address())
+				c := dialTest(t, n, d.Address())
 				c.get("/other", "") // it is accepted
 				test.do(d)
 				var got []string
 				for target := range strings.FieldsSeq(test.calls) {
 					if target == "new" {
-						c = call(t, n, d.Address())
+						c = dialTest(t, n, d.Address())
 						continue
 					}
 					said := strings.Fields(summarizeList(c.get(target, "")))
@@ -175,11 +175,11 @@
 }
 
 func TestDiscoveryCallsAreCounted(t *testing.T) {
-	onBoth(t, func(t *testing.T, n Network) {
+	onBothNetworks(t, func(t *testing.T, n Network) {
 		d, err := NewDiscovery(n, "", Endpoint{ID: "a", Phase: Serving})
 		ok(t, err)
 		defer d.Close()
-		c := call(t, n, d.Address())
+		c := dialTest(t, n, d.Address())
 		c.get(listPath, "")
 		d.RespondAfterClose(true)
 		c.get(listPath+"?index=1&wait=100000", "")
@@ -196,8 +196,8 @@
 		}
 		hungUp := time.Now()
 		ok(t, c.Conn.(interface{ CloseWrite() error }).CloseWrite())
-		c.SetDeadline(time.Now().Add(answerTimeout))
-		if got := summarizeList(c.readAnswer()); got != "1+" || d.Requests()[1].RespondedAt.Sub(hungUp) < lateAnswerDelay {
+		c.SetDeadline(time.Now().Add(responseTimeout))
+		if got := summarizeList(c.readResponse()); got != "1+" || d.Requests()[1].RespondedAt.Sub(hungUp) < responseAfterCloseDelay {
 			t.Errorf("after the caller's end: %q", got)
 		}
 	})
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Fleet is some servers and the discovery that lists them.
+// Fleet is a set of servers and the discovery that lists them.
 type Fleet struct {
 	Discovery *Discovery
 	Servers   []*Server
-	lifetimes []int // processes so far, by server
+	processes []int // number of restarts, by server
 }
 
-// NewFleet starts n servers of one nature; o's ID, if any, goes before the number in their names, and each gets a
-// seed of its own.
+// NewFleet starts n servers with the same options and a discovery that lists them. Their ids are o.ID, or "s" if empty,
+// followed by a number; each server gets its own seed.
 func NewFleet(net Network, n int, o ServerOptions) (*Fleet, error) {
-	f := &Fleet{lifetimes: make([]int, n)}
+	f := &Fleet{processes: make([]int, n)}
 	prefix, seed := o.ID, o.Seed
 	if prefix == "" {
 		prefix = "s"
@@ -38,7 +38,7 @@
 	return f, nil
 }
 
-// Close ends all of them.
+// Close stops discovery and all servers.
 func (f *Fleet) Close() {
 	if f.Discovery != nil {
 		f.Discovery.Close()
@@ -48,7 +48,7 @@
 	}
 }
 
-// Endpoints are the lines of all servers as they are, whatever discovery says.
+// Endpoints returns the current endpoint of each server, regardless of what discovery lists.
 func (f *Fleet) Endpoints() (endpoints []Endpoint) {
 	for _, p := range f.Servers {
 		endpoints = append(endpoints, p.Endpoint())
@@ -56,19 +56,19 @@
 	return endpoints
 }
 
-// Release is a rolling replacement of all processes.
+// Release describes a rolling restart of the servers.
 type Release struct {
-	Batch        int           // servers replaced at a time; 0 = 1
-	MaxServers   int           // servers replaced, from the first on; 0 = all
-	Grace        time.Duration // from the notice of the drain to the end of the process
-	Down         time.Duration // from there to the next process
-	Between      time.Duration // from there to the next batch
-	NewAddresses bool          // the next process has another address
+	Batch        int           // servers restarted at a time; 0 = 1
+	MaxServers   int           // number of servers to restart, from the first on; 0 = all
+	Grace        time.Duration // from listing a server as draining to ending its process
+	Down         time.Duration // from the end of a process to the start of the next
+	Between      time.Duration // from the end of a batch to the start of the next
+	NewAddresses bool          // each new process gets another address
 }
 
-// Release replaces the servers' processes: discovery lists one as draining, and it declines what is new; after
-// the grace it ends, and one under a new id starts and is listed together with the other's end. It returns early at the
-// end of ctx.
+// Release performs a rolling restart. Discovery lists a server as draining and the server declines new requests. After
+// the grace period its process ends and one with a new id starts; both changes are published in one revision. Release
+// returns early when ctx ends.
 func (f *Fleet) Release(ctx context.Context, r Release) error {
 	servers := len(f.Servers)
 	if r.MaxServers > 0 {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// nextID names the next process of the i-th server.
+// nextID returns the id of the next process of the i-th server.
 func (f *Fleet) nextID(i int) string {
-	f.lifetimes[i]++
-	return fmt.Sprintf("%s.%d", f.Servers[i].options.ID, f.lifetimes[i]+1)
+	f.processes[i]++
+	return fmt.Sprintf("%s.%d", f.Servers[i].options.ID, f.processes[i]+1)
 }
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -12,50 +12,50 @@
 	"time"
 )
 
-// host is what discovery and a server have in common: a listener that can go and come back, connections that
-// carry one request at a time, and a machine that can fall silent.
+// host is the base of Discovery and Server: a listener that can be stopped and started again, connections that carry one
+// request at a time, and a machine that can become unreachable.
 type host struct {
-	network Network
-	handle  func(*hostConn, *message) bool // answers; false = the connection is to end
-	idle    time.Duration                  // after which a connection is closed; 0 = never
+	network     Network
+	handle      func(*hostConn, *message) bool // responds to a request; false = close the connection
+	idleTimeout time.Duration                  // idle time after which a connection is closed; 0 = never
 
 	mutex    sync.Mutex
 	address  string
 	listener Listener
 	conns    map[*hostConn]struct{}
 	accepted int
-	silence  chan struct{} // closed when it ends; nil = none
+	silent   chan struct{} // closed when the machine is reachable again; nil = it is reachable
 	running  sync.WaitGroup
 }
 
-// message is one request, read to its end.
+// message is one fully read request.
 type message struct {
 	*http.Request
 	body        []byte
-	first, last time.Time     // when its first and last byte came
-	sent        time.Time     // when the first byte was there to be read, also where the machine had vanished
-	idle        time.Duration // of its connection before it
+	first, last time.Time     // when its first and last byte were received
+	sent        time.Time     // when the first byte arrived, even if the machine was unreachable then
+	idle        time.Duration // idle time of its connection before it
 }
 
 // hostConn is one accepted connection.
 type hostConn struct {
 	net.Conn
-	host       *host
-	number     int
-	messages   chan *message
-	clientDone chan struct{} // closed when the caller sends no more
-	closed     chan struct{} // closed when this side has ended it
-	closeOnce  sync.Once
-	freeAt     time.Time // when it was last answered or accepted
-	carried    int       // requests before the present one
-	marked     bool      // for a fault that is to befall it; guarded by server.mu
+	host           *host
+	connNumber     int
+	messages       chan *message
+	clientDone     chan struct{} // closed when the client has closed its sending side
+	closed         chan struct{} // closed when this side has closed the connection
+	closeOnce      sync.Once
+	idleSince      time.Time // when it was accepted or the last response was sent
+	requestsServed int       // requests before the current one
+	marked         bool      // selected by markOpenConns for a fault; guarded by host.mutex
 }
 
 func newHost(n Network, address string, idle time.Duration) host {
-	return host{network: n, address: address, idle: idle, conns: map[*hostConn]struct{}{}}
+	return host{network: n, address: address, idleTimeout: idle, conns: map[*hostConn]struct{}{}}
 }
 
-// startListening listens, where it did before if it did.
+// startListening starts the listener, at the previous address if there is one.
 func (h *host) startListening() error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// resetAll refuses new connections and resets all others. A silence ends with it, but only once nobody can say anything.
+// resetAll closes the listener and resets all connections. It makes a silent machine reachable again, but only after the
+// connections are reset, so that nothing is sent on them.
 func (h *host) resetAll() {
 	h.mutex.Lock()
 	l := h.listener
@@ -82,18 +83,18 @@
 		l.Close()
 	}
 	for _, c := range conns {
-		c.drop(true)
+		c.close(true)
 	}
 	_ = h.setSilent(false)
 }
 
-// stop is down for good.
+// stop closes the listener and all connections and waits for the goroutines to end.
 func (h *host) stop() {
 	h.resetAll()
 	h.running.Wait()
 }
 
-// markOpenConns marks the connections that are open now.
+// markOpenConns marks the connections that are open now, for isMarked.
 func (h *host) markOpenConns() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -108,20 +109,20 @@
 	return c.marked
 }
 
-// setSilent makes the machine vanish, or come back with its process and connections as they were.
+// setSilent makes the machine unreachable, or reachable again with its process and connections unchanged.
 func (h *host) setSilent(on bool) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	switch {
-	case on == (h.silence != nil):
+	case on == (h.silent != nil):
 		return nil
 	case on && h.listener == nil:
-		return fmt.Errorf("vanish: nobody listens at %q: start it first", h.address)
+		return fmt.Errorf("make %q unreachable: it is not listening; start it first", h.address)
 	case on:
-		h.silence = make(chan struct{})
+		h.silent = make(chan struct{})
 	default:
-		close(h.silence)
-		h.silence = nil
+		close(h.silent)
+		h.silent = nil
 	}
 	if h.listener == nil {
 		return nil
@@ -137,23 +138,23 @@
 		}
 		c := &hostConn{
 			Conn: nc, host: h, messages: make(chan *message), clientDone: make(chan struct{}),
-			closed: make(chan struct{}), freeAt: time.Now(),
+			closed: make(chan struct{}), idleSince: time.Now(),
 		}
 		h.mutex.Lock()
 		h.accepted++
-		c.number = h.accepted
+		c.connNumber = h.accepted
 		h.conns[c] = struct{}{}
-		stale := h.listener != l // down has not seen it
+		stale := h.listener != l // accepted while resetAll ran, which has missed it
 		h.mutex.Unlock()
 		if stale {
-			c.drop(true)
+			c.close(true)
 		}
 		h.running.Go(c.readLoop)
 		h.running.Go(c.serveLoop)
 	}
 }
 
-// currentAddress is host:port, also while nobody listens there.
+// currentAddress returns host:port of the current or last listener.
 func (h *host) currentAddress() string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -167,11 +168,11 @@
 	return h.accepted, len(h.conns)
 }
 
-// waitWhileSilent waits until the machine is not silent: what was sent to it, ends included, arrives only then.
+// waitWhileSilent waits until the machine is reachable: data sent to it, and the end of a connection, arrive only then.
 func (c *hostConn) waitWhileSilent() {
 	for {
 		c.host.mutex.Lock()
-		silence := c.host.silence
+		silence := c.host.silent
 		c.host.mutex.Unlock()
 		if silence == nil {
 			return
@@ -184,7 +185,7 @@
 	}
 }
 
-// readLoop reads one request after another, and the caller's end while one is being answered.
+// readLoop reads the requests of a connection, and detects its end by the client while one is being served.
 func (c *hostConn) readLoop() {
 	defer close(c.clientDone)
 	br := bufio.NewReader(c)
@@ -216,17 +217,17 @@
 	defer c.finish()
 	for {
 		var tooLong <-chan time.Time
-		if c.host.idle > 0 {
-			tooLong = time.After(c.host.idle)
+		if c.host.idleTimeout > 0 {
+			tooLong = time.After(c.host.idleTimeout)
 		}
 		select {
 		case m := <-c.messages:
-			m.idle = max(0, m.first.Sub(c.freeAt))
+			m.idle = max(0, m.first.Sub(c.idleSince))
 			if !c.host.handle(c, m) || m.Close {
 				return
 			}
-			c.carried++
-			c.freeAt = time.Now()
+			c.requestsServed++
+			c.idleSince = time.Now()
 		case <-tooLong:
 			c.waitWhileSilent()
 			return
@@ -239,14 +240,14 @@
 }
 
 func (c *hostConn) finish() {
-	c.drop(false)
+	c.close(false)
 	c.host.mutex.Lock()
 	defer c.host.mutex.Unlock()
 	delete(c.host.conns, c)
 }
 
-// drop ends the connection, with a reset or in order. Only the first call counts.
-func (c *hostConn) drop(reset bool) {
+// close closes the connection, with a reset if asked. Only the first call has an effect.
+func (c *hostConn) close(reset bool) {
 	c.closeOnce.Do(func() {
 		close(c.closed)
 		if reset {
@@ -257,7 +258,7 @@
 	})
 }
 
-// wait waits for d and reports whether the connection has not been ended from this side meanwhile.
+// wait waits for d. It returns false at once if this side closes the connection.
 func (c *hostConn) wait(d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -269,7 +270,7 @@
 	}
 }
 
-// waitForClose waits until either side has ended the connection.
+// waitForClose waits until either side has closed the connection and returns false.
 func (c *hostConn) waitForClose() bool {
 	select {
 	case <-c.clientDone:
@@ -278,14 +279,14 @@
 	return false
 }
 
-// write writes once the machine may speak, and reports whether that went well.
+// write writes b once the machine is reachable and reports whether that succeeded.
 func (c *hostConn) write(b []byte) bool {
 	c.waitWhileSilent()
 	_, err := c.Write(b)
 	return err == nil
 }
 
-// encodeResponse returns a response's bytes.
+// encodeResponse returns an encoded response; head is further header lines.
 func encodeResponse(status int, head string, body []byte) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, http.StatusText(status), head, len(body), body)
--- a/internal/testbench/fakes/memory.go
+++ b/internal/testbench/fakes/memory.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Memory is a network within one process. Whoever waits in it is durably blocked in the sense of testing/synctest, so
-// that time in a bubble can go on.
+// Memory is an in-process network. A goroutine that waits in it is durably blocked in the sense of testing/synctest, so
+// that time in a bubble can advance.
 type Memory struct {
 	mutex     sync.Mutex
 	delay     time.Duration
 	spread    time.Duration
 	listeners map[string]*memListener
-	dials     map[string]int // by address
-	host      int
-	port      int
+	dials     map[string]int // number of dials, by address
+	lastHost  int
+	lastPort  int
 }
 
 // NewMemory returns an empty network with a delay of 0.1 to 0.2 ms.
@@ -32,16 +32,16 @@
 	}
 }
 
-// SetDelay sets how long bytes, ends and resets take one way on connections opened from now on: a part that is the same
-// everywhere, and one under spread that is each connection's own. A connection takes twice as long to come up. Without
-// a spread, what leaves on several connections at one moment comes back at one moment, in an order left to chance.
+// SetDelay sets the one-way delay of data, closes and resets on connections opened from now on: same for all of them, plus
+// a part below spread that differs by connection. Establishing a connection takes twice the delay. With a spread of 0,
+// data sent on several connections at one instant arrives at one instant, in random order.
 func (m *Memory) SetDelay(same, spread time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.delay, m.spread = same, spread
 }
 
-// delayTo is the delay of the next connection to an address.
+// delayTo returns the delay of the next connection to an address.
 func (m *Memory) delayTo(address string) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -54,17 +54,17 @@
 	return m.delay + time.Duration(h.Sum64()%uint64(m.spread))
 }
 
-// Listen makes address reachable.
+// Listen implements Network.
 func (m *Memory) Listen(address string) (Listener, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if address == "" {
-		m.host++
-		address = fmt.Sprintf("127.0.%d.%d", m.host/250, 1+m.host%250)
+		m.lastHost++
+		address = fmt.Sprintf("127.0.%d.%d", m.lastHost/250, 1+m.lastHost%250)
 	}
 	if !strings.Contains(address, ":") {
-		m.port++
-		address = fmt.Sprintf("%s:%d", address, 20000+m.port)
+		m.lastPort++
+		address = fmt.Sprintf("%s:%d", address, 20000+m.lastPort)
 	}
 	if m.listeners[address] != nil {
 		return nil, opError("listen", address, os.NewSyscallError("bind", syscall.EADDRINUSE))
@@ -75,7 +75,7 @@
 	return l, nil
 }
 
-// Dial connects to a listener.
+// Dial implements Network.
 func (m *Memory) Dial(ctx context.Context, address string) (net.Conn, error) {
 	delay := m.delayTo(address)
 	if err := Pause(ctx, 2*delay); err != nil {
@@ -84,8 +84,8 @@
 	for {
 		m.mutex.Lock()
 		l := m.listeners[address]
-		m.port++
-		from := memAddr(fmt.Sprintf("127.0.0.1:%d", 20000+m.port))
+		m.lastPort++
+		from := memAddr(fmt.Sprintf("127.0.0.1:%d", 20000+m.lastPort))
 		m.mutex.Unlock()
 		if l == nil {
 			return nil, opError("dial", address, os.NewSyscallError("connect", syscall.ECONNREFUSED))
@@ -102,7 +102,7 @@
 	}
 }
 
-// Pause waits for d or the end of ctx, whose error it returns.
+// Pause waits for d. If ctx ends first, it returns the error of ctx.
 func Pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -131,19 +131,20 @@
 	network *Memory
 	addr    memAddr
 
-	mutex  sync.Mutex
-	cond   sync.Cond
-	queue  []*memConn
-	closed bool
-	thawed chan struct{} // nil = not frozen
+	mutex    sync.Mutex
+	cond     sync.Cond
+	queue    []*memConn
+	closed   bool
+	unfrozen chan struct{} // closed by Freeze(false); nil = not frozen
 }
 
-// connect queues a connection for Accept and returns the other end of it, or else what to wait for before trying again.
+// connect queues a connection for Accept and returns the client's end. While the listener is frozen, it returns a channel
+// that is closed when connect may be called again.
 func (l *memListener) connect(from memAddr, delay time.Duration) (net.Conn, <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.thawed != nil {
-		return nil, l.thawed
+	if l.unfrozen != nil {
+		return nil, l.unfrozen
 	}
 	k := &link{delay: delay}
 	k.cond.L = &k.mutex
@@ -162,7 +163,7 @@
 func (l *memListener) Accept() (net.Conn, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for (len(l.queue) == 0 || l.thawed != nil) && !l.closed {
+	for (len(l.queue) == 0 || l.unfrozen != nil) && !l.closed {
 		l.cond.Wait()
 	}
 	if l.closed {
@@ -199,11 +200,11 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
-	case on && l.thawed == nil:
-		l.thawed = make(chan struct{})
-	case !on && l.thawed != nil:
-		close(l.thawed)
-		l.thawed = nil
+	case on && l.unfrozen == nil:
+		l.unfrozen = make(chan struct{})
+	case !on && l.unfrozen != nil:
+		close(l.unfrozen)
+		l.unfrozen = nil
 		l.cond.Broadcast()
 	}
 	return nil
--- a/internal/testbench/fakes/memory_conn.go
+++ b/internal/testbench/fakes/memory_conn.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// maxBuffered is how many bytes one direction of a connection takes before its writer waits.
+// maxBuffered is the number of unread bytes in one direction of a connection above which writes block.
 const maxBuffered = 256 << 10
 
-// link is what both ends of a connection share. Its mutex guards both directions and is never held by one who waits.
+// link is the state shared by both ends of a connection. Its mutex guards both directions and is not held while waiting.
 type link struct {
 	mutex sync.Mutex
 	cond  sync.Cond
@@ -26,7 +26,7 @@
 	l.cond.Broadcast()
 }
 
-// wakeAt wakes all who wait, now and at t.
+// wakeAt wakes all waiting goroutines now and at t.
 func (l *link) wakeAt(t time.Time) *time.Timer {
 	l.cond.Broadcast()
 	if d := time.Until(t); d > 0 {
@@ -35,17 +35,17 @@
 	return nil
 }
 
-// stream is one direction.
+// stream is one direction of a connection.
 type stream struct {
-	queue        []segment // under way or unread, in order
-	size         int       // of all bytes in it
-	writeClosed  bool      // its writer sends no more
-	readerClosed bool      // its reader is closed: what is still written is answered with a reset
-	broken       bool      // and that has been: writes fail
-	resetAt      time.Time // when the writer learns that its reader has aborted; zero = it has not
+	queue        []segment // in transit or unread, in order
+	size         int       // total bytes in the queue
+	writeClosed  bool      // the writer has closed its side
+	readerClosed bool      // the reader is closed: the next write triggers a reset
+	broken       bool      // that reset has been sent: further writes fail
+	resetAt      time.Time // when the reader's reset reaches the writer; zero = there was none
 }
 
-// segment is bytes, or the end, that arrive at a time.
+// segment is data, or the end of the stream, with its time of arrival.
 type segment struct {
 	arrivesAt time.Time
 	data      []byte
@@ -59,32 +59,32 @@
 	k.wakeAt(at)
 }
 
-// deadline is one of a connection's two.
+// deadline is the read or the write deadline of a connection.
 type deadline struct {
 	time  time.Time
-	alarm *time.Timer
+	timer *time.Timer
 }
 
 func (d *deadline) set(k *link, t time.Time) {
-	if d.alarm != nil {
-		d.alarm.Stop()
-		d.alarm = nil
+	if d.timer != nil {
+		d.timer.Stop()
+		d.timer = nil
 	}
 	d.time = t
 	if k.cond.Broadcast(); !t.IsZero() {
-		d.alarm = k.wakeAt(t)
+		d.timer = k.wakeAt(t)
 	}
 }
 
 func (d *deadline) passed() bool { return !d.time.IsZero() && !time.Now().Before(d.time) }
 
-// memConn is one end.
+// memConn is one end of a connection.
 type memConn struct {
 	*link
 	incoming, outgoing *stream
 	local, remote      memAddr
-	readBy             deadline
-	writeBy            deadline
+	readDeadline       deadline
+	writeDeadline      deadline
 	closed             bool
 }
 
@@ -92,7 +92,7 @@
 	return &net.OpError{Op: op, Net: "tcp", Source: c.local, Addr: c.remote, Err: err}
 }
 
-// Read returns what has arrived. Bytes that came before a reset are still read, as on TCP.
+// Read returns data that has arrived. As with TCP, data that arrived before a reset can still be read.
 func (c *memConn) Read(b []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,7 +100,7 @@
 		switch {
 		case c.closed:
 			return 0, c.opError("read", net.ErrClosed)
-		case c.readBy.passed():
+		case c.readDeadline.passed():
 			return 0, c.opError("read", os.ErrDeadlineExceeded)
 		case len(c.incoming.queue) > 0 && !c.incoming.queue[0].arrivesAt.After(time.Now()):
 			return c.readArrived(b)
@@ -127,7 +127,7 @@
 	return n, nil
 }
 
-// Write takes what the window has room for and waits with the rest.
+// Write queues as much as the window has room for and blocks for the rest.
 func (c *memConn) Write(b []byte) (n int, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -140,9 +140,9 @@
 			return n, c.opError("write", os.NewSyscallError("write", syscall.ECONNRESET))
 		case s.writeClosed, s.broken:
 			return n, c.opError("write", os.NewSyscallError("write", syscall.EPIPE))
-		case c.writeBy.passed():
+		case c.writeDeadline.passed():
 			return n, c.opError("write", os.ErrDeadlineExceeded)
-		case s.readerClosed: // the kernel takes it, and the answer is a reset, if none is under way
+		case s.readerClosed: // accepted as a kernel would; triggers a reset unless one is in transit
 			s.broken = s.resetAt.IsZero()
 			return len(b), nil
 		}
@@ -158,10 +158,11 @@
 	}
 }
 
-// Close ends both directions in order; but with bytes unread, or still coming, the other side's writes are reset.
+// Close closes both directions: gracefully, or with a reset if there is unread data. If data is still in transit to this
+// end, later writes of the other end fail.
 func (c *memConn) Close() error { return c.closeBoth(false) }
 
-// Abort resets the connection.
+// Abort closes the connection with a reset.
 func (c *memConn) Abort() { _ = c.closeBoth(true) }
 
 func (c *memConn) closeBoth(reset bool) error {
@@ -187,12 +188,12 @@
 		c.outgoing.add(c.link, nil, io.EOF)
 	}
 	c.outgoing.writeClosed = true
-	c.readBy.set(c.link, time.Time{})
-	c.writeBy.set(c.link, time.Time{})
+	c.readDeadline.set(c.link, time.Time{})
+	c.writeDeadline.set(c.link, time.Time{})
 	return nil
 }
 
-// CloseWrite ends this side's sending.
+// CloseWrite closes the sending direction.
 func (c *memConn) CloseWrite() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -210,11 +211,13 @@
 
 func (c *memConn) RemoteAddr() net.Addr { return c.remote }
 
-func (c *memConn) SetDeadline(t time.Time) error { return c.setDeadlines(t, &c.readBy, &c.writeBy) }
+func (c *memConn) SetDeadline(t time.Time) error {
+	return c.setDeadlines(t, &c.readDeadline, &c.writeDeadline)
+}
 
-func (c *memConn) SetReadDeadline(t time.Time) error { return c.setDeadlines(t, &c.readBy) }
+func (c *memConn) SetReadDeadline(t time.Time) error { return c.setDeadlines(t, &c.readDeadline) }
 
-func (c *memConn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(t, &c.writeBy) }
+func (c *memConn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(t, &c.writeDeadline) }
 
 func (c *memConn) setDeadlines(t time.Time, ds ...*deadline) error {
 	c.mutex.Lock()
--- a/internal/testbench/fakes/network.go
+++ b/internal/testbench/fakes/network.go
@@ -12,26 +12,25 @@
 	"time"
 )
 
-// Network is what fakes and sidecars talk over. Both kinds show the same behaviour to both ends of a connection, and
-// both are safe for concurrent use.
+// Network connects fakes and sidecars. Its implementations, Memory and Loopback, behave alike at both ends of a connection
+// and are safe for concurrent use.
 type Network interface {
-	// Listen takes "" for a host and a port of the network's choice, "host" for a port of its choice, or "host:port",
-	// as when a process starts again where another has ended.
+	// Listen listens at "host:port", as a restarted process does, at "host" with a port chosen by the network, or, for "",
+	// at a host and port chosen by the network.
 	Listen(address string) (Listener, error)
-	// Dial opens a connection to host:port. Where nobody listens it fails with syscall.ECONNREFUSED; where the machine
-	// has vanished it hangs until ctx ends.
+	// Dial opens a connection to host:port. It fails with syscall.ECONNREFUSED if nothing listens there and hangs until ctx
+	// ends if the machine is unreachable.
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Listener is a net.Listener on a machine that can vanish.
+// Listener is a net.Listener on a machine that can become unreachable.
 type Listener interface {
 	net.Listener
-	// Freeze makes Accept wait and new connections hang, unanswered, until it is called with false. What
-	// has been accepted before is not its business.
+	// Freeze(true) makes Accept block and new connections hang until Freeze(false). Accepted connections are not affected.
 	Freeze(on bool) error
 }
 
-// Abort ends a connection with a reset: what the other side still reads, behind what had arrived, and writes fails with
+// Abort closes a connection with a reset: at the other side, writes and reads past the data already received fail with
 // syscall.ECONNRESET.
 func Abort(c net.Conn) {
 	switch c := c.(type) {
@@ -45,22 +44,22 @@
 	}
 }
 
-// loopback is TCP in 127.0.0.0/8. Its hosts are those of this process alone, so that no other takes the port of a peer
-// that is down for a while.
+// loopback is TCP in 127.0.0.0/8. Its host addresses depend on the process id, so that no other process takes the port of
+// a server that is temporarily down.
 type loopback struct {
-	mutex sync.Mutex
-	last  int
+	mutex    sync.Mutex
+	lastHost int
 }
 
-// Loopback returns the network of real sockets and real time.
+// Loopback returns a network of TCP sockets on the loopback interface, in real time.
 func Loopback() Network { return &loopback{} }
 
 func (l *loopback) host() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.last = l.last%250 + 1
+	l.lastHost = l.lastHost%250 + 1
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%250, pid&0xff, l.last)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%250, pid&0xff, l.lastHost)
 }
 
 func (l *loopback) Listen(address string) (Listener, error) {
@@ -82,29 +81,29 @@
 }
 
 const (
-	backlog    = 4096
-	fillers    = 16 // more than a queue of none takes
-	fillFrom   = "127.255.255.254"
-	fillWithin = 30 * time.Millisecond
-	fullAfter  = 3 // connections in a row that did not come up
+	backlog           = 4096
+	maxFillers        = 16 // connections; more than the kernel queues with a backlog of 0
+	fillerIP          = "127.255.255.254"
+	fillerTimeout     = 30 * time.Millisecond
+	fullAfterTimeouts = 3 // consecutive dial timeouts after which the queue counts as full
 )
 
-// tcpListener can freeze: a kernel leaves those unanswered who knock at a listener whose queue is full. So the queue is
-// cut to nothing and filled.
+// tcpListener implements Freeze for TCP. The kernel drops connection requests to a listener whose accept queue is full, so
+// Freeze sets the backlog to 0 and fills the queue with its own connections.
 type tcpListener struct {
 	*net.TCPListener
 	once   sync.Once
 	closed chan struct{}
 
-	mutex  sync.Mutex
-	thawed chan struct{} // nil = not frozen
-	fill   []net.Conn
+	mutex    sync.Mutex
+	unfrozen chan struct{} // closed by Freeze(false); nil = not frozen
+	fillers  []net.Conn
 }
 
 func (l *tcpListener) Accept() (net.Conn, error) {
 	for {
 		l.mutex.Lock()
-		thaw := l.thawed
+		thaw := l.unfrozen
 		l.mutex.Unlock()
 		if thaw != nil {
 			select {
@@ -115,8 +114,8 @@
 		}
 		c, err := l.TCPListener.Accept()
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded): // Freeze has woken it
-		case err == nil && strings.HasPrefix(c.RemoteAddr().String(), fillFrom):
+		case errors.Is(err, os.ErrDeadlineExceeded): // Freeze has interrupted Accept
+		case err == nil && strings.HasPrefix(c.RemoteAddr().String(), fillerIP):
 			c.Close()
 		default:
 			return c, err
@@ -136,10 +135,10 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
-	case on == (l.thawed != nil):
+	case on == (l.unfrozen != nil):
 		return nil
 	case on:
-		l.thawed = make(chan struct{})
+		l.unfrozen = make(chan struct{})
 		if err := l.SetDeadline(time.Unix(1, 0)); err != nil {
 			return err
 		}
@@ -150,12 +149,12 @@
 	}
 	err := errors.Join(l.setBacklog(backlog), l.SetDeadline(time.Time{}))
 	l.closeFillers()
-	close(l.thawed)
-	l.thawed = nil
+	close(l.unfrozen)
+	l.unfrozen = nil
 	return err
 }
 
-// setBacklog sets how many connections may wait for Accept.
+// setBacklog sets the maximum length of the accept queue.
 func (l *tcpListener) setBacklog(n int) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -166,26 +165,26 @@
 	return errors.Join(err, failed)
 }
 
-// fillQueue fills the queue until a connection no longer comes up.
+// fillQueue opens connections until dialing times out fullAfterTimeouts times in a row.
 func (l *tcpListener) fillQueue() error {
-	d := net.Dialer{Timeout: fillWithin, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fillFrom)}}
-	for late := 0; late < fullAfter; { // one that is late may only have met a busy machine
-		if len(l.fill) >= fillers {
-			return fmt.Errorf("freeze %s: its queue can't be filled, so that new connections would not hang", l.Addr())
+	d := net.Dialer{Timeout: fillerTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fillerIP)}}
+	for late := 0; late < fullAfterTimeouts; { // a single timeout may be due to a busy machine
+		if len(l.fillers) >= maxFillers {
+			return fmt.Errorf("freeze %s: the accept queue could not be filled, so new connections would not hang", l.Addr())
 		}
 		c, err := d.Dial("tcp", l.Addr().String())
 		if err != nil {
 			late++
 			continue
 		}
-		late, l.fill = 0, append(l.fill, c)
+		late, l.fillers = 0, append(l.fillers, c)
 	}
 	return nil
 }
 
 func (l *tcpListener) closeFillers() {
-	for _, c := range l.fill {
+	for _, c := range l.fillers {
 		c.Close()
 	}
-	l.fill = nil
+	l.fillers = nil
 }
--- a/internal/testbench/fakes/network_test.go
+++ b/internal/testbench/fakes/network_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// onBoth runs a test in a bubble on the Memory network and in real time on loopback.
-func onBoth(t *testing.T, test func(t *testing.T, n Network)) {
+// onBothNetworks runs a test in a bubble on the Memory network and in real time on loopback.
+func onBothNetworks(t *testing.T, test func(t *testing.T, n Network)) {
 	t.Parallel()
 	for name, delay := range map[string]time.Duration{"memory": 0, "delayed": 3 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// pair returns both ends of a connection.
-func pair(t *testing.T, n Network) (a, b net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T, n Network) (a, b net.Conn) {
 	t.Helper()
 	l, err := n.Listen("")
 	ok(t, err)
@@ -58,8 +58,8 @@
 	ok(t, err)
 }
 
-// gets reads to the end and checks what came and how it ended; nil = in order.
-func gets(t *testing.T, c net.Conn, want string, end error) {
+// expectRead reads to the end and checks what came and how it ended; nil = in order.
+func expectRead(t *testing.T, c net.Conn, want string, end error) {
 	t.Helper()
 	got, err := io.ReadAll(c)
 	if string(got) != want || !errors.Is(err, end) {
@@ -86,7 +86,7 @@
 		"bytes and an end": func(t *testing.T, a, b net.Conn) {
 			send(t, b, "ab")
 			ok(t, b.Close())
-			gets(t, a, "ab", nil)
+			expectRead(t, a, "ab", nil)
 		},
 		"half close": func(t *testing.T, a, b net.Conn) {
 			send(t, a, "ab")
@@ -94,17 +94,17 @@
 			if _, err := a.Write([]byte("c")); !errors.Is(err, syscall.EPIPE) {
 				t.Errorf("a write after the half close: %v", err)
 			}
-			gets(t, b, "ab", nil)
+			expectRead(t, b, "ab", nil)
 			send(t, b, "cd")
 			ok(t, b.Close())
-			gets(t, a, "cd", nil)
+			expectRead(t, a, "cd", nil)
 		},
 		"reset behind bytes": func(t *testing.T, a, b net.Conn) {
 			send(t, b, "ab")
 			_, err := io.ReadFull(a, make([]byte, 1))
 			ok(t, err)
 			Abort(b)
-			gets(t, a, "b", syscall.ECONNRESET)
+			expectRead(t, a, "b", syscall.ECONNRESET)
 		},
 		"writes after a reset": func(t *testing.T, a, b net.Conn) {
 			Abort(b)
@@ -116,32 +116,32 @@
 			send(t, a, "ab")
 			_, err := io.ReadFull(b, make([]byte, 1))
 			ok(t, err, b.Close())
-			gets(t, a, "", syscall.ECONNRESET)
+			expectRead(t, a, "", syscall.ECONNRESET)
 		},
 		"written after the close": func(t *testing.T, a, b net.Conn) {
 			ok(t, b.Close())
-			gets(t, a, "", nil)
+			expectRead(t, a, "", nil)
 			send(t, a, "x") // the first is taken, and answered with a reset
 			if err := failingWrite(a); !errors.Is(err, syscall.EPIPE) {
 				t.Error(err)
 			}
-			gets(t, a, "", nil)
+			expectRead(t, a, "", nil)
 		},
 		"read deadline, and again": func(t *testing.T, a, b net.Conn) {
 			began := time.Now()
 			ok(t, a.SetReadDeadline(began.Add(20*time.Millisecond)))
-			gets(t, a, "", os.ErrDeadlineExceeded)
+			expectRead(t, a, "", os.ErrDeadlineExceeded)
 			if time.Since(began) < 20*time.Millisecond {
 				t.Error("too early")
 			}
 			ok(t, a.SetReadDeadline(time.Time{}))
 			send(t, b, "ab")
 			ok(t, b.Close())
-			gets(t, a, "ab", nil)
+			expectRead(t, a, "ab", nil)
 		},
 		"a deadline ends a read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.SetReadDeadline(time.Unix(1, 0)) })
-			gets(t, a, "", os.ErrDeadlineExceeded)
+			expectRead(t, a, "", os.ErrDeadlineExceeded)
 		},
 		"write deadline": func(t *testing.T, a, _ net.Conn) {
 			much := make([]byte, 32<<20)
@@ -161,15 +161,15 @@
 		},
 		"a close ends the own read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.Close() })
-			gets(t, a, "", net.ErrClosed)
+			expectRead(t, a, "", net.ErrClosed)
 			if a.Close() == nil {
 				t.Error("closed twice")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, n Network) {
-				a, b := pair(t, n)
+			onBothNetworks(t, func(t *testing.T, n Network) {
+				a, b := connPair(t, n)
 				test(t, a, b)
 			})
 		})
@@ -177,7 +177,7 @@
 }
 
 func TestListeners(t *testing.T) {
-	onBoth(t, func(t *testing.T, n Network) {
+	onBothNetworks(t, func(t *testing.T, n Network) {
 		l, err := n.Listen("")
 		ok(t, err)
 		address := l.Addr().String()
@@ -194,7 +194,7 @@
 		accept := func() {
 			c, err := l.Accept()
 			ok(t, err)
-			gets(t, c, "x", nil)
+			expectRead(t, c, "x", nil)
 			c.Close()
 		}
 		if _, err := n.Listen(address); !errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// lifetime is one life of a server.
-type lifetime struct {
+// processRun is one process of a server, from its start to its end.
+type processRun struct {
 	id            string
 	startedAt     time.Time
-	warm          bool // started long ago
+	warm          bool // started long ago: no slow start
 	busy          int
 	waiting       []chan struct{}
-	meanServiceMs float64 // service time of late, in milliseconds; 0 = none yet
+	meanServiceMs float64 // moving average of the service time in milliseconds; 0 = no request yet
 }
 
-// Server is one server: one place where one process after another may live. It is safe for concurrent use;
-// each method acts at once.
+// Server is a fake server on one machine, where one process after another may run. It is safe for concurrent use; each
+// method takes effect at once.
 type Server struct {
 	host
 	options ServerOptions
 
 	state     sync.Mutex
-	current   *lifetime
+	current   *processRun
 	behaviour Behaviour
 	requests  []Request
 	probes    []Probe
 	runs      map[string]int
 }
 
-// NewServer starts a server whose process is long warm.
+// NewServer starts a server whose process has completed its slow start.
 func NewServer(n Network, o ServerOptions) (*Server, error) {
 	o.Cores, o.Locality = max(1, o.Cores), cmp.Or(o.Locality, LocalZone)
 	p := &Server{host: newHost(n, o.Address, o.MaxIdle), options: o, runs: map[string]int{}}
 	p.handle = p.serveMessage
-	p.current = &lifetime{id: o.ID, startedAt: time.Now(), warm: true}
+	p.current = &processRun{id: o.ID, startedAt: time.Now(), warm: true}
 	return p, p.startListening()
 }
 
-// Close ends it and waits for all that it has under way.
+// Close ends the process and waits for the goroutines to end.
 func (p *Server) Close() { p.stop() }
 
-// Address is host:port, of the present process or the last one.
+// Address returns host:port of the current or last process.
 func (p *Server) Address() string { return p.currentAddress() }
 
-// ID is the present process's, or the last one's.
-func (p *Server) ID() string { return p.currentLifetime().id }
+// ID returns the id of the current or last process.
+func (p *Server) ID() string { return p.currentProcess().id }
 
-func (p *Server) currentLifetime() *lifetime {
+func (p *Server) currentProcess() *processRun {
 	p.state.Lock()
 	defer p.state.Unlock()
 	return p.current
 }
 
-// Endpoint is its line in discovery while it serves.
+// Endpoint returns the server's entry in the endpoint list with phase Serving.
 func (p *Server) Endpoint() Endpoint {
-	now := p.currentLifetime()
+	now := p.currentProcess()
 	m := Endpoint{ID: now.id, Address: p.Address(), Locality: p.options.Locality, Phase: Serving}
 	if !now.warm {
 		m.UpSince = now.startedAt.UnixMilli()
@@ -65,14 +65,14 @@
 	return m
 }
 
-// ChangeBehaviour changes its behaviour from now on; requests that run are met by it when they end.
+// ChangeBehaviour changes the behaviour from now on; it also applies to the responses of requests that are running.
 func (p *Server) ChangeBehaviour(how func(*Behaviour)) {
 	p.state.Lock()
 	defer p.state.Unlock()
 	how(&p.behaviour)
 }
 
-// SetBehaviour is Change to one that is given whole.
+// SetBehaviour replaces the behaviour, as ChangeBehaviour does.
 func (p *Server) SetBehaviour(b Behaviour) { p.ChangeBehaviour(func(old *Behaviour) { *old = b }) }
 
 func (p *Server) currentBehaviour() Behaviour {
@@ -81,42 +81,42 @@
 	return p.behaviour
 }
 
-// SetSilent is the end of the machine's connection to the world: nothing sent to it is answered, nothing is reset, new
-// connections hang. With false it is back, with the process as it was; with Kill or Restart the process is another.
+// SetSilent(true) makes the machine unreachable: requests get no response, nothing is reset and new connections hang.
+// SetSilent(false) makes it reachable again with the same process; so do Kill and Restart, which end that process.
 func (p *Server) SetSilent(on bool) error { return p.setSilent(on) }
 
-// ResetOpenConns resets the next request, and any later one, on each connection that is open now.
+// ResetOpenConns makes the server reset each connection that is open now when the next request arrives on it.
 func (p *Server) ResetOpenConns() { p.markOpenConns() }
 
-// Kill ends the process: connections are reset, new ones refused, and what runs is lost.
+// Kill ends the process: its connections are reset, new ones refused, and running requests lost.
 func (p *Server) Kill() { p.resetAll() }
 
-// Start starts a process that is cold where the last one was killed. An empty id is the last one's.
+// Start starts a new process, in slow start, at the address of the last one. If id is empty, it keeps the last id.
 func (p *Server) Start(id string) error {
 	p.state.Lock()
 	if id == "" {
 		id = p.current.id
 	}
-	p.current = &lifetime{id: id, startedAt: time.Now()}
+	p.current = &processRun{id: id, startedAt: time.Now()}
 	p.state.Unlock()
 	return p.startListening()
 }
 
-// Restart is Kill, good behaviour and Start under a new id, at the same address.
+// Restart kills the process, clears the behaviour and starts a process with the given id at the same address.
 func (p *Server) Restart(id string) error {
 	p.Kill()
 	p.SetBehaviour(Behaviour{})
 	return p.Start(id)
 }
 
-// ClearAddress lets the next Start choose another address. The process must have been killed.
+// ClearAddress makes the next Start choose a new address. The process must have been killed.
 func (p *Server) ClearAddress() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.address = ""
 }
 
-// Requests returns all requests so far, in the order of their last bytes.
+// Requests returns all requests so far, ordered by when they were fully received.
 func (p *Server) Requests() []Request {
 	p.state.Lock()
 	defer p.state.Unlock()
@@ -130,10 +130,10 @@
 	return slices.Clone(p.probes)
 }
 
-// Connections returns how many it has accepted and how many are open.
+// Connections returns the number of connections accepted so far and of those open now.
 func (p *Server) Connections() (accepted, open int) { return p.connectionCounts() }
 
-// RunCount returns how often a request of that id was begun.
+// RunCount returns how often execution of the request with the given id was started.
 func (p *Server) RunCount(id string) int {
 	p.state.Lock()
 	defer p.state.Unlock()
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// serveMessage serves one message.
+// serveMessage serves a request or a probe; false means that the connection is to be closed.
 func (p *Server) serveMessage(c *hostConn, m *message) bool {
 	how := p.currentBehaviour()
 	reset := how.resets(c, m) || p.isMarked(c)
@@ -21,7 +21,7 @@
 	switch {
 	case reset:
 		p.recordOutcome(index, Reset)
-		c.drop(true)
+		c.close(true)
 		return false
 	case m.Header.Get(headerID) == "":
 		return p.recordAndSend(c, index, MissingID, encodeResponse(404, "", nil))
@@ -45,26 +45,26 @@
 	return p.respond(c, index, body, failed)
 }
 
-// resets reports whether a message is answered by a reset of its connection.
+// resets reports whether the connection is reset when m arrives on it.
 func (b *Behaviour) resets(c *hostConn, m *message) bool {
 	idleTooLong := b.ResetAfterIdle > 0 && m.idle > b.ResetAfterIdle
-	carriedTooMany := b.ResetAfterRequests > 0 && c.carried >= b.ResetAfterRequests
+	carriedTooMany := b.ResetAfterRequests > 0 && c.requestsServed >= b.ResetAfterRequests
 	return b.ResetAll || idleTooLong || carriedTooMany
 }
 
-// recordRequest adds a request to the record and returns its index there and the process that has it.
-func (p *Server) recordRequest(c *hostConn, m *message) (int, *lifetime) {
+// recordRequest appends a request to the log and returns its index there and the process that received it.
+func (p *Server) recordRequest(c *hostConn, m *message) (int, *processRun) {
 	p.state.Lock()
 	defer p.state.Unlock()
 	p.requests = append(p.requests, Request{
 		ID: m.Header.Get(headerID), Class: m.class(), Method: m.Method, Path: m.URL.RequestURI(), Body: string(m.body),
 		Server: p.current.id, FirstByte: m.first, LastByte: m.last, Sent: m.sent, Deadline: m.Header.Get(headerDeadline),
-		Conn: c.number, Carried: c.carried, Idle: m.idle,
+		Conn: c.connNumber, Carried: c.requestsServed, Idle: m.idle,
 	})
 	return len(p.requests) - 1, p.current
 }
 
-// class is the first part of the path.
+// class returns the first segment of the path.
 func (m *message) class() string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(m.URL.Path, "/"), "/")
 	return class
@@ -74,7 +74,7 @@
 	return p.recordAndSend(c, index, Declined, encodeResponse(503, headerDeclined, nil))
 }
 
-// recordOutcome records how a request ended. It returns false, so that the connection ends with it.
+// recordOutcome sets the outcome of a request. It always returns false, for callers that close the connection.
 func (p *Server) recordOutcome(index int, o Outcome) bool {
 	p.state.Lock()
 	defer p.state.Unlock()
@@ -82,14 +82,14 @@
 	return false
 }
 
-// recordAndSend records the outcome before it sends the response, since whoever has the response may look it up.
+// recordAndSend records the outcome before it sends the response, since a client may look it up once it has the response.
 func (p *Server) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
 	c.waitWhileSilent()
 	p.recordOutcome(index, o)
 	return c.write(raw) || p.recordOutcome(index, Unsent)
 }
 
-// serveProbe answers with the load.
+// serveProbe responds to a probe with the load.
 func (p *Server) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
 	p.state.Lock()
 	now := p.current
@@ -104,14 +104,14 @@
 	case how.Drain || how.Probes == ProbesUnavailable:
 		status = 503
 	}
-	p.probes = append(p.probes, Probe{At: m.last, Conn: c.number, Path: m.URL.Path, Status: status})
+	p.probes = append(p.probes, Probe{At: m.last, Conn: c.connNumber, Path: m.URL.Path, Status: status})
 	p.state.Unlock()
 	if how.Unresponsive {
 		return c.waitForClose()
 	}
 	switch status {
 	case 0:
-		c.drop(true)
+		c.close(true)
 		return false
 	case 503:
 		return c.write(encodeResponse(503, "", nil))
@@ -120,8 +120,8 @@
 	return c.write(encodeResponse(200, "Content-Type: application/json\r\n", body))
 }
 
-// waitForCore waits for a core. Pending says that the request has got one; any other outcome is final.
-func (p *Server) waitForCore(c *hostConn, now *lifetime) Outcome {
+// waitForCore waits for a free core. Pending means that the request has one; any other outcome is final.
+func (p *Server) waitForCore(c *hostConn, now *processRun) Outcome {
 	p.state.Lock()
 	if now.busy < p.options.Cores {
 		now.busy++
@@ -154,8 +154,8 @@
 	return outcome
 }
 
-// releaseCore gives the core to the next.
-func (l *lifetime) releaseCore() {
+// releaseCore passes the core to the next waiting request, if any.
+func (l *processRun) releaseCore() {
 	if len(l.waiting) == 0 {
 		l.busy--
 		return
@@ -164,9 +164,9 @@
 	l.waiting = l.waiting[1:]
 }
 
-// run occupies a core for the service time and returns the response's body and whether the request is to fail. Only the
-// end of the process interrupts it: ended is false then.
-func (p *Server) run(c *hostConn, m *message, now *lifetime, index int) (body []byte, failed, ended bool) {
+// run occupies a core for the service time and returns the response's body and whether the request is to fail. ended is
+// false if the connection was closed by this side before that, as when the process is killed.
+func (p *Server) run(c *hostConn, m *message, now *processRun, index int) (body []byte, failed, ended bool) {
 	id := m.Header.Get(headerID)
 	p.state.Lock()
 	p.requests[index].Started = true
@@ -175,7 +175,7 @@
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %s %d", now.id, id, p.runs[id])
 	p.state.Unlock()
-	// Seeded by the request and not drawn from one sequence: the order of requests at the same instant is left to chance.
+	// Seeded per request, not drawn from a shared sequence: requests at the same instant run in random order.
 	draw := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
 	service, known := p.options.Service[m.class()]
 	if !known {
@@ -189,7 +189,7 @@
 		work *= how.Slowdown
 	}
 	took := time.Duration(work * p.slowStartFactor(now))
-	if c.carried == 0 {
+	if c.requestsServed == 0 {
 		took += p.options.Handshake
 	}
 	ended = c.wait(took)
@@ -210,8 +210,8 @@
 	return body, draw.Float64() < p.behaviour.FailFraction, true
 }
 
-// slowStartFactor is by how much service takes longer while the process is in slow start.
-func (p *Server) slowStartFactor(now *lifetime) float64 {
+// slowStartFactor returns the factor by which slow start lengthens the service time now; 1 = no slow start.
+func (p *Server) slowStartFactor(now *processRun) float64 {
 	age := time.Since(now.startedAt)
 	if now.warm || p.options.SlowStartFactor <= 1 || age >= p.options.WarmUpTime {
 		return 1
@@ -219,7 +219,7 @@
 	return 1 + (p.options.SlowStartFactor-1)*(1-float64(age)/float64(p.options.WarmUpTime))
 }
 
-// respond sends the response to a request that has run, or what the behaviour sends instead.
+// respond sends the response to a request that has run, modified as the behaviour demands.
 func (p *Server) respond(c *hostConn, index int, body []byte, failed bool) bool {
 	select {
 	case <-c.clientDone:
@@ -237,7 +237,7 @@
 		if n := min(how.Truncate.After, len(full)); n > 0 {
 			c.write(full[:n])
 		}
-		c.drop(how.Truncate.Reset)
+		c.close(how.Truncate.Reset)
 		return false
 	case how.Stall:
 		p.recordOutcome(index, Stalled)
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -75,18 +75,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, n Network) {
+			onBothNetworks(t, func(t *testing.T, n Network) {
 				p, err := NewServer(n, ServerOptions{ID: "s-1", Default: Service{5 * time.Millisecond, true, 100}})
 				ok(t, err)
 				defer p.Close()
-				c := call(t, n, p.Address())
+				c := dialTest(t, n, p.Address())
 				c.get(alivePath, "")
 				test.do(p)
 				var got []string
 				for word := range strings.FieldsSeq(test.calls) {
 					switch word {
 					case "new":
-						c = call(t, n, p.Address())
+						c = dialTest(t, n, p.Address())
 					case "dial":
 						ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 						defer cancel()
@@ -150,7 +150,7 @@
 			c.get("/tile/1", "x")
 			return time.Since(began).Round(time.Millisecond)
 		}
-		a, b, c := call(t, n, p.Address()), call(t, n, p.Address()), call(t, n, p.Address())
+		a, b, c := dialTest(t, n, p.Address()), dialTest(t, n, p.Address()), dialTest(t, n, p.Address())
 		got := []time.Duration{took(a), took(a)}
 		time.AfterFunc(time.Millisecond, func() { b.get("/tile/1", "b") })
 		time.AfterFunc(2*time.Millisecond, func() { c.get("/tile/1", "c") })
@@ -160,9 +160,9 @@
 			t.Errorf("%q, want %q", got, want)
 		}
 		ok(t, p.Restart("s-2"))
-		got = append(got, took(call(t, n, p.Address())))
+		got = append(got, took(dialTest(t, n, p.Address())))
 		time.Sleep(500*time.Millisecond - got[2])
-		last := call(t, n, p.Address())
+		last := dialTest(t, n, p.Address())
 		got = append(got, took(last))
 		if want := "[30ms 20ms 70ms 50ms]"; fmt.Sprint(got) != want {
 			t.Errorf("took %v, want %s", got, want)
--- a/internal/testbench/fakes/server_types.go
+++ b/internal/testbench/fakes/server_types.go
@@ -10,86 +10,86 @@
 	headerDeclined    = "Srv-Declined: 1\r\n"
 	loadPath          = "/metrics/load"
 	alivePath         = "/alive"
-	serviceTimeWeight = 0.1 // weight of the newest service time in the report's mean
+	serviceTimeWeight = 0.1 // weight of the latest service time in the reported moving average
 )
 
-// LocalZone is the one locality that a sidecar knows by Config.
+// LocalZone is the only zone in the configuration that Config returns.
 const LocalZone = "here"
 
-// Service is the work of one class.
+// Service is the service time and response size of one class.
 type Service struct {
-	Mean  time.Duration // of the time on a core
-	Fixed bool          // each takes just Mean; else they are exponential
-	Body  int           // bytes of an answer, at least the request's id and a newline
+	Mean  time.Duration // mean service time on a core
+	Fixed bool          // every request takes exactly Mean; else exponentially distributed
+	Body  int           // bytes of a response body, which is at least the request's id and a newline
 }
 
-// ServerOptions are a server's nature, which faults don't change.
+// ServerOptions are the fixed properties of a server, which faults do not change.
 type ServerOptions struct {
 	ID       string
 	Address  string // see Network.Listen
-	Locality string // "" = Here
-	Seed     uint64 // of service times and of failures
-
-	Cores           int                // requests that run side by side; 0 = 1
-	Queue           int                // requests that may wait; one more is declined. 0 = none may
-	Service         map[string]Service // by class, the first part of the path
-	Default         Service            // of any other class
-	Handshake       time.Duration      // that the first request on a connection takes longer, as after a TLS handshake
-	SlowStartFactor float64            // a process that has just started takes so many times as long; up to 1 = no longer
-	WarmUpTime      time.Duration      // and is warm after so long, getting there evenly
-	MaxIdle         time.Duration      // a connection idle for so long is closed; 0 = never
+	Locality string // "" = LocalZone
+	Seed     uint64 // seed of service times and failures
+
+	Cores           int                // requests that run concurrently; 0 = 1
+	Queue           int                // requests that may wait for a core; further ones are declined; 0 = none may wait
+	Service         map[string]Service // by class, the first segment of the path
+	Default         Service            // for all other classes
+	Handshake       time.Duration      // extra time of the first request on a connection, as for a TLS handshake
+	SlowStartFactor float64            // service time multiplier of a process that has just started; 1 or less = no slow start
+	WarmUpTime      time.Duration      // in which that multiplier falls linearly to 1
+	MaxIdle         time.Duration      // connections idle for this long are closed; 0 = never
 }
 
-// ProbeFault says what becomes of probes.
+// ProbeFault is a fault that affects probes.
 type ProbeFault uint8
 
-// How probes are answered, apart from draining.
+// The results of probes to a server that is not draining.
 const (
-	ProbesOK ProbeFault = iota
-	ProbesUnavailable
-	ProbesReset // the connection is reset
+	ProbesOK          ProbeFault = iota
+	ProbesUnavailable            // 503
+	ProbesReset                  // the connection is reset
 )
 
-// Truncation ends an answer early.
+// Truncation cuts a response short.
 type Truncation struct {
-	After int  // bytes of it, the head included; 0 = before the first
-	Reset bool // else the connection is ended in order
+	After int  // bytes sent, including the header; 0 = none
+	Reset bool // reset the connection; else close it gracefully
 }
 
-// Behaviour is how a server misbehaves; the zero value is good behaviour. Requests that Truncate, Stall, FailFraction
-// and Spoilt befall are run; those that are declined or reset are not.
+// Behaviour is the set of a server's active faults; its zero value has none. Requests affected by Truncate, Stall,
+// FailFraction and ReplaceWith are executed; those that are declined or reset are not.
 type Behaviour struct {
-	Drain              bool          // probes get 503, requests are declined
-	Decline            bool          // requests are declined while probes are answered
-	Probes             ProbeFault    // while requests are served
-	ResetAll           bool          // each request is reset, probes included
-	ResetAfterIdle     time.Duration // a request on a connection idle for longer is reset; 0 = none
-	ResetAfterRequests int           // a request on a connection that has carried so many is reset; 0 = none
-	Truncate           *Truncation   // of each answer
-	Stall              bool          // after an answer's head nothing more comes
-	Unresponsive       bool          // nothing is answered, probes included, and no connection is ended
-	FailFraction       float64       // part of requests that are answered 500 after their run
-	ReplaceWith        []byte        // sent in place of each answer
-	Slowdown           float64       // service takes so many times as long; 0 = 1
+	Drain              bool          // probes get 503 and requests are declined
+	Decline            bool          // requests are declined, probes succeed
+	Probes             ProbeFault    // fault of probes only
+	ResetAll           bool          // every request and probe is reset
+	ResetAfterIdle     time.Duration // requests on a connection idle for longer are reset; 0 = none
+	ResetAfterRequests int           // requests on a connection after this many are reset; 0 = none
+	Truncate           *Truncation   // cuts every response short; nil = none
+	Stall              bool          // only the response header is sent, and the connection stays open
+	Unresponsive       bool          // requests and probes get no response, and connections stay open
+	FailFraction       float64       // fraction of requests that get 500 after their execution
+	ReplaceWith        []byte        // sent in place of every response; nil = none
+	Slowdown           float64       // service time multiplier; 0 = 1
 }
 
-// Outcome says what a server did with a request.
+// Outcome is what a server did with a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Pending    Outcome = iota // waiting or running
-	Responded                 // 200 and its whole body
+	Pending    Outcome = iota // waiting for a core or running
+	Responded                 // 200 with its complete body
 	Errored                   // 500
-	Declined                  // declined: never ran
-	MissingID                 // 404: it had no id
+	Declined                  // rejected with the decline header: never ran
+	MissingID                 // 404: the request had no id
 	Reset                     // the connection was reset: never ran
-	ClientGone                // the caller had gone before it began: never ran
-	Unsent                    // the caller had gone before it was answered, or the process hangs
-	Killed                    // the process ended first
-	Truncated                 // an answer that did not end, or never began
-	Stalled                   // an answer's head
-	Garbled                   // bytes that are no answer
+	ClientGone                // the client disconnected while the request was queued: never ran
+	Unsent                    // the client disconnected before the response, or the server is unresponsive
+	Killed                    // the process ended before the response
+	Truncated                 // the response was cut short or not sent at all
+	Stalled                   // only the response header was sent
+	Garbled                   // ReplaceWith was sent in place of the response
 )
 
 var outcomes = [...]string{
@@ -99,25 +99,25 @@
 
 func (o Outcome) String() string { return outcomes[o] }
 
-// Request is one request as a server has seen it.
+// Request is one request as the server received it.
 type Request struct {
 	ID, Class, Method, Path string
 	Body                    string
-	Server                  string // id of the process
+	Server                  string // id of the process that received it
 	FirstByte, LastByte     time.Time
-	Sent                    time.Time     // its first byte, by the clock of whoever wrote it: a machine that has vanished hears of it later
-	Deadline                string        // as the sidecar has told it
-	Conn                    int           // the connection's number, from 1
-	Carried                 int           // requests on it before, probes included
-	Idle                    time.Duration // of it before, since it was accepted or last answered
-	Started, Finished       bool          // its run
+	Sent                    time.Time     // when its first byte arrived; FirstByte is later if the machine was unreachable then
+	Deadline                string        // value of the deadline header
+	Conn                    int           // number of the connection, from 1
+	Carried                 int           // earlier requests on the connection, including probes
+	Idle                    time.Duration // idle time of the connection before it, since it was accepted or last used
+	Started, Finished       bool          // whether its execution started and finished
 	Outcome                 Outcome
 }
 
-// Probe is one probe as a server has seen it.
+// Probe is one probe as the server received it.
 type Probe struct {
 	At     time.Time
 	Conn   int
 	Path   string
-	Status int // 0 = it was reset
+	Status int // of the response; 0 = the connection was reset
 }
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Window is what became of the requests and tries that were due in a span of time.
+// Window has the counts of the requests and attempts that were due in a time window.
 type Window struct {
 	From        time.Time
-	Requests    int          // requests
-	InObjective int          // of these, served within the latency objective, by whichever try
-	Counts      [results]int // of tries, by Result
+	Requests    int          // requests whose first attempt was due
+	InObjective int          // of these, served within the latency objective by any attempt
+	Counts      [results]int // of attempts, by Result
 }
 
-// ServedFraction is the part of the requests that were served within the latency objective; 1 where there were none.
+// ServedFraction returns the fraction of requests served within the latency objective, or 1 if there were none.
 func (w Window) ServedFraction() float64 {
 	if w.Requests == 0 {
 		return 1
@@ -23,7 +23,7 @@
 	return float64(w.InObjective) / float64(w.Requests)
 }
 
-// String lists the counts that are not zero.
+// String returns the request counts and the nonzero attempt counts.
 func (w Window) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "asked %d, in aim %d", w.Requests, w.InObjective)
@@ -35,8 +35,8 @@
 	return b.String()
 }
 
-// Tally sorts tries into windows that follow one another from a moment on. What was due before it is left out. A width
-// of 0 makes one window of all.
+// Tally counts attempts in consecutive windows of the given width, starting at from. Attempts due before from are left
+// out. A width of 0 puts all in one window.
 func Tally(tries []Attempt, from time.Time, width time.Duration) (windows []Window) {
 	inObjective := map[string]bool{}
 	for i := range tries {
@@ -67,19 +67,19 @@
 	return windows
 }
 
-// What is well, for Recovered.
+// Criteria of RecoveryTime.
 const (
-	RecoveredFraction = 0.95        // of the normal share
-	RecoveredFor      = time.Second // that it has to last
+	RecoveredFraction = 0.95        // of the normal served fraction
+	RecoveredFor      = time.Second // minimum time for which the fraction must hold
 )
 
-// RecoveryTime returns the time from the event until the share of requests served within their latency objective is 95% or more of
-// normal in every window for at least a second; normal is a share from 0 to 1, as Window.Share gives it for a quiet
-// time. False means that the tries show no such second. The time is a multiple of the window's width, which must be
-// wide enough for some twenty requests, since one that fails by chance must not hide a recovery.
+// RecoveryTime returns the time from the event until the fraction of requests served within their latency objective is at
+// least 95% of normal in every window for at least a second. normal is a fraction from 0 to 1, as ServedFraction returns
+// it for a period without faults. False means that there is no such second. The time is a multiple of the window width,
+// which must cover about twenty requests, so that a single failure by chance does not hide a recovery.
 func RecoveryTime(tries []Attempt, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
 	windows := Tally(tries, event, width)
-	if len(windows) > 0 { // the last may be cut short by the end of the load
+	if len(windows) > 0 { // the last window may be incomplete
 		windows = windows[:len(windows)-1]
 	}
 	need := int((RecoveredFor + width - 1) / width)
@@ -94,7 +94,7 @@
 	return 0, false
 }
 
-// RequestsRunTwice returns the ids of a class's requests that servers have begun more than once.
+// RequestsRunTwice returns the ids of requests of a class whose execution was started more than once on these servers.
 func RequestsRunTwice(class string, servers ...*Server) (ids []string) {
 	runs := map[string]int{}
 	for _, p := range servers {
--- a/internal/testbench/fakes/timeline.go
+++ b/internal/testbench/fakes/timeline.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// Step is one thing that happens at a time after the start.
+// Step is an action at a given time after the start.
 type Step struct {
 	At   time.Duration
 	Name string
-	Act  func() // what takes long holds up the steps after it
+	Act  func() // a slow one delays the steps after it
 }
 
-// Event is a step that has been taken.
+// Event is a step that was executed.
 type Event struct {
 	Name string
-	At   time.Time // when it began
+	At   time.Time // when it started
 }
 
-// Timeline is what happens, in any order; of steps for the same time the first is taken first.
+// Timeline is a list of steps in any order; steps with the same time are executed in list order.
 type Timeline []Step
 
-// Play takes the steps, each once its time after start has come, until the last or the end of ctx, and returns those
-// that it has taken.
+// Play executes each step at its time after start and returns the executed steps after the last one or when ctx ends.
 func (t Timeline) Play(ctx context.Context, start time.Time) (done []Event) {
 	steps := slices.Clone(t)
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
--- a/internal/testbench/loadgen/arrivals.go
+++ b/internal/testbench/loadgen/arrivals.go
@@ -16,26 +16,26 @@
 // Request is one request of a plan.
 type Request struct {
 	Index  uint64        // in the plan, from 0
-	At     time.Duration // when it is due, from the start of the run
+	At     time.Duration // due time from the start of the run
 	Class  string
-	Tenant string // "" = none is named
+	Tenant string // "" = no tenant header
 	Method string
 	Path   string
-	Size   int    // bytes of the body
-	Key    string // what it asks for; "" = the path alone says so
+	Size   int    // of the body in bytes
+	Key    string // the key in its path; "" = none
 
-	class int // its place among the plan's classes
+	class int // index in the plan's classes
 }
 
-// id is the request id of one of its tries.
+// id returns the request id of one attempt, numbered from 0.
 func (r *Request) id(seed uint64, try int) string {
 	return fmt.Sprintf("%016x", rand.NewPCG(seed, r.Index<<8|uint64(try)).Uint64())
 }
 
-// Requests returns the requests in the order in which they are due: the same ones at each call and for each reader of
-// the plan. The plan must have passed Check. A trace that can no longer be read ends the sequence with an error.
+// Requests returns the requests ordered by due time. The sequence is the same at each call and in every process. The plan
+// must have passed Check. If a trace can no longer be read, the sequence ends with an error.
 func (p *Plan) Requests() iter.Seq2[Request, error] {
-	source := p.drawn()
+	source := p.generated()
 	if p.Trace != nil {
 		source = p.Trace.requests(p)
 	}
@@ -50,11 +50,11 @@
 	}
 }
 
-// drawn merges the streams.
-func (p *Plan) drawn() iter.Seq2[Request, error] {
+// generated merges the requests generated from the streams by due time.
+func (p *Plan) generated() iter.Seq2[Request, error] {
 	return func(yield func(Request, error) bool) {
 		var open []*arrivals
-		keys := p.keys()
+		keys := p.keyPickers()
 		for i := range p.Streams {
 			if a := newArrivals(p, i, keys); a.next() {
 				open = append(open, a)
@@ -63,11 +63,11 @@
 		for len(open) > 0 {
 			first := 0
 			for i, a := range open {
-				if a.q.At < open[first].q.At {
+				if a.request.At < open[first].request.At {
 					first = i
 				}
 			}
-			if !yield(open[first].q, nil) {
+			if !yield(open[first].request, nil) {
 				return
 			}
 			if !open[first].next() {
@@ -77,100 +77,100 @@
 	}
 }
 
-// arrivals draws the requests of one stream.
+// arrivals generates the requests of one stream.
 type arrivals struct {
-	plan    *Plan
-	draw    *rand.Rand
-	curve   curve
-	even    bool
-	classes picker
-	tenants picker
-	keys    []picker // by class, shared by the streams
+	plan         *Plan
+	random       *rand.Rand
+	curve        curve
+	evenlySpaced bool
+	classes      picker
+	tenants      picker
+	keys         []picker // by class, shared by the streams
 
-	now  float64 // seconds
-	seen float64 // arrivals expected until now
-	any  bool
-	q    Request // the latest
+	now      float64 // due time of the latest request, in seconds
+	expected float64 // expected number of arrivals until then
+	any      bool
+	request  Request // the latest request
 }
 
 func newArrivals(p *Plan, stream int, keys []picker) *arrivals {
 	s := &p.Streams[stream]
 	a := &arrivals{
-		plan: p, draw: rand.New(rand.NewPCG(p.Seed, uint64(stream))), curve: s.Shape.curve(), keys: keys,
-		even: s.Spacing == Even, classes: weighted(s.Mix), tenants: weighted(s.Tenants),
+		plan: p, random: rand.New(rand.NewPCG(p.Seed, uint64(stream))), curve: s.Shape.curve(), keys: keys,
+		evenlySpaced: s.Spacing == Even, classes: newPicker(s.Mix), tenants: newPicker(s.Tenants),
 	}
 	if len(s.Mix) == 0 {
-		a.classes = weighted(map[string]float64{p.Classes[0].Name: 1})
+		a.classes = newPicker(map[string]float64{p.Classes[0].Name: 1})
 	}
 	return a
 }
 
-// next draws the next request, if there is one.
+// next generates the next request; false means that the stream has ended.
 func (a *arrivals) next() bool {
 	step := 1.0
 	switch {
-	case !a.even:
-		step = a.draw.ExpFloat64()
+	case !a.evenlySpaced:
+		step = a.random.ExpFloat64()
 	case !a.any:
-		step = 0 // an even stream starts with a request
+		step = 0 // an evenly spaced stream starts with a request
 	}
 	a.any = true
-	a.seen += step
-	t, ok := invert(a.curve, a.seen, a.now, a.plan.ForS)
+	a.expected += step
+	t, ok := invert(a.curve, a.expected, a.now, a.plan.ForS)
 	if !ok {
 		return false
 	}
 	a.now = t
-	name := a.classes.pick(a.draw)
+	name := a.classes.pick(a.random)
 	i := a.plan.classIndex(name)
 	c := &a.plan.Classes[i]
-	a.q = Request{
-		At: time.Duration(math.Round(t * 1e9)), Class: name, Tenant: a.tenants.pick(a.draw), Method: c.Method,
-		Size: c.BodyBytes, Key: a.keys[i].pick(a.draw), class: i,
+	a.request = Request{
+		At: time.Duration(math.Round(t * 1e9)), Class: name, Tenant: a.tenants.pick(a.random), Method: c.Method,
+		Size: c.BodyBytes, Key: a.keys[i].pick(a.random), class: i,
 	}
-	a.q.Path = c.pathOf(a.q.Key)
+	a.request.Path = c.pathOf(a.request.Key)
 	return true
 }
 
 func (c *Class) pathOf(key string) string { return strings.ReplaceAll(c.Path, "{key}", key) }
 
-// picker draws names by weight, by a search in the running sum of the weights.
+// picker draws names by weight, by binary search in the cumulative weights.
 type picker struct {
-	names []string // nil = numbers from 1
-	upTo  []float64
+	names      []string // nil = the numbers from 1
+	cumulative []float64
 }
 
-func weighted(weights map[string]float64) (p picker) {
+func newPicker(weights map[string]float64) (p picker) {
 	all := 0.0
 	for _, name := range slices.Sorted(maps.Keys(weights)) {
 		all += weights[name]
-		p.names, p.upTo = append(p.names, name), append(p.upTo, all)
+		p.names, p.cumulative = append(p.names, name), append(p.cumulative, all)
 	}
 	return p
 }
 
-// keys has a picker for each class: the n-th most wanted key has a weight of n to the power of -Zipf.
-func (p *Plan) keys() (all []picker) {
+// keyPickers returns a picker of keys for each class: the weight of key n is n to the power of -Zipf.
+func (p *Plan) keyPickers() (all []picker) {
 	for _, c := range p.Classes {
-		k := picker{upTo: make([]float64, c.Keys.Count)}
+		k := picker{cumulative: make([]float64, c.Keys.Count)}
 		sum := 0.0
-		for i := range k.upTo {
+		for i := range k.cumulative {
 			sum += math.Pow(float64(i+1), -c.Keys.Zipf)
-			k.upTo[i] = sum
+			k.cumulative[i] = sum
 		}
 		all = append(all, k)
 	}
 	return all
 }
 
-// pick draws one name, or "" where there is none.
+// pick draws one name, or returns "" if there are none.
 func (p picker) pick(draw *rand.Rand) string {
-	n := len(p.upTo)
+	n := len(p.cumulative)
 	if n == 0 {
 		return ""
 	}
-	x := draw.Float64() * p.upTo[n-1]
-	i := min(n-1, sort.Search(n, func(i int) bool { return p.upTo[i] > x }))
+	x := draw.Float64() * p.cumulative[n-1]
+	i := min(n-1, sort.Search(n, func(i int) bool { return p.cumulative[i] > x }))
 	if p.names == nil {
 		return strconv.Itoa(i + 1)
 	}
--- a/internal/testbench/loadgen/doc.go
+++ b/internal/testbench/loadgen/doc.go
@@ -1,15 +1,15 @@
-// Package loadgen generates load whose arrivals do not wait for answers.
+// Package loadgen is an open-loop load generator: arrivals do not wait for responses.
 //
-// A tool that sends its next request when the last one was answered slows down with the server that it measures, and
-// what it reports leaves out just the requests that would have had to wait (coordinated omission). Here each request
-// has a moment at which it is due, drawn ahead from a Plan or read from a recorded trace, and goes out at that moment
-// whatever has become of the others. Latency counts from it, not from the send. The generator says by how much it was
-// late itself, and beyond a bound the run is invalid: it would be a report on the generator.
+// A closed-loop tool, which sends its next request when it has the response to the last one, slows down with the server
+// that it measures, and its results leave out the very requests that would have had to wait (coordinated omission). Here
+// each request has a due time, generated from a Plan or read from a recorded trace, and is sent at that time regardless of
+// the others. Latency is measured from the due time, not from the send. The generator also measures its own delay; above
+// a bound the run is invalid, since it would measure the generator instead of the server.
 //
-// A Plan says what is asked for: streams with a Shape of arrivals over time, a mix of classes and tenants, and keys by
-// popularity, or a trace. Plan.Requests is that plan as a sequence, the same each time it is walked. Run sends it, or
-// one part of it in each of several processes (Spread, Work), and returns a Result; Merge adds Results up; NewReport
-// makes of one what people and plots want to see.
+// A Plan describes the load: streams with a Shape of arrivals over time, a mix of classes and tenants, and keys by
+// popularity, or a trace. Plan.Requests returns its requests as a sequence, the same on each iteration. Run sends them, or
+// one part of them in each of several processes (RunDistributed, RunWorker), and returns a Result; Merge adds up Results;
+// NewReport turns one into a report that can be printed, plotted or written as CSV.
 //
-// Memory grows with the length of a run in seconds and with the requests that are out, not with all that were sent.
+// Memory use grows with the length of a run in seconds and with the requests in flight, not with the number sent.
 package loadgen
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -15,10 +15,10 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-const workVariable = "PLANKROUTER_LOAD_TEST_WORK"
+const workerEnv = "PLANKROUTER_LOAD_TEST_WORK"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(workVariable) != "" {
+	if os.Getenv(workerEnv) != "" {
 		if err := RunWorker(context.Background(), os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -35,7 +35,7 @@
 	}
 }
 
-func shaped(text string) (s Shape) {
+func parseShape(text string) (s Shape) {
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
 		panic(err)
 	}
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -16,68 +16,68 @@
 	"time"
 )
 
-// Plan is what to ask for. Read reads one from a file; Check must have passed before it is used. It is not changed by
-// use and safe for concurrent use then.
+// Plan describes the load to generate. Read reads one from a file. Call Check before any other method; after that a Plan is
+// not modified and is safe for concurrent use.
 type Plan struct {
 	Seed        uint64       `json:"seed"`
-	ForS        float64      `json:"for_s,omitempty"` // seconds in which requests are due; with a trace, 0 = all of it
+	ForS        float64      `json:"for_s,omitempty"` // duration in seconds; with a trace, 0 = the whole trace
 	Classes     []Class      `json:"classes"`
-	Tenants     []string     `json:"tenants,omitempty"` // all that may occur; none = any
+	Tenants     []string     `json:"tenants,omitempty"` // allowed tenants; empty = any
 	Streams     []Stream     `json:"streams,omitempty"`
-	Trace       *TraceSource `json:"trace,omitempty"`       // instead of streams
-	Connections int          `json:"connections,omitempty"` // open at once, of all processes together; 0 = 10000
+	Trace       *TraceSource `json:"trace,omitempty"`       // in place of Streams
+	Connections int          `json:"connections,omitempty"` // limit on open connections of all processes together; 0 = 10000
 	Lateness    Lateness     `json:"lateness,omitzero"`
 }
 
-// Class is a class of requests, and what its clients do.
+// Class is a request class and the behaviour of its clients.
 type Class struct {
 	Name               string  `json:"name"`
 	Method             string  `json:"method,omitempty"` // "" = GET
-	Path               string  `json:"path,omitempty"`   // {key} stands for the key; "" = /NAME/{key}
+	Path               string  `json:"path,omitempty"`   // {key} is replaced by the key; "" = /NAME/{key}
 	BodyBytes          int     `json:"body_bytes,omitempty"`
-	LatencyObjectiveMs float64 `json:"aim_ms"`                // an answer within it counts as served in time
-	DeadlineMs         float64 `json:"deadline_ms"`           // for all tries together, from when it was due
-	TimeoutMs          float64 `json:"patience_ms,omitempty"` // for which it waits for one try; 0 = the deadline alone ends it
+	LatencyObjectiveMs float64 `json:"aim_ms"`                // of a request, from its due time
+	DeadlineMs         float64 `json:"deadline_ms"`           // of a request with all its attempts, from its due time
+	TimeoutMs          float64 `json:"patience_ms,omitempty"` // timeout of one attempt; 0 = only the deadline applies
 	Keys               Keys    `json:"keys,omitzero"`
 	Retry              Retry   `json:"retry,omitzero"`
 }
 
-// Keys are what requests name: the numbers from 1 to Count, the n-th in proportion to n to the power of -Zipf.
+// Keys is the distribution of keys in requests: the numbers from 1 to Count, where n has a weight of n to the power of -Zipf.
 type Keys struct {
 	Count int     `json:"count,omitempty"` // 0 = 1
-	Zipf  float64 `json:"zipf,omitempty"`  // 0 = all alike
+	Zipf  float64 `json:"zipf,omitempty"`  // 0 = all equally likely
 }
 
-// Retry says when a client sends a request again.
+// Retry is a client's retry policy.
 type Retry struct {
-	MaxRetries      int      `json:"most,omitempty"`      // tries after the first
-	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each
-	MaxRetryAfterMs float64  `json:"advice_ms,omitempty"` // a Retry-After up to this is followed where it is longer; 0 = none
-	On              []string `json:"on,omitempty"`        // ends; none = refused, unreachable, with GET failed and lost, too
+	MaxRetries      int      `json:"most,omitempty"`      // attempts after the first
+	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each retry
+	MaxRetryAfterMs float64  `json:"advice_ms,omitempty"` // limit on a Retry-After that is longer; 0 = ignored
+	On              []string `json:"on,omitempty"`        // outcomes; empty = refused, unreachable, for GET also failed, lost
 }
 
-// Stream is a flow of requests.
+// Stream is a sequence of requests with one rate shape.
 type Stream struct {
-	Name    string             `json:"name,omitempty"` // for the reader
+	Name    string             `json:"name,omitempty"` // for readers of the plan only
 	Shape   Shape              `json:"shape"`
-	Spacing string             `json:"spacing,omitempty"` // Poisson or Even
-	Mix     map[string]float64 `json:"mix,omitempty"`     // classes and their weights; none = the plan's only class
-	Tenants map[string]float64 `json:"tenants,omitempty"` // and their weights; none = no tenant is named
+	Spacing string             `json:"spacing,omitempty"` // Poisson or Even; "" = Poisson
+	Mix     map[string]float64 `json:"mix,omitempty"`     // classes and their weights; empty = the plan's only class
+	Tenants map[string]float64 `json:"tenants,omitempty"` // tenants and their weights; empty = no tenant header
 }
 
 // The spacings of a stream.
 const (
-	Poisson = "poisson" // independent arrivals; "" means it
-	Even    = "even"    // as regular as the shape allows
+	Poisson = "poisson" // independent arrivals
+	Even    = "even"    // arrivals as evenly spaced as the shape allows
 )
 
-// Lateness is how late the generator may be for a run to count.
+// Lateness bounds the generator's own delay; above it a run is invalid.
 type Lateness struct {
-	P99Ms float64 `json:"p99_ms,omitempty"`  // at the 99th percentile of first tries; 0 = 1
-	MaxMs float64 `json:"most_ms,omitempty"` // of any first try, and of the generator's own clock; 0 = 50
+	P99Ms float64 `json:"p99_ms,omitempty"`  // 99th percentile of the delay of first attempts; 0 = 1
+	MaxMs float64 `json:"most_ms,omitempty"` // maximum delay of first attempts and of the generator's timers; 0 = 50
 }
 
-// What a plan may hold at most.
+// Limits on the values of a plan.
 const (
 	maxKeys     = 1_000_000
 	maxBody     = 1 << 20 // bytes
@@ -86,8 +86,8 @@
 	maxClasses  = 64
 )
 
-// Read reads and checks a plan. Errors name the file, the line or key, and what to do. The name of a trace is taken
-// from the folder of the plan.
+// Read reads and checks a plan. Errors name the file, the line or key, and how to fix it. A relative trace file name is
+// resolved against the directory of the plan.
 func Read(name string) (*Plan, error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -108,7 +108,7 @@
 
 var unknownKey = regexp.MustCompile(`unknown field ("[^"]*")`)
 
-// decode reads strict JSON. Errors begin with the line.
+// decode decodes JSON and rejects unknown keys and trailing data. Errors begin with the line number.
 func decode(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -119,26 +119,26 @@
 	switch {
 	case err == nil:
 		if _, err := d.Token(); err != io.EOF {
-			return fmt.Errorf("%d: something follows the plan; leave it out", line(d.InputOffset()))
+			return fmt.Errorf("%d: trailing data after the plan; remove it", line(d.InputOffset()))
 		}
 		return nil
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return fmt.Errorf("%d: the file ends in the middle of the plan; write it whole", line(int64(len(raw))))
+		return fmt.Errorf("%d: the file ends in the middle of the plan; it is incomplete", line(int64(len(raw))))
 	case errors.As(err, &syntax):
-		return fmt.Errorf("%d: %w; mend the JSON", line(syntax.Offset), err)
+		return fmt.Errorf("%d: %w; fix the JSON", line(syntax.Offset), err)
 	case errors.As(err, &kind):
 		return fmt.Errorf("%d: %s: a %s; want %s", line(kind.Offset), kind.Field, kind.Value,
-			wanted(kind.Type.Kind().String()))
+			describeKind(kind.Type.Kind().String()))
 	}
 	if m := unknownKey.FindStringSubmatch(err.Error()); m != nil {
-		return fmt.Errorf("%d: %s: there is no such key; mend its name or leave it out",
+		return fmt.Errorf("%d: %s: unknown key; fix its name or remove it",
 			line(int64(bytes.Index(raw, []byte(m[1])))), strings.Trim(m[1], `"`))
 	}
 	return fmt.Errorf("1: %w", err)
 }
 
-// wanted describes what a key takes by the kind of its Go type.
-func wanted(kind string) string {
+// describeKind describes the JSON value that a Go kind is decoded from.
+func describeKind(kind string) string {
 	switch {
 	case strings.HasPrefix(kind, "float"):
 		return "a number"
@@ -154,13 +154,13 @@
 	return "an object"
 }
 
-// Check fills in what was left out and returns what is wrong with the plan. A trace is read to its end. Errors name the
-// key and what to do.
+// Check sets the defaults of omitted keys and returns an error if the plan is invalid. It reads a trace to its end. Errors
+// name the key and how to fix it.
 func (p *Plan) Check() error {
 	if err := p.checkOwnKeys(); err != nil {
 		return err
 	}
-	p.fill()
+	p.setDefaults()
 	if err := p.checkClasses(); err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 		return p.Trace.check(p)
 	}
 	if p.ForS == 0 {
-		return errors.New("for_s: 0; say for how many seconds requests are due")
+		return errors.New("for_s: 0; want the number of seconds in which requests are due")
 	}
 	for i := range p.Streams {
 		if err := p.Streams[i].check(p, fmt.Sprintf("streams[%d]", i)); err != nil {
@@ -183,11 +183,11 @@
 	return nil
 }
 
-// checkOwnKeys checks the plan's own keys, before the defaults are filled in.
+// checkOwnKeys checks the plan's top-level keys, before the defaults are set.
 func (p *Plan) checkOwnKeys() error {
 	switch {
 	case len(p.Classes) == 0:
-		return errors.New("classes: none; name one or more")
+		return errors.New("classes: none; want one or more")
 	case len(p.Classes) > maxClasses:
 		return fmt.Errorf("classes: %d; want at most %d", len(p.Classes), maxClasses)
 	case p.Connections < 0:
@@ -208,13 +208,13 @@
 			return err
 		}
 		if p.classIndex(p.Classes[i].Name) != i {
-			return fmt.Errorf("classes[%d].name: %q is there twice; rename one", i, p.Classes[i].Name)
+			return fmt.Errorf("classes[%d].name: %q is used twice; rename one", i, p.Classes[i].Name)
 		}
 	}
 	return nil
 }
 
-func (p *Plan) fill() {
+func (p *Plan) setDefaults() {
 	setDefault(&p.Connections, 10000)
 	setDefault(&p.Lateness.P99Ms, 1)
 	setDefault(&p.Lateness.MaxMs, 50)
@@ -235,7 +235,7 @@
 	}
 }
 
-// setDefault gives a value to what was left out.
+// setDefault sets *what to value if it is zero.
 func setDefault[T comparable](what *T, value T) {
 	var left T
 	if *what == left {
@@ -247,7 +247,7 @@
 	return slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// isToken reports whether a name can stand in a header and in a path.
+// isToken reports whether a name may be used in a header and in a path.
 func isToken(s string) bool {
 	return s != "" && len(s) <= 200 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
@@ -263,7 +263,7 @@
 		return fmt.Errorf("%s.name: %q; want 1 to 200 printable characters without blanks, commas, slashes and quotes",
 			key, c.Name)
 	case c.LatencyObjectiveMs > c.DeadlineMs:
-		return fmt.Errorf("%s.aim_ms: %v is beyond deadline_ms, which is %v; lower it", key, c.LatencyObjectiveMs, c.DeadlineMs)
+		return fmt.Errorf("%s.aim_ms: %v is above deadline_ms, which is %v; lower it", key, c.LatencyObjectiveMs, c.DeadlineMs)
 	case c.Keys.Count < 1 || c.Keys.Count > maxKeys:
 		return fmt.Errorf("%s.keys.count: %d; want from 1 to %d", key, c.Keys.Count, maxKeys)
 	case !(c.Keys.Zipf >= 0 && c.Keys.Zipf <= 10):
@@ -272,8 +272,8 @@
 		return fmt.Errorf("%s.retry.most: %d; want from 0 to %d", key, c.Retry.MaxRetries, maxRetries)
 	}
 	for i, name := range c.Retry.On {
-		if end, ok := endNamed(name); !ok || end == Served {
-			return fmt.Errorf("%s.retry.on[%d]: %q; want one of %s", key, i, name, strings.Join(endNames[1:], ", "))
+		if end, ok := outcomeNamed(name); !ok || end == Served {
+			return fmt.Errorf("%s.retry.on[%d]: %q; want one of %s", key, i, name, strings.Join(outcomeNames[1:], ", "))
 		}
 	}
 	return checkMessage(key, c.Method, c.Path, c.BodyBytes)
@@ -298,7 +298,7 @@
 	return nil
 }
 
-// checkMessage says what is wrong with a message of a class or of a trace.
+// checkMessage checks the method, path and body size of a class or of a request in a trace.
 func checkMessage(key, method, path string, size int) error {
 	switch {
 	case !slices.Contains(methods, method):
@@ -306,11 +306,11 @@
 	case len(path) > 2000 || !strings.HasPrefix(path, "/") || strings.ContainsFunc(path, func(r rune) bool {
 		return r <= ' ' || r > '~'
 	}):
-		return fmt.Errorf("%s: path %q; want up to 2000 printable characters without blanks, from / on", key, path)
+		return fmt.Errorf("%s: path %q; want up to 2000 printable characters without blanks, starting with /", key, path)
 	case size < 0 || size > maxBody:
 		return fmt.Errorf("%s: a body of %d bytes; want from 0 to %d", key, size, maxBody)
 	case method == "GET" && size > 0:
-		return fmt.Errorf("%s: a GET has no body; set it to 0 bytes, or take POST", key)
+		return fmt.Errorf("%s: a GET has no body; set it to 0 bytes or use POST", key)
 	}
 	return nil
 }
@@ -320,11 +320,11 @@
 		return fmt.Errorf("%s.spacing: %q; want %s or %s", key, s.Spacing, Poisson, Even)
 	}
 	if len(s.Mix) == 0 && len(p.Classes) > 1 {
-		return fmt.Errorf("%s.mix: none, and there are several classes; give those that it asks for a weight", key)
+		return fmt.Errorf("%s.mix: none, but there are several classes; give weights to the classes of the stream", key)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Mix)) {
 		if p.classIndex(name) < 0 {
-			return fmt.Errorf("%s.mix: there is no class %q; add it to classes or leave it out", key, name)
+			return fmt.Errorf("%s.mix: unknown class %q; add it to classes or remove it", key, name)
 		}
 		if err := checkWeight(s.Mix[name]); err != nil {
 			return fmt.Errorf("%s.mix.%s: %w", key, name, err)
@@ -353,7 +353,7 @@
 	case !isToken(name) || strings.ContainsAny(name, `,"`):
 		return fmt.Errorf("%q; want 1 to 200 printable characters without blanks, commas and quotes", name)
 	case len(p.Tenants) > 0 && !slices.Contains(p.Tenants, name):
-		return fmt.Errorf("there is no tenant %q; add it to tenants or leave it out", name)
+		return fmt.Errorf("unknown tenant %q; add it to tenants or remove it", name)
 	}
 	return nil
 }
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -12,14 +12,14 @@
 	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
-// The parts of a plot.
+// Dimensions of a plot, and limits of its latency axis.
 const (
 	plotWidth, plotHeight = 1200, 600
-	minMs                 = 0.1 // where the axis of latency begins
-	neverMs               = 1e6 // stands for requests that were never served, above all that were
+	minMs                 = 0.1 // start of the latency axis
+	unservedMs            = 1e6 // placeholder for requests that were never served, above all real latencies
 )
 
-// PlotFormat returns how to draw a plot by the ending of its file's name, .svg or .png.
+// PlotFormat returns the renderer for a file name extension, .svg or .png.
 func PlotFormat(extension string) (chart.RendererProvider, error) {
 	switch extension {
 	case ".svg":
@@ -30,42 +30,41 @@
 	return nil, fmt.Errorf("a plot is .svg or .png, not %q; rename it", extension)
 }
 
-// perSecond is one line of a plot.
-type perSecond struct {
+// plotLine is one line of a plot, with a value per second.
+type plotLine struct {
 	name  string
 	color drawing.Color
 	value func(*SecondRow) *float64
-	merge func(a, b float64) float64 // of classes
+	merge func(a, b float64) float64 // merges the values of several classes
 
 	seconds, values []float64
 }
 
-func plotLines() (latencies, rates []perSecond) {
-	line := func(name, color string, merge func(a, b float64) float64, v func(*SecondRow) *float64) perSecond {
-		return perSecond{name: name, color: drawing.ColorFromHex(color), value: v, merge: merge}
+func plotLines() (latencies, rates []plotLine) {
+	line := func(name, color string, merge func(a, b float64) float64, v func(*SecondRow) *float64) plotLine {
+		return plotLine{name: name, color: drawing.ColorFromHex(color), value: v, merge: merge}
 	}
 	larger := func(a, b float64) float64 { return max(a, b) }
 	add := func(a, b float64) float64 { return a + b }
 	count := func(n uint64) *float64 { f := float64(n); return &f }
-	latencies = []perSecond{
+	latencies = []plotLine{
 		line("p50 from due", "6baed6", larger, func(s *SecondRow) *float64 { return s.Due[0] }),
 		line("p99 from due", "08519c", larger, func(s *SecondRow) *float64 { return s.Due[2] }),
 		line("p99 from send", "e6550d", larger, func(s *SecondRow) *float64 { return s.Sent[2] }),
 		line("generator late", "999999", larger, func(s *SecondRow) *float64 { return &s.LateMs }),
 	}
-	rates = []perSecond{
+	rates = []plotLine{
 		line("asked/s", "31a354", add, func(s *SecondRow) *float64 { return count(s.Requests) }),
 		line("in aim/s", "a1d99b", add, func(s *SecondRow) *float64 { return count(s.InObjective) }),
 	}
 	return latencies, rates
 }
 
-// Plot draws the seconds of the run: latency of the worst class against the axis on the right, which is logarithmic,
-// and rates of all classes against the one on the left. A latency at the very top means that too few requests were
-// served.
+// Plot draws the run by second: the latency of the worst class on the right axis, which is logarithmic, and the rates of
+// all classes on the left axis. A latency at the top of the plot means that too few requests were served.
 func (r *Report) Plot(w io.Writer, form chart.RendererProvider) error {
 	if len(r.Seconds) == 0 {
-		return errors.New("nothing was due, so that there is nothing to draw; ask for something")
+		return errors.New("no requests were due, so there is nothing to plot")
 	}
 	c := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
@@ -79,21 +78,21 @@
 	latencies, rates := plotLines()
 	longestMs, highestRate := minMs, 1.0
 	for i := range latencies {
-		for _, y := range latencies[i].draw(r) {
-			if y < neverMs {
+		for _, y := range latencies[i].fillValues(r) {
+			if y < unservedMs {
 				longestMs = max(longestMs, y)
 			}
 		}
 	}
 	top := math.Floor(math.Log10(longestMs)) + 1
 	for i := range latencies {
-		for j, y := range latencies[i].values { // the library's own logarithmic range is one for values above 1 only
+		for j, y := range latencies[i].values { // the library's logarithmic range only supports values above 1
 			latencies[i].values[j] = min(top, math.Log10(max(minMs, y)))
 		}
 		c.Series = append(c.Series, latencies[i].series(chart.YAxisPrimary))
 	}
 	for i := range rates {
-		highestRate = max(highestRate, slices.Max(rates[i].draw(r)))
+		highestRate = max(highestRate, slices.Max(rates[i].fillValues(r)))
 		c.Series = append(c.Series, rates[i].series(chart.YAxisSecondary))
 	}
 	for power := math.Log10(minMs); power <= top; power++ {
@@ -105,7 +104,7 @@
 	return c.Render(form, w)
 }
 
-// secondTicks returns some ten whole seconds from 0 to the last or a little beyond.
+// secondTicks returns about ten ticks at whole seconds, from 0 to the last second or slightly beyond.
 func secondTicks(last int) (ticks []chart.Tick) {
 	step := max(1, (last+9)/10)
 	for s := 0; s < max(1, last)+step; s += step {
@@ -114,18 +113,18 @@
 	return ticks
 }
 
-func (p *perSecond) series(axis chart.YAxisType) chart.Series {
+func (p *plotLine) series(axis chart.YAxisType) chart.Series {
 	return chart.ContinuousSeries{
 		Name: p.name, XValues: p.seconds, YValues: p.values, YAxis: axis,
 		Style: chart.Style{StrokeColor: p.color, StrokeWidth: 2},
 	}
 }
 
-// draw fills in a value for each second in which something was due, of all classes, and returns the values.
-func (p *perSecond) draw(r *Report) []float64 {
+// fillValues computes and returns a value for each second in which requests were due, merged over the classes.
+func (p *plotLine) fillValues(r *Report) []float64 {
 	for i := range r.Seconds {
 		s := &r.Seconds[i]
-		y := neverMs
+		y := unservedMs
 		if v := p.value(s); v != nil {
 			y = *v
 		}
@@ -135,7 +134,7 @@
 		}
 		p.seconds, p.values = append(p.seconds, float64(s.Second)), append(p.values, y)
 	}
-	if len(p.seconds) == 1 { // a line needs two ends
+	if len(p.seconds) == 1 { // a line needs two points
 		p.seconds, p.values = append(p.seconds, p.seconds[0]+1), append(p.values, p.values[0])
 	}
 	return p.values
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -14,49 +14,50 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// Outcome is how a try ended, as its client has seen it, and a request by its last try.
+// Outcome is the result of an attempt as its client saw it. The outcome of a request is that of its last attempt.
 type Outcome uint8
 
-// The ends. Each try has exactly one.
+// The outcomes; each attempt has exactly one.
 const (
 	Served      = Outcome(fakes.Served)      // 200
-	Rejected     = Outcome(fakes.Rejected)    // 429 or 503
-	Failed      = Outcome(fakes.Failed)      // any other answer, or one that broke off
-	Lost        = Outcome(fakes.Lost)        // the connection ended without an answer
-	TimedOut    = Outcome(fakes.TimedOut)    // nothing came while the client waited, or it got no connection in that time
-	Unreachable = Outcome(fakes.Unreachable) // no connection came up
-	ends        = Unreachable + 1
+	Rejected    = Outcome(fakes.Rejected)    // 429 or 503
+	Failed      = Outcome(fakes.Failed)      // any other status, or an incomplete response
+	Lost        = Outcome(fakes.Lost)        // the connection ended without a response
+	TimedOut    = Outcome(fakes.TimedOut)    // no response, or no free connection, within the timeout
+	Unreachable = Outcome(fakes.Unreachable) // no connection could be established
+	numOutcomes = Unreachable + 1
 )
 
-var endNames = [ends]string{"served", "refused", "failed", "lost", "timed_out", "unreachable"}
+var outcomeNames = [numOutcomes]string{"served", "refused", "failed", "lost", "timed_out", "unreachable"}
 
-func (e Outcome) String() string { return endNames[e] }
+func (e Outcome) String() string { return outcomeNames[e] }
 
-func endNamed(name string) (Outcome, bool) {
-	i := slices.Index(endNames[:], name)
+func outcomeNamed(name string) (Outcome, bool) {
+	i := slices.Index(outcomeNames[:], name)
 	return Outcome(i), i >= 0
 }
 
 const (
-	fineDigits   = 3 // of histograms over a whole run: values are within 0.1%
-	coarseDigits = 2 // of those over one second: within 1%
+	fineDigits   = 3 // significant digits of histograms over a whole run: values are within 0.1%
+	coarseDigits = 2 // significant digits of those over one second: within 1%
 	longestUs    = int64(time.Hour / time.Microsecond)
 )
 
-// Histogram is a histogram of durations in microseconds. Only what occurs takes memory. It is not safe for concurrent use.
+// Histogram is a histogram of durations in microseconds. Only values that occur take memory. It is not safe for concurrent
+// use.
 type Histogram struct{ packed *hdrhistogram.PackedHistogram }
 
 func newHist(digits int) Histogram { return Histogram{hdrhistogram.NewPacked(1, longestUs, digits)} }
 
 func (h Histogram) record(d time.Duration) {
-	_ = h.packed.RecordValue(min(max(0, d.Microseconds()), longestUs)) // in range, so that it can't fail
+	_ = h.packed.RecordValue(min(max(0, d.Microseconds()), longestUs)) // in range, so it can't fail
 }
 
-// Count is how many were recorded.
+// Count returns the number of recorded values.
 func (h Histogram) Count() uint64 { return uint64(h.packed.TotalCount()) }
 
-// Quantile is the duration that a share q of total is not above, where what was not recorded counts as endless: false
-// says that it is. total is at least Count. It is the nearest rank, as exact as the histogram is.
+// Quantile returns the quantile q of total values by nearest rank, within the histogram's precision. total is at least
+// Count; values that were not recorded count as infinite, and false means that the quantile is one of them.
 func (h Histogram) Quantile(q float64, total uint64) (time.Duration, bool) {
 	rank := max(1, math.Ceil(q*float64(total)-1e-6)) // 0.99*1000 is a little above 990
 	if rank > float64(h.Count()) {
@@ -66,7 +67,7 @@
 	return time.Duration(us) * time.Microsecond, true
 }
 
-// MarshalJSON writes the library's own encoding, which is compressed and known to other HdrHistogram tools.
+// MarshalJSON encodes the histogram in the compressed HdrHistogram format, which other HdrHistogram tools can read.
 func (h Histogram) MarshalJSON() ([]byte, error) {
 	raw, err := h.packed.Encode()
 	if err != nil {
@@ -75,7 +76,7 @@
 	return json.Marshal(string(raw))
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the encoding of MarshalJSON.
 func (h *Histogram) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
@@ -86,48 +87,48 @@
 	return err
 }
 
-// Tally counts requests of one class.
+// Tally has the counts and latencies of the requests of one class.
 type Tally struct {
-	Requests    uint64       `json:"asked"`    // requests, each with all its tries
-	Attempts    uint64       `json:"tries"`    // sendings, or attempts to
-	Resent      uint64       `json:"resent"`   // tries that crossed the close of a kept connection and went out once more
-	InObjective uint64       `json:"in_aim"`   // requests served within their latency objective, from when they were due
-	Outcomes        [ends]uint64 `json:"ends"`     // of requests, in the order of the constants
-	AttemptOutcomes [ends]uint64 `json:"try_ends"` // of tries
+	Requests        uint64              `json:"asked"`    // requests, not counting retries
+	Attempts        uint64              `json:"tries"`    // attempts of all requests, also without a connection
+	Resent          uint64              `json:"resent"`   // attempts sent again since the server had closed the reused connection
+	InObjective     uint64              `json:"in_aim"`   // requests served within their latency objective, from their due time
+	Outcomes        [numOutcomes]uint64 `json:"ends"`     // of requests, in the order of the constants
+	AttemptOutcomes [numOutcomes]uint64 `json:"try_ends"` // of attempts
 
-	Due  Histogram `json:"due"`  // from when a request was due to its answer; requests that were served
-	Sent Histogram `json:"sent"` // from when the try that was served was sent to its answer: what a tool that waits reports
+	Due  Histogram `json:"due"`  // latency of served requests from their due time
+	Sent Histogram `json:"sent"` // latency of served requests from sending the last attempt, as a closed-loop tool reports it
 }
 
 func newTally(digits int) Tally { return Tally{Due: newHist(digits), Sent: newHist(digits)} }
 
-// done is a request that has ended.
-type done struct {
-	class            int
-	due, sent, end   time.Time // sent is of the last try
-	late             time.Duration
-	tries, resent    uint64
-	tryEnds          [ends]uint64
-	last             Outcome
-	latencyObjective time.Duration
+// completion describes a request that has ended.
+type completion struct {
+	class                int
+	due, sentAt, endedAt time.Time // sentAt is that of the last attempt
+	late                 time.Duration
+	attempts, resent     uint64
+	attemptOutcomes      [numOutcomes]uint64
+	outcome              Outcome
+	latencyObjective     time.Duration
 }
 
-func (t *Tally) add(d *done) {
+func (t *Tally) add(d *completion) {
 	t.Requests++
-	t.Attempts += d.tries
+	t.Attempts += d.attempts
 	t.Resent += d.resent
-	for i, n := range d.tryEnds {
+	for i, n := range d.attemptOutcomes {
 		t.AttemptOutcomes[i] += n
 	}
-	t.Outcomes[d.last]++
-	if d.last != Served {
+	t.Outcomes[d.outcome]++
+	if d.outcome != Served {
 		return
 	}
-	if d.end.Sub(d.due) <= d.latencyObjective {
+	if d.endedAt.Sub(d.due) <= d.latencyObjective {
 		t.InObjective++
 	}
-	t.Due.record(d.end.Sub(d.due))
-	t.Sent.record(d.end.Sub(d.sent))
+	t.Due.record(d.endedAt.Sub(d.due))
+	t.Sent.record(d.endedAt.Sub(d.sentAt))
 }
 
 func (t *Tally) merge(o *Tally) {
@@ -140,23 +141,23 @@
 	t.Sent.packed.Merge(o.Sent.packed)
 }
 
-// Second is what was due in one second.
+// Second has the results of the requests that were due in one second.
 type Second struct {
-	LateUs  int64   `json:"late_us"` // the latest first try
+	LateUs  int64   `json:"late_us"` // longest delay of a first attempt by the generator
 	Classes []Tally `json:"classes"` // in the plan's order; empty = nothing was due
 }
 
-// Result is what came of a run, or of one process's part of it.
+// Result is the result of a run, or of one process's part of it.
 type Result struct {
-	Partial    bool          `json:"partial"` // arrivals were called off
-	Ran        time.Duration `json:"ran_ns"`  // until the last request had ended
-	Late       Histogram          `json:"late"`    // of first tries, beyond waits for a connection
-	Stall      time.Duration `json:"stall_ns"`
-	ConnWaits       uint64        `json:"held"` // tries that waited because no further connection was allowed
+	Partial         bool          `json:"partial"` // the run was interrupted
+	Ran             time.Duration `json:"ran_ns"`  // from the start to the end of the last request
+	Late            Histogram     `json:"late"`    // delay of first attempts by the generator, not counting waits for a connection
+	Stall           time.Duration `json:"stall_ns"`
+	ConnWaits       uint64        `json:"held"` // attempts that waited since the limit on connections was reached
 	LongestConnWait time.Duration `json:"held_longest_ns"`
 	ConnsOpened     uint64        `json:"opened"`  // connections
-	Classes    []Tally       `json:"classes"` // in the plan's order
-	Seconds    []Second      `json:"seconds"` // by when requests were due
+	Classes         []Tally       `json:"classes"` // in the plan's order
+	Seconds         []Second      `json:"seconds"` // by due time
 }
 
 func newTallies(n, digits int) (all []Tally) {
@@ -170,7 +171,7 @@
 	return &Result{Late: newHist(fineDigits), Classes: newTallies(classes, fineDigits)}
 }
 
-// second returns the given second, with a tally for each class.
+// second returns the i-th second, with a tally for each class.
 func (r *Result) second(i int) *Second {
 	for len(r.Seconds) <= i {
 		r.Seconds = append(r.Seconds, Second{})
@@ -182,7 +183,7 @@
 	return s
 }
 
-// Merge adds up the results of the parts of one plan. It takes over the first, which must not be used any more.
+// Merge adds up the results of the parts of one plan. It modifies and returns the first, which must not be used afterwards.
 func Merge(parts ...*Result) (*Result, error) {
 	if len(parts) == 0 {
 		return nil, errors.New("no results to merge")
@@ -190,7 +191,7 @@
 	all := parts[0]
 	for _, p := range parts[1:] {
 		if len(p.Classes) != len(all.Classes) {
-			return nil, fmt.Errorf("results of %d and of %d classes: they are not of one plan", len(all.Classes),
+			return nil, fmt.Errorf("results with %d and with %d classes are not of one plan", len(all.Classes),
 				len(p.Classes))
 		}
 		all.Partial = all.Partial || p.Partial
@@ -212,7 +213,7 @@
 	return all, nil
 }
 
-// recorder takes down what ends. It is safe for concurrent use.
+// recorder collects completed requests in a Result. It is safe for concurrent use.
 type recorder struct {
 	start time.Time
 
@@ -220,7 +221,7 @@
 	result *Result
 }
 
-func (r *recorder) done(d *done) {
+func (r *recorder) recordCompletion(d *completion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.result.Late.record(d.late)
@@ -230,7 +231,7 @@
 	s.Classes[d.class].add(d)
 }
 
-func (r *recorder) stall(d time.Duration) {
+func (r *recorder) recordStall(d time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.result.Stall = max(r.result.Stall, d)
--- a/internal/testbench/loadgen/report_test.go
+++ b/internal/testbench/loadgen/report_test.go
@@ -15,14 +15,14 @@
 	rec := recorder{start: time.Now(), result: r}
 	for i := range 20 {
 		due := rec.start.Add(time.Duration(i) * 100 * time.Millisecond)
-		d := done{
-			due: due, sent: due.Add(10 * time.Millisecond), end: due.Add(600 * time.Millisecond), tries: 1,
+		d := completion{
+			due: due, sentAt: due.Add(10 * time.Millisecond), endedAt: due.Add(600 * time.Millisecond), attempts: 1,
 			late: 2 * time.Millisecond, latencyObjective: 500 * time.Millisecond,
 		}
 		if i >= 17 {
-			d.last = Rejected
+			d.outcome = Rejected
 		}
-		rec.done(&d)
+		rec.recordCompletion(&d)
 	}
 	report := NewReport(p, r, "here", 2)
 	report.Partial = true
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -12,32 +12,32 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// Options are what a run needs besides its plan.
+// Options are the parameters of a run besides its plan.
 type Options struct {
 	Address string // host:port of the server
 	Dialer  Dialer // nil = TCP
 	Start   time.Time
-	Part    int // which part of the plan this is, from 0
-	Parts   int // of how many; 0 = 1
+	Part    int // the part of the plan to send, from 0
+	Parts   int // number of parts; 0 = 1
 
-	// Pause sleeps for up to the given time before a request is due. nil = as exactly as the machine allows; a run in a
-	// bubble of testing/synctest needs time.Sleep.
+	// Pause sleeps for up to the given time before a request is due. nil = as precisely as the machine allows; a run in a
+	// testing/synctest bubble needs time.Sleep.
 	Pause func(time.Duration)
 }
 
 const (
-	exactly = 2 * time.Millisecond // the last part of a wait, which the runtime's timers overrun by up to 1 ms
-	beat    = 5 * time.Millisecond // between looks at the own clock
+	preciseWait        = 2 * time.Millisecond // end of a wait that uses Pause, since the runtime's timers are up to 1 ms late
+	timerCheckInterval = 5 * time.Millisecond // interval at which the delay of timers is measured
 )
 
-// Run sends the plan's requests, each when it is due, from Start on, or from now if that has passed; the plan must have
-// passed Check. It returns when the last has ended. The end of ctx calls off the arrivals that are still to come and
-// makes the result a partial one. An error says that the plan could not be played to its end.
+// Run sends the plan's requests, each at its due time, counted from Start or from now if Start has passed. The plan must
+// have passed Check. Run returns when the last request has ended. When ctx ends, no further requests are sent and the
+// result is partial. An error means that the plan could not be sent completely.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
 	setDefault(&o.Parts, 1)
 	setDefault(&o.Dialer, Dialer(fakes.Loopback()))
 	if o.Pause == nil {
-		a, err := newAlarm()
+		a, err := newKernelTimer()
 		if err != nil {
 			return nil, err
 		}
@@ -48,17 +48,17 @@
 		o.Start = now
 	}
 	rec := &recorder{start: o.Start, result: newResult(len(p.Classes))}
-	c := &client{plan: p, recorder: rec, bodies: make([]byte, 4096), conns: fakes.ConnPool{
+	c := &client{plan: p, recorder: rec, bodyPattern: make([]byte, 4096), conns: fakes.ConnPool{
 		Dial:    o.Dialer.Dial,
-		Address: o.Address, MaxConns: (p.Connections + o.Parts - 1) / o.Parts, Read: answer,
+		Address: o.Address, MaxConns: (p.Connections + o.Parts - 1) / o.Parts, Read: readResponse,
 	}}
-	for i := range c.bodies {
-		c.bodies[i] = 'a' + byte(i%26)
+	for i := range c.bodyPattern {
+		c.bodyPattern[i] = 'a' + byte(i%26)
 	}
 	stop := make(chan struct{})
 	var watch sync.WaitGroup
-	watch.Go(func() { rec.watch(stop) })
-	err := c.play(ctx, o)
+	watch.Go(func() { rec.watchTimers(stop) })
+	err := c.sendAll(ctx, o)
 	used := c.conns.Close()
 	close(stop)
 	watch.Wait()
@@ -68,14 +68,14 @@
 	return rec.result, err
 }
 
-// play sends what is due and waits for all that is out.
-func (c *client) play(ctx context.Context, o Options) error {
+// sendAll sends each request of this part at its due time and waits for all of them to end.
+func (c *client) sendAll(ctx context.Context, o Options) error {
 	var out sync.WaitGroup
 	defer out.Wait()
 	for q, err := range c.plan.Requests() {
 		switch {
 		case err != nil:
-			return fmt.Errorf("in the middle of the plan: %w", err)
+			return fmt.Errorf("read the requests of the plan: %w", err)
 		case q.Index%uint64(o.Parts) != uint64(o.Part):
 			continue
 		}
@@ -83,14 +83,14 @@
 		if !pauseUntil(ctx, due, o.Pause) {
 			return nil
 		}
-		out.Go(func() { c.request(q, due) })
+		out.Go(func() { c.sendRequest(q, due) })
 	}
 	return nil
 }
 
-// pauseUntil waits for a moment, or for the end of ctx: then it returns false.
+// pauseUntil waits until t, or returns false if ctx ends first.
 func pauseUntil(ctx context.Context, t time.Time, pause func(time.Duration)) bool {
-	if left := time.Until(t) - exactly; left > 0 {
+	if left := time.Until(t) - preciseWait; left > 0 {
 		timer := time.NewTimer(left)
 		defer timer.Stop()
 		select {
@@ -108,36 +108,37 @@
 	return false
 }
 
-// alarm sleeps by a timer of the kernel, which is some 50 us late where the runtime's timers are 1 ms. It is waited for
-// like a socket: a thread that slept would hold up what else there is to run, for some ms where there is one core.
-type alarm struct {
+// kernelTimer sleeps on a timerfd, which is about 50 us late, while the runtime's timers are 1 ms late. It is polled like a
+// socket: a thread blocked in a sleep would delay other goroutines, by some ms on a machine with one core.
+type kernelTimer struct {
 	fd   int
 	file *os.File
 }
 
-func newAlarm() (*alarm, error) {
+func newKernelTimer() (*kernelTimer, error) {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("timerfd_create: %w", err)
 	}
-	return &alarm{fd, os.NewFile(uintptr(fd), "timer")}, nil
+	return &kernelTimer{fd, os.NewFile(uintptr(fd), "timer")}, nil
 }
 
-// sleep sleeps for more than nothing. It returns early if the timer can't be set.
-func (a *alarm) sleep(d time.Duration) {
+// sleep sleeps for d, which must be positive. It returns early if the timer can't be set.
+func (a *kernelTimer) sleep(d time.Duration) {
 	var times [8]byte
 	if unix.TimerfdSettime(a.fd, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(int64(d))}, nil) == nil {
 		_, _ = a.file.Read(times[:])
 	}
 }
 
-// watch notes by how much this process is late where nothing is due: then it reads answers late, too.
-func (r *recorder) watch(stop <-chan struct{}) {
+// watchTimers records by how much timers of this process are late, also while no request is due: responses are then read
+// late, too.
+func (r *recorder) watchTimers(stop <-chan struct{}) {
 	for {
-		at := time.Now().Add(beat)
+		at := time.Now().Add(timerCheckInterval)
 		select {
-		case <-time.After(beat):
-			r.stall(time.Since(at))
+		case <-time.After(timerCheckInterval):
+			r.recordStall(time.Since(at))
 		case <-stop:
 			return
 		}
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -17,11 +17,11 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// near reports whether a duration is the one wanted, as exactly as the histogram holds it.
-func near(t *testing.T, what string, ms *float64, want float64) {
+// checkMs reports whether a duration is the one wanted, as exactly as the histogram holds it.
+func checkMs(t *testing.T, what string, ms *float64, want float64) {
 	t.Helper()
 	if ms == nil || math.Abs(*ms-want) > 0.001+want/1000 {
-		t.Errorf("%s: %s ms, want %v", what, text(ms), want)
+		t.Errorf("%s: %s ms, want %v", what, formatMs(ms), want)
 	}
 }
 
@@ -61,8 +61,8 @@
 				if i := 1001 - 1000*q; i <= 200 {
 					byHand = 1995 - 10*(i-1)
 				}
-				near(t, fmt.Sprint("from due, ", q), row.Due[i], byHand)
-				near(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
+				checkMs(t, fmt.Sprint("from due, ", q), row.Due[i], byHand)
+				checkMs(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
 			}
 			if s := report.Seconds; s[4].Requests != 100 || math.Abs(*s[4].Due[4]-1995) > 20 || *s[3].Due[4] != 0 {
 				t.Errorf("seconds 3 and 4: %+v", s[3:5])
@@ -91,14 +91,14 @@
 	if report.Valid || len(report.Invalid) != 2 || report.Classes[0].Outcomes["served"] != 300 {
 		t.Errorf("%+v", report)
 	}
-	near(t, "late at most", report.LateMs[4], 298)
-	near(t, "late, p99", report.LateMs[2], 298-3*10)
-	near(t, "from due", report.Classes[0].Due[4], 298)
-	near(t, "from send", report.Classes[0].Sent[4], 0)
+	checkMs(t, "late at most", report.LateMs[4], 298)
+	checkMs(t, "late, p99", report.LateMs[2], 298-3*10)
+	checkMs(t, "from due", report.Classes[0].Due[4], 298)
+	checkMs(t, "from send", report.Classes[0].Sent[4], 0)
 
 	r = newResult(1)
 	r.Stall = 51 * time.Millisecond // with nothing due
-	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "held up") {
+	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "delayed") {
 		t.Errorf("%+v", report)
 	}
 }
@@ -168,8 +168,8 @@
 				t.Errorf("%s, want %s", got, test.want)
 			}
 			if test.due >= 0 {
-				near(t, "from due", row.Due[0], test.due)
-				near(t, "from send", row.Sent[0], test.end)
+				checkMs(t, "from due", row.Due[0], test.due)
+				checkMs(t, "from send", row.Sent[0], test.end)
 			} else if row.Due[0] != nil {
 				t.Errorf("served after %v ms", *row.Due[0])
 			}
--- a/internal/testbench/loadgen/shape.go
+++ b/internal/testbench/loadgen/shape.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Shape says how many requests a second are due as time goes by. It is one of
+// Shape is a request rate over time. It is one of
 //
 //   - constant: Rate;
-//   - step: Rate, from AtS on To;
-//   - ramp: Rate, from AtS on in a straight line to To within OverS;
-//   - spike: Rate, from AtS on up to Times as much within OverS (0 = 1), for HoldS, and back within BackS (0 = 1);
-//   - sine: Rate on average, Swing of it more and less, with a period of PeriodS; it rises through Rate at AtS;
-//   - sum: all of Of at once;
-//   - sequence: one of Of after another, each for its ForS, the last one on and on.
+//   - step: Rate, and To from AtS on;
+//   - ramp: Rate until AtS, then linearly to To within OverS;
+//   - spike: Rate until AtS, then up to Rate*Times within OverS (0 = 1), held for HoldS, and back within BackS (0 = 1);
+//   - sine: a mean of Rate, an amplitude of Rate*Swing and a period of PeriodS; it rises through Rate at AtS;
+//   - sum: the sum of the shapes in Of;
+//   - sequence: the shapes in Of one after another, each for its ForS and the last one to the end.
 //
-// Rates are requests a second; keys that end in _s are seconds from the start of the shape.
+// Rates are in requests per second; times are in seconds, AtS from the start of the shape.
 type Shape struct {
 	Kind    string  `json:"kind"`
 	Rate    float64 `json:"rate,omitempty"`
@@ -35,8 +35,8 @@
 	Of      []Shape `json:"of,omitempty"`
 }
 
-// kinds has the keys that each kind of shape takes, and those of them that it needs to be above 0.
-var kinds = map[string]struct{ takes, needs []string }{
+// shapeKinds lists, by kind of shape, the allowed keys and those of them that must be above 0.
+var shapeKinds = map[string]struct{ takes, needs []string }{
 	"constant": {[]string{"rate"}, nil},
 	"step":     {[]string{"rate", "to", "at_s"}, nil},
 	"ramp":     {[]string{"rate", "to", "at_s", "over_s"}, []string{"over_s"}},
@@ -47,29 +47,29 @@
 }
 
 const (
-	maxRate          = 1e6 // requests a second, of one shape
-	defaultSpikeEdge = 1.0 // seconds that a spike takes to rise and to fall, unless it says more
-	maxShapeDepth    = 8   // shapes within shapes
+	maxRate           = 1e6 // requests per second, for one shape
+	defaultSpikeRampS = 1.0 // default seconds for a spike to rise, and to fall
+	maxShapeDepth     = 8   // levels of nested shapes
 )
 
-func (s *Shape) numbers() map[string]float64 {
+func (s *Shape) numericValues() map[string]float64 {
 	return map[string]float64{
 		"rate": s.Rate, "to": s.To, "times": s.Times, "swing": s.Swing, "at_s": s.AtS,
 		"over_s": s.OverS, "hold_s": s.HoldS, "back_s": s.BackS, "period_s": s.PeriodS, "for_s": s.ForS,
 	}
 }
 
-// check returns what is wrong with the shape under key; inner tells that it is one of a sequence that must end.
+// check returns an error for an invalid shape, located by key; inner says that it is part of a sequence and must end.
 func (s *Shape) check(key string, inner bool, depth int) error {
-	_, known := kinds[s.Kind]
+	_, known := shapeKinds[s.Kind]
 	switch {
 	case !known:
-		return fmt.Errorf("%s.kind: there is no %q; want %s", key, s.Kind,
-			strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+		return fmt.Errorf("%s.kind: unknown kind %q; want %s", key, s.Kind,
+			strings.Join(slices.Sorted(maps.Keys(shapeKinds)), ", "))
 	case depth > maxShapeDepth:
 		return fmt.Errorf("%s: shapes are nested deeper than %d; write them side by side", key, maxShapeDepth)
 	case inner && s.ForS <= 0:
-		return fmt.Errorf("%s.for_s: %v; a sequence must know how long each but the last lasts: want more than 0", key,
+		return fmt.Errorf("%s.for_s: %v; a sequence needs the duration of each shape but the last: want more than 0", key,
 			s.ForS)
 	}
 	if err := s.checkNumbers(key, inner); err != nil {
@@ -84,20 +84,20 @@
 	return s.checkInner(key, depth)
 }
 
-// checkNumbers checks each number against what its kind of shape takes and needs.
+// checkNumbers checks each number against the allowed and required keys of the shape's kind.
 func (s *Shape) checkNumbers(key string, inner bool) error {
-	kind, numbers := kinds[s.Kind], s.numbers()
+	kind, numbers := shapeKinds[s.Kind], s.numericValues()
 	for _, name := range slices.Sorted(maps.Keys(numbers)) {
 		v := numbers[name]
 		switch {
 		case name == "for_s" && inner:
 		case v != 0 && !slices.Contains(kind.takes, name):
-			return fmt.Errorf("%s.%s: does not belong to a %s; leave it out (it takes %s)", key, name, s.Kind,
+			return fmt.Errorf("%s.%s: is not a key of a %s; remove it (it takes %s)", key, name, s.Kind,
 				strings.Join(kind.takes, ", "))
 		case v < 0 || math.IsNaN(v) || math.IsInf(v, 0):
 			return fmt.Errorf("%s.%s: %v; want 0 or more", key, name, v)
 		case v == 0 && slices.Contains(kind.needs, name):
-			return fmt.Errorf("%s.%s: a %s needs it; want more than 0", key, name, s.Kind)
+			return fmt.Errorf("%s.%s: required by a %s; want more than 0", key, name, s.Kind)
 		}
 	}
 	return nil
@@ -109,7 +109,7 @@
 	case composed && len(s.Of) == 0:
 		return fmt.Errorf("%s.of: a %s needs one shape or more", key, s.Kind)
 	case !composed && len(s.Of) > 0:
-		return fmt.Errorf("%s.of: does not belong to a %s; leave it out", key, s.Kind)
+		return fmt.Errorf("%s.of: is not a key of a %s; remove it", key, s.Kind)
 	}
 	for i := range s.Of {
 		ends := s.Kind == "sequence" && i < len(s.Of)-1
@@ -120,31 +120,31 @@
 	return nil
 }
 
-// curve is a rate over time. Time is in seconds, from 0.
+// curve is an arrival rate over time, in seconds from 0.
 type curve interface {
-	rate(t float64) float64  // arrivals a second at t
+	rate(t float64) float64  // arrivals per second at t
 	total(t float64) float64 // arrivals expected in [0, t)
 }
 
 func (s *Shape) curve() curve {
 	switch s.Kind {
 	case "constant":
-		return newLines(point{0, s.Rate})
+		return newPiecewiseLinear(breakpoint{0, s.Rate})
 	case "step":
-		return newLines(point{0, s.Rate}, point{s.AtS, s.Rate}, point{s.AtS, s.To})
+		return newPiecewiseLinear(breakpoint{0, s.Rate}, breakpoint{s.AtS, s.Rate}, breakpoint{s.AtS, s.To})
 	case "ramp":
-		return newLines(point{0, s.Rate}, point{s.AtS, s.Rate}, point{s.AtS + s.OverS, s.To})
+		return newPiecewiseLinear(breakpoint{0, s.Rate}, breakpoint{s.AtS, s.Rate}, breakpoint{s.AtS + s.OverS, s.To})
 	case "spike":
 		up, down := s.OverS, s.BackS
 		if up == 0 {
-			up = defaultSpikeEdge
+			up = defaultSpikeRampS
 		}
 		if down == 0 {
-			down = defaultSpikeEdge
+			down = defaultSpikeRampS
 		}
 		top, full := s.Rate*s.Times, s.AtS+up
-		return newLines(point{0, s.Rate}, point{s.AtS, s.Rate}, point{full, top}, point{full + s.HoldS, top},
-			point{full + s.HoldS + down, s.Rate})
+		return newPiecewiseLinear(breakpoint{0, s.Rate}, breakpoint{s.AtS, s.Rate}, breakpoint{full, top}, breakpoint{full + s.HoldS, top},
+			breakpoint{full + s.HoldS + down, s.Rate})
 	case "sine":
 		return sine{s.Rate, s.Swing, 2 * math.Pi / s.PeriodS, s.AtS}
 	case "sum":
@@ -161,30 +161,31 @@
 	return all
 }
 
-// point is where a line ends and the next begins.
-type point struct{ time, rate float64 }
+// breakpoint is a point where two straight segments meet.
+type breakpoint struct{ time, rate float64 }
 
-// lines is straight lines between points, and the last point's rate from there on. Two points at one time are a jump.
-type lines struct {
-	points []point
-	before []float64 // arrivals expected before each point
+// piecewiseLinear is a curve of straight segments between points that keeps the rate of the last point. Two points at the
+// same time are a jump.
+type piecewiseLinear struct {
+	points         []breakpoint
+	arrivalsBefore []float64 // arrivals expected before each point
 }
 
-func newLines(points ...point) lines {
+func newPiecewiseLinear(points ...breakpoint) piecewiseLinear {
 	before := make([]float64, len(points))
 	for i := 1; i < len(points); i++ {
 		a, b := points[i-1], points[i]
 		before[i] = before[i-1] + (b.time-a.time)*(a.rate+b.rate)/2
 	}
-	return lines{points, before}
+	return piecewiseLinear{points, before}
 }
 
-// indexAt returns the last point that is not after t.
-func (l lines) indexAt(t float64) int {
+// indexAt returns the index of the last point at or before t.
+func (l piecewiseLinear) indexAt(t float64) int {
 	return max(0, sort.Search(len(l.points), func(i int) bool { return l.points[i].time > t })-1)
 }
 
-func (l lines) rate(t float64) float64 {
+func (l piecewiseLinear) rate(t float64) float64 {
 	i := l.indexAt(t)
 	if i == len(l.points)-1 {
 		return l.points[i].rate
@@ -193,12 +194,12 @@
 	return a.rate + (b.rate-a.rate)*(t-a.time)/(b.time-a.time)
 }
 
-func (l lines) total(t float64) float64 {
+func (l piecewiseLinear) total(t float64) float64 {
 	i := l.indexAt(t)
-	return l.before[i] + (t-l.points[i].time)*(l.points[i].rate+l.rate(t))/2
+	return l.arrivalsBefore[i] + (t-l.points[i].time)*(l.points[i].rate+l.rate(t))/2
 }
 
-// sine swings around a mean; w is 2π over the period.
+// sine is a sine curve around a mean; frequency is the angular one, 2π over the period.
 type sine struct{ mean, swing, frequency, risesAt float64 }
 
 func (s sine) rate(t float64) float64 {
@@ -209,7 +210,7 @@
 	return s.mean * (t + s.swing/s.frequency*(math.Cos(-s.frequency*s.risesAt)-math.Cos(s.frequency*(t-s.risesAt))))
 }
 
-// sum is several at once.
+// sum is the sum of several curves.
 type sum []curve
 
 func (s sum) rate(t float64) (all float64) {
@@ -226,19 +227,19 @@
 	return all
 }
 
-// sequence is one after another.
+// sequence is several curves one after another.
 type sequence struct {
-	curves []curve
-	from   []float64 // when each begins
-	before []float64 // arrivals expected before that
+	curves         []curve
+	from           []float64 // start time of each curve
+	arrivalsBefore []float64 // arrivals expected before each start
 }
 
 func newSequence(shapes []Shape) sequence {
-	s := sequence{curves: curves(shapes), from: make([]float64, len(shapes)), before: make([]float64, len(shapes))}
+	s := sequence{curves: curves(shapes), from: make([]float64, len(shapes)), arrivalsBefore: make([]float64, len(shapes))}
 	for i := 1; i < len(shapes); i++ {
 		length := shapes[i-1].ForS
 		s.from[i] = s.from[i-1] + length
-		s.before[i] = s.before[i-1] + s.curves[i-1].total(length)
+		s.arrivalsBefore[i] = s.arrivalsBefore[i-1] + s.curves[i-1].total(length)
 	}
 	return s
 }
@@ -254,32 +255,32 @@
 
 func (s sequence) total(t float64) float64 {
 	i := s.indexAt(t)
-	return s.before[i] + s.curves[i].total(t-s.from[i])
+	return s.arrivalsBefore[i] + s.curves[i].total(t-s.from[i])
 }
 
 const (
-	nearArrivals = 1e-8
-	nearSeconds  = 1e-11
+	arrivalTolerance = 1e-8
+	timeTolerance    = 1e-11
 )
 
-// invert returns the time from lo to hi at which target arrivals are expected, or false if there is none. It is
-// Newton's method, kept between two bounds that close in.
+// invert returns the time between lo and hi until which target arrivals are expected, or false if there is none. It uses
+// Newton's method within a shrinking bracket, with bisection as the fallback.
 func invert(c curve, target, lo, hi float64) (float64, bool) {
 	if c.total(hi) <= target {
 		return 0, false
 	}
 	t, a, b := lo, lo, hi
-	for b-a > nearSeconds {
+	for b-a > timeTolerance {
 		off := c.total(t) - target
 		switch {
-		case math.Abs(off) < nearArrivals:
+		case math.Abs(off) < arrivalTolerance:
 			return t, true
 		case off < 0:
 			a = t
 		default:
 			b = t
 		}
-		if t -= off / c.rate(t); !(t > a && t < b) { // a rate of 0 leads out of all bounds
+		if t -= off / c.rate(t); !(t > a && t < b) { // with a rate of 0 the step leaves the bracket
 			t = (a + b) / 2
 		}
 	}
--- a/internal/testbench/loadgen/shape_test.go
+++ b/internal/testbench/loadgen/shape_test.go
@@ -20,7 +20,7 @@
 // What is expected in a time is the area below the rate, and the time of each number of arrivals is found again.
 func TestShapes(t *testing.T) {
 	for _, text := range shapes {
-		s := shaped(text)
+		s := parseShape(text)
 		ok(t, s.check("shape", false, 1))
 		c := s.curve()
 		const step = 5e-3
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	s := shaped(shapes[3])
+	s := parseShape(shapes[3])
 	spike := s.curve()
 	if got := []float64{
 		spike.rate(20), spike.rate(20.5), spike.rate(21), spike.rate(26), spike.rate(31),
@@ -52,7 +52,7 @@
 func TestSpacing(t *testing.T) {
 	for _, text := range shapes {
 		for _, spacing := range []string{Poisson, Even} {
-			p := constantPlan(t, shaped(text), spacing, 60)
+			p := constantPlan(t, parseShape(text), spacing, 60)
 			c := p.Streams[0].Shape.curve()
 			var gaps []float64
 			last := 0.0
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// job is what a process reads on its standard input before it starts.
-type job struct {
+// workerJob is what a worker process reads from its standard input before it starts.
+type workerJob struct {
 	Plan    *Plan  `json:"plan"`
 	Address string `json:"address"`
 	Part    int    `json:"part"`
@@ -22,13 +22,13 @@
 }
 
 const (
-	saysReady = "ready"
-	startIn   = 50 * time.Millisecond // from when all are ready
+	readyLine  = "ready"
+	startDelay = 50 * time.Millisecond // from when all workers are ready to the start of the run
 )
 
-// RunDistributed sends a checked plan from several processes at once, each a part of it, and merges what they report. Each
-// command must call Work with its standard input and output. The end of ctx interrupts them; what they have sent by
-// then is reported.
+// RunDistributed sends a checked plan from several processes, one part each, and merges their results. Each command must
+// call RunWorker with its standard input and output. When ctx ends, the workers are interrupted and their partial results
+// are returned.
 func RunDistributed(ctx context.Context, p *Plan, address string, commands []*exec.Cmd) (*Result, error) {
 	workers := make([]*worker, len(commands))
 	defer func() {
@@ -37,23 +37,23 @@
 		}
 	}()
 	for i, cmd := range commands {
-		w, err := startWorker(cmd, job{p, address, i, len(commands)})
+		w, err := startWorker(cmd, workerJob{p, address, i, len(commands)})
 		if workers[i] = w; err != nil {
 			return nil, fmt.Errorf("process %d of the generator: %w", i+1, err)
 		}
 	}
 	for i, w := range workers {
-		if line, err := w.out.ReadString('\n'); line != saysReady+"\n" {
+		if line, err := w.out.ReadString('\n'); line != readyLine+"\n" {
 			return nil, fmt.Errorf("process %d of the generator did not get ready: %w", i+1, errors.Join(err, w.kill()))
 		}
 	}
-	start := time.Now().Add(startIn)
+	start := time.Now().Add(startDelay)
 	for i, w := range workers {
 		if err := json.NewEncoder(w.in).Encode(start); err != nil {
 			return nil, fmt.Errorf("process %d of the generator: %w", i+1, errors.Join(err, w.kill()))
 		}
 	}
-	all, ctx := errgroup.WithContext(ctx) // one that fails interrupts the others
+	all, ctx := errgroup.WithContext(ctx) // a failed worker interrupts the others
 	context.AfterFunc(ctx, func() {
 		for _, w := range workers {
 			w.in.Close()
@@ -74,14 +74,14 @@
 	return Merge(results...)
 }
 
-// worker is one process.
+// worker is one process of RunDistributed.
 type worker struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *bufio.Reader
 }
 
-func startWorker(cmd *exec.Cmd, j job) (*worker, error) {
+func startWorker(cmd *exec.Cmd, j workerJob) (*worker, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	return w, json.NewEncoder(in).Encode(j)
 }
 
-// result waits for what came of its part.
+// result waits for the result of the worker's part and the end of its process.
 func (w *worker) result() (*Result, error) {
 	r := &Result{}
 	err := json.NewDecoder(w.out).Decode(r)
@@ -105,7 +105,7 @@
 	return r, errors.Join(err, w.cmd.Wait())
 }
 
-// kill ends a process that is still there, and returns how it ended.
+// kill kills the process if it is still running, and returns its exit error.
 func (w *worker) kill() error {
 	if w == nil || w.cmd.ProcessState != nil {
 		return nil
@@ -114,27 +114,28 @@
 	return w.cmd.Wait()
 }
 
-// RunWorker is one process of Spread, on its standard input and output. It calls arrivals off when its input or ctx ends.
+// RunWorker runs one worker of RunDistributed on its standard input and output. It sends no further requests when its
+// input or ctx ends.
 func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	d := json.NewDecoder(in)
-	var j job
+	var j workerJob
 	var start time.Time
 	if err := d.Decode(&j); err != nil {
 		return fmt.Errorf("read the job: %w", err)
 	}
-	if _, err := fmt.Fprintln(out, saysReady); err != nil {
+	if _, err := fmt.Fprintln(out, readyLine); err != nil {
 		return err
 	}
 	if err := d.Decode(&start); err != nil {
-		return fmt.Errorf("read the moment of the start: %w", err)
+		return fmt.Errorf("read the start time: %w", err)
 	}
 	go func() {
 		_, _ = io.Copy(io.Discard, in)
 		stop()
 	}()
-	start = time.Now().Add(time.Until(start)) // with this process's own steady clock
+	start = time.Now().Add(time.Until(start)) // by this process's monotonic clock
 	r, err := Run(ctx, j.Plan, Options{Address: j.Address, Start: start, Part: j.Part, Parts: j.Parts})
 	if err != nil {
 		return err
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -14,7 +14,7 @@
 
 // Three processes send the plan between them, each request once; what they report is the same as that of one.
 func TestParts(t *testing.T) {
-	p := mixed(t)
+	p := mixedPlan(t)
 	p.ForS = 2
 	sum := func(r *Result) string {
 		report := NewReport(p, r, "", 1)
@@ -60,7 +60,7 @@
 	workers := func() (all []*exec.Cmd) {
 		for range 2 {
 			cmd := exec.Command(self)
-			cmd.Env = append(os.Environ(), workVariable+"=1")
+			cmd.Env = append(os.Environ(), workerEnv+"=1")
 			all = append(all, cmd)
 		}
 		return all
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -16,19 +16,19 @@
 	"time"
 )
 
-// TraceSource is a recorded trace to be played. Its file's name ends in .csv or .jsonl; see WriteTrace for these forms.
+// TraceSource is a recorded trace to replay. Its file name ends in .csv or .jsonl; see WriteTrace for the formats.
 type TraceSource struct {
 	File   string  `json:"file"`
-	Speed  float64 `json:"speed,omitempty"`   // 2 plays it in half of its time; 0 = 1
-	Repeat int     `json:"repeat,omitempty"`  // times in all; 0 = 1
-	EveryS float64 `json:"every_s,omitempty"` // recorded seconds between starts; 0 = its length and a mean gap
+	Speed  float64 `json:"speed,omitempty"`   // replay speed; 2 takes half the recorded time; 0 = 1
+	Repeat int     `json:"repeat,omitempty"`  // number of times it is replayed; 0 = 1
+	EveryS float64 `json:"every_s,omitempty"` // recorded seconds between starts; 0 = the trace's length plus its mean gap
 }
 
-// traceHead is the first line of a CSV trace, and the keys of each line of one in JSON Lines.
-const traceHead = "at_s,class,tenant,method,path,size,key"
+// traceHeader is the first line of a CSV trace, and lists the keys of each line of a JSON Lines trace.
+const traceHeader = "at_s,class,tenant,method,path,size,key"
 
-// record is a line of a trace.
-type record struct {
+// traceRecord is a line of a trace.
+type traceRecord struct {
 	At     json.Number `json:"at_s"`
 	Class  string      `json:"class"`
 	Tenant string      `json:"tenant"`
@@ -38,9 +38,9 @@
 	Key    string      `json:"key"`
 }
 
-// WriteTrace writes requests as a trace: in CSV, with the line at_s,class,tenant,method,path,size,key first, or in JSON
-// Lines with these keys, one request a line. at_s is seconds from the start with nine decimals, size the bytes of the
-// body. What it writes is read and written again to the same bytes.
+// WriteTrace writes requests as a trace with one request per line: in CSV, with the header
+// at_s,class,tenant,method,path,size,key, or in JSON Lines with these keys. at_s is the time from the start in seconds
+// with nine decimals, size the length of the body in bytes. A trace that is read and written again is byte-identical.
 func WriteTrace(w io.Writer, form string, requests iter.Seq2[Request, error]) error {
 	out := bufio.NewWriter(w)
 	line, err := lineWriter(out, form)
@@ -52,14 +52,14 @@
 			return err
 		}
 		at := fmt.Sprintf("%d.%09d", q.At/time.Second, q.At%time.Second)
-		if err := line(record{json.Number(at), q.Class, q.Tenant, q.Method, q.Path, q.Size, q.Key}); err != nil {
+		if err := line(traceRecord{json.Number(at), q.Class, q.Tenant, q.Method, q.Path, q.Size, q.Key}); err != nil {
 			return err
 		}
 	}
 	return out.Flush()
 }
 
-// TraceFormat returns the form of a trace by its file's name: ".csv" or ".jsonl".
+// TraceFormat returns the format of a trace by its file name: ".csv" or ".jsonl".
 func TraceFormat(name string) (string, error) {
 	form := filepath.Ext(name)
 	if form != ".csv" && form != ".jsonl" {
@@ -68,24 +68,24 @@
 	return form, nil
 }
 
-func lineWriter(out *bufio.Writer, form string) (func(record) error, error) {
+func lineWriter(out *bufio.Writer, form string) (func(traceRecord) error, error) {
 	if form == ".jsonl" {
 		e := json.NewEncoder(out)
 		e.SetEscapeHTML(false)
-		return func(r record) error { return e.Encode(r) }, nil
+		return func(r traceRecord) error { return e.Encode(r) }, nil
 	}
 	c := csv.NewWriter(out)
-	if err := c.Write(strings.Split(traceHead, ",")); err != nil {
+	if err := c.Write(strings.Split(traceHeader, ",")); err != nil {
 		return nil, err
 	}
-	return func(r record) error {
+	return func(r traceRecord) error {
 		err := c.Write([]string{r.At.String(), r.Class, r.Tenant, r.Method, r.Path, strconv.Itoa(r.Size), r.Key})
 		c.Flush()
 		return errors.Join(err, c.Error())
 	}, nil
 }
 
-// check reads the trace to its end, so that nothing is played of one that is spoilt.
+// check reads the trace to its end, so that no part of an invalid trace is replayed, and sets the defaults.
 func (t *TraceSource) check(p *Plan) error {
 	setDefault(&t.Speed, 1)
 	setDefault(&t.Repeat, 1)
@@ -97,7 +97,7 @@
 			"more seconds", t.Speed, t.Repeat, t.EveryS)
 	}
 	n, last := 0, time.Duration(0)
-	for q, err := range t.once(p) {
+	for q, err := range t.readOnce(p) {
 		if err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
@@ -106,21 +106,21 @@
 	if t.EveryS == 0 && n > 1 {
 		t.EveryS = (last + last/time.Duration(n-1)).Seconds()
 	}
-	if t.Repeat > 1 && t.every() <= last {
-		return fmt.Errorf("trace.every_s: %v; the trace is %v s long and would overlap with itself: raise it", t.EveryS,
+	if t.Repeat > 1 && t.interval() <= last {
+		return fmt.Errorf("trace.every_s: %v; the trace is %v s long, so its repetitions would overlap: raise it", t.EveryS,
 			last.Seconds())
 	}
 	return nil
 }
 
-func (t *TraceSource) every() time.Duration { return time.Duration(t.EveryS * float64(time.Second)) }
+func (t *TraceSource) interval() time.Duration { return time.Duration(t.EveryS * float64(time.Second)) }
 
-// requests plays the trace as often and as fast as it is to be played.
+// requests returns the trace's requests, repeated and scaled in time as configured.
 func (t *TraceSource) requests(p *Plan) iter.Seq2[Request, error] {
 	return func(yield func(Request, error) bool) {
 		for i := range t.Repeat {
-			for q, err := range t.once(p) {
-				q.At = time.Duration(float64(q.At+time.Duration(i)*t.every()) / t.Speed)
+			for q, err := range t.readOnce(p) {
+				q.At = time.Duration(float64(q.At+time.Duration(i)*t.interval()) / t.Speed)
 				if p.ForS > 0 && q.At.Seconds() >= p.ForS {
 					return
 				}
@@ -132,8 +132,8 @@
 	}
 }
 
-// once reads the trace from its file, as it was recorded.
-func (t *TraceSource) once(p *Plan) iter.Seq2[Request, error] {
+// readOnce reads the trace from its file once, at its recorded times.
+func (t *TraceSource) readOnce(p *Plan) iter.Seq2[Request, error] {
 	return func(yield func(Request, error) bool) {
 		f, err := os.Open(t.File)
 		if err != nil {
@@ -145,8 +145,8 @@
 		for line, err := range completeLines(f) {
 			number++
 			if err == nil && number == 1 && strings.HasSuffix(t.File, ".csv") {
-				if string(line) != traceHead+"\n" {
-					yield(Request{}, fmt.Errorf("%s:1: %.80q; want %s", t.File, line, traceHead))
+				if string(line) != traceHeader+"\n" {
+					yield(Request{}, fmt.Errorf("%s:1: %.80q; want %s", t.File, line, traceHeader))
 					return
 				}
 				continue
@@ -156,7 +156,7 @@
 				q, err = t.parse(p, line)
 			}
 			if err == nil && q.At < last {
-				err = fmt.Errorf("%v s comes after %v s; sort the trace by time", q.At.Seconds(), last.Seconds())
+				err = fmt.Errorf("%v s follows %v s; sort the trace by time", q.At.Seconds(), last.Seconds())
 			}
 			if last = q.At; err != nil {
 				err = fmt.Errorf("%s:%d: %w", t.File, number, err)
@@ -168,7 +168,7 @@
 	}
 }
 
-// completeLines reads lines with their ends. One without an end is an error.
+// completeLines returns lines with their line feeds. A last line without one is an error.
 func completeLines(r io.Reader) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		br := bufio.NewReaderSize(r, 64<<10)
@@ -178,7 +178,7 @@
 			case errors.Is(err, io.EOF) && len(line) == 0:
 				return
 			case errors.Is(err, io.EOF):
-				err = errors.New("the line has no end, so that the trace seems to be cut; leave the rest of it out")
+				err = errors.New("the line has no line feed, so the trace seems to be truncated; remove the rest of it")
 			case errors.Is(err, bufio.ErrBufferFull):
 				err = errors.New("the line is longer than 64 KB; shorten it")
 			}
@@ -189,7 +189,7 @@
 	}
 }
 
-// parse makes a request of a line.
+// parse converts a line into a request.
 func (t *TraceSource) parse(p *Plan, line []byte) (Request, error) {
 	read := parseCSV
 	if strings.HasSuffix(t.File, ".jsonl") {
@@ -205,7 +205,7 @@
 	}
 	i := p.classIndex(rec.Class)
 	if i < 0 {
-		return Request{}, fmt.Errorf("class: there is no %q in the plan; add it to classes", rec.Class)
+		return Request{}, fmt.Errorf("class: %q is not in the plan; add it to classes", rec.Class)
 	}
 	if rec.Tenant != "" {
 		if err := p.checkTenant(rec.Tenant); err != nil {
@@ -223,35 +223,35 @@
 	return q, checkMessage("request", q.Method, q.Path, q.Size)
 }
 
-func parseCSV(line []byte) (r record, err error) {
+func parseCSV(line []byte) (r traceRecord, err error) {
 	c := csv.NewReader(bytes.NewReader(line))
-	c.FieldsPerRecord = strings.Count(traceHead, ",") + 1
+	c.FieldsPerRecord = strings.Count(traceHeader, ",") + 1
 	f, err := c.Read()
 	if err != nil {
 		if errors.Is(err, csv.ErrFieldCount) {
-			return r, fmt.Errorf("%d fields; want %d: %s", len(f), c.FieldsPerRecord, traceHead)
+			return r, fmt.Errorf("%d fields; want %d: %s", len(f), c.FieldsPerRecord, traceHeader)
 		}
-		return r, fmt.Errorf("no CSV (%w); want %s", err, traceHead)
+		return r, fmt.Errorf("invalid CSV (%w); want %s", err, traceHeader)
 	}
 	size, err := strconv.Atoi(f[5])
 	if err != nil {
 		return r, fmt.Errorf("size: %q; want a whole number of bytes", f[5])
 	}
-	return record{json.Number(f[0]), f[1], f[2], f[3], f[4], size, f[6]}, nil
+	return traceRecord{json.Number(f[0]), f[1], f[2], f[3], f[4], size, f[6]}, nil
 }
 
-func parseJSON(line []byte) (r record, err error) {
+func parseJSON(line []byte) (r traceRecord, err error) {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&r); err != nil {
-		return r, fmt.Errorf("%w; want an object with some of %s", err, traceHead)
+		return r, fmt.Errorf("%w; want an object with some of %s", err, traceHeader)
 	}
 	return r, nil
 }
 
 const maxOffset = 1e6 * time.Second // more than a week; results have a row for each second
 
-// seconds reads a decimal number of seconds, to the nanosecond.
+// seconds parses a decimal number of seconds with nanosecond precision.
 func seconds(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text + "s")
 	if err != nil || strings.Trim(text, "0123456789.") != "" || d > maxOffset {
--- a/internal/testbench/loadgen/trace_test.go
+++ b/internal/testbench/loadgen/trace_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A trace of what was due is played as it was, and written again to the same bytes.
+// A trace written from a plan, when replayed and written again, gives the same bytes.
 func TestTraceRoundTrip(t *testing.T) {
-	plan := mixed(t)
+	plan := mixedPlan(t)
 	for _, form := range []string{".csv", ".jsonl"} {
 		var first, again bytes.Buffer
 		ok(t, WriteTrace(&first, form, plan.Requests()))
@@ -20,13 +20,13 @@
 		ok(t, played.Check())
 		ok(t, WriteTrace(&again, form, played.Requests()))
 		if n := bytes.Count(first.Bytes(), []byte("\n")); n < 15000 || !bytes.Equal(first.Bytes(), again.Bytes()) {
-			t.Errorf("%s: %d lines, written differently the second time", form, n)
+			t.Errorf("%s: %d lines, not byte-identical the second time", form, n)
 		}
 	}
 }
 
-// traced is a plan that plays a trace.
-func traced(t *testing.T, name, text string, s TraceSource) (*Plan, error) {
+// tracePlan returns a plan that replays a trace, and the error of its check.
+func tracePlan(t *testing.T, name, text string, s TraceSource) (*Plan, error) {
 	s.File = filepath.Join(t.TempDir(), name)
 	ok(t, os.WriteFile(s.File, []byte(text), 0o600))
 	p := &Plan{Tenants: []string{"acme"}, Trace: &s, Classes: []Class{
@@ -46,7 +46,7 @@
 		"1s 3.5s 11s 13.5s":               {Repeat: 2, EveryS: 10},
 		"1ms 3.5ms 5ms 7.5ms 9ms 11.5ms ": {Speed: 1000, Repeat: 3, EveryS: 4},
 	} {
-		p, err := traced(t, "a.jsonl", text, test)
+		p, err := tracePlan(t, "a.jsonl", text, test)
 		ok(t, err)
 		got, paths := []string{}, []string{}
 		for q, err := range p.Requests() {
@@ -60,19 +60,19 @@
 }
 
 func TestBadTraces(t *testing.T) {
-	const head = traceHead + "\n"
+	const head = traceHeader + "\n"
 	for _, test := range []struct{ name, text, message string }{
 		{"a.txt", "", "a.txt: a trace is .csv or .jsonl; rename it"},
-		{"a.csv", "time,class\n", `a.csv:1: "time,class\n"; want ` + traceHead},
+		{"a.csv", "time,class\n", `a.csv:1: "time,class\n"; want ` + traceHeader},
 		{
 			"a.csv", head + "0,tile,,GET,/a,0,\n2,tile,,GET,/a,0,\n1.5,tile,,GET,/a,0,\n",
-			"a.csv:4: 1.5 s comes after 2 s; sort the trace by time",
+			"a.csv:4: 1.5 s follows 2 s; sort the trace by time",
 		},
-		{"a.csv", head + "0,tile,,GET,/a,0\n", "a.csv:2: 6 fields; want 7: " + traceHead},
-		{"a.csv", head + "0,tile,,GET,/a,0,", "a.csv:2: the line has no end, so that the trace seems to be cut"},
-		{"a.csv", head + "0,\"tile,,GET,/a,0,\n", "a.csv:2: no CSV"},
-		{"a.csv", head + "0,tea,,GET,/a,0,\n", `a.csv:2: class: there is no "tea" in the plan; add it to classes`},
-		{"a.csv", head + "0,tile,beta,GET,/a,0,\n", `a.csv:2: tenant: there is no tenant "beta"; add it to tenants`},
+		{"a.csv", head + "0,tile,,GET,/a,0\n", "a.csv:2: 6 fields; want 7: " + traceHeader},
+		{"a.csv", head + "0,tile,,GET,/a,0,", "a.csv:2: the line has no line feed, so the trace seems to be truncated"},
+		{"a.csv", head + "0,\"tile,,GET,/a,0,\n", "a.csv:2: invalid CSV"},
+		{"a.csv", head + "0,tea,,GET,/a,0,\n", `a.csv:2: class: "tea" is not in the plan; add it to classes`},
+		{"a.csv", head + "0,tile,beta,GET,/a,0,\n", `a.csv:2: tenant: unknown tenant "beta"; add it to tenants`},
 		{"a.csv", head + "-1,tile,,GET,/a,0,\n", `a.csv:2: at_s: "-1"; want seconds from the start, such as 12.5`},
 		{"a.csv", head + "1m,tile,,GET,/a,0,\n", `at_s: "1m"`},
 		{"a.csv", head + "0,tile,,GET,/a,x,\n", `a.csv:2: size: "x"; want a whole number of bytes`},
@@ -80,10 +80,10 @@
 		{"a.csv", head + "0,tile,,GET,a b,0,\n", `a.csv:2: request: path "a b"; want`},
 		{"a.csv", head + "0,tile,,GRAB,/a,0,\n", `a.csv:2: request: method "GRAB"; want one of GET, POST`},
 		{"a.csv", head + strings.Repeat("9", 70000) + "\n", "a.csv:2: the line is longer than 64 KB"},
-		{"a.jsonl", `{"at_s":0,"class":"tile"}` + "\n" + `{"at_s":0,"cl`, "a.jsonl:2: the line has no end"},
+		{"a.jsonl", `{"at_s":0,"class":"tile"}` + "\n" + `{"at_s":0,"cl`, "a.jsonl:2: the line has no line feed"},
 		{"a.jsonl", `{"at_s":0,"class":"tile","work":3}` + "\n", `a.jsonl:1: json: unknown field "work"; want`},
 	} {
-		if _, err := traced(t, test.name, test.text, TraceSource{}); err == nil ||
+		if _, err := tracePlan(t, test.name, test.text, TraceSource{}); err == nil ||
 			!strings.Contains(err.Error(), test.message) {
 			t.Errorf("%q: %v, want %s", test.text, err, test.message)
 		}
@@ -92,7 +92,7 @@
 		"trace.every_s: 1; the trace is 2 s long": {Repeat: 2, EveryS: 1},
 		"trace: speed -1, repeat 1":               {Speed: -1},
 	} {
-		_, err := traced(t, "a.csv", head+"2,tile,,GET,/a,0,\n", s)
+		_, err := tracePlan(t, "a.csv", head+"2,tile,,GET,/a,0,\n", s)
 		if err == nil || !strings.Contains(err.Error(), message) {
 			t.Errorf("%v, want %s", err, message)
 		}
