--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the test bench knows of processes and of the machine that they run on: what one has used, how busy all
-// processors are, and how late timers come. How far a measurement can be relied on depends on the last two. Linux only.
+// Package process starts processes and measures their CPU time and memory, the load of the machine's processors, and the
+// delay of timers. The last two show how reliable a measurement is. Linux only.
 package process
 
 import (
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// CPUTime is the processor time that a process has used so far, user and system: the clock that /proc/PID/stat shows in ticks
-// of 10 ms, read in nanoseconds.
+// CPUTime returns the user and system CPU time that a process has used so far. Unlike /proc/PID/stat, which has ticks of
+// 10 ms, it has nanosecond resolution.
 func CPUTime(pid int) (time.Duration, error) {
-	const cpuClock, perProcess = 2, 3 // clock_gettime(2): a process's CPU clock has its id's complement above three bits
+	const cpuClock, perProcess = 2, 3 // clock_gettime(2): the id of a process's CPU clock is the complement of the pid, shifted left by three bits
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<perProcess|cpuClock), &t); err != nil {
 		return 0, fmt.Errorf("the CPU clock of process %d: %w", pid, err)
@@ -24,7 +24,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// ResidentMemory is the memory that a process holds, in bytes.
+// ResidentMemory returns the resident set size of a process in bytes.
 func ResidentMemory(pid int) (int64, error) {
 	file := fmt.Sprintf("/proc/%d/statm", pid)
 	raw, err := os.ReadFile(file)
@@ -40,32 +40,32 @@
 }
 
 const (
-	lateTick = 10 * time.Millisecond // between two looks at whether timers come late
-	userTick = 10 * time.Millisecond // the unit of /proc/stat: USER_HZ is 100 on Linux
+	timerCheckInterval = 10 * time.Millisecond // interval at which the delay of timers is measured
+	userHZTick         = 10 * time.Millisecond // unit of /proc/stat: USER_HZ is 100 on Linux
 )
 
-// LoadMonitor sees how busy the machine is with all that runs on it. Its methods are for one goroutine.
+// LoadMonitor measures the load of the machine by all its processes. Its methods must be called from one goroutine.
 type LoadMonitor struct {
-	late atomic.Int64 // by so many ns a timer has come late, at most, since the last look
-	stop chan struct{}
+	maxTimerDelay atomic.Int64 // longest delay of a timer since the last sample, in ns
+	stop          chan struct{}
 
-	lastLook time.Time
-	busy     time.Duration // of all processors, until then
+	lastSample time.Time
+	busyTime   time.Duration // of all processors, until the last sample
 }
 
-// StartLoadMonitor begins to look, until Close.
+// StartLoadMonitor starts a monitor that runs until Close.
 func StartLoadMonitor() *LoadMonitor {
-	n := &LoadMonitor{stop: make(chan struct{}), lastLook: time.Now(), busy: machineBusy()}
+	n := &LoadMonitor{stop: make(chan struct{}), lastSample: time.Now(), busyTime: machineBusyTime()}
 	go func() {
 		for before := time.Now(); ; before = time.Now() {
 			select {
 			case <-n.stop:
 				return
-			case <-time.After(lateTick):
+			case <-time.After(timerCheckInterval):
 			}
-			for late := int64(time.Since(before) - lateTick); ; {
-				longest := n.late.Load()
-				if late <= longest || n.late.CompareAndSwap(longest, late) {
+			for late := int64(time.Since(before) - timerCheckInterval); ; {
+				longest := n.maxTimerDelay.Load()
+				if late <= longest || n.maxTimerDelay.CompareAndSwap(longest, late) {
 					break
 				}
 			}
@@ -74,28 +74,28 @@
 	return n
 }
 
-// Close ends it.
+// Close stops the monitor.
 func (b *LoadMonitor) Close() { close(b.stop) }
 
-// Sample returns, since the last look, by how much a timer has come late at most, and how many processors were busy; 0 = not
-// known.
+// Sample returns the longest delay of a timer and the mean number of busy processors since the last sample; 0 processors
+// also means unknown.
 func (b *LoadMonitor) Sample() (late time.Duration, cores float64) {
-	now, busy := time.Now(), machineBusy()
-	cores = max(0, (busy-b.busy).Seconds()/now.Sub(b.lastLook).Seconds())
-	b.lastLook, b.busy = now, busy
-	return time.Duration(b.late.Swap(0)), cores
+	now, busy := time.Now(), machineBusyTime()
+	cores = max(0, (busy-b.busyTime).Seconds()/now.Sub(b.lastSample).Seconds())
+	b.lastSample, b.busyTime = now, busy
+	return time.Duration(b.maxTimerDelay.Swap(0)), cores
 }
 
-// machineBusy is the time of all processors that was not idle; 0 = not known.
-func machineBusy() (sum time.Duration) {
+// machineBusyTime returns the sum of all processors' non-idle time; 0 = unknown.
+func machineBusyTime() (sum time.Duration) {
 	raw, _ := os.ReadFile("/proc/stat")
 	line, _, _ := strings.Cut(string(raw), "\n")
 	for i, field := range strings.Fields(line) {
-		if i == 0 || i == 4 || i == 5 || i > 8 { // the name, idle, waiting for disks, and guests, who are counted already
+		if i == 0 || i == 4 || i == 5 || i > 8 { // the name, idle, iowait, and guest times, which user time includes
 			continue
 		}
 		ticks, _ := strconv.ParseInt(field, 10, 64)
-		sum += time.Duration(ticks) * userTick
+		sum += time.Duration(ticks) * userHZTick
 	}
 	return sum
 }
--- a/internal/testbench/process/process_test.go
+++ b/internal/testbench/process/process_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// This process has figures, and one that does not exist is an error.
+// CPUTime and ResidentMemory return values for this process and an error for one that does not exist.
 func TestOfAProcess(t *testing.T) {
 	if used, err := CPUTime(os.Getpid()); err != nil || used <= 0 {
 		t.Errorf("CPU %s, %v", used, err)
@@ -18,14 +18,14 @@
 		t.Errorf("%d bytes, %v", held, err)
 	}
 	if _, err := CPUTime(math.MaxInt32 >> 3); err == nil {
-		t.Error("a process that there is not has used CPU")
+		t.Error("CPU time of a process that does not exist, without an error")
 	}
 	if _, err := ResidentMemory(math.MaxInt32); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the memory of a process that there is not: %v", err)
+		t.Errorf("memory of a process that does not exist: %v", err)
 	}
 }
 
-// A program without a handler ends by SIGTERM, and one that can't be started is an error.
+// Stop ends a program without a signal handler by SIGTERM; Start returns an error for a program that does not exist.
 func TestStartAndStop(t *testing.T) {
 	p, err := Start(exec.Command("sleep", "600"), -1)
 	if err != nil {
@@ -33,9 +33,9 @@
 	}
 	var how *exec.ExitError
 	if err := p.Stop(); !errors.As(err, &how) || how.Sys().(syscall.WaitStatus).Signal() != syscall.SIGTERM {
-		t.Errorf("it has ended by %v", err)
+		t.Errorf("the program ended with %v, want SIGTERM", err)
 	}
 	if _, err := Start(exec.Command("/nowhere/to/be/found"), -1); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a program that there is not: %v", err)
+		t.Errorf("a program that does not exist: %v", err)
 	}
 }
--- a/internal/testbench/process/program.go
+++ b/internal/testbench/process/program.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	endWithin      = 10 * time.Second      // of SIGTERM
-	signalInterval = 50 * time.Millisecond // two signals that come at once are one
+	stopTimeout    = 10 * time.Second      // time from SIGTERM to SIGKILL
+	signalInterval = 50 * time.Millisecond // between SIGTERMs, since signals sent at the same time may be merged into one
 )
 
-// Program is a process that this one has started.
+// Program is a child process.
 type Program struct {
 	cmd    *exec.Cmd
 	exited chan error
 }
 
-// Start starts a command that may use one core of the machine only; below 0 it may use all. A child has its parent's thread's
-// cores.
+// Start starts a command, pinned to the given core unless that is negative. It sets the affinity of the calling thread for
+// the start, since a child process inherits it.
 func Start(cmd *exec.Cmd, core int) (*Program, error) {
 	if core >= 0 {
 		runtime.LockOSThread()
@@ -36,7 +36,7 @@
 		if err := unix.SchedSetaffinity(0, &one); err != nil {
 			return nil, fmt.Errorf("core %d: %w", core, err)
 		}
-		defer func() { _ = unix.SchedSetaffinity(0, &before) }() // it was allowed before
+		defer func() { _ = unix.SchedSetaffinity(0, &before) }() // restores a mask that was allowed before, so it can't fail
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start the program: %w", err)
@@ -46,17 +46,18 @@
 	return p, nil
 }
 
-// Pid is its id.
+// Pid returns the process id.
 func (p *Program) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 func (p *Program) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Stop sends SIGTERM until the process has ended, repeatedly so that it ends at once, and returns its exit error. Call it once.
+// Stop sends SIGTERM until the process has ended, repeatedly so that it ends without a grace period, and returns its exit
+// error. After 10 s it kills the process. It must be called once only.
 func (p *Program) Stop() error {
 	again := time.NewTicker(signalInterval)
 	defer again.Stop()
-	late := time.After(endWithin)
+	late := time.After(stopTimeout)
 	for {
 		_ = p.Signal(syscall.SIGTERM)
 		select {
@@ -65,7 +66,7 @@
 		case <-again.C:
 		case <-late:
 			p.cmd.Process.Kill()
-			return errors.Join(fmt.Errorf("process %d has not ended within %s of SIGTERM", p.Pid(), endWithin), <-p.exited)
+			return errors.Join(fmt.Errorf("process %d did not end within %s of SIGTERM", p.Pid(), stopTimeout), <-p.exited)
 		}
 	}
 }
