--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -72,9 +72,9 @@
 			x.Response, x.Body, x.Result = got.response, got.body, got.result()
 			return x
 		}
-		again := conn.requestsServed > 0 && !x.Resent && conn.closedUnread(&got)
+		resend := conn.requestsServed > 0 && !x.Resent && conn.closedUnread(&got)
 		conn.close()
-		if !again {
+		if !resend {
 			x.Err, x.Result = got.err, got.result()
 			return x
 		}
--- a/internal/testbench/fakes/client_test.go
+++ b/internal/testbench/fakes/client_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// One client's requests, one step after another, each long after the deadlines of those before.
+// ConnPool reuses, replaces and limits connections. The steps use one pool, each after the deadlines of the one before.
 func TestClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
@@ -21,18 +21,18 @@
 			name     string
 			do       func()
 			requests int    // 10 ms apart
-			want     string // of each the number of its connection, what came of it, and whether it went out again
+			want     string // per request: number of its connection, result, and whether it was sent again
 		}{
-			{"a third one waits", func() {}, 3, "1 served false, 2 served false, 1 served false"},
-			{"connections are kept, the last used goes first", func() {}, 1, "1 served false"},
-			{"what crosses a close goes out again on a new one", p.ResetOpenConns, 1, "3 served true"},
-			{"idle ones that end are forgotten", func() { ok(t, p.Restart("s-2")) }, 1, "4 served false"},
+			{"third request waits", func() {}, 3, "1 served false, 2 served false, 1 served false"},
+			{"most recently used connection is reused", func() {}, 1, "1 served false"},
+			{"sent again when the reused connection was closed", p.ResetOpenConns, 1, "3 served true"},
+			{"closed idle connections are not reused", func() { ok(t, p.Restart("s-2")) }, 1, "4 served false"},
 			{
-				"the place of one that ends is passed on", func() { time.AfterFunc(25*time.Millisecond, p.Kill) }, 3,
+				"slot of a closed connection passes to a waiting request", func() { time.AfterFunc(25*time.Millisecond, p.Kill) }, 3,
 				"4 unreachable true, 5 lost false, 0 unreachable false",
 			},
 			{
-				"on a new one nothing is crossed", func() { ok(t, p.Start("")); p.SetBehaviour(Behaviour{ResetAll: true}) }, 1,
+				"not sent again on a new connection", func() { ok(t, p.Start("")); p.SetBehaviour(Behaviour{ResetAll: true}) }, 1,
 				"6 lost false",
 			},
 		} {
@@ -47,7 +47,7 @@
 					x := c.Send(func() []byte { return []byte("GET /tile/1 HTTP/1.1\r\n" + headerID + ": x\r\n\r\n") },
 						due.Add(time.Second))
 					if got[i] = fmt.Sprint(x.Conn, " ", x.Result, " ", x.Resent); x.Resent && !x.SentAt.Equal(due) {
-						t.Errorf("%s: sent %s late", step.name, x.SentAt.Sub(due))
+						t.Errorf("%s: sent %s after it was due", step.name, x.SentAt.Sub(due))
 					}
 				})
 			}
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -131,14 +131,14 @@
 
 func (l *Load) arrivals() (all []arrival) {
 	for i, f := range l.Streams {
-		draw := rand.New(rand.NewPCG(l.Seed, uint64(i)))
+		random := rand.New(rand.NewPCG(l.Seed, uint64(i)))
 		for at := 0.0; f.Rate > 0; {
-			at += draw.ExpFloat64() / f.Rate
+			at += random.ExpFloat64() / f.Rate
 			if at > l.Duration.Seconds() {
 				break
 			}
 			after := time.Duration(at * float64(time.Second))
-			all = append(all, arrival{after, f, fmt.Sprintf("%016x", draw.Uint64())})
+			all = append(all, arrival{after, f, fmt.Sprintf("%016x", random.Uint64())})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b arrival) int { return cmp.Compare(a.offset, b.offset) })
@@ -168,9 +168,9 @@
 func (c *Clients) Attempts() []Attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	tries := slices.Clone(c.attempts)
-	slices.SortStableFunc(tries, func(a, b Attempt) int { return cmp.Or(a.DueAt.Compare(b.DueAt), cmp.Compare(a.ID, b.ID)) })
-	return tries
+	attempts := slices.Clone(c.attempts)
+	slices.SortStableFunc(attempts, func(a, b Attempt) int { return cmp.Or(a.DueAt.Compare(b.DueAt), cmp.Compare(a.ID, b.ID)) })
+	return attempts
 }
 
 // sendRequest sends the first attempt t and the retries that the policy allows.
@@ -199,9 +199,9 @@
 	}
 }
 
-func retryID(first string, again int) string {
+func retryID(first string, number int) string {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %d", first, again)
+	fmt.Fprintf(h, "%s %d", first, number)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -21,7 +21,7 @@
 	"plankrouter/internal/config"
 )
 
-// Consumers that talk straight to a server get from it what a sidecar might give them.
+// Clients classify each kind of response or fault of a server as the matching Result.
 func TestResults(t *testing.T) {
 	slowly := Class{Name: "slowly", Idempotent: true, Deadline: time.Second, LatencyObjective: 30 * time.Millisecond}
 	tile, order := TileClass(), OrderClass()
@@ -33,17 +33,17 @@
 		retry Retry
 		want  string // after "asked 41, in aim "
 	}{
-		"served":          {Behaviour{}, tile, Retry{}, "41, served 41"},
-		"too late":        {Behaviour{Slowdown: 9}, slowly, Retry{}, "0, served 41"},
-		"timed out":       {Behaviour{Stall: true}, slowly, Retry{}, "0, timed out 41"},
-		"refused":         {Behaviour{Drain: true}, order, Retry{}, "0, refused 41"},
-		"asked again":     {Behaviour{Drain: true}, order, Retry{MaxRetries: 2}, "0, refused 123"},
-		"within the time": {Behaviour{Drain: true}, slowly, Retry{2 * time.Second, 2}, "0, refused 41"},
-		"failed orders":   {Behaviour{FailFraction: 1}, order, Retry{MaxRetries: 2}, "0, failed 41"},
-		"failed tiles":    {Behaviour{FailFraction: 1}, tile, Retry{MaxRetries: 2}, "0, failed 123"},
-		"cut short":       {broken(20), order, Retry{}, "0, failed 41"},
-		"lost":            {broken(0), order, Retry{}, "0, lost 41"},
-		"wrong":           {Behaviour{ReplaceWith: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
+		"served":           {Behaviour{}, tile, Retry{}, "41, served 41"},
+		"above objective":  {Behaviour{Slowdown: 9}, slowly, Retry{}, "0, served 41"},
+		"timed out":        {Behaviour{Stall: true}, slowly, Retry{}, "0, timed out 41"},
+		"refused":          {Behaviour{Drain: true}, order, Retry{}, "0, refused 41"},
+		"retried":          {Behaviour{Drain: true}, order, Retry{MaxRetries: 2}, "0, refused 123"},
+		"no time to retry": {Behaviour{Drain: true}, slowly, Retry{2 * time.Second, 2}, "0, refused 41"},
+		"failed orders":    {Behaviour{FailFraction: 1}, order, Retry{MaxRetries: 2}, "0, failed 41"},
+		"failed tiles":     {Behaviour{FailFraction: 1}, tile, Retry{MaxRetries: 2}, "0, failed 123"},
+		"truncated":        {broken(20), order, Retry{}, "0, failed 41"},
+		"lost":             {broken(0), order, Retry{}, "0, lost 41"},
+		"wrong":            {Behaviour{ReplaceWith: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBothNetworks(t, func(t *testing.T, n Network) {
@@ -56,8 +56,8 @@
 					Network: n, Address: p.Address(), Seed: 1, Duration: 200 * time.Millisecond, Retry: test.retry,
 					Streams: []Stream{{Class: test.class, Tenant: "acme", Rate: 200}},
 				}
-				tries := NewClients(load).Run(t.Context())
-				if got := Tally(tries, start, 0); len(got) != 1 || got[0].String() != "asked 41, in aim "+test.want {
+				attempts := NewClients(load).Run(t.Context())
+				if got := Tally(attempts, start, 0); len(got) != 1 || got[0].String() != "asked 41, in aim "+test.want {
 					t.Errorf("%v, want %s", got, test.want)
 				}
 			})
@@ -65,24 +65,24 @@
 	}
 }
 
-// A request that crosses the close of a kept connection goes out once more and runs once.
-func TestRequestMeetsClose(t *testing.T) {
+// A request sent on a reused connection while the server closes it is sent once more and executed once.
+func TestRequestSentDuringClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
 		p, err := NewServer(n, ServerOptions{MaxIdle: 100 * time.Millisecond, Cores: 9})
 		ok(t, err)
 		defer p.Close()
-		tries := NewClients(Load{
+		attempts := NewClients(Load{
 			Network: n, Address: p.Address(), Seed: 1, Duration: time.Minute,
 			Streams: []Stream{{Class: OrderClass(), Rate: 5}},
 		}).Run(t.Context())
 		resent := 0
-		for _, try := range tries {
-			if try.Result != Served || p.RunCount(try.ID) != 1 {
-				t.Errorf("%+v ran %d times", try, p.RunCount(try.ID))
+		for _, attempt := range attempts {
+			if attempt.Result != Served || p.RunCount(attempt.ID) != 1 {
+				t.Errorf("%+v ran %d times", attempt, p.RunCount(attempt.ID))
 			}
-			if try.Resent {
+			if attempt.Resent {
 				resent++
 			}
 		}
@@ -92,13 +92,13 @@
 			}
 		}
 		if resent == 0 {
-			t.Error("none crossed a close")
+			t.Error("no request was sent again")
 		}
 	})
 }
 
-// The end of a connection tells whether the request had been read.
-func TestUnreadRequestsAreNoticed(t *testing.T) {
+// closedUnread distinguishes a connection closed before the request was read from one closed afterwards.
+func TestClosedUnread(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
 			onBothNetworks(t, func(t *testing.T, n Network) {
@@ -121,37 +121,37 @@
 	}
 }
 
-func TestLimitOfConnections(t *testing.T) {
+func TestMaxConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
 		p, err := NewServer(n, ServerOptions{Cores: 9, Default: Service{Mean: time.Second, Fixed: true}})
 		ok(t, err)
 		defer p.Close()
 		start := time.Now()
-		tries := NewClients(Load{
+		attempts := NewClients(Load{
 			Network: n, Address: p.Address(), Seed: 1, Duration: 20 * time.Second, MaxConns: 2,
 			Streams: []Stream{{Class: TileClass(), Rate: 2}, {Class: OrderClass(), Rate: 2}},
 		}).Run(t.Context())
-		late := slices.ContainsFunc(tries, func(t Attempt) bool { return t.Result == Served && t.Took() > 3*time.Second/2 })
-		unsent := slices.ContainsFunc(tries, func(t Attempt) bool { return t.Result == TimedOut && t.SentAt.IsZero() })
+		late := slices.ContainsFunc(attempts, func(t Attempt) bool { return t.Result == Served && t.Took() > 3*time.Second/2 })
+		unsent := slices.ContainsFunc(attempts, func(t Attempt) bool { return t.Result == TimedOut && t.SentAt.IsZero() })
 		if !late || !unsent {
-			t.Errorf("none has waited, or none in vain: %s", Tally(tries, start, 0)[0])
+			t.Errorf("no request waited for a connection, or none timed out while waiting: %s", Tally(attempts, start, 0)[0])
 		}
-		for _, a := range tries {
+		for _, a := range attempts {
 			out := 0
-			for _, b := range tries {
+			for _, b := range attempts {
 				if !b.SentAt.IsZero() && !a.SentAt.Before(b.SentAt) && a.SentAt.Before(b.EndedAt) {
 					out++
 				}
 			}
 			if out > 2 {
-				t.Errorf("%d requests were out %s after the start", out, a.SentAt.Sub(start))
+				t.Errorf("%d requests were in flight %s after the start", out, a.SentAt.Sub(start))
 			}
 		}
 	})
 }
 
-// relay is a plain sidecar: it knows the fleet's first members and sends each request to one of them by its id.
+// relay is a minimal sidecar: it has a fixed endpoint list and forwards each request to an endpoint chosen by its id.
 func relay(n Network, members []Endpoint) http.Handler {
 	return &httputil.ReverseProxy{
 		Transport: &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -165,11 +165,11 @@
 	}
 }
 
-// A day of a fleet behind a plain relay: one server is gone for a second, then all are replaced, which the relay does
-// not notice. Played twice, it goes the same way.
-func TestDay(t *testing.T) {
-	var days [2][]Window
-	for i := range days {
+// One server of a fleet behind a relay is down for a second, then all are replaced, which the relay's fixed list does not
+// reflect. Service recovers from the first fault and not from the second, and a second run gives the same result.
+func TestFleetRunIsReproducible(t *testing.T) {
+	var runs [2][]Window
+	for i := range runs {
 		synctest.Test(t, func(t *testing.T) {
 			n := NewMemory()
 			f, err := NewFleet(n, 4, ServerOptions{Cores: 4, Queue: 9, Default: Service{Mean: 10 * time.Millisecond}})
@@ -187,69 +187,69 @@
 				{4 * time.Second, "release", func() {
 					ok(t, f.Release(t.Context(), Release{Batch: 3, Grace: time.Second, Down: time.Second, NewAddresses: true}))
 				}},
-				{time.Second, "gone", f.Servers[0].Kill},
-				{2 * time.Second, "back", func() { ok(t, f.Servers[0].Start("")) }},
+				{time.Second, "down", f.Servers[0].Kill},
+				{2 * time.Second, "up", func() { ok(t, f.Servers[0].Start("")) }},
 			}.Play(t.Context(), start)
-			tries := NewClients(Load{
+			attempts := NewClients(Load{
 				Network: n, Address: l.Addr().String(), Seed: 1, Duration: 11 * time.Second,
 				Streams: []Stream{{Class: TileClass(), Rate: 100}, {Class: OrderClass(), Rate: 50}},
 			}).Run(t.Context())
-			days[i] = Tally(tries, start, time.Second)
-			took, well := RecoveryTime(tries, start.Add(time.Second), 1, 200*time.Millisecond)
+			runs[i] = Tally(attempts, start, time.Second)
+			took, well := RecoveryTime(attempts, start.Add(time.Second), 1, 200*time.Millisecond)
 			if !well || took != time.Second {
 				t.Errorf("recovered: %t, after %s", well, took)
 			}
-			if took, well = RecoveryTime(tries, start.Add(4*time.Second), 1, 200*time.Millisecond); well {
+			if took, well = RecoveryTime(attempts, start.Add(4*time.Second), 1, 200*time.Millisecond); well {
 				t.Errorf("recovered from the release after %s", took)
 			}
 			if ids := RequestsRunTwice("order", f.Servers...); len(ids) > 0 {
 				t.Errorf("run twice: %v", ids)
 			}
 			if n := f.Discovery.Revision(); n != 5 {
-				t.Errorf("told %d times", n)
+				t.Errorf("revision %d, want 5", n)
 			}
 			now := f.Endpoints()
 			if d := f.Discovery.Endpoints(); !slices.Equal(d, now) || now[3].ID != "s-4.2" || now[3].UpSince == 0 {
-				t.Errorf("listed %v, there are %v", d, now)
+				t.Errorf("listed %v, running %v", d, now)
 			}
 		})
 	}
-	if !slices.Equal(days[0], days[1]) {
-		t.Errorf("once %v, then %v", days[0], days[1])
+	if !slices.Equal(runs[0], runs[1]) {
+		t.Errorf("first run %v, second run %v", runs[0], runs[1])
 	}
 }
 
-func TestRecovered(t *testing.T) {
+func TestRecoveryTime(t *testing.T) {
 	start := time.Unix(1e9, 0)
-	for script, want := range map[string]string{ // how many of 20 are served in each 250 ms; the last don't count
+	for script, want := range map[string]string{ // requests served of 20 in each 250 ms window; the last window is ignored
 		"20 20 20 20 20":                 "0s true",
 		"9 9 20 20 19 20 20":             "500ms true",
 		"9 20 20 20 9 20 20 20 20 20 20": "1.25s true",
 		"9 20 20 20 20":                  "0s false",
 		"18 18 18 18 18":                 "0s false",
 	} {
-		var tries []Attempt
+		var attempts []Attempt
 		for i, word := range strings.Fields(script) {
 			served, err := strconv.Atoi(word)
 			ok(t, err)
 			for j := range 20 {
 				at := start.Add(time.Duration(i) * 250 * time.Millisecond)
-				try := Attempt{RequestID: fmt.Sprint(i, j), Class: TileClass(), RequestedAt: at, DueAt: at, EndedAt: at, Result: Rejected}
-				if j < served { // by a second try
-					tries = append(tries, try)
-					try.Number, try.Result = 1, Served
+				attempt := Attempt{RequestID: fmt.Sprint(i, j), Class: TileClass(), RequestedAt: at, DueAt: at, EndedAt: at, Result: Rejected}
+				if j < served { // by a second attempt
+					attempts = append(attempts, attempt)
+					attempt.Number, attempt.Result = 1, Served
 				}
-				tries = append(tries, try)
+				attempts = append(attempts, attempt)
 			}
 		}
-		took, well := RecoveryTime(tries, start, 1, 250*time.Millisecond)
+		took, well := RecoveryTime(attempts, start, 1, 250*time.Millisecond)
 		if got := fmt.Sprint(took, well); got != want {
 			t.Errorf("%s: %s, want %s", script, got, want)
 		}
 	}
 }
 
-func TestConfigIsOneThatTheProgramTakes(t *testing.T) {
+func TestConfigLoads(t *testing.T) {
 	raw, err := Config(SidecarConfig{
 		Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", Seed: 77,
 		Known:   List{Revision: 3, Endpoints: []Endpoint{{ID: "a", Address: "127.0.0.1:3", Phase: Serving}}},
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -280,16 +280,16 @@
 		return c.write(encodeResponse(404, "", nil))
 	}
 	query := m.URL.Query()
-	call := DiscoveryRequest{At: m.last, Conn: c.connNumber, Complete: !query.Has("index")}
-	call.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
+	request := DiscoveryRequest{At: m.last, Conn: c.connNumber, Complete: !query.Has("index")}
+	request.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
-	call.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
+	request.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
 	d.state.Lock()
-	d.requests = append(d.requests, call)
-	index, lost := len(d.requests)-1, d.faults.dropResponses
+	d.requests = append(d.requests, request)
+	index, dropped := len(d.requests)-1, d.faults.dropResponses
 	d.state.Unlock()
 
-	list, ok := d.awaitList(c, &call)
+	list, ok := d.awaitList(c, &request)
 	if !ok {
 		return false
 	}
@@ -297,7 +297,7 @@
 	if faults.delay > 0 && !c.wait(faults.delay) {
 		return false
 	}
-	if lost || d.currentFaults().dropResponses || d.isMarked(c) {
+	if dropped || d.currentFaults().dropResponses || d.isMarked(c) {
 		return c.waitForClose()
 	}
 	raw := faults.replacement
@@ -318,15 +318,15 @@
 
 // encode returns the encoded response.
 func (f *discoveryFaults) encode(l List) []byte {
-	const kind = "Content-Type: application/json\r\n"
+	const contentType = "Content-Type: application/json\r\n"
 	body, _ := json.Marshal(l)
 	if f.indented {
 		body, _ = json.MarshalIndent(l, "", "    ")
 	}
 	if !f.chunked {
-		return encodeResponse(200, kind, body)
+		return encodeResponse(200, contentType, body)
 	}
-	raw := []byte("HTTP/1.1 200 OK\r\n" + kind + "Transfer-Encoding: chunked\r\n\r\n")
+	raw := []byte("HTTP/1.1 200 OK\r\n" + contentType + "Transfer-Encoding: chunked\r\n\r\n")
 	for piece := range slices.Chunk(body, 1000) {
 		raw = fmt.Appendf(raw, "%x\r\n%s\r\n", len(piece), piece)
 	}
@@ -335,18 +335,18 @@
 
 // awaitList waits until the list has changed or the request's wait has expired. False means that the connection ended
 // first and no response is due.
-func (d *Discovery) awaitList(c *hostConn, call *DiscoveryRequest) (List, bool) {
-	until := time.NewTimer(call.Wait)
-	defer until.Stop()
-	for pollExpired := call.Complete; ; {
+func (d *Discovery) awaitList(c *hostConn, request *DiscoveryRequest) (List, bool) {
+	timer := time.NewTimer(request.Wait)
+	defer timer.Stop()
+	for pollExpired := request.Complete; ; {
 		d.state.Lock()
 		faults, changed := d.faults, d.changed
-		forgot := call.Index > d.revision || call.Index < d.oldestKnown // changes since that revision are not known
-		l := d.list(call.Complete || forgot || faults.completeForWatch, call.Index)
-		if call.Complete && faults.partialForComplete {
+		revisionUnknown := request.Index > d.revision || request.Index < d.oldestKnown // changes since that revision are not known
+		l := d.list(request.Complete || revisionUnknown || faults.completeForWatch, request.Index)
+		if request.Complete && faults.partialForComplete {
 			l.Complete, l.Endpoints = false, l.Endpoints[:len(l.Endpoints)/2]
 		}
-		changedSinceIndex := pollExpired || forgot || d.revision > call.Index
+		changedSinceIndex := pollExpired || revisionUnknown || d.revision > request.Index
 		d.state.Unlock()
 		if faults.held != nil {
 			changed = faults.held
@@ -355,7 +355,7 @@
 		}
 		select {
 		case <-changed:
-		case <-until.C:
+		case <-timer.C:
 			pollExpired = true
 		case <-c.clientDone:
 			return l, faults.respondAfterClose
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// testConn is one connection to a fake, driven by the test.
+// testConn is a client connection to a fake, controlled by the test.
 type testConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -30,10 +30,10 @@
 	return &testConn{c, bufio.NewReader(c)}
 }
 
-const responseTimeout = time.Second // after which get returns "silence"
+const responseTimeout = time.Second // without a response, after which get returns "silence"
 
-// get sends a GET, with an id if there is one, and describes what comes: "200 body", or else "200 reset" where the answer
-// did not end well, or "nothing end" where none began.
+// get sends a GET, with a request id if it is not empty, and describes the response: "200 body", "200 reset" if it was
+// incomplete, or "nothing end" if there was none.
 func (c *testConn) get(target, id string) string {
 	if id != "" {
 		id = "Req-Id: " + id + "\r\n"
@@ -73,7 +73,8 @@
 	return err.Error()
 }
 
-// summarizeList describes a list: revision, "=" for a whole one and "+" for changes, and the members with their phases' initials.
+// summarizeList describes a list: the revision, "=" for a complete list or "+" for changes, and each endpoint's id with the
+// initial of its phase.
 func summarizeList(answer string) string {
 	var l List
 	status, body, _ := strings.Cut(answer, " ")
@@ -91,7 +92,7 @@
 	a, b := Endpoint{ID: "a", Phase: Serving}, Endpoint{ID: "b", Phase: Serving}
 	gone := Endpoint{ID: "a", Phase: Deleted}
 	const complete, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
-	then := func(d *Discovery, do func()) { // once there is a call
+	then := func(d *Discovery, do func()) { // once there is a request
 		go func() {
 			for len(d.Requests()) == 0 {
 				time.Sleep(time.Millisecond)
@@ -101,34 +102,34 @@
 	}
 	for name, test := range map[string]struct {
 		do    func(d *Discovery)
-		calls string // targets on one connection, or "new" for another connection
+		calls string // targets on one connection; "new" opens another
 		want  string
 	}{
-		"whole":   {func(*Discovery) {}, complete, "1=aSbS"},
-		"no news": {func(*Discovery) {}, short, "1+"},
+		"complete":   {func(*Discovery) {}, complete, "1=aSbS"},
+		"no changes": {func(*Discovery) {}, short, "1+"},
 		"changes": {
 			func(d *Discovery) { then(d, func() { d.Change(gone) }) },
 			watch + " " + complete, "2+aD 2=bS",
 		},
 		"set":            {func(d *Discovery) { then(d, func() { d.Set(b) }) }, watch, "2+aD"},
-		"news of before": {func(d *Discovery) { d.Change(Endpoint{ID: "c", Phase: Draining}) }, watch, "2+cD"},
-		"lost":           {func(d *Discovery) { d.DropResponses(true) }, complete + " new " + complete, "silence silence"},
-		"lost in the wait": {
+		"earlier change": {func(d *Discovery) { d.Change(Endpoint{ID: "c", Phase: Draining}) }, watch, "2+cD"},
+		"dropped":        {func(d *Discovery) { d.DropResponses(true) }, complete + " new " + complete, "silence silence"},
+		"dropped during the wait": {
 			func(d *Discovery) { then(d, func() { d.DropResponses(true); d.Set(b) }) },
 			watch, "silence",
 		},
-		"lost for a while": {func(d *Discovery) {
+		"dropped temporarily": {func(d *Discovery) {
 			d.DropResponses(true)
 			then(d, func() { d.DropResponses(false); d.Set(b) })
 		}, watch, "silence"},
-		"present lost": {func(d *Discovery) { d.DropResponsesOnOpenConns() }, complete + " new " + complete, "silence 1=aSbS"},
-		"mute":         {func(d *Discovery) { d.HoldResponses(true) }, complete, "silence"},
-		"mute, then all": {func(d *Discovery) {
+		"open conns dropped": {func(d *Discovery) { d.DropResponsesOnOpenConns() }, complete + " new " + complete, "silence 1=aSbS"},
+		"held":               {func(d *Discovery) { d.HoldResponses(true) }, complete, "silence"},
+		"held and released": {func(d *Discovery) {
 			d.HoldResponses(true)
 			then(d, func() { d.Change(gone); d.HoldResponses(false) })
 		}, watch, "2+aD"},
-		"vanished": {func(d *Discovery) { _ = d.SetSilent(true) }, complete, "silence"},
-		"vanished and back": {func(d *Discovery) {
+		"unreachable": {func(d *Discovery) { _ = d.SetSilent(true) }, complete, "silence"},
+		"unreachable for 20 ms": {func(d *Discovery) {
 			_ = d.SetSilent(true)
 			time.AfterFunc(20*time.Millisecond, func() { _ = d.SetSilent(false) })
 		}, complete, "1=aSbS"},
@@ -137,17 +138,17 @@
 			_ = d.SetDown(true)
 			_ = d.SetDown(false)
 		}, complete + " new " + complete, "reset 1=aSbS"},
-		"delay":             {func(d *Discovery) { d.SetDelay(2 * responseTimeout) }, complete, "silence"},
-		"late":              {func(d *Discovery) { d.RespondAfterClose(true) }, complete, "silence"},
-		"whole for a watch": {func(d *Discovery) { d.CompleteForWatch(true); d.Change(gone) }, watch, "2=bS"},
-		"part for whole":    {func(d *Discovery) { d.PartialForComplete(true) }, complete, "1+aS"},
-		"spoilt":            {func(d *Discovery) { d.ReplaceResponses(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
+		"delay":                {func(d *Discovery) { d.SetDelay(2 * responseTimeout) }, complete, "silence"},
+		"late":                 {func(d *Discovery) { d.RespondAfterClose(true) }, complete, "silence"},
+		"complete for a watch": {func(d *Discovery) { d.CompleteForWatch(true); d.Change(gone) }, watch, "2=bS"},
+		"partial for complete": {func(d *Discovery) { d.PartialForComplete(true) }, complete, "1+aS"},
+		"replaced":             {func(d *Discovery) { d.ReplaceResponses(encodeResponse(200, "", []byte("{"))) }, complete, "{"},
 		"lower revision": {
 			func(d *Discovery) { d.Change(gone); d.Change(a); _ = d.RestartAt(1) },
 			"new " + listPath + "?index=3&wait=50", "1=aSbS",
 		},
-		"forgotten changes": {func(d *Discovery) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
-		"moved":             {func(d *Discovery) { _, _ = d.Move() }, complete + " new " + complete, "reset 1=aSbS"},
+		"unknown changes": {func(d *Discovery) { d.Change(gone); _ = d.RestartAt(5) }, "new " + watch, "5=bS"},
+		"moved":           {func(d *Discovery) { _, _ = d.Move() }, complete + " new " + complete, "reset 1=aSbS"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBothNetworks(t, func(t *testing.T, n Network) {
@@ -155,7 +156,7 @@
 				ok(t, err)
 				defer d.Close()
 				c := dialTest(t, n, d.Address())
-				c.get("/other", "") // it is accepted
+				c.get("/other", "") // waits until the connection is accepted
 				test.do(d)
 				var got []string
 				for target := range strings.FieldsSeq(test.calls) {
@@ -163,8 +164,8 @@
 						c = dialTest(t, n, d.Address())
 						continue
 					}
-					said := strings.Fields(summarizeList(c.get(target, "")))
-					got = append(got, said[len(said)-1])
+					response := strings.Fields(summarizeList(c.get(target, "")))
+					got = append(got, response[len(response)-1])
 				}
 				if got := strings.Join(got, " "); got != test.want {
 					t.Errorf("got %q, want %q", got, test.want)
@@ -174,7 +175,7 @@
 	}
 }
 
-func TestDiscoveryCallsAreCounted(t *testing.T) {
+func TestDiscoveryRequests(t *testing.T) {
 	onBothNetworks(t, func(t *testing.T, n Network) {
 		d, err := NewDiscovery(n, "", Endpoint{ID: "a", Phase: Serving})
 		ok(t, err)
@@ -194,11 +195,11 @@
 		if !slices.Equal(calls, want) {
 			t.Errorf("%+v, want %+v", calls, want)
 		}
-		hungUp := time.Now()
+		closedAt := time.Now()
 		ok(t, c.Conn.(interface{ CloseWrite() error }).CloseWrite())
 		c.SetDeadline(time.Now().Add(responseTimeout))
-		if got := summarizeList(c.readResponse()); got != "1+" || d.Requests()[1].RespondedAt.Sub(hungUp) < responseAfterCloseDelay {
-			t.Errorf("after the caller's end: %q", got)
+		if got := summarizeList(c.readResponse()); got != "1+" || d.Requests()[1].RespondedAt.Sub(closedAt) < responseAfterCloseDelay {
+			t.Errorf("after the client closed its sending side: %q", got)
 		}
 	})
 }
--- a/internal/testbench/fakes/doc.go
+++ b/internal/testbench/fakes/doc.go
@@ -1,12 +1,12 @@
-// Package fakes has scripted stand-ins for what surrounds a sidecar: discovery, servers and clients. They behave well and,
-// by a timeline, misbehave. The same script runs on loopback, against the program as a process, and in a bubble of
-// testing/synctest, where the sidecar is given the Memory network's listener and its Dial.
+// Package fakes has fake discovery, servers and clients for tests of a sidecar, with faults that a timeline switches on and
+// off. The same test runs on loopback, against the program as a process, and in a testing/synctest bubble, where the
+// sidecar uses the listener and Dial of a Memory network.
 //
-// It knows the platform's protocol from that protocol's own description and shares no code with the program, so that a
-// fault of one does not hide the same fault of the other. Package loadgen sends by the same Client as its clients do.
+// The package implements the platform's protocol from its specification and shares no code with the program, so that a
+// fault in one does not hide the same fault in the other. Package loadgen uses the same ConnPool as Clients.
 //
-// An example, as a test of the command in a bubble: half of the servers are replaced while discovery's
-// answers are lost, and the test asks for how long service stays below normal.
+// The example below tests the command in a bubble: half of the servers are replaced while discovery's responses are
+// dropped, and the test measures for how long service stays below normal.
 //
 //	synctest.Test(t, func(t *testing.T) {
 //		net := fakes.NewMemory()
@@ -39,19 +39,19 @@
 //
 //		start := time.Now()
 //		go fakes.Timeline{
-//			{At: 5 * time.Second, Name: "answers are lost", Act: func() { fleet.Discovery.LoseAnswers(true) }},
+//			{At: 5 * time.Second, Name: "responses are dropped", Act: func() { fleet.Discovery.DropResponses(true) }},
 //			{At: 6 * time.Second, Name: "release", Act: func() {
 //				fleet.Release(t.Context(), fakes.Release{Batch: 4, MaxServers: 4, Grace: time.Second, NewAddresses: true})
 //			}},
 //		}.Play(t.Context(), start)
-//		tries := fakes.NewClients(fakes.Load{Network: net, Address: front.Addr().String(), Seed: 1,
+//		attempts := fakes.NewClients(fakes.Load{Network: net, Address: front.Addr().String(), Seed: 1,
 //			Duration: 30 * time.Second,
 //			Streams: []fakes.Stream{{Class: fakes.TileClass(), Rate: 200}, {Class: fakes.OrderClass(), Rate: 40}},
 //		}).Run(t.Context())
 //
-//		calm := fakes.Tally(tries, start, 5*time.Second)[0]
-//		took, ok := fakes.RecoveryTime(tries, start.Add(6*time.Second), calm.ServedFraction(), 500*time.Millisecond)
-//		t.Logf("calm: %s; recovered: %t, after %s", calm, ok, took)
+//		normal := fakes.Tally(attempts, start, 5*time.Second)[0]
+//		took, ok := fakes.RecoveryTime(attempts, start.Add(6*time.Second), normal.ServedFraction(), 500*time.Millisecond)
+//		t.Logf("before the fault: %s; recovered: %t, after %s", normal, ok, took)
 //		if twice := fakes.RequestsRunTwice("order", fleet.Servers...); len(twice) > 0 {
 //			t.Errorf("orders run twice: %v", twice)
 //		}
@@ -61,11 +61,11 @@
 //		}
 //	})
 //
-// On loopback the network is Loopback(), and the program is started with the file's path in GW_CONFIG and a port of its
-// own choice. All else is the same.
+// On loopback, use Loopback() as the network, and start the program with the file's path in GW_CONFIG and a port that the
+// test chooses. Everything else is the same.
 //
-// In a bubble a run is decided by its seeds. Arrivals are drawn ahead, what a server draws for a request depends on
-// that request alone, and the Memory network's delays differ by connection, since the order of what happens at the very
-// same instant would be left to chance. What remains of that is two connections opened to one address at one instant,
-// and whatever the sidecar itself leaves to chance.
+// In a bubble a run is determined by its seeds. Arrivals are generated in advance, the random values of a server for a
+// request depend on that request alone, and the Memory network's delays differ by connection, since the order of events
+// at the same instant would be random. What remains random is the order of two connections opened to one address at the
+// same instant, and the sidecar's own random choices.
 package fakes
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -83,7 +83,7 @@
 		l.Close()
 	}
 	for _, c := range conns {
-		c.close(true)
+		c.closeConn(true)
 	}
 	_ = h.setSilent(false)
 }
@@ -147,7 +147,7 @@
 		stale := h.listener != l // accepted while resetAll ran, which has missed it
 		h.mutex.Unlock()
 		if stale {
-			c.close(true)
+			c.closeConn(true)
 		}
 		h.running.Go(c.readLoop)
 		h.running.Go(c.serveLoop)
@@ -240,14 +240,14 @@
 }
 
 func (c *hostConn) finish() {
-	c.close(false)
+	c.closeConn(false)
 	c.host.mutex.Lock()
 	defer c.host.mutex.Unlock()
 	delete(c.host.conns, c)
 }
 
-// close closes the connection, with a reset if asked. Only the first call has an effect.
-func (c *hostConn) close(reset bool) {
+// closeConn closes the connection, with a reset if asked. Only the first call has an effect.
+func (c *hostConn) closeConn(reset bool) {
 	c.closeOnce.Do(func() {
 		close(c.closed)
 		if reset {
--- a/internal/testbench/fakes/network_test.go
+++ b/internal/testbench/fakes/network_test.go
@@ -58,7 +58,7 @@
 	ok(t, err)
 }
 
-// expectRead reads to the end and checks what came and how it ended; nil = in order.
+// expectRead reads to the end and checks the data and the error; nil = a graceful close.
 func expectRead(t *testing.T, c net.Conn, want string, end error) {
 	t.Helper()
 	got, err := io.ReadAll(c)
@@ -67,11 +67,11 @@
 	}
 	var op *net.OpError
 	if err != nil && !errors.As(err, &op) {
-		t.Errorf("%v is no *net.OpError", err)
+		t.Errorf("%v is not a *net.OpError", err)
 	}
 }
 
-// failingWrite writes until that fails.
+// failingWrite writes until a write fails, and returns the error.
 func failingWrite(c net.Conn) error {
 	for {
 		if _, err := c.Write([]byte("x")); err != nil {
@@ -83,7 +83,7 @@
 
 func TestConnections(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T, a, b net.Conn){
-		"bytes and an end": func(t *testing.T, a, b net.Conn) {
+		"data and a close": func(t *testing.T, a, b net.Conn) {
 			send(t, b, "ab")
 			ok(t, b.Close())
 			expectRead(t, a, "ab", nil)
@@ -99,7 +99,7 @@
 			ok(t, b.Close())
 			expectRead(t, a, "cd", nil)
 		},
-		"reset behind bytes": func(t *testing.T, a, b net.Conn) {
+		"reset after data": func(t *testing.T, a, b net.Conn) {
 			send(t, b, "ab")
 			_, err := io.ReadFull(a, make([]byte, 1))
 			ok(t, err)
@@ -112,22 +112,22 @@
 				t.Error(err)
 			}
 		},
-		"closed with bytes unread": func(t *testing.T, a, b net.Conn) {
+		"closed with unread data": func(t *testing.T, a, b net.Conn) {
 			send(t, a, "ab")
 			_, err := io.ReadFull(b, make([]byte, 1))
 			ok(t, err, b.Close())
 			expectRead(t, a, "", syscall.ECONNRESET)
 		},
-		"written after the close": func(t *testing.T, a, b net.Conn) {
+		"write after the close": func(t *testing.T, a, b net.Conn) {
 			ok(t, b.Close())
 			expectRead(t, a, "", nil)
-			send(t, a, "x") // the first is taken, and answered with a reset
+			send(t, a, "x") // the first write succeeds and triggers a reset
 			if err := failingWrite(a); !errors.Is(err, syscall.EPIPE) {
 				t.Error(err)
 			}
 			expectRead(t, a, "", nil)
 		},
-		"read deadline, and again": func(t *testing.T, a, b net.Conn) {
+		"read deadline, then cleared": func(t *testing.T, a, b net.Conn) {
 			began := time.Now()
 			ok(t, a.SetReadDeadline(began.Add(20*time.Millisecond)))
 			expectRead(t, a, "", os.ErrDeadlineExceeded)
@@ -139,7 +139,7 @@
 			ok(t, b.Close())
 			expectRead(t, a, "ab", nil)
 		},
-		"a deadline ends a read": func(t *testing.T, a, _ net.Conn) {
+		"deadline set during a read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.SetReadDeadline(time.Unix(1, 0)) })
 			expectRead(t, a, "", os.ErrDeadlineExceeded)
 		},
@@ -151,7 +151,7 @@
 				t.Errorf("%d, %v", n, err)
 			}
 		},
-		"a full window drains": func(t *testing.T, a, b net.Conn) {
+		"write blocked by a full window": func(t *testing.T, a, b net.Conn) {
 			done := make(chan error)
 			go func() { _, err := a.Write(make([]byte, 32<<20)); a.Close(); done <- err }()
 			n, err := io.Copy(io.Discard, b)
@@ -159,7 +159,7 @@
 				t.Error(n)
 			}
 		},
-		"a close ends the own read": func(t *testing.T, a, _ net.Conn) {
+		"close during a read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.Close() })
 			expectRead(t, a, "", net.ErrClosed)
 			if a.Close() == nil {
@@ -198,7 +198,7 @@
 			c.Close()
 		}
 		if _, err := n.Listen(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("two at one address: %v", err)
+			t.Errorf("second listener at the same address: %v", err)
 		}
 		ok(t, dial(10*time.Second))
 		accept()
@@ -208,7 +208,7 @@
 			t.Errorf("frozen: %v", err)
 		}
 		ok(t, l.Freeze(false), dial(10*time.Second))
-		accept() // and nothing of what filled the queue
+		accept() // no connection that filled the queue is accepted
 		ok(t, l.Freeze(true))
 		time.AfterFunc(10*time.Millisecond, func() { l.Close() })
 		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -66,10 +66,10 @@
 }
 
 // ChangeBehaviour changes the behaviour from now on; it also applies to the responses of requests that are running.
-func (p *Server) ChangeBehaviour(how func(*Behaviour)) {
+func (p *Server) ChangeBehaviour(change func(*Behaviour)) {
 	p.state.Lock()
 	defer p.state.Unlock()
-	how(&p.behaviour)
+	change(&p.behaviour)
 }
 
 // SetBehaviour replaces the behaviour, as ChangeBehaviour does.
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -12,33 +12,33 @@
 
 // serveMessage serves a request or a probe; false means that the connection is to be closed.
 func (p *Server) serveMessage(c *hostConn, m *message) bool {
-	how := p.currentBehaviour()
-	reset := how.resets(c, m) || p.isMarked(c)
+	behaviour := p.currentBehaviour()
+	reset := behaviour.resets(c, m) || p.isMarked(c)
 	if m.URL.Path == loadPath || m.URL.Path == alivePath {
-		return p.serveProbe(c, m, how, reset)
+		return p.serveProbe(c, m, behaviour, reset)
 	}
-	index, now := p.recordRequest(c, m)
+	index, process := p.recordRequest(c, m)
 	switch {
 	case reset:
 		p.recordOutcome(index, Reset)
-		c.close(true)
+		c.closeConn(true)
 		return false
 	case m.Header.Get(headerID) == "":
 		return p.recordAndSend(c, index, MissingID, encodeResponse(404, "", nil))
-	case how.Drain || how.Decline:
+	case behaviour.Drain || behaviour.Decline:
 		return p.decline(c, index)
-	case how.Unresponsive:
+	case behaviour.Unresponsive:
 		p.recordOutcome(index, Unsent)
 		return c.waitForClose()
 	}
-	switch outcome := p.waitForCore(c, now); outcome {
+	switch outcome := p.waitForCore(c, process); outcome {
 	case Declined:
 		return p.decline(c, index)
 	case Pending:
 	default:
 		return p.recordOutcome(index, outcome)
 	}
-	body, failed, ended := p.run(c, m, now, index)
+	body, failed, ended := p.run(c, m, process, index)
 	if !ended {
 		return p.recordOutcome(index, Killed)
 	}
@@ -90,28 +90,28 @@
 }
 
 // serveProbe responds to a probe with the load.
-func (p *Server) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
+func (p *Server) serveProbe(c *hostConn, m *message, behaviour Behaviour, reset bool) bool {
 	p.state.Lock()
-	now := p.current
-	load := map[string]any{"active": now.busy + len(now.waiting)}
-	if now.meanServiceMs > 0 {
-		load["avg_ms"] = now.meanServiceMs
+	process := p.current
+	load := map[string]any{"active": process.busy + len(process.waiting)}
+	if process.meanServiceMs > 0 {
+		load["avg_ms"] = process.meanServiceMs
 	}
 	status := 200
 	switch {
-	case reset || how.Probes == ProbesReset:
+	case reset || behaviour.Probes == ProbesReset:
 		status = 0
-	case how.Drain || how.Probes == ProbesUnavailable:
+	case behaviour.Drain || behaviour.Probes == ProbesUnavailable:
 		status = 503
 	}
 	p.probes = append(p.probes, Probe{At: m.last, Conn: c.connNumber, Path: m.URL.Path, Status: status})
 	p.state.Unlock()
-	if how.Unresponsive {
+	if behaviour.Unresponsive {
 		return c.waitForClose()
 	}
 	switch status {
 	case 0:
-		c.close(true)
+		c.closeConn(true)
 		return false
 	case 503:
 		return c.write(encodeResponse(503, "", nil))
@@ -121,19 +121,19 @@
 }
 
 // waitForCore waits for a free core. Pending means that the request has one; any other outcome is final.
-func (p *Server) waitForCore(c *hostConn, now *processRun) Outcome {
+func (p *Server) waitForCore(c *hostConn, process *processRun) Outcome {
 	p.state.Lock()
-	if now.busy < p.options.Cores {
-		now.busy++
+	if process.busy < p.options.Cores {
+		process.busy++
 		p.state.Unlock()
 		return Pending
 	}
-	if len(now.waiting) >= p.options.Queue {
+	if len(process.waiting) >= p.options.Queue {
 		p.state.Unlock()
 		return Declined
 	}
 	coreFree := make(chan struct{})
-	now.waiting = append(now.waiting, coreFree)
+	process.waiting = append(process.waiting, coreFree)
 	p.state.Unlock()
 	outcome := Pending
 	select {
@@ -146,10 +146,10 @@
 	}
 	p.state.Lock()
 	defer p.state.Unlock()
-	if i := slices.Index(now.waiting, coreFree); i >= 0 {
-		now.waiting = slices.Delete(now.waiting, i, i+1)
+	if i := slices.Index(process.waiting, coreFree); i >= 0 {
+		process.waiting = slices.Delete(process.waiting, i, i+1)
 	} else {
-		now.releaseCore()
+		process.releaseCore()
 	}
 	return outcome
 }
@@ -166,54 +166,54 @@
 
 // run occupies a core for the service time and returns the response's body and whether the request is to fail. ended is
 // false if the connection was closed by this side before that, as when the process is killed.
-func (p *Server) run(c *hostConn, m *message, now *processRun, index int) (body []byte, failed, ended bool) {
+func (p *Server) run(c *hostConn, m *message, process *processRun, index int) (body []byte, failed, ended bool) {
 	id := m.Header.Get(headerID)
 	p.state.Lock()
 	p.requests[index].Started = true
 	p.runs[id]++
-	how := p.behaviour
+	behaviour := p.behaviour
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %s %d", now.id, id, p.runs[id])
+	fmt.Fprintf(h, "%s %s %d", process.id, id, p.runs[id])
 	p.state.Unlock()
 	// Seeded per request, not drawn from a shared sequence: requests at the same instant run in random order.
-	draw := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
+	random := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
 	service, known := p.options.Service[m.class()]
 	if !known {
 		service = p.options.Default
 	}
 	work := float64(service.Mean)
 	if !service.Fixed {
-		work *= draw.ExpFloat64()
+		work *= random.ExpFloat64()
 	}
-	if how.Slowdown > 0 {
-		work *= how.Slowdown
+	if behaviour.Slowdown > 0 {
+		work *= behaviour.Slowdown
 	}
-	took := time.Duration(work * p.slowStartFactor(now))
+	duration := time.Duration(work * p.slowStartFactor(process))
 	if c.requestsServed == 0 {
-		took += p.options.Handshake
+		duration += p.options.Handshake
 	}
-	ended = c.wait(took)
+	ended = c.wait(duration)
 	p.state.Lock()
 	defer p.state.Unlock()
-	now.releaseCore()
+	process.releaseCore()
 	if !ended {
 		return nil, false, false
 	}
 	p.requests[index].Finished = true
-	if ms := float64(took) / float64(time.Millisecond); now.meanServiceMs == 0 {
-		now.meanServiceMs = ms
+	if ms := float64(duration) / float64(time.Millisecond); process.meanServiceMs == 0 {
+		process.meanServiceMs = ms
 	} else {
-		now.meanServiceMs += serviceTimeWeight * (ms - now.meanServiceMs)
+		process.meanServiceMs += serviceTimeWeight * (ms - process.meanServiceMs)
 	}
 	body = []byte(id + "\n")
 	body = append(body, make([]byte, max(0, service.Body-len(body)))...)
-	return body, draw.Float64() < p.behaviour.FailFraction, true
+	return body, random.Float64() < p.behaviour.FailFraction, true
 }
 
-// slowStartFactor returns the factor by which slow start lengthens the service time now; 1 = no slow start.
-func (p *Server) slowStartFactor(now *processRun) float64 {
-	age := time.Since(now.startedAt)
-	if now.warm || p.options.SlowStartFactor <= 1 || age >= p.options.WarmUpTime {
+// slowStartFactor returns the factor by which slow start currently lengthens the service time; 1 = no slow start.
+func (p *Server) slowStartFactor(process *processRun) float64 {
+	age := time.Since(process.startedAt)
+	if process.warm || p.options.SlowStartFactor <= 1 || age >= p.options.WarmUpTime {
 		return 1
 	}
 	return 1 + (p.options.SlowStartFactor-1)*(1-float64(age)/float64(p.options.WarmUpTime))
@@ -226,25 +226,25 @@
 		return p.recordOutcome(index, Unsent)
 	default:
 	}
-	how := p.currentBehaviour()
+	behaviour := p.currentBehaviour()
 	outcome, full := Responded, encodeResponse(200, "", body)
 	if failed {
 		outcome, full = Errored, encodeResponse(500, "", nil)
 	}
 	switch {
-	case how.Truncate != nil:
+	case behaviour.Truncate != nil:
 		p.recordOutcome(index, Truncated)
-		if n := min(how.Truncate.After, len(full)); n > 0 {
+		if n := min(behaviour.Truncate.After, len(full)); n > 0 {
 			c.write(full[:n])
 		}
-		c.close(how.Truncate.Reset)
+		c.closeConn(behaviour.Truncate.Reset)
 		return false
-	case how.Stall:
+	case behaviour.Stall:
 		p.recordOutcome(index, Stalled)
 		c.write(full[:len(full)-len(body)])
 		return c.waitForClose()
-	case how.ReplaceWith != nil:
-		return p.recordAndSend(c, index, Garbled, how.ReplaceWith)
+	case behaviour.ReplaceWith != nil:
+		return p.recordAndSend(c, index, Garbled, behaviour.ReplaceWith)
 	}
 	return p.recordAndSend(c, index, outcome, full)
 }
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -14,13 +14,13 @@
 
 func TestServer(t *testing.T) {
 	behave := func(b Behaviour) func(*Server) { return func(p *Server) { p.SetBehaviour(b) } }
-	forgetIdle := func(d time.Duration) func(*Server) { return behave(Behaviour{ResetAfterIdle: d}) }
+	resetAfterIdle := func(d time.Duration) func(*Server) { return behave(Behaviour{ResetAfterIdle: d}) }
 	found := encodeResponse(302, "", nil)
 	for name, test := range map[string]struct {
 		do    func(p *Server)
 		calls string // "load" or "alive" for a probe, "new" and "dial" for a connection, "pause"; else a request's id
-		want  string // what each call brings
-		ran   string // what its books say of each request; ! for one that has run, + for one that has ended its run
+		want  string // the response to each
+		ran   string // logged outcome of each request, with ! if its execution started and + if it finished
 	}{
 		"served": {behave(Behaviour{}), "x x", "200 x|200 x", "answered!+ answered!+"},
 		"probes": {
@@ -30,37 +30,37 @@
 		"without an id":  {behave(Behaviour{}), "-", "404", "nameless"},
 		"draining":       {behave(Behaviour{Drain: true}), "x load", "503 declined|503", "declined"},
 		"declining":      {behave(Behaviour{Decline: true}), "x alive", `503 declined|200 {"active":0}`, "declined"},
-		"probes refused": {behave(Behaviour{Probes: ProbesUnavailable}), "x load", "200 x|503", "answered!+"},
-		"probes cut off": {behave(Behaviour{Probes: ProbesReset}), "x load", "200 x|nothing reset", "answered!+"},
+		"probes get 503": {behave(Behaviour{Probes: ProbesUnavailable}), "x load", "200 x|503", "answered!+"},
+		"probes reset":   {behave(Behaviour{Probes: ProbesReset}), "x load", "200 x|nothing reset", "answered!+"},
 		"all reset": {
 			behave(Behaviour{ResetAll: true}), "x new y",
 			"nothing reset|nothing reset", "reset reset",
 		},
-		"kept ones reset":     {(*Server).ResetOpenConns, "x new y", "nothing reset|200 y", "reset answered!+"},
-		"idle ones forgotten": {forgetIdle(time.Millisecond), "pause x", "nothing reset", "reset"},
-		"busy ones not":       {forgetIdle(time.Hour), "x z", "200 x|200 z", "answered!+ answered!+"},
-		"forgotten by count":  {behave(Behaviour{ResetAfterRequests: 2}), "x z", "200 x|nothing reset", "answered!+ reset"},
-		"broken off":          {behave(Behaviour{Truncate: &Truncation{After: 60}}), "x", "200 end", "broken off!+"},
-		"never begun":         {behave(Behaviour{Truncate: &Truncation{}}), "x", "nothing end", "broken off!+"},
-		"reset after a run": {
+		"open connections reset": {(*Server).ResetOpenConns, "x new y", "nothing reset|200 y", "reset answered!+"},
+		"reset after idle time":  {resetAfterIdle(time.Millisecond), "pause x", "nothing reset", "reset"},
+		"idle time too short":    {resetAfterIdle(time.Hour), "x z", "200 x|200 z", "answered!+ answered!+"},
+		"reset by request count": {behave(Behaviour{ResetAfterRequests: 2}), "x z", "200 x|nothing reset", "answered!+ reset"},
+		"truncated":              {behave(Behaviour{Truncate: &Truncation{After: 60}}), "x", "200 end", "broken off!+"},
+		"truncated to nothing":   {behave(Behaviour{Truncate: &Truncation{}}), "x", "nothing end", "broken off!+"},
+		"reset after execution": {
 			behave(Behaviour{Truncate: &Truncation{Reset: true}}), "x",
 			"nothing reset", "broken off!+",
 		},
-		"stalled":  {behave(Behaviour{Stall: true}), "x", "200 silence", "stalled!+"},
-		"failed":   {behave(Behaviour{FailFraction: 1}), "x", "500", "errored!+"},
-		"spoilt":   {behave(Behaviour{ReplaceWith: found}), "x", "302", "spoilt!+"},
-		"slow":     {behave(Behaviour{Slowdown: 1e6}), "x", "nothing silence", "killed!"},
-		"vanished": {func(p *Server) { _ = p.SetSilent(true) }, "x dial", "nothing silence|hangs", ""},
-		"vanished and back": {func(p *Server) {
+		"stalled":     {behave(Behaviour{Stall: true}), "x", "200 silence", "stalled!+"},
+		"failed":      {behave(Behaviour{FailFraction: 1}), "x", "500", "errored!+"},
+		"replaced":    {behave(Behaviour{ReplaceWith: found}), "x", "302", "spoilt!+"},
+		"slow":        {behave(Behaviour{Slowdown: 1e6}), "x", "nothing silence", "killed!"},
+		"unreachable": {func(p *Server) { _ = p.SetSilent(true) }, "x dial", "nothing silence|hangs", ""},
+		"unreachable for 20 ms": {func(p *Server) {
 			_ = p.SetSilent(true)
 			time.AfterFunc(20*time.Millisecond, func() { _ = p.SetSilent(false) })
 		}, "x new y", "200 x|200 y", "answered!+ answered!+"},
-		"vanished, then another": {
+		"unreachable, then restarted": {
 			func(p *Server) { _ = p.SetSilent(true); _ = p.Restart("s-2") }, "x new y",
 			"nothing reset|200 y", "answered!+",
 		},
 		"killed": {(*Server).Kill, "x", "nothing reset", ""},
-		"killed in a run": {func(p *Server) {
+		"killed during a request": {func(p *Server) {
 			p.SetBehaviour(Behaviour{Slowdown: 1e6})
 			go func() {
 				for p.RunCount("x") == 0 {
@@ -111,14 +111,14 @@
 				}
 				p.Close()
 				if ran := summarizeRequests(p); ran != test.ran {
-					t.Errorf("in its books: %q, want %q", ran, test.ran)
+					t.Errorf("logged: %q, want %q", ran, test.ran)
 				}
 			})
 		})
 	}
 }
 
-// summarizeRequests describes the server's requests.
+// summarizeRequests describes the outcomes of the server's requests.
 func summarizeRequests(p *Server) string {
 	var all []string
 	for _, r := range p.Requests() {
@@ -134,8 +134,8 @@
 	return strings.Join(all, " ")
 }
 
-// A core serves one request, the queue holds one, and who leaves it is never run; the first request on a connection and
-// those of a cold process take longer.
+// A core runs one request, the queue holds one, and a request whose client disconnects from it is never executed. The first
+// request on a connection and those of a process in slow start take longer.
 func TestServiceModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
@@ -172,7 +172,7 @@
 		ok(t, p.SetSilent(true))
 		took(last)
 		if r := p.Requests(); !r[len(r)-1].FirstByte.Equal(back) {
-			t.Errorf("%+v came before %s", r[len(r)-1], back)
+			t.Errorf("%+v was received before %s", r[len(r)-1], back)
 		}
 		time.Sleep(2 * time.Second)
 		if accepted, open := p.Connections(); accepted != 5 || open != 0 || p.RunCount("x") != 6 || p.RunCount("b") != 0 {
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -37,15 +37,15 @@
 
 // Tally counts attempts in consecutive windows of the given width, starting at from. Attempts due before from are left
 // out. A width of 0 puts all in one window.
-func Tally(tries []Attempt, from time.Time, width time.Duration) (windows []Window) {
+func Tally(attempts []Attempt, from time.Time, width time.Duration) (windows []Window) {
 	inObjective := map[string]bool{}
-	for i := range tries {
-		if tries[i].InObjective() {
-			inObjective[tries[i].RequestID] = true
+	for i := range attempts {
+		if attempts[i].InObjective() {
+			inObjective[attempts[i].RequestID] = true
 		}
 	}
-	for i := range tries {
-		t := &tries[i]
+	for i := range attempts {
+		t := &attempts[i]
 		if t.DueAt.Before(from) {
 			continue
 		}
@@ -77,17 +77,17 @@
 // least 95% of normal in every window for at least a second. normal is a fraction from 0 to 1, as ServedFraction returns
 // it for a period without faults. False means that there is no such second. The time is a multiple of the window width,
 // which must cover about twenty requests, so that a single failure by chance does not hide a recovery.
-func RecoveryTime(tries []Attempt, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
-	windows := Tally(tries, event, width)
+func RecoveryTime(attempts []Attempt, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
+	windows := Tally(attempts, event, width)
 	if len(windows) > 0 { // the last window may be incomplete
 		windows = windows[:len(windows)-1]
 	}
 	need := int((RecoveredFor + width - 1) / width)
-	for i, well := 0, 0; i < len(windows); i++ {
-		if well++; windows[i].ServedFraction() < RecoveredFraction*normal {
-			well = 0
+	for i, recovered := 0, 0; i < len(windows); i++ {
+		if recovered++; windows[i].ServedFraction() < RecoveredFraction*normal {
+			recovered = 0
 		}
-		if well == need {
+		if recovered == need {
 			return time.Duration(i+1-need) * width, true
 		}
 	}
--- a/internal/testbench/loadgen/arrivals.go
+++ b/internal/testbench/loadgen/arrivals.go
@@ -164,12 +164,12 @@
 }
 
 // pick draws one name, or returns "" if there are none.
-func (p picker) pick(draw *rand.Rand) string {
+func (p picker) pick(random *rand.Rand) string {
 	n := len(p.cumulative)
 	if n == 0 {
 		return ""
 	}
-	x := draw.Float64() * p.cumulative[n-1]
+	x := random.Float64() * p.cumulative[n-1]
 	i := min(n-1, sort.Search(n, func(i int) bool { return p.cumulative[i] > x }))
 	if p.names == nil {
 		return strconv.Itoa(i + 1)
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -44,7 +44,7 @@
 
 func constant(rate float64) Shape { return Shape{Kind: "constant", Rate: rate} }
 
-// constantPlan is a checked plan of one class and one stream.
+// constantPlan returns a checked plan of one class and one stream.
 func constantPlan(t *testing.T, shape Shape, spacing string, forS float64) *Plan {
 	t.Helper()
 	p := &Plan{
@@ -55,7 +55,7 @@
 	return p
 }
 
-// inBubble runs a plan in simulated time against a handler that is told the start.
+// inBubble runs a plan in a synctest bubble against a handler, which gets the start time as its first argument.
 func inBubble(t *testing.T, p *Plan, o Options, h func(time.Time, http.ResponseWriter, *http.Request)) *Result {
 	t.Helper()
 	var result *Result
@@ -65,7 +65,7 @@
 		l, err := n.Listen("")
 		ok(t, err)
 		start := time.Now()
-		var busy sync.WaitGroup // also with requests that nobody waits for any more
+		var busy sync.WaitGroup // includes requests that the client has given up
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			busy.Add(1)
 			defer busy.Done()
--- a/internal/testbench/loadgen/plan_test.go
+++ b/internal/testbench/loadgen/plan_test.go
@@ -50,7 +50,7 @@
 		"tile 2": counts["tile 1"] / math.Pow(2, 1.2), "tile 10": counts["tile 1"] / math.Pow(10, 1.2),
 	} {
 		if math.Abs(counts[key]-want) > 4*math.Sqrt(want) {
-			t.Errorf("%q: %v, want some %v", key, counts[key], want)
+			t.Errorf("%q: %v, want about %v", key, counts[key], want)
 		}
 	}
 }
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -17,7 +17,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// checkMs reports whether a duration is the one wanted, as exactly as the histogram holds it.
+// checkMs fails the test if a duration differs from the wanted one by more than the histogram's precision.
 func checkMs(t *testing.T, what string, ms *float64, want float64) {
 	t.Helper()
 	if ms == nil || math.Abs(*ms-want) > 0.001+want/1000 {
@@ -25,12 +25,12 @@
 	}
 }
 
-// A server that pauses for 2 s, from 5 ms before a request on, in a run of 10 s with 100 requests a second, evenly
-// spaced. By hand: the i-th longest of the 1000 waits is 1995 - 10(i-1) ms for i up to 200, and the others are nothing;
-// the quantile q is the one of rank 1000q from below, i = 1001 - 1000q. Counted from when requests were due that is
-// what is reported, whether each went out at once or one connection made them wait for each other, as a tool does that
-// waits for answers. Such a tool counts from the send, and sees one slow request.
-func TestPause(t *testing.T) {
+// Guards against coordinated omission. The server pauses for 2 s, starting 5 ms before a request, in a run of 10 s with 100
+// evenly spaced requests per second. Expected: the i-th longest of the 1000 latencies is 1995 - 10(i-1) ms for i up to 200,
+// and the others are 0; quantile q has rank 1000q from below, so i = 1001 - 1000q. Latencies from the due time are the same
+// if requests are sent at once and if they wait for a single connection, as in a closed-loop tool. Latencies from the send,
+// as such a tool reports them, show one slow request.
+func TestServerPause(t *testing.T) {
 	for name, test := range map[string]struct {
 		connections int
 		held        uint64
@@ -54,14 +54,14 @@
 				t.Errorf("%+v", row)
 			}
 			if report.ConnWaits != test.held {
-				t.Errorf("%d waited for a connection", report.ConnWaits)
+				t.Errorf("%d attempts waited for a connection", report.ConnWaits)
 			}
 			for i, q := range quantiles {
-				byHand := 0.0
+				expected := 0.0
 				if i := 1001 - 1000*q; i <= 200 {
-					byHand = 1995 - 10*(i-1)
+					expected = 1995 - 10*(i-1)
 				}
-				checkMs(t, fmt.Sprint("from due, ", q), row.Due[i], byHand)
+				checkMs(t, fmt.Sprint("from due, ", q), row.Due[i], expected)
 				checkMs(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
 			}
 			if s := report.Seconds; s[4].Requests != 100 || math.Abs(*s[4].Due[4]-1995) > 20 || *s[3].Due[4] != 0 {
@@ -71,9 +71,9 @@
 	}
 }
 
-// A generator that is stalled for 300 ms says so: it makes the run invalid, and does not blame the server. What is due
-// then goes out late, but all of it goes out. That second tries are on time makes no difference.
-func TestHeldUp(t *testing.T) {
+// A generator that is delayed for 300 ms reports the run as invalid. Requests due during the delay are sent late, but all
+// are sent. Second attempts that are on time make no difference.
+func TestGeneratorDelay(t *testing.T) {
 	p := constantPlan(t, constant(100), Even, 3)
 	p.Classes[0].Retry.MaxRetries = 1
 	calls := 0
@@ -97,69 +97,71 @@
 	checkMs(t, "from send", report.Classes[0].Sent[4], 0)
 
 	r = newResult(1)
-	r.Stall = 51 * time.Millisecond // with nothing due
+	r.Stall = 51 * time.Millisecond // with no requests due
 	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "delayed") {
 		t.Errorf("%+v", report)
 	}
 }
 
-// Each request counts once, with all its tries, from when it was first due.
+// Each request counts once, with all its attempts, from its due time.
 func TestRetries(t *testing.T) {
 	get := Class{Name: "tile", LatencyObjectiveMs: 150, DeadlineMs: 1000, Retry: Retry{MaxRetries: 2, WaitMs: 100}}
 	post := get
 	post.Method = "POST"
-	hasty, advised, impatient, short := get, get, get, get
-	hasty.Retry.WaitMs = 0
-	advised.Retry.MaxRetryAfterMs = 400
+	immediate, retryAfter, impatient, short := get, get, get, get
+	immediate.Retry.WaitMs = 0
+	retryAfter.Retry.MaxRetryAfterMs = 400
 	impatient.TimeoutMs, impatient.Retry.On = 50, []string{"timed_out"}
 	short.DeadlineMs = 150
-	answer := func(code int) func(http.ResponseWriter, int) {
-		return func(w http.ResponseWriter, try int) {
-			if try < 2 {
+	respond := func(code int) func(http.ResponseWriter, int) {
+		return func(w http.ResponseWriter, attempt int) {
+			if attempt < 2 {
 				w.Header().Set("Retry-After", "0.3")
 				w.WriteHeader(code)
 			}
 		}
 	}
-	late := func(_ http.ResponseWriter, try int) { time.Sleep([]time.Duration{200, 30, 0}[try] * time.Millisecond) }
+	late := func(_ http.ResponseWriter, attempt int) {
+		time.Sleep([]time.Duration{200, 30, 0}[attempt] * time.Millisecond)
+	}
 	lost := func(http.ResponseWriter, int) { panic(http.ErrAbortHandler) }
-	nobody := "10.9.9.9:9"
+	noListener := "10.9.9.9:9"
 	for name, test := range map[string]struct {
 		class    Class
-		answer   func(http.ResponseWriter, int)
+		respond  func(http.ResponseWriter, int)
 		address  string
-		want     string // asked, tries, in aim, ends, ends of tries
+		want     string // requests, attempts, requests in objective, outcomes, outcomes of attempts
 		due, end float64
 	}{
-		"refused":       {get, answer(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 200, 0},
-		"at once":       {hasty, answer(429), "", "10 30 10 map[served:10] map[refused:20 served:10]", 0, 0},
-		"advised":       {advised, answer(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 600, 0},
-		"no time":       {short, answer(503), "", "10 20 0 map[refused:10] map[refused:20]", -1, -1},
-		"failed":        {get, answer(500), "", "10 30 0 map[served:10] map[failed:20 served:10]", 200, 0},
-		"failed orders": {post, answer(500), "", "10 10 0 map[failed:10] map[failed:10]", -1, -1},
+		"refused":       {get, respond(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 200, 0},
+		"no delay":      {immediate, respond(429), "", "10 30 10 map[served:10] map[refused:20 served:10]", 0, 0},
+		"Retry-After":   {retryAfter, respond(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 600, 0},
+		"no time left":  {short, respond(503), "", "10 20 0 map[refused:10] map[refused:20]", -1, -1},
+		"failed":        {get, respond(500), "", "10 30 0 map[served:10] map[failed:20 served:10]", 200, 0},
+		"failed orders": {post, respond(500), "", "10 10 0 map[failed:10] map[failed:10]", -1, -1},
 		"timed out":     {impatient, late, "", "10 20 0 map[served:10] map[served:10 timed_out:10]", 180, 30},
 		"lost":          {get, lost, "", "10 30 0 map[lost:10] map[lost:30]", -1, -1},
-		"unreachable":   {post, lost, nobody, "10 30 0 map[unreachable:10] map[unreachable:30]", -1, -1},
+		"unreachable":   {post, lost, noListener, "10 30 0 map[unreachable:10] map[unreachable:30]", -1, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := constantPlan(t, constant(10), Even, 1)
 			p.Classes = []Class{test.class}
 			ok(t, p.Check())
-			tries := map[string]int{} // by id
+			attempts := map[string]int{} // by id
 			for q, err := range p.Requests() {
 				ok(t, err)
 				for n := range 3 {
-					tries[q.id(p.Seed, n)] = n
+					attempts[q.id(p.Seed, n)] = n
 				}
 			}
 			o := Options{Address: test.address}
 			r := inBubble(t, p, o, func(_ time.Time, w http.ResponseWriter, r *http.Request) {
 				id := r.Header.Get("Req-Id")
-				n, known := tries[id]
+				n, known := attempts[id]
 				if again := r.Header.Get("Req-Retry") == "1"; !known || again != (n > 0) {
 					t.Errorf("id %q, again: %t", id, again)
 				}
-				test.answer(w, n)
+				test.respond(w, n)
 			})
 			row := NewReport(p, r, "", 1).Classes[0]
 			maps.DeleteFunc(row.Outcomes, func(_ string, n uint64) bool { return n == 0 })
@@ -177,7 +179,7 @@
 	}
 }
 
-// Interrupted, a run keeps what it has; with nothing due, it is over at once.
+// An interrupted run returns a partial result; a run without requests ends at once.
 func TestShortRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
@@ -197,13 +199,13 @@
 			t.Errorf("%+v, %v: %s", r, err, out.String())
 		}
 		if report.Plot(&out, chart.SVG) == nil {
-			t.Error("nothing was drawn without a word")
+			t.Error("a plot of no seconds was drawn without an error")
 		}
 	})
 }
 
-// A request that crosses the close of a kept connection goes out once more, at once.
-func TestRequestMeetsClosingConnection(t *testing.T) {
+// A request sent on a reused connection while the server closes it is sent once more, without delay.
+func TestRequestSentDuringClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
@@ -216,7 +218,7 @@
 		c := r.Classes[0]
 		if seen := uint64(len(server.Requests())); c.Outcomes[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
 			seen != c.Requests {
-			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Outcomes, c.Resent, seen)
+			t.Errorf("%d requests, outcomes %v, %d resent, %d received", c.Requests, c.Outcomes, c.Resent, seen)
 		}
 	})
 }
--- a/internal/testbench/loadgen/shape_test.go
+++ b/internal/testbench/loadgen/shape_test.go
@@ -17,7 +17,7 @@
 		{"kind":"sine","rate":90,"swing":0.5,"period_s":7}]}`,
 }
 
-// What is expected in a time is the area below the rate, and the time of each number of arrivals is found again.
+// total is the integral of rate, and invert is the inverse of total.
 func TestShapes(t *testing.T) {
 	for _, text := range shapes {
 		s := parseShape(text)
@@ -28,12 +28,12 @@
 		for t0 := 0.0; t0 < 60; t0 += step {
 			area += c.rate(t0+step/2) * step
 			if total := c.total(t0 + step); math.Abs(total-area) > 1 {
-				t.Fatalf("%s: %v arrivals until %v s, the area is %v", text, total, t0+step, area)
+				t.Fatalf("%s: %v arrivals until %v s, the integral is %v", text, total, t0+step, area)
 			}
 		}
 		for target := 0.5; target < area-1; target += 7.3 {
 			if at, found := invert(c, target, 0, 60); !found || math.Abs(c.total(at)-target) > 1e-6 {
-				t.Fatalf("%s: arrival %v at %v (%t), where %v are expected", text, target, at, found, c.total(at))
+				t.Fatalf("%s: arrival %v at %v (%t), when %v are expected", text, target, at, found, c.total(at))
 			}
 		}
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// Seen in expected arrivals instead of seconds, Poisson arrivals are independent and exponential whatever the shape,
-// and even ones are 1 apart. The bound is that of Kolmogorov and Smirnov for one seed in a thousand.
+// Measured in expected arrivals instead of seconds, the gaps of Poisson arrivals are independent and exponential for every
+// shape, and those of even arrivals are 1. The bound is that of the Kolmogorov-Smirnov test at a significance of 0.001.
 func TestSpacing(t *testing.T) {
 	for _, text := range shapes {
 		for _, spacing := range []string{Poisson, Even} {
@@ -63,7 +63,7 @@
 			}
 			n := float64(len(gaps))
 			if want := c.total(60); math.Abs(n-want) > 4*math.Sqrt(want) {
-				t.Errorf("%s, %s: %v requests, %v are expected", text, spacing, n, want)
+				t.Errorf("%s, %s: %v requests, want about %v", text, spacing, n, want)
 			}
 			if spacing == Even {
 				for _, g := range gaps[1:] {
@@ -73,7 +73,7 @@
 				}
 				continue
 			}
-			serial := 0.0 // of neighbours
+			serial := 0.0 // autocorrelation of consecutive gaps
 			for i := range gaps[1:] {
 				serial += (gaps[i] - 1) * (gaps[i+1] - 1) / n
 			}
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// Three processes send the plan between them, each request once; what they report is the same as that of one.
+// Three parts of a plan send each request once, and their merged result is that of one process.
 func TestParts(t *testing.T) {
 	p := mixedPlan(t)
 	p.ForS = 2
@@ -22,7 +22,7 @@
 		ok(t, err)
 		return string(rows)
 	}
-	answer := func(_ time.Time, w http.ResponseWriter, r *http.Request) {
+	respond := func(_ time.Time, w http.ResponseWriter, r *http.Request) {
 		switch id := r.Header.Get("Req-Id"); {
 		case id[0] == '0':
 			w.WriteHeader(500)
@@ -30,10 +30,10 @@
 			time.Sleep(time.Duration(id[1]) * time.Millisecond)
 		}
 	}
-	undivided := inBubble(t, p, Options{}, answer)
+	undivided := inBubble(t, p, Options{}, respond)
 	var parts []*Result
 	for i := range 3 {
-		raw, err := json.Marshal(inBubble(t, p, Options{Part: i, Parts: 3}, answer))
+		raw, err := json.Marshal(inBubble(t, p, Options{Part: i, Parts: 3}, respond))
 		ok(t, err)
 		parts = append(parts, &Result{})
 		ok(t, json.Unmarshal(raw, parts[i]))
@@ -45,7 +45,7 @@
 	}
 }
 
-// Real processes on loopback, from the job to the merged result.
+// RunDistributed and RunWorker with processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
 	n := fakes.Loopback()
 	server, err := fakes.NewServer(n, fakes.ServerOptions{
@@ -72,13 +72,13 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	p.ForS = 1000 // none of which is waited for
+	p.ForS = 1000 // the interrupted run must not wait for them
 	if r, err := RunDistributed(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
 		t.Errorf("interrupted: %+v, %v", r, err)
 	}
 	for _, name := range []string{"/bin/true", "/bin/cat", "/nowhere"} {
 		if _, err := RunDistributed(t.Context(), p, "", []*exec.Cmd{exec.Command(name)}); err == nil {
-			t.Errorf("%s got ready", name)
+			t.Errorf("%s was accepted as a worker", name)
 		}
 	}
 }
--- a/internal/testbench/process/process_test.go
+++ b/internal/testbench/process/process_test.go
@@ -10,7 +10,7 @@
 )
 
 // CPUTime and ResidentMemory return values for this process and an error for one that does not exist.
-func TestOfAProcess(t *testing.T) {
+func TestProcessUsage(t *testing.T) {
 	if used, err := CPUTime(os.Getpid()); err != nil || used <= 0 {
 		t.Errorf("CPU %s, %v", used, err)
 	}
