--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -155,7 +155,8 @@
 	return nil, err
 }
 
-// releaseSlot lets the first waiting request open a connection, or lowers the count of open ones. The caller holds the mutex.
+// releaseSlot passes the slot of a closed connection to the first waiting request, or lowers the count of open connections
+// if none waits. The caller holds the mutex.
 func (c *ConnPool) releaseSlot() {
 	if len(c.waiters) == 0 {
 		c.open--
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -31,19 +31,19 @@
 		how   Behaviour
 		class Class
 		retry Retry
-		want  string // after "asked 41, in aim "
+		want  string // after "41 requests, "
 	}{
-		"served":           {Behaviour{}, tile, Retry{}, "41, served 41"},
-		"above objective":  {Behaviour{Slowdown: 9}, slowly, Retry{}, "0, served 41"},
-		"timed out":        {Behaviour{Stall: true}, slowly, Retry{}, "0, timed out 41"},
-		"refused":          {Behaviour{Drain: true}, order, Retry{}, "0, refused 41"},
-		"retried":          {Behaviour{Drain: true}, order, Retry{MaxRetries: 2}, "0, refused 123"},
-		"no time to retry": {Behaviour{Drain: true}, slowly, Retry{2 * time.Second, 2}, "0, refused 41"},
-		"failed orders":    {Behaviour{FailFraction: 1}, order, Retry{MaxRetries: 2}, "0, failed 41"},
-		"failed tiles":     {Behaviour{FailFraction: 1}, tile, Retry{MaxRetries: 2}, "0, failed 123"},
-		"truncated":        {broken(20), order, Retry{}, "0, failed 41"},
-		"lost":             {broken(0), order, Retry{}, "0, lost 41"},
-		"wrong":            {Behaviour{ReplaceWith: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0, wrong 41"},
+		"served":           {Behaviour{}, tile, Retry{}, "41 within objective, served 41"},
+		"above objective":  {Behaviour{Slowdown: 9}, slowly, Retry{}, "0 within objective, served 41"},
+		"timed out":        {Behaviour{Stall: true}, slowly, Retry{}, "0 within objective, timed out 41"},
+		"refused":          {Behaviour{Drain: true}, order, Retry{}, "0 within objective, refused 41"},
+		"retried":          {Behaviour{Drain: true}, order, Retry{MaxRetries: 2}, "0 within objective, refused 123"},
+		"no time to retry": {Behaviour{Drain: true}, slowly, Retry{2 * time.Second, 2}, "0 within objective, refused 41"},
+		"failed orders":    {Behaviour{FailFraction: 1}, order, Retry{MaxRetries: 2}, "0 within objective, failed 41"},
+		"failed tiles":     {Behaviour{FailFraction: 1}, tile, Retry{MaxRetries: 2}, "0 within objective, failed 123"},
+		"truncated":        {broken(20), order, Retry{}, "0 within objective, failed 41"},
+		"lost":             {broken(0), order, Retry{}, "0 within objective, lost 41"},
+		"wrong":            {Behaviour{ReplaceWith: encodeResponse(200, "", []byte("x\n"))}, tile, Retry{}, "0 within objective, wrong 41"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onBothNetworks(t, func(t *testing.T, n Network) {
@@ -57,7 +57,7 @@
 					Streams: []Stream{{Class: test.class, Tenant: "acme", Rate: 200}},
 				}
 				attempts := NewClients(load).Run(t.Context())
-				if got := Tally(attempts, start, 0); len(got) != 1 || got[0].String() != "asked 41, in aim "+test.want {
+				if got := Tally(attempts, start, 0); len(got) != 1 || got[0].String() != "41 requests, "+test.want {
 					t.Errorf("%v, want %s", got, test.want)
 				}
 			})
@@ -152,14 +152,14 @@
 }
 
 // relay is a minimal sidecar: it has a fixed endpoint list and forwards each request to an endpoint chosen by its id.
-func relay(n Network, members []Endpoint) http.Handler {
+func relay(n Network, endpoints []Endpoint) http.Handler {
 	return &httputil.ReverseProxy{
 		Transport: &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return n.Dial(ctx, address)
 		}, MaxIdleConnsPerHost: 100},
 		Rewrite: func(r *httputil.ProxyRequest) {
 			id := r.In.Header.Get(headerID)
-			r.SetURL(&url.URL{Scheme: "http", Host: members[int(id[0]+id[1])%len(members)].Address})
+			r.SetURL(&url.URL{Scheme: "http", Host: endpoints[int(id[0]+id[1])%len(endpoints)].Address})
 		},
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -63,7 +63,7 @@
 	indented, chunked                                                      bool
 	delay                                                                  time.Duration
 	replacement                                                            []byte
-	held                                                                   chan struct{} // closed when HoldResponses(false) is called; nil = responses are not held
+	held                                                                   chan struct{} // closed when released; nil = not held
 }
 
 // Discovery serves the complete endpoint list and watches, and injects faults on request. It is safe for concurrent use;
@@ -280,7 +280,7 @@
 		return c.write(encodeResponse(404, "", nil))
 	}
 	query := m.URL.Query()
-	request := DiscoveryRequest{At: m.last, Conn: c.connNumber, Complete: !query.Has("index")}
+	request := DiscoveryRequest{At: m.lastByte, Conn: c.number, Complete: !query.Has("index")}
 	request.Index, _ = strconv.ParseUint(query.Get("index"), 10, 64)
 	ms, _ := strconv.ParseUint(query.Get("wait"), 10, 32)
 	request.Wait = min(maxWait, time.Duration(ms)*time.Millisecond)
--- a/internal/testbench/fakes/doc.go
+++ b/internal/testbench/fakes/doc.go
@@ -64,8 +64,8 @@
 // On loopback, use Loopback() as the network, and start the program with the file's path in GW_CONFIG and a port that the
 // test chooses. Everything else is the same.
 //
-// In a bubble a run is determined by its seeds. Arrivals are generated in advance, the random values of a server for a
-// request depend on that request alone, and the Memory network's delays differ by connection, since the order of events
-// at the same instant would be random. What remains random is the order of two connections opened to one address at the
-// same instant, and the sidecar's own random choices.
+// In a bubble a run is determined by its seeds. Arrivals are generated in advance, and the random values of a server for a
+// request depend on that request alone. The Memory network's delays differ by connection, since the order of events at the
+// same instant would be random. What remains random is the order of two connections opened to one address at the same
+// instant, and the sidecar's own random choices.
 package fakes
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -19,29 +19,29 @@
 	handle      func(*hostConn, *message) bool // responds to a request; false = close the connection
 	idleTimeout time.Duration                  // idle time after which a connection is closed; 0 = never
 
-	mutex    sync.Mutex
-	address  string
-	listener Listener
-	conns    map[*hostConn]struct{}
-	accepted int
-	silent   chan struct{} // closed when the machine is reachable again; nil = it is reachable
-	running  sync.WaitGroup
+	mutex          sync.Mutex
+	address        string
+	listener       Listener
+	conns          map[*hostConn]struct{}
+	accepted       int
+	reachableAgain chan struct{} // closed when the machine is reachable again; nil = it is reachable
+	running        sync.WaitGroup
 }
 
 // message is one fully read request.
 type message struct {
 	*http.Request
-	body        []byte
-	first, last time.Time     // when its first and last byte were received
-	sent        time.Time     // when the first byte arrived, even if the machine was unreachable then
-	idle        time.Duration // idle time of its connection before it
+	body                []byte
+	firstByte, lastByte time.Time     // when its first and last byte were received
+	arrivedAt           time.Time     // when the first byte arrived, even if the machine was unreachable then
+	idle                time.Duration // idle time of its connection before it
 }
 
 // hostConn is one accepted connection.
 type hostConn struct {
 	net.Conn
 	host           *host
-	connNumber     int
+	number         int
 	messages       chan *message
 	clientDone     chan struct{} // closed when the client has closed its sending side
 	closed         chan struct{} // closed when this side has closed the connection
@@ -114,15 +114,15 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	switch {
-	case on == (h.silent != nil):
+	case on == (h.reachableAgain != nil):
 		return nil
 	case on && h.listener == nil:
 		return fmt.Errorf("make %q unreachable: it is not listening; start it first", h.address)
 	case on:
-		h.silent = make(chan struct{})
+		h.reachableAgain = make(chan struct{})
 	default:
-		close(h.silent)
-		h.silent = nil
+		close(h.reachableAgain)
+		h.reachableAgain = nil
 	}
 	if h.listener == nil {
 		return nil
@@ -142,7 +142,7 @@
 		}
 		h.mutex.Lock()
 		h.accepted++
-		c.connNumber = h.accepted
+		c.number = h.accepted
 		h.conns[c] = struct{}{}
 		stale := h.listener != l // accepted while resetAll ran, which has missed it
 		h.mutex.Unlock()
@@ -172,13 +172,13 @@
 func (c *hostConn) waitWhileSilent() {
 	for {
 		c.host.mutex.Lock()
-		silence := c.host.silent
+		reachableAgain := c.host.reachableAgain
 		c.host.mutex.Unlock()
-		if silence == nil {
+		if reachableAgain == nil {
 			return
 		}
 		select {
-		case <-silence:
+		case <-reachableAgain:
 		case <-c.closed:
 			return
 		}
@@ -193,7 +193,7 @@
 		_, err := br.Peek(1)
 		sent := time.Now()
 		c.waitWhileSilent()
-		m := &message{first: time.Now(), sent: sent}
+		m := &message{firstByte: time.Now(), arrivedAt: sent}
 		if err == nil {
 			m.Request, err = http.ReadRequest(br)
 		}
@@ -204,7 +204,7 @@
 		if err != nil {
 			return
 		}
-		m.last = time.Now()
+		m.lastByte = time.Now()
 		select {
 		case c.messages <- m:
 		case <-c.closed:
@@ -222,7 +222,7 @@
 		}
 		select {
 		case m := <-c.messages:
-			m.idle = max(0, m.first.Sub(c.idleSince))
+			m.idle = max(0, m.firstByte.Sub(c.idleSince))
 			if !c.host.handle(c, m) || m.Close {
 				return
 			}
--- a/internal/testbench/fakes/memory_conn.go
+++ b/internal/testbench/fakes/memory_conn.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// maxBuffered is the number of unread bytes in one direction of a connection above which writes block.
+// maxBuffered is the limit on bytes in transit or unread in one direction of a connection, at which writes block.
 const maxBuffered = 256 << 10
 
 // link is the state shared by both ends of a connection. Its mutex guards both directions and is not held while waiting.
--- a/internal/testbench/fakes/network_test.go
+++ b/internal/testbench/fakes/network_test.go
@@ -128,10 +128,10 @@
 			expectRead(t, a, "", nil)
 		},
 		"read deadline, then cleared": func(t *testing.T, a, b net.Conn) {
-			began := time.Now()
-			ok(t, a.SetReadDeadline(began.Add(20*time.Millisecond)))
+			start := time.Now()
+			ok(t, a.SetReadDeadline(start.Add(20*time.Millisecond)))
 			expectRead(t, a, "", os.ErrDeadlineExceeded)
-			if time.Since(began) < 20*time.Millisecond {
+			if time.Since(start) < 20*time.Millisecond {
 				t.Error("too early")
 			}
 			ok(t, a.SetReadDeadline(time.Time{}))
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -81,8 +81,8 @@
 	return p.behaviour
 }
 
-// SetSilent(true) makes the machine unreachable: requests get no response, nothing is reset and new connections hang.
-// SetSilent(false) makes it reachable again with the same process; so do Kill and Restart, which end that process.
+// SetSilent makes the machine unreachable: requests get no response, nothing is reset and new connections hang. With false
+// the machine is reachable again with the same process; Kill and Restart also make it reachable, but end that process.
 func (p *Server) SetSilent(on bool) error { return p.setSilent(on) }
 
 // ResetOpenConns makes the server reset each connection that is open now when the next request arrives on it.
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -58,8 +58,8 @@
 	defer p.state.Unlock()
 	p.requests = append(p.requests, Request{
 		ID: m.Header.Get(headerID), Class: m.class(), Method: m.Method, Path: m.URL.RequestURI(), Body: string(m.body),
-		Server: p.current.id, FirstByte: m.first, LastByte: m.last, Sent: m.sent, Deadline: m.Header.Get(headerDeadline),
-		Conn: c.connNumber, Carried: c.requestsServed, Idle: m.idle,
+		Server: p.current.id, FirstByte: m.firstByte, LastByte: m.lastByte, Sent: m.arrivedAt, Deadline: m.Header.Get(headerDeadline),
+		Conn: c.number, Carried: c.requestsServed, Idle: m.idle,
 	})
 	return len(p.requests) - 1, p.current
 }
@@ -104,7 +104,7 @@
 	case behaviour.Drain || behaviour.Probes == ProbesUnavailable:
 		status = 503
 	}
-	p.probes = append(p.probes, Probe{At: m.last, Conn: c.connNumber, Path: m.URL.Path, Status: status})
+	p.probes = append(p.probes, Probe{At: m.lastByte, Conn: c.number, Path: m.URL.Path, Status: status})
 	p.state.Unlock()
 	if behaviour.Unresponsive {
 		return c.waitForClose()
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -146,9 +146,9 @@
 		ok(t, err)
 		defer p.Close()
 		took := func(c *testConn) time.Duration {
-			began := time.Now()
+			start := time.Now()
 			c.get("/tile/1", "x")
-			return time.Since(began).Round(time.Millisecond)
+			return time.Since(start).Round(time.Millisecond)
 		}
 		a, b, c := dialTest(t, n, p.Address()), dialTest(t, n, p.Address()), dialTest(t, n, p.Address())
 		got := []time.Duration{took(a), took(a)}
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -26,7 +26,7 @@
 // String returns the request counts and the nonzero attempt counts.
 func (w Window) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "asked %d, in aim %d", w.Requests, w.InObjective)
+	fmt.Fprintf(&b, "%d requests, %d within objective", w.Requests, w.InObjective)
 	for r, n := range w.Counts {
 		if n > 0 {
 			fmt.Fprintf(&b, ", %s %d", Result(r), n)
--- a/internal/testbench/loadgen/arrivals.go
+++ b/internal/testbench/loadgen/arrivals.go
@@ -28,8 +28,8 @@
 }
 
 // id returns the request id of one attempt, numbered from 0.
-func (r *Request) id(seed uint64, try int) string {
-	return fmt.Sprintf("%016x", rand.NewPCG(seed, r.Index<<8|uint64(try)).Uint64())
+func (r *Request) id(seed uint64, attempt int) string {
+	return fmt.Sprintf("%016x", rand.NewPCG(seed, r.Index<<8|uint64(attempt)).Uint64())
 }
 
 // Requests returns the requests ordered by due time. The sequence is the same at each call and in every process. The plan
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -32,20 +32,20 @@
 	class := &c.plan.Classes[q.class]
 	d := completion{class: q.class, due: due, latencyObjective: milliseconds(class.LatencyObjectiveMs)}
 	until := due.Add(milliseconds(class.DeadlineMs))
-	for try, at := 0, due; ; try++ {
-		t := c.sendAttempt(&q, class, try, at, until)
-		if try == 0 {
+	for number, at := 0, due; ; number++ {
+		t := c.sendAttempt(&q, class, number, at, until)
+		if number == 0 {
 			d.late = t.late
 		}
 		d.attempts++
-		end := Outcome(t.Result)
-		d.attemptOutcomes[end]++
+		outcome := Outcome(t.Result)
+		d.attemptOutcomes[outcome]++
 		if t.Resent {
 			d.resent++
 		}
-		d.outcome, d.sentAt, d.endedAt = end, t.SentAt, time.Now()
+		d.outcome, d.sentAt, d.endedAt = outcome, t.SentAt, time.Now()
 		at = d.endedAt.Add(class.Retry.wait(t.retryAfter))
-		if try >= class.Retry.MaxRetries || !slices.Contains(class.Retry.On, end.String()) || !at.Before(until) {
+		if number >= class.Retry.MaxRetries || !slices.Contains(class.Retry.On, outcome.String()) || !at.Before(until) {
 			break
 		}
 		time.Sleep(time.Until(at))
@@ -56,8 +56,8 @@
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // wait returns the delay before a retry: the plan's, or the response's Retry-After if it is longer, up to the plan's limit.
-func (r *Retry) wait(advice time.Duration) time.Duration {
-	return max(milliseconds(r.WaitMs), min(advice, milliseconds(r.MaxRetryAfterMs)))
+func (r *Retry) wait(retryAfter time.Duration) time.Duration {
+	return max(milliseconds(r.WaitMs), min(retryAfter, milliseconds(r.MaxRetryAfterMs)))
 }
 
 // attempt is the outcome of one attempt.
@@ -70,8 +70,8 @@
 // sendAttempt sends one attempt that is due at the given time.
 func (c *client) sendAttempt(q *Request, class *Class, number int, at, until time.Time) (t attempt) {
 	if class.TimeoutMs > 0 {
-		if patient := at.Add(milliseconds(class.TimeoutMs)); patient.Before(until) {
-			until = patient
+		if timeout := at.Add(milliseconds(class.TimeoutMs)); timeout.Before(until) {
+			until = timeout
 		}
 	}
 	t.late = time.Since(at)
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -272,7 +272,7 @@
 		return fmt.Errorf("%s.retry.most: %d; want from 0 to %d", key, c.Retry.MaxRetries, maxRetries)
 	}
 	for i, name := range c.Retry.On {
-		if end, ok := outcomeNamed(name); !ok || end == Served {
+		if end, ok := parseOutcome(name); !ok || end == Served {
 			return fmt.Errorf("%s.retry.on[%d]: %q; want one of %s", key, i, name, strings.Join(outcomeNames[1:], ", "))
 		}
 	}
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -32,7 +32,7 @@
 
 func (e Outcome) String() string { return outcomeNames[e] }
 
-func outcomeNamed(name string) (Outcome, bool) {
+func parseOutcome(name string) (Outcome, bool) {
 	i := slices.Index(outcomeNames[:], name)
 	return Outcome(i), i >= 0
 }
@@ -40,17 +40,17 @@
 const (
 	fineDigits   = 3 // significant digits of histograms over a whole run: values are within 0.1%
 	coarseDigits = 2 // significant digits of those over one second: within 1%
-	longestUs    = int64(time.Hour / time.Microsecond)
+	maxUs        = int64(time.Hour / time.Microsecond)
 )
 
 // Histogram is a histogram of durations in microseconds. Only values that occur take memory. It is not safe for concurrent
 // use.
 type Histogram struct{ packed *hdrhistogram.PackedHistogram }
 
-func newHist(digits int) Histogram { return Histogram{hdrhistogram.NewPacked(1, longestUs, digits)} }
+func newHistogram(digits int) Histogram { return Histogram{hdrhistogram.NewPacked(1, maxUs, digits)} }
 
 func (h Histogram) record(d time.Duration) {
-	_ = h.packed.RecordValue(min(max(0, d.Microseconds()), longestUs)) // in range, so it can't fail
+	_ = h.packed.RecordValue(min(max(0, d.Microseconds()), maxUs)) // in range, so it can't fail
 }
 
 // Count returns the number of recorded values.
@@ -100,7 +100,7 @@
 	Sent Histogram `json:"sent"` // latency of served requests from sending the last attempt, as a closed-loop tool reports it
 }
 
-func newTally(digits int) Tally { return Tally{Due: newHist(digits), Sent: newHist(digits)} }
+func newTally(digits int) Tally { return Tally{Due: newHistogram(digits), Sent: newHistogram(digits)} }
 
 // completion describes a request that has ended.
 type completion struct {
@@ -149,15 +149,15 @@
 
 // Result is the result of a run, or of one process's part of it.
 type Result struct {
-	Partial         bool          `json:"partial"` // the run was interrupted
-	Ran             time.Duration `json:"ran_ns"`  // from the start to the end of the last request
-	Late            Histogram     `json:"late"`    // delay of first attempts by the generator, not counting waits for a connection
-	Stall           time.Duration `json:"stall_ns"`
-	ConnWaits       uint64        `json:"held"` // attempts that waited since the limit on connections was reached
-	LongestConnWait time.Duration `json:"held_longest_ns"`
-	ConnsOpened     uint64        `json:"opened"`  // connections
-	Classes         []Tally       `json:"classes"` // in the plan's order
-	Seconds         []Second      `json:"seconds"` // by due time
+	Partial         bool          `json:"partial"`         // the run was interrupted
+	Ran             time.Duration `json:"ran_ns"`          // from the start to the end of the last request
+	Late            Histogram     `json:"late"`            // delay of first attempts, without waits for a connection
+	Stall           time.Duration `json:"stall_ns"`        // longest delay of the process's timers
+	ConnWaits       uint64        `json:"held"`            // attempts that waited since the limit on connections was reached
+	LongestConnWait time.Duration `json:"held_longest_ns"` // the longest of these waits
+	ConnsOpened     uint64        `json:"opened"`          // connections
+	Classes         []Tally       `json:"classes"`         // in the plan's order
+	Seconds         []Second      `json:"seconds"`         // by due time
 }
 
 func newTallies(n, digits int) (all []Tally) {
@@ -168,7 +168,7 @@
 }
 
 func newResult(classes int) *Result {
-	return &Result{Late: newHist(fineDigits), Classes: newTallies(classes, fineDigits)}
+	return &Result{Late: newHistogram(fineDigits), Classes: newTallies(classes, fineDigits)}
 }
 
 // second returns the i-th second, with a tally for each class.
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -86,9 +86,9 @@
 	Invalid           []string    `json:"invalid,omitempty"` // reasons why the run is invalid
 	Partial           bool        `json:"partial"`           // the run was interrupted
 	LateMs            Latency     `json:"late_ms"`
-	StallMs           float64     `json:"stall_ms"` // maximum delay of the generator's timers
-	ConnWaits         uint64      `json:"held"`     // attempts that waited for a connection
-	LongestConnWaitMs float64     `json:"held_longest_ms"`
+	StallMs           float64     `json:"stall_ms"`        // maximum delay of the generator's timers
+	ConnWaits         uint64      `json:"held"`            // attempts that waited for a connection
+	LongestConnWaitMs float64     `json:"held_longest_ms"` // the longest of these waits
 	ConnsOpened       uint64      `json:"connections_opened"`
 	Classes           []Row       `json:"classes"` // the last row is the sum of all classes
 	Seconds           []SecondRow `json:"seconds"`
@@ -130,16 +130,16 @@
 
 // checkLateness marks the report as invalid if the generator's own delay exceeds its bounds.
 func (r *Report) checkLateness(l Lateness) {
-	say := func(what string, is, most float64) {
+	checkLimit := func(what string, is, most float64) {
 		if is > most {
 			r.Invalid = append(r.Invalid, fmt.Sprintf("%s %.3f ms, more than %v ms", what, is, most))
 		}
 	}
 	if r.LateMs[0] != nil {
-		say("requests were started late, at the 99th percentile by", *r.LateMs[2], l.P99Ms)
-		say("a request was started late by", *r.LateMs[4], l.MaxMs)
+		checkLimit("requests were started late, at the 99th percentile by", *r.LateMs[2], l.P99Ms)
+		checkLimit("a request was started late by", *r.LateMs[4], l.MaxMs)
 	}
-	say("the generator itself was delayed by", r.StallMs, l.MaxMs)
+	checkLimit("the generator itself was delayed by", r.StallMs, l.MaxMs)
 	r.Valid = len(r.Invalid) == 0
 }
 
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer a.file.Close()
+		defer a.timerFile.Close()
 		o.Pause = a.sleep
 	}
 	if now := time.Now(); o.Start.Before(now) {
@@ -111,8 +111,8 @@
 // kernelTimer sleeps on a timerfd, which is about 50 us late, while the runtime's timers are 1 ms late. It is polled like a
 // socket: a thread blocked in a sleep would delay other goroutines, by some ms on a machine with one core.
 type kernelTimer struct {
-	fd   int
-	file *os.File
+	fd        int
+	timerFile *os.File
 }
 
 func newKernelTimer() (*kernelTimer, error) {
@@ -127,7 +127,7 @@
 func (a *kernelTimer) sleep(d time.Duration) {
 	var times [8]byte
 	if unix.TimerfdSettime(a.fd, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(int64(d))}, nil) == nil {
-		_, _ = a.file.Read(times[:])
+		_, _ = a.timerFile.Read(times[:])
 	}
 }
 
--- a/internal/testbench/process/process.go
+++ b/internal/testbench/process/process.go
@@ -16,7 +16,7 @@
 // CPUTime returns the user and system CPU time that a process has used so far. Unlike /proc/PID/stat, which has ticks of
 // 10 ms, it has nanosecond resolution.
 func CPUTime(pid int) (time.Duration, error) {
-	const cpuClock, perProcess = 2, 3 // clock_gettime(2): the id of a process's CPU clock is the complement of the pid, shifted left by three bits
+	const cpuClock, perProcess = 2, 3 // clock_gettime(2): id of a process's CPU clock, ^pid shifted by 3 bits and clock type 2
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<perProcess|cpuClock), &t); err != nil {
 		return 0, fmt.Errorf("the CPU clock of process %d: %w", pid, err)
