--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -117,7 +117,7 @@
 func awaitRevision(ctx context.Context, d *fakes.Discovery) error {
 	current := d.Revision()
 	return await(ctx, func() bool {
-		polls := d.Calls()
+		polls := d.Requests()
 		return len(polls) > 0 && polls[len(polls)-1].Index >= current
 	})
 }
--- a/internal/testbench/capacity/measure.go
+++ b/internal/testbench/capacity/measure.go
@@ -96,7 +96,7 @@
 	load := w.newLoad(p.Settle + p.Window)
 	loadCtx, endLoad := context.WithCancel(ctx)
 	defer endLoad()
-	var tries []fakes.Try
+	var tries []fakes.Attempt
 	var loadRunning sync.WaitGroup
 	loadRunning.Go(func() { tries = load.Run(loadCtx) })
 	w.every(ctx, &running, point.Changes, func(n int) error { w.changeEndpoint(n); return nil })
@@ -166,7 +166,7 @@
 	if from, err = w.readAll(ctx); err != nil {
 		return from, to, err
 	}
-	busy := process.WatchBusy()
+	busy := process.StartLoadMonitor()
 	err = fakes.Pause(ctx, p.Window)
 	stall, _ := busy.Sample()
 	busy.Close()
@@ -222,7 +222,7 @@
 }
 
 // countRequests counts the requests that were due in the window, and computes the latency added to those that were served.
-func (m *Measured) countRequests(tries []fakes.Try, serviceTimes *sync.Map, from, to time.Time) {
+func (m *Measured) countRequests(tries []fakes.Attempt, serviceTimes *sync.Map, from, to time.Time) {
 	var added []float64
 	for _, t := range tries {
 		if t.DueAt.Before(from) || !t.DueAt.Before(to) {
--- a/internal/testbench/capacity/sidecar.go
+++ b/internal/testbench/capacity/sidecar.go
@@ -109,10 +109,10 @@
 }
 
 // cpu returns the CPU time that the process has used so far.
-func (s *sidecar) cpu() (time.Duration, error) { return process.CPU(s.process.Pid()) }
+func (s *sidecar) cpu() (time.Duration, error) { return process.CPUTime(s.process.Pid()) }
 
 // resident returns the resident memory of the process, in bytes.
-func (s *sidecar) resident() (int64, error) { return process.Resident(s.process.Pid()) }
+func (s *sidecar) resident() (int64, error) { return process.ResidentMemory(s.process.Pid()) }
 
 // scrape reads /metrics and returns the number of bytes transferred, in both directions, and the body.
 func (s *sidecar) scrape(ctx context.Context, n fakes.Network) (bytes int64, body []byte, err error) {
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -194,7 +194,7 @@
 }
 
 // CPU returns the CPU time that the child process has used so far.
-func (p *Process) CPU() (time.Duration, error) { return process.CPU(p.cmd.Process.Pid) }
+func (p *Process) CPU() (time.Duration, error) { return process.CPUTime(p.cmd.Process.Pid) }
 
 // OwnCPU returns the CPU time that this process has used so far; 0 if it can't be read.
 func OwnCPU() time.Duration {
--- a/internal/testbench/fakes/network_test.go
+++ b/internal/testbench/fakes/network_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// onBoth runs a test in a bubble on the Memory network and in real time on loopback.
-func onBoth(t *testing.T, test func(t *testing.T, n Network)) {
+// onBothNetworks runs a test in a bubble on the Memory network and in real time on loopback.
+func onBothNetworks(t *testing.T, test func(t *testing.T, n Network)) {
 	t.Parallel()
 	for name, delay := range map[string]time.Duration{"memory": 0, "delayed": 3 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// pair returns both ends of a connection.
-func pair(t *testing.T, n Network) (a, b net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T, n Network) (a, b net.Conn) {
 	t.Helper()
 	l, err := n.Listen("")
 	ok(t, err)
@@ -58,8 +58,8 @@
 	ok(t, err)
 }
 
-// gets reads to the end and checks what came and how it ended; nil = in order.
-func gets(t *testing.T, c net.Conn, want string, end error) {
+// expectRead reads to the end and checks the data and the error; nil = a graceful close.
+func expectRead(t *testing.T, c net.Conn, want string, end error) {
 	t.Helper()
 	got, err := io.ReadAll(c)
 	if string(got) != want || !errors.Is(err, end) {
@@ -67,11 +67,11 @@
 	}
 	var op *net.OpError
 	if err != nil && !errors.As(err, &op) {
-		t.Errorf("%v is no *net.OpError", err)
+		t.Errorf("%v is not a *net.OpError", err)
 	}
 }
 
-// failingWrite writes until that fails.
+// failingWrite writes until a write fails, and returns the error.
 func failingWrite(c net.Conn) error {
 	for {
 		if _, err := c.Write([]byte("x")); err != nil {
@@ -83,10 +83,10 @@
 
 func TestConnections(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T, a, b net.Conn){
-		"bytes and an end": func(t *testing.T, a, b net.Conn) {
+		"data and a close": func(t *testing.T, a, b net.Conn) {
 			send(t, b, "ab")
 			ok(t, b.Close())
-			gets(t, a, "ab", nil)
+			expectRead(t, a, "ab", nil)
 		},
 		"half close": func(t *testing.T, a, b net.Conn) {
 			send(t, a, "ab")
@@ -94,17 +94,17 @@
 			if _, err := a.Write([]byte("c")); !errors.Is(err, syscall.EPIPE) {
 				t.Errorf("a write after the half close: %v", err)
 			}
-			gets(t, b, "ab", nil)
+			expectRead(t, b, "ab", nil)
 			send(t, b, "cd")
 			ok(t, b.Close())
-			gets(t, a, "cd", nil)
+			expectRead(t, a, "cd", nil)
 		},
-		"reset behind bytes": func(t *testing.T, a, b net.Conn) {
+		"reset after data": func(t *testing.T, a, b net.Conn) {
 			send(t, b, "ab")
 			_, err := io.ReadFull(a, make([]byte, 1))
 			ok(t, err)
 			Abort(b)
-			gets(t, a, "b", syscall.ECONNRESET)
+			expectRead(t, a, "b", syscall.ECONNRESET)
 		},
 		"writes after a reset": func(t *testing.T, a, b net.Conn) {
 			Abort(b)
@@ -112,36 +112,36 @@
 				t.Error(err)
 			}
 		},
-		"closed with bytes unread": func(t *testing.T, a, b net.Conn) {
+		"closed with unread data": func(t *testing.T, a, b net.Conn) {
 			send(t, a, "ab")
 			_, err := io.ReadFull(b, make([]byte, 1))
 			ok(t, err, b.Close())
-			gets(t, a, "", syscall.ECONNRESET)
+			expectRead(t, a, "", syscall.ECONNRESET)
 		},
-		"written after the close": func(t *testing.T, a, b net.Conn) {
+		"write after the close": func(t *testing.T, a, b net.Conn) {
 			ok(t, b.Close())
-			gets(t, a, "", nil)
-			send(t, a, "x") // the first is taken, and answered with a reset
+			expectRead(t, a, "", nil)
+			send(t, a, "x") // the first write succeeds and triggers a reset
 			if err := failingWrite(a); !errors.Is(err, syscall.EPIPE) {
 				t.Error(err)
 			}
-			gets(t, a, "", nil)
+			expectRead(t, a, "", nil)
 		},
-		"read deadline, and again": func(t *testing.T, a, b net.Conn) {
-			began := time.Now()
-			ok(t, a.SetReadDeadline(began.Add(20*time.Millisecond)))
-			gets(t, a, "", os.ErrDeadlineExceeded)
-			if time.Since(began) < 20*time.Millisecond {
+		"read deadline, then cleared": func(t *testing.T, a, b net.Conn) {
+			start := time.Now()
+			ok(t, a.SetReadDeadline(start.Add(20*time.Millisecond)))
+			expectRead(t, a, "", os.ErrDeadlineExceeded)
+			if time.Since(start) < 20*time.Millisecond {
 				t.Error("too early")
 			}
 			ok(t, a.SetReadDeadline(time.Time{}))
 			send(t, b, "ab")
 			ok(t, b.Close())
-			gets(t, a, "ab", nil)
+			expectRead(t, a, "ab", nil)
 		},
-		"a deadline ends a read": func(t *testing.T, a, _ net.Conn) {
+		"deadline set during a read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.SetReadDeadline(time.Unix(1, 0)) })
-			gets(t, a, "", os.ErrDeadlineExceeded)
+			expectRead(t, a, "", os.ErrDeadlineExceeded)
 		},
 		"write deadline": func(t *testing.T, a, _ net.Conn) {
 			much := make([]byte, 32<<20)
@@ -151,7 +151,7 @@
 				t.Errorf("%d, %v", n, err)
 			}
 		},
-		"a full window drains": func(t *testing.T, a, b net.Conn) {
+		"write blocked by a full window": func(t *testing.T, a, b net.Conn) {
 			done := make(chan error)
 			go func() { _, err := a.Write(make([]byte, 32<<20)); a.Close(); done <- err }()
 			n, err := io.Copy(io.Discard, b)
@@ -159,17 +159,17 @@
 				t.Error(n)
 			}
 		},
-		"a close ends the own read": func(t *testing.T, a, _ net.Conn) {
+		"close during a read": func(t *testing.T, a, _ net.Conn) {
 			time.AfterFunc(10*time.Millisecond, func() { a.Close() })
-			gets(t, a, "", net.ErrClosed)
+			expectRead(t, a, "", net.ErrClosed)
 			if a.Close() == nil {
 				t.Error("closed twice")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, n Network) {
-				a, b := pair(t, n)
+			onBothNetworks(t, func(t *testing.T, n Network) {
+				a, b := connPair(t, n)
 				test(t, a, b)
 			})
 		})
@@ -177,7 +177,7 @@
 }
 
 func TestListeners(t *testing.T) {
-	onBoth(t, func(t *testing.T, n Network) {
+	onBothNetworks(t, func(t *testing.T, n Network) {
 		l, err := n.Listen("")
 		ok(t, err)
 		address := l.Addr().String()
@@ -194,11 +194,11 @@
 		accept := func() {
 			c, err := l.Accept()
 			ok(t, err)
-			gets(t, c, "x", nil)
+			expectRead(t, c, "x", nil)
 			c.Close()
 		}
 		if _, err := n.Listen(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("two at one address: %v", err)
+			t.Errorf("second listener at the same address: %v", err)
 		}
 		ok(t, dial(10*time.Second))
 		accept()
@@ -208,7 +208,7 @@
 			t.Errorf("frozen: %v", err)
 		}
 		ok(t, l.Freeze(false), dial(10*time.Second))
-		accept() // and nothing of what filled the queue
+		accept() // no connection that filled the queue is accepted
 		ok(t, l.Freeze(true))
 		time.AfterFunc(10*time.Millisecond, func() { l.Close() })
 		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -10,61 +10,61 @@
 	"time"
 )
 
-// serveMessage serves one message.
+// serveMessage serves a request or a probe; false means that the connection is to be closed.
 func (p *Server) serveMessage(c *hostConn, m *message) bool {
-	how := p.currentBehaviour()
-	reset := how.resets(c, m) || p.isMarked(c)
+	behaviour := p.currentBehaviour()
+	reset := behaviour.resets(c, m) || p.isMarked(c)
 	if m.URL.Path == loadPath || m.URL.Path == alivePath {
-		return p.serveProbe(c, m, how, reset)
+		return p.serveProbe(c, m, behaviour, reset)
 	}
-	index, now := p.recordRequest(c, m)
+	index, process := p.recordRequest(c, m)
 	switch {
 	case reset:
 		p.recordOutcome(index, Reset)
-		c.drop(true)
+		c.closeConn(true)
 		return false
 	case m.Header.Get(headerID) == "":
 		return p.recordAndSend(c, index, MissingID, encodeResponse(404, "", nil))
-	case how.Drain || how.Decline:
+	case behaviour.Drain || behaviour.Decline:
 		return p.decline(c, index)
-	case how.Unresponsive:
+	case behaviour.Unresponsive:
 		p.recordOutcome(index, Unsent)
 		return c.waitForClose()
 	}
-	switch outcome := p.waitForCore(c, now); outcome {
+	switch outcome := p.waitForCore(c, process); outcome {
 	case Declined:
 		return p.decline(c, index)
 	case Pending:
 	default:
 		return p.recordOutcome(index, outcome)
 	}
-	body, failed, ended := p.run(c, m, now, index)
+	body, failed, ended := p.run(c, m, process, index)
 	if !ended {
 		return p.recordOutcome(index, Killed)
 	}
 	return p.respond(c, index, body, failed)
 }
 
-// resets reports whether a message is answered by a reset of its connection.
+// resets reports whether the connection is reset when m arrives on it.
 func (b *Behaviour) resets(c *hostConn, m *message) bool {
 	idleTooLong := b.ResetAfterIdle > 0 && m.idle > b.ResetAfterIdle
-	carriedTooMany := b.ResetAfterRequests > 0 && c.carried >= b.ResetAfterRequests
+	carriedTooMany := b.ResetAfterRequests > 0 && c.requestsServed >= b.ResetAfterRequests
 	return b.ResetAll || idleTooLong || carriedTooMany
 }
 
-// recordRequest adds a request to the record and returns its index there and the process that has it.
-func (p *Server) recordRequest(c *hostConn, m *message) (int, *lifetime) {
+// recordRequest appends a request to the log and returns its index there and the process that received it.
+func (p *Server) recordRequest(c *hostConn, m *message) (int, *processRun) {
 	p.state.Lock()
 	defer p.state.Unlock()
 	p.requests = append(p.requests, Request{
 		ID: m.Header.Get(headerID), Class: m.class(), Method: m.Method, Path: m.URL.RequestURI(), Body: string(m.body),
-		Server: p.current.id, FirstByte: m.first, LastByte: m.last, Sent: m.sent, Deadline: m.Header.Get(headerDeadline),
-		Conn: c.number, Carried: c.carried, Idle: m.idle,
+		Server: p.current.id, FirstByte: m.firstByte, LastByte: m.lastByte, Sent: m.arrivedAt, Deadline: m.Header.Get(headerDeadline),
+		Conn: c.number, Carried: c.requestsServed, Idle: m.idle,
 	})
 	return len(p.requests) - 1, p.current
 }
 
-// class is the first part of the path.
+// class returns the first segment of the path.
 func (m *message) class() string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(m.URL.Path, "/"), "/")
 	return class
@@ -74,7 +74,7 @@
 	return p.recordAndSend(c, index, Declined, encodeResponse(503, headerDeclined, nil))
 }
 
-// recordOutcome records how a request ended. It returns false, so that the connection ends with it.
+// recordOutcome sets the outcome of a request. It always returns false, for callers that close the connection.
 func (p *Server) recordOutcome(index int, o Outcome) bool {
 	p.state.Lock()
 	defer p.state.Unlock()
@@ -82,36 +82,36 @@
 	return false
 }
 
-// recordAndSend records the outcome before it sends the response, since whoever has the response may look it up.
+// recordAndSend records the outcome before it sends the response, since a client may look it up once it has the response.
 func (p *Server) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
 	c.waitWhileSilent()
 	p.recordOutcome(index, o)
 	return c.write(raw) || p.recordOutcome(index, Unsent)
 }
 
-// serveProbe answers with the load.
-func (p *Server) serveProbe(c *hostConn, m *message, how Behaviour, reset bool) bool {
+// serveProbe responds to a probe with the load.
+func (p *Server) serveProbe(c *hostConn, m *message, behaviour Behaviour, reset bool) bool {
 	p.state.Lock()
-	now := p.current
-	load := map[string]any{"active": now.busy + len(now.waiting)}
-	if now.meanServiceMs > 0 {
-		load["avg_ms"] = now.meanServiceMs
+	process := p.current
+	load := map[string]any{"active": process.busy + len(process.waiting)}
+	if process.meanServiceMs > 0 {
+		load["avg_ms"] = process.meanServiceMs
 	}
 	status := 200
 	switch {
-	case reset || how.Probes == ProbesReset:
+	case reset || behaviour.Probes == ProbesReset:
 		status = 0
-	case how.Drain || how.Probes == ProbesUnavailable:
+	case behaviour.Drain || behaviour.Probes == ProbesUnavailable:
 		status = 503
 	}
-	p.probes = append(p.probes, Probe{At: m.last, Conn: c.number, Path: m.URL.Path, Status: status})
+	p.probes = append(p.probes, Probe{At: m.lastByte, Conn: c.number, Path: m.URL.Path, Status: status})
 	p.state.Unlock()
-	if how.Unresponsive {
+	if behaviour.Unresponsive {
 		return c.waitForClose()
 	}
 	switch status {
 	case 0:
-		c.drop(true)
+		c.closeConn(true)
 		return false
 	case 503:
 		return c.write(encodeResponse(503, "", nil))
@@ -120,20 +120,20 @@
 	return c.write(encodeResponse(200, "Content-Type: application/json\r\n", body))
 }
 
-// waitForCore waits for a core. Pending says that the request has got one; any other outcome is final.
-func (p *Server) waitForCore(c *hostConn, now *lifetime) Outcome {
+// waitForCore waits for a free core. Pending means that the request has one; any other outcome is final.
+func (p *Server) waitForCore(c *hostConn, process *processRun) Outcome {
 	p.state.Lock()
-	if now.busy < p.options.Cores {
-		now.busy++
+	if process.busy < p.options.Cores {
+		process.busy++
 		p.state.Unlock()
 		return Pending
 	}
-	if len(now.waiting) >= p.options.Queue {
+	if len(process.waiting) >= p.options.Queue {
 		p.state.Unlock()
 		return Declined
 	}
 	coreFree := make(chan struct{})
-	now.waiting = append(now.waiting, coreFree)
+	process.waiting = append(process.waiting, coreFree)
 	p.state.Unlock()
 	outcome := Pending
 	select {
@@ -146,16 +146,16 @@
 	}
 	p.state.Lock()
 	defer p.state.Unlock()
-	if i := slices.Index(now.waiting, coreFree); i >= 0 {
-		now.waiting = slices.Delete(now.waiting, i, i+1)
+	if i := slices.Index(process.waiting, coreFree); i >= 0 {
+		process.waiting = slices.Delete(process.waiting, i, i+1)
 	} else {
-		now.releaseCore()
+		process.releaseCore()
 	}
 	return outcome
 }
 
-// releaseCore gives the core to the next.
-func (l *lifetime) releaseCore() {
+// releaseCore passes the core to the next waiting request, if any.
+func (l *processRun) releaseCore() {
 	if len(l.waiting) == 0 {
 		l.busy--
 		return
@@ -164,87 +164,87 @@
 	l.waiting = l.waiting[1:]
 }
 
-// run occupies a core for the service time and returns the response's body and whether the request is to fail. Only the
-// end of the process interrupts it: ended is false then.
-func (p *Server) run(c *hostConn, m *message, now *lifetime, index int) (body []byte, failed, ended bool) {
+// run occupies a core for the service time and returns the response's body and whether the request is to fail. ended is
+// false if the connection was closed by this side before that, as when the process is killed.
+func (p *Server) run(c *hostConn, m *message, process *processRun, index int) (body []byte, failed, ended bool) {
 	id := m.Header.Get(headerID)
 	p.state.Lock()
 	p.requests[index].Started = true
 	p.runs[id]++
-	how := p.behaviour
+	behaviour := p.behaviour
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %s %d", now.id, id, p.runs[id])
+	fmt.Fprintf(h, "%s %s %d", process.id, id, p.runs[id])
 	p.state.Unlock()
-	// Seeded by the request and not drawn from one sequence: the order of requests at the same instant is left to chance.
-	draw := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
+	// Seeded per request, not drawn from a shared sequence: requests at the same instant run in random order.
+	random := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
 	service, known := p.options.Service[m.class()]
 	if !known {
 		service = p.options.Default
 	}
 	work := float64(service.Mean)
 	if !service.Fixed {
-		work *= draw.ExpFloat64()
+		work *= random.ExpFloat64()
 	}
-	if how.Slowdown > 0 {
-		work *= how.Slowdown
+	if behaviour.Slowdown > 0 {
+		work *= behaviour.Slowdown
 	}
-	took := time.Duration(work * p.slowStartFactor(now))
-	if c.carried == 0 {
-		took += p.options.Handshake
+	duration := time.Duration(work * p.slowStartFactor(process))
+	if c.requestsServed == 0 {
+		duration += p.options.Handshake
 	}
-	ended = c.wait(took)
+	ended = c.wait(duration)
 	p.state.Lock()
 	defer p.state.Unlock()
-	now.releaseCore()
+	process.releaseCore()
 	if !ended {
 		return nil, false, false
 	}
 	p.requests[index].Finished = true
-	if ms := float64(took) / float64(time.Millisecond); now.meanServiceMs == 0 {
-		now.meanServiceMs = ms
+	if ms := float64(duration) / float64(time.Millisecond); process.meanServiceMs == 0 {
+		process.meanServiceMs = ms
 	} else {
-		now.meanServiceMs += serviceTimeWeight * (ms - now.meanServiceMs)
+		process.meanServiceMs += serviceTimeWeight * (ms - process.meanServiceMs)
 	}
 	body = []byte(id + "\n")
 	body = append(body, make([]byte, max(0, service.Body-len(body)))...)
-	return body, draw.Float64() < p.behaviour.FailFraction, true
+	return body, random.Float64() < p.behaviour.FailFraction, true
 }
 
-// slowStartFactor is by how much service takes longer while the process is in slow start.
-func (p *Server) slowStartFactor(now *lifetime) float64 {
-	age := time.Since(now.startedAt)
-	if now.warm || p.options.SlowStartFactor <= 1 || age >= p.options.WarmUpTime {
+// slowStartFactor returns the factor by which slow start currently lengthens the service time; 1 = no slow start.
+func (p *Server) slowStartFactor(process *processRun) float64 {
+	age := time.Since(process.startedAt)
+	if process.warm || p.options.SlowStartFactor <= 1 || age >= p.options.WarmUpTime {
 		return 1
 	}
 	return 1 + (p.options.SlowStartFactor-1)*(1-float64(age)/float64(p.options.WarmUpTime))
 }
 
-// respond sends the response to a request that has run, or what the behaviour sends instead.
+// respond sends the response to a request that has run, modified as the behaviour demands.
 func (p *Server) respond(c *hostConn, index int, body []byte, failed bool) bool {
 	select {
 	case <-c.clientDone:
 		return p.recordOutcome(index, Unsent)
 	default:
 	}
-	how := p.currentBehaviour()
-	outcome, full := Answered, encodeResponse(200, "", body)
+	behaviour := p.currentBehaviour()
+	outcome, full := Responded, encodeResponse(200, "", body)
 	if failed {
 		outcome, full = Errored, encodeResponse(500, "", nil)
 	}
 	switch {
-	case how.Truncate != nil:
+	case behaviour.Truncate != nil:
 		p.recordOutcome(index, Truncated)
-		if n := min(how.Truncate.After, len(full)); n > 0 {
+		if n := min(behaviour.Truncate.After, len(full)); n > 0 {
 			c.write(full[:n])
 		}
-		c.drop(how.Truncate.Reset)
+		c.closeConn(behaviour.Truncate.Reset)
 		return false
-	case how.Stall:
+	case behaviour.Stall:
 		p.recordOutcome(index, Stalled)
 		c.write(full[:len(full)-len(body)])
 		return c.waitForClose()
-	case how.ReplaceWith != nil:
-		return p.recordAndSend(c, index, Garbled, how.ReplaceWith)
+	case behaviour.ReplaceWith != nil:
+		return p.recordAndSend(c, index, Garbled, behaviour.ReplaceWith)
 	}
 	return p.recordAndSend(c, index, outcome, full)
 }
--- a/internal/testbench/loadgen/report_test.go
+++ b/internal/testbench/loadgen/report_test.go
@@ -15,14 +15,14 @@
 	rec := recorder{start: time.Now(), result: r}
 	for i := range 20 {
 		due := rec.start.Add(time.Duration(i) * 100 * time.Millisecond)
-		d := done{
-			due: due, sent: due.Add(10 * time.Millisecond), end: due.Add(600 * time.Millisecond), tries: 1,
+		d := completion{
+			due: due, sentAt: due.Add(10 * time.Millisecond), endedAt: due.Add(600 * time.Millisecond), attempts: 1,
 			late: 2 * time.Millisecond, latencyObjective: 500 * time.Millisecond,
 		}
 		if i >= 17 {
-			d.last = Refused
+			d.outcome = Rejected
 		}
-		rec.done(&d)
+		rec.recordCompletion(&d)
 	}
 	report := NewReport(p, r, "here", 2)
 	report.Partial = true
@@ -45,7 +45,7 @@
 		".png": func(b []byte) error { _, err := png.Decode(bytes.NewReader(b)); return err },
 	} {
 		var plot bytes.Buffer
-		form, err := PlotForm(ending)
+		form, err := PlotFormat(ending)
 		ok(t, err)
 		ok(t, report.Plot(&plot, form))
 		ok(t, check(plot.Bytes()))
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -17,20 +17,19 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// near reports whether a duration is the one wanted, as exactly as the histogram holds it.
-func near(t *testing.T, what string, ms *float64, want float64) {
+// checkMs fails the test if a duration differs from the wanted one by more than the histogram's precision.
+func checkMs(t *testing.T, what string, ms *float64, want float64) {
 	t.Helper()
 	if ms == nil || math.Abs(*ms-want) > 0.001+want/1000 {
-		t.Errorf("%s: %s ms, want %v", what, text(ms), want)
+		t.Errorf("%s: %s ms, want %v", what, formatMs(ms), want)
 	}
 }
 
-// A server that pauses for 2 s, from 5 ms before a request on, in a run of 10 s with 100 requests a second, evenly
-// spaced. By hand: the i-th longest of the 1000 waits is 1995 - 10(i-1) ms for i up to 200, and the others are nothing;
-// the quantile q is the one of rank 1000q from below, i = 1001 - 1000q. Counted from when requests were due that is
-// what is reported, whether each went out at once or one connection made them wait for each other, as a tool does that
-// waits for answers. Such a tool counts from the send, and sees one slow request.
-func TestPause(t *testing.T) {
+// Guards against coordinated omission: the server pauses for 2 s, from 5 ms before one of 100 evenly spaced requests/s on.
+// The i-th longest of the 1000 latencies is 1995 - 10(i-1) ms up to i = 200, the others 0; quantile q is at i = 1001-1000q.
+// Latency from the due time is the same with one connection, as in a closed-loop tool, whose latency from the send shows
+// one slow request.
+func TestServerPause(t *testing.T) {
 	for name, test := range map[string]struct {
 		connections int
 		held        uint64
@@ -49,20 +48,20 @@
 			})
 			report := NewReport(p, r, "", 1)
 			row := report.Classes[0]
-			if row.Requests != 1000 || row.Ends["served"] != 1000 || row.InObjective != 850 || row.Goodput != 85 ||
+			if row.Requests != 1000 || row.Outcomes["served"] != 1000 || row.InObjective != 850 || row.Goodput != 85 ||
 				!report.Valid {
 				t.Errorf("%+v", row)
 			}
-			if report.Held != test.held {
-				t.Errorf("%d waited for a connection", report.Held)
+			if report.ConnWaits != test.held {
+				t.Errorf("%d attempts waited for a connection", report.ConnWaits)
 			}
 			for i, q := range quantiles {
-				byHand := 0.0
+				expected := 0.0
 				if i := 1001 - 1000*q; i <= 200 {
-					byHand = 1995 - 10*(i-1)
+					expected = 1995 - 10*(i-1)
 				}
-				near(t, fmt.Sprint("from due, ", q), row.Due[i], byHand)
-				near(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
+				checkMs(t, fmt.Sprint("from due, ", q), row.Due[i], expected)
+				checkMs(t, fmt.Sprint("from send, ", q), row.Sent[i], test.sent[i])
 			}
 			if s := report.Seconds; s[4].Requests != 100 || math.Abs(*s[4].Due[4]-1995) > 20 || *s[3].Due[4] != 0 {
 				t.Errorf("seconds 3 and 4: %+v", s[3:5])
@@ -71,9 +70,9 @@
 	}
 }
 
-// A generator that is stalled for 300 ms says so: it makes the run invalid, and does not blame the server. What is due
-// then goes out late, but all of it goes out. That second tries are on time makes no difference.
-func TestHeldUp(t *testing.T) {
+// A generator that is delayed for 300 ms reports the run as invalid. Requests due during the delay are sent late, but all
+// are sent. Second attempts that are on time make no difference.
+func TestGeneratorDelay(t *testing.T) {
 	p := constantPlan(t, constant(100), Even, 3)
 	p.Classes[0].Retry.MaxRetries = 1
 	calls := 0
@@ -88,88 +87,90 @@
 		}
 	})
 	report := NewReport(p, r, "", 1)
-	if report.Valid || len(report.Invalid) != 2 || report.Classes[0].Ends["served"] != 300 {
+	if report.Valid || len(report.Invalid) != 2 || report.Classes[0].Outcomes["served"] != 300 {
 		t.Errorf("%+v", report)
 	}
-	near(t, "late at most", report.LateMs[4], 298)
-	near(t, "late, p99", report.LateMs[2], 298-3*10)
-	near(t, "from due", report.Classes[0].Due[4], 298)
-	near(t, "from send", report.Classes[0].Sent[4], 0)
+	checkMs(t, "late at most", report.LateMs[4], 298)
+	checkMs(t, "late, p99", report.LateMs[2], 298-3*10)
+	checkMs(t, "from due", report.Classes[0].Due[4], 298)
+	checkMs(t, "from send", report.Classes[0].Sent[4], 0)
 
 	r = newResult(1)
-	r.Stall = 51 * time.Millisecond // with nothing due
-	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "held up") {
+	r.Stall = 51 * time.Millisecond // with no requests due
+	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "delayed") {
 		t.Errorf("%+v", report)
 	}
 }
 
-// Each request counts once, with all its tries, from when it was first due.
+// Each request counts once, with all its attempts, from its due time.
 func TestRetries(t *testing.T) {
 	get := Class{Name: "tile", LatencyObjectiveMs: 150, DeadlineMs: 1000, Retry: Retry{MaxRetries: 2, WaitMs: 100}}
 	post := get
 	post.Method = "POST"
-	hasty, advised, impatient, short := get, get, get, get
-	hasty.Retry.WaitMs = 0
-	advised.Retry.MaxRetryAfterMs = 400
+	immediate, retryAfter, impatient, short := get, get, get, get
+	immediate.Retry.WaitMs = 0
+	retryAfter.Retry.MaxRetryAfterMs = 400
 	impatient.TimeoutMs, impatient.Retry.On = 50, []string{"timed_out"}
 	short.DeadlineMs = 150
-	answer := func(code int) func(http.ResponseWriter, int) {
-		return func(w http.ResponseWriter, try int) {
-			if try < 2 {
+	respond := func(code int) func(http.ResponseWriter, int) {
+		return func(w http.ResponseWriter, attempt int) {
+			if attempt < 2 {
 				w.Header().Set("Retry-After", "0.3")
 				w.WriteHeader(code)
 			}
 		}
 	}
-	late := func(_ http.ResponseWriter, try int) { time.Sleep([]time.Duration{200, 30, 0}[try] * time.Millisecond) }
+	late := func(_ http.ResponseWriter, attempt int) {
+		time.Sleep([]time.Duration{200, 30, 0}[attempt] * time.Millisecond)
+	}
 	lost := func(http.ResponseWriter, int) { panic(http.ErrAbortHandler) }
-	nobody := "10.9.9.9:9"
+	noListener := "10.9.9.9:9"
 	for name, test := range map[string]struct {
 		class    Class
-		answer   func(http.ResponseWriter, int)
+		respond  func(http.ResponseWriter, int)
 		address  string
-		want     string // asked, tries, in aim, ends, ends of tries
+		want     string // requests, attempts, requests in objective, outcomes, outcomes of attempts
 		due, end float64
 	}{
-		"refused":       {get, answer(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 200, 0},
-		"at once":       {hasty, answer(429), "", "10 30 10 map[served:10] map[refused:20 served:10]", 0, 0},
-		"advised":       {advised, answer(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 600, 0},
-		"no time":       {short, answer(503), "", "10 20 0 map[refused:10] map[refused:20]", -1, -1},
-		"failed":        {get, answer(500), "", "10 30 0 map[served:10] map[failed:20 served:10]", 200, 0},
-		"failed orders": {post, answer(500), "", "10 10 0 map[failed:10] map[failed:10]", -1, -1},
+		"refused":       {get, respond(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 200, 0},
+		"no delay":      {immediate, respond(429), "", "10 30 10 map[served:10] map[refused:20 served:10]", 0, 0},
+		"Retry-After":   {retryAfter, respond(503), "", "10 30 0 map[served:10] map[refused:20 served:10]", 600, 0},
+		"no time left":  {short, respond(503), "", "10 20 0 map[refused:10] map[refused:20]", -1, -1},
+		"failed":        {get, respond(500), "", "10 30 0 map[served:10] map[failed:20 served:10]", 200, 0},
+		"failed orders": {post, respond(500), "", "10 10 0 map[failed:10] map[failed:10]", -1, -1},
 		"timed out":     {impatient, late, "", "10 20 0 map[served:10] map[served:10 timed_out:10]", 180, 30},
 		"lost":          {get, lost, "", "10 30 0 map[lost:10] map[lost:30]", -1, -1},
-		"unreachable":   {post, lost, nobody, "10 30 0 map[unreachable:10] map[unreachable:30]", -1, -1},
+		"unreachable":   {post, lost, noListener, "10 30 0 map[unreachable:10] map[unreachable:30]", -1, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := constantPlan(t, constant(10), Even, 1)
 			p.Classes = []Class{test.class}
 			ok(t, p.Check())
-			tries := map[string]int{} // by id
+			attempts := map[string]int{} // by id
 			for q, err := range p.Requests() {
 				ok(t, err)
 				for n := range 3 {
-					tries[q.id(p.Seed, n)] = n
+					attempts[q.id(p.Seed, n)] = n
 				}
 			}
 			o := Options{Address: test.address}
 			r := inBubble(t, p, o, func(_ time.Time, w http.ResponseWriter, r *http.Request) {
 				id := r.Header.Get("Req-Id")
-				n, known := tries[id]
+				n, known := attempts[id]
 				if again := r.Header.Get("Req-Retry") == "1"; !known || again != (n > 0) {
 					t.Errorf("id %q, again: %t", id, again)
 				}
-				test.answer(w, n)
+				test.respond(w, n)
 			})
 			row := NewReport(p, r, "", 1).Classes[0]
-			maps.DeleteFunc(row.Ends, func(_ string, n uint64) bool { return n == 0 })
-			maps.DeleteFunc(row.AttemptEnds, func(_ string, n uint64) bool { return n == 0 })
-			if got := fmt.Sprint(row.Requests, row.Attempts, row.InObjective, row.Ends, row.AttemptEnds); got != test.want {
+			maps.DeleteFunc(row.Outcomes, func(_ string, n uint64) bool { return n == 0 })
+			maps.DeleteFunc(row.AttemptOutcomes, func(_ string, n uint64) bool { return n == 0 })
+			if got := fmt.Sprint(row.Requests, row.Attempts, row.InObjective, row.Outcomes, row.AttemptOutcomes); got != test.want {
 				t.Errorf("%s, want %s", got, test.want)
 			}
 			if test.due >= 0 {
-				near(t, "from due", row.Due[0], test.due)
-				near(t, "from send", row.Sent[0], test.end)
+				checkMs(t, "from due", row.Due[0], test.due)
+				checkMs(t, "from send", row.Sent[0], test.end)
 			} else if row.Due[0] != nil {
 				t.Errorf("served after %v ms", *row.Due[0])
 			}
@@ -177,7 +178,7 @@
 	}
 }
 
-// Interrupted, a run keeps what it has; with nothing due, it is over at once.
+// An interrupted run returns a partial result; a run without requests ends at once.
 func TestShortRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
@@ -186,7 +187,7 @@
 			Dialer: fakes.NewMemory(), Address: "10.0.0.1:1",
 			Pause: time.Sleep,
 		})
-		if err != nil || !r.Partial || r.Classes[0].Ends[Unreachable] != 15 {
+		if err != nil || !r.Partial || r.Classes[0].Outcomes[Unreachable] != 15 {
 			t.Errorf("%+v, %v", r, err)
 		}
 		p := constantPlan(t, constant(0), Poisson, 100)
@@ -197,13 +198,13 @@
 			t.Errorf("%+v, %v: %s", r, err, out.String())
 		}
 		if report.Plot(&out, chart.SVG) == nil {
-			t.Error("nothing was drawn without a word")
+			t.Error("a plot of no seconds was drawn without an error")
 		}
 	})
 }
 
-// A request that crosses the close of a kept connection goes out once more, at once.
-func TestRequestMeetsClosingConnection(t *testing.T) {
+// A request sent on a reused connection while the server closes it is sent once more, without delay.
+func TestRequestSentDuringClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
 		n.SetDelay(20*time.Millisecond, 0)
@@ -214,9 +215,9 @@
 		r, err := Run(t.Context(), p, Options{Dialer: n, Address: server.Address(), Pause: time.Sleep})
 		ok(t, err)
 		c := r.Classes[0]
-		if seen := uint64(len(server.Requests())); c.Ends[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
+		if seen := uint64(len(server.Requests())); c.Outcomes[Served] != c.Requests || c.Attempts != c.Requests || c.Resent == 0 ||
 			seen != c.Requests {
-			t.Errorf("asked %d, ends %v, resent %d, seen %d", c.Requests, c.Ends, c.Resent, seen)
+			t.Errorf("%d requests, outcomes %v, %d resent, %d received", c.Requests, c.Outcomes, c.Resent, seen)
 		}
 	})
 }
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -12,9 +12,9 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// Three processes send the plan between them, each request once; what they report is the same as that of one.
+// Three parts of a plan send each request once, and their merged result is that of one process.
 func TestParts(t *testing.T) {
-	p := mixed(t)
+	p := mixedPlan(t)
 	p.ForS = 2
 	sum := func(r *Result) string {
 		report := NewReport(p, r, "", 1)
@@ -22,7 +22,7 @@
 		ok(t, err)
 		return string(rows)
 	}
-	answer := func(_ time.Time, w http.ResponseWriter, r *http.Request) {
+	respond := func(_ time.Time, w http.ResponseWriter, r *http.Request) {
 		switch id := r.Header.Get("Req-Id"); {
 		case id[0] == '0':
 			w.WriteHeader(500)
@@ -30,10 +30,10 @@
 			time.Sleep(time.Duration(id[1]) * time.Millisecond)
 		}
 	}
-	undivided := inBubble(t, p, Options{}, answer)
+	undivided := inBubble(t, p, Options{}, respond)
 	var parts []*Result
 	for i := range 3 {
-		raw, err := json.Marshal(inBubble(t, p, Options{Part: i, Parts: 3}, answer))
+		raw, err := json.Marshal(inBubble(t, p, Options{Part: i, Parts: 3}, respond))
 		ok(t, err)
 		parts = append(parts, &Result{})
 		ok(t, json.Unmarshal(raw, parts[i]))
@@ -45,7 +45,7 @@
 	}
 }
 
-// Real processes on loopback, from the job to the merged result.
+// RunDistributed and RunWorker with processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
 	n := fakes.Loopback()
 	server, err := fakes.NewServer(n, fakes.ServerOptions{
@@ -60,25 +60,25 @@
 	workers := func() (all []*exec.Cmd) {
 		for range 2 {
 			cmd := exec.Command(self)
-			cmd.Env = append(os.Environ(), workVariable+"=1")
+			cmd.Env = append(os.Environ(), workerEnv+"=1")
 			all = append(all, cmd)
 		}
 		return all
 	}
-	r, err := Spread(t.Context(), p, server.Address(), workers())
+	r, err := RunDistributed(t.Context(), p, server.Address(), workers())
 	ok(t, err)
-	if c := r.Classes[0]; c.Requests != 50 || c.Ends[Served] != 50 || r.Partial || len(server.Requests()) != 50 {
+	if c := r.Classes[0]; c.Requests != 50 || c.Outcomes[Served] != 50 || r.Partial || len(server.Requests()) != 50 {
 		t.Errorf("%+v", r)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	p.ForS = 1000 // none of which is waited for
-	if r, err := Spread(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
+	p.ForS = 1000 // the interrupted run must not wait for them
+	if r, err := RunDistributed(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
 		t.Errorf("interrupted: %+v, %v", r, err)
 	}
 	for _, name := range []string{"/bin/true", "/bin/cat", "/nowhere"} {
-		if _, err := Spread(t.Context(), p, "", []*exec.Cmd{exec.Command(name)}); err == nil {
-			t.Errorf("%s got ready", name)
+		if _, err := RunDistributed(t.Context(), p, "", []*exec.Cmd{exec.Command(name)}); err == nil {
+			t.Errorf("%s was accepted as a worker", name)
 		}
 	}
 }
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -172,7 +172,7 @@
 		h.Worst = max(h.Worst, t.total.Seconds())
 	}
 	var all Metrics
-	var unexplained []fakes.Try
+	var unexplained []fakes.Attempt
 	for i := range r.attempts {
 		t := &r.attempts[i]
 		all.count(t)
@@ -206,19 +206,19 @@
 // affects reports whether the request was in flight between the kill and the time when another process served alone. A
 // connection that was established meanwhile may have belonged to the killed process, or to the accept queue of a listener
 // without a process.
-func (k kill) affects(t *fakes.Try) bool {
+func (k kill) affects(t *fakes.Attempt) bool {
 	return t.EndedAt.After(k.killedAt) && !t.DueAt.After(k.until)
 }
 
 // servedAfter reports whether a request due after the given time was served within maxServiceGap of it.
-func servedAfter(attempts []fakes.Try, at time.Time) bool {
-	return slices.ContainsFunc(attempts, func(t fakes.Try) bool {
+func servedAfter(attempts []fakes.Attempt, at time.Time) bool {
+	return slices.ContainsFunc(attempts, func(t fakes.Attempt) bool {
 		return t.Result == fakes.Served && t.DueAt.After(at) && t.EndedAt.Before(at.Add(maxServiceGap))
 	})
 }
 
 // longestGap returns the longest time between two consecutive responses to any client.
-func longestGap(attempts []fakes.Try) (gap time.Duration) {
+func longestGap(attempts []fakes.Attempt) (gap time.Duration) {
 	var responses []time.Time
 	for i := range attempts {
 		if attempts[i].Status != 0 {
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -37,12 +37,12 @@
 }
 
 // isLost reports whether the sidecar received the request, or may have, and its client got no response to it.
-func isLost(t *fakes.Try) bool {
+func isLost(t *fakes.Attempt) bool {
 	return t.Result == fakes.Lost || t.Result == fakes.Wrong || t.Result == fakes.TimedOut && !t.SentAt.IsZero()
 }
 
 // count counts the result of an attempt.
-func (m *Metrics) count(t *fakes.Try) {
+func (m *Metrics) count(t *fakes.Attempt) {
 	switch {
 	case t.Result == fakes.Failed:
 		m.Failed++
@@ -58,8 +58,8 @@
 }
 
 // servedFraction returns the fraction of the requests due from from until to that was served within the latency objective.
-func servedFraction(attempts []fakes.Try, from, to time.Time) float64 {
-	early := slices.DeleteFunc(slices.Clone(attempts), func(t fakes.Try) bool { return !t.RequestedAt.Before(to) })
+func servedFraction(attempts []fakes.Attempt, from, to time.Time) float64 {
+	early := slices.DeleteFunc(slices.Clone(attempts), func(t fakes.Attempt) bool { return !t.RequestedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
 		return all.ServedFraction()
 	}
@@ -83,7 +83,7 @@
 // late: after SIGTERM, for example, it stays normal for a while. From that window on, fakes.RecoveryTime determines when
 // service has recovered. A degradation that begins in the last second only adds to below, since the load ends before its
 // recovery can be observed.
-func degradationAfter(attempts []fakes.Try, event time.Time, normal float64, width time.Duration) degradation {
+func degradationAfter(attempts []fakes.Attempt, event time.Time, normal float64, width time.Duration) degradation {
 	out := degradation{recovered: true, worst: 1}
 	windows := fakes.Tally(attempts, event, width)
 	windows = windows[:max(0, len(windows)-1)] // the last one may be incomplete
@@ -123,13 +123,13 @@
 }
 
 // notifiedAt returns when discovery first sent each drain to a sidecar; drains holds the revision that lists it, by server id.
-func notifiedAt(drains map[string]uint64, calls []fakes.DiscoveryCall) map[string]time.Time {
+func notifiedAt(drains map[string]uint64, calls []fakes.DiscoveryRequest) map[string]time.Time {
 	notifiedAt := map[string]time.Time{}
 	for id, revision := range drains {
 		for _, c := range calls {
 			before, known := notifiedAt[id]
-			if c.Answered && c.Revision >= revision && (!known || c.AnsweredAt.Before(before)) {
-				notifiedAt[id] = c.AnsweredAt
+			if c.Responded && c.Revision >= revision && (!known || c.RespondedAt.Before(before)) {
+				notifiedAt[id] = c.RespondedAt
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 		}
 	}
 	f.ExtraRuns = r.extraRuns()
-	calls := r.fleet.Discovery.Calls()
+	calls := r.fleet.Discovery.Requests()
 	notifiedAt := notifiedAt(r.drains, calls)
 	within := func(at time.Time) float64 {
 		if at.Before(event) || at.After(until) {
--- a/internal/testbench/recovery/rig.go
+++ b/internal/testbench/recovery/rig.go
@@ -69,8 +69,8 @@
 	running  sync.WaitGroup // the load and the stall measurement
 	cancel   context.CancelFunc
 	start    time.Time
-	attempts []fakes.Try   // this and stall are set once the load has ended
-	stall    time.Duration // longest delay of a timer
+	attempts []fakes.Attempt // this and stall are set once the load has ended
+	stall    time.Duration   // longest delay of a timer
 
 	drains      map[string]uint64 // by server id, the discovery revision that lists its drain
 	restartedAt time.Time         // when startAgain started a process; zero = it did not
--- a/internal/testbench/recovery/run.go
+++ b/internal/testbench/recovery/run.go
@@ -84,7 +84,7 @@
 
 // describeLost returns the number of lost requests and a few of them, with id and times as in the sidecar's log; nil if
 // there are none.
-func describeLost(attempts []fakes.Try) (broken []string) {
+func describeLost(attempts []fakes.Attempt) (broken []string) {
 	for i := range attempts {
 		if t := &attempts[i]; isLost(t) {
 			broken = append(broken, fmt.Sprintf("request %s: %s, due %s, sent %s, ended %s on connection %d: %v",
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -100,7 +100,7 @@
 	discovery *discoveryServer
 	servers   *fakeServers
 	sidecars  []*sidecar
-	busy      *process.BusyWatch
+	busy      *process.LoadMonitor
 }
 
 // Serve runs a part: it executes the commands that it reads from in, and writes a response to each, until in ends.
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	w := &worker{dir: dir, servers: newFakeServers(), busy: process.WatchBusy()}
+	w := &worker{dir: dir, servers: newFakeServers(), busy: process.StartLoadMonitor()}
 	defer w.close()
 	commands, responses := json.NewDecoder(in), json.NewEncoder(out)
 	for {
@@ -280,7 +280,7 @@
 
 // counts returns the part's counts.
 func (w *worker) counts() (c Counts, err error) {
-	if c.CPU, err = process.CPU(os.Getpid()); err != nil {
+	if c.CPU, err = process.CPUTime(os.Getpid()); err != nil {
 		return c, err
 	}
 	if c.MemoryMB, err = resident(os.Getpid()); err != nil {
@@ -310,6 +310,6 @@
 
 // resident returns the resident memory of a process in MB.
 func resident(pid int) (float64, error) {
-	bytes, err := process.Resident(pid)
+	bytes, err := process.ResidentMemory(pid)
 	return float64(bytes) / (1 << 20), err
 }
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -91,7 +91,7 @@
 		}
 	}
 	time.Sleep(warmUp)
-	busy := process.WatchBusy()
+	busy := process.StartLoadMonitor()
 	defer busy.Close()
 	u, duration, err := f.measure(func() error { time.Sleep(window); return nil })
 	if err != nil {
@@ -107,7 +107,7 @@
 }
 
 // addDiscoveryTraffic sets the fields on discovery's traffic and on the machine's load.
-func (c *Comparison) addDiscoveryTraffic(u usage, duration time.Duration, busy *process.BusyWatch) {
+func (c *Comparison) addDiscoveryTraffic(u usage, duration time.Duration, busy *process.LoadMonitor) {
 	late, cores := busy.Sample()
 	c.StallMs, c.Machine = ms(late), cores
 	t, s := u.Discovery.Discovery, duration.Seconds()
@@ -171,17 +171,17 @@
 	defer func() { stop(); <-done }()
 	time.Sleep(warmUp)
 	calls, probes := reached(fleet)
-	before, err := process.CPU(sidecar.program.Pid())
+	before, err := process.CPUTime(sidecar.program.Pid())
 	if err != nil {
 		return c, err
 	}
-	busy := process.WatchBusy()
+	busy := process.StartLoadMonitor()
 	defer busy.Close()
 	u, duration, err := f.measure(func() error { time.Sleep(window); return nil })
 	if err != nil {
 		return c, err
 	}
-	after, err := process.CPU(sidecar.program.Pid())
+	after, err := process.CPUTime(sidecar.program.Pid())
 	if err != nil {
 		return c, err
 	}
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -60,12 +60,12 @@
 	*fleetControl
 	plan Plan
 	rows []Row
-	busy *process.BusyWatch
+	busy *process.LoadMonitor
 }
 
 // RunScenes starts a fleet and runs the scenes of the plan on it.
 func RunScenes(ctx context.Context, set Setup, plan Plan) (rows []Row, err error) {
-	began, busy := time.Now(), process.WatchBusy()
+	began, busy := time.Now(), process.StartLoadMonitor()
 	defer busy.Close()
 	f, times, err := startFleet(ctx, set)
 	defer func() {
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -199,7 +199,7 @@
 		for _, d := range w.discoveries {
 			switch kind {
 			case Silent:
-				d.LoseAnswers(on)
+				d.DropResponses(on)
 			case Down:
 				_ = d.SetDown(on)
 			case Late:
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -20,7 +20,7 @@
 	return &record{
 		start: epoch, slack: ms(10), retryWindow: ms(900),
 		requests: []*request{{id: "n0-1", class: classesFor(1500 * time.Millisecond)[2], startedAt: after(100), sentAt: after(101), respondedAt: after(130), status: 200}},
-		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Answered}, 0}},
+		attempts: []attempt{{fakes.Request{ID: "n0-1", Server: "s1", Sent: after(103), Deadline: "0.997", Outcome: fakes.Responded}, 0}},
 		starts:   map[string][]time.Time{}, processStarts: map[int][]time.Time{0: {epoch}}, learnedAt: map[serverAtSidecar][]time.Time{},
 		killed: func(int, time.Time, time.Time) bool { return false }, faults: map[string][]string{},
 	}
@@ -28,7 +28,7 @@
 
 // addAttemptAtS2 adds an answered attempt at a second server, sent at the given number of milliseconds after the record's start.
 func (r *record) addAttemptAtS2(at int) {
-	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: "s2", Sent: after(at), Deadline: "0.1", Outcome: fakes.Answered}, 0})
+	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: "s2", Sent: after(at), Deadline: "0.1", Outcome: fakes.Responded}, 0})
 }
 
 // TestJudge checks that the judge reports each violation, and nothing where the rule is kept.
