--- a/cmd/testbench/emulate.go
+++ b/cmd/testbench/emulate.go
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// config reads the plan and overrides it by the flags.
+// config reads the plan and overrides it with the flags.
 func (c *emulateCommand) config() (emulator.Config, error) {
 	size := emulator.Default(4, 16)
 	if err := read(c.Plan, &size); err != nil {
@@ -55,8 +55,9 @@
 	}
 	set(&size.Servers, c.Servers)
 	set(&size.Sidecars, c.Sidecars)
-	cfg := emulator.Default(size.Sidecars, size.Servers) // the default load depends on the size,
-	if err := read(c.Plan, &cfg); err != nil {           // unless the plan sets it
+	// The default load depends on the size of the fleet. It applies unless the plan sets the load.
+	cfg := emulator.Default(size.Sidecars, size.Servers)
+	if err := read(c.Plan, &cfg); err != nil {
 		return cfg, err
 	}
 	cfg.Servers, cfg.Sidecars = size.Servers, size.Sidecars
@@ -137,7 +138,7 @@
 	return err
 }
 
-// Run runs the day, or the days of a comparison.
+// Run simulates one day, or several with both settings of a comparison.
 func (c *emulateCommand) Run(ctx context.Context, out io.Writer) error {
 	cfg, err := c.config()
 	if err != nil {
@@ -177,7 +178,7 @@
 // module is the policy that must obey all rules; the textbook policies do not treat cold servers specially.
 const module = "module"
 
-// compare runs the days with both settings and writes the comparison.
+// compare simulates the days with both settings and writes the comparison.
 func (c *emulateCommand) compare(ctx context.Context, cfg emulator.Config, out io.Writer) error {
 	other, err := c.otherConfig(cfg)
 	if err != nil {
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// writeUsage writes the time and memory that the day took on this machine.
+// writeUsage writes the time and memory that simulating the day took on this machine.
 func writeUsage(out io.Writer, r *emulator.Report, took time.Duration) {
 	var use syscall.Rusage
 	memory := "unknown"
--- a/internal/testbench/cpubench/cpubench.go
+++ b/internal/testbench/cpubench/cpubench.go
@@ -26,16 +26,17 @@
 
 // Roles for Serve.
 const (
-	RoleServers = "servers" // servers, their number given by the first argument; their addresses are written to standard output, one per line
-	RoleProxy   = "proxy"   // net/http/httputil's reverse proxy, to a random one of the addresses that follow
-	RoleRelay   = "relay"   // copies bytes between each connection and one to a random one of the addresses that follow
+	// The argument is the number of servers. Their addresses are written to standard output, one per line.
+	RoleServers = "servers"
+	RoleProxy   = "proxy" // net/http/httputil's reverse proxy, to a random one of the addresses that follow
+	RoleRelay   = "relay" // copies bytes between each connection and one to a random one of the addresses that follow
 )
 
 // Body is the body of a server's response.
 const Body = "a tile of 1 KB is what most answers are like; this one is shorter, since the relay of bytes is not the point\n"
 
 // Serve executes the role in RoleVariable until the end of standard input, and then exits the process. It returns if there
-// is no role. TestMain calls it.
+// is no role. A TestMain whose test program is started with Start must call it first.
 func Serve() {
 	role := strings.Fields(os.Getenv(RoleVariable))
 	if len(role) == 0 {
--- a/internal/testbench/recovery/handovers.go
+++ b/internal/testbench/recovery/handovers.go
@@ -12,7 +12,7 @@
 
 const (
 	loadPerHandover  = 3 * time.Second       // duration of load that is drawn in advance for each hot restart
-	maxServiceGap    = 5 * time.Second       // after a kill, within which some request must be served
+	maxServiceGap    = 5 * time.Second       // time after a kill within which some request must be served
 	clientTimeout    = 10 * time.Second      // client deadline: a request without a response by then is lost
 	assumedPassTime  = 20 * time.Millisecond // assumed duration of passing connections until one was measured
 	assumedStartTime = 50 * time.Millisecond // assumed duration of the successor's start until one was measured
@@ -64,7 +64,7 @@
 
 	Kills       map[string]int `json:"kills,omitempty"` // by the phase in which they took effect
 	FreshStarts int            `json:"afresh"`          // kills after which no process served, so that one had to be started
-	LostToKill  int            `json:"lost_to_kills"`   // requests lost that were in flight at a kill, so that the killed process may have had them
+	LostToKill  int            `json:"lost_to_kills"`   // lost requests in flight at a kill, which the killed process may have had
 	Broken      []string       `json:"broken,omitempty"`
 }
 
--- a/internal/testbench/recovery/kill.go
+++ b/internal/testbench/recovery/kill.go
@@ -99,7 +99,8 @@
 	return nil, fmt.Errorf("process %d (%s) has started no successor", p.Pid, p.status())
 }
 
-// withoutSuccessor waits until the predecessor serves alone again, or has exited since the handover was done before the kill.
+// withoutSuccessor waits until the predecessor serves alone again or, if the handover was done before the kill, until both
+// processes have exited.
 func (c *processChain) withoutSuccessor(ctx context.Context, from int, next *process, k *kill) error {
 	old := c.main
 	text, err := c.log.await(ctx, from, old, "handover=failed", "handover=lost")
@@ -118,7 +119,8 @@
 	return nil
 }
 
-// withoutPredecessor waits until the successor serves alone, or has exited since it was not ready at the kill.
+// withoutPredecessor waits until the successor serves alone or, if it was not ready at the kill, until both processes have
+// exited.
 func (c *processChain) withoutPredecessor(ctx context.Context, from int, next *process, k *kill) error {
 	if err := awaitExit(ctx, c.main); err != nil {
 		return err
@@ -134,7 +136,7 @@
 		}
 	case next.running():
 		return err
-	default: // it exited, since it needs its predecessor until it is ready
+	default: // it has exited, because it needs its predecessor until it is ready
 		k.phase, k.noSurvivor = beforeReady, true
 	}
 	return nil
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -9,10 +9,10 @@
 
 const (
 	afterRestartWindow = 2 * time.Second        // after a restart, for which AfterRestart is computed
-	minCountTime       = 2 * time.Second        // shortest time for which probes and list calls are counted
+	minCountTime       = 2 * time.Second        // shortest time after the event for which probes and polls of discovery are counted
 	minWidth           = 250 * time.Millisecond // least width of a window, which also spans requestsPerWindow requests on average
 	requestsPerWindow  = 50
-	noticeTolerance    = 50 * time.Millisecond // within which the test bench may notice an arrival
+	noticeTolerance    = 50 * time.Millisecond // by which the test bench may record an arrival late
 )
 
 // Metrics holds the results of a run. Seconds count from the event. Results of attempts count if they ended after the event;
@@ -31,7 +31,7 @@
 	Unreachable  int      `json:"unreachable"`      // no connection was established
 	ExtraRuns    int      `json:"twice"`            // extra runs of requests that must run only once
 	Late         int      `json:"late"`             // requests sent to a server after its drain grace
-	Probes       float64  `json:"probes_per_s"`     // per second during the degradation
+	Probes       float64  `json:"probes_per_s"`     // per second from the event until recovery, at least over minCountTime
 	Lists        float64  `json:"list_calls_per_s"` // likewise
 	Stall        float64  `json:"stall_s"`          // longest stall of the test bench itself
 }
--- a/internal/testbench/recovery/process.go
+++ b/internal/testbench/recovery/process.go
@@ -85,7 +85,9 @@
 const (
 	statParent = 1
 	statFlags  = 6
-	forkNoExec = 0x40 // PF_FORKNOEXEC: still runs its parent's program, like the child with which the Go runtime checks for pidfd support
+	// PF_FORKNOEXEC: the process still runs its parent's program, like the child with which the Go runtime checks for pidfd
+	// support.
+	forkNoExec = 0x40
 )
 
 // childOf returns the id of a child process that runs its own program, 0 if there is none. It checks the newest processes
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -18,7 +18,7 @@
 	snapshotName       = "learned.snapshot"
 	snapshotMs         = 500 // interval between snapshots, in milliseconds
 
-	// The platform grants the longest deadline, but at most maxDeadline, plus killAfter between SIGTERM and SIGKILL.
+	// Between SIGTERM and SIGKILL the platform grants the longest deadline, capped at maxDeadline, plus killAfter.
 	maxDeadline = 3 * time.Second
 	killAfter   = 700 * time.Millisecond
 )
@@ -74,8 +74,8 @@
 // releaseAnnounced performs a release while discovery works.
 func releaseAnnounced(ctx context.Context, r *rig) error { return r.release(ctx, r.setup.Servers) }
 
-// releaseHidden performs a release while discovery's responses are lost on each connection opened before the last
-// loseResponsesEvery. New connections work.
+// releaseHidden performs a release during which, every loseResponsesEvery, the connections to discovery that are open then
+// lose all further responses. New connections work until the next time.
 func releaseHidden(ctx context.Context, r *rig) error {
 	released := make(chan error, 1)
 	go func() { released <- r.release(ctx, r.setup.Servers) }()
@@ -89,7 +89,7 @@
 	}
 }
 
-// silence makes the faulty servers unreachable for silentFor, then restarts them.
+// silence makes the faulty servers unreachable for silentFor, and then restarts them.
 func silence(ctx context.Context, r *rig) error {
 	for _, p := range r.faultyServers() {
 		if err := p.SetSilent(true); err != nil {
@@ -153,7 +153,7 @@
 	return err
 }
 
-// discoveryDown takes discovery down for downFor and replaces the faulty servers meanwhile.
+// discoveryDown takes discovery down for downFor, and replaces the first quarter of the servers during that time.
 func discoveryDown(ctx context.Context, r *rig) error {
 	if err := r.fleet.Discovery.SetDown(true); err != nil {
 		return err
--- a/internal/testbench/simulated/discovery.go
+++ b/internal/testbench/simulated/discovery.go
@@ -34,8 +34,9 @@
 
 func (t Traffic) plus(o Traffic) Traffic { return t.minus(Traffic{}.minus(o)) }
 
-// discoveryServer is a fake discovery: one service for all sidecars or, with several listeners, an agent for each sidecar to
-// which the list is pushed. It implements the platform's protocol and shares no code with the program.
+// discoveryServer is a fake discovery: one service that all sidecars poll or, with several listeners, one agent per sidecar,
+// each of which has the list pushed to it. It implements the platform's protocol and shares no code with the sidecar's
+// program.
 type discoveryServer struct {
 	rate float64 // slots per second, for polls of the complete list and the first poll of a connection; 0 = unlimited
 
@@ -53,7 +54,7 @@
 	addresses                      []string
 }
 
-// entry is the latest state of a server, and the revision since when it has been so.
+// entry is the latest state of a server, and the revision that last changed it.
 type entry struct {
 	fakes.Endpoint
 	revision uint64
@@ -186,7 +187,7 @@
 	}
 }
 
-// pause waits for the duration d, and reports whether the client stayed connected.
+// pause waits for d, and reports whether the client stayed connected.
 func pause(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/testbench/simulated/part.go
+++ b/internal/testbench/simulated/part.go
@@ -21,8 +21,8 @@
 
 const (
 	discoveryPlaceholder  = "discovery-of-this-one:1" // placeholder in a template for a sidecar's own discovery address
-	inForceCheckInterval  = 5 * time.Millisecond      // interval at which a part checks whether a revision is in force; its time is recorded exactly
-	maxConcurrentSidecars = 64                        // sidecars of a part that start, stop or read their configuration concurrently
+	inForceCheckInterval  = 5 * time.Millisecond      // interval of checks whether a revision is in force; sidecars record when
+	maxConcurrentSidecars = 64                        // sidecars of a part that start, stop or reload concurrently
 )
 
 // command is a command to a part. Op determines which fields are used.
@@ -32,13 +32,13 @@
 	// listen: start a discovery server. Listeners is the number of its addresses, Rate its slots per second (0 = unlimited).
 	Listeners int
 	Rate      float64
-	Endpoints []fakes.Endpoint // also for change
+	Endpoints []fakes.Endpoint // of the first revision; for the command change, those that change
 
 	// build: create Count simulated sidecars, numbered from First, with the template as configuration. They use the addresses in
 	// Discovery in turn.
 	First     int
 	Count     int
-	Template  []byte // also for prepare
+	Template  []byte // the configuration with placeholders; the command prepare writes it again
 	Discovery []string
 	Cores     int // GOMAXPROCS; 0 = unchanged
 	MemoryMB  int // memory limit of the garbage collector; 0 = none
--- a/internal/testbench/simulated/scenes.go
+++ b/internal/testbench/simulated/scenes.go
@@ -133,7 +133,7 @@
 	return []Figure{{"median_ms", s.median}, {"most99_ms", s.p99}, {"last_ms", s.last}, {"missing", float64(s.missing)}}
 }
 
-// traffic returns discovery's traffic: the total if duration is 0, else per second and sidecar.
+// traffic returns discovery's traffic: the total if duration is 0, else polls and bytes per second and sidecar.
 func (p *sceneRun) traffic(u usage, duration time.Duration) []Figure {
 	t := u.Discovery.Discovery
 	if duration == 0 {
--- a/internal/testbench/simulated/scenes_restart.go
+++ b/internal/testbench/simulated/scenes_restart.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const maxRestartTime = 30 * time.Second // timeout for a restarted sidecar to have the endpoint list
+const maxRestartTime = 30 * time.Second // timeout for a restarted sidecar to get discovery's first response
 
 // restart stops some sidecars and starts them all at once: first with the endpoint list in their configuration, then without.
 func (p *sceneRun) restart() error {
--- a/internal/testbench/simulated/scenes_zone.go
+++ b/internal/testbench/simulated/scenes_zone.go
@@ -94,7 +94,7 @@
 	return err
 }
 
-// sent returns the requests that each server address has received.
+// sent returns the number of requests that each server address has received.
 func (p *sceneRun) sent() (map[string]int64, error) {
 	responses, err := sendAll(p.simulatedFleet, command{Op: "sent"})
 	sum := map[string]int64{}
--- a/internal/testbench/simulated/servers.go
+++ b/internal/testbench/simulated/servers.go
@@ -43,7 +43,7 @@
 	return server
 }
 
-// sent returns the requests that each address has received.
+// sent returns the number of requests that each address has received.
 func (f *fakeServers) sent() map[string]int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -54,7 +54,7 @@
 	return out
 }
 
-// counts returns the requests and probes that all servers received, and how many of either were refused.
+// counts returns how many requests and probes all servers received, and how many of either were refused.
 func (f *fakeServers) counts() (calls, probes, refused int64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/testbench/simulated/sidecar.go
+++ b/internal/testbench/simulated/sidecar.go
@@ -207,7 +207,8 @@
 	for n := 0; ; n++ {
 		rate := float64(s.rate.Load()) / 1e3
 		if rate > 0 {
-			next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))) // independent of the duration of earlier requests
+			// Independent of the duration of earlier requests.
+			next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		} else {
 			next = time.Now().Add(rateCheckInterval)
 		}
--- a/internal/testbench/simulated/simulated_test.go
+++ b/internal/testbench/simulated/simulated_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRunScenes runs all scenes with twenty sidecars and checks counts only. Exact counts are checked only on request, where
-// the timeouts of polls are wide. The watch of an agent abandons a poll that is 0.3 s late, so that a busy machine adds
-// polls.
+// TestRunScenes runs all scenes with twenty sidecars and checks counts only. Exact counts are checked only for discovery of
+// the kind OnRequest, where the timeouts of polls are long. The watch of an agent abandons a poll that is 0.3 s late, so a
+// busy machine adds polls.
 func TestRunScenes(t *testing.T) {
 	const sidecars, restarted, servers, changes, unlimited = 20, 6, 16, 2, 1e9
 	plan := Plan{
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -145,7 +145,7 @@
 	})
 }
 
-// edit adapts the configuration to the fleet.
+// edit sets the kind of discovery, the zones, the probe cost and the watch in the configuration.
 func (f *fleetControl) edit(document map[string]any) {
 	s := document["settings"].(map[string]any)
 	names := []string{}
@@ -278,7 +278,7 @@
 	return usage{time: u.time, Simulated: u.Simulated.minus(o.Simulated), Discovery: u.Discovery.minus(o.Discovery)}
 }
 
-// measure calls do, and returns the counts meanwhile and how long it took.
+// measure calls do, and returns by how much it changed the counts and how long it took.
 func (f *fleetControl) measure(do func() error) (u usage, duration time.Duration, err error) {
 	before, err := f.count()
 	if err != nil {
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -236,7 +236,7 @@
 	set(false)
 }
 
-// injectServerFault injects a fault of a server, which has at most one at a time.
+// injectServerFault injects a fault of a server, unless the server already has one.
 func (w *environment) injectServerFault(t Fault, v *serverSlot, pause func()) {
 	if !v.faulty.CompareAndSwap(false, true) {
 		return
@@ -294,7 +294,8 @@
 
 // replace drains a server, ends it, and starts another with a new id in its place.
 func (w *environment) replace(v *serverSlot, pause func()) {
-	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable }) // but it serves requests
+	// A draining server fails probes, but still serves requests.
+	v.ChangeBehaviour(func(b *fakes.Behaviour) { b.Probes = fakes.ProbesUnavailable })
 	defer v.SetBehaviour(fakes.Behaviour{})
 	leave := w.endpoint(v, fakes.Draining, 0)
 	w.updateRecord(func(r *record) { r.draining = append(r.draining, drainingServer{leave.ID, time.Now()}) })
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -17,9 +17,9 @@
 	drainSlack      = 50 * time.Millisecond  // after the drain grace, and after a retry window
 	disconnectSlack = 100 * time.Millisecond // from a client's disconnect to the last attempt for it
 	deadlineSlack   = 150 * time.Millisecond // by which the deadline that an attempt carries may exceed the time left
-	maxNotifyDelay  = 6 * time.Second        // within which all sidecars know of a change of discovery while the watch is silent
+	maxNotifyDelay  = 6 * time.Second        // for all sidecars to learn of a change, if the watch is silent or polled on request
 	badClientWithin = 3 * time.Second        // within which a partial request gets an error or its connection is closed
-	stallRange      = 300 * time.Millisecond // of a measured time, within which a stall of this process adds to its slack
+	stallRange      = 300 * time.Millisecond // a stall of this process this close to a measured time adds to its tolerance
 )
 
 // Rule is a rule that the judge checks.
@@ -192,8 +192,8 @@
 // mayRun reports whether the attempt may have run, as far as its sidecar can know.
 func (a *attempt) mayRun() bool { return a.Outcome != fakes.Declined && a.Outcome != fakes.MissingID }
 
-// judgeIdempotency checks that a request that may have run was not sent again where its idempotency forbids it, and not
-// rejected.
+// judgeIdempotency checks requests that may have run: one with side effects must not be sent again or rejected, and one with
+// a token may be retried only within the retry window.
 func (r *record) judgeIdempotency(q *request, attempts []attempt, add addFunc) {
 	var ran []attempt
 	for _, a := range attempts {
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -53,7 +53,7 @@
 }
 
 const (
-	// Mean interval between the beginnings of faults for each five sidecars, such that two or three faults overlap.
+	// Mean interval between the beginnings of faults per five sidecars, such that two or three faults overlap.
 	faultInterval = 700 * time.Millisecond
 	// No fault begins in the last part of a run, so that running ones can end.
 	quietEnd = 3 * time.Second
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -26,7 +26,7 @@
 	lateRequests       = 4                      // clients that send the rest of a request late
 	lateRequestWindow  = 700 * time.Millisecond // before the kill, within which they send it
 	stallLength        = shutdown.MaxStall      // of an injected stall
-	maxStallLength     = 165 * time.Millisecond // longest actual stall for which lost requests are judged; a busy machine may prolong stalls
+	maxStallLength     = 165 * time.Millisecond // requests lost in a longer stall, as on a busy machine, are not judged
 	minStallGap        = 20 * time.Millisecond  // between two stalls
 	endBeforeKill      = 100 * time.Millisecond // earliest end of the last stall, before the kill
 	endAfterKill       = 140 * time.Millisecond // latest end of the last stall, after the kill
@@ -37,7 +37,7 @@
 	closeSignalWindow  = 5 * time.Millisecond   // the same for half of these signals
 	failAcceptMax      = 60 * time.Millisecond  // longest time for which accepts fail
 	handoverCheckDelay = 60 * time.Millisecond  // after SIGTERM, when followHandover checks for a completed hot restart
-	shorterDivisor     = 2                      // divisor of the deadlines where a reload shortens them
+	shorterDivisor     = 2                      // by which a reload divides the deadlines, with shutdownFault.shorter
 	groupExitTimeout   = 2 * time.Second        // after SIGKILL, within which all processes of a group must have exited
 )
 
@@ -106,8 +106,8 @@
 	return time.Duration((2*rng.Float64() - 1) * float64(within))
 }
 
-// addStallsBeforeKill adds one to three stalls with little time between them, the last of which ends around the kill: one
-// for each step of writing a last response.
+// addStallsBeforeKill adds one to three stalls with little time between them, the last of which ends around the kill. With
+// three, the process can be stalled before each step of writing a last response.
 func (s *shutdownFault) addStallsBeforeKill(rng *rand.Rand) {
 	end := s.killAfter + time.Duration(rng.Float64()*float64(endAfterKill+endBeforeKill)) - endBeforeKill
 	for range 1 + rng.IntN(3) {
@@ -263,7 +263,8 @@
 		s.mutex.Unlock()
 	}
 	<-p.exited
-	for began := time.Now(); time.Since(began) < groupExitTimeout; time.Sleep(time.Millisecond) { // this process adopts successors and reaps them
+	// This process adopts successors, so it has to reap them.
+	for began := time.Now(); time.Since(began) < groupExitTimeout; time.Sleep(time.Millisecond) {
 		if _, err := syscall.Wait4(-group, nil, syscall.WNOHANG, nil); err == syscall.ECHILD {
 			return
 		}
@@ -271,8 +272,8 @@
 	s.addFault("processes of group %d still exist %s after SIGKILL", group, groupExitTimeout)
 }
 
-// disconnectDuringStall has clients disconnect while their sidecar is stopped, and meanwhile the connections to servers for
-// their requests are established.
+// disconnectDuringStall has clients disconnect while their sidecar is stopped and the connections to servers for their
+// requests are being established.
 func (w *environment) disconnectDuringStall(ctx context.Context, n int, s *sidecar) {
 	const (
 		clients         = 40
