--- a/cmd/plankrouter/lifecycle.go
+++ b/cmd/plankrouter/lifecycle.go
@@ -28,7 +28,7 @@
 	predecessorResumed              // retire
 	stopSignalled                   // beginShutdown
 	lastForwardReached              // drain
-	allFinished                     // finish; also if the process can't start
+	allFinished                     // finish: no request is open, or the process can't start
 )
 
 // transitions maps each phase and event to the next phase. An event that is not listed changes nothing: a handover continues
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -59,7 +59,8 @@
 	return raw
 }
 
-// Each exchange goes as recorded with other names of classes, tenants, zones and servers, and in another order.
+// A replay of each exchange equals the recording, also with other names of classes, tenants, zones and servers, and with
+// classes, tenants and zones in another order.
 func TestExchangesUnderOtherNames(t *testing.T) {
 	log.SetOutput(io.Discard)
 	files, err := filepath.Glob("testdata/*.txt")
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -58,8 +58,8 @@
 	return logged.Write(p)
 }
 
-// heldListener is a listener whose connections report when the program closes them. If holding, Accept passes each through
-// the test.
+// heldListener is a listener whose connections report when the program closes them. If holding, Accept sends each to
+// the test on accepts, and returns the one that the test sends on pass.
 type heldListener struct {
 	net.Listener
 	*rig
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -90,7 +90,8 @@
 				if time.Sleep(time.Second); key == "TMPDIR" {
 					close(release)
 				}
-				time.Sleep(time.Second + 539*time.Millisecond) // the longest deadline is 2.5 s: 0.65 s before the kill
+				// The longest deadline is 2.5 s, so the kill may come after 3.2 s. The listener is closed 0.65 s before that.
+				time.Sleep(time.Second + 539*time.Millisecond)
 				c, err := m.Dial(t.Context(), s.sidecar.Listen)
 				if err != nil {
 					t.Fatalf("%s after the signal: %v", time.Since(began), err)
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -111,7 +111,7 @@
 // ReserveForRejection takes one of the slots beyond the limit that are meant for connections being closed, and reports
 // whether there was one. It is for an inbound connection that only gets a response that rejects it. The caller passes the
 // slot to AdoptForRejection or returns it with ReleaseForRejection. A part of these slots is left to evicted connections,
-// unless the backlog is prioritized.
+// unless PrioritizeBacklog has been called.
 func (b *Budget) ReserveForRejection() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -7,9 +7,9 @@
 	closingCap          = 16               // upper bound of the connections beyond the limit that are being closed
 	closingDivisor      = 4                // share of the limit that bounds them as well
 	inboundDivisor      = 2                // maximum share of inbound connections
-	inboundEvictDivisor = 4                // share from which a new inbound connection evicts an unused or idle inbound one
+	inboundEvictDivisor = 4                // share of inbound connections from which a new one evicts an unused or idle one
 	unusedDivisor       = 4                // maximum share of unused inbound connections
-	minUnusedAge        = time.Millisecond // time left to read what an unused connection has sent, once the backlog is prioritized
+	minUnusedAge        = time.Millisecond // time to read from an unused connection until it is evictable, after PrioritizeBacklog
 	rejectionDivisor    = 2                // maximum share, of the slots beyond the limit, of connections that are only rejected
 	attemptsOnlyDivisor = 8                // share reserved for attempts: inbound connections and probes take no free slot of it
 )
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -115,7 +115,9 @@
 		return nil, firstByteAt, err
 	}
 	conn.setResponseDeadline(deadline)
-	onResponseStart := func(started bool) { // a long transfer does not count as silence, nor an interim response as the response
+	// The poll's timeout covers the time to the first byte of the response, not the transfer, which may be long. An interim
+	// response does not count as the response.
+	onResponseStart := func(started bool) {
 		if started {
 			firstByteAt = arrivalTime(conn.Socket)
 			conn.setTransferDeadline(firstByteAt, poll)
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -10,7 +10,7 @@
 // Process start times are in Unix milliseconds, too, and a step of the wall clock must not move deadlines.
 type clock struct {
 	start     time.Time
-	startDate policy.Ms // Unix milliseconds at start, by the wall clock
+	startDate policy.Ms // the wall clock time at start, in Unix milliseconds
 }
 
 func newClock(wall func() time.Time) clock { return clock{time.Now(), unixMs(wall())} }
--- a/internal/dispatch/servers.go
+++ b/internal/dispatch/servers.go
@@ -111,7 +111,7 @@
 		d.servers[id] = server
 	}
 	if endpoint.Address != "" && endpoint.Address != server.process.Address() || endpoint.StartedAt != server.endpoint.StartedAt {
-		server.process.Close() // another process: the old address and connections don't lead to it
+		server.process.Close() // the list names another process, which the old address and connections don't reach
 		replaced[server.process] = true
 		server.process = d.options.Upstream.Endpoint(endpoint.ID, cmp.Or(endpoint.Address, server.process.Address()))
 		server.liveness = staleness.Liveness{}
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -116,8 +116,8 @@
 	d.deletedServers = d.deletedServers[max(0, len(d.deletedServers)-maxDeletedServers):]
 }
 
-// startDate returns the date in the list of the start of the process that the policy's state is about. For a process that may
-// have been restarted while it was cordoned, the list has no date: the policy's own time takes its place.
+// startDate returns the start date of the process that the policy's state is about, as given in the list. If the server may
+// have been restarted while it was cordoned, the list has no date for that process, and the policy's start time is returned.
 func (d *Dispatcher) startDate(server policy.ServerState) float64 {
 	if record := d.servers[server.ID]; record != nil && record.processStart.listedAt == server.StartedAt {
 		return record.processStart.listedDate
--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -17,7 +17,7 @@
 	stepPrior          = 8.0  // of a step of the fleet's curves, centered on the neighboring steps
 	serverPrior        = 16.0 // of a step of a server's curves, centered on the neighboring steps
 	neighborWeight     = 0.5  // factor on the attempts at an adjacent step; neighborWeight^n at distance n
-	neighborPriorShare = 0.25 // prior strength of the neighbors' mean, as a share of the step's; centered on the fleet's curve
+	neighborPriorShare = 0.25 // of the mean of a step's neighbors, as a fraction of the step's; centered on the fleet's curve
 	newConnPrior       = 8.0  // of the break probability on new connections, centered on that on reused ones
 	detectedPrior      = 2.0  // of the share of breaks detected within a last-byte delay
 	meanPrior          = 4.0  // of a server's mean dial time, centered on the fleet's
--- a/internal/snapshot/list.go
+++ b/internal/snapshot/list.go
@@ -10,7 +10,7 @@
 // List is the endpoint list of a discovery service.
 type List struct {
 	Discovery string // address of the discovery service
-	Revision  uint64 // 0 = differs from the list that discovery sent, so that the complete list has to be requested
+	Revision  uint64 // 0 = Members differ from the list that discovery sent, so that the complete list has to be requested
 	Members   []Member
 }
 
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -19,14 +19,14 @@
 	Program    string    `cbor:"1,keyasint"` // name of the sidecar
 	Deployment string    `cbor:"2,keyasint"` // Fingerprint of the settings
 	Discovery  string    `cbor:"3,keyasint"` // address of the discovery service that sent the list
-	Revision   uint64    `cbor:"4,keyasint"` // revision of the list; 0 = differs from the list that discovery sent
+	Revision   uint64    `cbor:"4,keyasint"` // revision of the list; 0 = Members differ from the list that discovery sent
 	Members    []Member  `cbor:"5,keyasint,omitempty"`
 	Learned    Learned   `cbor:"6,keyasint"`
 	Keepalive  []byte    `cbor:"7,keyasint,omitempty"` // evidence of how connections break, encoded by package keepalive
 }
 
-// Member is a server as listed by discovery. A recently deleted one is kept with that phase, so that an older list doesn't
-// restore it.
+// Member is a server as listed by discovery. A recently deleted one is kept, with the phase endpoints.Deleted, so that an
+// older list doesn't restore it.
 type Member struct {
 	ID         string  `cbor:"1,keyasint"`
 	Address    string  `cbor:"2,keyasint"`
--- a/internal/staleness/liveness_test.go
+++ b/internal/staleness/liveness_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What a response proves about the process depends on when its connection was established. Times are in ms; the list names
-// the process reliably until 1000.
+// What a response proves about the process depends on when its connection was established. Times are in ms; until
+// 1000 the list can be relied on to name the process.
 func TestLiveness(t *testing.T) {
 	at := func(ms int) (t time.Time) {
 		if ms > 0 {
@@ -40,7 +40,7 @@
 		if liveness != (Liveness{at(c.aliveAt), at(c.probedAt)}) {
 			t.Errorf("%s: %+v", c.name, liveness)
 		}
-		startBy := max(1000, c.probedAt) + 550 // deadline of a first byte with a grace of 750
+		startBy := max(1000, c.probedAt) + 550 // latest time of a first byte if the drain grace is 750
 		if got := (Validity{ListUntil: at(1000)}).StartBy(liveness, 750*ms); !got.Equal(at(startBy)) {
 			t.Errorf("%s: first byte until %s, want %d", c.name, got, startBy)
 		}
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -49,7 +49,7 @@
 			placed = max(placed, at)
 		}
 	}
-	if math.IsInf(placed, -1) { // in the future by every offset: a step that this process has not observed
+	if math.IsInf(placed, -1) { // in the future with every known offset, due to a step that this process has not observed
 		return now
 	}
 	return min(placed, now)
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -11,10 +11,10 @@
 // A date written before or after a clock step is placed at the time it was written, or later where the offset is ambiguous.
 func TestPlace(t *testing.T) {
 	for name, row := range map[string]struct {
-		steps   []float64 // of the wall clock, a minute apart
-		age     float64   // of the date, two minutes after the last step
-		written int       // number of steps before it was written
-		younger float64   // by which it may be placed too late
+		steps   []float64 // steps of the wall clock, a minute apart
+		age     float64   // age of the date, two minutes after the last step
+		written int       // number of steps before the date was written
+		younger float64   // most by which the date may be placed too late
 	}{
 		"no step":                              {nil, 1000, 0, 0},
 		"stepped back, written after":          {[]float64{-hour}, 1000, 1, 0},
--- a/internal/watchpolicy/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -104,7 +104,7 @@
 	return true
 }
 
-// mayRefresh reports whether enough servers contradict the list for a refresh at now, and whether the limits allow one.
+// mayRefresh reports whether a refresh may be made at now: enough servers contradict the list, and the limits allow a refresh.
 func (s *Scheduler) mayRefresh(now time.Time) bool {
 	needed := max(min(minContradicted, len(s.listed)), len(s.listed)/contradictedDivisor)
 	return !s.refreshWanted && !s.sourceOverloaded && !now.Before(s.nextRefreshAt) && s.countContradictions(now) >= needed && !s.mustKeepWatch(now)
--- a/internal/watchpolicy/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -19,8 +19,8 @@
 	abandoned := func(*Scheduler, Poll) {}
 	for _, c := range []struct {
 		name string
-		ends []end         // of one poll a second
-		want time.Duration // from the start, less the random part of a wait
+		ends []end         // how successive polls end; one is made per second
+		want time.Duration // counted from the first poll, and without the random shortening of waits
 	}{
 		{"response to the first", []end{responded}, 4 * time.Second},
 		{"response to each", []end{responded, responded, responded}, 6 * time.Second},
@@ -117,8 +117,8 @@
 	start := time.Unix(1e9, 0)
 	for _, c := range []struct {
 		name string
-		ends []func(*Scheduler, Poll) // of one poll a second
-		want time.Duration            // after the start
+		ends []func(*Scheduler, Poll) // how successive polls end; one is made per second
+		want time.Duration            // counted from the first poll
 	}{
 		{"never a response", nil, 750 * ms},
 		{"never a response, and rejected", []func(*Scheduler, Poll){
--- a/internal/watchpolicy/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -23,8 +23,8 @@
 	queuePerInstance    = 50 * time.Millisecond   // time of one poll in a queue for complete lists: 20 per second
 	maxInstanceDelay    = 30 * time.Second        // bounds what grows with the number of instances
 	slotDuration        = 200 * time.Millisecond  // time of one poll in the queue of a shared discovery service
-	queueDrainTime      = 2200 * time.Millisecond // bounds the slots' sum for a complete list: a queue limited to 2 s is empty then
-	maxWatchQueueTime   = 1900 * time.Millisecond // bounds the slots' sum for a new watch: a little less than effectiveAfterWait
+	queueDrainTime      = 2200 * time.Millisecond // bounds the sum of slots for a complete list: by then a full 2 s queue is empty
+	maxWatchQueueTime   = 1900 * time.Millisecond // bounds the sum of slots for a new watch: a little less than effectiveAfterWait
 )
 
 // Poll describes the next request to discovery.
--- a/internal/watchpolicy/scheduler_test.go
+++ b/internal/watchpolicy/scheduler_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// A poll that times out after others were rejected was in the queue, and the next one requests changes as before. Otherwise
-// the process that sent the list may be gone, and the next poll requests the complete list.
+// A poll that times out after others were rejected is assumed to have been in the source's queue, and the next one requests
+// changes as before. Otherwise the process that sent the list may be gone, and the next poll requests the complete list.
 func TestTimedOut(t *testing.T) {
 	scheduler, now := newSchedulerOfMany(t, 32, 1), time.Unix(1e9, 0)
 	scheduler.Next(now)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		maxLatency := objective / margin
-		if !b.latencyReported { // an objective that even free servers barely meet must not keep them idle
+		if !b.latencyReported { // an objective that even servers with free capacity barely meet must not keep them idle
 			maxLatency = max(maxLatency, admission.FreeMultiple*b.gauge.Baseline()*b.loadModel.ClassFactor(class))
 		}
 		if b.expectedLatency(s, class, s.rif) > maxLatency {
--- a/policy/internal/admission/admission.go
+++ b/policy/internal/admission/admission.go
@@ -4,9 +4,9 @@
 
 import "math"
 
-// Limits on the response time as a multiple of that of a free server.
+// Limits on the response time as a multiple of that of a server with free capacity.
 const (
-	FreeMultiple      = 1.75 // multiple of the fleet's baseline up to which a server counts as free
+	FreeMultiple      = 1.75 // multiple of the fleet's baseline up to which a server counts as having free capacity
 	FullStretch       = 4.5  // above it a longer queue adds only waiting
 	sparseFullStretch = 2.5  // the same if reports are sparse
 	valueExponent     = 0.4  // how quickly the limit falls with a request's value
--- a/policy/internal/overload/baseline.go
+++ b/policy/internal/overload/baseline.go
@@ -10,7 +10,8 @@
 	baselineDriftTime    = 60e3  // ms in which it grows by a factor of e while responses are slow, since work and servers change
 )
 
-// baseline is the duration of one kind of request at free servers, estimated from its newest responses, whatever their age.
+// baseline is the duration of one kind of request at servers with free capacity, estimated from its newest responses, whatever
+// their age.
 type baseline struct {
 	target         float64 // latency target in ms; 0 = none
 	median         float64 // the baseline in ms; 0 = not known yet
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -114,7 +114,7 @@
 // Stretch returns the median of recent durations divided by their baselines, less most of its standard error and at least 1.
 func (g *Gauge) Stretch() float64 { return max(1, g.stretch) }
 
-// Baseline returns the median duration in ms at free servers, over all classes; 0 = not known yet.
+// Baseline returns the median duration in ms at servers with free capacity, over all classes; 0 = not known yet.
 func (g *Gauge) Baseline() float64 { return g.allClasses.median }
 
 // String returns the gauge's state as key=value pairs for a log line.
@@ -188,8 +188,8 @@
 	return longestSlow
 }
 
-// baselineOf returns the attempt's expected duration in ms at free servers: the baseline of its class, or that of all classes if
-// its class has too few responses.
+// baselineOf returns the attempt's expected duration in ms at servers with free capacity: the baseline of its class, or that of
+// all classes if its class has too few responses.
 func (g *Gauge) baselineOf(a *attempt) float64 {
 	class := &g.classes[a.class]
 	switch {
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -22,9 +22,9 @@
 	return &simulation{gauge: NewGauge([]float64{target}), rng: rand.New(rand.NewPCG(7, 0)), ends: map[uint32]float64{}, target: target}
 }
 
-// run simulates until the given time. perMs is the rate of requests, baseline their median duration at free servers, stretch
-// the factor by which they are slower, and hungFraction the fraction of attempts that time out after 5 s. It returns the average
-// fraction of requests that the gauge would reject.
+// run simulates until the given time. perMs is the rate of requests, baseline their median duration at servers with free
+// capacity, stretch the factor by which they are slower, and hungFraction the fraction of attempts that time out after 5 s. It
+// returns the average fraction of requests that the gauge would reject.
 func (s *simulation) run(until, perMs, baseline, stretch, hungFraction float64) (fraction float64) {
 	updates := 0.0
 	for ; s.now < until; s.now += 50 {
@@ -123,7 +123,7 @@
 	}
 }
 
-// A latency target that is not much longer than durations at free servers does not show an overload.
+// A latency target that is not much longer than durations at servers with free capacity does not show an overload.
 func TestGaugeWithATightTarget(t *testing.T) {
 	s := newSimulation(300)
 	s.run(5e3, 0.04, 200, 1, 0)
--- a/policy/internal/overload/model.go
+++ b/policy/internal/overload/model.go
@@ -101,5 +101,5 @@
 	return max(1, (m.SumLoadSquared+2*priorConcurrency*priorConcurrency)/(m.SumLoadLatency+2*priorConcurrency))
 }
 
-// Stretch returns the response time at the given load divided by that of a free server, at least 1.
+// Stretch returns the response time at the given load divided by that of a server with free capacity, at least 1.
 func (m *Model) Stretch(load float64) float64 { return max(1, load/m.Concurrency()) }
--- a/policy/internal/probepool/probepool.go
+++ b/policy/internal/probepool/probepool.go
@@ -48,7 +48,7 @@
 	p.entries = slices.DeleteFunc(p.entries, func(e entry[S]) bool { return now-e.receivedAt > age })
 }
 
-// Trim removes due entries on average, in turn the oldest and the worst, so that bad servers do not accumulate in the pool.
+// Trim removes due entries on average, alternately the oldest and the worst, so that bad servers do not accumulate in the pool.
 func (p *Pool[S]) Trim(due float64, better func(x, y S) bool) {
 	for p.removalsDue += due; p.removalsDue >= 1; p.removalsDue-- {
 		if len(p.entries) <= minEntries {
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -97,14 +97,15 @@
 	}
 }
 
-// A class whose latency target is 1.5 times its duration at free servers is admitted there, also if servers report no load.
+// A class whose latency target is 1.5 times its duration at servers with free capacity is admitted at such servers, also if
+// servers report no load.
 func TestTightTargetsAreAdmitted(t *testing.T) {
 	for name, probes := range map[string]bool{"probes": true, "no probes": false} {
 		f := newSharedFleet(t, 40, 300, false)
 		f.balancer.cfg.Probes = probes
 		cfg := f.balancer.cfg
 		for i := range cfg.Classes {
-			cfg.Classes[i].LatencyObjective = 90 // 60 ms at free servers
+			cfg.Classes[i].LatencyObjective = 90 // the duration at servers with free capacity is 60 ms
 		}
 		if err := f.balancer.Reconfigure(cfg, []int{0, 1, 2}, nil); err != nil {
 			t.Fatal(err)
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -320,7 +320,7 @@
 		cfg.ProbeCost = c.price
 		g := newRig(t, cfg, 60)
 		probes, sent := 0, 0
-		for id := range RequestID(400) { // one every 1.5 s, when the reports of the last one have expired
+		for id := range RequestID(400) { // one every 1.5 s: the reports received for the previous one have expired by then
 			g.now += 1500
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -149,7 +149,7 @@
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case SendProbe: // half of the servers have capacity, or none
+				case SendProbe: // with hasCapacity, every other server has free capacity; else none has
 					probes++
 					rif := 40.0
 					if hasCapacity && a.Server%2 == 0 {
