--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -352,7 +352,7 @@
 	o.Logger = slog.New(log)
 	b.Store(newBalancer(t, o))
 	_, err := b.Load().Do(t.Context(), &plankrouter.Request{})
-	var rejected *plankrouter.RejectedError // a rejection is logged
+	var rejected *plankrouter.RejectedError // the rejection is logged, so onLine calls Close
 	if !errors.As(err, &rejected) {
 		t.Errorf("without a server: %v", err)
 	}
--- a/conformance/driver_test.go
+++ b/conformance/driver_test.go
@@ -12,7 +12,7 @@
 
 // driver runs one side: the daemon or the library. Do is safe for concurrent use; the other methods are called by one goroutine.
 type driver interface {
-	// Start starts the side.
+	// Start starts the daemon or the library.
 	Start(*settings) error
 	// Do sends a request and returns its outcome. The caller cancels the request by cancelling ctx.
 	Do(ctx context.Context, r *request) outcome
@@ -27,11 +27,11 @@
 	Stop(soon bool) error
 	Closed() bool
 	Wait() error
-	// Kill ends the side at once, after an error.
+	// Kill ends the daemon or the library at once, after an error.
 	Kill()
 }
 
-// settings are a scenario's settings of a side.
+// settings are a scenario's settings of the daemon or the library.
 type settings struct {
 	classes         []plankrouter.Class
 	tenants         []plankrouter.Tenant
@@ -103,7 +103,7 @@
 }
 
 // rejected returns the outcome for a rejected request. The detail has no retry-after time for a request with a deadline of its
-// own: when that passes, the side or the caller may be the first to notice.
+// own: when that passes, either the caller or the daemon or library may be the first to notice.
 func rejected(r *request, after time.Duration) outcome {
 	o := outcome{kind: "refused"}
 	if after > 0 && r.deadline == 0 {
@@ -122,7 +122,8 @@
 	})
 }
 
-// updateDiscovery changes the list of the fake discovery service, and waits until the side has received it.
+// updateDiscovery changes the list of the fake discovery service, and waits until the daemon or the library has
+// received it.
 func updateDiscovery(ctx context.Context, d *fakes.Discovery, changed []fakes.Endpoint, all bool) error {
 	if all {
 		d.Set(changed...)
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// runner runs a scenario against one side.
+// runner runs a scenario against one side: the daemon or the library.
 type runner struct {
 	ctx           context.Context
 	scenario      *scenario
@@ -61,7 +61,7 @@
 	}
 }
 
-// run runs all steps, stops the side and returns the outcome as lines of the file.
+// run runs all steps, stops the daemon or the library, and returns the outcome as lines of the file.
 func (p *runner) run() (lines []string, err error) {
 	defer func() {
 		for _, c := range p.requests {
@@ -540,8 +540,9 @@
 	})
 }
 
-// sendOnReused repeats the request until it is sent on a connection that has carried others. A side makes a connection
-// available for reuse shortly after it has returned the response, at a time that the test can't observe.
+// sendOnReused repeats the request until it is sent on a connection that has carried others. The daemon or
+// library makes a connection available for reuse shortly after it has returned the response, at a time that the test can't
+// observe.
 func (p *runner) sendOnReused(plain []string, o options) error {
 	return p.repeatUntil(plain[0], func() error {
 		return errors.Join(p.send(plain, o), p.await(plain[0], 0))
@@ -549,7 +550,7 @@
 }
 
 // cancelHalf sends a request, has the server send half of the response, and then cancels the request. It repeats this until
-// the cancellation is in time, as a side soon fails a request whose response has begun and does not go on.
+// the cancellation is in time, as the daemon or library soon fails a request whose response has begun and does not go on.
 func (p *runner) cancelHalf(plain []string, o options) error {
 	name := plain[0]
 	return p.repeatUntil(name, func() error {
--- a/conformance/server_test.go
+++ b/conformance/server_test.go
@@ -121,7 +121,7 @@
 	probes      int
 }
 
-// clientConn is a connection from a side.
+// clientConn is a connection from the daemon or the library.
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -24,7 +24,8 @@
 	case r.Status == 200, !a.isProbe && a.endpoint.client.settings.IsServed != nil && a.endpoint.client.settings.IsServed(r.Status):
 		out.Outcome, out.StatusCode = outcome.Served, r.Status
 		out.Fields = r.Header.EndToEnd(isHopHeader)
-		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" { // of the body that a response to HEAD omits
+		// The length of the body that a response to HEAD omits.
+		if length := r.Header.Get("Content-Length"); a.bodiless && length != "" {
 			out.Fields = append(out.Fields, http1.Field{Name: "Content-Length", Value: length})
 		}
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get(http1.HeaderDeclined) == "1":
--- a/internal/backend/server_test.go
+++ b/internal/backend/server_test.go
@@ -12,8 +12,8 @@
 	"plankrouter/internal/upstream"
 )
 
-// An idle connection is offered an attempt after its idle timeout, when its goroutine was scheduled late and has not closed
-// it yet. The server may be closing it at the same time, so the attempt is sent on a new one.
+// An attempt is assigned to an idle connection after the idle timeout, when the connection's goroutine was scheduled late and
+// has not closed it yet. The server may be closing the connection at the same time, so the attempt is sent on a new one.
 func TestIdleConnectionOfferedPastItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -36,11 +36,11 @@
 	return next, fixed, next.check()
 }
 
-// fixedKey is a key that can't change while the program runs.
+// fixedKey is a key that can't change while the program runs, compared between the configurations c and next of Reload.
 type fixedKey struct {
 	key  string
 	same bool   // next has the same value as c
-	keep func() // copies the value of c to next
+	keep func() // sets the key's value in next to that in c
 }
 
 // fixedKeys returns all fixed keys, each with the result of comparing c and next.
--- a/internal/hotrestart/signals.go
+++ b/internal/hotrestart/signals.go
@@ -12,7 +12,7 @@
 // signal, not of the message: a successor that counted from the arrival of the message would expect the kill too late.
 type Stop struct {
 	At   time.Time // the earliest time at which the signal may have been sent
-	Kill time.Time // the earliest time at which the processes may be killed
+	Kill time.Time // the earliest time at which the predecessor and the successor may be killed
 }
 
 // Reload is a configuration reload signal that a predecessor has received after its successor may have read the configuration.
--- a/internal/hotrestart/transfer.go
+++ b/internal/hotrestart/transfer.go
@@ -55,7 +55,8 @@
 	if err != nil {
 		return fmt.Errorf("handover: complete: %w", err)
 	}
-	// Not earlier: if the main process exits, systemd stops the service's other processes.
+	// The successor becomes the main process no earlier than this: if the main process exits, systemd stops the service's
+	// other processes.
 	if err := Notify(fmt.Sprintf("MAINPID=%d", p.Pid())); err != nil {
 		log.Printf("handover=done successor=%d err=%q", p.Pid(), err)
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -40,7 +40,7 @@
 	return reader
 }
 
-// FreeReader returns a reader that is no longer used to the pool.
+// FreeReader returns a reader to the pool. The caller must not use it afterwards.
 func FreeReader(reader *bufio.Reader) {
 	reader.Reset(nil)
 	readerPool.Put(reader)
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -39,7 +39,7 @@
 
 // Kind is a hardware type of servers.
 type Kind struct {
-	Fraction float64    `json:"share"` // of the servers, relative to the other kinds
+	Fraction float64    `json:"share"` // of the servers; only its ratio to that of the other kinds counts
 	Cores    float64    `json:"cores"`
 	Speed    [2]float64 `json:"speed"` // range of a core's speed, drawn uniformly for each server
 }
@@ -47,7 +47,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name               string  `json:"name"`
-	Fraction           float64 `json:"share"`   // of the client requests, relative to the other classes
+	Fraction           float64 `json:"share"`   // of the client requests; only its ratio to that of the other classes counts
 	WorkMs             float64 `json:"work_ms"` // mean CPU work; exponentially distributed, or lognormally if Spread is above 0
 	WaitMs             float64 `json:"wait_ms"` // mean wait for other services after the work; it holds the slot, but no core
 	Spread             float64 `json:"spread"`  // coefficient of variation of WorkMs and of WaitMs; 0 = both are exponential
@@ -62,7 +62,7 @@
 // Tenant is one of the tenants that share the fleet.
 type Tenant struct {
 	Name     string  `json:"name"`
-	Fraction float64 `json:"share"` // of the traffic, relative to the other tenants
+	Fraction float64 `json:"share"` // of the traffic; only its ratio to that of the other tenants counts
 	Quota    float64 `json:"quota"` // client requests per second that count at full weight; 0 = 1.25 times its part of Rate
 }
 
@@ -74,6 +74,8 @@
 	OverloadLoss    float64 `json:"crowd_loss"` // fraction of the capacity lost with each further one
 	MaxOverloadLoss float64 `json:"crowd_most"` // upper limit of that loss
 
+	// A server jams, which means that it is slower by the factor JamSlow, after it has had too many requests in flight for a
+	// while. The jam clears after it has had few for a while, or at the latest after MaxJam.
 	JamWaiting float64 `json:"jam_waiting"`   // requests in flight per core, beyond the one it runs, above which a server may jam
 	JamAfter   float64 `json:"jam_after_ms"`  // time above JamWaiting until it jams
 	JamSlow    float64 `json:"jam_slow"`      // factor by which a jammed server is slower
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -11,7 +11,7 @@
 	maxBreaches         = 20      // that are reported for each rule; all are counted
 	maxArrivalsShown    = 12      // in the breach of an overloaded cold server, the last ones
 	minNotifiedFraction = 2.0 / 3 // of the work, from notified sidecars, for the overload of a cold server to break a rule
-	drainSlack          = 0.5     // ms beyond a drain's grace in which a request may be sent, for the rounding of clocks
+	drainSlack          = 0.5     // ms after the drain grace in which a request may still be sent, for the rounding of clocks
 )
 
 // Rule is an invariant of every run. Its text is its name in reports.
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -327,8 +327,8 @@
 	return slices.Compact(sizes), rows
 }
 
-// bestBefore returns the highest mean share before the event of any size. It is the reference for the recovery of all sizes, so
-// that one with a low share all along does not count as recovered.
+// bestBefore returns the highest mean share before the event among the given numbers of sidecars. It is the reference for the
+// recovery at all these numbers, so that one with a low share all along does not count as recovered.
 func bestBefore(results []*OverloadResult, row Overload, sizes []int) (best float64) {
 	for _, n := range sizes {
 		var before, runs float64
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -59,7 +59,7 @@
 		return unavailable
 	}
 	if float64(m.inFlight()+jamMargin) > m.cores*(1+w.cfg.Server.JamWaiting) {
-		return unavailable // one more request could jam it
+		return unavailable // one more request could make it jam, see Server.JamWaiting
 	}
 	work, fractions := 0.0, 0.0
 	for _, c := range w.cfg.Classes {
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -44,7 +44,7 @@
 	head           int
 	cancelled      int    // jobs of waiting, from head on, that are cancelled
 	blocked        int    // jobs that hold a slot, but no core, while they wait for other services
-	completionSeq  uint64 // of the scheduled completion that is valid
+	completionSeq  uint64 // number of the latest scheduled completion; earlier ones are ignored
 
 	host            *host   // on which it runs
 	failing         float64 // fraction of the requests that it fails
@@ -74,7 +74,7 @@
 // host is the hardware that a server's processes use, one after another.
 type host struct {
 	current *machine
-	taken   []float64 // fraction of the capacity that each neighbour takes at present
+	taken   []float64 // fraction of the capacity that each neighbour (another program on the host) takes at present
 }
 
 func (m *machine) inFlight() int {
@@ -88,7 +88,7 @@
 	return min(1, m.startCapacity+(1-m.startCapacity)*(m.world.now-m.startedAt)/m.warmUpTime)
 }
 
-// capacity returns the work per ms of the process without overload, jams, neighbours and overhead.
+// capacity returns the work per ms of the process without overload, jams (see Server.JamWaiting), neighbours and overhead.
 func (m *machine) capacity() float64 { return m.cores * m.speed * m.slowStartFraction() }
 
 // power returns the work per ms with all cores busy, in the present state.
@@ -149,7 +149,7 @@
 	update(&m.idleSince, inFlight <= set.JamIdle*cores)
 }
 
-// tick updates what changes over time: overhead, jams and, by power, slow start.
+// tick updates what changes over time: overhead and jams, and the rate at which requests run, which also depends on slow start.
 func (m *machine) tick() {
 	set, now := &m.world.cfg.Server, m.world.now
 	m.advance()
--- a/internal/testbench/emulator/server_test.go
+++ b/internal/testbench/emulator/server_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestNeighboursOutliveProcesses checks that neighbours keep their part of a host when its process is replaced, and that the
-// capacity is whole again after them.
+// TestNeighboursOutliveProcesses checks that neighbours, other programs on a host, keep taking their part of its capacity when
+// the server process is replaced, and that the full capacity is available again after they have ended.
 func TestNeighboursOutliveProcesses(t *testing.T) {
 	cfg := Default(1, 4)
 	cfg.Rate = 0
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -12,7 +12,7 @@
 const (
 	probeTimeout = 200.0 // ms, as in the sidecar program
 	timeoutLead  = 0.1   // ms by which an attempt's timeout precedes a timer for the same time
-	graceMargin  = 100.0 // ms before the end of a drain's grace from which the sidecar sends no new request to the server
+	graceMargin  = 100.0 // ms before the end of the drain grace; from then on the sidecar sends no new request to the server
 )
 
 // sidecar hosts one policy, as internal/dispatch does: it executes the policy's actions and passes it the resulting events.
@@ -52,7 +52,7 @@
 	attemptsInFlight int
 	current          *attempt
 	mayRun           bool    // an attempt that has ended may have run
-	work             float64 // that the server has done for its response
+	work             float64 // work that the server has done for the response
 	answered         bool
 	log              []step
 }
@@ -132,7 +132,7 @@
 	if h == k.health {
 		return
 	}
-	if k.health == policy.Ready || h == policy.Ready { // a drain's grace runs from its first notification on
+	if k.health == policy.Ready || h == policy.Ready { // the drain grace runs from the first notification of the drain
 		k.notifiedAt = s.world.now
 	}
 	k.health = h
@@ -271,7 +271,7 @@
 	}
 }
 
-// write sends a to its server, unless a is a request and the grace of the server's drain is almost over.
+// write sends a to its server, unless a is a request and the server's drain grace is almost over.
 func (s *sidecar) write(a *attempt) {
 	k := s.known[a.machine.id]
 	if a.request != nil && k.health != policy.Ready && s.world.now > k.notifiedAt+s.world.cfg.Rules.DrainGrace-graceMargin {
--- a/internal/testbench/recovery/scenario.go
+++ b/internal/testbench/recovery/scenario.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	loseResponsesEvery = 500 * time.Millisecond // interval in releaseHidden
-	silentFor          = 4 * time.Second        // of servers
-	downFor            = 8 * time.Second        // of discovery
+	loseResponsesEvery = 500 * time.Millisecond // interval at which releaseHidden loses responses
+	silentFor          = 4 * time.Second        // how long silence makes servers unreachable
+	downFor            = 8 * time.Second        // how long discoveryDown takes discovery down
 	snapshotName       = "learned.snapshot"
 	snapshotMs         = 500 // interval between snapshots, in milliseconds
 
@@ -171,8 +171,8 @@
 	return r.fleet.Discovery.SetDown(false)
 }
 
-// failSomeServers makes a quarter of the fleet fail nine of ten requests, and quickly, which a sidecar learns only by
-// sending requests.
+// failSomeServers makes a quarter of the servers fail nine of ten requests, and respond quickly. A sidecar learns of the
+// failures only by sending requests.
 func failSomeServers(r *rig) {
 	for _, p := range r.faultyServers() {
 		p.SetBehaviour(fakes.Behaviour{FailFraction: 0.9, Slowdown: 0.3})
--- a/internal/testbench/simulated/world.go
+++ b/internal/testbench/simulated/world.go
@@ -47,7 +47,8 @@
 	Spawn func(ctx context.Context) (*Part, error)
 }
 
-// Part is the connection to a process of the fleet.
+// Part is the connection to a part of the fleet: a process, or goroutines of this one, with simulated sidecars or a discovery
+// server.
 type Part struct {
 	commands  *json.Encoder
 	responses *json.Decoder
@@ -255,7 +256,7 @@
 	Simulated, Discovery Counts
 }
 
-// count returns the sums of the counts of all parts.
+// count returns the sums of the counts over all parts of the fleet.
 func (f *fleetControl) count() (u usage, err error) {
 	u.time = time.Now()
 	for _, side := range []struct {
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -285,7 +285,8 @@
 				continue
 			}
 			since := notified
-			for _, learned := range r.learnedAt[serverAtSidecar{a.sidecar, l.server}] { // includes earlier cordons by operators
+			// The times include those of earlier cordons by operators, which don't count.
+			for _, learned := range r.learnedAt[serverAtSidecar{a.sidecar, l.server}] {
 				if !learned.Before(l.since) && learned.Before(since) {
 					since = learned
 				}
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -25,7 +25,7 @@
 
 const (
 	readyWithin = 10 * time.Second // within which a started process must serve
-	adminWithin = 3 * time.Second  // timeout of an order at the admin interface
+	adminWithin = 3 * time.Second  // timeout of a request to the admin interface
 
 	listenFailures     = 3                      // the first listen calls of a process that starts after a crash
 	killMargin         = 700 * time.Millisecond // added to the longest deadline: the earliest kill after SIGTERM
@@ -314,7 +314,7 @@
 	s.watch(next)
 }
 
-// order sends an operator's order and returns the status of the response; 0 = no response.
+// order sends an operator's order to the admin interface and returns the status of the response; 0 = no response.
 func (s *sidecar) order(what, server string) int {
 	c, err := net.DialTimeout("tcp", s.admin, adminWithin)
 	if err != nil {
