--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -92,7 +92,7 @@
 	a, b := Endpoint{ID: "a", Phase: Serving}, Endpoint{ID: "b", Phase: Serving}
 	gone := Endpoint{ID: "a", Phase: Deleted}
 	const complete, watch, short = listPath, listPath + "?index=1&wait=10000", listPath + "?index=1&wait=50"
-	then := func(d *Discovery, do func()) { // once there is a request
+	then := func(d *Discovery, do func()) { // calls do once discovery has received a request
 		go func() {
 			for len(d.Requests()) == 0 {
 				time.Sleep(time.Millisecond)
@@ -102,7 +102,7 @@
 	}
 	for name, test := range map[string]struct {
 		do    func(d *Discovery)
-		calls string // targets on one connection; "new" opens another
+		calls string // request targets, sent on one connection; "new" opens another connection
 		want  string
 	}{
 		"complete":   {func(*Discovery) {}, complete, "1=aSbS"},
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -10,7 +10,7 @@
 type Fleet struct {
 	Discovery *Discovery
 	Servers   []*Server
-	processes []int // number of restarts, by server
+	processes []int // restarts so far, by server
 }
 
 // NewFleet starts n servers with the same options and a discovery that lists them. Their ids are o.ID, or "s" if empty,
--- a/internal/testbench/fakes/memory_conn.go
+++ b/internal/testbench/fakes/memory_conn.go
@@ -41,7 +41,7 @@
 	size         int       // total bytes in the queue
 	writeClosed  bool      // the writer has closed its side
 	readerClosed bool      // the reader is closed: the next write triggers a reset
-	broken       bool      // that reset has been sent: further writes fail
+	broken       bool      // a write after readerClosed has triggered the reset: further writes fail
 	resetAt      time.Time // when the reader's reset reaches the writer; zero = there was none
 }
 
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -79,7 +79,7 @@
 // which must cover about twenty requests, so that a single failure by chance does not hide a recovery.
 func RecoveryTime(attempts []Attempt, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
 	windows := Tally(attempts, event, width)
-	if len(windows) > 0 { // the last window may be incomplete
+	if len(windows) > 0 { // the end of the load may cut the last window short
 		windows = windows[:len(windows)-1]
 	}
 	need := int((RecoveredFor + width - 1) / width)
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -52,7 +52,7 @@
 type Retry struct {
 	MaxRetries      int      `json:"most,omitempty"`      // attempts after the first
 	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each retry
-	MaxRetryAfterMs float64  `json:"advice_ms,omitempty"` // limit on a Retry-After that is longer; 0 = ignored
+	MaxRetryAfterMs float64  `json:"advice_ms,omitempty"` // a Retry-After longer than WaitMs is followed up to this; 0 = ignored
 	On              []string `json:"on,omitempty"`        // outcomes; empty = refused, unreachable, for GET also failed, lost
 }
 
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -90,11 +90,11 @@
 // Tally has the counts and latencies of the requests of one class.
 type Tally struct {
 	Requests        uint64              `json:"asked"`    // requests, not counting retries
-	Attempts        uint64              `json:"tries"`    // attempts of all requests, also without a connection
+	Attempts        uint64              `json:"tries"`    // attempts of all requests, including those that got no connection
 	Resent          uint64              `json:"resent"`   // attempts sent again since the server had closed the reused connection
 	InObjective     uint64              `json:"in_aim"`   // requests served within their latency objective, from their due time
 	Outcomes        [numOutcomes]uint64 `json:"ends"`     // of requests, in the order of the constants
-	AttemptOutcomes [numOutcomes]uint64 `json:"try_ends"` // of attempts
+	AttemptOutcomes [numOutcomes]uint64 `json:"try_ends"` // of attempts, in the same order
 
 	Due  Histogram `json:"due"`  // latency of served requests from their due time
 	Sent Histogram `json:"sent"` // latency of served requests from sending the last attempt, as a closed-loop tool reports it
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -26,9 +26,9 @@
 }
 
 // Guards against coordinated omission: the server pauses for 2 s, from 5 ms before one of 100 evenly spaced requests/s on.
-// The i-th longest of the 1000 latencies is 1995 - 10(i-1) ms up to i = 200, the others 0; quantile q is at i = 1001-1000q.
-// Latency from the due time is the same with one connection, as in a closed-loop tool, whose latency from the send shows
-// one slow request.
+// The i-th longest of the 1000 latencies is 1995 - 10(i-1) ms up to i = 200, the others 0. Quantile q has rank 1000q from
+// below, so i = 1001-1000q. Latency from the due time is the same with one connection, as in a closed-loop tool, whose
+// latency from the send shows one slow request.
 func TestServerPause(t *testing.T) {
 	for name, test := range map[string]struct {
 		connections int
