--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -223,7 +223,7 @@
 }
 
 // Clients and servers that disconnect during long bodies, in either direction, don't affect other requests.
-func TestPeersDisconnectDuringLongBodies(t *testing.T) {
+func TestClientsAndServersDisconnectDuringLongBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
 		_, discovery := fakeServers(t, m, 3, func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -18,8 +18,8 @@
 )
 
 // renamings maps, for other customers, the names in base and in testdata/ of classes, tenants, zones and servers to new ones.
-// Zones are matched with their quotes, since a single letter occurs elsewhere. Zones and servers keep the length of their
-// names, since the lengths of bodies depend on it. The new server ids sort in the opposite order.
+// Zones are matched with their quotes, since a single letter also occurs in other words. Zones and servers keep the length of
+// their names, since the lengths of bodies depend on it. The new server ids sort in the opposite order.
 var renamings = map[string]map[string]string{
 	"fresh": {
 		"tile": "Full_text", "order": "q", "search": "loan-2", "acme": "St-Gall", "globex": "zu", `"a"`: `"x"`, `"b"`: `"y"`,
--- a/cmd/testbench/load.go
+++ b/cmd/testbench/load.go
@@ -216,13 +216,13 @@
 // files creates the output files before anything is sent, so that a run is not lost because a file can't be created.
 func (c *loadCommand) files() (f loadFiles, err error) {
 	for _, file := range []struct {
-		name string
-		to   **os.File
+		name   string
+		target **os.File
 	}{{c.JSON, &f.json}, {c.CSV, &f.csv}, {c.Plot, &f.plot}, {c.Trace, &f.trace}} {
 		if file.name == "" {
 			continue
 		}
-		if *file.to, err = os.Create(file.name); err != nil {
+		if *file.target, err = os.Create(file.name); err != nil {
 			f.close()
 			return f, err
 		}
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -231,7 +231,7 @@
 	return values
 }
 
-// parseBody returns the body that a token stands for: for a number, a pattern of that many bytes; else the token itself.
+// parseBody returns the body that a token specifies: for a number, a pattern of that many bytes; else the token itself.
 func parseBody(token string) []byte {
 	n, err := strconv.Atoi(token)
 	if err != nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -134,11 +134,11 @@
 		}
 		seen[class.Name] = true
 		for _, f := range []struct {
-			key string
-			ms  float64
+			key    string
+			millis float64
 		}{{"AimMs", class.AimMs}, {"HardLimitMs", class.HardLimitMs}} {
-			if !(f.ms > 0) {
-				return 0, fmt.Errorf("settings.RequestClasses[%d].%s: %g is not a positive number", i, f.key, f.ms)
+			if !(f.millis > 0) {
+				return 0, fmt.Errorf("settings.RequestClasses[%d].%s: %g is not a positive number", i, f.key, f.millis)
 			}
 		}
 		longestDeadline = max(longestDeadline, Duration(class.HardLimitMs))
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -48,18 +48,18 @@
 // durationKey is a key of the file whose value is a time.
 type durationKey struct {
 	key      string
-	ms       float64        // in the file
+	millis   float64        // in the file
 	target   *time.Duration // where the result is stored
-	fallback time.Duration  // the result if ms is 0
+	fallback time.Duration  // the result if millis is 0
 }
 
 // readDurations converts and stores times in milliseconds. Each must be 0 or lie between minMs and maxMs.
 func readDurations(prefix string, minMs, maxMs float64, keys ...durationKey) error {
 	for _, f := range keys {
-		if !(f.ms >= 0) || f.ms > 0 && f.ms < minMs || f.ms > maxMs {
-			return fmt.Errorf("%s%s: %g ms does not lie between %g and %g", prefix, f.key, f.ms, minMs, maxMs)
+		if !(f.millis >= 0) || f.millis > 0 && f.millis < minMs || f.millis > maxMs {
+			return fmt.Errorf("%s%s: %g ms does not lie between %g and %g", prefix, f.key, f.millis, minMs, maxMs)
 		}
-		*f.target = cmp.Or(Duration(f.ms), f.fallback)
+		*f.target = cmp.Or(Duration(f.millis), f.fallback)
 	}
 	return nil
 }
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -232,7 +232,7 @@
 func TestSetAddressRaces(t *testing.T) {
 	changes := okResponse(listJSON(9, false, "a=DRAINING"))
 	for name, c := range map[string]struct {
-		at      string // what the watch is doing
+		state   string // what the watch is doing
 		updated bool   // by the old source's response
 		back    bool
 	}{
@@ -261,18 +261,18 @@
 			conn := x.start()
 			var once sync.Once
 			x.onRead = func(toEnd bool) {
-				if toEnd == (c.at == "whole") && (c.at == "half" || c.at == "whole") {
+				if toEnd == (c.state == "whole") && (c.state == "half" || c.state == "whole") {
 					once.Do(move)
 				}
 			}
-			if c.at == "poll" {
+			if c.state == "poll" {
 				x.onValidity = func() { once.Do(move) }
 			}
 			x.proceed <- struct{}{}
-			if c.at != "poll" { // cancelled before the request is sent
+			if c.state != "poll" { // cancelled before the request is sent
 				conn.nextTarget()
 			}
-			switch c.at {
+			switch c.state {
 			case "poll":
 			case "sent":
 				move()
@@ -284,18 +284,18 @@
 			if c.updated {
 				x.wantUpdate("9 map[a:DRAINING]")
 				x.want("source", x.Address(), old)
-				if c.at == "update" {
+				if c.state == "update" {
 					move()
 				}
 				x.proceed <- struct{}{}
 			}
 			<-moved
-			if c.at != "update" && c.at != "poll" || !c.back {
+			if c.state != "update" && c.state != "poll" || !c.back {
 				x.want("then, on that connection", conn.nextTarget(), "closed")
 				conn.write(changes[60:]) // ignored where the first part was not read
 			}
 			if c.back {
-				if c.at != "update" && c.at != "poll" {
+				if c.state != "update" && c.state != "poll" {
 					conn = x.accept()
 				}
 				x.want("requested", conn.nextTarget()[:8], map[bool]string{true: "?index=9", false: "?index=8"}[c.updated])
--- a/internal/keepalive/cost.go
+++ b/internal/keepalive/cost.go
@@ -30,7 +30,7 @@
 		}
 		earlyLoss, loss := e.settings.RetryCost+delayLoss(length.Seconds()+post.dial), undelayedLoss+delayLoss(length.Seconds())
 		for kind, probability := range probabilities {
-			loss -= probability * e.detectedShare[kind][i] * (brokenLoss[kind] - earlyLoss)
+			loss -= probability * e.detectedFraction[kind][i] * (brokenLoss[kind] - earlyLoss)
 		}
 		if loss < minLoss {
 			minLoss, delay = loss, length
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -94,12 +94,12 @@
 	serverList          []*serverRecord // the same servers in insertion order
 	exclusionCandidates []*serverRecord // buffer of recompute
 
-	fleet         posterior
-	detectedShare [breakKinds][len(lastByteDelays)]float64 // share of breaks detected within each last-byte delay
-	detectionTime [breakKinds]float64                      // seconds from the last byte until a break is detected
-	stale         bool                                     // a break has been observed since the posteriors were computed
-	computedAt    float64                                  // clock at the last recompute
-	generation    int                                      // number of recomputes
+	fleet            posterior
+	detectedFraction [breakKinds][len(lastByteDelays)]float64 // fraction of breaks detected within each last-byte delay
+	detectionTime    [breakKinds]float64                      // seconds from the last byte until a break is detected
+	stale            bool                                     // a break has been observed since the posteriors were computed
+	computedAt       float64                                  // clock at the last recompute
+	generation       int                                      // number of recomputes
 }
 
 // serverRecord holds the evidence and the estimates of one server.
--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -14,15 +14,15 @@
 
 // Strengths of the priors, as the number of attempts that a prior counts as, and other weights of the estimates.
 const (
-	stepPrior          = 8.0  // of a step of the fleet's curves, centered on the neighboring steps
-	serverPrior        = 16.0 // of a step of a server's curves, centered on the neighboring steps
-	neighborWeight     = 0.5  // factor on the attempts at an adjacent step; neighborWeight^n at distance n
-	neighborPriorShare = 0.25 // prior strength of the neighbors' mean, as a share of the step's; centered on the fleet's curve
-	newConnPrior       = 8.0  // of the break probability on new connections, centered on that on reused ones
-	detectedPrior      = 2.0  // of the share of breaks detected within a last-byte delay
-	meanPrior          = 4.0  // of a server's mean dial time, centered on the fleet's
-	minEvidence        = 0.01 // evidence below this weight counts as none
-	epsilon            = 1e-9 // keeps divisors above 0 and absorbs rounding errors
+	stepPrior             = 8.0  // of a step of the fleet's curves, centered on the neighboring steps
+	serverPrior           = 16.0 // of a step of a server's curves, centered on the neighboring steps
+	neighborWeight        = 0.5  // factor on the attempts at an adjacent step; neighborWeight^n at distance n
+	neighborPriorFraction = 0.25 // prior strength of the neighbors' mean, as a fraction of the step's; centered on the fleet's curve
+	newConnPrior          = 8.0  // of the break probability on new connections, centered on that on reused ones
+	detectedPrior         = 2.0  // of the fraction of breaks detected within a last-byte delay
+	meanPrior             = 4.0  // of a server's mean dial time, centered on the fleet's
+	minEvidence           = 0.01 // evidence below this weight counts as none
+	epsilon               = 1e-9 // keeps divisors above 0 and absorbs rounding errors
 )
 
 var (
@@ -127,7 +127,7 @@
 			t.add(neighborWeight*of[i].attempts, neighborWeight*of[i].broken)
 		}
 	}
-	excess := max(0, t.estimate(scale, neighborPriorShare, average)-average)
+	excess := max(0, t.estimate(scale, neighborPriorFraction, average)-average)
 	return excess * excess
 }
 
--- a/internal/keepalive/posterior.go
+++ b/internal/keepalive/posterior.go
@@ -78,7 +78,7 @@
 	}
 	n := 0
 	for i := range stepCount {
-		m := around[i].estimate(1, strength*neighborPriorShare, float64(prior[i]))
+		m := around[i].estimate(1, strength*neighborPriorFraction, float64(prior[i]))
 		blocks[n].value = float32(of[i].estimate(scale, strength, m))
 		blocks[n].weight, blocks[n].end = of[i].attempts*scale+minEvidence, i+1
 		for n++; n > 1 && blocks[n-2].value > blocks[n-1].value; n-- {
@@ -140,7 +140,7 @@
 		undetected := 1.0
 		for i, p := range lastByteDelays {
 			undetected *= 1 - d.detected[i].estimate(scale, detectedPrior, p.detectionPrior)
-			e.detectedShare[kind][i] = 1 - undetected
+			e.detectedFraction[kind][i] = 1 - undetected
 		}
 		e.detectionTime[kind] = d.detectionTime.estimate(scale, 0)
 	}
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -122,13 +122,13 @@
 // exceeds that of new connections by 0.15.
 type thresholdPolicy struct {
 	fixedPolicy
-	byIdle [40]struct{ attempts, broken float64 }
-	at     time.Time
+	byIdle    [40]struct{ attempts, broken float64 }
+	learnedAt time.Time
 }
 
 func (p *thresholdPolicy) Learn(now time.Time, u Use, outcome Outcome, _, _ time.Duration) {
-	fade := math.Exp2(-now.Sub(p.at).Seconds() / 10)
-	p.at = now
+	fade := math.Exp2(-now.Sub(p.learnedAt).Seconds() / 10)
+	p.learnedAt = now
 	for i := range p.byIdle {
 		p.byIdle[i].attempts *= fade
 		p.byIdle[i].broken *= fade
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -185,19 +185,19 @@
 	e.dial.read(s.Dial, scale)
 	e.broken = e.onNewConns.broken
 	for _, c := range []struct {
-		name string
-		from [][3]uint32
-		to   *[stepCount]tally
+		name   string
+		source [][3]uint32
+		target *[stepCount]tally
 	}{{"idle", s.Idle, &e.idle}, {"carried", s.Carried, &e.carried}} {
 		next := uint32(0)
-		for _, t := range c.from {
+		for _, t := range c.source {
 			if t[0] < next || t[0] >= stepCount {
 				return fmt.Errorf("%s: step %d, want %d to %d", c.name, t[0], next, stepCount-1)
 			}
-			if err := c.to[t[0]].read([2]uint32(t[1:]), scale); err != nil {
+			if err := c.target[t[0]].read([2]uint32(t[1:]), scale); err != nil {
 				return fmt.Errorf("%s: step %d: %w", c.name, t[0], err)
 			}
-			e.broken += c.to[t[0]].broken
+			e.broken += c.target[t[0]].broken
 			next = t[0] + 1
 		}
 	}
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// Put stores the value v in the field of r that f stands for; a value of Other is dropped.
+// Put stores the value v in the field of r that f identifies; a value of Other is dropped.
 func (f Field) Put(r *policy.Report, v float64) {
 	switch f {
 	case RIF:
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -143,7 +143,7 @@
 	long := "\xa1\x08\x99\x3f\xff" // a server with 0x3fff tallies
 	for what, at := range map[string]struct {
 		before, each string
-		n            int
+		count        int
 	}{
 		"empty members":          {"\xa1\x05\x9a\x00\x01\xff\xff", "\xa0", 0x1ffff},
 		"empty servers":          {"\xa1\x06\xa1\x02\x99\x3f\xff", "\xa0", 0x3fff},
@@ -153,7 +153,7 @@
 		"a truncated text":       {"\xa1\x01\x7a\xff\xff\xff\xff", "x", 9},
 		"a map that is too long": {"\xa1\x18\x63\xba\x00\x10\x00\x00", "\x01\x01", 1 << 20},
 	} {
-		b := withHeader(Minor, testTakenAt, at.before+strings.Repeat(at.each, at.n))
+		b := withHeader(Minor, testTakenAt, at.before+strings.Repeat(at.each, at.count))
 		var from, to runtime.MemStats
 		runtime.ReadMemStats(&from)
 		_, err := Decode(b)
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	jitterShare      = 0.1         // share by which an interval varies, so that sidecars don't all write at once
+	jitterFraction   = 0.1         // fraction by which an interval varies, so that sidecars don't all write at once
 	maxBackoff       = 16          // maximum number of intervals between two attempts while writes fail
 	lastWriteTimeout = time.Second // for the last snapshot, written when Run ends
 )
@@ -87,7 +87,7 @@
 // nextInterval returns the time to the next snapshot, with jitter and doubled after each failure up to maxBackoff.
 func (w *Writer) nextInterval() time.Duration {
 	every := float64(w.Interval) * float64(min(maxBackoff, 1<<min(w.failures, 10)))
-	return time.Duration(every * (1 + jitterShare*(2*w.rng.Float64()-1)))
+	return time.Duration(every * (1 + jitterFraction*(2*w.rng.Float64()-1)))
 }
 
 func (w *Writer) write() error {
--- a/internal/testbench/fakes/client_test.go
+++ b/internal/testbench/fakes/client_test.go
@@ -19,7 +19,7 @@
 		c := ConnPool{Dial: n.Dial, Address: p.Address(), MaxConns: 2, Read: readResponse}
 		for _, step := range []struct {
 			name     string
-			do       func()
+			before   func() // runs before the requests are sent
 			requests int    // 10 ms apart
 			want     string // per request: number of its connection, result, and whether it was sent again
 		}{
@@ -36,7 +36,7 @@
 				"6 lost false",
 			},
 		} {
-			step.do()
+			step.before()
 			time.Sleep(time.Millisecond)
 			got := make([]string, step.requests)
 			var all sync.WaitGroup
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -101,7 +101,7 @@
 		}()
 	}
 	for name, test := range map[string]struct {
-		do    func(d *Discovery)
+		setup func(d *Discovery)
 		calls string // request targets, sent on one connection; "new" opens another connection
 		want  string
 	}{
@@ -157,7 +157,7 @@
 				defer d.Close()
 				c := dialTest(t, n, d.Address())
 				c.get("/other", "") // waits until the connection is accepted
-				test.do(d)
+				test.setup(d)
 				var got []string
 				for target := range strings.FieldsSeq(test.calls) {
 					if target == "new" {
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -17,7 +17,7 @@
 	resetAfterIdle := func(d time.Duration) func(*Server) { return behave(Behaviour{ResetAfterIdle: d}) }
 	found := encodeResponse(302, "", nil)
 	for name, test := range map[string]struct {
-		do    func(p *Server)
+		setup func(p *Server)
 		calls string // "load" or "alive" for a probe, "new" and "dial" for a connection, "pause"; else a request's id
 		want  string // the response to each
 		ran   string // logged outcome of each request, with ! if its execution started and + if it finished
@@ -81,7 +81,7 @@
 				defer p.Close()
 				c := dialTest(t, n, p.Address())
 				c.get(alivePath, "")
-				test.do(p)
+				test.setup(p)
 				var got []string
 				for word := range strings.FieldsSeq(test.calls) {
 					switch word {
--- a/internal/testbench/fleet/fleet.go
+++ b/internal/testbench/fleet/fleet.go
@@ -278,11 +278,11 @@
 		printf("most %s at one server within %s: %d, %s at %.1f s\n", kind, c.Every, p.Count, p.Server, p.At.Seconds())
 	}
 	for _, v := range []struct {
-		label string
-		ms    []float64
+		label  string
+		millis []float64
 	}{{"age of the load report behind an attempt", c.ReportAges}, {"list calls beyond their wait", c.Waits}, {"CPU of a sidecar", c.CPU}} {
-		if n := len(v.ms); n > 0 {
-			printf("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.label, v.ms[(n-1)/2], v.ms[(n-1)*9/10], v.ms[n-1])
+		if n := len(v.millis); n > 0 {
+			printf("%s, ms: median %.0f, 90%% %.0f, most %.0f\n", v.label, v.millis[(n-1)/2], v.millis[(n-1)*9/10], v.millis[n-1])
 		}
 	}
 	return err
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -190,11 +190,11 @@
 	fmt.Fprint(t, "\nms, of all requests\tmeasured from\tp50\tp90\tp99\tp99.9\tlongest\t\n")
 	for _, c := range r.Classes {
 		for _, from := range []struct {
-			what string
-			l    Latency
+			what    string
+			latency Latency
 		}{{"due", c.Due}, {"send", c.Sent}} {
 			fmt.Fprintf(t, "%s\t%s\t", c.Class, from.what)
-			for _, ms := range from.l {
+			for _, ms := range from.latency {
 				fmt.Fprintf(t, "%s\t", formatMs(ms))
 			}
 			fmt.Fprintln(t)
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -43,20 +43,20 @@
 		}
 	}
 	for i, w := range workers {
-		if line, err := w.out.ReadString('\n'); line != readyLine+"\n" {
+		if line, err := w.stdout.ReadString('\n'); line != readyLine+"\n" {
 			return nil, fmt.Errorf("process %d of the generator did not get ready: %w", i+1, errors.Join(err, w.kill()))
 		}
 	}
 	start := time.Now().Add(startDelay)
 	for i, w := range workers {
-		if err := json.NewEncoder(w.in).Encode(start); err != nil {
+		if err := json.NewEncoder(w.stdin).Encode(start); err != nil {
 			return nil, fmt.Errorf("process %d of the generator: %w", i+1, errors.Join(err, w.kill()))
 		}
 	}
 	all, ctx := errgroup.WithContext(ctx) // a failed worker interrupts the others
 	context.AfterFunc(ctx, func() {
 		for _, w := range workers {
-			w.in.Close()
+			w.stdin.Close()
 		}
 	})
 	results := make([]*Result, len(workers))
@@ -76,32 +76,32 @@
 
 // worker is one process of RunDistributed.
 type worker struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Reader
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	stdout *bufio.Reader
 }
 
 func startWorker(cmd *exec.Cmd, j workerJob) (*worker, error) {
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	w := &worker{cmd, in, bufio.NewReader(out)}
-	return w, json.NewEncoder(in).Encode(j)
+	w := &worker{cmd, stdin, bufio.NewReader(stdout)}
+	return w, json.NewEncoder(stdin).Encode(j)
 }
 
 // result waits for the result of the worker's part and the end of its process.
 func (w *worker) result() (*Result, error) {
 	r := &Result{}
-	err := json.NewDecoder(w.out).Decode(r)
-	w.in.Close()
+	err := json.NewDecoder(w.stdout).Decode(r)
+	w.stdin.Close()
 	return r, errors.Join(err, w.cmd.Wait())
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,7 +11,7 @@
 
 const (
 	maxSlowFactor   = 1.5 // upper bound of a server's service time in fleet medians: a few costly requests raise a server's mean
-	peerValueFactor = 1.5 // a request must leave capacity for classes worth at least this many times its value
+	peerValueFactor = 1.5 // a request must leave capacity for classes of at least this many times its value
 	minQuotaBurst   = 5.0 // requests; lower bound of a tenant's burst, which otherwise is its quota of one second
 	minIdleRIF      = 1   // RIF below which a server is idle
 )
@@ -51,7 +51,7 @@
 }
 
 // meetsObjectives reports whether the server is expected to meet the latency objectives of this request and of all classes
-// that are worth more, as the request would otherwise take capacity from those.
+// of at least peerValueFactor times its value, as the request would otherwise take capacity from those.
 func (b *Balancer) meetsObjectives(s *server, r *request, value float64, timeLeft Ms) bool {
 	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
 	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s))
--- a/policy/config.go
+++ b/policy/config.go
@@ -37,7 +37,7 @@
 	LatencyObjective Ms      // a response within it has its full value
 	Deadline         Ms      // longest time that a client waits
 	PriorityWeight   float64 // value of a response within the objective
-	LateWeight       float64 // fraction of PriorityWeight that a later response is still worth
+	LateWeight       float64 // value of a later response, as a fraction of PriorityWeight
 	Idempotency      Idempotency
 	KeyScope         KeyScope // only for WithIdempotencyKey
 	KeyWindow        Ms       // only for WithIdempotencyKey: how long servers drop repeats
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,9 +1,9 @@
 package policy
 
-// ServerID is an opaque identifier of a server, chosen by the owner of a Balancer.
+// ServerID is an opaque identifier of a server, assigned by the owner of a Balancer.
 type ServerID uint32
 
-// RequestID is an opaque identifier of a request, chosen by the owner of a Balancer.
+// RequestID is an opaque identifier of a request, assigned by the owner of a Balancer.
 type RequestID uint32
 
 // EventKind is the type of an event.
--- a/policy/internal/admission/admission.go
+++ b/policy/internal/admission/admission.go
@@ -66,7 +66,7 @@
 //
 // If no server reports its load, it is the rate of arriving requests as a fraction of all tenants' quotas, and at least an even
 // share. A tenant is then beyond its quota only if its fraction of the instance's traffic is higher than its fraction of the
-// quotas, not because the instance is a busy one. All instances together then let through as much as the quotas or, if that is
+// quotas, not because the instance is a busy one. All instances together then admit as much as the quotas or, if that is
 // more, all arriving requests; overload control detects whether those are too many.
 func (t *Traffic) Share(perSecond float64) float64 {
 	even := 1 / float64(max(1, t.Instances))
--- a/policy/internal/overload/probes.go
+++ b/policy/internal/overload/probes.go
@@ -17,9 +17,9 @@
 type minTime struct{ duration, updatedAt float64 }
 
 // Load returns the estimated load of a server in the zone by a probe whose response was received at now, after duration on an
-// established connection. It stands for the RIF of a load report. The unit is chosen so that a Model without samples predicts a
-// stretch equal to the probe's queueing time divided by the shortest duration in any zone. It is about 0 if probes do not
-// queue with requests.
+// established connection. It is used in place of the RIF of a load report. The unit is such that a Model without samples
+// predicts a stretch equal to the probe's queueing time divided by the shortest duration in any zone. It is about 0 if probes
+// do not queue with requests.
 func (p *ProbeTimes) Load(now float64, zone int, duration float64) float64 {
 	if p.zones == nil {
 		p.zones = map[int]minTime{}
--- a/policy/internal/slowstart/slowstart.go
+++ b/policy/internal/slowstart/slowstart.go
@@ -20,8 +20,8 @@
 }
 
 // Rate returns the rate at which one instance may send requests to a starting server, multiplied by the number of servers. It is
-// the rate of a warm server, reduced to the fraction of its capacity that the server has now or, if that is more, to a safe part
-// of the overload limit, which is overloadMultiple times that fraction. sent and arriving are the instance's rates of
+// the rate of a warm server, times the fraction of its capacity that the server has now or, if that is more, times a safe part
+// of the overload limit. That limit is overloadMultiple times the same fraction. sent and arriving are the instance's rates of
 // attempts and of arriving requests, per millisecond. Over all instances the rates add up to the server's limit, apart from
 // random variation, because their token buckets start at random levels.
 //
--- a/policy/internal/stats/stats_test.go
+++ b/policy/internal/stats/stats_test.go
@@ -34,9 +34,9 @@
 
 func TestQuantile(t *testing.T) {
 	for name, c := range map[string]struct {
-		q      float64
-		values []float64
-		want   float64
+		quantile float64
+		values   []float64
+		want     float64
 	}{
 		"no values":            {0.5, nil, 7},
 		"one value":            {0.5, []float64{3}, 3},
@@ -44,7 +44,7 @@
 		"median of two, lower": {0.5, []float64{5, 1}, 1},
 		"highest":              {1, []float64{5, 1, 3}, 5},
 	} {
-		if got := Quantile(c.q, c.values, 7); got != c.want {
+		if got := Quantile(c.quantile, c.values, 7); got != c.want {
 			t.Errorf("%s: %g, want %g", name, got, c.want)
 		}
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// sharedFleet simulates one of many instances. Its servers report no load; how slow they are is set by stretch, which stands for
+// sharedFleet simulates one of many instances. Its servers report no load; how slow they are is set by stretch, which represents
 // the load from the other instances.
 type sharedFleet struct {
 	*rig
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -18,7 +18,7 @@
 // shown since.
 type server struct {
 	info ServerInfo
-	rank float64 // random; 0 to 1 in the preferred zone, 1 to 2 elsewhere. Determines this instance's subset.
+	rank float64 // random; 0 to 1 in the preferred zone, 1 to 2 in other zones. Determines this instance's subset.
 
 	rif               float64 // last reported RIF, plus own attempts started and minus own attempts ended since
 	latency           Ms      // service time; 0 = not known
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -13,7 +13,7 @@
 	return slowstart.Fraction(b.now-s.info.StartedAt, startKnown, b.cfg.StartCapacity, b.cfg.WarmUpTime)
 }
 
-// hasSlowStartBudget reports whether slow start lets this instance send a request to the server. The budget is this
+// hasSlowStartBudget reports whether slow start allows this instance to send a request to the server. The budget is this
 // instance's share of what all instances together may send without overloading a starting server.
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
 	fraction := b.slowStartFraction(s)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -176,7 +176,7 @@
 
 // Any number of instances share the same traffic, and all get the update of a starting server at the same time. In a fully used
 // fleet, what they send it together in any OverloadWindow stays below three quarters of OverloadMultiple times its capacity at
-// the start of the window, and it gets at least half of what a warm server gets.
+// the start of the window. It gets at least half of what a warm server gets.
 func TestStartingServerGetsItsShareFromAllInstances(t *testing.T) {
 	const duration = 8000
 	for _, c := range [][2]int{{1, 30}, {4, 30}, {80, 30}, {300, 200}, {2000, 30}, {5000, 200}} {
