--- a/cmd/plankrouter/admin.go
+++ b/cmd/plankrouter/admin.go
@@ -27,8 +27,8 @@
 	return l, nil
 }
 
-// serveAdmin serves operators until ctx ends. If l is nil, another process uses the address, as a predecessor with the same
-// one does: serveAdmin retries until that has exited. The process serves requests of clients meanwhile.
+// serveAdmin serves operators until ctx ends. If l is nil, another process uses the address, for example a predecessor with
+// the same configuration: serveAdmin retries until that process has exited. Meanwhile this process serves requests of clients.
 func (p *program) serveAdmin(ctx context.Context, l net.Listener) error {
 	for l == nil {
 		select {
--- a/cmd/plankrouter/admin_test.go
+++ b/cmd/plankrouter/admin_test.go
@@ -16,8 +16,8 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// Each invalid admin request gets its status, also if it is chunked, and clients that send nothing or half a request delay no
-// other.
+// Each invalid admin request gets its status, also if it is chunked, and clients that send nothing or half a request don't
+// delay other clients.
 func TestAdminRequests(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, n *fakes.Memory, fleet *fakes.Fleet) {
 		s := start(t, n, fleet.Discovery, nil)
--- a/cmd/plankrouter/bench_test.go
+++ b/cmd/plankrouter/bench_test.go
@@ -97,7 +97,7 @@
 	return p, address
 }
 
-// hop sends b.N requests over 32 connections through the process p, and reports its CPU time per request.
+// hop sends b.N requests over 32 connections through the process p, and reports p's CPU time per request.
 func hop(b *testing.B, p *cpubench.Process, address string) {
 	const conns = 32
 	var remaining, failed atomic.Int64
--- a/cmd/plankrouter/bodies_test.go
+++ b/cmd/plankrouter/bodies_test.go
@@ -163,8 +163,8 @@
 	})
 }
 
-// Requests and responses that would never end are ended: a body that stalls, one with a huge content length, and such a
-// response.
+// Requests and responses that would never end are ended: a request body that stalls, and a request or a response with a huge
+// content length.
 func TestEndlessBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fakes.NewMemory()
--- a/cmd/plankrouter/descriptors.go
+++ b/cmd/plankrouter/descriptors.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// transientDescriptors is the most descriptors that are open for a while, apart from connections: the rendezvous socket
-	// by which a second process finds this one (1); both ends of a successor's control socket, the two of the pipe that
+	// transientDescriptors is the most descriptors, apart from connections, that are open only for a while: the rendezvous
+	// socket by which a second process finds this one (1); both ends of a successor's control socket, the two of the pipe that
 	// reports its start, its standard input and its process (6); the lock of snapshots and the file being written (2); the
 	// same for cordons (2); the configuration during a reload (1).
 	transientDescriptors = 1 + 6 + 2 + 2 + 1
 
 	watchConns    = 1 // the watch has one connection at a time
-	adminDivisor  = 4 // of the remaining descriptors at most this part (1/4) is for operators,
-	minAdminConns = 2 // but at least this many
-	minConns      = 4 // for clients and servers, even beyond the limit: with fewer no request is served
+	adminDivisor  = 4 // operators get at most the remaining descriptors divided by this
+	minAdminConns = 2 // least number for operators, even if it is more than that part
+	minConns      = 4 // least number for clients and servers, even beyond the limit: with fewer no request is served
 )
 
 // descriptorShares is the division of the descriptors that this process may have open.
 type descriptorShares struct {
-	conns int // for clients and servers, and connlimit.MaxClosing more while connections are closed to make room
+	conns int // for clients and servers; up to connlimit.MaxClosing more while connections are closed to make room
 	watch int // reserved for discovery
 	admin int // reserved for operators' connections
 }
@@ -45,7 +45,7 @@
 }
 
 // openDescriptors returns how many descriptors below limit this process has open: its own and those it was started with. It
-// checks each number, since /proc doesn't list all of them where a process's sockets are not the kernel's.
+// checks each number, since /proc doesn't list all of them on a system that implements sockets outside the kernel.
 func openDescriptors(limit int) (n int) {
 	for fd := range limit {
 		if _, err := unix.FcntlInt(uintptr(fd), unix.F_GETFD, 0); err == nil {
--- a/cmd/plankrouter/descriptors_test.go
+++ b/cmd/plankrouter/descriptors_test.go
@@ -58,15 +58,15 @@
 	}
 }
 
-// The process never has more descriptors open than its limit, whatever it has inherited. Under load are all users of
-// descriptors: requests that hang at their servers, idle clients that replace one another, idle operators, a discovery
+// The process never has more descriptors open than its limit, whatever it has inherited. All users of descriptors
+// are under load: requests that hang at their servers, idle clients that replace one another, idle operators, a discovery
 // service that hangs, snapshots, cordons, the platform's listening socket and the rendezvous socket.
 func TestDescriptorsStayWithinTheLimit(t *testing.T) {
 	for _, c := range []struct{ limit, inherited int }{{40, 0}, {48, 8}, {96, 20}, {160, 3}} {
 		t.Run(fmt.Sprintf("%d of which %d are inherited", c.limit, c.inherited), func(t *testing.T) {
 			f := startFlooded(t, c.limit, c.inherited)
 			idle := f.count()
-			full := idle + divideDescriptors(c.limit, idle, true).conns - 2 // reached by requests that hang alone, whatever else is open
+			full := idle + divideDescriptors(c.limit, idle, true).conns - 2 // hanging requests reach it, whatever else is open
 			for i := range 2 * admin.MaxConns {
 				f.open(f.adminAddr, "")
 				f.open(f.front, "")
@@ -206,7 +206,7 @@
 						t.Fatal(err)
 					}
 					fmt.Fprintf(c, "GET /tile/1 HTTP/1.1\r\nHost: x\r\nReq-Id: in-flight-%d\r\n\r\n", i)
-					time.Sleep(20 * time.Millisecond) // in bubble time, until the request is forwarded
+					time.Sleep(20 * time.Millisecond) // in the fake time of the bubble, until the request is forwarded
 					synctest.Wait()
 					if i < 0 { // the client disconnects, and the attempt continues
 						c.Close()
@@ -217,7 +217,7 @@
 					request(-1 - i)
 				}
 				var inFlight []*bufio.Reader
-				for i := range (places - abandoned - 1) / 2 { // with one more for the next client, all are in use
+				for i := range (places - abandoned - 1) / 2 { // with a connection for one more client, all are in use
 					inFlight = append(inFlight, request(i))
 				}
 				for i := range 2 * limit {
--- a/cmd/plankrouter/hotrestart.go
+++ b/cmd/plankrouter/hotrestart.go
@@ -21,9 +21,9 @@
 // started with.
 const firstListTimeout = 2 * time.Second
 
-// takeOver makes this process the predecessor's successor. It reports ready after the first response of discovery, or
-// firstListTimeout, and returns once this process may serve; the predecessor's connections arrive after that. Without a
-// predecessor that is at once.
+// takeOver makes this process the predecessor's successor. It reports that this process is ready, after the first response of
+// discovery or after firstListTimeout, and returns once this process may serve; the predecessor's connections arrive after
+// that. Without a predecessor this process may serve at once.
 func (p *program) takeOver(ctx context.Context, group *errgroup.Group, predecessor *hotrestart.Successor) error {
 	if predecessor == nil {
 		notify("READY=1")
@@ -175,8 +175,8 @@
 // error doesn't matter then.
 func setDeadline(listener *net.TCPListener, deadline time.Time) { _ = listener.SetDeadline(deadline) }
 
-// forwardStop forwards a stop signal to the successor if it comes too late to cancel the handover: the signal is meant for
-// the service. This process then closes its copy of the listener: with that open, the kernel would still establish
+// forwardStop forwards a stop signal to the successor if the signal comes too late to cancel the handover: it is meant
+// for the service. This process then closes its copy of the listener: while that is open, the kernel would still establish
 // connections after the successor has closed its own, and nobody would accept them. The caller calls done once the handover
 // is complete; done waits for a forward in progress.
 func (p *program) forwardStop(successor *hotrestart.Predecessor, listener net.Listener) (done func()) {
--- a/cmd/plankrouter/names_test.go
+++ b/cmd/plankrouter/names_test.go
@@ -17,9 +17,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// renamings maps, for other customers, the names in base and in testdata/ of classes, tenants, zones and servers to new ones.
-// Zones are matched with their quotes, since a single letter also occurs in other words. Zones and servers keep the length of
-// their names, since the lengths of bodies depend on it. The new server ids sort in the opposite order.
+// renamings maps, for other customers, the names of classes, tenants, zones and servers in testdata/ and in the constant base
+// to new ones. Zones are matched with their quotes, since a single letter also occurs in other words. Zones and servers keep
+// the length of their names, since the lengths of bodies depend on it. The new server ids sort in the opposite order.
 var renamings = map[string]map[string]string{
 	"fresh": {
 		"tile": "Full_text", "order": "q", "search": "loan-2", "acme": "St-Gall", "globex": "zu", `"a"`: `"x"`, `"b"`: `"y"`,
@@ -93,8 +93,8 @@
 	}
 }
 
-// Neither the program nor its deploy files contain a name of a class or a tenant, of base or of a customer. Parts of string
-// literals are checked, as in "/name/" or "name,other", but not words within sentences.
+// Neither the program nor its deploy files contain a name of a class or a tenant from the constant base or of a customer. Parts
+// of string literals are checked, as in "/name/" or "name,other", but not words within sentences.
 func TestSourcesContainNoCustomerName(t *testing.T) {
 	read := func(file string) string {
 		raw, err := os.ReadFile(file)
--- a/cmd/plankrouter/play_test.go
+++ b/cmd/plankrouter/play_test.go
@@ -40,8 +40,8 @@
 //	signal                                 SIGTERM.
 //	reload key=value ...                   replaces the configuration file, with the keys of settings, and sends SIGHUP.
 //	exits                                  the program has ended without an error.
-//	settings key=value ...                 before the program starts: values of base. With quiet=true, discovery responds to
-//	                                       each watch by itself after its wait: nothing has changed.
+//	settings key=value ...                 before the program starts: values in the constant base. With quiet=true, discovery
+//	                                       responds to each watch by itself, after its wait, that nothing has changed.
 var update = flag.Bool("update", false, "record what the program sends as what it should send")
 
 const base = `{"name":"n1","listen":"c:1","discovery":%[6]q,"seed":"1","limits":{"sockets":%[1]s},
@@ -140,7 +140,7 @@
 	return mine, nil
 }
 
-// quiet responds to each watch after its wait: nothing has changed.
+// quiet responds to each watch, after its wait, that nothing has changed.
 func quiet(c net.Conn) {
 	for br := bufio.NewReader(c); ; {
 		r, err := http.ReadRequest(br)
--- a/cmd/plankrouter/program.go
+++ b/cmd/plankrouter/program.go
@@ -37,7 +37,7 @@
 	listener        net.Listener
 	adminListener   net.Listener // nil = no admin address is configured, or another process still uses it
 	dial            connlimit.Dialer
-	openDescriptors int // at the start, the listeners among them
+	openDescriptors int // number of descriptors open at the start, including the listeners
 	signals         signalQueues
 	predecessor     *hotrestart.Successor // nil = there is none
 }
@@ -51,10 +51,10 @@
 
 	lifecycle     lifecycle
 	stopRequested context.Context    // ends with the first stop signal
-	requestStop   context.CancelFunc // ends it
+	requestStop   context.CancelFunc // ends stopRequested
 	stop          context.CancelFunc // cancels the context of all goroutines
 
-	activeConfig        atomic.Pointer[config.Config] // since the last reload; handleSignals alone changes it
+	activeConfig        atomic.Pointer[config.Config] // as of the last reload; only handleSignals changes it
 	numbering           config.Numbering
 	discoveryOverridden atomic.Bool // a reload was applied, whose discovery address replaces that of the environment
 
@@ -74,7 +74,7 @@
 	snapshotMu     sync.Mutex
 	stopSnapshots  func() // writes the last snapshot and waits for that; nil = not started, or done
 
-	coordinator     hotrestart.Coordinator    // of processes that take over from one another
+	coordinator     hotrestart.Coordinator    // allows one handover at a time
 	scheduleChanges chan scheduleChange       // from reload to followStopSignals
 	forwardableStop atomic.Pointer[stopTimes] // nil = no stop signal was received
 }
@@ -107,7 +107,7 @@
 // newProgram divides the descriptors and returns a program without the parts that assemble makes.
 func newProgram(options startOptions) *program {
 	cfg, openAtStart := options.cfg, options.openDescriptors
-	if cfg.AdminAddr != "" && options.adminListener == nil { // its listener opens once the other process has exited
+	if cfg.AdminAddr != "" && options.adminListener == nil { // the admin listener opens once the other process has exited
 		openAtStart++
 	}
 	shares := divideDescriptors(cfg.Limits.Sockets, openAtStart, cfg.AdminAddr != "")
@@ -134,7 +134,7 @@
 // assemble makes the parts that serve requests, from the state of an earlier process if there is one, and returns the number
 // of servers in the initial endpoint list.
 func (p *program) assemble(ctx context.Context, options startOptions, trace func(string, ...any)) (listed int, err error) {
-	deployment := snapshot.Fingerprint(&p.cfg.Settings) // before Apply: of the names as configured, not of their numbers
+	deployment := snapshot.Fingerprint(&p.cfg.Settings) // before Apply: from the names as configured, not as numbered
 	if _, err := p.numbering.Apply(time.Now(), p.cfg); err != nil {
 		return 0, err
 	}
@@ -183,7 +183,7 @@
 // run starts the goroutines of the assembled parts in the group.
 func (p *program) run(ctx context.Context, group *errgroup.Group, options startOptions) {
 	group.Go(func() error {
-		defer p.backend.Wait() // after Run: then no attempt starts any more
+		defer p.backend.Wait() // after Run has returned, no attempt starts any more
 		return p.dispatcher.Run(ctx)
 	})
 	group.Go(func() error { return p.watch.Run(ctx) })
--- a/cmd/plankrouter/ready_test.go
+++ b/cmd/plankrouter/ready_test.go
@@ -32,7 +32,8 @@
 
 // firstLists simulates processes that restart within a second without an endpoint list. The discovery service makes perSecond
 // complete lists a second, and rejects a poll that would have to wait in its queue for longer than maxWait. firstLists
-// returns, sorted, the times at which the first nine in ten have their lists, or fewer with a last time beyond a minute.
+// returns, sorted, the times at which the first nine in ten processes get their lists. If that takes more than a minute, it
+// returns the times up to then, followed by one beyond a minute.
 func firstLists(t *testing.T, processes, perSecond int, maxWait time.Duration, seed uint64) (listedAt []time.Duration) {
 	set := watchpolicy.DefaultSettings()
 	set.Instances = processes
--- a/cmd/plankrouter/recovery_test.go
+++ b/cmd/plankrouter/recovery_test.go
@@ -106,7 +106,7 @@
 				_ = w.Release(context.Background(), fakes.Release{Batch: 4, Grace: second, Between: 2 * second, NewAddresses: true})
 			}}}
 		},
-		// With a fault, only 0.41 of the requests were served in each of five seconds, although servers were idle.
+		// With a fault in the program, only 0.41 of the requests were served in each of five seconds, though servers were idle.
 		event: 5 * second, within: 6 * second, worst: 0.8,
 	},
 	"discovery down for 30 s, then a complete list": {
--- a/cmd/plankrouter/reload.go
+++ b/cmd/plankrouter/reload.go
@@ -11,7 +11,7 @@
 	"plankrouter/internal/snapshot"
 )
 
-// reload reads the configuration again and applies it. On an error it logs that and changes nothing. The reload signal was
+// reload reads the configuration again and applies it. On an error it logs the error and changes nothing. The reload signal was
 // sent no earlier than earliestSent.
 func (p *program) reload(ctx context.Context, now, earliestSent time.Time) {
 	fixed, err := p.applyConfig(now)
--- a/cmd/plankrouter/rendezvous.go
+++ b/cmd/plankrouter/rendezvous.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// standbyDivisor divides the socket limit of the process that does not accept connections while two of them run.
+	// standbyDivisor divides the socket limit: while two processes run, the one that accepts no connections gets one such part.
 	standbyDivisor = 4
 	// rendezvousTimeout bounds the retries of a listen on the rendezvous socket that fails temporarily.
 	rendezvousTimeout = 2 * time.Second
@@ -68,7 +68,7 @@
 		}
 		return successor, err
 	})
-	_ = c.Close() // the handover may have closed it
+	_ = c.Close() // an error means that the handover has closed it already
 }
 
 // acceptSuccessors passes the connection of each process that has found this one to meet, until ctx ends or the listener is
--- a/cmd/plankrouter/rig_test.go
+++ b/cmd/plankrouter/rig_test.go
@@ -29,7 +29,7 @@
 type rig struct {
 	*testing.T
 	front        string
-	pendingDials chan chan struct{} // one for each dial; the dial proceeds when it is closed
+	pendingDials chan chan struct{} // a channel for each dial, which proceeds when the channel is closed
 	accepts      chan net.Conn      // if holding, accepted connections that the program receives only through pass
 	pass         chan net.Conn
 	closed       chan struct{} // a value for each client connection that the program has closed
--- a/cmd/plankrouter/service_test.go
+++ b/cmd/plankrouter/service_test.go
@@ -33,12 +33,14 @@
 	ended            chan error
 }
 
-// start runs the program against the fleet's discovery service.
+// start runs the program against the discovery service, and returns it once it is ready. edit may change the configuration;
+// nil = unchanged.
 func start(t *testing.T, n *fakes.Memory, discovery *fakes.Discovery, edit func(*fakes.SidecarConfig)) *service {
 	return startIn(t, n, discovery, "", edit)
 }
 
-// startIn is start with the TMPDIR of an earlier process; "" = a new folder, and startIn waits until the program is ready.
+// startIn is like start, but sets TMPDIR to folder, that of an earlier process, and doesn't wait until the program is ready. If
+// folder is "", TMPDIR is a new folder, and startIn waits.
 func startIn(t *testing.T, n *fakes.Memory, discovery *fakes.Discovery, folder string, edit func(*fakes.SidecarConfig)) *service {
 	log.SetOutput(io.Discard)
 	front, err := n.Listen("")
@@ -162,7 +164,7 @@
 // nextID returns a unique request id.
 func nextID() string { lastID++; return fmt.Sprint("raw-", lastID) }
 
-// fakeServer is a server whose responses are written by the function how of a test.
+// fakeServer is a server whose responses are written by a function of the test.
 type fakeServer struct {
 	net.Listener
 	mu   sync.Mutex
--- a/cmd/plankrouter/shutdown.go
+++ b/cmd/plankrouter/shutdown.go
@@ -30,13 +30,13 @@
 	kill time.Time
 }
 
-// shutdownRun is the shutdown of this process, from the stop signal on. It alone decides what depends on the time of that
-// signal.
+// shutdownRun is the shutdown of this process, from the stop signal on. All decisions that depend on the time of
+// that signal are made here.
 type shutdownRun struct {
 	program        *program
 	signal         receivedSignal
-	configured     shutdown.Schedule // by the settings in force for the sender of the signal
-	adjusted       shutdown.Schedule // configured, for maxConnections
+	configured     shutdown.Schedule // by the settings in force when the signal was sent
+	adjusted       shutdown.Schedule // configured, adjusted for maxConnections
 	maxConnections int               // the most client connections open at once since the signal
 	forwarded      bool              // the signal was forwarded by a predecessor, and has not been received directly yet
 	expedited      bool              // a second stop signal was received
@@ -92,7 +92,7 @@
 	return run
 }
 
-// signalRepeated handles a further stop signal. It expedites the shutdown, unless it is the first signal once more: a
+// signalRepeated handles a further stop signal. It expedites the shutdown, unless it repeats the first signal: a
 // successor may receive a signal both directly and from its predecessor.
 func (s *shutdownRun) signalRepeated(signal receivedSignal) {
 	if signal.isForwarded() != s.forwarded {
--- a/cmd/plankrouter/shutdown_test.go
+++ b/cmd/plankrouter/shutdown_test.go
@@ -23,7 +23,8 @@
 	maxRowAttempts  = 5                      // runs of a row, until one has stops of the right length
 )
 
-// pause is a time at which the process is stopped for pauseLength: at after SIGTERM, or at before the kill.
+// pause is a time at which the process is stopped for pauseLength: the duration at after SIGTERM or, if beforeKill, before the
+// kill.
 type pause struct {
 	at         time.Duration
 	beforeKill bool
@@ -34,7 +35,7 @@
 
 func beforeKill(at time.Duration) pause { return pause{at: at, beforeKill: true} }
 
-// earlierSignal is a signal that is sent before SIGTERM, by the time in before.
+// earlierSignal is a signal that is sent ahead of SIGTERM; before is the time between the two.
 type earlierSignal struct {
 	syscall.Signal
 	before time.Duration
--- a/cmd/plankrouter/shutdownworld_test.go
+++ b/cmd/plankrouter/shutdownworld_test.go
@@ -36,7 +36,7 @@
 	lost []string
 }
 
-// play runs the row once, and returns the lost requests. It is not valid if a stall of this machine made a stop too long.
+// play runs the row once, and returns the lost requests. valid is false if a stall of this machine made a stop too long.
 func (row shutdownCase) play(t *testing.T) (lost []string, valid bool) {
 	row.clients, row.serviceTime = cmp.Or(row.clients, 24), cmp.Or(row.serviceTime, 250*time.Millisecond)
 	row.deadline = cmp.Or(row.deadline, defaultDeadline)
@@ -108,7 +108,7 @@
 	}
 }
 
-// configure writes the configuration with this deadline for its only class.
+// configure writes the configuration with longest as the deadline of its only class.
 func (w *shutdownRunner) configure(longest time.Duration) {
 	class := fakes.TileClass()
 	class.Deadline, class.LatencyObjective = longest, longest
--- a/cmd/plankrouter/signals.go
+++ b/cmd/plankrouter/signals.go
@@ -17,7 +17,7 @@
 // signalQueues are the signals that were received and are not handled yet. Each kind has a queue of its own, so that none
 // displaces another. A signal that finds its queue full is dropped: handling those in the queue covers it.
 type signalQueues struct {
-	stop       chan receivedSignal // of two: the second expedites the shutdown
+	stop       chan receivedSignal // holds two: the second expedites the shutdown
 	reload     chan receivedSignal
 	report     chan os.Signal
 	handOver   chan os.Signal
@@ -46,7 +46,7 @@
 // listen queues this process's signals from now on.
 func (q signalQueues) listen() {
 	reload, stop := make(chan os.Signal, cap(q.reload)), make(chan os.Signal, cap(q.stop))
-	signal.Notify(reload, syscall.SIGHUP) // first: unhandled it ends the process, unless started with it ignored
+	signal.Notify(reload, syscall.SIGHUP) // first: SIGHUP ends a process that neither handles it nor was started with it ignored
 	signal.Notify(q.report, syscall.SIGUSR1)
 	signal.Notify(q.handOver, syscall.SIGUSR2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -71,13 +71,13 @@
 	}
 }
 
-// addReload queues a reload signal.
+// addReload queues a reload signal, and stores it as the last one.
 func (q signalQueues) addReload(s receivedSignal) {
 	q.lastReload.Store(&s)
 	enqueue(q.reload, s)
 }
 
-// enqueue adds a signal to the queue, and drops it if that is full.
+// enqueue adds a signal to the queue, or drops it if the queue is full.
 func enqueue(queue chan<- receivedSignal, s receivedSignal) {
 	select {
 	case queue <- s:
--- a/cmd/plankrouter/signals_test.go
+++ b/cmd/plankrouter/signals_test.go
@@ -22,7 +22,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// A signal is queued however many of other kinds are pending.
+// A signal is queued, however many signals of other kinds are pending.
 func TestNoSignalIsLost(t *testing.T) {
 	w, seen := newSignalQueues(), make(chan os.Signal, 1)
 	w.listen()
@@ -31,7 +31,7 @@
 	signal.Notify(seen, all...)
 	for i := range 12 {
 		_ = syscall.Kill(os.Getpid(), all[i%3].(syscall.Signal))
-		<-seen // else the kernel merges it with the next of its kind
+		<-seen // else the kernel merges the signal with the next of its kind
 	}
 	for _, s := range all[3:] {
 		_ = syscall.Kill(os.Getpid(), s.(syscall.Signal))
@@ -119,7 +119,7 @@
 	for what, tc := range map[string]struct {
 		reload time.Duration // when a shorter deadline is loaded, counted from the signal; 0 = never
 		after  time.Duration // when the request is sent, counted from the signal
-		rest   bool
+		rest   bool          // the request has a body, of which the client sends the rest slowly
 		want   time.Duration // when the response arrives, counted from the signal
 	}{
 		"request before the signal":     {0, -2 * second, false, 3200 * time.Millisecond},
--- a/cmd/plankrouter/snapshots.go
+++ b/cmd/plankrouter/snapshots.go
@@ -14,8 +14,8 @@
 	"plankrouter/internal/snapshot"
 )
 
-// restoreState returns the state that this process can use of an earlier one: the predecessor's, or if that has handed over
-// none, the stored snapshot. Nil means that there is only the configuration.
+// restoreState returns the usable part of the state of an earlier process: of the predecessor or, if there is none or it has
+// handed over no state, of the stored snapshot. It returns nil if this process starts from its configuration alone.
 func (p *program) restoreState(predecessor *hotrestart.Successor, now time.Time) *snapshot.Restored {
 	p.snapshotWriter = p.newSnapshotWriter()
 	var stored *snapshot.Snapshot
@@ -62,7 +62,7 @@
 	}
 }
 
-// validityRules returns what this process accepts of a snapshot.
+// validityRules returns the rules for what this process accepts from a snapshot.
 func (p *program) validityRules() snapshot.ValidityRules {
 	rules := snapshot.DefaultValidityRules()
 	rules.Program = p.cfg.Name
--- a/cmd/plankrouter/unheard_test.go
+++ b/cmd/plankrouter/unheard_test.go
@@ -104,10 +104,10 @@
 	}
 }
 
-// Servers exit and are back under their ids and addresses, while discovery is polled on request and does not respond. First
-// the exit counts although it is not reported, seconds later the return. In between nothing new is sent to them, whether the
-// sidecar had received a list or has just started, though they respond to probes and accepted new connections before the list
-// was stale.
+// Servers exit and are back under their ids and addresses, while discovery is polled on request and does not respond. The exit
+// takes effect although no list reports it, and so does the return, seconds later. In between nothing new is sent to them,
+// whether the sidecar had received a list or has just started, though they respond to probes and accepted new connections
+// before the list was stale.
 func TestRestartedServersWithoutDiscovery(t *testing.T) {
 	const grace, down, noticed = 750 * time.Millisecond, 1200 * time.Millisecond, 3500 * time.Millisecond
 	for _, c := range []struct {
--- a/internal/shutdown/heartbeat.go
+++ b/internal/shutdown/heartbeat.go
@@ -5,16 +5,16 @@
 // HeartbeatInterval is the time between two calls of Heartbeat.Beat.
 const HeartbeatInterval = 40 * time.Millisecond
 
-// maxBeatGap is the longest time between two beats of a process that has not stalled in between.
+// maxBeatGap is the longest time between two beats that does not count as a stall of the process.
 const maxBeatGap = HeartbeatInterval * 3 / 2
 
 // Heartbeat bounds the time at which a signal was sent. The kernel does not report that time, but the sender counts from it,
 // however long the process stalls before it reads the signal. So the process calls Beat at regular intervals while no signal
-// is pending. The first beat after a stall is no evidence: a signal that was sent during the stall may still be on its way
+// is pending. The first beat after a stall proves nothing: a signal that was sent during the stall may still be on its way
 // through the Go runtime.
 type Heartbeat struct {
-	last         time.Time
-	provenUnsent time.Time    // the latest beat at which no signal can have been sent yet
+	last         time.Time    // the latest beat
+	provenUnsent time.Time    // a signal that has not been read yet was sent no earlier than this beat
 	earlier      [2]time.Time // the two beats before last, the later one first
 }
 
@@ -33,7 +33,7 @@
 }
 
 // EarliestSignal returns the earliest time at which a signal that is read now can have been sent. If the process stalls so
-// often that no beat is in time, that is the third last beat.
+// often that every beat is late, it returns the third last beat.
 func (h *Heartbeat) EarliestSignal() time.Time {
 	if h.earlier[1].After(h.provenUnsent) {
 		return h.earlier[1]
--- a/internal/shutdown/heartbeat_test.go
+++ b/internal/shutdown/heartbeat_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A signal counts from the last beat that proves that it had not been sent, and if every beat is late, from the third last beat.
+// A signal counts as sent at the last beat that proves that it had not been sent before, or at the third last beat if every
+// beat is late.
 func TestHeartbeat(t *testing.T) {
 	start := time.Now()
 	for name, row := range map[string]struct {
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,18 +1,18 @@
 // Package shutdown computes the schedule of a graceful shutdown. It reads no clock: all times count from when the stop signal
-// was sent. Heartbeat returns the earliest time at which that can have been.
+// was sent. Heartbeat returns the earliest time at which it can have been sent.
 //
-// The platform sends SIGTERM, and SIGKILL later. L is the longest deadline of a class, but no more than 3 s:
+// The platform sends SIGTERM, and SIGKILL later. L is the longest deadline of any request class, but no more than 3 s:
 //
 //	0.2 to 0.4 s  the last new connections arrive.
 //	LastForward   the listener and idle connections are closed; a request that is read later is rejected at once.
 //	LastResponse  an accepted request that has no response yet fails.
 //	L + 0.7 s     the platform may send SIGKILL.
 //
-// Clients keep sending on connections that stay open, and the process may stall at any step. So each lead over the kill is
-// the sum of the steps that follow it.
+// Clients keep sending on connections that stay open, and the process may stall at any step. So LastForward and
+// LastResponse each precede the kill by a lead: the sum of the times of the steps that follow.
 //
 // The platform starts the successor only after the kill, even if this process exits earlier. Nobody serves from LastForward
-// to the kill, so no lead is longer than its sum.
+// to the kill, so no lead is longer than that sum.
 package shutdown
 
 import (
@@ -21,9 +21,9 @@
 )
 
 const (
-	maxCountedDeadline = 3 * time.Second        // the most of the longest deadline that the platform waits for
-	killGrace          = 700 * time.Millisecond // added by the platform to that deadline to get the time of the kill
-	minKill            = 500 * time.Millisecond // least time from the signal to the kill; with less no request gets a response
+	maxCountedDeadline = 3 * time.Second        // the platform waits for the longest deadline, but no longer than this
+	killGrace          = 700 * time.Millisecond // from the longest deadline, or maxCountedDeadline, to the platform's kill
+	minKill            = 500 * time.Millisecond // least time from the signal to the kill; in less, no request gets a response
 
 	// MaxStall is the longest stall of the process that the schedule allows for at each step.
 	MaxStall = 150 * time.Millisecond
@@ -37,8 +37,8 @@
 	// connections, reads a request that had arrived before, rejects it and writes the response.
 	forwardLead = 4*MaxStall + workMargin
 
-	responseDivisor = 2 // if the time to the kill is short, LastResponse is this fraction of it (1/2)
-	forwardDivisor  = 4 // and LastForward this one (1/4)
+	responseDivisor = 2 // if the time to the kill is short, LastResponse is that time divided by this
+	forwardDivisor  = 4 // if the time to the kill is short, LastForward is that time divided by this
 
 	// CloseTimePerConnection is the time to write a response on a client's connection and close it, on a tenth of a CPU core.
 	CloseTimePerConnection = 250 * time.Microsecond
@@ -52,7 +52,7 @@
 }
 
 // NewSchedule returns the schedule for classes whose longest deadline is longest, and a kill no earlier than kill after the
-// signal. With a kill of 0 the time of the platform's kill is computed from longest.
+// signal. If kill is 0, the time of the platform's kill is computed from longest.
 func NewSchedule(longest, kill time.Duration) Schedule {
 	if kill <= 0 {
 		kill = min(longest, maxCountedDeadline) + killGrace
@@ -64,8 +64,8 @@
 	}
 }
 
-// ForConnections returns the schedule with more time before the kill, in which that many client connections get their
-// responses and are closed.
+// ForConnections returns the schedule with LastForward and LastResponse earlier, by up to the time that it takes to write
+// responses on that many client connections and close them.
 func (s Schedule) ForConnections(connections int) Schedule {
 	work := time.Duration(connections) * CloseTimePerConnection
 	s.LastForward = max(s.LastForward-work, min(s.LastForward, s.Kill/forwardDivisor))
@@ -73,7 +73,7 @@
 	return s
 }
 
-// Earlier returns the schedule with the earlier kill, s if they are equal.
+// Earlier returns s or other, whichever has the earlier kill, and s if the kills are equal.
 func (s Schedule) Earlier(other Schedule) Schedule {
 	if other.Kill < s.Kill {
 		return other
@@ -91,8 +91,8 @@
 
 // WaitLimit returns how long a request may take that arrives at received (negative: before the signal), if its client waits for
 // timeout. The response is due by LastResponse, even if the deadline is longer than what the platform waits for, or
-// comes from settings that a reload has replaced. The platform does not count requests of the first 0.7 s that are open at
-// the kill, but their clients do.
+// comes from settings that a reload has replaced. The platform does not count requests that arrive within 0.7 s after the
+// signal and are open at the kill, but their clients do.
 func (s Schedule) WaitLimit(received, timeout time.Duration) time.Duration {
 	return min(timeout, max(0, s.LastResponse-received))
 }
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// The schedule with the kill time of the platform, with an early configured kill and with a late one.
+// NewSchedule computes the schedule for the platform's kill, for an early configured kill and for a late one.
 func TestNewSchedule(t *testing.T) {
 	for _, c := range []struct{ longest, kill, lastForward, lastResponse, killed time.Duration }{
 		{2500 * ms, 0, 2550 * ms, 2700 * ms, 3200 * ms},
@@ -32,7 +32,7 @@
 // Each lead is long enough for a stall at every step that follows it: connections are closed, a last request is read and
 // rejected, and open requests fail and get their responses before the kill, with any number of connections.
 func TestLeadsCoverStalls(t *testing.T) {
-	for longest := 250 * ms; longest < 6*time.Second; longest += 70 * ms { // with shorter ones few new clients are accepted
+	for longest := 250 * ms; longest < 6*time.Second; longest += 70 * ms { // with shorter deadlines few new clients are accepted
 		for _, connections := range []int{0, 10, 100, 300, 1000, 10000} {
 			schedule := NewSchedule(longest, 0).ForConnections(connections)
 			work := min(time.Duration(connections)*CloseTimePerConnection, schedule.Kill/10)
@@ -54,7 +54,7 @@
 func TestWaitLimit(t *testing.T) {
 	schedule := NewSchedule(2500*ms, 0)
 	for _, c := range []struct{ received, timeout, want time.Duration }{
-		{-2 * time.Second, 8 * time.Second, 4700 * ms}, // of a class that a reload has dropped
+		{-2 * time.Second, 8 * time.Second, 4700 * ms}, // a reload has dropped the class of the request
 		{-time.Second, 3700 * ms, 3700 * ms},
 		{-time.Second, 4201 * ms, 3700 * ms},
 		{0, 2500 * ms, 2500 * ms},
