--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,7 +43,7 @@
 	ConnIdle             time.Duration        `json:"-"` // after which a server closes an idle connection
 	ConnectTimeout       time.Duration        `json:"-"`
 	DrainGrace           time.Duration        `json:"-"`
-	// While no poll waits, a change older than this counts as known to the sidecar; 0 = unknown.
+	// While no poll waits, a change of the endpoint list that is older than this counts as known to the sidecar; 0 = not set.
 	PollInterval time.Duration `json:"-"`
 
 	fileKeys map[string]any // the keys and values as they are in the file, for Reload
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -9,11 +9,11 @@
 	"plankrouter/internal/watchpolicy"
 )
 
-// Defaults of Extensions, for the platform, which sets none of its keys.
+// Defaults and bounds of the keys in Extensions. The platform sets none of these keys.
 const (
 	defaultSnapshotEvery = 10 * time.Second
 	defaultReadyWithin   = 10 * time.Second
-	maxExtensionMs       = 24 * 3600 * 1000
+	maxExtensionMs       = 24 * 3600 * 1000 // a day: the most that a key may set, in milliseconds
 )
 
 // Extensions has the keys that an installation may add to the platform's. They are under a key of their own, so that they can't
@@ -83,7 +83,7 @@
 	var err error
 	defaults := watchpolicy.DefaultSettings()
 	defaults.Instances = c.Settings.Balancers
-	if c.Settings.Discovery == discoveryPushed { // to an agent on this machine
+	if c.Settings.Discovery == discoveryPushed { // the endpoint list is pushed to an agent on this machine
 		defaults = watchpolicy.PushedSettings(c.DrainGrace)
 	}
 	defaults.EffectiveAfter = c.PollInterval
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -37,7 +37,7 @@
 	Retired   bool `json:"-"` // removed by a reload
 }
 
-// Class is a request class.
+// Class is a request class. policyClass maps its fields to the policy's terms.
 type Class struct {
 	Name                                                string
 	AimMs, HardLimitMs, Credit, LateWorth, MemorySpanMs float64
--- a/internal/hotrestart/control.go
+++ b/internal/hotrestart/control.go
@@ -38,8 +38,8 @@
 	return local, remote, nil
 }
 
-// openControl takes ownership of the descriptor if it is an AF_UNIX SOCK_SEQPACKET socket. Any other descriptor it leaves open
-// and returns an error.
+// openControl takes ownership of the descriptor if it is an AF_UNIX SOCK_SEQPACKET socket. It leaves any other descriptor
+// open and returns an error.
 func openControl(fd int) (*control, error) {
 	for option, want := range map[int]int{syscall.SO_DOMAIN: syscall.AF_UNIX, syscall.SO_TYPE: syscall.SOCK_SEQPACKET} {
 		got, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, option)
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -35,7 +35,7 @@
 	ControlVariable = "GW_HANDOVER"
 
 	defaultReadyTimeout = 30 * time.Second // from the start of a successor until it must be ready
-	defaultAckTimeout   = 10 * time.Second // without any response while one is pending
+	defaultAckTimeout   = 10 * time.Second // without any response, while one is pending, before the successor is killed
 	terminateTimeout    = time.Second      // for a failed successor to log the reason and exit before it is killed
 )
 
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -54,8 +54,8 @@
 	return c
 }
 
-// requestPid sends line, which may be empty, and returns the process id and the count of the response; zeros without a
-// response.
+// requestPid sends line, which may be empty, and returns the process id and the number of lines from the node's response; zeros
+// without a response.
 func requestPid(c net.Conn, line string) (pid, number int) {
 	fmt.Fprint(c, line)
 	if _, err := fmt.Fscanln(c, &pid, &number); err != nil {
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -14,10 +14,11 @@
 	MaxNote   = 4 << 10  // the note sent with a connection
 	maxReason = 1 << 10  // an error text or an encoded signal
 	maxBody   = 32 << 10 // far below usual send buffer sizes: the kernel rejects a larger packet instead of splitting it
-	headerLen = 1 + 8
+	headerLen = 1 + 8    // kind and number
 )
 
-// kind is the type of a message, as on the wire. In the comments, P is sent by the predecessor and S by the successor.
+// kind is the type of a message, as on the wire. In the comments, P marks messages of the predecessor and S those of the
+// successor.
 type kind byte
 
 const (
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -18,11 +18,11 @@
 
 // Options sets how the successor is started and what is sent to it. Every field but Address may be left at its zero value.
 type Options struct {
-	Path         string          // of the program, looked up again, so that it may be a new binary; "" = os.Args[0]
+	Path         string          // of the program, looked up at each start, so that it may be a new binary; "" = os.Args[0]
 	Args         []string        // without the program's name; nil = this process's arguments
 	Env          []string        // as KEY=value; nil = this process's environment
 	ReadyTimeout time.Duration   // from the call of Start or HandOverTo until the successor must be ready; 0 = 30 s
-	AckTimeout   time.Duration   // without any response while one is pending, until it is killed; 0 = 10 s; not for HandOverTo
+	AckTimeout   time.Duration   // without any response, while one is pending, before it is killed; 0 = 10 s; not for HandOverTo
 	Name         string          // of the daemon, for the successor's log
 	Address      string          // that the daemon is configured to listen on; the successor's must be the same
 	State        []byte          // blob for the successor; at most MaxState bytes
@@ -40,7 +40,7 @@
 	transfers   sync.WaitGroup // calls of TransferConn in progress
 
 	mu             sync.Mutex
-	lastNumber     uint64                // of the last request
+	lastNumber     uint64                // number of the last request to the successor
 	pending        map[uint64]chan error // receives the result of each unanswered request, by its number
 	ackTimeout     time.Duration
 	ackTimer       *time.Timer // runs while a response is pending; calls abort when it fires
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -12,7 +12,7 @@
 
 // ReceiveConns calls accept, from one goroutine, with each connection that the predecessor transfers and the note sent
 // with it. While accept runs, no message is acknowledged, and the predecessor kills a successor that does not respond, so
-// it should return soon. Call ReceiveConns once, after Ready. It returns nil when the predecessor has transferred
+// accept should return soon. Call ReceiveConns once, after Ready. It returns nil when the predecessor has transferred
 // everything and exits, and ErrPredecessorLost when the predecessor has exited before that: in both cases this process is
 // the only one that serves. After any other error, such as that of ctx, the predecessor is alive and serves again once
 // Close has been called or this process has exited: this process should stop accepting first, and then exit.
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	rendezvousName    = "plankrouter.handover"
-	rendezvousTimeout = 1500 * time.Millisecond // for the other process's message; without it each process serves alone
+	rendezvousName    = "plankrouter.handover"  // file name of the socket by which two processes of a sidecar find each other
+	rendezvousTimeout = 1500 * time.Millisecond // for the next message of the other process; after that each serves alone
 	findTimeout       = 600 * time.Millisecond  // to connect: a process whose predecessor has just exited may listen soon
 	findRetryInterval = 20 * time.Millisecond   // between two attempts to connect
-	maxPathLen        = 100                     // of a Unix socket in bytes, a few below the kernel's limit
+	maxPathLen        = 100                     // longest path of a Unix socket in bytes, a few below the kernel's limit
 )
 
 // rendezvousPath returns a path to the socket in folder that is short enough for a Unix socket address. The caller calls
--- a/internal/hotrestart/transfer.go
+++ b/internal/hotrestart/transfer.go
@@ -64,8 +64,8 @@
 }
 
 // request sends a message with a new number and waits for the response. A successor that hangs is killed, because only
-// after its exit is it certain which connections it has accepted. A slow one is not, as long as it responds to any
-// message within ackTimeout.
+// after its exit is it certain which connections it has accepted. A slow one is not killed as long as it responds to
+// any message within ackTimeout.
 func (p *Predecessor) request(m message, send func(message) error) error {
 	result := make(chan error, 1)
 	p.mu.Lock()
