--- a/internal/faultinjection/control.go
+++ b/internal/faultinjection/control.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sharedFile is the layout of the file: the offset of the wall clock in nanoseconds, then a cell for each operation. The
+// sharedFile is the layout of the shared file: the offset of the wall clock in nanoseconds, then a cell for each operation. The
 // upper half of a cell has the number of failures left, the lower half the error number or, for a delayed operation, the
 // delay in milliseconds.
 type sharedFile [1 + opCount]atomic.Uint64
@@ -38,13 +38,13 @@
 	}
 }
 
-// Control is a soak test's access to the file. It is safe for concurrent use.
+// Control is a soak test's access to the shared file. It is safe for concurrent use.
 type Control struct {
 	raw  []byte
 	file *sharedFile
 }
 
-// NewControl creates the file, initially without faults, and returns its Control.
+// NewControl creates the shared file at path, initially without faults, and returns its Control.
 func NewControl(path string) (*Control, error) {
 	if err := os.WriteFile(path, make([]byte, Size), 0o600); err != nil {
 		return nil, fmt.Errorf("faultinjection: %w", err)
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -3,7 +3,7 @@
 // nothing.
 //
 // The soak test and the process share a file of Size bytes, whose path is in the environment variable FileVariable. It
-// has the offset of the wall clock, then a cell for each operation. The soak test writes it by a Control.
+// has the offset of the wall clock, then a cell for each operation. The soak test writes to it through a Control.
 package faultinjection
 
 // FileVariable is the environment variable that holds the path of the shared file, for a program built with the tag.
@@ -35,8 +35,8 @@
 func (o Op) String() string { return opNames[o] }
 
 const (
-	cellBytes    = 8 // size of the clock offset and of each operation's cell
-	countShift   = 32
+	cellBytes    = 8                 // size of the clock offset and of each operation's cell
+	countShift   = 32                // position of the number of failures in a cell, in bits
 	untilCleared = 1<<countShift - 1 // a number of failures that is not decremented
 )
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -14,13 +14,14 @@
 	"plankrouter/policy"
 )
 
+// Sizes in the protocol, in bytes.
 const (
 	batchHeaderSize = 16
 	replyHeaderSize = 8
 	eventSize       = 48
 	actionSize      = 24
 	serverEntrySize = 23
-	maxFrame        = 1 << 30 // in bytes; a larger length is rejected as corrupt
+	maxFrame        = 1 << 30 // a larger length is rejected as corrupt
 )
 
 // Event codes.
@@ -54,6 +55,7 @@
 	acRefresh
 )
 
+// statuses maps the outcome codes of attempts and probes.
 var statuses = map[uint16]policy.Status{
 	0: policy.OK, 13: policy.Failed, 8: policy.Declined, 4: policy.TimedOut, 14: policy.ConnectFailed,
 	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
@@ -62,16 +64,16 @@
 // instance is one simulated load balancer instance.
 type instance struct {
 	balancer *policy.Balancer
-	fields   []loadreport.Field
+	fields   []loadreport.Field // the order of the values in load reports
 }
 
 // Host runs the instances of one stream of batches.
 type Host struct {
-	instances map[uint16]*instance // by id
-	lists     [16][]policy.ServerInfo
+	instances map[uint16]*instance    // by id
+	lists     [16][]policy.ServerInfo // by list number; see storeList
 	actions   []policy.Action
 	reply     []byte
-	replyTail []byte
+	replyTail []byte // texts of Log actions, which follow the action records in the reply
 }
 
 // NewHost returns a host without instances.
