--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -17,9 +17,9 @@
 
 const (
 	stageConnecting       stage = iota
-	stageLastByteHeld           // all but its last byte may have been written
-	stageWriting                // its last byte may have been written
-	stageAwaitingResponse       // its last byte is written
+	stageLastByteHeld           // everything but the last byte of the message may have been written
+	stageWriting                // the last byte may have been written
+	stageAwaitingResponse       // the last byte is written
 	stageEnded
 )
 
@@ -30,28 +30,28 @@
 	message    []byte
 	isProbe    bool
 	request    *request.Request // nil for a probe
-	bodiless   bool             // its response has no body, whatever the header says
+	bodiless   bool             // the response has no body, even if its header describes one, as for HEAD
 	onEnd      func(upstream.Result)
 	upload     request.Upload  // the rest of the body, which follows message; nil = message is complete
 	onBodySent func()          // called when the last byte of a streamed body is written
-	pause      time.Duration   // before the last byte, on the current connection
-	pauseOnNew time.Duration   // before the last byte, on a new connection
+	pause      time.Duration   // how long the last byte is held back on the current connection; 0 = not at all
+	pauseOnNew time.Duration   // how long it is held back on a new connection; 0 = not at all
 	ctx        context.Context // ends with the attempt
 	cancel     context.CancelFunc
 
-	// What the estimator learns from its connections. Written by the goroutine of its connection.
-	use      connUse       // of the connection that it was sent on
-	dialTime time.Duration // of its connection; zero = it was reused
+	// What the estimator learns from the attempt's connections. Written by the goroutine of the current connection.
+	use      connUse       // how the connection was used before the attempt was sent on it
+	dialTime time.Duration // how long it took to establish the connection; zero = it was reused
 	deadConn *deadConn     // the reused connection that was found dead and replaced; nil = there was none
 
-	deadline    time.Time     // when it is cancelled; zero = a probe, or the client is still sending the body
-	timeoutSent time.Duration // in the deadline header of message
+	deadline    time.Time     // when the attempt is cancelled; zero = a probe, or a body that the client is still sending
+	timeoutSent time.Duration // the timeout in the deadline header of message
 
 	mu      sync.Mutex
 	stage   stage
 	conn    *conn
-	startBy invariant.Limit // on writing the first byte
-	expires invariant.Limit // on writing the first byte and the last
+	startBy invariant.Limit // when the first byte must be written at the latest
+	expires invariant.Limit // when the first and the last byte must be written at the latest
 }
 
 // firstByteLimit returns the limit on writing the first byte to a server that drains at startBy.
@@ -96,8 +96,9 @@
 	return kind
 }
 
-// resetForNewConn resets the attempt to its stage without a connection, so that it is sent on a new one. It returns false if
-// the attempt has ended, has lost a connection before, or can't be sent again because part of its streamed body is consumed.
+// resetForNewConn resets the attempt to stageConnecting, so that it can be sent on a new connection. It returns false if the
+// attempt has ended, its client is gone, it has lost a connection before, or part of its streamed body is consumed, so that
+// it can't be sent again.
 func (a *attempt) resetForNewConn(d deadConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,19 +134,19 @@
 	}
 }
 
-// Cancel ends the attempt. Its connection is closed when Cancel returns, so that nothing more of the attempt reaches the
-// server while a later attempt is in flight. False means that it has already ended: its Result has been reported or is
-// about to be.
+// Cancel ends the attempt, and returns its outcome and true. The attempt's connection is closed when Cancel returns, so that
+// nothing more of the attempt reaches the server while a later attempt is in flight. False means that the attempt has already
+// ended: its Result has been reported or is about to be.
 func (a *attempt) Cancel(reason outcome.Kind) (outcome.Kind, bool) {
 	return a.abort(reason, stageAwaitingResponse)
 }
 
-// Withdraw is Cancel for an attempt whose last byte is not written. It returns false if the byte may have been written.
+// Withdraw is Cancel for an attempt whose last byte is not written. It returns false if that byte may have been written.
 func (a *attempt) Withdraw(reason outcome.Kind) (outcome.Kind, bool) {
 	return a.abort(reason, stageLastByteHeld)
 }
 
-// abort ends the attempt unless its stage is beyond lastStage.
+// abort ends the attempt, and returns its outcome and true; it returns false if the attempt's stage is beyond lastStage.
 func (a *attempt) abort(reason outcome.Kind, lastStage stage) (outcome.Kind, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -20,7 +20,7 @@
 type ReloadableSettings struct {
 	ConnectTimeout    time.Duration           // timeout for establishing a connection
 	ServerIdleTimeout time.Duration           // time after which a server closes an idle connection
-	RetryCosts        []keepalive.AttemptCost // of a broken connection, by request class
+	RetryCosts        []keepalive.AttemptCost // cost of a broken connection to a request, by request class
 }
 
 // Settings are the settings of a Client.
@@ -28,7 +28,7 @@
 	ReloadableSettings
 	Trace      func(format string, args ...any) // logs a line for every dial and for every connection closed; nil = no log
 	OnSent     func()                           // called when the last byte of an attempt, not a probe, is written; may be nil
-	Bounds     *streaming.Bounds                // on streamed bodies; nil = none: a response above 64 KiB is malformed
+	Bounds     *streaming.Bounds                // memory for bodies; nil = no streaming: a response above 64 KiB is malformed
 	IsServed   func(status int) bool            // whether a response with this status serves the request; nil = only 200
 	Invariants *invariant.Recorder              // counts prevented and actual rule violations; may be nil
 }
@@ -51,14 +51,14 @@
 	wg         sync.WaitGroup
 
 	mu           sync.Mutex           // guards the fields below, and the endpoints' idle connections
-	estimator    *keepalive.Estimator // of the risk that a reused connection is broken
+	estimator    *keepalive.Estimator // estimates the risk that a reused connection is broken
 	idleOutcomes outcome.Counts       // counts how idle connections have ended
 }
 
 // New returns a Client whose connections are closed when ctx ends.
 func New(ctx context.Context, budget *connlimit.Budget, settings Settings) (*Client, error) {
-	// Retries are limited to a tenth of the requests, a budget that is used up where connections break often; a handshake is a
-	// small part of the work for a request.
+	// HandshakeCost: a handshake is a small part of the work for a request. RetryCost: retries are limited to a tenth of the
+	// requests, a budget that is used up where connections break often.
 	costs := keepalive.Default()
 	costs.HandshakeCost = 0.01
 	costs.RetryCost = 0.3
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -23,10 +23,10 @@
 	reader      *bufio.Reader
 	dialTime    time.Duration
 	connectedAt time.Time
-	use         connUse // before its current attempt
+	use         connUse // how the connection was used before its current attempt
 
 	mu      sync.Mutex
-	next    *attempt // offered; it begins once the goroutine has checked that nothing has been received
+	next    *attempt // set by offer; it begins once the connection's goroutine has checked that nothing has been received
 	closing bool     // no further attempt may use it
 
 	readingResponse bool // a response has begun and is not read completely; used by the reading goroutine alone
--- a/internal/backend/connchooser.go
+++ b/internal/backend/connchooser.go
@@ -10,8 +10,8 @@
 // probeCost is the retry cost of a probe, which is idempotent and unimportant compared to a request.
 var probeCost = keepalive.AttemptCost{PriorityWeight: 0.05}
 
-// connChooser decides which connection an attempt uses, and how long its last byte is held back. It is called with Client.mu
-// held.
+// connChooser decides which connection an attempt uses, and how long its last byte is held back. Its methods are called with
+// Client.mu held.
 type connChooser interface {
 	mayReuse(connUse) bool                     // whether to reuse this idle connection, rather than another or a new one
 	pauseBeforeLastByte(connUse) time.Duration // how long the last byte is held back to detect a dead connection; 0 = not at all
@@ -32,8 +32,8 @@
 // deadConn describes a reused connection that was found dead.
 type deadConn struct {
 	connUse
-	pause, timeToBreak time.Duration // as in attempt and result
-	beforeLastByte     bool
+	pause, timeToBreak time.Duration // as attempt.pause and result.timeToBreak
+	beforeLastByte     bool          // as result.beforeLastByte
 }
 
 // estimatorChooser is the connChooser that follows the estimator.
@@ -52,7 +52,7 @@
 	return c.estimator.LastByteDelay(c.now, u.keepaliveUse(c.server), c.cost)
 }
 
-// updateEstimator reports to the estimator which of an attempt's connections were broken.
+// updateEstimator reports to the estimator which of an attempt's connections were broken, and how long dialing took.
 func (c *Client) updateEstimator(a *attempt, r *result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/deadconn_test.go
+++ b/internal/backend/deadconn_test.go
@@ -15,7 +15,8 @@
 	"plankrouter/internal/upstream"
 )
 
-// fixedPause is a connChooser that reuses any idle connection, with a fixed pause before the last byte there.
+// fixedPause is a connChooser that reuses any idle connection. On a reused connection it holds the last byte back for a fixed
+// time, on a new one not at all.
 type fixedPause time.Duration
 
 func (fixedPause) mayReuse(connUse) bool { return true }
@@ -30,7 +31,7 @@
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // An attempt that finds its reused connection dead before its last byte is written can't have run, and is sent on a new one,
-// once. After the last byte only a probe is: whether to retry a request is the policy's decision.
+// once. After the last byte only a probe is sent again: whether to retry a request is the policy's decision.
 func TestDeadConnections(t *testing.T) {
 	const pause = 5 * time.Millisecond
 	type seen struct {
@@ -42,12 +43,12 @@
 		pause        time.Duration
 		probe        bool
 		serverCloses bool          // the server closes the connection, before the last byte if that is held back
-		stop         time.Duration // after the start of the second attempt; 0 = never
+		stop         time.Duration // when the second attempt is stopped, measured from its start; 0 = never
 		leave        bool          // at stop the client is reported as gone; without leave, withdraw and gone the attempt times out
 		withdraw     bool          // at stop the attempt is withdrawn
 		gone         bool          // at stop the client leaves, which is not reported
-		expires      time.Duration // after its start; 0 = never
-		late         bool          // a new connection takes a second to be established
+		expires      time.Duration // when the second attempt expires, measured from its start; 0 = never
+		late         bool          // a connection after the first takes a second to be established
 		want         seen
 	}{
 		"alive":                           {pause: pause, want: seen{Outcome: outcome.Served, Complete: 2}},
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -20,11 +20,11 @@
 const deadlineSlack = 150 * time.Millisecond
 
 // The timeout that an attempt sends to its server is the time that the client still waits when the request is written. It is
-// reduced by the time for dialing, and by that for an earlier connection that was found dead.
+// reduced by the time for dialing, and by the time spent on an earlier connection that was found dead.
 func TestDeadlineSentIsWhatIsLeft(t *testing.T) {
 	const timeout = 2 * time.Second
 	for name, row := range map[string]struct {
-		late time.Duration // until a connection is established
+		late time.Duration // how long dialing takes for the attempt that is checked
 		dead bool          // the first connection is closed before the request's last byte
 	}{
 		"fast dial":                         {0, false},
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkDeadline reads a request and compares the timeout in it with what is left of the client's.
+// checkDeadline reads a request and compares the timeout in it with the time that the client still waits.
 func checkDeadline(t *testing.T, serverConn net.Conn, began time.Time, timeout time.Duration) {
 	t.Helper()
 	sent := readDeadline(t, serverConn)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -11,7 +11,7 @@
 )
 
 // chunkSize is the number of bytes that the kernel accepts in one write. Only a larger message takes so long to write that a
-// response could arrive before its end.
+// response could arrive before the end of the message is written.
 const chunkSize = 8 << 10
 
 const (
@@ -126,7 +126,7 @@
 }
 
 // foundDead reports whether the attempt failed only because its reused connection was dead, so that it may be sent on a new
-// one. That excludes a request that was sent completely: whether to retry that is the policy's decision.
+// one. It returns false for a request that was sent completely: whether to retry that is the policy's decision.
 func (c *conn) foundDead(a *attempt, r *result) bool {
 	return c.use.attempts > 0 && (r.beforeLastByte || a.isProbe && r.Outcome == outcome.ResetByPeer)
 }
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -35,8 +35,8 @@
 	return outcome.Open
 }
 
-// recordViolations checks, once the first byte or the last one is written, whether it was in time: a pause of the process
-// between the guard and the write makes it late.
+// recordViolations checks, once the first byte or the last one is written, whether that byte was in time: a pause of the
+// process between checkWriteAllowed and the write makes it late.
 func (a *attempt) recordViolations(first bool) {
 	if a.request == nil {
 		return
--- a/internal/backend/lastbyte_test.go
+++ b/internal/backend/lastbyte_test.go
@@ -31,14 +31,14 @@
 	return n, err
 }
 
-// A server reads a long request so slowly that it has expired or its client is gone once all but its last byte is written:
-// that byte is not written, so that the request can't run.
+// A server reads a long request so slowly that the request has expired or its client is gone by the time that all but its
+// last byte is written: that byte is not written, so that the request can't run.
 func TestLastByteOfLongRequest(t *testing.T) {
 	const size = 20 << 10
 	for name, c := range map[string]struct {
 		streamed bool          // the client is still sending the body
-		expires  time.Duration // after its start; 0 = never
-		gone     time.Duration // when the client leaves unreported, after the start; 0 = never
+		expires  time.Duration // when the attempt expires, measured from its start; 0 = never
+		gone     time.Duration // when the client leaves, which is not reported, measured from the start; 0 = never
 		want     outcome.Kind
 	}{
 		"complete, in time": {want: outcome.Served, expires: 2 * time.Second},
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -12,7 +12,7 @@
 // result is how an attempt ended.
 type result struct {
 	upstream.Result
-	download       *download     // the rest of its response; nil = Body is all
+	download       *download     // the rest of the response; nil = Body is complete
 	beforeLastByte bool          // with PartlyWritten: the connection broke before the last byte was written
 	timeToBreak    time.Duration // with beforeLastByte, time from the first byte to the break; with ResetByPeer, from the last byte
 }
--- a/internal/backend/run.go
+++ b/internal/backend/run.go
@@ -45,7 +45,7 @@
 }
 
 // serve sends attempts on the connection, one after another, until it is closed, and returns the attempt that needs another
-// connection.
+// connection; nil = none.
 func (c *Client) serve(conn *conn, a *attempt) *attempt {
 	if !conn.socket.HasNothingUnread() { // an HTTP server sends nothing before a request
 		conn.close()
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -54,7 +54,7 @@
 	for i := len(e.idle) - 1; i >= 0 && skipped < maxSkippedConns; i-- {
 		candidate := e.idle[i]
 		use := connUse{idle: time.Since(candidate.idleSince), attempts: candidate.use.attempts}
-		if !chooser.mayReuse(use) { // an attempt with a lower retry cost may
+		if !chooser.mayReuse(use) { // an attempt with a lower retry cost may still reuse the connection
 			skipped++
 			continue
 		}
