--- a/internal/frontend/answered_test.go
+++ b/internal/frontend/answered_test.go
@@ -14,7 +14,7 @@
 	"plankrouter/internal/streaming"
 )
 
-// stoppedDispatcher is a dispatcher that accepts no requests, as after it has stopped.
+// stoppedDispatcher is a dispatcher that has stopped: it accepts no requests.
 type stoppedDispatcher struct{ manualDispatcher }
 
 func (*stoppedDispatcher) Submit(*request.Request) bool { return false }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -35,10 +35,10 @@
 	reservedBytes      int                    // memory reserved for the body of the current message
 	pendingRequestID   atomic.Pointer[string] // the id of the request whose response is not written yet; nil = none
 	upload             *upload                // the rest of the current request's body; nil = the body is complete
-	pace               *streaming.Pace        // of the body that is being read; nil = no body is read
+	pace               *streaming.Pace        // progress of the body that is being read; nil = no body is read
 	idleSince          time.Time              // when it last became idle; guarded by server.mu
 	awaitsFirstRequest bool                   // accepted while draining or for rejection: closeIdle skips it; guarded by server.mu
-	rejected           bool                   // it was accepted beyond the limit only to reject its request
+	rejected           bool                   // it was accepted beyond the limit on sockets, only to reject its request
 	readingMessage     bool                   // a message is received in part; guarded by server.mu
 	responses          chan pendingResponse   // to the writer, at most one at a time; nil = the writer is not started
 	written            chan outcome.Kind      // how writing each response ended; Open = the connection remains open
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -6,9 +6,9 @@
 )
 
 // Drain closes the listener and the idle connections. The others are closed after their response; an incomplete request is
-// rejected, since its rest may arrive at any time up to the kill. Closing the listener would reset the connections in its
-// backlog, whose requests count as accepted: Serve therefore accepts them first, and then closes the listener. During a
-// handover the successor shares the backlog, and Drain closes the listener itself.
+// rejected, since its rest may arrive at any time until the process is killed. Closing the listener would reset the
+// connections in its backlog, whose requests count as accepted: Serve therefore accepts them first, and then closes the
+// listener. During a handover the successor shares the backlog, and Drain closes the listener itself.
 func (s *Server) Drain(l net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/handover_test.go
+++ b/internal/frontend/handover_test.go
@@ -44,7 +44,7 @@
 	m.pending = nil
 }
 
-// pipeListener is a listener for pipes that can be paused, as a TCP listener can by a deadline.
+// pipeListener is a listener for pipes that can be paused, as a TCP listener can by setting a deadline.
 type pipeListener struct {
 	conns  chan net.Conn
 	mu     sync.Mutex
@@ -109,7 +109,7 @@
 	return s
 }
 
-// sharedConn is a connection of which two processes may have a copy: it is closed when both copies are.
+// sharedConn is a connection of which two processes may have a copy: it is closed once both copies are closed.
 type sharedConn struct {
 	net.Conn
 	copies atomic.Int32
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -32,6 +32,8 @@
 	// Trace logs a line for each connection that ends; nil = no log. It must be set before Serve.
 	Trace func(format string, args ...any)
 
+	// Connections counts the accepted connections, Adopted those that a predecessor has transferred, and Rejected the messages
+	// that were rejected without being submitted to the dispatcher.
 	Connections, Adopted, Rejected atomic.Int64
 
 	mu                     sync.Mutex
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -4,18 +4,18 @@
 
 // Timeouts of idle connections and of messages.
 const (
-	idleCheckInterval   = 2 * time.Second // between checks of an idle connection; one that sent no message is closed
-	maxIdle             = time.Minute
+	idleCheckInterval   = 2 * time.Second         // between checks of an idle connection, and until one without a message is closed
+	maxIdle             = time.Minute             // after which an idle connection is closed at the next check
 	headTimeout         = 2700 * time.Millisecond // for reading the head of a request, from its first byte
-	firstHeadTimeout    = 2700 * time.Millisecond // for the first request on a connection, from when that was accepted
+	firstHeadTimeout    = 2700 * time.Millisecond // for reading the head of a connection's first request, from the accept
 	writeTimeout        = 10 * time.Second        // for a response, or for each piece of a streamed one
 	clientCheckInterval = 100 * time.Millisecond  // interval of the check whether a client is gone while its bytes are unread
 )
 
 // Closing a connection while the client still has to read the response.
 const (
-	maxLingerBytes = 128 << 10 // the most that is read and discarded
-	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = 128 << 10              // the most bytes that are read and discarded
+	lingerTimeout  = 500 * time.Millisecond // for the client to close the connection
 	drainLinger    = 50 * time.Millisecond  // replaces lingerTimeout while draining, because the process may be killed soon
 	floodDelay     = 100 * time.Millisecond // before the close if maxLingerBytes or more arrive
 )
@@ -24,7 +24,7 @@
 const (
 	acceptRetryInterval = 5 * time.Millisecond
 	lastAcceptTimeout   = time.Millisecond       // while draining, for one accept, and between two attempts to empty the backlog
-	maxBacklogAccept    = 300 * time.Millisecond // for emptying the backlog: then it is empty, or the kill 0.5 s away or more
+	maxBacklogAccept    = 300 * time.Millisecond // for emptying the backlog; if it is not empty then, the kill is 0.5 s away or more
 )
 
 // Rejecting connections beyond the limit, early enough that their clients still wait for a response.
@@ -45,7 +45,7 @@
 // longest is evicted even if that is not long. A connection that was just accepted is about to carry a request, too, but that
 // arrives immediately: connections that have sent nothing after minUnusedAge are evicted first.
 const (
-	minIdleAge    = 100 * time.Millisecond
-	minUnusedAge  = 25 * time.Millisecond
+	minIdleAge    = 100 * time.Millisecond // for a connection that has sent a request
+	minUnusedAge  = 25 * time.Millisecond  // for a connection that has sent no request
 	minPartialAge = 500 * time.Millisecond // for the rest of a connection's first request
 )
--- a/internal/frontend/translate.go
+++ b/internal/frontend/translate.go
@@ -18,7 +18,8 @@
 	maxDeadlineSeconds = 3600 // the longest timeout that a client may request, which keeps larger numbers from overflowing
 )
 
-// translator translates between the platform's HTTP messages and the dispatcher's requests and responses.
+// translator translates between HTTP messages, with the headers that package http1 names, and the dispatcher's requests and
+// responses.
 type translator struct {
 	classes     map[string]int  // by the first segment of the path
 	names       []string        // by class
