--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -194,7 +194,8 @@
 	return b.err
 }
 
-// asUnexpectedEOF replaces io.EOF, the end of the connection, by io.ErrUnexpectedEOF, since it is inside a message.
+// asUnexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, because the connection has ended inside a message. It returns any
+// other err unchanged.
 func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -30,7 +30,8 @@
 // ErrTooLarge means that a body exceeds MaxBody or MaxStreamedBody.
 var ErrTooLarge = fmt.Errorf("%w: body too large", ErrMalformed)
 
-// readerPool pools readers: connections are opened and closed by the hundred, and the buffer is most of the cost of one.
+// readerPool pools readers: hundreds of connections may be opened and closed, and the reader's buffer is most of the cost of
+// a connection.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
 
 // NewReader returns a reader whose buffer holds the longest line. FreeReader returns the reader to the pool.
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -12,7 +12,8 @@
 )
 
 // recordedMessages reads a file of messages. Each starts with a line "--- VERDICT", which is the expected result; the bytes
-// of the message follow, with a CRLF for each line end unless a \ precedes it, as in the exchange files of cmd/plankrouter.
+// of the message follow. A line end in the file stands for CRLF, but a \ and the line end after it stand for nothing, as in
+// the exchange files of cmd/plankrouter.
 func recordedMessages(t testing.TB, file string) (verdicts, texts []string) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/http1/writer.go
+++ b/internal/http1/writer.go
@@ -7,8 +7,8 @@
 	return AppendStreamedRequest(b, method, target, host, fields, body, int64(len(body)))
 }
 
-// AppendStreamedRequest appends the head and the beginning of a request: length is that of the complete body, and body its
-// beginning. A length of -1 means that the body is sent in chunks, of which body is the first.
+// AppendStreamedRequest appends the head of a request and the beginning of its body: body is that beginning, and length the
+// length of the complete body. A length of -1 means that the body is sent in chunks, of which body is the first.
 func AppendStreamedRequest(b []byte, method, target, host string, fields []Field, body []byte, length int64) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\n"...)
--- a/internal/streaming/bounds.go
+++ b/internal/streaming/bounds.go
@@ -20,7 +20,7 @@
 	bytesLeft int // for bodies that are held whole
 }
 
-// New returns Bounds for a process with memory bytes and the given number of sockets, of which each stream uses two.
+// New returns Bounds for a process with the given memory, in bytes, and number of sockets, of which each stream uses two.
 func New(memory, sockets int) *Bounds {
 	size := min(maxBuffer, max(minBuffer, memory/streamDivisor/max(1, sockets/2)))
 	b := &Bounds{bufferSize: size, bytesLeft: memory / heldDivisor}
--- a/internal/streaming/bounds_test.go
+++ b/internal/streaming/bounds_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The buffers of as many streams as the sockets allow fit into an eighth of the memory, or are of minimum size where that is
-// too little. Bodies that are held whole fit into a quarter.
+// The buffers of as many streams as the sockets allow fit into an eighth of the memory, or have the minimum size if an eighth
+// is too little for that. Bodies that are held whole fit into a quarter.
 func TestBounds(t *testing.T) {
 	for _, tc := range []struct{ memory, sockets, size int }{
 		{64 << 20, 1024, 16 << 10}, {32 << 20, 1024, 8 << 10}, {192 << 20, 256, maxBuffer}, {8 << 20, 4096, minBuffer},
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -22,7 +22,7 @@
 	"plankrouter/internal/upstream"
 )
 
-// Harness is the protocol's part of the suite.
+// Harness is the part of the suite that depends on the protocol.
 type Harness struct {
 	// New returns an Upstream whose connections are opened by dial and closed when ctx ends; wait waits for its last goroutine.
 	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (u upstream.Upstream, wait func())
@@ -52,7 +52,7 @@
 	got         result
 	ended       map[int]bool
 	lastRequest *request.Request // the last request that was started
-	clientGone  atomic.Bool      // its client is gone, which is found only by checking
+	clientGone  atomic.Bool      // the client of lastRequest is gone, which only Request.CheckClientGone finds out
 }
 
 // connectMode is how connections are established.
@@ -89,7 +89,7 @@
 	return clientEnd, nil
 }
 
-// start starts the attempt with the number; 0 is a probe.
+// start starts the attempt with the given number; number 0 is a probe.
 func (s *scenario) start(number int, startBy time.Time) upstream.Attempt {
 	return s.startExpiring(number, startBy, time.Time{})
 }
