--- a/balancer.go
+++ b/balancer.go
@@ -130,7 +130,7 @@
 	}()
 }
 
-// hasRIF is the dispatcher's IsComplete: a probe's load report is of use only if it has the RIF.
+// hasRIF is the dispatcher's IsComplete: a probe's load report is of use only if it contains the server's RIF.
 func hasRIF(r policy.Report) bool { return r.HasRIF }
 
 // Update adds, changes or removes endpoints; others stay unchanged. With Options.Discovery set, later updates of the discovery
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Replace sets the complete endpoint list: endpoints that are not in it are gone. Its error is as that of Update.
+// Replace sets the complete endpoint list: endpoints that are not in it are gone. Its errors are those of Update.
 func (b *Balancer) Replace(all ...Endpoint) error {
 	list, err := toEndpointList(all, true)
 	if err != nil {
@@ -164,8 +164,8 @@
 
 // Close makes further calls of Do fail with ErrClosed, waits for the calls in flight, each of which ends by its own deadline,
 // then closes all connections and ends all goroutines. If ctx ends first, the calls in flight end at once with an error that
-// says whether the request may have run, and Close returns ctx's error. Concurrent and later calls of Close wait for the same
-// end. If calls in flight depend on a callback of the application, a Close within that callback must have a ctx that ends, or
+// says whether the request may have run, and Close returns ctx's error. Concurrent and later calls of Close wait in the same
+// way. If calls in flight depend on a callback of the application, a Close within that callback must have a ctx that ends, or
 // must run in a goroutine of its own. Close does not wait for a logger or a dial function that is still running.
 func (b *Balancer) Close(ctx context.Context) error {
 	b.mu.Lock()
--- a/bench_test.go
+++ b/bench_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// measure makes b.N calls from so many goroutines, and reports this process's CPU time and the failures per call.
+// measure makes b.N calls from the given number of goroutines, and reports this process's CPU time and the failures per call.
 func measure(b *testing.B, callers int, call func() error) {
 	b.ReportAllocs()
 	var remaining, failed atomic.Int64
--- a/options.go
+++ b/options.go
@@ -84,7 +84,7 @@
 	Zone    string   // zone of this process; attempts in other zones have the CrossZoneCost
 
 	Endpoints []Endpoint // the initial endpoint list
-	Discovery string     // host:port of a discovery service, in the platform's format, to watch; "" = none
+	Discovery string     // host:port of a discovery service to watch at GET /discovery/hosts; "" = none
 
 	Probes    bool // whether the servers are probed: they report their load at GET /metrics/load, at little cost
 	Instances int  // number of balancers that share the servers, this one included; 0 = 1
--- a/transport.go
+++ b/transport.go
@@ -28,12 +28,12 @@
 	tenantKey
 )
 
-// WithClass returns a context that makes a Transport send its requests in the class of that name.
+// WithClass returns a context that makes a Transport send requests with this context in the class of that name.
 func WithClass(ctx context.Context, class string) context.Context {
 	return context.WithValue(ctx, classKey, class)
 }
 
-// WithTenant returns a context that makes a Transport send its requests for the tenant of that name.
+// WithTenant returns a context that makes a Transport send requests with this context for the tenant of that name.
 func WithTenant(ctx context.Context, tenant string) context.Context {
 	return context.WithValue(ctx, tenantKey, tenant)
 }
@@ -67,7 +67,7 @@
 	return response.toHTTP(req), nil
 }
 
-// toHTTP converts the response, which is that to req.
+// toHTTP converts the response to req into an *http.Response.
 func (r *Response) toHTTP(req *http.Request) *http.Response {
 	resp := &http.Response{
 		StatusCode: r.Status, Status: fmt.Sprintf("%d %s", r.Status, http.StatusText(r.Status)),
@@ -131,7 +131,7 @@
 }
 
 // readBody reads a body to its end, or up to MaxBody+1 bytes. It returns when ctx ends even if the body blocks: both Read and
-// Close run in goroutines of their own then, as Close need not interrupt a Read and may block until that returns.
+// Close run in goroutines of their own then, because Close need not interrupt a Read and may block until the Read returns.
 func readBody(ctx context.Context, from io.ReadCloser) ([]byte, error) {
 	type result struct {
 		body []byte
