--- a/middleware/errors.go
+++ b/middleware/errors.go
@@ -53,7 +53,8 @@
 	return http.StatusBadRequest
 }
 
-// WriteError responds with err's Status and its text, and for a RejectedError with Retry-After in whole seconds, rounded up.
+// WriteError responds with err's Status and the text of that status, and for a RejectedError with Retry-After in whole
+// seconds, rounded up.
 func WriteError(w http.ResponseWriter, _ *http.Request, err error) {
 	var rejected *plankrouter.RejectedError
 	status := Status(err)
--- a/middleware/handler.go
+++ b/middleware/handler.go
@@ -9,8 +9,8 @@
 	"plankrouter"
 )
 
-// Handler returns a handler that forwards each request to one of b's servers, with one Do under the request's context. The
-// error is a *plankrouter.OptionError.
+// Handler returns a handler that forwards each request to one of b's servers, with one call of Balancer.Do under the request's
+// context. The error is a *plankrouter.OptionError.
 //
 // Method, path, query, body (up to plankrouter.MaxBody) and end-to-end headers are forwarded unchanged. Hop-by-hop headers,
 // such as those that Connection names, are not, and Upgrade is not supported. The Host is the server's address, unless a
--- a/middleware/middlewaretest/middlewaretest.go
+++ b/middleware/middlewaretest/middlewaretest.go
@@ -79,12 +79,12 @@
 
 	request string // without Host and Content-Length
 
-	status         int               // expected status, or noResponse
-	responseHeader map[string]string // expected headers of the response; "" = it must not have the header
-	body           string            // expected body of the response; "" = any
-	serverRequest  map[string]string // expected fields of recordingServer.request; "" = it must not have the field
-	logged         string            // text that the http.Server's log must contain; "" = the log must be empty
-	stats          func(plankrouter.Stats) bool
+	status         int                          // expected status, or noResponse
+	responseHeader map[string]string            // expected headers of the response; "" = it must not have the header
+	body           string                       // expected body of the response; "" = any
+	serverRequest  map[string]string            // expected fields of recordingServer.request; "" = it must not have the field
+	logged         string                       // text that the http.Server's log must contain; "" = the log must be empty
+	stats          func(plankrouter.Stats) bool // whether the balancer's counts are as expected; nil = they are not checked
 }
 
 func (r *row) run(t *testing.T, a Adapter) {
@@ -200,12 +200,12 @@
 	for name, values := range r.Header {
 		s.request[name] = strings.Join(values, "|")
 	}
-	if seconds, err := strconv.ParseFloat(s.request["Req-Deadline"], 64); err == nil { // the balancer has used some ms
+	if seconds, err := strconv.ParseFloat(s.request["Req-Deadline"], 64); err == nil { // rounded, because some ms have passed
 		s.request["Req-Deadline"] = fmt.Sprintf("%.2f", seconds)
 	}
 }
 
-// check compares the last request to the server with want; "" = it must not have the field.
+// check compares the last request to the server with want; "" = the request must not have the field.
 func (s *recordingServer) check(t *testing.T, want map[string]string) {
 	t.Helper()
 	s.mu.Lock()
@@ -249,7 +249,8 @@
 	})
 }
 
-// listen starts an http.Server.
+// listen starts an http.Server with handler h, and returns it and its address. It logs its errors to logs; nil = the standard
+// logger.
 func listen(t *testing.T, n *fakes.Memory, logs io.Writer, h http.Handler) (*http.Server, string) {
 	t.Helper()
 	l, err := n.Listen("")
@@ -290,7 +291,8 @@
 	return resp.StatusCode, resp.Header, string(raw)
 }
 
-// wire adds a Host header and, for a body that is not chunked, Content-Length to a request, with CRLF line ends.
+// wire returns a row's request as it is sent: with a Host header, a Content-Length for a body that is not chunked, and CRLF
+// line ends.
 func wire(request string) string {
 	head, body, _ := strings.Cut(request, "\n\n")
 	line, rest, _ := strings.Cut(head, "\n")
--- a/middleware/middlewaretest/rows.go
+++ b/middleware/middlewaretest/rows.go
@@ -47,7 +47,7 @@
 
 func withoutServers(o *plankrouter.Options) { o.Endpoints = nil }
 
-// overQuota has no servers, and a quota for the tenant acme that its first five requests use up.
+// overQuota changes the options to no servers, and to a quota for the tenant acme that its first five requests use up.
 func overQuota(o *plankrouter.Options) {
 	o.Endpoints, o.MaxRetryAfter = nil, 2100*ms
 	o.Tenants = []plankrouter.Tenant{{Name: "acme", QuotaPerSecond: 1e-6}}
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -43,12 +43,12 @@
 	TenantHeader string
 
 	// DeadlineHeader is the header with the client's timeout in seconds, as a decimal number, counted from when the request's
-	// headers were read. "" = only the class's deadline applies. If the value is not a number, not above 0 or infinite, the
-	// response is a 400; one of more than a day counts as a day.
+	// headers were read. "" = only the class's deadline applies. If the value is not a number, is not above 0 or is infinite,
+	// the response is a 400; a timeout of more than a day counts as a day.
 	DeadlineHeader string
 
-	// Error writes the response for err, in place of WriteError. Status returns the status that WriteError would send. It is
-	// not called for a cancelled request. nil = WriteError.
+	// Error writes the response for err, in place of WriteError; nil = WriteError. The function Status returns the status that
+	// WriteError would send. Error is not called for a cancelled request.
 	Error func(w http.ResponseWriter, r *http.Request, err error)
 
 	// The fields below apply to a Handler only.
