--- a/conformance/balancers_test.go
+++ b/conformance/balancers_test.go
@@ -98,7 +98,7 @@
 	slog.Handler
 	mu     sync.Mutex
 	all    []string
-	onLine func() // called for each line; nil = nothing is
+	onLine func() // called for each line; nil = no call
 }
 
 func (l *logLines) Enabled(context.Context, slog.Level) bool { return true }
@@ -326,7 +326,7 @@
 				closed <- b.Load().Close(ctx)
 				return nil, errors.New("the balancer is closed")
 			})
-			o.ConnectTimeout = 200 * time.Millisecond // then the balancer no longer waits for dial, and Close can return
+			o.ConnectTimeout = 200 * time.Millisecond // after it, the balancer no longer waits for dial, and Close can return
 			b.Store(newBalancer(t, o))
 			result := runAsync(t, func() error {
 				_, err := b.Load().Do(context.Background(), &plankrouter.Request{Class: "order"})
@@ -425,7 +425,7 @@
 				return log.count() > 0
 			}
 			must(t, await(t.Context(), rejectAndCheckLogged))
-			must(t, await(t.Context(), func() bool { return rejectAndCheckLogged() && log.count() > 1 })) // still gets lines
+			must(t, await(t.Context(), func() bool { return rejectAndCheckLogged() && log.count() > 1 })) // the logger still gets lines
 			must(t, b.Update(plankrouter.Endpoint{Address: p.address}))
 			if _, err := b.Do(t.Context(), &plankrouter.Request{}); err != nil {
 				t.Error(err)
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -113,7 +113,7 @@
 	if r.verdict != "same" {
 		return
 	}
-	if *update && len(r.scenario.knownDefects) == 0 && !r.scenario.generated { // with a known defect, or generated: written by hand
+	if *update && len(r.scenario.knownDefects) == 0 && !r.scenario.generated { // the others' outcomes are written by hand
 		r.scenario.want = merge(r.got["daemon"], r.got["library"])
 	}
 	for _, side := range sides {
--- a/conformance/daemon_test.go
+++ b/conformance/daemon_test.go
@@ -22,7 +22,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// program builds the daemon once, in programDir, which TestMain removes.
+// program builds the daemon once, in programDir, which TestMain removes, and returns the path of the executable.
 var (
 	programDir string
 	program    = sync.OnceValues(func() (path string, err error) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// message returns the request as a client of the platform sends it.
+// message returns the request as a client of the daemon sends it.
 func (r *request) message() []byte {
 	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: api.internal\r\n", r.method, r.target)
 	if !r.withoutID {
--- a/conformance/play_test.go
+++ b/conformance/play_test.go
@@ -320,7 +320,8 @@
 		return server.release(p.ctx, strings.Join(plain[2:], ""))
 	case "closes kept", "resets kept":
 		server.drop(plain[0] == "resets")
-		return p.waitUntil(func() bool { return server.sockets(established) == 0 }) // the next request can't cross the close
+		// Once no connection is left, the next request can't be sent while its connection is being closed.
+		return p.waitUntil(func() bool { return server.sockets(established) == 0 })
 	}
 	if len(plain) < minTokens[plain[0]] {
 		return errors.New("missing arguments")
@@ -426,7 +427,7 @@
 	return p.side.Update([]fakes.Endpoint{m}, false)
 }
 
-// replaceEndpoints replaces the whole list by these ids, each as it was last listed.
+// replaceEndpoints replaces the whole list by the endpoints with these ids, each as it was last listed.
 func (p *runner) replaceEndpoints(ids []string) error {
 	var all []fakes.Endpoint
 	for _, id := range ids {
@@ -550,7 +551,7 @@
 }
 
 // cancelHalf sends a request, has the server send half of the response, and then cancels the request. It repeats this until
-// the cancellation is in time, as the daemon or library soon fails a request whose response has begun and does not go on.
+// the cancellation is in time, because the daemon or library soon fails a request whose response has begun and does not go on.
 func (p *runner) cancelHalf(plain []string, o options) error {
 	name := plain[0]
 	return p.repeatUntil(name, func() error {
@@ -566,8 +567,8 @@
 	}, func(seenAttempt) bool { return p.requestsNamed(name)[0].out.kind == "cancelled" })
 }
 
-// repeatUntil sends the request of that name with send until an attempt meets the condition, and removes the records of earlier
-// ones.
+// repeatUntil sends the request of that name with send until an attempt meets the condition. It removes the records of the
+// requests and attempts before that one.
 func (p *runner) repeatUntil(name string, send func() error, condition func(seenAttempt) bool) error {
 	for range 1000 {
 		if err := send(); err != nil {
@@ -642,8 +643,8 @@
 	return append(p.outcomes(), lines...), err
 }
 
-// outcomes returns the outcome lines of the requests, in the order in which they were sent. Equal outcomes of one name are
-// counted.
+// outcomes returns the outcome lines of the requests, in the order in which they were sent. Equal outcomes of requests with the
+// same name in the script are one line, with a count.
 func (p *runner) outcomes() (lines []string) {
 	done := map[string]bool{}
 	for _, c := range p.requests {
@@ -660,7 +661,7 @@
 	return lines
 }
 
-// group returns the name in the script of the request with that id.
+// group returns the name in the script of the request with that id; "one" = no request was sent with the id.
 func (p *runner) group(id string) string {
 	for _, c := range p.requests {
 		if c.id == id && !c.withoutID {
--- a/conformance/script_test.go
+++ b/conformance/script_test.go
@@ -25,8 +25,8 @@
 	setup        [][]string        // tokens of the setup lines
 	steps        []step            // steps to run after the setup
 	want         []string          // expected outcome lines
-	knownDefects map[string]string // by "daemon" or "library": the known defect because of which its outcome differs
-	line         int               // number of its first line in the file
+	knownDefects map[string]string // the known defect that makes the outcome of a side differ, by "daemon" or "library"
+	line         int               // number of lines before it in the file
 	generated    bool              // created from a scenario with $fault in its name
 }
 
--- a/conformance/server_test.go
+++ b/conformance/server_test.go
@@ -70,13 +70,13 @@
 // seenAttempt is an attempt that a server has received.
 type seenAttempt struct {
 	id, class  string
-	posted     bool   // it is a POST
-	carried    int    // number of earlier requests on its connection
-	ran        bool   // the whole request was received, and the server did not decline it
-	clientLeft bool   // the client has closed the connection, or sent more on it
-	result     string // what the server did, as in the outcome lines
-	released   chan struct{}
-	actionDone bool // result is final
+	posted     bool          // it is a POST
+	carried    int           // number of earlier requests on its connection
+	ran        bool          // the whole request was received, and the server did not decline it
+	clientLeft bool          // the client has closed the connection, or sent more on it
+	result     string        // what the server did, as in the outcome lines
+	released   chan struct{} // closed by release
+	actionDone bool          // result is final
 }
 
 // actionQueue has actions for the next requests, one for each.
@@ -93,7 +93,8 @@
 	}
 }
 
-// next returns the action for the next request on a connection that has carried so many, and whether it is from the queue.
+// next returns the action for the next request on a connection that has carried the given number of requests, and whether the
+// action is from the queue.
 func (q *actionQueue) next(carried int) (action, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -208,7 +209,7 @@
 	s.running.Wait()
 }
 
-// freeze keeps new connections from being either established or refused, or ends that state.
+// freeze, if on is true, keeps new connections from being either established or refused; if false, it ends that state.
 func (s *scriptedServer) freeze(on bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
