--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -6,7 +6,7 @@
 )
 
 // Drain closes the listener and the idle connections. The others are closed after their response; an incomplete request is
-// rejected, since its rest may arrive at any time until the process is killed. Closing the listener would reset the
+// rejected, because its rest may arrive at any time until the process is killed. Closing the listener would reset the
 // connections in its backlog, whose requests count as accepted: Serve therefore accepts them first, and then closes the
 // listener. During a handover the successor shares the backlog, and Drain closes the listener itself.
 func (s *Server) Drain(l net.Listener) {
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -159,7 +159,7 @@
 }
 
 // reserveMemory reserves memory for the part of the body that is read before the request is submitted, unless the reader's
-// buffer has the whole body already. It returns false if the bounds do not leave enough.
+// buffer has the whole body already. It returns false if the server's bounds leave too little memory.
 func (c *conn) reserveMemory(message *http1.Request) bool {
 	n := message.Length()
 	if n < 0 || n > http1.MaxBody {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -38,7 +38,7 @@
 
 	mu                     sync.Mutex
 	conns                  map[*conn]bool               // true = a message is being received or responded to
-	keepIdle               bool                         // idle connections stay open: a client that lost one couldn't open another
+	keepIdle               bool                         // set by KeepIdle: a client that lost a connection couldn't reconnect
 	handOver               func(net.Conn, []byte) error // transfers a connection and a note on its requests; nil = no handover
 	allHandedOver          chan struct{}                // closed when no connection is left during a handover
 	resumed                chan struct{}                // closed by Resume; set by HandOver
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -24,7 +24,7 @@
 const (
 	acceptRetryInterval = 5 * time.Millisecond
 	lastAcceptTimeout   = time.Millisecond       // while draining, for one accept, and between two attempts to empty the backlog
-	maxBacklogAccept    = 300 * time.Millisecond // for emptying the backlog; if it is not empty then, the kill is 0.5 s away or more
+	maxBacklogAccept    = 300 * time.Millisecond // for emptying the backlog; then it is empty, or the kill is 0.5 s or more away
 )
 
 // Rejecting connections beyond the limit, early enough that their clients still wait for a response.
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -16,7 +16,7 @@
 // from NewReader.
 const (
 	MaxBody             = 64 << 10 // of a body that is held in memory whole
-	MaxStreamedBody     = 48 << 20 // of a streamed body: a longer one is treated as endless
+	MaxStreamedBody     = 48 << 20 // of a streamed body: a longer one is treated as endless, and is ErrTooLarge
 	maxLineBytes        = 8 << 10
 	maxHeaderLines      = 100
 	maxHeaderBytes      = 32 << 10
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -162,7 +162,7 @@
 	s.got.Ends = append(s.got.Ends, end)
 }
 
-// cancel cancels the first attempt, and checks that it can't be cancelled again.
+// cancel cancels the attempt, which has number 1, and checks that it can't be cancelled again.
 func (s *scenario) cancel(attempt upstream.Attempt, reason outcome.Kind) {
 	if kind, cancelled := attempt.Cancel(reason); cancelled {
 		s.record(1, kind, upstream.Result{})
@@ -172,7 +172,7 @@
 	}
 }
 
-// withdraw withdraws the first attempt, and checks that it can't be withdrawn again.
+// withdraw withdraws the attempt, which has number 1, and checks that it can't be withdrawn again.
 func (s *scenario) withdraw(attempt upstream.Attempt) {
 	if kind, withdrawn := attempt.Withdraw(outcome.Cancelled); withdrawn {
 		s.record(1, kind, upstream.Result{})
--- a/validate.go
+++ b/validate.go
@@ -249,5 +249,5 @@
 	return cfg
 }
 
-// toMs converts a duration to the policy's unit.
+// toMs converts a duration to milliseconds, the policy's unit.
 func toMs(d time.Duration) policy.Ms { return float64(d) / float64(time.Millisecond) }
