--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -32,11 +32,13 @@
 	// Trace logs a line for each connection that ends; nil = no log. It must be set before Serve.
 	Trace func(format string, args ...any)
 
+	// Connections counts the accepted connections, Adopted those that a predecessor has transferred, and Rejected the messages
+	// that were rejected without being submitted to the dispatcher.
 	Connections, Adopted, Rejected atomic.Int64
 
 	mu                     sync.Mutex
 	conns                  map[*conn]bool               // true = a message is being received or responded to
-	keepIdle               bool                         // idle connections stay open: a client that lost one couldn't open another
+	keepIdle               bool                         // set by KeepIdle: a client that lost a connection couldn't reconnect
 	handOver               func(net.Conn, []byte) error // transfers a connection and a note on its requests; nil = no handover
 	allHandedOver          chan struct{}                // closed when no connection is left during a handover
 	resumed                chan struct{}                // closed by Resume; set by HandOver
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -22,7 +22,7 @@
 	"plankrouter/internal/upstream"
 )
 
-// Harness is the protocol's part of the suite.
+// Harness is the part of the suite that depends on the protocol.
 type Harness struct {
 	// New returns an Upstream whose connections are opened by dial and closed when ctx ends; wait waits for its last goroutine.
 	New func(ctx context.Context, dial func(ctx context.Context, address string) (net.Conn, error)) (u upstream.Upstream, wait func())
@@ -52,7 +52,7 @@
 	got         result
 	ended       map[int]bool
 	lastRequest *request.Request // the last request that was started
-	clientGone  atomic.Bool      // its client is gone, which is found only by checking
+	clientGone  atomic.Bool      // the client of lastRequest is gone, which only Request.CheckClientGone finds out
 }
 
 // connectMode is how connections are established.
@@ -89,7 +89,7 @@
 	return clientEnd, nil
 }
 
-// start starts the attempt with the number; 0 is a probe.
+// start starts the attempt with the given number; number 0 is a probe.
 func (s *scenario) start(number int, startBy time.Time) upstream.Attempt {
 	return s.startExpiring(number, startBy, time.Time{})
 }
@@ -162,7 +162,7 @@
 	s.got.Ends = append(s.got.Ends, end)
 }
 
-// cancel cancels the first attempt, and checks that it can't be cancelled again.
+// cancel cancels the attempt, which has number 1, and checks that it can't be cancelled again.
 func (s *scenario) cancel(attempt upstream.Attempt, reason outcome.Kind) {
 	if kind, cancelled := attempt.Cancel(reason); cancelled {
 		s.record(1, kind, upstream.Result{})
@@ -172,7 +172,7 @@
 	}
 }
 
-// withdraw withdraws the first attempt, and checks that it can't be withdrawn again.
+// withdraw withdraws the attempt, which has number 1, and checks that it can't be withdrawn again.
 func (s *scenario) withdraw(attempt upstream.Attempt) {
 	if kind, withdrawn := attempt.Withdraw(outcome.Cancelled); withdrawn {
 		s.record(1, kind, upstream.Result{})
