--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -13,8 +13,8 @@
 
 const (
 	probeTimeout         = 200 * time.Millisecond // a slower response says nothing about the current load
-	attemptTimeoutLead   = 100 * time.Microsecond // by which an attempt's timeout fires before the policy's timer for the same time
-	uploadResponseMargin = 15 * time.Millisecond  // before the client's timeout, for an attempt whose body was streamed
+	attemptTimeoutLead   = 100 * time.Microsecond // how long before the policy's timer for the same time an attempt times out
+	uploadResponseMargin = 15 * time.Millisecond  // how long before the client's timeout an attempt with a streamed body ends
 )
 
 // attemptID numbers the attempts and probes of a Dispatcher, from 1 on.
@@ -27,12 +27,12 @@
 	upstreamAttempt upstream.Attempt
 	startedAt       time.Time
 	isProbe         bool
-	request         policy.RequestID // of an attempt; 0 for a probe
-	number          int              // of the attempt among those of its request, from 0 on
+	request         policy.RequestID // the request that the attempt is for; 0 for a probe
+	number          int              // index of the attempt among those of its request, from 0 on
 	server          policy.ServerID
-	process         upstream.Endpoint // to which it was sent
-	timeout         *timer            // cancels it; not queued while the request body is being sent
-	expires         time.Time         // no byte of it may be written later than this; zero = no limit
+	process         upstream.Endpoint // the server's process when the attempt or probe was started
+	timeout         *timer            // cancels the attempt or probe; not queued while the request body is being sent
+	expires         time.Time         // no byte of the attempt may be written later than this; zero = no limit
 }
 
 // startAttempt starts the attempt that the policy requests, unless a guard prevents it.
@@ -56,7 +56,7 @@
 	pending.attempt = d.launch(server, pending.request, attempt, duration(action.After))
 }
 
-// launch starts an attempt for req, or a probe if req is nil, with that timeout, and returns its id.
+// launch starts an attempt for req, or a probe if req is nil, with the given timeout, and returns its id.
 func (d *Dispatcher) launch(server *serverRecord, req *request.Request, attempt *attemptRecord, timeout time.Duration) attemptID {
 	d.lastAttempt++
 	id := d.lastAttempt
@@ -87,7 +87,7 @@
 	return id
 }
 
-// setAttemptTimers sets the timers that end an attempt, and returns the timeout that its server is sent.
+// setAttemptTimers sets the timers that end an attempt, and returns the timeout that is sent to its server.
 func (d *Dispatcher) setAttemptTimers(id attemptID, req *request.Request, attempt *attemptRecord, timeout time.Duration) time.Duration {
 	// The policy often allows an attempt to run until its request's deadline, for which it has a timer of its own. The attempt's
 	// timeout must fire first: an attempt that is cancelled by the deadline gives the policy no result, and the policy would judge
@@ -156,7 +156,7 @@
 	}
 	delete(d.attempts, id)
 	delete(d.uploads, id)
-	if attempt.timeout.index != notQueued { // else it would keep the attempt in memory until it fires
+	if attempt.timeout.index != notQueued { // a timer left in the heap would keep the attempt in memory until it fires
 		heap.Remove(&d.timers, attempt.timeout.index)
 	}
 	server := d.servers[attempt.server]
@@ -243,8 +243,8 @@
 	}
 }
 
-// evidenceOf returns what an outcome says about the server's entry in the list; false = nothing. A declined request says
-// nothing, since the server's queue may be full; a probe is declined by a server that drains.
+// evidenceOf returns what an outcome says about the server's entry in the list; ok is false if it says nothing. A declined
+// request says nothing, since the server's queue may be full; a server that declines a probe is draining.
 func evidenceOf(kind outcome.Kind, isProbe bool) (evidence staleness.Evidence, ok bool) {
 	switch {
 	case kind == outcome.Served:
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -7,7 +7,7 @@
 )
 
 // clock is the policy's clock: Unix milliseconds at its start plus the time that has passed since by the monotonic clock.
-// Process start times are in Unix milliseconds, too, and a step of the wall clock must not move deadlines.
+// Its unit and origin are those of process start times, and a step of the wall clock does not move deadlines on it.
 type clock struct {
 	start     time.Time
 	startDate policy.Ms // the wall clock time at start, in Unix milliseconds
--- a/internal/dispatch/cordons.go
+++ b/internal/dispatch/cordons.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	reportInterval = 100 * time.Millisecond // least time between two reports, unless the list was updated
+	reportInterval = 100 * time.Millisecond // minimum time between two reports, unless the list was updated
 	// minExclusion is how long the policy must have excluded a server before it counts as excluded: a late response excludes a
 	// server for a short time.
 	minExclusion = 300 * time.Millisecond
@@ -35,7 +35,7 @@
 			d.options.Upstream.Forget(name)
 		}
 	}
-	if len(list.Endpoints) > 0 { // the endpoints as listed, to which the new cordons are applied
+	if len(list.Endpoints) > 0 { // applies the new cordons to the endpoints as they were listed
 		d.applyEndpoints(list)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	eventQueueSize     = 1024      // events that are queued before their senders block
-	maxEventBatch      = 32        // events that are handled before the timers are checked
-	idleWakeupInterval = time.Hour // between wakeups while no timer is set
+	eventQueueSize     = 1024      // events that can be queued before their senders block
+	maxEventBatch      = 32        // queued events that may be handled before the timers are checked
+	idleWakeupInterval = time.Hour // time between wakeups while no timer is set
 )
 
 // Options configures a Dispatcher. Upstream and a valid Policy are required; the other fields are optional.
 type Options struct {
-	Name             string // in snapshots
-	Deployment       string // in snapshots; identifies the settings that class and tenant positions refer to
+	Name             string // the program's name, as recorded in snapshots
+	Deployment       string // recorded in snapshots; identifies the settings that class and tenant positions refer to
 	Policy           policy.Config
 	Seed             uint64
-	Zones            []string           // zone names by their position in the policy; a server in any other zone has none
-	DrainGrace       time.Duration      // after which no new attempt may reach a server that is draining or gone
+	Zones            []string           // zone names, by position in the policy; a server in any other zone counts as in none
+	DrainGrace       time.Duration      // how long new attempts may still reach a server after it starts to drain or is gone
 	InitialEndpoints endpoints.List     // the servers known at the start
-	Restored         *snapshot.Restored // used instead of InitialEndpoints; nil = there is none
+	Restored         *snapshot.Restored // the predecessor's snapshot, used instead of InitialEndpoints; nil = there is none
 	Upstream         upstream.Upstream
 
 	// IsComplete reports whether the load report of a probe has every value that the policy requires; nil = any report does.
@@ -54,13 +54,13 @@
 	OnServerCounts func(listed, excluded int)
 	// Cordons are the operators' cordons at the start.
 	Cordons cordon.Set
-	// Invariants counts the acts that the guards prevented; nil = they are not counted.
+	// Invariants counts the attempts and rejections that the guards prevented; nil = they are not counted.
 	Invariants *invariant.Recorder
 	// WallClock reads the wall clock, which may be stepped; nil = time.Now.
 	WallClock func() time.Time
 }
 
-// withDefaults returns o with no-op functions, or time.Now, for those that are nil.
+// withDefaults returns o with no-ops for a nil Logf, OnServerCounts and OnEvidence, and time.Now for a nil WallClock.
 func (o Options) withDefaults() Options {
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
@@ -86,7 +86,7 @@
 	wallClock  wallclock.Timeline // converts the dates of process starts and cordons to the policy's clock
 	ready      atomic.Bool
 	events     chan event
-	listEvents chan event    // from discovery; handled first, since the grace of a listed drain is already running
+	listEvents chan event    // from discovery; handled before other events: the grace of a drain that they report has begun
 	stopped    chan struct{} // closed when Run has ended
 
 	// Requests and attempts.
@@ -101,11 +101,11 @@
 
 	// Servers.
 	servers           map[policy.ServerID]*serverRecord
-	serverIDs         map[string]policy.ServerID // by id in the list
+	serverIDs         map[string]policy.ServerID // the policy's ids of the servers, by their ids in the list
 	usedServerIDs     map[policy.ServerID]bool
 	zonePositions     map[string]int
-	deletedServers    []snapshot.Member     // for the successor, which must not restore them from an older list
-	predecessorAges   map[string]processAge // by id in the list, from the snapshot; nil except while restore runs
+	deletedServers    []snapshot.Member     // for the snapshot, so that the successor does not restore them from an older list
+	predecessorAges   map[string]processAge // from the snapshot, by server id in the list; nil except while restore runs
 	listRevision      uint64
 	listValidity      staleness.Validity // zero = the list never becomes stale
 	cordons           cordon.Set
@@ -118,7 +118,7 @@
 	handling     bool      // handle is running: further events are only queued
 	eventTime    time.Time // when the policy handled its latest event; the times in its actions are relative to this
 
-	// The policy's positions of classes and tenants, in the order of the settings.
+	// The positions that the policy uses for classes and tenants, in the order in which the settings list them.
 	classPositions  []int
 	tenantPositions []int
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// The trace has the ages of the load report and the process at the start of each attempt, and its end.
+// The trace has the start of each attempt, with the ages of the server's load report and process at that time, and its end.
 func TestTrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(t)
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/upstream"
 )
 
-// event is an observation or a request of another goroutine. Only the dispatcher's goroutine calls apply, once Run has started.
+// event is an observation or a query that another goroutine sends. Once Run has started, only the goroutine of Run calls apply.
 type event interface{ apply(*Dispatcher) }
 
 type (
--- a/internal/dispatch/expiry_test.go
+++ b/internal/dispatch/expiry_test.go
@@ -22,10 +22,10 @@
 	withdrawn := []string{"withdraw p:1 expired"}
 	for name, tc := range map[string]struct {
 		idempotency policy.Idempotency
-		ends        []outcome.Kind  // of its attempts, 1 s after each was sent; one more has no connection yet
-		written     bool            // that last attempt is written in full
-		expires     []time.Duration // of each attempt, since the first was sent
-		actions     []string        // on the last attempt, until 3 s after the first
+		ends        []outcome.Kind  // of the earlier attempts, 1 s after each was sent; the last one has no connection yet
+		written     bool            // the last attempt is written in full
+		expires     []time.Duration // the expiry of each attempt, as the time since the first was sent
+		actions     []string        // on the last attempt, until 3 s after the first was sent
 		responses   []request.Kind
 	}{
 		"idempotent": {idempotency: policy.Idempotent, ends: []outcome.Kind{outcome.ResetByPeer}, expires: []time.Duration{never, never}},
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -5,8 +5,8 @@
 	"plankrouter/policy"
 )
 
-// maySend reports whether an attempt for the request may be sent to the server. It is checked before every attempt; a correct
-// policy requests none that it prevents. What would violate an invariant is counted and logged.
+// maySend reports whether an attempt for the request may be sent to the server. It is called before every attempt; a correct
+// policy requests no attempt for which it returns false. An attempt that would violate an invariant is counted and logged.
 func (d *Dispatcher) maySend(pending *pendingRequest, server *serverRecord) bool {
 	switch {
 	case pending == nil || pending.closed || server == nil:
@@ -24,8 +24,8 @@
 	return true
 }
 
-// mayReject reports whether the request may be rejected. A rejection promises that a retry is harmless, so that no attempt may
-// have run, except where the class makes a repetition safe on every server.
+// mayReject reports whether the request may be rejected. A rejection promises that a retry is harmless. It is allowed if no
+// attempt may have run, or if the request's class makes a repetition safe on every server.
 func (d *Dispatcher) mayReject(pending *pendingRequest) bool {
 	if !pending.mayHaveRun() {
 		return true
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -17,9 +17,9 @@
 	for name, row := range map[string]struct {
 		idempotency policy.Idempotency
 		scope       policy.KeyScope
-		mayHaveRun  bool // an earlier attempt
-		inFlight    bool // another attempt is
-		draining    bool // the server is
+		mayHaveRun  bool // an earlier attempt may have run
+		inFlight    bool // another attempt is in flight
+		draining    bool // the server is draining
 		send        bool
 		reject      bool
 		counted     invariant.Rule
--- a/internal/dispatch/origin.go
+++ b/internal/dispatch/origin.go
@@ -7,11 +7,11 @@
 	"plankrouter/policy"
 )
 
-// processStart is when a server's process counts as started: by its dates, in Unix milliseconds, and by the policy's clock. The
-// times on the policy's clock are computed once per date, so that later steps of the wall clock don't change them.
+// processStart says when a server's process started, as dates in Unix milliseconds and as times on the policy's clock. The times
+// on the policy's clock are computed once per date, so that later steps of the wall clock don't change them.
 type processStart struct {
-	listedDate     float64   // in the list; 0 = unknown
-	uncordonedDate float64   // when operators uncordoned the server, which they may have restarted; 0 = never
+	listedDate     float64   // the start date in the list; 0 = unknown
+	uncordonedDate float64   // when operators, who may have restarted the server, uncordoned it; 0 = never
 	listedAt       policy.Ms // listedDate on the policy's clock
 	startedAt      policy.Ms // the later of the two dates, on the policy's clock
 }
@@ -34,8 +34,8 @@
 	return d.wallClock.Place(date, d.clock.at(now))
 }
 
-// processStartOf returns when the listed process started; server is its record so far. For a process that the predecessor knew,
-// the age in the snapshot decides.
+// processStartOf returns when the listed process started; server is the server's record before this update. For a process that
+// the predecessor knew, the start is computed from its age in the snapshot.
 func (d *Dispatcher) processStartOf(server *serverRecord, endpoint endpoints.Endpoint, now time.Time) processStart {
 	uncordonedDate := d.cordons.Uncordoned[endpoint.ID]
 	if server.processStart.listedDate == endpoint.StartedAt && server.processStart.uncordonedDate == uncordonedDate {
--- a/internal/dispatch/races_test.go
+++ b/internal/dispatch/races_test.go
@@ -164,7 +164,8 @@
 	}
 }
 
-// fillRetryBudget submits and cancels enough requests that the retry budget allows a further attempt. It drops their records.
+// fillRetryBudget submits and cancels enough requests that the retry budget allows a further attempt. It drops
+// what the upstream recorded of them.
 func (d *Dispatcher) fillRetryBudget() {
 	for i := range 20 {
 		req := &request.Request{ID: fmt.Sprint("x", i), SentAt: time.Now(), Timeout: time.Minute, Respond: func(request.Response) {}}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -11,13 +11,13 @@
 	"plankrouter/policy"
 )
 
-// maxUploadTime limits a request while its body is still being sent.
+// maxUploadTime is how long a request may take while its body is still being sent.
 const maxUploadTime = 10 * time.Minute
 
 // pendingRequest is a request that has no final response yet, or whose attempt has not ended.
 type pendingRequest struct {
 	request         *request.Request
-	attemptsStarted int       // started so far
+	attemptsStarted int       // attempts started so far
 	attempt         attemptID // in flight, or noAttempt
 	endedMayHaveRun bool      // an attempt that has ended may have run
 	closed          bool      // it has its final response, or its client is gone
@@ -41,7 +41,7 @@
 }
 
 // Cancel is like ClientGone, and returns whether an attempt may have run. After Run has ended, a request that the dispatcher
-// does not know counts as one that may have.
+// does not know counts as one of which an attempt may have run.
 func (d *Dispatcher) Cancel(req *request.Request) (mayHaveRun bool) {
 	mayHaveRun, ok := query(d, func(reply chan<- bool) event { return clientGone{req, reply} })
 	if ok {
@@ -73,8 +73,8 @@
 	d.handle(policy.Event{Kind: policy.RequestArrived, Request: id, Class: req.Class, Tenant: req.Tenant, ClientRetry: req.ClientRetry})
 }
 
-// timeLeft returns how long the request may still take at now. While its body is being sent, its own timeout has not started:
-// see bodySent.
+// timeLeft returns how long after now the request may still take. While its body is being sent, its own timeout has not
+// started: see bodySent.
 func (d *Dispatcher) timeLeft(req *request.Request, now time.Time) time.Duration {
 	switch {
 	case req.Remainder == nil:
@@ -189,8 +189,8 @@
 
 func (e openRequestsRequested) apply(d *Dispatcher) { e.reply <- slices.Collect(maps.Keys(d.openIDs)) }
 
-// SetOpenInPredecessor replaces the ids of the requests that are open in the predecessor: a request of such an id is a
-// duplicate.
+// SetOpenInPredecessor replaces the ids of the requests that are open in the predecessor: a request with one of these
+// ids is a duplicate.
 func (d *Dispatcher) SetOpenInPredecessor(ids []string) { d.send(predecessorRequestsListed{ids}) }
 
 func (e predecessorRequestsListed) apply(d *Dispatcher) {
--- a/internal/dispatch/servers.go
+++ b/internal/dispatch/servers.go
@@ -15,7 +15,7 @@
 // noZone is the position of a zone that the policy's settings do not name.
 const noZone = -1
 
-// serverRecord is a server that is listed, or was and still has an attempt or probe in flight.
+// serverRecord is a server that is listed, or that was listed and still has an attempt or probe in flight.
 type serverRecord struct {
 	name              string             // id in the list
 	endpoint          endpoints.Endpoint // as last listed
@@ -23,14 +23,14 @@
 	phaseSince        time.Time          // when the current phase was listed
 	process           upstream.Endpoint
 	health            policy.Health
-	firstByteDeadline time.Time // if it drains or is gone: no first byte of an attempt later than this; zero = no limit
+	firstByteDeadline time.Time // latest time for an attempt's first byte if the server drains or is gone; zero = no limit
 	attemptsInFlight  int       // attempts and probes in flight
 	reportedAt        time.Time // when its last load report arrived; set only while tracing; zero = none yet
-	excludedSince     time.Time // by the policy, as seen by reportServers; zero = it is not
+	excludedSince     time.Time // when reportServers first found it excluded by the policy; zero = it is not excluded
 	liveness          staleness.Liveness
 }
 
-// UpdateEndpoints queues a complete list, or changes to it, that arrived at that time.
+// UpdateEndpoints queues a complete list, or changes to the list, that arrived at the given time.
 func (d *Dispatcher) UpdateEndpoints(list endpoints.List, at time.Time) {
 	d.sendTo(d.listEvents, endpointsUpdated{list, at})
 }
@@ -71,7 +71,7 @@
 // applyEndpoints applies a list as of now.
 func (d *Dispatcher) applyEndpoints(list endpoints.List) { d.applyEndpointsAt(list, time.Now()) }
 
-// applyEndpointsAt applies a list that arrived at that time, and the cordons, to the server table and then to the policy.
+// applyEndpointsAt applies a list that arrived at arrivedAt, and the cordons, to the server table and then to the policy.
 func (d *Dispatcher) applyEndpointsAt(list endpoints.List, arrivedAt time.Time) {
 	d.listRevision = list.Revision
 	now := time.Now()
@@ -195,7 +195,7 @@
 }
 
 // serverID returns the policy's id of the server with that id in the list, and assigns one to a new server: a hash, incremented
-// on a collision, so that restarts of the server and of this process normally keep it.
+// on a collision, so that the id normally stays the same after a restart of the server or of this process.
 func (d *Dispatcher) serverID(name string) policy.ServerID {
 	if id, found := d.serverIDs[name]; found {
 		return id
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -13,7 +13,7 @@
 // that itself: the policy knows nothing about processes.
 const ShuttingDown policy.Reason = "ending"
 
-// ScheduleShutdown reports that the process was signalled at that time to stop. Requests are answered by the schedule's
+// ScheduleShutdown reports that the process was signalled to stop at the given time. Requests are answered by the schedule's
 // deadlines from then on.
 func (d *Dispatcher) ScheduleShutdown(schedule shutdown.Schedule, at time.Time) {
 	d.send(shutdownScheduled{schedule, at})
@@ -24,7 +24,7 @@
 	d.shutdownSchedule = e.schedule
 	for id, pending := range d.requests {
 		req := pending.request
-		uploading := req.Remainder != nil // its body may still be sent, and its own deadline is not known then
+		uploading := req.Remainder != nil // its body may not have been sent in full yet; its own deadline is unknown until then
 		end := req.SentAt.Add(d.waitLimit(req))
 		if uploading {
 			end = d.shutdownAt.Add(e.schedule.LastResponse)
@@ -40,7 +40,7 @@
 	return !d.shutdownAt.IsZero() && now.Sub(d.shutdownAt) >= d.shutdownSchedule.LastForward
 }
 
-// rejectForShutdown rejects a request of which nothing was sent.
+// rejectForShutdown rejects a request of which nothing was sent to a server.
 func (d *Dispatcher) rejectForShutdown(id policy.RequestID) {
 	d.countUnserved(&policy.Action{Request: id, Reason: ShuttingDown})
 	d.respond(id, request.Response{Kind: request.Rejected})
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -67,7 +67,7 @@
 	if record := d.servers[server.ID]; record != nil {
 		out.Name = record.name
 	}
-	for i := range 1 + len(d.tenantPositions) { // those of all requests, then by tenant
+	for i := range 1 + len(d.tenantPositions) { // 0 is the tally of all requests, i that of the i-th tenant in the settings
 		tally := server.Outcomes[0]
 		if i > 0 {
 			tally = server.Outcomes[1+d.tenantPositions[i-1]]
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -23,9 +23,9 @@
 type timer struct {
 	kind    timerKind
 	fireAt  time.Time
-	handle  uint64    // of a policyTimer, as set by the policy
-	attempt attemptID // of the other kinds
-	index   int       // in timers, or notQueued
+	handle  uint64    // for a policyTimer: the policy's name for the timer
+	attempt attemptID // for the other kinds: the attempt to end
+	index   int       // position in timers, or notQueued
 }
 
 // fireTimers handles the timers that are due.
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -9,7 +9,7 @@
 	"plankrouter/policy"
 )
 
-// unknownMs is the value in the trace of an unknown duration.
+// unknownMs is what the trace has for an unknown duration, or for a missing limit.
 const unknownMs = -1.0
 
 // traceStart logs the start of an attempt or probe, with the ages of the server's last load report and of its process, in ms.
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -16,32 +16,32 @@
 // Request is one request of a client.
 type Request struct {
 	ID          string        // set by the client, forwarded unchanged
-	Class       int           // position in the policy's settings
-	Tenant      int           // position in the policy's settings; -1 = none of these
+	Class       int           // index of the class in the policy's settings
+	Tenant      int           // index of the tenant in the policy's settings; -1 = none of those tenants
 	ClientRetry bool          // the client marked it as a retry
-	SentAt      time.Time     // when the client sent it; with a Remainder, when the last byte of that was forwarded
+	SentAt      time.Time     // when the client sent the request; with a Remainder, when the last byte of the body was forwarded
 	Timeout     time.Duration // how long the client waits, from SentAt
 
 	Host      string // intended host, if the protocol has one; "" = the address of the server it is sent to
-	Method    string // of the protocol, such as GET
+	Method    string // the protocol's method, such as GET
 	Target    string // what the method applies to, such as a path
 	Fields    []Field
 	Body      []byte
-	Remainder Upload // of the body, after Body; nil = Body is all of it
+	Remainder Upload // the rest of the body, after Body; nil = Body is the whole body
 
 	// Respond receives the final response, at most once. It must not block.
 	Respond func(Response)
-	// ClientGone reports whether the client is gone now; nil = only MarkClientGone reports it. It must not block, and any goroutine
-	// may call it.
+	// ClientGone reports whether the client is gone now; nil = the client counts as gone only after MarkClientGone. It must
+	// not block, and any goroutine may call it.
 	ClientGone func() bool
 	// MayHaveRun is set by the dispatcher when it closes the request: an attempt may have run, or may still run.
 	MayHaveRun bool
 
-	clientGoneAt atomic.Pointer[time.Time] // when the client was first known to be gone; nil = it is not
+	clientGoneAt atomic.Pointer[time.Time] // when the client was first known to be gone; nil = it is not known to be gone
 }
 
-// MarkClientGone records that the client is gone. An attempt that is about to write sees it at once, even while the
-// dispatcher's event is still queued.
+// MarkClientGone records that the client is gone. An attempt that is about to write sees this at once, even while the
+// dispatcher's clientGone event is still queued.
 func (r *Request) MarkClientGone() {
 	now := time.Now()
 	r.clientGoneAt.CompareAndSwap(nil, &now)
@@ -50,7 +50,7 @@
 // IsClientGone reports whether the client is known to be gone.
 func (r *Request) IsClientGone() bool { return r.clientGoneAt.Load() != nil }
 
-// ClientGoneFor returns how long before now the client was first known to be gone; 0 = it is not.
+// ClientGoneFor returns how long before now the client was first known to be gone; 0 = it is not known to be gone.
 func (r *Request) ClientGoneFor(now time.Time) time.Duration {
 	if at := r.clientGoneAt.Load(); at != nil {
 		return now.Sub(*at)
@@ -75,14 +75,14 @@
 // Upload is a request body that the client is still sending. One attempt at a time reads it.
 type Upload interface {
 	Stream
-	Consumed() bool // a part of it was read, so that it can't be sent again
+	Consumed() bool // reports whether part of the body was read: the body can't be sent again then
 }
 
 // BodyStream is a response body that the server is still sending.
 type BodyStream interface {
 	Stream
 	// Close ends the stream; whole says whether the body was complete. Only the first call has an effect. Any goroutine may call
-	// it, and makes a concurrent Read return soon.
+	// it; a concurrent Read then returns soon.
 	Close(whole bool)
 }
 
@@ -105,9 +105,9 @@
 	Kind       Kind
 	RetryAfter time.Duration // with Rejected: delay before a retry; 0 = unspecified
 	StatusCode int           // with Served: the protocol's status, which the dispatcher does not interpret
-	Fields     []Field       // with Served: the server's
-	Body       []byte        // with Served: the server's, unchanged
-	Remainder  BodyStream    // with Served: the rest of the body; nil = Body is all of it
+	Fields     []Field       // with Served: the fields of the server's response
+	Body       []byte        // with Served: the body of the server's response, unchanged
+	Remainder  BodyStream    // with Served: the rest of the body, after Body; nil = Body is the whole body
 	MayHaveRun bool          // an attempt may have run, or may still run
 }
 
