--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the HTTP front end for operators. It listens on an address of its own and serves one request per connection,
-// by calls of Operations.
+// Package admin is the HTTP front end for operators. It listens on an address of its own, serves one request per connection, and
+// carries requests out by calling Operations.
 package admin
 
 import (
@@ -20,22 +20,22 @@
 )
 
 const (
-	// MaxConns is the usual limit on open connections, the listener not included; New may get a lower one.
+	// MaxConns is the usual limit on open connections, not counting the listener; callers may pass a lower one to New.
 	MaxConns = 16
 
 	requestTimeout   = 2 * time.Second        // for reading the whole request
 	writeTimeout     = 800 * time.Millisecond // for writing the response: operators wait for 1 s
-	lingerTimeout    = 200 * time.Millisecond // after the response, before closing a connection whose client is still sending
-	acceptRetryDelay = 5 * time.Millisecond   // before accepting again after an error
-	minConns         = 2                      // see New
+	lingerTimeout    = 200 * time.Millisecond // after the response, for a client that is still sending to end, before the close
+	acceptRetryDelay = 5 * time.Millisecond   // delay before accepting again after an error
+	minConns         = 2                      // minimum limit on open connections: see New
 )
 
-// Operations are the operations that operators may request. None may block on the network.
+// Operations are the operations that operators may request. None of them may block on the network.
 type Operations interface {
-	Ready() bool // whether a request could be served
+	Ready() bool // reports whether a client's request could be served now
 	Metrics() metrics.Values
 	Cordon(id string) error   // returns cordon.ErrUnknownServer if the server is neither listed nor cordoned
-	Uncordon(id string) error // likewise
+	Uncordon(id string) error // returns cordon.ErrUnknownServer in the same case
 }
 
 // Server is the front end for operators.
@@ -45,13 +45,13 @@
 
 	mu      sync.Mutex
 	open    int
-	reading list.List     // of net.Conn whose request is not complete yet, oldest first
+	reading list.List     // the connections (net.Conn) whose request has not been received in full, oldest first
 	freed   chan struct{} // receives an element after a connection has been closed
 	running errgroup.Group
 }
 
-// New returns a front end with at most conns open connections. One of these is reserved for a connection that was accepted and
-// waits until another one is closed, so that the minimum is 2; a smaller conns counts as 2.
+// New returns a front end with at most conns open connections. One of them is reserved for a connection that was accepted and
+// waits until another one is closed. The minimum is therefore 2; a smaller conns counts as 2.
 func New(operations Operations, conns int) *Server {
 	return &Server{operations: operations, maxServed: max(minConns, conns) - 1, freed: make(chan struct{}, 1)}
 }
@@ -113,7 +113,7 @@
 	}
 }
 
-// release closes a connection and frees its place.
+// release closes a connection, no longer counts it as open, and notifies waitForCapacity.
 func (s *Server) release(conn net.Conn, position *list.Element) {
 	conn.Close()
 	s.mu.Lock()
@@ -157,9 +157,9 @@
 	if _, err := conn.Write(http1.AppendResponse(nil, &resp, false)); err != nil {
 		return
 	}
-	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok { // a plain close could reset it before the response arrives
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok { // Close alone could reset it before the response arrives
 		_ = halfCloser.CloseWrite() // the connection is closed anyway
 		conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_, _ = io.CopyN(io.Discard, br, http1.MaxBody) // likewise
+		_, _ = io.CopyN(io.Discard, br, http1.MaxBody) // an error does not matter: the connection is closed next
 	}
 }
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -65,7 +65,7 @@
 	return http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/json"}}, Body: body}
 }
 
-// changeServer calls change, which cordons or uncordons, with the server id in the query's parameter target.
+// changeServer calls change, which cordons or uncordons a server, with the server id in the query's parameter target.
 func changeServer(query string, change func(id string) error) http1.Response {
 	values, err := url.ParseQuery(query)
 	if err != nil {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Rule identifies a rule.
+// Rule identifies one of the rules that a sidecar has to keep at run time.
 type Rule uint8
 
 // The rules. The comments say what each one forbids.
@@ -61,7 +61,7 @@
 	}
 }
 
-// Count has the numbers of prevented acts and violations of a rule.
+// Count holds the numbers of prevented acts and of violations of a rule.
 type Count struct {
 	Rule                  Rule
 	Prevented, Violations int64
@@ -84,8 +84,8 @@
 // the rule. The zero value is no limit.
 type Limit struct{ GuardAt, ViolationAt time.Time }
 
-// NewLimit returns the limit on an act that the guard allows until guardAt, and the rule until guardAt+slack; a zero guardAt is
-// no limit.
+// NewLimit returns the limit on an act that its guard allows until guardAt, and that violates the rule after guardAt+slack. If
+// guardAt is zero, there is no limit.
 func NewLimit(guardAt time.Time, slack time.Duration) Limit {
 	if guardAt.IsZero() {
 		return Limit{}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts the requests, attempts, servers and reloads of a sidecar. Each is counted in one place, where it
+// Package metrics counts the requests, attempts, servers and reloads of a sidecar. Each event is counted in one place, where it
 // happens. The package does no input or output and reads no clock.
 package metrics
 
@@ -18,7 +18,7 @@
 	Error
 )
 
-// Values has the metrics under the names that operators read. The first three are by class.
+// Values holds the metrics under the names that operators read. The keys of its maps are names of classes.
 type Values struct {
 	Success         map[string]int `json:"success"`
 	Overload        map[string]int `json:"overload"`
@@ -31,7 +31,7 @@
 	ReloadFailure   int            `json:"reload_failure"`
 }
 
-// Registry holds the metrics. It is safe for concurrent use. Classes have to be added by InitClasses before their requests end.
+// Registry holds the metrics. It is safe for concurrent use. A class has to be added by InitClasses before its requests end.
 type Registry struct {
 	mu     sync.Mutex
 	values Values
@@ -51,14 +51,14 @@
 	}
 }
 
-// Request is an accepted request, counted as concurrent until End.
+// Request is an accepted request, counted as concurrent until End is called.
 type Request struct {
 	registry *Registry
 	class    string
 	once     sync.Once
 }
 
-// RequestStarted counts a request of that class as concurrent until its End.
+// RequestStarted returns a request of the given class, which counts as concurrent until its End is called.
 func (r *Registry) RequestStarted(class string) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/probing/probing.go
+++ b/internal/probing/probing.go
@@ -1,20 +1,20 @@
-// Package probing computes how many probes an instance sends and how many requests may use a response. The rules depend on the
-// cost of a probe, the number of servers and the instance's request rate. If the probes of all instances add up at a server,
-// the rule bounds the sum. The package does no input or output and reads no clock.
+// Package probing computes how many probes an instance sends and how many requests may use the response to one. The rules
+// depend on the cost of a probe, the number of servers and the instance's request rate. Where the probes of all instances add
+// up at a server, the rule bounds the sum. The package does no input or output and reads no clock.
 package probing
 
 import "math"
 
 // Bounds on the number of probes.
 const (
-	MaxPerRequest = 2.0  // probes per request on average; Prequal's r_probe, "above 1 is quite safe"
-	MinInterval   = 40.0 // ms between two probes of a server by one instance on average: shorter ones show nothing new
-	PerWait       = 4    // probes of a request that waits for their responses; Prequal's d
-	minPerWait    = 2    // minimum for a request that can't be sent without a response
+	MaxPerRequest = 2.0  // average probes per request; Prequal's r_probe, which its authors call "quite safe" above 1
+	MinInterval   = 40.0 // average ms between two probes of a server by one instance: sooner, a probe shows nothing new
+	PerWait       = 4    // probes that a request sends if it waits for their responses; Prequal's d
+	minPerWait    = 2    // minimum of PerWait for a request that can't be sent without a response
 )
 
 const (
-	oldReportCost = 0.02 // fraction of a request's value lost to old reports with one probe per request; 1/r of it with r probes
+	oldReportCost = 0.02 // fraction of a request's value lost to old reports with one probe per request; 1/r of that with r
 	poolGrowth    = 1.0  // net growth of the pool with each request; Prequal's delta
 	maxUses       = 3.0  // uses of an entry if Prequal's formula has no positive divisor
 )
@@ -45,10 +45,10 @@
 // whether a failed server is back.
 func AreCostly(price float64) bool { return price*MaxPerRequest*MaxPerRequest > oldReportCost }
 
-// ProbesToAwait returns the number of probes that a request may send and wait for. If probes are limited it is at most saved,
-// the number earned by requests or borrowed. An urgent request, which can't be sent without a response because the list is
-// stale, may always send minPerWait. Every instance does that for each request that finds no server with a recent response;
-// later requests use the responses, too.
+// ProbesToAwait returns the number of probes that a request may send and wait for. If probes are limited, it is at most saved,
+// the number of probes that requests have earned or that may be borrowed. An urgent request, which
+// can't be sent without a response because the list is stale, may always send minPerWait. Every instance sends that
+// many for each request that finds no server with a recent response; later requests use the responses, too.
 func ProbesToAwait(saved float64, limited, urgent bool) int {
 	probes := PerWait
 	if limited {
@@ -60,7 +60,8 @@
 	return probes
 }
 
-// RandomChoices returns the number of random servers from which a request chooses the best if the pool has no usable entry.
+// RandomChoices returns the number of random servers among which a request chooses the best if the pool has no usable entry.
+// probes says whether this instance sends probes.
 // Without probes the pool is always empty, and the power of random choices replaces it.
 func RandomChoices(probes bool) int {
 	if probes {
--- a/internal/probing/probing_test.go
+++ b/internal/probing/probing_test.go
@@ -11,7 +11,7 @@
 	for name, c := range map[string]struct {
 		price              float64
 		instances, servers int
-		maxPerSecond       float64 // at one server
+		maxPerSecond       float64 // expected probes at one server, from all instances
 	}{
 		"costly, one instance":                    {0.08, 1, 60, 0.15},
 		"costly, few instances":                   {0.08, 4, 60, 0.57},
