--- a/policy/actions.go
+++ b/policy/actions.go
@@ -11,7 +11,7 @@
 	FailRequest                     // Request, Reason
 	SendProbe                       // Server
 	SetTimer                        // Timer, After
-	Subscribe                       // to updates of the server list
+	Subscribe                       // no fields; asks for updates of the server list
 	Log                             // Text
 )
 
@@ -34,8 +34,8 @@
 // The reasons.
 const (
 	NoEligibleServer Reason = "no_server"  // the list, the retry rules and slow start allow no server
-	ListStale        Reason = "list_stale" // the same while the list is stale
-	NoCapacity       Reason = "crowded"    // no server has capacity for a request of this value
+	ListStale        Reason = "list_stale" // NoEligibleServer while the list is stale
+	NoCapacity       Reason = "crowded"    // no server has capacity for a request of the request's value
 	DeadlineReached  Reason = "time_up"    // the client's deadline is near
 	RetryNotAllowed  Reason = "no_retry"   // an attempt has ended, and a further one is not allowed or not possible
 )
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,9 +10,9 @@
 // Admission control rejects the load that servers can't finish in time, requests of the lowest value first.
 
 const (
-	maxSlowFactor   = 1.5 // upper bound of a server's service time in fleet medians: a few costly requests raise a server's mean
+	maxSlowFactor   = 1.5 // service times count up to this many fleet medians: a few costly requests raise a server's mean
 	peerValueFactor = 1.5 // a request must leave capacity for classes of at least this many times its value
-	minQuotaBurst   = 5.0 // requests; lower bound of a tenant's burst, which otherwise is its quota of one second
+	minQuotaBurst   = 5.0 // requests; lower bound of a tenant's burst, which otherwise is its quota for one second
 	minIdleRIF      = 1   // RIF below which a server is idle
 )
 
@@ -29,8 +29,9 @@
 // trafficShare returns this instance's fraction of the traffic of all instances.
 func (b *Balancer) trafficShare() float64 { return b.traffic.Share(b.arrivalRate.PerMs(b.now) * 1000) }
 
-// admits reports whether a timely response is likely and the server has capacity for a request of this value. An idle server
-// admits a request within its quota even if the estimated latency is too long: only a new sample can correct the estimate.
+// admits reports whether a timely response is likely and the server has capacity for a request of r's value. An idle server
+// admits a request within its tenant's quota even if the estimated latency is too long: only a new sample can correct the
+// estimate.
 func (b *Balancer) admits(s *server, r *request) bool {
 	value := b.relativeValue(r.class)
 	if r.overQuota {
@@ -51,7 +52,7 @@
 }
 
 // meetsObjectives reports whether the server is expected to meet the latency objectives of this request and of all classes
-// of at least peerValueFactor times its value, as the request would otherwise take capacity from those.
+// of at least peerValueFactor times its value, as the request would otherwise take capacity from those classes.
 func (b *Balancer) meetsObjectives(s *server, r *request, value float64, timeLeft Ms) bool {
 	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
 	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s))
@@ -73,7 +74,7 @@
 	return true
 }
 
-// relativeValue returns the class's value per processing time, as a fraction of that of the best class.
+// relativeValue returns the class's value per unit of processing time, as a fraction of that of the best class.
 func (b *Balancer) relativeValue(class int) float64 {
 	highest := math.SmallestNonzeroFloat64
 	for i, c := range b.cfg.Classes {
@@ -97,8 +98,8 @@
 	})
 }
 
-// updateGauge updates overload control by recent response times, compared with the objective that is the tightest relative
-// to the class's usual duration.
+// updateGauge updates overload control from recent response times. They are compared with the latency objective that is the
+// tightest relative to the usual duration of its class.
 func (b *Balancer) updateGauge() {
 	tightest := math.Inf(1)
 	for i, c := range b.cfg.Classes {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -45,14 +45,14 @@
 	servers            []*server // in order of rank
 	byID               map[ServerID]*server
 	readyCount         int // servers listed as ready
-	localCount         int // of those, servers in the preferred zone
+	localCount         int // servers listed as ready in the preferred zone
 	resubscribeWait    Ms
-	listValidUntil     Ms // from then on the list is stale
-	anyProbeValidUntil Ms // until then, while the list is stale, servers may be probed that have not responded to a probe yet
+	listValidUntil     Ms // the list is stale from then on
+	anyProbeValidUntil Ms // while the list is stale, servers that have not responded to a probe yet may be probed until then
 
 	pool               probepool.Pool[*server]
 	recentRIFs         stats.Window      // RIF of the newest reports
-	hotRIF             float64           // threshold: servers with more requests in flight are hot
+	hotRIF             float64           // servers with more requests in flight than this are hot
 	probeCredit        float64           // probes earned by requests and not sent yet; negative = borrowed
 	probesPerRequest   float64           // probes that each request earns at the current request rate
 	otherZonesCapacity stats.SuccessRate // fraction of recent probes of other zones that found free capacity
@@ -159,7 +159,7 @@
 	}
 }
 
-// tick updates the state that changes without traffic, and sends the probes that need no request.
+// tick updates the state that changes without traffic, and sends the probes that are not sent along with requests.
 func (b *Balancer) tick() {
 	b.setTimer(tickTimer, tickInterval)
 	b.pool.Expire(b.now, b.maxEntryAge())
--- a/policy/config.go
+++ b/policy/config.go
@@ -41,7 +41,7 @@
 	Idempotency      Idempotency
 	KeyScope         KeyScope // only for WithIdempotencyKey
 	KeyWindow        Ms       // only for WithIdempotencyKey: how long servers drop repeats
-	Attempts         int      // maximum per request; 0 = Config.MaxAttempts
+	Attempts         int      // maximum attempts per request; 0 = Config.MaxAttempts
 	Retired          bool     // no longer in the settings: only its requests that are still open use it
 }
 
@@ -58,22 +58,22 @@
 	Instances       int      // sidecars in service, including this one
 	Zone            int      // the sidecar's own zone
 
-	SubscribeToList bool // the server list has to be subscribed to
+	SubscribeToList bool // the server list has to be subscribed to, by a Subscribe action
 	Probes          bool // SendProbe is allowed
 	Cancel          bool // CancelAttempt is allowed
-	MaxAttempts     int  // per request, for classes that set none
+	MaxAttempts     int  // maximum attempts per request, for classes that set none
 	MaxRetryAfter   Ms   // longest Retry-After that clients follow; 0 = none is sent
 	Round           Ms   // shortest interval between two batches of events that the sidecar processes
 
 	StartCapacity    float64 // lowest fraction of its full capacity that a server has when it starts
 	WarmUpTime       Ms      // time from its start until a server has its full capacity; 0 = no slow start
-	OverloadMultiple float64 // this many times its current capacity within OverloadWindow overloads a starting server
+	OverloadMultiple float64 // multiple of a starting server's current capacity that overloads it within OverloadWindow
 	OverloadWindow   Ms
 	CrossZoneCost    float64 // cost of an attempt in another zone, as a fraction of a request's value
 	WastedWorkCost   float64 // cost if all work of the servers is wasted, as a fraction of a request's value
 	ProbeCost        float64 // cost of one probe, as a fraction of a request's value
 
-	ProbeValidity Ms // how long after it was sent a probe proves, while the list is stale, that the server is in service
+	ProbeValidity Ms // how long a probe, from when it was sent, proves that its server is in service while the list is stale
 }
 
 // validate returns an error that names the first invalid setting.
--- a/policy/events.go
+++ b/policy/events.go
@@ -19,8 +19,8 @@
 	ClientGone                           // Request
 	TimerFired                           // Timer
 	ProbeEnded                           // Server, Status, Elapsed, ConnectTime, ProbeSentAt, Report
-	ListValidityChanged                  // TimeLeft: until the list is stale; Elapsed: for how long any server may still be probed
-	BodyProgressed                       // Server: a request body was still being sent to it, so that no response was due
+	ListValidityChanged                  // TimeLeft = until the list is stale, Elapsed = how long any server may still be probed
+	BodyProgressed                       // Server, to which a request body was still being sent, so that no response was due
 )
 
 // Status is how an attempt or a probe ended.
@@ -58,8 +58,8 @@
 	ID         ServerID
 	Zone, Cell int
 	Health     Health
-	StartedAt  Ms   // 0 = not known, long ago
-	Uncordoned bool // an operator has just uncordoned it: it is probed at once, as no other instance sends to it on that account
+	StartedAt  Ms   // when the server's process started; 0 = not known, taken as long ago
+	Uncordoned bool // an operator has just uncordoned it: it is probed at once, as this makes no other instance send to it
 }
 
 // Report is a server's load report; a field is meaningful only if its Has flag is set.
@@ -68,7 +68,7 @@
 	HasErrors          bool
 	RIF                float64 // requests in flight
 	Latency            Ms      // recent service time
-	Errors             float64 // per second
+	Errors             float64 // error responses per second
 }
 
 // Event is an input of a Balancer; Kind says which of the fields are used.
--- a/policy/internal/admission/admission.go
+++ b/policy/internal/admission/admission.go
@@ -7,17 +7,17 @@
 // Limits on the response time as a multiple of that of a server with free capacity.
 const (
 	FreeMultiple      = 1.75 // multiple of the fleet's baseline up to which a server counts as having free capacity
-	FullStretch       = 4.5  // above it a longer queue adds only waiting
-	sparseFullStretch = 2.5  // the same if reports are sparse
+	FullStretch       = 4.5  // limit for requests of the highest value; above it a longer queue adds only waiting
+	sparseFullStretch = 2.5  // FullStretch if reports are sparse
 	valueExponent     = 0.4  // how quickly the limit falls with a request's value
 )
 
 // Terms of LatencyMargin, in expected response times.
 const (
 	idleMargin        = 0.5  // margin at an idle server, where wasted work takes no capacity from other requests
-	fullMargin        = 2.0  // added to that at full concurrency
-	wasteMargin       = 8.5  // added to one response time per unit of the cost of wasted work
-	sparseWasteMargin = 15.0 // the same if reports are sparse: the server that looks best is then seldom as good as it looks
+	fullMargin        = 2.0  // added to idleMargin at full concurrency
+	wasteMargin       = 8.5  // added to a margin of 1, per unit of the cost of wasted work
+	sparseWasteMargin = 15.0 // wasteMargin if reports are sparse: the server that looks best is then seldom as good as it looks
 )
 
 // reportDecay is the factor by which each report reduces the weight of earlier ones in the traffic share.
@@ -27,8 +27,9 @@
 const priorRequests = 20.0
 
 // LatencyMargin returns how many expected response times have to fit into the time that a request has left. price is the cost
-// of wasted work and load the fraction of the server's concurrency in use. The margin is larger if reports are sparse: many
-// instances may then send to the same server, and none sees the queue that they build up together.
+// of wasted work, as a fraction of a request's value, and load the fraction of the server's concurrency in use. The margin is
+// larger if reports are sparse: many instances may then send to the same server, and none sees the queue that they build up
+// together.
 func LatencyMargin(sparse bool, price, load float64) float64 {
 	waste := wasteMargin
 	if sparse {
@@ -38,7 +39,7 @@
 }
 
 // MaxStretch returns the longest admissible response time of a request of the given value, 0 to 1, as a multiple of that of a
-// free server.
+// server with free capacity.
 func MaxStretch(sparse bool, value float64) float64 {
 	full := FullStretch
 	if sparse {
@@ -50,7 +51,7 @@
 // Traffic holds the figures by which an instance estimates its share of the fleet's traffic.
 type Traffic struct {
 	OwnInFlight   float64 // this instance's requests in flight at reporting servers, as a decaying sum over reports
-	TotalInFlight float64 // all requests in flight there, as a decaying sum over reports
+	TotalInFlight float64 // all requests in flight at reporting servers, as a decaying sum over reports
 	TotalQuota    float64 // requests per second, summed over all tenants
 	Instances     int
 }
--- a/policy/internal/outlier/tally.go
+++ b/policy/internal/outlier/tally.go
@@ -11,8 +11,8 @@
 	priorSuccesses      = 2.0  // successes assumed before any outcome: one failure alone ejects no server
 	successFailureDecay = 0.85 // factor by which a success reduces the weight of failures
 
-	unresponsiveMultiple    = 6.0 // expected response times, summed over attempts in flight, until a server is unresponsive
-	minUnresponsiveMultiple = 2.0 // the same for each attempt, however many are in flight
+	unresponsiveMultiple    = 6.0 // expected response times until a server is unresponsive, times attempts in flight
+	minUnresponsiveMultiple = 2.0 // lower bound of these expected response times, however many attempts are in flight
 )
 
 // Tally is the decaying counts of successes and failures, as they were at time At.
--- a/policy/internal/overload/baseline.go
+++ b/policy/internal/overload/baseline.go
@@ -5,8 +5,8 @@
 const (
 	minBaselineResponses = 16    // responses needed before the baseline is known
 	maxBaselineResponses = 64    // newest responses that it is computed from
-	baselineDownStep     = 0.02  // smoothing factor per response while the median of the newest is below the baseline
-	baselineUpStep       = 0.002 // the same while it is above
+	baselineDownStep     = 0.02  // smoothing factor per response while the median of the newest responses is below the baseline
+	baselineUpStep       = 0.002 // smoothing factor per response while that median is above the baseline but not slow
 	baselineDriftTime    = 60e3  // ms in which it grows by a factor of e while responses are slow, since work and servers change
 )
 
--- a/policy/internal/overload/gauge.go
+++ b/policy/internal/overload/gauge.go
@@ -13,10 +13,10 @@
 	maxTracked            = 64   // number of attempts in the ring buffer
 	minTrackInterval      = 50.0 // ms between two tracked attempts: the ring covers as long a time with many requests as with few
 	maxRecentAge          = 5e3  // ms since the start of an attempt for which it counts as recent
-	maxAgeMultiple        = 2.0  // lower bound of that age, as a multiple of the time after which the attempt is slow
+	maxAgeMultiple        = 2.0  // an attempt also counts as recent up to this multiple of the duration above which it is slow
 	maxRecent             = 20   // maximum number of recent attempts that are evaluated
 	minRecent             = 3    // minimum number of recent attempts to detect an overload
-	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer are mostly the same ones each time
+	fullRateRecent        = 8    // recent attempts needed for the full shedding rate: fewer are mostly the same at each update
 	medianErrorFactor     = 0.4  // 0.8 standard errors of the median as a quantile, 0.8*0.5/sqrt(n), times sqrt(n)
 )
 
@@ -26,10 +26,10 @@
 	maxUpdateSeconds      = 1     // upper bound of the time since the last update that is taken into account
 	sheddingRate          = 4.0   // e-folds per second by which the admitted fraction falls, per unit of excess duration
 	recoveryRate          = 0.4   // decrease of the rejected fraction per second once attempts are no longer slow
-	lowSampleRecoveryRate = 0.125 // the same while there are fewer than minRecent attempts
+	lowSampleRecoveryRate = 0.125 // recoveryRate while there are fewer than minRecent recent attempts
 	valueExponent         = 0.4   // how quickly the rejected fraction rises as a request's value falls
-	minValue              = 0.01  // lower bound of the value that this is computed from
-	minAdmittedFraction   = 0.02  // always admitted: only responses show that the overload is over
+	minValue              = 0.01  // lower bound of the request's value in that computation
+	minAdmittedFraction   = 0.02  // lower bound of the admitted fraction: only responses show that the overload is over
 )
 
 // Gauge detects an overload of the whole fleet from the durations of this instance's recent attempts at all servers, compared
@@ -37,12 +37,12 @@
 type Gauge struct {
 	tracked          [maxTracked]attempt // ring buffer, in order of start
 	next             int                 // index in tracked of the next attempt
-	allClasses       baseline            // of durations divided by the factor of their class
+	allClasses       baseline            // of the requests of all classes, from durations divided by the factor of their class
 	classes          []baseline          // by class
 	updatedAt        float64
 	recent           []float64 // scratch space of Update: durations divided by their baselines
-	stretch          float64   // as of the last update
-	rejectedFraction float64   // of the requests of the highest value
+	stretch          float64   // as of the last update: see Stretch
+	rejectedFraction float64   // fraction of the requests of the highest value that is rejected
 }
 
 // attempt is a tracked attempt.
@@ -138,8 +138,8 @@
 // latency target.
 //
 // While attempts are slow the rejected fraction grows, the faster the slower they are. Otherwise it shrinks at a constant rate,
-// which is lower if there are too few recent attempts. So it keeps growing as long as servers are overloaded, even if this
-// instance sends them little, and returns to 0 by itself.
+// which is lower if there are too few recent attempts. It therefore keeps growing as long as servers are overloaded, even
+// if this instance sends them little, and returns to 0 by itself.
 func (g *Gauge) Update(now, target float64) {
 	g.allClasses.target = target
 	slow := g.collectRecent(now)
@@ -163,8 +163,8 @@
 
 // collectRecent stores the durations of recent attempts, divided by their baselines, in g.recent; the duration of an attempt in
 // flight is its age. Attempts that started too recently to be slow are skipped, since only quick ones among them have ended.
-// It returns the longest time in ms after which one of them counts as slow, which bounds how fast the rejected fraction may
-// change: no faster than responses can show the effect.
+// It returns the longest time in ms after which one of the stored attempts counts as slow. The rejected fraction changes no
+// faster than that time allows, so that responses can show the effect of a change.
 func (g *Gauge) collectRecent(now float64) (longestSlow float64) {
 	g.recent = g.recent[:0]
 	for i := 0; i < maxTracked && len(g.recent) < maxRecent; i++ {
--- a/policy/internal/overload/gauge_test.go
+++ b/policy/internal/overload/gauge_test.go
@@ -14,7 +14,7 @@
 	rng         *rand.Rand
 	now         float64
 	lastRequest uint32
-	ends        map[uint32]float64 // of the attempts in flight
+	ends        map[uint32]float64 // when the attempts in flight will end, by request
 	target      float64            // latency target in ms
 }
 
@@ -164,8 +164,7 @@
 	}
 }
 
-// Requests that take seconds are longer than the fixed part of the window; their overload must be detected as well, at high and
-// low rates.
+// Requests may take longer than maxRecentAge. An overload must be detected from these as well, at high and low rates.
 func TestGaugeWithLongRequests(t *testing.T) {
 	for _, perMs := range []float64{0.001, 0.02} {
 		s := newSimulation(20e3)
--- a/policy/internal/probepool/probepool_test.go
+++ b/policy/internal/probepool/probepool_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// less is a better function by which the lower number is better.
+// less is a function for the better parameter: the lower number is better.
 func less(x, y int) bool { return x < y }
 
 func all(int) bool { return true }
--- a/policy/internal/retrybudget/retrybudget.go
+++ b/policy/internal/retrybudget/retrybudget.go
@@ -9,7 +9,7 @@
 // Budget is the number of retries that are left. The zero value is an empty budget.
 type Budget float64
 
-// Earn adds the share of a new request.
+// Earn adds retriesPerRequest, for a new request.
 func (b *Budget) Earn() { *b = min(maxSaved, *b+retriesPerRequest) }
 
 // Allows reports whether at least one retry is left.
--- a/policy/internal/slowstart/slowstart.go
+++ b/policy/internal/slowstart/slowstart.go
@@ -6,7 +6,7 @@
 	// unreportedFraction is the fraction of the overload limit that a starting server is sent without a report of free capacity:
 	// a server usually has more than the lowest capacity that its age guarantees.
 	unreportedFraction  = 0.375
-	reportedFraction    = 0.5 // the same if it has reported free capacity
+	reportedFraction    = 0.5 // unreportedFraction if the server has reported free capacity
 	allStartingFraction = 0.5 // fraction of arriving requests taken as the full capacity of a fleet of starting servers
 )
 
@@ -28,7 +28,7 @@
 // A server that has just reported free capacity gets more: reportedFraction of the overload limit is safe then, since it is not
 // sent more than it can process.
 func Rate(fraction, overloadMultiple float64, hasCapacity bool, sent, arriving float64) float64 {
-	safe, rate := unreportedFraction, max(sent, allStartingFraction*arriving) // not 0 if all servers are starting
+	safe, rate := unreportedFraction, max(sent, allStartingFraction*arriving) // rate must not be 0 if all servers are starting
 	if hasCapacity {
 		safe, rate = reportedFraction, max(rate, arriving)
 	}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -5,7 +5,7 @@
 const (
 	priorServiceTime = 50.0 // ms; service time assumed before any report or response
 	latencySmoothing = 0.3  // weight of a new response in the moving average of a service time that is not reported
-	startupPeriod    = 1500 // ms after the start in which samples are ignored: the first responses are those of quick requests
+	startupPeriod    = 1500 // ms after an instance's start in which samples are ignored: the first are those of quick requests
 	maxSampleRatio   = 10   // upper bound of a sample's ratio of response time to service time
 )
 
@@ -18,7 +18,8 @@
 	return cmp.Or(s.latency, b.gauge.Baseline(), priorServiceTime)
 }
 
-// expectedLatency returns the expected response time of a request of the class at s while rif others are in flight there.
+// expectedLatency returns the expected response time of a request of the class at s while rif other requests are in flight
+// there.
 func (b *Balancer) expectedLatency(s *server, class int, rif float64) Ms {
 	return b.serviceTime(s)*b.loadModel.ClassFactor(class)*b.loadModel.Stretch(rif+1) + s.roundTrip
 }
@@ -48,9 +49,9 @@
 	}
 }
 
-// learnServiceTime updates the estimated service time of a server that does not report it. If no server does, the queueing
-// expected by the load model is divided out first, and sentServiceTime becomes the baseline of all servers: a server's
-// service time and its queueing can be observed only as a product.
+// learnServiceTime updates the estimated service time of a server that does not report it. If no server reports it, the
+// queueing expected by the load model is divided out first, and r.sentServiceTime is set to the baseline of all servers: a
+// server's service time and its queueing can be observed only as a product.
 func (b *Balancer) learnServiceTime(s *server, r *request, elapsed Ms) {
 	serviceTime := elapsed
 	if r != nil && !b.latencyReported {
--- a/policy/noprobes_test.go
+++ b/policy/noprobes_test.go
@@ -56,7 +56,7 @@
 	if r.objectiveAt = g.now + 200; g.balancer.admits(g.balancer.byID[1], r) {
 		t.Error("admitted with a response pending for 300 ms and 200 ms left")
 	}
-	g.balancer.cfg.Probes = true // then its reports count
+	g.balancer.cfg.Probes = true // with probes, load reports count instead of pending responses
 	if got := g.balancer.pickCost(g.balancer.byID[1], r); got > 150 || !g.balancer.admits(g.balancer.byID[1], r) {
 		t.Errorf("a cost of %.0f ms, or not admitted, although probes report service times", got)
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,8 +5,8 @@
 	"plankrouter/policy/internal/stats"
 )
 
-// Outlier detection ejects servers by the outcomes of own requests, by missing responses and by reported error rates. A load
-// report or a list entry that shows a good server does not prevent it.
+// Outlier detection ejects servers by the outcomes of this instance's own requests, by missing responses and by reported error
+// rates. A load report or a list entry that shows a good server does not prevent an ejection.
 const (
 	failedProbeWeight   = 0.5  // weight of a failed probe, in failed requests
 	ejectionThreshold   = 0.5  // failure rate above the fleet's median from which a server is ejected
@@ -14,7 +14,8 @@
 )
 
 // isUnreachable reports whether the last connection to the server, or probe of it, has failed, so that other servers are
-// preferred. Without probes that ends with the backoff, since only a request can show that the server is back.
+// preferred. Without probes the server counts as unreachable only until the backoff has ended, since only a request can show
+// that it is back.
 func (b *Balancer) isUnreachable(s *server) bool {
 	return s.reachability.Unreachable && (b.cfg.Probes || !s.reachability.MayProbe(b.now))
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -102,7 +102,7 @@
 	var to []ServerID
 	for id := range RequestID(40) {
 		for s := range g.balancer.byID {
-			g.report(s, map[bool]float64{true: 0, false: 2}[s == 1], 40) // the least loaded of all
+			g.report(s, map[bool]float64{true: 0, false: 2}[s == 1], 40) // server 1 is the least loaded
 		}
 		if a := find(g.respondToProbes(g.do(Event{Kind: RequestArrived, Request: 100 + id, Tenant: 1, TimeLeft: 900})), StartAttempt); a != nil {
 			to = append(to, a.Server)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -45,7 +45,7 @@
 	return f
 }
 
-// list replaces the server list by one of that many servers.
+// list replaces the server list by one with the given number of servers.
 func (f *sharedFleet) list(servers int) {
 	list := readyServers(servers)
 	f.carryOut(f.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list}))
@@ -133,7 +133,7 @@
 func TestOneOfManyInstancesDetectsOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		probesQueue bool
-		instances   int // in the settings; 300 share the fleet
+		instances   int // number of instances in the settings; in fact 300 share the fleet
 	}{
 		"probes queue":                            {true, 300},
 		"probes do not queue":                     {false, 300},
@@ -163,7 +163,7 @@
 	f := newSharedFleet(t, 2, 300, true)
 	f.run(3e3)
 	overloaded, free := f.balancer.byID[1], f.balancer.byID[2]
-	overloaded.inFlight, free.inFlight = 0, 0 // own requests count as well
+	overloaded.inFlight, free.inFlight = 0, 0 // own attempts in flight would count, too
 	f.do(Event{Kind: ProbeEnded, Server: 1, Elapsed: 30})
 	f.do(Event{Kind: ProbeEnded, Server: 2, Elapsed: 1.1})
 	if overloaded.rif < 20 || free.rif > 1 {
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	recentReportAge     = 3000 // ms after its last report in which a random pick prefers a server
+	recentReportAge     = 3000 // ms after a server's last report in which a random pick prefers the server
 	rifCostFraction     = 0.2  // fraction of the expected latency added to the cost at full concurrency: breaks ties
 	crossZoneCostFactor = 8.0  // cost of an attempt in another zone, in latency objectives per unit of Config.CrossZoneCost
 	failureCostFactor   = 2.0  // cost of a certain failure, in latency objectives
@@ -25,7 +25,7 @@
 	pickFailed                        // the last attempt failed there, or it is unreachable
 	pickReportedOld                   // its last report is older than recentReportAge
 	pickReported
-	pickSlowStarting // in slow start, and this instance has budget for it: a rare chance, which other instances may not have
+	pickSlowStarting // in slow start, and this instance has budget for it, which is rare: other instances may have none
 )
 
 // pickCost returns the cost by which cold servers are compared: the expected response time in ms, plus the costs of a likely
@@ -68,8 +68,8 @@
 	)
 }
 
-// pick returns the pool's choice, or a random server if the pool has too few usable entries; nil if no server is eligible.
-// One entry is enough for a retry and for a request that has waited for probes.
+// pick returns the best server in the pool, or a random server if the pool has too few usable entries; nil if no server is
+// eligible. One entry is enough for a retry and for a request that has waited for probes.
 func (b *Balancer) pick(r *request) *server {
 	best, usable := b.bestInPool(r)
 	if usable >= minPoolChoices || usable == 1 && (r.attempts > 0 || r.probeWaits > 0) {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -12,18 +12,18 @@
 
 const (
 	maxPoolAge            = 1000.0 // ms; maximum age of a pool entry in Prequal
-	maxServiceTimes       = 2.0    // the same in median service times: by then most requests it counted have ended
-	minPoolRounds         = 4      // lower bound of that age in units of Config.Round
+	maxServiceTimes       = 2.0    // maximum age of an entry in median service times: by then most requests it counted are over
+	minPoolRounds         = 4      // lower bound of the age by maxServiceTimes, in units of Config.Round
 	removalFraction       = 0.25   // pool entries removed for each probe sent; more would empty the pool
-	hotQuantile           = 0.6    // quantile of RIF above which servers are hot; low in Prequal's range since latency lags
-	maxRIFSamples         = 64     // number of newest reports for that quantile
+	hotQuantile           = 0.6    // quantile of RIF above which servers are hot; low in Prequal's range, since latency lags
+	maxRIFSamples         = 64     // number of newest reports from which the RIF at hotQuantile is computed
 	idleProbeInterval     = 1000   // ms without any probe after which one is sent: an idle instance gets no other load reports
-	recoveryProbesPerTick = 2      // maximum probes of failed servers per tick: they are found again without any request
+	recoveryProbesPerTick = 2      // maximum probes of failed servers per tick, to find them again even without requests
 	maxProbeDebt          = 10.0   // maximum number of probes borrowed, if probes are limited, before a request is rejected
 	maxProbeWaits         = 2      // maximum number of waits for probes before each attempt
 	probeWaitFraction     = 0.05   // duration of a wait as a fraction of the tightest latency objective
-	minProbeWaitRounds    = 2      // lower bound of that duration in units of Config.Round
-	minWaitsLeft          = 2      // a request waits only if it has at least this many waits left until its deadline
+	minProbeWaitRounds    = 2      // lower bound of the duration of a wait, in units of Config.Round
+	minWaitsLeft          = 2      // a request waits only if at least this many wait durations are left until its deadline
 )
 
 func (b *Balancer) onProbeEnded(e *Event) {
@@ -80,7 +80,7 @@
 	}
 	b.recentRIFs.Add(s.rif, maxRIFSamples)
 	b.hotRIF = b.recentRIFs.Quantile(hotQuantile)
-	if report.HasErrors { // over the rate of its responses, which by Little's law is RIF / service time
+	if report.HasErrors { // errors per second over all responses per second, which by Little's law are RIF / service time
 		s.reportedErrorRate = report.Errors / (report.Errors + 1000*(s.rif+1)/b.serviceTime(s))
 	}
 	if s.info.Health == Ready {
@@ -91,7 +91,7 @@
 
 // waitForProbes is Prequal's synchronous mode, for a pool with too few usable entries: the request sends probes and waits
 // for the responses to all but one of them. Up to debt probes may be borrowed from later requests, as a request that is about
-// to be rejected needs them more. It reports whether the request waits.
+// to be rejected needs them more. It returns whether the request waits.
 func (b *Balancer) waitForProbes(r *request, debt float64, urgent bool) bool {
 	wait := max(minProbeWaitRounds*b.cfg.Round, probeWaitFraction*b.minObjective)
 	if b.readyCount < 2 || r.probeWaits >= maxProbeWaits || r.respondBy-b.now < minWaitsLeft*wait {
@@ -129,7 +129,8 @@
 func (b *Balancer) subsetSize() int { return subset.Size(b.readyCount, b.cfg.Instances) }
 
 // candidateCount returns the number of servers, in order of rank, from which probe targets are drawn: those of the preferred
-// zone, or of all zones if asked for or if the preferred zone is at its capacity and other zones are not.
+// zone, or of all zones if allZones is set. While reports are sparse it may also be those of all zones if the preferred zone is
+// at its capacity and other zones are not.
 func (b *Balancer) candidateCount(allZones bool) int {
 	local := min(b.subsetSize(), max(subset.MinSize, b.localCount))
 	if allZones || b.reportsSparse && b.hotRIF > b.loadModel.Concurrency() && b.rng.Float64() < float64(b.otherZonesCapacity) {
@@ -138,8 +139,9 @@
 	return local
 }
 
-// probeRandom probes up to n random servers of the first among servers in order of rank, and returns the number of servers
-// drawn. A server in slow start may be drawn in addition to those, as it can't replace another server yet.
+// probeRandom draws up to n random servers from the first ones in order of rank, probes them, and returns the number of servers
+// drawn. among is the number of those first servers; servers in slow start are added to them without being counted, as they
+// can't replace another server yet.
 func (b *Balancer) probeRandom(n, among int) int {
 	var candidates []*server
 	for _, s := range b.servers {
@@ -159,8 +161,8 @@
 	return len(drawn)
 }
 
-// mayProbe reports whether a probe of the server is allowed and its response would be usable: while the list is stale that
-// takes a server which has responded to a probe before, or an event that still allows probes of any server.
+// mayProbe reports whether a probe of the server is allowed and its response would be usable: while the list is stale,
+// the server must have responded to a probe before, or the last ListValidityChanged must still allow probes of any server.
 func (b *Balancer) mayProbe(s *server) bool {
 	if !b.cfg.Probes || s.info.Health != Ready || !s.reachability.MayProbe(b.now) {
 		return false
@@ -168,7 +170,7 @@
 	return s.probeSentAt > 0 || b.now < b.anyProbeValidUntil || !b.isListStale()
 }
 
-// probe probes the server, if there is one and no probe of it is in flight.
+// probe probes the server, unless it is nil or a probe of it is in flight.
 func (b *Balancer) probe(s *server) {
 	if s == nil || s.probeInFlight {
 		return
@@ -201,7 +203,8 @@
 	b.pool.Trim(removalFraction*b.probesPerRequest, func(x, y *server) bool { return b.isBetter(x, y, r) })
 }
 
-// probeForRequest sends the probes that requests have earned. For some requests their targets are drawn from all zones.
+// probeForRequest sends the probes that requests have earned. For some requests, the targets of the probes are drawn
+// from all zones.
 func (b *Balancer) probeForRequest() {
 	n := max(0, int(b.probeCredit))
 	b.probeCredit -= float64(n)
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -56,7 +56,7 @@
 }
 
 // If a thousand instances connected to every server, the servers' connection tables would be full. So each instance uses a
-// subset, servers of its own zone first; few instances use all servers.
+// subset, servers of its own zone first. If there are few instances, each of them uses all servers.
 func TestSubsetFollowsTheNumberOfInstances(t *testing.T) {
 	for name, c := range map[string]struct{ instances, servers, want int }{
 		"one instance":                    {1, 64, 64},
@@ -151,7 +151,7 @@
 	}
 }
 
-// Without probes, a server that has refused a connection is tried by a request after the same backoff as a probe would have.
+// Without probes, a server that has refused a connection may get a request after the backoff that would otherwise delay a probe.
 func TestUnreachableWithoutProbes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes = false
--- a/policy/request.go
+++ b/policy/request.go
@@ -24,11 +24,11 @@
 	sentAt          Ms      // start of the last attempt
 	sentRIF         float64 // RIF of the server before the last attempt
 	sentServiceTime Ms      // service time of the server, as estimated at sentAt
-	expectedLatency Ms      // response time of the last attempt, as estimated at sentAt
+	expectedLatency Ms      // expected response time of the last attempt, as estimated at sentAt
 
 	mayHaveRun          bool // an attempt may have had an effect
-	repeatsDroppedUntil Ms   // until then servers drop repeats; the window starts when the first such attempt was sent
-	ranZone, ranCell    int  // zone and cell of that attempt's server
+	repeatsDroppedUntil Ms   // until then servers drop repeats; counted from when the first attempt that may have run was sent
+	ranZone, ranCell    int  // zone and cell of the server of the first attempt that may have run
 }
 
 func (b *Balancer) onRequestArrived(e *Event) {
@@ -119,7 +119,7 @@
 	r.sentAt = b.now
 	r.attempts++
 	action := Action{Kind: StartAttempt, Request: r.id, Server: s.info.ID, After: max(timeout, 1)}
-	if r.mayHaveRun && class.Idempotency == WithIdempotencyKey { // connecting may take long after mayRetryAt
+	if r.mayHaveRun && class.Idempotency == WithIdempotencyKey { // connecting may take long after mayRetryAt has allowed it
 		action.Expires = r.repeatsDroppedUntil - b.now
 	}
 	b.act(action)
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// fits reports whether the saved state has as many entries as the configuration, or none because they were too old to save.
+// fits reports whether the saved state has as many entries as the configuration, or none because they were too old to be saved.
 func fits(stored, configured int) bool { return stored == 0 || stored == configured }
 
 func (b *Balancer) restoreServer(stored *ServerState) {
@@ -83,7 +83,7 @@
 	s.latencyReported = stored.LatencyReported
 	s.roundTrip = stored.RoundTrip
 	s.reportedErrorRate = stored.ErrorRate
-	s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // the load is not restored: 0 must not count as reported
+	s.reportedAt = min(stored.ReportedAt, b.now-maxPoolAge-1) // the load is not restored; its 0 must not count as reported
 	s.slowStartBudget = tokenbucket.Bucket(stored.SlowStartBudget)
 	copy(s.outcomesByTenant, stored.Outcomes)
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,11 +2,11 @@
 
 const (
 	timeoutMultiple    = 8.0 // timeout of an attempt that may be retried, in expected response times
-	minTimeoutFraction = 0.5 // lower bound of that timeout, as a fraction of the tightest latency objective
-	maxTimeoutFraction = 0.5 // upper bound of that timeout, as a fraction of the time left: a longer one leaves no time for a retry
+	minTimeoutFraction = 0.5 // lower bound of the timeout by timeoutMultiple, as a fraction of the tightest latency objective
+	maxTimeoutFraction = 0.5 // a longer timeout, as a fraction of the time left, leaves no time for a retry and is not used
 )
 
-// takeRetry reports whether the request may be retried, and takes the retry from the budget.
+// takeRetry reports whether the request may be retried, and if so takes the retry from the budget.
 func (b *Balancer) takeRetry(r *request, e *Event) bool {
 	canRepeat := e.Status != NotSent && !e.BodyConsumed && r.attempts < b.cfg.Classes[r.class].Attempts
 	if !canRepeat || !b.retryBudget.Allows() || r.respondBy-b.now <= b.responseMargin {
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// rig passes events to one Balancer at a time set by the test.
+// rig passes events to a Balancer; the test sets the time of each event in now.
 type rig struct {
 	test     testing.TB
 	balancer *Balancer
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// reportAll simulates reports of servers 1 to count: a RIF of 0 of the idle server and of 3 of the others.
+// reportAll simulates load reports of servers 1 to count: the idle server reports a RIF of 0, the others one of 3.
 func (r *rig) reportAll(count, idle ServerID) {
 	for s := ServerID(1); s <= count; s++ {
 		rif := 3.0
@@ -109,7 +109,7 @@
 
 func (r *rig) tick() []Action { return r.do(Event{Kind: TimerFired, Timer: tickTimer}) }
 
-// probeResponse returns a successful probe that took 1 ms.
+// probeResponse returns the event of a successful probe that took 1 ms.
 func probeResponse(s ServerID, rif, latency float64) Event {
 	return Event{
 		Kind: ProbeEnded, Server: s, Elapsed: 1,
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,7 +9,7 @@
 	"plankrouter/policy/internal/probepool"
 )
 
-// trackedRequest is the walk's own record of one request, by which it checks rules 1 and 2.
+// trackedRequest is what a walk records about one request, to check rules 1 and 2 of walk.
 type trackedRequest struct {
 	class            int
 	deadline         Ms
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	minResubscribeWait = 500.0 // ms before subscribing again after a failure, doubled each time
-	maxResubscribeWait = 8e3   // ms
+	minResubscribeWait = 500.0 // ms before subscribing again after the first failure; doubled after each further one
+	maxResubscribeWait = 8e3   // ms; upper bound of that time, before jitter
 )
 
 // server is the state of one server: its list entry, its last load report and what this instance's own requests have
@@ -20,7 +20,7 @@
 	info ServerInfo
 	rank float64 // random; 0 to 1 in the preferred zone, 1 to 2 in other zones. Determines this instance's subset.
 
-	rif               float64 // last reported RIF, plus own attempts started and minus own attempts ended since
+	rif               float64 // last reported RIF, plus own attempts started since then and minus own attempts ended since then
 	latency           Ms      // service time; 0 = not known
 	latencyReported   bool    // latency comes from the server's load report, not from an estimate
 	reportedErrorRate float64 // fraction of its responses that are errors, by its last report
@@ -28,13 +28,13 @@
 	roundTrip         Ms // shortest duration of a probe; 0 = not known
 
 	inFlight         int // own attempts at the server
-	expectedLatency  Ms  // of the latest attempt
+	expectedLatency  Ms  // expected response time of the latest own attempt
 	noResponseSince  Ms  // time of its last response or BodyProgressed, or of a later attempt if none was in flight
 	outcomesByTenant outlier.ByTenant
 	ejected          bool // as last logged
 
 	probeInFlight   bool
-	probeSentAt     Ms // when the last probe was sent that the listed process has responded to; 0 = none has been
+	probeSentAt     Ms // when the last probe to which the listed process has responded was sent; 0 = it has responded to none
 	reachability    reachability.State
 	slowStartBudget tokenbucket.Bucket
 }
@@ -74,7 +74,7 @@
 	}
 	s.info = info
 	if info.Uncordoned && b.cfg.Probes {
-		b.probe(s) // without it the server would be probed again only by chance
+		b.probe(s) // otherwise the server would be probed again only by chance
 	}
 }
 
@@ -118,6 +118,6 @@
 	b.setTimer(resubscribeTimer, b.resubscribeWait*(0.5+b.rng.Float64()))
 }
 
-// isListStale reports whether changes may have taken effect that the list does not show yet. Then only a response of the
-// listed process to a probe shows that a server is still in service.
+// isListStale reports whether changes may have taken effect that the list does not show yet. While it is stale, only a response
+// of the listed process to a probe shows that a server is still in service.
 func (b *Balancer) isListStale() bool { return b.now >= b.listValidUntil }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,7 +4,7 @@
 
 const (
 	maxSlowStartReportAge   = 1000.0 // ms; maximum age of a report that shows free capacity of a server in slow start
-	freeConcurrencyFraction = 0.5    // fraction of its current concurrency below which its RIF shows free capacity
+	freeConcurrencyFraction = 0.5    // fraction of a starting server's concurrency below which its RIF shows free capacity
 )
 
 // slowStartFraction returns the fraction of its full capacity that a server has now: 1 unless it has started recently.
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// startingServerFleet simulates instances that share traffic and all get the update of a starting server at the same time.
+// startingServerFleet simulates instances that share traffic. All get the list update about a starting server at the same time.
 type startingServerFleet struct {
 	instances, servers int
 	skewed             bool    // the shares of the instances are log-normal instead of equal
@@ -95,7 +95,7 @@
 					burst     float64
 					quietTime Ms
 					overload  float64 // OverloadMultiple
-					instances int     // maximum for which it is tested
+					instances int     // largest number of instances for which this traffic is tested
 				}{{1, 0, 4, 6000}, {2, 0, 4, 6000}, {2, 1000, 4, 2000}, {2, 4000, 4, 2000}, {1.5, 0, 2, 2000}, {1.5, 4000, 2, 300}} {
 					if size[0] > traffic.instances || size[0] > 300 && each > 2 { // large fleets with high traffic take long to simulate
 						continue
@@ -107,7 +107,7 @@
 						cfg := cfg
 						cfg.Instances, cfg.OverloadMultiple = size[0], traffic.overload
 						seeds, worstOverall, got := uint64(3), 0.0, 0
-						if size[0] > 300 { // these take longer to simulate, and their sum varies less
+						if size[0] > 300 { // large fleets take longer to simulate, and the sum of their requests varies less
 							seeds = 1
 						}
 						for seed := range seeds {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,7 @@
 	"plankrouter/policy/internal/tokenbucket"
 )
 
-// A starting server gets more than the budget of its age only if it has just reported free capacity.
+// A starting server gets more than the budget for its age only if it has just reported free capacity.
 func TestReportedCapacityRaisesSlowStartBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		rif  float64
@@ -134,7 +134,7 @@
 				list = append(list, ServerInfo{ID: id, Health: Ready})
 			}
 			g.do(Event{Kind: EndpointsUpdated, Complete: true, Servers: list})
-			every := 500.0 // ms between requests; a few instances carry far more
+			every := 500.0 // ms between requests; one in 20 instances has far more traffic
 			if i%20 == 0 {
 				every = 50
 			}
@@ -174,9 +174,9 @@
 	}
 }
 
-// Any number of instances share the same traffic, and all get the update of a starting server at the same time. In a fully used
-// fleet, what they send it together in any OverloadWindow stays below three quarters of OverloadMultiple times its capacity at
-// the start of the window. It gets at least half of what a warm server gets.
+// Any number of instances share the same traffic, and all get the list update about a starting server at the same time. In a
+// fully used fleet, the requests that they together send to that server in any OverloadWindow stay below three quarters of
+// OverloadMultiple times its capacity at the start of the window. It gets at least half of what a warm server gets.
 func TestStartingServerGetsItsShareFromAllInstances(t *testing.T) {
 	const duration = 8000
 	for _, c := range [][2]int{{1, 30}, {4, 30}, {80, 30}, {300, 200}, {2000, 30}, {5000, 200}} {
--- a/policy/sparsereports_test.go
+++ b/policy/sparsereports_test.go
@@ -39,7 +39,7 @@
 	for name, c := range map[string]struct {
 		rif              float64
 		latency          Ms
-		frequent, sparse bool // whether it is admitted if reports are so
+		frequent, sparse bool // whether the request is admitted if reports are frequent, or sparse
 	}{
 		"few in flight, fast":       {2, 40, true, true},
 		"many in flight, fast":      {17, 40, true, false},
@@ -109,7 +109,7 @@
 		for range 100 { // all servers are down for five seconds
 			g.now += tickInterval
 			for _, a := range g.tick() {
-				if a.Kind == SendProbe && g.balancer.lastProbeAt != g.now { // not a probe of an idle instance
+				if a.Kind == SendProbe && g.balancer.lastProbeAt != g.now { // not the probe that an idle instance sends
 					probes++
 				}
 				if a.Kind == SendProbe {
@@ -149,7 +149,7 @@
 			acts := g.do(Event{Kind: RequestArrived, Request: id, TimeLeft: 900})
 			for ; len(acts) > 0; acts = acts[1:] {
 				switch a := acts[0]; a.Kind {
-				case SendProbe: // with hasCapacity, every other server has free capacity; else none has
+				case SendProbe: // with hasCapacity, every second server has free capacity; otherwise none has
 					probes++
 					rif := 40.0
 					if hasCapacity && a.Server%2 == 0 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// If reports are sparse, probes are sent to the own zone, except those of one request in ten.
+// If reports are sparse, probes are sent to the instance's own zone, except those of one request in ten.
 func TestSparseReportsAreOfTheOwnZone(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.ProbeCost = 0.01, 0.08
--- a/policy/stalelist_test.go
+++ b/policy/stalelist_test.go
@@ -28,7 +28,7 @@
 					probes++
 					e := Event{Kind: ProbeEnded, Server: a.Server, Elapsed: 1, Status: Failed}
 					if !drains[a.Server] {
-						if a.Server <= 30 || g.now < 1000+3650 { // else it is not known which process responds
+						if a.Server <= 30 || g.now < 1000+3650 { // otherwise it is not known which process responds
 							answered[a.Server], e.ProbeSentAt = g.now, g.now
 						}
 						e.Status, e.Report = OK, Report{HasRIF: true, HasLatency: true, RIF: 1, Latency: 40}
--- a/policy/state.go
+++ b/policy/state.go
@@ -12,7 +12,7 @@
 	Classes        []Mean  // by class: duration as a multiple of the service time
 	FleetLatency   Ms      // median service time
 	OwnInFlight    float64 // own requests in flight at reporting servers, as a decaying sum over reports
-	TotalInFlight  float64 // all requests in flight there, as a decaying sum over reports
+	TotalInFlight  float64 // all requests in flight at reporting servers, as a decaying sum over reports
 	Tenants        []Level // by tenant: tokens left of its quota
 	Arrivals       Level   // decaying count of arrived requests
 	Sends          Level   // decaying count of attempts
@@ -25,10 +25,10 @@
 	Latency         Ms // service time; 0 = not known
 	LatencyReported bool
 	ReportedAt      Ms // time of the report with Latency and ErrorRate
-	RoundTrip       Ms // shortest duration of a probe
+	RoundTrip       Ms // shortest duration of a probe; 0 = not known
 	ErrorRate       float64
 	Outcomes        []Tally // [0] of all requests, [1+i] of tenant i
-	SlowStartBudget Level   // requests that this instance may send during slow start
+	SlowStartBudget Level   // requests that this instance may still send to the server during slow start
 }
 
 // Tally is the decaying counts of a server's successes and failures.
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// For any number of instances, one probes at most as many servers as its subset has in its own zone, and as many again in
-// others. Without zones it probes only its subset.
+// For any number of instances, an instance probes at most as many servers of its own zone as its subset has servers, and at
+// most as many again in other zones. Without zones it probes only its subset.
 func TestCandidateCount(t *testing.T) {
 	for name, c := range map[string]struct{ instances, servers, local, ownZone, allZones int }{
 		"five zones":                                {300, 200, 40, 40, 40 + 85},
