--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -10,7 +10,7 @@
 // Field is the meaning of one value in a load report.
 type Field uint8
 
-// The values used by the policy; any other value is Other.
+// The values that the policy uses, and Other for every other value.
 const (
 	Other Field = iota
 	RIF
@@ -20,7 +20,7 @@
 
 var fields = map[string]Field{"active": RIF, "avg_ms": Latency, "err_rps": Errors}
 
-// Fields returns the meaning of each value in a report whose values have the given names, in this order.
+// Fields returns the meaning of each value in a report whose values have the given names, in the order of names.
 func Fields(names []string) []Field {
 	out := make([]Field, len(names))
 	for i, name := range names {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Parse parses a report in JSON, an object that maps names to numbers. The result is empty if raw is malformed; null and
+// Parse returns the report in raw, a JSON object that maps names to numbers. The result is empty if raw is malformed; null and
 // negative values are ignored.
 func Parse(raw []byte) (r policy.Report) {
 	var values map[string]*float64
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -13,9 +13,9 @@
 // Kind is how a connection, an attempt or a probe has ended.
 type Kind uint8
 
-// The kinds, grouped by what has ended.
+// The kinds, grouped by what has ended. For attempts and probes, the groups also say whether the request has run.
 const (
-	Open Kind = iota // not ended
+	Open Kind = iota // it has not ended
 
 	// A client or server connection.
 	IdleRetired         // idle for too long, or closed to make room for another
@@ -31,9 +31,9 @@
 
 	// An attempt or a probe with a response.
 	Served       // status 200 and a complete body
-	ServerError  // another status, not one that says that the request has not run
+	ServerError  // another status, except one that says that the request has not run
 	Declined     // the response says that the request has not run
-	NoLoadReport // the response to a probe has no load report, or is from an earlier process, and can't be used
+	NoLoadReport // the response to a probe can't be used: it has no complete load report, or is from an earlier process
 
 	// An attempt or a probe that has not run.
 	ConnectionLimit // the connection limit was reached
@@ -41,7 +41,7 @@
 	ConnectRefused  // the connection was refused, or failed otherwise
 	ConnectTimeout  // the connection was not established in time
 	ServerDraining  // the server was draining or gone before the first byte was written
-	Expired         // the time in which servers drop repeats was over before the last byte was written
+	Expired         // the time in which servers drop repeats of the request was over before the last byte was written
 	PartlyWritten   // the connection was closed or reset, or the attempt timed out, before the last byte was written
 	Withdrawn       // cancelled before the last byte was written
 
@@ -49,7 +49,7 @@
 	ResetByPeer // the connection was reset or closed before the whole response was received
 	Malformed   // the response is not valid HTTP, or too large
 	TimedOut    // no response was received in time
-	Cancelled   // the sidecar no longer waits for the response
+	Cancelled   // the sidecar stopped waiting for the response
 
 	kindCount
 )
@@ -104,8 +104,8 @@
 	return k
 }
 
-// FromIdleError returns how an idle connection has ended, by the error of its reader. No error means that it has received
-// bytes without a request.
+// FromIdleError returns how an idle connection has ended, given the error of the read on it. A nil error means that bytes
+// were received without a request.
 func FromIdleError(err error) Kind {
 	switch {
 	case err == nil:
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -6,13 +6,13 @@
 	"plankrouter/policy"
 )
 
-// A non-idempotent request is retried only after a kind of end that proves that it has not run, so the kinds that prove it are
-// listed here one by one.
+// A non-idempotent request is retried only after an attempt whose kind proves that it has not run. The test therefore lists
+// each kind that proves this.
 func TestKindsThatNeverRan(t *testing.T) {
 	neverRan := map[Kind]bool{
 		Declined: true, ConnectionLimit: true, LocalError: true, ConnectRefused: true, ConnectTimeout: true, ServerDraining: true, Expired: true,
 		PartlyWritten: true, Withdrawn: true, NoLoadReport: true,
-	} // the last is only for probes
+	} // only probes end with NoLoadReport
 	names := map[string]bool{}
 	for kind := Served; kind < kindCount; kind++ {
 		if kind.Status().NeverRan() != neverRan[kind] {
