--- a/internal/staleness/validity.go
+++ b/internal/staleness/validity.go
@@ -21,9 +21,10 @@
 
 // Validity holds the times until which the list in force may be relied on.
 type Validity struct {
-	// ListUntil is the time until which the list shows every change that has taken effect; zero = always. After that a server
-	// that the list names as in service may have begun to drain. That drain may have taken effect although its change never
-	// arrived, because the watch has been silent for so long that it counts as failed. Liveness then replaces the list.
+	// ListUntil is the time until which the list shows every change that has taken effect; zero = always. After that time a
+	// server that the list names as in service may have begun to drain. The drain may have taken effect although the change
+	// that reports it never arrived, because the watch has been silent for so long that it counts as failed. Liveness then
+	// replaces the list.
 	ListUntil time.Time
 	// ProcessUntil is the time until which the process that responds at a server's address is the one that the list names.
 	ProcessUntil time.Time
--- a/internal/watchpolicy/contradictions.go
+++ b/internal/watchpolicy/contradictions.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	evidenceTTL = 3 * time.Second // for which evidence against the list counts without being repeated
+	evidenceTTL = 3 * time.Second // how long evidence against the list counts unless it is repeated
 	// contradictedDivisor and minContradicted set how many servers must contradict the list to cause a refresh: one in
-	// contradictedDivisor of those listed, and at least minContradicted, or all where fewer are listed.
+	// contradictedDivisor of those listed, and at least minContradicted, or all of them if fewer are listed.
 	contradictedDivisor = 10
 	minContradicted     = 2
 )
 
-// contradiction is evidence that a server is not in service although the list names it as such.
+// contradiction is evidence that a server is not in service although the list names it as in service.
 type contradiction struct {
-	lastSeen  time.Time
-	rechecked bool // a complete list received since then still names the server as in service
+	lastSeen  time.Time // time of the latest evidence
+	rechecked bool      // a complete list received since the first evidence still names the server as in service
 }
 
 // SetListed records whether the list now names server as in service, and the start time of its process in Unix milliseconds.
@@ -55,7 +55,7 @@
 	s.refreshOutstanding = false
 }
 
-// countContradictions returns the number of servers that contradict the list and that no complete list has rechecked since.
+// countContradictions returns the number of servers with recent evidence against the list that no complete list has rechecked.
 func (s *Scheduler) countContradictions(now time.Time) (n int) {
 	for _, c := range s.contradictions {
 		if !c.rechecked && now.Sub(c.lastSeen) <= evidenceTTL {
@@ -66,19 +66,19 @@
 }
 
 // mustKeepWatch reports whether a refresh must wait because other instances poll the same source and the response to the
-// current watch is not overdue. All instances see the same evidence at the same time. One that abandons its watch for the
-// complete list loses the change that is about to arrive and joins the end of the queue. With 32 instances, four servers that
-// refuse connections would leave most instances without any list for 10 to 20 s.
+// current watch is not overdue. All instances see the same evidence at the same time. An instance that abandons its watch
+// for the complete list loses the change that is about to arrive and joins the end of the queue. With 32 instances, four
+// servers that refuse connections would leave most instances without any list for 10 to 20 s.
 func (s *Scheduler) mustKeepWatch(now time.Time) bool {
 	return s.settings.Instances > 1 && now.Before(s.overdueAt)
 }
 
 // Observe records evidence about a server. It returns true if enough servers contradict the list at the same time for a
 // refresh: the caller cancels a poll in progress and requests the complete list now. There is at most one refresh per
-// Settings.RefreshInterval, with an exponential backoff while discovery confirms its list. There is none while discovery rejects
-// polls, or while several instances poll it and the watch is not overdue. A server whose entry discovery has confirmed does not
-// count again until it has responded or restarted. Evidence never removes a server from the list: a fault of this instance can
-// make all servers look unreachable.
+// Settings.RefreshInterval, with an exponential backoff while discovery confirms its list. There is no refresh while
+// discovery rejects polls, or while several instances poll it and the watch is not overdue. A server whose entry discovery
+// has confirmed does not count again until it has responded or restarted. Evidence never removes a server from the list: a
+// fault of this instance can make all servers look unreachable.
 func (s *Scheduler) Observe(now time.Time, server string, evidence staleness.Evidence) bool {
 	if _, listed := s.listed[server]; !listed {
 		return false
--- a/internal/watchpolicy/freshuntil.go
+++ b/internal/watchpolicy/freshuntil.go
@@ -6,7 +6,7 @@
 	"plankrouter/internal/staleness"
 )
 
-// The times at which a change of the list takes effect by the platform's protocol, whether or not this instance has received it.
+// When a change of the list takes effect according to the platform's protocol, whether or not this instance has received it.
 const (
 	effectiveAfterWait         = 2 * time.Second // after the end of a poll's wait
 	effectiveAfterSourceChange = 4 * time.Second // after the request to poll another source
@@ -15,13 +15,14 @@
 )
 
 // Validity returns how long the list may be relied on, as computed when the last poll, or the delay before it, began. A
-// polled list may lack the changes of the last 6 s: at any time after it was sent a server may have stopped, and another
-// process may have started under its id. No request may be sent to that process between the change that reports the stop and
-// the one that reports the start.
+// polled list may lack the changes of the last 6 s: at any time after the list was sent, a server may have stopped and
+// another process may have started under its id. No request may be sent to that process between the change that reports the
+// stop and the one that reports the start.
 //
-// Before the first response ProcessUntil is later by the drain grace. Where polls queue at a shared service, an instance that
-// starts together with many others may wait long for that response, and it has no older connections. A server that leaves
-// after the start keeps running for its drain grace, so that another process can replace it no earlier.
+// Before the first response ProcessUntil is later than ListUntil by the drain grace. Where polls queue at a shared service,
+// an instance that starts together with many others may wait long for that response, and it has no older connections. A
+// server that begins to drain after the start keeps running for its drain grace, so that no other process can replace it
+// earlier.
 func (s *Scheduler) Validity() staleness.Validity {
 	switch {
 	case s.settings.Pushed:
@@ -32,8 +33,8 @@
 	return staleness.Validity{ListUntil: s.freshUntil, ProcessUntil: s.listAsOf.Add(-maxPropagationDelay)}
 }
 
-// updateFreshUntil updates freshUntil for poll, which is made at now. The earliest time applies among those of the polls and
-// delays since the last response.
+// updateFreshUntil updates freshUntil for poll, which is made at now. Of the times computed for the polls and delays since
+// the last response, the earliest applies.
 func (s *Scheduler) updateFreshUntil(now time.Time, poll Poll) {
 	until := s.freshUntilAfter(now, poll)
 	if latest := now.Add(effectiveAfterSourceChange); s.sourceChanged && latest.Before(until) {
@@ -47,11 +48,11 @@
 
 // freshUntilAfter returns the time until which the list is fresh if poll gets no response.
 func (s *Scheduler) freshUntilAfter(now time.Time, poll Poll) time.Time {
-	pausedAgent := poll.Delay > 0 && s.settings.Pushed // it may have received a change since the last poll
+	pausedAgent := poll.Delay > 0 && s.settings.Pushed // the agent may have received a change since the last poll
 	switch {
 	case pausedAgent || s.listAsOf.IsZero(): // the age of the initial list is unknown
 		return now
-	case s.abandonedWatch: // it would have delivered any change since then
+	case s.abandonedWatch: // the watch would have delivered any change until now
 		return now
 	case (poll.Delay > 0 || poll.Complete) && !s.settings.Pushed:
 		return s.listAsOf.Add(max(0, s.settings.EffectiveAfter-maxPropagationDelay))
--- a/internal/watchpolicy/freshuntil_test.go
+++ b/internal/watchpolicy/freshuntil_test.go
@@ -9,7 +9,7 @@
 	"plankrouter/internal/staleness"
 )
 
-// ListUntil depends on how the polls since the last response ended. It is read during the poll that follows the last of them.
+// ListUntil depends on how the polls since the last response ended. The test reads it during the poll that follows them.
 func TestListUntil(t *testing.T) {
 	type end func(*Scheduler, Poll)
 	responded := func(scheduler *Scheduler, poll Poll) { scheduler.Responded(poll, poll.Wait+2*ms) }
@@ -19,7 +19,7 @@
 	abandoned := func(*Scheduler, Poll) {}
 	for _, c := range []struct {
 		name string
-		ends []end         // how successive polls end; one is made per second
+		ends []end         // how successive polls end; one poll is made per second
 		want time.Duration // counted from the first poll, and without the random shortening of waits
 	}{
 		{"response to the first", []end{responded}, 4 * time.Second},
@@ -92,13 +92,13 @@
 				}
 				respondedAt := time.Unix(1e9, 0)
 				scheduler.Responded(scheduler.Next(respondedAt), ms)
-				respondedAt = scheduler.pollStart // after its delay
+				respondedAt = scheduler.pollStart // the poll is sent after its delay
 				now, limit := respondedAt.Add(ms), min(6*time.Second, cmp.Or(effectiveAfter, time.Minute))
 				for i, end := range ends {
 					scheduler.Next(now)
 					end(scheduler)
 					now = now.Add(3 * time.Second)
-					scheduler.refreshWanted = name == "abandoned for another" // only evidence causes that
+					scheduler.refreshWanted = name == "abandoned for another" // otherwise only evidence sets this
 					scheduler.Next(now)
 					if fresh := scheduler.Validity().ListUntil.Sub(respondedAt); fresh > limit {
 						t.Errorf("%s, %d instances, effective after %s, after poll %d: fresh for %s", name, instances, effectiveAfter, i, fresh)
@@ -111,13 +111,13 @@
 
 // Only a process that was running maxPropagationDelay before the list was sent is known to be the one that the list names. At
 // any later time another process may have started under the same id, which this instance does not learn while its polls are
-// rejected. Before the first response the list is that of the start, and a server that leaves after the start keeps running
-// for its drain grace.
+// rejected. Before the first response the list is that of the start, and a server that begins to drain after the start keeps
+// running for its drain grace.
 func TestProcessUntil(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	for _, c := range []struct {
 		name string
-		ends []func(*Scheduler, Poll) // how successive polls end; one is made per second
+		ends []func(*Scheduler, Poll) // how successive polls end; one poll is made per second
 		want time.Duration            // counted from the first poll
 	}{
 		{"never a response", nil, 750 * ms},
--- a/internal/watchpolicy/scheduler.go
+++ b/internal/watchpolicy/scheduler.go
@@ -9,19 +9,21 @@
 
 const (
 	waitJitter        = 0.1     // random part of a wait, so that instances that get a response together do not poll again together
-	latenessWeight    = 1.0 / 8 // of a new sample in the mean lateness, as in RFC 6298
-	deviationWeight   = 1.0 / 4 // of a new sample in the mean deviation
+	latenessWeight    = 1.0 / 8 // weight of a new sample in the mean lateness, as in RFC 6298
+	deviationWeight   = 1.0 / 4 // weight of a new sample in the mean deviation
 	allowedDeviations = 4       // mean deviations beyond the mean lateness before a poll times out
 )
 
 // All instances poll the same source, and when it fails it fails for all of them. Delays and timeouts therefore grow with the
 // number of instances.
 const (
-	retryPerInstance    = 10 * time.Millisecond   // spaces first polls and first retries: 100 per second in total
-	maxFirstRetry       = 500 * time.Millisecond  // bounds their delay, as changes take effect at once and the drain grace is short
+	retryPerInstance = 10 * time.Millisecond // spaces first polls and first retries: 100 per second in total
+	// maxFirstRetry bounds the delay of first polls and first retries, because changes take effect at once and the drain grace
+	// is short.
+	maxFirstRetry       = 500 * time.Millisecond
 	maxRetryPerInstance = 100 * time.Millisecond  // spaces retries at a source that stays down: at most 10 per second in total
-	queuePerInstance    = 50 * time.Millisecond   // time of one poll in a queue for complete lists: 20 per second
-	maxInstanceDelay    = 30 * time.Second        // bounds what grows with the number of instances
+	queuePerInstance    = 50 * time.Millisecond   // time of one poll in a queue for complete lists: 20 polls per second
+	maxInstanceDelay    = 30 * time.Second        // bounds the maximum retry delay and the queue time for complete lists
 	slotDuration        = 200 * time.Millisecond  // time of one poll in the queue of a shared discovery service
 	queueDrainTime      = 2200 * time.Millisecond // bounds the sum of slots for a complete list: by then a full 2 s queue is empty
 	maxWatchQueueTime   = 1900 * time.Millisecond // bounds the sum of slots for a new watch: a little less than effectiveAfterWait
@@ -30,7 +32,7 @@
 // Poll describes the next request to discovery.
 type Poll struct {
 	Complete     bool          // requests the complete list without waiting; false = the changes since the known revision
-	Wait         time.Duration // for which discovery holds the poll while there is no change; 0 with Complete
+	Wait         time.Duration // how long discovery holds the poll while there is no change; 0 with Complete
 	Timeout      time.Duration // from sending the poll to the first byte of its response
 	StallTimeout time.Duration // for establishing the connection, and for a pause within the response
 	Delay        time.Duration // before the poll is sent
@@ -49,27 +51,27 @@
 	pollStart         time.Time // when the current poll is sent
 	overdueAt         time.Time // when the response to the current poll becomes overdue
 
-	meanLateness      time.Duration // of a response, counted from the end of the poll's wait
+	meanLateness      time.Duration // mean lateness of responses, counted from the end of a poll's wait
 	latenessDeviation time.Duration // mean deviation of the lateness
-	latenessKnown     bool          // there has been a sample
+	latenessKnown     bool          // the lateness of a response of this source has been measured
 
 	// What Validity depends on.
-	listAsOf       time.Time // all changes up to then have been received; zero = no response yet
-	freshUntil     time.Time // no change that was not received takes effect before; zero = no poll since the last response
+	listAsOf       time.Time // all changes up to this time have been received; zero = no response yet
+	freshUntil     time.Time // changes that were not received take effect no earlier; zero = no poll since the last response
 	abandonedWatch bool      // the next poll replaces a watch whose response was not overdue
 
 	// Evidence against the list.
 	listed             map[string]float64        // process start time, in Unix ms, of each server that the list names as in service
-	contradictions     map[string]*contradiction // by server, of those in listed
+	contradictions     map[string]*contradiction // by server; only servers in listed
 	refreshes          int                       // consecutive refreshes that did not change the list
 	nextRefreshAt      time.Time                 // earliest time of the next refresh
 	refreshWanted      bool                      // a refresh is in progress or to be made
-	pollIsRefresh      bool                      // the current poll is that refresh
-	refreshOutstanding bool                      // the last response was to an earlier poll, so the refresh is still to be made
+	pollIsRefresh      bool                      // the current poll is the wanted refresh
+	refreshOutstanding bool                      // refresh still to be made: the last answered poll is older than its cause
 }
 
-// New returns a Scheduler, or an error if the settings are invalid. With complete the first poll requests the complete list,
-// as it must where no list is known.
+// New returns a Scheduler, or an error if the settings are invalid. If complete is true, the first poll requests the
+// complete list, as it must if no list is known.
 func New(settings Settings, seed uint64, complete bool) (*Scheduler, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -84,9 +86,9 @@
 func (s *Scheduler) Next(now time.Time) Poll {
 	poll := Poll{Complete: s.needsCompleteList || s.refreshWanted}
 	poll.Timeout = s.responseTimeout(poll.Complete)
-	poll.StallTimeout = s.settings.Timeout // it includes no queueing, and is not learned
+	poll.StallTimeout = s.settings.Timeout // includes no time in a queue, and is not learned
 	poll.Delay = s.delay()
-	if !poll.Complete && (s.started || !s.settings.Pushed) { // an agent responds to the first poll at once: the list may be old
+	if !poll.Complete && (s.started || !s.settings.Pushed) { // the first poll of an agent has no wait: the list may be old
 		poll.Wait = s.wait(now)
 		poll.Timeout += poll.Wait
 	}
@@ -145,7 +147,8 @@
 	return min(s.settings.Timeout, max(s.settings.MinTimeout, s.meanLateness+allowedDeviations*s.latenessDeviation))
 }
 
-// Responded records a response to poll, whatever its content, whose first byte arrived took after the poll was sent.
+// Responded records a response to poll, whatever its content. took is the time from sending the poll to the first byte of the
+// response.
 func (s *Scheduler) Responded(poll Poll, took time.Duration) {
 	s.failures = 0
 	s.refreshOutstanding = s.refreshWanted && !s.pollIsRefresh // the evidence came while another poll was in flight
@@ -153,7 +156,7 @@
 	s.freshUntil = time.Time{}
 	s.sourceChanged = false
 	s.needsCompleteList = s.needsCompleteList && !poll.Complete
-	s.sourceOverloaded = s.sourceOverloaded && poll.Complete // a complete list, available at once, shows no capacity for a watch
+	s.sourceOverloaded = s.sourceOverloaded && poll.Complete // a complete list, served at once, proves no capacity for a watch
 	if took < poll.Wait {                                    // a change ended the wait early: no sample of the lateness
 		return
 	}
@@ -180,8 +183,8 @@
 }
 
 // Rejected records a poll that the source rejected for lack of capacity. The source is still the one that sent the list in
-// force, and it can send all instances the few changes since then, but perhaps not the complete list. A refresh that only
-// evidence has caused is therefore not repeated.
+// force, and it can send all instances the few changes since then, but perhaps not the complete list. A refresh caused only
+// by evidence is therefore not repeated.
 func (s *Scheduler) Rejected() {
 	s.failures++
 	s.sourceOverloaded = true
--- a/internal/watchpolicy/scheduler_test.go
+++ b/internal/watchpolicy/scheduler_test.go
@@ -12,7 +12,7 @@
 
 var defaults = DefaultSettings()
 
-// newScheduler returns the scheduler of a single instance, with a list of that many servers.
+// newScheduler returns the scheduler of a single instance, with a list of the given number of servers.
 func newScheduler(t *testing.T, servers int) *Scheduler {
 	t.Helper()
 	scheduler, err := New(defaults, 1, false)
@@ -23,7 +23,7 @@
 	return scheduler
 }
 
-// newSchedulerOfMany returns the scheduler of one of that many instances.
+// newSchedulerOfMany returns the scheduler of one of the given number of instances.
 func newSchedulerOfMany(t *testing.T, instances int, seed uint64) *Scheduler {
 	t.Helper()
 	settings := defaults
@@ -99,8 +99,7 @@
 }
 
 // The load of all instances on a source stays bounded when all of them start or see the same evidence together and the source
-// rejects them: the maximum number of polls in any 100 ms of the first 30 s, and the number of polls in the last second of
-// those.
+// rejects them. The test bounds the number of polls in any 100 ms of the first 30 s, and in the last second of them.
 func TestPollRateOfAllInstances(t *testing.T) {
 	for _, c := range []struct {
 		instances                 int
@@ -173,7 +172,7 @@
 	if scheduler.Observe(now, "p1", staleness.ConnectRefused); scheduler.Observe(now, "p2", staleness.ConnectRefused) {
 		t.Error("evidence has caused a refresh at an overloaded source")
 	}
-	scheduler.Responded(Poll{Complete: true}, ms) // available at once, it shows no capacity for a watch
+	scheduler.Responded(Poll{Complete: true}, ms) // served at once, it proves no capacity for a watch
 	if poll := scheduler.Next(now); poll.Timeout-poll.Wait != 1900*ms {
 		t.Errorf("after a complete list: %+v", poll)
 	}
--- a/internal/watchpolicy/settings.go
+++ b/internal/watchpolicy/settings.go
@@ -15,18 +15,18 @@
 // same machine can be polled every second at no cost, a service that thousands of instances share cannot. Durations are
 // positive.
 type Settings struct {
-	Wait               time.Duration // for which a poll is held while there is no change
-	MinWait            time.Duration // to which contradictions may shorten Wait
+	Wait               time.Duration // how long a poll is held while there is no change
+	MinWait            time.Duration // lower bound on a wait that contradictions shorten
 	Timeout            time.Duration // upper bound on the time from the end of a poll's wait until it times out
-	MinTimeout         time.Duration // lower bound on that time, however quickly responses usually arrive
+	MinTimeout         time.Duration // lower bound on the learned timeout, however quickly responses usually arrive
 	RetryBackoff       time.Duration // from a failure to the next poll; doubled with each consecutive failure
-	MaxRetryBackoff    time.Duration // upper bound on that delay
+	MaxRetryBackoff    time.Duration // upper bound on the delay after a failure
 	RefreshInterval    time.Duration // between two refreshes that evidence causes; doubled while they do not change the list
-	MaxRefreshInterval time.Duration // upper bound on that interval
+	MaxRefreshInterval time.Duration // upper bound on the interval between two refreshes
 	EffectiveAfter     time.Duration // after which changes take effect while no poll waits; 0 = defaultEffectiveAfter, the maximum
-	Pushed             bool          // an agent is sent the list: a change takes effect as soon as it could have been received
+	Pushed             bool          // the list is pushed to an agent: a change takes effect once the agent may have received it
 	Instances          int           // known number of instances that poll the same source; below 1 counts as 1
-	DrainGrace         time.Duration // for which a draining server still accepts new requests
+	DrainGrace         time.Duration // how long a draining server still accepts new requests
 }
 
 // PushedSettings returns the settings for an agent on the same machine that the list is pushed to. The agent responds at once
