--- a/internal/discovery/answer_test.go
+++ b/internal/discovery/answer_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A response that never ends delays the watch by maxTransferTime at most, and a connection that is never established by the
-// dial timeout and the retry delay.
+// A response that never ends delays the watch by at most maxTransferTime. A connection that is never established delays it by
+// at most the dial timeout and the retry delay.
 func TestEndlessResponseAndHangingDial(t *testing.T) {
 	withWatch(t, 0, func(r *fixture) {
 		d, options := newScriptedSource(t, r.network), r.watch.options
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -37,8 +37,8 @@
 	return d
 }
 
-// withWatch runs f in a synctest bubble, with a watch that is not running yet and whose initial list is empty and of that
-// revision.
+// withWatch runs f in a synctest bubble, with a watch that is not running yet and whose initial list is empty and has the
+// given revision.
 func withWatch(t *testing.T, revision uint64, f func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fixture{t: t, network: fakes.NewMemory(), phases: map[string]string{}}
@@ -203,7 +203,7 @@
 		options := r.watch.options
 		options.Watch = watchpolicy.PushedSettings(750 * time.Millisecond)
 		r.replaceWatch(options)
-		var validFor []time.Duration // as each poll or delay begins
+		var validFor []time.Duration // how long the list may still be relied on as each poll or delay begins
 		r.watch.options.OnValidity = func(t staleness.Validity) { validFor = append(validFor, time.Until(t.ListUntil)) }
 		stop := r.run()
 		r.wait(1500 * time.Millisecond)
--- a/internal/discovery/exchange.go
+++ b/internal/discovery/exchange.go
@@ -16,7 +16,7 @@
 
 const (
 	dialTimeout     = 1 * time.Second
-	maxTransferTime = 5 * time.Second // of a response, from its first byte
+	maxTransferTime = 5 * time.Second // upper bound on the duration of a response, from its first byte
 )
 
 var (
@@ -95,7 +95,8 @@
 	return list, firstByteAt, err
 }
 
-// exchange sends poll and reads the whole response.
+// exchange sends poll, reads the whole response, and returns its body and the arrival time of its first byte, zero if there was
+// none.
 func (w *Watch) exchange(ctx context.Context, poll watchpolicy.Poll) (raw []byte, firstByteAt time.Time, err error) {
 	if w.conn != nil && (w.reader.Buffered() > 0 || !w.conn.HasNothingUnread()) { // the data would be taken for the response to this poll
 		return nil, firstByteAt, errConnNotIdle
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxEntryBytes = 4 << 10              // of an indented list entry with the longest names; usual entries take 150 to 400
-	minListBytes  = 1100 * maxEntryBytes // that a response may take, whatever the memory
+	maxEntryBytes = 4 << 10              // bytes of an indented list entry with the longest names; usual entries take 150 to 400
+	minListBytes  = 1100 * maxEntryBytes // smallest result of MaxListBytes, whatever the memory
 	memoryDivisor = 8                    // a response may take 1/memoryDivisor of the memory, besides the old and the new list
 )
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the endpoint list up to date by a watch of the discovery service. It alone implements that
-// protocol: no other package knows its requests and the JSON format of the list.
+// Package discovery keeps the endpoint list up to date by a watch of the discovery service. It alone implements the
+// protocol of that service: no other package knows its requests and the JSON format of the list.
 package discovery
 
 import (
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -58,8 +58,8 @@
 }
 
 // Normalize removes duplicate entries of a server, and returns an error for each pair that contradict each other. It keeps the
-// last entry, unless that alone is Serving and not for a newer process: no entry returns a server to service that an earlier
-// one takes out of it.
+// last entry, unless only the last one is Serving and it is not for a newer process: no entry for the same process returns a
+// server to service that an earlier entry takes out of it.
 func (l *List) Normalize() (problems []error) {
 	positions := make(map[string]int, len(l.Endpoints))
 	unique := l.Endpoints[:0]
