--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -14,7 +14,7 @@
 	mu                 sync.Mutex
 	limit              int
 	used               int
-	inbound            int // of the used slots, those of inbound connections
+	inbound            int // slots used by inbound connections, which used includes
 	evicted            int // connections that have lost their slot and are not closed yet, including those of ReserveForRejection
 	backlogPrioritized bool
 	// Connections that can be evicted, as lists of *Socket, the least recently used first. Unused ones, from which no request
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -78,7 +78,7 @@
 }
 
 // Unused connections are evicted before idle ones, and only for one another once they have their share. Inbound
-// connections leave half of the slots to those of attempts.
+// connections leave half of the slots to connections of attempts.
 func TestUnusedConnectionsAreEvictedFirst(t *testing.T) {
 	b := NewBudget(12, nil)
 	open := func(side Side) *Socket {
@@ -186,8 +186,9 @@
 	}
 }
 
-// Idle connections to servers are evicted for inbound ones up to the share of these, so that clients don't wait in the
-// backlog while idle connections occupy all slots. The last slots are left to attempts: neither clients nor probes take them.
+// Idle connections to servers are evicted for inbound ones up to the share of inbound connections, so that clients don't
+// wait in the backlog while idle connections occupy all slots. The last slots are left to attempts: neither clients nor
+// probes take them.
 func TestIdleOutboundConnectionsAreEvictedForInbound(t *testing.T) {
 	pipe := func(context.Context, string) (net.Conn, error) { c, _ := net.Pipe(); return c, nil }
 	b := NewBudget(16, pipe)
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Shares of the limit. A divisor of n means a share of 1/n of the slots.
+// Bounds on connections, most of them as shares of the limit. A divisor of n means a share of 1/n of the slots.
 const (
 	closingCap          = 16               // upper bound of the connections beyond the limit that are being closed
-	closingDivisor      = 4                // share of the limit that bounds them as well
+	closingDivisor      = 4                // share of the limit that bounds the connections being closed, too
 	inboundDivisor      = 2                // maximum share of inbound connections
 	inboundEvictDivisor = 4                // share of inbound connections from which a new one evicts an unused or idle one
 	unusedDivisor       = 4                // maximum share of unused inbound connections
@@ -17,8 +17,8 @@
 // MaxClosing returns how many connections may be open beyond the limit while evicted ones are being closed.
 func MaxClosing(limit int) int { return min(closingCap, max(1, limit/closingDivisor)) }
 
-// MaxSocketsWithin returns the highest limit for which the descriptors suffice, including those of connections being closed;
-// 0 if there is none.
+// MaxSocketsWithin returns the highest limit for which the given number of descriptors suffices, including those of connections
+// being closed; 0 if there is none.
 func MaxSocketsWithin(descriptors int) (limit int) {
 	for limit+1+MaxClosing(limit+1) <= descriptors {
 		limit++
--- a/internal/connlimit/socket.go
+++ b/internal/connlimit/socket.go
@@ -14,7 +14,7 @@
 	budget       *Budget
 	side         Side
 	evictList    *list.List    // list of the Budget that holds the connection while it is evictable
-	evictElement *list.Element // its element of that list; nil = not evictable
+	evictElement *list.Element // element of evictList; nil = not evictable
 	evictableAt  time.Time     // time from which the connection can be evicted
 
 	evicted, closed bool
--- a/internal/keepalive/breaks.go
+++ b/internal/keepalive/breaks.go
@@ -25,7 +25,7 @@
 
 // breakStats holds the statistics of the breaks of one kind.
 type breakStats struct {
-	detected      [len(lastByteDelays)]tally // by delay: breaks not detected within the previous one, those detected within it
+	detected      [len(lastByteDelays)]tally // by delay: breaks that no shorter delay detects, and those of them that it detects
 	detectionTime mean                       // seconds from the last byte until a break is detected
 }
 
--- a/internal/keepalive/clock.go
+++ b/internal/keepalive/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// advanceClock advances the clock, in half-lives, to an observation at now. One observation advances it by
+// advanceClock advances the clock, which counts half-lives, to an observation at now. One observation advances it by
 // 1/HalfLifeAttempts, within the bounds that MinHalfLife and MaxHalfLife set for the time since the previous one.
 func (e *Estimator) advanceClock(now time.Time) {
 	elapsed := float64(max(0, now.Sub(e.lastObservation)))
--- a/internal/keepalive/cost.go
+++ b/internal/keepalive/cost.go
@@ -48,8 +48,8 @@
 	return loss + e.settings.HandshakeCost
 }
 
-// ShouldReuse reports whether the expected loss on this reused connection is at most that on a new one. If it is not, it
-// isn't on a connection that has been idle for longer either; on one that has carried fewer attempts it may be.
+// ShouldReuse reports whether the expected loss on this reused connection is at most that on a new one. If it reports
+// false, it does so for a connection that has been idle for longer, too, but not always for one that has carried fewer attempts.
 //
 // The risk that grows with the attempts carried is weighed as in age replacement (Barlow and Proschan, Mathematical Theory
 // of Reliability, 1965): the handshake is paid once, and the new connection avoids the additional breaks of the old one
--- a/internal/keepalive/estimator.go
+++ b/internal/keepalive/estimator.go
@@ -12,7 +12,7 @@
 //	new connection:    w·L(p) + p·HandshakeCost + HandshakeCost + w·late(dial) (with its own p; dial is learned).
 //	L(p)    = p·((1-s)·broken + s·early) + late(delay), for the last-byte delay, possibly 0, that minimizes it.
 //	broken  = 1 for non-idempotent requests, else RetryCost + late(time until a break is detected, learned).
-//	early   = RetryCost + late(delay + dial), as the request has not run.
+//	early   = RetryCost + late(delay + dial), because the request has not run.
 //	late(d) = min(1, DelayCost·d/LatencyObjective): the share of requests for which a delay of d is too much.
 //
 // s is the share of breaks that are detected while the last byte is held back. A server starts a request only once it has
@@ -52,7 +52,7 @@
 
 func (u Use) isReused() bool { return u.Carried > 0 || u.Idle > 0 }
 
-// Outcome is how an attempt ended. Those that ended in other ways (connection refused, timeout, cancellation) are not
+// Outcome is how an attempt ended. Attempts that ended in other ways (connection refused, timeout, cancellation) are not
 // reported.
 type Outcome uint8
 
@@ -67,7 +67,7 @@
 type AttemptCost struct {
 	NonIdempotent    bool          // the request must not run twice, so that it is lost if the connection breaks
 	LatencyObjective time.Duration // time within which the response is wanted; 0 = no objective, delays cost nothing
-	PriorityWeight   float64       // relative to 1 for an ordinary request; low for a probe, so that it explores
+	PriorityWeight   float64       // relative to 1 for an ordinary request; low for a probe, so that it tries risky connections
 }
 
 // boundedWeight returns the priority weight within 0 and 1e6: negative, infinite or NaN weights would invert comparisons.
@@ -87,12 +87,12 @@
 	weightBase      float64 // clock at which an observation weighs 1; later ones weigh more, instead of earlier ones less
 	lastObservation time.Time
 
-	all                 evidence // of all servers together, including removed ones
+	all                 evidence // evidence of all servers together, including removed ones
 	doubleCounted       evidence // like all, but each break counts in full against both idle time and attempts carried
 	breaks              [breakKinds]breakStats
 	servers             map[string]*serverRecord
-	serverList          []*serverRecord // the same servers in insertion order
-	exclusionCandidates []*serverRecord // buffer of recompute
+	serverList          []*serverRecord // the records in servers, in insertion order
+	exclusionCandidates []*serverRecord // buffer reused by recompute
 
 	fleet            posterior
 	detectedFraction [breakKinds][len(lastByteDelays)]float64 // fraction of breaks detected within each last-byte delay
@@ -112,7 +112,7 @@
 	excluded     bool    // has so many breaks that the fleet's curves exclude it
 }
 
-// New returns an Estimator without evidence.
+// New returns an Estimator without evidence, or an error if a setting is out of range.
 func New(set Settings) (*Estimator, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -167,8 +167,8 @@
 	e.all.dial.add(w, took)
 }
 
-// RemoveServer removes the record of a server that is no longer listed. Its evidence stays in the fleet's unless it is
-// excluded from the fleet's curves.
+// RemoveServer removes the record of a server that is no longer listed. Its evidence stays in the fleet's unless the
+// server is excluded from the fleet's curves.
 func (e *Estimator) RemoveServer(server string) {
 	r := e.servers[server]
 	if r == nil {
--- a/internal/keepalive/estimator_test.go
+++ b/internal/keepalive/estimator_test.go
@@ -26,7 +26,8 @@
 	return e
 }
 
-// observation is a number of attempts with the same idle time and attempts carried; broken ones are spread evenly.
+// observation is a number of attempts with the same idle time and the same number of attempts carried; broken ones are
+// spread evenly.
 type observation struct {
 	server           string
 	idle             time.Duration
@@ -104,8 +105,8 @@
 	}
 }
 
-// Connections that are no longer reused are tried again as evidence fades, although none are used meanwhile; first by
-// requests with the lowest loss.
+// Connections that are no longer reused are tried again as evidence fades, although none is used meanwhile. Requests with the
+// lowest loss try them first.
 func TestReuseResumesAsEvidenceFades(t *testing.T) {
 	e := newEstimator(t)
 	allBroken := onReused("a", 200*ms, 100, 100)
--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -12,12 +12,12 @@
 	idleUnit  = 5 * time.Millisecond // unit of idle time; the unit of attempts carried is 1
 )
 
-// Strengths of the priors, as the number of attempts that a prior counts as, and other weights of the estimates.
+// Strengths of the priors, each as the number of attempts that the prior counts for, and other weights of the estimates.
 const (
 	stepPrior             = 8.0  // of a step of the fleet's curves, centered on the neighboring steps
 	serverPrior           = 16.0 // of a step of a server's curves, centered on the neighboring steps
 	neighborWeight        = 0.5  // factor on the attempts at an adjacent step; neighborWeight^n at distance n
-	neighborPriorFraction = 0.25 // of the mean of a step's neighbors, as a fraction of the step's; centered on the fleet's curve
+	neighborPriorFraction = 0.25 // of a step's neighbors' mean, as a fraction of the step's prior; centered on the fleet's curve
 	newConnPrior          = 8.0  // of the break probability on new connections, centered on that on reused ones
 	detectedPrior         = 2.0  // of the fraction of breaks detected within a last-byte delay
 	meanPrior             = 4.0  // of a server's mean dial time, centered on the fleet's
@@ -106,7 +106,7 @@
 }
 
 // idleAttribution returns the part of a break attributed to the idle time; the rest is attributed to the attempts carried.
-// e counts every break in full against both. The shares are in proportion to the squared excess of each step over the mean,
+// In e every break counts in full against both. The shares are in proportion to the squared excess of each step over the mean,
 // so that chance deviations count little. Without any excess the break is attributed to the idle time.
 func (e *evidence) idleAttribution(u Use, scale float32) float64 {
 	var reused tally
--- a/internal/keepalive/posterior.go
+++ b/internal/keepalive/posterior.go
@@ -15,7 +15,7 @@
 	onNewConns    float64 // probability that an attempt on a new connection breaks
 	onReused      float64 // probability that an attempt on a reused connection breaks, averaged over all steps
 	idle, carried curve   // probability of a break by idle time, which includes that on new connections, and by attempts carried
-	renewal       curve   // by attempts carried: expected breaks that a new connection avoids until it has carried as many
+	renewal       curve   // expected breaks that a new connection avoids until it has carried as many attempts, by their number
 	dial          float64 // seconds to establish a connection; 0 = unknown
 }
 
@@ -48,7 +48,8 @@
 	return p.onReusedConn(idleStep(u.Idle), stepOf(float64(u.Carried)))
 }
 
-// onReusedConn returns the same as breakProbability for a reused connection, given its steps.
+// onReusedConn returns the same as breakProbability for a reused connection, given the steps of its idle time and of the
+// attempts carried.
 func (p *posterior) onReusedConn(idle, carried int) (probability, baseline float64) {
 	probability = eitherOf(p.idle[idle], p.carried[carried])
 	return probability, min(probability, p.onNewConns)
@@ -116,9 +117,9 @@
 	return &r.posterior
 }
 
-// recompute derives the fleet's estimates and the detection of breaks from the evidence. The servers with the most breaks,
-// one in eight plus one, are excluded from the fleet's curves: if breaks occur fleet-wide, that loses only an eighth of the
-// evidence; if a single server is at fault, it removes all breaks.
+// recompute derives the fleet's estimates and the fractions of breaks detected from the evidence. The servers with the most
+// breaks, one in eight plus one, are excluded from the fleet's curves: if breaks occur fleet-wide, that loses only an eighth
+// of the evidence; if a single server is at fault, it removes all breaks.
 func (e *Estimator) recompute(scale float32) {
 	candidates := e.exclusionCandidates[:0]
 	for _, r := range e.serverList {
--- a/internal/keepalive/settings.go
+++ b/internal/keepalive/settings.go
@@ -12,7 +12,7 @@
 	DelayCost        float64       // a delay of d costs DelayCost·d/LatencyObjective, at most 1
 	MinHalfLife      time.Duration // lower bound of the half-life of evidence
 	MaxHalfLife      time.Duration // upper bound of the half-life of evidence
-	HalfLifeAttempts float64       // half-life of evidence in attempts, within the two bounds
+	HalfLifeAttempts float64       // half-life of evidence in attempts, bounded by MinHalfLife and MaxHalfLife
 	MaxLastByteDelay time.Duration // upper bound of the time for which the last byte is held back; 0 = never held back
 	MaxServers       int           // maximum number of servers with evidence of their own, which takes 1.2 KB each
 }
--- a/internal/keepalive/sim_test.go
+++ b/internal/keepalive/sim_test.go
@@ -170,7 +170,7 @@
 		at += time.Duration(rng.ExpFloat64() / rate * 1e9)
 		work := 5*ms + time.Duration(rng.ExpFloat64()*float64(20*ms))
 		server, breaks, breaksBase := rng.IntN(fleetSize), rng.Float64(), rng.Float64()
-		// Half of the base breaks occur at once; 60% of the breaks that do are detectable before the last byte is written.
+		// Half of the base breaks and all added ones occur at once; 60% of those are detectable before the last byte is written.
 		immediate, detectable, detectedAfter := rng.Float64() < 0.5, rng.Float64() < 0.6, time.Duration(rng.ExpFloat64()*float64(ms))
 		now, cost := start.Add(at), AttemptCost{NonIdempotent: rng.Float64() < 0.3, LatencyObjective: latencyObjective, PriorityWeight: 1}
 
--- a/internal/keepalive/state.go
+++ b/internal/keepalive/state.go
@@ -19,7 +19,7 @@
 	maxFractions        = 1 << 28 // upper bound of a stored weight; as evidence fades, weights stay below it
 )
 
-// state is the encoded form of an Estimator's evidence, faded to the time of State.
+// state is the encoded form of an Estimator's evidence, faded to the time at which State is called.
 type state struct {
 	Version       uint                    `cbor:"1,keyasint"`
 	All           evidenceState           `cbor:"2,keyasint"`
@@ -88,8 +88,8 @@
 	return encoder.Marshal(&s)
 }
 
-// Restore replaces the Estimator's evidence by a result of State that is age old, and fades it by that time. On error the
-// Estimator is unchanged.
+// Restore replaces the Estimator's evidence by a result of State of the given age, and fades the evidence by that age. On error
+// the Estimator is unchanged.
 func (e *Estimator) Restore(now time.Time, data []byte, age time.Duration) error {
 	var s state
 	if len(data) > MaxStateBytes {
