--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -17,8 +17,10 @@
 
 // Set holds the cordons in force. Dates are in Unix milliseconds. The zero value cordons no server.
 type Set struct {
-	Cordoned   map[string]float64 `json:"out"`  // start of each cordon by server id; in force whatever the list says
-	Uncordoned map[string]float64 `json:"back"` // end of earlier cordons by server id: the server may have restarted meanwhile
+	Cordoned map[string]float64 `json:"out"` // start of each cordon by server id; in force whatever the list says
+	// Uncordoned holds the end of each earlier cordon by server id. The server may have restarted meanwhile, so that it
+	// counts as started then.
+	Uncordoned map[string]float64 `json:"back"`
 }
 
 // Clone returns a deep copy.
--- a/internal/cordon/store.go
+++ b/internal/cordon/store.go
@@ -158,8 +158,8 @@
 			return Set{}, fmt.Errorf("cordon file: %w", err)
 		}
 		defer lock.Close()
-		// A malformed file is about to be replaced. An unreadable one may contain cordons that operators requested from another
-		// process.
+		// A malformed file does not prevent the update, which replaces it. An unreadable one does: it may contain cordons
+		// that operators requested from another process.
 		if _, err := s.refresh(); err != nil && !errors.Is(err, ErrMalformedFile) {
 			return Set{}, err
 		}
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// in returns the error with the path of its field prefixed. The checks below return nil if the values are valid.
+// in returns the error with the path of its field prefixed. The check functions return nil if the values are valid.
 func (e *FieldError) in(format string, args ...any) *FieldError {
 	return &FieldError{fmt.Sprintf(format, args...) + e.Field, e.Problem}
 }
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// checkNumbers checks that values are within 0 and maxNumber. names lists their field names in the same order, separated by
-// spaces; the same holds for the checks below.
+// checkNumbers checks that values are between 0 and maxNumber. Here and in checkFractions and checkStrings, names lists the
+// field names of values in the same order, separated by spaces.
 func checkNumbers(names string, values ...float64) *FieldError {
 	for i, v := range values {
 		if !(v >= 0 && v <= maxNumber) { // also true for NaN
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// checkFractions checks that values are within 0 and 1.
+// checkFractions checks that values are between 0 and 1.
 func checkFractions(names string, values ...float64) *FieldError {
 	for i, v := range values {
 		if !(v >= 0 && v <= 1) {
--- a/internal/snapshot/dropped.go
+++ b/internal/snapshot/dropped.go
@@ -20,7 +20,7 @@
 	WeightTooLow    Reason = "faded away"
 	OtherProcess    Reason = "another process"
 	NotListed       Reason = "not listed"
-	NoSuchPosition  Reason = "no such position"
+	NoSuchPosition  Reason = "no such position" // the settings have another number of classes, or of tenants
 	NewerList       Reason = "a newer list"
 )
 
--- a/internal/snapshot/encoding.go
+++ b/internal/snapshot/encoding.go
@@ -55,10 +55,10 @@
 // Limits of the decoder, which apply before the checks of each list. They keep the memory for a decoded array to a small
 // multiple of its encoded size, even if it consists of the smallest elements.
 const (
-	maxElements   = 16384
-	maxPairs      = 1024
-	maxNesting    = 16
-	minTallyBytes = 5 // header of an array and four numbers of 1 byte each
+	maxElements   = 16384 // of an array
+	maxPairs      = 1024  // of a map
+	maxNesting    = 16    // levels of arrays and maps
+	minTallyBytes = 5     // of the smallest Tally: header of an array and four numbers of 1 byte each
 )
 
 var (
--- a/internal/snapshot/encoding_test.go
+++ b/internal/snapshot/encoding_test.go
@@ -17,7 +17,8 @@
 
 var testTakenAt = time.UnixMilli(1_800_000_000_123)
 
-// largeFleet returns a snapshot of the largest size for these numbers: with outcomes of every tenant at every server.
+// largeFleet returns a snapshot of the largest size for the given numbers of servers and tenants: with outcomes of every
+// tenant at every server.
 func largeFleet(servers, tenants int) *Snapshot {
 	rng, now := rand.New(rand.NewPCG(1, 2)), unixMs(testTakenAt)
 	at := func() float64 { return now - 5000*rng.Float64() }
@@ -138,7 +139,8 @@
 	}
 }
 
-// The header of an array may state a large length, and its elements may be far smaller encoded than in memory.
+// The size of the input bounds the memory for decoding it, although the header of an array may state a large length, and its
+// elements may be far smaller encoded than in memory.
 func TestMemoryIsBoundedByTheInput(t *testing.T) {
 	long := "\xa1\x08\x99\x3f\xff" // a server with 0x3fff tallies
 	for what, at := range map[string]struct {
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -1,9 +1,9 @@
 package snapshot
 
 // Merge returns the endpoint list to start with. Of two lists of the same discovery service it is the one with the higher
-// revision; of lists of different services it is known, which the configuration names. Servers that are draining or deleted
-// in the snapshot stay so in a newer list, unless that list shows a new process: a later start time or another id. If the
-// result differs from the list that discovery sent, its Revision is 0.
+// revision. If their services differ, it is the list in known, whose service the configuration names. Servers that are
+// draining or deleted in the snapshot stay so in a newer list, unless that list shows a new process: a later start time or
+// another id. If the result differs from the list that discovery sent, its Revision is 0.
 func Merge(snap, known List) (List, []Dropped) {
 	sameDiscovery := snap.Discovery == known.Discovery
 	if sameDiscovery && (snap.Revision >= known.Revision || len(known.Members) == 0) {
@@ -41,13 +41,14 @@
 }
 
 // withEarlier returns a server of the known list, updated with the snapshot's state of the same process, and reports whether
-// its phase or start time has changed by that.
+// that has changed its phase or start time.
 func (m Member) withEarlier(previous Member) (out Member, altered bool) {
 	if previous.availability() > m.availability() {
 		m.Phase = previous.Phase
 		altered = true
 	}
-	if previous.StartedAt > m.StartedAt { // both times are discovery's: the later start is the newer process, which may be cold
+	if previous.StartedAt > m.StartedAt {
+		// Both times are discovery's: the later start is that of the newer process, which may need slow start.
 		m.StartedAt = previous.StartedAt
 		altered = true
 	}
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -15,8 +15,9 @@
 	Keepalive []byte
 }
 
-// Restore combines DropStale, Merge and Match. It returns the state to start with at now from a snapshot, nil for none, and
-// the list known from the configuration. known.Discovery is the discovery service that the process will use.
+// Restore combines DropStale, Merge and Match. It returns the state to start with at now, derived from a snapshot (nil =
+// none) and the list known from the configuration, and the parts of the snapshot that were dropped. known.Discovery is the
+// discovery service that the process will use.
 func Restore(s *Snapshot, known List, now time.Time, rules ValidityRules) (Restored, []Dropped) {
 	if s == nil {
 		return Restored{List: known.clone()}, nil
@@ -52,7 +53,7 @@
 		return out, v.dropped
 	}
 	v.keepLearned(s, out, otherDiscovery)
-	if otherDiscovery != "" { // it contains evidence about single servers, too
+	if otherDiscovery != "" { // Keepalive contains evidence about single servers, too
 		v.drop(droppedKeepalive, "", min(1, len(s.Keepalive)), otherDiscovery)
 	} else if v.keepFresh(v.takenAt, rules.MaxKeepaliveAge, droppedKeepalive, "", min(1, len(s.Keepalive))) {
 		out.Keepalive = slices.Clone(s.Keepalive)
@@ -72,8 +73,8 @@
 }
 
 // keepMembers keeps the available servers if reason is empty and the list is not too old. It keeps draining and deleted ones
-// for MaxDrainAge unless otherFleet is set. It does so even if reason is FromTheFuture, since these servers stay draining or
-// deleted until discovery lists them otherwise.
+// for MaxDrainAge unless otherFleet is set: the snapshot's origin and its discovery service both differ. It keeps them even if
+// reason is FromTheFuture, because these servers stay draining or deleted until discovery lists them in another phase.
 func (v *validator) keepMembers(s, out *Snapshot, reason Reason, otherFleet bool) {
 	if reason == "" && v.now-v.takenAt > config.Millis(v.rules.MaxListAge) {
 		reason = TooOld
@@ -143,7 +144,7 @@
 	}
 }
 
-// keepServer returns what is still valid of one server's process.
+// keepServer returns the parts that are still valid of what was learned about one server's process.
 func (v *validator) keepServer(in *LearnedServer) LearnedServer {
 	out := LearnedServer{Name: in.Name, StartedAt: in.StartedAt}
 	reportedAt := v.clampToPast(v.takenAt)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -13,9 +13,9 @@
 )
 
 // Snapshot is the state saved for the next process. It contains no load of servers: the number of requests in flight is
-// outdated by the time it is restored.
+// outdated by the time a snapshot is restored.
 type Snapshot struct {
-	TakenAt    time.Time `cbor:"-"`          // wall clock time in ms resolution; stored in the header
+	TakenAt    time.Time `cbor:"-"`          // wall clock time with a resolution of 1 ms; stored in the header
 	Program    string    `cbor:"1,keyasint"` // name of the sidecar
 	Deployment string    `cbor:"2,keyasint"` // Fingerprint of the settings
 	Discovery  string    `cbor:"3,keyasint"` // address of the discovery service that sent the list
@@ -67,8 +67,8 @@
 	FleetLatency    float64         `cbor:"4,keyasint,omitempty"` // median service time in ms
 	MedianErrorRate float64         `cbor:"5,keyasint,omitempty"` // error rate of the median server
 	OwnInFlight     float64         `cbor:"6,keyasint,omitempty"` // requests of this instance in flight at probed servers
-	TotalInFlight   float64         `cbor:"7,keyasint,omitempty"` // all requests in flight there
-	Tenants         []Bucket        `cbor:"8,keyasint,omitempty"` // by position in the settings
+	TotalInFlight   float64         `cbor:"7,keyasint,omitempty"` // all requests in flight at probed servers
+	Tenants         []Bucket        `cbor:"8,keyasint,omitempty"` // quotas of tenants, by position in the settings
 	Arrivals        Rate            `cbor:"9,keyasint"`
 	Sends           Rate            `cbor:"10,keyasint"`
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -16,8 +16,8 @@
 // Step is a step of Store.Write.
 type Step string
 
-// Steps in the order in which they run. StepListLeftovers and StepRemoveLeftover may fail: the temporary files of killed
-// writers then stay until the next write.
+// Steps in the order in which they run. A write goes on if StepListLeftovers or StepRemoveLeftover fails: the temporary
+// files of killed writers then stay until the next write.
 const (
 	StepLock           Step = "lock"
 	StepListLeftovers  Step = "list leftovers"
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// Write replaces the file atomically and returns once it is synced to disk. After an error the previous file is in place;
-// after one of StepSyncDir it is the new one, which a power failure may revert. Write leaves an empty lock file next to the
-// file. A system call on the disk may hang and can't be cancelled: see Writer.
+// Write replaces the file atomically and returns once it is synced to disk. After an error the previous file is in place,
+// except that after an error of StepSyncDir it is the new one, which a power failure may revert. Write leaves an empty lock file
+// next to the file. A system call on the disk may hang and can't be cancelled: see Writer.
 func (s *Store) Write(snap *Snapshot) error {
 	b, err := Encode(snap, s.MaxBytes)
 	if err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -163,7 +163,7 @@
 		time.Sleep(34 * time.Second)
 		counts("at intervals", 2, 0, 0)
 		disk.Store(func() error { return syscall.ENOSPC })
-		time.Sleep(9 * time.Minute) // after 10, 20, 40, 80, 160 and 160 s
+		time.Sleep(9 * time.Minute) // writes fail after 10, 20, 40, 80, 160 and 160 s
 		counts("disk fails", 2, 6, 0, "state=failed")
 		disk.Store(func() error { return nil })
 		time.Sleep(165 * time.Second)
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -17,7 +17,7 @@
 
 	MaxClockSkew      time.Duration // maximum time by which a snapshot may be ahead of the clock
 	MaxListAge        time.Duration // of the available servers in the list
-	MaxDrainAge       time.Duration // of draining servers, from the snapshot on; of deleted ones, from when discovery listed them so
+	MaxDrainAge       time.Duration // of draining servers, since the snapshot; of deleted ones, since discovery listed them so
 	MaxServiceTimeAge time.Duration // of service times, round trips and the instance's share of the fleet's traffic
 	MaxFitAge         time.Duration // of the regression of latency on load
 	MaxRateAge        time.Duration // of tenants' tokens and of rates
@@ -50,7 +50,7 @@
 	dropped     []Dropped
 }
 
-// drop records that count elements are dropped, unless that is 0.
+// drop records that count elements were dropped, unless count is 0.
 func (v *validator) drop(what, server string, count int, reason Reason) {
 	if count > 0 {
 		v.dropped = append(v.dropped, Dropped{What: what, Server: server, Count: count, Reason: reason})
@@ -68,7 +68,8 @@
 	return max(0, v.clampToPast(t+v.clockOffset))
 }
 
-// keepFresh reports whether the age of count elements of the given time is within the limit, and drops them if not.
+// keepFresh reports whether the age of count elements, which are as of the time at, is within the limit, and drops them if not.
+// It reports false if count is 0.
 func (v *validator) keepFresh(at float64, limit time.Duration, what, server string, count int) bool {
 	if count > 0 && v.now-at <= config.Millis(limit) {
 		return true
@@ -77,7 +78,7 @@
 	return false
 }
 
-// remainingWeight returns the share of their weight that outcomes of the given time still have.
+// remainingWeight returns the share of their weight that outcomes as of the time at still have.
 func (v *validator) remainingWeight(at float64) float64 {
 	return math.Exp2(-max(0, v.now-at) / config.Millis(max(1, v.rules.OutcomeHalfLife)))
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -30,7 +30,7 @@
 	Seed     uint64
 	Logf     func(string, ...any) // nil = log.Printf
 
-	Written, Failed, Skipped atomic.Int64 // Skipped: not taken since the previous one was still being written
+	Written, Failed, Skipped atomic.Int64 // Skipped: not taken because the previous one was still being written
 
 	rng      *rand.Rand
 	failures int // consecutive
