--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -5,7 +5,8 @@
 
 import "math"
 
-// Policy is an exponential backoff. First and Max are in one unit, which is that of the result. It is safe for concurrent use.
+// Policy is an exponential backoff. First and Max are in the same unit, which is also that of delays. It is safe for
+// concurrent use.
 type Policy struct {
 	First  float64 // delay after the first failure
 	Max    float64 // upper bound on any delay
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -60,8 +60,8 @@
 }
 
 // SinceLastReceive returns the time since the last bytes arrived, read or not, as reported by the kernel. The time of the read
-// is no substitute, since the process may have been suspended before it. known is false if the kernel doesn't report it. For
-// a connection without a descriptor, one within this process, the result is 0, because its bytes arrive at once.
+// is no substitute, since the process may have been suspended before it. known is false if the kernel doesn't report it. A
+// connection without a descriptor is within this process: the result is 0, because its bytes arrive at once.
 func SinceLastReceive(c net.Conn) (since time.Duration, known bool) {
 	known = true
 	control(c, func(fd int) {
--- a/internal/stableid/stableid.go
+++ b/internal/stableid/stableid.go
@@ -20,13 +20,13 @@
 // Mapping is the result of Table.Apply.
 type Mapping struct {
 	ByPosition    []int // number of each item, in the order of the names
-	PredecessorOf []int // by number: the number whose state this one inherits; its own where nothing changed; -1 = none
+	PredecessorOf []int // by number: the number whose state this one inherits; its own if nothing changed; -1 = none
 }
 
 // Apply replaces the set of items. An item with the same name and rules as before keeps its number; one that had been dropped
 // gets its old number again if that was not reassigned. An item with new rules gets another number, whose predecessor is the
-// last number of its name. A number that Apply drops is not reassigned within keepFor from now, since its holders may still use
-// it.
+// last number of its name. A number that Apply drops is not reassigned within keepFor from now, because those who hold it may
+// still use it.
 func (t *Table[R]) Apply(now time.Time, keepFor time.Duration, names []string, rules []R) Mapping {
 	mapping := Mapping{ByPosition: make([]int, len(names)), PredecessorOf: make([]int, len(t.entries))}
 	current := map[int]bool{}
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -11,14 +11,14 @@
 // retryPause is the delay between two attempts.
 const retryPause = 20 * time.Millisecond
 
-// localErrors are those for lack of a local resource, such as descriptors, memory, ports or a route, which may be available
-// again soon. Nothing has left this machine.
+// localErrors are the errors of calls that lack a local resource, such as descriptors, memory, ports or a route, which may be
+// available again soon. Nothing has left this machine when they occur.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN,
 }
 
-// interruptedErrors are those of interrupted calls and of files that are temporarily unavailable.
+// interruptedErrors are the errors of interrupted calls and of files that are temporarily unavailable.
 var interruptedErrors = []error{syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ESTALE}
 
 // IsLocal reports whether the call failed because this machine lacks a resource, which says nothing about the remote side.
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -13,7 +13,7 @@
 
 const (
 	minStepMs  = 50.0   // minimum change of the offset that counts as a step; less is a gradual clock adjustment
-	maxAheadMs = 1000.0 // maximum by which a date may lie in the future, as clocks of other machines differ; it counts as now
+	maxAheadMs = 1000.0 // maximum by which a date may lie in the future, because machines' clocks differ; it then counts as now
 	maxSteps   = 64     // maximum number of earlier offsets that are kept, the latest ones
 )
 
