--- a/internal/testbench/emulator/compare.go
+++ b/internal/testbench/emulator/compare.go
@@ -13,20 +13,21 @@
 
 // Comparison is the result of the same days simulated with two settings.
 type Comparison struct {
-	A       string       `json:"a"` // name of the first policy; B is that of the second
+	A       string       `json:"a"` // name of the first policy; B is the name of the second
 	B       string       `json:"b"`
 	Days    int          `json:"days"`
 	Metrics []Difference `json:"figures"`
-	BrokenA int          `json:"broken_a"` // number of days on which a rule was broken, as is BrokenB
+	BrokenA int          `json:"broken_a"` // days on which a rule was broken with the first policy; BrokenB: with the second
 	BrokenB int          `json:"broken_b"`
 }
 
-// Difference compares one metric. Median is that of the differences of the pairs, which need not be B minus A.
+// Difference compares one metric of the two settings. Median is the median of the differences of each day, which may differ from
+// B - A, the difference of the medians.
 type Difference struct {
 	Name        string     `json:"name"`
-	A           float64    `json:"a"` // median over the days, as is B
+	A           float64    `json:"a"` // median over the days with the first setting; B: with the second
 	B           float64    `json:"b"`
-	SpreadA     float64    `json:"spread_a"` // interquartile range, as is SpreadB
+	SpreadA     float64    `json:"spread_a"` // interquartile range of the values whose median is A; SpreadB: of B
 	SpreadB     float64    `json:"spread_b"`
 	Median      float64    `json:"median"`      // of B minus A of the same day
 	Quartiles   [2]float64 `json:"quartiles"`   // of B minus A of the same day
@@ -90,7 +91,7 @@
 	return c, nil
 }
 
-// newDifference compares the values as of setting A with the values bs of setting B, paired by index.
+// newDifference compares the values of setting A (parameter as) with those of setting B (bs), paired by index.
 func newDifference(name string, as, bs []float64) Difference {
 	d := Difference{Name: name}
 	var diffs []float64
--- a/internal/testbench/emulator/config.go
+++ b/internal/testbench/emulator/config.go
@@ -22,9 +22,9 @@
 	Seconds    float64 `json:"seconds"`
 	Skew       float64 `json:"skew"`        // the i-th sidecar gets a share of the traffic proportional to i^-Skew
 	ZoneSkew   float64 `json:"zone_skew"`   // fraction of the mean by which the first zone gets more traffic, and the last one less
-	Seed       uint64  `json:"seed"`        // of load, network, servers, clients and faults
-	PolicySeed uint64  `json:"policy_seed"` // of the policies' random choices
-	Policy     string  `json:"policy"`      // one of Policies
+	Seed       uint64  `json:"seed"`        // seed of load, network, servers, clients and faults
+	PolicySeed uint64  `json:"policy_seed"` // seed of the policies' random choices
+	Policy     string  `json:"policy"`      // one of the names that Policies returns
 
 	Kinds     []Kind    `json:"kinds"`
 	Classes   []Class   `json:"classes"`
@@ -39,7 +39,7 @@
 
 // Kind is a hardware type of servers.
 type Kind struct {
-	Fraction float64    `json:"share"` // of the servers; only its ratio to that of the other kinds counts
+	Fraction float64    `json:"share"` // fraction of the servers; only the ratio between kinds counts
 	Cores    float64    `json:"cores"`
 	Speed    [2]float64 `json:"speed"` // range of a core's speed, drawn uniformly for each server
 }
@@ -47,13 +47,13 @@
 // Class is a class of requests.
 type Class struct {
 	Name               string  `json:"name"`
-	Fraction           float64 `json:"share"`   // of the client requests; only its ratio to that of the other classes counts
+	Fraction           float64 `json:"share"`   // fraction of the client requests; only the ratio between classes counts
 	WorkMs             float64 `json:"work_ms"` // mean CPU work; exponentially distributed, or lognormally if Spread is above 0
 	WaitMs             float64 `json:"wait_ms"` // mean wait for other services after the work; it holds the slot, but no core
 	Spread             float64 `json:"spread"`  // coefficient of variation of WorkMs and of WaitMs; 0 = both are exponential
-	Noise              float64 `json:"noise"`   // coefficient of variation of a factor on an attempt's work; 0 = none
+	Noise              float64 `json:"noise"`   // coefficient of variation of a random factor on an attempt's work; 0 = none
 	LatencyObjectiveMs float64 `json:"aim_ms"`
-	DeadlineMs         float64 `json:"deadline_ms"` // of a client request including its retries
+	DeadlineMs         float64 `json:"deadline_ms"` // deadline of a client request including its retries
 	PriorityWeight     float64 `json:"worth"`
 	LateWeight         float64 `json:"late_worth"` // fraction of PriorityWeight that counts after the latency objective
 	NonIdempotent      bool    `json:"unsafe"`     // it must not run twice; otherwise it may run any number of times
@@ -62,8 +62,8 @@
 // Tenant is one of the tenants that share the fleet.
 type Tenant struct {
 	Name     string  `json:"name"`
-	Fraction float64 `json:"share"` // of the traffic; only its ratio to that of the other tenants counts
-	Quota    float64 `json:"quota"` // client requests per second that count at full weight; 0 = 1.25 times its part of Rate
+	Fraction float64 `json:"share"` // fraction of the traffic; only the ratio between tenants counts
+	Quota    float64 `json:"quota"` // client requests per second at full weight; 0 = 1.25 times the tenant's part of Rate
 }
 
 // Server is the model of every server. Durations are in ms.
@@ -71,23 +71,23 @@
 	Slots           int     `json:"slots"`      // requests that are processed at once and share the cores
 	QueueCapacity   int     `json:"room"`       // requests that may wait for a slot; further ones are rejected
 	OverloadFrom    float64 `json:"crowd_from"` // requests in flight per core above which the capacity falls
-	OverloadLoss    float64 `json:"crowd_loss"` // fraction of the capacity lost with each further one
-	MaxOverloadLoss float64 `json:"crowd_most"` // upper limit of that loss
+	OverloadLoss    float64 `json:"crowd_loss"` // fraction of the capacity lost with each request above OverloadFrom
+	MaxOverloadLoss float64 `json:"crowd_most"` // upper limit of the loss by overload, as a fraction of the capacity
 
 	// A server jams, which means that it is slower by the factor JamSlow, after it has had too many requests in flight for a
-	// while. The jam clears after it has had few for a while, or at the latest after MaxJam.
-	JamWaiting float64 `json:"jam_waiting"`   // requests in flight per core, beyond the one it runs, above which a server may jam
-	JamAfter   float64 `json:"jam_after_ms"`  // time above JamWaiting until it jams
+	// while. The jam clears after the server has had few requests in flight for a while, or at the latest after MaxJam.
+	JamWaiting float64 `json:"jam_waiting"`   // requests in flight per core, besides the running one, above which a server may jam
+	JamAfter   float64 `json:"jam_after_ms"`  // time above JamWaiting until the server jams
 	JamSlow    float64 `json:"jam_slow"`      // factor by which a jammed server is slower
 	JamIdle    float64 `json:"jam_idle"`      // requests in flight per core up to which a jam may clear
 	JamClears  float64 `json:"jam_clears_ms"` // time at or below JamIdle until the jam clears
 	MaxJam     float64 `json:"jam_most_ms"`   // time after which a jam clears in any case
 
 	Connections int     `json:"connections"`  // open connections above which further ones are refused
-	TableLoss   float64 `json:"table_loss"`   // fraction of the capacity lost at Connections, proportionally less below
-	Handshake   float64 `json:"handshake_ms"` // work of accepting a connection
+	TableLoss   float64 `json:"table_loss"`   // fraction of the capacity lost with Connections open, proportionally less with fewer
+	Handshake   float64 `json:"handshake_ms"` // CPU work of accepting a connection
 	Idle        float64 `json:"idle_ms"`      // time after which an idle connection is closed
-	ProbeWork   float64 `json:"probe_ms"`     // work of a probe
+	ProbeWork   float64 `json:"probe_ms"`     // CPU work of a probe
 	MaxProbes   float64 `json:"probes_most"`  // probes per second above which further ones are rejected
 	ReportEvery float64 `json:"report_ms"`    // interval between two updates of the RIF that probes report
 	ReportNoise float64 `json:"report_noise"` // standard deviation of reported values, as a fraction of them
@@ -109,12 +109,12 @@
 type Discovery struct {
 	Late   [2]float64 `json:"late_ms"`   // range of the delay, drawn for each change and sidecar
 	Lossy  float64    `json:"lossy"`     // fraction of the changes that a sidecar does not receive
-	Repair float64    `json:"repair_ms"` // delay after which it receives the complete list instead
+	Repair float64    `json:"repair_ms"` // delay after which the sidecar receives the complete list in place of a lost change
 }
 
 // Clients is how clients retry and give up. A client attempt is one transmission of a client request to a sidecar.
 type Clients struct {
-	Retries   int        `json:"retries"`   // of a client request, at most
+	Retries   int        `json:"retries"`   // highest number of retries of a client request
 	Wait      float64    `json:"wait_ms"`   // ms before each retry
 	Timeout   [2]float64 `json:"patience"`  // range of a client attempt's timeout, as a fraction of the deadline
 	Impatient float64    `json:"impatient"` // fraction of client attempts abandoned at a random time before the timeout
@@ -122,11 +122,11 @@
 
 // Rules are the limits that the judge and the servers apply, and further settings of the policy. Durations are in ms.
 type Rules struct {
-	DrainGrace       float64 `json:"grace_ms"`        // from the notification of a drain; requests may be sent until its end
+	DrainGrace       float64 `json:"grace_ms"`        // time after the notification of a drain in which requests may still be sent
 	ResponseSlack    float64 `json:"answer_slack_ms"` // time after a client attempt's timeout by which a final response is due
 	StartCapacity    float64 `json:"cold_share"`      // least fraction of its capacity that a server starts with
 	WarmUpTime       float64 `json:"warm_within_ms"`  // longest slow start of a server
-	OverloadMultiple float64 `json:"tip_multiple"`    // times the capacity; more work in OverloadWindow ends a cold process
+	OverloadMultiple float64 `json:"tip_multiple"`    // multiple of the capacity; more work in OverloadWindow ends a cold process
 	OverloadWindow   float64 `json:"tip_window_ms"`
 	MaxAttempts      int     `json:"max_attempts"`
 	OverQuotaWeight  float64 `json:"over_share_worth"`
@@ -136,7 +136,7 @@
 	Round            float64 `json:"round_ms"`
 }
 
-// Default returns the default configuration for that number of sidecars and servers, with the values that
+// Default returns the default configuration for the given numbers of sidecars and servers, with the values that
 // docs/operate/emulator.md lists. Its servers are a little over half utilized.
 func Default(sidecars, servers int) Config {
 	c := Config{
@@ -171,7 +171,7 @@
 	return c
 }
 
-// ReadPlan reads a JSON plan into into: keys that are not in the plan keep their values, and lists are replaced as a
+// ReadPlan reads a JSON plan and sets the fields of into that it has; the others keep their values. Lists are replaced as a
 // whole. An unknown key is an error that names it. On any error into is unchanged.
 func ReadPlan(r io.Reader, into *Config) error {
 	raw, err := io.ReadAll(r)
@@ -181,7 +181,7 @@
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	c := *into
-	c.Kinds, c.Classes, c.Tenants, c.Faults = nil, nil, nil, nil // the decoder would overwrite the elements of the present ones
+	c.Kinds, c.Classes, c.Tenants, c.Faults = nil, nil, nil, nil // else the decoder would overwrite the elements of into's lists
 	if err := d.Decode(&c); err != nil {
 		return fmt.Errorf("parse plan%s: %w", errorLine(raw, err), err)
 	}
@@ -368,7 +368,7 @@
 	return 1.25 * c.Rate * c.Tenants[t].Fraction / all
 }
 
-// policyConfig returns the policy's configuration for a sidecar in that zone.
+// policyConfig returns the policy's configuration for a sidecar in the given zone.
 func (c *Config) policyConfig(zone int) policy.Config {
 	l := policy.Config{
 		OverQuotaWeight: c.Rules.OverQuotaWeight, Instances: c.Sidecars, Zone: zone, Probes: true, Cancel: true,
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -5,9 +5,9 @@
 // discovery notifies the sidecars which processes run, drain or are gone. It does not notice silent servers.
 type discovery struct {
 	world           *world
-	endpoints       []policy.ServerInfo // of all that are not gone, in order of their first update
+	endpoints       []policy.ServerInfo // all processes that are not gone, in order of their first update
 	down            bool
-	endpointsBefore []policy.ServerInfo // endpoints when it went down
+	endpointsBefore []policy.ServerInfo // value of endpoints when discovery went down
 }
 
 func (m *machine) info(h policy.Health) policy.ServerInfo {
@@ -17,7 +17,7 @@
 // update records the health of a server's process and notifies the sidecars.
 func (d *discovery) update(m *machine, h policy.Health) {
 	updated := m.info(h)
-	remaining := d.endpoints[:0:0] // a new slice, since the present one may still be in use
+	remaining := d.endpoints[:0:0] // a new slice, because sidecars may still use the present one
 	known := false
 	for _, l := range d.endpoints {
 		if l.ID == updated.ID {
@@ -64,7 +64,8 @@
 // stop takes discovery down; notifications that would arrive while it is down are lost.
 func (d *discovery) stop() { d.down, d.endpointsBefore = true, d.endpoints }
 
-// initialEndpoints returns the list that a sidecar's process starts with; while discovery is down, the last one before.
+// initialEndpoints returns the list that a sidecar's process starts with; while discovery is down, this is the list from before
+// the outage.
 func (d *discovery) initialEndpoints() []policy.ServerInfo {
 	if d.down {
 		return d.endpointsBefore
--- a/internal/testbench/emulator/discovery_test.go
+++ b/internal/testbench/emulator/discovery_test.go
@@ -22,7 +22,7 @@
 	m := w.machines[1]
 	w.discovery.update(m, policy.Draining)
 	until(1550)
-	w.discovery.stop() // with that update in transit
+	w.discovery.stop() // while the update is in transit
 	until(3000)
 	w.discovery.update(m, policy.Gone)
 	until(4000)
--- a/internal/testbench/emulator/emulator_test.go
+++ b/internal/testbench/emulator/emulator_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-// text returns the report in all its formats.
+// text returns the report in all its output formats, one after another.
 func text(t *testing.T, r *Report) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -43,8 +43,8 @@
 		r.Timeline)
 }
 
-// idealQueue returns a configuration without network delays, limits and losses: one server with that many cores of speed 1 and
-// slots, and one class with 10 ms of work.
+// idealQueue returns a configuration without network delays, limits and losses: one server with the given numbers of slots and
+// cores of speed 1, and one class with a mean of 10 ms of work. load is the utilization of the cores.
 func idealQueue(cores float64, slots int, load float64) Config {
 	c := Default(1, 1)
 	c.Policy, c.Seed, c.Zones, c.Rate, c.Seconds = "random", 2, 1, load*cores*100, 400/cores
@@ -83,7 +83,7 @@
 	for _, name := range []string{"deploy", "silence", "restart", "neighbour", "directory"} {
 		cfg.Faults = append(cfg.Faults, Fault{Name: name})
 	}
-	cfg.Faults[2].For = 0.02 // restarts before the clients' retries, whose order would show an iteration over a map
+	cfg.Faults[2].For = 0.02 // sidecars restart before the clients retry; the order of the retries would show a map iteration
 	first := text(t, play(t, cfg, nil))
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	if text(t, play(t, cfg, nil)) != first {
--- a/internal/testbench/emulator/fault.go
+++ b/internal/testbench/emulator/fault.go
@@ -11,13 +11,13 @@
 // Size and Every mean for each kind.
 type Fault struct {
 	Name  string  `json:"name"`
-	At    float64 `json:"at_s"`  // start, from the first arrival on
-	For   float64 `json:"for_s"` // duration
+	At    float64 `json:"at_s"`  // start, in seconds after the first client request
+	For   float64 `json:"for_s"` // duration in seconds
 	Part  float64 `json:"part"`
 	Size  float64 `json:"size"`
 	Every float64 `json:"every_s"`
-	Class string  `json:"class"` // of costly requests
-	Zone  int     `json:"zone"`  // of silence: number, from 1, of the zone, whose processes keep running; 0 = by Part
+	Class string  `json:"class"` // only for costly requests: the class whose requests are costly
+	Zone  int     `json:"zone"`  // only for silence: number of the unreachable zone, from 1; 0 = a part of the servers
 }
 
 func (f Fault) String() string {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// sizeValid reports whether Size is below 1, or up to 1 for failures, for the kinds for which it is a fraction.
+// sizeValid reports whether Size is in range for the kinds for which it is a fraction: below 1, or up to 1 for failures.
 func (f *Fault) sizeValid() bool {
 	switch f.Name {
 	case "neighbour", "deploy":
@@ -221,7 +221,7 @@
 		value  *float64
 		bounds [2]float64
 	}{{&f.For, k.For}, {&f.Part, k.Part}, {&f.Size, k.Size}, {&f.Every, k.Every}} {
-		if v := uniform(rng, field.bounds); *field.value == 0 { // always drawn, so that a given value does not change the others
+		if v := uniform(rng, field.bounds); *field.value == 0 { // always drawn, so that a given value does not change the other draws
 			*field.value = v
 		}
 	}
--- a/internal/testbench/emulator/fault_servers.go
+++ b/internal/testbench/emulator/fault_servers.go
@@ -10,7 +10,7 @@
 	"plankrouter/policy"
 )
 
-// someServers returns a random part of the servers, at least one, and their ids as text.
+// someServers returns a random part of the servers that are alive, but at least one of them, and their ids as text.
 func (w *world) someServers(part float64, rng *rand.Rand) ([]*machine, string) {
 	all := w.alive()
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -79,7 +79,7 @@
 func neighbour(w *world, f Fault, rng *rand.Rand) {
 	until := w.now + f.For*1000
 	forSomeServers(w, f, rng, func(m *machine) {
-		h, index := m.host, len(m.host.taken) // the process may be replaced meanwhile, but the neighbour stays on the host
+		h, index := m.host, len(m.host.taken) // the process may be replaced during the fault, but the neighbour stays on the host
 		h.taken = append(h.taken, 0)
 		set := func(part float64) {
 			h.current.advance()
@@ -118,7 +118,8 @@
 	replace(w, f, rng, 0.1, func(m *machine) { m.rejectsProbes = true })
 }
 
-// replace drains servers in batches, ends each process after its drain and starts one with a new id in its place.
+// replace drains servers in batches, ends each process after its drain and starts one with a new id in its place. A batch is the
+// fraction batch of the servers; change sets properties of each new server.
 func replace(w *world, f Fault, rng *rand.Rand, batch float64, change func(*machine)) {
 	some, ids := w.someServers(f.Part, rng)
 	n := max(1, int(math.Round(batch*float64(len(w.alive())))))
--- a/internal/testbench/emulator/judge.go
+++ b/internal/testbench/emulator/judge.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	maxBreaches         = 20      // that are reported for each rule; all are counted
-	maxArrivalsShown    = 12      // in the breach of an overloaded cold server, the last ones
-	minNotifiedFraction = 2.0 / 3 // of the work, from notified sidecars, for the overload of a cold server to break a rule
-	drainSlack          = 0.5     // ms after the drain grace in which a request may still be sent, for the rounding of clocks
+	maxBreaches         = 20      // breaches that are reported for each rule; all are counted
+	maxArrivalsShown    = 12      // number of the latest arrivals that the breach of an overloaded cold server lists
+	minNotifiedFraction = 2.0 / 3 // least fraction of the work from notified sidecars for a cold server's overload to break a rule
+	drainSlack          = 0.5     // ms after the drain grace in which a request may still be sent, to allow for rounding of times
 )
 
 // Rule is an invariant of every run. Its text is its name in reports.
@@ -30,11 +30,11 @@
 type Breach struct {
 	Rule    Rule     `json:"rule"`
 	At      float64  `json:"at_s"`
-	Sidecar int      `json:"sidecar"` // -1 = no single one
-	Request uint32   `json:"request"` // its number at the sidecar; 0 = none
+	Sidecar int      `json:"sidecar"` // -1 = the breach concerns no single sidecar
+	Request uint32   `json:"request"` // number of the request at the sidecar; 0 = none
 	Server  uint32   `json:"server"`  // 0 = none
 	What    string   `json:"what"`
-	Steps   []string `json:"steps"` // events that led to it
+	Steps   []string `json:"steps"` // events that led to the breach
 }
 
 // step is an event in the history of a request.
@@ -85,24 +85,24 @@
 	timeline []string
 
 	all           servedFraction
-	seconds       []servedFraction // by the second of the arrival
-	inTime        []servedFraction // the same with a weight of 1 for each request
+	seconds       []servedFraction // one for each second of the run, by the request's arrival
+	inTime        []servedFraction // like seconds, but with a weight of 1 for each request
 	classes       []servedFraction
-	tenants       []servedFraction // within their quotas
+	tenants       []servedFraction // one for each tenant, of the requests within its quota
 	quota         []bucket
 	rows          []Row
-	tally         Row // of the current second
+	tally         Row // counts of the current second
 	late          int
 	clientsLeft   int
 	lost          int
 	servedCount   int
 	requestCount  int
 	inObjective   int
-	latencySum    float64 // of served requests, from the first client attempt on
+	latencySum    float64 // sum of the latencies in ms of served requests, from the first client attempt on
 	workDone      float64
 	workUsed      float64
 	workRequested float64
-	waitSum       float64 // of started jobs, for a slot
+	waitSum       float64 // sum of the waits for a slot in ms of started jobs
 	startedJobs   int
 
 	attempts, crossZone, probes, handshakes, rejected, jams, coldOverloads int
@@ -146,7 +146,7 @@
 	j.breaches = append(j.breaches, b)
 }
 
-// ---- What is requested and served.
+// ---- Counts of requests and responses.
 
 // requestArrived counts a client request and returns whether it is within its tenant's quota.
 func (j *judge) requestArrived(a *clientRequest) (withinQuota bool) {
--- a/internal/testbench/emulator/judge_test.go
+++ b/internal/testbench/emulator/judge_test.go
@@ -33,7 +33,7 @@
 		rule    Rule
 		fault   Fault
 		make    func(Policy) mutant
-		request uint32 // 0 = any
+		request uint32 // expected Breach.Request; 0 = any
 		what    string
 	}{
 		{"never responds", OneResponse, Fault{Name: "surge", Size: 1}, func(p Policy) mutant {
--- a/internal/testbench/emulator/network.go
+++ b/internal/testbench/emulator/network.go
@@ -5,10 +5,10 @@
 // conn is a connection of a sidecar to a server's process.
 type conn struct {
 	machine *machine
-	index   int // in machine.conns
+	index   int // index in machine.conns
 	attempt *attempt
 	idleAt  policy.Ms
-	closed  bool // by either end, or with the process
+	closed  bool // closed by either end, or because the process ended
 }
 
 // close closes the connection at both ends; the server continues to process a request on it.
@@ -37,21 +37,21 @@
 // attempt is an attempt of a request, or a probe, at a server.
 type attempt struct {
 	sidecar     *sidecar
-	incarnation int      // of the sidecar when it started
+	incarnation int      // incarnation of the sidecar when the attempt started
 	request     *request // nil = a probe
 	number      int
 	machine     *machine
 	conn        *conn
 	startedAt   policy.Ms
-	connectedAt policy.Ms // when its connection was established, if it was new
-	work        float64   // that the server does for it
-	queued      *job      // its job while that waits for a slot, else nil
-	written     bool      // it has been sent completely, so that it may run
+	connectedAt policy.Ms // when the connection was established, if the attempt opened it
+	work        float64   // work in ms that the server does for the attempt
+	queued      *job      // the attempt's job while it waits for a slot, else nil
+	written     bool      // the request has been sent completely, so that it may run
 	ended       bool
 }
 
-// connect opens a connection for a. It is refused without a process or above Server.Connections, and times out if the server
-// is unreachable.
+// connect opens a connection for a. The connection is refused if the server has no process or Server.Connections connections are
+// open, and times out if the server is unreachable.
 func (w *world) connect(a *attempt) {
 	sc, m := a.sidecar, a.machine
 	w.after(w.delay(sc.zone, m.zone), func() {
@@ -78,7 +78,7 @@
 	reset := w.resets > 0 && w.rngNetwork.Float64() < w.resets
 	w.after(w.delay(a.sidecar.zone, m.zone), func() {
 		switch {
-		case incarnation != m.incarnation || !w.reachable(m, a.sidecar): // already reset, or lost
+		case incarnation != m.incarnation || !w.reachable(m, a.sidecar): // the connection has been reset, or the message is lost
 		case reset:
 			w.after(w.delay(m.zone, a.sidecar.zone), func() { a.sidecar.connReset(a) })
 		case a.request == nil:
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -18,13 +18,13 @@
 type Overload struct {
 	Sidecars         int     `json:"sidecars"`
 	Servers          int     `json:"servers"`
-	Load             float64 `json:"load"`    // rate of client requests as a fraction of the servers' usable capacity
+	Load             float64 `json:"load"`    // client requests per second as a fraction of those the servers can process
 	Reports          string  `json:"reports"` // one of OverloadReports
 	Event            string  `json:"event"`   // one of OverloadEvents
-	Seed             uint64  `json:"seed"`    // of the run
+	Seed             uint64  `json:"seed"`    // seed of the run
 	Policy           string  `json:"policy"`
 	PriorityFraction float64 `json:"worthy"`    // fraction of the client requests with five times the priority weight
-	ZoneSkew         float64 `json:"zone_skew"` // as in Config
+	ZoneSkew         float64 `json:"zone_skew"` // see Config.ZoneSkew
 	Drawn            bool    `json:"drawn"`     // settings of servers and clients are drawn from the seed, around their defaults
 	Free             bool    `json:"free"`      // probes and connections cost the servers nothing
 }
@@ -42,10 +42,10 @@
 	overloadBeforeStart     = 4.0  // s at which OverloadResult.Before starts
 	overloadEventStart      = 10.0 // s at which the event starts and Before ends, also without an event
 	overloadRecoverySeconds = 5.0  // s after the event's end at which OverloadResult.After starts
-	overloadAverageSeconds  = 2    // s over which the share is averaged to find its recovery
-	overloadStream          = 2000 // index of the random stream of Overload.Drawn
-	overloadRecoveredMargin = 0.05 // the share has recovered when it is this close to the one before the event
-	overloadUsableCapacity  = 0.88 // fraction of the cores' capacity; above it, even the oracle jams servers or rejects requests
+	overloadAverageSeconds  = 2    // s over which the served share is averaged to find its recovery
+	overloadStream          = 2000 // index of the random stream from which Overload.Drawn draws
+	overloadRecoveredMargin = 0.05 // the share has recovered when it is at most this much below the share before the event
+	overloadUsableCapacity  = 0.88 // fraction of the cores' capacity above which even the oracle jams servers or rejects requests
 )
 
 // overloadEvent returns the faults of an event and its duration in s.
@@ -123,27 +123,28 @@
 	return c, c.Check()
 }
 
-// OverloadResult is the result of a run. Shares are fractions of the client requests, served within the latency objective.
+// OverloadResult is the result of a run. A share is the fraction of the client requests that were served within the latency
+// objective.
 type OverloadResult struct {
 	Overload
-	Share           float64 `json:"share"`   // of the whole run
-	WeightedShare   float64 `json:"worth"`   // the same by priority weight; requests above a tenant's quota count a tenth
-	BestClass       float64 `json:"best"`    // the same of the class with the highest priority weight
-	Before          float64 `json:"before"`  // from 4 s on to the event's start
-	During          float64 `json:"during"`  // from the event's start to 5 s after its end
-	After           float64 `json:"after"`   // from then on
+	Share           float64 `json:"share"`   // share of the whole run
+	WeightedShare   float64 `json:"worth"`   // Share by priority weight; requests above a tenant's quota count a tenth
+	BestClass       float64 `json:"best"`    // WeightedShare of the class with the highest priority weight
+	Before          float64 `json:"before"`  // share from 4 s to the event's start
+	During          float64 `json:"during"`  // share from the event's start to 5 s after its end
+	After           float64 `json:"after"`   // share from 5 s after the event's end on
 	RecoverySeconds float64 `json:"back_s"`  // s after the event's end until the share stays within 0.05 of Before; -1 = never
-	Rejected        float64 `json:"refused"` // final responses of sidecars per client request, as are Failed
+	Rejected        float64 `json:"refused"` // rejections by sidecars per client request
 	Failed          float64 `json:"failed"`
-	Tries           float64 `json:"tries"` // client attempts per client request; the next four are per client request, too
+	Tries           float64 `json:"tries"` // client attempts per client request; the next four fields are per client request, too
 	Attempts        float64 `json:"attempts"`
-	TimedOut        float64 `json:"timed_out"` // attempts at servers
+	TimedOut        float64 `json:"timed_out"` // attempts at servers that timed out
 	Probes          float64 `json:"probes"`
 	Handshakes      float64 `json:"handshakes"`
-	Conns           float64 `json:"connections"` // mean per server
-	Jammed          float64 `json:"choked"`      // mean fraction of the servers from the event on
+	Conns           float64 `json:"connections"` // mean number of open connections per server
+	Jammed          float64 `json:"choked"`      // mean fraction of the servers that are jammed from the event's start on
 	Waste           float64 `json:"waste"`
-	Broken          int     `json:"broken"` // violations of rules
+	Broken          int     `json:"broken"` // number of violations of rules
 	Rows            []Row   `json:"rows"`
 	Report          *Report `json:"-"`
 }
@@ -191,7 +192,8 @@
 	return overloadEventStart + duration
 }
 
-// inTime returns the fraction of the client requests of those seconds that were served within the latency objective.
+// inTime returns the fraction of the client requests that arrived in seconds from to to (exclusive) and were served within the
+// latency objective.
 func inTime(rows []Row, from, to float64) float64 {
 	p := servedFraction{}
 	for _, r := range rows[min(len(rows), int(from)):min(len(rows), int(to))] {
@@ -200,7 +202,8 @@
 	return p.ratio()
 }
 
-// secondsUntilRecovered returns how many seconds after from the averaged share reaches want and stays there; -1 if it doesn't.
+// secondsUntilRecovered returns how many seconds after second from the averaged share reaches want and stays there, or -1 if it
+// doesn't.
 func secondsUntilRecovered(rows []Row, from int, want float64) float64 {
 	last := int(overloadSeconds) - overloadAverageSeconds
 	for at := last; at >= from; at-- {
@@ -216,7 +219,7 @@
 }
 
 // PlayOverloads simulates runs in up to workers goroutines and returns their results in the same order. done, if not nil, is
-// called with each result as soon as it is there, but not concurrently.
+// called with each result as soon as its run ends, but never concurrently.
 func PlayOverloads(ctx context.Context, runs []Overload, workers int, done func(*OverloadResult)) ([]*OverloadResult,
 	error,
 ) {
@@ -254,7 +257,7 @@
 }
 
 // WriteOverloads writes a table with a line for each run, and one of means over the seeds with a column for each number of
-// sidecars. With bySecond it also writes the seconds of each run.
+// sidecars. With bySecond it also writes a line for each second of each run.
 func WriteOverloads(out io.Writer, results []*OverloadResult, bySecond bool) error {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "event\treports\tload\tseed\tsidecars\tshare\tworth\tbest class\tbefore\tduring\tafter\tback s\trefused\tfailed\t"+
@@ -292,7 +295,7 @@
 }
 
 // writeMeans writes, by number of sidecars, the mean share after the event over the seeds and, in brackets, that of the whole
-// run. Behind them it writes how many of the runs recovered in time, and of how many.
+// run, followed by the number of runs that recovered in time and the number of all runs.
 func writeMeans(out io.Writer, t *tabwriter.Writer, results []*OverloadResult) {
 	sizes, rows := sizesAndRows(results)
 	fmt.Fprintln(out, "\nmeans over the seeds: share after the event (of the whole run), runs recovered to the best share "+
@@ -328,7 +331,7 @@
 }
 
 // bestBefore returns the highest mean share before the event among the given numbers of sidecars. It is the reference for the
-// recovery at all these numbers, so that one with a low share all along does not count as recovered.
+// recovery at all these numbers, so that a number of sidecars with a low share throughout the run does not count as recovered.
 func bestBefore(results []*OverloadResult, row Overload, sizes []int) (best float64) {
 	for _, n := range sizes {
 		var before, runs float64
@@ -343,7 +346,7 @@
 	return best
 }
 
-// writeMean writes a cell of the table of means and returns the mean share after the event.
+// writeMean writes a cell of the table of means (see writeMeans) and returns the mean share after the event.
 func writeMean(t *tabwriter.Writer, results []*OverloadResult, row Overload, sidecars int, target float64) float64 {
 	var after, overall, runs float64
 	recovered := 0
--- a/internal/testbench/emulator/overload_test.go
+++ b/internal/testbench/emulator/overload_test.go
@@ -13,7 +13,7 @@
 func TestWaitsHoldASlotAndNoCore(t *testing.T) {
 	cfg := idealQueue(1, 1e6, 0.5)
 	cfg.Classes[0].WaitMs = 20
-	if r := play(t, cfg, nil); math.Abs(r.MeanMs/40-1) > 0.06 { // 20 ms of M/M/1 with processor sharing, plus the wait
+	if r := play(t, cfg, nil); math.Abs(r.MeanMs/40-1) > 0.06 { // 20 ms as in M/M/1 with processor sharing, plus 20 ms of waiting
 		t.Errorf("mean latency with a wait of 20 ms: %.2f ms, want 40", r.MeanMs)
 	}
 	cfg.Server.Slots = 1
--- a/internal/testbench/emulator/policies.go
+++ b/internal/testbench/emulator/policies.go
@@ -8,16 +8,16 @@
 	"plankrouter/policy"
 )
 
-const jamMargin = 3 // requests that may be in transit to a server, which its RIF does not include
+const jamMargin = 3 // requests that the oracle assumes in transit to a server, since the server's RIF does not include them
 
-// Policy decides for one sidecar. policy.Balancer implements it; the baseline policies are for comparison.
+// Policy makes the decisions of one sidecar. policy.Balancer implements it; the baseline policies serve as a comparison.
 type Policy interface {
 	Handle(now policy.Ms, e *policy.Event, out []policy.Action) []policy.Action
 }
 
 // Policies returns the names of the policies: policy.Balancer (module); a random server (random); the servers in turn
-// (round-robin); the server with the fewest requests of this sidecar (least); and the best server by the actual state of all
-// servers, which no real sidecar can know (oracle).
+// (round-robin); the server with the fewest requests in flight from this sidecar (least); and the best server by the actual
+// state of all servers, which no real sidecar can know (oracle).
 func Policies() []string { return []string{"module", "random", "round-robin", "least", "oracle"} }
 
 func newPolicy(w *world, sc *sidecar, seed uint64) (Policy, error) {
@@ -68,13 +68,13 @@
 	return work/fractions*max(m.cores, float64(m.inFlight()+1))/m.power() + 2*w.far[sc.zone][m.zone]
 }
 
-// baseline sends each request to the server of the lowest rank and retries where that is safe. Only the oracle rejects requests
-// while a server is ready. It respects the rules on responses, retries and drains, but ignores slow start.
+// baseline sends each request to the server of the lowest rank and retries where a retry is safe. Only the policy oracle rejects
+// requests while a server is ready. Baselines respect the rules on responses, retries and drains, but ignore slow start.
 type baseline struct {
 	cfg           policy.Config
 	rng           *rand.Rand
 	rank          func(policy.ServerID) float64
-	onPick        func(policy.ServerID) // may be nil
+	onPick        func(policy.ServerID) // called with the chosen server; may be nil
 	picks         int
 	rankIsLatency bool // rank is the expected latency in ms; requests that would miss the latency objective are rejected
 	ready         []policy.ServerID
@@ -154,8 +154,8 @@
 	return append(acts, policy.Action{Kind: policy.StartAttempt, Request: id, Server: best, After: c.deadline - now})
 }
 
-// lowestRanked returns a random one of the servers of the lowest rank, and that rank. It skips the server of the last attempt
-// while there is another.
+// lowestRanked returns a random one of the ready servers of the lowest rank, and that rank. It skips the server of the last
+// attempt if another server is ready.
 func (b *baseline) lowestRanked(c *openRequest) (best policy.ServerID, lowest float64) {
 	ties := 0
 	for _, s := range b.ready {
--- a/internal/testbench/emulator/report.go
+++ b/internal/testbench/emulator/report.go
@@ -20,34 +20,34 @@
 	Seconds  float64  `json:"seconds"`
 	Faults   []string `json:"troubles"`
 
-	Requests      int            `json:"requests"` // of clients, without retries
+	Requests      int            `json:"requests"` // client requests, without retries
 	InObjective   int            `json:"in_aim"`
 	Late          int            `json:"late"`         // served within the deadline, but after the latency objective
 	Service       float64        `json:"service"`      // fraction of the requests that were served in time, by weight
 	WorstWindow   float64        `json:"worst_window"` // lowest service of any 10 s, or of the whole run if that is shorter
 	WorstWindowAt float64        `json:"worst_window_at_s"`
 	Classes       []NamedService `json:"classes"`
-	Tenants       []NamedService `json:"tenants"` // within their quotas
+	Tenants       []NamedService `json:"tenants"` // service of each tenant, of the requests within its quota
 	WorstClass    float64        `json:"worst_class"`
 	WorstTenant   float64        `json:"worst_tenant"`
-	MeanMs        float64        `json:"mean_ms"` // of served requests, from the first client attempt's intended start
+	MeanMs        float64        `json:"mean_ms"` // mean latency of served requests, from the first client attempt's intended start
 	WaitMs        float64        `json:"wait_ms"` // mean wait of an attempt for a slot
 
 	Waste         float64 `json:"waste"`    // work that did not lead to a served request, as a fraction of the work requested
-	Attempts      float64 `json:"attempts"` // per request, as are the next three
+	Attempts      float64 `json:"attempts"` // attempts at servers per request; the next three fields are per request, too
 	Probes        float64 `json:"probes"`
 	CrossZone     float64 `json:"crossings"` // attempts in another zone
 	Handshakes    float64 `json:"handshakes"`
-	ProbesEach    float64 `json:"probes_each"`  // per server and second
-	MaxProbes     float64 `json:"probes_most"`  // per second, of the server that received the most
-	ConnsMean     float64 `json:"conns_mean"`   // per server
-	MaxConns      int     `json:"conns_most"`   // of any server at any time
+	ProbesEach    float64 `json:"probes_each"`  // probes per server and second
+	MaxProbes     float64 `json:"probes_most"`  // probes per second of the server that received the most
+	ConnsMean     float64 `json:"conns_mean"`   // mean number of open connections per server
+	MaxConns      int     `json:"conns_most"`   // largest number of open connections of any server at any time
 	Rejected      int     `json:"turned_away"`  // attempts rejected by full or draining servers
-	Jams          int     `json:"jams"`         // of servers
+	Jams          int     `json:"jams"`         // number of times that a server jammed
 	ColdOverloads int     `json:"falls"`        // servers whose process was ended by overload in slow start
 	ClientsLeft   int     `json:"clients_left"` // client attempts abandoned before their timeout
 	Lost          int     `json:"lost"`         // client attempts in flight at a sidecar that was killed
-	Events        uint64  `json:"events"`       // processed by the emulator
+	Events        uint64  `json:"events"`       // events processed by the emulator
 
 	Broken   map[Rule]int `json:"broken"`
 	Breaches []Breach     `json:"breaches"` // the first 20 of each rule
@@ -66,15 +66,15 @@
 // Row is one second of a run.
 type Row struct {
 	Second      int
-	Requests    int // of clients, without retries
+	Requests    int // client requests, without retries
 	InObjective int
 	Late        int
-	Rejected    int // final responses of sidecars, as are Failed
+	Rejected    int // rejections by sidecars; Failed: their final responses for failed requests
 	Failed      int
 	Attempts    int
 	Probes      int
-	InFlight    int // at all servers at the end of the second, as are the next four
-	MaxInFlight int // at any server
+	InFlight    int // requests in flight at all servers; this and the next four fields: at the end of the second
+	MaxInFlight int // largest number of requests in flight at any server
 	Conns       int
 	Jammed      int // number of jammed servers
 	Silent      int // number of unreachable servers
@@ -82,7 +82,7 @@
 	InTime      float64 // fraction of the requests of that second that were served within the latency objective
 
 	Tries    int // client attempts, including the first ones
-	TimedOut int // attempts at servers
+	TimedOut int // attempts at servers that timed out
 }
 
 // row appends the Row of the current second and starts the next second.
--- a/internal/testbench/emulator/schedule.go
+++ b/internal/testbench/emulator/schedule.go
@@ -21,7 +21,7 @@
 	heap      []event
 }
 
-// at schedules do for time t, or for now if t has passed.
+// at schedules do for time t, or for the present time if t has passed.
 func (s *schedule) at(t policy.Ms, do func()) {
 	s.seq++
 	e := event{max(t, s.now), s.seq, do}
--- a/internal/testbench/emulator/server.go
+++ b/internal/testbench/emulator/server.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	tickInterval         = 50.0  // ms between updates of what changes over time: slow start, jams and overhead
+	tickInterval         = 50.0  // ms between two calls of machine.tick, which updates slow start, jams and overhead
 	latencyWeight        = 0.1   // weight of one request in the moving average of the reported service time
 	overheadTimeConstant = 500.0 // time constant in ms over which the work of probes and handshakes is spread
 	failureTime          = 2.0   // ms until a failing server responds
@@ -37,17 +37,17 @@
 	phase         phase
 	incarnation   int // changes with its process
 
-	progress, rate float64 // work done for each running request since the start of the run, and per ms at present
+	progress, rate float64 // work done for each running request since the process started, and work per ms at present
 	progressAt     policy.Ms
 	running        []*job // a heap by endsAt
-	waiting        []*job // in order of arrival; those before head have left
+	waiting        []*job // in order of arrival; the jobs before index head have left the queue
 	head           int
-	cancelled      int    // jobs of waiting, from head on, that are cancelled
-	blocked        int    // jobs that hold a slot, but no core, while they wait for other services
-	completionSeq  uint64 // number of the latest scheduled completion; earlier ones are ignored
+	cancelled      int    // number of cancelled jobs in waiting, from head on
+	blocked        int    // number of jobs that hold a slot, but no core, while they wait for other services
+	completionSeq  uint64 // number of the latest scheduled completion; completions scheduled before are ignored
 
-	host            *host   // on which it runs
-	failing         float64 // fraction of the requests that it fails
+	host            *host   // host on which the process runs
+	failing         float64 // fraction of the requests that the server fails
 	slow            float64 // factor on the work of a request
 	rejectsProbes   bool
 	paused          bool
@@ -58,12 +58,12 @@
 	overhead        float64 // work per ms that probes and handshakes take
 
 	conns         []*conn
-	probeTokens   float64 // token bucket of MaxProbes
+	probeTokens   float64 // tokens in the bucket that enforces Server.MaxProbes
 	probeTokensAt policy.Ms
 	reportedAt    policy.Ms
 	reportedRIF   float64
 	latency       policy.Ms     // moving average of the service time, without the wait for a slot
-	arrivals      []coldArrival // during slow start, within the last OverloadWindow
+	arrivals      []coldArrival // requests that arrived during slow start within the last OverloadWindow
 	arrivedWork   float64       // sum of the work of arrivals
 	probes        int
 	maxConns      int
@@ -107,12 +107,12 @@
 	return max(minPower, p-m.overhead)
 }
 
-// advance updates progress to the present; it is called before a change of the state, and reschedule after it.
+// advance updates progress to the present time. It is called before each change of the state, and reschedule after the change.
 func (m *machine) advance() {
 	m.progress += m.rate * (m.world.now - m.progressAt)
 	m.progressAt = m.world.now
 	if every := m.world.cfg.Server.ReportEvery; m.world.now-m.reportedAt >= every {
-		m.reportedAt = every * math.Floor(m.world.now/every) // the requests in flight have not changed since then
+		m.reportedAt = every * math.Floor(m.world.now/every) // the number of requests in flight has not changed since then
 		m.reportedRIF = float64(m.inFlight())
 	}
 }
@@ -134,7 +134,7 @@
 	})
 }
 
-// updateJamTimers records since when the server is overloaded or idle, which starts and ends jams.
+// updateJamTimers records since when the server is overloaded or idle; tick starts and ends jams by these times.
 func (m *machine) updateJamTimers() {
 	set := &m.world.cfg.Server
 	inFlight, cores := float64(m.inFlight()), m.cores
@@ -149,7 +149,7 @@
 	update(&m.idleSince, inFlight <= set.JamIdle*cores)
 }
 
-// tick updates what changes over time: overhead and jams, and the rate at which requests run, which also depends on slow start.
+// tick updates what changes over time: overhead, jams and the rate at which requests run, which also depends on slow start.
 func (m *machine) tick() {
 	set, now := &m.world.cfg.Server, m.world.now
 	m.advance()
@@ -167,7 +167,8 @@
 // addOverhead adds work that takes capacity from the requests.
 func (m *machine) addOverhead(work float64) { m.overhead += work / overheadTimeConstant }
 
-// probe responds to a probe, which does not wait for a slot. The reported RIF is that of the last update; both values are noisy.
+// probe responds to a probe, which does not wait for a slot. The reported RIF is that of the last update; RIF and latency are
+// noisy.
 func (m *machine) probe(a *attempt) {
 	set, now := &m.world.cfg.Server, m.world.now
 	m.probes++
@@ -186,7 +187,7 @@
 	noise := func() float64 { return max(0, 1+set.ReportNoise*m.world.rngServers.NormFloat64()) }
 	if set.NoReport {
 		wait := 0.0
-		if set.ProbesQueue { // it shares the cores with the running requests
+		if set.ProbesQueue { // the probe shares the cores with the running requests
 			wait = set.ProbeWork * max(m.cores, float64(len(m.running)+1)) / m.power()
 		}
 		m.world.after(wait, func() { m.reply(a, policy.OK, policy.Report{}) })
--- a/internal/testbench/emulator/server_process.go
+++ b/internal/testbench/emulator/server_process.go
@@ -68,7 +68,7 @@
 	m.world.discovery.update(m, policy.Ready)
 }
 
-// closeIdleConns closes connections that have been idle for too long, and samples the number of open ones.
+// closeIdleConns closes connections that have been idle for too long, and samples the number of open connections.
 func (m *machine) closeIdleConns() {
 	for i := 0; i < len(m.conns); i++ {
 		if c := m.conns[i]; c.attempt == nil && m.world.now-c.idleAt >= m.world.cfg.Server.Idle {
--- a/internal/testbench/emulator/server_queue.go
+++ b/internal/testbench/emulator/server_queue.go
@@ -8,18 +8,18 @@
 type job struct {
 	attempt   *attempt
 	work      float64
-	wait      policy.Ms // for other services after the work, in its slot, but without a core
+	wait      policy.Ms // wait for other services after the work; the job then holds a slot, but no core
 	arrivedAt policy.Ms
 	startedAt policy.Ms
-	endsAt    float64 // value of machine.progress at which its work is done
-	cancelled bool    // its attempt has ended while it waited for a slot
+	endsAt    float64 // value of machine.progress at which the job's work is done
+	cancelled bool    // the attempt ended while the job waited for a slot
 }
 
 // acceptRequest handles a request that has arrived completely.
 func (m *machine) acceptRequest(a *attempt) {
 	set := &m.world.cfg.Server
 	m.countColdArrival(a)
-	if m.phase == dead { // this request has overloaded it in slow start
+	if m.phase == dead { // this request has overloaded the server in slow start, which ended the process
 		return
 	}
 	switch {
--- a/internal/testbench/emulator/sidecar.go
+++ b/internal/testbench/emulator/sidecar.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	probeTimeout = 200.0 // ms, as in the sidecar program
+	probeTimeout = 200.0 // timeout of a probe in ms, as in the sidecar program
 	timeoutLead  = 0.1   // ms by which an attempt's timeout precedes a timer for the same time
 	graceMargin  = 100.0 // ms before the end of the drain grace; from then on the sidecar sends no new request to the server
 )
@@ -23,7 +23,7 @@
 	incarnation   int // number of kills so far, which invalidates events of earlier processes
 	running       bool
 	policy        Policy
-	starts        uint64 // processes so far; each has its own seed
+	starts        uint64 // number of processes started so far; each has its own seed
 	known         map[policy.ServerID]*knownServer
 	inFlight      map[policy.RequestID]*request
 	nextID        policy.RequestID
@@ -38,7 +38,7 @@
 	machine    *machine
 	health     policy.Health
 	startedAt  policy.Ms
-	notifiedAt policy.Ms // when the sidecar was notified that it is ready, or first that it is not
+	notifiedAt policy.Ms // when the sidecar was notified that the server is ready, or first that it no longer is
 	idle       []*conn
 }
 
@@ -46,7 +46,7 @@
 type request struct {
 	id               policy.RequestID
 	origin           *clientRequest
-	number           int // of the client attempt; the first is 1
+	number           int // number of the client attempt; the first is 1
 	timeLeft         policy.Ms
 	attempts         int
 	attemptsInFlight int
@@ -104,7 +104,7 @@
 	return k != nil && k.startedAt == m.startedAt
 }
 
-// endpointsUpdated applies the complete endpoint list or changes of it, and notifies the policy.
+// endpointsUpdated applies a complete endpoint list or changes to the list, and notifies the policy.
 func (s *sidecar) endpointsUpdated(changes []policy.ServerInfo, complete bool) {
 	now := s.world.now
 	named := map[policy.ServerID]bool{}
@@ -163,7 +163,7 @@
 	s.step(policy.Event{Kind: policy.ClientGone, Request: r.id})
 }
 
-// step passes an event to the policy and executes the actions it returns. Events that arise meanwhile are queued.
+// step passes an event to the policy and executes the actions it returns. Events that occur in the meantime are queued.
 func (s *sidecar) step(e policy.Event) {
 	s.pending = append(s.pending, e)
 	if s.stepping {
@@ -231,7 +231,7 @@
 	s.startAttempt(att, max(timeoutLead, a.After-timeoutLead))
 }
 
-// startAttempt starts an attempt or a probe, on an idle connection if there is one, and ends it after timeout.
+// startAttempt starts an attempt or a probe, on an idle connection if there is one, and ends the attempt after timeout.
 func (s *sidecar) startAttempt(a *attempt, timeout policy.Ms) {
 	w := s.world
 	a.incarnation, a.startedAt = s.incarnation, w.now
@@ -300,7 +300,7 @@
 		return
 	}
 	a.ended = true
-	if a.incarnation != s.incarnation { // its process has been killed
+	if a.incarnation != s.incarnation { // the sidecar's process that started it has been killed
 		if a.conn != nil {
 			a.conn.close()
 		}
@@ -362,7 +362,7 @@
 	})
 }
 
-// respond sends the policy's own final response.
+// respond sends the client the final response, a rejection or a failure, that the policy has decided on.
 func (s *sidecar) respond(id policy.RequestID, kind policy.ActionKind) {
 	r := s.inFlight[id]
 	s.world.judge.finalResponse(s, id, r, kind)
@@ -376,7 +376,7 @@
 	s.world.responded(r, kind)
 }
 
-// mix hashes two values to a seed with the finalizer of SplitMix64.
+// mix returns a seed, a hash of two values by the finalizer of SplitMix64.
 func mix(a, b uint64) uint64 {
 	x := a + b*0x9e3779b97f4a7c15 + math.MaxUint32
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/testbench/emulator/world.go
+++ b/internal/testbench/emulator/world.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	leadTime         = 1000.0  // ms before the first arrival, in which the sidecars start
+	leadTime         = 1000.0  // ms before the first client request, in which the sidecars start
 	ctxCheckInterval = 1 << 14 // events between two checks of the context
 	sampleInterval   = 1000.0  // ms between two rows of the report, and between two sweeps of idle connections
 )
@@ -21,12 +21,12 @@
 type world struct {
 	schedule
 	cfg       Config
-	machines  []*machine // including those whose process has ended, in order of their start
+	machines  []*machine // all machines, including those whose process has ended, in order of their start
 	byID      map[policy.ServerID]*machine
 	sidecars  []*sidecar
 	discovery *discovery
 	judge     *judge
-	hosted    func(sc *sidecar, seed uint64) Policy // creates the policy of a sidecar's process
+	hosted    func(sc *sidecar, seed uint64) Policy // returns a new policy for a sidecar's process
 
 	far    [][]policy.Ms // one-way delay between zones, without jitter
 	cut    []bool        // zones that are isolated by a fault
@@ -55,7 +55,7 @@
 	Wrap func(sidecar int, own Policy) Policy
 }
 
-// Run simulates one run and returns its report, or ctx's error if ctx ends before. It is safe for concurrent use.
+// Run simulates one run and returns its report, or the error of ctx if ctx ends first. It is safe for concurrent use.
 func Run(ctx context.Context, cfg Config, o Options) (*Report, error) {
 	w, err := newWorld(cfg, o)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return m
 }
 
-// every calls do once per period, for the first time after one period.
+// every calls do once per period, the first time after one period.
 func (w *world) every(period policy.Ms, do func()) {
 	w.after(period, func() {
 		do()
@@ -216,7 +216,7 @@
 // uniform draws from the range r.
 func uniform(rng *rand.Rand, r [2]float64) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
-// lognormal draws from the distribution with that mean and coefficient of variation.
+// lognormal draws from the lognormal distribution with the given mean and coefficient of variation cv.
 func lognormal(rng *rand.Rand, mean, cv float64) float64 {
 	variance := math.Log(1 + cv*cv)
 	return mean * math.Exp(math.Sqrt(variance)*rng.NormFloat64()-variance/2)
@@ -261,7 +261,7 @@
 // nextArrival returns a function that sends the next client request and schedules itself for the one after it.
 func (w *world) nextArrival() func() {
 	cfg := &w.cfg
-	cumulative := make([]float64, cfg.Sidecars) // weights of the sidecars' traffic
+	cumulative := make([]float64, cfg.Sidecars) // cumulative weights by which a request's sidecar is drawn
 	sum := 0.0
 	for i := range cumulative {
 		weight := math.Pow(float64(i+1), -cfg.Skew)
@@ -337,8 +337,8 @@
 	}
 }
 
-// responded handles a final response at the client: kind is StartAttempt for that of a server, RejectRequest or FailRequest for
-// that of the sidecar.
+// responded handles a final response at the client. kind is StartAttempt if the response comes from a server, and RejectRequest
+// or FailRequest if it comes from the sidecar.
 func (w *world) responded(r *request, kind policy.ActionKind) {
 	a := r.origin
 	switch {
