--- a/internal/testbench/fakes/client.go
+++ b/internal/testbench/fakes/client.go
@@ -19,7 +19,7 @@
 type ConnPool struct {
 	Dial     func(ctx context.Context, address string) (net.Conn, error)
 	Address  string // host:port
-	MaxConns int    // a request waits when all are busy; 0 = no limit
+	MaxConns int    // limit on open connections; a request waits when all are busy; 0 = no limit
 
 	// Read reads one whole response and returns as much of its body as the caller needs.
 	Read func(*bufio.Reader) (*http.Response, []byte, error)
@@ -28,14 +28,14 @@
 
 	mutex   sync.Mutex
 	idle    []*clientConn // most recently used last
-	open    int           // or being dialed
+	open    int           // number of connections that are open or being dialed
 	waiters []chan *clientConn
 	usage   Usage
 }
 
 // Usage is the connection statistics of a ConnPool.
 type Usage struct {
-	Opened      int           // connections
+	Opened      int           // connections opened
 	Waits       uint64        // requests that waited because MaxConns connections were open
 	LongestWait time.Duration // the longest of these waits
 }
@@ -44,11 +44,11 @@
 type Exchange struct {
 	SentAt   time.Time      // when the first byte was written; zero = no connection was available
 	Conn     int            // the last connection's number, from 1; 0 = none
-	Resent   bool           // the server closed the reused connection without reading it, and it was sent again on a new one
-	Response *http.Response // fully read; nil = none
+	Resent   bool           // the server closed a reused connection without reading the request, which was sent again on a new one
+	Response *http.Response // completely read response; nil = none
 	Body     []byte
 	Err      error  // why there was no response
-	Result   Result // derived from the status alone, so it is never Wrong
+	Result   Result // outcome by the status alone, so never Wrong
 }
 
 // Send sends a request and waits for its response until the given time. If the server closed a reused connection without
@@ -97,7 +97,7 @@
 
 var errAllConnsBusy = errors.New("all connections that the client may open are busy")
 
-// connect returns an idle connection, a new one, or, with MaxConns open, the next that becomes free before the given time.
+// connect returns an idle connection, a new one, or, with MaxConns open, the next one that becomes free before the given time.
 // With fresh set it returns a new connection only.
 func (c *ConnPool) connect(until time.Time, fresh bool) (*clientConn, error) {
 	c.mutex.Lock()
@@ -201,7 +201,7 @@
 	number         int
 	requestsServed int // requests that got a response
 	results        chan exchangeResult
-	done           chan struct{} // closed with the connection, after which no request is sent
+	done           chan struct{} // closed when the connection is closed, after which no request is sent
 
 	closed bool // guarded by client.mutex
 }
@@ -289,7 +289,7 @@
 	c.closeLocked()
 }
 
-// finish marks the connection's request as done. With keep set the connection is reused, otherwise it is closed.
+// finish marks the connection's request as done. If keep is set, the connection is kept for reuse, otherwise it is closed.
 func (c *clientConn) finish(keep bool) {
 	c.client.mutex.Lock()
 	defer c.client.mutex.Unlock()
@@ -300,7 +300,8 @@
 	}
 }
 
-// exchange sends a request and waits until the given time for the response or the end of the connection.
+// exchange sends a request, waits until the given time for the response or the end of the connection, and returns which of
+// them it was.
 func (c *clientConn) exchange(message []byte, until time.Time) exchangeResult {
 	c.SetDeadline(until)
 	_, err := c.Write(message)
@@ -309,8 +310,8 @@
 	return r
 }
 
-// closedUnread reports whether the server closed the connection before it read the request. In that case the request, and
-// the next write, trigger a reset. Otherwise the server has read the request and may have executed it.
+// closedUnread reports whether the server closed the connection before it read the request. In that case the request
+// or the next write triggers a reset. Otherwise the server has read the request and may have executed it.
 func (c *clientConn) closedUnread(r *exchangeResult) bool {
 	if r.started || r.timedOut() {
 		return false
--- a/internal/testbench/fakes/client_test.go
+++ b/internal/testbench/fakes/client_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// ConnPool reuses, replaces and limits connections. The steps use one pool, each after the deadlines of the one before.
+// TestClient checks that ConnPool reuses, replaces and limits connections. The steps use one pool; each begins after the
+// deadlines of the step before.
 func TestClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
@@ -20,8 +21,8 @@
 		for _, step := range []struct {
 			name     string
 			before   func() // runs before the requests are sent
-			requests int    // 10 ms apart
-			want     string // per request: number of its connection, result, and whether it was sent again
+			requests int    // number of requests, sent 10 ms apart
+			want     string // for each request: number of its connection, result, and whether it was sent again
 		}{
 			{"third request waits", func() {}, 3, "1 served false, 2 served false, 1 served false"},
 			{"most recently used connection is reused", func() {}, 1, "1 served false"},
--- a/internal/testbench/fakes/clients.go
+++ b/internal/testbench/fakes/clients.go
@@ -23,12 +23,12 @@
 	PriorityWeight             float64
 }
 
-// TileClass returns an idempotent class.
+// TileClass returns the class "tile", whose requests are idempotent.
 func TileClass() Class {
 	return Class{Name: "tile", Idempotent: true, LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1}
 }
 
-// OrderClass returns a class whose requests must not be executed twice.
+// OrderClass returns the class "order", whose requests must not be executed twice.
 func OrderClass() Class {
 	return Class{Name: "order", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5}
 }
@@ -37,25 +37,25 @@
 type Stream struct {
 	Class  Class
 	Tenant string
-	Rate   float64 // requests per second, as a Poisson process
+	Rate   float64 // requests per second; they arrive as a Poisson process
 }
 
 // Retry is the clients' retry policy. They retry a rejected request and a failed connect in every class, and a failed
 // request or a lost response only if the class is idempotent.
 type Retry struct {
-	Wait       time.Duration // before each retry
-	MaxRetries int           // per request
+	Wait       time.Duration // pause before each retry
+	MaxRetries int           // highest number of retries of a request
 }
 
 // Load describes the requests that clients send.
 type Load struct {
 	Network  Network
-	Address  string // of the sidecar
-	Seed     uint64 // of arrivals and ids
+	Address  string // host:port of the sidecar
+	Seed     uint64 // seed of arrivals and ids
 	Streams  []Stream
 	Duration time.Duration // from the start to the last arrival
 	Retry    Retry         // zero = no retries
-	MaxConns int           // a request waits when all are busy; 0 = no limit
+	MaxConns int           // limit on open connections; a request waits when all are busy; 0 = no limit
 }
 
 // Result is the outcome of an attempt as its client saw it.
@@ -67,7 +67,7 @@
 	Rejected                  // 429 or 503
 	Failed                    // any other status, or an incomplete response
 	Lost                      // the connection ended without a response
-	TimedOut                  // no response before the deadline; SentAt is zero if it was still waiting for a connection
+	TimedOut                  // no response before the deadline; SentAt is zero if the attempt was still waiting for a connection
 	Unreachable               // no connection could be established
 	Wrong                     // 200 with a body that does not belong to this request
 	results
@@ -83,14 +83,14 @@
 	RequestID   string // id of the request's first attempt
 	Class       Class
 	Tenant      string
-	Number      int       // attempts of the request before this one
-	RequestedAt time.Time // when the first attempt was due
+	Number      int       // number of earlier attempts of the request
+	RequestedAt time.Time // when the request's first attempt was due
 	DueAt       time.Time // when this attempt was due
 	SentAt      time.Time // when the first byte was written; zero = not sent
 	EndedAt     time.Time
 	Conn        int   // the connection's number, from 1; 0 = none
-	Resent      bool  // the server closed the reused connection without reading it, and it was sent again on a new one
-	Status      int   // of the response; 0 = none
+	Resent      bool  // the server closed a reused connection without reading the attempt, which was sent again on a new one
+	Status      int   // status of the response; 0 = no response
 	Err         error // why there was no response
 	Result      Result
 }
@@ -173,7 +173,7 @@
 	return attempts
 }
 
-// sendRequest sends the first attempt t and the retries that the policy allows.
+// sendRequest sends t, the first attempt of a request, and the retries that the retry policy allows.
 func (c *Clients) sendRequest(t Attempt) {
 	until := t.RequestedAt.Add(t.Class.Deadline)
 	for {
@@ -217,7 +217,7 @@
 	}
 }
 
-// encode returns the request's bytes.
+// encode returns the bytes of the attempt's HTTP request.
 func (t *Attempt) encode(until time.Time) []byte {
 	method, body := "GET", ""
 	if !t.Class.Idempotent {
@@ -247,7 +247,8 @@
 	return resp, body, err
 }
 
-// AwaitReady waits until the sidecar at address responds to GET /up with 200. If ctx ends first, it returns the last error.
+// AwaitReady waits until the sidecar at address responds to GET /up with 200. If ctx ends first, it returns
+// the last error of a request.
 func AwaitReady(ctx context.Context, n Network, address string) error {
 	for {
 		err := checkUp(ctx, n, address)
--- a/internal/testbench/fakes/clients_test.go
+++ b/internal/testbench/fakes/clients_test.go
@@ -21,7 +21,7 @@
 	"plankrouter/internal/config"
 )
 
-// Clients classify each kind of response or fault of a server as the matching Result.
+// TestResults checks that clients classify each kind of response or fault of a server as the matching Result.
 func TestResults(t *testing.T) {
 	slowly := Class{Name: "slowly", Idempotent: true, Deadline: time.Second, LatencyObjective: 30 * time.Millisecond}
 	tile, order := TileClass(), OrderClass()
@@ -31,7 +31,7 @@
 		how   Behaviour
 		class Class
 		retry Retry
-		want  string // after "41 requests, "
+		want  string // expected text of the tally after "41 requests, "
 	}{
 		"served":           {Behaviour{}, tile, Retry{}, "41 within objective, served 41"},
 		"above objective":  {Behaviour{Slowdown: 9}, slowly, Retry{}, "0 within objective, served 41"},
@@ -65,7 +65,8 @@
 	}
 }
 
-// A request sent on a reused connection while the server closes it is sent once more and executed once.
+// TestRequestSentDuringClose checks that a request sent on a reused connection while the server closes it is sent once more
+// and executed once.
 func TestRequestSentDuringClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
@@ -97,7 +98,8 @@
 	})
 }
 
-// closedUnread distinguishes a connection closed before the request was read from one closed afterwards.
+// TestClosedUnread checks that closedUnread distinguishes a connection closed before the request was read from one closed
+// afterwards.
 func TestClosedUnread(t *testing.T) {
 	for name, read := range map[string]bool{"read": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
@@ -165,8 +167,9 @@
 	}
 }
 
-// One server of a fleet behind a relay is down for a second, then all are replaced, which the relay's fixed list does not
-// reflect. Service recovers from the first fault and not from the second, and a second run gives the same result.
+// TestFleetRunIsReproducible takes one server of a fleet behind a relay down for a second. Then it replaces all servers, which
+// the relay's fixed list does not reflect. Service must recover from the first fault and not from the second, and a second run
+// must give the same result.
 func TestFleetRunIsReproducible(t *testing.T) {
 	var runs [2][]Window
 	for i := range runs {
@@ -221,7 +224,7 @@
 
 func TestRecoveryTime(t *testing.T) {
 	start := time.Unix(1e9, 0)
-	for script, want := range map[string]string{ // requests served of 20 in each 250 ms window; the last window is ignored
+	for script, want := range map[string]string{ // served of 20 requests in each 250 ms window; the last window is ignored
 		"20 20 20 20 20":                 "0s true",
 		"9 9 20 20 19 20 20":             "500ms true",
 		"9 20 20 20 9 20 20 20 20 20 20": "1.25s true",
@@ -235,7 +238,7 @@
 			for j := range 20 {
 				at := start.Add(time.Duration(i) * 250 * time.Millisecond)
 				attempt := Attempt{RequestID: fmt.Sprint(i, j), Class: TileClass(), RequestedAt: at, DueAt: at, EndedAt: at, Result: Rejected}
-				if j < served { // by a second attempt
+				if j < served { // served by a second attempt
 					attempts = append(attempts, attempt)
 					attempt.Number, attempt.Result = 1, Served
 				}
--- a/internal/testbench/fakes/config.go
+++ b/internal/testbench/fakes/config.go
@@ -16,8 +16,8 @@
 	Tenants                 []string
 	MaxConns, MemoryMB      int
 	NoProbes                bool
-	MaxAttempts             int // 0 = 3
-	Instances               int // 0 = 1
+	MaxAttempts             int // attempts per request; 0 = 3
+	Instances               int // number of sidecars that share the servers; 0 = 1
 	ConnIdle                time.Duration
 	ConnectTimeout          time.Duration
 	DrainGrace              time.Duration
--- a/internal/testbench/fakes/count.go
+++ b/internal/testbench/fakes/count.go
@@ -60,6 +60,6 @@
 }
 
 func (c countedConn) Write(p []byte) (int, error) {
-	c.counter.Out.Add(int64(len(p))) // before the write, so that a response never precedes the count
+	c.counter.Out.Add(int64(len(p))) // before the write, so that the bytes are counted before a response can arrive
 	return c.Conn.Write(p)
 }
--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -22,7 +22,7 @@
 	Address  string `json:"host_port"`
 	Locality string `json:"locality"`
 	Phase    string `json:"phase"`
-	UpSince  int64  `json:"up_since_ms"` // Unix milliseconds; 0 = started long ago, so not in slow start
+	UpSince  int64  `json:"up_since_ms"` // start time in Unix milliseconds; 0 = started long ago, so not in slow start
 }
 
 // List is the body of discovery's responses.
@@ -35,7 +35,7 @@
 const (
 	listPath                = "/discovery/hosts"
 	maxWait                 = 60 * time.Second
-	responseAfterCloseDelay = time.Millisecond // after the client has closed the connection
+	responseAfterCloseDelay = time.Millisecond // delay of a response after the client has closed the connection
 )
 
 // DiscoveryRequest is one request as discovery received it.
@@ -63,17 +63,17 @@
 	indented, chunked                                                      bool
 	delay                                                                  time.Duration
 	replacement                                                            []byte
-	held                                                                   chan struct{} // closed when released; nil = not held
+	held                                                                   chan struct{} // closed when responses are released; nil = not held
 }
 
-// Discovery serves the complete endpoint list and watches, and injects faults on request. It is safe for concurrent use;
-// each method takes effect at once.
+// Discovery is a fake discovery. It responds to requests for the complete endpoint list and to watches, and its methods inject
+// faults. It is safe for concurrent use; each method takes effect at once.
 type Discovery struct {
 	host
 
 	state       sync.Mutex
 	revision    uint64
-	oldestKnown uint64 // oldest revision from which changes are known
+	oldestKnown uint64 // oldest revision since which all changes are known
 	entries     []entry
 	changed     chan struct{} // closed when the next revision is published
 	faults      discoveryFaults
@@ -167,8 +167,8 @@
 	return l
 }
 
-// DropResponses makes discovery accept requests and never respond, also to pending ones; their connections stay open.
-// Requests received after it is switched off get a response.
+// DropResponses makes discovery accept requests and never respond to them or to pending ones; their connections stay open.
+// Requests received after DropResponses(false) get a response.
 func (d *Discovery) DropResponses(on bool) {
 	d.setFault(func(f *discoveryFaults) { f.dropResponses = on })
 }
@@ -176,8 +176,8 @@
 // DropResponsesOnOpenConns permanently drops all responses on connections that are open now. New connections work.
 func (d *Discovery) DropResponsesOnOpenConns() { d.markOpenConns() }
 
-// HoldResponses makes discovery accept connections and requests without responding until it is switched off. Then it
-// responds to all pending requests.
+// HoldResponses makes discovery accept connections and requests without responding. After HoldResponses(false) it responds to
+// all pending requests.
 func (d *Discovery) HoldResponses(on bool) {
 	d.setFault(func(f *discoveryFaults) {
 		if f.held != nil {
@@ -190,7 +190,7 @@
 	})
 }
 
-// SetDown resets open connections and refuses new ones until it is switched off.
+// SetDown resets open connections and refuses new ones, or with false accepts them again.
 func (d *Discovery) SetDown(on bool) error {
 	if on {
 		d.resetAll()
@@ -199,7 +199,7 @@
 	return d.startListening()
 }
 
-// SetSilent makes the machine unreachable, or reachable again: packets are dropped, so nothing is answered, refused or
+// SetSilent makes discovery's machine unreachable, or reachable again: packets are dropped, so nothing is answered, refused or
 // reset, and connections hang.
 func (d *Discovery) SetSilent(on bool) error { return d.setSilent(on) }
 
@@ -211,12 +211,13 @@
 	d.setFault(func(f *discoveryFaults) { f.respondAfterClose = on })
 }
 
-// CompleteForWatch responds to watches with the complete list.
+// CompleteForWatch makes discovery respond to watches with the complete list.
 func (d *Discovery) CompleteForWatch(on bool) {
 	d.setFault(func(f *discoveryFaults) { f.completeForWatch = on })
 }
 
-// PartialForComplete responds to requests for the complete list with its first half, marked as changes.
+// PartialForComplete makes discovery respond to requests for the complete list with the first half of it, marked as
+// changes.
 func (d *Discovery) PartialForComplete(on bool) {
 	d.setFault(func(f *discoveryFaults) { f.partialForComplete = on })
 }
@@ -226,7 +227,7 @@
 	d.setFault(func(f *discoveryFaults) { f.indented, f.chunked = indented, chunked })
 }
 
-// ReplaceResponses sends the given bytes in place of each response; nil switches it off.
+// ReplaceResponses makes discovery send the given bytes in place of each response; nil restores normal responses.
 func (d *Discovery) ReplaceResponses(with []byte) {
 	d.setFault(func(f *discoveryFaults) { f.replacement = with })
 }
@@ -333,8 +334,8 @@
 	return append(raw, "0\r\n\r\n"...)
 }
 
-// awaitList waits until the list has changed or the request's wait has expired. False means that the connection ended
-// first and no response is due.
+// awaitList waits until the list has changed or the request's wait time has passed, and returns the list to send. False means
+// that the connection ended first and no response is due.
 func (d *Discovery) awaitList(c *hostConn, request *DiscoveryRequest) (List, bool) {
 	timer := time.NewTimer(request.Wait)
 	defer timer.Stop()
--- a/internal/testbench/fakes/discovery_test.go
+++ b/internal/testbench/fakes/discovery_test.go
@@ -30,7 +30,7 @@
 	return &testConn{c, bufio.NewReader(c)}
 }
 
-const responseTimeout = time.Second // without a response, after which get returns "silence"
+const responseTimeout = time.Second // time without a response after which get returns "silence"
 
 // get sends a GET, with a request id if it is not empty, and describes the response: "200 body", "200 reset" if it was
 // incomplete, or "nothing end" if there was none.
--- a/internal/testbench/fakes/doc.go
+++ b/internal/testbench/fakes/doc.go
@@ -1,9 +1,9 @@
-// Package fakes has fake discovery, servers and clients for tests of a sidecar, with faults that a timeline switches on and
-// off. The same test runs on loopback, against the program as a process, and in a testing/synctest bubble, where the
+// Package fakes has a fake discovery, fake servers and clients for tests of a sidecar, with faults that a timeline switches on
+// and off. The same test runs on loopback, against the program as a process, and in a testing/synctest bubble, where the
 // sidecar uses the listener and Dial of a Memory network.
 //
 // The package implements the platform's protocol from its specification and shares no code with the program, so that a
-// fault in one does not hide the same fault in the other. Package loadgen uses the same ConnPool as Clients.
+// bug in one does not hide the same bug in the other. Package loadgen uses the same ConnPool as Clients.
 //
 // The example below tests the command in a bubble: half of the servers are replaced while discovery's responses are
 // dropped, and the test measures for how long service stays below normal.
@@ -64,8 +64,8 @@
 // On loopback, use Loopback() as the network, and start the program with the file's path in GW_CONFIG and a port that the
 // test chooses. Everything else is the same.
 //
-// In a bubble a run is determined by its seeds. Arrivals are generated in advance, and the random values of a server for a
-// request depend on that request alone. The Memory network's delays differ by connection, since the order of events at the
-// same instant would be random. What remains random is the order of two connections opened to one address at the same
+// In a bubble a run is determined by its seeds. Arrivals are generated in advance, and the random values that a server uses
+// for a request depend on that request alone. The Memory network's delays differ by connection, since the order of events at
+// the same instant is random. What remains random is the order of two connections opened to one address at the same
 // instant, and the sidecar's own random choices.
 package fakes
--- a/internal/testbench/fakes/fleet.go
+++ b/internal/testbench/fakes/fleet.go
@@ -10,7 +10,7 @@
 type Fleet struct {
 	Discovery *Discovery
 	Servers   []*Server
-	processes []int // restarts so far, by server
+	processes []int // number of restarts so far, by server
 }
 
 // NewFleet starts n servers with the same options and a discovery that lists them. Their ids are o.ID, or "s" if empty,
@@ -58,17 +58,17 @@
 
 // Release describes a rolling restart of the servers.
 type Release struct {
-	Batch        int           // servers restarted at a time; 0 = 1
+	Batch        int           // number of servers restarted at a time; 0 = 1
 	MaxServers   int           // number of servers to restart, from the first on; 0 = all
-	Grace        time.Duration // from listing a server as draining to ending its process
-	Down         time.Duration // from the end of a process to the start of the next
-	Between      time.Duration // from the end of a batch to the start of the next
+	Grace        time.Duration // time from listing a server as draining to ending its process
+	Down         time.Duration // time from the end of a process to the start of the next
+	Between      time.Duration // time from the end of a batch to the start of the next
 	NewAddresses bool          // each new process gets another address
 }
 
 // Release performs a rolling restart. Discovery lists a server as draining and the server declines new requests. After
 // the grace period its process ends and one with a new id starts; both changes are published in one revision. Release
-// returns early when ctx ends.
+// returns early, with the error of ctx, when ctx ends.
 func (f *Fleet) Release(ctx context.Context, r Release) error {
 	servers := len(f.Servers)
 	if r.MaxServers > 0 {
--- a/internal/testbench/fakes/host.go
+++ b/internal/testbench/fakes/host.go
@@ -34,7 +34,7 @@
 	body                []byte
 	firstByte, lastByte time.Time     // when its first and last byte were received
 	arrivedAt           time.Time     // when the first byte arrived, even if the machine was unreachable then
-	idle                time.Duration // idle time of its connection before it
+	idle                time.Duration // time for which its connection was idle before it
 }
 
 // hostConn is one accepted connection.
@@ -47,7 +47,7 @@
 	closed         chan struct{} // closed when this side has closed the connection
 	closeOnce      sync.Once
 	idleSince      time.Time // when it was accepted or the last response was sent
-	requestsServed int       // requests before the current one
+	requestsServed int       // number of requests before the current one
 	marked         bool      // selected by markOpenConns for a fault; guarded by host.mutex
 }
 
@@ -94,7 +94,7 @@
 	h.running.Wait()
 }
 
-// markOpenConns marks the connections that are open now, for isMarked.
+// markOpenConns marks the connections that are open now, so that isMarked reports true for them.
 func (h *host) markOpenConns() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -144,7 +144,7 @@
 		h.accepted++
 		c.number = h.accepted
 		h.conns[c] = struct{}{}
-		stale := h.listener != l // accepted while resetAll ran, which has missed it
+		stale := h.listener != l // the connection was accepted while resetAll ran, which did not reset it
 		h.mutex.Unlock()
 		if stale {
 			c.closeConn(true)
@@ -185,7 +185,7 @@
 	}
 }
 
-// readLoop reads the requests of a connection, and detects its end by the client while one is being served.
+// readLoop reads the requests of a connection, and detects that the client closes it while a request is being served.
 func (c *hostConn) readLoop() {
 	defer close(c.clientDone)
 	br := bufio.NewReader(c)
@@ -286,7 +286,7 @@
 	return err == nil
 }
 
-// encodeResponse returns an encoded response; head is further header lines.
+// encodeResponse returns an encoded response; head has further header lines.
 func encodeResponse(status int, head string, body []byte) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, http.StatusText(status), head, len(body), body)
--- a/internal/testbench/fakes/memory.go
+++ b/internal/testbench/fakes/memory.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// SetDelay sets the one-way delay of data, closes and resets on connections opened from now on: same for all of them, plus
-// a part below spread that differs by connection. Establishing a connection takes twice the delay. With a spread of 0,
+// SetDelay sets the one-way delay of data, closes and resets on connections opened from now on. The delay is same plus a value
+// below spread that differs by connection. Establishing a connection takes twice the delay. With a spread of 0,
 // data sent on several connections at one instant arrives at one instant, in random order.
 func (m *Memory) SetDelay(same, spread time.Duration) {
 	m.mutex.Lock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Pause waits for d. If ctx ends first, it returns the error of ctx.
+// Pause waits for d and returns nil. If ctx ends first, it returns the error of ctx.
 func Pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/testbench/fakes/memory_conn.go
+++ b/internal/testbench/fakes/memory_conn.go
@@ -40,7 +40,7 @@
 	queue        []segment // in transit or unread, in order
 	size         int       // total bytes in the queue
 	writeClosed  bool      // the writer has closed its side
-	readerClosed bool      // the reader is closed: the next write triggers a reset
+	readerClosed bool      // the reader has closed its side: the next write triggers a reset
 	broken       bool      // a write after readerClosed has triggered the reset: further writes fail
 	resetAt      time.Time // when the reader's reset reaches the writer; zero = there was none
 }
@@ -127,7 +127,7 @@
 	return n, nil
 }
 
-// Write queues as much as the window has room for and blocks for the rest.
+// Write queues as much as maxBuffered allows, and blocks until the rest is queued, too.
 func (c *memConn) Write(b []byte) (n int, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -142,7 +142,7 @@
 			return n, c.opError("write", os.NewSyscallError("write", syscall.EPIPE))
 		case c.writeDeadline.passed():
 			return n, c.opError("write", os.ErrDeadlineExceeded)
-		case s.readerClosed: // accepted as a kernel would; triggers a reset unless one is in transit
+		case s.readerClosed: // the write succeeds, as with a kernel, and triggers a reset unless one is in transit
 			s.broken = s.resetAt.IsZero()
 			return len(b), nil
 		}
--- a/internal/testbench/fakes/network.go
+++ b/internal/testbench/fakes/network.go
@@ -15,8 +15,8 @@
 // Network connects fakes and sidecars. Its implementations, Memory and Loopback, behave alike at both ends of a connection
 // and are safe for concurrent use.
 type Network interface {
-	// Listen listens at "host:port", as a restarted process does, at "host" with a port chosen by the network, or, for "",
-	// at a host and port chosen by the network.
+	// Listen listens at an address: at "host:port", as a restarted process does; at "host", with a port chosen by the network;
+	// or at "", with a host and port chosen by the network.
 	Listen(address string) (Listener, error)
 	// Dial opens a connection to host:port. It fails with syscall.ECONNREFUSED if nothing listens there and hangs until ctx
 	// ends if the machine is unreachable.
@@ -30,8 +30,8 @@
 	Freeze(on bool) error
 }
 
-// Abort closes a connection with a reset: at the other side, writes and reads past the data already received fail with
-// syscall.ECONNRESET.
+// Abort closes a connection with a reset. At the other end, writes fail with syscall.ECONNRESET, and so do reads once the data
+// already received has been read.
 func Abort(c net.Conn) {
 	switch c := c.(type) {
 	case interface{ Abort() }:
@@ -82,7 +82,7 @@
 
 const (
 	backlog           = 4096
-	maxFillers        = 16 // connections; more than the kernel queues with a backlog of 0
+	maxFillers        = 16 // limit on filler connections, above the number that the kernel queues with a backlog of 0
 	fillerIP          = "127.255.255.254"
 	fillerTimeout     = 30 * time.Millisecond
 	fullAfterTimeouts = 3 // consecutive dial timeouts after which the queue counts as full
--- a/internal/testbench/fakes/network_test.go
+++ b/internal/testbench/fakes/network_test.go
@@ -27,7 +27,7 @@
 	t.Run("loopback", func(t *testing.T) { test(t, Loopback()) })
 }
 
-// ok fails the test at once on an error.
+// ok fails the test at once if any of errs is not nil.
 func ok(t *testing.T, errs ...error) {
 	t.Helper()
 	if err := errors.Join(errs...); err != nil {
@@ -58,7 +58,7 @@
 	ok(t, err)
 }
 
-// expectRead reads to the end and checks the data and the error; nil = a graceful close.
+// expectRead reads to the end and checks the data and the error that ends it; end is nil for a graceful close.
 func expectRead(t *testing.T, c net.Conn, want string, end error) {
 	t.Helper()
 	got, err := io.ReadAll(c)
@@ -208,7 +208,7 @@
 			t.Errorf("frozen: %v", err)
 		}
 		ok(t, l.Freeze(false), dial(10*time.Second))
-		accept() // no connection that filled the queue is accepted
+		accept() // accepts the new connection only, and none of those that filled the queue
 		ok(t, l.Freeze(true))
 		time.AfterFunc(10*time.Millisecond, func() { l.Close() })
 		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
--- a/internal/testbench/fakes/server.go
+++ b/internal/testbench/fakes/server.go
@@ -11,7 +11,7 @@
 type processRun struct {
 	id            string
 	startedAt     time.Time
-	warm          bool // started long ago: no slow start
+	warm          bool // the process counts as started long ago, so it has no slow start
 	busy          int
 	waiting       []chan struct{}
 	meanServiceMs float64 // moving average of the service time in milliseconds; 0 = no request yet
@@ -72,7 +72,7 @@
 	change(&p.behaviour)
 }
 
-// SetBehaviour replaces the behaviour, as ChangeBehaviour does.
+// SetBehaviour replaces the behaviour with b from now on; see ChangeBehaviour.
 func (p *Server) SetBehaviour(b Behaviour) { p.ChangeBehaviour(func(old *Behaviour) { *old = b }) }
 
 func (p *Server) currentBehaviour() Behaviour {
--- a/internal/testbench/fakes/server_serve.go
+++ b/internal/testbench/fakes/server_serve.go
@@ -52,7 +52,8 @@
 	return b.ResetAll || idleTooLong || carriedTooMany
 }
 
-// recordRequest appends a request to the log and returns its index there and the process that received it.
+// recordRequest appends a request to the server's list of requests and returns its index in the list and the process that
+// received it.
 func (p *Server) recordRequest(c *hostConn, m *message) (int, *processRun) {
 	p.state.Lock()
 	defer p.state.Unlock()
@@ -64,7 +65,7 @@
 	return len(p.requests) - 1, p.current
 }
 
-// class returns the first segment of the path.
+// class returns the request's class, which is the first segment of its path.
 func (m *message) class() string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(m.URL.Path, "/"), "/")
 	return class
@@ -82,7 +83,8 @@
 	return false
 }
 
-// recordAndSend records the outcome before it sends the response, since a client may look it up once it has the response.
+// recordAndSend records the outcome and sends the response, in this order, since a client may look up the outcome once it has
+// the response. It returns false if the connection is to be closed.
 func (p *Server) recordAndSend(c *hostConn, index int, o Outcome, raw []byte) bool {
 	c.waitWhileSilent()
 	p.recordOutcome(index, o)
@@ -120,7 +122,8 @@
 	return c.write(encodeResponse(200, "Content-Type: application/json\r\n", body))
 }
 
-// waitForCore waits for a free core. Pending means that the request has one; any other outcome is final.
+// waitForCore waits for a free core. The outcome Pending means that the request has a core; any other outcome
+// is final.
 func (p *Server) waitForCore(c *hostConn, process *processRun) Outcome {
 	p.state.Lock()
 	if process.busy < p.options.Cores {
@@ -165,7 +168,7 @@
 }
 
 // run occupies a core for the service time and returns the response's body and whether the request is to fail. ended is
-// false if the connection was closed by this side before that, as when the process is killed.
+// false if the server closed the connection before the end of the service time, for example because the process was killed.
 func (p *Server) run(c *hostConn, m *message, process *processRun, index int) (body []byte, failed, ended bool) {
 	id := m.Header.Get(headerID)
 	p.state.Lock()
@@ -175,7 +178,7 @@
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %s %d", process.id, id, p.runs[id])
 	p.state.Unlock()
-	// Seeded per request, not drawn from a shared sequence: requests at the same instant run in random order.
+	// Each request has its own seed, since requests at the same instant would draw from a shared sequence in random order.
 	random := rand.New(rand.NewPCG(p.options.Seed, h.Sum64()))
 	service, known := p.options.Service[m.class()]
 	if !known {
--- a/internal/testbench/fakes/server_test.go
+++ b/internal/testbench/fakes/server_test.go
@@ -19,8 +19,8 @@
 	for name, test := range map[string]struct {
 		setup func(p *Server)
 		calls string // "load" or "alive" for a probe, "new" and "dial" for a connection, "pause"; else a request's id
-		want  string // the response to each
-		ran   string // logged outcome of each request, with ! if its execution started and + if it finished
+		want  string // expected response to each call
+		ran   string // expected outcome of each request, with ! if its execution started and + if it finished
 	}{
 		"served": {behave(Behaviour{}), "x x", "200 x|200 x", "answered!+ answered!+"},
 		"probes": {
@@ -134,8 +134,8 @@
 	return strings.Join(all, " ")
 }
 
-// A core runs one request, the queue holds one, and a request whose client disconnects from it is never executed. The first
-// request on a connection and those of a process in slow start take longer.
+// TestServiceModel checks that a core runs one request, that the queue holds one, and that a queued request is never executed if
+// its client disconnects. The first request on a connection and requests to a process in slow start take longer.
 func TestServiceModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewMemory()
--- a/internal/testbench/fakes/server_types.go
+++ b/internal/testbench/fakes/server_types.go
@@ -20,7 +20,7 @@
 type Service struct {
 	Mean  time.Duration // mean service time on a core
 	Fixed bool          // every request takes exactly Mean; else exponentially distributed
-	Body  int           // bytes of a response body, which is at least the request's id and a newline
+	Body  int           // length of a response body in bytes; the body always has the request's id and a newline
 }
 
 // ServerOptions are the fixed properties of a server, which faults do not change.
@@ -32,18 +32,18 @@
 
 	Cores           int                // requests that run concurrently; 0 = 1
 	Queue           int                // requests that may wait for a core; further ones are declined; 0 = none may wait
-	Service         map[string]Service // by class, the first segment of the path
+	Service         map[string]Service // by class, which is the first segment of the path
 	Default         Service            // for all other classes
-	Handshake       time.Duration      // extra time of the first request on a connection, as for a TLS handshake
+	Handshake       time.Duration      // extra service time of the first request on a connection, as for a TLS handshake
 	SlowStartFactor float64            // service time multiplier of a process that has just started; 1 or less = no slow start
-	WarmUpTime      time.Duration      // in which that multiplier falls linearly to 1
+	WarmUpTime      time.Duration      // time in which SlowStartFactor falls linearly to 1
 	MaxIdle         time.Duration      // connections idle for this long are closed; 0 = never
 }
 
 // ProbeFault is a fault that affects probes.
 type ProbeFault uint8
 
-// The results of probes to a server that is not draining.
+// The faults, with the result of a probe to a server that is not draining.
 const (
 	ProbesOK          ProbeFault = iota
 	ProbesUnavailable            // 503
@@ -52,12 +52,12 @@
 
 // Truncation cuts a response short.
 type Truncation struct {
-	After int  // bytes sent, including the header; 0 = none
-	Reset bool // reset the connection; else close it gracefully
+	After int  // number of bytes sent, including the header; 0 = none
+	Reset bool // reset the connection afterwards; else close it gracefully
 }
 
 // Behaviour is the set of a server's active faults; its zero value has none. Requests affected by Truncate, Stall,
-// FailFraction and ReplaceWith are executed; those that are declined or reset are not.
+// FailFraction and ReplaceWith are executed; requests that are declined or reset are not.
 type Behaviour struct {
 	Drain              bool          // probes get 503 and requests are declined
 	Decline            bool          // requests are declined, probes succeed
@@ -108,8 +108,8 @@
 	Sent                    time.Time     // when its first byte arrived; FirstByte is later if the machine was unreachable then
 	Deadline                string        // value of the deadline header
 	Conn                    int           // number of the connection, from 1
-	Carried                 int           // earlier requests on the connection, including probes
-	Idle                    time.Duration // idle time of the connection before it, since it was accepted or last used
+	Carried                 int           // number of earlier requests on the connection, including probes
+	Idle                    time.Duration // time for which the connection was idle before this request
 	Started, Finished       bool          // whether its execution started and finished
 	Outcome                 Outcome
 }
@@ -119,5 +119,5 @@
 	At     time.Time
 	Conn   int
 	Path   string
-	Status int // of the response; 0 = the connection was reset
+	Status int // status of the response; 0 = the connection was reset
 }
--- a/internal/testbench/fakes/tally.go
+++ b/internal/testbench/fakes/tally.go
@@ -10,9 +10,9 @@
 // Window has the counts of the requests and attempts that were due in a time window.
 type Window struct {
 	From        time.Time
-	Requests    int          // requests whose first attempt was due
-	InObjective int          // of these, served within the latency objective by any attempt
-	Counts      [results]int // of attempts, by Result
+	Requests    int          // number of requests whose first attempt was due in the window
+	InObjective int          // number of these requests that any attempt served within the latency objective
+	Counts      [results]int // number of attempts due in the window, by Result
 }
 
 // ServedFraction returns the fraction of requests served within the latency objective, or 1 if there were none.
@@ -69,17 +69,17 @@
 
 // Criteria of RecoveryTime.
 const (
-	RecoveredFraction = 0.95        // of the normal served fraction
-	RecoveredFor      = time.Second // minimum time for which the fraction must hold
+	RecoveredFraction = 0.95        // least served fraction after a recovery, as a fraction of the normal one
+	RecoveredFor      = time.Second // least time for which the served fraction must stay that high
 )
 
 // RecoveryTime returns the time from the event until the fraction of requests served within their latency objective is at
 // least 95% of normal in every window for at least a second. normal is a fraction from 0 to 1, as ServedFraction returns
-// it for a period without faults. False means that there is no such second. The time is a multiple of the window width,
+// it for a period without faults. False means that service did not recover. The time is a multiple of the window width,
 // which must cover about twenty requests, so that a single failure by chance does not hide a recovery.
 func RecoveryTime(attempts []Attempt, event time.Time, normal float64, width time.Duration) (time.Duration, bool) {
 	windows := Tally(attempts, event, width)
-	if len(windows) > 0 { // the end of the load may cut the last window short
+	if len(windows) > 0 { // the last window may be incomplete, because the load ends within it
 		windows = windows[:len(windows)-1]
 	}
 	need := int((RecoveredFor + width - 1) / width)
--- a/internal/testbench/fakes/timeline.go
+++ b/internal/testbench/fakes/timeline.go
@@ -11,7 +11,7 @@
 type Step struct {
 	At   time.Duration
 	Name string
-	Act  func() // a slow one delays the steps after it
+	Act  func() // an action that takes long delays the steps after it
 }
 
 // Event is a step that was executed.
--- a/internal/testbench/soak/client.go
+++ b/internal/testbench/soak/client.go
@@ -24,7 +24,7 @@
 	method      string
 	idempotency string // as in the settings: pure, token or side_effect
 	deadline    time.Duration
-	fraction    float64 // of all requests
+	fraction    float64 // fraction of all requests
 }
 
 // classesFor returns the request classes of a deployment whose longest deadline is longestDeadline.
@@ -44,7 +44,7 @@
 	closesEarly                  // closes its connection before the response
 	resetsEarly                  // resets its connection before the response
 	sendsInPieces                // sends the request slowly, in pieces
-	sendsLastBytesLate           // sends the last bytes at lastBytesAt, unless it gets a response or a close before
+	sendsLastBytesLate           // sends the last bytes at lastBytesAt, unless the sidecar responds or closes the connection first
 )
 
 // request is a request and its result as seen by its client.
@@ -54,20 +54,20 @@
 	sidecar        int
 	behaviour      behaviour
 	newConnection  bool      // the last attempt used a new connection
-	resent         bool      // sent again because its connection was closed without a response
-	dialedAt       time.Time // its new connection was established; zero = sent on a reused one
-	firstSend      span      // from the first send until that connection was closed; zero = not sent twice
+	resent         bool      // the request was sent again because its connection was closed without a response
+	dialedAt       time.Time // when its new connection was established; zero = sent on a reused connection
+	firstSend      span      // from the first send until the first connection was closed; zero = not sent twice
 	disconnectAt   time.Time // when a client with closesEarly disconnects; zero = after a random delay
 	lastBytesAt    time.Time // with sendsLastBytesLate: when its last bytes are sent
-	seed           uint64    // of the random choices while sending
-	startedAt      time.Time // its first byte was sent; with sendsLastBytesLate, its last bytes
-	sentAt         time.Time // its last byte was written; zero = not written
-	disconnectedAt time.Time // the client closed its connection; zero = it did not
+	seed           uint64    // seed of the random choices while sending
+	startedAt      time.Time // when its first byte was sent, or with sendsLastBytesLate its last bytes
+	sentAt         time.Time // when its last byte was written; zero = not written
+	disconnectedAt time.Time // when the client closed its connection; zero = it did not
 	respondedAt    time.Time
 	status         int  // 0 = no complete response
 	unreachable    bool // no connection could be established
 	err            string
-	truncated      bool // the response ended before its framing says
+	truncated      bool // the response ended before the end that its framing announced
 }
 
 // clients are the clients of one sidecar.
@@ -94,7 +94,7 @@
 	return &clients{sidecar: s, rng: rand.New(rand.NewPCG(seed, uint64(s.number))), rate: rate, classes: classes}
 }
 
-// run sends requests until ctx is done, and returns once all have finished.
+// run sends requests until ctx is done, and returns once all requests have finished.
 func (c *clients) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r, pause := c.draw()
@@ -193,7 +193,7 @@
 	if !mayResend || c.sidecar.wasKilled(r.startedAt, time.Now()) {
 		return
 	}
-	if !r.sentAt.IsZero() { // it crossed the close of its connection, or was lost with it: see judgeResent
+	if !r.sentAt.IsZero() { // the request was in transit when its connection was closed, or was lost with it: see judgeResent
 		r.firstSend = span{r.sentAt, time.Now()}
 	}
 	if k = c.dial(r, until); k != nil {
@@ -282,9 +282,9 @@
 	return notClosed
 }
 
-// endAfter returns how the connection k was closed, whose write or first read failed with err. If a request written in one
-// piece reached a closed connection, the kernel responds to it, or to the next write, with a reset. Of a request written in
-// several pieces the sidecar may have read the first.
+// endAfter returns how the connection k was closed after a write or the first read on it failed with err. If a request written
+// in one piece reached a closed connection, the kernel responds to it, or to the next write, with a reset. If a request was
+// written in several pieces, the sidecar may have read the first of them.
 func (r *request) endAfter(k *clientConn, err error) connectionEnd {
 	switch {
 	case timedOut(err):
@@ -338,7 +338,7 @@
 // errClosedEarly is returned by writeLate if the rest of the request is not sent.
 var errClosedEarly = errors.New("response received or connection closed before the request was complete")
 
-// writeLate writes the request without its last bytes, and those at lastBytesAt.
+// writeLate writes the request without its last bytes, and the last bytes at lastBytesAt.
 func (c *clients) writeLate(r *request, k *clientConn, text string) error {
 	const rest = 3
 	if _, err := io.WriteString(k, text[:len(text)-rest]); err != nil {
@@ -361,8 +361,8 @@
 	c.allDisconnect = on
 }
 
-// flood opens n connections that send nothing or a partial request, and holds them for the given duration. It returns how
-// many of those with a partial request got neither a response nor a close in time.
+// flood opens n connections that send nothing or a partial request, and holds them for the given duration. It returns the
+// number of connections with a partial request that got no response and were not closed in time.
 func (c *clients) flood(ctx context.Context, n int, duration time.Duration) (unanswered int) {
 	type floodConn struct {
 		net.Conn
--- a/internal/testbench/soak/client_test.go
+++ b/internal/testbench/soak/client_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if !test.read {
-				first.(*net.TCPConn).SetLinger(0) // the kernel does so if data is unread at the close
+				first.(*net.TCPConn).SetLinger(0) // resets the connection, as the kernel does if data is unread at the close
 			}
 			first.Close()
 			if test.resent {
--- a/internal/testbench/soak/faults.go
+++ b/internal/testbench/soak/faults.go
@@ -1,6 +1,6 @@
 package soak
 
-// How each kind of fault is injected; ShutdownFaults is in shutdownfaults.go.
+// This file injects each kind of fault except ShutdownFaults, which is in shutdownfaults.go.
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 		}
 		defer s.release()
 		w.injectProcessFault(ctx, t, s)
-	case Reload, ReloadBurst, ConfigFails: // these may coincide with any other fault of the process
+	case Reload, ReloadBurst, ConfigFails: // unlike other faults of the process, these may coincide with any of them
 		w.injectProcessFault(ctx, t, s)
 	case AcceptFails, ConnectFails, Interrupted, DiskFails:
 		w.failSystemCalls(ctx, t, s, pause)
@@ -57,7 +57,7 @@
 	}
 }
 
-// failSystemCalls makes system calls of a sidecar fail, or be interrupted, for the duration of the fault.
+// failSystemCalls makes system calls of a sidecar fail, or interrupts them, for the duration of the fault.
 func (w *environment) failSystemCalls(ctx context.Context, t Fault, s *sidecar, pause func()) {
 	switch t.Kind {
 	case AcceptFails:
@@ -86,8 +86,8 @@
 
 func pick[T any](draw float64, from ...T) T { return from[int(draw*float64(len(from)))] }
 
-// slowConnects delays the establishment of connections to a sidecar's servers. In half of the cases it also resets the open
-// connections under their next request, so that retries are sent on new ones.
+// slowConnects delays the establishment of connections to a sidecar's servers. In half of the cases it also makes the servers
+// reset open connections when the next request arrives on them, so that retries are sent on new connections.
 func (w *environment) slowConnects(t Fault, s *sidecar, pause func()) {
 	delay := (1 + t.Draw) / 2 * float64(min(w.variant.connectTimeout-slowConnectMargin, maxSlowConnect))
 	s.control.Delay(faultinjection.SlowConnect, time.Duration(delay))
@@ -168,7 +168,7 @@
 func (w *environment) injectCordonOrder(ctx context.Context, t Fault, n int, s *sidecar, v *serverSlot) {
 	server := v.ID()
 	key := serverAtSidecar{n, server}
-	if _, active := w.ordered.LoadOrStore(key, true); active { // the first of two orders to end would revoke the other
+	if _, active := w.ordered.LoadOrStore(key, true); active { // the first of two overlapping orders to end would revoke the other
 		return
 	}
 	defer w.ordered.Delete(key)
@@ -192,7 +192,7 @@
 	}
 }
 
-// outage keeps both discoveries from sending changes, or delays them, until pause returns.
+// outage keeps both discoveries from sending changes, or delays the changes, until pause returns.
 func (w *environment) outage(kind Kind, pause func()) {
 	from := time.Now()
 	set := func(on bool) {
@@ -217,7 +217,7 @@
 	w.updateRecord(func(r *record) { r.outages = append(r.outages, outage{kind, from, time.Now()}) })
 }
 
-// corruptResponses makes a server's proxy corrupt responses until pause returns, or all proxies if the server has none.
+// corruptResponses makes a server's proxy, or all proxies if the server has none, corrupt responses until pause returns.
 func (w *environment) corruptResponses(kind Kind, v *serverSlot, pause func()) {
 	set := func(on bool) {
 		for _, s := range w.servers {
--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -14,12 +14,12 @@
 // Tolerances of the rules, as measured at clients and servers.
 const (
 	responseSlack   = 500 * time.Millisecond // after the deadline; a later response counts as lost
-	drainSlack      = 50 * time.Millisecond  // after the drain grace, and after a retry window
+	drainSlack      = 50 * time.Millisecond  // after the end of the drain grace and of a retry window
 	disconnectSlack = 100 * time.Millisecond // from a client's disconnect to the last attempt for it
 	deadlineSlack   = 150 * time.Millisecond // by which the deadline that an attempt carries may exceed the time left
-	maxNotifyDelay  = 6 * time.Second        // for all sidecars to learn of a change, if the watch is silent or polled on request
-	badClientWithin = 3 * time.Second        // within which a partial request gets an error or its connection is closed
-	stallRange      = 300 * time.Millisecond // a stall of this process this close to a measured time adds to its tolerance
+	maxNotifyDelay  = 6 * time.Second        // for all sidecars to learn of a change, if the watch is silent or a poll on request
+	badClientWithin = 3 * time.Second        // time within which a partial request must get an error or a close of its connection
+	stallRange      = 300 * time.Millisecond // a stall of this process within this time of a measurement adds to the tolerance
 )
 
 // Rule is a rule that the judge checks.
@@ -44,7 +44,7 @@
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
-	At     time.Duration // since the start of the run
+	At     time.Duration // time since the start of the run
 	Detail string
 }
 
@@ -86,23 +86,23 @@
 // record is what clients, servers and processes have recorded in a run.
 type record struct {
 	start             time.Time
-	retryWindow       time.Duration // within which requests with a token may be retried
-	onRequest         bool          // discovery is polled on request, so its changes count as known later
-	slack             time.Duration // added to each tolerance for late measurements on a busy machine
+	retryWindow       time.Duration // time within which requests with a token may be retried
+	onRequest         bool          // discovery is polled on request, so that its changes count as known later
+	slack             time.Duration // added to each tolerance, to allow for late measurements on a busy machine
 	stalls            []span        // periods in which this process was stalled
 	requests          []*request
 	attempts          []attempt
 	draining          []drainingServer
 	outages           []outage
 	orders            []order
-	starts            map[string][]time.Time          // of cold server processes, by server id
-	processStarts     map[int][]time.Time             // of sidecar processes, by number
+	starts            map[string][]time.Time          // start times of cold server processes, by server id
+	processStarts     map[int][]time.Time             // start times of sidecar processes, by the sidecar's number
 	learnedAt         map[serverAtSidecar][]time.Time // when a sidecar logged that a server is draining or gone
 	killed            func(sidecar int, from, to time.Time) bool
 	shutdowns         map[int][]span      // from SIGTERM to the kill of a process that had not exited, by sidecar
-	longStalls        int                 // injected stalls that lasted longer than maxStallLength because this process was late
-	unansweredPartial int                 // clients that sent a partial request and got neither a response nor a close
-	faults            map[string][]string // of processes and of the harness, by name
+	longStalls        int                 // number of injected stalls longer than maxStallLength because this process was late
+	unansweredPartial int                 // number of clients that sent a partial request and got neither a response nor a close
+	faults            map[string][]string // forbidden behaviour of processes and errors of the harness, by name
 }
 
 // judge returns the violations in order of time.
@@ -157,8 +157,8 @@
 }
 
 // judgeResent checks a request that its client resent because its connection was closed without a response. The request may
-// have crossed the close of an idle connection. It counts as lost if the first send was forwarded, so the sidecar had read
-// it, or if its connection was open when the process was killed.
+// have been in transit when an idle connection was closed. It counts as lost if the first send was forwarded, so that the
+// sidecar had read it, or if its connection was open when the process was killed.
 func (r *record) judgeResent(q *request, attempts []attempt, add addFunc) {
 	first := q.firstSend
 	if first.from.IsZero() || r.killed(q.sidecar, first.from, first.to) {
@@ -232,15 +232,15 @@
 	}
 }
 
-// notifiedAt returns when every sidecar must know of a change that discovery has had since at. If the watch falls silent,
-// sidecars have maxNotifyDelay from then on; a sidecar that learned of the change earlier has logged it, see
-// record.learnedAt.
+// notifiedAt returns when every sidecar must know of a change that discovery published at the given time. If the watch falls
+// silent, sidecars have maxNotifyDelay from then on. A sidecar that learned of the change earlier has logged it (see
+// record.learnedAt).
 func (r *record) notifiedAt(at time.Time) time.Time {
 	notified := at
 	if r.onRequest {
 		notified = at.Add(maxNotifyDelay)
 	}
-	for _, o := range r.outages { // sorted by from
+	for _, o := range r.outages { // sorted by their start
 		if notified.Before(o.from) || !notified.Before(o.to) {
 			continue
 		}
@@ -258,7 +258,7 @@
 	return notified
 }
 
-// processStart returns when the sidecar's process started that ran at the given time.
+// processStart returns when the sidecar's process that ran at the given time was started.
 func (r *record) processStart(sidecar int, at time.Time) (start time.Time) {
 	for _, b := range r.processStarts[sidecar] {
 		if b.Before(at) {
@@ -285,7 +285,7 @@
 				continue
 			}
 			since := notified
-			// The times include those of earlier cordons by operators, which don't count.
+			// learnedAt also has the times of earlier cordons by operators, which don't count.
 			for _, learned := range r.learnedAt[serverAtSidecar{a.sidecar, l.server}] {
 				if !learned.Before(l.since) && learned.Before(since) {
 					since = learned
@@ -366,7 +366,7 @@
 	count, notified, allowed int
 }
 
-// worstWindow returns the window in which a cold server, which started at began, got most requests above what is allowed.
+// worstWindow returns the window in which a cold server that started at began exceeded the allowed number of requests most.
 func worstWindow(got []arrival, began time.Time) (worst arrivalWindow) {
 	over := math.MinInt
 	for i, from := range got {
--- a/internal/testbench/soak/judge_test.go
+++ b/internal/testbench/soak/judge_test.go
@@ -31,7 +31,7 @@
 	r.attempts = append(r.attempts, attempt{fakes.Request{ID: "n0-1", Server: "s2", Sent: after(at), Deadline: "0.1", Outcome: fakes.Responded}, 0})
 }
 
-// TestJudge checks that the judge reports each violation, and nothing where the rule is kept.
+// TestJudge checks that the judge reports each violation, and no violation where the rule is kept.
 func TestJudge(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func(*record)
--- a/internal/testbench/soak/plan.go
+++ b/internal/testbench/soak/plan.go
@@ -16,7 +16,7 @@
 	ShutdownFaults        Kind = "aimed_end"       // Terminate with other faults around it: see shutdownfaults.go
 	Crash                 Kind = "crash"           // SIGKILL and a new process
 	Reload                Kind = "reload"          // SIGHUP, with another discovery or other targets
-	ReloadBurst           Kind = "reload_burst"    // several in a row
+	ReloadBurst           Kind = "reload_burst"    // several reloads in a row
 	HandOver              Kind = "hand_over"       // SIGUSR2
 	Pause                 Kind = "pause"           // SIGSTOP for a short time
 	CordonOrder           Kind = "operators_order" // operators cordon a server and uncordon it
@@ -26,7 +26,7 @@
 	Interrupted           Kind = "interrupted"   // polls end with EINTR
 	DiskFails             Kind = "disk_fails"
 	ConfigFails           Kind = "config_fails" // the configuration can't be read on SIGHUP
-	ClockStep             Kind = "clock_step"   // of all machines
+	ClockStep             Kind = "clock_step"   // the wall clocks of all sidecars are stepped
 	Restart               Kind = "restart"      // a server process ends and a cold one starts under the same id
 	Replace               Kind = "replace"      // a server drains and ends, and another starts
 	Vanish                Kind = "vanish"
@@ -53,11 +53,11 @@
 }
 
 const (
-	// Mean interval between the beginnings of faults per five sidecars, such that two or three faults overlap.
+	// faultInterval is the mean interval between the beginnings of faults per five sidecars. With it, two or three faults overlap.
 	faultInterval = 700 * time.Millisecond
-	// No fault begins in the last part of a run, so that running ones can end.
+	// quietEnd is the last part of a run, in which no fault begins, so that running faults can end.
 	quietEnd = 3 * time.Second
-	// No fault begins before there are load and open connections.
+	// quietStart is the first part of a run, in which no fault begins, so that load and open connections exist before the first.
 	quietStart = 1500 * time.Millisecond
 )
 
@@ -101,7 +101,7 @@
 type Fault struct {
 	At, For time.Duration // At is the time since the start of the run
 	Kind    Kind
-	Target  int     // number of a sidecar or a server, modulo their count
+	Target  int     // number of a sidecar or a server, taken modulo the number of sidecars or servers
 	Draw    float64 // random number in [0, 1) that determines the variant of the fault
 }
 
--- a/internal/testbench/soak/proxy.go
+++ b/internal/testbench/soak/proxy.go
@@ -13,11 +13,11 @@
 
 const (
 	pieceBytes = 7                    // length of a piece while responses are dribbled
-	piecePause = 4 * time.Millisecond // after each piece
-	cutBytes   = 60                   // of a response that are forwarded before its connection is reset
+	piecePause = 4 * time.Millisecond // pause after each piece
+	cutBytes   = 60                   // bytes of a response that are forwarded before its connection is reset
 )
 
-// proxy forwards connections to a server and can corrupt its responses. It forwards what sidecars send at once.
+// proxy forwards connections to a server and can corrupt its responses. It forwards what sidecars send without delay.
 type proxy struct {
 	listener      net.Listener
 	serverAddress func() string // returns the server's current address
--- a/internal/testbench/soak/run.go
+++ b/internal/testbench/soak/run.go
@@ -24,7 +24,7 @@
 	variant
 	Faults                              map[Kind]int // number of injected faults
 	Requests, Served, Rejected, Failed  int
-	Disconnected, Unreachable, Attempts int           // Disconnected counts clients that did so before the response
+	Disconnected, Unreachable, Attempts int           // Disconnected counts clients that disconnected before the response
 	Stall                               time.Duration // longest stall of this process
 	Violations                          []Violation
 }
--- a/internal/testbench/soak/shutdownfaults.go
+++ b/internal/testbench/soak/shutdownfaults.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	steadyClients      = 12                     // clients that send around a shutdown
-	steadyPause        = 20 * time.Millisecond  // after each response
-	overloadClients    = 150                    // the same with variant.manyClients
-	overloadPause      = 100 * time.Millisecond // after each response, with variant.manyClients
-	steadyLead         = 300 * time.Millisecond // before SIGTERM, when the load begins
-	lateRequests       = 4                      // clients that send the rest of a request late
-	lateRequestWindow  = 700 * time.Millisecond // before the kill, within which they send it
-	stallLength        = shutdown.MaxStall      // of an injected stall
-	maxStallLength     = 165 * time.Millisecond // requests lost in a longer stall, as on a busy machine, are not judged
-	minStallGap        = 20 * time.Millisecond  // between two stalls
-	endBeforeKill      = 100 * time.Millisecond // earliest end of the last stall, before the kill
-	endAfterKill       = 140 * time.Millisecond // latest end of the last stall, after the kill
+	steadyClients      = 12                     // number of clients that send requests around a shutdown
+	steadyPause        = 20 * time.Millisecond  // pause of a client after each response
+	overloadClients    = 150                    // steadyClients with variant.manyClients
+	overloadPause      = 100 * time.Millisecond // steadyPause with variant.manyClients
+	steadyLead         = 300 * time.Millisecond // the load begins this long before SIGTERM
+	lateRequests       = 4                      // number of clients that send the last bytes of a request late
+	lateRequestWindow  = 700 * time.Millisecond // time before the kill within which these clients send the last bytes
+	stallLength        = shutdown.MaxStall      // length of an injected stall
+	maxStallLength     = 165 * time.Millisecond // requests lost in a longer stall, which occurs on a busy machine, are not judged
+	minStallGap        = 20 * time.Millisecond  // minimum time between two stalls
+	endBeforeKill      = 100 * time.Millisecond // the last stall ends at most this long before the kill
+	endAfterKill       = 140 * time.Millisecond // the last stall ends at most this long after the kill
 	minRunTime         = 2 * time.Millisecond   // shortest time that a process runs between two consecutive stalls
-	maxRunTime         = 30 * time.Millisecond  // longest such time
-	unresponsiveLead   = 200 * time.Millisecond // before the last accept, when half of the servers stop responding
-	signalWindow       = 150 * time.Millisecond // before or after SIGTERM, within which other signals are sent
-	closeSignalWindow  = 5 * time.Millisecond   // the same for half of these signals
+	maxRunTime         = 30 * time.Millisecond  // longest time that a process runs between two consecutive stalls
+	unresponsiveLead   = 200 * time.Millisecond // half of the servers stop responding this long before the last accept
+	signalWindow       = 150 * time.Millisecond // other signals are sent at most this long before or after SIGTERM
+	closeSignalWindow  = 5 * time.Millisecond   // half of the other signals are sent at most this long before or after SIGTERM
 	failAcceptMax      = 60 * time.Millisecond  // longest time for which accepts fail
-	handoverCheckDelay = 60 * time.Millisecond  // after SIGTERM, when followHandover checks for a completed hot restart
-	shorterDivisor     = 2                      // by which a reload divides the deadlines, with shutdownFault.shorter
-	groupExitTimeout   = 2 * time.Second        // after SIGKILL, within which all processes of a group must have exited
+	handoverCheckDelay = 60 * time.Millisecond  // time after SIGTERM at which followHandover checks for a completed hot restart
+	shorterDivisor     = 2                      // with shutdownFault.shorter, a reload divides the deadlines by this
+	groupExitTimeout   = 2 * time.Second        // time after SIGKILL within which all processes of a group must have exited
 )
 
-// signalAfter is a signal and when it is sent: the time after SIGTERM, negative = before it.
+// signalAfter is a signal and the time after SIGTERM at which it is sent; negative = before SIGTERM.
 type signalAfter struct {
 	signal syscall.Signal
 	after  time.Duration
@@ -49,16 +49,16 @@
 
 // shutdownFault is the set of faults injected around the shutdown of a process.
 type shutdownFault struct {
-	signals      []signalAfter   // other signals
+	signals      []signalAfter   // signals sent besides SIGTERM
 	stalls       []time.Duration // times after SIGTERM at which the process is stopped for stallLength
-	failAccepts  time.Duration   // how long accepts fail around the last one; 0 = they don't
-	failFrom     time.Duration   // when failAccepts begins, after SIGTERM
+	failAccepts  time.Duration   // for how long accepts fail around the last accept; 0 = they don't fail
+	failFrom     time.Duration   // time after SIGTERM at which accepts begin to fail
 	unresponsive bool            // half of the servers don't respond from shortly before the last accept until the kill
 	interrupted  bool            // polls and peeks of sockets fail with EINTR around the last accept
 	shorter      bool            // a reload before SIGTERM shortens the deadlines
-	killAfter    time.Duration   // from SIGTERM to SIGKILL
+	killAfter    time.Duration   // time from SIGTERM to SIGKILL
 	clients      int             // number of clients that send until the kill
-	pause        time.Duration   // of each client, after a response
+	pause        time.Duration   // pause of each client after a response
 	lateRequests int             // number of clients that send a partial request, and its rest shortly before the kill
 }
 
@@ -80,12 +80,12 @@
 			e.signals = append(e.signals, signalAfter{s, drawSignalTime(rng)})
 		}
 	}
-	if rng.IntN(2) == 0 { // across SIGTERM
+	if rng.IntN(2) == 0 { // a stall that spans SIGTERM
 		e.addStall(-time.Duration(rng.Float64() * float64(stallLength)))
 	}
 	if rng.IntN(4) > 0 {
 		e.addStallsBeforeKill(rng)
-	} else { // across the last accept or the last response
+	} else { // a stall that spans the last accept or the last response
 		e.addStall(pickOne(rng, plan.LastForward, plan.LastResponse) - time.Duration(rng.Float64()*float64(stallLength)))
 	}
 	e.unresponsive = rng.IntN(3) > 0
@@ -165,7 +165,8 @@
 	_ = s.start(ctx)
 }
 
-// scheduleFaults schedules the drawn faults, each relative to the time of SIGTERM, in goroutines of all.
+// scheduleFaults schedules the drawn faults, each relative to the time of SIGTERM, in goroutines
+// that all waits for.
 func (w *environment) scheduleFaults(ctx context.Context, all *sync.WaitGroup, signalAt time.Time, e shutdownFault, t Fault, s *sidecar, p *process) {
 	at := func(after time.Duration, do func()) {
 		all.Go(func() {
@@ -217,8 +218,8 @@
 	}
 }
 
-// stallProcess stops a process for stallLength. If the harness prolonged the stall beyond maxStallLength it counts as a
-// crash, since requests lost in it are not the sidecar's fault.
+// stallProcess stops a process for stallLength. If the harness was late and the stall exceeded maxStallLength, the stall
+// counts as a crash, since the sidecar is not to blame for requests lost in it.
 func (w *environment) stallProcess(s *sidecar, p *process) {
 	from := time.Now()
 	p.Signal(syscall.SIGSTOP)
@@ -232,8 +233,8 @@
 	}
 }
 
-// followHandover returns when the serving process got SIGTERM. If the signalled process exited after a handover, it sends
-// SIGTERM to the successor.
+// followHandover returns when the serving process was sent SIGTERM: sent or, if the signalled process has exited after a hot
+// restart, the time at which followHandover sends SIGTERM to the successor.
 func (s *sidecar) followHandover(p *process, offset int64, sent time.Time) time.Time {
 	select {
 	case <-p.exited:
@@ -277,8 +278,8 @@
 func (w *environment) disconnectDuringStall(ctx context.Context, n int, s *sidecar) {
 	const (
 		clients         = 40
-		connectDelay    = 100 * time.Millisecond // time to establish a connection
-		stallDelay      = 60 * time.Millisecond  // until the stop: the requests are read and their connections are being established
+		connectDelay    = 100 * time.Millisecond // delay of the establishment of a connection
+		stallDelay      = 60 * time.Millisecond  // until the sidecar is stopped, while connections for its requests are established
 		disconnectDelay = 10 * time.Millisecond  // from the stop until the clients disconnect
 	)
 	began := time.Now()
--- a/internal/testbench/soak/sidecar.go
+++ b/internal/testbench/soak/sidecar.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	readyWithin = 10 * time.Second // within which a started process must serve
+	readyWithin = 10 * time.Second // time within which a started process must serve requests
 	adminWithin = 3 * time.Second  // timeout of a request to the admin interface
 
-	listenFailures     = 3                      // the first listen calls of a process that starts after a crash
-	killMargin         = 700 * time.Millisecond // added to the longest deadline: the earliest kill after SIGTERM
-	maxCountedDeadline = 3 * time.Second        // part of the longest deadline that killAfter takes into account
+	listenFailures     = 3                      // number of listen calls that fail at the start of a process after a crash
+	killMargin         = 700 * time.Millisecond // earliest kill after SIGTERM, counted from the end of the longest deadline
+	maxCountedDeadline = 3 * time.Second        // upper limit of the longest deadline in killAfter
 )
 
 // identity holds what all processes of a sidecar share.
@@ -58,8 +58,8 @@
 
 	mutex         sync.Mutex
 	current       *process
-	busy          bool     // being ended, started or handed over
-	killed        []span   // see wasKilled
+	busy          bool     // the process is being ended, started or handed over
+	killed        []span   // periods for wasKilled
 	shutdownSpans []span   // from SIGTERM to the kill of a process that had not exited by itself
 	faults        []string // forbidden behaviour of processes, as text
 }
@@ -128,7 +128,7 @@
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+s.path("config.json"), "TMPDIR="+s.path("tmp"), "GW_TRACE=1",
 		faultinjection.FileVariable+"="+s.path("faults"))
 	cmd.Stdout, cmd.Stderr = s.log, s.log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // killGroup kills its successors, too
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a process group, so that killGroup also kills successors
 	s.onProcessStart()
 	if err := cmd.Start(); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	return s.ready(ctx)
 }
 
-// watch makes a process, which must be a child of this one, the sidecar's current one and records its end.
+// watch makes p the sidecar's current process and records its end. p must be a child of the calling process.
 func (s *sidecar) watch(p *os.Process) {
 	one := &process{Process: p, exited: make(chan struct{})}
 	s.mutex.Lock()
@@ -218,7 +218,7 @@
 // signal sends a signal to the current process.
 func (s *sidecar) signal(sig syscall.Signal) { s.currentProcess().Signal(sig) }
 
-// terminate sends the process SIGTERM, kills it at the earliest time that the platform may, and starts another.
+// terminate sends the process SIGTERM, kills it at the earliest time at which the platform may do so, and starts another.
 func (s *sidecar) terminate(ctx context.Context) {
 	p := s.currentProcess()
 	s.mutex.Lock()
@@ -269,7 +269,8 @@
 	return slices.Clone(s.shutdownSpans)
 }
 
-// wasKilled reports whether between from and to the process was killed and not yet replaced, or stalled beyond maxStallLength.
+// wasKilled reports whether, at any time between from and to, the process had been killed and not yet replaced, or was
+// stalled for longer than maxStallLength.
 func (s *sidecar) wasKilled(from, to time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -284,8 +285,8 @@
 // successor matches the log line of a completed handover and captures the successor's process id.
 var successor = regexp.MustCompile(`handover=done successor=(\d+)`)
 
-// handOver sends the process SIGUSR2 and makes its successor the current process if the hot restart succeeds. It is no fault
-// if the process keeps running, since it may reject the hot restart.
+// handOver sends the process SIGUSR2 and makes its successor the current process if the hot restart succeeds. The process
+// may also reject the hot restart and keep running, which is not a fault.
 func (s *sidecar) handOver(ctx context.Context) {
 	p := s.currentProcess()
 	offset, _ := s.log.Seek(0, io.SeekCurrent)
--- a/internal/testbench/soak/world.go
+++ b/internal/testbench/soak/world.go
@@ -16,28 +16,28 @@
 // Properties of the servers and settings of the sidecars. The start capacity is so low that a server in slow start gets more
 // than its budget if sidecars treat it as warm.
 const (
-	cores             = 2                      // of a server
+	cores             = 2                      // cores of a server
 	queue             = 24                     // length of a server's queue
-	meanWork          = 15 * time.Millisecond  // of a request
-	capacity          = float64(cores) / 0.015 // requests of mean work a second
-	startCapacity     = 0.05                   // of a server that has just started, as a fraction of its capacity
+	meanWork          = 15 * time.Millisecond  // mean service time of a request
+	capacity          = float64(cores) / 0.015 // requests of mean work per second that a server can process
+	startCapacity     = 0.05                   // capacity of a server that has just started, as a fraction of its full capacity
 	overloadMultiple  = 1.5                    // multiple of its current capacity that overloads a server in slow start
-	overloadWindow    = 3 * time.Second        // within which that much load counts as overload
+	overloadWindow    = 3 * time.Second        // time within which load of overloadMultiple times the capacity counts as overload
 	warmUpTime        = 9 * time.Second        // duration of slow start
 	connIdle          = 10 * time.Second
 	drainGrace        = 750 * time.Millisecond
 	listDelay         = 200 * time.Millisecond  // delay of discovery's changes while it is late
-	proxied           = 3                       // every third server is behind a proxy
+	proxied           = 3                       // one in this many servers is behind a proxy
 	slowTimes         = 6                       // factor on service times of a slow server
 	maxSlowConnect    = 1150 * time.Millisecond // longest delay of a connection
 	slowConnectMargin = 20 * time.Millisecond   // between the delay of a connection and the connect timeout
-	maxFlood          = 120                     // connections
+	maxFlood          = 120                     // most connections that a Flood opens
 
 	startAttempts = 100                   // attempts to start a server again on its address
 	startPause    = 20 * time.Millisecond // after a failed attempt
 
 	interruptions  = 3                    // consecutive calls that fail with EINTR
-	interruptEvery = 2 * time.Millisecond // interval between them
+	interruptEvery = 2 * time.Millisecond // interval between two such series of calls
 )
 
 // Options configure a run.
@@ -58,7 +58,7 @@
 	onRequest       bool          // discovery is polled on request, instead of an agent on the same machine
 	longestDeadline time.Duration // longest deadline of a class
 	connectTimeout  time.Duration // connect timeout to servers
-	manyClients     bool          // many clients send to a process during ShutdownFaults
+	manyClients     bool          // many clients send requests to a process during ShutdownFaults
 	retryWindow     time.Duration // retry window of requests with a token
 }
 
@@ -115,7 +115,7 @@
 	discoveries []*fakes.Discovery
 	sidecars    []*sidecar
 	clients     []*clients
-	offset      atomic.Int64 // of the stepped wall clock from the real one
+	offset      atomic.Int64 // offset of the stepped wall clock from the real one, in ns
 	running     sync.WaitGroup
 	ordered     sync.Map // by serverAtSidecar: operators' orders in effect
 
@@ -232,7 +232,7 @@
 	how(&w.record)
 }
 
-// finish completes the record after the run with what clients, servers and sidecars have recorded.
+// finish returns the record of the run, completed with what clients, servers and sidecars have recorded.
 func (w *environment) finish() *record {
 	r := &w.record
 	for _, c := range w.clients {
