--- a/internal/testbench/fakes/discovery.go
+++ b/internal/testbench/fakes/discovery.go
@@ -63,7 +63,7 @@
 	indented, chunked                                                      bool
 	delay                                                                  time.Duration
 	replacement                                                            []byte
-	held                                                                   chan struct{} // closed when responses are released; nil = not held
+	held                                                                   chan struct{} // closed when released; nil = not held
 }
 
 // Discovery is a fake discovery. It responds to requests for the complete endpoint list and to watches, and its methods inject
--- a/internal/testbench/loadgen/arrivals.go
+++ b/internal/testbench/loadgen/arrivals.go
@@ -15,19 +15,19 @@
 
 // Request is one request of a plan.
 type Request struct {
-	Index  uint64        // in the plan, from 0
-	At     time.Duration // due time from the start of the run
+	Index  uint64        // index of the request in the plan, from 0
+	At     time.Duration // due time, counted from the start of the run
 	Class  string
 	Tenant string // "" = no tenant header
 	Method string
 	Path   string
-	Size   int    // of the body in bytes
-	Key    string // the key in its path; "" = none
+	Size   int    // size of the body in bytes
+	Key    string // key in the request's path; "" = none
 
 	class int // index in the plan's classes
 }
 
-// id returns the request id of one attempt, numbered from 0.
+// id returns the request id of one attempt; attempts are numbered from 0.
 func (r *Request) id(seed uint64, attempt int) string {
 	return fmt.Sprintf("%016x", rand.NewPCG(seed, r.Index<<8|uint64(attempt)).Uint64())
 }
@@ -85,10 +85,10 @@
 	evenlySpaced bool
 	classes      picker
 	tenants      picker
-	keys         []picker // by class, shared by the streams
+	keys         []picker // one picker for each class, shared by the streams
 
 	now      float64 // due time of the latest request, in seconds
-	expected float64 // expected number of arrivals until then
+	expected float64 // expected number of arrivals until now
 	any      bool
 	request  Request // the latest request
 }
@@ -112,7 +112,7 @@
 	case !a.evenlySpaced:
 		step = a.random.ExpFloat64()
 	case !a.any:
-		step = 0 // an evenly spaced stream starts with a request
+		step = 0 // the first request of an evenly spaced stream is due at its start
 	}
 	a.any = true
 	a.expected += step
@@ -136,7 +136,7 @@
 
 // picker draws names by weight, by binary search in the cumulative weights.
 type picker struct {
-	names      []string // nil = the numbers from 1
+	names      []string // nil = the names are the numbers from 1
 	cumulative []float64
 }
 
--- a/internal/testbench/loadgen/client.go
+++ b/internal/testbench/loadgen/client.go
@@ -55,7 +55,8 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// wait returns the delay before a retry: the plan's, or the response's Retry-After if it is longer, up to the plan's limit.
+// wait returns the delay before a retry: WaitMs, or the response's Retry-After if that is longer, up to
+// MaxRetryAfterMs.
 func (r *Retry) wait(retryAfter time.Duration) time.Duration {
 	return max(milliseconds(r.WaitMs), min(retryAfter, milliseconds(r.MaxRetryAfterMs)))
 }
@@ -67,7 +68,8 @@
 	retryAfter time.Duration // value of the Retry-After header; 0 = none
 }
 
-// sendAttempt sends one attempt that is due at the given time.
+// sendAttempt sends one attempt, which is due at the time at, waits for its response until the time until, and returns the
+// outcome.
 func (c *client) sendAttempt(q *Request, class *Class, number int, at, until time.Time) (t attempt) {
 	if class.TimeoutMs > 0 {
 		if timeout := at.Add(milliseconds(class.TimeoutMs)); timeout.Before(until) {
@@ -106,7 +108,7 @@
 	return b
 }
 
-// readResponse reads a response and discards its body, and any 1xx responses before it.
+// readResponse reads a response, and discards its body and any 1xx responses before it. The returned body is nil.
 func readResponse(br *bufio.Reader) (*http.Response, []byte, error) {
 	for {
 		resp, err := http.ReadResponse(br, nil)
--- a/internal/testbench/loadgen/loadgen_test.go
+++ b/internal/testbench/loadgen/loadgen_test.go
@@ -65,7 +65,7 @@
 		l, err := n.Listen("")
 		ok(t, err)
 		start := time.Now()
-		var busy sync.WaitGroup // includes requests whose client has timed out
+		var busy sync.WaitGroup // counts running handlers, including those whose client has timed out
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			busy.Add(1)
 			defer busy.Done()
--- a/internal/testbench/loadgen/plan.go
+++ b/internal/testbench/loadgen/plan.go
@@ -22,9 +22,9 @@
 	Seed        uint64       `json:"seed"`
 	ForS        float64      `json:"for_s,omitempty"` // duration in seconds; with a trace, 0 = the whole trace
 	Classes     []Class      `json:"classes"`
-	Tenants     []string     `json:"tenants,omitempty"` // allowed tenants; empty = any
+	Tenants     []string     `json:"tenants,omitempty"` // tenants that streams and traces may name; empty = any
 	Streams     []Stream     `json:"streams,omitempty"`
-	Trace       *TraceSource `json:"trace,omitempty"`       // in place of Streams
+	Trace       *TraceSource `json:"trace,omitempty"`       // recorded trace, which takes the place of Streams; nil = none
 	Connections int          `json:"connections,omitempty"` // limit on open connections of all processes together; 0 = 10000
 	Lateness    Lateness     `json:"lateness,omitzero"`
 }
@@ -35,8 +35,8 @@
 	Method             string  `json:"method,omitempty"` // "" = GET
 	Path               string  `json:"path,omitempty"`   // {key} is replaced by the key; "" = /NAME/{key}
 	BodyBytes          int     `json:"body_bytes,omitempty"`
-	LatencyObjectiveMs float64 `json:"aim_ms"`                // of a request, from its due time
-	DeadlineMs         float64 `json:"deadline_ms"`           // of a request with all its attempts, from its due time
+	LatencyObjectiveMs float64 `json:"aim_ms"`                // latency objective of a request, counted from its due time
+	DeadlineMs         float64 `json:"deadline_ms"`           // deadline of a request with all its attempts, from its due time
 	TimeoutMs          float64 `json:"patience_ms,omitempty"` // timeout of one attempt; 0 = only the deadline applies
 	Keys               Keys    `json:"keys,omitzero"`
 	Retry              Retry   `json:"retry,omitzero"`
@@ -44,14 +44,14 @@
 
 // Keys is the distribution of keys in requests: the numbers from 1 to Count, where n has a weight of n to the power of -Zipf.
 type Keys struct {
-	Count int     `json:"count,omitempty"` // 0 = 1
-	Zipf  float64 `json:"zipf,omitempty"`  // 0 = all equally likely
+	Count int     `json:"count,omitempty"` // number of keys; 0 = 1
+	Zipf  float64 `json:"zipf,omitempty"`  // exponent of the distribution; 0 = all keys are equally likely
 }
 
 // Retry is a client's retry policy.
 type Retry struct {
-	MaxRetries      int      `json:"most,omitempty"`      // attempts after the first
-	WaitMs          float64  `json:"wait_ms,omitempty"`   // before each retry
+	MaxRetries      int      `json:"most,omitempty"`      // highest number of attempts after the first
+	WaitMs          float64  `json:"wait_ms,omitempty"`   // wait before each retry
 	MaxRetryAfterMs float64  `json:"advice_ms,omitempty"` // a Retry-After longer than WaitMs is followed up to this; 0 = ignored
 	On              []string `json:"on,omitempty"`        // outcomes; empty = refused, unreachable, for GET also failed, lost
 }
@@ -71,16 +71,16 @@
 	Even    = "even"    // arrivals as evenly spaced as the shape allows
 )
 
-// Lateness bounds the generator's own delay; above it a run is invalid.
+// Lateness has the bounds on the generator's own delay; a run that exceeds one of them is invalid.
 type Lateness struct {
-	P99Ms float64 `json:"p99_ms,omitempty"`  // 99th percentile of the delay of first attempts; 0 = 1
-	MaxMs float64 `json:"most_ms,omitempty"` // maximum delay of first attempts and of the generator's timers; 0 = 50
+	P99Ms float64 `json:"p99_ms,omitempty"`  // bound on the 99th percentile of the delay of first attempts; 0 = 1 ms
+	MaxMs float64 `json:"most_ms,omitempty"` // bound on the delay of first attempts and of the generator's timers; 0 = 50 ms
 }
 
 // Limits on the values of a plan.
 const (
 	maxKeys     = 1_000_000
-	maxBody     = 1 << 20 // bytes
+	maxBody     = 1 << 20 // largest request body, in bytes
 	maxRetries  = 100
 	maxDeadline = 10 * time.Minute
 	maxClasses  = 64
@@ -235,7 +235,7 @@
 	}
 }
 
-// setDefault sets *what to value if it is zero.
+// setDefault sets *what to value if *what is zero.
 func setDefault[T comparable](what *T, value T) {
 	var left T
 	if *what == left {
--- a/internal/testbench/loadgen/plot.go
+++ b/internal/testbench/loadgen/plot.go
@@ -15,8 +15,8 @@
 // Dimensions of a plot, and limits of its latency axis.
 const (
 	plotWidth, plotHeight = 1200, 600
-	minMs                 = 0.1 // start of the latency axis
-	unservedMs            = 1e6 // placeholder for requests that were never served, above all real latencies
+	minMs                 = 0.1 // start of the latency axis, in ms
+	unservedMs            = 1e6 // placeholder in ms for the latency of requests that were never served, above all real latencies
 )
 
 // PlotFormat returns the renderer for a file name extension, .svg or .png.
--- a/internal/testbench/loadgen/record.go
+++ b/internal/testbench/loadgen/record.go
@@ -39,7 +39,7 @@
 
 const (
 	fineDigits   = 3 // significant digits of histograms over a whole run: values are within 0.1%
-	coarseDigits = 2 // significant digits of those over one second: within 1%
+	coarseDigits = 2 // significant digits of histograms over one second: values are within 1%
 	maxUs        = int64(time.Hour / time.Microsecond)
 )
 
@@ -57,9 +57,9 @@
 func (h Histogram) Count() uint64 { return uint64(h.packed.TotalCount()) }
 
 // Quantile returns the quantile q of total values by nearest rank, within the histogram's precision. total is at least
-// Count; values that were not recorded count as infinite, and false means that the quantile is one of them.
+// Count. The values beyond Count, which were not recorded, count as infinite; false means that the quantile is infinite.
 func (h Histogram) Quantile(q float64, total uint64) (time.Duration, bool) {
-	rank := max(1, math.Ceil(q*float64(total)-1e-6)) // 0.99*1000 is a little above 990
+	rank := max(1, math.Ceil(q*float64(total)-1e-6)) // compensates rounding errors: 0.99*1000 is a little above 990
 	if rank > float64(h.Count()) {
 		return 0, false
 	}
@@ -91,10 +91,10 @@
 type Tally struct {
 	Requests        uint64              `json:"asked"`    // requests, not counting retries
 	Attempts        uint64              `json:"tries"`    // attempts of all requests, including those that got no connection
-	Resent          uint64              `json:"resent"`   // attempts sent again since the server had closed the reused connection
+	Resent          uint64              `json:"resent"`   // attempts sent again because the server had closed the reused connection
 	InObjective     uint64              `json:"in_aim"`   // requests served within their latency objective, from their due time
-	Outcomes        [numOutcomes]uint64 `json:"ends"`     // of requests, in the order of the constants
-	AttemptOutcomes [numOutcomes]uint64 `json:"try_ends"` // of attempts, in the same order
+	Outcomes        [numOutcomes]uint64 `json:"ends"`     // numbers of requests by outcome, in the order of the constants
+	AttemptOutcomes [numOutcomes]uint64 `json:"try_ends"` // numbers of attempts by outcome, in the same order
 
 	Due  Histogram `json:"due"`  // latency of served requests from their due time
 	Sent Histogram `json:"sent"` // latency of served requests from sending the last attempt, as a closed-loop tool reports it
@@ -105,7 +105,7 @@
 // completion describes a request that has ended.
 type completion struct {
 	class                int
-	due, sentAt, endedAt time.Time // sentAt is that of the last attempt
+	due, sentAt, endedAt time.Time // due is that of the first attempt, sentAt that of the last
 	late                 time.Duration
 	attempts, resent     uint64
 	attemptOutcomes      [numOutcomes]uint64
@@ -150,12 +150,12 @@
 // Result is the result of a run, or of one process's part of it.
 type Result struct {
 	Partial         bool          `json:"partial"`         // the run was interrupted
-	Ran             time.Duration `json:"ran_ns"`          // from the start to the end of the last request
+	Ran             time.Duration `json:"ran_ns"`          // time from the start to the end of the last request
 	Late            Histogram     `json:"late"`            // delay of first attempts, without waits for a connection
 	Stall           time.Duration `json:"stall_ns"`        // longest delay of the process's timers
-	ConnWaits       uint64        `json:"held"`            // attempts that waited since the limit on connections was reached
+	ConnWaits       uint64        `json:"held"`            // attempts that waited because the limit on connections was reached
 	LongestConnWait time.Duration `json:"held_longest_ns"` // the longest of these waits
-	ConnsOpened     uint64        `json:"opened"`          // connections
+	ConnsOpened     uint64        `json:"opened"`          // number of connections opened
 	Classes         []Tally       `json:"classes"`         // in the plan's order
 	Seconds         []Second      `json:"seconds"`         // by due time
 }
--- a/internal/testbench/loadgen/report.go
+++ b/internal/testbench/loadgen/report.go
@@ -14,8 +14,8 @@
 // quantiles are the quantiles of each Latency.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
-// Latency has the quantiles 0.5, 0.9, 0.99, 0.999 and 1 in milliseconds, over all requests. nil means that fewer requests
-// than that were served.
+// Latency has the quantiles 0.5, 0.9, 0.99, 0.999 and 1 in milliseconds, over all requests. nil means that too few requests
+// were served for the quantile.
 type Latency [5]*float64
 
 func newLatency(h Histogram, total uint64) (l Latency) {
@@ -33,15 +33,15 @@
 	return nil
 }
 
-// Row has the results of the requests of one class, or of all.
+// Row has the results of the requests of one class, or of all classes.
 type Row struct {
-	Class           string            `json:"class"` // "all" for all of them
+	Class           string            `json:"class"` // "all" = all classes
 	Requests        uint64            `json:"asked"`
 	Attempts        uint64            `json:"tries"`
 	Resent          uint64            `json:"resent"`
 	InObjective     uint64            `json:"in_aim"`
 	Goodput         float64           `json:"goodput_per_s"` // requests served within their latency objective per second of load
-	Outcomes        map[string]uint64 `json:"ends"`          // of requests
+	Outcomes        map[string]uint64 `json:"ends"`          // numbers of requests by outcome
 	AttemptOutcomes map[string]uint64 `json:"try_ends"`
 	Due             Latency           `json:"latency_from_due_ms"`
 	Sent            Latency           `json:"latency_from_send_ms"`
@@ -72,7 +72,7 @@
 	Outcomes    map[string]uint64 `json:"ends"`
 	Due         Latency           `json:"latency_from_due_ms"`
 	Sent        Latency           `json:"latency_from_send_ms"`
-	LateMs      float64           `json:"late_longest_ms"` // longest delay by the generator, of all classes
+	LateMs      float64           `json:"late_longest_ms"` // longest delay of a first attempt of any class by the generator
 }
 
 // Report is the report of a run. Fields whose names end in Ms are in milliseconds, those that end in S in seconds.
@@ -80,13 +80,13 @@
 	Address           string      `json:"address"`
 	Seed              uint64      `json:"seed"`
 	Processes         int         `json:"processes"`
-	LastedS           float64     `json:"lasted_s"` // seconds in which requests were due
-	RanS              float64     `json:"ran_s"`    // until the last request had ended
+	LastedS           float64     `json:"lasted_s"` // length of the period in which requests were due
+	RanS              float64     `json:"ran_s"`    // time from the start to the end of the last request
 	Valid             bool        `json:"valid"`
 	Invalid           []string    `json:"invalid,omitempty"` // reasons why the run is invalid
 	Partial           bool        `json:"partial"`           // the run was interrupted
 	LateMs            Latency     `json:"late_ms"`
-	StallMs           float64     `json:"stall_ms"`        // maximum delay of the generator's timers
+	StallMs           float64     `json:"stall_ms"`        // longest delay of the generator's timers
 	ConnWaits         uint64      `json:"held"`            // attempts that waited for a connection
 	LongestConnWaitMs float64     `json:"held_longest_ms"` // the longest of these waits
 	ConnsOpened       uint64      `json:"connections_opened"`
@@ -128,7 +128,7 @@
 	return out
 }
 
-// checkLateness marks the report as invalid if the generator's own delay exceeds its bounds.
+// checkLateness marks the report as invalid if the generator's own delay exceeds the bounds l.
 func (r *Report) checkLateness(l Lateness) {
 	checkLimit := func(what string, is, most float64) {
 		if is > most {
--- a/internal/testbench/loadgen/run.go
+++ b/internal/testbench/loadgen/run.go
@@ -17,7 +17,7 @@
 	Address string // host:port of the server
 	Dialer  Dialer // nil = TCP
 	Start   time.Time
-	Part    int // the part of the plan to send, from 0
+	Part    int // number of the part of the plan to send, from 0
 	Parts   int // number of parts; 0 = 1
 
 	// Pause sleeps for up to the given time before a request is due. nil = as precisely as the machine allows; a run in a
@@ -26,13 +26,13 @@
 }
 
 const (
-	preciseWait        = 2 * time.Millisecond // end of a wait that uses Pause, since the runtime's timers are up to 1 ms late
+	preciseWait        = 2 * time.Millisecond // last part of a wait, by Pause, since the runtime's timers are up to 1 ms late
 	timerCheckInterval = 5 * time.Millisecond // interval at which the delay of timers is measured
 )
 
-// Run sends the plan's requests, each at its due time, counted from Start or from now if Start has passed. The plan must
-// have passed Check. Run returns when the last request has ended. When ctx ends, no further requests are sent and the
-// result is partial. An error means that the plan could not be sent completely.
+// Run sends the plan's requests, each at its due time, counted from Options.Start or, if that has passed, from now.
+// The plan must have passed Check. Run returns when the last request has ended. When ctx ends, no further requests are sent
+// and the result is partial. An error means that the plan could not be sent completely.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
 	setDefault(&o.Parts, 1)
 	setDefault(&o.Dialer, Dialer(fakes.Loopback()))
@@ -108,8 +108,8 @@
 	return false
 }
 
-// kernelTimer sleeps on a timerfd, which is about 50 us late, while the runtime's timers are 1 ms late. It is polled like a
-// socket: a thread blocked in a sleep would delay other goroutines, by some ms on a machine with one core.
+// kernelTimer sleeps on a timerfd, which is about 50 us late, while the runtime's timers are 1 ms late. It is polled like
+// a socket, because a thread blocked in a sleep would delay other goroutines, by some ms on a machine with one core.
 type kernelTimer struct {
 	fd        int
 	timerFile *os.File
@@ -131,8 +131,8 @@
 	}
 }
 
-// watchTimers records by how much timers of this process are late, also while no request is due: responses are then read
-// late, too.
+// watchTimers records by how much timers of this process are late, even while no request is due, because late timers mean that
+// responses are read late, too.
 func (r *recorder) watchTimers(stop <-chan struct{}) {
 	for {
 		at := time.Now().Add(timerCheckInterval)
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -25,9 +25,10 @@
 	}
 }
 
-// Guards against coordinated omission: the server pauses for 2 s, from 5 ms before one of 100 evenly spaced requests/s on.
-// The i-th longest of the 1000 latencies is 1995 - 10(i-1) ms up to i = 200, the others 0. Quantile q has rank 1000q from
-// below, so i = 1001-1000q. Latency from the due time is the same with one connection, as in a closed-loop tool, whose
+// TestServerPause guards against coordinated omission. At 100 evenly spaced requests per second, the server pauses for 2 s, from
+// 5 ms before a request is due. The i-th longest of the 1000 latencies is 1995 - 10(i-1) ms up to i = 200, and the others are 0.
+// Quantile q has rank 1000q from below, so i = 1001-1000q.
+// Latency from the due time is the same with one connection, as in a closed-loop tool, whose
 // latency from the send shows one slow request.
 func TestServerPause(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -70,14 +71,15 @@
 	}
 }
 
-// A generator that is delayed for 300 ms reports the run as invalid. Requests due during the delay are sent late, but all
+// TestGeneratorDelay checks that a generator that is delayed for 300 ms reports the run as invalid.
+// Requests due during the delay are sent late, but all
 // are sent. Second attempts that are on time make no difference.
 func TestGeneratorDelay(t *testing.T) {
 	p := constantPlan(t, constant(100), Even, 3)
 	p.Classes[0].Retry.MaxRetries = 1
 	calls := 0
 	r := inBubble(t, p, Options{Pause: func(d time.Duration) {
-		if calls++; calls == 100 { // 2 ms before the request of second 1 is due
+		if calls++; calls == 100 { // 2 ms before the request at 1 s is due
 			d = 300 * time.Millisecond
 		}
 		time.Sleep(d)
@@ -96,13 +98,13 @@
 	checkMs(t, "from send", report.Classes[0].Sent[4], 0)
 
 	r = newResult(1)
-	r.Stall = 51 * time.Millisecond // with no requests due
+	r.Stall = 51 * time.Millisecond // a stall at a time when no requests are due
 	if report := NewReport(p, r, "", 1); report.Valid || !strings.Contains(report.Invalid[0], "delayed") {
 		t.Errorf("%+v", report)
 	}
 }
 
-// Each request counts once, with all its attempts, from its due time.
+// TestRetries checks that each request counts once, with all its attempts, from its due time.
 func TestRetries(t *testing.T) {
 	get := Class{Name: "tile", LatencyObjectiveMs: 150, DeadlineMs: 1000, Retry: Retry{MaxRetries: 2, WaitMs: 100}}
 	post := get
@@ -178,7 +180,7 @@
 	}
 }
 
-// An interrupted run returns a partial result; a run without requests ends at once.
+// TestShortRuns checks that an interrupted run returns a partial result and that a run without requests ends at once.
 func TestShortRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1450*time.Millisecond)
@@ -203,7 +205,8 @@
 	})
 }
 
-// A request sent on a reused connection while the server closes it is sent once more, without delay.
+// TestRequestSentDuringClose checks that a request sent on a reused connection while the server closes it is sent once more,
+// without delay.
 func TestRequestSentDuringClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewMemory()
--- a/internal/testbench/loadgen/shape.go
+++ b/internal/testbench/loadgen/shape.go
@@ -14,10 +14,10 @@
 //   - constant: Rate;
 //   - step: Rate, and To from AtS on;
 //   - ramp: Rate until AtS, then linearly to To within OverS;
-//   - spike: Rate until AtS, then up to Rate*Times within OverS (0 = 1), held for HoldS, and back within BackS (0 = 1);
+//   - spike: Rate until AtS, then up to Rate*Times within OverS (0 = 1 s), held for HoldS, and back within BackS (0 = 1 s);
 //   - sine: a mean of Rate, an amplitude of Rate*Swing and a period of PeriodS; it rises through Rate at AtS;
 //   - sum: the sum of the shapes in Of;
-//   - sequence: the shapes in Of one after another, each for its ForS and the last one to the end.
+//   - sequence: the shapes in Of one after another, each for its ForS, the last one until the end of the run.
 //
 // Rates are in requests per second; times are in seconds, AtS from the start of the shape.
 type Shape struct {
@@ -35,7 +35,8 @@
 	Of      []Shape `json:"of,omitempty"`
 }
 
-// shapeKinds lists, by kind of shape, the allowed keys and those of them that must be above 0.
+// shapeKinds lists, by kind of shape, the allowed keys (takes) and those of them that must be above 0
+// (needs).
 var shapeKinds = map[string]struct{ takes, needs []string }{
 	"constant": {[]string{"rate"}, nil},
 	"step":     {[]string{"rate", "to", "at_s"}, nil},
@@ -47,9 +48,9 @@
 }
 
 const (
-	maxRate           = 1e6 // requests per second, for one shape
+	maxRate           = 1e6 // limit on the rate of one shape, in requests per second
 	defaultSpikeRampS = 1.0 // default seconds for a spike to rise, and to fall
-	maxShapeDepth     = 8   // levels of nested shapes
+	maxShapeDepth     = 8   // limit on the levels of nested shapes
 )
 
 func (s *Shape) numericValues() map[string]float64 {
@@ -59,7 +60,8 @@
 	}
 }
 
-// check returns an error for an invalid shape, located by key; inner says that it is part of a sequence and must end.
+// check returns an error for an invalid shape. The error names key, the place of the shape in the plan. inner says that the
+// shape is followed by another one in a sequence, so that it must end.
 func (s *Shape) check(key string, inner bool, depth int) error {
 	_, known := shapeKinds[s.Kind]
 	switch {
@@ -164,8 +166,8 @@
 // breakpoint is a point where two straight segments meet.
 type breakpoint struct{ time, rate float64 }
 
-// piecewiseLinear is a curve of straight segments between points that keeps the rate of the last point. Two points at the
-// same time are a jump.
+// piecewiseLinear is a curve of straight segments between points. After the last point it keeps that point's rate. Two points at
+// the same time are a jump.
 type piecewiseLinear struct {
 	points         []breakpoint
 	arrivalsBefore []float64 // arrivals expected before each point
@@ -199,7 +201,7 @@
 	return l.arrivalsBefore[i] + (t-l.points[i].time)*(l.points[i].rate+l.rate(t))/2
 }
 
-// sine is a sine curve around a mean; frequency is the angular one, 2π over the period.
+// sine is a sine curve around a mean with the amplitude swing; frequency is the angular frequency, 2π over the period.
 type sine struct{ mean, swing, frequency, risesAt float64 }
 
 func (s sine) rate(t float64) float64 {
--- a/internal/testbench/loadgen/shape_test.go
+++ b/internal/testbench/loadgen/shape_test.go
@@ -17,7 +17,7 @@
 		{"kind":"sine","rate":90,"swing":0.5,"period_s":7}]}`,
 }
 
-// total is the integral of rate, and invert is the inverse of total.
+// TestShapes checks that total is the integral of rate, and invert the inverse of total.
 func TestShapes(t *testing.T) {
 	for _, text := range shapes {
 		s := parseShape(text)
@@ -47,8 +47,9 @@
 	}
 }
 
-// Measured in expected arrivals instead of seconds, the gaps of Poisson arrivals are independent and exponential for every
-// shape, and those of even arrivals are 1. The bound is that of the Kolmogorov-Smirnov test at a significance of 0.001.
+// TestSpacing checks, for every shape, the gaps measured in expected arrivals instead of seconds: the gaps of Poisson arrivals
+// are independent and exponential, and those of even arrivals are 1.
+// The bound is that of the Kolmogorov-Smirnov test at a significance of 0.001.
 func TestSpacing(t *testing.T) {
 	for _, text := range shapes {
 		for _, spacing := range []string{Poisson, Even} {
--- a/internal/testbench/loadgen/spread.go
+++ b/internal/testbench/loadgen/spread.go
@@ -23,7 +23,7 @@
 
 const (
 	readyLine  = "ready"
-	startDelay = 50 * time.Millisecond // from when all workers are ready to the start of the run
+	startDelay = 50 * time.Millisecond // time from when all workers are ready to the start of the run
 )
 
 // RunDistributed sends a checked plan from several processes, one part each, and merges their results. Each command must
@@ -105,7 +105,7 @@
 	return r, errors.Join(err, w.cmd.Wait())
 }
 
-// kill kills the process if it is still running, and returns its exit error.
+// kill kills the process if it is still running, and returns its exit error, or nil if it had exited before.
 func (w *worker) kill() error {
 	if w == nil || w.cmd.ProcessState != nil {
 		return nil
@@ -135,7 +135,7 @@
 		_, _ = io.Copy(io.Discard, in)
 		stop()
 	}()
-	start = time.Now().Add(time.Until(start)) // by this process's monotonic clock
+	start = time.Now().Add(time.Until(start)) // converts the start to this process's monotonic clock
 	r, err := Run(ctx, j.Plan, Options{Address: j.Address, Start: start, Part: j.Part, Parts: j.Parts})
 	if err != nil {
 		return err
--- a/internal/testbench/loadgen/spread_test.go
+++ b/internal/testbench/loadgen/spread_test.go
@@ -12,7 +12,7 @@
 	"plankrouter/internal/testbench/fakes"
 )
 
-// Three parts of a plan send each request once, and their merged result is that of one process.
+// TestParts checks that three parts of a plan send each request once, and that their merged result is that of one process.
 func TestParts(t *testing.T) {
 	p := mixedPlan(t)
 	p.ForS = 2
@@ -45,7 +45,7 @@
 	}
 }
 
-// RunDistributed and RunWorker with processes on loopback, from the job to the merged result.
+// TestSpread tests RunDistributed and RunWorker with processes on loopback, from the job to the merged result.
 func TestSpread(t *testing.T) {
 	n := fakes.Loopback()
 	server, err := fakes.NewServer(n, fakes.ServerOptions{
@@ -72,7 +72,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	p.ForS = 1000 // the interrupted run must not wait for them
+	p.ForS = 1000 // s; the interrupted run must not wait for the end of the plan
 	if r, err := RunDistributed(ctx, p, server.Address(), workers()); err != nil || !r.Partial {
 		t.Errorf("interrupted: %+v, %v", r, err)
 	}
--- a/internal/testbench/loadgen/trace.go
+++ b/internal/testbench/loadgen/trace.go
@@ -20,7 +20,7 @@
 type TraceSource struct {
 	File   string  `json:"file"`
 	Speed  float64 `json:"speed,omitempty"`   // replay speed; 2 takes half the recorded time; 0 = 1
-	Repeat int     `json:"repeat,omitempty"`  // number of times it is replayed; 0 = 1
+	Repeat int     `json:"repeat,omitempty"`  // number of times the trace is replayed; 0 = 1
 	EveryS float64 `json:"every_s,omitempty"` // recorded seconds between starts; 0 = the trace's length plus its mean gap
 }
 
@@ -168,7 +168,8 @@
 	}
 }
 
-// completeLines returns lines with their line feeds. A last line without one is an error.
+// completeLines returns lines with their line feeds. A last line without a line feed is an error, and
+// so is a line of more than 64 KB.
 func completeLines(r io.Reader) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		br := bufio.NewReaderSize(r, 64<<10)
--- a/internal/testbench/loadgen/trace_test.go
+++ b/internal/testbench/loadgen/trace_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A trace written from a plan, when replayed and written again, gives the same bytes.
+// TestTraceRoundTrip checks that a trace written from a plan, when replayed and written again, gives the same bytes.
 func TestTraceRoundTrip(t *testing.T) {
 	plan := mixedPlan(t)
 	for _, form := range []string{".csv", ".jsonl"} {
