--- a/internal/testbench/soak/judge.go
+++ b/internal/testbench/soak/judge.go
@@ -17,7 +17,7 @@
 	drainSlack      = 50 * time.Millisecond  // after the end of the drain grace and of a retry window
 	disconnectSlack = 100 * time.Millisecond // from a client's disconnect to the last attempt for it
 	deadlineSlack   = 150 * time.Millisecond // by which the deadline that an attempt carries may exceed the time left
-	maxNotifyDelay  = 6 * time.Second        // for all sidecars to learn of a change, if the watch is silent or a poll on request
+	maxNotifyDelay  = 6 * time.Second        // for each sidecar to learn of a change, if its watch is silent or it polls on request
 	badClientWithin = 3 * time.Second        // time within which a partial request must get an error or a close of its connection
 	stallRange      = 300 * time.Millisecond // a stall of this process within this time of a measurement adds to the tolerance
 )
