--- a/internal/keepalive/evidence.go
+++ b/internal/keepalive/evidence.go
@@ -37,7 +37,7 @@
 	}()
 )
 
-// stepOf returns the step of the curves that covers v: an idle time in idleUnits, or a number of attempts carried.
+// stepOf returns the step of the curves that covers v: an idle time in units of idleUnit, or a number of attempts carried.
 func stepOf(v float64) int {
 	if !(v >= 1) {
 		return 0
--- a/internal/testbench/emulator/overload.go
+++ b/internal/testbench/emulator/overload.go
@@ -192,8 +192,8 @@
 	return overloadEventStart + duration
 }
 
-// inTime returns the fraction of the client requests that arrived in seconds from to to (exclusive) and were served within the
-// latency objective.
+// inTime returns the fraction of the client requests that were served within the latency objective, of those that arrived in
+// the seconds [from, to).
 func inTime(rows []Row, from, to float64) float64 {
 	p := servedFraction{}
 	for _, r := range rows[min(len(rows), int(from)):min(len(rows), int(to))] {
@@ -294,8 +294,8 @@
 	return nil
 }
 
-// writeMeans writes, by number of sidecars, the mean share after the event over the seeds and, in brackets, that of the whole
-// run, followed by the number of runs that recovered in time and the number of all runs.
+// writeMeans writes a table by number of sidecars. It has the mean share after the event over the seeds and, in brackets, the
+// mean share of the whole run. The number of runs that recovered in time and the number of all runs follow.
 func writeMeans(out io.Writer, t *tabwriter.Writer, results []*OverloadResult) {
 	sizes, rows := sizesAndRows(results)
 	fmt.Fprintln(out, "\nmeans over the seeds: share after the event (of the whole run), runs recovered to the best share "+
--- a/internal/testbench/loadgen/run_test.go
+++ b/internal/testbench/loadgen/run_test.go
@@ -27,9 +27,8 @@
 
 // TestServerPause guards against coordinated omission. At 100 evenly spaced requests per second, the server pauses for 2 s, from
 // 5 ms before a request is due. The i-th longest of the 1000 latencies is 1995 - 10(i-1) ms up to i = 200, and the others are 0.
-// Quantile q has rank 1000q from below, so i = 1001-1000q.
-// Latency from the due time is the same with one connection, as in a closed-loop tool, whose
-// latency from the send shows one slow request.
+// Quantile q has rank 1000q from below, so i = 1001-1000q. With one connection, as in a closed-loop tool, latency from the due
+// time is the same, and latency from the send shows one slow request.
 func TestServerPause(t *testing.T) {
 	for name, test := range map[string]struct {
 		connections int
--- a/internal/testbench/recovery/metrics.go
+++ b/internal/testbench/recovery/metrics.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// servedFraction returns the fraction of the requests due from from until to that was served within the latency objective.
+// servedFraction returns the fraction of the requests due in [from, to) that was served within the latency objective.
 func servedFraction(attempts []fakes.Attempt, from, to time.Time) float64 {
 	early := slices.DeleteFunc(slices.Clone(attempts), func(t fakes.Attempt) bool { return !t.RequestedAt.Before(to) })
 	for _, all := range fakes.Tally(early, from, 0) {
--- a/internal/testbench/simulated/real.go
+++ b/internal/testbench/simulated/real.go
@@ -26,8 +26,8 @@
 	ListIn            float64 `json:"list_bytes_in_s"`
 	ListOut           float64 `json:"list_bytes_out_s"`
 	CompleteLists     int64   `json:"list_whole"`
-	StallMs           float64 `json:"stall_ms"`           // see process.BusyWatch
-	Machine           float64 `json:"machine_cores_busy"` // see process.BusyWatch
+	StallMs           float64 `json:"stall_ms"`           // see process.LoadMonitor
+	Machine           float64 `json:"machine_cores_busy"` // see process.LoadMonitor
 }
 
 const (
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -51,8 +51,8 @@
 		b.loadModel.Stretch(s.rif+1) <= admission.MaxStretch(b.reportsSparse, value)
 }
 
-// meetsObjectives reports whether the server is expected to meet the latency objectives of this request and of all classes
-// of at least peerValueFactor times its value, as the request would otherwise take capacity from those classes.
+// meetsObjectives reports whether the server is expected to meet the latency objectives of this request and of all classes of
+// at least peerValueFactor times its value. If it is not, the request would take capacity from those classes.
 func (b *Balancer) meetsObjectives(s *server, r *request, value float64, timeLeft Ms) bool {
 	margin := admission.LatencyMargin(b.reportsSparse, b.cfg.WastedWorkCost, s.rif/b.loadModel.Concurrency())
 	margin *= min(1, max(maxSlowFactor*b.fleetLatency, priorServiceTime)/b.serviceTime(s))
